--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -20,7 +20,7 @@
         self.events: deque[api.Event] = deque()
         self.pumping = False
 
-    def post(self, event: api.Event) -> None:
+    def dispatch(self, event: api.Event) -> None:
         """Hand over one event and carry out what comes of it; events that an action causes wait."""
         self.events.append(event)
         if self.pumping:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -370,7 +370,7 @@
         front = self.fronts.get(index)
         if front is None:
             request.lane = self
-            self.post(event)
+            self.dispatch(event)
         else:
             front.arrived(event)
 
@@ -393,7 +393,7 @@
         if kind is not api.ListKind.CACHED:
             self.cut_off = kind is api.ListKind.FAILED
         if listing is None:
-            self.post(api.UpstreamsUpdated(kind))
+            self.dispatch(api.UpstreamsUpdated(kind))
             return
         full = kind is not api.ListKind.DELTA
         self.starts.look()
@@ -403,7 +403,7 @@
         self.has_list = self.has_list or kind is not api.ListKind.CACHED or bool(listing.members)
         members = self.upstreams.settle_addresses(listing.members, full)
         self.upstreams.apply(members, full)
-        self.post(api.UpstreamsUpdated(kind, [m.upstream for m in members], listing.generation))
+        self.dispatch(api.UpstreamsUpdated(kind, [m.upstream for m in members], listing.generation))
 
     def on_attempt_end(self, request: Request, number: int, upstream: int, sent_us: int,
                        timer: Timer | None, outcome: api.Outcome,
@@ -421,7 +421,7 @@
                 onward, request.onward, request.lane, request.ran = request.onward, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
         report = read_report(answer.headers, self.config.report_fields) if answer is not None else []
-        self.post(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
+        self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
         if onward is not None:
             onward(answer)
 
@@ -449,7 +449,7 @@
                 if request is not None and action.attempt < len(request.attempts):
                     request.attempts[action.attempt].give_up(api.Outcome.CANCELLED)
             case api.SetTimer():
-                self.at(action.at_us, partial(self.post, api.TimerFired(action.token)))
+                self.at(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
             case api.Subscribe():
                 if action.active:
                     self.discovery.subscribe()
@@ -462,7 +462,7 @@
             case api.Log():
                 self.log(UPSTREAM.sub(self.upstream_name, action.text))
             case api.Probe():
-                self.post(api.ProbeEnded(action.upstream, api.Outcome.NOT_SENT))
+                self.dispatch(api.ProbeEnded(action.upstream, api.Outcome.NOT_SENT))
             case api.TellPeer():
                 pass  # peers may not be told anything where this runs
 
@@ -528,12 +528,12 @@
     def quit(self, request: Request) -> None:
         """Whoever decides on it, or did, hears that no answer is owed any more."""
         front = self.fronts.get(request.index)
-        self.post(api.RequestGone(request.ident))
+        self.dispatch(api.RequestGone(request.ident))
         if front is not None:
             front.gone(request.ident)
 
     def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
-        self.post(event)
+        self.dispatch(event)
         for front in dict.fromkeys(self.fronts.values()):
             front.told(event)
 
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -64,7 +64,7 @@
         self.out: dict[tuple[int, int], Out] = {}  # by request and number
         self.numbers: dict[int, int] = {}  # attempts so far of requests that are open
         doors = max(LEAST_DOORS, settings.max_attempts)
-        self.post(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
+        self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
                                                            for i in range(1, doors + 1)]))
 
     def is_open(self, ident: int) -> bool:
@@ -89,7 +89,7 @@
                 if out is not None:
                     self.give_up(out, api.Outcome.CANCELLED)
             case api.SetTimer():
-                self.host.at(action.at_us, partial(self.post, api.TimerFired(action.token)))
+                self.host.at(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
             case api.Log():
                 self.log(action.text)
             case _:
@@ -100,7 +100,7 @@
         number = self.numbers.get(action.request, 0)
         request = self.host.requests.get(action.request)
         if request is None or not self.is_open(action.request) or not self.may_write(request):
-            self.post(api.AttemptEnded(action.request, number, action.upstream, api.Outcome.NOT_SENT))
+            self.dispatch(api.AttemptEnded(action.request, number, action.upstream, api.Outcome.NOT_SENT))
             return
         self.numbers[action.request] = number + 1
         left_us = request.due_us - now_us
@@ -165,7 +165,7 @@
         self.host.forget(request)
         if not self.is_open(request.ident):
             self.numbers.pop(request.ident, None)
-        self.post(api.AttemptEnded(request.ident, out.number, out.door, outcome, self.now_us() - out.sent_us))
+        self.dispatch(api.AttemptEnded(request.ident, out.number, out.door, outcome, self.now_us() - out.sent_us))
         if onward is not None:
             onward(None)
 
@@ -190,11 +190,11 @@
 
         def to_upstream(answer: Answer | None) -> None:
             request.lane = self.host
-            self.host.post(replace(event))
+            self.host.dispatch(replace(event))
 
         def to_store(answer: Answer | None) -> None:
             request.lane, request.given = lane, answer
-            lane.post(replace(event))
+            lane.dispatch(replace(event))
 
         if self.upstreams == "first":
             request.onward = to_store
@@ -206,13 +206,13 @@
     def gone(self, ident: int) -> None:
         for lane in self.lanes:  # those that don't know it take no notice
             lane.numbers.pop(ident, None)
-            lane.post(api.RequestGone(ident))
+            lane.dispatch(api.RequestGone(ident))
 
     def told(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
             event = api.SettingsChanged(settings_for(event.settings))
         for lane in self.lanes:
-            lane.post(event)
+            lane.dispatch(event)
 
     async def close(self, wait_s: float) -> None:
         async with asyncio.TaskGroup() as group:
