--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -18,19 +18,19 @@
         self.balancer = balancer
         self.now_us = now_us
         self.events: deque[api.Event] = deque()
-        self.pumping = False
+        self.dispatching = False
 
     def dispatch(self, event: api.Event) -> None:
         """Hand over one event and carry out what comes of it; events that an action causes wait."""
         self.events.append(event)
-        if self.pumping:
+        if self.dispatching:
             return
-        self.pumping = True
+        self.dispatching = True
         try:
             while self.events:
                 self.step(self.events.popleft())
         finally:
-            self.pumping = False
+            self.dispatching = False
 
     def step(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):  # an action before it may have closed the request
