--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -17,18 +17,18 @@
     def __init__(self, balancer: Balancer, now_us: Callable[[], int]) -> None:
         self.balancer = balancer
         self.now_us = now_us
-        self.events: deque[api.Event] = deque()
+        self.pending_events: deque[api.Event] = deque()
         self.dispatching = False
 
     def dispatch(self, event: api.Event) -> None:
         """Hand over one event and carry out what comes of it; events that an action causes wait."""
-        self.events.append(event)
+        self.pending_events.append(event)
         if self.dispatching:
             return
         self.dispatching = True
         try:
-            while self.events:
-                self.step(self.events.popleft())
+            while self.pending_events:
+                self.step(self.pending_events.popleft())
         finally:
             self.dispatching = False
 
