--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -28,11 +28,11 @@
         self.dispatching = True
         try:
             while self.pending_events:
-                self.step(self.pending_events.popleft())
+                self.handle_event(self.pending_events.popleft())
         finally:
             self.dispatching = False
 
-    def step(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):  # an action before it may have closed the request
             event.final = not self.is_open(event.request)
         # hazard: one bad event must neither end the process nor leave its request unanswered
