--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -45,7 +45,7 @@
             return
         for action in actions:
             try:
-                self.carry_out(action)
+                self.execute_action(action)
             except Exception:
                 self.log(f"could not carry out {action!r}\n{traceback.format_exc()}")
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
@@ -55,7 +55,7 @@
         """Whether the request is still owed its answer."""
         raise NotImplementedError
 
-    def carry_out(self, action: api.Action) -> None:
+    def execute_action(self, action: api.Action) -> None:
         raise NotImplementedError
 
     def fail(self, ident: int) -> None:
