--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -433,7 +433,7 @@
 
     # Actions out
 
-    def carry_out(self, action: api.Action) -> None:
+    def execute_action(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self.send(action)
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -83,7 +83,7 @@
                 self.send(action)
             case api.Refuse() | api.Fail():
                 self.numbers.pop(action.request, None)
-                self.host.carry_out(action)
+                self.host.execute_action(action)
             case api.Cancel():
                 out = self.out.get((action.request, action.attempt))
                 if out is not None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -570,8 +570,8 @@
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         ident = next(iter(scene.sidecar.upstreams.pools))
-        scene.sidecar.carry_out(api.Log(f"upstream {ident} rests"))
-        scene.sidecar.carry_out(api.Log("upstream 12 is back"))
+        scene.sidecar.execute_action(api.Log(f"upstream {ident} rests"))
+        scene.sidecar.execute_action(api.Log("upstream 12 is back"))
 
     run(test)
     assert capsys.readouterr().err == "n0: upstream s-1 rests\nn0: upstream 12 is back\n"
@@ -629,9 +629,9 @@
         call = asyncio.create_task(scene.call())
         await until(lambda: peer.got)
         ident = next(iter(scene.sidecar.requests))
-        scene.sidecar.carry_out(api.Fail(ident))
+        scene.sidecar.execute_action(api.Fail(ident))
         assert (await call).status == 502
-        scene.sidecar.carry_out(api.Cancel(ident, 0))
+        scene.sidecar.execute_action(api.Cancel(ident, 0))
         assert [(e.outcome, e.final) for e in ended] == [(api.Outcome.CANCELLED, True)]
         assert not scene.sidecar.requests and scene.sidecar.upstreams.open == 0
 
