--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -77,7 +77,7 @@
     def log(self, text: str) -> None:
         self.host.log(DOOR.sub(rf"store {self.name} way \1", text))
 
-    def carry_out(self, action: api.Action) -> None:
+    def execute_action(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self.send(action)
