--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -70,7 +70,7 @@
     """What carries the requests of some classes elsewhere than to the listed upstreams: a subsystem's, decided by
     balancers of its own."""
 
-    def arrived(self, event: api.RequestArrived) -> None: ...
+    def handle_request(self, event: api.RequestArrived) -> None: ...
 
     def gone(self, ident: int) -> None:
         """The client has quit, or the request was ended over the decisions' heads."""
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -372,7 +372,7 @@
             request.lane = self
             self.dispatch(event)
         else:
-            front.arrived(event)
+            front.handle_request(event)
 
     def agrees(self, exchange: Exchange, index: int) -> bool:
         """Whether method, body and key are as the class wants them: else who knows if it may be repeated."""
