--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -72,7 +72,7 @@
 
     def handle_request(self, event: api.RequestArrived) -> None: ...
 
-    def gone(self, ident: int) -> None:
+    def request_abandoned(self, ident: int) -> None:
         """The client has quit, or the request was ended over the decisions' heads."""
 
     def told(self, event: api.DrainChanged | api.SettingsChanged) -> None: ...
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -530,7 +530,7 @@
         front = self.fronts.get(request.index)
         self.dispatch(api.RequestGone(request.ident))
         if front is not None:
-            front.gone(request.ident)
+            front.request_abandoned(request.ident)
 
     def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         self.dispatch(event)
