--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -535,7 +535,7 @@
     def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         self.dispatch(event)
         for front in dict.fromkeys(self.fronts.values()):
-            front.told(event)
+            front.notify(event)
 
     def close(self, request: Request) -> None:
         """The request is over; attempts still out keep it known, as they may yet be cancelled."""
