--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -178,7 +178,7 @@
         self.names = [recorder.name for recorder in recorders]
         self.lanes = [StoreLane(host, recorder.name, recorder) for recorder in recorders]
 
-    def arrived(self, event: api.RequestArrived) -> None:
+    def handle_request(self, event: api.RequestArrived) -> None:
         request = self.host.requests[event.request]
         exchange = request.exchange
         tenant, key = exchange.header(b"x-org"), exchange.header(b"idempotency-key")
