--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -203,7 +203,7 @@
             request.onward = to_upstream if self.upstreams == "last" else None
             to_store(None)
 
-    def gone(self, ident: int) -> None:
+    def request_abandoned(self, ident: int) -> None:
         for lane in self.lanes:  # those that don't know it take no notice
             lane.numbers.pop(ident, None)
             lane.dispatch(api.RequestGone(ident))
