--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -208,7 +208,7 @@
             lane.numbers.pop(ident, None)
             lane.dispatch(api.RequestGone(ident))
 
-    def told(self, event: api.DrainChanged | api.SettingsChanged) -> None:
+    def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
             event = api.SettingsChanged(settings_for(event.settings))
         for lane in self.lanes:
