--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -11,7 +11,7 @@
 from ironscale.balance import Balancer
 
 
-class Lane:
+class EventDispatcher:
     """What the sidecar's own balancer and those of other fronts have in common; who carries out fills in the rest."""
 
     def __init__(self, balancer: Balancer, now_us: Callable[[], int]) -> None:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -25,7 +25,7 @@
 from ironscale.net.config import Config, ConfigError, load, merged, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
-from ironscale.net.lane import Front, Lane
+from ironscale.net.lane import Front, EventDispatcher
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
@@ -162,7 +162,7 @@
         self.attempts: list[Attempt] = []
         self.out = 0
         self.backstop: Timer | None = None
-        self.lane: Lane | None = None  # whose balancer decides on it now
+        self.lane: EventDispatcher | None = None  # whose balancer decides on it now
         self.ran = False  # something of it has run, and is told to no balancer that follows: it is refused no more
         self.onward: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
         self.given: Answer | None = None  # an upstream's answer that waits for what follows
@@ -212,7 +212,7 @@
     return max(1, (given - SPARE_SOCKETS) // 2)
 
 
-class Sidecar(Lane):
+class Sidecar(EventDispatcher):
     def __init__(self, config: Config, environ: Mapping[str, str] | None = None) -> None:
         self.config = config
         self.environ = environ or {}
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -17,7 +17,7 @@
 
 from ironscale import interface as api
 from ironscale.balance import Balancer
-from ironscale.net.lane import Lane
+from ironscale.net.lane import EventDispatcher
 from ironscale.net.sidecar import Request, Sidecar, Timer
 from ironscale.net.upstream import Answer
 from ironscale.record import model, routes
@@ -56,7 +56,7 @@
     outcome: api.Outcome | None = None  # if it was given up on
 
 
-class StoreLane(Lane):
+class StoreLane(EventDispatcher):
     def __init__(self, host: Sidecar, name: str, recorder: Recorder) -> None:
         settings = settings_for(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
