--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -66,7 +66,7 @@
         raise NotImplementedError
 
 
-class Front(Protocol):
+class RequestHandler(Protocol):
     """What carries the requests of some classes elsewhere than to the listed upstreams: a subsystem's, decided by
     balancers of its own."""
 
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -25,7 +25,7 @@
 from ironscale.net.config import Config, ConfigError, load, merged, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
-from ironscale.net.lane import Front, EventDispatcher
+from ironscale.net.lane import RequestHandler, EventDispatcher
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
@@ -235,7 +235,7 @@
         self.requests: dict[int, Request] = {}
         self.by_txn: dict[str, Request] = {}  # those not yet answered
         self.next_request = 1
-        self.fronts: dict[int, Front] = {}  # by index of the class: where its requests go in place of the upstreams
+        self.fronts: dict[int, RequestHandler] = {}  # by index of the class: where its requests go in place of the upstreams
         self.reload_again: asyncio.TimerHandle | None = None  # after one that could not read its file
         self.has_list = False
         self.cut_off = True  # from discovery: its last word was a failure, or there was none yet
