--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -68,7 +68,7 @@
         return (time.monotonic_ns() + self.offset_ns) // 1000
 
 
-def wall_us() -> int:
+def wall_clock_us() -> int:
     """Unix time; it may step."""
     return time.time_ns() // 1000
 
@@ -220,7 +220,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.timers = Timers(self.clock)
-        self.starts = StartTimes(wall_us, self.clock.now_us)
+        self.starts = StartTimes(wall_clock_us, self.clock.now_us)
         self.clock_watch = Periodic(CLOCK_LOOK_S, self.watch_clock)
         settings = config.settings
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
