--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -80,11 +80,11 @@
 
     def __init__(self, timers: Timers, at_us: int, act: Callable[[], None]) -> None:
         self.timers, self.at_us = timers, at_us
-        self.act: Callable[[], None] | None = act  # None: it has acted, or was cancelled
+        self.callback: Callable[[], None] | None = act  # None: it has acted, or was cancelled
 
     def cancel(self) -> None:
-        if self.act is not None:
-            self.act = None
+        if self.callback is not None:
+            self.callback = None
             self.timers.cancelled += 1
 
 
@@ -109,7 +109,7 @@
             self.arm()
         # hazard: with deadlines of an hour the cancelled ones would fill the memory
         if self.cancelled > LEAST_CANCELLED and 2 * self.cancelled > len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].act is not None]
+            self.heap = [entry for entry in self.heap if entry[2].callback is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
         return timer
@@ -118,7 +118,7 @@
         if self.handle is not None:
             self.handle.cancel()
         heap, self.armed_us, self.handle = self.heap, 0, None
-        while heap and heap[0][2].act is None:
+        while heap and heap[0][2].callback is None:
             heapq.heappop(heap)
             self.cancelled = max(0, self.cancelled - 1)
         if heap:
@@ -135,7 +135,7 @@
         while heap and heap[0][0] <= now_us:
             due.append(heapq.heappop(heap)[2])
         for timer in due:
-            act, timer.act = timer.act, None
+            act, timer.callback = timer.callback, None
             if act is None:  # cancelled, before or by one of these
                 self.cancelled = max(0, self.cancelled - 1)
                 continue
