--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -101,7 +101,7 @@
         self.armed_us = 0  # what the loop's timer is set to; 0 = to nothing
         self.handle: asyncio.TimerHandle | None = None
 
-    def at(self, at_us: int, act: Callable[[], None]) -> Timer:
+    def schedule(self, at_us: int, act: Callable[[], None]) -> Timer:
         timer = Timer(self, at_us, act)
         self.turn += 1
         heapq.heappush(self.heap, (at_us, self.turn, timer))
@@ -552,7 +552,7 @@
             self.requests.pop(request.ident, None)
 
     def at(self, at_us: int, act: Callable[[], None]) -> Timer:
-        return self.timers.at(at_us, act)
+        return self.timers.schedule(at_us, act)
 
     def upstream_name(self, found: re.Match[str]) -> str:
         """The decisions know numbers; people know discovery's names."""
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -23,7 +23,7 @@
         start_us = clock.now_us()
         for _ in range(300):
             at_us = start_us + random.randrange(60_000)
-            timers.at(at_us, lambda at_us=at_us: late.append(clock.now_us() - at_us))  # type: ignore[misc]
+            timers.schedule(at_us, lambda at_us=at_us: late.append(clock.now_us() - at_us))  # type: ignore[misc]
         await until(lambda: len(late) == 300)
         await asyncio.sleep(0.02)
         assert len(late) == 300 and min(late) >= 0 and not timers.heap
@@ -37,7 +37,7 @@
         timers, told = Timers(clock), []
         at_us = clock.now_us() + 5_000
         for name, when_us in (("c", at_us + 1), ("a", at_us), ("b", at_us), ("first", at_us - 4_000)):
-            timers.at(when_us, lambda name=name: told.append(name))  # type: ignore[misc]
+            timers.schedule(when_us, lambda name=name: told.append(name))  # type: ignore[misc]
         await until(lambda: len(told) == 4)
         assert told == ["first", "a", "b", "c"]
 
@@ -57,9 +57,9 @@
             second.cancel()
             second.cancel()  # again: no harm
 
-        timers.at(at_us, first)
-        second = timers.at(at_us, lambda: told.append("second"))
-        timers.at(at_us + 5_000, lambda: told.append("last"))
+        timers.schedule(at_us, first)
+        second = timers.schedule(at_us, lambda: told.append("second"))
+        timers.schedule(at_us + 5_000, lambda: told.append("last"))
         await until(lambda: "last" in told)
         assert told == ["first", "last"] and timers.cancelled == 0 and not timers.heap
 
@@ -73,9 +73,9 @@
         clock = Clock()
         timers, told = Timers(clock), []
         at_us = clock.now_us() + 2_000
-        timers.at(at_us, lambda: 1 // 0)  # type: ignore[arg-type]
-        timers.at(at_us, lambda: told.append("same moment"))
-        timers.at(at_us + 5_000, lambda: told.append("later"))
+        timers.schedule(at_us, lambda: 1 // 0)  # type: ignore[arg-type]
+        timers.schedule(at_us, lambda: told.append("same moment"))
+        timers.schedule(at_us + 5_000, lambda: told.append("later"))
         await until(lambda: len(told) == 2)
         assert len(said) == 1 and isinstance(said[0]["exception"], ZeroDivisionError)
 
@@ -89,9 +89,9 @@
 
         def first() -> None:
             told.append("first")
-            timers.at(clock.now_us(), lambda: told.append("second"))
+            timers.schedule(clock.now_us(), lambda: told.append("second"))
 
-        timers.at(clock.now_us() + 1_000, first)
+        timers.schedule(clock.now_us() + 1_000, first)
         await until(lambda: len(told) == 2)
 
     run(test)
@@ -101,9 +101,9 @@
     async def test() -> None:
         clock = Clock()
         timers = Timers(clock)
-        kept = [timers.at(clock.now_us() + 3_600_000_000, lambda: None) for _ in range(50)]
+        kept = [timers.schedule(clock.now_us() + 3_600_000_000, lambda: None) for _ in range(50)]
         for _ in range(20_000):
-            timers.at(clock.now_us() + 3_600_000_000, lambda: None).cancel()
+            timers.schedule(clock.now_us() + 3_600_000_000, lambda: None).cancel()
         assert len(timers.heap) <= 2 * module.LEAST_CANCELLED + 100
         assert sum(1 for entry in timers.heap if entry[2].callback is not None) == len(kept)
         for timer in kept:
@@ -126,7 +126,7 @@
         loop = asyncio.get_running_loop()
         timers.loop = Counting()  # type: ignore[assignment]
         for n in range(1_000):
-            timers.at(clock.now_us() + 60_000_000 + n, lambda: None).cancel()
+            timers.schedule(clock.now_us() + 60_000_000 + n, lambda: None).cancel()
         assert asked <= 3
 
     run(test)
