--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -353,7 +353,7 @@
         request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
         # hazard: an answer must come even if the decisions lose the request
-        request.backstop = self.at(request.due_us + BACKSTOP_US, partial(self.fail, ident))
+        request.backstop = self.schedule(request.due_us + BACKSTOP_US, partial(self.fail, ident))
         estimate = exchange.header(b"x-estimate")
         event = api.RequestArrived(
             ident,
@@ -449,7 +449,7 @@
                 if request is not None and action.attempt < len(request.attempts):
                     request.attempts[action.attempt].give_up(api.Outcome.CANCELLED)
             case api.SetTimer():
-                self.at(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
+                self.schedule(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
             case api.Subscribe():
                 if action.active:
                     self.discovery.subscribe()
@@ -486,7 +486,7 @@
         if pool is None or over or timeout_us <= 0 or not attempt.wanted():
             attempt.end(api.Outcome.NOT_SENT)
             return
-        timer = self.at(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
+        timer = self.schedule(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
         pool.start(attempt)
 
     def is_wanted(self, request: Request, until_us: int) -> bool:
@@ -551,7 +551,7 @@
         if request.out == 0 and not request.is_open():
             self.requests.pop(request.ident, None)
 
-    def at(self, at_us: int, act: Callable[[], None]) -> Timer:
+    def schedule(self, at_us: int, act: Callable[[], None]) -> Timer:
         return self.timers.schedule(at_us, act)
 
     def upstream_name(self, found: re.Match[str]) -> str:
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -89,7 +89,7 @@
                 if out is not None:
                     self.give_up(out, api.Outcome.CANCELLED)
             case api.SetTimer():
-                self.host.at(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
+                self.host.schedule(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
             case api.Log():
                 self.log(action.text)
             case _:
@@ -109,7 +109,7 @@
         out = self.out[action.request, number] = Out(number, action.upstream, now_us)
         request.out += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
-        out.timer = self.host.at(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
+        out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
         out.handle = self.recorder.write(self.entry(request), due, partial(self.on_told, request, out))
 
     def may_write(self, request: Request) -> bool:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -653,7 +653,7 @@
 
         for n in range(200):
             at_us = clock.now_us() + n * 137
-            scene.sidecar.at(at_us, lambda at_us=at_us: check(at_us))  # type: ignore[misc]
+            scene.sidecar.schedule(at_us, lambda at_us=at_us: check(at_us))  # type: ignore[misc]
         await done.wait()
         assert min(late) >= 0
 
