--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -78,7 +78,7 @@
 
     __slots__ = ("act", "at_us", "timers")
 
-    def __init__(self, timers: Timers, at_us: int, act: Callable[[], None]) -> None:
+    def __init__(self, timers: TimerQueue, at_us: int, act: Callable[[], None]) -> None:
         self.timers, self.at_us = timers, at_us
         self.callback: Callable[[], None] | None = act  # None: it has acted, or was cancelled
 
@@ -88,7 +88,7 @@
             self.timers.cancelled += 1
 
 
-class Timers:
+class TimerQueue:
     """All timers of a sidecar behind one of the event loop's: most are cancelled long before their time, and the
     loop's own cost some microseconds to make and to cancel."""
 
@@ -219,7 +219,7 @@
         self.base = config.document
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.timers = Timers(self.clock)
+        self.timers = TimerQueue(self.clock)
         self.starts = StartTimes(wall_clock_us, self.clock.now_us)
         self.clock_watch = Periodic(CLOCK_LOOK_S, self.watch_clock)
         settings = config.settings
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from ironscale.net import sidecar as module
-from ironscale.net.sidecar import Clock, Timers, subject
+from ironscale.net.sidecar import Clock, TimerQueue, subject
 from tests.sockets import run, until
 
 
 def test_each_acts_once_and_never_before_its_time() -> None:
     async def test() -> None:
         clock, random = Clock(), Random(1)
-        timers = Timers(clock)
+        timers = TimerQueue(clock)
         late: list[int] = []
         start_us = clock.now_us()
         for _ in range(300):
@@ -34,7 +34,7 @@
 def test_they_act_in_the_order_of_time_and_of_asking() -> None:
     async def test() -> None:
         clock = Clock()
-        timers, told = Timers(clock), []
+        timers, told = TimerQueue(clock), []
         at_us = clock.now_us() + 5_000
         for name, when_us in (("c", at_us + 1), ("a", at_us), ("b", at_us), ("first", at_us - 4_000)):
             timers.schedule(when_us, lambda name=name: told.append(name))  # type: ignore[misc]
@@ -47,7 +47,7 @@
 def test_a_cancelled_one_does_not_act_also_if_another_of_its_moment_cancels_it() -> None:
     async def test() -> None:
         clock = Clock()
-        timers, told = Timers(clock), []
+        timers, told = TimerQueue(clock), []
         at_us = clock.now_us() + 2_000
         second = None
 
@@ -71,7 +71,7 @@
         said: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: said.append(context))
         clock = Clock()
-        timers, told = Timers(clock), []
+        timers, told = TimerQueue(clock), []
         at_us = clock.now_us() + 2_000
         timers.schedule(at_us, lambda: 1 // 0)  # type: ignore[arg-type]
         timers.schedule(at_us, lambda: told.append("same moment"))
@@ -85,7 +85,7 @@
 def test_one_asked_for_while_another_acts_comes_too() -> None:
     async def test() -> None:
         clock = Clock()
-        timers, told = Timers(clock), []
+        timers, told = TimerQueue(clock), []
 
         def first() -> None:
             told.append("first")
@@ -100,7 +100,7 @@
 def test_cancelled_ones_of_far_moments_do_not_pile_up() -> None:
     async def test() -> None:
         clock = Clock()
-        timers = Timers(clock)
+        timers = TimerQueue(clock)
         kept = [timers.schedule(clock.now_us() + 3_600_000_000, lambda: None) for _ in range(50)]
         for _ in range(20_000):
             timers.schedule(clock.now_us() + 3_600_000_000, lambda: None).cancel()
@@ -114,7 +114,7 @@
 
 def test_the_loop_is_asked_for_few_timers() -> None:
     async def test() -> None:
-        timers, clock = Timers(Clock()), Clock()
+        timers, clock = TimerQueue(Clock()), Clock()
         asked = 0
 
         class Counting:
