--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -11,7 +11,7 @@
 from ironscale.control.messages import ClassCounts, Report
 from ironscale.net.config import ConfigError
 from ironscale.net.discovery import Directory
-from ironscale.net.sidecar import NeedsRestart, Sidecar
+from ironscale.net.sidecar import RestartRequired, Sidecar
 from ironscale.telling import view
 
 # What each instance has of its own: a patch for many can't set it.
@@ -124,7 +124,7 @@
             self.sidecar.reconfigure(generation, overlay)
         except ConfigError as error:
             raise Refused(str(error)) from error
-        except NeedsRestart as error:
+        except RestartRequired as error:
             raise RestartNeeded(str(error)) from error
 
     def stop(self) -> None:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -146,7 +146,7 @@
         self.arm()
 
 
-class NeedsRestart(Exception):
+class RestartRequired(Exception):
     """A configuration that is valid, but that only a new process can take on; the text says what of it."""
 
 
@@ -296,7 +296,7 @@
         places = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
         fixed = fixed or ("areas, kinds or report fields" if places[0] != places[1] else "")
         if fixed:
-            raise NeedsRestart(fixed)
+            raise RestartRequired(fixed)
         # Nothing below can fail: each takes on a value that has been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         half = connections_each(new.sockets)
