--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -160,7 +160,7 @@
         self.exchange = exchange
         self.due_us = due_us
         self.attempts: list[Attempt] = []
-        self.out = 0
+        self.attempts_in_flight = 0
         self.backstop: Timer | None = None
         self.lane: EventDispatcher | None = None  # whose balancer decides on it now
         self.ran = False  # something of it has run, and is told to no balancer that follows: it is refused no more
@@ -410,7 +410,7 @@
                        answer: Answer | None) -> None:
         if timer is not None:
             timer.cancel()
-        request.out -= 1
+        request.attempts_in_flight -= 1
         request.exchange.lifecycle.attempt_ended(outcome.value)
         self.forget(request)
         onward = None
@@ -481,7 +481,7 @@
                           partial(self.is_wanted, request, until_us),
                           lambda *end: self.on_attempt_end(request, number, action.upstream, now_us, timer, *end))
         request.attempts.append(attempt)
-        request.out += 1
+        request.attempts_in_flight += 1
         over = number >= self.config.settings.max_attempts
         if pool is None or over or timeout_us <= 0 or not attempt.wanted():
             attempt.end(api.Outcome.NOT_SENT)
@@ -548,7 +548,7 @@
         self.forget(request)
 
     def forget(self, request: Request) -> None:
-        if request.out == 0 and not request.is_open():
+        if request.attempts_in_flight == 0 and not request.is_open():
             self.requests.pop(request.ident, None)
 
     def schedule(self, at_us: int, act: Callable[[], None]) -> Timer:
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -107,7 +107,7 @@
         timeout_us = min(action.timeout_us or left_us, left_us)
         request.exchange.lifecycle.sent(max(0, timeout_us))
         out = self.out[action.request, number] = Out(number, action.upstream, now_us)
-        request.out += 1
+        request.attempts_in_flight += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
         out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
         out.handle = self.recorder.write(self.entry(request), due, partial(self.on_told, request, out))
@@ -138,7 +138,7 @@
         if out.timer is not None:
             out.timer.cancel()
         del self.out[request.ident, out.number]
-        request.out -= 1
+        request.attempts_in_flight -= 1
         onward = None
         if plan.told in (Told.RAN, Told.CONFLICT):
             outcome = api.Outcome.OK
