--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -162,7 +162,7 @@
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.backstop: Timer | None = None
-        self.lane: EventDispatcher | None = None  # whose balancer decides on it now
+        self.dispatcher: EventDispatcher | None = None  # whose balancer decides on it now
         self.ran = False  # something of it has run, and is told to no balancer that follows: it is refused no more
         self.onward: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
         self.given: Answer | None = None  # an upstream's answer that waits for what follows
@@ -332,7 +332,7 @@
 
     def is_open(self, ident: int) -> bool:
         request = self.requests.get(ident)
-        return request is not None and request.is_open() and request.lane is self
+        return request is not None and request.is_open() and request.dispatcher is self
 
     def is_ready(self) -> bool:
         return self.has_list and not self.draining
@@ -369,7 +369,7 @@
             self.saw_arrival(event, len(exchange.body))
         front = self.fronts.get(index)
         if front is None:
-            request.lane = self
+            request.dispatcher = self
             self.dispatch(event)
         else:
             front.handle_request(event)
@@ -414,11 +414,11 @@
         request.exchange.lifecycle.attempt_ended(outcome.value)
         self.forget(request)
         onward = None
-        if outcome is api.Outcome.OK and answer is not None and request.is_open() and request.lane is self:
+        if outcome is api.Outcome.OK and answer is not None and request.is_open() and request.dispatcher is self:
             if request.onward is None:
                 self.serve(request, answer)
             else:
-                onward, request.onward, request.lane, request.ran = request.onward, None, None, True
+                onward, request.onward, request.dispatcher, request.ran = request.onward, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
         report = read_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -69,7 +69,7 @@
 
     def is_open(self, ident: int) -> bool:
         request = self.host.requests.get(ident)
-        return request is not None and request.is_open() and request.lane is self
+        return request is not None and request.is_open() and request.dispatcher is self
 
     def fail(self, ident: int) -> None:
         self.host.fail(ident)
@@ -144,7 +144,7 @@
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
                 if plan.told is Told.RAN and request.onward is not None:
-                    onward, request.onward, request.lane, request.ran = request.onward, None, None, True
+                    onward, request.onward, request.dispatcher, request.ran = request.onward, None, None, True
                 elif plan.told is Told.RAN and request.given is not None:
                     self.host.serve(request, request.given)
                 elif plan.told is Told.RAN:
@@ -189,11 +189,11 @@
         lane = self.lanes[routes.choose(self.names, about)]
 
         def to_upstream(answer: Answer | None) -> None:
-            request.lane = self.host
+            request.dispatcher = self.host
             self.host.dispatch(replace(event))
 
         def to_store(answer: Answer | None) -> None:
-            request.lane, request.given = lane, answer
+            request.dispatcher, request.given = lane, answer
             lane.dispatch(replace(event))
 
         if self.upstreams == "first":
