--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -163,7 +163,7 @@
         self.attempts_in_flight = 0
         self.backstop: Timer | None = None
         self.dispatcher: EventDispatcher | None = None  # whose balancer decides on it now
-        self.ran = False  # something of it has run, and is told to no balancer that follows: it is refused no more
+        self.has_run = False  # something of it has run, and is told to no balancer that follows: it is refused no more
         self.onward: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
         self.given: Answer | None = None  # an upstream's answer that waits for what follows
 
@@ -418,7 +418,7 @@
             if request.onward is None:
                 self.serve(request, answer)
             else:
-                onward, request.onward, request.dispatcher, request.ran = request.onward, None, None, True
+                onward, request.onward, request.dispatcher, request.has_run = request.onward, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
         report = read_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
@@ -511,7 +511,7 @@
     def answer(self, ident: int, status: int, headers: list[tuple[bytes, bytes]]) -> None:
         request = self.requests.get(ident)
         if request is not None and request.is_open():
-            if status == 503 and request.ran:  # hazard: a refusal promises that trying again is harmless
+            if status == 503 and request.has_run:  # hazard: a refusal promises that trying again is harmless
                 status, headers = 502, []
             request.exchange.answer(status, headers)
             self.answers[request.index, "refused" if status == 503 else "failed"] += 1
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -144,12 +144,12 @@
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
                 if plan.told is Told.RAN and request.onward is not None:
-                    onward, request.onward, request.dispatcher, request.ran = request.onward, None, None, True
+                    onward, request.onward, request.dispatcher, request.has_run = request.onward, None, None, True
                 elif plan.told is Told.RAN and request.given is not None:
                     self.host.serve(request, request.given)
                 elif plan.told is Told.RAN:
                     request.exchange.answer(200, JSON, plan.answer)
-                elif request.ran:  # an upstream has run what the store can't have
+                elif request.has_run:  # an upstream has run what the store can't have
                     request.exchange.answer(502)
                 else:  # the store has answered, and nothing that could be sent again would be answered otherwise
                     keyed = b"key" if request.exchange.header(b"idempotency-key") else b"id"
