--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -164,7 +164,7 @@
         self.backstop: Timer | None = None
         self.dispatcher: EventDispatcher | None = None  # whose balancer decides on it now
         self.has_run = False  # something of it has run, and is told to no balancer that follows: it is refused no more
-        self.onward: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
+        self.forward_to: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
         self.given: Answer | None = None  # an upstream's answer that waits for what follows
 
     def is_open(self) -> bool:
@@ -415,10 +415,10 @@
         self.forget(request)
         onward = None
         if outcome is api.Outcome.OK and answer is not None and request.is_open() and request.dispatcher is self:
-            if request.onward is None:
+            if request.forward_to is None:
                 self.serve(request, answer)
             else:
-                onward, request.onward, request.dispatcher, request.has_run = request.onward, None, None, True
+                onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
         report = read_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -143,8 +143,8 @@
         if plan.told in (Told.RAN, Told.CONFLICT):
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
-                if plan.told is Told.RAN and request.onward is not None:
-                    onward, request.onward, request.dispatcher, request.has_run = request.onward, None, None, True
+                if plan.told is Told.RAN and request.forward_to is not None:
+                    onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
                 elif plan.told is Told.RAN and request.given is not None:
                     self.host.serve(request, request.given)
                 elif plan.told is Told.RAN:
@@ -197,10 +197,10 @@
             lane.dispatch(replace(event))
 
         if self.upstreams == "first":
-            request.onward = to_store
+            request.forward_to = to_store
             to_upstream(None)
         else:
-            request.onward = to_upstream if self.upstreams == "last" else None
+            request.forward_to = to_upstream if self.upstreams == "last" else None
             to_store(None)
 
     def request_abandoned(self, ident: int) -> None:
