--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -165,7 +165,7 @@
         self.dispatcher: EventDispatcher | None = None  # whose balancer decides on it now
         self.has_run = False  # something of it has run, and is told to no balancer that follows: it is refused no more
         self.forward_to: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
-        self.given: Answer | None = None  # an upstream's answer that waits for what follows
+        self.upstream_answer: Answer | None = None  # an upstream's answer that waits for what follows
 
     def is_open(self) -> bool:
         return not self.exchange.lifecycle.is_over
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -145,8 +145,8 @@
             if self.is_open(request.ident):
                 if plan.told is Told.RAN and request.forward_to is not None:
                     onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
-                elif plan.told is Told.RAN and request.given is not None:
-                    self.host.serve(request, request.given)
+                elif plan.told is Told.RAN and request.upstream_answer is not None:
+                    self.host.serve(request, request.upstream_answer)
                 elif plan.told is Told.RAN:
                     request.exchange.answer(200, JSON, plan.answer)
                 elif request.has_run:  # an upstream has run what the store can't have
@@ -154,7 +154,7 @@
                 else:  # the store has answered, and nothing that could be sent again would be answered otherwise
                     keyed = b"key" if request.exchange.header(b"idempotency-key") else b"id"
                     request.exchange.answer(422, JSON, CONFLICT % keyed)
-                if onward is None and request.given is None:
+                if onward is None and request.upstream_answer is None:
                     self.host.answers[request.index, "served"] += 1
                 if onward is None:
                     self.host.close(request)
@@ -193,7 +193,7 @@
             self.host.dispatch(replace(event))
 
         def to_store(answer: Answer | None) -> None:
-            request.dispatcher, request.given = lane, answer
+            request.dispatcher, request.upstream_answer = lane, answer
             lane.dispatch(replace(event))
 
         if self.upstreams == "first":
