--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -155,7 +155,7 @@
 
     def __init__(self, ident: int, index: int, txn: str, exchange: Exchange, due_us: int) -> None:
         self.ident = ident
-        self.index = index  # of its class
+        self.class_index = index  # of its class
         self.txn = txn
         self.exchange = exchange
         self.due_us = due_us
@@ -428,7 +428,7 @@
     def serve(self, request: Request, answer: Answer) -> None:
         headers = [h for h in answer.headers if h[0] not in HOP_BY_HOP]
         request.exchange.answer(200, headers, answer.body)
-        self.answers[request.index, "served"] += 1
+        self.answers[request.class_index, "served"] += 1
         self.close(request)
 
     # Actions out
@@ -514,7 +514,7 @@
             if status == 503 and request.has_run:  # hazard: a refusal promises that trying again is harmless
                 status, headers = 502, []
             request.exchange.answer(status, headers)
-            self.answers[request.index, "refused" if status == 503 else "failed"] += 1
+            self.answers[request.class_index, "refused" if status == 503 else "failed"] += 1
             self.close(request)
 
     def fail(self, ident: int) -> None:
@@ -527,7 +527,7 @@
 
     def quit(self, request: Request) -> None:
         """Whoever decides on it, or did, hears that no answer is owed any more."""
-        front = self.fronts.get(request.index)
+        front = self.fronts.get(request.class_index)
         self.dispatch(api.RequestGone(request.ident))
         if front is not None:
             front.request_abandoned(request.ident)
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -117,7 +117,7 @@
         return exchange.lifecycle.may_send(self.now_us(), request.due_us, exchange.has_left)
 
     def entry(self, request: Request) -> model.Entry:
-        exchange, kind = request.exchange, self.host.config.settings.classes[request.index]
+        exchange, kind = request.exchange, self.host.config.settings.classes[request.class_index]
         tenant, key = exchange.header(b"x-org"), exchange.header(b"idempotency-key")
         target = exchange.target.decode("latin-1")
         attempt = model.attempt_name(time.time_ns() // 1_000_000, secrets.token_bytes(10))
@@ -155,7 +155,7 @@
                     keyed = b"key" if request.exchange.header(b"idempotency-key") else b"id"
                     request.exchange.answer(422, JSON, CONFLICT % keyed)
                 if onward is None and request.upstream_answer is None:
-                    self.host.answers[request.index, "served"] += 1
+                    self.host.answers[request.class_index, "served"] += 1
                 if onward is None:
                     self.host.close(request)
         elif plan.told is Told.NEVER_RAN:
