--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -158,7 +158,7 @@
         self.class_index = index  # of its class
         self.txn = txn
         self.exchange = exchange
-        self.due_us = due_us
+        self.deadline_us = due_us
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.backstop: Timer | None = None
@@ -353,11 +353,11 @@
         request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
         # hazard: an answer must come even if the decisions lose the request
-        request.backstop = self.schedule(request.due_us + BACKSTOP_US, partial(self.fail, ident))
+        request.backstop = self.schedule(request.deadline_us + BACKSTOP_US, partial(self.fail, ident))
         estimate = exchange.header(b"x-estimate")
         event = api.RequestArrived(
             ident,
-            request.due_us,
+            request.deadline_us,
             index,
             self.tenants.get(exchange.header(b"x-org"), len(self.tenants)),
             key_number(subject(exchange.target)),
@@ -473,10 +473,10 @@
         if request is None:
             return
         number = len(request.attempts)
-        left_us = request.due_us - now_us
+        left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         timer: Timer | None = None
-        until_us = min(request.due_us, action.until_us or request.due_us)
+        until_us = min(request.deadline_us, action.until_us or request.deadline_us)
         attempt = Attempt(partial(self.payload, request.exchange, now_us + timeout_us),
                           partial(self.is_wanted, request, until_us),
                           lambda *end: self.on_attempt_end(request, number, action.upstream, now_us, timer, *end))
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -103,7 +103,7 @@
             self.dispatch(api.AttemptEnded(action.request, number, action.upstream, api.Outcome.NOT_SENT))
             return
         self.numbers[action.request] = number + 1
-        left_us = request.due_us - now_us
+        left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         request.exchange.lifecycle.sent(max(0, timeout_us))
         out = self.out[action.request, number] = Out(number, action.upstream, now_us)
@@ -114,7 +114,7 @@
 
     def may_write(self, request: Request) -> bool:
         exchange = request.exchange
-        return exchange.lifecycle.may_send(self.now_us(), request.due_us, exchange.has_left)
+        return exchange.lifecycle.may_send(self.now_us(), request.deadline_us, exchange.has_left)
 
     def entry(self, request: Request) -> model.Entry:
         exchange, kind = request.exchange, self.host.config.settings.classes[request.class_index]
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -99,7 +99,7 @@
         await until(lambda: scene.sidecar.upstreams.tasks)
         request = next(iter(scene.sidecar.requests.values()))
         # the loop had no processor: the time-out is due as well, and has not been seen yet
-        scene.sidecar.clock.offset_ns += (request.due_us - scene.sidecar.clock.now_us()) * 1000
+        scene.sidecar.clock.offset_ns += (request.deadline_us - scene.sidecar.clock.now_us()) * 1000
         gate.open.set()
         answer = await calling
         assert answer.status == 503 and not peer.got  # never sent: refused, whatever the class
@@ -145,7 +145,7 @@
         await until(lambda: peer.got)
         request = next(iter(scene.sidecar.requests.values()))
         connection: Connection = next(iter(next(iter(scene.sidecar.upstreams.pools.values())).busy))
-        scene.sidecar.clock.offset_ns += (request.due_us - scene.sidecar.clock.now_us()) * 1000
+        scene.sidecar.clock.offset_ns += (request.deadline_us - scene.sidecar.clock.now_us()) * 1000
         if first == "answer":
             connection.data_received(ok())
             scene.sidecar.timers.fire()
