--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -235,7 +235,7 @@
         self.requests: dict[int, Request] = {}
         self.by_txn: dict[str, Request] = {}  # those not yet answered
         self.next_request = 1
-        self.fronts: dict[int, RequestHandler] = {}  # by index of the class: where its requests go in place of the upstreams
+        self.request_handlers: dict[int, RequestHandler] = {}  # by index of the class: where its requests go in place of the upstreams
         self.reload_again: asyncio.TimerHandle | None = None  # after one that could not read its file
         self.has_list = False
         self.cut_off = True  # from discovery: its last word was a failure, or there was none yet
@@ -367,7 +367,7 @@
         )
         if self.saw_arrival is not None:
             self.saw_arrival(event, len(exchange.body))
-        front = self.fronts.get(index)
+        front = self.request_handlers.get(index)
         if front is None:
             request.dispatcher = self
             self.dispatch(event)
@@ -527,14 +527,14 @@
 
     def quit(self, request: Request) -> None:
         """Whoever decides on it, or did, hears that no answer is owed any more."""
-        front = self.fronts.get(request.class_index)
+        front = self.request_handlers.get(request.class_index)
         self.dispatch(api.RequestGone(request.ident))
         if front is not None:
             front.request_abandoned(request.ident)
 
     def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         self.dispatch(event)
-        for front in dict.fromkeys(self.fronts.values()):
+        for front in dict.fromkeys(self.request_handlers.values()):
             front.notify(event)
 
     def close(self, request: Request) -> None:
--- a/ironscale/record/beside.py
+++ b/ironscale/record/beside.py
@@ -52,7 +52,7 @@
             raise ConfigError(str(error)) from error
         recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in makers]
         front = Front(sidecar, stores.by, recorders, stores.upstreams)
-        sidecar.fronts.update(dict.fromkeys(indexes, front))
+        sidecar.request_handlers.update(dict.fromkeys(indexes, front))
         for recorder in recorders:
             recorder.resume(left)
 
@@ -72,7 +72,7 @@
                 yield
         finally:
             for index in indexes:
-                sidecar.fronts.pop(index, None)
+                sidecar.request_handlers.pop(index, None)
             await front.close(CLOSE_S)
             await journal.settle(CLOSE_S)
 
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -60,7 +60,7 @@
     scene = await Scene().start(*entries, **{"request-classes": classes})
     try:
         async with beside(section)(scene.sidecar, lambda: None):
-            front = next(iter(scene.sidecar.fronts.values()))
+            front = next(iter(scene.sidecar.request_handlers.values()))
             assert isinstance(front, Front)
             yield scene, found, front
     finally:
@@ -146,7 +146,7 @@
                 async with beside(section)(scene.sidecar, lambda: None):
                     pass
             assert text in str(found.value) and str(found.value).startswith("op.toml: store.classes: ")
-            assert not scene.sidecar.fronts
+            assert not scene.sidecar.request_handlers
             await scene.sidecar.stop()
         with pytest.raises(OperatorFileError, match="without a password"):
             beside(Stores("op.toml", ("pay",), (StoreTarget("main", postgresql="host=h password=x"),)))
