--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -147,12 +147,12 @@
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         recorder = Recorder(sidecar, record)
-        sidecar.saw_arrival = recorder.saw
+        sidecar.arrival_observer = recorder.saw
         try:
             async with alongside(recorder.run()):
                 yield
         finally:
-            sidecar.saw_arrival = None
+            sidecar.arrival_observer = None
             with contextlib.suppress(TimeoutError):  # a disk that hangs must not keep the process
                 async with asyncio.timeout(2.0):
                     await recorder.flush()
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -247,7 +247,7 @@
         self.answers: Counter[tuple[int, str]] = Counter()
         self.refusals: Counter[str] = Counter()
         # Who watches arrivals, given each with the size of its body: some microseconds, and never an error.
-        self.saw_arrival: Callable[[api.RequestArrived, int], None] | None = None
+        self.arrival_observer: Callable[[api.RequestArrived, int], None] | None = None
 
     async def start(self, reuse_port: bool = False) -> int:
         """Listen, with the list as last known; gives the port."""
@@ -365,8 +365,8 @@
             exchange.header(b"x-resent") == "1",
             "write=1" in exchange.header(b"x-labels").split(","),
         )
-        if self.saw_arrival is not None:
-            self.saw_arrival(event, len(exchange.body))
+        if self.arrival_observer is not None:
+            self.arrival_observer(event, len(exchange.body))
         front = self.request_handlers.get(index)
         if front is None:
             request.dispatcher = self
--- a/tests/load/test_recording.py
+++ b/tests/load/test_recording.py
@@ -35,7 +35,7 @@
         async with r.beside(Record(path))(world.sidecar, lambda: None):
             for lane, body in (("view", b""), ("pay", b"12345"), ("view", b"")):
                 assert (await world.call(lane, body)).status == 200
-        assert world.sidecar.saw_arrival is None
+        assert world.sidecar.arrival_observer is None
 
     run(test)
     rows = list(read(path))
@@ -140,7 +140,7 @@
             await asyncio.sleep(0.05)  # the one write hangs now
             for _ in range(8):
                 assert (await world.call()).status == 200
-            recorder = world.sidecar.saw_arrival.__self__  # type: ignore[union-attr]
+            recorder = world.sidecar.arrival_observer.__self__  # type: ignore[union-attr]
             await until(lambda: recorder.left_out >= 4)
             assert len(recorder.held) <= 3
         # the end came without it: the process does not wait for a disk
