--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -238,7 +238,7 @@
         self.request_handlers: dict[int, RequestHandler] = {}  # by index of the class: where its requests go in place of the upstreams
         self.reload_again: asyncio.TimerHandle | None = None  # after one that could not read its file
         self.has_list = False
-        self.cut_off = True  # from discovery: its last word was a failure, or there was none yet
+        self.discovery_failed = True  # from discovery: its last word was a failure, or there was none yet
         self.draining = False
         self.port = 0  # that it listens on
         self.generation = config.generation  # of the configuration that runs; 0 = the file alone
@@ -391,7 +391,7 @@
 
     def on_list(self, kind: api.ListKind, listing: Listing | None) -> None:
         if kind is not api.ListKind.CACHED:
-            self.cut_off = kind is api.ListKind.FAILED
+            self.discovery_failed = kind is api.ListKind.FAILED
         if listing is None:
             self.dispatch(api.UpstreamsUpdated(kind))
             return
