--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -311,7 +311,7 @@
     async def stop(self) -> None:
         longest_s = max(c.deadline_us for c in self.config.settings.classes) / 1e6
         end_s = max(STOP_END_S + min(longest_s, STOP_DEADLINE_S), STOP_LEAST_END_S)
-        await self.server.stop(STOP_QUIET_S, STOP_LEAST_S, STOP_MOST_S, end_s, self.answer_all)
+        await self.server.stop(STOP_QUIET_S, STOP_LEAST_S, STOP_MOST_S, end_s, self.fail_open_requests)
         self.log(f"ended: {self.ledger.summary()}")
         self.clock_watch.cancel()
         self.discovery.close()
@@ -322,7 +322,7 @@
         if self.starts.look():
             self.log(f"the wall clock is {self.starts.ahead_us[-1] / 1e6:+.1f} s off its course since the start")
 
-    def answer_all(self) -> None:
+    def fail_open_requests(self) -> None:
         """The process ends: each open request has its one answer now, and so has what comes yet."""
         self.tell_all(api.DrainChanged(True, ends=True))
         for request in list(self.by_txn.values()):  # between two lanes, or lost by the decisions
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -100,7 +100,7 @@
         client = connect(scene, request[:10])  # it has begun, and so is not closed as idle
         await until(lambda: any(one.reading for one in scene.sidecar.server.connections))
         ended = asyncio.get_running_loop().create_future()
-        real = scene.sidecar.answer_all
+        real = scene.sidecar.fail_open_requests
 
         def at_end() -> None:
             real()
