--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -77,7 +77,7 @@
 
     def on_request(self, exchange: Exchange) -> None: ...
 
-    def on_client_gone(self, exchange: Exchange) -> None: ...
+    def on_client_disconnected(self, exchange: Exchange) -> None: ...
 
 
 class Server(Protocol):
@@ -337,4 +337,4 @@
                 one.lifecycle.connection_closed(reason)
         self.waiting.clear()
         if exchange is not None and exchange.lifecycle.cancel(reason):
-            self.server.application.on_client_gone(exchange)
+            self.server.application.on_client_disconnected(exchange)
