--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -383,7 +383,7 @@
         keyed = len(keys) == 1 and bool(keys[0])
         return exchange.method == b"POST" and (keyed if effect == "deduplicated" else not keys)
 
-    def on_client_gone(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         request = self.by_txn.get(exchange.header(b"x-txn"))
         if request is not None and request.exchange is exchange:
             self.close(request)
