--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -279,7 +279,7 @@
     def drain(self, draining: bool) -> None:
         """Out of service, or back: readiness says 503 and the decisions refuse what is new."""
         self.draining = draining
-        self.tell_all(api.DrainChanged(draining))
+        self.notify_all(api.DrainChanged(draining))
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         """Runs the file's configuration with `overlay` (a JSON merge patch) on it: all of it, or nothing.
@@ -304,7 +304,7 @@
         self.upstreams.set_times(new.idle_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
-        self.tell_all(api.SettingsChanged(new.settings))
+        self.notify_all(api.SettingsChanged(new.settings))
         if new.discovery_in_file is not None and new.discovery_in_file != old.discovery_in_file:
             self.discovery.move(new.discovery_in_file)  # as at a reload: the environment counts at the start
 
@@ -324,7 +324,7 @@
 
     def fail_open_requests(self) -> None:
         """The process ends: each open request has its one answer now, and so has what comes yet."""
-        self.tell_all(api.DrainChanged(True, ends=True))
+        self.notify_all(api.DrainChanged(True, ends=True))
         for request in list(self.by_txn.values()):  # between two lanes, or lost by the decisions
             self.fail(request.ident)
 
@@ -532,7 +532,7 @@
         if front is not None:
             front.request_abandoned(request.ident)
 
-    def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
+    def notify_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         self.dispatch(event)
         for front in dict.fromkeys(self.request_handlers.values()):
             front.notify(event)
