--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -387,7 +387,7 @@
         request = self.by_txn.get(exchange.header(b"x-txn"))
         if request is not None and request.exchange is exchange:
             self.close(request)
-            self.quit(request)
+            self.notify_abandoned(request)
 
     def on_list(self, kind: api.ListKind, listing: Listing | None) -> None:
         if kind is not api.ListKind.CACHED:
@@ -523,9 +523,9 @@
         if request is not None and request.is_open():
             self.log(f"request {ident} was left without an answer")
             self.answer(ident, 502, [])
-            self.quit(request)
+            self.notify_abandoned(request)
 
-    def quit(self, request: Request) -> None:
+    def notify_abandoned(self, request: Request) -> None:
         """Whoever decides on it, or did, hears that no answer is owed any more."""
         front = self.request_handlers.get(request.class_index)
         self.dispatch(api.RequestGone(request.ident))
