--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -478,7 +478,7 @@
         timer: Timer | None = None
         until_us = min(request.deadline_us, action.until_us or request.deadline_us)
         attempt = Attempt(partial(self.payload, request.exchange, now_us + timeout_us),
-                          partial(self.is_wanted, request, until_us),
+                          partial(self.may_start_attempt, request, until_us),
                           lambda *end: self.on_attempt_end(request, number, action.upstream, now_us, timer, *end))
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
@@ -489,7 +489,7 @@
         timer = self.schedule(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
         pool.start(attempt)
 
-    def is_wanted(self, request: Request, until_us: int) -> bool:
+    def may_start_attempt(self, request: Request, until_us: int) -> bool:
         """Asked just before the first byte of an attempt leaves, which may be long after it was decided."""
         exchange = request.exchange
         return (self.is_open(request.ident)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -90,7 +90,7 @@
             request.exchange.answer(502)
             real(action)  # type: ignore[arg-type]
 
-        sidecar.is_wanted = lambda request, until_us: True  # type: ignore[method-assign]
+        sidecar.may_start_attempt = lambda request, until_us: True  # type: ignore[method-assign]
         sidecar.send = late  # type: ignore[method-assign]
         assert (await scene.call()).status == 502
         await until(lambda: sidecar.ledger.violations)
