--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -179,7 +179,7 @@
     return remaining_us if remaining_us is not None and remaining_us <= MOST_REMAINING_US else None
 
 
-def read_report(headers: Headers, fields: list[str]) -> list[float]:
+def parse_load_report(headers: Headers, fields: list[str]) -> list[float]:
     """The load report of an answer in the settings' order; one that can't be read counts as none."""
     if not fields:
         return []
@@ -420,7 +420,7 @@
             else:
                 onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
-        report = read_report(answer.headers, self.config.report_fields) if answer is not None else []
+        report = parse_load_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
         if onward is not None:
             onward(answer)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,7 +19,7 @@
 
 from ironscale import interface as api
 from ironscale.net import client, server, upstream
-from ironscale.net.sidecar import MARGIN_US, Clock, parse_remaining_us, read_report
+from ironscale.net.sidecar import MARGIN_US, Clock, parse_remaining_us, parse_load_report
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok, read_message
 from ironscale.standins.settings import SETTINGS
@@ -307,8 +307,8 @@
     (b"busy=nan,rif=1", []), (b"busy=x,rif=1", []), (b"{", []), (b"\xff=,=", []),
 ])
 def test_a_load_report_that_cannot_be_read_counts_as_none(value: bytes, expected: list[float]) -> None:
-    assert read_report([(b"x-pressure", value)], ["busy", "rif"]) == expected
-    assert read_report([], ["busy"]) == read_report([(b"x-pressure", value)], []) == []
+    assert parse_load_report([(b"x-pressure", value)], ["busy", "rif"]) == expected
+    assert parse_load_report([], ["busy"]) == parse_load_report([(b"x-pressure", value)], []) == []
 
 
 def test_the_load_report_reaches_the_decisions() -> None:
