--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -22,7 +22,7 @@
 from ironscale import logs  # noqa: E402
 from ironscale.net.config import ConfigError  # noqa: E402
 from ironscale.net.errors import passes  # noqa: E402
-from ironscale.net.sidecar import Beside, Sidecar, StartFailed, serve  # noqa: E402
+from ironscale.net.sidecar import Extension, Sidecar, StartFailed, serve  # noqa: E402
 
 START_PATIENCE_S = 20.0  # of 30 s that a start may take
 START_AGAIN_S = 0.1
@@ -84,7 +84,7 @@
     return 2 if isinstance(error, ConfigError) else 1
 
 
-def operated(environ: Mapping[str, str]) -> tuple[Beside | None, bool]:
+def operated(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
     """What the operator file switches on. Nothing of it is loaded where no variable names one."""
     if not environ.get("GW_OPERATOR") and not environ.get("GW_AGENT"):
         return None, False
@@ -92,7 +92,7 @@
 
     try:
         found = operator_file.from_environment(environ)
-        subsystems: list[Beside] = []
+        subsystems: list[Extension] = []
         channel = None
         if found.store is not None:  # the first: not one request may pass by it
             from ironscale.record.beside import beside as store_beside
@@ -117,7 +117,7 @@
         raise ConfigError(str(error)) from error
 
 
-def together(subsystems: list[Beside]) -> Beside | None:
+def together(subsystems: list[Extension]) -> Extension | None:
     """All of them beside one sidecar; the last to start is the first to end."""
     if len(subsystems) < 2:
         return subsystems[0] if subsystems else None
--- a/ironscale/control/beside.py
+++ b/ironscale/control/beside.py
@@ -16,7 +16,7 @@
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.layers import Layered
 from ironscale.control.processes import machine, start_ticks
-from ironscale.net.sidecar import Beside, Sidecar
+from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Control, Versions, read_secret
 from ironscale.tasks import logged
 
@@ -73,7 +73,7 @@
 
 
 def beside(control: Control, environ: Mapping[str, str], teaching: Teaching | None = None,
-           versions: Versions | None = None) -> Beside:
+           versions: Versions | None = None) -> Extension:
     """Raises OperatorFileError where the token can't be read; later failures are the client's to outlive."""
     token = read_secret(control.token_file)
     if versions is not None and versions.token_file is not None:
--- a/ironscale/learned/beside.py
+++ b/ironscale/learned/beside.py
@@ -12,7 +12,7 @@
 from ironscale.learned.keeper import Collector, Keeper
 from ironscale.learned.store import Store, path_for
 from ironscale.learned.teaching import Address, Pupil, Teacher
-from ironscale.net.sidecar import Beside, Sidecar
+from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Learned, is_loopback
 from ironscale.tables import read_address
 from ironscale.tasks import alongside
@@ -87,7 +87,7 @@
             self.running.offered.put_nowait(near)
 
 
-def beside(learned: Learned, channel: Channel | None = None) -> Beside:
+def beside(learned: Learned, channel: Channel | None = None) -> Extension:
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = Running(sidecar, learned)
--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -18,7 +18,7 @@
 from ironscale import logs
 from ironscale.interface import RequestArrived
 from ironscale.load.traces import header
-from ironscale.net.sidecar import Beside, Sidecar
+from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Record
 from ironscale.tasks import alongside
 from ironscale.threads import in_thread
@@ -143,7 +143,7 @@
             logs.line(f"{self.sidecar.config.name}: record: {text}")
 
 
-def beside(record: Record) -> Beside:
+def beside(record: Record) -> Extension:
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         recorder = Recorder(sidecar, record)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -564,14 +564,14 @@
 
 
 # What a subsystem runs beside a started sidecar: given the sidecar and what ends the process.
-Beside = Callable[[Sidecar, Callable[[], None]], AbstractAsyncContextManager[None]]
+Extension = Callable[[Sidecar, Callable[[], None]], AbstractAsyncContextManager[None]]
 
 
 class StartFailed(Exception):
     """Nothing has been taken yet; the cause says what failed."""
 
 
-async def serve(environ: Mapping[str, str], beside: Beside | None = None,
+async def serve(environ: Mapping[str, str], beside: Extension | None = None,
                 reuse_port: bool = False) -> None:
     """One sidecar from its start to its end by a signal, or by `beside`. Raises StartFailed until it listens."""
     stopped = asyncio.Event()
--- a/ironscale/record/beside.py
+++ b/ironscale/record/beside.py
@@ -8,7 +8,7 @@
 
 from ironscale.interface import Settings
 from ironscale.net.config import ConfigError
-from ironscale.net.sidecar import Beside, Sidecar
+from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import OperatorFileError, Stores
 from ironscale.record.journal import Journal, JournalError
 from ironscale.record.lane import Stores as Front
@@ -37,7 +37,7 @@
     return found
 
 
-def beside(stores: Stores) -> Beside:
+def beside(stores: Stores) -> Extension:
     """Raises OperatorFileError."""
     makers = [(target.name, make(target, stores.file)) for target in stores.to]
 
