--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -571,7 +571,7 @@
     """Nothing has been taken yet; the cause says what failed."""
 
 
-async def serve(environ: Mapping[str, str], beside: Extension | None = None,
+async def serve(environ: Mapping[str, str], extension: Extension | None = None,
                 reuse_port: bool = False) -> None:
     """One sidecar from its start to its end by a signal, or by `beside`. Raises StartFailed until it listens."""
     stopped = asyncio.Event()
@@ -602,7 +602,7 @@
     gc.collect()
     gc.freeze()  # what is here stays: the collector need not walk it again
     gc.set_threshold(YOUNG, *gc.get_threshold()[1:])
-    async with beside(sidecar, stopped.set) if beside is not None else nullcontext():
+    async with extension(sidecar, stopped.set) if extension is not None else nullcontext():
         await stopped.wait()
         await sidecar.stop()
     for number in (*ENDING, signal.SIGHUP):
