--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -12,7 +12,7 @@
 from ironscale.net.config import ConfigError
 from ironscale.net.discovery import Directory
 from ironscale.net.sidecar import RestartRequired, Sidecar
-from ironscale.telling import view
+from ironscale.telling import upstream_views
 
 # What each instance has of its own: a patch for many can't set it.
 OWN_KEYS = ("name", "listen", "seed", "known")
@@ -83,7 +83,7 @@
 
     def report(self, control_s: float) -> Report:
         sidecar = self.sidecar
-        views = view(sidecar.balancer)
+        views = upstream_views(sidecar.balancer)
         ready = [view for view in views if view.state is api.UpstreamState.READY]
         return Report(
             generation=sidecar.generation, fence=self.fence,
@@ -109,7 +109,7 @@
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
             "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.mute,
             "leastMs": round(view.least_us / 1000, 3),
-        } for view in view(self.sidecar.balancer)]
+        } for view in upstream_views(self.sidecar.balancer)]
 
     def drain(self, draining: bool) -> None:
         if self.sidecar.server.stopping:
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -16,7 +16,7 @@
     Upstream,
     unchangeable,
 )
-from ironscale.telling import view
+from ironscale.telling import upstream_views
 from tests.test_slots import MARK, PAY, READ, fill, ready_world
 from tests.world import settings
 
@@ -123,7 +123,7 @@
     world = ready_world(1)
     world.tell_list([Upstream(100), Upstream(101, started_us=world.now_us)])
     request = world.arrive(PAY)
-    views = {view.id: view for view in view(world.balancer)}
+    views = {view.id: view for view in upstream_views(world.balancer)}
     assert set(views) == {100, 101} and views[101].cold and not views[100].cold
     assert sum(view.used for view in views.values()) == 1
     assert views[world.sends(request)[0].upstream].slots >= 1.0
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -30,7 +30,7 @@
 from ironscale.operator_file import Control, Learned
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
-from ironscale.telling import learned, view
+from ironscale.telling import learned, upstream_views
 from ironscale.threads import in_thread
 from tests.agent.scene import section
 from tests.learned.samples import lesson, snapshot
@@ -76,7 +76,7 @@
         keeper.store.release()
         writes = keeper.writes
         assert writes >= 1
-        told = {view.id: view for view in view(scene.sidecar.balancer)}
+        told = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
         other = await scene_with(peers)
         again = keeper_of(other, Store(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(again.run())):
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -21,7 +21,7 @@
     UpstreamLesson,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned, view
+from ironscale.telling import learned, upstream_views
 from tests.world import START_US, World, settings, upstreams
 
 S = 1_000_000
@@ -47,7 +47,7 @@
 
 
 def slots(world: World) -> dict[int, float]:
-    return {view.id: view.slots for view in view(world.balancer)}
+    return {view.id: view.slots for view in upstream_views(world.balancer)}
 
 
 def answer(world: World, request: int, outcome: Outcome = Outcome.OK, after_us: int = 20_000) -> int:
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -34,7 +34,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from ironscale.telling import view
+from ironscale.telling import upstream_views
 from tests.record.play import Play
 from tests.record.postgres import Fault, Gate, dsn, written
 from tests.record.postgres import scene as store_scene
@@ -110,7 +110,7 @@
             assert len(peer.got) == 1
             assert (await scene.raw(asked(scene, "mark", b"A", key="k" * 257))).status == 400
             lane = front.lanes[0]
-            assert {one.used for one in view(lane.balancer)} == {0} and not lane.out and not lane.numbers
+            assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.out and not lane.numbers
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
             ("t1", "north", 64_000), ("t2", "north", 1), ("t5", "south", 1)]
