--- a/bench/learned.py
+++ b/bench/learned.py
@@ -43,7 +43,7 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.telling import learned
+from ironscale.telling import learned_state
 from tests.learned.samples import NOW
 from tests.sockets import free_port
 
@@ -64,7 +64,7 @@
 
 def donor(stage: Stage, index: int) -> trust.Donor:
     side = stage.sides[index]
-    return trust.Donor(learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
+    return trust.Donor(learned_state(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
 def lie(stage: Stage, slots: Callable[[int], float]) -> api.Lessons:
@@ -87,7 +87,7 @@
     # from before the upstreams fell ill or recovered, as donors that had run for long
     early = [replace(donor(stage, i), up_us=30 * S) for i in (1, 2, 3)]
     stage.run(STOP_US)
-    own = learned(stage.sides[0].balancer)
+    own = learned_state(stage.sides[0].balancer)
     starts: dict[str, Stage] = {}
     warm = stage.copy()
     stage.stop(0)
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -31,7 +31,7 @@
 from ironscale.learned.store import Store, choose
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
-from ironscale.telling import learned
+from ironscale.telling import learned_state
 from ironscale.threads import in_thread
 
 T = TypeVar("T")
@@ -76,7 +76,7 @@
         idents = list(balancer.servers)
         found: list[NamedLesson] = []
         for start in range(0, len(idents), SLICE):
-            for lesson in learned(balancer, idents[start:start + SLICE]).upstreams:
+            for lesson in learned_state(balancer, idents[start:start + SLICE]).upstreams:
                 pool = sidecar.upstreams.pools.get(lesson.id)  # it knows the name that the number was made of
                 # hazard: one entry of discovery's that no reader takes would cost the whole snapshot
                 if pool is not None and is_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
@@ -84,7 +84,7 @@
             yield
         if len(found) > MOST_UPSTREAMS:
             found = sorted(found, key=lambda one: one.age_us)[:MOST_UPSTREAMS]
-        whole = learned(balancer, [])
+        whole = learned_state(balancer, [])
         return Snapshot(
             sidecar.config.name, taken, told_us - self.started_us, resting=balancer.window.slots < 1.0,
             cut_off=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -15,7 +15,7 @@
             for i, s in balancer.servers.items()]
 
 
-def learned(balancer: Balancer, idents: Iterable[int] | None = None) -> api.Lessons:
+def learned_state(balancer: Balancer, idents: Iterable[int] | None = None) -> api.Lessons:
     """What has been learned, of the upstreams `idents` (None: of all). What was recalled and not tested since is told
     as it was told to the balancer: with its time and whose it was."""
     upstreams = []
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -30,7 +30,7 @@
 from ironscale.operator_file import Control, Learned
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
-from ironscale.telling import learned, upstream_views
+from ironscale.telling import learned_state, upstream_views
 from ironscale.threads import in_thread
 from tests.agent.scene import section
 from tests.learned.samples import lesson, snapshot
@@ -281,7 +281,7 @@
         teacher.collector.started_us -= 60_000_000  # it has run for a minute
         async with running(asyncio.create_task(teacher.run())):
             while (old.sidecar.balancer.servers[upstream_id("up-0")].window.slots > 0.2
-                   or len(learned(old.sidecar.balancer).upstreams) < 4):
+                   or len(learned_state(old.sidecar.balancer).upstreams) < 4):
                 await old.call()
             await until(teacher.port)
             pupil = Pupil(new.sidecar, Collector(new.sidecar), random.Random(1))
@@ -489,7 +489,7 @@
                     yield channel
 
             async with one(old, "old", Learned(teach=("127.0.0.1", 0))):
-                while len(learned(old.sidecar.balancer).upstreams) < 3:
+                while len(learned_state(old.sidecar.balancer).upstreams) < 3:
                     await old.call()
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
                 async with one(new, "new", Learned(from_agent=True)) as channel:
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -23,7 +23,7 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang
-from ironscale.telling import learned
+from ironscale.telling import learned_state
 from tests.deployed import ROOT
 from tests.sockets import ask, free_port, run, until
 
@@ -194,7 +194,7 @@
     # as they were before they had seen much of the fault, and as if they had run for long
     early = [replace(one, up_us=60 * S) for one in donors(stage)]
     stage.run(STOP_US)
-    own = learned(stage.sides[0].balancer)
+    own = learned_state(stage.sides[0].balancer)
     warm = stage.copy()
     warm.run(END_US)
     stage.stop(0)
@@ -237,7 +237,7 @@
     for seed in (1, 2):
         stage = Stage(seed, sides=3, nodes=9, rate_per_s=20.0)
         stage.run(STOP_US)
-        own = learned(stage.sides[0].balancer)
+        own = learned_state(stage.sides[0].balancer)
         stage.stop(0)
         stage.run(STOP_US + S // 2)
         stage.replace_all()
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -21,7 +21,7 @@
     UpstreamLesson,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned, upstream_views
+from ironscale.telling import learned_state, upstream_views
 from tests.world import START_US, World, settings, upstreams
 
 S = 1_000_000
@@ -315,10 +315,10 @@
     first = told(100, 5.0, 3 * S, first_hand=False, least_us=9)
     world = taught(first)
     world.advance(S)
-    given = {one.id: one for one in learned(world.balancer).upstreams}
+    given = {one.id: one for one in learned_state(world.balancer).upstreams}
     assert given[100] == first and list(given) == [100]
     answer(world, send_to(world, 100))
-    own = {one.id: one for one in learned(world.balancer).upstreams}[100]
+    own = {one.id: one for one in learned_state(world.balancer).upstreams}[100]
     assert own.first_hand and own.confirmed_us == world.now_us
 
 
@@ -329,7 +329,7 @@
     world.tell_list(upstreams(6))
     for _ in range(5):
         world.advance(2 * S)
-        given = learned(world.balancer)
+        given = learned_state(world.balancer)
         donor = trust.Donor(given, 60 * S, False, False)
         agreed = trust.agreed([donor], world.now_us, 0)
         assert agreed is not None and agreed.upstreams[0].confirmed_us == START_US - S
@@ -337,7 +337,7 @@
         other.now_us = world.now_us
         other.balancer.recall(world.now_us, agreed)
         other.tell_list(upstreams(6))
-        back = learned(other.balancer)
+        back = learned_state(other.balancer)
         assert [one.first_hand for one in back.upstreams] == [False]
         assert trust.agreed([trust.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
 
@@ -437,11 +437,11 @@
     world.tell_list(upstreams(4))
     for _ in range(200):
         answer(world, world.arrive(), after_us=5_000)
-    given = learned(world.balancer)
+    given = learned_state(world.balancer)
     again = Balancer(world.settings, 9, world.now_us)
     again.recall(world.now_us, given)
     again.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, upstreams(4)))
-    assert learned(again) == replace(given, slots=0.0, confirmed_us=0)
+    assert learned_state(again) == replace(given, slots=0.0, confirmed_us=0)
     assert again.window.slots == pytest.approx(given.slots, rel=0.5)
     assert [x.mean_us for x in again.latency] == pytest.approx([x.mean_us for x in world.balancer.latency], rel=0.2)
     assert not any(isinstance(action, Send) for action in again.actions)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -26,7 +26,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned
+from ironscale.telling import learned_state
 from tests.world import START_US, World, settings
 
 READ = 0
@@ -327,7 +327,7 @@
 
 def test_what_was_learned_closes_one_of_many_no_further_than_slow_answers_do() -> None:
     world = many(20.0)
-    lessons = replace(learned(world.balancer), slots=1.0)
+    lessons = replace(learned_state(world.balancer), slots=1.0)
     newcomer = Balancer(world.settings, 8, world.now_us)
     newcomer.recall(world.now_us, lessons)
     newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.known.values())))
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -12,7 +12,7 @@
 from ironscale import interface as api
 from ironscale.balance import FULL_LOAD, Balancer, Request, Server
 from ironscale.places import Places
-from ironscale.telling import learned
+from ironscale.telling import learned_state
 
 S = 1_000_000
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
@@ -163,7 +163,7 @@
                 self.settings.zone = self.both[0].settings.zone
                 self.handle(api.SettingsChanged(self.settings))
             if random.random() < 0.01:
-                lessons = learned(self.both[0])
+                lessons = learned_state(self.both[0])
                 for balancer in self.both:
                     balancer.recall(self.now_us, lessons)
 
