--- a/ironscale/graphql/files.py
+++ b/ironscale/graphql/files.py
@@ -39,7 +39,7 @@
     table = root.table("fields")
     trusted = root.table("trusted")
     persisted, closed = _trusted(trusted)
-    root.end()
+    root.reject_unknown_keys()
     try:
         schema = read_schema(read_text(schema_path, GraphqlFileError), str(schema_path))
         found = make_map(schema, table.values if table is not None else {}, classes, unsafe, str(path), default_size)
@@ -59,7 +59,7 @@
     if table is None:
         return Limits()
     found = {name: table.whole(name, 1, 1 << 30, default) for name, default in asdict(Limits()).items()}
-    table.end()
+    table.reject_unknown_keys()
     return Limits(**found)
 
 
@@ -69,7 +69,7 @@
     if table is None:
         return {}, False
     path, closed = table.file_path("documents"), table.flag("closed", False)
-    table.end()
+    table.reject_unknown_keys()
     if path.is_dir():
         texts = [read_text(one, GraphqlFileError) for one in sorted(path.glob("*.graphql"))]
         return {digest_of(text): text for text in texts}, closed
--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -262,7 +262,7 @@
         text=text,
         file=file,
     )
-    root.end()
+    root.reject_unknown_keys()
     if found.warm_up_us >= found.duration_us:
         raise root.fail("warm_up_s", f"less than the {found.duration_us / 1e6:g} s of the run")
     if sidecars.count and not upstreams:
@@ -324,7 +324,7 @@
             values["rows"] = traces.read(path)
         except traces.TraceError as error:
             raise ScenarioError(f"{table.file}: {table.at('file')}: {error}") from error
-    table.end()
+    table.reject_unknown_keys()
     return Arrivals(shape, start_us, start_us + length_us, even, values)
 
 
@@ -346,13 +346,13 @@
     )
     if kind.effect == "idempotent" and kind.size != (0, 0):
         raise table.fail("body_bytes", "none for a class that is safe to repeat (GET)")
-    table.end()
+    table.reject_unknown_keys()
     return kind
 
 
 def _tenant(table: Table) -> Tenant:
     found = Tenant(table.text("name"), table.number("share", 0, 1e9, 1.0))
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -370,7 +370,7 @@
         table.get("path", "a path that begins with /", _path, "/api"),
         table.flag("body_names_request", bool(root.values.get("upstreams"))),
     )
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -398,7 +398,7 @@
         slow_reader_us=round(table.number("slow_reader_ms", 0, 60_000, 200.0) * 1000),
         new_connections=table.number("new_connections", 0, 1, 0.0),
     )
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -410,7 +410,7 @@
         table.number("busy", 0.01, 1, 0.9),
         round(table.number("pause_ms", 0.1, 60_000, 50.0) * 1000),
     )
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -428,7 +428,7 @@
         overload_factor=table.number("overload_factor", 1, 1_000, 2.5),
         fall_us=_us(table.seconds("fall_s", 0.01, 60, 1.0)),
     )
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -456,7 +456,7 @@
     )
     if found.at_us >= duration_us:
         raise table.fail("at_s", f"less than the {duration_us / 1e6:g} s of the run")
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -468,5 +468,5 @@
         table.get("settings", "a table", lambda v: v if isinstance(v, dict) else None, {}),
         table.whole("sockets", 64, 1_000_000, 4096),
     )
-    table.end()
+    table.reject_unknown_keys()
     return found
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -169,7 +169,7 @@
     )
     if service.make_before_break and first_port == 0:
         raise table.fail("make_before_break", "false, or a first_port that the successor can share")
-    table.end()
+    table.reject_unknown_keys()
     return service
 
 
@@ -193,7 +193,7 @@
         host, port = entry.address("address")
         places.append(Place(host, port, entry.get("zone", "a text", text_or_none, ""),
                             entry.get("region", "a text", text_or_none, "")))
-        entry.end()
+        entry.reject_unknown_keys()
     if not 0 < len(places) <= MOST_PLACES:
         raise OperatorFileError(f"{table.file}: {table.at('agent')}: expected 1 to {MOST_PLACES} tables "
                                 f"[[versions.agent]], got {len(places)}")
@@ -206,7 +206,7 @@
     found = Versions(tuple(places), service, zone, region,
                      token_file=table.file_path("token_file") if "token_file" in table.values else None)
     table.asked.add("token_file")
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -219,7 +219,7 @@
         ask=table.get("ask", f"a list of {MOST_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
         from_agent=table.flag("from_agent", False))
     table.asked |= {"teach", "folder"}
-    table.end()
+    table.reject_unknown_keys()
     if learned == Learned(every_s=learned.every_s):
         raise OperatorFileError(f"{table.file}: {table.path}: expected folder, teach, ask or from_agent = true, "
                                 "got none of them")
@@ -247,7 +247,7 @@
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
         queue=table.whole("queue", 1, 1_000_000, 4_096))
     table.asked |= {"sqlite", "password_file"}
-    table.end()
+    table.reject_unknown_keys()
     if (target.sqlite is None) == (not target.postgresql):
         raise OperatorFileError(f"{table.file}: {table.path}: expected sqlite or postgresql, got "
                                 f"{'neither' if target.sqlite is None else 'both'}")
@@ -266,7 +266,7 @@
     stores = Stores(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
-    table.end()
+    table.reject_unknown_keys()
     return stores
 
 
@@ -282,7 +282,7 @@
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
         capacity=table.number("capacity", 0.0001, 1.0, None, "a share") if "capacity" in table.values else None)
     table.asked |= {"number", "share", "capacity", *patterns}
-    table.end()
+    table.reject_unknown_keys()
     if (budget.number, budget.share, budget.capacity) == (None, None, None):
         raise OperatorFileError(f"{table.file}: {table.path}: expected number, share or capacity, got none of them")
     return budget
@@ -360,7 +360,7 @@
         if names.count(name) > 1:
             raise OperatorFileError(f"{table.file}: {table.at('service')}: expected names that differ, "
                                     f"got {name!r} twice")
-    table.end()
+    table.reject_unknown_keys()
     return agent
 
 
@@ -388,7 +388,7 @@
     )
     for table in (control, sidecar, record, root):
         if table is not None:
-            table.end()
+            table.reject_unknown_keys()
     return found
 
 
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -173,7 +173,7 @@
         _play(play),
     )
     for table in (fleet, promises, budget, failures, play, root):
-        table.end()
+        table.reject_unknown_keys()
     return found
 
 
--- a/ironscale/stage/world.py
+++ b/ironscale/stage/world.py
@@ -93,13 +93,13 @@
     names = [limit.name for limit in limits]
     if len(set(names)) < len(names):
         raise WorldError(f"{file}: budget: expected names that differ, got {', '.join(names)}")
-    root.end()
+    root.reject_unknown_keys()
     return replace(world, limits=limits, events=events)
 
 
 def _limit(table: Table) -> Limit:
     found = Limit(table.text("name"), table.whole("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
-    table.end()
+    table.reject_unknown_keys()
     return found
 
 
@@ -113,7 +113,7 @@
     if kind in BY_OPERATORS and sort != "sidecar":
         raise table.fail("who", f"a sidecar, as {kind} is about one")
     event = Event(table.whole("at_ms", 0, int(world.seconds * 1000)), kind, who, table.whole("for_ms", 0, 60_000, 500))
-    table.end()
+    table.reject_unknown_keys()
     return event
 
 
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -106,7 +106,7 @@
         return [Table(self.file, f"{self.at(key)}[{i}]", entry, self.folder, self.error)
                 for i, entry in enumerate(entries)]
 
-    def end(self) -> None:
+    def reject_unknown_keys(self) -> None:
         for key in self.values:
             if key not in self.asked:
                 known = ", ".join(sorted(self.asked)) or "no key"
