--- a/ironscale/graphql/files.py
+++ b/ironscale/graphql/files.py
@@ -34,7 +34,7 @@
     root = read_toml(read_text(path, GraphqlFileError), str(path), path.parent, GraphqlFileError)
     schema_path = root.file_path("schema")
     unsafe = root.text("unsafe")
-    default_size = root.whole("default_size", 1, MOST, DEFAULT_SIZE)
+    default_size = root.integer("default_size", 1, MOST, DEFAULT_SIZE)
     limits = _limits(root.table("limits"))
     table = root.table("fields")
     trusted = root.table("trusted")
@@ -58,7 +58,7 @@
 def _limits(table: Table | None) -> Limits:
     if table is None:
         return Limits()
-    found = {name: table.whole(name, 1, 1 << 30, default) for name, default in asdict(Limits()).items()}
+    found = {name: table.integer(name, 1, 1 << 30, default) for name, default in asdict(Limits()).items()}
     table.reject_unknown_keys()
     return Limits(**found)
 
--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -248,7 +248,7 @@
         duration_us=duration_us,
         interval_us=_us(root.seconds("interval_s", 0.1, 60, 1.0)),
         warm_up_us=_us(root.seconds("warm_up_s", 0, MOST_S, 0.0)),
-        workers=root.whole("workers", 1, MOST_WORKERS, 2),
+        workers=root.integer("workers", 1, MOST_WORKERS, 2),
         target=_target(root.table("target"), root),
         arrivals=sources,
         kinds=kinds,
@@ -389,10 +389,10 @@
     if table is None:
         return Clients()
     found = Clients(
-        connections=table.whole("connections", 1, MOST_CONNECTIONS, 256),
-        keys=table.whole("keys", 0, 10_000, 0),
+        connections=table.integer("connections", 1, MOST_CONNECTIONS, 256),
+        keys=table.integer("keys", 0, 10_000, 0),
         zipf=table.number("zipf", 0, 10, 1.0),
-        retries=table.whole("retries", 0, 10, 0),
+        retries=table.integer("retries", 0, 10, 0),
         gives_up=table.span("gives_up", 0.001, 1, (1.0, 1.0)),
         slow_readers=table.number("slow_readers", 0, 1, 0.0),
         slow_reader_us=round(table.number("slow_reader_ms", 0, 60_000, 200.0) * 1000),
@@ -416,13 +416,13 @@
 
 def _upstreams(table: Table) -> Upstreams:
     found = Upstreams(
-        count=table.whole("count", 1, 5_000, 1),
-        cores=table.whole("cores", 1, 1_024, 1),
+        count=table.integer("count", 1, 5_000, 1),
+        cores=table.integer("cores", 1, 1_024, 1),
         speed=table.number("speed", 0.01, 100, 1.0),
-        queue=table.whole("queue", 0, 1_000_000, 1_000),
+        queue=table.integer("queue", 0, 1_000_000, 1_000),
         zone=table.text("zone", "a"),
         kind=table.text("kind", "large"),
-        cell=table.whole("cell", 0, 255, 0),
+        cell=table.integer("cell", 0, 255, 0),
         cold_share=table.number("cold_share", 0.001, 1, 1.0),
         warm_up_us=_us(table.seconds("warm_up_s", 0, 3_600, 0.0)),
         overload_factor=table.number("overload_factor", 1, 1_000, 2.5),
@@ -464,9 +464,9 @@
     if table is None:
         return Sidecars()
     found = Sidecars(
-        table.whole("count", 0, 100, 1),
+        table.integer("count", 0, 100, 1),
         table.get("settings", "a table", lambda v: v if isinstance(v, dict) else None, {}),
-        table.whole("sockets", 64, 1_000_000, 4096),
+        table.integer("sockets", 64, 1_000_000, 4096),
     )
     table.reject_unknown_keys()
     return found
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -153,8 +153,8 @@
 
 
 def _service(table: Table) -> Service:
-    count = table.whole("count", 1, MOST_INSTANCES)
-    first_port = table.whole("first_port", 0, 65535, 0)
+    count = table.integer("count", 1, MOST_INSTANCES)
+    first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
         raise table.fail("first_port", f"a port with room for {count} instances")
     environment = {}
@@ -243,9 +243,9 @@
         sqlite=table.file_path("sqlite") if "sqlite" in table.values else None,
         postgresql=table.text("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
-        connections=table.whole("connections", 1, 1_000, 8),
+        connections=table.integer("connections", 1, 1_000, 8),
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
-        queue=table.whole("queue", 1, 1_000_000, 4_096))
+        queue=table.integer("queue", 1, 1_000_000, 4_096))
     table.asked |= {"sqlite", "password_file"}
     table.reject_unknown_keys()
     if (target.sqlite is None) == (not target.postgresql):
@@ -278,7 +278,7 @@
     budget = Budget(
         name=table.text("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
         where=where, each=table.one_of("each", ("", *ATTRIBUTES[1:]), ""),
-        number=table.whole("number", 1, 1_000_000) if "number" in table.values else None,
+        number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
         capacity=table.number("capacity", 0.0001, 1.0, None, "a share") if "capacity" in table.values else None)
     table.asked |= {"number", "share", "capacity", *patterns}
@@ -325,7 +325,7 @@
         introspection=table.flag("introspection", True),
         lease_s=table.seconds("lease_s", 0.2, 600, 6.0),
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
-        most_instances=table.whole("most_instances", 1, 100_000, MOST_INSTANCES),
+        most_instances=table.integer("most_instances", 1, 100_000, MOST_INSTANCES),
         services=tuple(_service(entry) for entry in table.tables("service")),
         budgets=_budgets(table),
         file=table.file,
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -125,11 +125,11 @@
 
 
 def _fleet(table: Table) -> Fleet:
-    upstreams = table.whole("upstreams", 1, 1_000_000)
+    upstreams = table.integer("upstreams", 1, 1_000_000)
     found = Fleet(
-        upstreams, table.whole("sidecars", 1, 1_000_000, upstreams), table.whole("services", 1, 100_000),
-        table.whole("regions", 1, 100), table.whole("zones", 1, 1_000), table.number("calls_per_s", 1, 1e9),
-        table.whole("depth", 1, 100),
+        upstreams, table.integer("sidecars", 1, 1_000_000, upstreams), table.integer("services", 1, 100_000),
+        table.integer("regions", 1, 100), table.integer("zones", 1, 1_000), table.number("calls_per_s", 1, 1e9),
+        table.integer("depth", 1, 100),
     )
     if found.zones < found.regions:
         raise table.fail("zones", f"a zone in each of {found.regions} regions at least")
@@ -144,10 +144,10 @@
         # a line through two points says nothing of its scatter
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
-        table.whole("real", 0, 200, 30), table.whole("agents", 1, 8, 3), table.whole("hollow_each", 1, 2_000, 400),
-        table.whole("repeats", 1, 20, 3), beat_s, table.seconds("lease_s", 0.1, 600, 6.0),
-        table.seconds("term_s", 0.5, 60, 10.0), table.whole("most_processes", 4, 300, 300),
-        table.number("most_memory_share", 0.01, 0.5, 0.5), table.whole("seed", 0, 2**32, 1),
+        table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3), table.integer("hollow_each", 1, 2_000, 400),
+        table.integer("repeats", 1, 20, 3), beat_s, table.seconds("lease_s", 0.1, 600, 6.0),
+        table.seconds("term_s", 0.5, 60, 10.0), table.integer("most_processes", 4, 300, 300),
+        table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
     )
     if found.lease_s < 2 * beat_s:
         raise table.fail("lease_s", f"seconds of two heartbeats ({2 * beat_s:g}) or more")
@@ -166,7 +166,7 @@
         Promises(promises.number("added_p99_ms", 0.001, 10_000), promises.number("changes_per_day", 0, 1e7),
                  promises.seconds("force_s", 0.1, 86_400)),
         Budget(budget.number("cpu_percent", 0.001, 100), budget.number("memory_mb", 1, 1e6),
-               budget.number("bytes_per_s", 1, 1e9), budget.whole("machines", 1, 10_000)),
+               budget.number("bytes_per_s", 1, 1e9), budget.integer("machines", 1, 10_000)),
         Failures(failures.number("machines_per_day", 0, 1e6), failures.number("replaced_per_day", 0, 1e7),
                  failures.number("rack_each_days", 0.1, 1e5), failures.number("zone_each_days", 0.1, 1e5),
                  failures.seconds("link_cut_s", 0, 1e7)),
--- a/ironscale/stage/world.py
+++ b/ironscale/stage/world.py
@@ -82,8 +82,8 @@
     root = read_toml(text, file, Path("."), WorldError)
     usual = World()
     world = World(
-        root.whole("seed", 0, 2**31, usual.seed), root.whole("agents", 1, MOST_AGENTS, usual.agents),
-        root.whole("sidecars", 1, MOST_SIDECARS, usual.sidecars),
+        root.integer("seed", 0, 2**31, usual.seed), root.integer("agents", 1, MOST_AGENTS, usual.agents),
+        root.integer("sidecars", 1, MOST_SIDECARS, usual.sidecars),
         root.seconds("seconds", 0.5, MOST_S, usual.seconds), root.seconds("term_s", 0.5, 60, usual.term_s),
         root.seconds("lease_s", 0.4, 60, usual.lease_s))
     limits = tuple(_limit(table) for table in root.tables("budget")) or usual.limits
@@ -98,7 +98,7 @@
 
 
 def _limit(table: Table) -> Limit:
-    found = Limit(table.text("name"), table.whole("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
+    found = Limit(table.text("name"), table.integer("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
     table.reject_unknown_keys()
     return found
 
@@ -112,7 +112,7 @@
         raise table.fail("who", f"agent-0 to agent-{world.agents - 1} or sidecar-0 to sidecar-{world.sidecars - 1}")
     if kind in BY_OPERATORS and sort != "sidecar":
         raise table.fail("who", f"a sidecar, as {kind} is about one")
-    event = Event(table.whole("at_ms", 0, int(world.seconds * 1000)), kind, who, table.whole("for_ms", 0, 60_000, 500))
+    event = Event(table.integer("at_ms", 0, int(world.seconds * 1000)), kind, who, table.integer("for_ms", 0, 60_000, 500))
     table.reject_unknown_keys()
     return event
 
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -49,7 +49,7 @@
     def flag(self, key: str, default: bool) -> bool:
         return self.get(key, "true or false", lambda v: v if isinstance(v, bool) else None, default)
 
-    def whole(self, key: str, least: int, most: int, default: int | None = None) -> int:
+    def integer(self, key: str, least: int, most: int, default: int | None = None) -> int:
         def read(value: Any) -> int | None:
             right = isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
             return value if right else None
