--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -331,8 +331,8 @@
 def _kind(table: Table) -> Kind:
     deadline = table.number("deadline_ms", 1, 3_600_000, what="milliseconds")
     aim = table.number("aim_ms", 1, 3_600_000, deadline, "milliseconds")
-    size = table.span("body_bytes", 0, 65_536, (0.0, 0.0))
-    work = table.span("work_ms", 0, 60_000, (0.0, 0.0))
+    size = table.interval("body_bytes", 0, 65_536, (0.0, 0.0))
+    work = table.interval("work_ms", 0, 60_000, (0.0, 0.0))
     kind = Kind(
         name=table.text("name"),
         share=table.number("share", 0, 1e9, 1.0),
@@ -393,7 +393,7 @@
         keys=table.integer("keys", 0, 10_000, 0),
         zipf=table.number("zipf", 0, 10, 1.0),
         retries=table.integer("retries", 0, 10, 0),
-        gives_up=table.span("gives_up", 0.001, 1, (1.0, 1.0)),
+        gives_up=table.interval("gives_up", 0.001, 1, (1.0, 1.0)),
         slow_readers=table.number("slow_readers", 0, 1, 0.0),
         slow_reader_us=round(table.number("slow_reader_ms", 0, 60_000, 200.0) * 1000),
         new_connections=table.number("new_connections", 0, 1, 0.0),
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -75,7 +75,7 @@
         size = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
         return self.get(key, f"a list of {size} numbers from {least:g} to {most:g}", read, default)
 
-    def span(self, key: str, least: float, most: float, default: tuple[float, float] | None = None
+    def interval(self, key: str, least: float, most: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
         """[low, high]."""
         found = self.numbers(key, least, most, (2, 2), default)
