--- a/ironscale/graphql/files.py
+++ b/ironscale/graphql/files.py
@@ -68,7 +68,7 @@
     served."""
     if table is None:
         return {}, False
-    path, closed = table.file_path("documents"), table.flag("closed", False)
+    path, closed = table.file_path("documents"), table.boolean("closed", False)
     table.reject_unknown_keys()
     if path.is_dir():
         texts = [read_text(one, GraphqlFileError) for one in sorted(path.glob("*.graphql"))]
--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -300,7 +300,7 @@
     if shape == "burst":
         values |= {
             "rest_rate": table.number("rest_rate", 0, MOST_RATE, 0.0),
-            "random": table.flag("random", False),
+            "random": table.boolean("random", False),
             "on_us": _us(table.seconds("on_s", 0.001, MOST_S)),
             "off_us": _us(table.seconds("off_s", 0.001, MOST_S)),
         }
@@ -342,7 +342,7 @@
         size=(int(size[0]), int(size[1])),
         work_us=(round(work[0] * 1000), round(work[1] * 1000)),
         worth=table.number("worth", 0, 1e9, 1.0),
-        tells_work=table.flag("tells_work", False),
+        tells_work=table.boolean("tells_work", False),
     )
     if kind.effect == "idempotent" and kind.size != (0, 0):
         raise table.fail("body_bytes", "none for a class that is safe to repeat (GET)")
@@ -368,7 +368,7 @@
         table.get("address", "HOST:PORT or a list of them", addresses, ()),
         table.one_of("protocol", ("sidecar", "plain"), "sidecar"),
         table.get("path", "a path that begins with /", _path, "/api"),
-        table.flag("body_names_request", bool(root.values.get("upstreams"))),
+        table.boolean("body_names_request", bool(root.values.get("upstreams"))),
     )
     table.reject_unknown_keys()
     return found
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -165,7 +165,7 @@
         name=table.text("name"), count=count, config=table.file_path("config"),
         host=table.text("host", "127.0.0.1"), first_port=first_port, zone=table.get("zone", "a text", text_or_none, ""),
         environment=environment, stop_s=table.seconds("stop_s", 0.5, 3600, 8.0),
-        make_before_break=table.flag("make_before_break", False),
+        make_before_break=table.boolean("make_before_break", False),
     )
     if service.make_before_break and first_port == 0:
         raise table.fail("make_before_break", "false, or a first_port that the successor can share")
@@ -217,7 +217,7 @@
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
         ask=table.get("ask", f"a list of {MOST_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
-        from_agent=table.flag("from_agent", False))
+        from_agent=table.boolean("from_agent", False))
     table.asked |= {"teach", "folder"}
     table.reject_unknown_keys()
     if learned == Learned(every_s=learned.every_s):
@@ -321,8 +321,8 @@
         data=table.file_path("data", Path(".ironscale")),
         control=table.address("control", ("127.0.0.1", 7400)),
         api=table.address("api", ("127.0.0.1", 7401)),
-        remote=table.flag("remote", False),
-        introspection=table.flag("introspection", True),
+        remote=table.boolean("remote", False),
+        introspection=table.boolean("introspection", True),
         lease_s=table.seconds("lease_s", 0.2, 600, 6.0),
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
         most_instances=table.integer("most_instances", 1, 100_000, MOST_INSTANCES),
@@ -333,7 +333,7 @@
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
         record=table.file_path("record") if "record" in table.values else None,
-        standby=table.flag("standby", False),
+        standby=table.boolean("standby", False),
         term_s=table.seconds("term_s", 0.5, 60, 10.0),
         token_file=table.file_path("token_file") if "token_file" in table.values else None,
     )
@@ -378,7 +378,7 @@
         control=Control(control.get("agent", f"HOST:PORT, or a list of {MOST_AGENTS} at most that differ", _agents),
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
-        sidecar=Sidecar(sidecar.flag("reuse_port", False)) if sidecar is not None else Sidecar(),
+        sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
         agent=_agent(agent) if agent is not None else None,
         learned=_learned(learned) if learned is not None else None,
         record=Record(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -46,7 +46,7 @@
     def text(self, key: str, default: str | None = None) -> str:
         return self.get(key, "a text without line breaks", text_or_none, default)
 
-    def flag(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, default: bool) -> bool:
         return self.get(key, "true or false", lambda v: v if isinstance(v, bool) else None, default)
 
     def integer(self, key: str, least: int, most: int, default: int | None = None) -> int:
