--- a/ironscale/graphql/files.py
+++ b/ironscale/graphql/files.py
@@ -33,7 +33,7 @@
     """Raises GraphqlFileError."""
     root = read_toml(read_text(path, GraphqlFileError), str(path), path.parent, GraphqlFileError)
     schema_path = root.file_path("schema")
-    unsafe = root.text("unsafe")
+    unsafe = root.string("unsafe")
     default_size = root.integer("default_size", 1, MOST, DEFAULT_SIZE)
     limits = _limits(root.table("limits"))
     table = root.table("fields")
--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -244,7 +244,7 @@
     if not sources:
         raise ScenarioError(f"{file}: arrivals: expected a table [[arrivals]] or more, got none")
     found = Scenario(
-        seed=root.text("seed", "1"),
+        seed=root.string("seed", "1"),
         duration_us=duration_us,
         interval_us=_us(root.seconds("interval_s", 0.1, 60, 1.0)),
         warm_up_us=_us(root.seconds("warm_up_s", 0, MOST_S, 0.0)),
@@ -334,7 +334,7 @@
     size = table.interval("body_bytes", 0, 65_536, (0.0, 0.0))
     work = table.interval("work_ms", 0, 60_000, (0.0, 0.0))
     kind = Kind(
-        name=table.text("name"),
+        name=table.string("name"),
         share=table.number("share", 0, 1e9, 1.0),
         effect=table.one_of("effect", EFFECTS, "idempotent"),
         deadline_us=round(deadline * 1000),
@@ -351,7 +351,7 @@
 
 
 def _tenant(table: Table) -> Tenant:
-    found = Tenant(table.text("name"), table.number("share", 0, 1e9, 1.0))
+    found = Tenant(table.string("name"), table.number("share", 0, 1e9, 1.0))
     table.reject_unknown_keys()
     return found
 
@@ -420,8 +420,8 @@
         cores=table.integer("cores", 1, 1_024, 1),
         speed=table.number("speed", 0.01, 100, 1.0),
         queue=table.integer("queue", 0, 1_000_000, 1_000),
-        zone=table.text("zone", "a"),
-        kind=table.text("kind", "large"),
+        zone=table.string("zone", "a"),
+        kind=table.string("kind", "large"),
         cell=table.integer("cell", 0, 255, 0),
         cold_share=table.number("cold_share", 0.001, 1, 1.0),
         warm_up_us=_us(table.seconds("warm_up_s", 0, 3_600, 0.0)),
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -160,10 +160,10 @@
     environment = {}
     variables = table.table("environment")
     if variables is not None:
-        environment = {name: variables.text(name) for name in variables.values}
+        environment = {name: variables.string(name) for name in variables.values}
     service = Service(
-        name=table.text("name"), count=count, config=table.file_path("config"),
-        host=table.text("host", "127.0.0.1"), first_port=first_port, zone=table.get("zone", "a text", text_or_none, ""),
+        name=table.string("name"), count=count, config=table.file_path("config"),
+        host=table.string("host", "127.0.0.1"), first_port=first_port, zone=table.get("zone", "a text", text_or_none, ""),
         environment=environment, stop_s=table.seconds("stop_s", 0.5, 3600, 8.0),
         make_before_break=table.boolean("make_before_break", False),
     )
@@ -239,9 +239,9 @@
 
 def _target(table: Table) -> StoreTarget:
     target = StoreTarget(
-        name=table.text("name"),
+        name=table.string("name"),
         sqlite=table.file_path("sqlite") if "sqlite" in table.values else None,
-        postgresql=table.text("postgresql", ""),
+        postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
         connections=table.integer("connections", 1, 1_000, 8),
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
@@ -274,9 +274,9 @@
     from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # a sidecar loads none of it
 
     patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}  # `name` is the budget's own
-    where = tuple((name, table.text(key)) for key, name in patterns.items() if key in table.values)
+    where = tuple((name, table.string(key)) for key, name in patterns.items() if key in table.values)
     budget = Budget(
-        name=table.text("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
+        name=table.string("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
         where=where, each=table.one_of("each", ("", *ATTRIBUTES[1:]), ""),
         number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
@@ -329,7 +329,7 @@
         services=tuple(_service(entry) for entry in table.tables("service")),
         budgets=_budgets(table),
         file=table.file,
-        postgresql=table.text("postgresql", ""),
+        postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
         record=table.file_path("record") if "record" in table.values else None,
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -157,7 +157,7 @@
 def parse(text: str, file: str) -> Size:
     """Checks the whole file. Raises SizeError."""
     root = read_toml(text, file, Path("."), SizeError)
-    title = root.text("title")
+    title = root.string("title")
     names = ("fleet", "promises", "budget", "failures")
     fleet, promises, budget, failures = (_section(root, name) for name in names)
     play = root.table("play") or Table(file, "play", {}, Path("."), SizeError)
--- a/ironscale/stage/world.py
+++ b/ironscale/stage/world.py
@@ -98,14 +98,14 @@
 
 
 def _limit(table: Table) -> Limit:
-    found = Limit(table.text("name"), table.integer("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
+    found = Limit(table.string("name"), table.integer("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
     table.reject_unknown_keys()
     return found
 
 
 def _event(table: Table, world: World) -> Event:
     kind = table.one_of("kind", KINDS)
-    who = table.text("who")
+    who = table.string("who")
     sort, _, number = who.partition("-")
     count = {"agent": world.agents, "sidecar": world.sidecars}.get(sort, 0)
     if not (number.isdecimal() and int(number) < count):
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -43,7 +43,7 @@
             raise self.fail(key, expected)
         return value
 
-    def text(self, key: str, default: str | None = None) -> str:
+    def string(self, key: str, default: str | None = None) -> str:
         return self.get(key, "a text without line breaks", text_or_none, default)
 
     def boolean(self, key: str, default: bool) -> bool:
