--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -323,7 +323,7 @@
         try:
             values["rows"] = traces.read(path)
         except traces.TraceError as error:
-            raise ScenarioError(f"{table.file}: {table.at('file')}: {error}") from error
+            raise ScenarioError(f"{table.file}: {table.key_path('file')}: {error}") from error
     table.reject_unknown_keys()
     return Arrivals(shape, start_us, start_us + length_us, even, values)
 
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -195,12 +195,12 @@
                             entry.get("region", "a text", text_or_none, "")))
         entry.reject_unknown_keys()
     if not 0 < len(places) <= MOST_PLACES:
-        raise OperatorFileError(f"{table.file}: {table.at('agent')}: expected 1 to {MOST_PLACES} tables "
+        raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected 1 to {MOST_PLACES} tables "
                                 f"[[versions.agent]], got {len(places)}")
     addresses = [(place.host, place.port) for place in places]
     for host, port in addresses:
         if addresses.count((host, port)) > 1:
-            raise OperatorFileError(f"{table.file}: {table.at('agent')}: expected addresses that differ, got "
+            raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected addresses that differ, got "
                                     f"{host}:{port} twice")
     service, zone, region = (table.get(key, "a text", text_or_none, "") for key in ("service", "zone", "region"))
     found = Versions(tuple(places), service, zone, region,
@@ -257,12 +257,12 @@
 def _stores(table: Table) -> Stores:
     targets = [_target(entry) for entry in table.tables("to")]
     if not 0 < len(targets) <= MOST_STORES:
-        raise OperatorFileError(f"{table.file}: {table.at('to')}: expected 1 to {MOST_STORES} tables [[store.to]], "
+        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MOST_STORES} tables [[store.to]], "
                                 f"got {len(targets)}")
     names = [target.name for target in targets]
     for name in names:
         if names.count(name) > 1:
-            raise OperatorFileError(f"{table.file}: {table.at('to')}: expected names that differ, got {name!r} twice")
+            raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, got {name!r} twice")
     stores = Stores(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
@@ -291,19 +291,19 @@
 def _budgets(table: Table) -> tuple[Budget, ...]:
     found = tuple(_budget(entry) for entry in table.tables("budget"))
     if len(found) > MOST_BUDGETS:
-        raise OperatorFileError(f"{table.file}: {table.at('budget')}: expected {MOST_BUDGETS} at most, got "
+        raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MOST_BUDGETS} at most, got "
                                 f"{len(found)}")
     names = [budget.name for budget in found]
     for budget in found:
         if names.count(budget.name) > 1:
-            raise OperatorFileError(f"{table.file}: {table.at('budget')}: expected names that differ, got "
+            raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected names that differ, got "
                                     f"{budget.name!r} twice")
         for other in found:
             same = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
             for limit in ("number", "share", "capacity"):
                 one, two = getattr(budget, limit), getattr(other, limit)
                 if same and None not in (one, two) and one != two:
-                    raise OperatorFileError(f"{table.file}: {table.at('budget')}: expected one {limit} for the same "
+                    raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the same "
                                             f"units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
     return found
 
@@ -339,16 +339,16 @@
     )
     table.asked |= {"record", "token_file"}
     if agent.record is not None and agent.postgresql:
-        raise OperatorFileError(f"{table.file}: {table.at('record')}: expected record or postgresql, got both")
+        raise OperatorFileError(f"{table.file}: {table.key_path('record')}: expected record or postgresql, got both")
     if agent.standby and agent.record is None and not agent.postgresql:
-        raise OperatorFileError(f"{table.file}: {table.at('standby')}: expected record or postgresql beside it, which "
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql beside it, which "
                                 "other agents open too, got neither")
     if agent.standby and agent.services:
-        raise OperatorFileError(f"{table.file}: {table.at('standby')}: expected no [[agent.service]] beside it, got "
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] beside it, got "
                                 f"{len(agent.services)}: who leads changes, and local processes stay with their agent")
     for key in ("password_file", "synchronous_commit"):
         if key in table.values and not agent.postgresql:
-            raise OperatorFileError(f"{table.file}: {table.at(key)}: expected postgresql beside it, got {key} alone")
+            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, got {key} alone")
     table.asked.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
@@ -358,7 +358,7 @@
     names = [service.name for service in agent.services]
     for name in names:
         if names.count(name) > 1:
-            raise OperatorFileError(f"{table.file}: {table.at('service')}: expected names that differ, "
+            raise OperatorFileError(f"{table.file}: {table.key_path('service')}: expected names that differ, "
                                     f"got {name!r} twice")
     table.reject_unknown_keys()
     return agent
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -26,12 +26,12 @@
         self.values: dict[str, Any] = values
         self.asked: set[str] = set()
 
-    def at(self, key: str) -> str:
+    def key_path(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
     def fail(self, key: str, expected: str) -> TableError:
         got = repr(self.values[key]) if key in self.values else "nothing"
-        return self.error(f"{self.file}: {self.at(key)}: expected {expected}, got {got}")
+        return self.error(f"{self.file}: {self.key_path(key)}: expected {expected}, got {got}")
 
     def get(self, key: str, expected: str, read: Callable[[Any], T | None], default: T | None = None) -> T:
         """The value, checked by `read` (None = not what is expected); without a default it must be there."""
@@ -96,21 +96,21 @@
     def table(self, key: str) -> Table | None:
         self.asked.add(key)
         found = self.values.get(key)
-        return Table(self.file, self.at(key), found, self.folder, self.error) if key in self.values else None
+        return Table(self.file, self.key_path(key), found, self.folder, self.error) if key in self.values else None
 
     def tables(self, key: str) -> list[Table]:
         self.asked.add(key)
         entries = self.values.get(key, [])
         if not isinstance(entries, list):
-            raise self.fail(key, f"tables [[{self.at(key)}]]")
-        return [Table(self.file, f"{self.at(key)}[{i}]", entry, self.folder, self.error)
+            raise self.fail(key, f"tables [[{self.key_path(key)}]]")
+        return [Table(self.file, f"{self.key_path(key)}[{i}]", entry, self.folder, self.error)
                 for i, entry in enumerate(entries)]
 
     def reject_unknown_keys(self) -> None:
         for key in self.values:
             if key not in self.asked:
                 known = ", ".join(sorted(self.asked)) or "no key"
-                raise self.error(f"{self.file}: {self.at(key)}: expected one of {known}, got this key")
+                raise self.error(f"{self.file}: {self.key_path(key)}: expected one of {known}, got this key")
 
 
 def _number(value: Any, least: float, most: float) -> float | None:
