--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -264,7 +264,7 @@
     )
     root.reject_unknown_keys()
     if found.warm_up_us >= found.duration_us:
-        raise root.fail("warm_up_s", f"less than the {found.duration_us / 1e6:g} s of the run")
+        raise root.error_for("warm_up_s", f"less than the {found.duration_us / 1e6:g} s of the run")
     if sidecars.count and not upstreams:
         raise ScenarioError(f"{file}: sidecars.count: expected [[upstreams]] beside it, got none")
     if found.target.addresses and (upstreams or sidecars.count):
@@ -290,7 +290,7 @@
     start_us = _us(table.seconds("start_s", 0, MOST_S, 0.0))
     length_us = _us(table.seconds("for_s", 0.001, MOST_S, max(0.001, (duration_us - start_us) / 1e6)))
     if start_us >= duration_us:
-        raise table.fail("start_s", f"less than the {duration_us / 1e6:g} s of the run")
+        raise table.error_for("start_s", f"less than the {duration_us / 1e6:g} s of the run")
     values: dict[str, Any] = {}
     even = shape == "constant"
     if shape in ("ramp", "steps", "day"):
@@ -316,7 +316,7 @@
             "hours": table.numbers("hours", 0, 1, (24, 24), arrivals.HOURS),
         }
         if values["to_hour"] <= values["from_hour"]:
-            raise table.fail("to_hour", f"more than from_hour ({values['from_hour']:g})")
+            raise table.error_for("to_hour", f"more than from_hour ({values['from_hour']:g})")
     elif shape == "trace":
         path = table.file_path("file")
         values = {"speed": table.number("speed", 1e-3, 1e3, 1.0), "rate": table.number("rate", 1e-3, 1e3, 1.0)}
@@ -345,7 +345,7 @@
         tells_work=table.boolean("tells_work", False),
     )
     if kind.effect == "idempotent" and kind.size != (0, 0):
-        raise table.fail("body_bytes", "none for a class that is safe to repeat (GET)")
+        raise table.error_for("body_bytes", "none for a class that is safe to repeat (GET)")
     table.reject_unknown_keys()
     return kind
 
@@ -455,7 +455,7 @@
         factor=table.number("factor", 0.01, 10_000, 3.0),
     )
     if found.at_us >= duration_us:
-        raise table.fail("at_s", f"less than the {duration_us / 1e6:g} s of the run")
+        raise table.error_for("at_s", f"less than the {duration_us / 1e6:g} s of the run")
     table.reject_unknown_keys()
     return found
 
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -156,7 +156,7 @@
     count = table.integer("count", 1, MOST_INSTANCES)
     first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
-        raise table.fail("first_port", f"a port with room for {count} instances")
+        raise table.error_for("first_port", f"a port with room for {count} instances")
     environment = {}
     variables = table.table("environment")
     if variables is not None:
@@ -168,7 +168,7 @@
         make_before_break=table.boolean("make_before_break", False),
     )
     if service.make_before_break and first_port == 0:
-        raise table.fail("make_before_break", "false, or a first_port that the successor can share")
+        raise table.error_for("make_before_break", "false, or a first_port that the successor can share")
     table.reject_unknown_keys()
     return service
 
@@ -352,9 +352,9 @@
     table.asked.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
-            raise table.fail(key, "a loopback address, or remote = true beside it")
+            raise table.error_for(key, "a loopback address, or remote = true beside it")
     if agent.lease_s < 2 * agent.heartbeat_s:
-        raise table.fail("lease_s", f"seconds of two heartbeats ({2 * agent.heartbeat_s:g}) or more")
+        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * agent.heartbeat_s:g}) or more")
     names = [service.name for service in agent.services]
     for name in names:
         if names.count(name) > 1:
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -120,7 +120,7 @@
 def _section(root: Table, key: str) -> Table:
     found = root.table(key)
     if found is None:
-        raise root.fail(key, f"a table [{key}]")
+        raise root.error_for(key, f"a table [{key}]")
     return found
 
 
@@ -132,9 +132,9 @@
         table.integer("depth", 1, 100),
     )
     if found.zones < found.regions:
-        raise table.fail("zones", f"a zone in each of {found.regions} regions at least")
+        raise table.error_for("zones", f"a zone in each of {found.regions} regions at least")
     if found.services > upstreams:
-        raise table.fail("services", f"an upstream ({upstreams}) for each at least")
+        raise table.error_for("services", f"an upstream ({upstreams}) for each at least")
     return found
 
 
@@ -150,7 +150,7 @@
         table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
     )
     if found.lease_s < 2 * beat_s:
-        raise table.fail("lease_s", f"seconds of two heartbeats ({2 * beat_s:g}) or more")
+        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * beat_s:g}) or more")
     return found
 
 
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -29,7 +29,7 @@
     def key_path(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def fail(self, key: str, expected: str) -> TableError:
+    def error_for(self, key: str, expected: str) -> TableError:
         got = repr(self.values[key]) if key in self.values else "nothing"
         return self.error(f"{self.file}: {self.key_path(key)}: expected {expected}, got {got}")
 
@@ -40,7 +40,7 @@
             return default
         value = read(self.values[key]) if key in self.values else None
         if value is None:
-            raise self.fail(key, expected)
+            raise self.error_for(key, expected)
         return value
 
     def string(self, key: str, default: str | None = None) -> str:
@@ -80,7 +80,7 @@
         """[low, high]."""
         found = self.numbers(key, least, most, (2, 2), default)
         if found[0] > found[1]:
-            raise self.fail(key, "[low, high] with low no greater than high")
+            raise self.error_for(key, "[low, high] with low no greater than high")
         return found[0], found[1]
 
     def one_of(self, key: str, names: tuple[str, ...], default: str | None = None) -> str:
@@ -102,7 +102,7 @@
         self.asked.add(key)
         entries = self.values.get(key, [])
         if not isinstance(entries, list):
-            raise self.fail(key, f"tables [[{self.key_path(key)}]]")
+            raise self.error_for(key, f"tables [[{self.key_path(key)}]]")
         return [Table(self.file, f"{self.key_path(key)}[{i}]", entry, self.folder, self.error)
                 for i, entry in enumerate(entries)]
 
