--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -19,8 +19,8 @@
     """One table of the file; keys that nobody asked for are errors."""
 
     def __init__(self, file: str, path: str, values: Any, folder: Path,
-                 error: type[TableError] = TableError) -> None:
-        self.file, self.path, self.folder, self.error = file, path, folder, error
+                 error_class: type[TableError] = TableError) -> None:
+        self.file, self.path, self.folder, self.error = file, path, folder, error_class
         if not isinstance(values, dict):
             raise self.error(f"{file}: {path}: expected a table, got {values!r}")
         self.values: dict[str, Any] = values
