--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -29,7 +29,7 @@
 from ironscale.record.postgres import Access, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, bring_up
 from ironscale.record.worker import Done, Job, Worker, fated
-from ironscale.threads import begin
+from ironscale.threads import start_thread
 
 NOW = NOW_MS["postgresql"]
 LEASE_MS = 10_000  # a holder that was not heard for so long may be followed by another
@@ -62,7 +62,7 @@
         self.ending = False
         self.cuts = 0
         self.thread = threading.Thread(target=self._run, name="record-watch", daemon=True)
-        begin(self.thread)
+        start_thread(self.thread)
 
     @contextlib.contextmanager
     def over(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -18,7 +18,7 @@
 from ironscale.record.errors import Step, sqlite_cause, sqlite_knowledge
 from ironscale.record.model import Cause, Knowledge, Trouble
 from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
-from ironscale.threads import begin
+from ironscale.threads import start_thread
 
 T = TypeVar("T")
 BUSY_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
@@ -190,7 +190,7 @@
         self.to_copy = threading.Event()
         self.copying = threading.Lock()  # held by whoever of the two copies the log
         self.copier = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
-        begin(self.copier)
+        start_thread(self.copier)
         self.start()
 
     def commit(self, group: list[Job[Transaction, Any]]) -> list[Done[Transaction]]:
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -14,7 +14,7 @@
 from typing import Any, Generic, TypeVar
 
 from ironscale.record.model import Cause, Knowledge, Trouble
-from ironscale.threads import begin
+from ironscale.threads import start_thread
 
 T = TypeVar("T")
 X = TypeVar("X")  # what a piece of work is handed: the transaction that it shares
@@ -82,7 +82,7 @@
         """On the thread, once the results of a group are told."""
 
     def start(self) -> None:
-        begin(self.thread)
+        start_thread(self.thread)
 
     def end(self) -> None:
         """Nothing more is taken; what waits is still carried out."""
--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -16,7 +16,7 @@
 BEGIN_PATIENCE_S, BEGIN_AGAIN_S = 3.0, 0.01
 
 
-def begin(thread: threading.Thread) -> None:
+def start_thread(thread: threading.Thread) -> None:
     """Starts it, if need be once the system has a thread to give; waits for that. Raises OSError."""
     give_up_s = time.monotonic() + BEGIN_PATIENCE_S
     while True:
