--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -32,7 +32,7 @@
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.telling import learned_state
-from ironscale.threads import in_thread
+from ironscale.threads import run_in_thread
 
 T = TypeVar("T")
 SLICE_S = 0.0005
@@ -131,7 +131,7 @@
         """Takes the file in, if it comes in time and can be used."""
         try:
             async with asyncio.timeout(READ_S):
-                found = await in_thread(self.store.read)
+                found = await run_in_thread(self.store.read)
             moment = now(self.collector.boot)
             snapshot, age_us, lines = await in_slices(
                 choose(found, self.sidecar.config.name, moment), self.collector.spent)
@@ -166,7 +166,7 @@
         data = await self.collector.collect()
         if len(data) > MAX_BYTES:
             raise CodecError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
-        self.writing = in_thread(lambda: self.save(data))
+        self.writing = run_in_thread(lambda: self.save(data))
         self.writing.add_done_callback(lambda done: self.on_written(done, state_us))
 
     def on_written(self, done: asyncio.Future[None], state_us: int) -> None:
--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -21,7 +21,7 @@
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Record
 from ironscale.tasks import alongside
-from ironscale.threads import in_thread
+from ironscale.threads import run_in_thread
 
 FLUSH_S = 1.0
 MOST_HELD = 100_000  # arrivals that wait for the disk; what comes beyond is counted and left out
@@ -124,7 +124,7 @@
         held, self.held = self.held, []
         if held:
             data = "".join(held).encode()
-            self.writing = in_thread(lambda: self.file.write(data))
+            self.writing = run_in_thread(lambda: self.file.write(data))
             self.writing.add_done_callback(lambda done: self.on_written(done, len(held)))
             await asyncio.wait([self.writing])
         if self.left_out:
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -20,7 +20,7 @@
 from urllib.parse import quote
 
 from ironscale.net.errors import passes
-from ironscale.threads import in_thread
+from ironscale.threads import run_in_thread
 
 VERSION = 1
 SUFFIX = ".open"
@@ -174,7 +174,7 @@
         if self.spoilt:
             self.put("")
         try:
-            left, paths = await in_thread(self.left_by_others)
+            left, paths = await run_in_thread(self.left_by_others)
         except (OSError, JournalError) as error:
             self.log(f"{self.folder}: can't look for what others left open: {error}")
             return []
@@ -230,7 +230,7 @@
                 long = self.lines_in_file > 1_000 + 4 * len(self.open)
                 anew = list(self.open.values()) if long or self.spoilt else None
                 try:
-                    await in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
+                    await run_in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
                     self.spoilt, again_s = False, AGAIN_S
                 except OSError as error:
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -31,7 +31,7 @@
 )
 from ironscale.record.sql import SCHEMA, Dialect, row
 from ironscale.record.worker import MOST_QUEUED, NO_TIME
-from ironscale.threads import in_thread
+from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
 APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
@@ -101,7 +101,7 @@
 
     async def close(self) -> None:
         try:
-            await in_thread(lambda: self.writer.stop(STOP_S))
+            await run_in_thread(lambda: self.writer.stop(STOP_S))
         except OSError:  # no thread to wait in
             self.writer.stop(STOP_S)
 
--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -29,7 +29,7 @@
             time.sleep(BEGIN_AGAIN_S)
 
 
-def in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
+def run_in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
     """Runs `act` in a thread that does not hold up the end of the process, as an executor's would.
     Where no thread can be begun the result is an OSError."""
     loop = asyncio.get_running_loop()
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -31,7 +31,7 @@
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
 from ironscale.telling import learned_state, upstream_views
-from ironscale.threads import in_thread
+from ironscale.threads import run_in_thread
 from tests.agent.scene import section
 from tests.learned.samples import lesson, snapshot
 from tests.sockets import Scene, run, until
@@ -262,7 +262,7 @@
         done.set()
 
     async def test() -> None:
-        in_thread(slow)
+        run_in_thread(slow)
 
     run(test)
     event.set()
