--- a/ironscale/learned/beside.py
+++ b/ironscale/learned/beside.py
@@ -15,7 +15,7 @@
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Learned, is_loopback
 from ironscale.tables import read_address
-from ironscale.tasks import alongside
+from ironscale.tasks import run_in_background
 
 MOST_OFFERED = 20
 AGAIN_S = (1.0, 4.0)  # none of the donors had anything to teach: they may have just started as well
@@ -94,7 +94,7 @@
         if channel is not None:
             channel.running = found
         try:
-            async with alongside(found.run()):
+            async with run_in_background(found.run()):
                 yield
         finally:
             if found.keeper is not None:
--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -20,7 +20,7 @@
 from ironscale.load.traces import header
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Record
-from ironscale.tasks import alongside
+from ironscale.tasks import run_in_background
 from ironscale.threads import run_in_thread
 
 FLUSH_S = 1.0
@@ -149,7 +149,7 @@
         recorder = Recorder(sidecar, record)
         sidecar.arrival_observer = recorder.saw
         try:
-            async with alongside(recorder.run()):
+            async with run_in_background(recorder.run()):
                 yield
         finally:
             sidecar.arrival_observer = None
--- a/ironscale/record/beside.py
+++ b/ironscale/record/beside.py
@@ -14,7 +14,7 @@
 from ironscale.record.lane import Stores as Front
 from ironscale.record.opening import make
 from ironscale.record.recorder import Recorder
-from ironscale.tasks import alongside
+from ironscale.tasks import run_in_background
 
 CLOSE_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
 TAKE_OVER_S = 5.0  # how often is looked for what a process of the same name has left
@@ -68,7 +68,7 @@
                     recorder.resume(found)
 
         try:
-            async with alongside(take_over()):
+            async with run_in_background(take_over()):
                 yield
         finally:
             for index in indexes:
--- a/ironscale/tasks.py
+++ b/ironscale/tasks.py
@@ -12,7 +12,7 @@
 
 
 @contextlib.asynccontextmanager
-async def alongside(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
+async def run_in_background(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
     """Runs `work` beside the block; at its end the work is cancelled and has ended. Its failure is logged and ends
     nothing else."""
     task = asyncio.create_task(logged(work))
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -10,7 +10,7 @@
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
 from ironscale.net.upstream import Upstreams
-from ironscale.tasks import alongside
+from ironscale.tasks import run_in_background
 from tests.sockets import Scene, run, until
 from tests.test_shutdown import Answers, now_us
 
@@ -73,7 +73,7 @@
         async def work() -> None:
             raise RuntimeError("a bug")
 
-        async with alongside(work()):
+        async with run_in_background(work()):
             await asyncio.sleep(0.01)
 
     run(test)
