--- a/ironscale/control/beside.py
+++ b/ironscale/control/beside.py
@@ -18,7 +18,7 @@
 from ironscale.control.processes import machine, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Control, Versions, read_secret
-from ironscale.tasks import logged
+from ironscale.tasks import log_failure
 
 if TYPE_CHECKING:
     from ironscale.control.follower import Follower
@@ -84,9 +84,9 @@
         client, layered = client_for(sidecar, control, token, environ, end)
         if teaching is not None:
             client.teaches, client.on_donors = teaching.teaches, teaching.offer
-        tasks = [asyncio.create_task(logged(client.run()))]
+        tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
-            tasks.append(asyncio.create_task(logged(follower_for(layered, client.identity, versions).run())))
+            tasks.append(asyncio.create_task(log_failure(follower_for(layered, client.identity, versions).run())))
         try:
             yield
         finally:
--- a/ironscale/tasks.py
+++ b/ironscale/tasks.py
@@ -15,7 +15,7 @@
 async def run_in_background(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
     """Runs `work` beside the block; at its end the work is cancelled and has ended. Its failure is logged and ends
     nothing else."""
-    task = asyncio.create_task(logged(work))
+    task = asyncio.create_task(log_failure(work))
     try:
         yield
     finally:
@@ -25,7 +25,7 @@
         work.close()  # it may not have begun
 
 
-async def logged(work: Coroutine[Any, Any, None]) -> None:
+async def log_failure(work: Coroutine[Any, Any, None]) -> None:
     try:
         await work
     except Exception:
