--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -21,7 +21,7 @@
         self.dropped = 0  # lines, for want of room; told with the next line that finds some
         self.failed = 0  # writes, since the start
 
-    def line(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         data = f"{text}\n".encode(errors="backslashreplace")
         if self.dropped:
             data = b"log: %d lines were dropped\n%s" % (self.dropped, data)
@@ -80,7 +80,7 @@
 
 def line(text: str) -> None:
     """Adds a line to the process's log."""
-    _process_log.line(text)
+    _process_log.write_line(text)
 
 
 def flush() -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -48,7 +48,7 @@
     reading, writing = pipe()
     log = logs.Log(writing)
     for number in range(10_000):
-        log.line(f"{number:05} {'x' * 100}")
+        log.write_line(f"{number:05} {'x' * 100}")
     assert log.dropped and len(log.waiting) <= logs.MOST_WAITING_BYTES
     found = b""
     for _ in range(200):
@@ -57,7 +57,7 @@
         except BlockingIOError:
             break
         log.flush()
-    log.line("the last")
+    log.write_line("the last")
     found += os.read(reading, 1 << 16)
     lines = found.decode().splitlines()
     assert lines[-1] == "the last" and lines[-2].endswith("lines were dropped")
@@ -85,7 +85,7 @@
     log = logs.Log(writing)
     monkeypatch.setattr(os, "write", failing(2))
     for text in ("one", "two", "three"):
-        log.line(text)
+        log.write_line(text)
     assert os.read(reading, 100) == b"one\ntwo\nthree\n" and log.failed == 2
     os.close(reading)
     os.close(writing)
