--- a/ironscale/load/run.py
+++ b/ironscale/load/run.py
@@ -28,7 +28,7 @@
 from ironscale.load.scenario import Scenario, ScenarioError
 from ironscale.load.schedule import Schedule
 from ironscale.load.worker import FRAME
-from ironscale.net.config import merged
+from ironscale.net.config import apply_merge_patch
 from ironscale.standins.settings import SETTINGS
 
 Address = tuple[str, int]
@@ -402,7 +402,7 @@
             kind |= {"group": "cell", "memory-span": s.memory_us}
         kinds.append(kind)
     total = sum(t.share for t in s.tenants) or 1.0
-    found: dict[str, Any] = merged(
+    found: dict[str, Any] = apply_merge_patch(
         SETTINGS,
         {
             "accounts": [
@@ -423,7 +423,7 @@
             "request-classes": kinds,
         },
     )
-    return merged(found, s.sidecars.settings) if s.sidecars.settings else found
+    return apply_merge_patch(found, s.sidecars.settings) if s.sidecars.settings else found
 
 
 @contextlib.asynccontextmanager
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -102,7 +102,7 @@
         raise ConfigError(f"seed or limits: {error}") from error
 
 
-def merged(base: Any, patch: Any) -> Any:
+def apply_merge_patch(base: Any, patch: Any) -> Any:
     """`base` with a JSON merge patch (RFC 7396) on it; neither is changed."""
     if not isinstance(patch, Mapping):
         return patch
@@ -111,7 +111,7 @@
         if value is None:
             result.pop(name, None)
         else:
-            result[name] = merged(result.get(name), value)
+            result[name] = apply_merge_patch(result.get(name), value)
     return result
 
 
@@ -141,4 +141,4 @@
     generation, overlay = patch.get("generation"), patch.get("overlay")
     if type(generation) is not int or not isinstance(overlay, dict):
         raise ConfigError(f"{patch_path}: expected a whole generation and an object overlay, got {patch!r:.80}")
-    return replace(parse(merged(base, overlay), environ), document=base, generation=generation, overlay=overlay)
+    return replace(parse(apply_merge_patch(base, overlay), environ), document=base, generation=generation, overlay=overlay)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -22,7 +22,7 @@
 from ironscale import logs
 from ironscale.balance import Balancer
 from ironscale.net.client import HOP_BY_HOP, Exchange, Headers
-from ironscale.net.config import Config, ConfigError, load, merged, parse
+from ironscale.net.config import Config, ConfigError, load, apply_merge_patch, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
 from ironscale.net.lane import RequestHandler, EventDispatcher
@@ -288,7 +288,7 @@
         Called between two events, so no request sees half of it.
         """
         base, old = self.base, self.config
-        new = parse(merged(base, overlay), self.environ)
+        new = parse(apply_merge_patch(base, overlay), self.environ)
         fixed = api.unchangeable(old.settings, new.settings)
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
