--- a/ironscale/cli/graphql.py
+++ b/ironscale/cli/graphql.py
@@ -16,7 +16,7 @@
 from ironscale.graphql.documents import RequestError, read_requests
 from ironscale.graphql.files import Front, GraphqlFileError, load
 from ironscale.interface import RequestClass
-from ironscale.net.config import ConfigError, read_object
+from ironscale.net.config import ConfigError, read_json_object
 
 
 @click.group()
@@ -26,7 +26,7 @@
 
 def classes_of(config: Path) -> list[RequestClass]:
     try:
-        return settings.read(settings.from_object(read_object(str(config)).get("settings"))).classes
+        return settings.read(settings.from_object(read_json_object(str(config)).get("settings"))).classes
     except (ConfigError, settings.SettingsError) as error:
         fail(Exit.USAGE, f"{config}: {error}" if str(config) not in str(error) else str(error))
 
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -115,7 +115,7 @@
     return result
 
 
-def read_object(path: str) -> dict[str, Any]:
+def read_json_object(path: str) -> dict[str, Any]:
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -133,11 +133,11 @@
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
-    base = read_object(path)
+    base = read_json_object(path)
     patch_path = environ.get("GW_OVERLAY")
     if not patch_path:
         return parse(base, environ)
-    patch = read_object(patch_path)
+    patch = read_json_object(patch_path)
     generation, overlay = patch.get("generation"), patch.get("overlay")
     if type(generation) is not int or not isinstance(overlay, dict):
         raise ConfigError(f"{patch_path}: expected a whole generation and an object overlay, got {patch!r:.80}")
