--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -78,7 +78,7 @@
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
-        known = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
+        last_known_list = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
             name=told("GW_NAME", "name"),
             listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
@@ -91,7 +91,7 @@
             answer_us=_answer_us(options),
             idle_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
-            known=known,
+            known=last_known_list,
             document=data,
         )
     except settings.SettingsError as error:
