--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -32,7 +32,7 @@
     sockets: int  # file descriptors that the process may hold
     settings: Settings
     report_fields: list[str]  # as answers' load reports name them
-    answer_us: int  # discovery answers a call within so long, or it will not
+    discovery_timeout_us: int  # discovery answers a call within so long, or it will not
     idle_us: int  # an upstream closes a connection that has been idle for this long
     directory: Directory  # reads discovery's lists with the settings' zone and kind names
     known: Listing  # the list as last known; may be empty or old
@@ -88,7 +88,7 @@
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
             report_fields=[name for name in options.text("report.names", "").split(",") if name],
-            answer_us=_answer_us(options),
+            discovery_timeout_us=_answer_us(options),
             idle_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
             known=last_known_list,
