--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -33,7 +33,7 @@
     settings: Settings
     report_fields: list[str]  # as answers' load reports name them
     discovery_timeout_us: int  # discovery answers a call within so long, or it will not
-    idle_us: int  # an upstream closes a connection that has been idle for this long
+    upstream_idle_timeout_us: int  # an upstream closes a connection that has been idle for this long
     directory: Directory  # reads discovery's lists with the settings' zone and kind names
     known: Listing  # the list as last known; may be empty or old
     document: Mapping[str, Any]  # the JSON that all this was read from
@@ -89,7 +89,7 @@
             settings=replace(settings.read(options), list_by_watch=True),
             report_fields=[name for name in options.text("report.names", "").split(",") if name],
             discovery_timeout_us=_answer_us(options),
-            idle_us=options.whole("bounds.conn-idle", "15000000"),
+            upstream_idle_timeout_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
             known=last_known_list,
             document=data,
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -227,7 +227,7 @@
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
         super().__init__(Balancer(settings, config.seed, self.clock.now_us()), self.clock.now_us)
         half = connections_each(config.sockets)
-        self.upstreams = Upstreams(self.clock.now_us, config.idle_us, settings.connect_timeout_us, half)
+        self.upstreams = Upstreams(self.clock.now_us, config.upstream_idle_timeout_us, settings.connect_timeout_us, half)
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, half, self.clock.now_us, self.ledger)
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
@@ -301,7 +301,7 @@
         self.config, self.generation, self.overlay = new, generation, overlay
         half = connections_each(new.sockets)
         self.server.most = self.upstreams.most = half
-        self.upstreams.set_times(new.idle_us, new.settings.connect_timeout_us)
+        self.upstreams.set_times(new.upstream_idle_timeout_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.notify_all(api.SettingsChanged(new.settings))
