--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -27,7 +27,7 @@
     name: str
     listen: Address
     discovery: Address
-    discovery_in_file: Address | None  # a reload goes by this: the environment can't change
+    file_discovery: Address | None  # a reload goes by this: the environment can't change
     seed: int
     sockets: int  # file descriptors that the process may hold
     settings: Settings
@@ -83,7 +83,7 @@
             name=told("GW_NAME", "name"),
             listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
             discovery=parse_address(told("GW_DISCOVERY", "discovery"), "discovery"),
-            discovery_in_file=parse_address(in_file, "discovery") if in_file else None,
+            file_discovery=parse_address(in_file, "discovery") if in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -269,8 +269,8 @@
             if passes(error):  # the file is there, and nobody signals again
                 self.reload_again = self.loop.call_later(RELOAD_AGAIN_S, self.reload, environ)
             return
-        address, before = config.discovery_in_file, self.config.discovery_in_file
-        self.config.discovery_in_file = address
+        address, before = config.file_discovery, self.config.file_discovery
+        self.config.file_discovery = address
         if address is not None and address != before:
             self.base = {**self.base, "discovery": config.document["discovery"]}
             self.log(f"reload: discovery is at {address[0]}:{address[1]}")
@@ -305,8 +305,8 @@
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.notify_all(api.SettingsChanged(new.settings))
-        if new.discovery_in_file is not None and new.discovery_in_file != old.discovery_in_file:
-            self.discovery.move(new.discovery_in_file)  # as at a reload: the environment counts at the start
+        if new.file_discovery is not None and new.file_discovery != old.file_discovery:
+            self.discovery.move(new.file_discovery)  # as at a reload: the environment counts at the start
 
     async def stop(self) -> None:
         longest_s = max(c.deadline_us for c in self.config.settings.classes) / 1e6
