--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -30,7 +30,7 @@
     def on_request(self, exchange: Exchange) -> None:
         exchange.answer(200, [], b"done")
 
-    def on_client_gone(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         raise AssertionError("answered at once")
 
 
