--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -217,7 +217,7 @@
             self.on_list(event)
         elif isinstance(event, api.DrainChanged):
             self.draining = event.draining
-            for request in [*self.requests.values()] if event.ends else ():
+            for request in [*self.requests.values()] if event.shutting_down else ():
                 if not request.done:
                     self.finish(request, "draining")
         elif isinstance(event, api.SettingsChanged):
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -221,7 +221,7 @@
     goes on."""
 
     draining: bool
-    ends: bool = False  # the process ends: what was taken has its answer now, whichever it may have
+    shutting_down: bool = False  # the process ends: what was taken has its answer now, whichever it may have
 
 
 @dataclass(slots=True)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -324,7 +324,7 @@
 
     def fail_open_requests(self) -> None:
         """The process ends: each open request has its one answer now, and so has what comes yet."""
-        self.notify_all(api.DrainChanged(True, ends=True))
+        self.notify_all(api.DrainChanged(True, shutting_down=True))
         for request in list(self.by_txn.values()):  # between two lanes, or lost by the decisions
             self.fail(request.ident)
 
