--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -146,12 +146,12 @@
     cell: int = 0
     weight: float = 1.0
     started_us: int = 0  # its most recent start as the list tells it: with the id, the process; 0 = long ago
-    begun_us: int | None = None  # the same on the decisions' own clock, where that is another
+    local_started_us: int | None = None  # the same on the decisions' own clock, where that is another
 
     @property
     def start_us(self) -> int:
         """Its most recent start on the decisions' own clock; 0 = long ago."""
-        return self.started_us if self.begun_us is None else self.begun_us
+        return self.started_us if self.local_started_us is None else self.local_started_us
 
 
 # Events
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -32,9 +32,9 @@
     def place(self, entry: Upstream, known: Upstream | None) -> None:
         """Sets `entry.begun_us`. A process that is known already keeps its start, whatever the clock has done since."""
         if known is not None and known.started_us == entry.started_us:
-            entry.begun_us = known.begun_us
+            entry.local_started_us = known.local_started_us
         elif entry.started_us:
-            entry.begun_us = self.begun_us(entry.started_us)
+            entry.local_started_us = self.begun_us(entry.started_us)
 
     def begun_us(self, started_us: int) -> int | None:
         """On the own clock; None where the wall clock can be taken for it. Nobody knows on which side of a step a start
