--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -407,7 +407,7 @@
     def warmth(self, server: Server) -> float:
         """Rule 4: the share of its capacity that an upstream surely has; 1 from where one slot from each of
         few can't push it over, as that takes more than one and a half times what it does when warm."""
-        s, started_us = self.settings, server.entry.start_us
+        s, started_us = self.settings, server.entry.effective_start_us
         age_us = max(0, self.now_us - started_us)  # by its own clock it may start after now
         if started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
@@ -421,7 +421,7 @@
         age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
         if s.cold_share < 1.0 and reach < 1.0 and not self.is_one_of_many:
             age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
-        return server.entry.start_us + age_us
+        return server.entry.effective_start_us + age_us
 
     def cold_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
         """Rule 4: how long after a send the next may follow, so that all sidecars together send half the
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -149,7 +149,7 @@
     local_started_us: int | None = None  # the same on the decisions' own clock, where that is another
 
     @property
-    def start_us(self) -> int:
+    def effective_start_us(self) -> int:
         """Its most recent start on the decisions' own clock; 0 = long ago."""
         return self.started_us if self.local_started_us is None else self.local_started_us
 
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -298,7 +298,7 @@
             return
         for connection in [*self.idle, *self.busy]:
             # hazard: those to the former process are dead, though a machine that vanished never said so
-            if moved or not self.is_ready() or connection.opened_us < member.upstream.start_us:
+            if moved or not self.is_ready() or connection.opened_us < member.upstream.effective_start_us:
                 self.retire(connection)
 
     def retire(self, connection: Connection) -> None:
@@ -416,7 +416,7 @@
             if member.upstream.state is UpstreamState.GONE:
                 continue
             other = owners.get(member.address, member)
-            is_newer = member.upstream.start_us >= other.upstream.start_us
+            is_newer = member.upstream.effective_start_us >= other.upstream.effective_start_us
             owners[member.address] = member if is_newer else other
             if other is not member:
                 loser = other if is_newer else member
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -34,7 +34,7 @@
 def test_without_a_step_starts_are_taken_as_told() -> None:
     clocks = Clocks()
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
-        assert clocks.told(started_us).start_us == started_us
+        assert clocks.told(started_us).effective_start_us == started_us
     clocks.own_us += 100 * S
     assert not clocks.starts.look()
 
@@ -54,10 +54,10 @@
         clocks.step(by_us)
     clocks.own_us += S
     entry = clocks.told(stamp_us)
-    assert started_us <= entry.start_us <= clocks.own_us
+    assert started_us <= entry.effective_start_us <= clocks.own_us
     assert entry.started_us == stamp_us, "the process keeps its name"
     if abs(by_us) == HOUR_US:
-        assert entry.start_us == started_us
+        assert entry.effective_start_us == started_us
 
 
 # Guards against a warm upstream that is taken for a cold one as the whole list is told again after a step.
@@ -67,13 +67,13 @@
     known = clocks.told(START_US - 30 * S)
     clocks.step(by_us)
     again = clocks.told(START_US - 30 * S, known)
-    assert again.start_us == START_US - 30 * S
-    assert clocks.told(START_US + by_us, known).start_us != START_US - 30 * S, "another process behind the same id"
+    assert again.effective_start_us == START_US - 30 * S
+    assert clocks.told(START_US + by_us, known).effective_start_us != START_US - 30 * S, "another process behind the same id"
 
 
 def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
     clocks = Clocks()
-    assert clocks.told(START_US + HOUR_US).start_us == START_US
+    assert clocks.told(START_US + HOUR_US).effective_start_us == START_US
 
 
 def test_many_steps_are_bounded() -> None:
@@ -97,7 +97,7 @@
         scene.discovery.line(listing(peer.entry("s-1"), entry, generation=42))
         await until(lambda: len(sidecar.balancer.servers) == 2)
         server = next(s for s in sidecar.balancer.servers.values() if s.entry.started_us)
-        assert abs(server.entry.start_us - now_us()) < 5 * S
+        assert abs(server.entry.effective_start_us - now_us()) < 5 * S
         assert sidecar.balancer.warmth(server) < 1.0
 
     run(test)
