--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -306,7 +306,7 @@
         """An attempt that starts later is not expected back by the due time. Hazard: after an outage that
         every answer outlasted, nothing would be tried again; so at most half the aim is left for it."""
         answer_us = int(self.latency[request.event.class_index].mean_us)
-        return request.event.due_us - min(answer_us, self.half_aim_us(request.event.class_index))
+        return request.event.deadline_us - min(answer_us, self.half_aim_us(request.event.class_index))
 
     def finish(self, request: Request, reason: str) -> None:
         """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
@@ -554,7 +554,7 @@
     def may_send(self, request: Request) -> bool:
         """Rules 1 and 2 as far as they don't depend on the upstream."""
         s, sent = self.settings, len(request.attempts)
-        if request.done or request.streaming or self.now_us >= request.event.due_us or sent >= s.max_attempts:
+        if request.done or request.streaming or self.now_us >= request.event.deadline_us or sent >= s.max_attempts:
             return False
         if request.out > 0 and not s.second_copies:
             return False
@@ -606,7 +606,7 @@
             self.load.move(self.now_us, 1)
         request.attempts.append(attempt)
         request.out += 1
-        timeout_us = request.event.due_us - self.now_us
+        timeout_us = request.event.deadline_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # hazard: a hung upstream would use up all the time
         self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -167,7 +167,7 @@
 @dataclass(slots=True)
 class RequestArrived:
     request: int
-    due_us: int  # when the client stops waiting
+    deadline_us: int  # when the client stops waiting
     class_index: int = 0
     tenant: int = 0
     key: int = 0  # 0 = none
--- a/tests/world.py
+++ b/tests/world.py
@@ -170,7 +170,7 @@
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
         for ident, owed in self.owed.items():
-            overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
+            overdue = self.now_us > owed.event.deadline_us + slack_us and not owed.stream
             assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered past due"
 
     # Checks
@@ -205,7 +205,7 @@
                 assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: past the memory"
                 assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
                 assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
-        ends_us = owed.event.due_us
+        ends_us = owed.event.deadline_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
         owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
