--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -172,7 +172,7 @@
     tenant: int = 0
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
-    retried: bool = False  # the client sends it again
+    is_retry: bool = False  # the client sends it again
     write: bool = False
 
 
