--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -173,7 +173,7 @@
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
     is_retry: bool = False  # the client sends it again
-    write: bool = False
+    is_write: bool = False
 
 
 @dataclass(slots=True)
