--- a/bench/stage.py
+++ b/bench/stage.py
@@ -181,7 +181,7 @@
             in_time = self.now_us - side.arrived_us[ident] <= AIM_US
             self.finish(index, ident, "served" if in_time else "late")
         self.tell(index, api.AttemptEnded(ident, number, upstream, outcome, self.now_us - sent_us,
-                                          final=not was_open or ok))
+                                          request_ended=not was_open or ok))
 
     def on_timeout(self, index: int, incarnation: int, ident: int, number: int) -> None:
         self.end(index, incarnation, ident, number, api.Outcome.TIMEOUT)
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -669,7 +669,7 @@
             latency = self.latency[request.event.class_index]
             latency.add(event.elapsed_us)
             latency.confirmed_us = self.now_us
-        if event.final or request.done:
+        if event.request_ended or request.done:
             self.close(request)
         elif request.out == 0:
             self.place(request)  # hazard: an upstream that fails a part of its requests would lose them all
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -190,7 +190,7 @@
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
-    final: bool = False  # the request has ended; otherwise an answer is still owed
+    request_ended: bool = False  # the request has ended; otherwise an answer is still owed
     report: list[float] = field(default_factory=list)  # values in the order of `report_names`
 
 
--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -34,7 +34,7 @@
 
     def handle_event(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):  # an action before it may have closed the request
-            event.final = not self.is_open(event.request)
+            event.request_ended = not self.is_open(event.request)
         # hazard: one bad event must neither end the process nor leave its request unanswered
         try:
             actions = self.balancer.handle(self.now_us(), event)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -119,7 +119,7 @@
         if took_us >= action.timeout_us:
             took_us, outcome = action.timeout_us, api.Outcome.TIMEOUT
         self.later(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
-                                             final=outcome is api.Outcome.OK))
+                                             request_ended=outcome is api.Outcome.OK))
 
     def change_list(self) -> None:
         random = self.random
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -606,7 +606,7 @@
         assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
         assert [name for name in seen if name in ("RequestArrived", "AttemptEnded")] == [
             "RequestArrived", "AttemptEnded"]
-        assert [(e.outcome, e.final) for e in ended] == [(api.Outcome.NOT_SENT, True)]
+        assert [(e.outcome, e.request_ended) for e in ended] == [(api.Outcome.NOT_SENT, True)]
 
     run(test)
 
@@ -632,7 +632,7 @@
         scene.sidecar.execute_action(api.Fail(ident))
         assert (await call).status == 502
         scene.sidecar.execute_action(api.Cancel(ident, 0))
-        assert [(e.outcome, e.final) for e in ended] == [(api.Outcome.CANCELLED, True)]
+        assert [(e.outcome, e.request_ended) for e in ended] == [(api.Outcome.CANCELLED, True)]
         assert not scene.sidecar.requests and scene.sidecar.upstreams.open == 0
 
     run(test)
