--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -252,7 +252,7 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client quits
-    until_us: int = 0  # no byte of it may leave from then on; 0 = while the request is open
+    send_before_us: int = 0  # no byte of it may leave from then on; 0 = while the request is open
 
 
 @dataclass(slots=True)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -476,7 +476,7 @@
         left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         timer: Timer | None = None
-        until_us = min(request.deadline_us, action.until_us or request.deadline_us)
+        until_us = min(request.deadline_us, action.send_before_us or request.deadline_us)
         attempt = Attempt(partial(self.payload, request.exchange, now_us + timeout_us),
                           partial(self.may_start_attempt, request, until_us),
                           lambda *end: self.on_attempt_end(request, number, action.upstream, now_us, timer, *end))
