--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -105,7 +105,7 @@
         servers = self.sidecar.balancer.servers
         return [{
             "name": pools[view.id].member.name if view.id in pools else str(view.id),
-            **listed(servers[view.id].entry, directory), "warmth": round(view.warmth, 4),
+            **listed(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
             "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.mute,
             "leastMs": round(view.least_us / 1000, 3),
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -327,14 +327,14 @@
     slots: float  # for this sidecar's sends; under 1 the one slot rests between sends
     used: int
     resting: bool
-    warmth: float  # of 1, the share of its capacity that it surely has
+    warm_fraction: float  # of 1, the share of its capacity that it surely has
     failing: bool
     mute: bool  # answers nothing at present
     least_us: int  # its quickest answer; 0 = none yet
 
     @property
     def cold(self) -> bool:
-        return self.warmth < 1.0
+        return self.warm_fraction < 1.0
 
 
 @dataclass(slots=True, frozen=True)
