--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -108,7 +108,7 @@
             **listed(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
             "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.mute,
-            "leastMs": round(view.least_us / 1000, 3),
+            "leastMs": round(view.min_latency_us / 1000, 3),
         } for view in upstream_views(self.sidecar.balancer)]
 
     def drain(self, draining: bool) -> None:
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -330,7 +330,7 @@
     warm_fraction: float  # of 1, the share of its capacity that it surely has
     failing: bool
     mute: bool  # answers nothing at present
-    least_us: int  # its quickest answer; 0 = none yet
+    min_latency_us: int  # its quickest answer; 0 = none yet
 
     @property
     def cold(self) -> bool:
