--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -847,7 +847,7 @@
             most = max(1.0, STACKED * self.window.slots / max(1, len(self.order)))
             server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
             # hazard: one told too short would keep a far upstream at one slot for good
-            server.least_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
+            server.least_us = max(lesson.min_latency_us, elapsed_us // 4) if lesson.min_latency_us else 0
 
     def ask_list_at(self, at_us: int) -> None:
         if self.settings.list_on_request or self.settings.list_by_watch:
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -345,7 +345,7 @@
     started_us: int  # as the list told it: with the id, the process that this was learned of
     confirmed_us: int  # when an attempt last showed it by its end or by coming due
     slots: float
-    least_us: int = 0  # quickest answer; 0 = none
+    min_latency_us: int = 0  # quickest answer; 0 = none
     failing: bool = False
     unresponsive: int = 1
     next_cold_us: int = 0  # while it is cold, no send before this
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -128,7 +128,7 @@
 
 
 def _agreed_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
-    least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
+    least = [(float(lesson.min_latency_us), worth) for lesson, worth, near in found if near and lesson.min_latency_us > 0]
     slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
     # the median of lessons, not a mixture: silent with open slots would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if shown(lesson) == slots)
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -82,7 +82,7 @@
         async with running(asyncio.create_task(again.run())):
             await again.reading.wait()
             for ident, server in other.sidecar.balancer.servers.items():
-                assert server.lesson is not None and server.lesson.least_us == told[ident].min_latency_us
+                assert server.lesson is not None and server.lesson.min_latency_us == told[ident].min_latency_us
             await until(lambda: other.discovery.writers)
             other.discovery.line(listing(*(peer.entry(f"up-{i}") for i, peer in enumerate(peers))))
             await until(lambda: other.sidecar.balancer.latency[0].seen)  # once discovery itself has spoken
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -388,7 +388,7 @@
 
 def test_distance_is_taken_from_donors_of_the_same_zone_only() -> None:
     near, far = donor(told(100, 2.0, least_us=900)), donor(told(100, 2.0, least_us=9_000), zone=1)
-    assert agreed(far, far, near)[100].least_us == 900 and agreed(far)[100].least_us == 0
+    assert agreed(far, far, near)[100].min_latency_us == 900 and agreed(far)[100].min_latency_us == 0
 
 
 @given(st.lists(st.tuples(st.floats(-1e6, 1e6), st.floats(0.01, 10)), min_size=1, max_size=9), st.floats(-1e9, 1e9))
