--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -364,7 +364,7 @@
 class Lessons:
     """What one sidecar has learned; all times on the clock on which it is `told_us`."""
 
-    told_us: int
+    as_of_us: int
     zone: int  # where it was learned: how far upstreams are holds from there
     slots: float  # of the sidecar; 0 = not known
     confirmed_us: int  # that
