--- a/bench/stage.py
+++ b/bench/stage.py
@@ -152,7 +152,7 @@
         side = self.sides[index]
         if side.incarnation == incarnation and ident in side.open:
             self.finish(index, ident, "late")
-            self.tell(index, api.RequestGone(ident))
+            self.tell(index, api.RequestAbandoned(ident))
 
     def finish(self, index: int, ident: int, how: str) -> None:
         side = self.sides[index]
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -209,7 +209,7 @@
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = 0
             self.run_due()
-        elif isinstance(event, api.RequestGone) and event.request in self.requests:
+        elif isinstance(event, api.RequestAbandoned) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -177,7 +177,7 @@
 
 
 @dataclass(slots=True)
-class RequestGone:
+class RequestAbandoned:
     """The client has quit; no answer is owed any more."""
 
     request: int
@@ -238,7 +238,7 @@
     payload: bytes
 
 
-Event = (UpstreamsUpdated | RequestArrived | RequestGone | AttemptEnded | StreamStarted | ProbeEnded
+Event = (UpstreamsUpdated | RequestArrived | RequestAbandoned | AttemptEnded | StreamStarted | ProbeEnded
          | TimerFired | PeerMessage | DrainChanged | SettingsChanged)
 
 
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -528,7 +528,7 @@
     def notify_abandoned(self, request: Request) -> None:
         """Whoever decides on it, or did, hears that no answer is owed any more."""
         front = self.request_handlers.get(request.class_index)
-        self.dispatch(api.RequestGone(request.ident))
+        self.dispatch(api.RequestAbandoned(request.ident))
         if front is not None:
             front.request_abandoned(request.ident)
 
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -206,7 +206,7 @@
     def request_abandoned(self, ident: int) -> None:
         for lane in self.lanes:  # those that don't know it take no notice
             lane.numbers.pop(ident, None)
-            lane.dispatch(api.RequestGone(ident))
+            lane.dispatch(api.RequestAbandoned(ident))
 
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -182,7 +182,7 @@
 _READERS: dict[int, Callable[[Decoder], Record]] = {
     10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
     50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
+    60: lambda frame: api.RequestAbandoned(frame.fields(_U32)[0]),
     70: _accept, 80: _members, 90: _health, 100: _started,
 }
 
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -13,7 +13,7 @@
     ProbeEnded,
     RequestArrived,
     RequestClass,
-    RequestGone,
+    RequestAbandoned,
     StreamStarted,
     Tenant,
     TimerFired,
@@ -26,7 +26,7 @@
 def test_events_about_what_is_unknown_change_nothing() -> None:
     world = World()
     world.tell_list(upstreams(3))
-    for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
+    for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestAbandoned(77), TimerFired(123456),
                   StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
                   PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
         assert world.tell(event) == []
@@ -40,10 +40,10 @@
     world.quit(request)
     assert world.end(request, 0, Outcome.ERROR) == []
     assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestGone(request)) == []
+    assert world.tell(RequestAbandoned(request)) == []
     served = world.arrive(0)
     world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestGone(served)) == []
+    assert world.tell(RequestAbandoned(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -156,7 +156,7 @@
             if random.random() < 0.03:
                 self.change_list()
             if random.random() < 0.01:
-                self.handle(api.RequestGone(random.randrange(request)))
+                self.handle(api.RequestAbandoned(random.randrange(request)))
             if random.random() < 0.004:
                 self.settings = settings_of(random)
                 self.settings.classes[2].group = self.both[0].settings.classes[2].group
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -23,7 +23,7 @@
      api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
+    ("3c 0300 192b6f0e", api.RequestAbandoned(OTHER)),
     ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
      api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True)),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,7 +23,7 @@
     Refuse,
     RequestArrived,
     RequestClass,
-    RequestGone,
+    RequestAbandoned,
     Send,
     SetTimer,
     Settings,
@@ -148,7 +148,7 @@
     def quit(self, request: int) -> None:
         self.owed[request].closed = True
         self.owed[request].answers = 1
-        self.tell(RequestGone(request))
+        self.tell(RequestAbandoned(request))
 
     def advance(self, by_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
