--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -304,7 +304,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendToPeer:
     payload: bytes
     to: int | None = None  # None = every peer
 
@@ -315,7 +315,7 @@
 
 
 Action = (Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle
-          | TellPeer | Log)
+          | SendToPeer | Log)
 
 
 @dataclass(slots=True, frozen=True)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -463,7 +463,7 @@
                 self.log(UPSTREAM.sub(self.upstream_name, action.text))
             case api.Probe():
                 self.dispatch(api.ProbeEnded(action.upstream, api.Outcome.NOT_SENT))
-            case api.TellPeer():
+            case api.SendToPeer():
                 pass  # peers may not be told anything where this runs
 
     def send(self, action: api.Send) -> None:
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -213,7 +213,7 @@
     api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
     api.FetchList: lambda i, a: _fetch(i),
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    api.SendToPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
     api.Log: lambda i, a: _text(_text_log, i, a.text),
     InternalError: lambda i, a: _text(_text_error, i, a.text),
 }
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -34,7 +34,7 @@
 ACTIONS: list[tuple[str, wire.Reply]] = [
     ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
     ("5a 0300 192b6f0e", api.Fail(OTHER)),
-    ("32 0300 ffffffff 0400 68692037", api.TellPeer(b"hi 7")),
+    ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
     ("46 0300 01", api.Subscribe()),
     ("6e 0300 f211902c", api.CloseIdle(SECOND)),
     ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER, 250000)),
