--- a/bench/learned.py
+++ b/bench/learned.py
@@ -71,7 +71,7 @@
     found = []
     for i, (ident, node) in enumerate(stage.nodes.items()):
         if not node.gone:
-            found.append(api.UpstreamLesson(ident, node.entry.started_us, stage.now_us, slots(i), 1, slots(i) < 1,
+            found.append(api.LearnedUpstream(ident, node.entry.started_us, stage.now_us, slots(i), 1, slots(i) < 1,
                                             9 if slots(i) < 1 else 1, 0, False))
     wide = slots(0) >= 1
     kinds = tuple(api.ClassLesson(name, stage.now_us, 1.0 if wide else 1e9, 1.0) for name in ("view", "pay"))
@@ -232,7 +232,7 @@
     rng = random.Random(count)
     now_us = sidecar.clock.now_us()
     sidecar.balancer.recall(now_us, api.Lessons(now_us, 0, 20.0, now_us, tuple(
-        api.UpstreamLesson(upstream_id(one["instanceId"]), 0, now_us - rng.randrange(S), rng.random() * 5 + 0.1,
+        api.LearnedUpstream(upstream_id(one["instanceId"]), 0, now_us - rng.randrange(S), rng.random() * 5 + 0.1,
                            rng.randrange(100_000)) for one in entries(count))))
     gc.collect()
     gc.freeze()  # as a sidecar does at its start
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -86,7 +86,7 @@
         self.next_cold_us = 0  # while it is cold, no send before this
         self.turn_us = 0  # and for so long from then on, until its next turn; 0 = until it is used
         self.confirmed_us = 0  # when an attempt last showed something of it
-        self.lesson: api.UpstreamLesson | None = None  # recalled, and not yet tested by an attempt of ours
+        self.lesson: api.LearnedUpstream | None = None  # recalled, and not yet tested by an attempt of ours
         self.place = -1  # in the sidecar's order; -1 = it is drawn no more
         self.look_us = self.shut_us = 0  # times in `opening` and `shut`, at which its slot may open by itself
 
@@ -825,7 +825,7 @@
             usual = self.usual_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
+    def believe(self, server: Server, whole: api.LearnedUpstream, lesson: api.LearnedUpstream) -> None:
         """Until a try of our own. Hazard: by mere word it gets no more than the one slot of a new one, and is
         not shut so far that few tries would come: it is drawn rarely, and still before a refusal."""
         server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -338,7 +338,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class UpstreamLesson:
+class LearnedUpstream:
     """What has been learned of one process behind an upstream."""
 
     id: int
@@ -368,7 +368,7 @@
     zone: int  # where it was learned: how far upstreams are holds from there
     slots: float  # of the sidecar; 0 = not known
     confirmed_us: int  # that
-    upstreams: tuple[UpstreamLesson, ...] = ()
+    upstreams: tuple[LearnedUpstream, ...] = ()
     classes: tuple[ClassLesson, ...] = ()
     tenants: tuple[tuple[str, float], ...] = ()  # name and share of the arrivals
 
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -18,7 +18,7 @@
 from hashlib import blake2b
 from typing import Any, NoReturn, TypeVar
 
-from ironscale.interface import ClassLesson, Lessons, UpstreamLesson
+from ironscale.interface import ClassLesson, Lessons, LearnedUpstream
 from ironscale.learned.moment import Moment
 
 MAGIC = b"ISLEARN\n"
@@ -277,7 +277,7 @@
 # From and to the decisions' own types
 
 
-def named(lesson: UpstreamLesson, name: str, told_us: int) -> NamedLesson:
+def named(lesson: LearnedUpstream, name: str, told_us: int) -> NamedLesson:
     def ago(at_us: int) -> int:
         return max(0, min(LONGEST_US, told_us - at_us))
 
@@ -291,7 +291,7 @@
     number of its name."""
     return Lessons(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
-        tuple(UpstreamLesson(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
+        tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
                              one.failing, one.mute, taken_us + one.cold_for_us, one.first_hand)
               for one in snapshot.upstreams),
         tuple(ClassLesson(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -23,7 +23,7 @@
         server = balancer.servers.get(ident)
         if server is None or (server.lesson is None and server.confirmed_us == 0):
             continue
-        upstreams.append(server.lesson or api.UpstreamLesson(
+        upstreams.append(server.lesson or api.LearnedUpstream(
             ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.least_us,
             server.failing, server.mute, server.next_cold_us))
     settings = balancer.settings
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -36,7 +36,7 @@
     return found
 
 
-def faded(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
+def faded(lesson: api.LearnedUpstream, now_us: int) -> api.LearnedUpstream | None:
     """What is left of it now; None if nothing is."""
     age_us = now_us - lesson.confirmed_us
     if not 0 <= age_us <= LEAST_LASTS_US:
@@ -48,12 +48,12 @@
                    failing=lesson.failing and share(age_us, SHUT_HALVES_US) >= 0.5)
 
 
-def shown(lesson: api.UpstreamLesson) -> float:
+def shown(lesson: api.LearnedUpstream) -> float:
     """Its slots. What answers nothing is tried so seldom that its window hardly closes: as good as shut."""
     return min(lesson.slots, LEAST_SLOTS) if lesson.unresponsive > 1 else lesson.slots
 
 
-def is_shut(lesson: api.UpstreamLesson | None) -> bool:
+def is_shut(lesson: api.LearnedUpstream | None) -> bool:
     return lesson is not None and shown(lesson) < SHUT
 
 
@@ -82,7 +82,7 @@
     return ordered[-1][0]
 
 
-def believed(donor: Donor) -> list[api.UpstreamLesson]:
+def believed(donor: Donor) -> list[api.LearnedUpstream]:
     """Its first-hand lessons. Hazard: one that is or was in a stall would teach that all are bad."""
     own = [lesson for lesson in donor.lessons.upstreams if lesson.first_hand]
     if donor.resting or 2 * sum(map(is_shut, own)) > len(own):
@@ -93,7 +93,7 @@
 def agreed(donors: Sequence[Donor], now_us: int, zone: int) -> api.Lessons | None:
     """What several donors teach together, as another's word; None if none of them has anything to teach."""
     donors = [donor for donor in donors if donor.weight() > 0.0]
-    by_process: dict[tuple[int, int], list[tuple[api.UpstreamLesson, float, bool]]] = {}
+    by_process: dict[tuple[int, int], list[tuple[api.LearnedUpstream, float, bool]]] = {}
     by_class: dict[str, list[tuple[api.ClassLesson, float]]] = {}
     windows: list[tuple[float, float]] = []
     tenants: dict[str, list[tuple[float, float]]] = {}
@@ -127,7 +127,7 @@
         tuple((name, median(found)) for name, found in tenants.items()))
 
 
-def _agreed_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
+def _agreed_upstream(found: Sequence[tuple[api.LearnedUpstream, float, bool]]) -> api.LearnedUpstream:
     least = [(float(lesson.min_latency_us), worth) for lesson, worth, near in found if near and lesson.min_latency_us > 0]
     slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
     # the median of lessons, not a mixture: silent with open slots would be nobody's observation
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -18,7 +18,7 @@
     Outcome,
     Send,
     Tenant,
-    UpstreamLesson,
+    LearnedUpstream,
     UpstreamsUpdated,
 )
 from ironscale.telling import learned_state, upstream_views
@@ -27,19 +27,19 @@
 S = 1_000_000
 
 
-def told(ident: int, slots: float, age_us: int = S, **changes: object) -> UpstreamLesson:
+def told(ident: int, slots: float, age_us: int = S, **changes: object) -> LearnedUpstream:
     values: dict[str, object] = {"id": ident, "started_us": 0, "confirmed_us": START_US - age_us, "slots": slots,
                                  **changes}
-    return UpstreamLesson(**values)  # type: ignore[arg-type]
+    return LearnedUpstream(**values)  # type: ignore[arg-type]
 
 
-def lessons(*found: UpstreamLesson, **changes: object) -> Lessons:
+def lessons(*found: LearnedUpstream, **changes: object) -> Lessons:
     values: dict[str, object] = {"told_us": START_US, "zone": 0, "slots": 0.0, "confirmed_us": START_US - S,
                                  "upstreams": found, **changes}
     return Lessons(**values)  # type: ignore[arg-type]
 
 
-def taught(*found: UpstreamLesson, count: int = 6, listed: bool = True, **changes: object) -> World:
+def taught(*found: LearnedUpstream, count: int = 6, listed: bool = True, **changes: object) -> World:
     world = World(settings(second_copies=False))
     world.balancer.recall(START_US, lessons(*found, **changes))
     world.tell_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
@@ -345,12 +345,12 @@
 # Donors
 
 
-def donor(*found: UpstreamLesson, up_us: int = 60 * S, resting: bool = False, cut_off: bool = False,
+def donor(*found: LearnedUpstream, up_us: int = 60 * S, resting: bool = False, cut_off: bool = False,
           **changes: object) -> trust.Donor:
     return trust.Donor(lessons(*found, **changes), up_us, resting, cut_off)
 
 
-def agreed(*donors: trust.Donor) -> dict[int, UpstreamLesson]:
+def agreed(*donors: trust.Donor) -> dict[int, LearnedUpstream]:
     found = trust.agreed(donors, START_US, 0)
     return {} if found is None else {one.id: one for one in found.upstreams}
 
@@ -406,7 +406,7 @@
     world = World(settings(), seed % 1000)
     extremes = [1e-6, 1 / 64, 0.5, 1.0, 8.0, 1e6]
 
-    def one(ident: int) -> UpstreamLesson:
+    def one(ident: int) -> LearnedUpstream:
         return told(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
                     started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
                     failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
