--- a/bench/learned.py
+++ b/bench/learned.py
@@ -74,7 +74,7 @@
             found.append(api.LearnedUpstream(ident, node.entry.started_us, stage.now_us, slots(i), 1, slots(i) < 1,
                                             9 if slots(i) < 1 else 1, 0, False))
     wide = slots(0) >= 1
-    kinds = tuple(api.ClassLesson(name, stage.now_us, 1.0 if wide else 1e9, 1.0) for name in ("view", "pay"))
+    kinds = tuple(api.LearnedClass(name, stage.now_us, 1.0 if wide else 1e9, 1.0) for name in ("view", "pay"))
     return api.Lessons(stage.now_us, 0, 1e6 if wide else 1e-6, stage.now_us, tuple(found), kinds, ())
 
 
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -134,7 +134,7 @@
         """For the pacing of cold upstreams. Hazard: a mean by hearsay, too short, would push them over."""
         return max(self.mean_us, self.first_us) if self.doubt else self.mean_us
 
-    def recall(self, lesson: api.ClassLesson, share: float) -> None:
+    def recall(self, lesson: api.LearnedClass, share: float) -> None:
         # hazard: longer than without it, cold upstreams would warm up more slowly and requests be late sooner
         self.mean_us = trust.between(self.first_us, min(lesson.mean_us, self.first_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -353,7 +353,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClassLesson:
+class LearnedClass:
     name: str
     confirmed_us: int
     mean_us: float
@@ -369,7 +369,7 @@
     slots: float  # of the sidecar; 0 = not known
     confirmed_us: int  # that
     upstreams: tuple[LearnedUpstream, ...] = ()
-    classes: tuple[ClassLesson, ...] = ()
+    classes: tuple[LearnedClass, ...] = ()
     tenants: tuple[tuple[str, float], ...] = ()  # name and share of the arrivals
 
 
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -18,7 +18,7 @@
 from hashlib import blake2b
 from typing import Any, NoReturn, TypeVar
 
-from ironscale.interface import ClassLesson, Lessons, LearnedUpstream
+from ironscale.interface import LearnedClass, Lessons, LearnedUpstream
 from ironscale.learned.moment import Moment
 
 MAGIC = b"ISLEARN\n"
@@ -294,5 +294,5 @@
         tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
                              one.failing, one.mute, taken_us + one.cold_for_us, one.first_hand)
               for one in snapshot.upstreams),
-        tuple(ClassLesson(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
+        tuple(LearnedClass(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
         snapshot.tenants)
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -27,7 +27,7 @@
             ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.least_us,
             server.failing, server.mute, server.next_cold_us))
     settings = balancer.settings
-    classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
+    classes = [api.LearnedClass(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
     seen = sum(balancer.tenant_seen)
     tenants = [(tenant.name, count / seen) for tenant, count in
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -94,7 +94,7 @@
     """What several donors teach together, as another's word; None if none of them has anything to teach."""
     donors = [donor for donor in donors if donor.weight() > 0.0]
     by_process: dict[tuple[int, int], list[tuple[api.LearnedUpstream, float, bool]]] = {}
-    by_class: dict[str, list[tuple[api.ClassLesson, float]]] = {}
+    by_class: dict[str, list[tuple[api.LearnedClass, float]]] = {}
     windows: list[tuple[float, float]] = []
     tenants: dict[str, list[tuple[float, float]]] = {}
     for donor in donors:
@@ -120,7 +120,7 @@
     return api.Lessons(
         now_us, zone, median(windows) if windows else 0.0, int(median(confirmed)),
         tuple(_agreed_upstream(found) for found in by_process.values()),
-        tuple(api.ClassLesson(name, int(median([(float(c.confirmed_us), w) for c, w in found])),
+        tuple(api.LearnedClass(name, int(median([(float(c.confirmed_us), w) for c, w in found])),
                               median([(c.mean_us, w) for c, w in found]),
                               median([(c.base_us, w) for c, w in found]))
               for name, found in by_class.items()),
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -12,7 +12,7 @@
 from ironscale import trust
 from ironscale.balance import Balancer
 from ironscale.interface import (
-    ClassLesson,
+    LearnedClass,
     Lessons,
     ListKind,
     Outcome,
@@ -105,7 +105,7 @@
     assert trust.share(age_us, trust.WIDE_HALVES_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
-        confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
+        confirmed_us=START_US - age_us, classes=(LearnedClass("read", START_US - age_us, 1.0, 1.0),))
     cold.tell_list(upstreams(6))
     assert slots(world) == slots(cold) and world.balancer.window.slots == cold.balancer.window.slots
     assert [x.mean_us for x in world.balancer.latency] == [x.mean_us for x in cold.balancer.latency]
@@ -226,7 +226,7 @@
         if lie:
             world.balancer.recall(START_US, lessons(
                 told(100, 1e6, started_us=START_US - S),
-                classes=tuple(ClassLesson(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
+                classes=tuple(LearnedClass(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
         world.tell_list(upstreams(1, started_us=START_US - S))
         for _ in range(3_000):  # 3 s
             world.arrive()
@@ -243,12 +243,12 @@
 
 def test_a_lie_of_endless_times_makes_nothing_slower_than_a_cold_start() -> None:
     cold = taught().balancer.latency[0]
-    lied = taught(classes=(ClassLesson("read", START_US, 1e12, 1e12),)).balancer.latency[0]
+    lied = taught(classes=(LearnedClass("read", START_US, 1e12, 1e12),)).balancer.latency[0]
     assert lied.mean_us <= cold.mean_us and lied.careful_us() == cold.careful_us()
 
 
 def test_a_lie_about_times_is_outweighed_by_three_answers() -> None:
-    world = taught(classes=(ClassLesson("read", START_US, 1.0, 1.0),))
+    world = taught(classes=(LearnedClass("read", START_US, 1.0, 1.0),))
     assert world.balancer.latency[0].mean_us < 2.0
     for _ in range(3):
         answer(world, world.arrive(), after_us=80_000)
@@ -278,7 +278,7 @@
 
 def test_times_learned_of_a_fleet_that_was_replaced_are_not_taken() -> None:
     """Quick answers of warm ones would shut the sidecar before cold ones, and pace those too fast."""
-    kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
+    kinds = (LearnedClass("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
         world = taught(*(told(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
         assert world.balancer.latency[0].seen is recalled
@@ -414,7 +414,7 @@
 
     def any_lessons() -> Lessons:
         return lessons(*(one(100 + i) for i in range(8)), slots=rng.choice([0.0, *extremes]),
-                       classes=tuple(ClassLesson(c.name, START_US, rng.choice([1.0, 1e12]), rng.choice([1.0, 1e12]))
+                       classes=tuple(LearnedClass(c.name, START_US, rng.choice([1.0, 1e12]), rng.choice([1.0, 1e12]))
                                      for c in world.settings.classes if rng.random() < 0.5))
 
     world.balancer.recall(START_US, any_lessons())
