--- a/bench/learned.py
+++ b/bench/learned.py
@@ -67,7 +67,7 @@
     return trust.Donor(learned_state(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
-def lie(stage: Stage, slots: Callable[[int], float]) -> api.Lessons:
+def lie(stage: Stage, slots: Callable[[int], float]) -> api.LearnedState:
     found = []
     for i, (ident, node) in enumerate(stage.nodes.items()):
         if not node.gone:
@@ -75,7 +75,7 @@
                                             9 if slots(i) < 1 else 1, 0, False))
     wide = slots(0) >= 1
     kinds = tuple(api.LearnedClass(name, stage.now_us, 1.0 if wide else 1e9, 1.0) for name in ("view", "pay"))
-    return api.Lessons(stage.now_us, 0, 1e6 if wide else 1e-6, stage.now_us, tuple(found), kinds, ())
+    return api.LearnedState(stage.now_us, 0, 1e6 if wide else 1e-6, stage.now_us, tuple(found), kinds, ())
 
 
 def play(job: tuple[str, int, str]) -> dict[str, Any]:
@@ -98,7 +98,7 @@
         one.run(AGAIN_US)
     donors = [donor(stage, i) for i in (1, 2, 3)]
     now_us = stage.now_us
-    lessons: dict[str, api.Lessons | None] = {"cold": None}
+    lessons: dict[str, api.LearnedState | None] = {"cold": None}
     if what == "starts":
         starts["warm"] = warm
         lessons.update({"file": own, "one donor": trust.agreed(donors[:1], now_us, 0),
@@ -231,7 +231,7 @@
     await sidecar.start()
     rng = random.Random(count)
     now_us = sidecar.clock.now_us()
-    sidecar.balancer.recall(now_us, api.Lessons(now_us, 0, 20.0, now_us, tuple(
+    sidecar.balancer.recall(now_us, api.LearnedState(now_us, 0, 20.0, now_us, tuple(
         api.LearnedUpstream(upstream_id(one["instanceId"]), 0, now_us - rng.randrange(S), rng.random() * 5 + 0.1,
                            rng.randrange(100_000)) for one in entries(count))))
     gc.collect()
--- a/bench/stage.py
+++ b/bench/stage.py
@@ -265,7 +265,7 @@
         side.sent.clear()
         side.incarnation = -1 - abs(side.incarnation)
 
-    def start(self, index: int, seed: int, lessons: api.Lessons | None = None) -> None:
+    def start(self, index: int, seed: int, lessons: api.LearnedState | None = None) -> None:
         """Again from nothing, or from lessons on its clock; the list comes as last known, then from discovery."""
         side = self.sides[index]
         side.incarnation = abs(side.incarnation) + 1
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -176,7 +176,7 @@
         self.list_failures = self.ask_list_us = 0  # when the list is asked for next; 0 = it is subscribed to
         self.draining = False
         self.confirmed_us = 0  # when an attempt last showed something
-        self.lessons: list[api.Lessons] = []  # recalled; they wait for the list
+        self.lessons: list[api.LearnedState] = []  # recalled; they wait for the list
         self.has_list = False  # from discovery, not one as last known
         # hazard: all of many start together, and discovery goes on working at calls that have waited too long
         turn_us = self.list_turn_us()
@@ -770,7 +770,7 @@
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.rank()
 
-    def recall(self, now_us: int, lessons: api.Lessons) -> None:
+    def recall(self, now_us: int, lessons: api.LearnedState) -> None:
         """Takes in what was learned before or elsewhere, as far as nothing has been seen here; its times
         are on our clock. Hazard: it may be stale, wrong or a lie: trust.py and `believe`."""
         self.now_us = max(self.now_us, now_us)
@@ -810,7 +810,7 @@
         if self.has_list:
             self.lessons = []
 
-    def recall_times(self, lessons: api.Lessons, count: int) -> None:
+    def recall_times(self, lessons: api.LearnedState, count: int) -> None:
         """What was learned of all upstreams together. Hazard: of a fleet that was replaced it is wrong."""
         for kind, latency in zip(self.settings.classes, self.latency, strict=True):
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -361,7 +361,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Lessons:
+class LearnedState:
     """What one sidecar has learned; all times on the clock on which it is `told_us`."""
 
     as_of_us: int
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -18,7 +18,7 @@
 from hashlib import blake2b
 from typing import Any, NoReturn, TypeVar
 
-from ironscale.interface import LearnedClass, Lessons, LearnedUpstream
+from ironscale.interface import LearnedClass, LearnedState, LearnedUpstream
 from ironscale.learned.moment import Moment
 
 MAGIC = b"ISLEARN\n"
@@ -286,10 +286,10 @@
         min(64, lesson.unresponsive), max(0, min(3_600_000_000, lesson.next_cold_send_us - told_us)), lesson.first_hand)
 
 
-def lessons_of(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> Lessons:
+def lessons_of(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
     """The snapshot for the decisions: `taken_us` is when it was taken on their clock, `ident` makes an upstream's
     number of its name."""
-    return Lessons(
+    return LearnedState(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
         tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
                              one.failing, one.mute, taken_us + one.cold_for_us, one.first_hand)
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -98,7 +98,7 @@
         snapshot = await in_slices(self.collecting(), self.spent)
         return await in_slices(encoding(snapshot), self.spent)
 
-    def lessons(self, snapshot: Snapshot, age_us: int) -> api.Lessons:
+    def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """A snapshot of that age for this sidecar's decisions."""
         now_us = self.sidecar.clock.now_us()
         zone = self.sidecar.config.directory.zones.listed.get(snapshot.zone, -1)
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -15,7 +15,7 @@
             for i, s in balancer.servers.items()]
 
 
-def learned_state(balancer: Balancer, idents: Iterable[int] | None = None) -> api.Lessons:
+def learned_state(balancer: Balancer, idents: Iterable[int] | None = None) -> api.LearnedState:
     """What has been learned, of the upstreams `idents` (None: of all). What was recalled and not tested since is told
     as it was told to the balancer: with its time and whose it was."""
     upstreams = []
@@ -32,5 +32,5 @@
     seen = sum(balancer.tenant_seen)
     tenants = [(tenant.name, count / seen) for tenant, count in
                zip(settings.tenants, balancer.tenant_seen, strict=True) if count > 0.0]
-    return api.Lessons(balancer.now_us, settings.zone, balancer.window.slots if balancer.confirmed_us else 0.0,
+    return api.LearnedState(balancer.now_us, settings.zone, balancer.window.slots if balancer.confirmed_us else 0.0,
                        balancer.confirmed_us, tuple(upstreams), tuple(classes), tuple(tenants))
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -61,7 +61,7 @@
 class Donor:
     """One running sidecar's lessons, its times on our clock, and its own state."""
 
-    lessons: api.Lessons
+    lessons: api.LearnedState
     up_us: int  # since its start
     resting: bool  # its own window is shut: it judges all by its own trouble
     cut_off: bool  # from discovery
@@ -90,7 +90,7 @@
     return own
 
 
-def agreed(donors: Sequence[Donor], now_us: int, zone: int) -> api.Lessons | None:
+def agreed(donors: Sequence[Donor], now_us: int, zone: int) -> api.LearnedState | None:
     """What several donors teach together, as another's word; None if none of them has anything to teach."""
     donors = [donor for donor in donors if donor.weight() > 0.0]
     by_process: dict[tuple[int, int], list[tuple[api.LearnedUpstream, float, bool]]] = {}
@@ -117,7 +117,7 @@
     if not by_process and not by_class:
         return None
     confirmed = [(float(donor.lessons.confirmed_us), donor.weight()) for donor in donors]
-    return api.Lessons(
+    return api.LearnedState(
         now_us, zone, median(windows) if windows else 0.0, int(median(confirmed)),
         tuple(_agreed_upstream(found) for found in by_process.values()),
         tuple(api.LearnedClass(name, int(median([(float(c.confirmed_us), w) for c, w in found])),
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -201,7 +201,7 @@
     stage.run(START_AGAIN_US)
     three = donors(stage)
     liar = trust.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
-    taught: dict[str, api.Lessons | None] = {
+    taught: dict[str, api.LearnedState | None] = {
         "cold": None, "file": own,
         "donors": trust.agreed(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -13,7 +13,7 @@
 from ironscale.balance import Balancer
 from ironscale.interface import (
     LearnedClass,
-    Lessons,
+    LearnedState,
     ListKind,
     Outcome,
     Send,
@@ -33,10 +33,10 @@
     return LearnedUpstream(**values)  # type: ignore[arg-type]
 
 
-def lessons(*found: LearnedUpstream, **changes: object) -> Lessons:
+def lessons(*found: LearnedUpstream, **changes: object) -> LearnedState:
     values: dict[str, object] = {"told_us": START_US, "zone": 0, "slots": 0.0, "confirmed_us": START_US - S,
                                  "upstreams": found, **changes}
-    return Lessons(**values)  # type: ignore[arg-type]
+    return LearnedState(**values)  # type: ignore[arg-type]
 
 
 def taught(*found: LearnedUpstream, count: int = 6, listed: bool = True, **changes: object) -> World:
@@ -412,7 +412,7 @@
                     failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
                     first_hand=rng.random() < 0.5)
 
-    def any_lessons() -> Lessons:
+    def any_lessons() -> LearnedState:
         return lessons(*(one(100 + i) for i in range(8)), slots=rng.choice([0.0, *extremes]),
                        classes=tuple(LearnedClass(c.name, START_US, rng.choice([1.0, 1e12]), rng.choice([1.0, 1e12]))
                                      for c in world.settings.classes if rng.random() < 0.5))
