--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -373,7 +373,7 @@
     tenants: tuple[tuple[str, float], ...] = ()  # name and share of the arrivals
 
 
-def unchangeable(old: Settings, new: Settings) -> str:
+def restart_only_change(old: Settings, new: Settings) -> str:
     """What of `new` a running instance can't take on, as one phrase; empty if it can take all of it."""
     def kept(c: RequestClass) -> tuple[object, ...]:
         return c.name, c.effect, c.group, c.stream
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -289,7 +289,7 @@
         """
         base, old = self.base, self.config
         new = parse(apply_merge_patch(base, overlay), self.environ)
-        fixed = api.unchangeable(old.settings, new.settings)
+        fixed = api.restart_only_change(old.settings, new.settings)
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
                 fixed = fixed or name
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -14,7 +14,7 @@
     SettingsChanged,
     Tenant,
     Upstream,
-    unchangeable,
+    restart_only_change,
 )
 from ironscale.telling import upstream_views
 from tests.test_slots import MARK, PAY, READ, fill, ready_world
@@ -107,7 +107,7 @@
     """Hazard: an unsafe request that is out would be sent again as if it were safe."""
     old, new = settings(), settings()
     change(new)  # type: ignore[operator]
-    assert words in unchangeable(old, new)
+    assert words in restart_only_change(old, new)
 
 
 def test_other_settings_can_change() -> None:
@@ -116,7 +116,7 @@
     new.classes.append(RequestClass("more", 1_000, 2_000))
     new.classes[0].effect, new.classes[0].group = old.classes[0].effect, old.classes[0].group
     new.classes[0].name = old.classes[0].name
-    assert unchangeable(old, new) == ""
+    assert restart_only_change(old, new) == ""
 
 
 def test_the_view_shows_each_upstream() -> None:
