--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -43,7 +43,7 @@
 
 # Why a request was refused: the instance drains, its class is not known, it came too late for an answer in
 # time, no slot and the buffer taken, a dearer one took the buffer, the buffer's wait was over, tries used up.
-REFUSALS = ("draining", "unknown class", "too late", "full", "displaced", "waited", "tries spent")
+REFUSAL_REASONS = ("draining", "unknown class", "too late", "full", "displaced", "waited", "tries spent")
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 GROUPS = ("all", "zone", "cell")
 
