--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -556,7 +556,7 @@
         s, sent = self.settings, len(request.attempts)
         if request.done or request.streaming or self.now_us >= request.event.deadline_us or sent >= s.max_attempts:
             return False
-        if request.out > 0 and not s.second_copies:
+        if request.out > 0 and not s.hedging:
             return False
         # hazard: reissues and copies feed the overload that they answer
         if self.retry_costs(request) and self.retry_tokens < 1.0:
@@ -607,7 +607,7 @@
         request.attempts.append(attempt)
         request.out += 1
         timeout_us = request.event.deadline_us - self.now_us
-        if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
+        if not self.settings.hedging and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # hazard: a hung upstream would use up all the time
         self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
         self.wake(self.now_us + slow_us, "late", request.event.request)
@@ -643,7 +643,7 @@
         # hazard: where all are slow, copies are what makes them so, and those of many sidecars come together
         calm = LEAST_LOAD if self.is_one_of_many else FULL_LOAD
         useful = self.buffer is None and not self.slowness.exceeds(calm)
-        if request.out == 1 and useful and self.settings.second_copies:
+        if request.out == 1 and useful and self.settings.hedging:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -110,7 +110,7 @@
     retry_after: bool = True  # clients are told how long to stay away
     cancel: bool = False
     probes: bool = False
-    second_copies: bool = False  # two attempts of a request may be out together
+    hedging: bool = False  # two attempts of a request may be out together
     list_on_request: bool = False  # upstream changes come only after Subscribe or FetchList
     list_by_watch: bool = False  # pushed or not, they come over a connection that Subscribe opens
     ask_within_us: int = 0  # without a subscription, the list must be asked for this often
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -129,7 +129,7 @@
             retry_after=o.flag("bounds.retry-after"),
             cancel=o.flag("bounds.cancel"),
             probes=o.flag("bounds.probes"),
-            second_copies=o.flag("bounds.second-copies"),
+            hedging=o.flag("bounds.second-copies"),
             list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
             ask_within_us=o.whole("invariants.ask-within", "0"),
             cold_share=o.number("invariants.cold-share"),
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -91,7 +91,7 @@
     settings = Settings(
         classes(), [Tenant("north", quota * sum(sizes) * 0.6, 0.6), Tenant("south", quota * sum(sizes) * 0.4, 0.4)],
         over_share_worth=0.1, instances=instances, tick_us=4_000, max_attempts=4, max_retry_after_us=SECOND_US,
-        connect_timeout_us=150_000, second_copies=rng.random() < 0.5, cold_share=cold_share,
+        connect_timeout_us=150_000, hedging=rng.random() < 0.5, cold_share=cold_share,
         warm_up_us=int(warm_s * SECOND_US), overload_factor=factor, fall_us=int(fall_s * SECOND_US))
     late = rng.random() < 0.3
     return Case(
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -77,7 +77,7 @@
         tenants=[api.Tenant(name, rate) for name, rate in (("a", 50.0), ("b", 200.0), ("c", 10.0))],
         over_share_worth=0.1, instances=random.choice([1, 3, 8, 60]), self_index=random.randrange(3),
         zone=random.randrange(3), max_attempts=4, max_retry_after_us=S, cancel=True,
-        second_copies=random.random() < 0.5, cold_share=random.choice([0.13, 0.5, 1.0]), warm_up_us=24 * S,
+        hedging=random.random() < 0.5, cold_share=random.choice([0.13, 0.5, 1.0]), warm_up_us=24 * S,
         overload_factor=random.choice([1.2, 2.5, 4.0]), fall_us=S, cross_zone_fee=random.choice([0.0, 1.0]),
         list_on_request=True, ask_within_us=10 * S, weighted=True)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -150,7 +150,7 @@
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
     assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
     assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
-    assert settings.list_on_request and settings.second_copies and not settings.probes
+    assert settings.list_on_request and settings.hedging and not settings.probes
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -198,7 +198,7 @@
         assert not owed.closed, "rule 1: a send after the end"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts out together"
+        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
