--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -569,7 +569,7 @@
         first, kind = request.first_that_may_have_run(), self.class_of(request)
         if first is None or kind.effect == "idempotent":
             return 0
-        return first.sent_us + (kind.memory_us if kind.effect == "deduplicated" else 0)
+        return first.sent_us + (kind.dedup_memory_us if kind.effect == "deduplicated" else 0)
 
     def retry_costs(self, request: Request) -> bool:
         return bool(request.attempts) and request.attempts[-1].ended not in COST_NOTHING
--- a/ironscale/graphql/classify.py
+++ b/ironscale/graphql/classify.py
@@ -104,7 +104,7 @@
     if found.effect != "deduplicated":
         return Verdict(kind, found, why, "", tenant, cost, tuple(parts))
     keyed = [part for part in parts if part.found.effect == "deduplicated"]
-    if any(part.found.memory_us < found.memory_us for part in keyed):
+    if any(part.found.dedup_memory_us < found.dedup_memory_us for part in keyed):
         return Verdict(kind, fields.unsafe, f"{least.name} is remembered more narrowly, and another part for less long",
                        "", tenant, cost, tuple(parts))
     keys = sorted({f"{part.name}={key}" for part in keyed for key in part.keys})
--- a/ironscale/graphql/mapping.py
+++ b/ironscale/graphql/mapping.py
@@ -72,7 +72,7 @@
 def repeatability(found: RequestClass) -> tuple[int, int, int]:
     """The lower, the less may be repeated: effect, then how far repeats are dropped, then for how long."""
     return (-EFFECTS.index(found.effect), -GROUPS.index(found.group) if found.effect == "deduplicated" else 0,
-            found.memory_us if found.effect == "deduplicated" else 0)
+            found.dedup_memory_us if found.effect == "deduplicated" else 0)
 
 
 def read_schema(text: str, source: str) -> GraphQLSchema:
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -65,7 +65,7 @@
     aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
     effect: str = "idempotent"
     group: str = "all"  # deduplicated: which upstreams drop each other's repeats
-    memory_us: int = 0  # deduplicated: how long they remember a request
+    dedup_memory_us: int = 0  # deduplicated: how long they remember a request
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -76,7 +76,7 @@
         _require(self.aim_stretch >= 0, "an aim_stretch of 0 or more", self.aim_stretch)
         _require(self.effect in EFFECTS, f"an effect out of {', '.join(EFFECTS)}", self.effect)
         _require(self.group in GROUPS, f"a group out of {', '.join(GROUPS)}", self.group)
-        _require(self.memory_us >= 0, "a memory_us of 0 or more", self.memory_us)
+        _require(self.dedup_memory_us >= 0, "a memory_us of 0 or more", self.dedup_memory_us)
 
 
 @dataclass(slots=True)
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -126,7 +126,7 @@
         return model.Entry(
             attempt, slot, request.txn, kind.name, tenant, key, kind.effect, target, exchange.body,
             model.fingerprint(target, exchange.body),
-            model.answer_of(request.txn, kind.name), max(1, kind.memory_us // 1000) if keyed else 0)
+            model.answer_of(request.txn, kind.name), max(1, kind.dedup_memory_us // 1000) if keyed else 0)
 
     def give_up(self, out: Out, outcome: api.Outcome) -> None:
         if out.handle is not None and out.handle.on_told is not None:
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -101,7 +101,7 @@
         aim_stretch=options.number(at + "aim-stretch", "0"),
         effect=options.choice(at + "effect", api.EFFECTS),
         group=options.choice(at + "group", api.GROUPS, "all"),
-        memory_us=options.whole(at + "memory-span", "0"),
+        dedup_memory_us=options.whole(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -66,7 +66,7 @@
     return [RequestClass("view", 300_000, 1_500_000, late_worth=0.3),
             RequestClass("submit", 300_000, 600_000, worth=5.0, effect="at_most_once"),
             RequestClass("mark", 400_000, 2_000_000, worth=3.0, effect="deduplicated", group="cell",
-                         memory_us=1_200_000)]
+                         dedup_memory_us=1_200_000)]
 
 
 def drawn(seed: int, instances: int, chance: float = 0.0) -> Case:
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -112,7 +112,7 @@
 
 def test_other_settings_can_change() -> None:
     old, new = settings(), settings(instances=9, max_attempts=1, retry_after=False, cold_share=0.5)
-    new.classes[0] = RequestClass("read", 1_000, 2_000, memory_us=5)
+    new.classes[0] = RequestClass("read", 1_000, 2_000, dedup_memory_us=5)
     new.classes.append(RequestClass("more", 1_000, 2_000))
     new.classes[0].effect, new.classes[0].group = old.classes[0].effect, old.classes[0].group
     new.classes[0].name = old.classes[0].name
--- a/tests/graphql/samples.py
+++ b/tests/graphql/samples.py
@@ -57,8 +57,8 @@
 CLASSES = [
     RequestClass("view", 1, 4_000_000), RequestClass("look", 1, 2_000_000),
     RequestClass("pay", 1, 8_000_000, effect="at_most_once"),
-    RequestClass("mark", 1, 8_000_000, effect="deduplicated", group="cell", memory_us=1_200_000),
-    RequestClass("note", 1, 8_000_000, effect="deduplicated", group="all", memory_us=600_000),
+    RequestClass("mark", 1, 8_000_000, effect="deduplicated", group="cell", dedup_memory_us=1_200_000),
+    RequestClass("note", 1, 8_000_000, effect="deduplicated", group="all", dedup_memory_us=600_000),
     RequestClass("feed", 1, 90_000_000, stream=True),
 ]
 LIMITS = Limits()
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -73,7 +73,7 @@
         classes=[api.RequestClass("view", 300_000, 1_500_000),
                  api.RequestClass("pay", 300_000, 600_000, 5.0, effect="at_most_once"),
                  api.RequestClass("mark", 400_000, 2_000_000, 3.0, effect="deduplicated",
-                                  group=random.choice(api.GROUPS), memory_us=1_200_000)],
+                                  group=random.choice(api.GROUPS), dedup_memory_us=1_200_000)],
         tenants=[api.Tenant(name, rate) for name, rate in (("a", 50.0), ("b", 200.0), ("c", 10.0))],
         over_share_worth=0.1, instances=random.choice([1, 3, 8, 60]), self_index=random.randrange(3),
         zone=random.randrange(3), max_attempts=4, max_retry_after_us=S, cancel=True,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,8 +47,8 @@
 
 def many_classes() -> list[RequestClass]:
     return [*classes(),
-            RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
-            RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True)]
+            RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", dedup_memory_us=400_000),
+            RequestClass("feed", 200_000, 900_000, effect="deduplicated", dedup_memory_us=9_000_000, stream=True)]
 
 
 def play(world: World, step: tuple[str, int, object]) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -148,7 +148,7 @@
     settings = wire.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == wire.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
-    assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
+    assert settings.classes[2].dedup_memory_us == 1_200_000 and settings.classes[2].group == "cell"
     assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
     assert settings.list_on_request and settings.hedging and not settings.probes
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -44,7 +44,7 @@
         RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
         RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
         RequestClass("mark", aim_us=400_000, deadline_us=2_000_000, worth=3, effect="deduplicated",
-                     group="cell", memory_us=1_200_000),
+                     group="cell", dedup_memory_us=1_200_000),
     ]
 
 
@@ -202,7 +202,7 @@
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: past the memory"
+                assert self.now_us - earlier.sent_us <= kind.dedup_memory_us, "rule 2: past the memory"
                 assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
                 assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
         ends_us = owed.event.deadline_us
