--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -29,7 +29,7 @@
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
         records: list[bytes] = []
-        for instance, event in self.decoder.batch(body, count):
+        for instance, event in self.decoder.decode_batch(body, count):
             if isinstance(event, wire.InstanceStarted):
                 settings = wire.parse_settings(event.options)
                 self.instances[instance] = Balancer(settings, event.seed, now_us)
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -75,7 +75,7 @@
         self.data = b""
         self.at = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+    def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
         """The (instance, event) pairs of a batch's body, in order."""
         self.data, self.at = data, 0
         for index in range(count):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -72,7 +72,7 @@
 def test_documented_events_are_read(text: str, event: wire.Record) -> None:
     data = bytes.fromhex(text)
     count = 2 if text.startswith("6e") else 1
-    assert list(wire.Decoder().batch(data, count)) == [(3, event)]
+    assert list(wire.Decoder().decode_batch(data, count)) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
@@ -82,7 +82,7 @@
 
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
-    events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
+    events = list(wire.Decoder().decode_batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
     records = [wire.encode(3, ACTIONS[0][1]), wire.encode(3, ACTIONS[6][1]), bytes.fromhex(
@@ -114,7 +114,7 @@
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
-    first, second = wire.Decoder().batch(data, 4)
+    first, second = wire.Decoder().decode_batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
