--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -81,7 +81,7 @@
         for index in range(count):
             start = self.at
             try:
-                code = self.take(1)[0]
+                code = self.read_bytes(1)[0]
                 if code == 110:
                     self.read_list()
                     continue
@@ -96,7 +96,7 @@
         if self.at != len(data):
             raise WireError(f"{len(data) - self.at} bytes left over after {count} records")
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
@@ -105,10 +105,10 @@
         return piece
 
     def fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        return layout.unpack(self.take(layout.size))
+        return layout.unpack(self.read_bytes(layout.size))
 
     def floats(self, count: int) -> list[float]:
-        values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
+        values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
         return values
@@ -117,7 +117,7 @@
         number, count = self.fields(_LIST_HEAD)
         entries = []
         for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
-            self.take(_ENTRY.size * count)
+            self.read_bytes(_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
@@ -135,7 +135,7 @@
 
 def _started(frame: Decoder) -> Record:
     seed, size = frame.fields(_POWER_ON)
-    return InstanceStarted(seed, frame.take(size).decode())
+    return InstanceStarted(seed, frame.read_bytes(size).decode())
 
 
 def _stopped(frame: Decoder) -> Record:
@@ -176,7 +176,7 @@
 
 def _datagram(frame: Decoder) -> Record:
     sender, size = frame.fields(_DATAGRAM)
-    return api.PeerMessage(sender, frame.take(size))
+    return api.PeerMessage(sender, frame.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
