--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -88,7 +88,7 @@
                 reader = _READERS.get(code)
                 if reader is None:
                     raise WireError(f"unknown event code {code}")
-                instance = self.fields(_U16)[0]
+                instance = self.unpack(_U16)[0]
                 event = reader(self)
             except (WireError, UnicodeDecodeError) as error:
                 raise WireError(f"record {index} at byte {start}: {error}") from error
@@ -104,7 +104,7 @@
         self.at = end
         return piece
 
-    def fields(self, layout: struct.Struct) -> tuple[int, ...]:
+    def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
         return layout.unpack(self.read_bytes(layout.size))
 
     def floats(self, count: int) -> list[float]:
@@ -114,7 +114,7 @@
         return values
 
     def read_list(self) -> None:
-        number, count = self.fields(_LIST_HEAD)
+        number, count = self.unpack(_LIST_HEAD)
         entries = []
         for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
             self.read_bytes(_ENTRY.size * count)
@@ -134,7 +134,7 @@
 
 
 def _started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_POWER_ON)
+    seed, size = frame.unpack(_POWER_ON)
     return InstanceStarted(seed, frame.read_bytes(size).decode())
 
 
@@ -143,7 +143,7 @@
 
 
 def _members(frame: Decoder) -> Record:
-    how, version, number = frame.fields(_MEMBERS)
+    how, version, number = frame.unpack(_MEMBERS)
     kind = _known(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
@@ -153,36 +153,36 @@
 
 
 def _accept(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
+    request, class_index, tenant, key, cost, marks, due = frame.unpack(_ACCEPT)
     return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
                               bool(marks & 2), bool(marks & 4))
 
 
 def _completed(frame: Decoder) -> Record:
-    request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
+    request, attempt, upstream, verdict, spent, last, count = frame.unpack(_COMPLETED)
     return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
                             bool(last), frame.floats(count))
 
 
 def _begun(frame: Decoder) -> Record:
-    request, attempt, spent, upstream = frame.fields(_BEGUN)
+    request, attempt, spent, upstream = frame.unpack(_BEGUN)
     return api.StreamStarted(request, attempt, upstream, spent)
 
 
 def _health(frame: Decoder) -> Record:
-    upstream, verdict, spent, count = frame.fields(_HEALTH)
+    upstream, verdict, spent, count = frame.unpack(_HEALTH)
     return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
 
 
 def _datagram(frame: Decoder) -> Record:
-    sender, size = frame.fields(_DATAGRAM)
+    sender, size = frame.unpack(_DATAGRAM)
     return api.PeerMessage(sender, frame.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
     10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
-    50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: api.RequestAbandoned(frame.fields(_U32)[0]),
+    50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
+    60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
     70: _accept, 80: _members, 90: _health, 100: _started,
 }
 
