--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -107,7 +107,7 @@
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
         return layout.unpack(self.read_bytes(layout.size))
 
-    def floats(self, count: int) -> list[float]:
+    def read_floats(self, count: int) -> list[float]:
         values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
@@ -161,7 +161,7 @@
 def _completed(frame: Decoder) -> Record:
     request, attempt, upstream, verdict, spent, last, count = frame.unpack(_COMPLETED)
     return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
-                            bool(last), frame.floats(count))
+                            bool(last), frame.read_floats(count))
 
 
 def _begun(frame: Decoder) -> Record:
@@ -171,7 +171,7 @@
 
 def _health(frame: Decoder) -> Record:
     upstream, verdict, spent, count = frame.unpack(_HEALTH)
-    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
+    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
 
 def _datagram(frame: Decoder) -> Record:
