--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -71,7 +71,7 @@
     """Reads batches; remembers the numbered upstream lists, which events refer to."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, list[api.Upstream]] = {}
+        self.upstream_lists: dict[int, list[api.Upstream]] = {}
         self.data = b""
         self.at = 0
 
@@ -123,7 +123,7 @@
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
             entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
                                         cell, weight, started))
-        self.lists[number] = entries
+        self.upstream_lists[number] = entries
 
 
 def _known(table: dict[int, V], code: int, what: str) -> V:
@@ -147,9 +147,9 @@
     kind = _known(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
-    if number not in frame.lists:
+    if number not in frame.upstream_lists:
         raise WireError(f"upstream list {number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.lists[number], version)
+    return api.UpstreamsUpdated(kind, frame.upstream_lists[number], version)
 
 
 def _accept(frame: Decoder) -> Record:
