--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -73,13 +73,13 @@
     def __init__(self) -> None:
         self.upstream_lists: dict[int, list[api.Upstream]] = {}
         self.data = b""
-        self.at = 0
+        self.offset = 0
 
     def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
         """The (instance, event) pairs of a batch's body, in order."""
-        self.data, self.at = data, 0
+        self.data, self.offset = data, 0
         for index in range(count):
-            start = self.at
+            start = self.offset
             try:
                 code = self.read_bytes(1)[0]
                 if code == 110:
@@ -93,15 +93,15 @@
             except (WireError, UnicodeDecodeError) as error:
                 raise WireError(f"record {index} at byte {start}: {error}") from error
             yield instance, event
-        if self.at != len(data):
-            raise WireError(f"{len(data) - self.at} bytes left over after {count} records")
+        if self.offset != len(data):
+            raise WireError(f"{len(data) - self.offset} bytes left over after {count} records")
 
     def read_bytes(self, size: int) -> bytes:
-        end = self.at + size
+        end = self.offset + size
         if end > len(self.data):
-            raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at:end]
-        self.at = end
+            raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.offset} left")
+        piece = self.data[self.offset:end]
+        self.offset = end
         return piece
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
