--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -38,10 +38,10 @@
             elif instance in self.instances:
                 try:
                     actions = self.instances[instance].handle(now_us, event)
-                    records.extend([wire.encode(instance, action) for action in actions])
+                    records.extend([wire.encode_action(instance, action) for action in actions])
                 except Exception as error:  # a bug in the decisions is told on the wire, not hidden
                     text = f"{type(error).__name__}: {error}"
-                    records.append(wire.encode(instance, wire.InternalError(text)))
+                    records.append(wire.encode_action(instance, wire.InternalError(text)))
         return wire.reply(records)
 
 
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -219,7 +219,7 @@
 }
 
 
-def encode(instance: int, action: Reply) -> bytes:
+def encode_action(instance: int, action: Reply) -> bytes:
     """One action record."""
     return _WRITERS[type(action)](instance, action)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
 def test_documented_actions_are_written(text: str, action: wire.Reply) -> None:
-    assert wire.encode(3, action) == bytes.fromhex(text)
+    assert wire.encode_action(3, action) == bytes.fromhex(text)
 
 
 def test_the_documented_frames() -> None:
@@ -85,7 +85,7 @@
     events = list(wire.Decoder().decode_batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
-    records = [wire.encode(3, ACTIONS[0][1]), wire.encode(3, ACTIONS[6][1]), bytes.fromhex(
+    records = [wire.encode_action(3, ACTIONS[0][1]), wire.encode_action(3, ACTIONS[6][1]), bytes.fromhex(
         "78 0500 1100 74776f2073657276657273206b6e6f776e")]
     assert wire.reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
