--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -42,7 +42,7 @@
                 except Exception as error:  # a bug in the decisions is told on the wire, not hidden
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode_action(instance, wire.InternalError(text)))
-        return wire.reply(records)
+        return wire.encode_reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -224,7 +224,7 @@
     return _WRITERS[type(action)](instance, action)
 
 
-def reply(records: list[bytes]) -> bytes:
+def encode_reply(records: list[bytes]) -> bytes:
     """A whole reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -87,7 +87,7 @@
         (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
     records = [wire.encode_action(3, ACTIONS[0][1]), wire.encode_action(3, ACTIONS[6][1]), bytes.fromhex(
         "78 0500 1100 74776f2073657276657273206b6e6f776e")]
-    assert wire.reply(records) == bytes.fromhex(
+    assert wire.encode_reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
         "78 0500 1100 74776f2073657276657273206b6e6f776e")
 
