--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -63,7 +63,7 @@
     text: str
 
 
-Record = api.Event | InstanceStarted | InstanceStopped
+WireEvent = api.Event | InstanceStarted | InstanceStopped
 Reply = api.Action | InternalError
 
 
@@ -75,7 +75,7 @@
         self.data = b""
         self.offset = 0
 
-    def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+    def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, WireEvent]]:
         """The (instance, event) pairs of a batch's body, in order."""
         self.data, self.offset = data, 0
         for index in range(count):
@@ -133,16 +133,16 @@
     return value
 
 
-def _started(frame: Decoder) -> Record:
+def _started(frame: Decoder) -> WireEvent:
     seed, size = frame.unpack(_POWER_ON)
     return InstanceStarted(seed, frame.read_bytes(size).decode())
 
 
-def _stopped(frame: Decoder) -> Record:
+def _stopped(frame: Decoder) -> WireEvent:
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> Record:
+def _members(frame: Decoder) -> WireEvent:
     how, version, number = frame.unpack(_MEMBERS)
     kind = _known(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
@@ -152,34 +152,34 @@
     return api.UpstreamsUpdated(kind, frame.upstream_lists[number], version)
 
 
-def _accept(frame: Decoder) -> Record:
+def _accept(frame: Decoder) -> WireEvent:
     request, class_index, tenant, key, cost, marks, due = frame.unpack(_ACCEPT)
     return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
                               bool(marks & 2), bool(marks & 4))
 
 
-def _completed(frame: Decoder) -> Record:
+def _completed(frame: Decoder) -> WireEvent:
     request, attempt, upstream, verdict, spent, last, count = frame.unpack(_COMPLETED)
     return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
                             bool(last), frame.read_floats(count))
 
 
-def _begun(frame: Decoder) -> Record:
+def _begun(frame: Decoder) -> WireEvent:
     request, attempt, spent, upstream = frame.unpack(_BEGUN)
     return api.StreamStarted(request, attempt, upstream, spent)
 
 
-def _health(frame: Decoder) -> Record:
+def _health(frame: Decoder) -> WireEvent:
     upstream, verdict, spent, count = frame.unpack(_HEALTH)
     return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
 
-def _datagram(frame: Decoder) -> Record:
+def _datagram(frame: Decoder) -> WireEvent:
     sender, size = frame.unpack(_DATAGRAM)
     return api.PeerMessage(sender, frame.read_bytes(size))
 
 
-_READERS: dict[int, Callable[[Decoder], Record]] = {
+_READERS: dict[int, Callable[[Decoder], WireEvent]] = {
     10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
 FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
-EVENTS: list[tuple[str, wire.Record]] = [
+EVENTS: list[tuple[str, wire.WireEvent]] = [
     (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
         api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
     ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(("text", "event"), EVENTS)
-def test_documented_events_are_read(text: str, event: wire.Record) -> None:
+def test_documented_events_are_read(text: str, event: wire.WireEvent) -> None:
     data = bytes.fromhex(text)
     count = 2 if text.startswith("6e") else 1
     assert list(wire.Decoder().decode_batch(data, count)) == [(3, event)]
