--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -64,7 +64,7 @@
 
 
 WireEvent = api.Event | InstanceStarted | InstanceStopped
-Reply = api.Action | InternalError
+WireAction = api.Action | InternalError
 
 
 class Decoder:
@@ -219,7 +219,7 @@
 }
 
 
-def encode_action(instance: int, action: Reply) -> bytes:
+def encode_action(instance: int, action: WireAction) -> bytes:
     """One action record."""
     return _WRITERS[type(action)](instance, action)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
     ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
 ]
 
-ACTIONS: list[tuple[str, wire.Reply]] = [
+ACTIONS: list[tuple[str, wire.WireAction]] = [
     ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
     ("5a 0300 192b6f0e", api.Fail(OTHER)),
     ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
-def test_documented_actions_are_written(text: str, action: wire.Reply) -> None:
+def test_documented_actions_are_written(text: str, action: wire.WireAction) -> None:
     assert wire.encode_action(3, action) == bytes.fromhex(text)
 
 
