--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -13,7 +13,7 @@
 from ironscale.control.messages import (
     FROM_INSTANCE,
     PROTOCOL,
-    Beat,
+    Heartbeat,
     Bye,
     Command,
     Denied,
@@ -74,7 +74,7 @@
             if not isinstance(message, Hello):
                 raise MessageError(f"expected hello, got {message.type}")
             self.on_hello(message)
-        elif isinstance(message, Beat):
+        elif isinstance(message, Heartbeat):
             if self.links.fleet.beat(self.name, self, message.report):
                 self.send(Lease(message.seq))
             else:
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -23,7 +23,7 @@
 from ironscale.control.messages import (
     FROM_AGENT,
     PROTOCOL,
-    Beat,
+    Heartbeat,
     Bye,
     Command,
     Denied,
@@ -305,7 +305,7 @@
 
     def send_beat(self) -> None:
         self.seq += 1
-        self.send(Beat(self.seq, self.client.report()))
+        self.send(Heartbeat(self.seq, self.client.report()))
 
     def on_command(self, command: Command) -> None:
         commands = self.client.commands
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     type: ClassVar[str] = "beat"
     seq: int
     report: Report
@@ -231,8 +231,8 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Beat | Result | Bye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
-FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Beat, Result, Bye, Follow, Runs)
+Message = Hello | Heartbeat | Result | Bye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
+FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, Result, Bye, Follow, Runs)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, Lease, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, Runs)
 TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -19,7 +19,7 @@
 from ironscale.control.light import LightInstance, light
 from ironscale.control.messages import (
     FROM_INSTANCE,
-    Beat,
+    Heartbeat,
     Bye,
     Command,
     Denied,
@@ -65,7 +65,7 @@
                     self.got.append(message)
                     if isinstance(message, Hello) and self.greet is not None:
                         self.say(self.greet)
-                    if isinstance(message, Beat) and isinstance(self.greet, Welcome):
+                    if isinstance(message, Heartbeat) and isinstance(self.greet, Welcome):
                         self.say(Lease(message.seq))
         writer.close()
 
@@ -75,8 +75,8 @@
     def results(self) -> list[Result]:
         return [m for m in self.got if isinstance(m, Result)]
 
-    def beats(self) -> list[Beat]:
-        return [m for m in self.got if isinstance(m, Beat)]
+    def beats(self) -> list[Heartbeat]:
+        return [m for m in self.got if isinstance(m, Heartbeat)]
 
     async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> Result:
         before = len(self.results())
