--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -24,7 +24,7 @@
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.agent.watching import Watching
 from ironscale.control.frames import FrameError, encode
-from ironscale.control.messages import Command, Report, Result, write
+from ironscale.control.messages import Command, Report, CommandResult, write
 from ironscale.disruption.model import Budget, Halt, Of, Permit
 from ironscale.disruption.releases import Word
 
@@ -173,7 +173,7 @@
                 kind = "restart" if target.restarting else live.op.kind.value
                 self.deliver(Send(target.command, name, target.boot, live.op.fence, kind, generation))
 
-    def on_result(self, name: str, boot: str, result: Result) -> None:
+    def on_result(self, name: str, boot: str, result: CommandResult) -> None:
         question = self.questions.get(result.id)
         if question is not None:
             self.on_inspected(question, result)
@@ -537,7 +537,7 @@
         return (await self.inspect(name, timeout_s)).upstreams
 
     @staticmethod
-    def on_inspected(question: _Question, result: Result) -> None:
+    def on_inspected(question: _Question, result: CommandResult) -> None:
         if question.future.done():
             return
         question.parts += result.data
--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -21,7 +21,7 @@
     Lease,
     Message,
     MessageError,
-    Result,
+    CommandResult,
     Welcome,
     read,
     write,
@@ -79,7 +79,7 @@
                 self.send(Lease(message.seq))
             else:
                 self.close("another process has its name")
-        elif isinstance(message, Result):
+        elif isinstance(message, CommandResult):
             if message.report is not None:
                 self.links.fleet.beat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
@@ -234,7 +234,7 @@
     """The instances' sessions of one term, or of one while another agent leads."""
 
     def __init__(self, fleet: Fleet, admits: Callable[[str], bool],
-                 on_result: Callable[[str, str, Result], None], log: Callable[[str], None]) -> None:
+                 on_result: Callable[[str, str, CommandResult], None], log: Callable[[str], None]) -> None:
         self.fleet = fleet
         self.admits = admits
         self.on_result = on_result
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -32,7 +32,7 @@
     Message,
     MessageError,
     Report,
-    Result,
+    CommandResult,
     Welcome,
     read,
     write,
@@ -145,18 +145,18 @@
     def report(self) -> Report:
         return self.instance.report(self.slice.spent_s)
 
-    def carry_out(self, command: Command) -> Result:
+    def carry_out(self, command: Command) -> CommandResult:
         """The effect of an admitted command; whatever goes wrong is an answer."""
         try:
             detail = self.effect(command)
         except Refused as error:
-            return Result(command.id, "refused", str(error))
+            return CommandResult(command.id, "refused", str(error))
         except RestartNeeded as error:
-            return Result(command.id, "needs restart", str(error))
+            return CommandResult(command.id, "needs restart", str(error))
         except Exception as error:  # hazard: the agent would wait, and the next frame never be read
             logs.line(traceback.format_exc())
-            return Result(command.id, "failed", f"{type(error).__name__}: {error}")
-        return Result(command.id, "applied", detail, self.report())
+            return CommandResult(command.id, "failed", f"{type(error).__name__}: {error}")
+        return CommandResult(command.id, "applied", detail, self.report())
 
     def effect(self, command: Command) -> str:
         match command.kind:
@@ -326,7 +326,7 @@
         if upstreams is None:
             upstreams = self.client.instance.upstreams()
         more = start + PART < len(upstreams)
-        self.send(Result(ident, "applied", "", None if more else self.client.report(),
+        self.send(CommandResult(ident, "applied", "", None if more else self.client.report(),
                          upstreams[start:start + PART], more))
         if more:
             self.jobs.append(partial(self.inspect, ident, upstreams, start + PART))
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from ironscale.control.messages import Command, Result
+from ironscale.control.messages import Command, CommandResult
 
 REMEMBERED = 256  # commands; an operation sends an instance a few, and the next one has a higher fence
 
@@ -18,21 +18,21 @@
     boot: str
     fence: int = 0
     # By id: its fence, and its answer (None while it is under way).
-    answered: OrderedDict[str, tuple[int, Result | None]] = field(default_factory=OrderedDict)
+    answered: OrderedDict[str, tuple[int, CommandResult | None]] = field(default_factory=OrderedDict)
 
-    def admit(self, command: Command) -> tuple[bool, Result | None]:
+    def admit(self, command: Command) -> tuple[bool, CommandResult | None]:
         """Whether to carry it out now; else the answer, None where the first delivery is under way.
 
         A question (`inspect`) has no effect, so it has no fence and is asked as often as it comes.
         """
         if command.boot != self.boot:
-            return False, Result(command.id, "refused", f"meant for another process ({command.boot})")
+            return False, CommandResult(command.id, "refused", f"meant for another process ({command.boot})")
         if command.kind == "inspect":
             return True, None
         if command.id in self.answered:
             return False, self.answered[command.id][1]
         if command.fence < self.fence:
-            return False, Result(command.id, "refused",
+            return False, CommandResult(command.id, "refused",
                                  f"superseded: fence {command.fence} is below {self.fence}")
         self.fence = command.fence
         self.answered[command.id] = (command.fence, None)
@@ -43,6 +43,6 @@
             self.answered.popitem(last=False)
         return True, None
 
-    def finish(self, result: Result) -> None:
+    def finish(self, result: CommandResult) -> None:
         if result.id in self.answered:
             self.answered[result.id] = (self.answered[result.id][0], result)
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class CommandResult:
     """How one command ended. `more`: further parts of its data follow under the same id."""
 
     type: ClassVar[str] = "result"
@@ -231,8 +231,8 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | Result | Bye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
-FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, Result, Bye, Follow, Runs)
+Message = Hello | Heartbeat | CommandResult | Bye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
+FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Bye, Follow, Runs)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, Lease, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, Runs)
 TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
@@ -359,7 +359,7 @@
                                        f"got {text[:60]!r}")
         case Command():
             one_of("kind", message.kind, KINDS)
-        case Result() | Runs():
+        case CommandResult() | Runs():
             one_of("status", message.status, STATUSES)
 
 
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import encode
-from ironscale.control.messages import PROTOCOL, Hello, Result, write
+from ironscale.control.messages import PROTOCOL, Hello, CommandResult, write
 from tests.agent.scene import run, scene, until
 from tests.sockets import free_port
 
@@ -287,7 +287,7 @@
             session = s.clients["i0000"].session
             assert session is not None
             for command in (f"{ident}.1.1", f"{ident}.9.9", "x", "99.1.1", f"{ident}."):
-                session.send(Result(command, "failed", "by another"))
+                session.send(CommandResult(command, "failed", "by another"))
             await asyncio.sleep(0.3)
             assert [t.state for t in s.engine.live[ident].targets] == [State.APPLIED, State.UNDER_WAY]
             s.instances["i0001"].open = 0
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -12,7 +12,7 @@
 from ironscale.agent import planner
 from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Seen, Send, State, Target
 from ironscale.control.commands import Commands
-from ironscale.control.messages import Command, Result
+from ironscale.control.messages import Command, CommandResult
 
 T0 = 1_000_000
 
@@ -392,7 +392,7 @@
         self.names = list(self.run_.fleet)
         self.processes = {name: Process() for name in self.names}
         self.wires: list[Send] = []
-        self.answers: list[tuple[Send, Result]] = []
+        self.answers: list[tuple[Send, CommandResult]] = []
         self.look()
 
     def look(self) -> None:
@@ -425,7 +425,7 @@
         if admitted:
             process.generation = send.generation
             self.everything_done.append((send.name, process.boot, send.id))
-            answer = Result(send.id, "applied", "")
+            answer = CommandResult(send.id, "applied", "")
             process.commands.finish(answer)
         if answer is not None:
             self.answers.append((send, answer))
@@ -553,7 +553,7 @@
                     admitted, answer = process.commands.admit(Command(send.id, send.fence, send.boot, send.kind))
                     if admitted:
                         process.generation = send.generation
-                        answer = Result(send.id, "applied", "")
+                        answer = CommandResult(send.id, "applied", "")
                         process.commands.finish(answer)
                     if answer is not None:
                         self.run_.answer(send, answer.status, answer.detail)
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -26,7 +26,7 @@
     Hello,
     Lease,
     Message,
-    Result,
+    CommandResult,
     Welcome,
     read,
     write,
@@ -72,13 +72,13 @@
     def say(self, message: Message | bytes) -> None:
         self.writers[-1].write(message if isinstance(message, bytes) else encode(write(message)))
 
-    def results(self) -> list[Result]:
-        return [m for m in self.got if isinstance(m, Result)]
+    def results(self) -> list[CommandResult]:
+        return [m for m in self.got if isinstance(m, CommandResult)]
 
     def beats(self) -> list[Heartbeat]:
         return [m for m in self.got if isinstance(m, Heartbeat)]
 
-    async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> Result:
+    async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> CommandResult:
         before = len(self.results())
         self.say(Command(ident, fence, boot, kind, args))
         await until(lambda: len(self.results()) > before)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ironscale.control.commands import REMEMBERED, Commands
-from ironscale.control.messages import Command, Result
+from ironscale.control.messages import Command, CommandResult
 from ironscale.control.pacing import MOST_REST_S, MOST_S, SHARE, Redial, Slice
 
 
@@ -20,7 +20,7 @@
     """done, or how it was answered instead."""
     admitted, answer = commands.admit(one)
     if admitted:
-        commands.finish(Result(one.id, "applied", "first"))
+        commands.finish(CommandResult(one.id, "applied", "first"))
         return "done"
     return answer.status if answer is not None else "under way"
 
@@ -29,7 +29,7 @@
     commands = Commands("b")
     assert carry(commands, command("1", 5)) == "done"
     admitted, answer = commands.admit(command("1", 5))
-    assert not admitted and answer == Result("1", "applied", "first")
+    assert not admitted and answer == CommandResult("1", "applied", "first")
 
 
 def test_one_that_is_under_way_is_neither_done_nor_answered_twice() -> None:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -23,7 +23,7 @@
     Message,
     MessageError,
     Report,
-    Result,
+    CommandResult,
     Welcome,
     read,
     write,
@@ -33,7 +33,7 @@
                 20)
 MESSAGES: list[Message] = [
     Hello(1, "app-0", "b0", 7, "0.1", 1_700_000_000_000, "a", "127.0.0.1:1", "secret", 3, 9, "b9", "host", 5),
-    Heartbeat(4, REPORT), Result("1.2.3", "applied", "", REPORT, [{"name": "n"}], True), Result("q", "refused", "why"),
+    Heartbeat(4, REPORT), CommandResult("1.2.3", "applied", "", REPORT, [{"name": "n"}], True), CommandResult("q", "refused", "why"),
     Bye("ended"), Welcome(6000, 2000, 1000), Denied("TOKEN", "no", 5), Lease(4),
     Command("1.0.1", 9, "b0", "reconfigure", {"generation": 4, "overlay": {"settings": {"instances": 3}}}),
 ]
