--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -14,7 +14,7 @@
     FROM_INSTANCE,
     PROTOCOL,
     Heartbeat,
-    Bye,
+    Goodbye,
     Command,
     Denied,
     Hello,
@@ -83,7 +83,7 @@
             if message.report is not None:
                 self.links.fleet.beat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
-        elif isinstance(message, Bye):
+        elif isinstance(message, Goodbye):
             self.bye = f"ended by itself: {message.reason}"
         else:
             raise MessageError(f"expected beat, result or bye, got {message.type}")
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -24,7 +24,7 @@
     FROM_AGENT,
     PROTOCOL,
     Heartbeat,
-    Bye,
+    Goodbye,
     Command,
     Denied,
     Hello,
@@ -140,7 +140,7 @@
 
     def bye(self, reason: str) -> None:
         if self.session is not None and self.session.welcome is not None:
-            self.session.send(Bye(reason))
+            self.session.send(Goodbye(reason))
 
     def report(self) -> Report:
         return self.instance.report(self.slice.spent_s)
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bye:
+class Goodbye:
     """The process is about to end by itself."""
 
     type: ClassVar[str] = "bye"
@@ -231,8 +231,8 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Bye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
-FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Bye, Follow, Runs)
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
+FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, Runs)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, Lease, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, Runs)
 TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -20,7 +20,7 @@
 from ironscale.control.messages import (
     FROM_INSTANCE,
     Heartbeat,
-    Bye,
+    Goodbye,
     Command,
     Denied,
     Hello,
@@ -412,6 +412,6 @@
             await until(lambda: agent.got)
             assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.ended
             client.bye("ended")
-            await until(lambda: isinstance(agent.got[-1], Bye))
+            await until(lambda: isinstance(agent.got[-1], Goodbye))
 
     run(test)
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -14,7 +14,7 @@
     FROM_AGENT,
     FROM_INSTANCE,
     Heartbeat,
-    Bye,
+    Goodbye,
     ClassCounts,
     Command,
     Denied,
@@ -34,7 +34,7 @@
 MESSAGES: list[Message] = [
     Hello(1, "app-0", "b0", 7, "0.1", 1_700_000_000_000, "a", "127.0.0.1:1", "secret", 3, 9, "b9", "host", 5),
     Heartbeat(4, REPORT), CommandResult("1.2.3", "applied", "", REPORT, [{"name": "n"}], True), CommandResult("q", "refused", "why"),
-    Bye("ended"), Welcome(6000, 2000, 1000), Denied("TOKEN", "no", 5), Lease(4),
+    Goodbye("ended"), Welcome(6000, 2000, 1000), Denied("TOKEN", "no", 5), Lease(4),
     Command("1.0.1", 9, "b0", "reconfigure", {"generation": 4, "overlay": {"settings": {"instances": 3}}}),
 ]
 
@@ -125,4 +125,4 @@
 
 def test_an_instance_is_not_told_what_only_instances_say() -> None:
     with pytest.raises(MessageError, match="expected one of welcome"):
-        read(write(Bye("x")), FROM_AGENT)
+        read(write(Goodbye("x")), FROM_AGENT)
