--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -18,7 +18,7 @@
     Command,
     Denied,
     Hello,
-    Lease,
+    LeaseRenewal,
     Message,
     MessageError,
     CommandResult,
@@ -76,7 +76,7 @@
             self.on_hello(message)
         elif isinstance(message, Heartbeat):
             if self.links.fleet.beat(self.name, self, message.report):
-                self.send(Lease(message.seq))
+                self.send(LeaseRenewal(message.seq))
             else:
                 self.close("another process has its name")
         elif isinstance(message, CommandResult):
--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -21,7 +21,7 @@
     Differing,
     Follow,
     Layer,
-    Lease,
+    LeaseRenewal,
     Message,
     MessageError,
     Runs,
@@ -159,7 +159,7 @@
                     decoder = Decoder()
                     decoder.feed(size.to_bytes(HEADER) + await reader.readexactly(min(size, 1 << 16)))
                     raw = decoder.next()
-                if raw is None or not isinstance(read(raw, (Lease, Denied)), Lease):
+                if raw is None or not isinstance(read(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
                 await asyncio.sleep(SUM_S)
         except (OSError, EOFError, TimeoutError, FrameError, MessageError):
@@ -317,7 +317,7 @@
         if not self.followers.leads():
             return self.deny(NOT_LEADING, "another agent leads", 0)
         self.followers.on_sum(found)
-        self.send(Lease(found.seq))
+        self.send(LeaseRenewal(found.seq))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.followers.open.discard(self)
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -28,7 +28,7 @@
     Command,
     Denied,
     Hello,
-    Lease,
+    LeaseRenewal,
     Message,
     MessageError,
     Report,
@@ -261,7 +261,7 @@
                 self.end(f"denied ({message.code}): {message.text}")
             else:
                 raise MessageError(f"expected welcome or denied, got {message.type}")
-        elif isinstance(message, Lease):
+        elif isinstance(message, LeaseRenewal):
             self.heard()
         elif isinstance(message, Command):
             self.heard()
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lease:
+class LeaseRenewal:
     """The agent has heard heartbeat `seq`."""
 
     type: ClassVar[str] = "lease"
@@ -231,9 +231,9 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | Lease | Command | Follow | Runs | Update | Sum
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | Runs | Update | Sum
 FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, Runs)
-FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, Lease, Command)
+FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, Runs)
 TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
 
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -24,7 +24,7 @@
     Command,
     Denied,
     Hello,
-    Lease,
+    LeaseRenewal,
     Message,
     CommandResult,
     Welcome,
@@ -66,7 +66,7 @@
                     if isinstance(message, Hello) and self.greet is not None:
                         self.say(self.greet)
                     if isinstance(message, Heartbeat) and isinstance(self.greet, Welcome):
-                        self.say(Lease(message.seq))
+                        self.say(LeaseRenewal(message.seq))
         writer.close()
 
     def say(self, message: Message | bytes) -> None:
@@ -191,7 +191,7 @@
 
 NONSENSE: list[bytes | Message] = [
     b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode({"type": "welcome"}),
-    encode(write(Lease(1))), encode(write(Command("1", 1, "boot", "drain"))),
+    encode(write(LeaseRenewal(1))), encode(write(Command("1", 1, "boot", "drain"))),
     encode(write(Welcome(10, 1_000, 0))), encode(write(Welcome(5_000, 0, 0))),
     Denied("TOKEN", "no", 1),
 ]
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -19,7 +19,7 @@
     Command,
     Denied,
     Hello,
-    Lease,
+    LeaseRenewal,
     Message,
     MessageError,
     Report,
@@ -34,7 +34,7 @@
 MESSAGES: list[Message] = [
     Hello(1, "app-0", "b0", 7, "0.1", 1_700_000_000_000, "a", "127.0.0.1:1", "secret", 3, 9, "b9", "host", 5),
     Heartbeat(4, REPORT), CommandResult("1.2.3", "applied", "", REPORT, [{"name": "n"}], True), CommandResult("q", "refused", "why"),
-    Goodbye("ended"), Welcome(6000, 2000, 1000), Denied("TOKEN", "no", 5), Lease(4),
+    Goodbye("ended"), Welcome(6000, 2000, 1000), Denied("TOKEN", "no", 5), LeaseRenewal(4),
     Command("1.0.1", 9, "b0", "reconfigure", {"generation": 4, "overlay": {"settings": {"instances": 3}}}),
 ]
 
@@ -120,7 +120,7 @@
 
 
 def test_a_newer_side_may_say_more() -> None:
-    assert read({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == Lease(3)
+    assert read({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
 
 
 def test_an_instance_is_not_told_what_only_instances_say() -> None:
