--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -24,7 +24,7 @@
     LeaseRenewal,
     Message,
     MessageError,
-    Runs,
+    RunningReport,
     Sum,
     Update,
     read,
@@ -237,7 +237,7 @@
     def on_message(self, raw: dict[str, object]) -> None:
         message = read(raw, FROM_FOLLOWER)
         serving = self.followers.serving
-        if isinstance(message, Runs):
+        if isinstance(message, RunningReport):
             if self.subscriber is None:
                 raise MessageError("expected follow, got runs")
             serving.runs(self.subscriber, message.running, message.digest, message.status, message.detail)
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -22,7 +22,7 @@
     Follow,
     Message,
     MessageError,
-    Runs,
+    RunningReport,
     Update,
     read,
     write,
@@ -176,7 +176,7 @@
 
     # What an agent says
 
-    def take(self, update: Update) -> Runs | None:
+    def take(self, update: Update) -> RunningReport | None:
         """One step; what there is to be told of it."""
         state = self.state
         was = state.view.position, state.running, state.status
@@ -191,7 +191,7 @@
             self.apply()
         if (state.view.position, state.running, state.status) != was:
             self.changed()
-        return Runs(state.view.position, state.running, state.running_digest, state.status, state.detail)
+        return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
     def apply(self) -> None:
         state = self.state
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -159,7 +159,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Runs:
+class RunningReport:
     """What it came to: told after each update that brought entries."""
 
     type: ClassVar[str] = "runs"
@@ -231,10 +231,10 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | Runs | Update | Sum
-FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, Runs)
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | Update | Sum
+FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, RunningReport)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
-FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, Runs)
+FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, RunningReport)
 TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
 
 
@@ -359,7 +359,7 @@
                                        f"got {text[:60]!r}")
         case Command():
             one_of("kind", message.kind, KINDS)
-        case CommandResult() | Runs():
+        case CommandResult() | RunningReport():
             one_of("status", message.status, STATUSES)
 
 
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -17,7 +17,7 @@
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, Runs, Update, read, write
+from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, RunningReport, Update, read, write
 from ironscale.operator_file import read_secret
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
@@ -85,7 +85,7 @@
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
         values = {"position": at, "running": at, "digest": digest(effective(self.view.layers(self.labels))), **changes}
-        self.writer.write(encode(write(Runs(status=status, **values))))
+        self.writer.write(encode(write(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
         self.task.cancel()
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, Layer, Message, Runs, Update, read, write
+from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, Layer, Message, RunningReport, Update, read, write
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -90,8 +90,8 @@
                 writer.write(encode(write(update)))
                 self.writers[writer] = update.position
 
-    def runs(self) -> list[Runs]:
-        return [message for message in self.got if isinstance(message, Runs)]
+    def runs(self) -> list[RunningReport]:
+        return [message for message in self.got if isinstance(message, RunningReport)]
 
     def stop(self) -> None:
         if self.server is not None:
