--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -20,7 +20,7 @@
     Denied,
     Differing,
     Follow,
-    Layer,
+    OverlayLayer,
     LeaseRenewal,
     Message,
     MessageError,
@@ -45,7 +45,7 @@
     """Raises FrameError where it does not fit a frame."""
     return encode(write(Update(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
-        [Layer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
+        [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
          for entry in told.entries], told.digest, told.age_ms, told.spread_ms)))
 
 
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -171,7 +171,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Layer:
+class OverlayLayer:
     """An entry of the log, for one that is in its scope."""
 
     version: int
@@ -189,7 +189,7 @@
     since: int
     snapshot: bool  # all that concerns it, in place of what it held
     floor: int
-    entries: list[Layer]
+    entries: list[OverlayLayer]
     digest: str  # of what the instance's entries come to at `position`
     age_ms: int  # since this agent last reached the record
     spread_ms: int  # should the connection be lost, dial another at a random moment within this
