--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -26,7 +26,7 @@
     MessageError,
     RunningReport,
     Sum,
-    Update,
+    VersionUpdate,
     read,
     write,
 )
@@ -43,7 +43,7 @@
 
 def encoded(told: Told) -> bytes:
     """Raises FrameError where it does not fit a frame."""
-    return encode(write(Update(
+    return encode(write(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
         [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
          for entry in told.entries], told.digest, told.age_ms, told.spread_ms)))
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -23,7 +23,7 @@
     Message,
     MessageError,
     RunningReport,
-    Update,
+    VersionUpdate,
     read,
     write,
 )
@@ -176,7 +176,7 @@
 
     # What an agent says
 
-    def take(self, update: Update) -> RunningReport | None:
+    def take(self, update: VersionUpdate) -> RunningReport | None:
         """One step; what there is to be told of it."""
         state = self.state
         was = state.view.position, state.running, state.status
@@ -222,7 +222,7 @@
         self.heard: Heard | None = None
         self.heard_s = self.since_s = time.monotonic()
         self.denied: Denied | None = None
-        self.waiting: list[Update] | None = []  # what came while the link was not followed
+        self.waiting: list[VersionUpdate] | None = []  # what came while the link was not followed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -249,7 +249,7 @@
             self.denied = message
             self.end(f"denied ({message.code}): {message.text}")
             return
-        assert isinstance(message, Update)
+        assert isinstance(message, VersionUpdate)
         self.heard, self.heard_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
         if self.waiting is not None:
             self.waiting.append(message)
@@ -268,7 +268,7 @@
         except (MessageError, ScopeError) as error:
             self.end(f"not understood: {error}")
 
-    def take(self, update: Update) -> None:
+    def take(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
         runs = self.follower.take(update)
         if runs is not None and (update.entries or update.snapshot or runs.status != "applied"):
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Update:
+class VersionUpdate:
     """From `since` to `position`, what concerns this instance; with no entries it only says where the agent is."""
 
     type: ClassVar[str] = "update"
@@ -231,11 +231,11 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | Update | Sum
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | VersionUpdate | Sum
 FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, RunningReport)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, RunningReport)
-TO_FOLLOWER: tuple[type[Message], ...] = (Update, Denied)
+TO_FOLLOWER: tuple[type[Message], ...] = (VersionUpdate, Denied)
 
 
 Reader = Callable[[Any, str], Any]
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -17,7 +17,7 @@
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, RunningReport, Update, read, write
+from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, RunningReport, VersionUpdate, read, write
 from ironscale.operator_file import read_secret
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
@@ -35,7 +35,7 @@
 
     def __init__(self, agent: Agent, name: str = "i0", token: str = "", zone: str = "", lineage: str = "",
                  position: int = 0) -> None:
-        self.port, self.view, self.updates = agent.control_port, View(), list[Update]()
+        self.port, self.view, self.updates = agent.control_port, View(), list[VersionUpdate]()
         self.labels = Labels(name, zone=zone)
         self.token = token or TOKENS[-1]
         self.lineage, self.position = lineage, position
@@ -62,7 +62,7 @@
                     message = read(raw, TO_FOLLOWER)
                     if isinstance(message, Denied):
                         self.denied = message
-                    elif isinstance(message, Update):
+                    elif isinstance(message, VersionUpdate):
                         self.take(message)
         except OSError:
             pass
@@ -70,7 +70,7 @@
             self.ended = True
             self.writer.close()
 
-    def take(self, update: Update) -> None:
+    def take(self, update: VersionUpdate) -> None:
         self.updates.append(update)
         self.heard_s = time.monotonic()
         if update.position < max(self.position, self.view.position):
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, OverlayLayer, Message, RunningReport, Update, read, write
+from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, OverlayLayer, Message, RunningReport, VersionUpdate, read, write
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -46,15 +46,15 @@
     def place(self, zone: str = "") -> Place:
         return Place("127.0.0.1", self.port, zone)
 
-    def update(self, since: int, known: str) -> Update | None:
+    def update(self, since: int, known: str) -> VersionUpdate | None:
         view = View()
         view.take(Change(self.lineage, len(self.log), 0, True, 0, tuple(self.log)))
         change = view.change(since, known)
         if change is None:
-            return Update(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
+            return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = narrowed(change, LABELS)
         mark = "wrong" if self.lies else digest(effective(view.layers(LABELS)))
-        return Update(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
+        return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                       [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark, self.age_ms(), 10)
 
     def age_ms(self) -> int:
