--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -16,7 +16,7 @@
 from ironscale.control.messages import (
     FROM_FOLLOWER,
     PROTOCOL,
-    Count,
+    PositionCount,
     Denied,
     Differing,
     Follow,
@@ -133,7 +133,7 @@
     def own_sum(self, token: str, seq: int) -> Sum:
         own = self.serving.summary()
         return Sum(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
-                   own.followers, [Count(position, number) for position, number in own.counts],
+                   own.followers, [PositionCount(position, number) for position, number in own.counts],
                    [Differing(one.name, one.running, one.status, one.detail) for one in own.differing], own.more)
 
     async def tell_sums(self, token: str) -> None:
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -196,7 +196,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class PositionCount:
     """So many followers run what is at `position`."""
 
     position: int
@@ -226,7 +226,7 @@
     position: int  # of its view
     age_ms: int  # since it last reached the record
     followers: int
-    counts: list[Count]  # the highest positions
+    counts: list[PositionCount]  # the highest positions
     differing: list[Differing]  # some of them
     more: int  # that differ beside those
 
