--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -18,7 +18,7 @@
     PROTOCOL,
     PositionCount,
     Denied,
-    Differing,
+    DifferingFollower,
     Follow,
     OverlayLayer,
     LeaseRenewal,
@@ -134,7 +134,7 @@
         own = self.serving.summary()
         return Sum(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
                    own.followers, [PositionCount(position, number) for position, number in own.counts],
-                   [Differing(one.name, one.running, one.status, one.detail) for one in own.differing], own.more)
+                   [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing], own.more)
 
     async def tell_sums(self, token: str) -> None:
         """Over one connection to the agent that leads, for as long as it does."""
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -204,7 +204,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Differing:
+class DifferingFollower:
     """A follower that does not run what its agent's view says, and why."""
 
     name: str
@@ -227,7 +227,7 @@
     age_ms: int  # since it last reached the record
     followers: int
     counts: list[PositionCount]  # the highest positions
-    differing: list[Differing]  # some of them
+    differing: list[DifferingFollower]  # some of them
     more: int  # that differ beside those
 
 
