--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -25,7 +25,7 @@
     Message,
     MessageError,
     RunningReport,
-    Sum,
+    FollowerSummary,
     VersionUpdate,
     read,
     write,
@@ -73,7 +73,7 @@
         self.leads: Callable[[], bool] = lambda: False
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.agent = ""  # HOST:PORT of this one
-        self.sums: dict[str, tuple[Sum, float]] = {}
+        self.sums: dict[str, tuple[FollowerSummary, float]] = {}
         self.sent = 0  # frames
         self.denied = 0
 
@@ -125,14 +125,14 @@
                         tuple(sum_differing(sum_)), sum_.more)))
         return found
 
-    def on_sum(self, found: Sum) -> None:
+    def on_sum(self, found: FollowerSummary) -> None:
         if found.agent not in self.sums and len(self.sums) >= MOST_SUMS:
             del self.sums[min(self.sums, key=lambda agent: self.sums[agent][1])]
         self.sums[found.agent] = found, time.monotonic()
 
-    def own_sum(self, token: str, seq: int) -> Sum:
+    def own_sum(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
-        return Sum(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
+        return FollowerSummary(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
                    own.followers, [PositionCount(position, number) for position, number in own.counts],
                    [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing], own.more)
 
@@ -169,7 +169,7 @@
         await asyncio.sleep(SUM_S)
 
 
-def sum_differing(found: Sum) -> list[Differs]:
+def sum_differing(found: FollowerSummary) -> list[Differs]:
     return [Differs(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
@@ -307,8 +307,8 @@
         self.followers.open.add(self)
 
     def on_message(self, raw: dict[str, object]) -> None:
-        found = read(raw, (Sum,))
-        assert isinstance(found, Sum)
+        found = read(raw, (FollowerSummary,))
+        assert isinstance(found, FollowerSummary)
         self.name = f"agent {found.agent[:60]}"
         if found.protocol != PROTOCOL:
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {found.protocol}", 60_000)
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -214,7 +214,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sum:
+class FollowerSummary:
     """An agent's followers, in one message to the agent that leads; each is answered with a Lease."""
 
     type: ClassVar[str] = "sum"
@@ -231,7 +231,7 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | VersionUpdate | Sum
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | VersionUpdate | FollowerSummary
 FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, RunningReport)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, RunningReport)
