--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -19,7 +19,7 @@
     PositionCount,
     Denied,
     DifferingFollower,
-    Follow,
+    FollowRequest,
     OverlayLayer,
     LeaseRenewal,
     Message,
@@ -241,10 +241,10 @@
             if self.subscriber is None:
                 raise MessageError("expected follow, got runs")
             serving.runs(self.subscriber, message.running, message.digest, message.status, message.detail)
-        elif isinstance(message, Follow):
+        elif isinstance(message, FollowRequest):
             self.on_follow(message)
 
-    def on_follow(self, follow: Follow) -> None:
+    def on_follow(self, follow: FollowRequest) -> None:
         followers = self.followers
         self.name = follow.name
         if self.subscriber is not None:
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -19,7 +19,7 @@
     PROTOCOL,
     TO_FOLLOWER,
     Denied,
-    Follow,
+    FollowRequest,
     Message,
     MessageError,
     RunningReport,
@@ -231,7 +231,7 @@
             return
         who, state = self.follower.who, self.follower.state
         labels = who.labels
-        self.send(Follow(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone, labels.region,
+        self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone, labels.region,
                          state.view.lineage, state.since()))
 
     def data_received(self, data: bytes) -> None:
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class FollowRequest:
     """The first message of one that follows versions: who is here, whom it belongs to, and what it holds."""
 
     type: ClassVar[str] = "follow"
@@ -231,10 +231,10 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | Follow | RunningReport | VersionUpdate | FollowerSummary
-FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, Follow, RunningReport)
+Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | FollowRequest | RunningReport | VersionUpdate | FollowerSummary
+FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, FollowRequest, RunningReport)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
-FROM_FOLLOWER: tuple[type[Message], ...] = (Follow, RunningReport)
+FROM_FOLLOWER: tuple[type[Message], ...] = (FollowRequest, RunningReport)
 TO_FOLLOWER: tuple[type[Message], ...] = (VersionUpdate, Denied)
 
 
@@ -351,7 +351,7 @@
                                f"got {value[:60]!r}")
 
     match message:
-        case Hello() | Follow():
+        case Hello() | FollowRequest():
             for what in ("name", "boot"):
                 text = getattr(message, what)
                 if not 0 < len(text) <= MAX_NAME or not text.isprintable():
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -17,7 +17,7 @@
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, RunningReport, VersionUpdate, read, write
+from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, FollowRequest, RunningReport, VersionUpdate, read, write
 from ironscale.operator_file import read_secret
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
@@ -49,7 +49,7 @@
     async def run(self) -> None:
         reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 12)
         try:
-            self.writer.write(encode(write(Follow(PROTOCOL, self.token, self.labels.instance, "b", "",
+            self.writer.write(encode(write(FollowRequest(PROTOCOL, self.token, self.labels.instance, "b", "",
                                                   self.labels.zone, "", self.lineage, self.position))))
             decoder = Decoder()
             while True:
@@ -476,10 +476,10 @@
         async with running(section(tmp_path / "a")) as agent:
             token = read_secret(tmp_path / "a" / "instance.token")
             for messages, code in (
-                    ([Follow(PROTOCOL + 1, token, "i", "b", "", "", "", "", 0)], "PROTOCOL"),
-                    ([Follow(PROTOCOL, "no", "i", "b", "", "", "", "", 0)], "TOKEN"),
-                    ([Follow(PROTOCOL, token, "i", "b", "", "", "", "other", 3)], "LINEAGE"),
-                    ([Follow(PROTOCOL, token, "i", "b", "", "", "", "", 0)] * 2, "NOT_UNDERSTOOD")):
+                    ([FollowRequest(PROTOCOL + 1, token, "i", "b", "", "", "", "", 0)], "PROTOCOL"),
+                    ([FollowRequest(PROTOCOL, "no", "i", "b", "", "", "", "", 0)], "TOKEN"),
+                    ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "other", 3)], "LINEAGE"),
+                    ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "", 0)] * 2, "NOT_UNDERSTOOD")):
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
                 writer.write(b"".join(encode(write(message)) for message in messages))
                 decoder = Decoder()
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, OverlayLayer, Message, RunningReport, VersionUpdate, read, write
+from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, read, write
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -68,7 +68,7 @@
                 while (raw := decoder.next()) is not None:
                     message = read(raw, FROM_INSTANCE)
                     self.got.append(message)
-                    if isinstance(message, Follow) and not self.silent:
+                    if isinstance(message, FollowRequest) and not self.silent:
                         if self.denies is not None:
                             writer.write(encode(write(self.denies)))
                             continue
@@ -212,7 +212,7 @@
             own, near.fresh = follower.own, False
             assert own is not None
             near.tell()
-            await until(lambda: any(isinstance(m, Follow) for m in far.got))  # it has looked
+            await until(lambda: any(isinstance(m, FollowRequest) for m in far.got))  # it has looked
             assert follower.own is own and not own.ended.is_set() and instance.overlay == {"a": 1}
             near.publish({"a": 2})  # and takes what the cut-off one says
             await until(lambda: instance.overlay == {"a": 2})
@@ -227,11 +227,11 @@
             await until(lambda: agent.runs())
             agent.lies = True
             agent.publish({"a": 2})
-            await until(lambda: sum(isinstance(m, Follow) for m in agent.got) > 1)
+            await until(lambda: sum(isinstance(m, FollowRequest) for m in agent.got) > 1)
             assert instance.overlay == {"a": 1}
             agent.lies = False
             await until(lambda: instance.overlay == {"a": 2})
-            asked = [m.position for m in agent.got if isinstance(m, Follow)]
+            asked = [m.position for m in agent.got if isinstance(m, FollowRequest)]
             assert asked[0] == 0 and 0 in asked[1:]
 
     run(test)
