--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -15,7 +15,7 @@
 from typing import Any, ClassVar
 
 PROTOCOL = 1
-KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
+COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
 STATUSES = ("applied", "refused", "failed", "needs restart")
 MAX_NAME, MAX_TEXT = 128, 4096
 MOST = 2**53  # whole numbers past this are not the same in every JSON reader
@@ -358,7 +358,7 @@
                     raise MessageError(f"{message.type}.{what}: expected 1 to {MAX_NAME} printable characters, "
                                        f"got {text[:60]!r}")
         case Command():
-            one_of("kind", message.kind, KINDS)
+            one_of("kind", message.kind, COMMAND_KINDS)
         case CommandResult() | RunningReport():
             one_of("status", message.status, STATUSES)
 
