--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -16,7 +16,7 @@
 
 PROTOCOL = 1
 COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
-STATUSES = ("applied", "refused", "failed", "needs restart")
+RESULT_STATUSES = ("applied", "refused", "failed", "needs restart")
 MAX_NAME, MAX_TEXT = 128, 4096
 MOST = 2**53  # whole numbers past this are not the same in every JSON reader
 
@@ -360,7 +360,7 @@
         case Command():
             one_of("kind", message.kind, COMMAND_KINDS)
         case CommandResult() | RunningReport():
-            one_of("status", message.status, STATUSES)
+            one_of("status", message.status, RESULT_STATUSES)
 
 
 def write(message: Message) -> dict[str, Any]:
