--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -17,7 +17,7 @@
 PROTOCOL = 1
 COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
 RESULT_STATUSES = ("applied", "refused", "failed", "needs restart")
-MAX_NAME, MAX_TEXT = 128, 4096
+MAX_NAME_LENGTH, MAX_TEXT = 128, 4096
 MOST = 2**53  # whole numbers past this are not the same in every JSON reader
 
 
@@ -354,8 +354,8 @@
         case Hello() | FollowRequest():
             for what in ("name", "boot"):
                 text = getattr(message, what)
-                if not 0 < len(text) <= MAX_NAME or not text.isprintable():
-                    raise MessageError(f"{message.type}.{what}: expected 1 to {MAX_NAME} printable characters, "
+                if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
+                    raise MessageError(f"{message.type}.{what}: expected 1 to {MAX_NAME_LENGTH} printable characters, "
                                        f"got {text[:60]!r}")
         case Command():
             one_of("kind", message.kind, COMMAND_KINDS)
