--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -17,7 +17,7 @@
 PROTOCOL = 1
 COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
 RESULT_STATUSES = ("applied", "refused", "failed", "needs restart")
-MAX_NAME_LENGTH, MAX_TEXT = 128, 4096
+MAX_NAME_LENGTH, MAX_TEXT_LENGTH = 128, 4096
 MOST = 2**53  # whole numbers past this are not the same in every JSON reader
 
 
@@ -265,7 +265,7 @@
 
 
 def _read_str(value: Any, at: str) -> str:
-    if type(value) is not str or len(value) > MAX_TEXT:
+    if type(value) is not str or len(value) > MAX_TEXT_LENGTH:
         raise _wrong("str", value, at)
     return value
 
