--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -18,7 +18,7 @@
 COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
 RESULT_STATUSES = ("applied", "refused", "failed", "needs restart")
 MAX_NAME_LENGTH, MAX_TEXT_LENGTH = 128, 4096
-MOST = 2**53  # whole numbers past this are not the same in every JSON reader
+MAX_INTEGER = 2**53  # whole numbers past this are not the same in every JSON reader
 
 
 class MessageError(Exception):
@@ -247,7 +247,7 @@
 
 def _read_int(value: Any, at: str) -> int:
     # hazard: in JSON true is no number, in Python it is one; and a count can't be negative
-    if type(value) is not int or not 0 <= value <= MOST:
+    if type(value) is not int or not 0 <= value <= MAX_INTEGER:
         raise _wrong("int", value, at)
     return value
 
