--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -23,7 +23,7 @@
     MessageError,
     CommandResult,
     Welcome,
-    read,
+    parse_message,
     write,
 )
 
@@ -60,7 +60,7 @@
         self.decoder.feed(data)
         try:
             while not self.closing and (raw := self.decoder.next()) is not None:
-                self.on_message(read(raw, FROM_INSTANCE))
+                self.on_message(parse_message(raw, FROM_INSTANCE))
         except (FrameError, MessageError) as error:
             self.links.log(f"{self.name or self.peer()}: not understood: {error}")
             self.deny(Denial("NOT_UNDERSTOOD", str(error), 5_000))
--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -27,7 +27,7 @@
     RunningReport,
     FollowerSummary,
     VersionUpdate,
-    read,
+    parse_message,
     write,
 )
 from ironscale.versions.model import Labels
@@ -159,7 +159,7 @@
                     decoder = Decoder()
                     decoder.feed(size.to_bytes(HEADER) + await reader.readexactly(min(size, 1 << 16)))
                     raw = decoder.next()
-                if raw is None or not isinstance(read(raw, (LeaseRenewal, Denied)), LeaseRenewal):
+                if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
                 await asyncio.sleep(SUM_S)
         except (OSError, EOFError, TimeoutError, FrameError, MessageError):
@@ -235,7 +235,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_S * 1000))
 
     def on_message(self, raw: dict[str, object]) -> None:
-        message = read(raw, FROM_FOLLOWER)
+        message = parse_message(raw, FROM_FOLLOWER)
         serving = self.followers.serving
         if isinstance(message, RunningReport):
             if self.subscriber is None:
@@ -307,7 +307,7 @@
         self.followers.open.add(self)
 
     def on_message(self, raw: dict[str, object]) -> None:
-        found = read(raw, (FollowerSummary,))
+        found = parse_message(raw, (FollowerSummary,))
         assert isinstance(found, FollowerSummary)
         self.name = f"agent {found.agent[:60]}"
         if found.protocol != PROTOCOL:
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -34,7 +34,7 @@
     Report,
     CommandResult,
     Welcome,
-    read,
+    parse_message,
     write,
 )
 from ironscale.control.pacing import Redial, Slice
@@ -249,7 +249,7 @@
             return False
         if self.transport is not None:
             self.transport.resume_reading()
-        self.on_message(read(raw, FROM_AGENT))
+        self.on_message(parse_message(raw, FROM_AGENT))
         return True
 
     def on_message(self, message: Message) -> None:
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -24,7 +24,7 @@
     MessageError,
     RunningReport,
     VersionUpdate,
-    read,
+    parse_message,
     write,
 )
 from ironscale.versions import choice
@@ -240,7 +240,7 @@
         self.decoder.feed(data)
         try:
             while not self.ended.is_set() and (raw := self.decoder.next()) is not None:
-                self.on_message(read(raw, TO_FOLLOWER))
+                self.on_message(parse_message(raw, TO_FOLLOWER))
         except (FrameError, MessageError, ScopeError) as error:
             self.end(f"not understood: {error}")
 
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -333,7 +333,7 @@
     return value
 
 
-def read(message: dict[str, Any], allowed: tuple[type[Message], ...]) -> Message:
+def parse_message(message: dict[str, Any], allowed: tuple[type[Message], ...]) -> Message:
     """A decoded frame as one of `allowed`. Raises MessageError."""
     for kind in allowed:
         if kind.type == message.get("type"):
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -17,7 +17,7 @@
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, FollowRequest, RunningReport, VersionUpdate, read, write
+from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, FollowRequest, RunningReport, VersionUpdate, parse_message, write
 from ironscale.operator_file import read_secret
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
@@ -59,7 +59,7 @@
                     break
                 decoder.feed(data)
                 while (raw := decoder.next()) is not None:
-                    message = read(raw, TO_FOLLOWER)
+                    message = parse_message(raw, TO_FOLLOWER)
                     if isinstance(message, Denied):
                         self.denied = message
                     elif isinstance(message, VersionUpdate):
@@ -486,7 +486,7 @@
                 decoder.feed(await reader.read())  # to its end: the agent closes it
                 found = []
                 while (raw := decoder.next()) is not None:
-                    found.append(read(raw, TO_FOLLOWER))
+                    found.append(parse_message(raw, TO_FOLLOWER))
                 assert isinstance(found[-1], Denied) and found[-1].code == code
                 writer.close()
             await until(lambda: not agent.followers.open)
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -28,7 +28,7 @@
     Message,
     CommandResult,
     Welcome,
-    read,
+    parse_message,
     write,
 )
 from ironscale.standins.http import ok
@@ -61,7 +61,7 @@
             while data := await reader.read(65536):
                 decoder.feed(data)
                 while (raw := decoder.next()) is not None:
-                    message = read(raw, FROM_INSTANCE)
+                    message = parse_message(raw, FROM_INSTANCE)
                     self.got.append(message)
                     if isinstance(message, Hello) and self.greet is not None:
                         self.say(self.greet)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, read, write
+from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, parse_message, write
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -66,7 +66,7 @@
             while data := await reader.read(65536):
                 decoder.feed(data)
                 while (raw := decoder.next()) is not None:
-                    message = read(raw, FROM_INSTANCE)
+                    message = parse_message(raw, FROM_INSTANCE)
                     self.got.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
                         if self.denies is not None:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -25,7 +25,7 @@
     Report,
     CommandResult,
     Welcome,
-    read,
+    parse_message,
     write,
 )
 
@@ -48,7 +48,7 @@
         assert decoder.next() is None
         decoder.feed(raw[cut:] + raw[:5])
         found = decoder.next()
-        assert found is not None and read(found, FROM_INSTANCE + FROM_AGENT) == message
+        assert found is not None and parse_message(found, FROM_INSTANCE + FROM_AGENT) == message
         assert decoder.next() is None and len(decoder.buffer) == 5
 
 
@@ -84,7 +84,7 @@
     decoder.feed(len(raw).to_bytes(HEADER) + raw)
     try:
         while (found := decoder.next()) is not None:
-            read(found, FROM_INSTANCE + FROM_AGENT)
+            parse_message(found, FROM_INSTANCE + FROM_AGENT)
     except (FrameError, MessageError) as error:
         assert "\n" not in str(error)
 
@@ -100,7 +100,7 @@
     field = data.draw(st.sampled_from([name for name in whole if name != "type"]))
     whole[field] = data.draw(JSON)
     try:
-        found = read(whole, FROM_INSTANCE + FROM_AGENT)
+        found = parse_message(whole, FROM_INSTANCE + FROM_AGENT)
     except MessageError as error:
         assert str(error).startswith(f"{message.type}.{field}") and "expected" in str(error)
         assert "\n" not in str(error)
@@ -116,13 +116,13 @@
 ])
 def test_messages_that_can_not_be_used(message: dict[str, Any], words: str) -> None:
     with pytest.raises(MessageError, match=words):
-        read(message, FROM_INSTANCE + FROM_AGENT)
+        parse_message(message, FROM_INSTANCE + FROM_AGENT)
 
 
 def test_a_newer_side_may_say_more() -> None:
-    assert read({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
+    assert parse_message({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
 
 
 def test_an_instance_is_not_told_what_only_instances_say() -> None:
     with pytest.raises(MessageError, match="expected one of welcome"):
-        read(write(Goodbye("x")), FROM_AGENT)
+        parse_message(write(Goodbye("x")), FROM_AGENT)
