--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -24,7 +24,7 @@
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.agent.watching import Watching
 from ironscale.control.frames import FrameError, encode
-from ironscale.control.messages import Command, Report, CommandResult, write
+from ironscale.control.messages import Command, Report, CommandResult, serialize_message
 from ironscale.disruption.model import Budget, Halt, Of, Permit
 from ironscale.disruption.releases import Word
 
@@ -429,7 +429,7 @@
         args = {"generation": 2**53, "overlay": overlay}
         command = Command("0" * 40, 2**53, "0" * 64, Kind.RECONFIGURE, args)
         try:
-            encode(write(command))
+            encode(serialize_message(command))
         except FrameError as error:
             raise Refusal("BAD_INPUT", f"overlay: {error}") from error
         except ValueError as error:
--- a/ironscale/agent/links.py
+++ b/ironscale/agent/links.py
@@ -24,7 +24,7 @@
     CommandResult,
     Welcome,
     parse_message,
-    write,
+    serialize_message,
 )
 
 HELLO_S = 5.0
@@ -124,7 +124,7 @@
             self.closing = True
             self.transport.abort()
             return
-        self.transport.write(encode(write(message)))
+        self.transport.write(encode(serialize_message(message)))
 
     def close(self, why: str) -> None:
         self.closing = True
--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -28,7 +28,7 @@
     FollowerSummary,
     VersionUpdate,
     parse_message,
-    write,
+    serialize_message,
 )
 from ironscale.versions.model import Labels
 from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
@@ -43,7 +43,7 @@
 
 def encoded(told: Told) -> bytes:
     """Raises FrameError where it does not fit a frame."""
-    return encode(write(VersionUpdate(
+    return encode(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
         [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
          for entry in told.entries], told.digest, told.age_ms, told.spread_ms)))
@@ -154,7 +154,7 @@
             while self.leader() == address and not self.leads():
                 seq += 1
                 async with asyncio.timeout(SUM_ANSWER_S):
-                    writer.write(encode(write(self.own_sum(token, seq))))
+                    writer.write(encode(serialize_message(self.own_sum(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER))
                     decoder = Decoder()
                     decoder.feed(size.to_bytes(HEADER) + await reader.readexactly(min(size, 1 << 16)))
@@ -207,7 +207,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(write(message)))
+            self.transport.write(encode(serialize_message(message)))
 
     def close(self) -> None:
         self.closing = True
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -35,7 +35,7 @@
     CommandResult,
     Welcome,
     parse_message,
-    write,
+    serialize_message,
 )
 from ironscale.control.pacing import Redial, Slice
 
@@ -333,7 +333,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(write(message)))
+            self.transport.write(encode(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("the connection ended")
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -25,7 +25,7 @@
     RunningReport,
     VersionUpdate,
     parse_message,
-    write,
+    serialize_message,
 )
 from ironscale.versions import choice
 from ironscale.versions.choice import Heard, Place
@@ -276,7 +276,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(write(message)))
+            self.transport.write(encode(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("the connection ended")
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -363,6 +363,6 @@
             one_of("status", message.status, RESULT_STATUSES)
 
 
-def write(message: Message) -> dict[str, Any]:
+def serialize_message(message: Message) -> dict[str, Any]:
     """The message as a JSON object."""
     return {"type": message.type, **_plain(message)}
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, parse_message, write
+from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, parse_message, serialize_message
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -70,12 +70,12 @@
                     self.got.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
                         if self.denies is not None:
-                            writer.write(encode(write(self.denies)))
+                            writer.write(encode(serialize_message(self.denies)))
                             continue
                         self.writers[writer] = message.position
                         update = self.update(message.position, message.lineage)
                         if update is not None:
-                            writer.write(encode(write(update)))
+                            writer.write(encode(serialize_message(update)))
         self.writers.pop(writer, None)
         writer.close()
 
@@ -87,7 +87,7 @@
         for writer, since in list(self.writers.items()):
             update = self.update(since, self.lineage if since else "")
             if update is not None and not self.silent:
-                writer.write(encode(write(update)))
+                writer.write(encode(serialize_message(update)))
                 self.writers[writer] = update.position
 
     def runs(self) -> list[RunningReport]:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -26,7 +26,7 @@
     CommandResult,
     Welcome,
     parse_message,
-    write,
+    serialize_message,
 )
 
 REPORT = Report(3, 9, True, False, 2, 4, 10, 9, 1, 2, [ClassCounts("view", 5, 6, 7)], {"full": 6}, 1.5, 0.01, 30_000,
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: message.type)
 def test_every_message_comes_back_as_it_was_whatever_the_pieces(message: Message) -> None:
-    raw = encode(write(message))
+    raw = encode(serialize_message(message))
     for cut in range(len(raw)):
         decoder = Decoder()
         decoder.feed(raw[:cut])
@@ -96,7 +96,7 @@
 
 @given(st.sampled_from(MESSAGES), st.data())
 def test_a_field_that_is_not_what_it_should_be_is_named(message: Message, data: st.DataObject) -> None:
-    whole: dict[str, Any] = json.loads(json.dumps(write(message)))
+    whole: dict[str, Any] = json.loads(json.dumps(serialize_message(message)))
     field = data.draw(st.sampled_from([name for name in whole if name != "type"]))
     whole[field] = data.draw(JSON)
     try:
@@ -125,4 +125,4 @@
 
 def test_an_instance_is_not_told_what_only_instances_say() -> None:
     with pytest.raises(MessageError, match="expected one of welcome"):
-        parse_message(write(Goodbye("x")), FROM_AGENT)
+        parse_message(serialize_message(Goodbye("x")), FROM_AGENT)
