--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -41,16 +41,16 @@
     age_us = now_us - lesson.confirmed_us
     if not 0 <= age_us <= LEAST_LASTS_US:
         return None
-    silent = lesson.unresponsive > 1 and age_us <= MUTE_LASTS_US
+    silent = lesson.timeout_doublings > 1 and age_us <= MUTE_LASTS_US
     halves_us = WIDE_HALVES_US if lesson.slots >= 1.0 else SHUT_HALVES_US
     slots = shown(lesson) if silent else between(1.0, lesson.slots, share(age_us, halves_us))
-    return replace(lesson, slots=slots, mute=lesson.unresponsive if silent else 1,
+    return replace(lesson, slots=slots, mute=lesson.timeout_doublings if silent else 1,
                    failing=lesson.failing and share(age_us, SHUT_HALVES_US) >= 0.5)
 
 
 def shown(lesson: api.LearnedUpstream) -> float:
     """Its slots. What answers nothing is tried so seldom that its window hardly closes: as good as shut."""
-    return min(lesson.slots, LEAST_SLOTS) if lesson.unresponsive > 1 else lesson.slots
+    return min(lesson.slots, LEAST_SLOTS) if lesson.timeout_doublings > 1 else lesson.slots
 
 
 def is_shut(lesson: api.LearnedUpstream | None) -> bool:
@@ -101,7 +101,7 @@
         weight = donor.weight()
         for lesson in believed(donor):
             worth = weight * share(now_us - lesson.confirmed_us, DONOR_HALVES_US)
-            if lesson.unresponsive > 1:  # it is tried seldom, and so confirmed seldom
+            if lesson.timeout_doublings > 1:  # it is tried seldom, and so confirmed seldom
                 worth = max(worth, weight / 2)
             if worth > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -85,9 +85,9 @@
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
     found = trust.faded(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
-    assert found is not None and found.slots == 1 / 64 and found.unresponsive == 5
+    assert found is not None and found.slots == 1 / 64 and found.timeout_doublings == 5
     late = trust.faded(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
-    assert late is not None and late.slots == 1.0 and late.unresponsive == 1
+    assert late is not None and late.slots == 1.0 and late.timeout_doublings == 1
 
 
 def test_one_that_answers_nothing_is_distrusted_though_its_window_is_open() -> None:
@@ -364,7 +364,7 @@
     ):
         found = agreed(donor(*good), donor(*lie), donor(*good))
         assert [found[i].slots for i in (100, 101, 102)] == [4.0, 1 / 32, 4.0]
-        assert [found[i].unresponsive for i in (100, 101, 102)] == [1, 4, 1]
+        assert [found[i].timeout_doublings for i in (100, 101, 102)] == [1, 4, 1]
         assert all(not one.first_hand for one in found.values())
 
 
