--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -107,7 +107,7 @@
             "name": pools[view.id].member.name if view.id in pools else str(view.id),
             **listed(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
-            "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.mute,
+            "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.unresponsive,
             "leastMs": round(view.min_latency_us / 1000, 3),
         } for view in upstream_views(self.sidecar.balancer)]
 
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -329,7 +329,7 @@
     resting: bool
     warm_fraction: float  # of 1, the share of its capacity that it surely has
     failing: bool
-    mute: bool  # answers nothing at present
+    unresponsive: bool  # answers nothing at present
     min_latency_us: int  # its quickest answer; 0 = none yet
 
     @property
