--- a/bench/stage.py
+++ b/bench/stage.py
@@ -27,7 +27,7 @@
             api.RequestClass("view", aim_us=AIM_US, deadline_us=1_500 * MS),
             api.RequestClass("pay", aim_us=AIM_US, deadline_us=1_500 * MS, worth=5.0, effect="at_most_once"),
         ],
-        "instances": instances, "self_index": index, "max_attempts": 4, "second_copies": True, "cancel": True,
+        "instances": instances, "self_index": index, "max_attempts": 4, "hedging": True, "cancel": True,
         "max_retry_after_us": S, "cold_share": 0.2, "warm_up_us": 20 * S, "overload_factor": 2.5, "fall_us": S,
         **changes,
     }
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -24,7 +24,7 @@
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.agent.watching import Watching
 from ironscale.control.frames import FrameError, encode
-from ironscale.control.messages import Command, Report, CommandResult, serialize_message
+from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, Of, Permit
 from ironscale.disruption.releases import Word
 
--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -16,16 +16,16 @@
 from ironscale.control.messages import (
     FROM_FOLLOWER,
     PROTOCOL,
-    PositionCount,
     Denied,
     DifferingFollower,
+    FollowerSummary,
     FollowRequest,
-    OverlayLayer,
     LeaseRenewal,
     Message,
     MessageError,
+    OverlayLayer,
+    PositionCount,
     RunningReport,
-    FollowerSummary,
     VersionUpdate,
     parse_message,
     serialize_message,
@@ -134,7 +134,8 @@
         own = self.serving.summary()
         return FollowerSummary(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
                    own.followers, [PositionCount(position, number) for position, number in own.counts],
-                   [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing], own.more)
+                   [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing],
+                   own.more)
 
     async def tell_sums(self, token: str) -> None:
         """Over one connection to the agent that leads, for as long as it does."""
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -796,7 +796,7 @@
                     faded = trust.faded(found, self.now_us)
                     if faded is not None:
                         if lessons.zone != self.settings.zone:  # how far it is holds from there only
-                            found = replace(found, least_us=0)
+                            found = replace(found, min_latency_us=0)
                         told[server] = found, faded
             here = sum(ident in known and known[ident].started_us == server.entry.started_us
                        for ident, server in self.servers.items())
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -231,8 +231,8 @@
             return
         who, state = self.follower.who, self.follower.state
         labels = who.labels
-        self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone, labels.region,
-                         state.view.lineage, state.since()))
+        self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone,
+                                labels.region, state.view.lineage, state.since()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -1,8 +1,9 @@
 """What instance and agent say to each other: typed, and checked field by field when read. No I/O.
 
-Instance to agent: Hello, Beat, Result, Bye. Agent to instance: Welcome, Denied, Lease, Command.
+Instance to agent: Hello, Heartbeat, CommandResult, Goodbye. Agent to instance: Welcome, Denied, LeaseRenewal, Command.
 On a connection of its own, to any agent, whether that leads or stands by, an instance follows published versions
-(`ironscale.versions`): Follow, Runs; Update, Denied. Agent that stands by to the one that leads: Sum; Lease, Denied.
+(`ironscale.versions`): FollowRequest, RunningReport; VersionUpdate, Denied.
+Agent that stands by to the one that leads: FollowerSummary; LeaseRenewal, Denied.
 """
 
 from __future__ import annotations
@@ -215,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSummary:
-    """An agent's followers, in one message to the agent that leads; each is answered with a Lease."""
+    """An agent's followers, in one message to the agent that leads; each is answered with a LeaseRenewal."""
 
     type: ClassVar[str] = "sum"
     protocol: int
@@ -231,7 +232,8 @@
     more: int  # that differ beside those
 
 
-Message = Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | FollowRequest | RunningReport | VersionUpdate | FollowerSummary
+Message = (Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | FollowRequest
+           | RunningReport | VersionUpdate | FollowerSummary)
 FROM_INSTANCE: tuple[type[Message], ...] = (Hello, Heartbeat, CommandResult, Goodbye, FollowRequest, RunningReport)
 FROM_AGENT: tuple[type[Message], ...] = (Welcome, Denied, LeaseRenewal, Command)
 FROM_FOLLOWER: tuple[type[Message], ...] = (FollowRequest, RunningReport)
--- a/ironscale/graphql/planning.py
+++ b/ironscale/graphql/planning.py
@@ -90,8 +90,8 @@
     found = verdict.found
     again = {
         "idempotent": "It may be sent again to any server while its time lasts.",
-        "deduplicated": f"It may be sent again within its group ({found.group}), for {found.dedup_memory_us / 1e6:g} s, as "
-                        "repeats of its key are dropped there.",
+        "deduplicated": f"It may be sent again within its group ({found.group}), for "
+                        f"{found.dedup_memory_us / 1e6:g} s, as repeats of its key are dropped there.",
         "at_most_once": "It is sent again only if every try before is known not to have run.",
     }[found.effect]
     lines = [f"A {verdict.kind}, carried whole as class {found.name} ({found.effect}): {verdict.why}.", again]
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -76,7 +76,7 @@
         _require(self.aim_stretch >= 0, "an aim_stretch of 0 or more", self.aim_stretch)
         _require(self.effect in EFFECTS, f"an effect out of {', '.join(EFFECTS)}", self.effect)
         _require(self.group in GROUPS, f"a group out of {', '.join(GROUPS)}", self.group)
-        _require(self.dedup_memory_us >= 0, "a memory_us of 0 or more", self.dedup_memory_us)
+        _require(self.dedup_memory_us >= 0, "a dedup_memory_us of 0 or more", self.dedup_memory_us)
 
 
 @dataclass(slots=True)
@@ -261,7 +261,7 @@
 
     request: int
     retry_after_us: int = 0  # 0 = no advice
-    reason: str = ""  # one of REFUSALS, for those who watch; clients are not told
+    reason: str = ""  # one of REFUSAL_REASONS, for those who watch; clients are not told
 
 
 @dataclass(slots=True)
@@ -362,7 +362,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """What one sidecar has learned; all times on the clock on which it is `told_us`."""
+    """What one sidecar has learned; all times on the clock on which it is `as_of_us`."""
 
     as_of_us: int
     zone: int  # where it was learned: how far upstreams are holds from there
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -141,4 +141,5 @@
     generation, overlay = patch.get("generation"), patch.get("overlay")
     if type(generation) is not int or not isinstance(overlay, dict):
         raise ConfigError(f"{patch_path}: expected a whole generation and an object overlay, got {patch!r:.80}")
-    return replace(parse(apply_merge_patch(base, overlay), environ), document=base, generation=generation, overlay=overlay)
+    return replace(parse(apply_merge_patch(base, overlay), environ), document=base, generation=generation,
+                   overlay=overlay)
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -22,10 +22,10 @@
 from ironscale import logs
 from ironscale.balance import Balancer
 from ironscale.net.client import HOP_BY_HOP, Exchange, Headers
-from ironscale.net.config import Config, ConfigError, load, apply_merge_patch, parse
+from ironscale.net.config import Config, ConfigError, apply_merge_patch, load, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
-from ironscale.net.lane import RequestHandler, EventDispatcher
+from ironscale.net.lane import EventDispatcher, RequestHandler
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
@@ -76,7 +76,7 @@
 class Timer:
     """Acts once, never before its time."""
 
-    __slots__ = ("act", "at_us", "timers")
+    __slots__ = ("callback", "at_us", "timers")
 
     def __init__(self, timers: TimerQueue, at_us: int, act: Callable[[], None]) -> None:
         self.timers, self.at_us = timers, at_us
@@ -227,15 +227,18 @@
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
         super().__init__(Balancer(settings, config.seed, self.clock.now_us()), self.clock.now_us)
         half = connections_each(config.sockets)
-        self.upstreams = Upstreams(self.clock.now_us, config.upstream_idle_timeout_us, settings.connect_timeout_us, half)
+        self.upstreams = Upstreams(self.clock.now_us, config.upstream_idle_timeout_us, settings.connect_timeout_us,
+                                   half)
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, half, self.clock.now_us, self.ledger)
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
-                                   config.discovery_timeout_us / 1e6, self.log, self.balancer.list_turn_us() > 0, config.seed)
+                                   config.discovery_timeout_us / 1e6, self.log, self.balancer.list_turn_us() > 0,
+                                   config.seed)
         self.requests: dict[int, Request] = {}
         self.by_txn: dict[str, Request] = {}  # those not yet answered
         self.next_request = 1
-        self.request_handlers: dict[int, RequestHandler] = {}  # by index of the class: where its requests go in place of the upstreams
+        # By index of the class: where its requests go in place of the upstreams.
+        self.request_handlers: dict[int, RequestHandler] = {}
         self.reload_again: asyncio.TimerHandle | None = None  # after one that could not read its file
         self.has_list = False
         self.discovery_failed = True  # from discovery: its last word was a failure, or there was none yet
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -30,7 +30,8 @@
         return stepped
 
     def place(self, entry: Upstream, known: Upstream | None) -> None:
-        """Sets `entry.begun_us`. A process that is known already keeps its start, whatever the clock has done since."""
+        """Sets `entry.local_started_us`. A process that is known already keeps its start, whatever the clock has done
+        since."""
         if known is not None and known.started_us == entry.started_us:
             entry.local_started_us = known.local_started_us
         elif entry.started_us:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -163,7 +163,8 @@
         environment = {name: variables.string(name) for name in variables.values}
     service = Service(
         name=table.string("name"), count=count, config=table.file_path("config"),
-        host=table.string("host", "127.0.0.1"), first_port=first_port, zone=table.get("zone", "a text", text_or_none, ""),
+        host=table.string("host", "127.0.0.1"), first_port=first_port,
+        zone=table.get("zone", "a text", text_or_none, ""),
         environment=environment, stop_s=table.seconds("stop_s", 0.5, 3600, 8.0),
         make_before_break=table.boolean("make_before_break", False),
     )
@@ -257,12 +258,13 @@
 def _stores(table: Table) -> Stores:
     targets = [_target(entry) for entry in table.tables("to")]
     if not 0 < len(targets) <= MOST_STORES:
-        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MOST_STORES} tables [[store.to]], "
-                                f"got {len(targets)}")
+        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MOST_STORES} tables "
+                                f"[[store.to]], got {len(targets)}")
     names = [target.name for target in targets]
     for name in names:
         if names.count(name) > 1:
-            raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, got {name!r} twice")
+            raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, "
+                                    f"got {name!r} twice")
     stores = Stores(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
@@ -303,8 +305,8 @@
             for limit in ("number", "share", "capacity"):
                 one, two = getattr(budget, limit), getattr(other, limit)
                 if same and None not in (one, two) and one != two:
-                    raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the same "
-                                            f"units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
+                    raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
+                                            f"same units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
     return found
 
 
@@ -341,14 +343,16 @@
     if agent.record is not None and agent.postgresql:
         raise OperatorFileError(f"{table.file}: {table.key_path('record')}: expected record or postgresql, got both")
     if agent.standby and agent.record is None and not agent.postgresql:
-        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql beside it, which "
-                                "other agents open too, got neither")
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql beside it, "
+                                "which other agents open too, got neither")
     if agent.standby and agent.services:
-        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] beside it, got "
-                                f"{len(agent.services)}: who leads changes, and local processes stay with their agent")
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] "
+                                f"beside it, got {len(agent.services)}: who leads changes, and local processes stay with their "
+                                "agent")
     for key in ("password_file", "synchronous_commit"):
         if key in table.values and not agent.postgresql:
-            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, got {key} alone")
+            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, "
+                                    f"got {key} alone")
     table.asked.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -40,7 +40,7 @@
     keyed request that may have run is not refused, though its repeats are: a refusal says that nothing is there."""
     return replace(
         settings, list_on_request=False, list_by_watch=False, ask_within_us=0, probes=False, weighted=False,
-        report_names=[], second_copies=False, cold_share=1.0, warm_up_us=0, cross_zone_fee=0.0,
+        report_names=[], hedging=False, cold_share=1.0, warm_up_us=0, cross_zone_fee=0.0,
         classes=[replace(c, group="cell") if c.effect == "deduplicated" else c for c in settings.classes])
 
 
@@ -144,7 +144,8 @@
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
                 if plan.told is Told.RAN and request.forward_to is not None:
-                    onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
+                    onward, request.forward_to, request.dispatcher, request.has_run = (
+                        request.forward_to, None, None, True)
                 elif plan.told is Told.RAN and request.upstream_answer is not None:
                     self.host.serve(request, request.upstream_answer)
                 elif plan.told is Told.RAN:
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -144,7 +144,8 @@
         # a line through two points says nothing of its scatter
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
-        table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3), table.integer("hollow_each", 1, 2_000, 400),
+        table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3),
+        table.integer("hollow_each", 1, 2_000, 400),
         table.integer("repeats", 1, 20, 3), beat_s, table.seconds("lease_s", 0.1, 600, 6.0),
         table.seconds("term_s", 0.5, 60, 10.0), table.integer("most_processes", 4, 300, 300),
         table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
--- a/ironscale/stage/world.py
+++ b/ironscale/stage/world.py
@@ -98,7 +98,8 @@
 
 
 def _limit(table: Table) -> Limit:
-    found = Limit(table.string("name"), table.integer("number", 1, MOST_SIDECARS), table.one_of("each", ("", "zone"), ""))
+    found = Limit(table.string("name"), table.integer("number", 1, MOST_SIDECARS),
+                  table.one_of("each", ("", "zone"), ""))
     table.reject_unknown_keys()
     return found
 
@@ -109,10 +110,12 @@
     sort, _, number = who.partition("-")
     count = {"agent": world.agents, "sidecar": world.sidecars}.get(sort, 0)
     if not (number.isdecimal() and int(number) < count):
-        raise table.error_for("who", f"agent-0 to agent-{world.agents - 1} or sidecar-0 to sidecar-{world.sidecars - 1}")
+        raise table.error_for(
+            "who", f"agent-0 to agent-{world.agents - 1} or sidecar-0 to sidecar-{world.sidecars - 1}")
     if kind in BY_OPERATORS and sort != "sidecar":
         raise table.error_for("who", f"a sidecar, as {kind} is about one")
-    event = Event(table.integer("at_ms", 0, int(world.seconds * 1000)), kind, who, table.integer("for_ms", 0, 60_000, 500))
+    event = Event(table.integer("at_ms", 0, int(world.seconds * 1000)), kind, who,
+                  table.integer("for_ms", 0, 60_000, 500))
     table.reject_unknown_keys()
     return event
 
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -1,4 +1,4 @@
-"""How far to believe what was learned before or elsewhere: `Lessons` of ironscale/interface.py. Pure.
+"""How far to believe what was learned before or elsewhere: `LearnedState` of ironscale/interface.py. Pure.
 
 Each value fades towards what a sidecar that knows nothing would take. Nothing here is certain: balance.py
 tests every upstream by one try of its own before it acts on more than a preference.
@@ -44,7 +44,7 @@
     silent = lesson.timeout_doublings > 1 and age_us <= MUTE_LASTS_US
     halves_us = WIDE_HALVES_US if lesson.slots >= 1.0 else SHUT_HALVES_US
     slots = shown(lesson) if silent else between(1.0, lesson.slots, share(age_us, halves_us))
-    return replace(lesson, slots=slots, mute=lesson.timeout_doublings if silent else 1,
+    return replace(lesson, slots=slots, timeout_doublings=lesson.timeout_doublings if silent else 1,
                    failing=lesson.failing and share(age_us, SHUT_HALVES_US) >= 0.5)
 
 
@@ -128,8 +128,9 @@
 
 
 def _agreed_upstream(found: Sequence[tuple[api.LearnedUpstream, float, bool]]) -> api.LearnedUpstream:
-    least = [(float(lesson.min_latency_us), worth) for lesson, worth, near in found if near and lesson.min_latency_us > 0]
+    least = [(float(lesson.min_latency_us), worth) for lesson, worth, near in found
+             if near and lesson.min_latency_us > 0]
     slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
     # the median of lessons, not a mixture: silent with open slots would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if shown(lesson) == slots)
-    return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
+    return replace(lesson, min_latency_us=int(median(least)) if least else 0, next_cold_send_us=0, first_hand=False)
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import encode
-from ironscale.control.messages import PROTOCOL, Hello, CommandResult, serialize_message
+from ironscale.control.messages import PROTOCOL, CommandResult, Hello, serialize_message
 from tests.agent.scene import run, scene, until
 from tests.sockets import free_port
 
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -17,7 +17,16 @@
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, FollowRequest, RunningReport, VersionUpdate, parse_message, serialize_message
+from ironscale.control.messages import (
+    PROTOCOL,
+    TO_FOLLOWER,
+    Denied,
+    FollowRequest,
+    RunningReport,
+    VersionUpdate,
+    parse_message,
+    serialize_message,
+)
 from ironscale.operator_file import read_secret
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
@@ -49,8 +58,9 @@
     async def run(self) -> None:
         reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 12)
         try:
-            self.writer.write(encode(serialize_message(FollowRequest(PROTOCOL, self.token, self.labels.instance, "b", "",
-                                                  self.labels.zone, "", self.lineage, self.position))))
+            self.writer.write(encode(serialize_message(FollowRequest(
+                PROTOCOL, self.token, self.labels.instance, "b", "", self.labels.zone, "", self.lineage,
+                self.position))))
             decoder = Decoder()
             while True:
                 await self.reads.wait()
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -19,14 +19,14 @@
 from ironscale.control.light import LightInstance, light
 from ironscale.control.messages import (
     FROM_INSTANCE,
-    Heartbeat,
-    Goodbye,
     Command,
+    CommandResult,
     Denied,
+    Goodbye,
+    Heartbeat,
     Hello,
     LeaseRenewal,
     Message,
-    CommandResult,
     Welcome,
     parse_message,
     serialize_message,
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -87,8 +87,8 @@
 
 
 def test_a_new_aim_counts_from_the_next_request() -> None:
-    world = ready_world(2, second_copies=False)
-    changed = settings(second_copies=False)
+    world = ready_world(2, hedging=False)
+    changed = settings(hedging=False)
     changed.classes[READ] = RequestClass("read", 30_000, 1_000_000)
     world.tell(SettingsChanged(changed))
     assert world.sends(world.arrive(READ))[0].timeout_us == 45_000
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -14,7 +14,17 @@
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.light import LightInstance, light_follower
-from ironscale.control.messages import FROM_INSTANCE, Denied, FollowRequest, OverlayLayer, Message, RunningReport, VersionUpdate, parse_message, serialize_message
+from ironscale.control.messages import (
+    FROM_INSTANCE,
+    Denied,
+    FollowRequest,
+    Message,
+    OverlayLayer,
+    RunningReport,
+    VersionUpdate,
+    parse_message,
+    serialize_message,
+)
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
@@ -55,7 +65,8 @@
         change = narrowed(change, LABELS)
         mark = "wrong" if self.lies else digest(effective(view.layers(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
-                      [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark, self.age_ms(), 10)
+                      [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
+                      self.age_ms(), 10)
 
     def age_ms(self) -> int:
         return 0 if self.fresh else 60_000
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -109,7 +109,7 @@
                 one.reading = False  # its bytes lie unread: no close may come between
             ended.set_result(None)
 
-        monkeypatch.setattr(scene.sidecar, "answer_all", at_end)
+        monkeypatch.setattr(scene.sidecar, "fail_open_requests", at_end)
         ending = asyncio.create_task(scene.sidecar.stop())
         await ended
         for one in scene.sidecar.server.connections:
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -14,11 +14,11 @@
 from ironscale.interface import (
     LearnedClass,
     LearnedState,
+    LearnedUpstream,
     ListKind,
     Outcome,
     Send,
     Tenant,
-    LearnedUpstream,
     UpstreamsUpdated,
 )
 from ironscale.telling import learned_state, upstream_views
@@ -34,13 +34,13 @@
 
 
 def lessons(*found: LearnedUpstream, **changes: object) -> LearnedState:
-    values: dict[str, object] = {"told_us": START_US, "zone": 0, "slots": 0.0, "confirmed_us": START_US - S,
+    values: dict[str, object] = {"as_of_us": START_US, "zone": 0, "slots": 0.0, "confirmed_us": START_US - S,
                                  "upstreams": found, **changes}
     return LearnedState(**values)  # type: ignore[arg-type]
 
 
 def taught(*found: LearnedUpstream, count: int = 6, listed: bool = True, **changes: object) -> World:
-    world = World(settings(second_copies=False))
+    world = World(settings(hedging=False))
     world.balancer.recall(START_US, lessons(*found, **changes))
     world.tell_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
     return world
@@ -84,26 +84,26 @@
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
-    found = trust.faded(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
+    found = trust.faded(told(1, 1 / 64, 5 * 60 * S, timeout_doublings=5), START_US)
     assert found is not None and found.slots == 1 / 64 and found.timeout_doublings == 5
-    late = trust.faded(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
+    late = trust.faded(told(1, 1 / 64, 11 * 60 * S, timeout_doublings=5), START_US)
     assert late is not None and late.slots == 1.0 and late.timeout_doublings == 1
 
 
 def test_one_that_answers_nothing_is_distrusted_though_its_window_is_open() -> None:
     """Its slot is held so long that few tries come to close the window."""
-    world = taught(told(100, 1.4, mute=2), told(101, 1.4))
+    world = taught(told(100, 1.4, timeout_doublings=2), told(101, 1.4))
     assert slots(world)[100] == trust.LEAST_SLOTS and slots(world)[101] == 1.0
-    assert trust.is_shut(told(100, 1.4, mute=2)) and not trust.is_shut(told(100, 1.4))
+    assert trust.is_shut(told(100, 1.4, timeout_doublings=2)) and not trust.is_shut(told(100, 1.4))
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
 
 
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
-    assert trust.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
+    assert trust.faded(told(1, 8.0, age_us, timeout_doublings=9, min_latency_us=5), START_US) is None
     assert trust.share(age_us, trust.WIDE_HALVES_US) == 0.0
-    cold, world = World(settings(second_copies=False)), taught(
+    cold, world = World(settings(hedging=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(LearnedClass("read", START_US - age_us, 1.0, 1.0),))
     cold.tell_list(upstreams(6))
@@ -128,7 +128,7 @@
 
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
-    world = taught(told(100, 1 / 64, mute=6, failing=True))
+    world = taught(told(100, 1 / 64, timeout_doublings=6, failing=True))
     assert slots(world)[100] == trust.LEAST_SLOTS and world.balancer.servers[100].mute == trust.MOST_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
@@ -139,8 +139,8 @@
 def test_a_distrusted_one_is_drawn_rarely_and_still_before_a_refusal() -> None:
     first = 0
     for seed in range(300):
-        world = World(settings(second_copies=False, instances=1), seed)
-        world.balancer.recall(START_US, lessons(told(100, 1 / 64, mute=4), told(101, 1.0)))
+        world = World(settings(hedging=False, instances=1), seed)
+        world.balancer.recall(START_US, lessons(told(100, 1 / 64, timeout_doublings=4), told(101, 1.0)))
         world.tell_list(upstreams(2))
         sent = [world.sends(world.arrive())[-1].upstream for _ in range(2)]
         assert sorted(sent) == [100, 101]  # the second is not refused: the distrusted one has a slot
@@ -149,7 +149,7 @@
 
 
 def test_a_failed_try_leaves_it_distrusted() -> None:
-    world = taught(told(100, 1 / 64, mute=4))
+    world = taught(told(100, 1 / 64, timeout_doublings=4))
     answer(world, send_to(world, 100), Outcome.RESET)
     assert slots(world)[100] < trust.LEAST_SLOTS
 
@@ -173,11 +173,12 @@
 
 
 def test_own_evidence_goes_first() -> None:
-    world = World(settings(second_copies=False))
+    world = World(settings(hedging=False))
     world.tell_list(upstreams(6))
     seen = answer(world, world.arrive())
     before = slots(world)[seen]
-    fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), told(seen, 1 / 64, -10 * S))
+    fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, timeout_doublings=3) for i in range(2)),
+                    told(seen, 1 / 64, -10 * S))
     world.advance(20 * S)
     world.balancer.recall(world.now_us, replace(fresh, confirmed_us=world.now_us))
     assert slots(world)[seen] == before and world.balancer.servers[seen].lesson is None
@@ -197,18 +198,18 @@
 
 
 def test_more_than_half_shut_is_no_news_of_the_upstreams() -> None:
-    world = taught(*(told(100 + i, 1 / 64, mute=5) for i in range(4)), told(104, 7.0))
+    world = taught(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(4)), told(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
     assert world.balancer.servers[104].lesson is not None
-    half = taught(*(told(100 + i, 1 / 64, mute=5) for i in range(3)))
+    half = taught(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(3)))
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
 
 def test_two_teachers_do_not_shut_more_than_half_together() -> None:
     world = World(settings())
     world.tell_list(upstreams(6))
-    world.balancer.recall(START_US, lessons(*(told(100 + i, 1 / 64, mute=5) for i in range(3))))
-    world.balancer.recall(START_US, lessons(*(told(103 + i, 1 / 64, mute=5) for i in range(3))))
+    world.balancer.recall(START_US, lessons(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(3))))
+    world.balancer.recall(START_US, lessons(*(told(103 + i, 1 / 64, timeout_doublings=5) for i in range(3))))
     assert sum(value < 1.0 for value in slots(world).values()) == 3
 
 
@@ -222,7 +223,7 @@
     """Cold upstreams are paced by what requests usually take: told 1 us, they would get all at once."""
     gaps = []
     for lie in (False, True):
-        world = World(settings(second_copies=False), 3)
+        world = World(settings(hedging=False), 3)
         if lie:
             world.balancer.recall(START_US, lessons(
                 told(100, 1e6, started_us=START_US - S),
@@ -256,22 +257,22 @@
 
 
 def test_a_far_upstream_told_to_be_near_is_believed_to_a_quarter() -> None:
-    world = taught(told(100, 1.0, least_us=1))
+    world = taught(told(100, 1.0, min_latency_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
     assert world.balancer.servers[100].least_us >= 20_000
 
 
 def test_pace_towards_a_cold_one_is_kept_over_a_restart() -> None:
     entry = upstreams(1, started_us=START_US - S)
-    world = World(settings(second_copies=False, instances=3), 3)
+    world = World(settings(hedging=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
-        told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
+        told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9)))
     world.tell_list(entry)
     until_us = world.balancer.servers[100].next_cold_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
-    other = World(settings(second_copies=False, instances=3), 3)
+    other = World(settings(hedging=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
-        told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
+        told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9, first_hand=False)))
     other.tell_list(entry)
     assert other.balancer.servers[100].next_cold_us < until_us
 
@@ -291,7 +292,7 @@
 
 def test_distance_told_from_another_zone_is_not_taken() -> None:
     for zone, least_us in ((0, 19_000), (1, 20_000)):
-        world = taught(told(100, 1.0, least_us=19_000), zone=zone)
+        world = taught(told(100, 1.0, min_latency_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
         assert world.balancer.servers[100].least_us == least_us
 
@@ -312,7 +313,7 @@
 
 
 def test_what_was_only_told_is_told_on_as_it_was() -> None:
-    first = told(100, 5.0, 3 * S, first_hand=False, least_us=9)
+    first = told(100, 5.0, 3 * S, first_hand=False, min_latency_us=9)
     world = taught(first)
     world.advance(S)
     given = {one.id: one for one in learned_state(world.balancer).upstreams}
@@ -356,11 +357,11 @@
 
 
 def test_one_wrong_donor_of_three_moves_nothing() -> None:
-    good = [told(100, 4.0), told(101, 1 / 32, mute=4), told(102, 4.0)]
+    good = [told(100, 4.0), told(101, 1 / 32, timeout_doublings=4), told(102, 4.0)]
     for lie in (
-        [told(100, 1 / 64, 0, mute=9), told(101, 1e5, 0), told(102, 1e5, 0)],
-        [told(100 + i, 1e5, 0, least_us=1) for i in range(3)],
-        [told(100 + i, 1 / 64, 0, mute=9) for i in range(3)],
+        [told(100, 1 / 64, 0, timeout_doublings=9), told(101, 1e5, 0), told(102, 1e5, 0)],
+        [told(100 + i, 1e5, 0, min_latency_us=1) for i in range(3)],
+        [told(100 + i, 1 / 64, 0, timeout_doublings=9) for i in range(3)],
     ):
         found = agreed(donor(*good), donor(*lie), donor(*good))
         assert [found[i].slots for i in (100, 101, 102)] == [4.0, 1 / 32, 4.0]
@@ -369,9 +370,10 @@
 
 
 def test_a_donor_in_a_stall_does_not_teach_that_all_are_bad() -> None:
-    stalled = [told(100 + i, 1 / 64, mute=3) for i in range(5)]
+    stalled = [told(100 + i, 1 / 64, timeout_doublings=3) for i in range(5)]
     assert set(agreed(donor(*stalled, told(105, 3.0)))) == {105}
-    assert set(agreed(donor(told(100, 1 / 64, mute=3), told(101, 2.0), told(102, 2.0), resting=True))) == {101, 102}
+    assert set(agreed(donor(told(100, 1 / 64, timeout_doublings=3), told(101, 2.0), told(102, 2.0),
+                            resting=True))) == {101, 102}
 
 
 def test_a_donor_that_has_just_started_teaches_nothing() -> None:
@@ -387,7 +389,7 @@
 
 
 def test_distance_is_taken_from_donors_of_the_same_zone_only() -> None:
-    near, far = donor(told(100, 2.0, least_us=900)), donor(told(100, 2.0, least_us=9_000), zone=1)
+    near, far = donor(told(100, 2.0, min_latency_us=900)), donor(told(100, 2.0, min_latency_us=9_000), zone=1)
     assert agreed(far, far, near)[100].min_latency_us == 900 and agreed(far)[100].min_latency_us == 0
 
 
@@ -408,8 +410,9 @@
 
     def one(ident: int) -> LearnedUpstream:
         return told(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
-                    started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
-                    failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
+                    started_us=rng.choice([0, START_US - S]), min_latency_us=rng.choice([0, 1, 10**9]),
+                    failing=rng.random() < 0.5, timeout_doublings=rng.choice([1, 2, 64]),
+                    next_cold_send_us=rng.choice([0, 2 * START_US]),
                     first_hand=rng.random() < 0.5)
 
     def any_lessons() -> LearnedState:
@@ -433,7 +436,7 @@
 
 def test_a_sidecar_taught_by_itself_is_as_it_was() -> None:
     """Given and taken back at once, after one try of each upstream, it is where it was."""
-    world = World(settings(second_copies=False, instances=1))
+    world = World(settings(hedging=False, instances=1))
     world.tell_list(upstreams(4))
     for _ in range(200):
         answer(world, world.arrive(), after_us=5_000)
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -526,7 +526,8 @@
 
 
 def test_the_decisions_settings_for_a_store() -> None:
-    settings = api.Settings(classes=[api.RequestClass("m", 1, 2, effect="deduplicated", group="all", dedup_memory_us=5)],
+    settings = api.Settings(classes=[api.RequestClass("m", 1, 2, effect="deduplicated", group="all",
+                                                      dedup_memory_us=5)],
                             hedging=True, list_on_request=True, probes=True, cold_share=0.1, warm_up_us=5)
     found = settings_for(settings)
     assert found.classes[0].group == "cell" and found.classes[0].dedup_memory_us == 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
 )
 
 CONFIGS = st.fixed_dictionaries({
-    "second_copies": st.booleans(), "list_on_request": st.booleans(), "cancel": st.booleans(),
+    "hedging": st.booleans(), "list_on_request": st.booleans(), "cancel": st.booleans(),
     "max_attempts": st.integers(1, 5), "instances": st.integers(1, 8), "retry_after": st.booleans(),
     "ask_within_us": st.sampled_from([0, 10_000_000]), "probes": st.booleans(),
     "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
@@ -122,7 +122,7 @@
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
-            "second_copies": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
+            "hedging": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3], "probes": seed % 4 == 0,
         }
         assert busy_day(config, seed) == busy_day(config, seed)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,7 +19,7 @@
 
 from ironscale import interface as api
 from ironscale.net import client, server, upstream
-from ironscale.net.sidecar import MARGIN_US, Clock, parse_remaining_us, parse_load_report
+from ironscale.net.sidecar import MARGIN_US, Clock, parse_load_report, parse_remaining_us
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok, read_message
 from ironscale.standins.settings import SETTINGS
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -160,7 +160,7 @@
 
 
 def test_long_requests_do_not_close_a_window_that_is_hardly_used() -> None:
-    world = ready_world(4, second_copies=False)
+    world = ready_world(4, hedging=False)
     before = world.balancer.window.slots
     for took_us in (5_000, 140_000) * 40:
         request = world.arrive(READ)
@@ -286,9 +286,9 @@
     assert world.answer(request) is None and world.owed[request].answers == 1
 
 
-@pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
-def test_no_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
-    world = ready_world(second_copies=second_copies)
+@pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
+def test_no_copy_where_none_is_allowed(class_index: int, hedging: bool) -> None:
+    world = ready_world(hedging=hedging)
     request = world.arrive(class_index)
     world.advance(250_000)
     assert len(world.sends(request)) == 1
@@ -372,7 +372,7 @@
 
 
 def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     churn(world, 50)
     light, heavy = world.arrive(READ, cost_us=10_000), world.arrive(READ, cost_us=200_000)
     assert (world.sends(light)[0].timeout_us, world.sends(heavy)[0].timeout_us) == (450_000, 1_200_000)
@@ -419,9 +419,9 @@
             world.end(ident, attempt, outcome)
 
 
-@pytest.mark.parametrize("second_copies", [True, False])
-def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(second_copies: bool) -> None:
-    world = ready_world(2, second_copies=second_copies)
+@pytest.mark.parametrize("hedging", [True, False])
+def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(hedging: bool) -> None:
+    world = ready_world(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
             world.arrive(class_index)
@@ -482,7 +482,7 @@
 
 
 def test_a_hung_send_leaves_the_sidecars_window_but_keeps_its_upstreams_slot() -> None:
-    world = ready_world(2, instances=16, second_copies=False)
+    world = ready_world(2, instances=16, hedging=False)
     hung = world.arrive(PAY)
     assert not world.sends(world.arrive(PAY))  # one slot for all upstreams together
     world.advance(160_000)
@@ -547,7 +547,7 @@
 
 
 def test_an_upstream_whose_answers_are_all_slow_gets_no_slots_for_being_far() -> None:
-    world = ready_world(1, instances=1, second_copies=False)
+    world = ready_world(1, instances=1, hedging=False)
     world.balancer.servers[100].window.slots = 2.0
     for _ in range(20):
         request = world.arrive(READ)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -84,7 +84,7 @@
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(wire.Decoder().decode_batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
-        (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
+        (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestAbandoned")]
     records = [wire.encode_action(3, ACTIONS[0][1]), wire.encode_action(3, ACTIONS[6][1]), bytes.fromhex(
         "78 0500 1100 74776f2073657276657273206b6e6f776e")]
     assert wire.encode_reply(records) == bytes.fromhex(
--- a/tests/world.py
+++ b/tests/world.py
@@ -21,9 +21,9 @@
     Outcome,
     Probe,
     Refuse,
+    RequestAbandoned,
     RequestArrived,
     RequestClass,
-    RequestAbandoned,
     Send,
     SetTimer,
     Settings,
@@ -51,7 +51,7 @@
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": classes(), "instances": 3, "tick_us": 4000, "max_attempts": 4, "cancel": True,
-        "max_retry_after_us": 1_000_000, "connect_timeout_us": 150_000, "second_copies": True,
+        "max_retry_after_us": 1_000_000, "connect_timeout_us": 150_000, "hedging": True,
         "cold_share": 0.2, "warm_up_us": 20_000_000, "overload_factor": 2.5, "fall_us": 1_000_000,
     }
     values.update(changes)
