--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import interface as api
 from ironscale import trust
-from ironscale.crowd import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
+from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
 from ironscale.places import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -22,7 +22,7 @@
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
     assert done.stdout.split() == [
-        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.crowd", "ironscale.interface",
+        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.fleet_estimates", "ironscale.interface",
         "ironscale.logs", "ironscale.net",
         "ironscale.net.client", "ironscale.net.closing", "ironscale.net.config", "ironscale.net.dialing",
         "ironscale.net.discovery", "ironscale.net.errors",
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironscale.crowd import LEAST_TURN, SMALL, WARMING, turn_us
+from ironscale.fleet_estimates import LEAST_TURN, SMALL, WARMING, turn_us
 from ironscale.interface import Tenant, Upstream
 from tests.coldfleet import SECOND_US, SIZES, drawn, play
 from tests.world import START_US, World, settings
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -49,7 +49,7 @@
     # 240 for what was learned before or elsewhere: giving it, taking it back, ageing and trust;
     # 140 for draws, timers and shares that look at no upstream and tenant but those that changed (places.py);
     # 250 for one of many sidecars: its part of the traffic, its mean load, cold upstreams that few warm, and
-    # what upstreams share (crowd.py)
+    # what upstreams share (fleet_estimates.py)
     assert sum(1 for line in lines if line.strip()) <= 1100
     assert len(lines) <= 1200  # as `wc -l` counts them, blank ones too
     assert max(map(len, lines)) <= 110
--- a/tests/test_crowd.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.crowd import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
+from ironscale.fleet_estimates import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
     Event,
