--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -12,7 +12,7 @@
 from ironscale import interface as api
 from ironscale import trust
 from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
-from ironscale.places import Places
+from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
 RETRIES_KEPT = 5.0  # and so many saved up at most
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -47,7 +47,7 @@
         lines += (ROOT / name).read_text().splitlines()
     # 435; 35 for what an operator asks of a running instance: a drain, new settings, a look at the slots;
     # 240 for what was learned before or elsewhere: giving it, taking it back, ageing and trust;
-    # 140 for draws, timers and shares that look at no upstream and tenant but those that changed (places.py);
+    # 140 for draws, timers and shares that look at no upstream and tenant but those that changed (sum_tree.py);
     # 250 for one of many sidecars: its part of the traffic, its mean load, cold upstreams that few warm, and
     # what upstreams share (fleet_estimates.py)
     assert sum(1 for line in lines if line.strip()) <= 1100
--- a/tests/test_places.py
+++ b/tests/test_sum_tree.py
@@ -11,7 +11,7 @@
 
 from ironscale import interface as api
 from ironscale.balance import FULL_LOAD, Balancer, Request, Server
-from ironscale.places import Places
+from ironscale.sum_tree import Places
 from ironscale.telling import learned
 
 S = 1_000_000
