--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -30,7 +30,7 @@
         "ironscale.net.periodic",
         "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.starts",
         "ironscale.net.stream", "ironscale.net.turns",
-        "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.trust"]
+        "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.lesson_confidence"]
 
 
 def test_the_instances_side_needs_no_extra() -> None:
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -16,7 +16,7 @@
 from bench.learned import donor, lie
 from bench.stage import Fault, S, Stage
 from ironscale import interface as api
-from ironscale import trust
+from ironscale import lesson_confidence
 from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import Store, load, path_for
 from ironscale.standins.discovery import ListedDiscovery
@@ -172,7 +172,7 @@
 # Paired on the same seeds, in virtual time
 
 
-def donors(stage: Stage) -> list[trust.Donor]:
+def donors(stage: Stage) -> list[lesson_confidence.Donor]:
     return [donor(stage, index) for index in range(1, len(stage.sides))]
 
 
@@ -200,14 +200,14 @@
     stage.stop(0)
     stage.run(START_AGAIN_US)
     three = donors(stage)
-    liar = trust.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
+    liar = lesson_confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     taught: dict[str, api.Lessons | None] = {
         "cold": None, "file": own,
-        "donors": trust.agreed(three, stage.now_us, 0),
+        "donors": lesson_confidence.agreed(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
         "all open": lie(stage, lambda i: 1e5),
-        "stale donor": trust.agreed(early, stage.now_us, 0),
-        "mixed donors": trust.agreed([*three, liar], stage.now_us, 0),
+        "stale donor": lesson_confidence.agreed(early, stage.now_us, 0),
+        "mixed donors": lesson_confidence.agreed([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
     for name, lessons in taught.items():
