--- a/ironscale/cli/stage.py
+++ b/ironscale/cli/stage.py
@@ -18,7 +18,7 @@
 from ironscale.stage.history import Entry, load
 from ironscale.stage.run import StageError, played
 from ironscale.stage.world import Event, World, WorldError, drawn, parse, shrunk, written
-from ironscale.tables import read_text
+from ironscale.toml_tables import read_text
 
 FAULTS = ("faults", "terms", "permits", "taken out", "lost")
 
--- a/ironscale/graphql/files.py
+++ b/ironscale/graphql/files.py
@@ -12,7 +12,7 @@
 from ironscale.graphql.documents import Documents, Limits, Request, RequestError, digest_of
 from ironscale.graphql.mapping import DEFAULT_SIZE, MOST, FieldMap, MappingError, make_map, read_schema
 from ironscale.interface import RequestClass
-from ironscale.tables import Table, TableError, read_text, read_toml
+from ironscale.toml_tables import Table, TableError, read_text, read_toml
 
 
 class GraphqlFileError(TableError):
--- a/ironscale/learned/beside.py
+++ b/ironscale/learned/beside.py
@@ -14,8 +14,8 @@
 from ironscale.learned.teaching import Address, Pupil, Teacher
 from ironscale.net.sidecar import Beside, Sidecar
 from ironscale.operator_file import Learned, is_loopback
-from ironscale.tables import read_address
 from ironscale.tasks import alongside
+from ironscale.toml_tables import read_address
 
 MOST_OFFERED = 20
 AGAIN_S = (1.0, 4.0)  # none of the donors had anything to teach: they may have just started as well
--- a/ironscale/load/scenario.py
+++ b/ironscale/load/scenario.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ironscale.load import arrivals, schedule, traces
-from ironscale.tables import Address, Table, TableError, read_address, read_text, read_toml
+from ironscale.toml_tables import Address, Table, TableError, read_address, read_text, read_toml
 
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 FAULTS = (
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ironscale.tables import Address, Table, TableError, read_address, read_text, read_toml, text_or_none
+from ironscale.toml_tables import Address, Table, TableError, read_address, read_text, read_toml, text_or_none
 
 if TYPE_CHECKING:
     from ironscale.disruption.model import Budget
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironscale.tables import Table, TableError, read_text, read_toml
+from ironscale.toml_tables import Table, TableError, read_text, read_toml
 
 
 class SizeError(TableError):
--- a/ironscale/stage/world.py
+++ b/ironscale/stage/world.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironscale.tables import Table, TableError, read_toml
+from ironscale.toml_tables import Table, TableError, read_toml
 
 MOST_AGENTS, MOST_SIDECARS, MOST_S, MOST_EVENTS = 5, 40, 120.0, 200
 ZONES = "ab"
