--- a/bench/learned.py
+++ b/bench/learned.py
@@ -33,6 +33,7 @@
 from bench.stage import START_US, Fault, S, Stage
 from ironscale import interface as api
 from ironscale import lesson_confidence
+from ironscale.introspection import learned
 from ironscale.learned.codec import decode, decoding, encoding
 from ironscale.learned.keeper import Collector, Keeper, in_slices
 from ironscale.learned.store import Store, load, path_for
@@ -43,7 +44,6 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.telling import learned
 from tests.learned.samples import NOW
 from tests.sockets import free_port
 
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -9,10 +9,10 @@
 
 from ironscale import interface as api
 from ironscale.control.messages import ClassCounts, Report
+from ironscale.introspection import view
 from ironscale.net.config import ConfigError
 from ironscale.net.discovery import Directory
 from ironscale.net.sidecar import NeedsRestart, Sidecar
-from ironscale.telling import view
 
 # What each instance has of its own: a patch for many can't set it.
 OWN_KEYS = ("name", "listen", "seed", "known")
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -12,6 +12,7 @@
 from typing import TypeVar
 
 from ironscale import interface as api
+from ironscale.introspection import learned
 from ironscale.learned.codec import (
     MAX_BYTES,
     MAX_TIME_US,
@@ -31,7 +32,6 @@
 from ironscale.learned.store import Store, choose
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
-from ironscale.telling import learned
 from ironscale.threads import in_thread
 
 T = TypeVar("T")
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -16,7 +16,7 @@
     Upstream,
     unchangeable,
 )
-from ironscale.telling import view
+from ironscale.introspection import view
 from tests.test_slots import MARK, PAY, READ, fill, ready_world
 from tests.world import settings
 
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -18,6 +18,7 @@
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.beside import beside as control_beside
+from ironscale.introspection import learned, view
 from ironscale.learned import keeper as keeping
 from ironscale.learned import teaching
 from ironscale.learned.beside import Channel, Running, beside
@@ -30,7 +31,6 @@
 from ironscale.operator_file import Control, Learned
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
-from ironscale.telling import learned, view
 from ironscale.threads import in_thread
 from tests.agent.scene import section
 from tests.learned.samples import lesson, snapshot
--- a/tests/learned/test_lesson_confidence.py
+++ b/tests/learned/test_lesson_confidence.py
@@ -21,7 +21,7 @@
     UpstreamLesson,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned, view
+from ironscale.introspection import learned, view
 from tests.world import START_US, World, settings, upstreams
 
 S = 1_000_000
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -17,13 +17,13 @@
 from bench.stage import Fault, S, Stage
 from ironscale import interface as api
 from ironscale import lesson_confidence
+from ironscale.introspection import learned
 from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import Store, load, path_for
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang
-from ironscale.telling import learned
 from tests.deployed import ROOT
 from tests.sockets import ask, free_port, run, until
 
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -18,6 +18,7 @@
 import pytest
 
 from ironscale import interface as api
+from ironscale.introspection import view
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
@@ -34,7 +35,6 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from ironscale.telling import view
 from tests.record.play import Play
 from tests.record.postgres import Fault, Gate, dsn, written
 from tests.record.postgres import scene as store_scene
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -26,7 +26,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned
+from ironscale.introspection import learned
 from tests.world import START_US, World, settings
 
 READ = 0
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -11,8 +11,8 @@
 
 from ironscale import interface as api
 from ironscale.balance import FULL_LOAD, Balancer, Request, Server
+from ironscale.introspection import learned
 from ironscale.sum_tree import Places
-from ironscale.telling import learned
 
 S = 1_000_000
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
