--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -25,7 +25,7 @@
 from ironscale.net.config import Config, ConfigError, load, merged, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
-from ironscale.net.lane import Front, Lane
+from ironscale.net.event_dispatcher import Front, Lane
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -17,7 +17,7 @@
 
 from ironscale import interface as api
 from ironscale.balance import Balancer
-from ironscale.net.lane import Lane
+from ironscale.net.event_dispatcher import Lane
 from ironscale.net.sidecar import Request, Sidecar, Timer
 from ironscale.net.upstream import Answer
 from ironscale.record import model, routes
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -26,7 +26,7 @@
         "ironscale.logs", "ironscale.net",
         "ironscale.net.client", "ironscale.net.closing", "ironscale.net.config", "ironscale.net.dialing",
         "ironscale.net.discovery", "ironscale.net.errors",
-        "ironscale.net.jsonstream", "ironscale.net.lane", "ironscale.net.lifecycle",
+        "ironscale.net.jsonstream", "ironscale.net.event_dispatcher", "ironscale.net.lifecycle",
         "ironscale.net.periodic",
         "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.starts",
         "ironscale.net.stream", "ironscale.net.turns",
