--- a/ironscale/load/client.py
+++ b/ironscale/load/client.py
@@ -17,7 +17,7 @@
 from ironscale.load.outcome import GRACE_US, REFUSALS, End, Sample, judge, request_id, retry_after_us
 from ironscale.load.pacing import Pacer
 from ironscale.load.schedule import NEW_CONNECTION, SLOW_READER, Schedule
-from ironscale.net import dialing
+from ironscale.net import socket_connect
 
 Address = tuple[str, int]
 MOST_BATCH = 64  # arrivals sent before answers have their turn
@@ -282,7 +282,7 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(max(0.001, (tried.until_us - self.now_us()) / 1e6)):
-                await dialing.connect(sock, address)
+                await socket_connect.connect(sock, address)
             connection = Connection(self)
             await loop.create_connection(lambda: connection, sock=sock)
         except (OSError, TimeoutError) as error:
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -12,7 +12,7 @@
 import httptools
 
 from ironscale.interface import Outcome, UpstreamState
-from ironscale.net import dialing
+from ironscale.net import socket_connect
 from ironscale.net.client import MAX_BODY, MAX_HEAD, MAX_HEADERS, Headers
 from ironscale.net.errors import passes
 from ironscale.net.periodic import Periodic
@@ -349,7 +349,7 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self.upstreams.connect_s):
-                await dialing.connect(sock, address)
+                await socket_connect.connect(sock, address)
             connection = Connection(self, sock)
             connection.open()
         except Exception as error:  # hazard: the attempt would hold its slot until its time-out
