--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -13,12 +13,12 @@
 import httptools
 
 from ironscale.interface import ListKind, Upstream, UpstreamState
-from ironscale.net import turns
+from ironscale.net import discovery_schedule
 from ironscale.net.jsonstream import Blank, JsonStream
 
 PATH = "/registry/instances"
 CONNECT_S = 2.0
-SILENCE_S = turns.SILENCE_S
+SILENCE_S = discovery_schedule.SILENCE_S
 MOVE_AGAIN_S = 0.25
 KEPT_S = 60.0  # that the oldest call may wait for its turn beside those begun later
 # A discovery that stays behind our list for this long has begun to count anew; one that lags has caught up.
@@ -154,7 +154,7 @@
         """The next one begins beside it if it stays without a word."""
         self.begun += 1
         self.last_s = call.began_s
-        self.open_at(turns.beside_s(self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(discovery_schedule.beside_s(self.heard_s, self.begun, self.last_s, self.random.random()))
 
     def open_at(self, at_s: float | None) -> None:
         if self.again is not None:
@@ -184,7 +184,7 @@
 
     def start_moving(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(turns.SPAN_S - MOVE_AGAIN_S)  # none begins beside it
+            self.successor = self.call_watch(discovery_schedule.SPAN_S - MOVE_AGAIN_S)  # none begins beside it
 
     def stop_moving(self) -> None:
         if self.mover is not None:
@@ -267,7 +267,7 @@
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(turns.after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(discovery_schedule.after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -29,7 +29,7 @@
         "ironscale.net.jsonstream", "ironscale.net.event_dispatcher", "ironscale.net.lifecycle",
         "ironscale.net.periodic",
         "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.starts",
-        "ironscale.net.stream", "ironscale.net.turns",
+        "ironscale.net.stream", "ironscale.net.discovery_schedule",
         "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.lesson_confidence"]
 
 
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.interface import UpstreamState
-from ironscale.net import turns
+from ironscale.net import discovery_schedule
 from ironscale.net.sidecar import Sidecar
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import read_message
@@ -30,13 +30,13 @@
 def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
     """When calls begin after the last word of a watch at 0, which fell silent or broke; none of them by the decisions,
     which may only be sooner (of few)."""
-    found = [turns.after_end_s(turns.SILENCE_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
+    found = [discovery_schedule.after_end_s(discovery_schedule.SILENCE_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
-        beside_s = turns.beside_s(0.0, begun, last_s, rng.random())
+        beside_s = discovery_schedule.beside_s(0.0, begun, last_s, rng.random())
         took_s = ENDS[kind]
         end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
-        found.append(beside_s if beside_s <= end_s else turns.after_end_s(end_s, 0.0, begun, last_s, rng.random()))
+        found.append(beside_s if beside_s <= end_s else discovery_schedule.after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
 
 
@@ -49,18 +49,18 @@
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
         found = begins(mode, kind, 6, is_silent, rng)
-        assert found[0] <= turns.SILENCE_S + turns.FIRST_S and found[1] <= turns.SPAN_S
+        assert found[0] <= discovery_schedule.SILENCE_S + discovery_schedule.FIRST_S and found[1] <= discovery_schedule.SPAN_S
         # discovery could be reached, at the earliest, just after a call that failed had begun
-        assert all(later - earlier <= turns.SPAN_S for earlier, later in pairwise(found))
-        assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
-        assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
+        assert all(later - earlier <= discovery_schedule.SPAN_S for earlier, later in pairwise(found))
+        assert all(later - earlier >= discovery_schedule.FIRST_S / 2 for earlier, later in pairwise(found))
+        assert all(later - earlier >= discovery_schedule.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
-    assert turns.SPAN_S + turns.CALL_S == turns.TOLD_S
+    assert discovery_schedule.SPAN_S + discovery_schedule.CALL_S == discovery_schedule.TOLD_S
     if count == 200:
         # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
         assert busiest <= count, busiest
-        later = [one for one in calls if one > turns.TOLD_S + turns.SPAN_S]
+        later = [one for one in calls if one > discovery_schedule.TOLD_S + discovery_schedule.SPAN_S]
         assert all(sum(at <= one < at + 2.5 for one in later) <= count for at in later)
 
 
@@ -128,7 +128,7 @@
         # it could be reached from the last word on; later, from just after a call that failed had begun
         since_s = word_s if failures == 1 else discovery.begun[failures]
         told_s = discovery.now_s() - since_s
-        assert told_s <= turns.TOLD_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
+        assert told_s <= discovery_schedule.TOLD_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
@@ -160,7 +160,7 @@
         await discovery.open()
         back_s = discovery.now_s()
         await until(lambda: state(scene) is UpstreamState.DRAINING)
-        assert discovery.now_s() - back_s <= turns.TOLD_S
+        assert discovery.now_s() - back_s <= discovery_schedule.TOLD_S
         scene.sidecar.discovery.close()
 
     play(test, monkeypatch)
