--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -30,7 +30,7 @@
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
 from ironscale.net.signals import Signals
-from ironscale.net.starts import StartTimes
+from ironscale.net.start_times import StartTimes
 from ironscale.net.upstream import Answer, Attempt, Upstreams
 
 # Answers leave this long before the client stops waiting. Measured: timers fire up to 2 ms late, the
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -28,7 +28,7 @@
         "ironscale.net.discovery", "ironscale.net.errors",
         "ironscale.net.jsonstream", "ironscale.net.event_dispatcher", "ironscale.net.lifecycle",
         "ironscale.net.periodic",
-        "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.starts",
+        "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.start_times",
         "ironscale.net.stream", "ironscale.net.discovery_schedule",
         "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.lesson_confidence"]
 
--- a/tests/test_starts.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ironscale import interface as api
-from ironscale.net.starts import MOST_STEPS, StartTimes
+from ironscale.net.start_times import MOST_STEPS, StartTimes
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer
 from tests.sockets import Scene, run, until
