--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -11,9 +11,9 @@
 
 from ironscale import logs
 from ironscale.net.client import LEFT, Application, ClientConnection
-from ironscale.net.closing import BACKLOG, ListenerShutdown
 from ironscale.net.errors import Severity, severity
 from ironscale.net.lifecycle import Event, Ledger
+from ironscale.net.listener_shutdown import BACKLOG, ListenerShutdown
 from ironscale.net.periodic import Periodic
 
 # Who sends no whole request gets an error or a close within so long, here and in the sweep's step less
--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ironscale.net.closing import ListenerShutdown, Reached
+from ironscale.net.listener_shutdown import ListenerShutdown, Reached
 from ironscale.net.server import Server
 from ironscale.standins.http import read_message
 from tests import test_shutdown
