--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -109,7 +109,7 @@
 
             subsystems.append(record_beside(found.record))
         if found.control is not None:
-            from ironscale.control.beside import beside
+            from ironscale.control.extension import beside
 
             subsystems.append(beside(found.control, environ, channel, found.versions))
         return together(subsystems), found.sidecar.reuse_port
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -29,7 +29,7 @@
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
 from ironscale.agent.supervisor import Supervisor
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.control.beside import version
+from ironscale.control.extension import version
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import ENDING, Clock
 from ironscale.net.signals import Signals
--- a/tests/agent/zygote.py
+++ b/tests/agent/zygote.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ironscale.__main__ import main
-from ironscale.control import beside, client  # noqa: F401 (loaded once, for all)
+from ironscale.control import client, extension  # noqa: F401 (loaded once, for all)
 
 
 def go_wrong(how: str) -> None:
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -35,7 +35,7 @@
 
 def test_the_instances_side_needs_no_extra() -> None:
     """A sidecar with an agent runs on requirements.txt alone."""
-    code = ("import sys, ironscale.control.beside; "
+    code = ("import sys, ironscale.control.extension; "
             "print(*sorted({m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -17,7 +17,7 @@
 from ironscale.__main__ import together
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
-from ironscale.control.beside import beside as control_beside
+from ironscale.control.extension import beside as control_beside
 from ironscale.introspection import learned, view
 from ironscale.learned import keeper as keeping
 from ironscale.learned import teaching
