--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,7 +23,7 @@
 
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
-from ironscale.control.light import LightInstance, light, stop
+from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
 from ironscale.operator_file import Agent as Section
--- a/ironscale/scale/hollow.py
+++ b/ironscale/scale/hollow.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.light import LightInstance, light, light_follower
+from ironscale.control.simulated_instance import LightInstance, light, light_follower
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
--- a/ironscale/stage/published_play.py
+++ b/ironscale/stage/published_play.py
@@ -21,7 +21,7 @@
 from ironscale.agent.terms import Term
 from ironscale.control import follower as follower_module
 from ironscale.control.follower import Follower
-from ironscale.control.light import LightInstance, light_follower
+from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import Entry as Line
 from ironscale.stage.virtual import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import following as held_module
--- a/ironscale/stage/published_run.py
+++ b/ironscale/stage/published_run.py
@@ -20,7 +20,7 @@
 
 from ironscale.agent import tokens
 from ironscale.control.follower import Follower
-from ironscale.control.light import LightInstance, light_follower
+from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import History
 from ironscale.stage.relay import Port, Relay
 from ironscale.stage.run import AGENT, LOOK_S, START_S, Process, StageError, apart
--- a/tests/agent/scene.py
+++ b/tests/agent/scene.py
@@ -15,7 +15,7 @@
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import Client
-from ironscale.control.light import LightInstance, light, stop
+from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ironscale.control.light import light, stop
+from ironscale.control.simulated_instance import light, stop
 from ironscale.operator_file import read_secret
 from tests.agent.scene import run
 from tests.deployed import ROOT
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -20,7 +20,7 @@
 from ironscale.agent.sqlite import Claim, SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Term, clock_ms
-from ironscale.control.light import LightInstance, light, stop
+from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
 from tests.agent.scene import run
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -16,7 +16,6 @@
 from ironscale.control.client import Client, Identity
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.instance import SidecarInstance
-from ironscale.control.light import LightInstance, light
 from ironscale.control.messages import (
     FROM_INSTANCE,
     Beat,
@@ -31,6 +30,7 @@
     read,
     write,
 )
+from ironscale.control.simulated_instance import LightInstance, light
 from ironscale.standins.http import ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang, reply
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -13,8 +13,8 @@
 from ironscale.control import follower as module
 from ironscale.control.follower import Follower
 from ironscale.control.frames import Decoder, encode
-from ironscale.control.light import LightInstance, light_follower
 from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, Layer, Message, Runs, Update, read, write
+from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.versions import choice
 from ironscale.versions.choice import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -10,8 +10,8 @@
 from ironscale.control import pacing
 from ironscale.control.client import NOT_LEADING, Client
 from ironscale.control.frames import encode
-from ironscale.control.light import light, stop
 from ironscale.control.messages import Command, Denied, Hello, Welcome, write
+from ironscale.control.simulated_instance import light, stop
 from tests.control.test_client import ScriptedAgent
 from tests.sockets import run, until
 
