--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -99,8 +99,8 @@
 
             subsystems.append(store_beside(found.store))
         if found.learned is not None:
-            from ironscale.learned.beside import Channel
-            from ironscale.learned.beside import beside as learned_beside
+            from ironscale.learned.extension import Channel
+            from ironscale.learned.extension import beside as learned_beside
 
             channel = Channel()
             subsystems.append(learned_beside(found.learned, channel))
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_extension.py
@@ -21,8 +21,8 @@
 from ironscale.introspection import learned, view
 from ironscale.learned import keeper as keeping
 from ironscale.learned import teaching
-from ironscale.learned.beside import Channel, Running, beside
 from ironscale.learned.codec import MAX_BYTES, decode, encode
+from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.keeper import Collector, Keeper
 from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import OsFiles, Store, load, path_for
