--- a/bench/learned.py
+++ b/bench/learned.py
@@ -35,7 +35,7 @@
 from ironscale import lesson_confidence
 from ironscale.introspection import learned
 from ironscale.learned.codec import decode, decoding, encoding
-from ironscale.learned.keeper import Collector, Keeper, in_slices
+from ironscale.learned.persistence import Collector, Keeper, in_slices
 from ironscale.learned.store import Store, load, path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -9,7 +9,7 @@
 import traceback
 from collections.abc import AsyncIterator, Callable
 
-from ironscale.learned.keeper import Collector, Keeper
+from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import Store, path_for
 from ironscale.learned.teaching import Address, Pupil, Teacher
 from ironscale.net.sidecar import Beside, Sidecar
--- a/ironscale/learned/teaching.py
+++ b/ironscale/learned/teaching.py
@@ -17,7 +17,7 @@
 
 from ironscale import lesson_confidence
 from ironscale.learned.codec import MAX_BYTES, CodecError, decoding
-from ironscale.learned.keeper import Collector, in_slices
+from ironscale.learned.persistence import Collector, in_slices
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -19,12 +19,12 @@
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.extension import beside as control_beside
 from ironscale.introspection import learned, view
-from ironscale.learned import keeper as keeping
+from ironscale.learned import persistence as keeping
 from ironscale.learned import teaching
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.keeper import Collector, Keeper
 from ironscale.learned.moment import machine_boot, now
+from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import OsFiles, Store, load, path_for
 from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
 from ironscale.net.discovery import upstream_id
