--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -12,8 +12,8 @@
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.learned.codec import CodecError, Snapshot, body_of, decode, lessons_of
-from ironscale.learned.moment import MomentError, between, machine_boot, now
 from ironscale.learned.store import OsFiles, Store
+from ironscale.learned.timestamps import MomentError, between, machine_boot, now
 
 
 @click.group()
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -19,7 +19,7 @@
 from typing import Any, NoReturn, TypeVar
 
 from ironscale.interface import ClassLesson, Lessons, UpstreamLesson
-from ironscale.learned.moment import Moment
+from ironscale.learned.timestamps import Moment
 
 MAGIC = b"ISLEARN\n"
 VERSION = 2
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -28,8 +28,8 @@
     lessons_of,
     named,
 )
-from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import Store, choose
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.threads import in_thread
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -11,7 +11,7 @@
 from urllib.parse import quote
 
 from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decoding, finish
-from ironscale.learned.moment import Moment, MomentError, between
+from ironscale.learned.timestamps import Moment, MomentError, between
 
 MODE = 0o600
 
--- a/tests/cli/test_learned.py
+++ b/tests/cli/test_learned.py
@@ -12,8 +12,8 @@
 from ironscale.cli.learned import learned
 from ironscale.cli.output import CliError, Exit
 from ironscale.learned.codec import encode
-from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import Store
+from ironscale.learned.timestamps import machine_boot, now
 from tests.learned.samples import lesson, snapshot
 
 
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -5,7 +5,7 @@
 import random
 
 from ironscale.learned.codec import AGES, NamedLesson, Snapshot
-from ironscale.learned.moment import Moment
+from ironscale.learned.timestamps import Moment
 
 NOW = Moment("boot-a", 5_000_000_000, 1_790_000_000_000_000)
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -23,10 +23,10 @@
 from ironscale.learned import teaching
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import OsFiles, Store, load, path_for
 from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import Control, Learned
 from ironscale.standins.discovery import listing
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -18,8 +18,8 @@
 from ironscale import interface as api
 from ironscale import lesson_confidence
 from ironscale.introspection import learned
-from ironscale.learned.moment import machine_boot, now
 from ironscale.learned.store import Store, load, path_for
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -13,8 +13,8 @@
 import pytest
 
 from ironscale.learned.codec import MAX_BYTES, encode
-from ironscale.learned.moment import Moment, MomentError, between
 from ironscale.learned.store import Store, load, path_for
+from ironscale.learned.timestamps import Moment, MomentError, between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
 from tests.learned.samples import NOW, snapshot
