--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -9,9 +9,9 @@
 import traceback
 from collections.abc import AsyncIterator, Callable
 
+from ironscale.learned.peer_transfer import Address, Pupil, Teacher
 from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import Store, path_for
-from ironscale.learned.teaching import Address, Pupil, Teacher
 from ironscale.net.sidecar import Beside, Sidecar
 from ironscale.operator_file import Learned, is_loopback
 from ironscale.tasks import alongside
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -19,13 +19,13 @@
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.extension import beside as control_beside
 from ironscale.introspection import learned, view
+from ironscale.learned import peer_transfer
 from ironscale.learned import persistence as keeping
-from ironscale.learned import teaching
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
+from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
 from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import OsFiles, Store, load, path_for
-from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
 from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import Control, Learned
@@ -311,7 +311,7 @@
 
 def test_donors_that_lie_hang_or_are_not_there_cost_a_bounded_time(monkeypatch: pytest.MonkeyPatch,
                                                                    capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(teaching, "ASK_S", 0.5)
+    monkeypatch.setattr(peer_transfer, "ASK_S", 0.5)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
@@ -321,7 +321,7 @@
             await liar(told(data, 10**9)), await liar(told(b"x" + data[1:])),
             await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
-        monkeypatch.setattr(teaching, "MOST_DONORS", 10)
+        monkeypatch.setattr(peer_transfer, "MOST_DONORS", 10)
         pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
         assert not await pupil.learn(donors)
@@ -337,8 +337,8 @@
 
 
 def test_nobody_is_waited_for_once_most_have_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(teaching, "ASK_S", 20.0)
-    monkeypatch.setattr(teaching, "ENOUGH_S", 0.1)
+    monkeypatch.setattr(peer_transfer, "ASK_S", 20.0)
+    monkeypatch.setattr(peer_transfer, "ENOUGH_S", 0.1)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -351,7 +351,7 @@
 
 @pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", ASKED[:5], b"\0" * 5000])
 def test_who_asks_for_something_else_gets_nothing(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(teaching, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(peer_transfer, "PATIENCE_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -385,21 +385,21 @@
             started_s = asyncio.get_running_loop().time()
             waiting = [asyncio.create_task(newcomer()) for _ in range(500)]
             while not all(task.done() for task in waiting):
-                most_open = max(most_open, teaching.MOST_OPEN - teacher.open._value)
+                most_open = max(most_open, peer_transfer.MOST_OPEN - teacher.open._value)
                 assert (await scene.call()).status == 200
                 await asyncio.sleep(0.01)
             taught = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
-        assert took_s >= 500 / teaching.RATE * 0.9  # paced
-        assert teacher.collected <= took_s / teaching.FRESH_S + 2 and most_open <= teaching.MOST_OPEN
+        assert took_s >= 500 / peer_transfer.RATE * 0.9  # paced
+        assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MOST_OPEN
 
     run(test)
 
 
 def test_a_teaching_address_that_is_taken_is_tried_again(monkeypatch: pytest.MonkeyPatch,
                                                         capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(teaching, "AGAIN_S", 0.05)
+    monkeypatch.setattr(peer_transfer, "AGAIN_S", 0.05)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
