--- a/bench/record.py
+++ b/bench/record.py
@@ -24,8 +24,8 @@
 
 from ironscale.operator_file import Stores, StoreTarget
 from ironscale.record import sqlite
-from ironscale.record.beside import beside
 from ironscale.record.database import Opener
+from ironscale.record.extension import beside
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
 from ironscale.record.postgres import Access, PostgresStore
 from ironscale.record.sqlite import SqliteStore, migrate
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -95,7 +95,7 @@
         subsystems: list[Beside] = []
         channel = None
         if found.store is not None:  # the first: not one request may pass by it
-            from ironscale.record.beside import beside as store_beside
+            from ironscale.record.extension import beside as store_beside
 
             subsystems.append(store_beside(found.store))
         if found.learned is not None:
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -22,10 +22,10 @@
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
-from ironscale.record import beside as beside_module
+from ironscale.record import extension as beside_module
 from ironscale.record import history
 from ironscale.record import journal as journal_module
-from ironscale.record.beside import beside
+from ironscale.record.extension import beside
 from ironscale.record.lane import Stores as Front
 from ironscale.record.lane import settings_for
 from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
