--- a/bench/record.py
+++ b/bench/record.py
@@ -125,7 +125,7 @@
 def bench_back(stall_s: float, rate: float, folder: Path) -> None:
     """Open loop through a sidecar on a store that stops answering and comes back."""
     from ironscale.standins.upstream import Peer
-    from tests.record.test_lane import QUICK, asked
+    from tests.record.test_store_dispatcher import QUICK, asked
     from tests.sockets import Scene
 
     async def main() -> None:
--- a/tests/record/test_lane.py
+++ b/tests/record/test_store_dispatcher.py
@@ -26,11 +26,11 @@
 from ironscale.record import history
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import beside
-from ironscale.record.lane import Stores as Front
-from ironscale.record.lane import settings_for
 from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
+from ironscale.record.store_dispatcher import Stores as Front
+from ironscale.record.store_dispatcher import settings_for
 from ironscale.standins.http import TURNED_AWAY, Message
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
