--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -14,7 +14,7 @@
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
 
 try:
-    from ironscale.record import journal, looking, opening, sqlite
+    from ironscale.record import journal, opening, operator_queries, sqlite
     from ironscale.record.model import Trouble
 except ImportError as error:  # the extra is not installed
     missing: str | None = str(error)
@@ -102,7 +102,7 @@
     for target in one_of(stores, None):
         mine = [entry for entry in entries if entry.store == target.name]
         if mine:
-            found.update(looking.find_out(target, mine))
+            found.update(operator_queries.find_out(target, mine))
     for entry in entries:
         found.setdefault(entry.attempt, f"not known: there is no store {entry.store!r} in {stores.file}")
     if output == "json":
@@ -125,7 +125,7 @@
     for target in one_of(stores_of(operator), store):
         try:
             rows += [(target.name, kind or "-", "marks" if state == "void" else "records", count)
-                     for state, kind, count in looking.counts(target)]
+                     for state, kind, count in operator_queries.counts(target)]
         except Trouble as trouble:
             silent.append({"store": target.name, "why": str(trouble)})
     if output == "json":
@@ -148,7 +148,7 @@
     silent = False
     for target in one_of(stores_of(operator), store):
         try:
-            gone = looking.prune(target, int(days * 86_400_000))
+            gone = operator_queries.prune(target, int(days * 86_400_000))
             out.print(f"{target.name}: {gone:,} marks deleted", markup=False)
         except Trouble as trouble:
             silent = True
@@ -167,7 +167,7 @@
     found = []
     try:
         for target in one_of(stores_of(operator), store):
-            found += [(target.name, one) for one in looking.records(target, request)]
+            found += [(target.name, one) for one in operator_queries.records(target, request)]
     except Trouble as trouble:
         fail(Exit.FAILED, str(trouble))
     if not found:
