--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -14,7 +14,7 @@
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
 
 try:
-    from ironscale.record import journal, opening, operator_queries, sqlite
+    from ironscale.record import journal, operator_queries, sqlite, store_factory
     from ironscale.record.model import Trouble
 except ImportError as error:  # the extra is not installed
     missing: str | None = str(error)
@@ -50,7 +50,7 @@
         fail(Exit.USAGE, f"--store: expected one of {', '.join(t.name for t in stores.to)}, got {name}")
     try:
         for target in found:
-            opening.make(target, stores.file)
+            store_factory.make(target, stores.file)
     except OperatorFileError as error:
         fail(Exit.USAGE, str(error))
     return found
--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -11,9 +11,9 @@
 from ironscale.net.sidecar import Beside, Sidecar
 from ironscale.operator_file import OperatorFileError, Stores
 from ironscale.record.journal import Journal, JournalError
-from ironscale.record.opening import make
 from ironscale.record.recorder import Recorder
 from ironscale.record.store_dispatcher import Stores as Front
+from ironscale.record.store_factory import make
 from ironscale.tasks import alongside
 
 CLOSE_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -9,8 +9,8 @@
 from ironscale.operator_file import StoreTarget
 from ironscale.record.journal import Open
 from ironscale.record.model import Row, Store, Trouble
-from ironscale.record.opening import make
 from ironscale.record.sql import Dialect, row
+from ironscale.record.store_factory import make
 
 T = TypeVar("T")
 LIMIT_S = 10.0
