--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -10,7 +10,7 @@
 
 from ironscale.record.journal import Journal, Open
 from ironscale.record.model import Cause, Entry, Knowledge, Store, Trouble
-from ironscale.record.plan import Ask, Attempt, Done, Next, Told, Write
+from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
 
 MOST_OPEN = 10_000  # attempts that are out or not known; what comes beyond is not begun
 ASKING = 8  # questions at a time: after an outage all that is open wants to be asked together
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -22,8 +22,8 @@
 from ironscale.net.upstream import Answer
 from ironscale.record import model, routes
 from ironscale.record.model import Cause
-from ironscale.record.plan import Attempt, Told
 from ironscale.record.recorder import Handle, Recorder
+from ironscale.record.write_attempt import Attempt, Told
 
 LEAST_DOORS = 2
 DOOR = re.compile(r"\bupstream (\d+)")
--- a/tests/record/play.py
+++ b/tests/record/play.py
@@ -8,8 +8,8 @@
 from ironscale.record import history
 from ironscale.record.journal import Journal
 from ironscale.record.model import Entry, Store
-from ironscale.record.plan import Attempt, Told
 from ironscale.record.recorder import Handle, Recorder
+from ironscale.record.write_attempt import Attempt, Told
 from tests.record.samples import again
 
 WORDS = {Told.RAN: history.SERVED, Told.NEVER_RAN: history.REFUSED, Told.CONFLICT: history.CONFLICT,
--- a/tests/record/test_plan.py
+++ b/tests/record/test_write_attempt.py
@@ -9,7 +9,7 @@
 from ironscale.record import history, model, routes
 from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
 from ironscale.record.model import Cause, Knowledge, Row, Trouble, Verdict, Written
-from ironscale.record.plan import Ask, Attempt, Done, Told, Write
+from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
 
 NEVER, UNKNOWN = Knowledge.NEVER_RAN, Knowledge.NOT_KNOWN
