--- a/tests/record/play.py
+++ b/tests/record/play.py
@@ -1,19 +1,19 @@
-"""Clients of a store of record as tests play them, and what they were told: the input of `ironscale.record.history`."""
+"""Clients of a store of record as tests play them, and what they were told: the input of `ironscale.record.history_check`."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 
-from ironscale.record import history
+from ironscale.record import history_check
 from ironscale.record.journal import Journal
 from ironscale.record.model import Entry, Store
 from ironscale.record.recorder import Handle, Recorder
 from ironscale.record.write_attempt import Attempt, Told
 from tests.record.samples import again
 
-WORDS = {Told.RAN: history.SERVED, Told.NEVER_RAN: history.REFUSED, Told.CONFLICT: history.CONFLICT,
-         Told.OPEN: history.FAILED}
+WORDS = {Told.RAN: history_check.SERVED, Told.NEVER_RAN: history_check.REFUSED, Told.CONFLICT: history_check.CONFLICT,
+         Told.OPEN: history_check.FAILED}
 
 
 class Play:
@@ -23,7 +23,7 @@
         self.lines: list[str] = []
         journal = Journal(None, "n", self.lines.append)
         self.recorder = Recorder("s", store, journal, self.lines.append, random.Random(seed))
-        self.clients: list[history.Told] = []
+        self.clients: list[history_check.Told] = []
         self.handles: list[Handle] = []
 
     async def submit(self, one: Entry, seconds: float, tries: int = 1) -> str:
@@ -34,8 +34,8 @@
             if told is not Told.NEVER_RAN:
                 break
         word = WORDS[told]
-        self.clients.append(history.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, word,
-                                         handle.plan.answer if word == history.SERVED else b""))
+        self.clients.append(history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, word,
+                                         handle.plan.answer if word == history_check.SERVED else b""))
         return word
 
     async def attempt(self, one: Entry, seconds: float) -> Handle:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -23,7 +23,7 @@
 from ironscale.net.sidecar import MARGIN_US
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
 from ironscale.record import extension as beside_module
-from ironscale.record import history
+from ironscale.record import history_check
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import beside
 from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
@@ -456,7 +456,7 @@
         assert len(results) >= 300 and len({r for r, _ in rows_}) == len(rows_)
         standing = {request for request, _ in rows_}
         found = [row(values) for values in host.data.all(f"SELECT {', '.join(COLUMNS)} FROM records")]
-        assert history.faults([], found) == [], f"seed {seed}"
+        assert history_check.faults([], found) == [], f"seed {seed}"
         assert {one.key for one in found if one.kind == "mark"} == {str(i) for i in range(25)}, f"seed {seed}"
         counts = Counter(status for _, status in results.values())
         # each of 300 requests was served in the end, or, few of them, has failed
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.record import history, model, routes
+from ironscale.record import history_check, model, routes
 from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
 from ironscale.record.model import Cause, Knowledge, Row, Trouble, Verdict, Written
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
@@ -134,9 +134,9 @@
                one.fingerprint, one.answer, at_ms, at_ms + one.memory_ms if one.memory_ms else 0, one.slot)
 
 
-def told(one: model.Entry, what: str) -> history.Told:
-    return history.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
-                        one.answer if what == history.SERVED else b"")
+def told(one: model.Entry, what: str) -> history_check.Told:
+    return history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
+                        one.answer if what == history_check.SERVED else b"")
 
 
 def test_a_history_that_keeps_the_rules_has_no_faults() -> None:
@@ -147,7 +147,7 @@
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
     clients = [told(first, "served"), told(mark, "served"), replace(told(repeat, "served"), answer=mark.answer),
                told(entry("e"), "refused"), told(entry("f"), "failed")]
-    assert history.faults(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
+    assert history_check.faults(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
 
 
 @pytest.mark.parametrize(("expected", "clients", "rows", "outcomes"), [
@@ -159,7 +159,7 @@
                                        outcomes: dict[int, str]) -> None:
     attempts = [entry("a")]
     attempts.append(again(attempts[0]))
-    (fault,) = history.faults([told(attempts[i], what) for what, i in clients],
+    (fault,) = history_check.faults([told(attempts[i], what) for what, i in clients],
                               [stands(attempts[i], at) for i, at in rows],
                               {attempts[i].attempt: what for i, what in outcomes.items()})
     assert fault.startswith(expected)
@@ -168,6 +168,6 @@
 def test_a_keyed_effect_written_twice_within_its_memory_and_a_wrong_answer_are_found() -> None:
     first = entry("a", "deduplicated")
     second = replace(again(first), request="b")
-    assert history.faults([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
-    assert history.faults([], [stands(first, 0), stands(second, 60_000)]) == []
-    assert history.faults([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
+    assert history_check.faults([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
+    assert history_check.faults([], [stands(first, 0), stands(second, 60_000)]) == []
+    assert history_check.faults([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
