--- a/ironscale/agent/opening.py
+++ b/ironscale/agent/opening.py
@@ -17,7 +17,7 @@
 import apsw
 
 from ironscale.agent import sql
-from ironscale.agent.keeping import told
+from ironscale.agent.commit_tracking import told
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import holder_of, place_of
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -20,7 +20,7 @@
 
 import psycopg
 
-from ironscale.agent.keeping import KeptStore
+from ironscale.agent.commit_tracking import KeptStore
 from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -9,7 +9,7 @@
 
 import apsw
 
-from ironscale.agent.keeping import KeptStore, told
+from ironscale.agent.commit_tracking import KeptStore, told
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ironscale.agent import keeping, opening
+from ironscale.agent import commit_tracking, opening
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
 from ironscale.agent.opening import open_store
 from ironscale.agent.postgres import Holder, PostgresStore
@@ -584,7 +584,7 @@
 def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Cuts, stalls, errors, lost replies and restarts. Each write is told as kept, not kept or not known; the log holds
     the first once, the second never, and of the third exactly those that were heard of later."""
-    monkeypatch.setattr(keeping, "AGAIN_S", 0.01)
+    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.01)
 
     async def test() -> None:
         rng, data = random.Random(seed), Data()
@@ -896,7 +896,7 @@
 def test_a_move_that_fails_leaves_both_as_they_were_and_one_that_ended_early_is_not_done_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keeping, "RESOLVE_S", 0.3)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_S", 0.3)
     said: list[str] = []
 
     async def test() -> None:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -17,7 +17,7 @@
 import apsw
 import pytest
 
-from ironscale.agent import keeping
+from ironscale.agent import commit_tracking
 from ironscale.agent import sqlite as module
 from ironscale.agent.model import Kind, Operation, Phase, Policy, State, Target
 from ironscale.agent.sql import SqlRecords
@@ -262,7 +262,7 @@
 ) -> None:
     """Writes, a checkpoint among them; after each the log must hold what was told, also once the power has gone."""
     names = itertools.count()
-    monkeypatch.setattr(keeping, "AGAIN_S", 0.002)
+    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.002)
 
     async def day(disk: Disk) -> tuple[list[str], list[str], int]:
         """Subjects that were kept, those that were not, and how many of the first were found out."""
