--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -22,7 +22,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.watching import Watching
+from ironscale.agent.upstream_polling import Watching
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, Report, Result, write
 from ironscale.disruption.model import Budget, Halt, Of, Permit
--- a/tests/agent/test_watching.py
+++ b/tests/agent/test_upstream_polling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironscale.agent import watching
+from ironscale.agent import upstream_polling
 from ironscale.agent.refusal import Refusal
 from ironscale.disruption import ledger
 from ironscale.disruption.model import Budget, Of, Phase
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watching, "EVERY_S", 0.02)
+    monkeypatch.setattr(upstream_polling, "EVERY_S", 0.02)
     monkeypatch.setitem(ledger.SETTLES_MS, Of.UPSTREAM, 100)
 
 
