--- a/bench/record.py
+++ b/bench/record.py
@@ -224,11 +224,11 @@
 def bench_agent(seconds: float, folder: Path) -> None:
     """Small writes of the agent on both kinds; a record of 20,000 lines moved; from a lost connection, and from a
     statement that never ends, to the next write that is kept."""
-    from ironscale.agent.opening import open_store
     from ironscale.agent.postgres import Holder
     from ironscale.agent.postgres import PostgresStore as AgentOnPostgres
     from ironscale.agent.sqlite import SqliteStore as AgentOnSqlite
     from ironscale.agent.store import Records, StoreError
+    from ironscale.agent.store_setup import open_store
     from ironscale.operator_file import Agent
 
     def small(records: Records) -> None:
--- a/ironscale/cli/processes.py
+++ b/ironscale/cli/processes.py
@@ -67,7 +67,7 @@
 
             check_stores(found.store)
         if found.agent is not None and found.agent.postgresql:
-            from ironscale.agent.opening import access_of
+            from ironscale.agent.store_setup import access_of
 
             access_of(found.agent)
     except OperatorFileError as error:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -15,14 +15,14 @@
 
 import pytest
 
-from ironscale.agent import commit_tracking, opening
+from ironscale.agent import commit_tracking, store_setup
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
-from ironscale.agent.opening import open_store
 from ironscale.agent.postgres import Holder, PostgresStore
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.sql import SCHEMA
 from ironscale.agent.sqlite import SqliteStore, connect
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
+from ironscale.agent.store_setup import open_store
 from ironscale.agent.terms import holder_of
 from ironscale.cli.output import CODES, Exit
 from ironscale.operator_file import OperatorFileError, Service, parse
@@ -817,7 +817,7 @@
         data = Data()
         async with hosts(data) as (host,):
             async with running(section(tmp_path / "one", postgresql=dsn(host))) as one:
-                monkeypatch.setattr(opening, "WAIT_S", -9.5)
+                monkeypatch.setattr(store_setup, "WAIT_S", -9.5)
                 with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one has this"):
                     async with running(section(tmp_path / "two", postgresql=dsn(host))):
                         pass
@@ -826,7 +826,7 @@
                 assert one.ready.is_set()
             # killed in place of ended: its lease runs on
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
-            monkeypatch.setattr(opening, "WAIT_S", 2.0)
+            monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
                 assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the record knows" in text]) == 2
@@ -963,7 +963,7 @@
     with pytest.raises(OperatorFileError) as found:
         agent = parse(f"[agent]\n{text}\n", "F", tmp_path).agent
         assert agent is not None
-        opening.access_of(agent)
+        store_setup.access_of(agent)
     assert expected in str(found.value) and "\n" not in str(found.value)
 
 
@@ -974,7 +974,7 @@
     section_ = parse('[agent]\npostgresql = "host=a"\n', "F", tmp_path).agent
     assert section_ is not None
     with pytest.raises(OperatorFileError, match=r"F: agent\.postgresql: expected the packages of ironscale\[record\]"):
-        opening.access_of(section_)
+        store_setup.access_of(section_)
 
 
 def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -317,7 +317,7 @@
 WRITER = """
 import asyncio, sys
 from pathlib import Path
-from ironscale.agent.opening import open_store
+from ironscale.agent.store_setup import open_store
 from ironscale.operator_file import Agent
 async def main():
     data = Path(sys.argv[1])
