--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ironscale.agent import planner
-from ironscale.agent.difference import difference
+from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
 from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, Send, State, Target
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -18,7 +18,7 @@
 from graphql import GraphQLError, GraphQLSchema, OperationType, build_schema, value_from_ast_untyped
 
 from ironscale.agent import tokens as secrets_
-from ironscale.agent.difference import difference
+from ironscale.agent.config_diff import difference
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import state_of
 from ironscale.agent.limits import MOST_PAGE
--- a/ironscale/cli/config.py
+++ b/ironscale/cli/config.py
@@ -12,7 +12,7 @@
 
 import click
 
-from ironscale.agent.difference import difference
+from ironscale.agent.config_diff import difference
 from ironscale.cli import processes
 from ironscale.cli.client import Api
 from ironscale.cli.common import api_for, api_options, output_option
