--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -19,10 +19,10 @@
 from ironscale import logs
 from ironscale.agent import tokens
 from ironscale.agent.api import Api
+from ironscale.agent.control_connections import NOT_LEADING, Door, Links
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
 from ironscale.agent.following import Following, for_good
-from ironscale.agent.links import NOT_LEADING, Door, Links
 from ironscale.agent.schema import Caller, Context, make_schema
 from ironscale.agent.serving import FollowerLink, Followers, SumLink
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
--- a/ironscale/agent/serving.py
+++ b/ironscale/agent/serving.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from ironscale.agent.links import NOT_LEADING
+from ironscale.agent.control_connections import NOT_LEADING
 from ironscale.control.frames import HEADER, Decoder, FrameError, encode
 from ironscale.control.messages import (
     FROM_FOLLOWER,
