--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -22,9 +22,9 @@
 from ironscale.agent.control_connections import NOT_LEADING, Door, Links
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
+from ironscale.agent.follower_connections import FollowerLink, Followers, SumLink
 from ironscale.agent.following import Following, for_good
 from ironscale.agent.schema import Caller, Context, make_schema
-from ironscale.agent.serving import FollowerLink, Followers, SumLink
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
 from ironscale.agent.store_setup import open_store
 from ironscale.agent.supervisor import Supervisor
--- a/ironscale/stage/published_play.py
+++ b/ironscale/stage/published_play.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any, cast
 
+from ironscale.agent import follower_connections as serving_module
 from ironscale.agent import following as following_module
-from ironscale.agent import serving as serving_module
+from ironscale.agent.follower_connections import FollowerLink, Followers
 from ironscale.agent.following import Following
-from ironscale.agent.serving import FollowerLink, Followers
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
 from ironscale.control import follower as follower_module
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ironscale.agent import serving
+from ironscale.agent import follower_connections
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import Decoder, encode
@@ -368,7 +368,7 @@
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert most < serving.UNSENT_BYTES + (64 << 10)
+            assert most < follower_connections.UNSENT_BYTES + (64 << 10)
             count = len(slow.updates)
             slow.reads.set()
             await until(lambda: slow.view.position == version)
@@ -438,7 +438,7 @@
 
 def test_who_leads_is_told_who_runs_what_and_says_of_whom_it_does_not_know(tmp_path: Path,
                                                                           monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(serving, "SUM_OLD_S", 1.6)
+    monkeypatch.setattr(follower_connections, "SUM_OLD_S", 1.6)
 
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
