--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -23,12 +23,12 @@
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
 from ironscale.agent.follower_connections import FollowerLink, Followers, SumLink
-from ironscale.agent.following import Following, for_good
 from ironscale.agent.schema import Caller, Context, make_schema
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
 from ironscale.agent.store_setup import open_store
 from ironscale.agent.supervisor import Supervisor
 from ironscale.agent.terms import Owner, clock_ms
+from ironscale.agent.versions_replica import Following, for_good
 from ironscale.control.extension import version
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import ENDING, Clock
--- a/ironscale/stage/published_play.py
+++ b/ironscale/stage/published_play.py
@@ -14,11 +14,11 @@
 from typing import Any, cast
 
 from ironscale.agent import follower_connections as serving_module
-from ironscale.agent import following as following_module
+from ironscale.agent import versions_replica as following_module
 from ironscale.agent.follower_connections import FollowerLink, Followers
-from ironscale.agent.following import Following
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
+from ironscale.agent.versions_replica import Following
 from ironscale.control import follower as follower_module
 from ironscale.control.follower import Follower
 from ironscale.control.simulated_instance import LightInstance, light_follower
