--- a/ironscale/load/leash.py
+++ b/ironscale/load/parent_death.py
@@ -1,5 +1,5 @@
 """Runs a module as `python -m` does, and ends with the process that started it:
-`python leash.py PARENT MODULE [ARGUMENT ...]`.
+`python parent_death.py PARENT MODULE [ARGUMENT ...]`.
 
 A generator that is killed with SIGKILL can end nobody; so the kernel tells its children (prctl(2), PR_SET_PDEATHSIG),
 and they end as they do at any SIGTERM. Linux only.
--- a/ironscale/load/run.py
+++ b/ironscale/load/run.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from ironscale.control.processes import cpu_s
-from ironscale.load import leash
+from ironscale.load import parent_death
 from ironscale.load.outcome import RECORD, Sample
 from ironscale.load.result import Result, Truth, summarize, truth_of
 from ironscale.load.scenario import Scenario, ScenarioError
@@ -295,7 +295,7 @@
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """A Python process of ours, ended with the block, or with this process however it ends."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", leash.__file__, str(os.getpid()), module,
+        sys.executable, "-B", parent_death.__file__, str(os.getpid()), module,
         env=environ, limit=LINE, start_new_session=True, **pipes,
     )  # Ctrl-C is this process's to handle
     try:
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ironscale.load import leash
+from ironscale.load import parent_death
 
 LOOK_S = 0.25
 END_S = 5.0  # from SIGTERM to SIGKILL
@@ -123,7 +123,7 @@
             raise BoundsError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
         with open(log or os.devnull, "ab") as out:
             process = subprocess.Popen(
-                [sys.executable, "-B", leash.__file__, str(os.getpid()), module, *args], env=environ,
+                [sys.executable, "-B", parent_death.__file__, str(os.getpid()), module, *args], env=environ,
                 stdin=subprocess.DEVNULL, stdout=out, stderr=out, start_new_session=True,
                 pass_fds=[sock.fileno() for sock in keep])
             self.running[process.pid] = process
