--- a/ironscale/cli/load.py
+++ b/ironscale/cli/load.py
@@ -145,7 +145,7 @@
 ) -> None:
     """Run the scenario FILE, or once more the run whose JSON is FILE."""
     with stoppable(), foreseen():
-        from ironscale.load.page import page
+        from ironscale.load.html_report import page
         from ironscale.load.run import Run
 
         scenario = scenario_of(file, seed, workers)
@@ -375,7 +375,7 @@
 def make_page(file: Path, to: Path) -> None:
     """The page of a run from its JSON."""
     with foreseen():
-        from ironscale.load.page import page
+        from ironscale.load.html_report import page
         from ironscale.load.result import read
 
         written(to, page(read(file)))
--- a/tests/load/test_result.py
+++ b/tests/load/test_result.py
@@ -13,8 +13,8 @@
 
 from ironscale.load import histogram as h
 from ironscale.load import result as r
+from ironscale.load.html_report import page
 from ironscale.load.outcome import RECORD, End, Sample, parse_id, request_id
-from ironscale.load.page import page
 from tests.load.samples import MARK, SUBMIT, TARGET, VIEW, scenario
 
 MS = 1_000
