--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -29,8 +29,8 @@
 def foreseen() -> Iterator[None]:
     """Errors of files are bad usage, those of a run a fault; each is one line."""
     from ironscale.scale.bounds import BoundsError
+    from ironscale.scale.capacity_page import PageError
     from ironscale.scale.chart import ChartError
-    from ironscale.scale.page import PageError
     from ironscale.scale.result import ResultError
     from ironscale.scale.run import RunError
     from ironscale.scale.size import SizeError
@@ -157,7 +157,7 @@
 def page(file: Path, size_file: Path, to: Path, check: bool) -> None:
     """Write the tables of the result FILE into the page, at their markers."""
     with foreseen():
-        from ironscale.scale import page as pages
+        from ironscale.scale import capacity_page as pages
         from ironscale.scale import size as sizing
         from ironscale.scale.result import load
 
--- a/tests/scale/test_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironscale.scale import page, result, size
+from ironscale.scale import capacity_page, result, size
 from ironscale.scale.result import ROLES, Reading, Result, slope
 from ironscale.scale.size import Size
 
@@ -40,43 +40,43 @@
     """Where one of the three was changed alone: `ironscale scale page docs/capacity/measured.json SIZE.toml`."""
     measured = result.load(MEASURED)
     assert measured.size_digest == coming.digest
-    assert set(page.AXES.values()) <= {f"fleet.{name}" for name in coming.fleet.__slots__}
-    assert page.drift(PAGE.read_text(encoding="utf-8"), coming, measured, str(PAGE)) == []
+    assert set(capacity_page.AXES.values()) <= {f"fleet.{name}" for name in coming.fleet.__slots__}
+    assert capacity_page.drift(PAGE.read_text(encoding="utf-8"), coming, measured, str(PAGE)) == []
 
 
 def test_slope_times_size(coming: Size) -> None:
     """Beyond the largest that was measured the line tells; where the size itself was measured, the measurement."""
     found = sample(coming)
-    assert page.value_of(coming, found, "agent.change.last_s") == pytest.approx(9.2)  # 0.004 x 2,300
-    assert page.value_of(coming, found, "agent.back.change_last_s") == pytest.approx(16.5)
+    assert capacity_page.value_of(coming, found, "agent.change.last_s") == pytest.approx(9.2)  # 0.004 x 2,300
+    assert capacity_page.value_of(coming, found, "agent.back.change_last_s") == pytest.approx(16.5)
     larger = replace(coming, fleet=replace(coming.fleet, sidecars=4600))
-    assert page.value_of(larger, found, "record.change.bytes") == pytest.approx(920_000)
-    assert page.value_of(coming, found, "not.measured") is None
-    assert page.value_of(coming, found, "agent.change.last_s", 500.0) == pytest.approx(2.0)
-    rows = page.day(coming, found)
+    assert capacity_page.value_of(larger, found, "record.change.bytes") == pytest.approx(920_000)
+    assert capacity_page.value_of(coming, found, "not.measured") is None
+    assert capacity_page.value_of(coming, found, "agent.change.last_s", 500.0) == pytest.approx(2.0)
+    rows = capacity_page.day(coming, found)
     assert "2.62 GB" in rows and "78.7 GB" in rows  # 460,000 x 5,700 a day, and thirty of them
 
 
 def test_the_largest_ratio_comes_first_and_the_unmeasured_last(coming: Size) -> None:
-    lines = page.needs(coming, sample(coming)).splitlines()[2:]
+    lines = capacity_page.needs(coming, sample(coming)).splitlines()[2:]
     assert "killed" in lines[0] and "**1.38**" in lines[0] and "12 s (`promises.force_s`)" in lines[0]
     assert "0.77" in lines[1] and "0.08" in lines[2] and "not measured" in lines[-1]
-    assert len(lines) == len(page.NEEDS)
+    assert len(lines) == len(capacity_page.NEEDS)
 
 
 def test_a_promise_that_is_never_kept_goes_before_all(coming: Size) -> None:
     found = sample(coming)
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (766,), AT, "trial, busy"))
-    line = page.needs(coming, found).splitlines()[2]
+    line = capacity_page.needs(coming, found).splitlines()[2]
     assert "766 instances" in line and "**never kept**" in line and "`cut.region.missed` (trial)" in line
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (0,), AT))
-    assert next(x for x in page.needs(coming, found).splitlines() if "cut.region.missed" in x).endswith("0.00 |")
+    assert next(x for x in capacity_page.needs(coming, found).splitlines() if "cut.region.missed" in x).endswith("0.00 |")
 
 
 def test_every_role_has_its_table(coming: Size) -> None:
-    found = page.tables(coming, sample(coming))
+    found = capacity_page.tables(coming, sample(coming))
     for role in ROLES:
-        assert found[page.role_name(role)]
+        assert found[capacity_page.role_name(role)]
     assert "Not measured." in found["upstream"]
     row = next(line for line in found["record"].splitlines() if "record.change.bytes" in line)
     assert "460,000 at 2,300" in row and "proportional" in row and "460 KB a change at `fleet.sidecars` 2,300" in row
@@ -87,13 +87,13 @@
 
 def test_tables_are_written_between_markers_and_drift_is_told(coming: Size) -> None:
     found = sample(coming)
-    assert page.drift(TEXT, coming, found, "p") == ["needs", "size"]
-    written = page.filled(TEXT, coming, found, "p")
-    assert page.drift(written, coming, found, "p") == [] and page.filled(written, coming, found, "p") == written
+    assert capacity_page.drift(TEXT, coming, found, "p") == ["needs", "size"]
+    written = capacity_page.filled(TEXT, coming, found, "p")
+    assert capacity_page.drift(written, coming, found, "p") == [] and capacity_page.filled(written, coming, found, "p") == written
     assert written.startswith("# Page\n\n<!-- scale:needs -->\n| role") and "\nwords\n" in written
-    assert page.drift(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
+    assert capacity_page.drift(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
     found.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
-    assert page.drift(written, coming, found, "p") == ["needs"]
+    assert capacity_page.drift(written, coming, found, "p") == ["needs"]
 
 
 @pytest.mark.parametrize(("was", "now", "line"), [
@@ -103,15 +103,15 @@
     (TEXT, "nothing", "got no table's place"),
 ])
 def test_a_page_that_cannot_be_filled_is_one_line(coming: Size, was: str, now: str, line: str) -> None:
-    with pytest.raises(page.PageError, match=line) as error:
-        page.filled(TEXT.replace(was, now), coming, sample(coming), "p")
+    with pytest.raises(capacity_page.PageError, match=line) as error:
+        capacity_page.filled(TEXT.replace(was, now), coming, sample(coming), "p")
     assert "\n" not in str(error.value)
 
 
 def test_a_result_of_another_size_is_refused(coming: Size) -> None:
     other = replace(coming, fleet=replace(coming.fleet, zones=11))
-    with pytest.raises(page.PageError, match="p: expected a result of size file"):
-        page.filled(TEXT, other, sample(coming), "p")
+    with pytest.raises(capacity_page.PageError, match="p: expected a result of size file"):
+        capacity_page.filled(TEXT, other, sample(coming), "p")
 
 
 def test_the_command_writes_and_checks(coming: Size, tmp_path: Path) -> None:
