--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -6,8 +6,8 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent, at_rest
-from ironscale.scale.hollow import Hollows
 from ironscale.scale.run import Scene
+from ironscale.scale.simulated_instances import Hollows
 
 LEADS, CONTROL, X = "agent that leads", "sidecar control", "instances"
 BACK = 2  # times that it is killed
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -20,7 +20,7 @@
 
 from ironscale.control.processes import cpu_s
 from ironscale.scale.bounds import Crew, memory_mb
-from ironscale.scale.hollow import Hollows
+from ironscale.scale.simulated_instances import Hollows
 from ironscale.scale.size import Play
 from ironscale.stage.relay import Port
 
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from ironscale.scale.agents import Agents, at_rest
-from ironscale.scale.hollow import Hollows
 from ironscale.scale.run import Scene
+from ironscale.scale.simulated_instances import Hollows
 
 ROLE, X = "agent that stands by", "instances"
 UNITS = {
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -6,8 +6,8 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.hollow import Hollows
 from ironscale.scale.run import Scene
+from ironscale.scale.simulated_instances import Hollows
 from ironscale.stage.relay import Relay
 
 ROLE, X = "published versions", "instances"
