--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -9,7 +9,7 @@
 from ironscale.control.processes import cpu_s
 from ironscale.scale.agents import Agents, at_rest
 from ironscale.scale.bounds import memory_mb
-from ironscale.scale.reals import Reals
+from ironscale.scale.real_sidecars import Reals
 from ironscale.scale.run import Scene
 
 ROLE, LIST = "sidecar control", "upstreams in the list"
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -20,7 +20,7 @@
 from ironscale.scale.agents import Agents, AgentsError
 from ironscale.scale.bounds import Bounds, Crew, Plan, machine
 from ironscale.scale.fit import FitError
-from ironscale.scale.reals import Reals, RealsError
+from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, slope
 from ironscale.scale.simulated_instances import HollowError, Hollows
 from ironscale.scale.size import Size
