--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -28,9 +28,9 @@
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
+from ironscale.stage.fault_scenario import World
 from ironscale.stage.history import History
 from ironscale.stage.run import Stage
-from ironscale.stage.world import World
 
 INSTANCES, MOST, OUT_S = 200, 10, 0.5
 
--- a/ironscale/cli/stage.py
+++ b/ironscale/cli/stage.py
@@ -15,9 +15,9 @@
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.stage.checkers import account, check
+from ironscale.stage.fault_scenario import Event, World, WorldError, drawn, parse, shrunk, written
 from ironscale.stage.history import Entry, load
 from ironscale.stage.run import StageError, played
-from ironscale.stage.world import Event, World, WorldError, drawn, parse, shrunk, written
 from ironscale.toml_tables import read_text
 
 FAULTS = ("faults", "terms", "permits", "taken out", "lost")
--- a/ironscale/stage/checkers.py
+++ b/ironscale/stage/checkers.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ironscale.stage.fault_scenario import World
 from ironscale.stage.history import Entry, of
-from ironscale.stage.world import World
 
 COUNTS = ("held", "unknown", "returned")
 # A loss is seen by the leader when the lease ends, and that is told by a heartbeat and a tick later.
--- a/ironscale/stage/run.py
+++ b/ironscale/stage/run.py
@@ -19,9 +19,9 @@
 
 import httpx
 
+from ironscale.stage.fault_scenario import Event, World, event_data
 from ironscale.stage.history import History
 from ironscale.stage.relay import Port, Relay
-from ironscale.stage.world import Event, World, event_data
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
--- a/tests/stage/test_stage.py
+++ b/tests/stage/test_stage.py
@@ -12,10 +12,10 @@
 import pytest
 
 from ironscale.stage.checkers import account, check
+from ironscale.stage.fault_scenario import Event, Limit, World, WorldError, drawn, parse, shrunk, written
 from ironscale.stage.history import Entry, History, load
 from ironscale.stage.relay import Relay
 from ironscale.stage.run import Stage, played
-from ironscale.stage.world import Event, Limit, World, WorldError, drawn, parse, shrunk, written
 from ironscale.standins.upstream import Peer
 from tests.sockets import run
 
