--- a/tests/stage/test_published.py
+++ b/tests/stage/test_published.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.stage.history import Entry
-from ironscale.stage.published import account, check, digest_of
+from ironscale.stage.published_checkers import account, check, digest_of
 from ironscale.stage.published_play import PLANTS, play_seed
 
 SEEDS = 40  # a planted fault is seen within so many
--- a/tests/stage/test_published_processes.py
+++ b/tests/stage/test_published_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ironscale.stage.history import of
-from ironscale.stage.published import account, check
+from ironscale.stage.published_checkers import account, check
 from ironscale.stage.published_run import PublishedStage, Size, played
 from ironscale.stage.run import StageError
 
