--- a/bench/published.py
+++ b/bench/published.py
@@ -1,6 +1,6 @@
 """Published versions under drawn faults, many seeds: `python -m bench.published [--seeds 0:2000] [--jobs 4]`.
 
-Each seed is a play in virtual time (`ironscale.stage.published_play`), checked by `ironscale.stage.published_checkers`. Printed:
+Each seed is a play in virtual time (`ironscale.stage.published_simulation`), checked by `ironscale.stage.published_checkers`. Printed:
 what did not hold, with its seed, and how long versions took to be held by who could reach them.
 """
 
@@ -14,7 +14,7 @@
 
 from ironscale.stage.history import Entry, of
 from ironscale.stage.published_checkers import account, check
-from ironscale.stage.published_play import PLANTS, play_seed
+from ironscale.stage.published_simulation import PLANTS, play_seed
 
 
 def waits_s(entries: list[Entry]) -> list[float]:
--- a/tests/stage/test_published.py
+++ b/tests/stage/test_published.py
@@ -8,7 +8,7 @@
 
 from ironscale.stage.history import Entry
 from ironscale.stage.published_checkers import account, check, digest_of
-from ironscale.stage.published_play import PLANTS, play_seed
+from ironscale.stage.published_simulation import PLANTS, play_seed
 
 SEEDS = 40  # a planted fault is seen within so many
 
