--- a/tests/stage/test_published_processes.py
+++ b/tests/stage/test_published_processes.py
@@ -10,7 +10,7 @@
 
 from ironscale.stage.history import of
 from ironscale.stage.published_checkers import account, check
-from ironscale.stage.published_run import PublishedStage, Size, played
+from ironscale.stage.published_processes import PublishedStage, Size, played
 from ironscale.stage.run import StageError
 
 
