--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -23,7 +23,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import Entry as Line
-from ironscale.stage.virtual import WHO, Net, VirtualLoop, VirtualTime, play
+from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import following as held_module
 from ironscale.versions import serving as told_module
 from ironscale.versions.choice import Place
