--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -27,8 +27,8 @@
     read,
     write,
 )
-from ironscale.versions import choice
-from ironscale.versions.choice import Heard, Place
+from ironscale.versions import agent_selection
+from ironscale.versions.agent_selection import Heard, Place
 from ironscale.versions.following import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 from ironscale.versions.view import Change
@@ -61,7 +61,7 @@
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
         self.state = Following(who.labels)
-        self.order = choice.order(who.labels, who.places)
+        self.order = agent_selection.order(who.labels, who.places)
         self.own: _Link | None = None
         self.spread_s = AGAIN_S
         self.rounds = 0  # of all agents, in vain
@@ -119,14 +119,14 @@
         home_s = own.since_s + HOME_S * (1 + self.random.random())
         while not own.ended.is_set():
             now_s = time.monotonic()
-            if choice.looks_elsewhere(own.heard, now_s - own.heard_s):
+            if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
                 await self.look(self.order, own)
                 return
             if home and now_s >= home_s:
                 own.since_s = now_s
                 await self.look(self.order[:self.order.index(own.place)], own)
                 return
-            until_s = own.heard_s + choice.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
+            until_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
             wait_s = max(0.05, min(until_s, home_s if home else until_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -141,15 +141,15 @@
             silent_s = time.monotonic() - own.heard_s
             mine = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
             if link.heard is not None and not link.ended.is_set() and (
-                    choice.is_better(link.heard, mine)
-                    or choice.is_home(link.heard, mine, place, own.place, self.order)):
+                    agent_selection.is_better(link.heard, mine)
+                    or agent_selection.is_home(link.heard, mine, place, own.place, self.order)):
                 own.close()
                 self.settle(link)
                 return
             link.close()
             if own.ended.is_set():
                 return
-        if own.heard is not None and time.monotonic() - own.heard_s >= choice.SILENT_S:
+        if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
             own.end("silent")
             return
         self.rounds += 1
@@ -164,7 +164,7 @@
         link = _Link(self, place)
         self.dialled += 1
         try:
-            async with asyncio.timeout(choice.CONNECT_S):
+            async with asyncio.timeout(agent_selection.CONNECT_S):
                 await asyncio.get_running_loop().create_connection(lambda: link, place.host, place.port)
                 await link.told.wait()
         except (OSError, TimeoutError, ValueError) as error:
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, RestartNeeded, check_overlay
 from ironscale.control.layers import Layered
 from ironscale.control.messages import ClassCounts, Report
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
 
 
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ironscale.disruption.model import Budget
-    from ironscale.versions.choice import Place
+    from ironscale.versions.agent_selection import Place
 
 MOST_INSTANCES = 5_000
 MOST_BUDGETS = 200
@@ -186,7 +186,7 @@
 
 
 def _versions(table: Table) -> Versions:
-    from ironscale.versions.choice import Place  # a sidecar that follows nobody loads none of it
+    from ironscale.versions.agent_selection import Place  # a sidecar that follows nobody loads none of it
 
     places = []
     for entry in table.tables("agent"):
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -30,7 +30,7 @@
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
 from ironscale.scale.bounds import Crew, memory_mb
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
 
 Address = tuple[str, int]
--- a/ironscale/stage/published_processes.py
+++ b/ironscale/stage/published_processes.py
@@ -28,7 +28,7 @@
 from ironscale.standins.postgres import Data, Host
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
 
 PUBLISH = """mutation($i: PublishInput!) { publish(input: $i) { number } }"""
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -26,7 +26,7 @@
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import following as held_module
 from ironscale.versions import serving as told_module
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, over
 from ironscale.versions.serving import Serving
 from ironscale.versions.snapshot import snapshot_of
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ironscale.versions.choice import BOOKMARK_S, FOLD_S, spread_s
+from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S, spread_s
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
 from ironscale.versions.view import Change, View
 
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -15,8 +15,8 @@
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.messages import FROM_INSTANCE, Denied, Follow, Layer, Message, Runs, Update, read, write
 from ironscale.control.simulated_instance import LightInstance, light_follower
-from ironscale.versions import choice
-from ironscale.versions.choice import Place
+from ironscale.versions import agent_selection
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
 from ironscale.versions.view import Change, View, narrowed
 from tests.sockets import run, until
@@ -196,7 +196,7 @@
             far.publish({"a": 2})
             start_s = asyncio.get_running_loop().time()
             await until(lambda: instance.overlay == {"a": 2})
-            assert asyncio.get_running_loop().time() - start_s < choice.LIMIT_S
+            assert asyncio.get_running_loop().time() - start_s < agent_selection.LIMIT_S
             assert follower.own is not None and follower.own.place.port == far.port
 
     run(test)
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.versions.choice import BOOKMARK_S, FOLD_S
+from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 from ironscale.versions.serving import (
     MOST_DIFFERING,
