--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -12,9 +12,9 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Published, Records, Store, StoreError
 from ironscale.control.instance import Refused, check_overlay
+from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, digest, effective
 from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
-from ironscale.versions.view import Change
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -19,8 +19,8 @@
 from ironscale.disruption.model import Halt, Permit
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.record.sql import typed
+from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope, canonical, read_scope
-from ironscale.versions.view import Change
 
 ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
 SCOPES_AT_ONCE = 500  # compacted in one transaction
--- a/ironscale/agent/store.py
+++ b/ironscale/agent/store.py
@@ -13,8 +13,8 @@
 from ironscale.agent.model import Operation, Target
 from ironscale.agent.terms import Owner, Term
 from ironscale.disruption.model import Halt, Permit
+from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope
-from ironscale.versions.view import Change
 
 T = TypeVar("T")
 
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -15,6 +15,7 @@
 from ironscale.agent.store import Store, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
 from ironscale.learned.store import OsFiles
+from ironscale.versions.compacted_log import Change, View, ViewError
 from ironscale.versions.serving import Serving, Subscriber
 from ironscale.versions.snapshot import (
     MAX_BYTES,
@@ -25,7 +26,6 @@
     encode,
     snapshot_of,
 )
-from ironscale.versions.view import Change, View, ViewError
 
 POLL_S = 0.3  # between two looks at the record
 SAVE_S, KEEP_S = 1.0, 30.0  # between two writes of the file: where something changed, and for the age alone
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -27,10 +27,10 @@
 from ironscale.versions import following as held_module
 from ironscale.versions import serving as told_module
 from ironscale.versions.agent_selection import Place
+from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, over
 from ironscale.versions.serving import Serving
 from ironscale.versions.snapshot import snapshot_of
-from ironscale.versions.view import Change, View
 
 REGIONS = {"a": "north", "b": "north", "c": "south", "d": "south"}
 FAULTS = ("kill", "kill", "kill disk", "stop", "record", "region", "zone", "link", "restart", "restart all")
--- a/ironscale/versions/following.py
+++ b/ironscale/versions/following.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any
 
+from ironscale.versions.compacted_log import Change, View, ViewError
 from ironscale.versions.model import Labels, digest, effective
-from ironscale.versions.view import Change, View, ViewError
 
 
 class Word(Enum):
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 
 from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S, spread_s
+from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
-from ironscale.versions.view import Change, View
 
 MOST_FOLLOWERS = 10_000
 # New followers a second, and how many at once: 2,300 that lost all agents but one are back within 5 s of the 12.
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -17,8 +17,8 @@
 from hashlib import blake2b
 from typing import Any, NoReturn
 
+from ironscale.versions.compacted_log import View
 from ironscale.versions.model import Entry, Scope, ScopeError, read_scope
-from ironscale.versions.view import View
 
 MAGIC = b"ISVERSN\n"
 VERSION = 1
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -19,12 +19,12 @@
 from ironscale.control.frames import Decoder, encode
 from ironscale.control.messages import PROTOCOL, TO_FOLLOWER, Denied, Follow, Runs, Update, read, write
 from ironscale.operator_file import read_secret
+from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
 from ironscale.versions.serving import Bucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
 from ironscale.versions.snapshot import encode as to_bytes
-from ironscale.versions.view import Change, View
 from tests.agent.scene import run, section, until
 
 TERM_S = 1.0
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -17,8 +17,8 @@
 from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import Place
+from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
-from ironscale.versions.view import Change, View, narrowed
 from tests.sockets import run, until
 
 LABELS = Labels("app-0", "app", "a", "north")
--- a/tests/versions/test_view.py
+++ b/tests/versions/test_compacted_log.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ironscale.versions.compacted_log import Change, View, ViewError, folded, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, read_scope
-from ironscale.versions.view import Change, View, ViewError, folded, narrowed
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
 SCOPES = [ALL, *map(read_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i", "instance=k"))]
--- a/tests/versions/test_following.py
+++ b/tests/versions/test_following.py
@@ -4,9 +4,9 @@
 
 import random
 
+from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.following import Following, Word
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
-from ironscale.versions.view import Change, View, narrowed
 
 LABELS = Labels("app-1", "app", "a", "north")
 SCOPES = (ALL, Scope(Reach.REGION, "north"), Scope(Reach.ZONE, "a"), Scope(Reach.ZONE, "b"),
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -7,6 +7,7 @@
 import pytest
 
 from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S
+from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 from ironscale.versions.serving import (
     MOST_DIFFERING,
@@ -18,7 +19,6 @@
     Told,
     Turned,
 )
-from ironscale.versions.view import Change, View, narrowed
 
 SCOPES = [ALL, Scope(Reach.REGION, "r0"), Scope(Reach.ZONE, "z0"), Scope(Reach.ZONE, "z1"),
           Scope(Reach.SERVICE, "s0"), Scope(Reach.INSTANCE, "i0"), Scope(Reach.INSTANCE, "i1")]
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from ironscale.versions.compacted_log import View
 from ironscale.versions.model import ALL, Entry, Reach, Scope
 from ironscale.versions.snapshot import (
     DIGEST,
@@ -21,7 +22,6 @@
     line,
     snapshot_of,
 )
-from ironscale.versions.view import View
 
 ENTRIES = (Entry(2, ALL, {"settings": {"instances": 2, "ü\n": [1.5, None]}}, 1, 0, "ann", 1_000),
            Entry(5, Scope(Reach.ZONE, "a"), None, 3, 0, "bob", 2_000),
