--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -30,7 +30,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import Heard, Place
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.following import Following, Word
+from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
 AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -24,7 +24,7 @@
 from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import Entry as Line
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
-from ironscale.versions import following as held_module
+from ironscale.versions import follower_state as held_module
 from ironscale.versions import serving as told_module
 from ironscale.versions.agent_selection import Place
 from ironscale.versions.compacted_log import Change, View
--- a/tests/versions/test_following.py
+++ b/tests/versions/test_follower_state.py
@@ -5,7 +5,7 @@
 import random
 
 from ironscale.versions.compacted_log import Change, View, narrowed
-from ironscale.versions.following import Following, Word
+from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 
 LABELS = Labels("app-1", "app", "a", "north")
