--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -17,8 +17,8 @@
     unchangeable,
 )
 from ironscale.introspection import view
+from tests.balancer_harness import settings
 from tests.test_slots import MARK, PAY, READ, fill, ready_world
-from tests.world import settings
 
 
 def test_a_drained_sidecar_refuses_what_is_new_and_answers_what_it_took() -> None:
--- a/tests/learned/test_lesson_confidence.py
+++ b/tests/learned/test_lesson_confidence.py
@@ -22,7 +22,7 @@
     UpstreamsUpdated,
 )
 from ironscale.introspection import learned, view
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 S = 1_000_000
 
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -20,7 +20,7 @@
     UpstreamsUpdated,
 )
 from ironscale.interface import ListKind as Kind
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -27,7 +27,7 @@
     UpstreamsUpdated,
 )
 from ironscale.introspection import learned
-from tests.world import START_US, World, settings
+from tests.balancer_harness import START_US, World, settings
 
 READ = 0
 SECOND_US = 1_000_000
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -11,7 +11,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 
 def asking_world() -> World:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules under arbitrary legal event sequences; tests/balancer_harness.py checks every action."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.world import START_US, World, classes, settings, upstreams
+from tests.balancer_harness import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -17,7 +17,7 @@
     Upstream,
     UpstreamState,
 )
-from tests.world import World, settings, upstreams
+from tests.balancer_harness import World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
 
