--- a/bench/cold.py
+++ b/bench/cold.py
@@ -1,6 +1,6 @@
 """What whole fleets send cold upstreams, seed by seed: `python -m bench.cold [--seeds 1000] [--first 0] [--jobs 4]`.
 
-Real decisions in virtual time (tests/coldfleet.py), the even seeds by the site's settings and the odd ones by what the
+Real decisions in virtual time (tests/cold_fleet.py), the even seeds by the site's settings and the odd ones by what the
 pages allow; `--chance` lets requests of one class differ in their work, too. By size: plays in which a cold upstream
 fell by what sidecars sent that had been told of its start, the most of any window in shares of what is borne there,
 and what the cold ones got of what they could do.
@@ -14,7 +14,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.coldfleet import SIZES, Verdict, drawn, play
+from tests.cold_fleet import SIZES, Verdict, drawn, play
 
 
 def played(about: tuple[int, int, float]) -> tuple[int, int, Verdict]:
--- a/tests/test_cold.py
+++ b/tests/test_cold_fleet.py
@@ -10,7 +10,7 @@
 from ironscale.fleet_estimates import LEAST_TURN, SMALL, WARMING, turn_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
-from tests.coldfleet import SECOND_US, SIZES, drawn, play
+from tests.cold_fleet import SECOND_US, SIZES, drawn, play
 
 
 # 115: seven and more of 30 sidecars had a turn saved, and a wave brought all of them within a second
