--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -15,7 +15,7 @@
 from ironscale.standins.http import read_message
 from tests.ends.test_lists import settings_of
 from tests.sockets import config
-from tests.virtual import play, until
+from tests.virtual_clock import play, until
 
 COUNT, ALL_S = 50, 30.0  # as long as 200 take at 0.15 s each
 CALL_S = ALL_S / COUNT
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -19,7 +19,7 @@
 from ironscale.standins.upstream import Peer
 from tests.ends.test_lists import MODES, settings_of, state
 from tests.sockets import Scene, config, free_port
-from tests.virtual import play, until
+from tests.virtual_clock import play, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 # How a call fails, and after how many seconds it has; None: when the sidecar gives it up.
