--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -17,7 +17,7 @@
 from ironscale.agent.schema import make_schema
 from ironscale.agent.selectors import SelectorError, matches
 from ironscale.agent.selectors import parse as parse_selector
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.deployed import ROOT
 
 MODERN, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -18,7 +18,7 @@
 from ironscale.agent.store import StoreError
 from ironscale.control.frames import encode
 from ironscale.control.messages import PROTOCOL, Hello, Result, write
-from tests.agent.scene import run, scene, until
+from tests.agent.agent_harness import run, scene, until
 from tests.sockets import free_port
 
 
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -13,7 +13,7 @@
 from ironscale.agent.planner import _waves
 from ironscale.control.messages import ClassCounts
 from ironscale.control.simulated_instance import LightInstance
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 
 GATED = Policy(wave=2, canary=1, gate=True, on_failure="rollback", soak_most_ms=20_000)
 
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -15,7 +15,7 @@
 
 from ironscale.control.simulated_instance import light, stop
 from ironscale.operator_file import read_secret
-from tests.agent.scene import run
+from tests.agent.agent_harness import run
 from tests.deployed import ROOT
 from tests.sockets import free_port
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -23,7 +23,7 @@
 from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
-from tests.agent.scene import run
+from tests.agent.agent_harness import run
 from tests.deployed import ROOT
 from tests.record.postgres import dsn
 from tests.sockets import free_port
--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -24,7 +24,7 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.deployed import ROOT
 
 COUNT = int(os.environ.get("MANY_COUNT", "200"))
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -19,7 +19,7 @@
 from ironscale.disruption.model import Budget, Of
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.operator_file import OperatorFileError, parse
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 
 TWO = Budget("all", Of.SIDECAR, number=2)
 
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -28,7 +28,7 @@
 from ironscale.operator_file import OperatorFileError, Service, parse
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.agent.scene import run, scene, section, until
+from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
--- a/tests/agent/test_postgres_killed.py
+++ b/tests/agent/test_postgres_killed.py
@@ -13,7 +13,7 @@
 
 from ironscale.agent.sql import SCHEMA
 from ironscale.standins.postgres import Data, Host
-from tests.agent.scene import run
+from tests.agent.agent_harness import run
 from tests.agent.test_killed import check, rollout
 from tests.agent.test_store import WRITER
 from tests.deployed import ROOT
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -25,7 +25,7 @@
 from ironscale.versions.serving import Bucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
 from ironscale.versions.snapshot import encode as to_bytes
-from tests.agent.scene import run, section, until
+from tests.agent.agent_harness import run, section, until
 
 TERM_S = 1.0
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -26,7 +26,7 @@
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
 from tests import sockets
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.deployed import ROOT
 from tests.sockets import free_port
 
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -11,7 +11,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.disruption import ledger
 from ironscale.disruption.model import Budget, Of, Phase
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.sockets import Scene
 from tests.sockets import run as run_sockets
 
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -26,7 +26,7 @@
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, MOST_OVERLAY, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
-from tests.agent.scene import run, scene, until
+from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
 from tests.deployed import ROOT
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -14,7 +14,7 @@
 from ironscale.agent.model import Kind
 from ironscale.cli.output import Exit
 from ironscale.standins.http import Message, read_message
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.deployed import ROOT
 
 
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ironscale.cli.output import Exit
-from tests.agent.scene import run, scene
+from tests.agent.agent_harness import run, scene
 from tests.agent.test_versions import One, Serves
 from tests.cli.test_commands import tool
 
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from tests.agent.scene import run
+from tests.agent.agent_harness import run
 from tests.deployed import ROOT
 
 
--- a/tests/cli/test_permit.py
+++ b/tests/cli/test_permit.py
@@ -11,7 +11,7 @@
 from ironscale.agent.model import Kind
 from ironscale.cli.output import Exit
 from ironscale.disruption.model import Budget, Of, Phase
-from tests.agent.scene import run, scene, until
+from tests.agent.agent_harness import run, scene, until
 from tests.cli.test_commands import tool
 from tests.deployed import ROOT
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -32,7 +32,7 @@
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
 from ironscale.threads import in_thread
-from tests.agent.scene import section
+from tests.agent.agent_harness import section
 from tests.learned.samples import lesson, snapshot
 from tests.sockets import Scene, run, until
 
