--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -50,7 +50,7 @@
         self.discovery.put(self.peer.entry("s-1"))
         await self.discovery.start()
         zygote = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.agent.zygote", cwd=ROOT, stdin=asyncio.subprocess.PIPE,
+            sys.executable, "-m", "tests.agent.fork_server", cwd=ROOT, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE)
         assert zygote.stdin is not None and zygote.stdout is not None
         self.wrongs = wrongs = {f"app-{n:03}": how for n, how in zip(self.random.sample(range(COUNT), min(COUNT, 9)),
