--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -52,7 +52,7 @@
         log = open(self.folder / f"{number}.log", "ab")  # noqa: SIM115 (the child's)
         with log:
             self.processes[number] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "tests.agent.standing_agent", str(self.folder / f"a{number}"), self.record,
+                sys.executable, "-m", "tests.agent.replica_agent", str(self.folder / f"a{number}"), self.record,
                 str(self.ports[number]), str(TERM_S), str(self.most), str(fatal), how, cwd=ROOT, stdout=log, stderr=log)
 
     def log(self, number: int) -> str:
