--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -16,9 +16,9 @@
 from ironscale.record.postgres import PostgresStore, Turn
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.record.play import Play
 from tests.record.postgres import Gate, scene
 from tests.record.samples import entry
+from tests.record.store_clients import Play
 from tests.sockets import run, until
 
 WORD_S = 5.0
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -15,8 +15,8 @@
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import SqliteStore
 from tests.record.disk import Disk, Vfs
-from tests.record.play import Play
 from tests.record.samples import entry
+from tests.record.store_clients import Play
 
 REQUESTS = 12
 _names = itertools.count(1)
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -35,10 +35,10 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from tests.record.play import Play
 from tests.record.postgres import Fault, Gate, dsn, written
 from tests.record.postgres import scene as store_scene
 from tests.record.samples import entry
+from tests.record.store_clients import Play
 from tests.sockets import Scene, run, until
 
 QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
