--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -17,7 +17,7 @@
 
 from ironscale.cli.load import load
 from ironscale.cli.output import CliError, Exit
-from tests.cli.stopped import MOMENTS
+from tests.cli.signalled_command import MOMENTS
 from tests.deployed import ROOT
 from tests.load.samples import SUBMIT, VIEW, text
 
@@ -213,7 +213,7 @@
     files = str(folder / "s.toml"), "--json", str(folder / "a.json"), "--html", str(folder / "a.html")
     mark = f"{folder.name}-{os.getpid()}"
     done = subprocess.run(
-        [sys.executable, "-m", "tests.cli.stopped", moment, str(int(number)), str(times), "load", "run", *files],
+        [sys.executable, "-m", "tests.cli.signalled_command", moment, str(int(number)), str(times), "load", "run", *files],
         cwd=ROOT,
         capture_output=True,  # to the end of all that hold its standard error
         text=True,
