--- a/tests/stage/planted.py
+++ b/tests/stage/planted_faults.py
@@ -1,4 +1,4 @@
-"""The command line with a fault planted into its agent: `python -m tests.stage.planted NAME agent FILE`."""
+"""The command line with a fault planted into its agent: `python -m tests.stage.planted_faults NAME agent FILE`."""
 
 from __future__ import annotations
 
--- a/tests/stage/test_stage.py
+++ b/tests/stage/test_stage.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("fault", ["sends_without_a_permit", "one_budget_of_two", "grants_all_that_wait"])
 def test_a_planted_fault_is_found_by_one_schedule(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(Path(__file__).parents[2])
-    command = (sys.executable, "-m", "tests.stage.planted", fault)
+    command = (sys.executable, "-m", "tests.stage.planted_faults", fault)
     entries = asyncio.run(played(BUSY, None, command)).entries
     assert any("budget" in wrong or "no permit" in wrong for wrong in check(BUSY, entries))
 
