--- a/bench/learned.py
+++ b/bench/learned.py
@@ -64,7 +64,8 @@
 
 def donor(stage: Stage, index: int) -> lesson_confidence.Donor:
     side = stage.sides[index]
-    return lesson_confidence.Donor(learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
+    return lesson_confidence.Donor(
+        learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
 def lie(stage: Stage, slots: Callable[[int], float]) -> api.Lessons:
@@ -108,7 +109,8 @@
         lessons.update({
             "cold, other draws": None, "stale donors": lesson_confidence.agreed(early, now_us, 0),
             "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
-            "all open": lie(stage, lambda i: 1e5), "one liar of three": lesson_confidence.agreed([*donors[:2], liar], now_us, 0)})
+            "all open": lie(stage, lambda i: 1e5),
+            "one liar of three": lesson_confidence.agreed([*donors[:2], liar], now_us, 0)})
     for name, taught in lessons.items():
         one = stage.copy()
         one.start(0, seed * 7 + (2 if name == "cold, other draws" else 1), taught)
--- a/bench/published.py
+++ b/bench/published.py
@@ -1,6 +1,7 @@
 """Published versions under drawn faults, many seeds: `python -m bench.published [--seeds 0:2000] [--jobs 4]`.
 
-Each seed is a play in virtual time (`ironscale.stage.published_simulation`), checked by `ironscale.stage.published_checkers`. Printed:
+Each seed is a play in virtual time (`ironscale.stage.published_simulation`), checked by
+`ironscale.stage.published_checkers`. Printed:
 what did not hold, with its seed, and how long versions took to be held by who could reach them.
 """
 
--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -157,7 +157,7 @@
 def page(file: Path, size_file: Path, to: Path, check: bool) -> None:
     """Write the tables of the result FILE into the page, at their markers."""
     with foreseen():
-        from ironscale.scale import capacity_page as pages
+        from ironscale.scale import capacity_page
         from ironscale.scale import size as sizing
         from ironscale.scale.result import load
 
@@ -165,10 +165,10 @@
         try:
             text = to.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            raise pages.PageError(f"{to}: expected a page that can be read, got {error}") from error
+            raise capacity_page.PageError(f"{to}: expected a page that can be read, got {error}") from error
         if check:
-            wrong = pages.drift(text, size, result, str(to))
+            wrong = capacity_page.drift(text, size, result, str(to))
             if wrong:
                 fail(Exit.FAILED, f"{to}: {', '.join(wrong)}: not what {file} gives; `ironscale scale page` writes it")
             return
-        to.write_text(pages.filled(text, size, result, str(to)), encoding="utf-8")
+        to.write_text(capacity_page.filled(text, size, result, str(to)), encoding="utf-8")
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -110,8 +110,8 @@
 
 class Discovery:
     """Carries out `Subscribe` and `FetchList`. A watch that ends is told as `FAILED` and opened anew: as soon as the
-    decisions ask for it, and without them no later than `turns` says; where many share a discovery, then and no
-    sooner."""
+    decisions ask for it, and without them no later than `discovery_schedule` says; where many share a discovery,
+    then and no sooner."""
 
     def __init__(self, address: tuple[str, int], directory: Directory, generation: int, on_list: OnList,
                  answer_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -1,4 +1,5 @@
-"""Carries out `plan.Attempt` on one store, and goes on with what is open after nobody waits for it any more."""
+"""Carries out `write_attempt.Attempt` on one store, and goes on with what is open after nobody waits for it any
+more."""
 
 from __future__ import annotations
 
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -1,7 +1,7 @@
 """Hollow instances: the real control protocol and the real watch on discovery, no data path; hundreds share a process.
 
-`python -m ironscale.scale.simulated_instances ORDER` is such a process; it tells what it saw, and when by the machine's monotonic
-clock, over the socket that it was given.
+`python -m ironscale.scale.simulated_instances ORDER` is such a process; it tells what it saw, and when by the
+machine's monotonic clock, over the socket that it was given.
 """
 
 from __future__ import annotations
@@ -206,8 +206,8 @@
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
                      "fd": theirs.fileno()}
             with theirs:
-                process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order), log=self.log,
-                                          keep=(theirs,))
+                process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
+                                          log=self.log, keep=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=LINE)
             self.herders.append(Herder(process, reader, writer, share))
             first, count = first + share, count - share
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -1,5 +1,5 @@
 """A play of published versions in virtual time: the program's own followers and agents, on a network and a record in
-memory, with a schedule of faults drawn by seed; what they show is a history for the checkers of `published`."""
+memory, with a schedule of faults drawn by seed; what they show is a history for `published_checkers`."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any, cast
 
-from ironscale.agent import follower_connections as serving_module
-from ironscale.agent import versions_replica as following_module
+from ironscale.agent import follower_connections as connections_module
+from ironscale.agent import versions_replica as replica_module
 from ironscale.agent.follower_connections import FollowerLink, Followers
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
@@ -24,7 +24,7 @@
 from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import Entry as Line
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
-from ironscale.versions import follower_state as held_module
+from ironscale.versions import follower_state as state_module
 from ironscale.versions import serving as told_module
 from ironscale.versions.agent_selection import Place
 from ironscale.versions.compacted_log import Change, View
@@ -144,7 +144,7 @@
         for task in self.tasks:
             task.cancel()
         self.world.net.kill(self.name)
-        path = self.folder / following_module.FILE
+        path = self.folder / replica_module.FILE
         if with_disk:
             path.unlink(missing_ok=True)
         elif path.exists() and self.world.random.random() < 0.3:
@@ -346,8 +346,8 @@
 @contextlib.contextmanager
 def clocks(loop: VirtualLoop) -> Iterator[None]:
     """The program reads the virtual time in place of the machine's."""
-    virtual, following = VirtualTime(loop), cast(Any, following_module)
-    places: tuple[Any, ...] = (following, serving_module, follower_module)
+    virtual, following = VirtualTime(loop), cast(Any, replica_module)
+    places: tuple[Any, ...] = (following, connections_module, follower_module)
     was = [module.time for module in places], following.clock_ms
     for module in places:
         module.time = virtual
@@ -363,7 +363,7 @@
 @contextlib.contextmanager
 def planted(plant: str) -> Iterator[None]:
     """A fault in the program that no schedule can show otherwise."""
-    places: tuple[Any, ...] = (held_module, told_module)
+    places: tuple[Any, ...] = (state_module, told_module)
     was = [module.effective for module in places]
 
     def turned(layers: Iterable[Entry]) -> dict[str, Any]:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -271,8 +271,8 @@
             yield found, told
 
     def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> Told:
-        """As `view.change`, narrowed to its scopes, without going over all entries. One that is ahead hears where this
-        agent is, and nothing that is older than what it has."""
+        """As `compacted_log.View.change`, narrowed to its scopes, without going over all entries. One that is ahead
+        hears where this agent is, and nothing that is older than what it has."""
         view, since = self.view, subscriber.position
         layers = self.layers(subscriber)
         if since > view.position:
--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -1,5 +1,5 @@
-"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, what is
-wrong with it) from standard input for each, and writes its process id.
+"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, what
+is wrong with it) from standard input for each, and writes its process id.
 
 A process forked from here is a process of its own like any other; only the half second of imports is saved.
 """
--- a/tests/cli/signalled_command.py
+++ b/tests/cli/signalled_command.py
@@ -1,4 +1,5 @@
-"""The command line that gets a signal at a moment of its own: `python -m tests.cli.signalled_command MOMENT NUMBER TIMES ...`."""
+"""The command line that gets a signal at a moment of its own:
+`python -m tests.cli.signalled_command MOMENT NUMBER TIMES ...`."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -213,7 +213,8 @@
     files = str(folder / "s.toml"), "--json", str(folder / "a.json"), "--html", str(folder / "a.html")
     mark = f"{folder.name}-{os.getpid()}"
     done = subprocess.run(
-        [sys.executable, "-m", "tests.cli.signalled_command", moment, str(int(number)), str(times), "load", "run", *files],
+        [sys.executable, "-m", "tests.cli.signalled_command", moment, str(int(number)), str(times), "load", "run",
+         *files],
         cwd=ROOT,
         capture_output=True,  # to the end of all that hold its standard error
         text=True,
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -24,7 +24,8 @@
     assert done.stdout.split() == [
         "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.fleet_estimates", "ironscale.interface",
         "ironscale.logs", "ironscale.net",
-        "ironscale.net.client", "ironscale.net.listener_shutdown", "ironscale.net.config", "ironscale.net.socket_connect",
+        "ironscale.net.client", "ironscale.net.listener_shutdown", "ironscale.net.config",
+        "ironscale.net.socket_connect",
         "ironscale.net.discovery", "ironscale.net.errors",
         "ironscale.net.jsonstream", "ironscale.net.event_dispatcher", "ironscale.net.lifecycle",
         "ironscale.net.periodic",
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -19,8 +19,7 @@
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.extension import beside as control_beside
 from ironscale.introspection import learned, view
-from ironscale.learned import peer_transfer
-from ironscale.learned import persistence as keeping
+from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
@@ -121,7 +120,7 @@
 
 def test_a_sync_that_blocks_holds_up_neither_serving_nor_the_end(tmp_path: Path, capfd: pytest.CaptureFixture[str],
                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeping, "LAST_S", 0.2)
+    monkeypatch.setattr(persistence, "LAST_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
@@ -159,7 +158,7 @@
 
 def test_a_read_that_blocks_does_not_hold_up_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                                        capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(keeping, "READ_S", 0.2)
+    monkeypatch.setattr(persistence, "READ_S", 0.2)
 
     async def test() -> None:
         event = threading.Event()
--- a/tests/learned/test_lesson_confidence.py
+++ b/tests/learned/test_lesson_confidence.py
@@ -76,11 +76,13 @@
 def test_what_fades_and_which_way() -> None:
     now_us = START_US
     for kind, halves_us in ((8.0, lesson_confidence.WIDE_HALVES_US), (1 / 8, lesson_confidence.SHUT_HALVES_US)):
-        found = [lesson_confidence.faded(told(1, kind, age_us), now_us) for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
+        found = [lesson_confidence.faded(told(1, kind, age_us), now_us)
+                 for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
-    assert lesson_confidence.SHUT_HALVES_US < lesson_confidence.WIDE_HALVES_US  # stale, a shut one does the greater harm
+    # stale, a shut one does the greater harm
+    assert lesson_confidence.SHUT_HALVES_US < lesson_confidence.WIDE_HALVES_US
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
@@ -129,7 +131,8 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert slots(world)[100] == lesson_confidence.LEAST_SLOTS and world.balancer.servers[100].mute == lesson_confidence.MOST_MUTE
+    assert (slots(world)[100] == lesson_confidence.LEAST_SLOTS
+            and world.balancer.servers[100].mute == lesson_confidence.MOST_MUTE)
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
     server = world.balancer.servers[100]
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -1,4 +1,5 @@
-"""Clients of a store of record as tests play them, and what they were told: the input of `ironscale.record.history_check`."""
+"""Clients of a store of record as tests play them, and what they were told: the input of
+`ironscale.record.history_check`."""
 
 from __future__ import annotations
 
@@ -34,8 +35,8 @@
             if told is not Told.NEVER_RAN:
                 break
         word = WORDS[told]
-        self.clients.append(history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, word,
-                                         handle.plan.answer if word == history_check.SERVED else b""))
+        self.clients.append(history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
+                                               word, handle.plan.answer if word == history_check.SERVED else b""))
         return word
 
     async def attempt(self, one: Entry, seconds: float) -> Handle:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -22,7 +22,7 @@
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
-from ironscale.record import extension as beside_module
+from ironscale.record import extension as extension_module
 from ironscale.record import history_check
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import beside
@@ -306,7 +306,7 @@
 
 def test_what_a_process_of_the_same_name_leaves_while_this_one_runs_is_found_out_too(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(beside_module, "TAKE_OVER_S", 0.02)
+    monkeypatch.setattr(extension_module, "TAKE_OVER_S", 0.02)
 
     async def test() -> None:
         section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -136,7 +136,7 @@
 
 def told(one: model.Entry, what: str) -> history_check.Told:
     return history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
-                        one.answer if what == history_check.SERVED else b"")
+                              one.answer if what == history_check.SERVED else b"")
 
 
 def test_a_history_that_keeps_the_rules_has_no_faults() -> None:
@@ -160,8 +160,8 @@
     attempts = [entry("a")]
     attempts.append(again(attempts[0]))
     (fault,) = history_check.faults([told(attempts[i], what) for what, i in clients],
-                              [stands(attempts[i], at) for i, at in rows],
-                              {attempts[i].attempt: what for i, what in outcomes.items()})
+                                    [stands(attempts[i], at) for i, at in rows],
+                                    {attempts[i].attempt: what for i, what in outcomes.items()})
     assert fault.startswith(expected)
 
 
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -70,7 +70,8 @@
     line = capacity_page.needs(coming, found).splitlines()[2]
     assert "766 instances" in line and "**never kept**" in line and "`cut.region.missed` (trial)" in line
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (0,), AT))
-    assert next(x for x in capacity_page.needs(coming, found).splitlines() if "cut.region.missed" in x).endswith("0.00 |")
+    assert next(x for x in capacity_page.needs(coming, found).splitlines()
+                if "cut.region.missed" in x).endswith("0.00 |")
 
 
 def test_every_role_has_its_table(coming: Size) -> None:
@@ -89,7 +90,8 @@
     found = sample(coming)
     assert capacity_page.drift(TEXT, coming, found, "p") == ["needs", "size"]
     written = capacity_page.filled(TEXT, coming, found, "p")
-    assert capacity_page.drift(written, coming, found, "p") == [] and capacity_page.filled(written, coming, found, "p") == written
+    assert (capacity_page.drift(written, coming, found, "p") == []
+            and capacity_page.filled(written, coming, found, "p") == written)
     assert written.startswith("# Page\n\n<!-- scale:needs -->\n| role") and "\nwords\n" in written
     assert capacity_page.drift(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
     found.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
