--- a/bench/compiled.py
+++ b/bench/compiled.py
@@ -21,7 +21,7 @@
 from ironscale import interface as api
 
 ROOT = Path(__file__).parent.parent
-MODULES = [f"ironscale/{name}.py" for name in ("interface", "lesson_confidence", "sum_tree", "balance")]
+MODULES = [f"ironscale/{name}.py" for name in ("interface", "confidence", "sum_tree", "balance")]
 FAULTS = (Fault("silent", 4 * S, 7 * S, zone=1), Fault("reset", 8 * S, 9 * S, zone=2),
           Fault("half", 9 * S, 12 * S, kind=1))
 
--- a/bench/learned.py
+++ b/bench/learned.py
@@ -31,8 +31,8 @@
 import uvloop
 
 from bench.stage import START_US, Fault, S, Stage
+from ironscale import confidence
 from ironscale import interface as api
-from ironscale import lesson_confidence
 from ironscale.introspection import learned
 from ironscale.learned.codec import decode, decoding, encoding
 from ironscale.learned.persistence import Collector, Keeper, in_slices
@@ -62,9 +62,9 @@
 COLORS = {"cold": "#4c78a8", "file": "#e45756", "one donor": "#72b7b2", "three donors": "#54a24b", "warm": "#888888"}
 
 
-def donor(stage: Stage, index: int) -> lesson_confidence.Donor:
+def donor(stage: Stage, index: int) -> confidence.Donor:
     side = stage.sides[index]
-    return lesson_confidence.Donor(
+    return confidence.Donor(
         learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
@@ -102,15 +102,15 @@
     lessons: dict[str, api.Lessons | None] = {"cold": None}
     if what == "starts":
         starts["warm"] = warm
-        lessons.update({"file": own, "one donor": lesson_confidence.agreed(donors[:1], now_us, 0),
-                        "three donors": lesson_confidence.agreed(donors, now_us, 0)})
+        lessons.update({"file": own, "one donor": confidence.agreed(donors[:1], now_us, 0),
+                        "three donors": confidence.agreed(donors, now_us, 0)})
     else:
-        liar = lesson_confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
+        liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
         lessons.update({
-            "cold, other draws": None, "stale donors": lesson_confidence.agreed(early, now_us, 0),
+            "cold, other draws": None, "stale donors": confidence.agreed(early, now_us, 0),
             "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
             "all open": lie(stage, lambda i: 1e5),
-            "one liar of three": lesson_confidence.agreed([*donors[:2], liar], now_us, 0)})
+            "one liar of three": confidence.agreed([*donors[:2], liar], now_us, 0)})
     for name, taught in lessons.items():
         one = stage.copy()
         one.start(0, seed * 7 + (2 if name == "cold, other draws" else 1), taught)
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -9,8 +9,8 @@
 import random
 from dataclasses import replace
 
+from ironscale import confidence
 from ironscale import interface as api
-from ironscale import lesson_confidence
 from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
 from ironscale.sum_tree import Places
 
@@ -136,7 +136,7 @@
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
         # hazard: longer than without it, cold upstreams would warm up more slowly and requests be late sooner
-        self.mean_us = lesson_confidence.between(self.first_us, min(lesson.mean_us, self.first_us), share)
+        self.mean_us = confidence.between(self.first_us, min(lesson.mean_us, self.first_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
         self.seen, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
 
@@ -772,12 +772,12 @@
 
     def recall(self, now_us: int, lessons: api.Lessons) -> None:
         """Takes in what was learned before or elsewhere, as far as nothing has been seen here; its times
-        are on our clock. Hazard: it may be stale, wrong or a lie: lesson_confidence.py and `believe`."""
+        are on our clock. Hazard: it may be stale, wrong or a lie: confidence.py and `believe`."""
         self.now_us = max(self.now_us, now_us)
-        if sum(self.tenant_seen) < lesson_confidence.TENANT_WEIGHT:
+        if sum(self.tenant_seen) < confidence.TENANT_WEIGHT:
             told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
-            share = lesson_confidence.TENANT_WEIGHT * lesson_confidence.share(
-                age_us, lesson_confidence.LATENCY_HALVES_US)
+            share = confidence.TENANT_WEIGHT * confidence.share(
+                age_us, confidence.LATENCY_HALVES_US)
             self.tenant_seen = [seen + share * min(1.0, told.get(tenant.name, 0.0))
                                 for tenant, seen in zip(self.settings.tenants, self.tenant_seen, strict=True)]
         self.lessons.append(lessons)
@@ -794,7 +794,7 @@
                 if (found is not None and found.started_us == server.entry.started_us
                         and found.confirmed_us > server.confirmed_us
                         and (server.lesson is not None or server.confirmed_us == 0)):
-                    faded = lesson_confidence.faded(found, self.now_us)
+                    faded = confidence.faded(found, self.now_us)
                     if faded is not None:
                         if lessons.zone != self.settings.zone:  # how far it is holds from there only
                             found = replace(found, least_us=0)
@@ -803,10 +803,10 @@
                        for ident, server in self.servers.items())
             if self.has_list and 2 * here >= len(lessons.upstreams):
                 self.recall_times(lessons, count)
-            shut = sum(lesson_confidence.is_shut(told[server][1] if server in told else server.lesson)
+            shut = sum(confidence.is_shut(told[server][1] if server in told else server.lesson)
                        for server in self.order)
             for server, (lesson, faded) in told.items():
-                if 2 * shut <= count or not lesson_confidence.is_shut(faded):
+                if 2 * shut <= count or not confidence.is_shut(faded):
                     self.believe(server, lesson, faded)
         if self.has_list:
             self.lessons = []
@@ -817,22 +817,22 @@
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
             if told is not None and latency.confirmed_us < told.confirmed_us and (
                     not latency.seen or latency.doubt == 1 / 2):
-                share = lesson_confidence.share(self.now_us - told.confirmed_us, lesson_confidence.LATENCY_HALVES_US)
+                share = confidence.share(self.now_us - told.confirmed_us, confidence.LATENCY_HALVES_US)
                 if share > 0.0:
                     latency.recall(told, share)
         if self.confirmed_us == 0 and lessons.slots > 0.0:
             # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
-            share = lesson_confidence.share(self.now_us - lessons.confirmed_us, lesson_confidence.SIDECAR_HALVES_US)
+            share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALVES_US)
             usual = self.usual_slots(count)
-            self.window.slots = lesson_confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
+            self.window.slots = confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
     def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
         """Until a try of our own. Hazard: by mere word it gets no more than the one slot of a new one, and is
         not shut so far that few tries would come: it is drawn rarely, and still before a refusal."""
         server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
         self.changed[server] = None
-        server.window.slots = min(1.0, max(lesson_confidence.LEAST_SLOTS, lesson.slots))
-        server.failing, server.mute = lesson.failing, min(lesson.mute, lesson_confidence.MOST_MUTE)
+        server.window.slots = min(1.0, max(confidence.LEAST_SLOTS, lesson.slots))
+        server.failing, server.mute = lesson.failing, min(lesson.mute, confidence.MOST_MUTE)
         if lesson.first_hand:  # what we sent before a restart still warms it up
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
             server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_us, self.now_us + gap_us))
@@ -841,7 +841,7 @@
         """The first attempt of ours at an upstream that we were told of: its answer opens what was shut, and
         what was open as far as it was; without one, what we were told is taken for so."""
         told, server.lesson = server.lesson, None
-        lesson = lesson_confidence.faded(told, self.now_us) if told is not None else None
+        lesson = confidence.faded(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
             server.window.slots = max(1.0, server.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -8,7 +8,7 @@
 
 import click
 
-from ironscale import lesson_confidence
+from ironscale import confidence
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.learned.codec import CodecError, Snapshot, body_of, decode, lessons_of
@@ -59,7 +59,7 @@
     worth: dict[str, float | None] = {}
     if age_us is not None:
         for one in lessons_of(snapshot, now_us - age_us, now_us, 0, number).upstreams:
-            faded = lesson_confidence.faded(one, now_us)
+            faded = confidence.faded(one, now_us)
             worth[names[one.id]] = round(faded.slots, 3) if faded is not None else None
     return {
         "file": str(path), "version": body_of(data)[0], "bytes": len(data), "sidecar": snapshot.name,
@@ -80,7 +80,7 @@
 def word(one: dict[str, Any]) -> str:
     if one["mute"] > 1:
         return "silent"
-    return "failing" if one["failing"] else "shut" if one["slots"] < lesson_confidence.SHUT else "open"
+    return "failing" if one["failing"] else "shut" if one["slots"] < confidence.SHUT else "open"
 
 
 @learned.command()
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -15,7 +15,7 @@
 import socket
 from collections.abc import Sequence
 
-from ironscale import lesson_confidence
+from ironscale import confidence
 from ironscale.learned.codec import MAX_BYTES, CodecError, decoding
 from ironscale.learned.persistence import Collector, in_slices
 from ironscale.net.discovery import upstream_id
@@ -33,11 +33,11 @@
 LONGEST_AGE_US = 60_000_000  # of a donor's snapshot: more is no answer to "now"
 
 
-def agreed_ages(donors: Sequence[lesson_confidence.Donor]) -> list[float]:
+def agreed_ages(donors: Sequence[confidence.Donor]) -> list[float]:
     """At which ages kept connections fail, by the donors' median."""
     weighed = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
     count = min((len(ages) for ages, _ in weighed), default=0)
-    return [lesson_confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
+    return [confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
 
 
 class Teacher:
@@ -154,7 +154,7 @@
         self.learned = False
         self.upstreams = 0  # that were told of
 
-    async def donor(self, address: Address) -> lesson_confidence.Donor:
+    async def donor(self, address: Address) -> confidence.Donor:
         async with asyncio.timeout(ASK_S):
             age_us, data = await ask(address)
         received_us = self.sidecar.clock.now_us()
@@ -163,14 +163,14 @@
         known = self.sidecar.balancer.servers
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
             raise CodecError(f"expected lessons on upstreams of ours, got {len(snapshot.upstreams)} of others")
-        return lesson_confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.up_us, snapshot.resting,
+        return confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.up_us, snapshot.resting,
                                        snapshot.cut_off, snapshot.ages)
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
         """Whether there was something to learn. One that fails, lies or is late costs only what it knows."""
         chosen = self.random.sample(list(addresses), min(MOST_DONORS, len(addresses)))
         tasks = {asyncio.create_task(self.donor(address)): address for address in chosen}
-        donors: list[lesson_confidence.Donor] = []
+        donors: list[confidence.Donor] = []
         try:
             waiting, limit_s = set(tasks), ASK_S
             while waiting:
@@ -193,7 +193,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         now_us = self.sidecar.clock.now_us()
-        lessons = lesson_confidence.agreed(donors, now_us, self.sidecar.config.settings.zone)
+        lessons = confidence.agreed(donors, now_us, self.sidecar.config.settings.zone)
         if lessons is None:
             return False
         self.sidecar.upstreams.ages.recall(agreed_ages(donors), 0)
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -31,7 +31,7 @@
         "ironscale.net.periodic",
         "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.start_times",
         "ironscale.net.stream", "ironscale.net.discovery_schedule",
-        "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.lesson_confidence"]
+        "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.confidence"]
 
 
 def test_the_instances_side_needs_no_extra() -> None:
--- a/tests/learned/test_lesson_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale import lesson_confidence
+from ironscale import confidence
 from ironscale.balance import Balancer
 from ironscale.interface import (
     ClassLesson,
@@ -75,36 +75,36 @@
 
 def test_what_fades_and_which_way() -> None:
     now_us = START_US
-    for kind, halves_us in ((8.0, lesson_confidence.WIDE_HALVES_US), (1 / 8, lesson_confidence.SHUT_HALVES_US)):
-        found = [lesson_confidence.faded(told(1, kind, age_us), now_us)
+    for kind, halves_us in ((8.0, confidence.WIDE_HALVES_US), (1 / 8, confidence.SHUT_HALVES_US)):
+        found = [confidence.faded(told(1, kind, age_us), now_us)
                  for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
     # stale, a shut one does the greater harm
-    assert lesson_confidence.SHUT_HALVES_US < lesson_confidence.WIDE_HALVES_US
+    assert confidence.SHUT_HALVES_US < confidence.WIDE_HALVES_US
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
-    found = lesson_confidence.faded(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
+    found = confidence.faded(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
     assert found is not None and found.slots == 1 / 64 and found.mute == 5
-    late = lesson_confidence.faded(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
+    late = confidence.faded(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
     assert late is not None and late.slots == 1.0 and late.mute == 1
 
 
 def test_one_that_answers_nothing_is_distrusted_though_its_window_is_open() -> None:
     """Its slot is held so long that few tries come to close the window."""
     world = taught(told(100, 1.4, mute=2), told(101, 1.4))
-    assert slots(world)[100] == lesson_confidence.LEAST_SLOTS and slots(world)[101] == 1.0
-    assert lesson_confidence.is_shut(told(100, 1.4, mute=2)) and not lesson_confidence.is_shut(told(100, 1.4))
+    assert slots(world)[100] == confidence.LEAST_SLOTS and slots(world)[101] == 1.0
+    assert confidence.is_shut(told(100, 1.4, mute=2)) and not confidence.is_shut(told(100, 1.4))
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
 
 
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
-    assert lesson_confidence.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
-    assert lesson_confidence.share(age_us, lesson_confidence.WIDE_HALVES_US) == 0.0
+    assert confidence.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
+    assert confidence.share(age_us, confidence.WIDE_HALVES_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
@@ -131,8 +131,8 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert (slots(world)[100] == lesson_confidence.LEAST_SLOTS
-            and world.balancer.servers[100].mute == lesson_confidence.MOST_MUTE)
+    assert (slots(world)[100] == confidence.LEAST_SLOTS
+            and world.balancer.servers[100].mute == confidence.MOST_MUTE)
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
     server = world.balancer.servers[100]
@@ -154,7 +154,7 @@
 def test_a_failed_try_leaves_it_distrusted() -> None:
     world = taught(told(100, 1 / 64, mute=4))
     answer(world, send_to(world, 100), Outcome.RESET)
-    assert slots(world)[100] < lesson_confidence.LEAST_SLOTS
+    assert slots(world)[100] < confidence.LEAST_SLOTS
 
 
 def test_one_that_started_anew_is_new() -> None:
@@ -333,8 +333,8 @@
     for _ in range(5):
         world.advance(2 * S)
         given = learned(world.balancer)
-        donor = lesson_confidence.Donor(given, 60 * S, False, False)
-        agreed = lesson_confidence.agreed([donor], world.now_us, 0)
+        donor = confidence.Donor(given, 60 * S, False, False)
+        agreed = confidence.agreed([donor], world.now_us, 0)
         assert agreed is not None and agreed.upstreams[0].confirmed_us == START_US - S
         other = World(settings())
         other.now_us = world.now_us
@@ -342,19 +342,19 @@
         other.tell_list(upstreams(6))
         back = learned(other.balancer)
         assert [one.first_hand for one in back.upstreams] == [False]
-        assert lesson_confidence.agreed([lesson_confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
+        assert confidence.agreed([confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
 
 
 # Donors
 
 
 def donor(*found: UpstreamLesson, up_us: int = 60 * S, resting: bool = False, cut_off: bool = False,
-          **changes: object) -> lesson_confidence.Donor:
-    return lesson_confidence.Donor(lessons(*found, **changes), up_us, resting, cut_off)
+          **changes: object) -> confidence.Donor:
+    return confidence.Donor(lessons(*found, **changes), up_us, resting, cut_off)
 
 
-def agreed(*donors: lesson_confidence.Donor) -> dict[int, UpstreamLesson]:
-    found = lesson_confidence.agreed(donors, START_US, 0)
+def agreed(*donors: confidence.Donor) -> dict[int, UpstreamLesson]:
+    found = confidence.agreed(donors, START_US, 0)
     return {} if found is None else {one.id: one for one in found.upstreams}
 
 
@@ -378,8 +378,8 @@
 
 
 def test_a_donor_that_has_just_started_teaches_nothing() -> None:
-    assert agreed(donor(told(100, 4.0), up_us=lesson_confidence.SETTLED_US - 1)) == {}
-    assert lesson_confidence.agreed([], START_US, 0) is None
+    assert agreed(donor(told(100, 4.0), up_us=confidence.SETTLED_US - 1)) == {}
+    assert confidence.agreed([], START_US, 0) is None
 
 
 def test_age_and_a_lost_list_weigh_a_donor_down() -> None:
@@ -398,7 +398,7 @@
 def test_the_median_lies_between_the_others_where_one_has_less_than_half(
         values: list[tuple[float, float]], lie: float) -> None:
     whole = sum(weight for _, weight in values)
-    found = lesson_confidence.median([*values, (lie, 0.99 * whole)])
+    found = confidence.median([*values, (lie, 0.99 * whole)])
     assert min(value for value, _ in values) <= found <= max(value for value, _ in values)
 
 
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -15,8 +15,8 @@
 
 from bench.learned import donor, lie
 from bench.stage import Fault, S, Stage
+from ironscale import confidence
 from ironscale import interface as api
-from ironscale import lesson_confidence
 from ironscale.introspection import learned
 from ironscale.learned.store import Store, load, path_for
 from ironscale.learned.timestamps import machine_boot, now
@@ -172,7 +172,7 @@
 # Paired on the same seeds, in virtual time
 
 
-def donors(stage: Stage) -> list[lesson_confidence.Donor]:
+def donors(stage: Stage) -> list[confidence.Donor]:
     return [donor(stage, index) for index in range(1, len(stage.sides))]
 
 
@@ -200,14 +200,14 @@
     stage.stop(0)
     stage.run(START_AGAIN_US)
     three = donors(stage)
-    liar = lesson_confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
+    liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     taught: dict[str, api.Lessons | None] = {
         "cold": None, "file": own,
-        "donors": lesson_confidence.agreed(three, stage.now_us, 0),
+        "donors": confidence.agreed(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
         "all open": lie(stage, lambda i: 1e5),
-        "stale donor": lesson_confidence.agreed(early, stage.now_us, 0),
-        "mixed donors": lesson_confidence.agreed([*three, liar], stage.now_us, 0),
+        "stale donor": confidence.agreed(early, stage.now_us, 0),
+        "mixed donors": confidence.agreed([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
     for name, lessons in taught.items():
