--- a/bench/learned.py
+++ b/bench/learned.py
@@ -64,8 +64,7 @@
 
 def donor(stage: Stage, index: int) -> confidence.Donor:
     side = stage.sides[index]
-    return confidence.Donor(
-        learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
+    return confidence.Donor(learned(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
 def lie(stage: Stage, slots: Callable[[int], float]) -> api.Lessons:
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -776,8 +776,7 @@
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_seen) < confidence.TENANT_WEIGHT:
             told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
-            share = confidence.TENANT_WEIGHT * confidence.share(
-                age_us, confidence.LATENCY_HALVES_US)
+            share = confidence.TENANT_WEIGHT * confidence.share(age_us, confidence.LATENCY_HALVES_US)
             self.tenant_seen = [seen + share * min(1.0, told.get(tenant.name, 0.0))
                                 for tenant, seen in zip(self.settings.tenants, self.tenant_seen, strict=True)]
         self.lessons.append(lessons)
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -164,7 +164,7 @@
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
             raise CodecError(f"expected lessons on upstreams of ours, got {len(snapshot.upstreams)} of others")
         return confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.up_us, snapshot.resting,
-                                       snapshot.cut_off, snapshot.ages)
+                                snapshot.cut_off, snapshot.ages)
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
         """Whether there was something to learn. One that fails, lies or is late costs only what it knows."""
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -81,8 +81,7 @@
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
-    # stale, a shut one does the greater harm
-    assert confidence.SHUT_HALVES_US < confidence.WIDE_HALVES_US
+    assert confidence.SHUT_HALVES_US < confidence.WIDE_HALVES_US  # stale, a shut one does the greater harm
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
@@ -131,8 +130,7 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert (slots(world)[100] == confidence.LEAST_SLOTS
-            and world.balancer.servers[100].mute == confidence.MOST_MUTE)
+    assert slots(world)[100] == confidence.LEAST_SLOTS and world.balancer.servers[100].mute == confidence.MOST_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
     server = world.balancer.servers[100]
