--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -22,16 +22,14 @@
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
     assert done.stdout.split() == [
-        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.fleet_estimates", "ironscale.interface",
-        "ironscale.logs", "ironscale.net",
-        "ironscale.net.client", "ironscale.net.listener_shutdown", "ironscale.net.config",
-        "ironscale.net.socket_connect",
-        "ironscale.net.discovery", "ironscale.net.errors",
-        "ironscale.net.jsonstream", "ironscale.net.event_dispatcher", "ironscale.net.lifecycle",
-        "ironscale.net.periodic",
-        "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.start_times",
-        "ironscale.net.stream", "ironscale.net.discovery_schedule",
-        "ironscale.net.upstream", "ironscale.sum_tree", "ironscale.settings", "ironscale.confidence"]
+        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.confidence",
+        "ironscale.fleet_estimates", "ironscale.interface", "ironscale.logs", "ironscale.net",
+        "ironscale.net.client", "ironscale.net.config", "ironscale.net.discovery",
+        "ironscale.net.discovery_schedule", "ironscale.net.errors", "ironscale.net.event_dispatcher",
+        "ironscale.net.jsonstream", "ironscale.net.lifecycle", "ironscale.net.listener_shutdown",
+        "ironscale.net.periodic", "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals",
+        "ironscale.net.socket_connect", "ironscale.net.start_times", "ironscale.net.stream",
+        "ironscale.net.upstream", "ironscale.settings", "ironscale.sum_tree"]
 
 
 def test_the_instances_side_needs_no_extra() -> None:
