--- a/bench/learned.py
+++ b/bench/learned.py
@@ -11,31 +11,25 @@
 
 from __future__ import annotations
 
-import argparse
-import asyncio
-import gc
-import json
-import os
-import random
-import signal
-import subprocess
-import sys
-import tempfile
-import time
+from bench.stage import Fault
+from bench.stage import S
+from bench.stage import START_US
+from bench.stage import Stage
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
-from pathlib import Path
-from typing import Any
-
-import uvloop
-
-from bench.stage import START_US, Fault, S, Stage
+from ironscale import confidence
 from ironscale import interface as api
-from ironscale import trust
-from ironscale.learned.codec import decode, decoding, encoding
-from ironscale.learned.keeper import Collector, Keeper, in_slices
-from ironscale.learned.store import Store, load, path_for
+from ironscale.introspection import learned_state
+from ironscale.learned.codec import decode
+from ironscale.learned.codec import decoding
+from ironscale.learned.codec import encoding
+from ironscale.learned.persistence import Collector
+from ironscale.learned.persistence import Keeper
+from ironscale.learned.persistence import in_slices
+from ironscale.learned.store import Store
+from ironscale.learned.store import load
+from ironscale.learned.store import path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
@@ -43,9 +37,24 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.telling import learned_state
+from pathlib import Path
 from tests.learned.samples import NOW
 from tests.sockets import free_port
+from typing import Any
+import argparse
+import asyncio
+import gc
+import json
+import os
+import random
+import signal
+import subprocess
+import sys
+import tempfile
+import time
+import uvloop
+
+
 
 ROOT = Path(__file__).resolve().parent.parent
 STOP_US, AGAIN_US = 13 * S, 14 * S
@@ -62,9 +71,9 @@
 COLORS = {"cold": "#4c78a8", "file": "#e45756", "one donor": "#72b7b2", "three donors": "#54a24b", "warm": "#888888"}
 
 
-def donor(stage: Stage, index: int) -> trust.Donor:
+def donor(stage: Stage, index: int) -> confidence.Donor:
     side = stage.sides[index]
-    return trust.Donor(learned_state(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
+    return confidence.Donor(learned_state(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
 
 
 def lie(stage: Stage, slots: Callable[[int], float]) -> api.LearnedState:
@@ -101,14 +110,15 @@
     lessons: dict[str, api.LearnedState | None] = {"cold": None}
     if what == "starts":
         starts["warm"] = warm
-        lessons.update({"file": own, "one donor": trust.agreed(donors[:1], now_us, 0),
-                        "three donors": trust.agreed(donors, now_us, 0)})
+        lessons.update({"file": own, "one donor": confidence.agreed(donors[:1], now_us, 0),
+                        "three donors": confidence.agreed(donors, now_us, 0)})
     else:
-        liar = trust.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
+        liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
         lessons.update({
-            "cold, other draws": None, "stale donors": trust.agreed(early, now_us, 0),
+            "cold, other draws": None, "stale donors": confidence.agreed(early, now_us, 0),
             "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
-            "all open": lie(stage, lambda i: 1e5), "one liar of three": trust.agreed([*donors[:2], liar], now_us, 0)})
+            "all open": lie(stage, lambda i: 1e5),
+            "one liar of three": confidence.agreed([*donors[:2], liar], now_us, 0)})
     for name, taught in lessons.items():
         one = stage.copy()
         one.start(0, seed * 7 + (2 if name == "cold, other draws" else 1), taught)
--- a/bench/record.py
+++ b/bench/record.py
@@ -24,8 +24,8 @@
 
 from ironscale.operator_file import Stores, StoreTarget
 from ironscale.record import sqlite
-from ironscale.record.beside import beside
 from ironscale.record.database import Opener
+from ironscale.record.extension import beside
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
 from ironscale.record.postgres import Access, PostgresStore
 from ironscale.record.sqlite import SqliteStore, migrate
@@ -125,7 +125,7 @@
 def bench_back(stall_s: float, rate: float, folder: Path) -> None:
     """Open loop through a sidecar on a store that stops answering and comes back."""
     from ironscale.standins.upstream import Peer
-    from tests.record.test_lane import QUICK, asked
+    from tests.record.test_store_dispatcher import QUICK, asked
     from tests.sockets import Scene
 
     async def main() -> None:
@@ -224,11 +224,11 @@
 def bench_agent(seconds: float, folder: Path) -> None:
     """Small writes of the agent on both kinds; a record of 20,000 lines moved; from a lost connection, and from a
     statement that never ends, to the next write that is kept."""
-    from ironscale.agent.opening import open_store
     from ironscale.agent.postgres import Holder
     from ironscale.agent.postgres import PostgresStore as AgentOnPostgres
     from ironscale.agent.sqlite import SqliteStore as AgentOnSqlite
     from ironscale.agent.store import Records, StoreError
+    from ironscale.agent.store_setup import open_store
     from ironscale.operator_file import Agent
 
     def small(records: Records) -> None:
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -95,12 +95,12 @@
         subsystems: list[Extension] = []
         channel = None
         if found.store is not None:  # the first: not one request may pass by it
-            from ironscale.record.beside import beside as store_beside
+            from ironscale.record.extension import beside as store_beside
 
             subsystems.append(store_beside(found.store))
         if found.learned is not None:
-            from ironscale.learned.beside import Channel
-            from ironscale.learned.beside import beside as learned_beside
+            from ironscale.learned.extension import Channel
+            from ironscale.learned.extension import beside as learned_beside
 
             channel = Channel()
             subsystems.append(learned_beside(found.learned, channel))
@@ -109,7 +109,7 @@
 
             subsystems.append(record_beside(found.record))
         if found.control is not None:
-            from ironscale.control.beside import beside
+            from ironscale.control.extension import beside
 
             subsystems.append(beside(found.control, environ, channel, found.versions))
         return together(subsystems), found.sidecar.reuse_port
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ironscale.agent import planner
-from ironscale.agent.difference import difference
+from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
 from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, Send, State, Target
@@ -22,7 +22,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.watching import Watching
+from ironscale.agent.upstream_polling import Watching
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, Of, Permit
--- a/ironscale/learned/beside.py
+++ b/ironscale/learned/extension.py
@@ -2,20 +2,27 @@
 
 from __future__ import annotations
 
+from collections.abc import AsyncIterator
+from collections.abc import Callable
+from ironscale.learned.peer_transfer import Address
+from ironscale.learned.peer_transfer import Pupil
+from ironscale.learned.peer_transfer import Teacher
+from ironscale.learned.persistence import Collector
+from ironscale.learned.persistence import Keeper
+from ironscale.learned.store import Store
+from ironscale.learned.store import path_for
+from ironscale.net.sidecar import Extension
+from ironscale.net.sidecar import Sidecar
+from ironscale.operator_file import Learned
+from ironscale.operator_file import is_loopback
+from ironscale.tasks import run_in_background
+from ironscale.toml_tables import read_address
 import asyncio
 import contextlib
 import random
 import secrets
 import traceback
-from collections.abc import AsyncIterator, Callable
-
-from ironscale.learned.keeper import Collector, Keeper
-from ironscale.learned.store import Store, path_for
-from ironscale.learned.teaching import Address, Pupil, Teacher
-from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import Learned, is_loopback
-from ironscale.tables import read_address
-from ironscale.tasks import run_in_background
+
 
 MOST_OFFERED = 20
 AGAIN_S = (1.0, 4.0)  # none of the donors had anything to teach: they may have just started as well
@@ -70,7 +77,7 @@
 
 
 class Channel:
-    """What an agent's client needs of the subsystem (ironscale.control.beside.Teaching)."""
+    """What an agent's client needs of the subsystem (ironscale.control.extension.Teaching)."""
 
     def __init__(self) -> None:
         self.running: Running | None = None
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -25,12 +25,12 @@
 from ironscale.net.config import Config, ConfigError, apply_merge_patch, load, parse
 from ironscale.net.discovery import Discovery, Listing
 from ironscale.net.errors import passes
-from ironscale.net.lane import EventDispatcher, RequestHandler
+from ironscale.net.event_dispatcher import EventDispatcher, RequestHandler
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
 from ironscale.net.server import Server
 from ironscale.net.signals import Signals
-from ironscale.net.starts import StartTimes
+from ironscale.net.start_times import StartTimes
 from ironscale.net.upstream import Answer, Attempt, Upstreams
 
 # Answers leave this long before the client stops waiting. Measured: timers fire up to 2 ms late, the
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ironscale.tables import Address, Table, TableError, read_address, read_text, read_toml, text_or_none
+from ironscale.toml_tables import Address, Table, TableError, read_address, read_text, read_toml, text_or_none
 
 if TYPE_CHECKING:
     from ironscale.disruption.model import Budget
-    from ironscale.versions.choice import Place
+    from ironscale.versions.agent_selection import Place
 
 MOST_INSTANCES = 5_000
 MOST_BUDGETS = 200
@@ -187,7 +187,7 @@
 
 
 def _versions(table: Table) -> Versions:
-    from ironscale.versions.choice import Place  # a sidecar that follows nobody loads none of it
+    from ironscale.versions.agent_selection import Place  # a sidecar that follows nobody loads none of it
 
     places = []
     for entry in table.tables("agent"):
--- a/ironscale/scale/hollow.py
+++ b/ironscale/scale/simulated_instances.py
@@ -1,7 +1,7 @@
 """Hollow instances: the real control protocol and the real watch on discovery, no data path; hundreds share a process.
 
-`python -m ironscale.scale.hollow ORDER` is such a process; it tells what it saw, and when by the machine's monotonic
-clock, over the socket that it was given.
+`python -m ironscale.scale.simulated_instances ORDER` is such a process; it tells what it saw, and when by the
+machine's monotonic clock, over the socket that it was given.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.light import LightInstance, light, light_follower
+from ironscale.control.simulated_instance import LightInstance, light, light_follower
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
 from ironscale.scale.bounds import Crew, memory_mb
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
 
 Address = tuple[str, int]
@@ -206,8 +206,8 @@
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
                      "fd": theirs.fileno()}
             with theirs:
-                process = self.crew.start("hollow", "ironscale.scale.hollow", json.dumps(order), log=self.log,
-                                          keep=(theirs,))
+                process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
+                                          log=self.log, keep=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=LINE)
             self.herders.append(Herder(process, reader, writer, share))
             first, count = first + share, count - share
--- a/ironscale/stage/published_run.py
+++ b/ironscale/stage/published_processes.py
@@ -20,7 +20,7 @@
 
 from ironscale.agent import tokens
 from ironscale.control.follower import Follower
-from ironscale.control.light import LightInstance, light_follower
+from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.stage.history import History
 from ironscale.stage.relay import Port, Relay
 from ironscale.stage.run import AGENT, LOOK_S, START_S, Process, StageError, apart
@@ -28,7 +28,7 @@
 from ironscale.standins.postgres import Data, Host
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.versions.choice import Place
+from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
 
 PUBLISH = """mutation($i: PublishInput!) { publish(input: $i) { number } }"""
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ironscale.versions.choice import BOOKMARK_S, FOLD_S, spread_s
+from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S, spread_s
+from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
-from ironscale.versions.view import Change, View
 
 MOST_FOLLOWERS = 10_000
 # New followers a second, and how many at once: 2,300 that lost all agents but one are back within 5 s of the 12.
@@ -271,8 +271,8 @@
             yield found, told
 
     def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> Told:
-        """As `view.change`, narrowed to its scopes, without going over all entries. One that is ahead hears where this
-        agent is, and nothing that is older than what it has."""
+        """As `compacted_log.View.change`, narrowed to its scopes, without going over all entries. One that is ahead
+        hears where this agent is, and nothing that is older than what it has."""
         view, since = self.view, subscriber.position
         layers = self.layers(subscriber)
         if since > view.position:
--- a/tests/agent/zygote.py
+++ b/tests/agent/fork_server.py
@@ -1,5 +1,5 @@
-"""Starts real sidecars by fork: `python -m tests.agent.zygote` reads a line of JSON (environment, log file, what is
-wrong with it) from standard input for each, and writes its process id.
+"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, what
+is wrong with it) from standard input for each, and writes its process id.
 
 A process forked from here is a process of its own like any other; only the half second of imports is saved.
 """
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ironscale.__main__ import main
-from ironscale.control import beside, client  # noqa: F401 (loaded once, for all)
+from ironscale.control import client, extension  # noqa: F401 (loaded once, for all)
 
 
 def go_wrong(how: str) -> None:
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -20,10 +20,10 @@
 from ironscale.agent.sqlite import Claim, SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Term, clock_ms
-from ironscale.control.light import LightInstance, light, stop
+from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
-from tests.agent.scene import run
+from tests.agent.agent_harness import run
 from tests.deployed import ROOT
 from tests.record.postgres import dsn
 from tests.sockets import free_port
@@ -52,7 +52,7 @@
         log = open(self.folder / f"{number}.log", "ab")  # noqa: SIM115 (the child's)
         with log:
             self.processes[number] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "tests.agent.standing_agent", str(self.folder / f"a{number}"), self.record,
+                sys.executable, "-m", "tests.agent.replica_agent", str(self.folder / f"a{number}"), self.record,
                 str(self.ports[number]), str(TERM_S), str(self.most), str(fatal), how, cwd=ROOT, stdout=log, stderr=log)
 
     def log(self, number: int) -> str:
--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -24,7 +24,7 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from tests.agent.scene import AgentScene, run, scene, until
+from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.deployed import ROOT
 
 COUNT = int(os.environ.get("MANY_COUNT", "200"))
@@ -50,7 +50,7 @@
         self.discovery.put(self.peer.entry("s-1"))
         await self.discovery.start()
         zygote = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.agent.zygote", cwd=ROOT, stdin=asyncio.subprocess.PIPE,
+            sys.executable, "-m", "tests.agent.fork_server", cwd=ROOT, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE)
         assert zygote.stdin is not None and zygote.stdout is not None
         self.wrongs = wrongs = {f"app-{n:03}": how for n, how in zip(self.random.sample(range(COUNT), min(COUNT, 9)),
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -15,20 +15,20 @@
 
 import pytest
 
-from ironscale.agent import keeping, opening
+from ironscale.agent import commit_tracking, store_setup
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
-from ironscale.agent.opening import open_store
 from ironscale.agent.postgres import Holder, PostgresStore
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.sql import SCHEMA
 from ironscale.agent.sqlite import SqliteStore, connect
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
+from ironscale.agent.store_setup import open_store
 from ironscale.agent.terms import holder_of
 from ironscale.cli.output import CODES, Exit
 from ironscale.operator_file import OperatorFileError, Service, parse
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.agent.scene import run, scene, section, until
+from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
@@ -584,7 +584,7 @@
 def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Cuts, stalls, errors, lost replies and restarts. Each write is told as kept, not kept or not known; the log holds
     the first once, the second never, and of the third exactly those that were heard of later."""
-    monkeypatch.setattr(keeping, "AGAIN_S", 0.01)
+    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.01)
 
     async def test() -> None:
         rng, data = random.Random(seed), Data()
@@ -817,7 +817,7 @@
         data = Data()
         async with hosts(data) as (host,):
             async with running(section(tmp_path / "one", postgresql=dsn(host))) as one:
-                monkeypatch.setattr(opening, "WAIT_S", -9.5)
+                monkeypatch.setattr(store_setup, "WAIT_S", -9.5)
                 with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one has this"):
                     async with running(section(tmp_path / "two", postgresql=dsn(host))):
                         pass
@@ -826,7 +826,7 @@
                 assert one.ready.is_set()
             # killed in place of ended: its lease runs on
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
-            monkeypatch.setattr(opening, "WAIT_S", 2.0)
+            monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
                 assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the record knows" in text]) == 2
@@ -896,7 +896,7 @@
 def test_a_move_that_fails_leaves_both_as_they_were_and_one_that_ended_early_is_not_done_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keeping, "RESOLVE_S", 0.3)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_S", 0.3)
     said: list[str] = []
 
     async def test() -> None:
@@ -963,7 +963,7 @@
     with pytest.raises(OperatorFileError) as found:
         agent = parse(f"[agent]\n{text}\n", "F", tmp_path).agent
         assert agent is not None
-        opening.access_of(agent)
+        store_setup.access_of(agent)
     assert expected in str(found.value) and "\n" not in str(found.value)
 
 
@@ -974,7 +974,7 @@
     section_ = parse('[agent]\npostgresql = "host=a"\n', "F", tmp_path).agent
     assert section_ is not None
     with pytest.raises(OperatorFileError, match=r"F: agent\.postgresql: expected the packages of ironscale\[record\]"):
-        opening.access_of(section_)
+        store_setup.access_of(section_)
 
 
 def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -22,20 +22,19 @@
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
     assert done.stdout.split() == [
-        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.crowd", "ironscale.interface",
-        "ironscale.logs", "ironscale.net",
-        "ironscale.net.client", "ironscale.net.closing", "ironscale.net.config", "ironscale.net.dialing",
-        "ironscale.net.discovery", "ironscale.net.errors",
-        "ironscale.net.jsonstream", "ironscale.net.lane", "ironscale.net.lifecycle",
-        "ironscale.net.periodic",
-        "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals", "ironscale.net.starts",
-        "ironscale.net.stream", "ironscale.net.turns",
-        "ironscale.net.upstream", "ironscale.places", "ironscale.settings", "ironscale.trust"]
+        "ironscale", "ironscale.__main__", "ironscale.balance", "ironscale.confidence",
+        "ironscale.fleet_estimates", "ironscale.interface", "ironscale.logs", "ironscale.net",
+        "ironscale.net.client", "ironscale.net.config", "ironscale.net.discovery",
+        "ironscale.net.discovery_schedule", "ironscale.net.errors", "ironscale.net.event_dispatcher",
+        "ironscale.net.jsonstream", "ironscale.net.lifecycle", "ironscale.net.listener_shutdown",
+        "ironscale.net.periodic", "ironscale.net.server", "ironscale.net.sidecar", "ironscale.net.signals",
+        "ironscale.net.socket_connect", "ironscale.net.start_times", "ironscale.net.stream",
+        "ironscale.net.upstream", "ironscale.settings", "ironscale.sum_tree"]
 
 
 def test_the_instances_side_needs_no_extra() -> None:
     """A sidecar with an agent runs on requirements.txt alone."""
-    code = ("import sys, ironscale.control.beside; "
+    code = ("import sys, ironscale.control.extension; "
             "print(*sorted({m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_extension.py
@@ -2,39 +2,57 @@
 
 from __future__ import annotations
 
+from collections.abc import AsyncIterator
+from ironscale import confidence
+from ironscale.__main__ import together
+from ironscale.agent import fleet
+from ironscale.agent.serve import running as agent_running
+from ironscale.control.extension import beside as control_beside
+from ironscale.introspection import learned_state
+from ironscale.introspection import upstream_views
+from ironscale.learned import peer_transfer
+from ironscale.learned import persistence
+from ironscale.learned.codec import MAX_BYTES
+from ironscale.learned.codec import decode
+from ironscale.learned.codec import encode
+from ironscale.learned.extension import Channel
+from ironscale.learned.extension import Running
+from ironscale.learned.extension import beside
+from ironscale.learned.peer_transfer import ASKED
+from ironscale.learned.peer_transfer import Pupil
+from ironscale.learned.peer_transfer import Teacher
+from ironscale.learned.peer_transfer import ask
+from ironscale.learned.persistence import Collector
+from ironscale.learned.persistence import Keeper
+from ironscale.learned.store import OsFiles
+from ironscale.learned.store import Store
+from ironscale.learned.store import load
+from ironscale.learned.store import path_for
+from ironscale.learned.timestamps import machine_boot
+from ironscale.learned.timestamps import now
+from ironscale.net.discovery import upstream_id
+from ironscale.operator_file import Control
+from ironscale.operator_file import Learned
+from ironscale.standins.discovery import listing
+from ironscale.standins.upstream import Peer
+from ironscale.standins.upstream import reset
+from ironscale.threads import run_in_thread
+from pathlib import Path
+from tests.agent.agent_harness import section
+from tests.learned.samples import lesson
+from tests.learned.samples import snapshot
+from tests.sockets import Scene
+from tests.sockets import run
+from tests.sockets import until
 import asyncio
 import contextlib
 import errno
+import pytest
 import random
 import socket
 import threading
-from collections.abc import AsyncIterator
-from pathlib import Path
 
-import pytest
 
-from ironscale import trust
-from ironscale.__main__ import together
-from ironscale.agent import fleet
-from ironscale.agent.serve import running as agent_running
-from ironscale.control.beside import beside as control_beside
-from ironscale.learned import keeper as keeping
-from ironscale.learned import teaching
-from ironscale.learned.beside import Channel, Running, beside
-from ironscale.learned.codec import MAX_BYTES, decode, encode
-from ironscale.learned.keeper import Collector, Keeper
-from ironscale.learned.moment import machine_boot, now
-from ironscale.learned.store import OsFiles, Store, load, path_for
-from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
-from ironscale.net.discovery import upstream_id
-from ironscale.operator_file import Control, Learned
-from ironscale.standins.discovery import listing
-from ironscale.standins.upstream import Peer, reset
-from ironscale.telling import learned_state, upstream_views
-from ironscale.threads import run_in_thread
-from tests.agent.scene import section
-from tests.learned.samples import lesson, snapshot
-from tests.sockets import Scene, run, until
 
 
 async def scene_with(peers: list[Peer]) -> Scene:
@@ -121,7 +139,7 @@
 
 def test_a_sync_that_blocks_holds_up_neither_serving_nor_the_end(tmp_path: Path, capfd: pytest.CaptureFixture[str],
                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeping, "LAST_S", 0.2)
+    monkeypatch.setattr(persistence, "LAST_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
@@ -159,7 +177,7 @@
 
 def test_a_read_that_blocks_does_not_hold_up_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                                        capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(keeping, "READ_S", 0.2)
+    monkeypatch.setattr(persistence, "READ_S", 0.2)
 
     async def test() -> None:
         event = threading.Event()
@@ -311,7 +329,7 @@
 
 def test_donors_that_lie_hang_or_are_not_there_cost_a_bounded_time(monkeypatch: pytest.MonkeyPatch,
                                                                    capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(teaching, "ASK_S", 0.5)
+    monkeypatch.setattr(peer_transfer, "ASK_S", 0.5)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
@@ -321,7 +339,7 @@
             await liar(told(data, 10**9)), await liar(told(b"x" + data[1:])),
             await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
-        monkeypatch.setattr(teaching, "MOST_DONORS", 10)
+        monkeypatch.setattr(peer_transfer, "MOST_DONORS", 10)
         pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
         assert not await pupil.learn(donors)
@@ -337,8 +355,8 @@
 
 
 def test_nobody_is_waited_for_once_most_have_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(teaching, "ASK_S", 20.0)
-    monkeypatch.setattr(teaching, "ENOUGH_S", 0.1)
+    monkeypatch.setattr(peer_transfer, "ASK_S", 20.0)
+    monkeypatch.setattr(peer_transfer, "ENOUGH_S", 0.1)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -351,7 +369,7 @@
 
 @pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", ASKED[:5], b"\0" * 5000])
 def test_who_asks_for_something_else_gets_nothing(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(teaching, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(peer_transfer, "PATIENCE_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -385,21 +403,21 @@
             started_s = asyncio.get_running_loop().time()
             waiting = [asyncio.create_task(newcomer()) for _ in range(500)]
             while not all(task.done() for task in waiting):
-                most_open = max(most_open, teaching.MOST_OPEN - teacher.open._value)
+                most_open = max(most_open, peer_transfer.MOST_OPEN - teacher.open._value)
                 assert (await scene.call()).status == 200
                 await asyncio.sleep(0.01)
             taught = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
-        assert took_s >= 500 / teaching.RATE * 0.9  # paced
-        assert teacher.collected <= took_s / teaching.FRESH_S + 2 and most_open <= teaching.MOST_OPEN
+        assert took_s >= 500 / peer_transfer.RATE * 0.9  # paced
+        assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MOST_OPEN
 
     run(test)
 
 
 def test_a_teaching_address_that_is_taken_is_tried_again(monkeypatch: pytest.MonkeyPatch,
                                                         capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(teaching, "AGAIN_S", 0.05)
+    monkeypatch.setattr(peer_transfer, "AGAIN_S", 0.05)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -471,7 +489,7 @@
 def test_an_agent_tells_a_newcomer_who_teaches(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Two sidecars beside each other, each with its client; the second is taught by the first."""
     monkeypatch.setattr(fleet, "SETTLED_MS", 0)
-    monkeypatch.setattr(trust, "SETTLED_US", 0)
+    monkeypatch.setattr(confidence, "SETTLED_US", 0)
 
     async def test() -> None:
         peers = await peers_of(3)
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -2,30 +2,40 @@
 
 from __future__ import annotations
 
-import asyncio
-import json
-import os
-import signal
-import sys
+from bench.learned import donor
+from bench.learned import lie
+from bench.stage import Fault
+from bench.stage import S
+from bench.stage import Stage
 from collections import Counter
 from dataclasses import replace
-from pathlib import Path
-
-import pytest
-
-from bench.learned import donor, lie
-from bench.stage import Fault, S, Stage
+from ironscale import confidence
 from ironscale import interface as api
-from ironscale import trust
-from ironscale.learned.moment import machine_boot, now
-from ironscale.learned.store import Store, load, path_for
+from ironscale.introspection import learned_state
+from ironscale.learned.store import Store
+from ironscale.learned.store import load
+from ironscale.learned.store import path_for
+from ironscale.learned.timestamps import machine_boot
+from ironscale.learned.timestamps import now
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
-from ironscale.standins.upstream import Peer, hang
-from ironscale.telling import learned_state
+from ironscale.standins.upstream import Peer
+from ironscale.standins.upstream import hang
+from pathlib import Path
 from tests.deployed import ROOT
-from tests.sockets import ask, free_port, run, until
+from tests.sockets import ask
+from tests.sockets import free_port
+from tests.sockets import run
+from tests.sockets import until
+import asyncio
+import json
+import os
+import pytest
+import signal
+import sys
+
+
 
 
 class Site:
@@ -172,7 +182,7 @@
 # Paired on the same seeds, in virtual time
 
 
-def donors(stage: Stage) -> list[trust.Donor]:
+def donors(stage: Stage) -> list[confidence.Donor]:
     return [donor(stage, index) for index in range(1, len(stage.sides))]
 
 
@@ -200,14 +210,14 @@
     stage.stop(0)
     stage.run(START_AGAIN_US)
     three = donors(stage)
-    liar = trust.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
+    liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     taught: dict[str, api.LearnedState | None] = {
         "cold": None, "file": own,
-        "donors": trust.agreed(three, stage.now_us, 0),
+        "donors": confidence.agreed(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
         "all open": lie(stage, lambda i: 1e5),
-        "stale donor": trust.agreed(early, stage.now_us, 0),
-        "mixed donors": trust.agreed([*three, liar], stage.now_us, 0),
+        "stale donor": confidence.agreed(early, stage.now_us, 0),
+        "mixed donors": confidence.agreed([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
     for name, lessons in taught.items():
--- a/tests/record/test_lane.py
+++ b/tests/record/test_store_dispatcher.py
@@ -2,44 +2,62 @@
 
 from __future__ import annotations
 
+from collections import Counter
+from collections.abc import AsyncIterator
+from ironscale import interface as api
+from ironscale.introspection import upstream_views
+from ironscale.net.config import ConfigError
+from ironscale.net.sidecar import MARGIN_US
+from ironscale.operator_file import OperatorFileError
+from ironscale.operator_file import StoreTarget
+from ironscale.operator_file import Stores
+from ironscale.record import extension as extension_module
+from ironscale.record import history_check
+from ironscale.record import journal as journal_module
+from ironscale.record.extension import beside
+from ironscale.record.model import Cause
+from ironscale.record.model import Knowledge
+from ironscale.record.model import Trouble
+from ironscale.record.model import Verdict
+from ironscale.record.sql import COLUMNS
+from ironscale.record.sql import row
+from ironscale.record.sqlite import reader
+from ironscale.record.sqlite import rows
+from ironscale.record.store_dispatcher import Stores as Front
+from ironscale.record.store_dispatcher import settings_for
+from ironscale.standins.http import Message
+from ironscale.standins.http import TURNED_AWAY
+from ironscale.standins.postgres import Data
+from ironscale.standins.postgres import Drop
+from ironscale.standins.postgres import Host
+from ironscale.standins.postgres import Session
+from ironscale.standins.settings import SETTINGS
+from ironscale.standins.upstream import Peer
+from ironscale.standins.upstream import reply
+from ironscale.standins.upstream import serve_ok
+from pathlib import Path
+from tests.record.postgres import Fault
+from tests.record.postgres import Gate
+from tests.record.postgres import dsn
+from tests.record.postgres import scene as store_scene
+from tests.record.postgres import written
+from tests.record.samples import entry
+from tests.record.store_clients import Play
+from tests.sockets import Scene
+from tests.sockets import run
+from tests.sockets import until
+from typing import Any
 import asyncio
 import contextlib
 import json
 import os
+import pytest
 import random
 import socket
 import statistics
 import time
-from collections import Counter
-from collections.abc import AsyncIterator
-from pathlib import Path
-from typing import Any
 
-import pytest
 
-from ironscale import interface as api
-from ironscale.net.config import ConfigError
-from ironscale.net.sidecar import MARGIN_US
-from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
-from ironscale.record import beside as beside_module
-from ironscale.record import history
-from ironscale.record import journal as journal_module
-from ironscale.record.beside import beside
-from ironscale.record.lane import Stores as Front
-from ironscale.record.lane import settings_for
-from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
-from ironscale.record.sql import COLUMNS, row
-from ironscale.record.sqlite import reader, rows
-from ironscale.standins.http import TURNED_AWAY, Message
-from ironscale.standins.postgres import Data, Drop, Host, Session
-from ironscale.standins.settings import SETTINGS
-from ironscale.standins.upstream import Peer, reply, serve_ok
-from ironscale.telling import upstream_views
-from tests.record.play import Play
-from tests.record.postgres import Fault, Gate, dsn, written
-from tests.record.postgres import scene as store_scene
-from tests.record.samples import entry
-from tests.sockets import Scene, run, until
 
 QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
 
@@ -306,7 +324,7 @@
 
 def test_what_a_process_of_the_same_name_leaves_while_this_one_runs_is_found_out_too(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(beside_module, "TAKE_OVER_S", 0.02)
+    monkeypatch.setattr(extension_module, "TAKE_OVER_S", 0.02)
 
     async def test() -> None:
         section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
@@ -456,7 +474,7 @@
         assert len(results) >= 300 and len({r for r, _ in rows_}) == len(rows_)
         standing = {request for request, _ in rows_}
         found = [row(values) for values in host.data.all(f"SELECT {', '.join(COLUMNS)} FROM records")]
-        assert history.faults([], found) == [], f"seed {seed}"
+        assert history_check.faults([], found) == [], f"seed {seed}"
         assert {one.key for one in found if one.kind == "mark"} == {str(i) for i in range(25)}, f"seed {seed}"
         counts = Counter(status for _, status in results.values())
         # each of 300 requests was served in the end, or, few of them, has failed
--- a/tests/test_crowd.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.crowd import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
+from ironscale.fleet_estimates import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
     Event,
@@ -26,8 +26,8 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from ironscale.telling import learned_state
-from tests.world import START_US, World, settings
+from ironscale.introspection import learned_state
+from tests.balancer_harness import START_US, World, settings
 
 READ = 0
 SECOND_US = 1_000_000
