--- a/bench/learned.py
+++ b/bench/learned.py
@@ -11,25 +11,32 @@
 
 from __future__ import annotations
 
-from bench.stage import Fault
-from bench.stage import S
-from bench.stage import START_US
-from bench.stage import Stage
+import argparse
+import asyncio
+import gc
+import json
+import os
+import random
+import signal
+import subprocess
+import sys
+import tempfile
+import time
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import uvloop
+
+from bench.stage import START_US, Fault, S, Stage
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.codec import decode
-from ironscale.learned.codec import decoding
-from ironscale.learned.codec import encoding
-from ironscale.learned.persistence import Collector
-from ironscale.learned.persistence import Keeper
-from ironscale.learned.persistence import in_slices
-from ironscale.learned.store import Store
-from ironscale.learned.store import load
-from ironscale.learned.store import path_for
+from ironscale.learned.codec import decode, decoding, encoding
+from ironscale.learned.persistence import Collector, Keeper, in_slices
+from ironscale.learned.store import Store, load, path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
@@ -37,24 +44,8 @@
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from pathlib import Path
 from tests.learned.samples import NOW
 from tests.sockets import free_port
-from typing import Any
-import argparse
-import asyncio
-import gc
-import json
-import os
-import random
-import signal
-import subprocess
-import sys
-import tempfile
-import time
-import uvloop
-
-
 
 ROOT = Path(__file__).resolve().parent.parent
 STOP_US, AGAIN_US = 13 * S, 14 * S
@@ -73,7 +64,8 @@
 
 def donor(stage: Stage, index: int) -> confidence.Donor:
     side = stage.sides[index]
-    return confidence.Donor(learned_state(side.balancer), stage.now_us - START_US, side.balancer.window.slots < 1.0, False)
+    return confidence.Donor(learned_state(side.balancer), stage.now_us - START_US,
+                            side.balancer.window.slots < 1.0, False)
 
 
 def lie(stage: Stage, slots: Callable[[int], float]) -> api.LearnedState:
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -2,21 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from collections.abc import Mapping
+import os
+import time
+from collections.abc import Callable, Mapping
+from typing import Any, Protocol
+
 from ironscale import interface as api
-from ironscale.control.messages import ClassCounts
-from ironscale.control.messages import Report
+from ironscale.control.messages import ClassCounts, Report
 from ironscale.introspection import upstream_views
 from ironscale.net.config import ConfigError
 from ironscale.net.discovery import Directory
-from ironscale.net.sidecar import RestartRequired
-from ironscale.net.sidecar import Sidecar
-from typing import Any
-from typing import Protocol
-import os
-import time
-
+from ironscale.net.sidecar import RestartRequired, Sidecar
 
 # What each instance has of its own: a patch for many can't set it.
 OWN_KEYS = ("name", "listen", "seed", "known")
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -2,27 +2,20 @@
 
 from __future__ import annotations
 
-from collections.abc import AsyncIterator
-from collections.abc import Callable
-from ironscale.learned.peer_transfer import Address
-from ironscale.learned.peer_transfer import Pupil
-from ironscale.learned.peer_transfer import Teacher
-from ironscale.learned.persistence import Collector
-from ironscale.learned.persistence import Keeper
-from ironscale.learned.store import Store
-from ironscale.learned.store import path_for
-from ironscale.net.sidecar import Extension
-from ironscale.net.sidecar import Sidecar
-from ironscale.operator_file import Learned
-from ironscale.operator_file import is_loopback
-from ironscale.tasks import run_in_background
-from ironscale.toml_tables import read_address
 import asyncio
 import contextlib
 import random
 import secrets
 import traceback
+from collections.abc import AsyncIterator, Callable
 
+from ironscale.learned.peer_transfer import Address, Pupil, Teacher
+from ironscale.learned.persistence import Collector, Keeper
+from ironscale.learned.store import Store, path_for
+from ironscale.net.sidecar import Extension, Sidecar
+from ironscale.operator_file import Learned, is_loopback
+from ironscale.tasks import run_in_background
+from ironscale.toml_tables import read_address
 
 MOST_OFFERED = 20
 AGAIN_S = (1.0, 4.0)  # none of the donors had anything to teach: they may have just started as well
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -6,34 +6,33 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from collections.abc import Generator
+import asyncio
+import time
+from collections.abc import Callable, Generator
+from typing import TypeVar
+
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.codec import CodecError
-from ironscale.learned.codec import MAX_BYTES
-from ironscale.learned.codec import MAX_TIME_US
-from ironscale.learned.codec import MOST_CLASSES
-from ironscale.learned.codec import MOST_TENANTS
-from ironscale.learned.codec import MOST_UPSTREAMS
-from ironscale.learned.codec import NamedLesson
-from ironscale.learned.codec import SLICE
-from ironscale.learned.codec import Snapshot
-from ironscale.learned.codec import encoding
-from ironscale.learned.codec import is_name
-from ironscale.learned.codec import lessons_of
-from ironscale.learned.codec import named
-from ironscale.learned.store import Store
-from ironscale.learned.store import choose
-from ironscale.learned.timestamps import machine_boot
-from ironscale.learned.timestamps import now
+from ironscale.learned.codec import (
+    MAX_BYTES,
+    MAX_TIME_US,
+    MOST_CLASSES,
+    MOST_TENANTS,
+    MOST_UPSTREAMS,
+    SLICE,
+    CodecError,
+    NamedLesson,
+    Snapshot,
+    encoding,
+    is_name,
+    lessons_of,
+    named,
+)
+from ironscale.learned.store import Store, choose
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.threads import run_in_thread
-from typing import TypeVar
-import asyncio
-import time
-
 
 T = TypeVar("T")
 SLICE_S = 0.0005
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -2,57 +2,38 @@
 
 from __future__ import annotations
 
+import asyncio
+import contextlib
+import errno
+import random
+import socket
+import threading
 from collections.abc import AsyncIterator
+from pathlib import Path
+
+import pytest
+
 from ironscale import confidence
 from ironscale.__main__ import together
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.extension import beside as control_beside
-from ironscale.introspection import learned_state
-from ironscale.introspection import upstream_views
-from ironscale.learned import peer_transfer
-from ironscale.learned import persistence
-from ironscale.learned.codec import MAX_BYTES
-from ironscale.learned.codec import decode
-from ironscale.learned.codec import encode
-from ironscale.learned.extension import Channel
-from ironscale.learned.extension import Running
-from ironscale.learned.extension import beside
-from ironscale.learned.peer_transfer import ASKED
-from ironscale.learned.peer_transfer import Pupil
-from ironscale.learned.peer_transfer import Teacher
-from ironscale.learned.peer_transfer import ask
-from ironscale.learned.persistence import Collector
-from ironscale.learned.persistence import Keeper
-from ironscale.learned.store import OsFiles
-from ironscale.learned.store import Store
-from ironscale.learned.store import load
-from ironscale.learned.store import path_for
-from ironscale.learned.timestamps import machine_boot
-from ironscale.learned.timestamps import now
+from ironscale.introspection import learned_state, upstream_views
+from ironscale.learned import peer_transfer, persistence
+from ironscale.learned.codec import MAX_BYTES, decode, encode
+from ironscale.learned.extension import Channel, Running, beside
+from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
+from ironscale.learned.persistence import Collector, Keeper
+from ironscale.learned.store import OsFiles, Store, load, path_for
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
-from ironscale.operator_file import Control
-from ironscale.operator_file import Learned
+from ironscale.operator_file import Control, Learned
 from ironscale.standins.discovery import listing
-from ironscale.standins.upstream import Peer
-from ironscale.standins.upstream import reset
+from ironscale.standins.upstream import Peer, reset
 from ironscale.threads import run_in_thread
-from pathlib import Path
 from tests.agent.agent_harness import section
-from tests.learned.samples import lesson
-from tests.learned.samples import snapshot
-from tests.sockets import Scene
-from tests.sockets import run
-from tests.sockets import until
-import asyncio
-import contextlib
-import errno
-import pytest
-import random
-import socket
-import threading
-
-
+from tests.learned.samples import lesson, snapshot
+from tests.sockets import Scene, run, until
 
 
 async def scene_with(peers: list[Peer]) -> Scene:
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -2,40 +2,30 @@
 
 from __future__ import annotations
 
-from bench.learned import donor
-from bench.learned import lie
-from bench.stage import Fault
-from bench.stage import S
-from bench.stage import Stage
+import asyncio
+import json
+import os
+import signal
+import sys
 from collections import Counter
 from dataclasses import replace
+from pathlib import Path
+
+import pytest
+
+from bench.learned import donor, lie
+from bench.stage import Fault, S, Stage
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.store import Store
-from ironscale.learned.store import load
-from ironscale.learned.store import path_for
-from ironscale.learned.timestamps import machine_boot
-from ironscale.learned.timestamps import now
+from ironscale.learned.store import Store, load, path_for
+from ironscale.learned.timestamps import machine_boot, now
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
-from ironscale.standins.upstream import Peer
-from ironscale.standins.upstream import hang
-from pathlib import Path
+from ironscale.standins.upstream import Peer, hang
 from tests.deployed import ROOT
-from tests.sockets import ask
-from tests.sockets import free_port
-from tests.sockets import run
-from tests.sockets import until
-import asyncio
-import json
-import os
-import pytest
-import signal
-import sys
-
-
+from tests.sockets import ask, free_port, run, until
 
 
 class Site:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -2,62 +2,44 @@
 
 from __future__ import annotations
 
+import asyncio
+import contextlib
+import json
+import os
+import random
+import socket
+import statistics
+import time
 from collections import Counter
 from collections.abc import AsyncIterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+
 from ironscale import interface as api
 from ironscale.introspection import upstream_views
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
-from ironscale.operator_file import OperatorFileError
-from ironscale.operator_file import StoreTarget
-from ironscale.operator_file import Stores
+from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
 from ironscale.record import extension as extension_module
 from ironscale.record import history_check
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import beside
-from ironscale.record.model import Cause
-from ironscale.record.model import Knowledge
-from ironscale.record.model import Trouble
-from ironscale.record.model import Verdict
-from ironscale.record.sql import COLUMNS
-from ironscale.record.sql import row
-from ironscale.record.sqlite import reader
-from ironscale.record.sqlite import rows
+from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
+from ironscale.record.sql import COLUMNS, row
+from ironscale.record.sqlite import reader, rows
 from ironscale.record.store_dispatcher import Stores as Front
 from ironscale.record.store_dispatcher import settings_for
-from ironscale.standins.http import Message
-from ironscale.standins.http import TURNED_AWAY
-from ironscale.standins.postgres import Data
-from ironscale.standins.postgres import Drop
-from ironscale.standins.postgres import Host
-from ironscale.standins.postgres import Session
+from ironscale.standins.http import TURNED_AWAY, Message
+from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
-from ironscale.standins.upstream import Peer
-from ironscale.standins.upstream import reply
-from ironscale.standins.upstream import serve_ok
-from pathlib import Path
-from tests.record.postgres import Fault
-from tests.record.postgres import Gate
-from tests.record.postgres import dsn
+from ironscale.standins.upstream import Peer, reply, serve_ok
+from tests.record.postgres import Fault, Gate, dsn, written
 from tests.record.postgres import scene as store_scene
-from tests.record.postgres import written
 from tests.record.samples import entry
 from tests.record.store_clients import Play
-from tests.sockets import Scene
-from tests.sockets import run
-from tests.sockets import until
-from typing import Any
-import asyncio
-import contextlib
-import json
-import os
-import pytest
-import random
-import socket
-import statistics
-import time
-
-
+from tests.sockets import Scene, run, until
 
 QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
 
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -2,21 +2,17 @@
 
 from __future__ import annotations
 
-from hypothesis import given
-from hypothesis import settings
+import os
+from random import Random
+
+import pytest
+from hypothesis import given, settings
 from hypothesis import strategies as st
+
 from ironscale import interface as api
-from ironscale.balance import Balancer
-from ironscale.balance import FULL_LOAD
-from ironscale.balance import Request
-from ironscale.balance import Server
+from ironscale.balance import FULL_LOAD, Balancer, Request, Server
 from ironscale.introspection import learned_state
 from ironscale.sum_tree import Places
-from random import Random
-import os
-import pytest
-
-
 
 S = 1_000_000
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
