--- a/ironscale/net/__init__.py
+++ b/ironscale/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, clock and timers around the decision module."""
+"""The data path of the sidecar: sockets, clock and timers around the balancer."""
--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -1,4 +1,4 @@
-"""A client's connection: an HTTP/1.1 parser that gives each request exactly one answer."""
+"""A client's connection: parses HTTP/1.1 requests and gives each of them exactly one answer."""
 
 from __future__ import annotations
 
@@ -20,30 +20,33 @@
 MAX_BODY = 64 << 10
 MAX_HEAD = 64 << 10
 MAX_HEADERS = 100
-MOST_UNREAD = 16 * MAX_BODY  # bytes of answers that a client has not read
-LEAST_WAIT_US = 20_000  # of a request before it is read, that counts; the kernel tells some milliseconds
-PIECE = 16 << 10  # bytes parsed at a time: no more requests than these hold are kept waiting
-UNREAD_ANSWER_S = 5.0  # for an answer to leave; longer than any client waits
-LOOKS = 3  # at what a poll says, where a missed end would have a request sent on for nobody
+MOST_UNREAD = 16 * MAX_BODY  # answers buffered for a client that does not read them; past it the connection is aborted
+LEAST_WAIT_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
+PIECE = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
+UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
+LOOKS = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
 LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
 REASONS = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
            502: b"Bad Gateway", 503: b"Service Unavailable"}
-# Headers that speak of one connection or of the framing, and so are not passed on.
+# Headers that concern a single connection or the message framing, and so are not forwarded.
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
                         b"transfer-encoding", b"upgrade", b"content-length", b"expect"))
-# Hazard: some servers read the first two as the framing headers that they resemble, and the parser
-# takes what follows `Upgrade` for another protocol and leaves the body out.
+# Requests with these headers are rejected. Some servers read the first two as the framing headers that they resemble,
+# and after `Upgrade` the parser takes the body for another protocol and drops it.
 UNWANTED = frozenset((b"transfer_encoding", b"content_length", b"upgrade"))
 Headers = list[tuple[bytes, bytes]]
 
 
 class TooLarge(Exception):
-    pass
+    """The head or the body of a request exceeds its limit."""
 
 
 class Exchange:
-    """One request of the application and the answer that it is owed."""
+    """One request of a client and its single answer.
+
+    `arrived_us` is when its last byte reached this machine; `has_left` tells whether the client has closed its side.
+    """
 
     def __init__(self, connection: ClientConnection, method: bytes, target: bytes, headers: Headers,
                  body: bytes, keep_alive: bool, arrived_us: int) -> None:
@@ -58,74 +61,80 @@
         self.has_left = connection.has_left
         self.fields: dict[bytes, bytes] = {}
         for name, value in headers:
-            # what comes twice is empty, as nobody can say which one counts
+            # a repeated header reads as empty, since it is ambiguous which value counts
             self.fields[name] = value if name not in self.fields else b""
 
     def header(self, name: bytes) -> str:
-        """Its value; empty if there is none or more than one."""
+        """The header's value, by its lower-case name; empty if it is missing or repeated."""
         return self.fields.get(name, b"").decode("latin-1")
 
     def answer(self, status: int, headers: Iterable[tuple[bytes, bytes]] = (), body: bytes = b"") -> None:
+        """Sends the answer; ignored if the request has been answered or cancelled already."""
         if self.lifecycle.answer(status):
             self.connection.answer(self, status, headers, body)
 
 
 class Application(Protocol):
-    """What the server needs to know of the sidecar."""
+    """The interface through which client connections call the sidecar."""
 
-    def is_ready(self) -> bool: ...
+    def is_ready(self) -> bool:
+        """The answer to the readiness probe."""
 
-    def on_request(self, exchange: Exchange) -> None: ...
+    def on_request(self, exchange: Exchange) -> None:
+        """Takes a request; it must be answered exactly once, now or later."""
 
-    def on_client_gone(self, exchange: Exchange) -> None: ...
+    def on_client_gone(self, exchange: Exchange) -> None:
+        """The client has left before its request was answered."""
 
 
 class Server(Protocol):
-    """What a connection needs to know of who has accepted it."""
+    """The interface through which a connection calls the server that accepted it."""
 
     application: Application
     ledger: Ledger
     now_us: Callable[[], int]
 
     def wants_close(self, connection: ClientConnection) -> bool:
-        """Whether it should end with its next answer."""
+        """Whether the connection should be closed after its next answer."""
 
     def settle(self, connection: ClientConnection) -> None:
-        """Its state may have changed."""
+        """Called whenever the connection may have become busy, idle or silent."""
 
     def watch(self, connection: ClientConnection) -> None:
-        """Its reading has been paused, and so its end is not told."""
+        """Reading has been paused, so the event loop no longer reports the client's end."""
 
     def unwatch(self, connection: ClientConnection) -> None:
-        """It is read again."""
+        """Reading has been resumed."""
 
     def lost(self, connection: ClientConnection) -> None:
-        """It has ended."""
+        """The connection has ended."""
 
 
 class ClientConnection:
+    """One accepted connection, which may carry many requests, also pipelined ones."""
+
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self.server = server
         self.sock = sock
-        self.descriptor = sock.fileno()  # also when the socket object knows it no more
+        self.descriptor = sock.fileno()  # kept, as a closed socket object no longer knows it
         self.transport: Stream | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.current: Exchange | None = None
-        self.waiting: deque[Exchange] = deque()  # sent ahead of the answer to the one before
+        self.waiting: deque[Exchange] = deque()  # pipelined: received before the current request was answered
         self.unparsed = b""
         self.is_new = True  # nothing has been read from it
-        self.reading = False  # a request has begun and is not whole
-        self.asked = False  # there has been a request, not only for readiness
-        self.final = False  # nothing more is read: it ends with the answers that are owed
-        self.paused = False  # reading, and so the client's end is not told
+        self.reading = False  # a request has been received in part
+        self.asked = False  # has carried a request other than a readiness probe
+        self.final = False  # no more requests are read; the connection closes once the open ones are answered
+        self.paused = False  # reading is paused, so the event loop does not report the client's end
         self.ends: select.poll | None = None
-        self.since_us = self.answered_us = server.now_us()  # silent or idle since then; the last answer was given
+        self.since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
 
     def resume_writing(self) -> None:
-        """The whole of the last answer has left."""
+        """Called by the stream; answers are written without waiting for room, so there is nothing to do."""
 
     def data_received(self, data: bytes) -> None:
         self.is_new = False
@@ -143,12 +152,12 @@
             except httptools.HttpParserError as error:
                 self.reject(413 if isinstance(error.__context__, TooLarge) else 400)
             if self.reading and self.in_head:
-                # hazard: the parser keeps a line without end to itself, and no header is seen
+                # counted here as well, because the parser buffers an unterminated line and reports no header
                 self.head_size += len(piece)
                 if self.head_size > MAX_HEAD and not self.final:
                     self.reject(413)
         if self.transport is not None and not self.transport.is_closing():
-            # hazard: a client that does not wait for its answers would fill the memory
+            # reading pauses while requests are queued: pipelining without end would fill the memory
             self.paused = bool(self.waiting) or self.final
             if self.paused:
                 self.transport.pause_reading()
@@ -173,7 +182,7 @@
         self.headers_seen += 1
         if self.headers_seen > MAX_HEADERS:
             raise TooLarge("head")
-        if self.in_head:  # hazard: a trailer comes behind the body and could change what has been judged
+        if self.in_head:  # trailers come after the body and are dropped: they could override headers already checked
             self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
@@ -181,7 +190,7 @@
         if len(self.target) + sum(len(name) + len(value) for name, value in self.headers) > MAX_HEAD:
             raise TooLarge("head")
         for name, value in self.headers:
-            # hazard: 60 MB would be read only to be turned away
+            # rejected by its declared length, before up to 60 MB are read in vain
             if name == b"content-length" and int(value) > MAX_BODY:
                 raise TooLarge("body")
             if name in UNWANTED:
@@ -196,9 +205,9 @@
     def on_message_complete(self) -> None:
         assert self.parser is not None
         self.reading = False
-        if self.final:  # behind a request that ended the connection
+        if self.final:  # pipelined behind a request that ends the connection
             return
-        # hazard: in a process that was held up, or whose calls failed, it has lain unread
+        # the request may have waited in the socket buffer while the process was stalled or its reads failed
         waited_us = since_last_byte_us(self.sock)
         arrived_us = self.server.now_us() - (waited_us if waited_us >= LEAST_WAIT_US else 0)
         exchange = Exchange(self, self.parser.get_method(), self.target, self.headers, b"".join(self.body),
@@ -217,7 +226,7 @@
         self.asked = True
         try:
             self.server.application.on_request(exchange)
-        except Exception:  # hazard: it would look like a broken parse and leave the request unanswered
+        except Exception:  # the parser would take it for a parse error, and the request would stay unanswered
             logs.line(traceback.format_exc())
             exchange.answer(502)
 
@@ -237,7 +246,7 @@
         self.transport.write(b"".join(parts))
         self.answered_us = self.server.now_us()
         self.current = None
-        if self.transport.get_write_buffer_size() > MOST_UNREAD:  # hazard: who sends ahead and reads no answer
+        if self.transport.get_write_buffer_size() > MOST_UNREAD:  # the client pipelines and reads no answers
             self.lost("answers unread")
             self.transport.abort()
         elif self.waiting:
@@ -247,12 +256,13 @@
         self.server.settle(self)
 
     def next(self) -> None:
+        """Begins the next pipelined request, and parses on."""
         if self.current is None and self.waiting and self.transport is not None:
             self.begin(self.waiting.popleft())
             self.parse()
 
     def reject(self, status: int) -> None:
-        """What cannot be read ends the connection; a request that came whole before it is answered."""
+        """Ends the connection over a malformed or incomplete request; complete ones before it are still answered."""
         self.final = True
         self.unparsed = b""
         if self.current is None and not self.waiting:
@@ -260,16 +270,16 @@
             self.current.answer(status)
 
     def has_unread(self) -> bool:
-        """Whether bytes have come that the loop has not read yet. Hazard: after a moment without CPU a request may
-        lie there, and a close would reset it."""
+        """Whether bytes have arrived that the event loop has not read yet. After a moment without CPU they may hold a
+        request, and closing the socket would reset it."""
         return peek(self.sock) is Unread.BYTES
 
     def has_left(self) -> bool:
-        """Whether the client has ended its side, seen or not; if so, nothing more is owed here. Hazard: the loop may
-        not have read the end yet, and does not while reading is paused, and what waits would be sent on for nobody."""
+        """Whether the client has closed its side; if so, its requests are cancelled. Asks the socket, because the event
+        loop may not have read the end yet (never while reading is paused), and a request would be sent for nobody."""
         if self.transport is None:
             return True
-        if not self.transport.is_closing():  # else an answer could not be written, and the loop tells its end later
+        if not self.transport.is_closing():  # once it closes no answer can be written: the client counts as gone
             unread = peek(self.sock)
             if unread is Unread.NOTHING or (unread is Unread.BYTES and not self.has_left_behind_bytes()):
                 return False
@@ -277,21 +287,22 @@
         return True
 
     def has_left_behind_bytes(self) -> bool:
+        """Whether the client's end follows the unread bytes."""
         if self.ends is None:
             self.ends = select.poll()
             self.ends.register(self.sock, LEFT)
-        # hazard: a poll that a signal interrupts says nothing
+        # a poll that a signal interrupts reports nothing, hence the repetition
         return any(events & LEFT for _ in range(LOOKS) for _, events in self.ends.poll(0))
 
     def leave(self) -> None:
-        """The client has ended its side."""
+        """Cancels the open requests and closes: the client has closed its side."""
         self.lost("client left")
         if self.transport is not None:
             self.transport.close()
 
     def close(self, reason: str) -> None:
-        """No request is open on it. One that has begun is told so; one that has come and is not read yet, or a part of
-        it, goes on. Hazard: what is closed over unread bytes is reset, and takes a whole request for half of one."""
+        """Closes a connection without an open request. A request received in part gets status 408. With unread bytes
+        the connection stays open: a close would reset it, and the bytes may complete the request."""
         if not self.final and (self.transport is None or self.has_unread()):
             return
         self.final = True
@@ -299,7 +310,7 @@
             return
         self.server.ledger.note(Event.CLOSED, reason)
         if self.transport.is_closing():
-            # hazard: who never reads its answer would hold the descriptor, but one that still leaves is owed
+            # an answer may still be on its way out; but a client that never reads it must not hold the descriptor
             unsent = self.transport.get_write_buffer_size() > 0
             if not unsent or self.server.now_us() - self.answered_us >= UNREAD_ANSWER_S * 1e6:
                 self.transport.abort()
@@ -309,7 +320,7 @@
             self.transport.close()
 
     def can_be_cut(self) -> bool:
-        """Whether it may be closed at once, to make room: nothing has come on it, and no answer is still leaving."""
+        """Whether it may be closed at once to make room: no answer is still being sent, and no unread bytes wait."""
         if self.transport is None or self.transport.get_write_buffer_size():
             return False
         return self.final or self.reading or not self.has_unread()
@@ -324,11 +335,12 @@
         is_peers = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
         self.lost(f"connection ended: {exc}" if exc is not None else "client left", is_ours=not is_peers)
         self.transport = None
-        self.parser = None  # each refers to the other: only the collector would free them
+        self.parser = None  # breaks the reference cycle, which only the garbage collector would free
         self.server.lost(self)
 
     def lost(self, reason: str, is_ours: bool = False) -> None:
-        """Nothing is owed on it any more; `is_ours`: as this side has failed."""
+        """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
+        violation."""
         self.final = True
         self.unparsed = b""
         exchange, self.current = self.current, None
--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -1,8 +1,8 @@
-"""Closes a listener so that nobody who has connected to it is reset.
+"""Closes a listening socket without resetting any client that has connected to it.
 
-What waits in a listener's queue as it closes is reset, and so is who is in the middle of the handshake, and may believe
-himself connected. So new connections are led away first, while handshakes under way still end in the queue; the
-listener closes once none has come out of it for a while.
+When a listener closes, the kernel resets the connections in its accept queue, and also those in the middle of the
+handshake, whose clients may already believe that they are connected. So new connections are diverted first, while
+handshakes under way still end in the queue; the listener closes once no connection has been accepted for a while.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from ironscale.net.errors import Severity, severity
 
 BACKLOG = 1024
-QUIET_S = 0.04  # without a connection, after which no handshake is under way any more
-CONNECT_WAIT_MS = 20  # for a connection on this machine
-# Options of the kernel's that Python does not name, and one instruction of its packet filters.
+QUIET_S = 0.04  # without a new connection; no handshake is under way any more after it
+CONNECT_WAIT_MS = 20  # for a connection within this machine
+# Linux socket options that Python's socket module does not name, and one instruction of classic BPF.
 SO_ATTACH_REUSEPORT_CBPF, SO_BINDTOIFINDEX = 51, 62
 BPF_RETURN_CONSTANT = 0x06
 NO_DEVICE = 1 << 30  # an index that no network device has
-PROBES = 4  # connections that show where all go
-MOST_SHARING = 8  # listeners of a port among which another's is looked for
-FILL_TRIES = 4  # to take the last place of the queue
-PORT_TRIES = 64  # to find a port from which the kernel leads to this listener
+PROBES = 4  # probe connections that must all agree on which listener they reach
+MOST_SHARING = 8  # indexes of listeners on a shared port that are tried to find another one
+FILL_TRIES = 4  # tries to take the only place of the accept queue
+PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
 ANY_PORT = 0
 
 
 class Reached(enum.Enum):
-    """Where a connection to the listener's address came."""
+    """Which listener a connection to the address reached."""
 
     HERE = "here"
     ANOTHER = "another"  # another listener of the port
@@ -42,20 +42,20 @@
 
 
 class ListenerShutdown:
-    """The last steps of one listener. `drain` accepts all that wait, and tells whether none is left."""
+    """Closes one listener in steps. `drain` accepts all connections in its queue and returns whether none is left."""
 
     def __init__(self, listener: socket.socket, shares_port: bool, drain: Callable[[], bool], close: Callable[[], None],
                  now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
         self.drain, self.close, self.now_us = drain, close, now_us
-        self.probe: tuple[str, int] | None = None  # the address of a connection of our own that is on its way here
-        self.probed_port = ANY_PORT  # of the last such connection that came up
-        self.quiet_since_us: int | None = None  # new connections have been led away, and none has come since
-        self.is_hidden = False  # new connections do not find it, but by the choice of a shared port
+        self.probe: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
+        self.probed_port = ANY_PORT  # source port of the last probe that connected
+        self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
+        self.is_hidden = False  # bound to a device that does not exist; only a shared port's choice may still lead here
         self.can_lead_away = True
 
     def is_probe(self, peer: tuple[str, int]) -> bool:
-        """Told of each connection that comes out of the queue."""
+        """Whether an accepted connection is our own probe. Must be called for each connection that is accepted."""
         if peer == self.probe:
             self.probe = None
             return True
@@ -64,7 +64,8 @@
         return False
 
     def step(self) -> bool:
-        """Whether the listener is closed now. Raises OSError where a call has failed: the next step makes it again."""
+        """Takes the next step; returns whether the listener is closed. Raises OSError when a call fails, and the next
+        step tries it again."""
         if self.can_lead_away and self.quiet_since_us is None and self.lead_away():
             self.quiet_since_us = self.now_us()
         if not self.can_lead_away:
@@ -72,32 +73,32 @@
         if not self.drain() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_S * 1e6:
             return False
         if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
-            self.quiet_since_us = None  # another of the port has come or gone
+            self.quiet_since_us = None  # another listener has opened or closed on the shared port
             return False
         self.close()
         return True
 
     def lead_away(self) -> bool:
-        """Whether new connections come here no more."""
+        """Diverts new connections; returns whether none reach this listener any more."""
         try:
             reached = self.lead_to_another() if self.shares_port else Reached.HERE
-            if reached is Reached.HERE:  # there is no other
+            if reached is Reached.HERE:  # no other listener shares the port
                 reached = self.hide()
         except OSError as error:
             if severity(error) in (Severity.AGAIN, Severity.EXHAUSTED):
                 raise
-            reached = Reached.HERE  # the kernel is older, or does not let us
+            reached = Reached.HERE  # the kernel is too old or denies permission
         self.can_lead_away = reached is not Reached.HERE
         return reached in (Reached.ANOTHER, Reached.NOBODY)
 
     def lead_to_another(self) -> Reached:
-        """Makes the kernel choose another listener of the port for all that is new; HERE if there is none."""
+        """Makes the kernel choose another listener of the port for new connections; HERE if there is none."""
         for index in range(MOST_SHARING):
             self.choose(index)
             reached = next((one for one in self.reached_often() if one is not Reached.ANOTHER), Reached.ANOTHER)
             if reached is Reached.ANOTHER:
                 return reached
-            if reached is not Reached.HERE and not self.is_hidden:  # what leads to a hidden one comes nowhere
+            if reached is not Reached.HERE and not self.is_hidden:  # connections led to a hidden listener reach nobody
                 return Reached.UNKNOWN
         return Reached.HERE
 
@@ -105,14 +106,15 @@
         return (self.reached() for _ in range(PROBES))
 
     def choose(self, index: int) -> None:
-        """New connections to the port go to the listener of this index, or by a hash where there is none."""
+        """Makes new connections to the port go to the listener of this index; where there is none the kernel chooses
+        by a hash."""
         program = array("B", struct.pack("HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
         address, _ = program.buffer_info()
         self.listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, address))
 
     def hide(self) -> Reached:
-        """Keeps new connections from finding the listener; HERE if they still do, NOBODY if they are refused. It stays
-        bound: without a privilege a socket is bound to a device once, and never to another or none."""
+        """Hides the listener from new connections; HERE if they still reach it, NOBODY if they are refused. This can't
+        be undone: an unprivileged process can bind a socket to a device only once, and never to another or to none."""
         if not self.is_hidden:
             self.bind_to(NO_DEVICE)
             self.is_hidden = True
@@ -123,7 +125,7 @@
         self.listener.setsockopt(socket.SOL_SOCKET, SO_BINDTOIFINDEX, device)
 
     def reached(self) -> Reached:
-        """Where a connection of our own comes. It ends by a reset: whoever has it in his queue can tell."""
+        """Which listener a probe connection reaches. Probes end by a reset, which another process can tell from a client."""
         with socket.socket() as own:
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             error = connect(own, self.listener.getsockname(), ANY_PORT)
@@ -137,23 +139,24 @@
         return Reached.NOBODY if error == errno.ECONNREFUSED else Reached.UNKNOWN
 
     def close_full(self) -> bool:
-        """Where new connections can't be led away: the queue is cut to one place, which a connection of our own takes,
-        and who comes then waits within his connect. Two handshakes that end at once may pass that place: one is cut."""
+        """Closes the listener where new connections can't be diverted; returns whether it did. The accept queue is cut
+        to one place, which a connection of our own takes, so that later clients wait in their connect. When two
+        handshakes end at the same moment both may pass that place, and one of them is reset."""
         with self.short_queue(), ExitStack() as stack:
             port = self.port_leading_here() if self.shares_port else ANY_PORT
             for _ in range(FILL_TRIES):
-                if not self.drain():  # a client's may have the place
+                if not self.drain():  # a client's connection may hold the place
                     return False
                 own = stack.enter_context(socket.socket())
                 if connect(own, self.listener.getsockname(), port) == 0:
                     self.close()
                     return True
-                own.close()  # it may wait for the place
+                own.close()  # it may still be waiting for the place
         return False
 
     def port_leading_here(self) -> int:
-        """A port from which connections come here, and not to another listener of this port: the kernel chooses by the
-        addresses and ports of both ends."""
+        """A source port from which connections reach this listener and not another one of the shared port: the kernel
+        chooses by the addresses and ports of both ends. ANY_PORT if none is found."""
         for _ in range(PORT_TRIES):
             if self.reached() is Reached.HERE:
                 return self.probed_port
@@ -161,7 +164,8 @@
 
     @contextmanager
     def short_queue(self) -> Iterator[None]:
-        """Handshakes that find no place are cut: it stays short no longer than one step."""
+        """Cuts the accept queue to one place. Handshakes that find the queue full are reset, so this lasts one step
+        at most."""
         self.listener.listen(0)
         try:
             yield
@@ -171,9 +175,10 @@
 
 
 def connect(own: socket.socket, address: tuple[str, int], port: int) -> int:
-    """Connects within this machine from a port; 0 or an error's number, EINPROGRESS if it takes longer."""
+    """Connects within this machine from the given source port, ANY_PORT for any. Returns 0, an errno, or EINPROGRESS if
+    it takes longer than CONNECT_WAIT_MS."""
     own.setblocking(False)
-    # bound, as a port that a connect chooses may be shared with old connections and could not be bound again
+    # bound first: a port chosen by connect may be shared with old connections, and then can't be bound again
     own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     own.bind((address[0], port))
     error = own.connect_ex(address)
--- a/ironscale/net/errors.py
+++ b/ironscale/net/errors.py
@@ -1,4 +1,4 @@
-"""What an error of a system call says: one table for the data path, after accept, connect, recv and send (2)."""
+"""Classifies errors of system calls for the data path, by the manual pages of accept, connect, recv and send (2)."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class Severity(enum.Enum):
-    """What is to be done about a failed call."""
+    """How to react to a failed call."""
 
-    AGAIN = "again"  # nothing has happened: the same call at the next occasion
-    EXHAUSTED = "exhausted"  # this machine lacks something for now: the same call after a pause
-    UNREACHABLE = "unreachable"  # the way there: on an open connection it may pass, a new one has failed
+    AGAIN = "again"  # nothing has happened: retry at the next event
+    EXHAUSTED = "exhausted"  # this machine lacks some resource for now: retry after a pause
+    UNREACHABLE = "unreachable"  # network path failure: may pass on an open connection; a new connection has failed
     PEER_GONE = "peer gone"  # this connection has ended
-    FATAL = "fatal"  # the call is wrong and will go on failing
+    FATAL = "fatal"  # the call itself is wrong, and a retry would fail as well
 
 
 _TABLE = {
@@ -29,11 +29,12 @@
 
 
 def severity(error: OSError) -> Severity:
+    """Errors that are not in the table, or carry no number, are fatal."""
     return _SEVERITIES.get(error.errno or 0, Severity.FATAL)
 
 
 def passes(error: BaseException) -> bool:
-    """Whether what has failed may succeed a moment later: an error of the system, or one that it has caused."""
+    """Whether a retry may succeed a moment later: judged by the OSError itself, or by the one that caused the error."""
     cause: BaseException | None = error
     while cause is not None and not isinstance(cause, OSError):
         cause = cause.__cause__
--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of one request: the one place that says whether it may be sent, answered or let go now.
+"""The state machine of a request: the one place that decides whether it may be sent, answered or cancelled now.
 
-Each transition is noted with its reason; one that is not allowed is counted and logged with what came before it. The
-invariants are those of the service's rule on lost requests.
+Each transition is recorded with its reason; a forbidden one is counted and logged together with the request's history.
+The invariants are those of the service's rule on lost requests.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-SLACK_US = 150_000  # that the time told to an upstream may lie over what is left, and a send over its time
-MOST_NOTES = 2_000  # kept, the latest
-MOST_TOLD = 20  # notes of one request that a violation is logged with
-MOST_LOGGED = 50  # violations; more are only counted
+SLACK_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
+MOST_NOTES = 2_000  # only the latest notes are kept
+MOST_TOLD = 20  # notes of a request that are logged with a violation
+MOST_LOGGED = 50  # violations that are logged; further ones are only counted
 
-violations: deque[str] = deque(maxlen=MOST_NOTES)  # of all ledgers of this process, for tests
+violations: deque[str] = deque(maxlen=MOST_NOTES)  # of all ledgers in this process; the tests check that there are none
 
 
 class State(enum.Enum):
-    ACCEPTED = "accepted"  # read, and nothing of it sent
+    ACCEPTED = "accepted"  # received; no attempt has begun
     IN_FLIGHT = "in flight"
     ANSWERED = "answered"
-    CANCELLED = "cancelled"  # its client has gone
+    CANCELLED = "cancelled"  # its client has left
 
 
 class Event(enum.Enum):
@@ -36,7 +36,7 @@
 
 
 class Invariant(enum.Enum):
-    """What must not happen."""
+    """A rule that must hold for every request; the value is the text of its violation."""
 
     SENT_AFTER_END = "sent after its end"
     SENT_TOO_LATE = "sent after its time"
@@ -45,7 +45,7 @@
 
 
 class Ledger:
-    """What a process has done with its requests and connections, and why."""
+    """Records the transitions of all requests and connections of a process, with reasons, and counts violations."""
 
     def __init__(self, now_us: Callable[[], int], log: Callable[[str], None]) -> None:
         self.now_us, self.log = now_us, log
@@ -58,6 +58,7 @@
         self.notes.append((self.now_us(), request, event, reason))
 
     def violated(self, invariant: Invariant, request: str, detail: str) -> None:
+        """Counts a violation and logs it with the request's history."""
         self.violations[invariant] += 1
         text = f"violation: request {request or '(unknown)'} {invariant.value}: {detail}"
         violations.append(text)
@@ -65,14 +66,14 @@
             self.log("\n  ".join([text, *self.history(request)]))
 
     def history(self, request: str) -> list[str]:
-        """The latest notes on one request, with milliseconds before now."""
+        """The latest notes on one request, each with its time in milliseconds relative to now."""
         now_us = self.now_us()
         found = [f"{(at_us - now_us) / 1000:+.1f} ms {event.value}: {reason}"
                  for at_us, about, event, reason in self.notes if about == request]
         return found[-MOST_TOLD:]
 
     def summary(self) -> str:
-        """All counts on one line."""
+        """All counts in one line."""
         named = {f"{event.value} ({reason})" if reason else event.value: count
                  for (event, reason), count in self.counts.items()}
         counts = [f"{name} {named[name]}" for name in sorted(named)]
@@ -80,7 +81,7 @@
 
 
 class Lifecycle:
-    """One request, from its last byte read to its answer or its client's end."""
+    """One request, from the moment it is fully read until it is answered or its client leaves."""
 
     __slots__ = ("attempts", "due_us", "last", "ledger", "request", "state")
 
@@ -88,9 +89,9 @@
         self.ledger = ledger
         self.state = State.ACCEPTED
         self.request = ""
-        self.due_us: int | None = None  # its client waits until then
+        self.due_us: int | None = None  # the client's deadline
         self.attempts = 0
-        self.last = ""  # how its latest attempt ended
+        self.last = ""  # outcome of the latest attempt
 
     @property
     def is_over(self) -> bool:
@@ -101,11 +102,11 @@
         self.ledger.note(Event.ACCEPTED, "", request)
 
     def may_send(self, now_us: int, until_us: int, has_left: Callable[[], bool]) -> bool:
-        """Whether its first or a further attempt may begin now; `has_left` looks for its client's end."""
+        """Whether an attempt may begin now, before `until_us`; `has_left` checks whether the client has left."""
         return not self.is_over and now_us < until_us and not has_left()
 
     def sent(self, told_us: int) -> None:
-        """An attempt begins now, and tells its upstream so much time."""
+        """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
             self.ledger.violated(Invariant.SENT_AFTER_END, self.request, self.state.value)
@@ -123,7 +124,7 @@
         self.ledger.note(Event.ATTEMPT_ENDED, outcome, self.request)
 
     def answer(self, status: int) -> bool:
-        """Whether this is its one answer."""
+        """Marks the request answered; False if it has been answered or cancelled already."""
         if self.is_over:
             return False
         self.state = State.ANSWERED
@@ -131,7 +132,7 @@
         return True
 
     def cancel(self, reason: str) -> bool:
-        """Its client has gone; whether it was still owed something."""
+        """Marks the request cancelled, as its client has left; False if it has been answered or cancelled already."""
         if self.is_over:
             return False
         self.state = State.CANCELLED
@@ -139,6 +140,6 @@
         return True
 
     def connection_closed(self, reason: str) -> None:
-        """This side closes its connection now."""
+        """This side closes the client's connection now; a violation if the request is still open."""
         if not self.is_over:
             self.ledger.violated(Invariant.CLOSED_UNANSWERED, self.request, reason)
--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -1,4 +1,4 @@
-"""Work that is done again and again on the event loop."""
+"""Periodic jobs on the event loop."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 
 class Periodic:
-    """Calls `act` every so many seconds. A job that arms its own timer last is over with its first error, and
-    what it looks after (silent clients, a paused listener) waits for ever."""
+    """Calls `act` every `every_s` seconds, also after it has raised an exception. The timer is set before the call: a
+    job that set its own timer last would stop at its first error, and what depends on it (closing silent clients,
+    resuming a paused listener) would never happen again."""
 
     def __init__(self, every_s: float, act: Callable[[], None]) -> None:
         self.every_s, self.act = every_s, act
@@ -23,7 +24,8 @@
         try:
             self.act()
         except Exception:
-            logs.line(f"{getattr(self.act, '__qualname__', self.act)}: tried again\n{traceback.format_exc()}")
+            logs.line(f"{getattr(self.act, '__qualname__', self.act)} failed; it will be tried again\n"
+                      f"{traceback.format_exc()}")
 
     def cancel(self) -> None:
         self.handle.cancel()
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -1,4 +1,4 @@
-"""The application's side: listens, and knows the clients' connections."""
+"""The server side of the sidecar: accepts clients' connections, limits their number and closes them."""
 
 from __future__ import annotations
 
@@ -16,69 +16,71 @@
 from ironscale.net.lifecycle import Event, Ledger
 from ironscale.net.periodic import Periodic
 
-# Who sends no whole request gets an error or a close within so long, here and in the sweep's step less
-# than the 3 s that are owed. A connection without an open request may be closed after 2 s; it is after
-# LONGEST_IDLE_S, sooner only to make room.
+# A client that sends no complete request gets an error or a close within 3 s: this timeout and the sweep's interval
+# together stay below that. A connection without an open request may be closed after 2 s; it is closed after
+# LONGEST_IDLE_S, and sooner only to make room.
 SILENCE_S = 2.4
 LONGEST_IDLE_S = 15.0
-LEAST_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # to make room, no sooner
-# A shutdown waits so long for what a new connection was opened for: one from before it can come again, a later one not.
+LEAST_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
+# How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
+# shutdown can still connect again; the client of a later one can't.
 FIRST_BYTE_S, LATE_FIRST_BYTE_S = 0.25, 1.0
 SWEEP_S = 0.2
-LOOK_S = 0.03  # between two looks for the ends of clients that the loop does not read; 0.1 s are allowed
-# Shares of the room: past so many idle connections one ends with its answer, and past so many of all if
-# it has only asked for readiness.
+LOOK_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
+# Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
+# than the second are open this goes for those that have only carried readiness probes.
 MANY_IDLE, MANY = 1 / 3, 1 / 2
-ACCEPTS = 32  # connections accepted before other work has its turn
-LOOKED_AT = 8  # connections that are asked whether they can make room
-LAST_S = 0.08  # for the last answers to leave, at the end of the process
-ACCEPT_PAUSE_S = 0.02  # after an accept that failed for want of something
+ACCEPTS = 32  # connections accepted in one step of the event loop
+LOOKED_AT = 8  # oldest connections that are checked for one that can be closed to make room
+LAST_S = 0.08  # for the last answers to be sent at the end of the process
+ACCEPT_PAUSE_S = 0.02  # after an accept that failed because a resource was exhausted
 CLOSE_AGAIN_S = 0.02  # between two tries to close the listener
 
 
 class Accepted(enum.Enum):
-    """What has become of the connections that waited."""
+    """How many of the connections in the accept queue were accepted."""
 
     ALL = "all"
-    SOME = "some"  # more may wait
-    FAILED = "failed"  # more may wait, and cannot be accepted now
+    SOME = "some"  # more may be queued
+    FAILED = "failed"  # more may be queued, and can't be accepted now
 
 
 class Server:
-    """Listens, and knows the clients' connections."""
+    """Accepts clients' connections, at most `most` at a time, and closes silent and idle ones."""
 
     def __init__(self, application: Application, most: int, now_us: Callable[[], int],
                  ledger: Ledger | None = None) -> None:
         self.application = application
         self.ledger = ledger or Ledger(now_us, logs.line)
-        self.most = most  # connections
+        self.most = most
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
-        # Those without an open request, the longest in that state first: `silent` have sent no whole
-        # request, or only for readiness, or are closing; `idle` wait for their next one.
+        # Connections without an open request, oldest first: `silent` ones have sent no complete request or only
+        # readiness probes, or are closing; `idle` ones may send their next request.
         self.silent: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}
         self.stopping = False
         self.stopping_since_us = 0
-        self.is_full = False  # no connection is accepted until there is room
+        self.is_full = False  # accepting is paused until there is room
         self.last_opened_us = now_us()
         self.listener: socket.socket | None = None
         self.reuse_port = False
         self.closing: ListenerShutdown | None = None
         self.sweeper: Periodic | None = None
-        self.paused: dict[int, ClientConnection] = {}  # by descriptor: the loop reads nothing of them, nor their end
-        self.ends = select.poll()  # of all these: one call for a thousand of them takes what thirty for one each do
-        self.looker: Periodic | None = None  # while there are any
+        self.paused: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
+        self.ends = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
+        self.looker: Periodic | None = None  # runs while `paused` is not empty
 
     async def listen(self, address: tuple[str, int], reuse_port: bool = False) -> int:
+        """Starts to listen and returns the port. Raises OSError."""
         listener = socket.create_server(address, backlog=BACKLOG, reuse_port=reuse_port)
         try:
             listener.setblocking(False)
-            listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what it accepts inherits it
+            listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # inherited by the accepted sockets
             self.loop.add_reader(listener, self.accept)
         except OSError:
-            listener.close()  # hazard: a start that is tried again would have it beside it, and nobody accepts
+            listener.close()  # left open it would take connections from the next start's listener and accept none
             raise
         self.listener, self.reuse_port = listener, reuse_port
         self.sweeper = Periodic(SWEEP_S, self.sweep)
@@ -86,9 +88,9 @@
         return port
 
     def accept(self) -> Accepted:
-        """Some of those that wait. Hazard: without a descriptor to spare the event loop's own
-        server accepts and closes, and a request that is written already is lost. What is not accepted waits in the
-        kernel."""
+        """Accepts up to ACCEPTS connections; those that can't be accepted stay in the kernel's queue. The event loop's
+        own server is not used: without a free descriptor it accepts and closes connections, and requests that are
+        already written would be lost."""
         if self.listener is None:
             return Accepted.ALL
         for _ in range(ACCEPTS):
@@ -102,9 +104,9 @@
                     return Accepted.ALL
                 if severity(error) is Severity.EXHAUSTED:
                     break
-                continue  # that connection has gone, or its way; others may wait behind it (accept(2))
+                continue  # accept(2) reports an error of that one connection; others may be queued behind it
             is_probe = self.closing is not None and self.closing.is_probe(peer)
-            # one that was reset before it was accepted may be another's probe, as it closes its listener
+            # a connection that was reset in the queue may be a probe of another process that closes its listener
             if is_probe or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 sock.close()
                 continue
@@ -121,6 +123,7 @@
         return Accepted.FAILED
 
     def wait_for_room(self) -> None:
+        """Pauses accepting."""
         if self.listener is not None and not self.is_full:
             self.is_full = True
             self.loop.remove_reader(self.listener)
@@ -131,7 +134,7 @@
             self.loop.add_reader(self.listener, self.accept)
 
     def make_room(self) -> bool:
-        """In place of the connection that has been silent longest, else of the one idle longest."""
+        """Closes the connection that has been silent longest, else the one idle longest; False if none can be."""
         now_us = self.now_us()
         for connections, least_s in ((self.silent, LEAST_SILENCE_S), (self.idle, LEAST_IDLE_S)):
             for oldest in islice(connections, LOOKED_AT):
@@ -145,7 +148,7 @@
         return False
 
     def settle(self, connection: ClientConnection) -> None:
-        """Called when its state may have changed."""
+        """Moves a connection to `silent` or `idle`, or out of both while it is busy."""
         if connection.is_busy():
             self.silent.pop(connection, None)
             self.idle.pop(connection, None)
@@ -158,14 +161,14 @@
             here[connection] = None
 
     def lost(self, connection: ClientConnection) -> None:
-        self.unwatch(connection)  # hazard: its descriptor is another's soon
+        self.unwatch(connection)  # its descriptor may soon belong to another connection
         self.connections.discard(connection)
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
         self.accept_again()
 
     def wants_close(self, connection: ClientConnection) -> bool:
-        # hazard: clients that ask once and stay use up their own descriptors and ours
+        # clients that send one request and stay connected use up their descriptors and ours
         crowded = self.has_many_idle() if connection.asked else len(self.connections) > MANY * self.most
         return self.stopping or crowded
 
@@ -173,6 +176,7 @@
         return len(self.idle) > MANY_IDLE * self.most
 
     def sweep(self) -> None:
+        """Closes connections that have been silent or idle for too long."""
         logs.flush()
         now_us = self.now_us()
         longest_s = LEAST_IDLE_S if self.has_many_idle() else LONGEST_IDLE_S
@@ -186,7 +190,7 @@
         self.accept_again()
 
     def watch(self, connection: ClientConnection) -> None:
-        """Its reading has been paused: from now on its end is looked for here."""
+        """The connection's reading has been paused: from now on its end is polled for here."""
         if connection.descriptor not in self.paused:
             self.paused[connection.descriptor] = connection
             self.ends.register(connection.descriptor, LEFT)
@@ -199,7 +203,7 @@
             self.ends.unregister(connection.descriptor)
 
     def look(self) -> None:
-        """Those whose end has come, behind whatever lies unread, have gone: their requests hold nothing any more."""
+        """Cancels the requests of clients that have closed their side, even behind unread bytes."""
         for descriptor, _ in self.ends.poll(0):
             connection = self.paused[descriptor]
             self.unwatch(connection)
@@ -209,14 +213,16 @@
             self.looker = None
 
     def close_idle(self) -> None:
-        """Closes what rests, as the process ends; a request that crosses the close comes again on a new connection."""
+        """Closes connections without an open request, as the process ends; a client whose request crosses the close
+        sends it again on a new connection."""
         for connection in [*self.idle, *filter(self.rests_unasked, self.silent)]:
             if not connection.final:
                 connection.close("shutdown, idle" if connection.asked else "shutdown, silent")
                 self.settle(connection)
 
     def rests_unasked(self, connection: ClientConnection) -> bool:
-        """Whether nothing more is awaited on it. Hazard: the first request on a new connection may be under way."""
+        """Whether a connection that has carried no request may be closed in a shutdown. On a new one the first request
+        may still be under way."""
         least_s = LEAST_SILENCE_S
         if connection.is_new:
             least_s = FIRST_BYTE_S if connection.since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
@@ -224,8 +230,8 @@
                 and self.now_us() - connection.since_us >= least_s * 1e6)
 
     def close_listener(self) -> bool:
-        """Whether it is closed; to be called again until it is. It stays open where a call fails, or somebody who waits
-        can't be accepted."""
+        """Takes a step to close the listener; to be called until it returns True. The listener stays open while a
+        system call fails or a queued connection can't be accepted."""
         if self.listener is None:
             return True
         if self.closing is None:
@@ -234,7 +240,7 @@
         try:
             return self.closing.step()
         except OSError as error:
-            logs.line(f"closing the listener: {error}; tried again")
+            logs.line(f"closing the listener failed: {error}; it will be tried again")
             return False
 
     def drop_listener(self) -> None:
@@ -244,7 +250,7 @@
             listener.close()
 
     def accept_all(self) -> bool:
-        """Whether all that waited have been accepted."""
+        """Accepts all queued connections; returns whether none is left."""
         for _ in range(self.most // ACCEPTS + 1):
             accepted = self.accept()
             if accepted is not Accepted.SOME:
@@ -253,11 +259,12 @@
 
     async def stop(self, quiet_s: float, least_s: float, most_s: float, end_s: float,
                    at_end: Callable[[], None] = lambda: None) -> None:
-        """Stop taking requests, losing none: new connections still come for a while after the signal.
+        """Shuts down gracefully, without losing requests: new connections still come for a while after the signal.
 
-        Idle connections are closed first, while a request that crosses the close can still come
-        again on a new one; the listener goes once no connection has come for `quiet_s`.
-        At `end_s` what is still open is answered by `at_end`, and what comes from then on at once.
+        Idle connections are closed first, while a request that crosses the close can still be sent again on a new one.
+        The listener closes after `least_s`, once no connection has come for `quiet_s`, and after `most_s` in any case.
+        After `end_s` `at_end` is called to answer all open requests; it must see to it that later ones are answered at
+        once.
         """
         self.stopping = True
         self.stopping_since_us = start_us = self.now_us()
@@ -265,7 +272,7 @@
         def log(text: str) -> None:
             busy = sum(one.is_busy() for one in self.connections)
             self.ledger.log(f"shutdown, {(self.now_us() - start_us) / 1e6:.3f} s: {text}; "
-                            f"{len(self.connections)} connections, {busy} with a request open")
+                            f"{len(self.connections)} connections, {busy} with an open request")
 
         log("begins")
         while True:
@@ -281,7 +288,7 @@
             self.close_idle()
             if not closed:
                 closed = self.close_listener()
-        log("all that is open is answered" if self.connections else "nothing is open")
+        log("answering all open requests" if self.connections else "no connection is open")
         at_end()
         self.drop_listener()
         while self.connections and self.now_us() - start_us < (end_s + LAST_S) * 1e6:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: owns clock, timers and `Balancer`; sockets' happenings in, actions out, in order."""
+"""The sidecar: turns what happens on sockets and timers into events for `Balancer`, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -33,33 +33,34 @@
 from ironscale.net.starts import StartTimes
 from ironscale.net.upstream import Answer, Attempt, Upstreams
 
-# Answers leave this long before the client stops waiting. Measured: timers fire up to 2 ms late, the
-# loop reads a request up to 1 ms after it came (99 in 100), an answer takes under 1 ms to the client.
+# Answers are sent this long before the client stops waiting: timers fire up to 2 ms late, the event loop reads a
+# request up to 1 ms after it arrived (99 in 100), and an answer takes under 1 ms to reach the client.
 MARGIN_US = 8_000
-BACKSTOP_US = 4_000  # past due: the decisions' own timers have surely come by then
-SPARE_SOCKETS = 32  # standard streams, event loop, discovery, listener
-# New connections come for up to 0.4 s after SIGTERM. SIGKILL comes as early as 0.7 s and the longest deadline (3 s at
-# most) after it: what clients would wait for longer has its answer by then, also where SIGTERM is heard late.
+BACKSTOP_US = 4_000  # past the deadline, when the balancer's own timers must have fired
+SPARE_SOCKETS = 32  # for standard streams, event loop, discovery and listener
+# New connections come for up to 0.4 s after SIGTERM. SIGKILL may come 0.7 s plus the longest deadline (counted as 3 s
+# at most) after it: requests that clients would wait for longer are answered before that, even if SIGTERM is handled
+# late.
 STOP_LEAST_S, STOP_QUIET_S, STOP_MOST_S = 0.45, 0.2, 0.55
 STOP_END_S, STOP_DEADLINE_S = 0.42, 3.0
-STOP_LEAST_END_S = 0.6  # with short deadlines: the listener has closed by then
+STOP_LEAST_END_S = 0.6  # with short deadlines: time for the listener to close first
 RELOAD_AGAIN_S = 0.1
 CLOCK_LOOK_S = 0.5
 ENDING = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM = re.compile(r"\bupstream (\d+)")
 REMAINING = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNITS_US = {"m": 1000.0, "u": 1.0}
-MOST_REMAINING_US = 3_600_000_000  # no client waits for longer
+MOST_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID = 256
 NOT_PASSED = HOP_BY_HOP | {b"x-remaining"}
-LEAST_CANCELLED = 1_000  # timers that are kept until their time, at least
-# The collector walks new objects after so many more were made than freed: ours hold no cycles, and a walk each 700
-# took 3 % of the CPU.
+LEAST_CANCELLED = 1_000  # up to so many cancelled timers stay in the heap until their time
+# Garbage collector threshold of the youngest generation. The objects of the data path form no cycles, and at the
+# default of 700 the collector took 3 % of the CPU.
 YOUNG = 10_000
 
 
 class Clock:
-    """Microseconds of Unix time at the start, moving forward as the monotonic clock does."""
+    """Unix time in microseconds, read once at the start and advanced by the monotonic clock, so that it never steps."""
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
@@ -69,18 +70,18 @@
 
 
 def wall_us() -> int:
-    """Unix time; it may step."""
+    """Unix time in microseconds from the system clock, which may step."""
     return time.time_ns() // 1000
 
 
 class Timer:
-    """Acts once, never before its time."""
+    """Calls `act` once, never before its time."""
 
     __slots__ = ("act", "at_us", "timers")
 
     def __init__(self, timers: Timers, at_us: int, act: Callable[[], None]) -> None:
         self.timers, self.at_us = timers, at_us
-        self.act: Callable[[], None] | None = act  # None: it has acted, or was cancelled
+        self.act: Callable[[], None] | None = act  # None once it has been called or cancelled
 
     def cancel(self) -> None:
         if self.act is not None:
@@ -89,16 +90,16 @@
 
 
 class Timers:
-    """All timers of a sidecar behind one of the event loop's: most are cancelled long before their time, and the
-    loop's own cost some microseconds to make and to cancel."""
+    """All timers of a sidecar, driven by a single timer of the event loop: most are cancelled long before their time,
+    and a loop timer costs some microseconds to create and to cancel."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.loop = asyncio.get_running_loop()
         self.heap: list[tuple[int, int, Timer]] = []
         self.turn = 0
-        self.cancelled = 0  # of those in the heap
-        self.armed_us = 0  # what the loop's timer is set to; 0 = to nothing
+        self.cancelled = 0  # cancelled timers that are still in the heap
+        self.armed_us = 0  # when the loop's timer fires; 0 if it is not set
         self.handle: asyncio.TimerHandle | None = None
 
     def at(self, at_us: int, act: Callable[[], None]) -> Timer:
@@ -107,7 +108,7 @@
         heapq.heappush(self.heap, (at_us, self.turn, timer))
         if not self.armed_us or at_us < self.armed_us:
             self.arm()
-        # hazard: with deadlines of an hour the cancelled ones would fill the memory
+        # with deadlines of an hour, cancelled timers would otherwise fill the memory
         if self.cancelled > LEAST_CANCELLED and 2 * self.cancelled > len(self.heap):
             self.heap = [entry for entry in self.heap if entry[2].act is not None]
             heapq.heapify(self.heap)
@@ -115,6 +116,7 @@
         return timer
 
     def arm(self) -> None:
+        """Sets the loop's timer to the first timer that has not been cancelled."""
         if self.handle is not None:
             self.handle.cancel()
         heap, self.armed_us, self.handle = self.heap, 0, None
@@ -127,8 +129,8 @@
             self.handle = self.loop.call_later(left_ms / 1000, self.fire)
 
     def fire(self) -> None:
-        # hazard: the loop counts in coarse milliseconds and fires early; the decisions would take that for a stale
-        # timer and wait for ever for the one that they have set: so only those are run whose time has come
+        # The loop counts in whole milliseconds and may fire early. The balancer would ignore an early timer as stale
+        # and wait for ever for the one that it has set, so only timers whose time has come are called.
         self.handle, heap = None, self.heap
         now_us = self.clock.now_us()
         due: list[Timer] = []
@@ -136,22 +138,22 @@
             due.append(heapq.heappop(heap)[2])
         for timer in due:
             act, timer.act = timer.act, None
-            if act is None:  # cancelled, before or by one of these
+            if act is None:  # cancelled, possibly by a timer called in this loop
                 self.cancelled = max(0, self.cancelled - 1)
                 continue
             try:
                 act()
-            except Exception as error:  # one must not keep the others from acting
-                self.loop.call_exception_handler({"message": "a timer failed", "exception": error})
+            except Exception as error:  # the other timers must still be called
+                self.loop.call_exception_handler({"message": "a timer's callback failed", "exception": error})
         self.arm()
 
 
 class NeedsRestart(Exception):
-    """A configuration that is valid, but that only a new process can take on; the text says what of it."""
+    """A valid configuration that the running process can't adopt; the message names the setting that differs."""
 
 
 class Request:
-    """A taken request, until it is answered and all its attempts have ended."""
+    """An accepted request, kept until it is answered and all its attempts have ended."""
 
     def __init__(self, ident: int, index: int, txn: str, exchange: Exchange, due_us: int) -> None:
         self.ident = ident
@@ -162,25 +164,25 @@
         self.attempts: list[Attempt] = []
         self.out = 0
         self.backstop: Timer | None = None
-        self.lane: Lane | None = None  # whose balancer decides on it now
-        self.ran = False  # something of it has run, and is told to no balancer that follows: it is refused no more
-        self.onward: Callable[[Answer | None], None] | None = None  # where it goes once this lane has served it
-        self.given: Answer | None = None  # an upstream's answer that waits for what follows
+        self.lane: Lane | None = None  # the one whose balancer decides on it now
+        self.ran = False  # an earlier lane has run it, which the next balancer does not know: it may not be refused
+        self.onward: Callable[[Answer | None], None] | None = None  # takes the request on once this lane has served it
+        self.given: Answer | None = None  # an upstream's answer, held back until the next lane is done
 
     def is_open(self) -> bool:
         return not self.exchange.lifecycle.is_over
 
 
-@lru_cache(1024)  # most requests of a class say the same; 2 us else
+@lru_cache(1024)  # most requests of a class have the same value; parsing takes 2 us
 def parse_remaining_us(text: str) -> int | None:
-    """`480m` or `480000u`, in microseconds."""
+    """The value of `X-Remaining` (`480m` or `480000u`) in microseconds; None if it is malformed or over an hour."""
     found = REMAINING.fullmatch(text)
     remaining_us = int(float(found[1]) * UNITS_US[found[2]]) if found else None
     return remaining_us if remaining_us is not None and remaining_us <= MOST_REMAINING_US else None
 
 
 def read_report(headers: Headers, fields: list[str]) -> list[float]:
-    """The load report of an answer in the settings' order; one that can't be read counts as none."""
+    """The load report of an answer, its values in the order of `fields`; empty if it is missing or malformed."""
     if not fields:
         return []
     text = dict(headers).get(b"x-pressure", b"").decode("latin-1")
@@ -193,26 +195,30 @@
 
 
 def subject(target: bytes) -> str:
-    """The query's first `sid`; empty if there is none."""
+    """The first `sid` in the query string; empty if there is none."""
     query = target.partition(b"?")[2]
-    if query.startswith(b"sid=") and query[4:].isalnum():  # as most stand: parse_qs takes 4 us
+    if query.startswith(b"sid=") and query[4:].isalnum():  # the usual form; parse_qs would take 4 us
         return query[4:].decode("ascii")
     return parse_qs(query.decode("latin-1")).get("sid", [""])[0] if b"sid" in query or b"%" in query else ""
 
 
 def key_number(key: str) -> int:
+    """A 64-bit hash of an affinity key; 0 for an empty one."""
     return int.from_bytes(blake2b(key.encode(), digest_size=8).digest()) if key else 0
 
 
 def connections_each(sockets: int) -> int:
-    """Most connections of clients, and as many of upstreams, with so many descriptors. Hazard: the system may give
-    fewer than the settings allow; idle clients would take the last of them, and discovery could not be called."""
+    """The limit of connections from clients, and likewise to upstreams, for so many sockets in all. The process may be
+    limited to fewer descriptors than the settings say; idle clients would then take the last ones, and discovery could
+    not be called."""
     most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     given = sockets if most == resource.RLIM_INFINITY else min(sockets, most)
     return max(1, (given - SPARE_SOCKETS) // 2)
 
 
 class Sidecar(Lane):
+    """A running sidecar: its server, upstream connections, discovery and timers around one `Balancer`."""
+
     def __init__(self, config: Config, environ: Mapping[str, str] | None = None) -> None:
         self.config = config
         self.environ = environ or {}
@@ -233,30 +239,30 @@
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
                                    config.answer_us / 1e6, self.log, self.balancer.list_turn_us() > 0, config.seed)
         self.requests: dict[int, Request] = {}
-        self.by_txn: dict[str, Request] = {}  # those not yet answered
+        self.by_txn: dict[str, Request] = {}  # by transaction id: those not yet answered
         self.next_request = 1
-        self.fronts: dict[int, Front] = {}  # by index of the class: where its requests go in place of the upstreams
-        self.reload_again: asyncio.TimerHandle | None = None  # after one that could not read its file
+        self.fronts: dict[int, Front] = {}  # by index of the class: handles its requests in place of the upstreams
+        self.reload_again: asyncio.TimerHandle | None = None  # retries a reload whose file could not be read
         self.has_list = False
-        self.cut_off = True  # from discovery: its last word was a failure, or there was none yet
+        self.cut_off = True  # discovery's last call failed, or none has succeeded yet
         self.draining = False
-        self.port = 0  # that it listens on
-        self.generation = config.generation  # of the configuration that runs; 0 = the file alone
+        self.port = 0  # of the listener
+        self.generation = config.generation  # of the running configuration; 0 = the file without an overlay
         self.overlay = config.overlay
-        # Answers by (index of the class, what it was: served, refused, failed), and refusals by their reason.
+        # Answers by (index of the class, "served", "refused" or "failed"), and refusals by their reason.
         self.answers: Counter[tuple[int, str]] = Counter()
         self.refusals: Counter[str] = Counter()
-        # Who watches arrivals, given each with the size of its body: some microseconds, and never an error.
+        # Called with each arrival and the size of its body; must return within microseconds and raise nothing.
         self.saw_arrival: Callable[[api.RequestArrived, int], None] | None = None
 
     async def start(self, reuse_port: bool = False) -> int:
-        """Listen, with the list as last known; gives the port."""
+        """Starts to listen, with the upstreams of the configuration until discovery answers; returns the port."""
         self.on_list(api.ListKind.CACHED, self.config.known)
         self.port = await self.server.listen(self.config.listen, reuse_port)
         return self.port
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Read the configuration again. Discovery's address can change; the rest needs a restart."""
+        """Reads the configuration file again. Only discovery's address can change; the rest needs a restart."""
         if self.reload_again is not None:
             self.reload_again.cancel()
             self.reload_again = None
@@ -264,9 +270,9 @@
             return
         try:
             config = load(environ)
-        except ConfigError as error:  # hazard: half a file must not end or half change what runs
+        except ConfigError as error:  # a partly written file must neither end the process nor change a part of it
             self.log(f"reload: the configuration stays as it was: {error}")
-            if passes(error):  # the file is there, and nobody signals again
+            if passes(error):  # a transient error while reading: nobody will send the signal again
                 self.reload_again = self.loop.call_later(RELOAD_AGAIN_S, self.reload, environ)
             return
         address, before = config.discovery_in_file, self.config.discovery_in_file
@@ -277,15 +283,15 @@
             self.discovery.move(address)
 
     def drain(self, draining: bool) -> None:
-        """Out of service, or back: readiness says 503 and the decisions refuse what is new."""
+        """Starts or ends draining: the readiness probe answers 503, and the balancer refuses new requests."""
         self.draining = draining
         self.tell_all(api.DrainChanged(draining))
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        """Runs the file's configuration with `overlay` (a JSON merge patch) on it: all of it, or nothing.
+        """Applies the file's configuration with `overlay` (a JSON merge patch) on top, all of it or nothing.
 
-        Raises ConfigError if that is no valid configuration, NeedsRestart if only a new process can run it.
-        Called between two events, so no request sees half of it.
+        Raises ConfigError if the result is not a valid configuration, and NeedsRestart if only a new process can run
+        it. It is called between two events, so no request sees a part of the change.
         """
         base, old = self.base, self.config
         new = parse(merged(base, overlay), self.environ)
@@ -297,7 +303,7 @@
         fixed = fixed or ("areas, kinds or report fields" if places[0] != places[1] else "")
         if fixed:
             raise NeedsRestart(fixed)
-        # Nothing below can fail: each takes on a value that has been checked.
+        # Nothing below can fail, since all values have been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         half = connections_each(new.sockets)
         self.server.most = self.upstreams.most = half
@@ -306,9 +312,10 @@
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.tell_all(api.SettingsChanged(new.settings))
         if new.discovery_in_file is not None and new.discovery_in_file != old.discovery_in_file:
-            self.discovery.move(new.discovery_in_file)  # as at a reload: the environment counts at the start
+            self.discovery.move(new.discovery_in_file)  # as at a reload; the environment only counts at the start
 
     async def stop(self) -> None:
+        """Shuts down gracefully; all open requests are answered."""
         longest_s = max(c.deadline_us for c in self.config.settings.classes) / 1e6
         end_s = max(STOP_END_S + min(longest_s, STOP_DEADLINE_S), STOP_LEAST_END_S)
         await self.server.stop(STOP_QUIET_S, STOP_LEAST_S, STOP_MOST_S, end_s, self.answer_all)
@@ -318,17 +325,17 @@
         self.upstreams.close()
 
     def watch_clock(self) -> None:
-        """Notes steps of the wall clock, also two between two lists."""
+        """Records steps of the wall clock; looking between lists from discovery also finds several steps in a row."""
         if self.starts.look():
-            self.log(f"the wall clock is {self.starts.ahead_us[-1] / 1e6:+.1f} s off its course since the start")
+            self.log(f"the wall clock has stepped: {self.starts.ahead_us[-1] / 1e6:+.1f} s in all since the start")
 
     def answer_all(self) -> None:
-        """The process ends: each open request has its one answer now, and so has what comes yet."""
+        """Called as the process ends: all open requests are answered now, and later ones at once."""
         self.tell_all(api.DrainChanged(True, ends=True))
-        for request in list(self.by_txn.values()):  # between two lanes, or lost by the decisions
+        for request in list(self.by_txn.values()):  # between two lanes, or lost by a balancer
             self.fail(request.ident)
 
-    # Events in
+    # Events
 
     def is_open(self, ident: int) -> bool:
         request = self.requests.get(ident)
@@ -340,7 +347,7 @@
     def on_request(self, exchange: Exchange) -> None:
         txn, index = exchange.header(b"x-txn"), self.classes.get(exchange.header(b"x-lane"))
         remaining_us = parse_remaining_us(exchange.header(b"x-remaining"))
-        # hazard: two open requests of one id could not be told apart by what they do or how they end
+        # rejected while another request with the same id is open: the two could not be told apart
         known = 0 < len(txn) <= MAX_ID and txn not in self.by_txn
         if index is None or remaining_us is None or not known or not self.agrees(exchange, index):
             exchange.keep_alive = False
@@ -349,10 +356,10 @@
         exchange.lifecycle.begin(txn, exchange.arrived_us + remaining_us)
         ident = self.next_request
         self.next_request += 1
-        # hazard: counted from later, a request that waited behind another would be answered too late
+        # counted from the arrival: a pipelined request that waited behind another would else be answered too late
         request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
-        # hazard: an answer must come even if the decisions lose the request
+        # answers the request even if the balancer loses it
         request.backstop = self.at(request.due_us + BACKSTOP_US, partial(self.fail, ident))
         estimate = exchange.header(b"x-estimate")
         event = api.RequestArrived(
@@ -375,7 +382,7 @@
             front.arrived(event)
 
     def agrees(self, exchange: Exchange, index: int) -> bool:
-        """Whether method, body and key are as the class wants them: else who knows if it may be repeated."""
+        """Whether method, body and idempotency key match the effect of the class; else a retry may not be safe."""
         effect = self.config.settings.classes[index].effect
         keys = [value for name, value in exchange.headers if name == b"idempotency-key"]
         if effect == "idempotent":
@@ -390,6 +397,7 @@
             self.quit(request)
 
     def on_list(self, kind: api.ListKind, listing: Listing | None) -> None:
+        """Takes a list of upstreams from discovery, or with None the news that a call has failed."""
         if kind is not api.ListKind.CACHED:
             self.cut_off = kind is api.ListKind.FAILED
         if listing is None:
@@ -431,7 +439,7 @@
         self.answers[request.index, "served"] += 1
         self.close(request)
 
-    # Actions out
+    # Actions
 
     def carry_out(self, action: api.Action) -> None:
         match action:
@@ -464,7 +472,7 @@
             case api.Probe():
                 self.post(api.ProbeEnded(action.upstream, api.Outcome.NOT_SENT))
             case api.TellPeer():
-                pass  # peers may not be told anything where this runs
+                pass  # sidecars may not exchange messages in this environment
 
     def send(self, action: api.Send) -> None:
         now_us = self.clock.now_us()
@@ -490,13 +498,14 @@
         pool.start(attempt)
 
     def is_wanted(self, request: Request, until_us: int) -> bool:
-        """Asked just before the first byte of an attempt leaves, which may be long after it was decided."""
+        """Whether an attempt should still be sent. Asked just before its first byte, which may be long after the
+        balancer's decision."""
         exchange = request.exchange
         return (self.is_open(request.ident)
                 and exchange.lifecycle.may_send(self.clock.now_us(), until_us, exchange.has_left))
 
     def payload(self, exchange: Exchange, give_up_us: int) -> bytes:
-        """What is written now, as an attempt begins."""
+        """The request as it is sent to an upstream, with the time that remains now; counts the attempt as begun."""
         told_us = max(0, give_up_us - self.clock.now_us())
         exchange.lifecycle.sent(told_us)
         parts = [b"%s %s HTTP/1.1\r\n" % (exchange.method, exchange.target)]
@@ -511,34 +520,36 @@
     def answer(self, ident: int, status: int, headers: list[tuple[bytes, bytes]]) -> None:
         request = self.requests.get(ident)
         if request is not None and request.is_open():
-            if status == 503 and request.ran:  # hazard: a refusal promises that trying again is harmless
+            if status == 503 and request.ran:  # a refusal would promise the client that a retry is harmless
                 status, headers = 502, []
             request.exchange.answer(status, headers)
             self.answers[request.index, "refused" if status == 503 else "failed"] += 1
             self.close(request)
 
     def fail(self, ident: int) -> None:
-        """The decisions gave no answer: the request has failed, whatever ran."""
+        """Answers 502 to a request that the balancer has left without an answer, whatever has run."""
         request = self.requests.get(ident)
         if request is not None and request.is_open():
-            self.log(f"request {ident} was left without an answer")
+            self.log(f"request {ident}: the balancer gave no answer; it fails with status 502")
             self.answer(ident, 502, [])
             self.quit(request)
 
     def quit(self, request: Request) -> None:
-        """Whoever decides on it, or did, hears that no answer is owed any more."""
+        """Tells all balancers that decide on the request, or did, that it needs no answer any more."""
         front = self.fronts.get(request.index)
         self.post(api.RequestGone(request.ident))
         if front is not None:
             front.gone(request.ident)
 
     def tell_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
+        """Hands an event to this balancer and to those of all fronts."""
         self.post(event)
         for front in dict.fromkeys(self.fronts.values()):
             front.told(event)
 
     def close(self, request: Request) -> None:
-        """The request is over; attempts still out keep it known, as they may yet be cancelled."""
+        """Called once the request is answered or cancelled. It stays known while attempts are still out, as they may be
+        cancelled yet."""
         if self.by_txn.get(request.txn) is request:
             del self.by_txn[request.txn]
         if request.backstop is not None:
@@ -548,6 +559,7 @@
         self.forget(request)
 
     def forget(self, request: Request) -> None:
+        """Drops the request if it is over and no attempt is out."""
         if request.out == 0 and not request.is_open():
             self.requests.pop(request.ident, None)
 
@@ -555,7 +567,7 @@
         return self.timers.at(at_us, act)
 
     def upstream_name(self, found: re.Match[str]) -> str:
-        """The decisions know numbers; people know discovery's names."""
+        """Replaces the number by which the balancer knows an upstream with its name in discovery."""
         pool = self.upstreams.pools.get(int(found[1]))
         return f"upstream {pool.member.name}" if pool else found[0]
 
@@ -563,17 +575,17 @@
         logs.line(f"{self.config.name}: {text}")
 
 
-# What a subsystem runs beside a started sidecar: given the sidecar and what ends the process.
+# A subsystem that runs alongside a started sidecar: called with the sidecar and a function that ends the process.
 Beside = Callable[[Sidecar, Callable[[], None]], AbstractAsyncContextManager[None]]
 
 
 class StartFailed(Exception):
-    """Nothing has been taken yet; the cause says what failed."""
+    """The start failed before any connection was accepted; the cause is the error that occurred."""
 
 
 async def serve(environ: Mapping[str, str], beside: Beside | None = None,
                 reuse_port: bool = False) -> None:
-    """One sidecar from its start to its end by a signal, or by `beside`. Raises StartFailed until it listens."""
+    """Runs one sidecar until a signal, or `beside`, ends it. Raises StartFailed if it can't start to listen."""
     stopped = asyncio.Event()
     running: list[Sidecar] = []
 
@@ -587,7 +599,7 @@
         raise StartFailed from error
     for number in ENDING:
         signals.on(number, stopped.set)
-    # hazard: the file that is read next may be replaced as it is being read, and nobody would hear of it
+    # handled from before the configuration is read: the file may be replaced meanwhile, and the signal must not be lost
     signals.on(signal.SIGHUP, reload)
     try:
         sidecar = Sidecar(load(environ), environ)
@@ -595,16 +607,16 @@
         await sidecar.start(reuse_port)
     except (OSError, ConfigError) as error:
         for number in ENDING:
-            signal.signal(number, signal.SIG_DFL)  # between two starts there is nothing to lose
+            signal.signal(number, signal.SIG_DFL)  # between two starts the process may simply be killed
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signals.close()
         raise StartFailed from error
     gc.collect()
-    gc.freeze()  # what is here stays: the collector need not walk it again
+    gc.freeze()  # the objects of the start live on: the collector need not scan them again
     gc.set_threshold(YOUNG, *gc.get_threshold()[1:])
     async with beside(sidecar, stopped.set) if beside is not None else nullcontext():
         await stopped.wait()
         await sidecar.stop()
     for number in (*ENDING, signal.SIGHUP):
-        signal.signal(number, signal.SIG_IGN)  # it ends well, however often it is told to
+        signal.signal(number, signal.SIG_IGN)  # further signals must not disturb the orderly end
     signals.close()
--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the process, heard on the event loop."""
+"""Handles the signals of the process on the event loop."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 import signal
 from collections.abc import Callable
 
-MOST_BYTES = 4096  # read at a time: one for each signal
+MOST_BYTES = 4096  # read at a time; the interpreter writes one byte for each signal
 
 
 class Signals:
-    """Runs an act on the loop for each signal that has one.
+    """Runs a callback on the event loop for each signal that has one.
 
-    The event loop waits in the kernel, and a signal's byte on a descriptor ends that wait. The loop's own byte goes
-    through a socket, whose calls may fail, and the signal is heard only with the next timer; a pipe always takes it.
+    The event loop sleeps in the kernel, and a byte written to a wakeup descriptor wakes it at a signal. The loop's own
+    wakeup descriptor is a socket, whose writes may fail; the signal would then be handled only when the next timer
+    fires. A pipe always takes the byte.
     """
 
     def __init__(self) -> None:
-        """Raises OSError where there is no pipe to be had."""
+        """Raises OSError if no pipe can be created."""
         self.loop = asyncio.get_running_loop()
         self.reading, self.writing = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         self.loop.add_reader(self.reading, self.heard)
-        signal.set_wakeup_fd(self.writing, warn_on_full_buffer=False)  # full, it ends the wait all the same
+        signal.set_wakeup_fd(self.writing, warn_on_full_buffer=False)  # a full pipe wakes the loop as well
 
     def heard(self) -> None:
-        """The interpreter has run the handlers by now."""
+        """Empties the pipe; the interpreter has run the handlers by now."""
         with contextlib.suppress(OSError):
             os.read(self.reading, MOST_BYTES)
 
@@ -34,7 +35,7 @@
         signal.signal(number, lambda *_: self.loop.call_soon(act))
 
     def close(self) -> None:
-        """Signals that have an act should be ignored or put back before."""
+        """Closes the pipe. Signals with a callback should be ignored or reset before."""
         signal.set_wakeup_fd(-1)
         self.loop.remove_reader(self.reading)
         os.close(self.reading)
--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -1,7 +1,7 @@
-"""A connected socket on the event loop. Failed calls that may pass are made again; only the connection's end is told.
+"""A connected socket on the event loop. Transient errors are retried; its owner only hears of the connection's end.
 
-The event loop's own transports close a connection at the first error of any kind, and with it goes an answer
-that is owed.
+The event loop's own transports close a connection at the first error of any kind, and an answer that is still to be
+sent would be lost with it.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from ironscale.net.errors import Severity, severity
 
 READ_BYTES = 64 << 10
-LAST_DATA_AT = 52  # of tcpi_last_data_recv in the kernel's struct tcp_info, in milliseconds
+LAST_DATA_AT = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
 UNREAD_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PAUSE_S = 0.005  # before a call that failed for want of something is made again
+PAUSE_S = 0.005  # before a call that hit a transient error is retried
 
 
 def since_last_byte_us(sock: socket.socket) -> int:
-    """How long ago the last byte came to this machine, read or not; 0 where nobody can tell."""
+    """How long ago the last byte reached this machine, whether or not it has been read; 0 if the kernel can't tell."""
     with contextlib.suppress(OSError):
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_AT + 4)
         if len(info) == LAST_DATA_AT + 4:
@@ -33,15 +33,16 @@
 
 
 class Unread(enum.Enum):
-    """What has come on a socket and has not been read."""
+    """What a socket holds that has not been read."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
-    END = "end"  # the other side's, or an error that ended the connection
+    END = "end"  # the peer has ended its sending, or an error has ended the connection
 
 
 def peek(sock: socket.socket) -> Unread:
-    """A poll that a signal interrupts says that nothing is there; a read is made again."""
+    """What the next read would find, without consuming it. Reads instead of polling: a poll that a signal interrupts
+    reports nothing, while an interrupted read is repeated."""
     try:
         return Unread.BYTES if sock.recv(1, UNREAD_FLAGS) else Unread.END
     except BlockingIOError:
@@ -51,7 +52,8 @@
 
 
 def is_outlasted(sock: socket.socket, error: OSError) -> bool:
-    """Whether the connection outlasts the error. The kernel forgets the peer of one that has ended."""
+    """Whether the connection survives the error. Where the error leaves that open the peer's address is asked for: the
+    kernel no longer knows it once the connection has ended."""
     if severity(error) is Severity.EXHAUSTED:
         return True
     if severity(error) is not Severity.UNREACHABLE:
@@ -63,31 +65,31 @@
 
 
 class StreamUser(Protocol):
-    """Who owns the connection."""
+    """The owner of a stream, which calls these methods; they are named as in asyncio's protocols."""
 
     def data_received(self, data: bytes) -> None: ...
 
     def eof_received(self) -> None:
-        """The other side has ended its sending; the stream closes once this returns."""
+        """The peer has ended its sending; the stream closes once this returns."""
 
     def resume_writing(self) -> None:
-        """All that was written has been handed to the kernel, not at once but now."""
+        """All buffered bytes have been handed to the kernel, after some of them had to wait."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Told once; the socket is closed."""
+        """Called once, after the socket has been closed."""
 
 
 class Stream:
-    """Reads from the start; writes at once what the kernel takes."""
+    """Reads from the start, and writes at once as much as the kernel takes; the rest is buffered."""
 
     def __init__(self, sock: socket.socket, user: StreamUser) -> None:
         self.sock, self.user = sock, user
         self.loop = asyncio.get_running_loop()
         self.unsent = bytearray()
         self.is_reading = False
-        self.awaits_room = False  # the loop tells when the kernel takes more
-        self.pauses: dict[str, asyncio.TimerHandle] = {}  # calls to be made again, by what they do
-        self.ending = False  # nothing is read any more; it ends once all is sent
+        self.awaits_room = False  # the event loop watches for the socket to become writable
+        self.pauses: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
+        self.ending = False  # nothing is read any more; the stream ends once all is sent
         self.over = False
         self.resume_reading()
 
@@ -123,7 +125,7 @@
                 self.user.eof_received()
                 self.close()
         except Exception as error:
-            logs.line(f"a connection's user failed: {type(error).__name__}: {error}")
+            logs.line(f"connection closed after an error in its handler: {type(error).__name__}: {error}")
             self.end(error)
 
     def read_failed(self, error: OSError) -> None:
@@ -153,7 +155,7 @@
             self.send()
 
     def send(self) -> None:
-        """Hands over what the kernel takes; the rest waits for room, or for a pause where a call has failed."""
+        """Sends what the kernel takes; the rest waits until the socket is writable, or for a pause after an error."""
         try:
             while self.unsent:
                 del self.unsent[:self.sock.send(self.unsent)]
@@ -184,7 +186,7 @@
                 self.loop.remove_writer(self.sock)
 
     def close(self) -> None:
-        """Ends it once all that was written is sent."""
+        """Stops reading, and ends the connection once all buffered bytes are sent."""
         if not self.is_closing():
             self.pause_reading()
             self.ending = True
@@ -192,7 +194,7 @@
                 self.end(None)
 
     def abort(self) -> None:
-        """Ends it now, whatever is unsent."""
+        """Ends the connection now and drops what is unsent."""
         self.end(None)
 
     def end(self, error: Exception | None) -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -788,7 +788,7 @@
         assert f"discovery is at 127.0.0.1:{new.port}" in await program.log_line()
         begun = await program.log_line()
         assert begun.startswith("n0: shutdown, ") and " s: begins; " in begun
-        assert (await program.log_line()).endswith(" s: nothing is open; 0 connections, 0 with a request open\n")
+        assert (await program.log_line()).endswith(" s: no connection is open; 0 connections, 0 with an open request\n")
         ended = await program.log_line()
         assert ended.startswith("n0: ended: accepted ") and ended.rstrip().endswith("; violations 0")
         assert await program.log_line() == ""
