--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -125,7 +125,7 @@
         self.listener.setsockopt(socket.SOL_SOCKET, SO_BINDTOIFINDEX, device)
 
     def reached(self) -> Reached:
-        """Which listener a probe connection reaches. Probes end by a reset, which another process can tell from a client."""
+        """Which listener a probe reaches. Probes end by a reset, which another process can tell from a client."""
         with socket.socket() as own:
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             error = connect(own, self.listener.getsockname(), ANY_PORT)
