--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -17,10 +17,10 @@
 from ironscale.net.lifecycle import Event, Ledger, Lifecycle
 from ironscale.net.stream import Stream, Unread, peek, since_last_byte_us
 
-MAX_BODY = 64 << 10
+MAX_BODY_BYTES = 64 << 10
 MAX_HEAD = 64 << 10
 MAX_HEADERS = 100
-MOST_UNREAD = 16 * MAX_BODY  # answers buffered for a client that does not read them; past it the connection is aborted
+MOST_UNREAD = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
 LEAST_WAIT_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
 PIECE = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
@@ -191,14 +191,14 @@
             raise TooLarge("head")
         for name, value in self.headers:
             # rejected by its declared length, before up to 60 MB are read in vain
-            if name == b"content-length" and int(value) > MAX_BODY:
+            if name == b"content-length" and int(value) > MAX_BODY_BYTES:
                 raise TooLarge("body")
             if name in UNWANTED:
                 raise ValueError(name)
 
     def on_body(self, body: bytes) -> None:
         self.body_size += len(body)
-        if self.body_size > MAX_BODY:
+        if self.body_size > MAX_BODY_BYTES:
             raise TooLarge("body")
         self.body.append(body)
 
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -13,7 +13,7 @@
 
 from ironscale.interface import Outcome, UpstreamState
 from ironscale.net import dialing
-from ironscale.net.client import MAX_BODY, MAX_HEAD, MAX_HEADERS, Headers
+from ironscale.net.client import MAX_BODY_BYTES, MAX_HEAD, MAX_HEADERS, Headers
 from ironscale.net.errors import passes
 from ironscale.net.periodic import Periodic
 from ironscale.net.stream import Stream, Unread, peek
@@ -186,7 +186,7 @@
                 length = value
             elif name == b"transfer-encoding" and value.lower() == b"chunked":
                 chunked = True
-        if length is not None and int(length) > MAX_BODY:
+        if length is not None and int(length) > MAX_BODY_BYTES:
             raise OverflowError("body")  # hazard: 3 GB that are said to come
         if length is None and not chunked and self.answer.status not in BODILESS:
             raise ValueError("no length")  # nobody could tell whether it is whole
@@ -194,7 +194,7 @@
     def on_body(self, body: bytes) -> None:
         if not self.complete:
             self.answer.size += len(body)
-            if self.answer.size > MAX_BODY:
+            if self.answer.size > MAX_BODY_BYTES:
                 raise OverflowError("body")
             self.answer.parts.append(body)
 
