--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -18,7 +18,7 @@
 from ironscale.net.stream import Stream, Unread, peek, since_last_byte_us
 
 MAX_BODY_BYTES = 64 << 10
-MAX_HEAD = 64 << 10
+MAX_HEAD_BYTES = 64 << 10
 MAX_HEADERS = 100
 MOST_UNREAD = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
 LEAST_WAIT_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
@@ -154,7 +154,7 @@
             if self.reading and self.in_head:
                 # counted here as well, because the parser buffers an unterminated line and reports no header
                 self.head_size += len(piece)
-                if self.head_size > MAX_HEAD and not self.final:
+                if self.head_size > MAX_HEAD_BYTES and not self.final:
                     self.reject(413)
         if self.transport is not None and not self.transport.is_closing():
             # reading pauses while requests are queued: pipelining without end would fill the memory
@@ -187,7 +187,7 @@
 
     def on_headers_complete(self) -> None:
         self.in_head = False
-        if len(self.target) + sum(len(name) + len(value) for name, value in self.headers) > MAX_HEAD:
+        if len(self.target) + sum(len(name) + len(value) for name, value in self.headers) > MAX_HEAD_BYTES:
             raise TooLarge("head")
         for name, value in self.headers:
             # rejected by its declared length, before up to 60 MB are read in vain
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -13,7 +13,7 @@
 
 from ironscale.interface import Outcome, UpstreamState
 from ironscale.net import dialing
-from ironscale.net.client import MAX_BODY_BYTES, MAX_HEAD, MAX_HEADERS, Headers
+from ironscale.net.client import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, Headers
 from ironscale.net.errors import passes
 from ironscale.net.periodic import Periodic
 from ironscale.net.stream import Stream, Unread, peek
@@ -157,7 +157,7 @@
             return
         # hazard: the parser keeps a line without end to itself, and no header is seen
         self.head_size += len(data) if self.in_head else 0
-        if spoilt or self.head_size > MAX_HEAD:
+        if spoilt or self.head_size > MAX_HEAD_BYTES:
             self.broken()
 
     def on_message_begin(self) -> None:
