--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -20,7 +20,7 @@
 MAX_BODY_BYTES = 64 << 10
 MAX_HEAD_BYTES = 64 << 10
 MAX_HEADERS = 100
-MOST_UNREAD = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
+MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
 LEAST_WAIT_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
 PIECE = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
@@ -246,7 +246,7 @@
         self.transport.write(b"".join(parts))
         self.answered_us = self.server.now_us()
         self.current = None
-        if self.transport.get_write_buffer_size() > MOST_UNREAD:  # the client pipelines and reads no answers
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client pipelines and reads no answers
             self.lost("answers unread")
             self.transport.abort()
         elif self.waiting:
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -16,7 +16,7 @@
 
 from ironscale.net import server as module
 from ironscale.net import upstream
-from ironscale.net.client import LEFT, MOST_UNREAD, ClientConnection
+from ironscale.net.client import LEFT, MAX_UNREAD_ANSWER_BYTES, ClientConnection
 from ironscale.net.upstream import Pool
 from ironscale.standins.http import ok, read_message
 from ironscale.standins.upstream import Peer, hang, reply
@@ -216,7 +216,7 @@
             with contextlib.suppress(OSError):
                 client.send(scene.request())
             await asyncio.sleep(0.001)
-        assert connection.transport is None and most <= MOST_UNREAD
+        assert connection.transport is None and most <= MAX_UNREAD_ANSWER_BYTES
         assert (await scene.call()).status == 200
         await settled(scene, peer)
         client.close()
