--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -21,7 +21,7 @@
 MAX_HEAD_BYTES = 64 << 10
 MAX_HEADERS = 100
 MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
-LEAST_WAIT_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
+MIN_READ_DELAY_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
 PIECE = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
 LOOKS = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
@@ -209,7 +209,7 @@
             return
         # the request may have waited in the socket buffer while the process was stalled or its reads failed
         waited_us = since_last_byte_us(self.sock)
-        arrived_us = self.server.now_us() - (waited_us if waited_us >= LEAST_WAIT_US else 0)
+        arrived_us = self.server.now_us() - (waited_us if waited_us >= MIN_READ_DELAY_US else 0)
         exchange = Exchange(self, self.parser.get_method(), self.target, self.headers, b"".join(self.body),
                             self.parser.should_keep_alive(), arrived_us)
         if self.current is None and not self.waiting:
