--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -22,7 +22,7 @@
 MAX_HEADERS = 100
 MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
 MIN_READ_DELAY_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
-PIECE = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
+PARSE_CHUNK_BYTES = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
 LOOKS = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
 LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
@@ -143,7 +143,7 @@
 
     def parse(self) -> None:
         while self.unparsed and not self.waiting and not self.final:
-            piece, self.unparsed = self.unparsed[:PIECE], self.unparsed[PIECE:]
+            piece, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
             try:
                 assert self.parser is not None
                 self.parser.feed_data(piece)
