--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -23,7 +23,7 @@
 MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
 MIN_READ_DELAY_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
 PARSE_CHUNK_BYTES = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
-UNREAD_ANSWER_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
+UNREAD_ANSWER_TIMEOUT_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
 LOOKS = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
 LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
@@ -312,7 +312,7 @@
         if self.transport.is_closing():
             # an answer may still be on its way out; but a client that never reads it must not hold the descriptor
             unsent = self.transport.get_write_buffer_size() > 0
-            if not unsent or self.server.now_us() - self.answered_us >= UNREAD_ANSWER_S * 1e6:
+            if not unsent or self.server.now_us() - self.answered_us >= UNREAD_ANSWER_TIMEOUT_S * 1e6:
                 self.transport.abort()
         elif self.reading:
             self.reject(408)
