--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -24,7 +24,7 @@
 MIN_READ_DELAY_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
 PARSE_CHUNK_BYTES = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_TIMEOUT_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
-LOOKS = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
+END_POLL_TRIES = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
 LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
 REASONS = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
@@ -292,7 +292,7 @@
             self.ends = select.poll()
             self.ends.register(self.sock, LEFT)
         # a poll that a signal interrupts reports nothing, hence the repetition
-        return any(events & LEFT for _ in range(LOOKS) for _, events in self.ends.poll(0))
+        return any(events & LEFT for _ in range(END_POLL_TRIES) for _, events in self.ends.poll(0))
 
     def leave(self) -> None:
         """Cancels the open requests and closes: the client has closed its side."""
