--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -25,7 +25,7 @@
 PARSE_CHUNK_BYTES = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_TIMEOUT_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
 END_POLL_TRIES = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
-LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
 REASONS = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
            502: b"Bad Gateway", 503: b"Service Unavailable"}
@@ -290,9 +290,9 @@
         """Whether the client's end follows the unread bytes."""
         if self.ends is None:
             self.ends = select.poll()
-            self.ends.register(self.sock, LEFT)
+            self.ends.register(self.sock, END_EVENTS)
         # a poll that a signal interrupts reports nothing, hence the repetition
-        return any(events & LEFT for _ in range(END_POLL_TRIES) for _, events in self.ends.poll(0))
+        return any(events & END_EVENTS for _ in range(END_POLL_TRIES) for _, events in self.ends.poll(0))
 
     def leave(self) -> None:
         """Cancels the open requests and closes: the client has closed its side."""
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from ironscale import logs
-from ironscale.net.client import LEFT, Application, ClientConnection
+from ironscale.net.client import END_EVENTS, Application, ClientConnection
 from ironscale.net.closing import BACKLOG, ListenerShutdown
 from ironscale.net.errors import Severity, severity
 from ironscale.net.lifecycle import Event, Ledger
@@ -193,7 +193,7 @@
         """The connection's reading has been paused: from now on its end is polled for here."""
         if connection.descriptor not in self.paused:
             self.paused[connection.descriptor] = connection
-            self.ends.register(connection.descriptor, LEFT)
+            self.ends.register(connection.descriptor, END_EVENTS)
             if self.looker is None:
                 self.looker = Periodic(LOOK_S, self.look)
 
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -16,7 +16,7 @@
 
 from ironscale.net import server as module
 from ironscale.net import upstream
-from ironscale.net.client import LEFT, MAX_UNREAD_ANSWER_BYTES, ClientConnection
+from ironscale.net.client import END_EVENTS, MAX_UNREAD_ANSWER_BYTES, ClientConnection
 from ironscale.net.upstream import Pool
 from ironscale.standins.http import ok, read_message
 from ironscale.standins.upstream import Peer, hang, reply
@@ -49,7 +49,7 @@
         with contextlib.suppress(OSError):
             if one.sock.fileno() >= 0 and one.sock.getpeername() == client:
                 ends = select.poll()
-                ends.register(one.sock, LEFT)
+                ends.register(one.sock, END_EVENTS)
                 assert ends.poll(10_000)
 
 
