--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -27,7 +27,7 @@
 END_POLL_TRIES = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
 END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
-REASONS = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
+REASON_PHRASES = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
            502: b"Bad Gateway", 503: b"Service Unavailable"}
 # Headers that concern a single connection or the message framing, and so are not forwarded.
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
@@ -236,7 +236,7 @@
             return
         if not exchange.keep_alive or self.server.wants_close(self):
             self.final = True
-        parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Unknown"))]
+        parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
         parts += [b"%s: %s\r\n" % header for header in headers]
         parts.append(b"Content-Length: %d\r\n" % len(body))
         if self.final and not self.waiting:
