--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -34,7 +34,7 @@
                         b"transfer-encoding", b"upgrade", b"content-length", b"expect"))
 # Requests with these headers are rejected. Some servers read the first two as the framing headers that they resemble,
 # and after `Upgrade` the parser takes the body for another protocol and drops it.
-UNWANTED = frozenset((b"transfer_encoding", b"content_length", b"upgrade"))
+REJECTED_HEADERS = frozenset((b"transfer_encoding", b"content_length", b"upgrade"))
 Headers = list[tuple[bytes, bytes]]
 
 
@@ -193,7 +193,7 @@
             # rejected by its declared length, before up to 60 MB are read in vain
             if name == b"content-length" and int(value) > MAX_BODY_BYTES:
                 raise TooLarge("body")
-            if name in UNWANTED:
+            if name in REJECTED_HEADERS:
                 raise ValueError(name)
 
     def on_body(self, body: bytes) -> None:
