--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -59,14 +59,14 @@
         self.arrived_us = arrived_us
         self.lifecycle = Lifecycle(connection.server.ledger)
         self.has_left = connection.has_left
-        self.fields: dict[bytes, bytes] = {}
+        self.header_values: dict[bytes, bytes] = {}
         for name, value in headers:
             # a repeated header reads as empty, since it is ambiguous which value counts
-            self.fields[name] = value if name not in self.fields else b""
+            self.header_values[name] = value if name not in self.header_values else b""
 
     def header(self, name: bytes) -> str:
         """The header's value, by its lower-case name; empty if it is missing or repeated."""
-        return self.fields.get(name, b"").decode("latin-1")
+        return self.header_values.get(name, b"").decode("latin-1")
 
     def answer(self, status: int, headers: Iterable[tuple[bytes, bytes]] = (), body: bytes = b"") -> None:
         """Sends the answer; ignored if the request has been answered or cancelled already."""
