--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -58,7 +58,7 @@
         self.keep_alive = keep_alive
         self.arrived_us = arrived_us
         self.lifecycle = Lifecycle(connection.server.ledger)
-        self.has_left = connection.has_left
+        self.has_left = connection.client_has_left
         self.header_values: dict[bytes, bytes] = {}
         for name, value in headers:
             # a repeated header reads as empty, since it is ambiguous which value counts
@@ -274,7 +274,7 @@
         request, and closing the socket would reset it."""
         return peek(self.sock) is Unread.BYTES
 
-    def has_left(self) -> bool:
+    def client_has_left(self) -> bool:
         """Whether the client has closed its side; if so, its requests are cancelled. Asks the socket, because the event
         loop may not have read the end yet (never while reading is paused), and a request would be sent for nobody."""
         if self.transport is None:
