--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -120,7 +120,7 @@
         self.transport: Stream | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.current: Exchange | None = None
-        self.waiting: deque[Exchange] = deque()  # pipelined: received before the current request was answered
+        self.pipelined: deque[Exchange] = deque()  # pipelined: received before the current request was answered
         self.unparsed = b""
         self.is_new = True  # nothing has been read from it
         self.reading = False  # a request has been received in part
@@ -142,7 +142,7 @@
         self.parse()
 
     def parse(self) -> None:
-        while self.unparsed and not self.waiting and not self.final:
+        while self.unparsed and not self.pipelined and not self.final:
             piece, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
             try:
                 assert self.parser is not None
@@ -158,7 +158,7 @@
                     self.reject(413)
         if self.transport is not None and not self.transport.is_closing():
             # reading pauses while requests are queued: pipelining without end would fill the memory
-            self.paused = bool(self.waiting) or self.final
+            self.paused = bool(self.pipelined) or self.final
             if self.paused:
                 self.transport.pause_reading()
                 self.server.watch(self)
@@ -212,10 +212,10 @@
         arrived_us = self.server.now_us() - (waited_us if waited_us >= MIN_READ_DELAY_US else 0)
         exchange = Exchange(self, self.parser.get_method(), self.target, self.headers, b"".join(self.body),
                             self.parser.should_keep_alive(), arrived_us)
-        if self.current is None and not self.waiting:
+        if self.current is None and not self.pipelined:
             self.begin(exchange)
         else:
-            self.waiting.append(exchange)
+            self.pipelined.append(exchange)
 
     def begin(self, exchange: Exchange) -> None:
         self.current = exchange
@@ -239,7 +239,7 @@
         parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
         parts += [b"%s: %s\r\n" % header for header in headers]
         parts.append(b"Content-Length: %d\r\n" % len(body))
-        if self.final and not self.waiting:
+        if self.final and not self.pipelined:
             parts.append(b"Connection: close\r\n")
         parts.append(b"\r\n")
         parts.append(body)
@@ -249,7 +249,7 @@
         if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client pipelines and reads no answers
             self.lost("answers unread")
             self.transport.abort()
-        elif self.waiting:
+        elif self.pipelined:
             asyncio.get_running_loop().call_soon(self.next)
         elif self.final:
             self.transport.close()
@@ -257,15 +257,15 @@
 
     def next(self) -> None:
         """Begins the next pipelined request, and parses on."""
-        if self.current is None and self.waiting and self.transport is not None:
-            self.begin(self.waiting.popleft())
+        if self.current is None and self.pipelined and self.transport is not None:
+            self.begin(self.pipelined.popleft())
             self.parse()
 
     def reject(self, status: int) -> None:
         """Ends the connection over a malformed or incomplete request; complete ones before it are still answered."""
         self.final = True
         self.unparsed = b""
-        if self.current is None and not self.waiting:
+        if self.current is None and not self.pipelined:
             self.current = Exchange(self, b"", b"", [], b"", False, 0)
             self.current.answer(status)
 
@@ -326,7 +326,7 @@
         return self.final or self.reading or not self.has_unread()
 
     def is_busy(self) -> bool:
-        return self.current is not None or bool(self.waiting)
+        return self.current is not None or bool(self.pipelined)
 
     def eof_received(self) -> None:
         self.lost("client left")
@@ -344,9 +344,9 @@
         self.final = True
         self.unparsed = b""
         exchange, self.current = self.current, None
-        for one in [*self.waiting, *([exchange] if exchange is not None else [])]:
+        for one in [*self.pipelined, *([exchange] if exchange is not None else [])]:
             if is_ours:
                 one.lifecycle.connection_closed(reason)
-        self.waiting.clear()
+        self.pipelined.clear()
         if exchange is not None and exchange.lifecycle.cancel(reason):
             self.server.application.on_client_gone(exchange)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -357,7 +357,7 @@
             writer.write(scene.request(remaining="300m"))
         await until(lambda: connection.unparsed)
         await asyncio.sleep(0.35)
-        assert len(connection.waiting) <= client.PARSE_CHUNK_BYTES // 100
+        assert len(connection.pipelined) <= client.PARSE_CHUNK_BYTES // 100
         assert len(connection.unparsed) <= 512 << 10
         peer.behave = reply(ok())
         peer.answer_held(ok())
