--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -123,7 +123,7 @@
         self.pipelined: deque[Exchange] = deque()  # pipelined: received before the current request was answered
         self.unparsed = b""
         self.is_new = True  # nothing has been read from it
-        self.reading = False  # a request has been received in part
+        self.has_partial_request = False  # a request has been received in part
         self.asked = False  # has carried a request other than a readiness probe
         self.final = False  # no more requests are read; the connection closes once the open ones are answered
         self.paused = False  # reading is paused, so the event loop does not report the client's end
@@ -151,7 +151,7 @@
                 self.reject(400)
             except httptools.HttpParserError as error:
                 self.reject(413 if isinstance(error.__context__, TooLarge) else 400)
-            if self.reading and self.in_head:
+            if self.has_partial_request and self.in_head:
                 # counted here as well, because the parser buffers an unterminated line and reports no header
                 self.head_size += len(piece)
                 if self.head_size > MAX_HEAD_BYTES and not self.final:
@@ -168,7 +168,7 @@
         self.server.settle(self)
 
     def on_message_begin(self) -> None:
-        self.reading = True
+        self.has_partial_request = True
         self.in_head = True
         self.target = b""
         self.headers: Headers = []
@@ -204,7 +204,7 @@
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
-        self.reading = False
+        self.has_partial_request = False
         if self.final:  # pipelined behind a request that ends the connection
             return
         # the request may have waited in the socket buffer while the process was stalled or its reads failed
@@ -314,7 +314,7 @@
             unsent = self.transport.get_write_buffer_size() > 0
             if not unsent or self.server.now_us() - self.answered_us >= UNREAD_ANSWER_TIMEOUT_S * 1e6:
                 self.transport.abort()
-        elif self.reading:
+        elif self.has_partial_request:
             self.reject(408)
         else:
             self.transport.close()
@@ -323,7 +323,7 @@
         """Whether it may be closed at once to make room: no answer is still being sent, and no unread bytes wait."""
         if self.transport is None or self.transport.get_write_buffer_size():
             return False
-        return self.final or self.reading or not self.has_unread()
+        return self.final or self.has_partial_request or not self.has_unread()
 
     def is_busy(self) -> bool:
         return self.current is not None or bool(self.pipelined)
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -153,7 +153,7 @@
             self.silent.pop(connection, None)
             self.idle.pop(connection, None)
             return
-        silent = connection.reading or connection.final or not connection.asked
+        silent = connection.has_partial_request or connection.final or not connection.asked
         here, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
         there.pop(connection, None)
         if connection not in here and connection in self.connections:
@@ -226,7 +226,7 @@
         least_s = LEAST_SILENCE_S
         if connection.is_new:
             least_s = FIRST_BYTE_S if connection.since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
-        return (not connection.asked and not connection.reading
+        return (not connection.asked and not connection.has_partial_request
                 and self.now_us() - connection.since_us >= least_s * 1e6)
 
     def close_listener(self) -> bool:
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -253,7 +253,7 @@
     async def test() -> None:
         async with served(asked=False) as (own, client):
             client.send(REQUEST[:10])
-            await until(lambda: all(one.reading for one in own.connections))
+            await until(lambda: all(one.has_partial_request for one in own.connections))
             for one in own.connections:
                 one.since_us -= 60_000_000
             client.send(REQUEST[10:])  # from within one step of the loop
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -43,7 +43,7 @@
     found["waits"] = await ask(scene.port, scene.request("pay", remaining="60000m"))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
     found["half"] = await ask(scene.port, b"GET / HTTP/1.1\r\n")
-    await until(lambda: any(one.reading for one in scene.sidecar.server.connections))
+    await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
     return found
 
 
@@ -98,7 +98,7 @@
         scene = await Scene().start(peer.entry("s-1"))
         request = scene.request("pay", remaining="60000m")
         client = connect(scene, request[:10])  # it has begun, and so is not closed as idle
-        await until(lambda: any(one.reading for one in scene.sidecar.server.connections))
+        await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
         ended = asyncio.get_running_loop().create_future()
         real = scene.sidecar.answer_all
 
@@ -106,14 +106,14 @@
             real()
             client.send(request[10:])  # read in the next turn, after the last answers
             for one in scene.sidecar.server.connections:
-                one.reading = False  # its bytes lie unread: no close may come between
+                one.has_partial_request = False  # its bytes lie unread: no close may come between
             ended.set_result(None)
 
         monkeypatch.setattr(scene.sidecar, "answer_all", at_end)
         ending = asyncio.create_task(scene.sidecar.stop())
         await ended
         for one in scene.sidecar.server.connections:
-            one.reading = True
+            one.has_partial_request = True
         reader, writer = await asyncio.open_connection(sock=client)
         assert (await read_message(reader)).status == 503 and not peer.got
         writer.close()
