--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -124,7 +124,7 @@
         self.unparsed = b""
         self.is_new = True  # nothing has been read from it
         self.has_partial_request = False  # a request has been received in part
-        self.asked = False  # has carried a request other than a readiness probe
+        self.has_had_request = False  # has carried a request other than a readiness probe
         self.final = False  # no more requests are read; the connection closes once the open ones are answered
         self.paused = False  # reading is paused, so the event loop does not report the client's end
         self.ends: select.poll | None = None
@@ -223,7 +223,7 @@
         if exchange.target.partition(b"?")[0] == READY_PATH:
             exchange.answer(200 if self.server.application.is_ready() else 503)
             return
-        self.asked = True
+        self.has_had_request = True
         try:
             self.server.application.on_request(exchange)
         except Exception:  # the parser would take it for a parse error, and the request would stay unanswered
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -153,7 +153,7 @@
             self.silent.pop(connection, None)
             self.idle.pop(connection, None)
             return
-        silent = connection.has_partial_request or connection.final or not connection.asked
+        silent = connection.has_partial_request or connection.final or not connection.has_had_request
         here, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
         there.pop(connection, None)
         if connection not in here and connection in self.connections:
@@ -169,7 +169,7 @@
 
     def wants_close(self, connection: ClientConnection) -> bool:
         # clients that send one request and stay connected use up their descriptors and ours
-        crowded = self.has_many_idle() if connection.asked else len(self.connections) > MANY * self.most
+        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > MANY * self.most
         return self.stopping or crowded
 
     def has_many_idle(self) -> bool:
@@ -217,7 +217,7 @@
         sends it again on a new connection."""
         for connection in [*self.idle, *filter(self.rests_unasked, self.silent)]:
             if not connection.final:
-                connection.close("shutdown, idle" if connection.asked else "shutdown, silent")
+                connection.close("shutdown, idle" if connection.has_had_request else "shutdown, silent")
                 self.settle(connection)
 
     def rests_unasked(self, connection: ClientConnection) -> bool:
@@ -226,7 +226,7 @@
         least_s = LEAST_SILENCE_S
         if connection.is_new:
             least_s = FIRST_BYTE_S if connection.since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
-        return (not connection.asked and not connection.has_partial_request
+        return (not connection.has_had_request and not connection.has_partial_request
                 and self.now_us() - connection.since_us >= least_s * 1e6)
 
     def close_listener(self) -> bool:
