--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -125,7 +125,7 @@
         self.is_new = True  # nothing has been read from it
         self.has_partial_request = False  # a request has been received in part
         self.has_had_request = False  # has carried a request other than a readiness probe
-        self.final = False  # no more requests are read; the connection closes once the open ones are answered
+        self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
         self.paused = False  # reading is paused, so the event loop does not report the client's end
         self.ends: select.poll | None = None
         self.since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
@@ -142,7 +142,7 @@
         self.parse()
 
     def parse(self) -> None:
-        while self.unparsed and not self.pipelined and not self.final:
+        while self.unparsed and not self.pipelined and not self.finishing:
             piece, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
             try:
                 assert self.parser is not None
@@ -154,11 +154,11 @@
             if self.has_partial_request and self.in_head:
                 # counted here as well, because the parser buffers an unterminated line and reports no header
                 self.head_size += len(piece)
-                if self.head_size > MAX_HEAD_BYTES and not self.final:
+                if self.head_size > MAX_HEAD_BYTES and not self.finishing:
                     self.reject(413)
         if self.transport is not None and not self.transport.is_closing():
             # reading pauses while requests are queued: pipelining without end would fill the memory
-            self.paused = bool(self.pipelined) or self.final
+            self.paused = bool(self.pipelined) or self.finishing
             if self.paused:
                 self.transport.pause_reading()
                 self.server.watch(self)
@@ -205,7 +205,7 @@
     def on_message_complete(self) -> None:
         assert self.parser is not None
         self.has_partial_request = False
-        if self.final:  # pipelined behind a request that ends the connection
+        if self.finishing:  # pipelined behind a request that ends the connection
             return
         # the request may have waited in the socket buffer while the process was stalled or its reads failed
         waited_us = since_last_byte_us(self.sock)
@@ -235,11 +235,11 @@
         if self.transport is None:
             return
         if not exchange.keep_alive or self.server.wants_close(self):
-            self.final = True
+            self.finishing = True
         parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
         parts += [b"%s: %s\r\n" % header for header in headers]
         parts.append(b"Content-Length: %d\r\n" % len(body))
-        if self.final and not self.pipelined:
+        if self.finishing and not self.pipelined:
             parts.append(b"Connection: close\r\n")
         parts.append(b"\r\n")
         parts.append(body)
@@ -251,7 +251,7 @@
             self.transport.abort()
         elif self.pipelined:
             asyncio.get_running_loop().call_soon(self.next)
-        elif self.final:
+        elif self.finishing:
             self.transport.close()
         self.server.settle(self)
 
@@ -263,7 +263,7 @@
 
     def reject(self, status: int) -> None:
         """Ends the connection over a malformed or incomplete request; complete ones before it are still answered."""
-        self.final = True
+        self.finishing = True
         self.unparsed = b""
         if self.current is None and not self.pipelined:
             self.current = Exchange(self, b"", b"", [], b"", False, 0)
@@ -303,9 +303,9 @@
     def close(self, reason: str) -> None:
         """Closes a connection without an open request. A request received in part gets status 408. With unread bytes
         the connection stays open: a close would reset it, and the bytes may complete the request."""
-        if not self.final and (self.transport is None or self.has_unread()):
+        if not self.finishing and (self.transport is None or self.has_unread()):
             return
-        self.final = True
+        self.finishing = True
         if self.transport is None:
             return
         self.server.ledger.note(Event.CLOSED, reason)
@@ -323,7 +323,7 @@
         """Whether it may be closed at once to make room: no answer is still being sent, and no unread bytes wait."""
         if self.transport is None or self.transport.get_write_buffer_size():
             return False
-        return self.final or self.has_partial_request or not self.has_unread()
+        return self.finishing or self.has_partial_request or not self.has_unread()
 
     def is_busy(self) -> bool:
         return self.current is not None or bool(self.pipelined)
@@ -341,7 +341,7 @@
     def lost(self, reason: str, is_ours: bool = False) -> None:
         """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
         violation."""
-        self.final = True
+        self.finishing = True
         self.unparsed = b""
         exchange, self.current = self.current, None
         for one in [*self.pipelined, *([exchange] if exchange is not None else [])]:
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -153,7 +153,7 @@
             self.silent.pop(connection, None)
             self.idle.pop(connection, None)
             return
-        silent = connection.has_partial_request or connection.final or not connection.has_had_request
+        silent = connection.has_partial_request or connection.finishing or not connection.has_had_request
         here, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
         there.pop(connection, None)
         if connection not in here and connection in self.connections:
@@ -216,7 +216,7 @@
         """Closes connections without an open request, as the process ends; a client whose request crosses the close
         sends it again on a new connection."""
         for connection in [*self.idle, *filter(self.rests_unasked, self.silent)]:
-            if not connection.final:
+            if not connection.finishing:
                 connection.close("shutdown, idle" if connection.has_had_request else "shutdown, silent")
                 self.settle(connection)
 
@@ -293,7 +293,7 @@
         self.drop_listener()
         while self.connections and self.now_us() - start_us < (end_s + LAST_S) * 1e6:
             for connection in list(self.connections):
-                if not connection.is_busy() and not (connection.final and connection.transport is not None):
+                if not connection.is_busy() and not (connection.finishing and connection.transport is not None):
                     connection.close("shutdown")
             await asyncio.sleep(0.005)
         for connection in self.connections:
