--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -126,7 +126,7 @@
         self.has_partial_request = False  # a request has been received in part
         self.has_had_request = False  # has carried a request other than a readiness probe
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
-        self.paused = False  # reading is paused, so the event loop does not report the client's end
+        self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
         self.ends: select.poll | None = None
         self.since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
 
@@ -158,8 +158,8 @@
                     self.reject(413)
         if self.transport is not None and not self.transport.is_closing():
             # reading pauses while requests are queued: pipelining without end would fill the memory
-            self.paused = bool(self.pipelined) or self.finishing
-            if self.paused:
+            self.reading_paused = bool(self.pipelined) or self.finishing
+            if self.reading_paused:
                 self.transport.pause_reading()
                 self.server.watch(self)
             else:
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -119,7 +119,7 @@
     async def test() -> None:
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(), scene.request())
-        await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).paused)
+        await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
         address = client.getsockname()
         leave(client)
         arrived(scene, address)
@@ -165,7 +165,7 @@
         monkeypatch.setattr(Pool, "connect", late)
         client = connect(scene, scene.request("pay"), *([scene.request()] if paused else []))
         await until(lambda: scene.sidecar.upstreams.tasks)
-        await until(lambda: connection_of(scene, client).paused is paused)
+        await until(lambda: connection_of(scene, client).reading_paused is paused)
         connection_of(scene, client).transport.pause_reading()  # type: ignore[union-attr]  # the end stays unread
         address = client.getsockname()
         leave(client)
@@ -183,7 +183,7 @@
     async def test() -> None:
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(), scene.request(), scene.request())
-        await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).paused)
+        await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
         scene.sidecar.server.look()
         reader, writer = await asyncio.open_connection(sock=client)
         answered = 0
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -75,7 +75,7 @@
     scene, peer, first = await crowded()
     client = connect(scene, scene.request(), *ahead(scene))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
-    await until(lambda: connection_of(scene, client).paused is (ahead in PAUSED))
+    await until(lambda: connection_of(scene, client).reading_paused is (ahead in PAUSED))
     return scene, peer, first, client
 
 
@@ -167,7 +167,7 @@
         scene = site.scene
         client = connect(scene, scene.request(), *ahead(scene))
         await until(lambda: site.dials if dialling else site.sent())
-        await until(lambda: connection_of(scene, client).paused is (ahead in PAUSED))
+        await until(lambda: connection_of(scene, client).reading_paused is (ahead in PAUSED))
         before = 0 if dialling else 1
         if leave is None:
             cause(site)
