--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -127,7 +127,7 @@
         self.has_had_request = False  # has carried a request other than a readiness probe
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
         self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
-        self.ends: select.poll | None = None
+        self.end_poll: select.poll | None = None
         self.since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
 
     def open(self) -> None:
@@ -288,11 +288,11 @@
 
     def has_left_behind_bytes(self) -> bool:
         """Whether the client's end follows the unread bytes."""
-        if self.ends is None:
-            self.ends = select.poll()
-            self.ends.register(self.sock, END_EVENTS)
+        if self.end_poll is None:
+            self.end_poll = select.poll()
+            self.end_poll.register(self.sock, END_EVENTS)
         # a poll that a signal interrupts reports nothing, hence the repetition
-        return any(events & END_EVENTS for _ in range(END_POLL_TRIES) for _, events in self.ends.poll(0))
+        return any(events & END_EVENTS for _ in range(END_POLL_TRIES) for _, events in self.end_poll.poll(0))
 
     def leave(self) -> None:
         """Cancels the open requests and closes: the client has closed its side."""
