--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -128,7 +128,7 @@
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
         self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
         self.end_poll: select.poll | None = None
-        self.since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
+        self.quiet_since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -138,7 +138,7 @@
         now_us = self.now_us()
         for connections, least_s in ((self.silent, LEAST_SILENCE_S), (self.idle, LEAST_IDLE_S)):
             for oldest in islice(connections, LOOKED_AT):
-                if now_us - oldest.since_us < least_s * 1e6:
+                if now_us - oldest.quiet_since_us < least_s * 1e6:
                     break
                 if oldest.transport is not None and oldest.can_be_cut():
                     self.ledger.note(Event.CLOSED, "room")
@@ -157,7 +157,7 @@
         here, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
         there.pop(connection, None)
         if connection not in here and connection in self.connections:
-            connection.since_us = self.now_us()
+            connection.quiet_since_us = self.now_us()
             here[connection] = None
 
     def lost(self, connection: ClientConnection) -> None:
@@ -182,7 +182,7 @@
         longest_s = LEAST_IDLE_S if self.has_many_idle() else LONGEST_IDLE_S
         for connections, most_s, reason in ((self.silent, SILENCE_S, "silent"), (self.idle, longest_s, "idle")):
             for connection in list(connections):
-                if now_us - connection.since_us < most_s * 1e6:
+                if now_us - connection.quiet_since_us < most_s * 1e6:
                     break
                 del connections[connection]
                 connection.close(reason)
@@ -225,9 +225,9 @@
         may still be under way."""
         least_s = LEAST_SILENCE_S
         if connection.is_new:
-            least_s = FIRST_BYTE_S if connection.since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
+            least_s = FIRST_BYTE_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
         return (not connection.has_had_request and not connection.has_partial_request
-                and self.now_us() - connection.since_us >= least_s * 1e6)
+                and self.now_us() - connection.quiet_since_us >= least_s * 1e6)
 
     def close_listener(self) -> bool:
         """Takes a step to close the listener; to be called until it returns True. The listener stays open while a
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -255,7 +255,7 @@
             client.send(REQUEST[:10])
             await until(lambda: all(one.has_partial_request for one in own.connections))
             for one in own.connections:
-                one.since_us -= 60_000_000
+                one.quiet_since_us -= 60_000_000
             client.send(REQUEST[10:])  # from within one step of the loop
             await closing(own)
             reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -56,7 +56,7 @@
     async def test() -> None:
         async with leaving(close) as (server, client):
             for connection in server.connections:
-                connection.since_us -= 60_000_000
+                connection.quiet_since_us -= 60_000_000
             closing(server)
             closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
@@ -71,7 +71,7 @@
         async with leaving(True) as (server, client):
             connection, = server.connections
             connection.answered_us -= int(UNREAD_ANSWER_TIMEOUT_S * 1e6)
-            connection.since_us -= 60_000_000
+            connection.quiet_since_us -= 60_000_000
             server.sweep()
             await until(lambda: not server.connections)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -50,7 +50,7 @@
     await until(lambda: len(server.idle) + len(server.silent) == 1 and all(
         one.transport is not None for one in server.connections))
     for one in server.connections:
-        one.since_us -= 60_000_000
+        one.quiet_since_us -= 60_000_000
     return client
 
 
