--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -128,7 +128,7 @@
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
         self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
         self.end_poll: select.poll | None = None
-        self.quiet_since_us = self.answered_us = server.now_us()  # when it became silent or idle; when it last answered
+        self.quiet_since_us = self.last_answer_us = server.now_us()  # when it became silent or idle; when it last answered
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
@@ -244,7 +244,7 @@
         parts.append(b"\r\n")
         parts.append(body)
         self.transport.write(b"".join(parts))
-        self.answered_us = self.server.now_us()
+        self.last_answer_us = self.server.now_us()
         self.current = None
         if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client pipelines and reads no answers
             self.lost("answers unread")
@@ -312,7 +312,7 @@
         if self.transport.is_closing():
             # an answer may still be on its way out; but a client that never reads it must not hold the descriptor
             unsent = self.transport.get_write_buffer_size() > 0
-            if not unsent or self.server.now_us() - self.answered_us >= UNREAD_ANSWER_TIMEOUT_S * 1e6:
+            if not unsent or self.server.now_us() - self.last_answer_us >= UNREAD_ANSWER_TIMEOUT_S * 1e6:
                 self.transport.abort()
         elif self.has_partial_request:
             self.reject(408)
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -70,7 +70,7 @@
     async def test() -> None:
         async with leaving(True) as (server, client):
             connection, = server.connections
-            connection.answered_us -= int(UNREAD_ANSWER_TIMEOUT_S * 1e6)
+            connection.last_answer_us -= int(UNREAD_ANSWER_TIMEOUT_S * 1e6)
             connection.quiet_since_us -= 60_000_000
             server.sweep()
             await until(lambda: not server.connections)
