--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -281,12 +281,12 @@
             return True
         if not self.transport.is_closing():  # once it closes no answer can be written: the client counts as gone
             unread = peek(self.sock)
-            if unread is Unread.NOTHING or (unread is Unread.BYTES and not self.has_left_behind_bytes()):
+            if unread is Unread.NOTHING or (unread is Unread.BYTES and not self.client_has_left_behind_bytes()):
                 return False
         self.leave()
         return True
 
-    def has_left_behind_bytes(self) -> bool:
+    def client_has_left_behind_bytes(self) -> bool:
         """Whether the client's end follows the unread bytes."""
         if self.end_poll is None:
             self.end_poll = select.poll()
