--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -207,7 +207,7 @@
         for descriptor, _ in self.ends.poll(0):
             connection = self.paused[descriptor]
             self.unwatch(connection)
-            connection.leave()
+            connection.client_left()
         if not self.paused and self.looker is not None:
             self.looker.cancel()
             self.looker = None
