--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -250,12 +250,12 @@
             self.lost("answers unread")
             self.transport.abort()
         elif self.pipelined:
-            asyncio.get_running_loop().call_soon(self.next)
+            asyncio.get_running_loop().call_soon(self.begin_next)
         elif self.finishing:
             self.transport.close()
         self.server.settle(self)
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Begins the next pipelined request, and parses on."""
         if self.current is None and self.pipelined and self.transport is not None:
             self.begin(self.pipelined.popleft())
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -238,7 +238,7 @@
         answers(scene)
         assert connection.transport is not None
         connection.transport.abort()
-        connection.next()
+        connection.begin_next()
         await settled(scene, peer)
         assert len(peer.got) == 1
         client.close()
