--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -247,7 +247,7 @@
         self.last_answer_us = self.server.now_us()
         self.current = None
         if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client pipelines and reads no answers
-            self.lost("answers unread")
+            self.cancel_requests("answers unread")
             self.transport.abort()
         elif self.pipelined:
             asyncio.get_running_loop().call_soon(self.begin_next)
@@ -296,7 +296,7 @@
 
     def client_left(self) -> None:
         """Cancels the open requests and closes: the client has closed its side."""
-        self.lost("client left")
+        self.cancel_requests("client left")
         if self.transport is not None:
             self.transport.close()
 
@@ -329,16 +329,16 @@
         return self.current is not None or bool(self.pipelined)
 
     def eof_received(self) -> None:
-        self.lost("client left")
+        self.cancel_requests("client left")
 
     def connection_lost(self, exc: Exception | None) -> None:
         is_peers = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
-        self.lost(f"connection ended: {exc}" if exc is not None else "client left", is_ours=not is_peers)
+        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", is_ours=not is_peers)
         self.transport = None
         self.parser = None  # breaks the reference cycle, which only the garbage collector would free
         self.server.lost(self)
 
-    def lost(self, reason: str, is_ours: bool = False) -> None:
+    def cancel_requests(self, reason: str, is_ours: bool = False) -> None:
         """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
         violation."""
         self.finishing = True
