--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -333,19 +333,19 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         is_peers = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
-        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", is_ours=not is_peers)
+        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", own_failure=not is_peers)
         self.transport = None
         self.parser = None  # breaks the reference cycle, which only the garbage collector would free
         self.server.lost(self)
 
-    def cancel_requests(self, reason: str, is_ours: bool = False) -> None:
+    def cancel_requests(self, reason: str, own_failure: bool = False) -> None:
         """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
         violation."""
         self.finishing = True
         self.unparsed = b""
         exchange, self.current = self.current, None
         for one in [*self.pipelined, *([exchange] if exchange is not None else [])]:
-            if is_ours:
+            if own_failure:
                 one.lifecycle.connection_closed(reason)
         self.pipelined.clear()
         if exchange is not None and exchange.lifecycle.cancel(reason):
