--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -332,8 +332,8 @@
         self.cancel_requests("client left")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        is_peers = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
-        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", own_failure=not is_peers)
+        ended_by_peer = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
+        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", own_failure=not ended_by_peer)
         self.transport = None
         self.parser = None  # breaks the reference cycle, which only the garbage collector would free
         self.server.lost(self)
