--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -319,7 +319,7 @@
         else:
             self.transport.close()
 
-    def can_be_cut(self) -> bool:
+    def can_close_now(self) -> bool:
         """Whether it may be closed at once to make room: no answer is still being sent, and no unread bytes wait."""
         if self.transport is None or self.transport.get_write_buffer_size():
             return False
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -140,7 +140,7 @@
             for oldest in islice(connections, LOOKED_AT):
                 if now_us - oldest.quiet_since_us < least_s * 1e6:
                     break
-                if oldest.transport is not None and oldest.can_be_cut():
+                if oldest.transport is not None and oldest.can_close_now():
                     self.ledger.note(Event.CLOSED, "room")
                     oldest.transport.abort()
                     self.lost(oldest)
