--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -97,7 +97,7 @@
     def wants_close(self, connection: ClientConnection) -> bool:
         """Whether the connection should be closed after its next answer."""
 
-    def settle(self, connection: ClientConnection) -> None:
+    def reclassify(self, connection: ClientConnection) -> None:
         """Called whenever the connection may have become busy, idle or silent."""
 
     def watch(self, connection: ClientConnection) -> None:
@@ -165,7 +165,7 @@
             else:
                 self.transport.resume_reading()
                 self.server.unwatch(self)
-        self.server.settle(self)
+        self.server.reclassify(self)
 
     def on_message_begin(self) -> None:
         self.has_partial_request = True
@@ -219,7 +219,7 @@
 
     def begin(self, exchange: Exchange) -> None:
         self.current = exchange
-        self.server.settle(self)
+        self.server.reclassify(self)
         if exchange.target.partition(b"?")[0] == READY_PATH:
             exchange.answer(200 if self.server.application.is_ready() else 503)
             return
@@ -253,7 +253,7 @@
             asyncio.get_running_loop().call_soon(self.begin_next)
         elif self.finishing:
             self.transport.close()
-        self.server.settle(self)
+        self.server.reclassify(self)
 
     def begin_next(self) -> None:
         """Begins the next pipelined request, and parses on."""
