--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -147,7 +147,7 @@
                     return True
         return False
 
-    def settle(self, connection: ClientConnection) -> None:
+    def reclassify(self, connection: ClientConnection) -> None:
         """Moves a connection to `silent` or `idle`, or out of both while it is busy."""
         if connection.is_busy():
             self.silent.pop(connection, None)
@@ -186,7 +186,7 @@
                     break
                 del connections[connection]
                 connection.close(reason)
-                self.settle(connection)
+                self.reclassify(connection)
         self.accept_again()
 
     def watch(self, connection: ClientConnection) -> None:
@@ -218,7 +218,7 @@
         for connection in [*self.idle, *filter(self.rests_unasked, self.silent)]:
             if not connection.finishing:
                 connection.close("shutdown, idle" if connection.has_had_request else "shutdown, silent")
-                self.settle(connection)
+                self.reclassify(connection)
 
     def rests_unasked(self, connection: ClientConnection) -> bool:
         """Whether a connection that has carried no request may be closed in a shutdown. On a new one the first request
