--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -100,7 +100,7 @@
     def reclassify(self, connection: ClientConnection) -> None:
         """Called whenever the connection may have become busy, idle or silent."""
 
-    def watch(self, connection: ClientConnection) -> None:
+    def watch_for_end(self, connection: ClientConnection) -> None:
         """Reading has been paused, so the event loop no longer reports the client's end."""
 
     def unwatch(self, connection: ClientConnection) -> None:
@@ -161,7 +161,7 @@
             self.reading_paused = bool(self.pipelined) or self.finishing
             if self.reading_paused:
                 self.transport.pause_reading()
-                self.server.watch(self)
+                self.server.watch_for_end(self)
             else:
                 self.transport.resume_reading()
                 self.server.unwatch(self)
