--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -189,7 +189,7 @@
                 self.reclassify(connection)
         self.accept_again()
 
-    def watch(self, connection: ClientConnection) -> None:
+    def watch_for_end(self, connection: ClientConnection) -> None:
         """The connection's reading has been paused: from now on its end is polled for here."""
         if connection.descriptor not in self.paused:
             self.paused[connection.descriptor] = connection
