--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -106,7 +106,7 @@
     def unwatch(self, connection: ClientConnection) -> None:
         """Reading has been resumed."""
 
-    def lost(self, connection: ClientConnection) -> None:
+    def forget(self, connection: ClientConnection) -> None:
         """The connection has ended."""
 
 
@@ -336,7 +336,7 @@
         self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", own_failure=not ended_by_peer)
         self.transport = None
         self.parser = None  # breaks the reference cycle, which only the garbage collector would free
-        self.server.lost(self)
+        self.server.forget(self)
 
     def cancel_requests(self, reason: str, own_failure: bool = False) -> None:
         """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
