--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -143,7 +143,7 @@
                 if oldest.transport is not None and oldest.can_close_now():
                     self.ledger.note(Event.CLOSED, "room")
                     oldest.transport.abort()
-                    self.lost(oldest)
+                    self.forget(oldest)
                     return True
         return False
 
@@ -160,7 +160,7 @@
             connection.quiet_since_us = self.now_us()
             here[connection] = None
 
-    def lost(self, connection: ClientConnection) -> None:
+    def forget(self, connection: ClientConnection) -> None:
         self.unwatch(connection)  # its descriptor may soon belong to another connection
         self.connections.discard(connection)
         self.silent.pop(connection, None)
