--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -20,7 +20,7 @@
 # together stay below that. A connection without an open request may be closed after 2 s; it is closed after
 # LONGEST_IDLE_S, and sooner only to make room.
 SILENCE_TIMEOUT_S = 2.4
-LONGEST_IDLE_S = 15.0
+IDLE_TIMEOUT_S = 15.0
 LEAST_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
 # How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
 # shutdown can still connect again; the client of a later one can't.
@@ -179,7 +179,7 @@
         """Closes connections that have been silent or idle for too long."""
         logs.flush()
         now_us = self.now_us()
-        longest_s = LEAST_IDLE_S if self.has_many_idle() else LONGEST_IDLE_S
+        longest_s = LEAST_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
         for connections, most_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, longest_s, "idle")):
             for connection in list(connections):
                 if now_us - connection.quiet_since_us < most_s * 1e6:
