--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -21,7 +21,7 @@
 # LONGEST_IDLE_S, and sooner only to make room.
 SILENCE_TIMEOUT_S = 2.4
 IDLE_TIMEOUT_S = 15.0
-LEAST_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
+MIN_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
 # How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
 # shutdown can still connect again; the client of a later one can't.
 FIRST_BYTE_S, LATE_FIRST_BYTE_S = 0.25, 1.0
@@ -136,7 +136,7 @@
     def make_room(self) -> bool:
         """Closes the connection that has been silent longest, else the one idle longest; False if none can be."""
         now_us = self.now_us()
-        for connections, least_s in ((self.silent, LEAST_SILENCE_S), (self.idle, LEAST_IDLE_S)):
+        for connections, least_s in ((self.silent, LEAST_SILENCE_S), (self.idle, MIN_IDLE_S)):
             for oldest in islice(connections, LOOKED_AT):
                 if now_us - oldest.quiet_since_us < least_s * 1e6:
                     break
@@ -179,7 +179,7 @@
         """Closes connections that have been silent or idle for too long."""
         logs.flush()
         now_us = self.now_us()
-        longest_s = LEAST_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
+        longest_s = MIN_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
         for connections, most_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, longest_s, "idle")):
             for connection in list(connections):
                 if now_us - connection.quiet_since_us < most_s * 1e6:
