--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -21,7 +21,7 @@
 # LONGEST_IDLE_S, and sooner only to make room.
 SILENCE_TIMEOUT_S = 2.4
 IDLE_TIMEOUT_S = 15.0
-MIN_IDLE_S, LEAST_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
+MIN_IDLE_S, MIN_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
 # How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
 # shutdown can still connect again; the client of a later one can't.
 FIRST_BYTE_S, LATE_FIRST_BYTE_S = 0.25, 1.0
@@ -136,7 +136,7 @@
     def make_room(self) -> bool:
         """Closes the connection that has been silent longest, else the one idle longest; False if none can be."""
         now_us = self.now_us()
-        for connections, least_s in ((self.silent, LEAST_SILENCE_S), (self.idle, MIN_IDLE_S)):
+        for connections, least_s in ((self.silent, MIN_SILENCE_S), (self.idle, MIN_IDLE_S)):
             for oldest in islice(connections, LOOKED_AT):
                 if now_us - oldest.quiet_since_us < least_s * 1e6:
                     break
@@ -223,7 +223,7 @@
     def rests_unasked(self, connection: ClientConnection) -> bool:
         """Whether a connection that has carried no request may be closed in a shutdown. On a new one the first request
         may still be under way."""
-        least_s = LEAST_SILENCE_S
+        least_s = MIN_SILENCE_S
         if connection.is_new:
             least_s = FIRST_BYTE_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
         return (not connection.has_had_request and not connection.has_partial_request
