--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -24,7 +24,7 @@
 MIN_IDLE_S, MIN_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
 # How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
 # shutdown can still connect again; the client of a later one can't.
-FIRST_BYTE_TIMEOUT_S, LATE_FIRST_BYTE_S = 0.25, 1.0
+FIRST_BYTE_TIMEOUT_S, LATE_FIRST_BYTE_TIMEOUT_S = 0.25, 1.0
 SWEEP_S = 0.2
 LOOK_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
 # Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
@@ -225,7 +225,7 @@
         may still be under way."""
         least_s = MIN_SILENCE_S
         if connection.is_new:
-            least_s = FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_S
+            least_s = FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_TIMEOUT_S
         return (not connection.has_had_request and not connection.has_partial_request
                 and self.now_us() - connection.quiet_since_us >= least_s * 1e6)
 
