--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -25,7 +25,7 @@
 # How long a shutdown waits for the first byte on a new connection. The client of a connection opened before the
 # shutdown can still connect again; the client of a later one can't.
 FIRST_BYTE_TIMEOUT_S, LATE_FIRST_BYTE_TIMEOUT_S = 0.25, 1.0
-SWEEP_S = 0.2
+SWEEP_INTERVAL_S = 0.2
 LOOK_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
 # Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
 # than the second are open this goes for those that have only carried readiness probes.
@@ -83,7 +83,7 @@
             listener.close()  # left open it would take connections from the next start's listener and accept none
             raise
         self.listener, self.reuse_port = listener, reuse_port
-        self.sweeper = Periodic(SWEEP_S, self.sweep)
+        self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
         port: int = listener.getsockname()[1]
         return port
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -390,7 +390,7 @@
 def test_who_sends_no_whole_request_is_told_in_time(
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert server.SILENCE_TIMEOUT_S + server.SWEEP_S < 3.0
+    assert server.SILENCE_TIMEOUT_S + server.SWEEP_INTERVAL_S < 3.0
     monkeypatch.setattr(server, "SILENCE_S", 0.7)
 
     async def test() -> None:
