--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -26,7 +26,7 @@
 # shutdown can still connect again; the client of a later one can't.
 FIRST_BYTE_TIMEOUT_S, LATE_FIRST_BYTE_TIMEOUT_S = 0.25, 1.0
 SWEEP_INTERVAL_S = 0.2
-LOOK_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
+END_POLL_INTERVAL_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
 # Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
 # than the second are open this goes for those that have only carried readiness probes.
 MANY_IDLE, MANY = 1 / 3, 1 / 2
@@ -195,7 +195,7 @@
             self.paused[connection.descriptor] = connection
             self.ends.register(connection.descriptor, END_EVENTS)
             if self.looker is None:
-                self.looker = Periodic(LOOK_S, self.look)
+                self.looker = Periodic(END_POLL_INTERVAL_S, self.look)
 
     def unwatch(self, connection: ClientConnection) -> None:
         if self.paused.get(connection.descriptor) is connection:
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -126,7 +126,7 @@
         scene.sidecar.server.look()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
         await settled(scene, peer)
-        assert module.LOOK_S <= 0.05 and len(peer.got) == 1
+        assert module.END_POLL_INTERVAL_S <= 0.05 and len(peer.got) == 1
 
     run(test)
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -94,7 +94,7 @@
         assert len(peer.got) == 1 and not scene.sidecar.server.paused
 
     run(test)
-    assert module.LOOK_S <= ALLOWED_S / 2
+    assert module.END_POLL_INTERVAL_S <= ALLOWED_S / 2
 
 
 class Site:
