--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -29,7 +29,7 @@
 END_POLL_INTERVAL_S = 0.03  # between polls for the ends of clients whose reading is paused; 0.1 s are allowed
 # Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
 # than the second are open this goes for those that have only carried readiness probes.
-CROWDED_IDLE_SHARE, MANY = 1 / 3, 1 / 2
+CROWDED_IDLE_SHARE, CROWDED_SHARE = 1 / 3, 1 / 2
 ACCEPTS = 32  # connections accepted in one step of the event loop
 LOOKED_AT = 8  # oldest connections that are checked for one that can be closed to make room
 LAST_S = 0.08  # for the last answers to be sent at the end of the process
@@ -169,7 +169,7 @@
 
     def wants_close(self, connection: ClientConnection) -> bool:
         # clients that send one request and stay connected use up their descriptors and ours
-        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > MANY * self.most
+        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > CROWDED_SHARE * self.most
         return self.stopping or crowded
 
     def has_many_idle(self) -> bool:
