--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -30,7 +30,7 @@
 # Shares of the most connections. While more than the first are idle a connection is closed after its answer; while more
 # than the second are open this goes for those that have only carried readiness probes.
 CROWDED_IDLE_SHARE, CROWDED_SHARE = 1 / 3, 1 / 2
-ACCEPTS = 32  # connections accepted in one step of the event loop
+ACCEPT_BATCH = 32  # connections accepted in one step of the event loop
 LOOKED_AT = 8  # oldest connections that are checked for one that can be closed to make room
 LAST_S = 0.08  # for the last answers to be sent at the end of the process
 ACCEPT_PAUSE_S = 0.02  # after an accept that failed because a resource was exhausted
@@ -93,7 +93,7 @@
         already written would be lost."""
         if self.listener is None:
             return Accepted.ALL
-        for _ in range(ACCEPTS):
+        for _ in range(ACCEPT_BATCH):
             if len(self.connections) >= self.most and not self.make_room():
                 self.wait_for_room()
                 return Accepted.FAILED
@@ -251,7 +251,7 @@
 
     def accept_all(self) -> bool:
         """Accepts all queued connections; returns whether none is left."""
-        for _ in range(self.most // ACCEPTS + 1):
+        for _ in range(self.most // ACCEPT_BATCH + 1):
             accepted = self.accept()
             if accepted is not Accepted.SOME:
                 return accepted is Accepted.ALL
