--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -31,7 +31,7 @@
 # than the second are open this goes for those that have only carried readiness probes.
 CROWDED_IDLE_SHARE, CROWDED_SHARE = 1 / 3, 1 / 2
 ACCEPT_BATCH = 32  # connections accepted in one step of the event loop
-LOOKED_AT = 8  # oldest connections that are checked for one that can be closed to make room
+EVICTION_CANDIDATES = 8  # oldest connections that are checked for one that can be closed to make room
 LAST_S = 0.08  # for the last answers to be sent at the end of the process
 ACCEPT_PAUSE_S = 0.02  # after an accept that failed because a resource was exhausted
 CLOSE_AGAIN_S = 0.02  # between two tries to close the listener
@@ -137,7 +137,7 @@
         """Closes the connection that has been silent longest, else the one idle longest; False if none can be."""
         now_us = self.now_us()
         for connections, least_s in ((self.silent, MIN_SILENCE_S), (self.idle, MIN_IDLE_S)):
-            for oldest in islice(connections, LOOKED_AT):
+            for oldest in islice(connections, EVICTION_CANDIDATES):
                 if now_us - oldest.quiet_since_us < least_s * 1e6:
                     break
                 if oldest.transport is not None and oldest.can_close_now():
