--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -32,7 +32,7 @@
 CROWDED_IDLE_SHARE, CROWDED_SHARE = 1 / 3, 1 / 2
 ACCEPT_BATCH = 32  # connections accepted in one step of the event loop
 EVICTION_CANDIDATES = 8  # oldest connections that are checked for one that can be closed to make room
-LAST_S = 0.08  # for the last answers to be sent at the end of the process
+LAST_ANSWERS_S = 0.08  # for the last answers to be sent at the end of the process
 ACCEPT_PAUSE_S = 0.02  # after an accept that failed because a resource was exhausted
 CLOSE_AGAIN_S = 0.02  # between two tries to close the listener
 
@@ -291,7 +291,7 @@
         log("answering all open requests" if self.connections else "no connection is open")
         at_end()
         self.drop_listener()
-        while self.connections and self.now_us() - start_us < (end_s + LAST_S) * 1e6:
+        while self.connections and self.now_us() - start_us < (end_s + LAST_ANSWERS_S) * 1e6:
             for connection in list(self.connections):
                 if not connection.is_busy() and not (connection.finishing and connection.transport is not None):
                     connection.close("shutdown")
