--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -34,7 +34,7 @@
 EVICTION_CANDIDATES = 8  # oldest connections that are checked for one that can be closed to make room
 LAST_ANSWERS_S = 0.08  # for the last answers to be sent at the end of the process
 ACCEPT_PAUSE_S = 0.02  # after an accept that failed because a resource was exhausted
-CLOSE_AGAIN_S = 0.02  # between two tries to close the listener
+CLOSE_RETRY_S = 0.02  # between two tries to close the listener
 
 
 class Accepted(enum.Enum):
@@ -284,7 +284,7 @@
                 break
         closed = self.close_listener()
         while (self.connections or not closed) and (left_s := end_s - (self.now_us() - start_us) / 1e6) > 0.0:
-            await asyncio.sleep(min(CLOSE_AGAIN_S, left_s))
+            await asyncio.sleep(min(CLOSE_RETRY_S, left_s))
             self.close_idle()
             if not closed:
                 closed = self.close_listener()
