--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -52,7 +52,7 @@
                  ledger: Ledger | None = None) -> None:
         self.application = application
         self.ledger = ledger or Ledger(now_us, logs.line)
-        self.most = most
+        self.max_connections = most
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
@@ -94,7 +94,7 @@
         if self.listener is None:
             return Accepted.ALL
         for _ in range(ACCEPT_BATCH):
-            if len(self.connections) >= self.most and not self.make_room():
+            if len(self.connections) >= self.max_connections and not self.make_room():
                 self.wait_for_room()
                 return Accepted.FAILED
             try:
@@ -169,11 +169,11 @@
 
     def wants_close(self, connection: ClientConnection) -> bool:
         # clients that send one request and stay connected use up their descriptors and ours
-        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > CROWDED_SHARE * self.most
+        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > CROWDED_SHARE * self.max_connections
         return self.stopping or crowded
 
     def has_many_idle(self) -> bool:
-        return len(self.idle) > CROWDED_IDLE_SHARE * self.most
+        return len(self.idle) > CROWDED_IDLE_SHARE * self.max_connections
 
     def sweep(self) -> None:
         """Closes connections that have been silent or idle for too long."""
@@ -251,7 +251,7 @@
 
     def accept_all(self) -> bool:
         """Accepts all queued connections; returns whether none is left."""
-        for _ in range(self.most // ACCEPT_BATCH + 1):
+        for _ in range(self.max_connections // ACCEPT_BATCH + 1):
             accepted = self.accept()
             if accepted is not Accepted.SOME:
                 return accepted is Accepted.ALL
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -389,11 +389,11 @@
         good = {"settings": {"bounds": {"max-retry-after": 7_000}}, "limits": {"sockets": 100}}
         assert (await agent.command("1.0.1", 1, "reconfigure", generation=1, overlay=good)).status == "applied"
         sidecar = scene.sidecar
-        before = (sidecar.generation, sidecar.config, sidecar.balancer.settings, sidecar.server.most)
-        assert sidecar.balancer.settings.max_retry_after_us == 7_000 and sidecar.server.most == 34
+        before = (sidecar.generation, sidecar.config, sidecar.balancer.settings, sidecar.server.max_connections)
+        assert sidecar.balancer.settings.max_retry_after_us == 7_000 and sidecar.server.max_connections == 34
         result = await agent.command("2.0.1", 2, "reconfigure", generation=2, overlay={**good, **overlay})
         assert result.status == status and words in result.detail
-        assert (sidecar.generation, sidecar.config, sidecar.balancer.settings, sidecar.server.most) == before
+        assert (sidecar.generation, sidecar.config, sidecar.balancer.settings, sidecar.server.max_connections) == before
         assert (await scene.call()).status == 200
         back = await agent.command("3.0.1", 3, "reconfigure", generation=0, overlay={})
         assert back.status == "applied" and sidecar.balancer.settings.max_retry_after_us == 1_000_000
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -418,7 +418,7 @@
     async def test() -> None:
         peers = [await Peer(hang).start() for _ in range(4)]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        scene.sidecar.server.most = 3
+        scene.sidecar.server.max_connections = 3
         silent = [await asyncio.open_connection("127.0.0.1", scene.port) for _ in range(3)]
         calls = [asyncio.create_task(scene.call("pay")) for _ in range(3)]
         await until(lambda: sum(len(peer.got) for peer in peers) == 3)
@@ -441,7 +441,7 @@
 
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
-        scene.sidecar.server.most = 4
+        scene.sidecar.server.max_connections = 4
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(scene.request())
         assert (await read_message(reader)).status == 200
@@ -466,7 +466,7 @@
     async def test() -> None:
         monkeypatch.setattr(server, "LEAST_IDLE_S", 1000.0)
         scene = await Scene().start((await Peer().start()).entry("s-1"))
-        scene.sidecar.server.most = 9
+        scene.sidecar.server.max_connections = 9
         held = []
         for _ in range(40):
             reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
