--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -62,7 +62,7 @@
         self.idle: dict[ClientConnection, None] = {}
         self.stopping = False
         self.stopping_since_us = 0
-        self.is_full = False  # accepting is paused until there is room
+        self.accepting_paused = False  # accepting is paused until there is room
         self.last_opened_us = now_us()
         self.listener: socket.socket | None = None
         self.reuse_port = False
@@ -124,13 +124,13 @@
 
     def wait_for_room(self) -> None:
         """Pauses accepting."""
-        if self.listener is not None and not self.is_full:
-            self.is_full = True
+        if self.listener is not None and not self.accepting_paused:
+            self.accepting_paused = True
             self.loop.remove_reader(self.listener)
 
     def accept_again(self) -> None:
-        if self.listener is not None and self.is_full:
-            self.is_full = False
+        if self.listener is not None and self.accepting_paused:
+            self.accepting_paused = False
             self.loop.add_reader(self.listener, self.accept)
 
     def make_room(self) -> bool:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -426,7 +426,7 @@
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
         calls.append(asyncio.create_task(scene.call("pay")))  # no room: all three are being served
-        await until(lambda: scene.sidecar.server.is_full)
+        await until(lambda: scene.sidecar.server.accepting_paused)
         assert len(scene.sidecar.server.connections) == 3
         for peer in peers:
             peer.behave = reply(ok())
