--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -66,7 +66,7 @@
         self.last_opened_us = now_us()
         self.listener: socket.socket | None = None
         self.reuse_port = False
-        self.closing: ListenerShutdown | None = None
+        self.listener_shutdown: ListenerShutdown | None = None
         self.sweeper: Periodic | None = None
         self.paused: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
         self.ends = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
@@ -105,7 +105,7 @@
                 if severity(error) is Severity.EXHAUSTED:
                     break
                 continue  # accept(2) reports an error of that one connection; others may be queued behind it
-            is_probe = self.closing is not None and self.closing.is_probe(peer)
+            is_probe = self.listener_shutdown is not None and self.listener_shutdown.is_probe(peer)
             # a connection that was reset in the queue may be a probe of another process that closes its listener
             if is_probe or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 sock.close()
@@ -234,11 +234,11 @@
         system call fails or a queued connection can't be accepted."""
         if self.listener is None:
             return True
-        if self.closing is None:
-            self.closing = ListenerShutdown(self.listener, self.reuse_port, self.accept_all, self.drop_listener,
+        if self.listener_shutdown is None:
+            self.listener_shutdown = ListenerShutdown(self.listener, self.reuse_port, self.accept_all, self.drop_listener,
                                             self.now_us)
         try:
-            return self.closing.step()
+            return self.listener_shutdown.step()
         except OSError as error:
             logs.line(f"closing the listener failed: {error}; it will be tried again")
             return False
