--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -68,7 +68,7 @@
         self.reuse_port = False
         self.listener_shutdown: ListenerShutdown | None = None
         self.sweeper: Periodic | None = None
-        self.paused: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
+        self.paused_connections: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
         self.ends = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
         self.looker: Periodic | None = None  # runs while `paused` is not empty
 
@@ -191,24 +191,24 @@
 
     def watch_for_end(self, connection: ClientConnection) -> None:
         """The connection's reading has been paused: from now on its end is polled for here."""
-        if connection.descriptor not in self.paused:
-            self.paused[connection.descriptor] = connection
+        if connection.descriptor not in self.paused_connections:
+            self.paused_connections[connection.descriptor] = connection
             self.ends.register(connection.descriptor, END_EVENTS)
             if self.looker is None:
                 self.looker = Periodic(END_POLL_INTERVAL_S, self.look)
 
     def unwatch(self, connection: ClientConnection) -> None:
-        if self.paused.get(connection.descriptor) is connection:
-            del self.paused[connection.descriptor]
+        if self.paused_connections.get(connection.descriptor) is connection:
+            del self.paused_connections[connection.descriptor]
             self.ends.unregister(connection.descriptor)
 
     def look(self) -> None:
         """Cancels the requests of clients that have closed their side, even behind unread bytes."""
         for descriptor, _ in self.ends.poll(0):
-            connection = self.paused[descriptor]
+            connection = self.paused_connections[descriptor]
             self.unwatch(connection)
             connection.client_left()
-        if not self.paused and self.looker is not None:
+        if not self.paused_connections and self.looker is not None:
             self.looker.cancel()
             self.looker = None
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -91,7 +91,7 @@
         await late()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
         await settled(scene, peer)
-        assert len(peer.got) == 1 and not scene.sidecar.server.paused
+        assert len(peer.got) == 1 and not scene.sidecar.server.paused_connections
 
     run(test)
     assert module.END_POLL_INTERVAL_S <= ALLOWED_S / 2
