--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -69,7 +69,7 @@
         self.listener_shutdown: ListenerShutdown | None = None
         self.sweeper: Periodic | None = None
         self.paused_connections: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
-        self.ends = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
+        self.end_poll = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
         self.looker: Periodic | None = None  # runs while `paused` is not empty
 
     async def listen(self, address: tuple[str, int], reuse_port: bool = False) -> int:
@@ -193,18 +193,18 @@
         """The connection's reading has been paused: from now on its end is polled for here."""
         if connection.descriptor not in self.paused_connections:
             self.paused_connections[connection.descriptor] = connection
-            self.ends.register(connection.descriptor, END_EVENTS)
+            self.end_poll.register(connection.descriptor, END_EVENTS)
             if self.looker is None:
                 self.looker = Periodic(END_POLL_INTERVAL_S, self.look)
 
     def unwatch(self, connection: ClientConnection) -> None:
         if self.paused_connections.get(connection.descriptor) is connection:
             del self.paused_connections[connection.descriptor]
-            self.ends.unregister(connection.descriptor)
+            self.end_poll.unregister(connection.descriptor)
 
     def look(self) -> None:
         """Cancels the requests of clients that have closed their side, even behind unread bytes."""
-        for descriptor, _ in self.ends.poll(0):
+        for descriptor, _ in self.end_poll.poll(0):
             connection = self.paused_connections[descriptor]
             self.unwatch(connection)
             connection.client_left()
