--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -70,7 +70,7 @@
         self.sweeper: Periodic | None = None
         self.paused_connections: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
         self.end_poll = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
-        self.looker: Periodic | None = None  # runs while `paused` is not empty
+        self.end_poller: Periodic | None = None  # runs while `paused` is not empty
 
     async def listen(self, address: tuple[str, int], reuse_port: bool = False) -> int:
         """Starts to listen and returns the port. Raises OSError."""
@@ -194,8 +194,8 @@
         if connection.descriptor not in self.paused_connections:
             self.paused_connections[connection.descriptor] = connection
             self.end_poll.register(connection.descriptor, END_EVENTS)
-            if self.looker is None:
-                self.looker = Periodic(END_POLL_INTERVAL_S, self.look)
+            if self.end_poller is None:
+                self.end_poller = Periodic(END_POLL_INTERVAL_S, self.look)
 
     def unwatch(self, connection: ClientConnection) -> None:
         if self.paused_connections.get(connection.descriptor) is connection:
@@ -208,9 +208,9 @@
             connection = self.paused_connections[descriptor]
             self.unwatch(connection)
             connection.client_left()
-        if not self.paused_connections and self.looker is not None:
-            self.looker.cancel()
-            self.looker = None
+        if not self.paused_connections and self.end_poller is not None:
+            self.end_poller.cancel()
+            self.end_poller = None
 
     def close_idle(self) -> None:
         """Closes connections without an open request, as the process ends; a client whose request crosses the close
@@ -299,6 +299,6 @@
         for connection in self.connections:
             if connection.current is not None:
                 connection.current.lifecycle.connection_closed("the process ends")
-        for timer in (self.sweeper, self.looker):
+        for timer in (self.sweeper, self.end_poller):
             if timer is not None:
                 timer.cancel()
