--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -195,14 +195,14 @@
             self.paused_connections[connection.descriptor] = connection
             self.end_poll.register(connection.descriptor, END_EVENTS)
             if self.end_poller is None:
-                self.end_poller = Periodic(END_POLL_INTERVAL_S, self.look)
+                self.end_poller = Periodic(END_POLL_INTERVAL_S, self.poll_for_ends)
 
     def unwatch(self, connection: ClientConnection) -> None:
         if self.paused_connections.get(connection.descriptor) is connection:
             del self.paused_connections[connection.descriptor]
             self.end_poll.unregister(connection.descriptor)
 
-    def look(self) -> None:
+    def poll_for_ends(self) -> None:
         """Cancels the requests of clients that have closed their side, even behind unread bytes."""
         for descriptor, _ in self.end_poll.poll(0):
             connection = self.paused_connections[descriptor]
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -123,7 +123,7 @@
         address = client.getsockname()
         leave(client)
         arrived(scene, address)
-        scene.sidecar.server.look()
+        scene.sidecar.server.poll_for_ends()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
         await settled(scene, peer)
         assert module.END_POLL_INTERVAL_S <= 0.05 and len(peer.got) == 1
@@ -184,7 +184,7 @@
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(), scene.request(), scene.request())
         await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
-        scene.sidecar.server.look()
+        scene.sidecar.server.poll_for_ends()
         reader, writer = await asyncio.open_connection(sock=client)
         answered = 0
         while answered < 3:
