--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -95,7 +95,7 @@
             return Accepted.ALL
         for _ in range(ACCEPT_BATCH):
             if len(self.connections) >= self.max_connections and not self.make_room():
-                self.wait_for_room()
+                self.pause_accepting()
                 return Accepted.FAILED
             try:
                 sock, peer = self.listener.accept()
@@ -118,11 +118,11 @@
             connection.open()
         else:
             return Accepted.SOME
-        self.wait_for_room()
+        self.pause_accepting()
         self.loop.call_later(ACCEPT_PAUSE_S, self.accept_again)
         return Accepted.FAILED
 
-    def wait_for_room(self) -> None:
+    def pause_accepting(self) -> None:
         """Pauses accepting."""
         if self.listener is not None and not self.accepting_paused:
             self.accepting_paused = True
