--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -119,7 +119,7 @@
         else:
             return Accepted.SOME
         self.pause_accepting()
-        self.loop.call_later(ACCEPT_PAUSE_S, self.accept_again)
+        self.loop.call_later(ACCEPT_PAUSE_S, self.resume_accepting)
         return Accepted.FAILED
 
     def pause_accepting(self) -> None:
@@ -128,7 +128,7 @@
             self.accepting_paused = True
             self.loop.remove_reader(self.listener)
 
-    def accept_again(self) -> None:
+    def resume_accepting(self) -> None:
         if self.listener is not None and self.accepting_paused:
             self.accepting_paused = False
             self.loop.add_reader(self.listener, self.accept)
@@ -165,7 +165,7 @@
         self.connections.discard(connection)
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
-        self.accept_again()
+        self.resume_accepting()
 
     def wants_close(self, connection: ClientConnection) -> bool:
         # clients that send one request and stay connected use up their descriptors and ours
@@ -187,7 +187,7 @@
                 del connections[connection]
                 connection.close(reason)
                 self.reclassify(connection)
-        self.accept_again()
+        self.resume_accepting()
 
     def watch_for_end(self, connection: ClientConnection) -> None:
         """The connection's reading has been paused: from now on its end is polled for here."""
