--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -215,12 +215,12 @@
     def close_idle(self) -> None:
         """Closes connections without an open request, as the process ends; a client whose request crosses the close
         sends it again on a new connection."""
-        for connection in [*self.idle, *filter(self.rests_unasked, self.silent)]:
+        for connection in [*self.idle, *filter(self.is_unused, self.silent)]:
             if not connection.finishing:
                 connection.close("shutdown, idle" if connection.has_had_request else "shutdown, silent")
                 self.reclassify(connection)
 
-    def rests_unasked(self, connection: ClientConnection) -> bool:
+    def is_unused(self, connection: ClientConnection) -> bool:
         """Whether a connection that has carried no request may be closed in a shutdown. On a new one the first request
         may still be under way."""
         least_s = MIN_SILENCE_S
