--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -223,11 +223,11 @@
     def is_unused(self, connection: ClientConnection) -> bool:
         """Whether a connection that has carried no request may be closed in a shutdown. On a new one the first request
         may still be under way."""
-        least_s = MIN_SILENCE_S
+        min_s = MIN_SILENCE_S
         if connection.is_new:
-            least_s = FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_TIMEOUT_S
+            min_s = FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_TIMEOUT_S
         return (not connection.has_had_request and not connection.has_partial_request
-                and self.now_us() - connection.quiet_since_us >= least_s * 1e6)
+                and self.now_us() - connection.quiet_since_us >= min_s * 1e6)
 
     def close_listener(self) -> bool:
         """Takes a step to close the listener; to be called until it returns True. The listener stays open while a
