--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -18,7 +18,7 @@
 from ironscale.net.errors import Severity, severity
 
 READ_BYTES = 64 << 10
-LAST_DATA_AT = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
+LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
 UNREAD_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
 PAUSE_S = 0.005  # before a call that hit a transient error is retried
 
@@ -26,9 +26,9 @@
 def since_last_byte_us(sock: socket.socket) -> int:
     """How long ago the last byte reached this machine, whether or not it has been read; 0 if the kernel can't tell."""
     with contextlib.suppress(OSError):
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_AT + 4)
-        if len(info) == LAST_DATA_AT + 4:
-            return int.from_bytes(info[LAST_DATA_AT:], sys.byteorder) * 1000
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
+        if len(info) == LAST_DATA_RECV_OFFSET + 4:
+            return int.from_bytes(info[LAST_DATA_RECV_OFFSET:], sys.byteorder) * 1000
     return 0
 
 
