--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -19,7 +19,7 @@
 
 READ_BYTES = 64 << 10
 LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
-UNREAD_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
+PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
 PAUSE_S = 0.005  # before a call that hit a transient error is retried
 
 
@@ -44,7 +44,7 @@
     """What the next read would find, without consuming it. Reads instead of polling: a poll that a signal interrupts
     reports nothing, while an interrupted read is repeated."""
     try:
-        return Unread.BYTES if sock.recv(1, UNREAD_FLAGS) else Unread.END
+        return Unread.BYTES if sock.recv(1, PEEK_FLAGS) else Unread.END
     except BlockingIOError:
         return Unread.NOTHING
     except OSError as error:
