--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -20,7 +20,7 @@
 READ_BYTES = 64 << 10
 LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
 PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PAUSE_S = 0.005  # before a call that hit a transient error is retried
+RETRY_PAUSE_S = 0.005  # before a call that hit a transient error is retried
 
 
 def since_last_byte_us(sock: socket.socket) -> int:
@@ -139,7 +139,7 @@
 
     def again(self, what: str, act: Callable[[], None]) -> None:
         if what not in self.pauses:
-            self.pauses[what] = self.loop.call_later(PAUSE_S, self.after_pause, what, act)
+            self.pauses[what] = self.loop.call_later(RETRY_PAUSE_S, self.after_pause, what, act)
 
     def after_pause(self, what: str, act: Callable[[], None]) -> None:
         self.pauses.pop(what, None)
