--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -48,10 +48,10 @@
     except BlockingIOError:
         return Unread.NOTHING
     except OSError as error:
-        return Unread.NOTHING if is_outlasted(sock, error) else Unread.END
+        return Unread.NOTHING if survives(sock, error) else Unread.END
 
 
-def is_outlasted(sock: socket.socket, error: OSError) -> bool:
+def survives(sock: socket.socket, error: OSError) -> bool:
     """Whether the connection survives the error. Where the error leaves that open the peer's address is asked for: the
     kernel no longer knows it once the connection has ended."""
     if severity(error) is Severity.EXHAUSTED:
@@ -131,7 +131,7 @@
     def read_failed(self, error: OSError) -> None:
         if severity(error) is Severity.AGAIN:
             return
-        if is_outlasted(self.sock, error):
+        if survives(self.sock, error):
             self.pause_reading()
             self.again("read", self.resume_reading)
         else:
@@ -162,7 +162,7 @@
         except OSError as error:
             if severity(error) is Severity.AGAIN:
                 self.await_room(True)
-            elif is_outlasted(self.sock, error):
+            elif survives(self.sock, error):
                 self.await_room(False)
                 self.again("write", self.send_again)
             else:
