--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -64,7 +64,7 @@
     return False
 
 
-class StreamUser(Protocol):
+class StreamOwner(Protocol):
     """The owner of a stream, which calls these methods; they are named as in asyncio's protocols."""
 
     def data_received(self, data: bytes) -> None: ...
@@ -82,7 +82,7 @@
 class Stream:
     """Reads from the start, and writes at once as much as the kernel takes; the rest is buffered."""
 
-    def __init__(self, sock: socket.socket, user: StreamUser) -> None:
+    def __init__(self, sock: socket.socket, user: StreamOwner) -> None:
         self.sock, self.user = sock, user
         self.loop = asyncio.get_running_loop()
         self.unsent = bytearray()
