--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -83,7 +83,7 @@
     """Reads from the start, and writes at once as much as the kernel takes; the rest is buffered."""
 
     def __init__(self, sock: socket.socket, user: StreamOwner) -> None:
-        self.sock, self.user = sock, user
+        self.sock, self.owner = sock, user
         self.loop = asyncio.get_running_loop()
         self.unsent = bytearray()
         self.is_reading = False
@@ -120,9 +120,9 @@
             return
         try:
             if data:
-                self.user.data_received(data)
+                self.owner.data_received(data)
             else:
-                self.user.eof_received()
+                self.owner.eof_received()
                 self.close()
         except Exception as error:
             logs.line(f"connection closed after an error in its handler: {type(error).__name__}: {error}")
@@ -175,7 +175,7 @@
     def send_again(self) -> None:
         self.send()
         if not self.unsent and not self.is_closing():
-            self.user.resume_writing()
+            self.owner.resume_writing()
 
     def await_room(self, waits: bool) -> None:
         if waits != self.awaits_room:
@@ -210,4 +210,4 @@
 
     def ended(self, error: Exception | None) -> None:
         self.sock.close()
-        self.user.connection_lost(error)
+        self.owner.connection_lost(error)
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -209,7 +209,7 @@
     real = Stream.send
 
     def send(stream: Stream) -> None:
-        if isinstance(stream.user, Connection) and stream not in held:
+        if isinstance(stream.owner, Connection) and stream not in held:
             held.append(stream)
             del stream.unsent[:stream.sock.send(stream.unsent[:10])]
         else:
