--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -85,7 +85,7 @@
     def __init__(self, sock: socket.socket, user: StreamOwner) -> None:
         self.sock, self.owner = sock, user
         self.loop = asyncio.get_running_loop()
-        self.unsent = bytearray()
+        self.write_buffer = bytearray()
         self.is_reading = False
         self.awaits_room = False  # the event loop watches for the socket to become writable
         self.pauses: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
@@ -97,7 +97,7 @@
         return self.ending or self.over
 
     def get_write_buffer_size(self) -> int:
-        return len(self.unsent)
+        return len(self.write_buffer)
 
     def pause_reading(self) -> None:
         pause = self.pauses.pop("read", None)
@@ -149,16 +149,16 @@
     def write(self, data: bytes) -> None:
         if self.is_closing():
             return
-        waits = bool(self.unsent)
-        self.unsent += data
+        waits = bool(self.write_buffer)
+        self.write_buffer += data
         if not waits:
             self.send()
 
     def send(self) -> None:
         """Sends what the kernel takes; the rest waits until the socket is writable, or for a pause after an error."""
         try:
-            while self.unsent:
-                del self.unsent[:self.sock.send(self.unsent)]
+            while self.write_buffer:
+                del self.write_buffer[:self.sock.send(self.write_buffer)]
         except OSError as error:
             if severity(error) is Severity.AGAIN:
                 self.await_room(True)
@@ -174,7 +174,7 @@
 
     def send_again(self) -> None:
         self.send()
-        if not self.unsent and not self.is_closing():
+        if not self.write_buffer and not self.is_closing():
             self.owner.resume_writing()
 
     def await_room(self, waits: bool) -> None:
@@ -190,7 +190,7 @@
         if not self.is_closing():
             self.pause_reading()
             self.ending = True
-            if not self.unsent:
+            if not self.write_buffer:
                 self.end(None)
 
     def abort(self) -> None:
@@ -205,7 +205,7 @@
         self.over = True
         for pause in self.pauses.values():
             pause.cancel()
-        self.unsent.clear()
+        self.write_buffer.clear()
         self.loop.call_soon(self.ended, error)
 
     def ended(self, error: Exception | None) -> None:
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -211,7 +211,7 @@
     def send(stream: Stream) -> None:
         if isinstance(stream.owner, Connection) and stream not in held:
             held.append(stream)
-            del stream.unsent[:stream.sock.send(stream.unsent[:10])]
+            del stream.write_buffer[:stream.sock.send(stream.write_buffer[:10])]
         else:
             real(stream)
 
