--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -87,7 +87,7 @@
         self.loop = asyncio.get_running_loop()
         self.write_buffer = bytearray()
         self.is_reading = False
-        self.awaits_room = False  # the event loop watches for the socket to become writable
+        self.awaits_writable = False  # the event loop watches for the socket to become writable
         self.pauses: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
         self.ending = False  # nothing is read any more; the stream ends once all is sent
         self.over = False
@@ -178,8 +178,8 @@
             self.owner.resume_writing()
 
     def await_room(self, waits: bool) -> None:
-        if waits != self.awaits_room:
-            self.awaits_room = waits
+        if waits != self.awaits_writable:
+            self.awaits_writable = waits
             if waits:
                 self.loop.add_writer(self.sock, self.send_again)
             else:
