--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -161,14 +161,14 @@
                 del self.write_buffer[:self.sock.send(self.write_buffer)]
         except OSError as error:
             if severity(error) is Severity.AGAIN:
-                self.await_room(True)
+                self.await_writable(True)
             elif survives(self.sock, error):
-                self.await_room(False)
+                self.await_writable(False)
                 self.again("write", self.send_again)
             else:
                 self.end(error)
             return
-        self.await_room(False)
+        self.await_writable(False)
         if self.ending:
             self.end(None)
 
@@ -177,7 +177,7 @@
         if not self.write_buffer and not self.is_closing():
             self.owner.resume_writing()
 
-    def await_room(self, waits: bool) -> None:
+    def await_writable(self, waits: bool) -> None:
         if waits != self.awaits_writable:
             self.awaits_writable = waits
             if waits:
@@ -201,7 +201,7 @@
         if self.over:
             return
         self.pause_reading()
-        self.await_room(False)
+        self.await_writable(False)
         self.over = True
         for pause in self.pauses.values():
             pause.cancel()
