--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -88,7 +88,7 @@
         self.write_buffer = bytearray()
         self.is_reading = False
         self.awaits_writable = False  # the event loop watches for the socket to become writable
-        self.pauses: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
+        self.retry_timers: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
         self.ending = False  # nothing is read any more; the stream ends once all is sent
         self.over = False
         self.resume_reading()
@@ -100,7 +100,7 @@
         return len(self.write_buffer)
 
     def pause_reading(self) -> None:
-        pause = self.pauses.pop("read", None)
+        pause = self.retry_timers.pop("read", None)
         if pause is not None:
             pause.cancel()
         if self.is_reading:
@@ -138,11 +138,11 @@
             self.end(error)
 
     def again(self, what: str, act: Callable[[], None]) -> None:
-        if what not in self.pauses:
-            self.pauses[what] = self.loop.call_later(RETRY_PAUSE_S, self.after_pause, what, act)
+        if what not in self.retry_timers:
+            self.retry_timers[what] = self.loop.call_later(RETRY_PAUSE_S, self.after_pause, what, act)
 
     def after_pause(self, what: str, act: Callable[[], None]) -> None:
-        self.pauses.pop(what, None)
+        self.retry_timers.pop(what, None)
         if not self.over:
             act()
 
@@ -203,7 +203,7 @@
         self.pause_reading()
         self.await_writable(False)
         self.over = True
-        for pause in self.pauses.values():
+        for pause in self.retry_timers.values():
             pause.cancel()
         self.write_buffer.clear()
         self.loop.call_soon(self.ended, error)
