--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -89,12 +89,12 @@
         self.is_reading = False
         self.awaits_writable = False  # the event loop watches for the socket to become writable
         self.retry_timers: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
-        self.ending = False  # nothing is read any more; the stream ends once all is sent
+        self.closing = False  # nothing is read any more; the stream ends once all is sent
         self.over = False
         self.resume_reading()
 
     def is_closing(self) -> bool:
-        return self.ending or self.over
+        return self.closing or self.over
 
     def get_write_buffer_size(self) -> int:
         return len(self.write_buffer)
@@ -169,7 +169,7 @@
                 self.end(error)
             return
         self.await_writable(False)
-        if self.ending:
+        if self.closing:
             self.end(None)
 
     def send_again(self) -> None:
@@ -189,7 +189,7 @@
         """Stops reading, and ends the connection once all buffered bytes are sent."""
         if not self.is_closing():
             self.pause_reading()
-            self.ending = True
+            self.closing = True
             if not self.write_buffer:
                 self.end(None)
 
