--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -90,11 +90,11 @@
         self.awaits_writable = False  # the event loop watches for the socket to become writable
         self.retry_timers: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
         self.closing = False  # nothing is read any more; the stream ends once all is sent
-        self.over = False
+        self.is_over = False
         self.resume_reading()
 
     def is_closing(self) -> bool:
-        return self.closing or self.over
+        return self.closing or self.is_over
 
     def get_write_buffer_size(self) -> int:
         return len(self.write_buffer)
@@ -143,7 +143,7 @@
 
     def after_pause(self, what: str, act: Callable[[], None]) -> None:
         self.retry_timers.pop(what, None)
-        if not self.over:
+        if not self.is_over:
             act()
 
     def write(self, data: bytes) -> None:
@@ -198,11 +198,11 @@
         self.end(None)
 
     def end(self, error: Exception | None) -> None:
-        if self.over:
+        if self.is_over:
             return
         self.pause_reading()
         self.await_writable(False)
-        self.over = True
+        self.is_over = True
         for pause in self.retry_timers.values():
             pause.cancel()
         self.write_buffer.clear()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -76,7 +76,7 @@
         assert not user.ends
         other.close()
         await until(lambda: user.ends)
-        assert user.got.endswith(b"|") and stream.over
+        assert user.got.endswith(b"|") and stream.is_over
 
     run(test)
 
