--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -133,11 +133,11 @@
             return
         if survives(self.sock, error):
             self.pause_reading()
-            self.again("read", self.resume_reading)
+            self.retry_later("read", self.resume_reading)
         else:
             self.end(error)
 
-    def again(self, what: str, act: Callable[[], None]) -> None:
+    def retry_later(self, what: str, act: Callable[[], None]) -> None:
         if what not in self.retry_timers:
             self.retry_timers[what] = self.loop.call_later(RETRY_PAUSE_S, self.after_pause, what, act)
 
@@ -164,7 +164,7 @@
                 self.await_writable(True)
             elif survives(self.sock, error):
                 self.await_writable(False)
-                self.again("write", self.send_again)
+                self.retry_later("write", self.send_again)
             else:
                 self.end(error)
             return
