--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -139,9 +139,9 @@
 
     def retry_later(self, what: str, act: Callable[[], None]) -> None:
         if what not in self.retry_timers:
-            self.retry_timers[what] = self.loop.call_later(RETRY_PAUSE_S, self.after_pause, what, act)
+            self.retry_timers[what] = self.loop.call_later(RETRY_PAUSE_S, self.retry, what, act)
 
-    def after_pause(self, what: str, act: Callable[[], None]) -> None:
+    def retry(self, what: str, act: Callable[[], None]) -> None:
         self.retry_timers.pop(what, None)
         if not self.is_over:
             act()
