--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -164,7 +164,7 @@
                 self.await_writable(True)
             elif survives(self.sock, error):
                 self.await_writable(False)
-                self.retry_later("write", self.send_again)
+                self.retry_later("write", self.resume_sending)
             else:
                 self.end(error)
             return
@@ -172,7 +172,7 @@
         if self.closing:
             self.end(None)
 
-    def send_again(self) -> None:
+    def resume_sending(self) -> None:
         self.send()
         if not self.write_buffer and not self.is_closing():
             self.owner.resume_writing()
@@ -181,7 +181,7 @@
         if waits != self.awaits_writable:
             self.awaits_writable = waits
             if waits:
-                self.loop.add_writer(self.sock, self.send_again)
+                self.loop.add_writer(self.sock, self.resume_sending)
             else:
                 self.loop.remove_writer(self.sock)
 
