--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -19,7 +19,7 @@
 from ironscale.net.errors import Severity, severity
 
 BACKLOG = 1024
-QUIET_S = 0.04  # without a new connection; no handshake is under way any more after it
+QUIET_PERIOD_S = 0.04  # without a new connection; no handshake is under way any more after it
 CONNECT_WAIT_MS = 20  # for a connection within this machine
 # Linux socket options that Python's socket module does not name, and one instruction of classic BPF.
 SO_ATTACH_REUSEPORT_CBPF, SO_BINDTOIFINDEX = 51, 62
@@ -70,7 +70,7 @@
             self.quiet_since_us = self.now_us()
         if not self.can_lead_away:
             return self.close_full()
-        if not self.drain() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_S * 1e6:
+        if not self.drain() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
             return False
         if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
             self.quiet_since_us = None  # another listener has opened or closed on the shared port
