--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -20,7 +20,7 @@
 
 BACKLOG = 1024
 QUIET_PERIOD_S = 0.04  # without a new connection; no handshake is under way any more after it
-CONNECT_WAIT_MS = 20  # for a connection within this machine
+CONNECT_TIMEOUT_MS = 20  # for a connection within this machine
 # Linux socket options that Python's socket module does not name, and one instruction of classic BPF.
 SO_ATTACH_REUSEPORT_CBPF, SO_BINDTOIFINDEX = 51, 62
 BPF_RETURN_CONSTANT = 0x06
@@ -186,4 +186,4 @@
         return error
     waiting = select.poll()
     waiting.register(own, select.POLLOUT)
-    return own.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if waiting.poll(CONNECT_WAIT_MS) else error
+    return own.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if waiting.poll(CONNECT_TIMEOUT_MS) else error
