--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -25,7 +25,7 @@
 SO_ATTACH_REUSEPORT_CBPF, SO_BINDTOIFINDEX = 51, 62
 BPF_RETURN_CONSTANT = 0x06
 NO_DEVICE = 1 << 30  # an index that no network device has
-PROBES = 4  # probe connections that must all agree on which listener they reach
+PROBE_COUNT = 4  # probe connections that must all agree on which listener they reach
 MOST_SHARING = 8  # indexes of listeners on a shared port that are tried to find another one
 FILL_TRIES = 4  # tries to take the only place of the accept queue
 PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
@@ -103,7 +103,7 @@
         return Reached.HERE
 
     def reached_often(self) -> Iterator[Reached]:
-        return (self.reached() for _ in range(PROBES))
+        return (self.reached() for _ in range(PROBE_COUNT))
 
     def choose(self, index: int) -> None:
         """Makes new connections to the port go to the listener of this index; where there is none the kernel chooses
