--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -26,7 +26,7 @@
 BPF_RETURN_CONSTANT = 0x06
 NO_DEVICE = 1 << 30  # an index that no network device has
 PROBE_COUNT = 4  # probe connections that must all agree on which listener they reach
-MOST_SHARING = 8  # indexes of listeners on a shared port that are tried to find another one
+MAX_LISTENER_INDEXES = 8  # indexes of listeners on a shared port that are tried to find another one
 FILL_TRIES = 4  # tries to take the only place of the accept queue
 PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
 ANY_PORT = 0
@@ -93,7 +93,7 @@
 
     def lead_to_another(self) -> Reached:
         """Makes the kernel choose another listener of the port for new connections; HERE if there is none."""
-        for index in range(MOST_SHARING):
+        for index in range(MAX_LISTENER_INDEXES):
             self.choose(index)
             reached = next((one for one in self.reached_often() if one is not Reached.ANOTHER), Reached.ANOTHER)
             if reached is Reached.ANOTHER:
