--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -27,7 +27,7 @@
 NO_DEVICE = 1 << 30  # an index that no network device has
 PROBE_COUNT = 4  # probe connections that must all agree on which listener they reach
 MAX_LISTENER_INDEXES = 8  # indexes of listeners on a shared port that are tried to find another one
-FILL_TRIES = 4  # tries to take the only place of the accept queue
+QUEUE_FILL_TRIES = 4  # tries to take the only place of the accept queue
 PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
 ANY_PORT = 0
 
@@ -144,7 +144,7 @@
         handshakes end at the same moment both may pass that place, and one of them is reset."""
         with self.short_queue(), ExitStack() as stack:
             port = self.port_leading_here() if self.shares_port else ANY_PORT
-            for _ in range(FILL_TRIES):
+            for _ in range(QUEUE_FILL_TRIES):
                 if not self.drain():  # a client's connection may hold the place
                     return False
                 own = stack.enter_context(socket.socket())
