--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -28,7 +28,7 @@
 PROBE_COUNT = 4  # probe connections that must all agree on which listener they reach
 MAX_LISTENER_INDEXES = 8  # indexes of listeners on a shared port that are tried to find another one
 QUEUE_FILL_TRIES = 4  # tries to take the only place of the accept queue
-PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
+SOURCE_PORT_TRIES = 64  # source ports tried to find one from which the kernel chooses this listener
 ANY_PORT = 0
 
 
@@ -157,7 +157,7 @@
     def port_leading_here(self) -> int:
         """A source port from which connections reach this listener and not another one of the shared port: the kernel
         chooses by the addresses and ports of both ends. ANY_PORT if none is found."""
-        for _ in range(PORT_TRIES):
+        for _ in range(SOURCE_PORT_TRIES):
             if self.reached() is Reached.HERE:
                 return self.probed_port
         return ANY_PORT
