--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -47,7 +47,7 @@
     def __init__(self, listener: socket.socket, shares_port: bool, drain: Callable[[], bool], close: Callable[[], None],
                  now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
-        self.drain, self.close, self.now_us = drain, close, now_us
+        self.accept_queued, self.close, self.now_us = drain, close, now_us
         self.probe: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
         self.probed_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
@@ -70,7 +70,7 @@
             self.quiet_since_us = self.now_us()
         if not self.can_lead_away:
             return self.close_full()
-        if not self.drain() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
+        if not self.accept_queued() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
             return False
         if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
             self.quiet_since_us = None  # another listener has opened or closed on the shared port
@@ -132,7 +132,7 @@
             if error == 0:
                 self.probe = own.getsockname()
                 self.probed_port = own.getsockname()[1]
-                if not self.drain():
+                if not self.accept_queued():
                     return Reached.UNKNOWN
                 is_here, self.probe = self.probe is None, None
                 return Reached.HERE if is_here else Reached.ANOTHER
@@ -145,7 +145,7 @@
         with self.short_queue(), ExitStack() as stack:
             port = self.port_leading_here() if self.shares_port else ANY_PORT
             for _ in range(QUEUE_FILL_TRIES):
-                if not self.drain():  # a client's connection may hold the place
+                if not self.accept_queued():  # a client's connection may hold the place
                     return False
                 own = stack.enter_context(socket.socket())
                 if connect(own, self.listener.getsockname(), port) == 0:
