--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -48,7 +48,7 @@
                  now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
         self.accept_queued, self.close, self.now_us = drain, close, now_us
-        self.probe: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
+        self.probe_address: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
         self.probed_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
         self.is_hidden = False  # bound to a device that does not exist; only a shared port's choice may still lead here
@@ -56,8 +56,8 @@
 
     def is_probe(self, peer: tuple[str, int]) -> bool:
         """Whether an accepted connection is our own probe. Must be called for each connection that is accepted."""
-        if peer == self.probe:
-            self.probe = None
+        if peer == self.probe_address:
+            self.probe_address = None
             return True
         if self.quiet_since_us is not None:
             self.quiet_since_us = self.now_us()
@@ -130,11 +130,11 @@
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             error = connect(own, self.listener.getsockname(), ANY_PORT)
             if error == 0:
-                self.probe = own.getsockname()
+                self.probe_address = own.getsockname()
                 self.probed_port = own.getsockname()[1]
                 if not self.accept_queued():
                     return Reached.UNKNOWN
-                is_here, self.probe = self.probe is None, None
+                is_here, self.probe_address = self.probe_address is None, None
                 return Reached.HERE if is_here else Reached.ANOTHER
         return Reached.NOBODY if error == errno.ECONNREFUSED else Reached.UNKNOWN
 
