--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -49,7 +49,7 @@
         self.listener, self.shares_port = listener, shares_port
         self.accept_queued, self.close, self.now_us = drain, close, now_us
         self.probe_address: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
-        self.probed_port = ANY_PORT  # source port of the last probe that connected
+        self.probe_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
         self.is_hidden = False  # bound to a device that does not exist; only a shared port's choice may still lead here
         self.can_lead_away = True
@@ -131,7 +131,7 @@
             error = connect(own, self.listener.getsockname(), ANY_PORT)
             if error == 0:
                 self.probe_address = own.getsockname()
-                self.probed_port = own.getsockname()[1]
+                self.probe_port = own.getsockname()[1]
                 if not self.accept_queued():
                     return Reached.UNKNOWN
                 is_here, self.probe_address = self.probe_address is None, None
@@ -159,7 +159,7 @@
         chooses by the addresses and ports of both ends. ANY_PORT if none is found."""
         for _ in range(SOURCE_PORT_TRIES):
             if self.reached() is Reached.HERE:
-                return self.probed_port
+                return self.probe_port
         return ANY_PORT
 
     @contextmanager
