--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -52,7 +52,7 @@
         self.probe_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
         self.is_hidden = False  # bound to a device that does not exist; only a shared port's choice may still lead here
-        self.can_lead_away = True
+        self.can_divert = True
 
     def is_probe(self, peer: tuple[str, int]) -> bool:
         """Whether an accepted connection is our own probe. Must be called for each connection that is accepted."""
@@ -66,9 +66,9 @@
     def step(self) -> bool:
         """Takes the next step; returns whether the listener is closed. Raises OSError when a call fails, and the next
         step tries it again."""
-        if self.can_lead_away and self.quiet_since_us is None and self.lead_away():
+        if self.can_divert and self.quiet_since_us is None and self.lead_away():
             self.quiet_since_us = self.now_us()
-        if not self.can_lead_away:
+        if not self.can_divert:
             return self.close_full()
         if not self.accept_queued() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
             return False
@@ -88,7 +88,7 @@
             if severity(error) in (Severity.AGAIN, Severity.EXHAUSTED):
                 raise
             reached = Reached.HERE  # the kernel is too old or denies permission
-        self.can_lead_away = reached is not Reached.HERE
+        self.can_divert = reached is not Reached.HERE
         return reached in (Reached.ANOTHER, Reached.NOBODY)
 
     def lead_to_another(self) -> Reached:
