--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -66,7 +66,7 @@
     def step(self) -> bool:
         """Takes the next step; returns whether the listener is closed. Raises OSError when a call fails, and the next
         step tries it again."""
-        if self.can_divert and self.quiet_since_us is None and self.lead_away():
+        if self.can_divert and self.quiet_since_us is None and self.divert_connections():
             self.quiet_since_us = self.now_us()
         if not self.can_divert:
             return self.close_full()
@@ -78,7 +78,7 @@
         self.close()
         return True
 
-    def lead_away(self) -> bool:
+    def divert_connections(self) -> bool:
         """Diverts new connections; returns whether none reach this listener any more."""
         try:
             reached = self.lead_to_another() if self.shares_port else Reached.HERE
