--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -81,7 +81,7 @@
     def divert_connections(self) -> bool:
         """Diverts new connections; returns whether none reach this listener any more."""
         try:
-            reached = self.lead_to_another() if self.shares_port else Reached.HERE
+            reached = self.divert_to_another() if self.shares_port else Reached.HERE
             if reached is Reached.HERE:  # no other listener shares the port
                 reached = self.hide()
         except OSError as error:
@@ -91,7 +91,7 @@
         self.can_divert = reached is not Reached.HERE
         return reached in (Reached.ANOTHER, Reached.NOBODY)
 
-    def lead_to_another(self) -> Reached:
+    def divert_to_another(self) -> Reached:
         """Makes the kernel choose another listener of the port for new connections; HERE if there is none."""
         for index in range(MAX_LISTENER_INDEXES):
             self.choose(index)
