--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -95,14 +95,14 @@
         """Makes the kernel choose another listener of the port for new connections; HERE if there is none."""
         for index in range(MAX_LISTENER_INDEXES):
             self.choose(index)
-            reached = next((one for one in self.reached_often() if one is not Reached.ANOTHER), Reached.ANOTHER)
+            reached = next((one for one in self.probe_repeatedly() if one is not Reached.ANOTHER), Reached.ANOTHER)
             if reached is Reached.ANOTHER:
                 return reached
             if reached is not Reached.HERE and not self.is_hidden:  # connections led to a hidden listener reach nobody
                 return Reached.UNKNOWN
         return Reached.HERE
 
-    def reached_often(self) -> Iterator[Reached]:
+    def probe_repeatedly(self) -> Iterator[Reached]:
         return (self.reached() for _ in range(PROBE_COUNT))
 
     def choose(self, index: int) -> None:
