--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -94,7 +94,7 @@
     def divert_to_another(self) -> Reached:
         """Makes the kernel choose another listener of the port for new connections; HERE if there is none."""
         for index in range(MAX_LISTENER_INDEXES):
-            self.choose(index)
+            self.select_listener(index)
             reached = next((one for one in self.probe_repeatedly() if one is not Reached.ANOTHER), Reached.ANOTHER)
             if reached is Reached.ANOTHER:
                 return reached
@@ -105,7 +105,7 @@
     def probe_repeatedly(self) -> Iterator[Reached]:
         return (self.reached() for _ in range(PROBE_COUNT))
 
-    def choose(self, index: int) -> None:
+    def select_listener(self, index: int) -> None:
         """Makes new connections to the port go to the listener of this index; where there is none the kernel chooses
         by a hash."""
         program = array("B", struct.pack("HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
