--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -116,12 +116,12 @@
         """Hides the listener from new connections; HERE if they still reach it, NOBODY if they are refused. This can't
         be undone: an unprivileged process can bind a socket to a device only once, and never to another or to none."""
         if not self.is_hidden:
-            self.bind_to(NO_DEVICE)
+            self.bind_to_device(NO_DEVICE)
             self.is_hidden = True
         reached = self.reached()
         return Reached.UNKNOWN if reached is Reached.ANOTHER else reached
 
-    def bind_to(self, device: int) -> None:
+    def bind_to_device(self, device: int) -> None:
         self.listener.setsockopt(socket.SOL_SOCKET, SO_BINDTOIFINDEX, device)
 
     def reached(self) -> Reached:
--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -156,7 +156,7 @@
 
 def bind_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """As for a process without privileges: a listener that is bound to a device can't be bound again."""
-    bind_to, bound = ListenerShutdown.bind_to, set[ListenerShutdown]()
+    bind_to, bound = ListenerShutdown.bind_to_device, set[ListenerShutdown]()
 
     def bind(self: ListenerShutdown, device: int) -> None:
         if self in bound:
