--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -69,7 +69,7 @@
         if self.can_divert and self.quiet_since_us is None and self.divert_connections():
             self.quiet_since_us = self.now_us()
         if not self.can_divert:
-            return self.close_full()
+            return self.close_with_full_queue()
         if not self.accept_queued() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
             return False
         if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
@@ -138,7 +138,7 @@
                 return Reached.HERE if is_here else Reached.ANOTHER
         return Reached.NOBODY if error == errno.ECONNREFUSED else Reached.UNKNOWN
 
-    def close_full(self) -> bool:
+    def close_with_full_queue(self) -> bool:
         """Closes the listener where new connections can't be diverted; returns whether it did. The accept queue is cut
         to one place, which a connection of our own takes, so that later clients wait in their connect. When two
         handshakes end at the same moment both may pass that place, and one of them is reset."""
