--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -143,7 +143,7 @@
         to one place, which a connection of our own takes, so that later clients wait in their connect. When two
         handshakes end at the same moment both may pass that place, and one of them is reset."""
         with self.short_queue(), ExitStack() as stack:
-            port = self.port_leading_here() if self.shares_port else ANY_PORT
+            port = self.find_source_port() if self.shares_port else ANY_PORT
             for _ in range(QUEUE_FILL_TRIES):
                 if not self.accept_queued():  # a client's connection may hold the place
                     return False
@@ -154,7 +154,7 @@
                 own.close()  # it may still be waiting for the place
         return False
 
-    def port_leading_here(self) -> int:
+    def find_source_port(self) -> int:
         """A source port from which connections reach this listener and not another one of the shared port: the kernel
         chooses by the addresses and ports of both ends. ANY_PORT if none is found."""
         for _ in range(SOURCE_PORT_TRIES):
