--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -142,7 +142,7 @@
         """Closes the listener where new connections can't be diverted; returns whether it did. The accept queue is cut
         to one place, which a connection of our own takes, so that later clients wait in their connect. When two
         handshakes end at the same moment both may pass that place, and one of them is reset."""
-        with self.short_queue(), ExitStack() as stack:
+        with self.shortened_queue(), ExitStack() as stack:
             port = self.find_source_port() if self.shares_port else ANY_PORT
             for _ in range(QUEUE_FILL_TRIES):
                 if not self.accept_queued():  # a client's connection may hold the place
@@ -163,7 +163,7 @@
         return ANY_PORT
 
     @contextmanager
-    def short_queue(self) -> Iterator[None]:
+    def shortened_queue(self) -> Iterator[None]:
         """Cuts the accept queue to one place. Handshakes that find the queue full are reset, so this lasts one step
         at most."""
         self.listener.listen(0)
