--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -10,7 +10,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-SLACK_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
+TOLERANCE_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
 MOST_NOTES = 2_000  # only the latest notes are kept
 MOST_TOLD = 20  # notes of a request that are logged with a violation
 MOST_LOGGED = 50  # violations that are logged; further ones are only counted
@@ -110,9 +110,9 @@
         now_us = self.ledger.now_us()
         if self.is_over:
             self.ledger.violated(Invariant.SENT_AFTER_END, self.request, self.state.value)
-        if self.due_us is not None and now_us > self.due_us + SLACK_US:
+        if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
             self.ledger.violated(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
-        if self.due_us is not None and told_us > max(0, self.due_us - now_us) + SLACK_US:
+        if self.due_us is not None and told_us > max(0, self.due_us - now_us) + TOLERANCE_US:
             self.ledger.violated(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
         self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last, self.request)
         self.attempts += 1
