--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 
 TOLERANCE_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
-MOST_NOTES = 2_000  # only the latest notes are kept
+MAX_NOTES = 2_000  # only the latest notes are kept
 MOST_TOLD = 20  # notes of a request that are logged with a violation
 MOST_LOGGED = 50  # violations that are logged; further ones are only counted
 
-violations: deque[str] = deque(maxlen=MOST_NOTES)  # of all ledgers in this process; the tests check that there are none
+violations: deque[str] = deque(maxlen=MAX_NOTES)  # of all ledgers in this process; the tests check that there are none
 
 
 class State(enum.Enum):
@@ -49,7 +49,7 @@
 
     def __init__(self, now_us: Callable[[], int], log: Callable[[str], None]) -> None:
         self.now_us, self.log = now_us, log
-        self.notes: deque[tuple[int, str, Event, str]] = deque(maxlen=MOST_NOTES)
+        self.notes: deque[tuple[int, str, Event, str]] = deque(maxlen=MAX_NOTES)
         self.counts: Counter[tuple[Event, str]] = Counter()
         self.violations: Counter[Invariant] = Counter()
 
