--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -12,7 +12,7 @@
 
 TOLERANCE_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
 MAX_NOTES = 2_000  # only the latest notes are kept
-MOST_TOLD = 20  # notes of a request that are logged with a violation
+MAX_NOTES_LOGGED = 20  # notes of a request that are logged with a violation
 MOST_LOGGED = 50  # violations that are logged; further ones are only counted
 
 violations: deque[str] = deque(maxlen=MAX_NOTES)  # of all ledgers in this process; the tests check that there are none
@@ -70,7 +70,7 @@
         now_us = self.now_us()
         found = [f"{(at_us - now_us) / 1000:+.1f} ms {event.value}: {reason}"
                  for at_us, about, event, reason in self.notes if about == request]
-        return found[-MOST_TOLD:]
+        return found[-MAX_NOTES_LOGGED:]
 
     def summary(self) -> str:
         """All counts in one line."""
