--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -13,7 +13,7 @@
 TOLERANCE_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
 MAX_NOTES = 2_000  # only the latest notes are kept
 MAX_NOTES_LOGGED = 20  # notes of a request that are logged with a violation
-MOST_LOGGED = 50  # violations that are logged; further ones are only counted
+MAX_VIOLATIONS_LOGGED = 50  # violations that are logged; further ones are only counted
 
 violations: deque[str] = deque(maxlen=MAX_NOTES)  # of all ledgers in this process; the tests check that there are none
 
@@ -62,7 +62,7 @@
         self.violations[invariant] += 1
         text = f"violation: request {request or '(unknown)'} {invariant.value}: {detail}"
         violations.append(text)
-        if self.violations.total() <= MOST_LOGGED:
+        if self.violations.total() <= MAX_VIOLATIONS_LOGGED:
             self.log("\n  ".join([text, *self.history(request)]))
 
     def history(self, request: str) -> list[str]:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ironscale.net import lifecycle as module
-from ironscale.net.lifecycle import MOST_LOGGED, TOLERANCE_US, Event, Invariant, Ledger, Lifecycle, State
+from ironscale.net.lifecycle import MAX_VIOLATIONS_LOGGED, TOLERANCE_US, Event, Invariant, Ledger, Lifecycle, State
 from ironscale.standins.upstream import Peer
 from tests.sockets import Scene, run, until
 
@@ -72,9 +72,9 @@
 
 def test_many_violations_are_counted_and_not_all_logged() -> None:
     case = Case()
-    for _ in range(10 * MOST_LOGGED):
+    for _ in range(10 * MAX_VIOLATIONS_LOGGED):
         case.life.connection_closed("idle")
-    assert case.found() == {Invariant.CLOSED_UNANSWERED: 10 * MOST_LOGGED} and len(case.lines) == MOST_LOGGED
+    assert case.found() == {Invariant.CLOSED_UNANSWERED: 10 * MAX_VIOLATIONS_LOGGED} and len(case.lines) == MAX_VIOLATIONS_LOGGED
 
 
 # Guards against a check that no path passes: a fault put into the program is seen by it.
