--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -57,7 +57,7 @@
         self.counts[event, reason] += 1
         self.notes.append((self.now_us(), request, event, reason))
 
-    def violated(self, invariant: Invariant, request: str, detail: str) -> None:
+    def record_violation(self, invariant: Invariant, request: str, detail: str) -> None:
         """Counts a violation and logs it with the request's history."""
         self.violations[invariant] += 1
         text = f"violation: request {request or '(unknown)'} {invariant.value}: {detail}"
@@ -109,11 +109,11 @@
         """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
-            self.ledger.violated(Invariant.SENT_AFTER_END, self.request, self.state.value)
+            self.ledger.record_violation(Invariant.SENT_AFTER_END, self.request, self.state.value)
         if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
-            self.ledger.violated(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
+            self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
         if self.due_us is not None and told_us > max(0, self.due_us - now_us) + TOLERANCE_US:
-            self.ledger.violated(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
+            self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
         self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last, self.request)
         self.attempts += 1
         if not self.is_over:
@@ -142,4 +142,4 @@
     def connection_closed(self, reason: str) -> None:
         """This side closes the client's connection now; a violation if the request is still open."""
         if not self.is_over:
-            self.ledger.violated(Invariant.CLOSED_UNANSWERED, self.request, reason)
+            self.ledger.record_violation(Invariant.CLOSED_UNANSWERED, self.request, reason)
