--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -83,7 +83,7 @@
 class Lifecycle:
     """One request, from the moment it is fully read until it is answered or its client leaves."""
 
-    __slots__ = ("attempts", "due_us", "last", "ledger", "request", "state")
+    __slots__ = ("attempts", "due_us", "last_outcome", "ledger", "request", "state")
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -91,7 +91,7 @@
         self.request = ""
         self.due_us: int | None = None  # the client's deadline
         self.attempts = 0
-        self.last = ""  # outcome of the latest attempt
+        self.last_outcome = ""  # outcome of the latest attempt
 
     @property
     def is_over(self) -> bool:
@@ -114,13 +114,13 @@
             self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
         if self.due_us is not None and told_us > max(0, self.due_us - now_us) + TOLERANCE_US:
             self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
-        self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last, self.request)
+        self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last_outcome, self.request)
         self.attempts += 1
         if not self.is_over:
             self.state = State.IN_FLIGHT
 
     def attempt_ended(self, outcome: str) -> None:
-        self.last = outcome
+        self.last_outcome = outcome
         self.ledger.note(Event.ATTEMPT_ENDED, outcome, self.request)
 
     def answer(self, status: int) -> bool:
