--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -105,7 +105,7 @@
         """Whether an attempt may begin now, before `until_us`; `has_left` checks whether the client has left."""
         return not self.is_over and now_us < until_us and not has_left()
 
-    def sent(self, told_us: int) -> None:
+    def attempt_begun(self, told_us: int) -> None:
         """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -105,7 +105,7 @@
         self.numbers[action.request] = number + 1
         left_us = request.due_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
-        request.exchange.lifecycle.sent(max(0, timeout_us))
+        request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
         out = self.out[action.request, number] = Out(number, action.upstream, now_us)
         request.out += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -31,9 +31,9 @@
     case = Case()
     life = case.life
     assert life.may_send(case.clock.now_us, 2_000_000, lambda: False)
-    life.sent(1_000_000)
+    life.attempt_begun(1_000_000)
     life.attempt_ended("reset")
-    life.sent(1_000_000 + TOLERANCE_US)
+    life.attempt_begun(1_000_000 + TOLERANCE_US)
     life.attempt_ended("ok")
     assert life.state is State.IN_FLIGHT
     assert life.answer(200) and not life.answer(502) and not life.cancel("client left")
@@ -58,12 +58,12 @@
     match invariant:
         case Invariant.SENT_AFTER_END:
             case.life.cancel("client left")
-            case.life.sent(0)
+            case.life.attempt_begun(0)
         case Invariant.SENT_TOO_LATE:
             case.clock.now_us = 2_000_001 + TOLERANCE_US
-            case.life.sent(0)
+            case.life.attempt_begun(0)
         case Invariant.TOLD_TOO_MUCH:
-            case.life.sent(1_000_001 + TOLERANCE_US)
+            case.life.attempt_begun(1_000_001 + TOLERANCE_US)
         case _:
             case.life.connection_closed("idle")
     assert case.found() == {invariant: 1}
