--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -15,12 +15,12 @@
     resuming a paused listener) would never happen again."""
 
     def __init__(self, every_s: float, act: Callable[[], None]) -> None:
-        self.every_s, self.act = every_s, act
+        self.interval_s, self.act = every_s, act
         self.loop = asyncio.get_running_loop()
         self.handle = self.loop.call_later(every_s, self.run)
 
     def run(self) -> None:
-        self.handle = self.loop.call_later(self.every_s, self.run)
+        self.handle = self.loop.call_later(self.interval_s, self.run)
         try:
             self.act()
         except Exception:
