--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -15,16 +15,16 @@
     resuming a paused listener) would never happen again."""
 
     def __init__(self, every_s: float, act: Callable[[], None]) -> None:
-        self.interval_s, self.act = every_s, act
+        self.interval_s, self.callback = every_s, act
         self.loop = asyncio.get_running_loop()
         self.handle = self.loop.call_later(every_s, self.run)
 
     def run(self) -> None:
         self.handle = self.loop.call_later(self.interval_s, self.run)
         try:
-            self.act()
+            self.callback()
         except Exception:
-            logs.line(f"{getattr(self.act, '__qualname__', self.act)} failed; it will be tried again\n"
+            logs.line(f"{getattr(self.callback, '__qualname__', self.callback)} failed; it will be tried again\n"
                       f"{traceback.format_exc()}")
 
     def cancel(self) -> None:
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -57,7 +57,7 @@
         scene = await Scene().start()
         assert server.sweeper is not None
         for job in (server.sweeper, upstreams.sweeper, scene.sidecar.clock_watch):
-            job.act, done = failing_once(job.act)
+            job.callback, done = failing_once(job.callback)
             job.interval_s = 0.001
             job.run()
             await until(lambda done=done: len(done) >= 2)  # type: ignore[misc]
