--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Callable
 
-MOST_BYTES = 4096  # read at a time; the interpreter writes one byte for each signal
+READ_BYTES = 4096  # read at a time; the interpreter writes one byte for each signal
 
 
 class Signals:
@@ -29,7 +29,7 @@
     def heard(self) -> None:
         """Empties the pipe; the interpreter has run the handlers by now."""
         with contextlib.suppress(OSError):
-            os.read(self.reading, MOST_BYTES)
+            os.read(self.reading, READ_BYTES)
 
     def on(self, number: int, act: Callable[[], None]) -> None:
         signal.signal(number, lambda *_: self.loop.call_soon(act))
