--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -23,10 +23,10 @@
         """Raises OSError if no pipe can be created."""
         self.loop = asyncio.get_running_loop()
         self.reading, self.writing = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self.loop.add_reader(self.reading, self.heard)
+        self.loop.add_reader(self.reading, self.empty_pipe)
         signal.set_wakeup_fd(self.writing, warn_on_full_buffer=False)  # a full pipe wakes the loop as well
 
-    def heard(self) -> None:
+    def empty_pipe(self) -> None:
         """Empties the pipe; the interpreter has run the handlers by now."""
         with contextlib.suppress(OSError):
             os.read(self.reading, READ_BYTES)
