--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -22,14 +22,14 @@
     def __init__(self) -> None:
         """Raises OSError if no pipe can be created."""
         self.loop = asyncio.get_running_loop()
-        self.reading, self.writing = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self.loop.add_reader(self.reading, self.empty_pipe)
+        self.read_end, self.writing = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+        self.loop.add_reader(self.read_end, self.empty_pipe)
         signal.set_wakeup_fd(self.writing, warn_on_full_buffer=False)  # a full pipe wakes the loop as well
 
     def empty_pipe(self) -> None:
         """Empties the pipe; the interpreter has run the handlers by now."""
         with contextlib.suppress(OSError):
-            os.read(self.reading, READ_BYTES)
+            os.read(self.read_end, READ_BYTES)
 
     def on(self, number: int, act: Callable[[], None]) -> None:
         signal.signal(number, lambda *_: self.loop.call_soon(act))
@@ -37,6 +37,6 @@
     def close(self) -> None:
         """Closes the pipe. Signals with a callback should be ignored or reset before."""
         signal.set_wakeup_fd(-1)
-        self.loop.remove_reader(self.reading)
-        os.close(self.reading)
+        self.loop.remove_reader(self.read_end)
+        os.close(self.read_end)
         os.close(self.writing)
