--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -22,9 +22,9 @@
     def __init__(self) -> None:
         """Raises OSError if no pipe can be created."""
         self.loop = asyncio.get_running_loop()
-        self.read_end, self.writing = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+        self.read_end, self.write_end = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         self.loop.add_reader(self.read_end, self.empty_pipe)
-        signal.set_wakeup_fd(self.writing, warn_on_full_buffer=False)  # a full pipe wakes the loop as well
+        signal.set_wakeup_fd(self.write_end, warn_on_full_buffer=False)  # a full pipe wakes the loop as well
 
     def empty_pipe(self) -> None:
         """Empties the pipe; the interpreter has run the handlers by now."""
@@ -39,4 +39,4 @@
         signal.set_wakeup_fd(-1)
         self.loop.remove_reader(self.read_end)
         os.close(self.read_end)
-        os.close(self.writing)
+        os.close(self.write_end)
