--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -21,7 +21,7 @@
 
 from ironscale import logs  # noqa: E402
 from ironscale.net.config import ConfigError  # noqa: E402
-from ironscale.net.errors import passes  # noqa: E402
+from ironscale.net.errors import is_transient  # noqa: E402
 from ironscale.net.sidecar import Beside, Sidecar, StartFailed, serve  # noqa: E402
 
 START_PATIENCE_S = 20.0  # of 30 s that a start may take
@@ -38,7 +38,7 @@
             return 0
         except StartFailed as failed:
             error = failed.__cause__ or failed
-            if not passes(error) or time.monotonic() >= give_up_s:
+            if not is_transient(error) or time.monotonic() >= give_up_s:
                 return said(error)
             logs.line(f"ironscale: {error}; the start is tried again")
             time.sleep(START_AGAIN_S)
--- a/ironscale/net/errors.py
+++ b/ironscale/net/errors.py
@@ -33,7 +33,7 @@
     return _SEVERITIES.get(error.errno or 0, Severity.FATAL)
 
 
-def passes(error: BaseException) -> bool:
+def is_transient(error: BaseException) -> bool:
     """Whether a retry may succeed a moment later: judged by the OSError itself, or by the one that caused the error."""
     cause: BaseException | None = error
     while cause is not None and not isinstance(cause, OSError):
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -24,7 +24,7 @@
 from ironscale.net.client import HOP_BY_HOP, Exchange, Headers
 from ironscale.net.config import Config, ConfigError, load, merged, parse
 from ironscale.net.discovery import Discovery, Listing
-from ironscale.net.errors import passes
+from ironscale.net.errors import is_transient
 from ironscale.net.lane import Front, Lane
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.periodic import Periodic
@@ -272,7 +272,7 @@
             config = load(environ)
         except ConfigError as error:  # a partly written file must neither end the process nor change a part of it
             self.log(f"reload: the configuration stays as it was: {error}")
-            if passes(error):  # a transient error while reading: nobody will send the signal again
+            if is_transient(error):  # a transient error while reading: nobody will send the signal again
                 self.reload_again = self.loop.call_later(RELOAD_AGAIN_S, self.reload, environ)
             return
         address, before = config.discovery_in_file, self.config.discovery_in_file
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -14,7 +14,7 @@
 from ironscale.interface import Outcome, UpstreamState
 from ironscale.net import dialing
 from ironscale.net.client import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, Headers
-from ironscale.net.errors import passes
+from ironscale.net.errors import is_transient
 from ironscale.net.periodic import Periodic
 from ironscale.net.stream import Stream, Unread, peek
 
@@ -357,7 +357,7 @@
                 sock.close()
             self.upstreams.open -= 1
             # what this machine lacks says nothing of the upstream
-            attempt.end(Outcome.NOT_SENT if passes(error) else Outcome.CONNECT_FAILED)
+            attempt.end(Outcome.NOT_SENT if is_transient(error) else Outcome.CONNECT_FAILED)
             return
         self.busy.add(connection)
         connection.retired = address != self.member.address
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from ironscale.net.errors import passes
+from ironscale.net.errors import is_transient
 from ironscale.threads import in_thread
 
 VERSION = 1
@@ -132,7 +132,7 @@
             self.open = {entry.attempt: entry for entry in left}
             self.to_disk([], left, paths)
         except OSError as error:
-            if not passes(error):
+            if not is_transient(error):
                 raise JournalError(
                     f"{self.folder}: expected a folder that can be written, got {error.strerror}") from error
             self.log(f"{self.folder}: {error.strerror}; written again until it stands")
@@ -157,7 +157,7 @@
             except (BlockingIOError, FileNotFoundError):
                 continue  # it runs, or another one was quicker
             except (OSError, JournalError) as error:
-                if not passes(error):
+                if not is_transient(error):
                     raise
                 self.log(f"{path}: {error}; looked at again later")
                 continue
