--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -35,7 +35,7 @@
 
 # Answers are sent this long before the client stops waiting: timers fire up to 2 ms late, the event loop reads a
 # request up to 1 ms after it arrived (99 in 100), and an answer takes under 1 ms to reach the client.
-MARGIN_US = 8_000
+ANSWER_MARGIN_US = 8_000
 BACKSTOP_US = 4_000  # past the deadline, when the balancer's own timers must have fired
 SPARE_SOCKETS = 32  # for standard streams, event loop, discovery and listener
 # New connections come for up to 0.4 s after SIGTERM. SIGKILL may come 0.7 s plus the longest deadline (counted as 3 s
@@ -357,7 +357,7 @@
         ident = self.next_request
         self.next_request += 1
         # counted from the arrival: a pipelined request that waited behind another would else be answered too late
-        request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - MARGIN_US)
+        request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - ANSWER_MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
         # answers the request even if the balancer loses it
         request.backstop = self.at(request.due_us + BACKSTOP_US, partial(self.fail, ident))
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -19,7 +19,7 @@
 
 from ironscale import interface as api
 from ironscale.net.config import ConfigError
-from ironscale.net.sidecar import MARGIN_US
+from ironscale.net.sidecar import ANSWER_MARGIN_US
 from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
 from ironscale.record import beside as beside_module
 from ironscale.record import history
@@ -197,7 +197,7 @@
             host.hook = gate
             began = time.monotonic()
             assert (await scene.raw(asked(scene, "pay", remaining="600m"))).status == 502
-            assert 0.3 < time.monotonic() - began < 0.6 + 0.05 - MARGIN_US / 1e6 + 0.2
+            assert 0.3 < time.monotonic() - began < 0.6 + 0.05 - ANSWER_MARGIN_US / 1e6 + 0.2
             journal = front.lanes[0].recorder.journal
             await until(lambda: journal.writing is None and journal.open)
             (one,), damaged = journal_module.read_all(tmp_path / "open")
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,7 +19,7 @@
 
 from ironscale import interface as api
 from ironscale.net import client, server, upstream
-from ironscale.net.sidecar import MARGIN_US, Clock, parse_remaining_us, read_report
+from ironscale.net.sidecar import ANSWER_MARGIN_US, Clock, parse_remaining_us, read_report
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok, read_message
 from ironscale.standins.settings import SETTINGS
@@ -40,7 +40,7 @@
         assert got.first == "POST /api?sid=7f HTTP/1.1" and got.body == body
         assert (got.headers["x-txn"], got.headers["idempotency-key"]) == ("t1", "k")
         left_us = int(got.headers["x-remaining"].removesuffix("u"))
-        assert 0 < left_us <= 8_000_000 - MARGIN_US
+        assert 0 < left_us <= 8_000_000 - ANSWER_MARGIN_US
 
     run(test)
 
@@ -121,7 +121,7 @@
         peer.behave = hang
         start = time.monotonic()
         assert (await scene.call("pay", remaining="400000u")).status == 502
-        assert time.monotonic() - start >= 0.39 - MARGIN_US / 1e6
+        assert time.monotonic() - start >= 0.39 - ANSWER_MARGIN_US / 1e6
         await until(lambda: scene.sidecar.upstreams.open == 0)
         assert not scene.sidecar.requests and not scene.sidecar.by_txn
 
