--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -36,7 +36,7 @@
 # Answers are sent this long before the client stops waiting: timers fire up to 2 ms late, the event loop reads a
 # request up to 1 ms after it arrived (99 in 100), and an answer takes under 1 ms to reach the client.
 ANSWER_MARGIN_US = 8_000
-BACKSTOP_US = 4_000  # past the deadline, when the balancer's own timers must have fired
+BACKSTOP_DELAY_US = 4_000  # past the deadline, when the balancer's own timers must have fired
 SPARE_SOCKETS = 32  # for standard streams, event loop, discovery and listener
 # New connections come for up to 0.4 s after SIGTERM. SIGKILL may come 0.7 s plus the longest deadline (counted as 3 s
 # at most) after it: requests that clients would wait for longer are answered before that, even if SIGTERM is handled
@@ -360,7 +360,7 @@
         request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - ANSWER_MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
         # answers the request even if the balancer loses it
-        request.backstop = self.at(request.due_us + BACKSTOP_US, partial(self.fail, ident))
+        request.backstop = self.at(request.due_us + BACKSTOP_DELAY_US, partial(self.fail, ident))
         estimate = exchange.header(b"x-estimate")
         event = api.RequestArrived(
             ident,
