--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -37,7 +37,7 @@
 # request up to 1 ms after it arrived (99 in 100), and an answer takes under 1 ms to reach the client.
 ANSWER_MARGIN_US = 8_000
 BACKSTOP_DELAY_US = 4_000  # past the deadline, when the balancer's own timers must have fired
-SPARE_SOCKETS = 32  # for standard streams, event loop, discovery and listener
+RESERVED_SOCKETS = 32  # for standard streams, event loop, discovery and listener
 # New connections come for up to 0.4 s after SIGTERM. SIGKILL may come 0.7 s plus the longest deadline (counted as 3 s
 # at most) after it: requests that clients would wait for longer are answered before that, even if SIGTERM is handled
 # late.
@@ -213,7 +213,7 @@
     not be called."""
     most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     given = sockets if most == resource.RLIM_INFINITY else min(sockets, most)
-    return max(1, (given - SPARE_SOCKETS) // 2)
+    return max(1, (given - RESERVED_SOCKETS) // 2)
 
 
 class Sidecar(Lane):
