--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -43,7 +43,7 @@
 # late.
 STOP_MIN_ACCEPT_S, STOP_QUIET_PERIOD_S, STOP_MAX_ACCEPT_S = 0.45, 0.2, 0.55
 STOP_GRACE_S, STOP_MAX_DEADLINE_S = 0.42, 3.0
-STOP_LEAST_END_S = 0.6  # with short deadlines: time for the listener to close first
+STOP_MIN_END_S = 0.6  # with short deadlines: time for the listener to close first
 RELOAD_AGAIN_S = 0.1
 CLOCK_LOOK_S = 0.5
 ENDING = (signal.SIGTERM, signal.SIGINT)
@@ -317,7 +317,7 @@
     async def stop(self) -> None:
         """Shuts down gracefully; all open requests are answered."""
         longest_s = max(c.deadline_us for c in self.config.settings.classes) / 1e6
-        end_s = max(STOP_GRACE_S + min(longest_s, STOP_MAX_DEADLINE_S), STOP_LEAST_END_S)
+        end_s = max(STOP_GRACE_S + min(longest_s, STOP_MAX_DEADLINE_S), STOP_MIN_END_S)
         await self.server.stop(STOP_QUIET_PERIOD_S, STOP_MIN_ACCEPT_S, STOP_MAX_ACCEPT_S, end_s, self.answer_all)
         self.log(f"ended: {self.ledger.summary()}")
         self.clock_watch.cancel()
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -27,7 +27,7 @@
     """SIGKILL comes 0.7 s and the longest deadline after SIGTERM, and of deadlines no more than 3 s count; the process
     may lack the processor for 0.15 s."""
     assert sidecar.STOP_GRACE_S + server.LAST_ANSWERS_S + 0.15 < 0.7 and sidecar.STOP_MAX_DEADLINE_S == 3.0
-    assert sidecar.STOP_LEAST_END_S + server.LAST_ANSWERS_S < 0.7
+    assert sidecar.STOP_MIN_END_S + server.LAST_ANSWERS_S < 0.7
 
 
 async def open_requests(peer: Peer, scene: Scene) -> dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
