--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -44,7 +44,7 @@
 STOP_MIN_ACCEPT_S, STOP_QUIET_PERIOD_S, STOP_MAX_ACCEPT_S = 0.45, 0.2, 0.55
 STOP_GRACE_S, STOP_MAX_DEADLINE_S = 0.42, 3.0
 STOP_MIN_END_S = 0.6  # with short deadlines: time for the listener to close first
-RELOAD_AGAIN_S = 0.1
+RELOAD_RETRY_S = 0.1
 CLOCK_LOOK_S = 0.5
 ENDING = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM = re.compile(r"\bupstream (\d+)")
@@ -273,7 +273,7 @@
         except ConfigError as error:  # a partly written file must neither end the process nor change a part of it
             self.log(f"reload: the configuration stays as it was: {error}")
             if is_transient(error):  # a transient error while reading: nobody will send the signal again
-                self.reload_again = self.loop.call_later(RELOAD_AGAIN_S, self.reload, environ)
+                self.reload_again = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ)
             return
         address, before = config.discovery_in_file, self.config.discovery_in_file
         self.config.discovery_in_file = address
