--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -45,7 +45,7 @@
 STOP_GRACE_S, STOP_MAX_DEADLINE_S = 0.42, 3.0
 STOP_MIN_END_S = 0.6  # with short deadlines: time for the listener to close first
 RELOAD_RETRY_S = 0.1
-CLOCK_LOOK_S = 0.5
+CLOCK_CHECK_INTERVAL_S = 0.5
 ENDING = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM = re.compile(r"\bupstream (\d+)")
 REMAINING = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
@@ -227,7 +227,7 @@
         self.clock = Clock()
         self.timers = Timers(self.clock)
         self.starts = StartTimes(wall_us, self.clock.now_us)
-        self.clock_watch = Periodic(CLOCK_LOOK_S, self.watch_clock)
+        self.clock_watch = Periodic(CLOCK_CHECK_INTERVAL_S, self.watch_clock)
         settings = config.settings
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
