--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -31,7 +31,7 @@
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.control.beside import version
 from ironscale.control.messages import Hello
-from ironscale.net.sidecar import ENDING, Clock
+from ironscale.net.sidecar import STOP_SIGNALS, Clock
 from ironscale.net.signals import Signals
 from ironscale.operator_file import Agent as AgentSection
 from ironscale.operator_file import read_secret
@@ -432,12 +432,12 @@
     # hazard: answers of many objects make the collector walk the whole fleet again and again
     gc.set_threshold(100_000, 50, 100)
     stop, signals = asyncio.Event(), Signals()
-    for number in ENDING:
+    for number in STOP_SIGNALS:
         signals.on(number, stop.set)
     try:
         await Agent(section).run(stop, stop_instances)
     finally:
-        for number in ENDING:
+        for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_DFL)
         signals.close()
 
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -46,7 +46,7 @@
 STOP_MIN_END_S = 0.6  # with short deadlines: time for the listener to close first
 RELOAD_RETRY_S = 0.1
 CLOCK_CHECK_INTERVAL_S = 0.5
-ENDING = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM = re.compile(r"\bupstream (\d+)")
 REMAINING = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNITS_US = {"m": 1000.0, "u": 1.0}
@@ -597,7 +597,7 @@
         signals = Signals()
     except OSError as error:
         raise StartFailed from error
-    for number in ENDING:
+    for number in STOP_SIGNALS:
         signals.on(number, stopped.set)
     # handled from before the configuration is read: the file may be replaced meanwhile, and the signal must not be lost
     signals.on(signal.SIGHUP, reload)
@@ -606,7 +606,7 @@
         running.append(sidecar)
         await sidecar.start(reuse_port)
     except (OSError, ConfigError) as error:
-        for number in ENDING:
+        for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_DFL)  # between two starts the process may simply be killed
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signals.close()
@@ -617,6 +617,6 @@
     async with beside(sidecar, stopped.set) if beside is not None else nullcontext():
         await stopped.wait()
         await sidecar.stop()
-    for number in (*ENDING, signal.SIGHUP):
+    for number in (*STOP_SIGNALS, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)  # further signals must not disturb the orderly end
     signals.close()
