--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -47,7 +47,7 @@
 RELOAD_RETRY_S = 0.1
 CLOCK_CHECK_INTERVAL_S = 0.5
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-UPSTREAM = re.compile(r"\bupstream (\d+)")
+UPSTREAM_PATTERN = re.compile(r"\bupstream (\d+)")
 REMAINING = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNITS_US = {"m": 1000.0, "u": 1.0}
 MOST_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
@@ -468,7 +468,7 @@
             case api.CloseIdle():
                 self.upstreams.close_idle(action.upstream)
             case api.Log():
-                self.log(UPSTREAM.sub(self.upstream_name, action.text))
+                self.log(UPSTREAM_PATTERN.sub(self.upstream_name, action.text))
             case api.Probe():
                 self.post(api.ProbeEnded(action.upstream, api.Outcome.NOT_SENT))
             case api.TellPeer():
