--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -48,7 +48,7 @@
 CLOCK_CHECK_INTERVAL_S = 0.5
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM_PATTERN = re.compile(r"\bupstream (\d+)")
-REMAINING = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
+REMAINING_PATTERN = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNITS_US = {"m": 1000.0, "u": 1.0}
 MOST_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID = 256
@@ -176,7 +176,7 @@
 @lru_cache(1024)  # most requests of a class have the same value; parsing takes 2 us
 def parse_remaining_us(text: str) -> int | None:
     """The value of `X-Remaining` (`480m` or `480000u`) in microseconds; None if it is malformed or over an hour."""
-    found = REMAINING.fullmatch(text)
+    found = REMAINING_PATTERN.fullmatch(text)
     remaining_us = int(float(found[1]) * UNITS_US[found[2]]) if found else None
     return remaining_us if remaining_us is not None and remaining_us <= MOST_REMAINING_US else None
 
