--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -49,7 +49,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 UPSTREAM_PATTERN = re.compile(r"\bupstream (\d+)")
 REMAINING_PATTERN = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
-UNITS_US = {"m": 1000.0, "u": 1.0}
+UNIT_US = {"m": 1000.0, "u": 1.0}
 MOST_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID = 256
 NOT_PASSED = HOP_BY_HOP | {b"x-remaining"}
@@ -177,7 +177,7 @@
 def parse_remaining_us(text: str) -> int | None:
     """The value of `X-Remaining` (`480m` or `480000u`) in microseconds; None if it is malformed or over an hour."""
     found = REMAINING_PATTERN.fullmatch(text)
-    remaining_us = int(float(found[1]) * UNITS_US[found[2]]) if found else None
+    remaining_us = int(float(found[1]) * UNIT_US[found[2]]) if found else None
     return remaining_us if remaining_us is not None and remaining_us <= MOST_REMAINING_US else None
 
 
