--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -50,7 +50,7 @@
 UPSTREAM_PATTERN = re.compile(r"\bupstream (\d+)")
 REMAINING_PATTERN = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNIT_US = {"m": 1000.0, "u": 1.0}
-MOST_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
+MAX_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID = 256
 NOT_PASSED = HOP_BY_HOP | {b"x-remaining"}
 LEAST_CANCELLED = 1_000  # up to so many cancelled timers stay in the heap until their time
@@ -178,7 +178,7 @@
     """The value of `X-Remaining` (`480m` or `480000u`) in microseconds; None if it is malformed or over an hour."""
     found = REMAINING_PATTERN.fullmatch(text)
     remaining_us = int(float(found[1]) * UNIT_US[found[2]]) if found else None
-    return remaining_us if remaining_us is not None and remaining_us <= MOST_REMAINING_US else None
+    return remaining_us if remaining_us is not None and remaining_us <= MAX_REMAINING_US else None
 
 
 def read_report(headers: Headers, fields: list[str]) -> list[float]:
