--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -51,7 +51,7 @@
 REMAINING_PATTERN = re.compile(r"(\d{1,10}(?:\.\d{1,6})?)([mu])", re.ASCII)
 UNIT_US = {"m": 1000.0, "u": 1.0}
 MAX_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
-MAX_ID = 256
+MAX_ID_LENGTH = 256
 NOT_PASSED = HOP_BY_HOP | {b"x-remaining"}
 LEAST_CANCELLED = 1_000  # up to so many cancelled timers stay in the heap until their time
 # Garbage collector threshold of the youngest generation. The objects of the data path form no cycles, and at the
@@ -348,7 +348,7 @@
         txn, index = exchange.header(b"x-txn"), self.classes.get(exchange.header(b"x-lane"))
         remaining_us = parse_remaining_us(exchange.header(b"x-remaining"))
         # rejected while another request with the same id is open: the two could not be told apart
-        known = 0 < len(txn) <= MAX_ID and txn not in self.by_txn
+        known = 0 < len(txn) <= MAX_ID_LENGTH and txn not in self.by_txn
         if index is None or remaining_us is None or not known or not self.agrees(exchange, index):
             exchange.keep_alive = False
             exchange.answer(400)
