--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -52,7 +52,7 @@
 UNIT_US = {"m": 1000.0, "u": 1.0}
 MAX_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID_LENGTH = 256
-NOT_PASSED = HOP_BY_HOP | {b"x-remaining"}
+NOT_FORWARDED = HOP_BY_HOP | {b"x-remaining"}
 LEAST_CANCELLED = 1_000  # up to so many cancelled timers stay in the heap until their time
 # Garbage collector threshold of the youngest generation. The objects of the data path form no cycles, and at the
 # default of 700 the collector took 3 % of the CPU.
@@ -509,7 +509,7 @@
         told_us = max(0, give_up_us - self.clock.now_us())
         exchange.lifecycle.attempt_begun(told_us)
         parts = [b"%s %s HTTP/1.1\r\n" % (exchange.method, exchange.target)]
-        parts += [b"%s: %s\r\n" % h for h in exchange.headers if h[0] not in NOT_PASSED]
+        parts += [b"%s: %s\r\n" % h for h in exchange.headers if h[0] not in NOT_FORWARDED]
         parts.append(b"x-remaining: %du\r\n" % told_us)
         if exchange.body or exchange.method not in (b"GET", b"HEAD"):
             parts.append(b"content-length: %d\r\n" % len(exchange.body))
