--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -53,7 +53,7 @@
 MAX_REMAINING_US = 3_600_000_000  # one hour; a longer remaining time is rejected as malformed
 MAX_ID_LENGTH = 256
 NOT_FORWARDED = HOP_BY_HOP | {b"x-remaining"}
-LEAST_CANCELLED = 1_000  # up to so many cancelled timers stay in the heap until their time
+MIN_CANCELLED_TIMERS = 1_000  # up to so many cancelled timers stay in the heap until their time
 # Garbage collector threshold of the youngest generation. The objects of the data path form no cycles, and at the
 # default of 700 the collector took 3 % of the CPU.
 YOUNG = 10_000
@@ -109,7 +109,7 @@
         if not self.armed_us or at_us < self.armed_us:
             self.arm()
         # with deadlines of an hour, cancelled timers would otherwise fill the memory
-        if self.cancelled > LEAST_CANCELLED and 2 * self.cancelled > len(self.heap):
+        if self.cancelled > MIN_CANCELLED_TIMERS and 2 * self.cancelled > len(self.heap):
             self.heap = [entry for entry in self.heap if entry[2].act is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -104,7 +104,7 @@
         kept = [timers.at(clock.now_us() + 3_600_000_000, lambda: None) for _ in range(50)]
         for _ in range(20_000):
             timers.at(clock.now_us() + 3_600_000_000, lambda: None).cancel()
-        assert len(timers.heap) <= 2 * module.LEAST_CANCELLED + 100
+        assert len(timers.heap) <= 2 * module.MIN_CANCELLED_TIMERS + 100
         assert sum(1 for entry in timers.heap if entry[2].act is not None) == len(kept)
         for timer in kept:
             timer.cancel()
