--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -56,7 +56,7 @@
 MIN_CANCELLED_TIMERS = 1_000  # up to so many cancelled timers stay in the heap until their time
 # Garbage collector threshold of the youngest generation. The objects of the data path form no cycles, and at the
 # default of 700 the collector took 3 % of the CPU.
-YOUNG = 10_000
+GC_YOUNG_THRESHOLD = 10_000
 
 
 class Clock:
@@ -613,7 +613,7 @@
         raise StartFailed from error
     gc.collect()
     gc.freeze()  # the objects of the start live on: the collector need not scan them again
-    gc.set_threshold(YOUNG, *gc.get_threshold()[1:])
+    gc.set_threshold(GC_YOUNG_THRESHOLD, *gc.get_threshold()[1:])
     async with beside(sidecar, stopped.set) if beside is not None else nullcontext():
         await stopped.wait()
         await sidecar.stop()
