--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -97,15 +97,15 @@
         self.clock = clock
         self.loop = asyncio.get_running_loop()
         self.heap: list[tuple[int, int, Timer]] = []
-        self.turn = 0
+        self.sequence = 0
         self.cancelled = 0  # cancelled timers that are still in the heap
         self.armed_us = 0  # when the loop's timer fires; 0 if it is not set
         self.handle: asyncio.TimerHandle | None = None
 
     def at(self, at_us: int, act: Callable[[], None]) -> Timer:
         timer = Timer(self, at_us, act)
-        self.turn += 1
-        heapq.heappush(self.heap, (at_us, self.turn, timer))
+        self.sequence += 1
+        heapq.heappush(self.heap, (at_us, self.sequence, timer))
         if not self.armed_us or at_us < self.armed_us:
             self.arm()
         # with deadlines of an hour, cancelled timers would otherwise fill the memory
