--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -242,7 +242,7 @@
         self.by_txn: dict[str, Request] = {}  # by transaction id: those not yet answered
         self.next_request = 1
         self.fronts: dict[int, Front] = {}  # by index of the class: handles its requests in place of the upstreams
-        self.reload_again: asyncio.TimerHandle | None = None  # retries a reload whose file could not be read
+        self.reload_retry: asyncio.TimerHandle | None = None  # retries a reload whose file could not be read
         self.has_list = False
         self.cut_off = True  # discovery's last call failed, or none has succeeded yet
         self.draining = False
@@ -263,9 +263,9 @@
 
     def reload(self, environ: Mapping[str, str]) -> None:
         """Reads the configuration file again. Only discovery's address can change; the rest needs a restart."""
-        if self.reload_again is not None:
-            self.reload_again.cancel()
-            self.reload_again = None
+        if self.reload_retry is not None:
+            self.reload_retry.cancel()
+            self.reload_retry = None
         if self.server.stopping:
             return
         try:
@@ -273,7 +273,7 @@
         except ConfigError as error:  # a partly written file must neither end the process nor change a part of it
             self.log(f"reload: the configuration stays as it was: {error}")
             if is_transient(error):  # a transient error while reading: nobody will send the signal again
-                self.reload_again = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ)
+                self.reload_retry = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ)
             return
         address, before = config.discovery_in_file, self.config.discovery_in_file
         self.config.discovery_in_file = address
