--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -349,7 +349,7 @@
         remaining_us = parse_remaining_us(exchange.header(b"x-remaining"))
         # rejected while another request with the same id is open: the two could not be told apart
         known = 0 < len(txn) <= MAX_ID_LENGTH and txn not in self.by_txn
-        if index is None or remaining_us is None or not known or not self.agrees(exchange, index):
+        if index is None or remaining_us is None or not known or not self.matches_effect(exchange, index):
             exchange.keep_alive = False
             exchange.answer(400)
             return
@@ -381,7 +381,7 @@
         else:
             front.arrived(event)
 
-    def agrees(self, exchange: Exchange, index: int) -> bool:
+    def matches_effect(self, exchange: Exchange, index: int) -> bool:
         """Whether method, body and idempotency key match the effect of the class; else a retry may not be safe."""
         effect = self.config.settings.classes[index].effect
         keys = [value for name, value in exchange.headers if name == b"idempotency-key"]
