--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -394,7 +394,7 @@
         request = self.by_txn.get(exchange.header(b"x-txn"))
         if request is not None and request.exchange is exchange:
             self.close(request)
-            self.quit(request)
+            self.report_gone(request)
 
     def on_list(self, kind: api.ListKind, listing: Listing | None) -> None:
         """Takes a list of upstreams from discovery, or with None the news that a call has failed."""
@@ -532,9 +532,9 @@
         if request is not None and request.is_open():
             self.log(f"request {ident}: the balancer gave no answer; it fails with status 502")
             self.answer(ident, 502, [])
-            self.quit(request)
+            self.report_gone(request)
 
-    def quit(self, request: Request) -> None:
+    def report_gone(self, request: Request) -> None:
         """Tells all balancers that decide on the request, or did, that it needs no answer any more."""
         front = self.fronts.get(request.index)
         self.post(api.RequestGone(request.ident))
