--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -20,11 +20,11 @@
 MAX_BODY_BYTES = 64 << 10
 MAX_HEAD_BYTES = 64 << 10
 MAX_HEADERS = 100
-MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # answers buffered for a client that does not read them; past it the connection is aborted
-MIN_READ_DELAY_US = 20_000  # shorter waits before a read are ignored: the kernel's figure is only good to some milliseconds
+MAX_UNREAD_ANSWER_BYTES = 16 * MAX_BODY_BYTES  # past it the connection of a client that reads no answers is aborted
+MIN_READ_DELAY_US = 20_000  # shorter delays are ignored: the kernel's figure is only good to some milliseconds
 PARSE_CHUNK_BYTES = 16 << 10  # bytes parsed at a time; bounds how many pipelined requests are queued
 UNREAD_ANSWER_TIMEOUT_S = 5.0  # how long a closing connection may take to send its answer; longer than any client waits
-END_POLL_TRIES = 3  # polls for a client's end: an interrupted poll reports nothing, and a request would be sent for nobody
+END_POLL_TRIES = 3  # an interrupted poll misses a client's end, and a request would be sent for nobody
 END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
 REASON_PHRASES = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
@@ -45,7 +45,8 @@
 class Exchange:
     """One request of a client and its single answer.
 
-    `arrived_us` is when its last byte reached this machine; `has_left` tells whether the client has closed its side.
+    `arrived_us` is when its last byte reached this machine; `client_has_left` asks whether the client has closed its
+    side.
     """
 
     def __init__(self, connection: ClientConnection, method: bytes, target: bytes, headers: Headers,
@@ -128,7 +129,7 @@
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
         self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
         self.end_poll: select.poll | None = None
-        self.quiet_since_us = self.last_answer_us = server.now_us()  # when it became silent or idle; when it last answered
+        self.quiet_since_us = self.last_answer_us = server.now_us()  # when it fell silent or idle; last answer
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
@@ -246,7 +247,7 @@
         self.transport.write(b"".join(parts))
         self.last_answer_us = self.server.now_us()
         self.current = None
-        if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client pipelines and reads no answers
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_ANSWER_BYTES:  # the client reads no answers
             self.cancel_requests("answers unread")
             self.transport.abort()
         elif self.pipelined:
@@ -333,7 +334,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         ended_by_peer = exc is None or (isinstance(exc, OSError) and severity(exc) is not Severity.FATAL)
-        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left", own_failure=not ended_by_peer)
+        self.cancel_requests(f"connection ended: {exc}" if exc is not None else "client left",
+                             own_failure=not ended_by_peer)
         self.transport = None
         self.parser = None  # breaks the reference cycle, which only the garbage collector would free
         self.server.forget(self)
--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -42,13 +42,13 @@
 
 
 class ListenerShutdown:
-    """Closes one listener in steps. `drain` accepts all connections in its queue and returns whether none is left."""
+    """Closes one listener in steps. `accept_queued` accepts all connections in its queue and tells if none is left."""
 
     def __init__(self, listener: socket.socket, shares_port: bool, drain: Callable[[], bool], close: Callable[[], None],
                  now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
         self.accept_queued, self.close, self.now_us = drain, close, now_us
-        self.probe_address: tuple[str, int] | None = None  # source address of a probe connection that has not been accepted
+        self.probe_address: tuple[str, int] | None = None  # source address of a probe that is not accepted yet
         self.probe_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
         self.is_hidden = False  # bound to a device that does not exist; only a shared port's choice may still lead here
@@ -70,7 +70,8 @@
             self.quiet_since_us = self.now_us()
         if not self.can_divert:
             return self.close_with_full_queue()
-        if not self.accept_queued() or self.quiet_since_us is None or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6:
+        if (not self.accept_queued() or self.quiet_since_us is None
+                or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6):
             return False
         if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
             self.quiet_since_us = None  # another listener has opened or closed on the shared port
@@ -176,7 +177,7 @@
 
 def connect(own: socket.socket, address: tuple[str, int], port: int) -> int:
     """Connects within this machine from the given source port, ANY_PORT for any. Returns 0, an errno, or EINPROGRESS if
-    it takes longer than CONNECT_WAIT_MS."""
+    it takes longer than CONNECT_TIMEOUT_MS."""
     own.setblocking(False)
     # bound first: a port chosen by connect may be shared with old connections, and then can't be bound again
     own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -113,7 +113,8 @@
         if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
             self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
         if self.due_us is not None and told_us > max(0, self.due_us - now_us) + TOLERANCE_US:
-            self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
+            self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request,
+                                         f"{told_us} of {self.due_us - now_us} us")
         self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last_outcome, self.request)
         self.attempts += 1
         if not self.is_over:
--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -10,9 +10,9 @@
 
 
 class Periodic:
-    """Calls `act` every `every_s` seconds, also after it has raised an exception. The timer is set before the call: a
-    job that set its own timer last would stop at its first error, and what depends on it (closing silent clients,
-    resuming a paused listener) would never happen again."""
+    """Calls `callback` every `interval_s` seconds, also after it has raised an exception. The timer is set before the
+    call: a job that set its own timer last would stop at its first error, and what depends on it (closing silent
+    clients, resuming a paused listener) would never happen again."""
 
     def __init__(self, every_s: float, act: Callable[[], None]) -> None:
         self.interval_s, self.callback = every_s, act
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -18,7 +18,7 @@
 
 # A client that sends no complete request gets an error or a close within 3 s: this timeout and the sweep's interval
 # together stay below that. A connection without an open request may be closed after 2 s; it is closed after
-# LONGEST_IDLE_S, and sooner only to make room.
+# IDLE_TIMEOUT_S, and sooner only to make room.
 SILENCE_TIMEOUT_S = 2.4
 IDLE_TIMEOUT_S = 15.0
 MIN_IDLE_S, MIN_SILENCE_S = 2.0, 0.1  # least age of a connection that is closed to make room
@@ -46,7 +46,7 @@
 
 
 class Server:
-    """Accepts clients' connections, at most `most` at a time, and closes silent and idle ones."""
+    """Accepts clients' connections, at most `max_connections` at a time, and closes silent and idle ones."""
 
     def __init__(self, application: Application, most: int, now_us: Callable[[], int],
                  ledger: Ledger | None = None) -> None:
@@ -68,9 +68,9 @@
         self.reuse_port = False
         self.listener_shutdown: ListenerShutdown | None = None
         self.sweeper: Periodic | None = None
-        self.paused_connections: dict[int, ClientConnection] = {}  # by descriptor: those whose reading is paused, and so their end
-        self.end_poll = select.poll()  # for all of `paused`: one call for a thousand costs what thirty single calls do
-        self.end_poller: Periodic | None = None  # runs while `paused` is not empty
+        self.paused_connections: dict[int, ClientConnection] = {}  # by descriptor
+        self.end_poll = select.poll()  # for all paused ones: one call for a thousand costs what thirty single calls do
+        self.end_poller: Periodic | None = None  # runs while there are `paused_connections`
 
     async def listen(self, address: tuple[str, int], reuse_port: bool = False) -> int:
         """Starts to listen and returns the port. Raises OSError."""
@@ -88,9 +88,9 @@
         return port
 
     def accept(self) -> Accepted:
-        """Accepts up to ACCEPTS connections; those that can't be accepted stay in the kernel's queue. The event loop's
-        own server is not used: without a free descriptor it accepts and closes connections, and requests that are
-        already written would be lost."""
+        """Accepts up to ACCEPT_BATCH connections; those that can't be accepted stay in the kernel's queue. The event
+        loop's own server is not used: without a free descriptor it accepts and closes connections, and requests that
+        are already written would be lost."""
         if self.listener is None:
             return Accepted.ALL
         for _ in range(ACCEPT_BATCH):
@@ -169,7 +169,8 @@
 
     def wants_close(self, connection: ClientConnection) -> bool:
         # clients that send one request and stay connected use up their descriptors and ours
-        crowded = self.has_many_idle() if connection.has_had_request else len(self.connections) > CROWDED_SHARE * self.max_connections
+        crowded = (self.has_many_idle() if connection.has_had_request
+                   else len(self.connections) > CROWDED_SHARE * self.max_connections)
         return self.stopping or crowded
 
     def has_many_idle(self) -> bool:
@@ -225,7 +226,8 @@
         may still be under way."""
         min_s = MIN_SILENCE_S
         if connection.is_new:
-            min_s = FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us else LATE_FIRST_BYTE_TIMEOUT_S
+            min_s = (FIRST_BYTE_TIMEOUT_S if connection.quiet_since_us < self.stopping_since_us
+                     else LATE_FIRST_BYTE_TIMEOUT_S)
         return (not connection.has_had_request and not connection.has_partial_request
                 and self.now_us() - connection.quiet_since_us >= min_s * 1e6)
 
@@ -235,8 +237,8 @@
         if self.listener is None:
             return True
         if self.listener_shutdown is None:
-            self.listener_shutdown = ListenerShutdown(self.listener, self.reuse_port, self.accept_all, self.drop_listener,
-                                            self.now_us)
+            self.listener_shutdown = ListenerShutdown(self.listener, self.reuse_port, self.accept_all,
+                                                      self.drop_listener, self.now_us)
         try:
             return self.listener_shutdown.step()
         except OSError as error:
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -245,11 +245,11 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_nothing_is_owed_whatever_crosses(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.15)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_LEAST_S", 0.05)
-    monkeypatch.setattr(sidecar, "STOP_QUIET_S", 0.0)
-    monkeypatch.setattr(server, "LAST_S", 20.0)  # wide, for a busy machine; it ends as soon as all have left
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.15)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MIN_ACCEPT_S", 0.05)
+    monkeypatch.setattr(sidecar, "STOP_QUIET_PERIOD_S", 0.0)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 20.0)  # wide, for a busy machine; it ends as soon as all have left
 
     async def test() -> None:
         world = World(seed, monkeypatch)
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -63,11 +63,11 @@
 
 
 def without_the_look_at_each_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ClientConnection, "has_left", lambda connection: False)
+    monkeypatch.setattr(ClientConnection, "client_has_left", lambda connection: False)
 
 
 def without_the_look_by_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Server, "look", lambda server: None)
+    monkeypatch.setattr(Server, "poll_for_ends", lambda server: None)
 
 
 async def waiting_in_the_buffer(ahead: Callable[[Scene], list[bytes]]) -> tuple[
--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -149,8 +149,8 @@
 ], ids=["alone", "shared"])
 def test_a_listener_that_cannot_be_hidden_closes_with_a_full_queue(test: Callable[[], None],
                                                                    monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ListenerShutdown, "bind_to", refuse)
-    monkeypatch.setattr(ListenerShutdown, "choose", refuse)
+    monkeypatch.setattr(ListenerShutdown, "bind_to_device", refuse)
+    monkeypatch.setattr(ListenerShutdown, "select_listener", refuse)
     test()
 
 
@@ -164,7 +164,7 @@
         bound.add(self)
         bind_to(self, device)
 
-    monkeypatch.setattr(ListenerShutdown, "bind_to", bind)
+    monkeypatch.setattr(ListenerShutdown, "bind_to_device", bind)
 
 
 # Guards against a listener that an unprivileged process has hidden, and can't close as it tries to bind it once more.
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -49,9 +49,9 @@
 
 def test_what_is_open_at_the_last_moment_has_its_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients may wait for longer than a process that ends has left."""
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)  # wide: it ends as soon as all have left
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)  # wide: it ends as soon as all have left
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -70,9 +70,9 @@
 
 
 def test_what_the_decisions_have_lost_is_answered_at_the_last_moment_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -89,9 +89,9 @@
 
 def test_what_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection that stays open is used by its client up to the exit."""
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
 
     async def test() -> None:
         peer = await Peer().start()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -74,7 +74,8 @@
     case = Case()
     for _ in range(10 * MAX_VIOLATIONS_LOGGED):
         case.life.connection_closed("idle")
-    assert case.found() == {Invariant.CLOSED_UNANSWERED: 10 * MAX_VIOLATIONS_LOGGED} and len(case.lines) == MAX_VIOLATIONS_LOGGED
+    assert (case.found() == {Invariant.CLOSED_UNANSWERED: 10 * MAX_VIOLATIONS_LOGGED}
+            and len(case.lines) == MAX_VIOLATIONS_LOGGED)
 
 
 # Guards against a check that no path passes: a fault put into the program is seen by it.
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -98,7 +98,8 @@
     async def test() -> None:
         async with served(asked) as (server, client):
             await closing(server)
-            assert all(one.finishing or one.transport is None or one.transport.is_closing() for one in server.connections)
+            assert all(one.finishing or one.transport is None or one.transport.is_closing()
+                       for one in server.connections)
             assert await asyncio.get_running_loop().sock_recv(client, 10) == b""
 
     run(test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -391,7 +391,7 @@
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert server.SILENCE_TIMEOUT_S + server.SWEEP_INTERVAL_S < 3.0
-    monkeypatch.setattr(server, "SILENCE_S", 0.7)
+    monkeypatch.setattr(server, "SILENCE_TIMEOUT_S", 0.7)
 
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
@@ -464,7 +464,7 @@
     """Hazard: they would use up the descriptors, their own and ours, before any is idle long enough."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "LEAST_IDLE_S", 1000.0)
+        monkeypatch.setattr(server, "MIN_IDLE_S", 1000.0)
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         scene.sidecar.server.max_connections = 9
         held = []
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -157,7 +157,8 @@
 def test_errors_nobody_knows_are_fatal() -> None:
     assert errors.severity(OSError(errno.ENOTTY, "")) is errors.Severity.FATAL
     assert errors.severity(OSError("no number")) is errors.Severity.FATAL
-    assert errors.is_transient(OSError(errno.EINTR, "")) and not errors.is_transient(ConnectionResetError(errno.ECONNRESET, ""))
+    assert (errors.is_transient(OSError(errno.EINTR, ""))
+            and not errors.is_transient(ConnectionResetError(errno.ECONNRESET, "")))
 
 
 # Guards against an interrupted look that says "nothing is there" of a connection that has ended.
