--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -101,9 +101,9 @@
         self.request, self.due_us = request, due_us
         self.ledger.note(Event.ACCEPTED, "", request)
 
-    def may_send(self, now_us: int, until_us: int, has_left: Callable[[], bool]) -> bool:
+    def may_send(self, now_us: int, until_us: int, client_has_left: Callable[[], bool]) -> bool:
         """Whether an attempt may begin now, before `until_us`; `has_left` checks whether the client has left."""
-        return not self.is_over and now_us < until_us and not has_left()
+        return not self.is_over and now_us < until_us and not client_has_left()
 
     def attempt_begun(self, told_us: int) -> None:
         """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
