--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -105,16 +105,16 @@
         """Whether an attempt may begin now, before `until_us`; `has_left` checks whether the client has left."""
         return not self.is_over and now_us < until_us and not client_has_left()
 
-    def attempt_begun(self, told_us: int) -> None:
+    def attempt_begun(self, remaining_us: int) -> None:
         """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
             self.ledger.record_violation(Invariant.SENT_AFTER_END, self.request, self.state.value)
         if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
             self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
-        if self.due_us is not None and told_us > max(0, self.due_us - now_us) + TOLERANCE_US:
+        if self.due_us is not None and remaining_us > max(0, self.due_us - now_us) + TOLERANCE_US:
             self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request,
-                                         f"{told_us} of {self.due_us - now_us} us")
+                                         f"{remaining_us} of {self.due_us - now_us} us")
         self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last_outcome, self.request)
         self.attempts += 1
         if not self.is_over:
