--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -40,7 +40,7 @@
 
     SENT_AFTER_END = "sent after its end"
     SENT_TOO_LATE = "sent after its time"
-    TOLD_TOO_MUCH = "told more time than is left"
+    REMAINING_TIME_OVERSTATED = "told more time than is left"
     CLOSED_UNANSWERED = "closed with no answer"
 
 
@@ -113,7 +113,7 @@
         if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
             self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
         if self.due_us is not None and remaining_us > max(0, self.due_us - now_us) + TOLERANCE_US:
-            self.ledger.record_violation(Invariant.TOLD_TOO_MUCH, self.request,
+            self.ledger.record_violation(Invariant.REMAINING_TIME_OVERSTATED, self.request,
                                          f"{remaining_us} of {self.due_us - now_us} us")
         self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last_outcome, self.request)
         self.attempts += 1
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -51,7 +51,7 @@
     assert case.life.cancel("client left") and not case.life.may_send(case.clock.now_us, 2_000_000, lambda: False)
 
 
-@pytest.mark.parametrize("invariant", [Invariant.SENT_AFTER_END, Invariant.SENT_TOO_LATE, Invariant.TOLD_TOO_MUCH,
+@pytest.mark.parametrize("invariant", [Invariant.SENT_AFTER_END, Invariant.SENT_TOO_LATE, Invariant.REMAINING_TIME_OVERSTATED,
                                        Invariant.CLOSED_UNANSWERED])
 def test_each_violation_is_counted_and_logged_with_its_history(invariant: Invariant) -> None:
     case = Case()
@@ -62,7 +62,7 @@
         case Invariant.SENT_TOO_LATE:
             case.clock.now_us = 2_000_001 + TOLERANCE_US
             case.life.attempt_begun(0)
-        case Invariant.TOLD_TOO_MUCH:
+        case Invariant.REMAINING_TIME_OVERSTATED:
             case.life.attempt_begun(1_000_001 + TOLERANCE_US)
         case _:
             case.life.connection_closed("idle")
