--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -506,11 +506,11 @@
 
     def payload(self, exchange: Exchange, give_up_us: int) -> bytes:
         """The request as it is sent to an upstream, with the time that remains now; counts the attempt as begun."""
-        told_us = max(0, give_up_us - self.clock.now_us())
-        exchange.lifecycle.attempt_begun(told_us)
+        remaining_us = max(0, give_up_us - self.clock.now_us())
+        exchange.lifecycle.attempt_begun(remaining_us)
         parts = [b"%s %s HTTP/1.1\r\n" % (exchange.method, exchange.target)]
         parts += [b"%s: %s\r\n" % h for h in exchange.headers if h[0] not in NOT_FORWARDED]
-        parts.append(b"x-remaining: %du\r\n" % told_us)
+        parts.append(b"x-remaining: %du\r\n" % remaining_us)
         if exchange.body or exchange.method not in (b"GET", b"HEAD"):
             parts.append(b"content-length: %d\r\n" % len(exchange.body))
         parts.append(b"\r\n")
