--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -490,8 +490,8 @@
                           lambda *end: self.on_attempt_end(request, number, action.upstream, now_us, timer, *end))
         request.attempts.append(attempt)
         request.out += 1
-        over = number >= self.config.settings.max_attempts
-        if pool is None or over or timeout_us <= 0 or not attempt.wanted():
+        attempts_used_up = number >= self.config.settings.max_attempts
+        if pool is None or attempts_used_up or timeout_us <= 0 or not attempt.wanted():
             attempt.end(api.Outcome.NOT_SENT)
             return
         timer = self.at(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
