--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -348,8 +348,8 @@
         txn, index = exchange.header(b"x-txn"), self.classes.get(exchange.header(b"x-lane"))
         remaining_us = parse_remaining_us(exchange.header(b"x-remaining"))
         # rejected while another request with the same id is open: the two could not be told apart
-        known = 0 < len(txn) <= MAX_ID_LENGTH and txn not in self.by_txn
-        if index is None or remaining_us is None or not known or not self.matches_effect(exchange, index):
+        is_valid_id = 0 < len(txn) <= MAX_ID_LENGTH and txn not in self.by_txn
+        if index is None or remaining_us is None or not is_valid_id or not self.matches_effect(exchange, index):
             exchange.keep_alive = False
             exchange.answer(400)
             return
