--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -232,10 +232,10 @@
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
         super().__init__(Balancer(settings, config.seed, self.clock.now_us()), self.clock.now_us)
-        half = connections_each(config.sockets)
-        self.upstreams = Upstreams(self.clock.now_us, config.idle_us, settings.connect_timeout_us, half)
+        max_connections = connections_each(config.sockets)
+        self.upstreams = Upstreams(self.clock.now_us, config.idle_us, settings.connect_timeout_us, max_connections)
         self.ledger = Ledger(self.clock.now_us, self.log)
-        self.server = Server(self, half, self.clock.now_us, self.ledger)
+        self.server = Server(self, max_connections, self.clock.now_us, self.ledger)
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
                                    config.answer_us / 1e6, self.log, self.balancer.list_turn_us() > 0, config.seed)
         self.requests: dict[int, Request] = {}
