--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -305,8 +305,8 @@
             raise NeedsRestart(fixed)
         # Nothing below can fail, since all values have been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
-        half = connections_each(new.sockets)
-        self.server.max_connections = self.upstreams.most = half
+        max_connections = connections_each(new.sockets)
+        self.server.max_connections = self.upstreams.most = max_connections
         self.upstreams.set_times(new.idle_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
