--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -295,14 +295,14 @@
         """
         base, old = self.base, self.config
         new = parse(merged(base, overlay), self.environ)
-        fixed = api.unchangeable(old.settings, new.settings)
+        needs_restart = api.unchangeable(old.settings, new.settings)
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
-                fixed = fixed or name
+                needs_restart = needs_restart or name
         places = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
-        fixed = fixed or ("areas, kinds or report fields" if places[0] != places[1] else "")
-        if fixed:
-            raise NeedsRestart(fixed)
+        needs_restart = needs_restart or ("areas, kinds or report fields" if places[0] != places[1] else "")
+        if needs_restart:
+            raise NeedsRestart(needs_restart)
         # Nothing below can fail, since all values have been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         max_connections = connections_each(new.sockets)
