--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -299,8 +299,8 @@
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
                 needs_restart = needs_restart or name
-        places = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
-        needs_restart = needs_restart or ("areas, kinds or report fields" if places[0] != places[1] else "")
+        report_layouts = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
+        needs_restart = needs_restart or ("areas, kinds or report fields" if report_layouts[0] != report_layouts[1] else "")
         if needs_restart:
             raise NeedsRestart(needs_restart)
         # Nothing below can fail, since all values have been checked.
