--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -275,9 +275,9 @@
             if is_transient(error):  # a transient error while reading: nobody will send the signal again
                 self.reload_retry = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ)
             return
-        address, before = config.discovery_in_file, self.config.discovery_in_file
+        address, old_address = config.discovery_in_file, self.config.discovery_in_file
         self.config.discovery_in_file = address
-        if address is not None and address != before:
+        if address is not None and address != old_address:
             self.base = {**self.base, "discovery": config.document["discovery"]}
             self.log(f"reload: discovery is at {address[0]}:{address[1]}")
             self.discovery.move(address)
