--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -211,8 +211,8 @@
     """The limit of connections from clients, and likewise to upstreams, for so many sockets in all. The process may be
     limited to fewer descriptors than the settings say; idle clients would then take the last ones, and discovery could
     not be called."""
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    given = sockets if most == resource.RLIM_INFINITY else min(sockets, most)
+    hard_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    given = sockets if hard_limit == resource.RLIM_INFINITY else min(sockets, hard_limit)
     return max(1, (given - RESERVED_SOCKETS) // 2)
 
 
