--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -212,8 +212,8 @@
     limited to fewer descriptors than the settings say; idle clients would then take the last ones, and discovery could
     not be called."""
     hard_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    given = sockets if hard_limit == resource.RLIM_INFINITY else min(sockets, hard_limit)
-    return max(1, (given - RESERVED_SOCKETS) // 2)
+    available = sockets if hard_limit == resource.RLIM_INFINITY else min(sockets, hard_limit)
+    return max(1, (available - RESERVED_SOCKETS) // 2)
 
 
 class Sidecar(Lane):
