--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -48,11 +48,11 @@
 class Server:
     """Accepts clients' connections, at most `max_connections` at a time, and closes silent and idle ones."""
 
-    def __init__(self, application: Application, most: int, now_us: Callable[[], int],
+    def __init__(self, application: Application, max_connections: int, now_us: Callable[[], int],
                  ledger: Ledger | None = None) -> None:
         self.application = application
         self.ledger = ledger or Ledger(now_us, logs.line)
-        self.max_connections = most
+        self.max_connections = max_connections
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
