--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -136,9 +136,9 @@
     def make_room(self) -> bool:
         """Closes the connection that has been silent longest, else the one idle longest; False if none can be."""
         now_us = self.now_us()
-        for connections, least_s in ((self.silent, MIN_SILENCE_S), (self.idle, MIN_IDLE_S)):
+        for connections, min_s in ((self.silent, MIN_SILENCE_S), (self.idle, MIN_IDLE_S)):
             for oldest in islice(connections, EVICTION_CANDIDATES):
-                if now_us - oldest.quiet_since_us < least_s * 1e6:
+                if now_us - oldest.quiet_since_us < min_s * 1e6:
                     break
                 if oldest.transport is not None and oldest.can_close_now():
                     self.ledger.note(Event.CLOSED, "room")
