--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -154,11 +154,11 @@
             self.idle.pop(connection, None)
             return
         silent = connection.has_partial_request or connection.finishing or not connection.has_had_request
-        here, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
+        target, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
         there.pop(connection, None)
-        if connection not in here and connection in self.connections:
+        if connection not in target and connection in self.connections:
             connection.quiet_since_us = self.now_us()
-            here[connection] = None
+            target[connection] = None
 
     def forget(self, connection: ClientConnection) -> None:
         self.unwatch(connection)  # its descriptor may soon belong to another connection
