--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -154,8 +154,8 @@
             self.idle.pop(connection, None)
             return
         silent = connection.has_partial_request or connection.finishing or not connection.has_had_request
-        target, there = (self.silent, self.idle) if silent else (self.idle, self.silent)
-        there.pop(connection, None)
+        target, other = (self.silent, self.idle) if silent else (self.idle, self.silent)
+        other.pop(connection, None)
         if connection not in target and connection in self.connections:
             connection.quiet_since_us = self.now_us()
             target[connection] = None
