--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -180,8 +180,8 @@
         """Closes connections that have been silent or idle for too long."""
         logs.flush()
         now_us = self.now_us()
-        longest_s = MIN_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
-        for connections, most_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, longest_s, "idle")):
+        idle_timeout_s = MIN_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
+        for connections, most_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, idle_timeout_s, "idle")):
             for connection in list(connections):
                 if now_us - connection.quiet_since_us < most_s * 1e6:
                     break
