--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -181,9 +181,9 @@
         logs.flush()
         now_us = self.now_us()
         idle_timeout_s = MIN_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
-        for connections, most_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, idle_timeout_s, "idle")):
+        for connections, timeout_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, idle_timeout_s, "idle")):
             for connection in list(connections):
-                if now_us - connection.quiet_since_us < most_s * 1e6:
+                if now_us - connection.quiet_since_us < timeout_s * 1e6:
                     break
                 del connections[connection]
                 connection.close(reason)
