--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -259,7 +259,7 @@
                 return accepted is Accepted.ALL
         return False
 
-    async def stop(self, quiet_s: float, min_s: float, most_s: float, end_s: float,
+    async def stop(self, quiet_s: float, min_s: float, max_s: float, end_s: float,
                    at_end: Callable[[], None] = lambda: None) -> None:
         """Shuts down gracefully, without losing requests: new connections still come for a while after the signal.
 
@@ -282,7 +282,7 @@
             self.close_idle()
             now_us = self.now_us()
             quiet = now_us - self.last_opened_us >= quiet_s * 1e6
-            if now_us - start_us >= (min_s if quiet else most_s) * 1e6:
+            if now_us - start_us >= (min_s if quiet else max_s) * 1e6:
                 break
         closed = self.close_listener()
         while (self.connections or not closed) and (left_s := end_s - (self.now_us() - start_us) / 1e6) > 0.0:
