--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -260,7 +260,7 @@
         return False
 
     async def stop(self, quiet_s: float, min_s: float, max_s: float, end_s: float,
-                   at_end: Callable[[], None] = lambda: None) -> None:
+                   answer_open_requests: Callable[[], None] = lambda: None) -> None:
         """Shuts down gracefully, without losing requests: new connections still come for a while after the signal.
 
         Idle connections are closed first, while a request that crosses the close can still be sent again on a new one.
@@ -291,7 +291,7 @@
             if not closed:
                 closed = self.close_listener()
         log("answering all open requests" if self.connections else "no connection is open")
-        at_end()
+        answer_open_requests()
         self.drop_listener()
         while self.connections and self.now_us() - start_us < (end_s + LAST_ANSWERS_S) * 1e6:
             for connection in list(self.connections):
