--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -44,10 +44,10 @@
 class ListenerShutdown:
     """Closes one listener in steps. `accept_queued` accepts all connections in its queue and tells if none is left."""
 
-    def __init__(self, listener: socket.socket, shares_port: bool, drain: Callable[[], bool], close: Callable[[], None],
+    def __init__(self, listener: socket.socket, shares_port: bool, accept_queued: Callable[[], bool], close: Callable[[], None],
                  now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
-        self.accept_queued, self.close, self.now_us = drain, close, now_us
+        self.accept_queued, self.close, self.now_us = accept_queued, close, now_us
         self.probe_address: tuple[str, int] | None = None  # source address of a probe that is not accepted yet
         self.probe_port = ANY_PORT  # source port of the last probe that connected
         self.quiet_since_us: int | None = None  # since when connections are diverted and none has been accepted
