--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -127,12 +127,12 @@
 
     def reached(self) -> Reached:
         """Which listener a probe reaches. Probes end by a reset, which another process can tell from a client."""
-        with socket.socket() as own:
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            error = connect(own, self.listener.getsockname(), ANY_PORT)
+        with socket.socket() as probe:
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            error = connect(probe, self.listener.getsockname(), ANY_PORT)
             if error == 0:
-                self.probe_address = own.getsockname()
-                self.probe_port = own.getsockname()[1]
+                self.probe_address = probe.getsockname()
+                self.probe_port = probe.getsockname()[1]
                 if not self.accept_queued():
                     return Reached.UNKNOWN
                 is_here, self.probe_address = self.probe_address is None, None
