--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -148,11 +148,11 @@
             for _ in range(QUEUE_FILL_TRIES):
                 if not self.accept_queued():  # a client's connection may hold the place
                     return False
-                own = stack.enter_context(socket.socket())
-                if connect(own, self.listener.getsockname(), port) == 0:
+                filler = stack.enter_context(socket.socket())
+                if connect(filler, self.listener.getsockname(), port) == 0:
                     self.close()
                     return True
-                own.close()  # it may still be waiting for the place
+                filler.close()  # it may still be waiting for the place
         return False
 
     def find_source_port(self) -> int:
