--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -175,16 +175,16 @@
                 self.listener.listen(BACKLOG)
 
 
-def connect(own: socket.socket, address: tuple[str, int], port: int) -> int:
+def connect(sock: socket.socket, address: tuple[str, int], port: int) -> int:
     """Connects within this machine from the given source port, ANY_PORT for any. Returns 0, an errno, or EINPROGRESS if
     it takes longer than CONNECT_TIMEOUT_MS."""
-    own.setblocking(False)
+    sock.setblocking(False)
     # bound first: a port chosen by connect may be shared with old connections, and then can't be bound again
-    own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    own.bind((address[0], port))
-    error = own.connect_ex(address)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((address[0], port))
+    error = sock.connect_ex(address)
     if error != errno.EINPROGRESS:
         return error
     waiting = select.poll()
-    waiting.register(own, select.POLLOUT)
-    return own.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if waiting.poll(CONNECT_TIMEOUT_MS) else error
+    waiting.register(sock, select.POLLOUT)
+    return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if waiting.poll(CONNECT_TIMEOUT_MS) else error
