--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -185,6 +185,6 @@
     error = sock.connect_ex(address)
     if error != errno.EINPROGRESS:
         return error
-    waiting = select.poll()
-    waiting.register(sock, select.POLLOUT)
-    return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if waiting.poll(CONNECT_TIMEOUT_MS) else error
+    poll = select.poll()
+    poll.register(sock, select.POLLOUT)
+    return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if poll.poll(CONNECT_TIMEOUT_MS) else error
