--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -73,7 +73,7 @@
         if (not self.accept_queued() or self.quiet_since_us is None
                 or self.now_us() - self.quiet_since_us < QUIET_PERIOD_S * 1e6):
             return False
-        if self.shares_port and self.reached() not in (Reached.ANOTHER, Reached.NOBODY):
+        if self.shares_port and self.send_probe() not in (Reached.ANOTHER, Reached.NOBODY):
             self.quiet_since_us = None  # another listener has opened or closed on the shared port
             return False
         self.close()
@@ -104,7 +104,7 @@
         return Reached.HERE
 
     def probe_repeatedly(self) -> Iterator[Reached]:
-        return (self.reached() for _ in range(PROBE_COUNT))
+        return (self.send_probe() for _ in range(PROBE_COUNT))
 
     def select_listener(self, index: int) -> None:
         """Makes new connections to the port go to the listener of this index; where there is none the kernel chooses
@@ -119,13 +119,13 @@
         if not self.is_hidden:
             self.bind_to_device(NO_DEVICE)
             self.is_hidden = True
-        reached = self.reached()
+        reached = self.send_probe()
         return Reached.UNKNOWN if reached is Reached.ANOTHER else reached
 
     def bind_to_device(self, device: int) -> None:
         self.listener.setsockopt(socket.SOL_SOCKET, SO_BINDTOIFINDEX, device)
 
-    def reached(self) -> Reached:
+    def send_probe(self) -> Reached:
         """Which listener a probe reaches. Probes end by a reset, which another process can tell from a client."""
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -159,7 +159,7 @@
         """A source port from which connections reach this listener and not another one of the shared port: the kernel
         chooses by the addresses and ports of both ends. ANY_PORT if none is found."""
         for _ in range(SOURCE_PORT_TRIES):
-            if self.reached() is Reached.HERE:
+            if self.send_probe() is Reached.HERE:
                 return self.probe_port
         return ANY_PORT
 
