--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -82,8 +82,8 @@
 class Stream:
     """Reads from the start, and writes at once as much as the kernel takes; the rest is buffered."""
 
-    def __init__(self, sock: socket.socket, user: StreamOwner) -> None:
-        self.sock, self.owner = sock, user
+    def __init__(self, sock: socket.socket, owner: StreamOwner) -> None:
+        self.sock, self.owner = sock, owner
         self.loop = asyncio.get_running_loop()
         self.write_buffer = bytearray()
         self.is_reading = False
