--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -100,9 +100,9 @@
         return len(self.write_buffer)
 
     def pause_reading(self) -> None:
-        pause = self.retry_timers.pop("read", None)
-        if pause is not None:
-            pause.cancel()
+        timer = self.retry_timers.pop("read", None)
+        if timer is not None:
+            timer.cancel()
         if self.is_reading:
             self.is_reading = False
             self.loop.remove_reader(self.sock)
