--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -203,8 +203,8 @@
         self.pause_reading()
         self.await_writable(False)
         self.is_over = True
-        for pause in self.retry_timers.values():
-            pause.cancel()
+        for timer in self.retry_timers.values():
+            timer.cancel()
         self.write_buffer.clear()
         self.loop.call_soon(self.ended, error)
 
