--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -137,9 +137,9 @@
         else:
             self.end(error)
 
-    def retry_later(self, operation: str, act: Callable[[], None]) -> None:
+    def retry_later(self, operation: str, callback: Callable[[], None]) -> None:
         if operation not in self.retry_timers:
-            self.retry_timers[operation] = self.loop.call_later(RETRY_PAUSE_S, self.retry, operation, act)
+            self.retry_timers[operation] = self.loop.call_later(RETRY_PAUSE_S, self.retry, operation, callback)
 
     def retry(self, what: str, act: Callable[[], None]) -> None:
         self.retry_timers.pop(what, None)
