--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -141,10 +141,10 @@
         if operation not in self.retry_timers:
             self.retry_timers[operation] = self.loop.call_later(RETRY_PAUSE_S, self.retry, operation, callback)
 
-    def retry(self, operation: str, act: Callable[[], None]) -> None:
+    def retry(self, operation: str, callback: Callable[[], None]) -> None:
         self.retry_timers.pop(operation, None)
         if not self.is_over:
-            act()
+            callback()
 
     def write(self, data: bytes) -> None:
         if self.is_closing():
