--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -149,9 +149,9 @@
     def write(self, data: bytes) -> None:
         if self.is_closing():
             return
-        waits = bool(self.write_buffer)
+        was_waiting = bool(self.write_buffer)
         self.write_buffer += data
-        if not waits:
+        if not was_waiting:
             self.send()
 
     def send(self) -> None:
