--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -177,10 +177,10 @@
         if not self.write_buffer and not self.is_closing():
             self.owner.resume_writing()
 
-    def await_writable(self, waits: bool) -> None:
-        if waits != self.awaits_writable:
-            self.awaits_writable = waits
-            if waits:
+    def await_writable(self, wanted: bool) -> None:
+        if wanted != self.awaits_writable:
+            self.awaits_writable = wanted
+            if wanted:
                 self.loop.add_writer(self.sock, self.resume_sending)
             else:
                 self.loop.remove_writer(self.sock)
