--- a/ironscale/net/signals.py
+++ b/ironscale/net/signals.py
@@ -31,8 +31,8 @@
         with contextlib.suppress(OSError):
             os.read(self.read_end, READ_BYTES)
 
-    def on(self, number: int, act: Callable[[], None]) -> None:
-        signal.signal(number, lambda *_: self.loop.call_soon(act))
+    def on(self, number: int, callback: Callable[[], None]) -> None:
+        signal.signal(number, lambda *_: self.loop.call_soon(callback))
 
     def close(self) -> None:
         """Closes the pipe. Signals with a callback should be ignored or reset before."""
