--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -14,8 +14,8 @@
     call: a job that set its own timer last would stop at its first error, and what depends on it (closing silent
     clients, resuming a paused listener) would never happen again."""
 
-    def __init__(self, interval_s: float, act: Callable[[], None]) -> None:
-        self.interval_s, self.callback = interval_s, act
+    def __init__(self, interval_s: float, callback: Callable[[], None]) -> None:
+        self.interval_s, self.callback = interval_s, callback
         self.loop = asyncio.get_running_loop()
         self.handle = self.loop.call_later(interval_s, self.run)
 
