--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -74,9 +74,9 @@
 
     def summary(self) -> str:
         """All counts in one line."""
-        named = {f"{event.value} ({reason})" if reason else event.value: count
+        counts_by_name = {f"{event.value} ({reason})" if reason else event.value: count
                  for (event, reason), count in self.counts.items()}
-        counts = [f"{name} {named[name]}" for name in sorted(named)]
+        counts = [f"{name} {counts_by_name[name]}" for name in sorted(counts_by_name)]
         return f"{'; '.join(counts) or 'no request'}; violations {self.violations.total()}"
 
 
