--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -59,7 +59,7 @@
         self.keep_alive = keep_alive
         self.arrived_us = arrived_us
         self.lifecycle = Lifecycle(connection.server.ledger)
-        self.has_left = connection.client_has_left
+        self.client_has_left = connection.client_has_left
         self.header_values: dict[bytes, bytes] = {}
         for name, value in headers:
             # a repeated header reads as empty, since it is ambiguous which value counts
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -502,7 +502,7 @@
         balancer's decision."""
         exchange = request.exchange
         return (self.is_open(request.ident)
-                and exchange.lifecycle.may_send(self.clock.now_us(), until_us, exchange.has_left))
+                and exchange.lifecycle.may_send(self.clock.now_us(), until_us, exchange.client_has_left))
 
     def payload(self, exchange: Exchange, give_up_us: int) -> bytes:
         """The request as it is sent to an upstream, with the time that remains now; counts the attempt as begun."""
--- a/ironscale/record/lane.py
+++ b/ironscale/record/lane.py
@@ -114,7 +114,7 @@
 
     def may_write(self, request: Request) -> bool:
         exchange = request.exchange
-        return exchange.lifecycle.may_send(self.now_us(), request.due_us, exchange.has_left)
+        return exchange.lifecycle.may_send(self.now_us(), request.due_us, exchange.client_has_left)
 
     def entry(self, request: Request) -> model.Entry:
         exchange, kind = request.exchange, self.host.config.settings.classes[request.index]
