--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -44,8 +44,8 @@
 class ListenerShutdown:
     """Closes one listener in steps. `accept_queued` accepts all connections in its queue and tells if none is left."""
 
-    def __init__(self, listener: socket.socket, shares_port: bool, accept_queued: Callable[[], bool], close: Callable[[], None],
-                 now_us: Callable[[], int]) -> None:
+    def __init__(self, listener: socket.socket, shares_port: bool, accept_queued: Callable[[], bool],
+                 close: Callable[[], None], now_us: Callable[[], int]) -> None:
         self.listener, self.shares_port = listener, shares_port
         self.accept_queued, self.close, self.now_us = accept_queued, close, now_us
         self.probe_address: tuple[str, int] | None = None  # source address of a probe that is not accepted yet
--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -102,11 +102,11 @@
         self.ledger.note(Event.ACCEPTED, "", request)
 
     def may_send(self, now_us: int, until_us: int, client_has_left: Callable[[], bool]) -> bool:
-        """Whether an attempt may begin now, before `until_us`; `has_left` checks whether the client has left."""
+        """Whether an attempt may begin now, before `until_us`; `client_has_left` checks whether the client has left."""
         return not self.is_over and now_us < until_us and not client_has_left()
 
     def attempt_begun(self, remaining_us: int) -> None:
-        """An attempt begins now, with `told_us` as the remaining time that is told to the upstream."""
+        """An attempt begins now, with `remaining_us` as the time that is announced to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
             self.ledger.record_violation(Invariant.SENT_AFTER_END, self.request, self.state.value)
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -181,7 +181,8 @@
         logs.flush()
         now_us = self.now_us()
         idle_timeout_s = MIN_IDLE_S if self.has_many_idle() else IDLE_TIMEOUT_S
-        for connections, timeout_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"), (self.idle, idle_timeout_s, "idle")):
+        for connections, timeout_s, reason in ((self.silent, SILENCE_TIMEOUT_S, "silent"),
+                                               (self.idle, idle_timeout_s, "idle")):
             for connection in list(connections):
                 if now_us - connection.quiet_since_us < timeout_s * 1e6:
                     break
@@ -264,9 +265,9 @@
         """Shuts down gracefully, without losing requests: new connections still come for a while after the signal.
 
         Idle connections are closed first, while a request that crosses the close can still be sent again on a new one.
-        The listener closes after `least_s`, once no connection has come for `quiet_s`, and after `most_s` in any case.
-        After `end_s` `at_end` is called to answer all open requests; it must see to it that later ones are answered at
-        once.
+        Closing the listener begins after `min_s`, once no connection has come for `quiet_s`, and after `max_s` in any
+        case. When all connections have ended, and after `end_s` at the latest, `answer_open_requests` is called; it must
+        also see to it that later requests are answered at once.
         """
         self.stopping = True
         self.stopping_since_us = start_us = self.now_us()
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -300,7 +300,8 @@
             if getattr(old, name) != getattr(new, name):
                 needs_restart = needs_restart or name
         report_layouts = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
-        needs_restart = needs_restart or ("areas, kinds or report fields" if report_layouts[0] != report_layouts[1] else "")
+        needs_restart = needs_restart or (
+            "areas, kinds or report fields" if report_layouts[0] != report_layouts[1] else "")
         if needs_restart:
             raise NeedsRestart(needs_restart)
         # Nothing below can fail, since all values have been checked.
--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -175,7 +175,7 @@
     async def test() -> None:
         server = await listening()
         with monkeypatch.context() as patch:
-            patch.setattr(ListenerShutdown, "reached", unknown)
+            patch.setattr(ListenerShutdown, "send_probe", unknown)
             assert not any(server.close_listener() for _ in range(3))
         async with asyncio.timeout(5.0):
             await test_shutdown.closed(server)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -51,8 +51,8 @@
     assert case.life.cancel("client left") and not case.life.may_send(case.clock.now_us, 2_000_000, lambda: False)
 
 
-@pytest.mark.parametrize("invariant", [Invariant.SENT_AFTER_END, Invariant.SENT_TOO_LATE, Invariant.REMAINING_TIME_OVERSTATED,
-                                       Invariant.CLOSED_UNANSWERED])
+@pytest.mark.parametrize("invariant", [Invariant.SENT_AFTER_END, Invariant.SENT_TOO_LATE,
+                                       Invariant.REMAINING_TIME_OVERSTATED, Invariant.CLOSED_UNANSWERED])
 def test_each_violation_is_counted_and_logged_with_its_history(invariant: Invariant) -> None:
     case = Case()
     match invariant:
