--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -266,8 +266,8 @@
 
         Idle connections are closed first, while a request that crosses the close can still be sent again on a new one.
         Closing the listener begins after `min_s`, once no connection has come for `quiet_s`, and after `max_s` in any
-        case. When all connections have ended, and after `end_s` at the latest, `answer_open_requests` is called; it must
-        also see to it that later requests are answered at once.
+        case. When all connections have ended, and after `end_s` at the latest, `answer_open_requests` is called; it
+        must also see to it that later requests are answered at once.
         """
         self.stopping = True
         self.stopping_since_us = start_us = self.now_us()
