--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -1,6 +1,6 @@
-"""What is owed to a client that leaves: nothing, and nothing of its request is sent on any more.
+"""A client that leaves gets no answer, and its request is not forwarded any more.
 
-Each crossing is forced: both halves of it are done before the loop runs, so that it can't have read the first.
+Each race is forced: both of its events happen before the event loop runs, so that the loop can't have read the first.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 
 
 def arrived(scene: Scene, client: tuple[str, int]) -> None:
-    """Waits, while the loop stands, until a client's end has come to the sidecar's socket. Hazard: on a busy machine
-    the kernel hands over a moment later, and there is no crossing yet."""
+    """Waits, without running the event loop, until a client's end has reached the sidecar's socket: on a busy machine
+    the kernel delivers it a moment later, and the race would not take place."""
     for one in scene.sidecar.server.connections:
         with contextlib.suppress(OSError):
             if one.sock.fileno() >= 0 and one.sock.getpeername() == client:
@@ -69,14 +69,14 @@
 
 
 async def settled(scene: Scene, peer: Peer) -> None:
-    """All that is out is answered; nothing is left of any request."""
+    """Answers all attempts in flight, and checks that nothing is left of any request."""
     peer.answer_held(ok())
     await until(lambda: not scene.sidecar.requests and not scene.sidecar.by_txn)
     assert scene.sidecar.balancer.buffer is None and not scene.sidecar.balancer.requests
 
 
 async def crowded() -> tuple[Scene, Peer, socket.socket]:
-    """The only upstream's only slot is taken, by a request that hangs; who comes now waits in the buffer."""
+    """A scene whose only slot is taken by a request that hangs, so that the next request waits in the buffer."""
     peer = await Peer(hang).start()
     scene = await Scene().start(peer.entry("s-1"))
     first = connect(scene, scene.request())
@@ -85,7 +85,7 @@
 
 
 def answers(scene: Scene) -> None:
-    """The upstream's answer is read in this very step, which frees the slot."""
+    """Reads the upstream's answer in this very step of the loop, which frees the slot."""
     pool = next(iter(scene.sidecar.upstreams.pools.values()))
     next(iter(pool.busy)).data_received(ok())
 
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("sent_ahead", [0, 1])
 def test_a_request_whose_client_left_while_it_waited_is_not_sent_on(
         leave: Callable[[socket.socket], None], lane: str, sent_ahead: int) -> None:
-    """With one sent ahead reading is paused, and the loop would never read the end."""
+    """With a pipelined request reading is paused, and the event loop would never read the client's end."""
     async def test() -> None:
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(lane), *(scene.request(lane) for _ in range(sent_ahead)))
@@ -104,7 +104,7 @@
         address = client.getsockname()
         leave(client)
         arrived(scene, address)
-        answers(scene)  # the slot is free, and the end not read
+        answers(scene)  # frees the slot while the client's end is unread
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 0
         await settled(scene, peer)
         assert len(peer.got) == 1
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_who_leaves_while_reading_is_paused_is_noticed_by_the_next_look(
         leave: Callable[[socket.socket], None]) -> None:
-    """What waits in the buffer would keep others out of it."""
+    """Its request in the buffer would keep others out."""
     async def test() -> None:
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(), scene.request())
@@ -179,7 +179,7 @@
 
 
 def test_a_client_that_stays_is_served_though_it_has_sent_ahead() -> None:
-    """The other side of the same look: what is unread is no end."""
+    """The converse of the check: unread bytes are no end."""
     async def test() -> None:
         scene, peer, _first = await crowded()
         client = connect(scene, scene.request(), scene.request(), scene.request())
@@ -199,7 +199,7 @@
 
 
 def test_who_sends_ahead_and_reads_no_answer_loses_the_connection_and_nobody_else_does() -> None:
-    """Hazard: each answer is written into memory, for as long as requests come."""
+    """Otherwise answers would pile up in memory for as long as requests come."""
     async def test() -> None:
         peer = await Peer(reply(ok(b"x" * 60_000))).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -226,8 +226,8 @@
 
 def test_what_was_sent_ahead_is_not_sent_on_once_the_answer_before_it_could_not_be_written(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    """The write fails, the transport closes itself, and the loop tells so a turn later than the next one begins."""
-    monkeypatch.setattr(upstream, "REST_US", 0)  # the next one is written in the same step
+    """The write fails and the transport closes itself, but the loop reports it after the next request has begun."""
+    monkeypatch.setattr(upstream, "REST_US", 0)  # the next request is written in the same step
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -249,14 +249,14 @@
 @pytest.mark.parametrize("closing", [sweep, close_idle_and_silent])
 def test_the_rest_of_a_request_that_has_come_but_is_not_read_yet_keeps_it_from_a_408(
         closing: Callable[[module.Server], Awaitable[None]]) -> None:
-    """The process had no processor for so long that the request looks given up on, and its rest lies unread."""
+    """The process had no CPU for so long that the request seems abandoned, although its rest waits unread."""
     async def test() -> None:
         async with served(asked=False) as (own, client):
             client.send(REQUEST[:10])
             await until(lambda: all(one.has_partial_request for one in own.connections))
             for one in own.connections:
                 one.quiet_since_us -= 60_000_000
-            client.send(REQUEST[10:])  # from within one step of the loop
+            client.send(REQUEST[10:])  # within one step of the event loop
             await closing(own)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -1,7 +1,7 @@
-"""Drawn schedules of crossings over loopback sockets: clients that leave, upstreams that fail in the middle, drains,
-watches that break, a loop without processor, an end of the process. One checker reads what happened.
+"""Random schedules of races over loopback sockets: clients that leave, upstreams that fail in the middle of an answer,
+drains, discovery streams that break, an event loop without CPU, a shutdown. One checker verifies what happened.
 
-A schedule is drawn from its seed; the seeds are fixed, and each stands in its test's name.
+A schedule is drawn from its seed; the seeds are fixed, and each is part of its test's name.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Client:
-    """One connection of the application, what it asked on it, and every byte that came back."""
+    """One client connection, the requests sent on it, and every byte that came back."""
 
     def __init__(self, scene: Scene) -> None:
         self.sock = socket.create_connection(("127.0.0.1", scene.port))
@@ -60,9 +60,9 @@
         while rest:
             head, gap, rest = rest.partition(b"\r\n\r\n")
             length = re.search(rb"content-length: (\d+)", head, re.IGNORECASE)
-            assert gap and length is not None, f"an answer that is not whole: {self.got!r}"
+            assert gap and length is not None, f"incomplete answer: {self.got!r}"
             size = int(length[1])
-            assert len(rest) >= size, f"an answer that is not whole: {self.got!r}"
+            assert len(rest) >= size, f"incomplete answer: {self.got!r}"
             found.append((int(head.split()[1]), rest[:size]))
             rest = rest[size:]
         return found
@@ -71,17 +71,17 @@
 class World:
     def __init__(self, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.random = random.Random(seed)
-        self.ran: dict[str, list[int]] = defaultdict(list)  # by id: the cells where it may have had its effect
+        self.ran: dict[str, list[int]] = defaultdict(list)  # by id: the cells where the request may have run
         self.faults: list[str] = []
         self.held: list[tuple[asyncio.Future[bytes], str]] = []
-        self.left: set[str] = set()  # ids whose client has left before they were answered
+        self.left: set[str] = set()  # ids of requests whose client left before they were answered
         self.out: dict[Connection, str] = {}
         self.clients: list[Client] = []
         self.generation = 50
         self.watch(monkeypatch)
 
     def watch(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Every first byte that leaves for an upstream, seen from beside the program."""
+        """Checks each attempt as its first byte is sent to an upstream, independently of the program's own checks."""
         real = Connection.start
 
         def start(connection: Connection, attempt: Any) -> None:
@@ -92,7 +92,7 @@
                 self.faults.append(f"{txn} was sent after its client had left")
             if not self.copies and any(other == txn and not one.dropped and one.attempt is not None
                                        for one, other in self.out.items()):
-                self.faults.append(f"{txn} was sent beside an attempt that is out")
+                self.faults.append(f"{txn} was sent while another attempt was in flight")
             self.out[connection] = txn
             real(connection, attempt)
 
@@ -101,7 +101,7 @@
     async def start(self) -> None:
         draw = self.random
         effects = draw.sample(["idempotent", "at_most_once", "deduplicated"], 3)
-        # the classes by method, as effects are what settings say: view is read, pay unsafe, mark keyed
+        # the order of the classes is drawn by their effects: view is idempotent, pay at_most_once, mark deduplicated
         self.copies = draw.random() < 0.5
         bounds = {**SETTINGS["bounds"], "second-copies": self.copies, "most-tries": draw.choice([1, 2, 4]),
                   "retry-after": draw.random() < 0.5}
@@ -155,7 +155,7 @@
             if not future.done():
                 future.set_result(ok(txn.encode()))
 
-    # Steps: each is one half of a crossing, done before the loop runs again
+    # Steps: each is one event of a race, done before the event loop runs again
 
     def ask(self) -> None:
         idle = [one for one in self.clients if not one.ended and not one.left and len(one.asked) < 4]
@@ -189,7 +189,7 @@
         self.scene.discovery.writers[-1].transport.abort()
 
     def stall(self) -> None:
-        """The loop had no processor for so long; what came meanwhile is read at once afterwards."""
+        """Advances the clock as if the event loop had had no CPU; what arrived meanwhile is read at once afterwards."""
         self.scene.sidecar.clock.offset_ns += self.random.choice([50, 300, 300, 1_300]) * 1_000_000
 
     async def play(self) -> None:
@@ -199,15 +199,15 @@
             turns = self.random.choice([0, 0, 1, 3, 8, 100])
             for _ in range(turns if turns < 100 else 0):
                 await asyncio.sleep(0)
-            if turns == 100:  # what is under way has its end, but for what is held
+            if turns == 100:  # lets everything finish that is not held back
                 await asyncio.sleep(0.003)
 
     async def end(self) -> None:
-        """The process ends in the middle of what is still open."""
+        """Shuts the sidecar down while requests are open, and checks that nothing is left."""
         await self.scene.sidecar.stop()
         sidecar = self.scene.sidecar
-        assert not sidecar.by_txn and not sidecar.server.connections, "owed at the end"
-        sidecar.clock.offset_ns += 120_000_000_000  # attempts that are still out end by their time
+        assert not sidecar.by_txn and not sidecar.server.connections, "left open at the end"
+        sidecar.clock.offset_ns += 120_000_000_000  # attempts still in flight time out
         sidecar.timers.fire()
         await until(lambda: not sidecar.requests and not sidecar.upstreams.open)
         await until(lambda: all(one.ended or one.left for one in self.clients))
@@ -222,11 +222,11 @@
                 continue
             answers = client.answers()
             assert len(answers) <= len(client.asked), f"more than one answer: {client.asked} {client.got!r}"
-            # a client that sent ahead of an answer which ended the connection sends those behind it anew
+            # where an answer closed the connection, the client sends the requests pipelined behind it again
             assert len(answers) == len(client.asked) or b"Connection: close" in client.got, (client.asked, client.got)
             for (lane, txn), (status, body) in zip(client.asked, answers, strict=False):
                 seen[status] += 1
-                assert status != 200 or body == txn.encode(), f"{txn} was given another's answer {body!r}"
+                assert status != 200 or body == txn.encode(), f"{txn} got another request's answer {body!r}"
                 assert status != 503 or lane == "view" or (lane == "mark" and self.group == "all") \
                     or not self.ran[txn], f"{lane} {txn} was refused and has run"
                 assert status in (200, 502, 503)
@@ -249,7 +249,7 @@
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MIN_ACCEPT_S", 0.05)
     monkeypatch.setattr(sidecar, "STOP_QUIET_PERIOD_S", 0.0)
-    monkeypatch.setattr(server, "LAST_ANSWERS_S", 20.0)  # wide, for a busy machine; it ends as soon as all have left
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 20.0)  # generous, for a busy machine; ends once all answers are sent
 
     async def test() -> None:
         world = World(seed, monkeypatch)
@@ -257,14 +257,14 @@
         await world.play()
         await world.end()
         seen = world.check()
-        assert seen.total() + len(world.left) >= 8, seen  # it was no empty schedule
+        assert seen.total() + len(world.left) >= 8, seen  # the schedule was not trivial
         for peer in world.peers:
             await peer.stop()
 
     async def nothing() -> None:
         pass
 
-    run(nothing)  # a process keeps some of its first loop for all that follow
+    run(nothing)  # the first event loop of a process leaves some descriptors open for the later ones
     before = descriptors()
     run(test)
-    assert descriptors() <= before, "descriptors are left over"
+    assert descriptors() <= before, "descriptors leaked"
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -1,7 +1,7 @@
-"""A client that ends its side has gone: no attempt of its request, first or further, begins 0.1 s later.
+"""A client that closes its side has left: 0.1 s later no attempt of its request begins any more.
 
-Two things hold it, and each is tried with the other one off: its end is noticed and told by itself, and each send looks
-at the client's socket first.
+Two mechanisms ensure this, and each is tested with the other one disabled: the client's end is detected by itself, and
+the client's socket is checked before each send.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 
 def half_of_one(scene: Scene) -> list[bytes]:
-    """The loop reads on, as no whole request waits."""
+    """The event loop goes on reading, as no complete request is queued."""
     return [scene.request("pay", b"x" * 100)[:-50]]
 
 
 def much(scene: Scene) -> list[bytes]:
-    """More than is read before reading is paused: its end lies behind unread bytes."""
+    """More than is read before reading is paused: the client's end lies behind unread bytes."""
     return [scene.request(), *(scene.request("pay", b"x" * 15_000) for _ in range(4))]
 
 
 def nonsense(scene: Scene) -> list[bytes]:
-    """Nothing is read any more, as the connection ends with the answers that are owed."""
+    """Nothing more is read, as the connection closes after the open answers."""
     return [b"nonsense\r\n\r\n"]
 
 
@@ -56,9 +56,10 @@
 
 
 async def late() -> None:
-    """All that is allowed has passed. Both timers are of one loop, which runs them in their order, however late."""
+    """Waits out the time allowed. This timer and the server's are of one event loop, which runs them in order however
+    late it is."""
     await asyncio.sleep(ALLOWED_S)
-    for _ in range(3):  # and what has come meanwhile is read
+    for _ in range(3):  # lets the loop read what has arrived meanwhile
         await asyncio.sleep(0.001)
 
 
@@ -98,7 +99,7 @@
 
 
 class Site:
-    """Two upstreams; the first attempt is out at one of them, or its connection comes up late."""
+    """Two upstreams; the first attempt is in flight at one of them, or its connection is established late."""
 
     def __init__(self) -> None:
         self.peers: list[Peer] = []
@@ -147,7 +148,7 @@
     site.dials[0][2].set()
 
 
-# What would send it, again or first, with what it is doing then and how often it has been sent before
+# Events that would cause a first or a further attempt, each with whether the request is still connecting then
 CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (not_connected, True), (comes_up, True)]
 
 
@@ -159,7 +160,7 @@
         off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
         monkeypatch: pytest.MonkeyPatch) -> None:
-    """For a client that stays each of the causes does send: there is something to be held back."""
+    """For a client that stays (`leave` is None) each cause does send, so that there is something to prevent."""
     off(monkeypatch)
 
     async def test() -> None:
@@ -176,7 +177,7 @@
         else:
             connection, address = connection_of(scene, client), client.getsockname()
             if off is without_the_look_by_time:
-                connection.transport.pause_reading()  # type: ignore[union-attr]  # nor does the loop read the end
+                connection.transport.pause_reading()  # type: ignore[union-attr]  # nor may the loop read the end
             leave(client)
             if off is without_the_look_by_time:
                 arrived(scene, address)
--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -1,4 +1,4 @@
-"""A poll that a signal interrupts says that nothing is there; what has come is seen all the same."""
+"""A poll that a signal interrupts reports nothing; data and ends of connections must be detected all the same."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InterruptedPoll:
-    """Python gives up a poll of no time that is interrupted, as if nothing were there; one that waits goes on."""
+    """Behaves as if every poll were interrupted: Python returns nothing for one with no timeout, and resumes others."""
 
     def __init__(self) -> None:
         self.real = real_poll()
@@ -25,7 +25,7 @@
         return [] if timeout == 0 else self.real.poll(timeout)
 
 
-# Guards against stray bytes that are taken for the next request's answer, and a request written to an ended connection.
+# Guards against stray bytes that are taken for the next request's answer, and a request sent on an ended connection.
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
 def test_a_kept_connection_that_has_gone_bad_is_not_used_though_polls_are_interrupted(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener closes over nobody who has connected, as far as he knows, and keeps nobody waiting in his connect."""
+"""A closing listener resets no client that believes itself connected, and leaves none waiting in its connect."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
     return answered
 
 
-# Guards against a client that is reset after its connect, as its handshake had not ended when the listener closed.
+# Guards against a client that is reset after its connect, because its handshake had not ended when the listener closed.
 @pytest.mark.parametrize("shares_port", [False, True])
 def test_a_handshake_that_ends_while_the_listener_closes_is_served(shares_port: bool) -> None:
     async def test() -> None:
         server = await listening(shares_port=shares_port)
         others = [await listening(address(server)[1], True)] if shares_port else []
         assert server.listener is not None
-        for one in [server, *others]:  # the kernel ends a handshake only when the first byte comes
+        for one in [server, *others]:  # with this option the kernel completes a handshake only at the first byte
             assert one.listener is not None
             one.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 5)
         clients = [socket.create_connection(address(server)) for _ in range(8)]
@@ -64,7 +64,7 @@
     run(test)
 
 
-# Guards against clients that hang in their connect, as a close that failed for a moment had cut the listener's queue.
+# Guards against clients that hang in their connect, because a close that failed at first had cut the accept queue.
 def test_a_close_that_fails_for_a_moment_keeps_nobody_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         server = await listening()
@@ -78,7 +78,7 @@
             assert not server.close_listener()
         for client in clients:
             client.settimeout(0.5)
-        results = [client.connect_ex(address(server)) for client in clients]  # the loop accepts none meanwhile
+        results = [client.connect_ex(address(server)) for client in clients]  # the event loop accepts none meanwhile
         assert set(results) <= {0, errno.ECONNREFUSED}, results
         for client, result in zip(clients, results, strict=True):
             assert result or await is_answered(client)
@@ -89,7 +89,7 @@
     run(test)
 
 
-# Guards against a new connection that a shutdown closes before its client, held up, has sent its first request.
+# Guards against a new connection that a shutdown closes before its client, which is delayed, sends its first request.
 def test_a_first_request_that_comes_late_in_a_shutdown_is_served() -> None:
     async def test() -> None:
         server = await listening()
@@ -105,7 +105,7 @@
     run(test)
 
 
-# Guards against a process that a silent connection keeps from ending until its SIGKILL.
+# Guards against a silent connection that keeps the process from ending until it gets SIGKILL.
 def test_a_new_connection_that_stays_silent_is_closed_in_a_shutdown() -> None:
     async def test() -> None:
         server = await listening()
@@ -117,7 +117,8 @@
     run(test)
 
 
-# Guards against a listener that nobody accepts from, after a start that failed: it takes some of the next one's.
+# Guards against a listener left open by a failed start: it would take connections from the next start's listener, and
+# nobody would accept them.
 def test_a_start_that_fails_leaves_no_listener(monkeypatch: pytest.MonkeyPatch) -> None:
     class NoOptions(socket.socket):
         def setsockopt(self, *_: object) -> None:
@@ -142,7 +143,7 @@
     raise OSError(errno.ENOPROTOOPT, "no such option")
 
 
-# Guards against resets where the kernel leads no new connections away: who comes last waits in his connect, as he did.
+# Guards against resets where the kernel can't divert new connections: the last clients wait in their connect instead.
 @pytest.mark.parametrize("test", [
     test_shutdown.test_who_comes_as_the_listener_closes_finds_nobody_before_sending_anything,
     test_shutdown.test_who_comes_as_a_listener_that_shares_its_port_closes_is_served_by_the_other,
@@ -155,7 +156,7 @@
 
 
 def bind_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As for a process without privileges: a listener that is bound to a device can't be bound again."""
+    """Simulates an unprivileged process: a listener that is bound to a device can't be bound again."""
     bind_to, bound = ListenerShutdown.bind_to_device, set[ListenerShutdown]()
 
     def bind(self: ListenerShutdown, device: int) -> None:
@@ -167,7 +168,7 @@
     monkeypatch.setattr(ListenerShutdown, "bind_to_device", bind)
 
 
-# Guards against a listener that an unprivileged process has hidden, and can't close as it tries to bind it once more.
+# Guards against an unprivileged process that can't close its hidden listener, because it tries to bind it once more.
 def test_a_listener_whose_probes_fail_for_a_moment_is_bound_once(monkeypatch: pytest.MonkeyPatch) -> None:
     def unknown(self: ListenerShutdown) -> Reached:
         return Reached.UNKNOWN
@@ -185,10 +186,10 @@
     run(test)
 
 
-# Guards against the same where a successor comes to a shared port as its only listener is closing.
+# Guards against the same failure where a successor joins a shared port while its only listener is closing.
 def test_a_successor_that_comes_late_gets_what_is_new(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        for _ in range(6):  # the kernel chooses between the two by the port that a probe has
+        for _ in range(6):  # the kernel chooses between the two by the probe's port
             server = await listening(shares_port=True)
             assert not server.close_listener()
             successor = await listening(address(server)[1], True)
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -1,4 +1,4 @@
-"""What a process owes as it starts and as it ends: a configuration that changes, requests that are still open."""
+"""The start and the end of a process: a configuration that changes meanwhile, and requests that are still open."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
 
 
 def test_the_last_answers_leave_before_the_process_can_be_killed() -> None:
-    """SIGKILL comes 0.7 s and the longest deadline after SIGTERM, and of deadlines no more than 3 s count; the process
-    may lack the processor for 0.15 s."""
+    """SIGKILL comes 0.7 s plus the longest deadline (counted as 3 s at most) after SIGTERM, and the process may get no
+    CPU for 0.15 s of it."""
     assert sidecar.STOP_GRACE_S + server.LAST_ANSWERS_S + 0.15 < 0.7 and sidecar.STOP_MAX_DEADLINE_S == 3.0
     assert sidecar.STOP_MIN_END_S + server.LAST_ANSWERS_S < 0.7
 
 
 async def open_requests(peer: Peer, scene: Scene) -> dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """One of each kind: out at an upstream that hangs, waiting, sent ahead behind another, and half read."""
+    """One request of each kind: in flight at an upstream that hangs (one of each class), waiting in the buffer, and
+    received in part."""
     found = {}
     for lane in ("view", "pay", "mark"):
         count = len(peer.got)
@@ -48,10 +49,10 @@
 
 
 def test_what_is_open_at_the_last_moment_has_its_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients may wait for longer than a process that ends has left."""
+    """Clients may wait for longer than the time that is left to the process."""
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)  # wide: it ends as soon as all have left
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)  # generous: the wait ends as soon as all answers are sent
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -59,7 +60,7 @@
         found = await open_requests(peer, scene)
         ending = asyncio.create_task(scene.sidecar.stop())
         answers = {name: (await read_message(reader)).status for name, (reader, _) in found.items()}
-        # a refusal promises that nothing has run: reads, and what was never sent
+        # a refusal promises that nothing has run, so only reads and requests that were never sent get 503
         assert answers == {"view": 503, "pay": 502, "mark": 502, "waits": 503, "half": 408}
         for reader, _ in found.values():
             assert await reader.read() == b"", "more than one answer"
@@ -88,7 +89,7 @@
 
 
 def test_what_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection that stays open is used by its client up to the exit."""
+    """A client may use a connection that stays open until the process exits."""
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
@@ -97,16 +98,16 @@
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         request = scene.request("pay", remaining="60000m")
-        client = connect(scene, request[:10])  # it has begun, and so is not closed as idle
+        client = connect(scene, request[:10])  # received in part, so that the connection is not closed as idle
         await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
         ended = asyncio.get_running_loop().create_future()
         real = scene.sidecar.answer_all
 
         def at_end() -> None:
             real()
-            client.send(request[10:])  # read in the next turn, after the last answers
+            client.send(request[10:])  # read in the next step of the loop, after the last answers
             for one in scene.sidecar.server.connections:
-                one.has_partial_request = False  # its bytes lie unread: no close may come between
+                one.has_partial_request = False  # the unread bytes alone must keep the connection from being closed
             ended.set_result(None)
 
         monkeypatch.setattr(scene.sidecar, "answer_all", at_end)
@@ -145,7 +146,7 @@
 
 
 def test_a_new_configuration_during_the_imports_does_not_end_the_process(tmp_path: Path) -> None:
-    """They take a tenth of a second; by default the signal kills."""
+    """The imports take a tenth of a second, during which SIGHUP would kill the process by default."""
     async def test() -> None:
         discovery = await FakeDiscovery().start()
         (tmp_path / "c.json").write_text(configuration(free_port(), discovery))
@@ -163,7 +164,7 @@
 
 
 def test_a_new_configuration_while_the_old_one_is_read_is_heard(tmp_path: Path) -> None:
-    """The file is a pipe: the program stands in the middle of reading it as the signal comes."""
+    """The file is a named pipe, so that the program is in the middle of reading it when the signal comes."""
     async def test() -> None:
         old, new, port = await FakeDiscovery().start(), await FakeDiscovery().start(), free_port()
         path = tmp_path / "c.json"
@@ -171,7 +172,7 @@
         process = await launch(GW_CONFIG=path)
 
         def write() -> None:
-            with path.open("w") as file:  # the program stands at the other end
+            with path.open("w") as file:  # returns once the program has opened the pipe to read
                 (tmp_path / "new.json").write_text(configuration(port, new))
                 os.replace(tmp_path / "new.json", path)
                 process.send_signal(signal.SIGHUP)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: a sidecar in this process between stand-ins, and a client for it."""
+"""Shared by the socket tests: a sidecar in this process between stand-ins, and a client for it."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], limit_s: float = LIMIT_S) -> None:
+    """Runs a test on an event loop of its own; raises TimeoutError after `limit_s`."""
     async def limited() -> None:
         await asyncio.wait_for(test(), limit_s)
 
@@ -27,7 +28,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for an event that shows only in some object's state."""
+    """Polls until the condition holds, for events that only show in some object's state."""
     while not condition():
         await asyncio.sleep(0.001)
 
@@ -36,19 +37,19 @@
 
 
 def free_port() -> int:
-    """A port for a process that is started later, or again and again. It stays bound here, though nobody listens, until
-    this process ends. Hazard: a port that is given back can be another test's a moment later, whose clients then
-    talk to a stranger; one CI run failed two tests at once by it."""
+    """A port for a process that is started later, or repeatedly. It stays bound here without a listener until this
+    process ends: a released port may be given to another test a moment later, whose clients would then reach the wrong
+    server. One CI run had two tests fail at once this way."""
     kept = socket.socket()
-    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # both sides have it: the other may bind it too
+    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # set on both sides, so the other may bind it too
     kept.bind(("127.0.0.1", 0))
     _kept.append(kept)
     return int(kept.getsockname()[1])
 
 
 async def ask(port: int, request: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A new connection with its request on it, both in one step of the loop. Hazard: a loop without CPU between the two
-    shows the other side a silent connection, which it may close, unread, for want of room or at its end."""
+    """Opens a connection and sends a request on it, both in one step of the event loop. Were the loop to lose the CPU
+    between the two, the other side would see a silent connection, which it may close to make room or at its end."""
     found = socket.create_connection(("127.0.0.1", port))
     try:
         found.setblocking(False)
@@ -67,7 +68,7 @@
 
 
 class Scene:
-    """A sidecar in this process with its discovery, and what a client needs to call it."""
+    """A sidecar in this process with its discovery, and methods to send it requests."""
 
     def __init__(self) -> None:
         self.discovery = FakeDiscovery()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""What may not happen to a request is counted, logged with what came before, and seen by the tests."""
+"""Violations of a request's lifecycle are counted, logged with the request's history, and visible to the tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.life.begin("t1", 2_000_000)
 
     def found(self) -> dict[Invariant, int]:
-        module.violations.clear()  # they are what is tested
+        module.violations.clear()  # expected here; conftest.py would fail the test over them
         return dict(self.ledger.violations)
 
 
@@ -78,7 +78,7 @@
             and len(case.lines) == MAX_VIOLATIONS_LOGGED)
 
 
-# Guards against a check that no path passes: a fault put into the program is seen by it.
+# Guards against an invariant that the data path never checks: a fault injected into the program must be detected.
 def test_a_send_after_the_answer_is_seen_on_the_data_path() -> None:
     async def test() -> None:
         peer = await Peer().start()
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -1,4 +1,4 @@
-"""Jobs that are done again and again outlast their failures."""
+"""Periodic jobs go on after an error."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return act, done
 
 
-# Guards against a sweep that is over with its first error: the listener stays paused, silent clients stay.
+# Guards against sweeps that stop at their first error: a paused listener and silent clients would stay for ever.
 def test_the_sweeps_go_on_after_an_error() -> None:
     async def test() -> None:
         server = Server(Answers(), 8, now_us)
@@ -67,7 +67,7 @@
     run(test)
 
 
-# Guards against a subsystem's failure that ends the process after its last answer, or goes unsaid.
+# Guards against a subsystem's failure that makes the shutdown fail, or that is not logged.
 def test_work_alongside_that_fails_ends_nothing_else(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async def work() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""No request is lost by what closes connections: the end of a process, the sweep, the want of room."""
+"""No request is lost where connections are closed: by a shutdown, by the sweep, or to make room."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 async def connected(server: Server, asked: bool) -> socket.socket:
-    """A client's connection that has been silent, or idle after a request, for longer than it takes to be closed."""
+    """A client's connection that has been silent, or idle after a request, past every timeout."""
     address = server.listener.getsockname()  # type: ignore[union-attr]
     client = socket.create_connection(address)
     client.setblocking(False)
@@ -79,10 +79,11 @@
 @pytest.mark.parametrize("closing", [close_idle, sweep, make_room])
 def test_a_request_that_has_come_but_is_not_read_yet_is_answered(
         closing: Callable[[Server], Awaitable[None]], asked: bool) -> None:
-    """The process had no CPU while the request came: what closes quiet connections runs before the loop reads it."""
+    """The process had no CPU while the request arrived: the code that closes quiet connections runs before the event
+    loop reads it."""
     async def test() -> None:
         async with served(asked) as (server, client):
-            client.send(REQUEST)  # from within one step of the loop, which so cannot read it
+            client.send(REQUEST)  # within one step of the event loop, so that the loop can't read it before the close
             await closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
@@ -106,13 +107,13 @@
 
 
 async def closed(server: Server) -> None:
-    """Its listener has taken all steps of its close."""
+    """Closes the server's listener to the end."""
     while not server.close_listener():
         await asyncio.sleep(0.01)
 
 
 class Late(socket.socket):
-    """A listener to which clients come at the last moment: after all have been accepted, just before it closes."""
+    """A listener to which clients connect at the last moment: after all have been accepted, just before it closes."""
 
     came: int = 0
 
@@ -131,9 +132,9 @@
         assert server.listener is not None
         server.loop.remove_reader(server.listener)
         late = server.listener = Late(fileno=server.listener.detach())
-        clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # these wait in its queue
+        clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # they wait in its accept queue
         await closed(server)
-        assert late.came == 0, "it connected, and its request would have been reset"
+        assert late.came == 0, "a client connected whose request would have been reset"
         for client in clients:
             with client:
                 client.setblocking(False)
@@ -148,8 +149,8 @@
 
 @pytest.mark.parametrize("lane", ["view", "pay"])
 def test_a_process_that_ends_without_cpu_loses_nothing(lane: str, tmp_path: Path) -> None:
-    """Hazard: after a stop of 0.15 s the loop's timers run before its reads, and a connection that came 0.1 s ago
-    and seems silent has its request lying unread. The process is stopped again and again while it ends."""
+    """After a stall of 0.15 s the event loop runs its timers before its reads: a connection that is 0.1 s old seems
+    silent although its request waits unread. The process is stalled repeatedly while it shuts down."""
     async def test() -> None:
         site, stop = await Site(tmp_path).start(), asyncio.Event()
         try:
@@ -177,11 +178,11 @@
 
 
 class LateToBoth(socket.socket):
-    """A listener that shares its port with another process's; clients come just before it closes."""
+    """A listener that shares its port with another one; clients connect just before it closes."""
 
     def close(self) -> None:
         self.came = []
-        for _ in range(12):  # the kernel chooses between the two by the port that a client has
+        for _ in range(12):  # the kernel chooses between the two by the client's port
             client = socket.socket()
             client.settimeout(0.05)
             if client.connect_ex(self.getsockname()) == 0:
@@ -201,9 +202,9 @@
             assert first.listener is not None
             first.loop.remove_reader(first.listener)
             late = first.listener = LateToBoth(fileno=first.listener.detach())
-            waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either one's queue
+            waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either queue
             await closed(first)
-            assert late.came, "none came to the other"
+            assert late.came, "no client connected to the other listener"
             for client in waiting + late.came:
                 client.setblocking(False)
                 client.send(REQUEST)
@@ -221,7 +222,7 @@
         second = Server(Answers(), 8, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
         opened_us = second.last_opened_us
-        for _ in range(8):  # the kernel chooses between the two by the port that a client has
+        for _ in range(8):  # the kernel chooses between the two by the client's port
             first = Server(Answers(), 8, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
             await closed(first)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -75,7 +75,7 @@
 
 
 def first_then_ok(first: bytes | None) -> Any:
-    """What the first request to any of the upstreams meets; None is a reset."""
+    """Behaviour of upstreams: the first request to any of them gets these bytes (None: a reset), later ones 200."""
     left = [first]
 
     async def behave(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -95,7 +95,7 @@
     (TURNED_AWAY, "pay", 200, 2),
     (None, "view", 200, 2),
     (None, "mark", 200, 2),
-    # hazard: sent again or refused, an unsafe request that may have run would run twice
+    # an unsafe request that may have run must be neither sent again nor refused: it could run twice
     (None, "pay", 502, 1),
     (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
     (b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
@@ -117,7 +117,7 @@
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
-        await scene.call("pay")  # now an answer is expected within so short a time
+        await scene.call("pay")  # teaches the balancer to expect answers this fast
         peer.behave = hang
         start = time.monotonic()
         assert (await scene.call("pay", remaining="400000u")).status == 502
@@ -148,14 +148,15 @@
             writer.close()
         while (await scene.call(remaining="60000m")).status != 200:
             pass  # refused for now
-        assert scene.sidecar.requests  # the first is still out
+        assert scene.sidecar.requests  # the first attempt is still in flight
         writer.close()
 
     run(test)
 
 
 def test_an_upstream_far_away_gets_more_than_one_request_at_a_time() -> None:
-    """Hazard: its usual answers, near the time that counts as slow, kept it at one slot for good."""
+    """Guards against a window that stays at one slot for good, because the usual answers of a distant upstream take
+    about as long as counts as slow."""
     out = [0]
 
     async def far(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -232,7 +233,7 @@
     return b"POST /api HTTP/1.1\r\n" + head + b"\r\n" + body
 
 
-# Hazard: passed on, it would be served although nobody can say what was asked, or be asked twice.
+# Guards against forwarding ambiguous or malformed requests: the upstream could read them differently, or run one twice.
 @pytest.mark.parametrize(("data", "status"), [
     (b"nonsense\r\n\r\n", 400),
     (post(b"Content-Length: x\r\n"), 400),
@@ -240,12 +241,12 @@
     (post(PAY + b"Content-Length: 99999999999999999999999\r\n"), 400),
     (get(b"Host: h\r\n"), 400),
     (get(VIEW + b"Connection: Upgrade\r\nUpgrade: h2c\r\n"), 400),
-    (post(PAY + b"Content-Length: 65537\r\n"), 413),  # with the head, before the body comes
+    (post(PAY + b"Content-Length: 65537\r\n"), 413),  # rejected by the head, before the body arrives
     (post(PAY + b"Transfer-Encoding: chunked\r\n", b"10001\r\n" + bytes(65537)), 413),
     (get(VIEW + b"X-Long: %s\r\n" % (b"x" * 9000) * 8), 413),
     (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * 100_000, 413),
     (get(VIEW + b"X-Short: x\r\n" * 200), 413),
-    # two lengths, one of which may hide a second request in the body
+    # two conflicting lengths, by which a second request could be smuggled in the body
     (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", BOTH), 400),
     (post(PAY + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", BOTH), 400),
     (post(PAY + b"content-length: 5\r\nTRANSFER-ENCODING: Chunked\r\n", BOTH), 400),
@@ -257,7 +258,7 @@
     (post(PAY + b"Content-Length: 15\r\nTransfer_Encoding: chunked\r\n", BOTH), 400),
     (post(PAY + b"Content_Length: 5\r\nTransfer-Encoding: chunked\r\n", BOTH), 400),
     (post(PAY + b"Content-Length: 5\r\nContent-Length: 5\r\n", b"abcde"), 400),
-    # who asks, what, and for how long
+    # id, request class, remaining time, method and idempotency key
     (get(VIEW.replace(b"X-Txn: t\r\n", b"")), 400),
     (get(VIEW.replace(b"X-Txn: t\r\n", b"X-Txn: %s\r\n" % (b"t" * 257))), 400),
     (get(VIEW + b"X-Txn: u\r\n"), 400),
@@ -323,7 +324,7 @@
 
 
 def test_the_id_of_an_open_request_is_turned_away_and_a_resend_after_a_close_is_not() -> None:
-    """Hazard: two open requests of one id could not be told apart; the resend is the only one left."""
+    """Two open requests with the same id could not be told apart; after a close the resend is the only one left."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -344,7 +345,7 @@
 
 
 def test_requests_sent_ahead_are_held_back_and_counted_from_when_they_came() -> None:
-    """Hazard: they would fill the memory, and one that waited would be answered after its time."""
+    """Otherwise they would fill the memory, and one that waited would be answered after its deadline."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -362,7 +363,7 @@
         peer.behave = reply(ok())
         peer.answer_held(ok())
         assert (await read_message(reader)).status == 200
-        assert (await read_message(reader)).status == 503  # its time was over before its turn
+        assert (await read_message(reader)).status == 503  # its deadline passed before its turn came
         writer.close()
         await until(lambda: not scene.sidecar.server.connections)
 
@@ -370,7 +371,7 @@
 
 
 def test_what_cannot_be_read_behind_whole_requests_ends_the_connection_after_their_answers() -> None:
-    """Hazard: the connection would stay open for ever with nobody reading it."""
+    """Guards against a connection that stays open for ever although nothing reads it any more."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -401,7 +402,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(scene.request())
         assert (await read_message(reader)).status == 200
-        await asyncio.sleep(1.0)  # idle between requests is no silence
+        await asyncio.sleep(1.0)  # a connection that is idle between requests is not silent
         writer.write(scene.request() + sent)
         assert (await read_message(reader)).status == 200
         if sent:
@@ -413,7 +414,7 @@
 
 
 def test_without_room_the_silent_go_first_and_a_request_that_is_written_waits_for_room() -> None:
-    """Hazard: the event loop would accept and close it, and with it a request that counts as taken."""
+    """Guards against accepting and closing connections beyond the limit, and losing requests already written."""
 
     async def test() -> None:
         peers = [await Peer(hang).start() for _ in range(4)]
@@ -425,7 +426,7 @@
         for reader, _ in silent:
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
-        calls.append(asyncio.create_task(scene.call("pay")))  # no room: all three are being served
+        calls.append(asyncio.create_task(scene.call("pay")))  # no room: all three connections have an open request
         await until(lambda: scene.sidecar.server.accepting_paused)
         assert len(scene.sidecar.server.connections) == 3
         for peer in peers:
@@ -437,7 +438,7 @@
 
 
 def test_a_crowd_that_asks_for_readiness_and_stays_keeps_nobody_out() -> None:
-    """Hazard: those who have work would wait in the kernel until their time is up."""
+    """Otherwise clients with requests would wait in the accept queue until their deadlines pass."""
 
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
@@ -450,7 +451,7 @@
             other.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         assert [(await read_message(other)).status for other, _ in crowd] == [200] * 12
         assert (await scene.call()).status == 200
-        writer.write(scene.request())  # and who had work before is still connected
+        writer.write(scene.request())  # the client that had sent a request before is still connected
         assert (await read_message(reader)).status == 200
         assert len(scene.sidecar.server.connections) <= 4
         for _, other in crowd:
@@ -461,7 +462,7 @@
 
 
 def test_clients_that_ask_once_and_stay_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: they would use up the descriptors, their own and ours, before any is idle long enough."""
+    """Otherwise they would use up descriptors, their own and ours, before any is idle long enough to be closed."""
 
     async def test() -> None:
         monkeypatch.setattr(server, "MIN_IDLE_S", 1000.0)
@@ -481,7 +482,7 @@
 
 
 def test_nothing_is_left_of_connections_and_requests_that_are_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: in a long life anything kept for each id, connection or upstream fills the memory."""
+    """Guards against leaks: anything kept per id, connection or upstream would fill the memory in the long run."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -490,7 +491,7 @@
         await until(lambda: scene.discovery.writers)
 
         async def churn(generation: int) -> None:
-            entry = peer.entry(f"s-{generation}", startedAtMs=generation)  # at the address of the former
+            entry = peer.entry(f"s-{generation}", startedAtMs=generation)  # at the address of the previous one
             scene.discovery.line(listing(entry, generation=generation))
             await until(lambda: [p.member.name for p in sidecar.upstreams.pools.values()]
                         == [entry["instanceId"]])
@@ -509,8 +510,9 @@
             return objects, len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
 
         def settled() -> bool:
-            """Nothing is out, and the upstream has no connection but those kept for the one that is listed. They may be
-            two, where a request met the first at its rest: one that is waited for is gone only once it expires."""
+            """No attempt is in flight, and the upstream has only the connections pooled for the listed instance. There
+            may be two, where a request came while the first one rested after its answer: the extra one stays until it
+            expires."""
             pool, = sidecar.upstreams.pools.values()
             return not pool.busy and len(peer.writers) == sidecar.upstreams.open == len(pool.idle)
 
@@ -595,7 +597,7 @@
         def handle(now_us: int, event: api.Event) -> list[api.Action]:
             seen.append(type(event).__name__)
             if isinstance(event, api.RequestArrived):
-                # the first can't be sent: its end must come after the second action, not amid both
+                # the first can't be sent; the event of its end must be handled after both actions, not between them
                 return [api.Send(event.request, 5), api.Refuse(event.request, 250_000)]
             if isinstance(event, api.AttemptEnded):
                 ended.append(event)
@@ -639,7 +641,7 @@
 
 
 def test_timers_never_fire_early() -> None:
-    """Hazard: a timer that fires before its time is taken for a stale one, and the next is never set."""
+    """The balancer would ignore a timer that fires early as stale, and would never set the next one."""
 
     async def test() -> None:
         scene = await Scene().start()
@@ -663,7 +665,7 @@
 def test_the_clock_stands_at_unix_time_and_only_moves_forward(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock.now_us() - time.time_ns() // 1000) < 5_000_000
-    monkeypatch.setattr(time, "time_ns", lambda: 0)  # hazard: the system's clock may be set back
+    monkeypatch.setattr(time, "time_ns", lambda: 0)  # the system clock is set back
     seen = [clock.now_us() for _ in range(1000)]
     assert seen == sorted(seen) and seen[0] > 1_000_000_000_000_000
 
@@ -683,7 +685,7 @@
 
 
 class Process:
-    """The program as it is deployed, with its own discovery."""
+    """The program as it is deployed, run with a discovery of its own."""
 
     def __init__(self, *entries: dict[str, Any], settings: dict[str, Any] = SETTINGS) -> None:
         self.entries = entries
@@ -731,7 +733,7 @@
         held[1].write(scene.request("pay"))
         await until(lambda: any(peer.got for peer in peers))
         program.process.send_signal(signal.SIGTERM)
-        assert await idle[0].read() == b""  # an idle connection is closed while a new one is still taken
+        assert await idle[0].read() == b""  # idle connections are closed while new ones are still accepted
         late = asyncio.create_task(scene.call("pay"))
         await until(lambda: sum(len(peer.got) for peer in peers) == 2)
         for peer in peers:
@@ -751,14 +753,14 @@
         writer.write(b"GET / HTTP/1.1\r\n")
         program.process.send_signal(signal.SIGTERM)
         assert await program.process.wait() == 0
-        assert (await read_message(reader)).status == 408  # told in one answer, and no more
+        assert (await read_message(reader)).status == 408  # this answer, and no other
         assert await reader.read() == b""
 
     run(test)
 
 
 def test_a_reload_moves_discovery_and_loses_nothing() -> None:
-    """Hazard: by default the signal ends the process; and the environment still names the old address."""
+    """By default the signal would end the process; and the environment still names the old address."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals end the wait of the event loop by a byte in a pipe of their own."""
+"""Signals wake the event loop through a pipe of their own."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.sockets import run
 
 
-# Guards against a signal that is heard only with the next timer, as a socket did not take the byte that tells of it.
+# Guards against a signal that is only handled when the next timer fires, because a socket refused its wakeup byte.
 def test_a_signal_ends_the_loop_s_wait_through_a_pipe() -> None:
     async def test() -> None:
         before = signal.getsignal(signal.SIGUSR1)
@@ -33,7 +33,7 @@
     run(test)
 
 
-# Guards against a start that is tried again and again, each time with two descriptors more.
+# Guards against starts that are retried and leak two descriptors each time.
 def test_signals_that_are_closed_leave_no_descriptor() -> None:
     async def test() -> None:
         before = os.listdir("/proc/self/fd")
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Connections outlast the calls that fail for a moment, and end with those that end them."""
+"""Connections survive calls that fail with a transient error, and end with errors that end them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Failing(socket.socket):
-    """A socket whose next calls fail as a script says; 0 = a call that goes through, by one byte."""
+    """A socket whose next calls fail with the errno in its script; 0 = the call succeeds, for a single byte."""
 
     script: deque[int]
 
@@ -63,7 +63,7 @@
     return ours, other
 
 
-# Guards against a connection that is closed, with the answer that it owes, by a read that failed for a moment.
+# Guards against a connection that is closed after a transient read error, so that its answer is lost.
 @pytest.mark.parametrize("number", PASSING)
 def test_what_is_sent_is_read_though_reads_fail_for_a_moment(number: int) -> None:
     async def test() -> None:
@@ -81,7 +81,7 @@
     run(test)
 
 
-# Guards against an answer that is cut where a write fails for a moment or takes a part.
+# Guards against an answer that is truncated where a write fails with a transient error or is partial.
 @pytest.mark.parametrize("number", PASSING)
 def test_all_that_is_written_arrives_though_writes_fail_for_a_moment(number: int) -> None:
     async def test() -> None:
@@ -121,7 +121,7 @@
     run(test)
 
 
-# Guards against a connection that is kept though it has ended: requests would wait on it for ever.
+# Guards against a connection that is kept although it has ended: requests would wait on it for ever.
 @pytest.mark.parametrize("number", [errno.ECONNRESET, errno.EPIPE, errno.EBADF])
 def test_an_error_that_ends_the_connection_is_told_once(number: int) -> None:
     async def test() -> None:
@@ -139,7 +139,7 @@
     run(test)
 
 
-# Guards against a timed-out connection that is read again for ever.
+# Guards against a timed-out connection whose read is retried for ever.
 def test_a_connection_that_has_timed_out_ends() -> None:
     async def test() -> None:
         ours, other = pair()
@@ -161,7 +161,7 @@
             and not errors.is_transient(ConnectionResetError(errno.ECONNRESET, "")))
 
 
-# Guards against an interrupted look that says "nothing is there" of a connection that has ended.
+# Guards against an interrupted check that takes an ended connection for a live one without data.
 def test_what_lies_unread_is_seen() -> None:
     ours, other = pair()
     with ours, other:
@@ -169,14 +169,14 @@
         other.send(b"x")
         assert peek(ours) is Unread.BYTES and ours.recv(10) == b"x"
         ours.script.append(errno.ENOMEM)
-        assert peek(ours) is Unread.NOTHING, "not known: the loop tells what there is"
+        assert peek(ours) is Unread.NOTHING, "unknown: left to the event loop"
         other.close()
         assert peek(ours) is Unread.END
         ours.script.append(errno.ECONNRESET)
         assert peek(ours) is Unread.END
 
 
-# Guards against a client that is taken for gone, and gets no answer, as one look at its connection failed.
+# Guards against a client that is taken for gone and gets no answer, because a check of its connection failed once.
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH])
 def test_a_look_that_fails_by_an_error_of_the_way_is_no_end(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_connection(listener.getsockname()) as made:
@@ -186,6 +186,6 @@
         with accepted, looked_at:
             assert peek(looked_at) is Unread.NOTHING
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            accepted.close()  # by a reset: the kernel knows the peer no more
+            accepted.close()  # by a reset, after which the kernel no longer knows the peer
             looked_at.script = deque([number])
             assert peek(looked_at) is Unread.END
