--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -22,7 +22,7 @@
 from ironscale.net.sidecar import Sidecar
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.upstream import Peer, reset
-from tests.sockets import LIMIT_S, Scene, run, until
+from tests.sockets import TEST_TIMEOUT_S, Scene, run, until
 from tests.test_discovery import ENTRY, kinds, watching
 
 PUSHED: dict[str, Any] = {"registry-mode": "pushed"}
@@ -201,7 +201,7 @@
         found, _ = self.listener.accept()
         found.recv(4096)
         self.asked.set()
-        self.go.wait(LIMIT_S)
+        self.go.wait(TEST_TIMEOUT_S)
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         found.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(raw))
         self.written.set()
@@ -221,7 +221,7 @@
         await until(elsewhere.asked.is_set)
         watch.silence = asyncio.get_running_loop().call_later(0.2, watch.fall_silent)
         elsewhere.go.set()
-        assert elsewhere.written.wait(LIMIT_S)
+        assert elsewhere.written.wait(TEST_TIMEOUT_S)
         time.sleep(0.3)  # the loop stands still past the time for silence
         await until(lambda: told)
         assert kinds(told) == [ListKind.FULL] and discovery.watch is watch
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,10 +15,10 @@
 from ironscale.standins.http import Message, read_message
 from ironscale.standins.settings import SETTINGS
 
-LIMIT_S = 30.0  # no test waits this long unless something is broken
+TEST_TIMEOUT_S = 30.0  # no test waits this long unless something is broken
 
 
-def run(test: Callable[[], Coroutine[Any, Any, None]], limit_s: float = LIMIT_S) -> None:
+def run(test: Callable[[], Coroutine[Any, Any, None]], limit_s: float = TEST_TIMEOUT_S) -> None:
     """Runs a test on an event loop of its own; raises TimeoutError after `limit_s`."""
     async def limited() -> None:
         await asyncio.wait_for(test(), limit_s)
