--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -33,7 +33,7 @@
         await asyncio.sleep(0.001)
 
 
-_kept: list[socket.socket] = []
+_reserved_ports: list[socket.socket] = []
 
 
 def free_port() -> int:
@@ -43,7 +43,7 @@
     kept = socket.socket()
     kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # set on both sides, so the other may bind it too
     kept.bind(("127.0.0.1", 0))
-    _kept.append(kept)
+    _reserved_ports.append(kept)
     return int(kept.getsockname()[1])
 
 
