--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -40,11 +40,11 @@
     """A port for a process that is started later, or repeatedly. It stays bound here without a listener until this
     process ends: a released port may be given to another test a moment later, whose clients would then reach the wrong
     server. One CI run had two tests fail at once this way."""
-    kept = socket.socket()
-    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # set on both sides, so the other may bind it too
-    kept.bind(("127.0.0.1", 0))
-    _reserved_ports.append(kept)
-    return int(kept.getsockname()[1])
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # set on both sides, so the other may bind it too
+    reserved.bind(("127.0.0.1", 0))
+    _reserved_ports.append(reserved)
+    return int(reserved.getsockname()[1])
 
 
 async def ask(port: int, request: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
