--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -120,7 +120,7 @@
 
 
 async def ask(port: int, txn: str) -> str:
-    reader, writer = await sockets.ask(
+    reader, writer = await sockets.open_with_request(
         port, f"POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: {txn}\r\nX-Lane: pay\r\nX-Remaining: 8000m\r\n"
               "Content-Length: 0\r\n\r\n".encode())
     try:
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -21,7 +21,7 @@
 from ironscale.standins.upstream import Peer
 from tests.deployed import ROOT
 from tests.ends.test_lists import MODES
-from tests.sockets import Scene, ask, free_port, run, until
+from tests.sockets import Scene, open_with_request, free_port, run, until
 
 LIMIT = 128  # of descriptors
 CLIENTS = 2 * LIMIT
@@ -89,14 +89,14 @@
             scene = Scene()
             while True:  # a connection may be shut unread to make room; its client comes again
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                    reader, writer = await ask(port, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                    reader, writer = await open_with_request(port, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     status = (await read_message(reader)).status
                     writer.close()
                     if status == 200:
                         break
             while not peer.got:
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                    reader, writer = await ask(port, scene.request())
+                    reader, writer = await open_with_request(port, scene.request())
                     assert (await read_message(reader)).status == 200
                     writer.close()
             server.close()
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -20,7 +20,7 @@
 from ironscale.standins.upstream import Peer, hang
 from tests.deployed import ROOT
 from tests.ends.test_clients import connect
-from tests.sockets import Scene, ask, free_port, run, until
+from tests.sockets import Scene, open_with_request, free_port, run, until
 
 
 def test_the_last_answers_leave_before_the_process_can_be_killed() -> None:
@@ -36,14 +36,14 @@
     found = {}
     for lane in ("view", "pay", "mark"):
         count = len(peer.got)
-        found[lane] = await ask(scene.port, scene.request(lane, remaining="60000m"))
+        found[lane] = await open_with_request(scene.port, scene.request(lane, remaining="60000m"))
         await until(lambda count=count: len(peer.got) > count)  # type: ignore[misc]
         server = next(iter(scene.sidecar.balancer.servers.values()))
         server.window.slots += 1.0  # room for the next one
     server.window.slots = 1.0
-    found["waits"] = await ask(scene.port, scene.request("pay", remaining="60000m"))
+    found["waits"] = await open_with_request(scene.port, scene.request("pay", remaining="60000m"))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
-    found["half"] = await ask(scene.port, b"GET / HTTP/1.1\r\n")
+    found["half"] = await open_with_request(scene.port, b"GET / HTTP/1.1\r\n")
     await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
     return found
 
@@ -78,7 +78,7 @@
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
-        reader, _ = await ask(scene.port, scene.request("pay", remaining="60000m"))
+        reader, _ = await open_with_request(scene.port, scene.request("pay", remaining="60000m"))
         await until(lambda: peer.got)
         scene.sidecar.balancer.requests.clear()
         ending = asyncio.create_task(scene.sidecar.stop())
@@ -199,7 +199,7 @@
         process = await launch(GW_CONFIG=tmp_path / "c.json")
         await until(lambda: discovery.targets)
         scene = Scene()
-        reader, _ = await ask(port, scene.request("pay"))
+        reader, _ = await open_with_request(port, scene.request("pay"))
         await until(lambda: peer.got)
         for number in signals:
             process.send_signal(number)
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -15,7 +15,7 @@
 from ironscale.standins.http import ok, read_message
 from ironscale.standins.upstream import Peer, hang, reply, reset
 from tests.ends.test_clients import settled
-from tests.sockets import Scene, ask, run, until
+from tests.sockets import Scene, open_with_request, run, until
 from tests.test_upstream import GET, members, now_us
 
 
@@ -228,7 +228,7 @@
         held = hold_back(monkeypatch)
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
-        reader, writer = await ask(scene.port, scene.request(lane))
+        reader, writer = await open_with_request(scene.port, scene.request(lane))
         await until(lambda: held)
         request = next(iter(scene.sidecar.requests.values()))
         if end == "its client leaves":
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -25,7 +25,7 @@
 from ironscale.standins.upstream import Peer, hang
 from ironscale.telling import learned
 from tests.deployed import ROOT
-from tests.sockets import ask, free_port, run, until
+from tests.sockets import open_with_request, free_port, run, until
 
 
 class Site:
@@ -80,7 +80,7 @@
         request = (f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Org: north\r\n"
                    f"X-Remaining: 3000m\r\n{key}Content-Length: 0\r\n\r\n").encode()
         try:
-            reader, writer = await ask(self.port, request)
+            reader, writer = await open_with_request(self.port, request)
         except ConnectionRefusedError:
             return "unreached"
         except OSError:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -47,7 +47,7 @@
     return int(reserved.getsockname()[1])
 
 
-async def ask(port: int, request: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def open_with_request(port: int, request: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Opens a connection and sends a request on it, both in one step of the event loop. Were the loop to lose the CPU
     between the two, the other side would see a silent connection, which it may close to make room or at its end."""
     found = socket.create_connection(("127.0.0.1", port))
