--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -28,7 +28,7 @@
 from tests.sockets import Scene, free_port, run, until
 
 
-def test_a_request_is_passed_on_unchanged_and_so_is_its_answer() -> None:
+def test_a_request_is_forwarded_unchanged_and_so_is_its_answer() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 256  # 64 KiB, the most that is allowed
         head = b"HTTP/1.1 200 OK\r\nX-Kind: k\r\nContent-Length: 65536\r\n\r\n"
