--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -45,7 +45,7 @@
     run(test)
 
 
-def test_the_connection_of_the_application_is_kept() -> None:
+def test_a_client_connection_is_kept_alive() -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
