--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -57,7 +57,7 @@
     run(test)
 
 
-def test_requests_sent_ahead_and_in_pieces_are_answered_in_order() -> None:
+def test_pipelined_requests_that_arrive_in_pieces_are_answered_in_order() -> None:
     async def test() -> None:
         async def echo(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(ok(message.headers["x-txn"].encode()))
