--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -100,7 +100,7 @@
     (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
     (b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
 ])
-def test_a_failed_attempt_is_repeated_only_where_the_class_allows_it(
+def test_a_failed_attempt_is_retried_only_where_the_class_allows_it(
     first: bytes | None, lane: str, status: int, sent: int
 ) -> None:
     async def test() -> None:
