--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -154,7 +154,7 @@
     run(test)
 
 
-def test_an_upstream_far_away_gets_more_than_one_request_at_a_time() -> None:
+def test_a_distant_upstream_gets_more_than_one_request_at_a_time() -> None:
     """Guards against a window that stays at one slot for good, because the usual answers of a distant upstream take
     about as long as counts as slow."""
     out = [0]
