--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -184,7 +184,7 @@
     run(test)
 
 
-def test_a_refusal_comes_at_once_with_advice() -> None:
+def test_a_refusal_comes_at_once_with_a_retry_after_header() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
