--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -198,7 +198,7 @@
     run(test)
 
 
-def test_a_client_that_has_gone_is_told_to_the_decisions_and_its_connection_serves_on(
+def test_the_balancer_hears_of_a_client_that_left_and_the_upstream_connection_is_reused(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "REST_US", 0)
