--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -279,7 +279,7 @@
     (post(MARK.replace(b"Idempotency-Key: k\r\n", b"Idempotency-Key: \r\n")), 400),
     (b"HEAD /api HTTP/1.1\r\n" + VIEW + b"\r\n", 400),
 ])
-def test_what_cannot_be_used_is_answered_and_not_passed_on(data: bytes, status: int) -> None:
+def test_an_unusable_request_is_rejected_and_not_forwarded(data: bytes, status: int) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
