--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -299,7 +299,7 @@
     ("nanm", None), ("infm", None), ("1e3m", None), ("1_000m", None), ("\u0664m", None), ("0x10m", None),
     ("3600001m", None), ("9" * 400 + "m", None), ("5m,6m", None), (".m", None),
 ])
-def test_how_long_the_client_waits_is_read_strictly(text: str, expected: int | None) -> None:
+def test_the_remaining_time_is_parsed_strictly(text: str, expected: int | None) -> None:
     assert parse_remaining_us(text) == expected
 
 
