--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -307,7 +307,7 @@
     (b"rif=7,q=2,busy=0.61", [0.61, 7.0]), (b"busy=0.5,rif=1", [0.5, 1.0]), (b"busy=0.5", []), (b"", []),
     (b"busy=nan,rif=1", []), (b"busy=x,rif=1", []), (b"{", []), (b"\xff=,=", []),
 ])
-def test_a_load_report_that_cannot_be_read_counts_as_none(value: bytes, expected: list[float]) -> None:
+def test_a_malformed_load_report_counts_as_none(value: bytes, expected: list[float]) -> None:
     assert read_report([(b"x-pressure", value)], ["busy", "rif"]) == expected
     assert read_report([], ["busy"]) == read_report([(b"x-pressure", value)], []) == []
 
