--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -312,7 +312,7 @@
     assert read_report([], ["busy"]) == read_report([(b"x-pressure", value)], []) == []
 
 
-def test_the_load_report_reaches_the_decisions() -> None:
+def test_the_load_report_reaches_the_balancer() -> None:
     async def test() -> None:
         data = b"HTTP/1.1 200 OK\r\nX-Pressure: busy=0.25\r\nContent-Length: 0\r\n\r\n"
         scene = await Scene().start((await Peer(reply(data)).start()).entry("s-1"),
