--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -323,7 +323,7 @@
     run(test)
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_a_resend_after_a_close_is_not() -> None:
+def test_the_id_of_an_open_request_is_rejected_and_a_resend_after_a_close_is_served() -> None:
     """Two open requests with the same id could not be told apart; after a close the resend is the only one left."""
 
     async def test() -> None:
