--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -344,7 +344,7 @@
     run(test)
 
 
-def test_requests_sent_ahead_are_held_back_and_counted_from_when_they_came() -> None:
+def test_pipelined_requests_are_held_back_and_their_deadlines_count_from_arrival() -> None:
     """Otherwise they would fill the memory, and one that waited would be answered after its deadline."""
 
     async def test() -> None:
