--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -370,7 +370,7 @@
     run(test)
 
 
-def test_what_cannot_be_read_behind_whole_requests_ends_the_connection_after_their_answers() -> None:
+def test_garbage_behind_complete_requests_ends_the_connection_after_their_answers() -> None:
     """Guards against a connection that stays open for ever although nothing reads it any more."""
 
     async def test() -> None:
