--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -388,7 +388,7 @@
     (b"", b""), (b"GET /api HT", b"HTTP/1.1 408"), (get(VIEW)[:-2], b"HTTP/1.1 408"),
     (post(PAY + b"Content-Length: 9\r\n", b"half"), b"HTTP/1.1 408"),
 ])
-def test_who_sends_no_whole_request_is_told_in_time(
+def test_a_client_that_sends_no_complete_request_gets_an_error_in_time(
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert server.SILENCE_TIMEOUT_S + server.SWEEP_INTERVAL_S < 3.0
