--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -413,7 +413,7 @@
     run(test)
 
 
-def test_without_room_the_silent_go_first_and_a_request_that_is_written_waits_for_room() -> None:
+def test_at_the_limit_silent_connections_go_first_and_a_written_request_waits_for_room() -> None:
     """Guards against accepting and closing connections beyond the limit, and losing requests already written."""
 
     async def test() -> None:
