--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -437,7 +437,7 @@
     run(test)
 
 
-def test_a_crowd_that_asks_for_readiness_and_stays_keeps_nobody_out() -> None:
+def test_many_readiness_probes_that_stay_connected_keep_no_client_out() -> None:
     """Otherwise clients with requests would wait in the accept queue until their deadlines pass."""
 
     async def test() -> None:
