--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -461,7 +461,7 @@
     run(test)
 
 
-def test_clients_that_ask_once_and_stay_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_that_send_one_request_and_stay_connected_keep_no_client_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise they would use up descriptors, their own and ours, before any is idle long enough to be closed."""
 
     async def test() -> None:
