--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -532,7 +532,7 @@
     run(test)
 
 
-def test_an_error_in_the_decisions_fails_its_request_and_nothing_else(
+def test_an_error_in_the_balancer_fails_its_request_and_nothing_else(
     capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
