--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -552,7 +552,7 @@
     assert "a bug" in capsys.readouterr().err
 
 
-def test_an_error_outside_the_decisions_still_gives_an_answer(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_error_outside_the_balancer_still_gives_an_answer(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         scene.sidecar.tenants = None  # type: ignore[assignment]
