--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -579,7 +579,7 @@
     assert capsys.readouterr().err == "n0: upstream s-1 rests\nn0: upstream 12 is back\n"
 
 
-def test_a_request_that_the_decisions_lose_is_answered_by_its_deadline() -> None:
+def test_a_request_that_the_balancer_loses_is_answered_by_its_deadline() -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         scene.sidecar.balancer.handle = lambda now_us, event: []  # type: ignore[method-assign]
