--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -662,7 +662,7 @@
     run(test)
 
 
-def test_the_clock_stands_at_unix_time_and_only_moves_forward(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_starts_at_unix_time_and_only_moves_forward(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock.now_us() - time.time_ns() // 1000) < 5_000_000
     monkeypatch.setattr(time, "time_ns", lambda: 0)  # the system clock is set back
