--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -723,7 +723,7 @@
         return (await self.process.stderr.readline()).decode()
 
 
-def test_after_sigterm_what_is_taken_is_answered_and_new_connections_are_still_served() -> None:
+def test_after_sigterm_open_requests_are_answered_and_new_connections_are_still_served() -> None:
     async def test() -> None:
         peers = [await Peer(hang).start() for _ in range(4)]
         program = await Process(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers))).start()
