--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -745,7 +745,7 @@
     run(test)
 
 
-def test_a_request_that_never_comes_whole_does_not_hold_up_the_exit() -> None:
+def test_a_request_that_is_never_completed_does_not_delay_the_exit() -> None:
     async def test() -> None:
         classes = [{**c, "deadline": 500_000} for c in SETTINGS["request-classes"]]
         program = await Process(settings={**SETTINGS, "request-classes": classes}).start()
