--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -825,7 +825,7 @@
     assert len(done.stderr.splitlines()) == 1 and words in done.stderr
 
 
-def test_a_reset_in_flight_is_not_sent_again_by_the_sidecar_itself() -> None:
+def test_a_request_reset_in_flight_is_not_retried_by_the_sidecar_itself() -> None:
     async def test() -> None:
         peer = await Peer(reset).start()
         scene = await Scene().start(peer.entry("s-1"))
