--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -44,7 +44,7 @@
                                      "retried (reset) 1; sent 1; violations 0")
 
 
-def test_nothing_may_be_sent_late_or_for_who_has_left() -> None:
+def test_nothing_may_be_sent_late_or_for_a_client_that_has_left() -> None:
     case = Case()
     assert not case.life.may_send(2_000_000, 2_000_000, lambda: False)
     assert not case.life.may_send(case.clock.now_us, 2_000_000, lambda: True)
