--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -79,7 +79,7 @@
 
 
 # Guards against an invariant that the data path never checks: a fault injected into the program must be detected.
-def test_a_send_after_the_answer_is_seen_on_the_data_path() -> None:
+def test_a_send_after_the_answer_is_detected_on_the_data_path() -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
