--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -101,7 +101,7 @@
     run(test)
 
 
-def test_closes_are_counted_by_their_reason() -> None:
+def test_answers_are_counted_by_their_status() -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
