--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -22,7 +22,7 @@
         self.life = Lifecycle(self.ledger)
         self.life.begin("t1", 2_000_000)
 
-    def found(self) -> dict[Invariant, int]:
+    def take_violations(self) -> dict[Invariant, int]:
         module.violations.clear()  # expected here; conftest.py would fail the test over them
         return dict(self.ledger.violations)
 
@@ -39,7 +39,7 @@
     assert life.answer(200) and not life.answer(502) and not life.cancel("client left")
     assert not life.may_send(case.clock.now_us, 2_000_000, lambda: False)
     life.connection_closed("idle")
-    assert case.found() == {}
+    assert case.take_violations() == {}
     assert case.ledger.summary() == ("accepted 1; answered (200) 1; attempt ended (ok) 1; attempt ended (reset) 1; "
                                      "retried (reset) 1; sent 1; violations 0")
 
@@ -66,7 +66,7 @@
             case.life.attempt_begun(1_000_001 + TOLERANCE_US)
         case _:
             case.life.connection_closed("idle")
-    assert case.found() == {invariant: 1}
+    assert case.take_violations() == {invariant: 1}
     assert f"request t1 {invariant.value}" in case.lines[0] and "ms accepted" in case.lines[0]
 
 
@@ -74,7 +74,7 @@
     case = Case()
     for _ in range(10 * MAX_VIOLATIONS_LOGGED):
         case.life.connection_closed("idle")
-    assert (case.found() == {Invariant.CLOSED_UNANSWERED: 10 * MAX_VIOLATIONS_LOGGED}
+    assert (case.take_violations() == {Invariant.CLOSED_UNANSWERED: 10 * MAX_VIOLATIONS_LOGGED}
             and len(case.lines) == MAX_VIOLATIONS_LOGGED)
 
 
