--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("asked", [False, True])
 @pytest.mark.parametrize("closing", [close_idle, sweep, make_room])
-def test_a_request_that_has_come_but_is_not_read_yet_is_answered(
+def test_a_request_that_has_arrived_but_is_unread_is_answered(
         closing: Callable[[Server], Awaitable[None]], asked: bool) -> None:
     """The process had no CPU while the request arrived: the code that closes quiet connections runs before the event
     loop reads it."""
