--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -125,7 +125,7 @@
         super().close()
 
 
-def test_who_comes_as_the_listener_closes_finds_nobody_before_sending_anything() -> None:
+def test_a_client_that_comes_as_the_listener_closes_is_refused_before_it_sends_anything() -> None:
     async def test() -> None:
         server = Server(Answers(), 8, now_us)
         await server.listen(("127.0.0.1", 0))
