--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("lane", ["view", "pay"])
-def test_a_process_that_ends_without_cpu_loses_nothing(lane: str, tmp_path: Path) -> None:
+def test_a_process_that_is_stalled_while_it_ends_loses_nothing(lane: str, tmp_path: Path) -> None:
     """After a stall of 0.15 s the event loop runs its timers before its reads: a connection that is 0.1 s old seems
     silent although its request waits unread. The process is stalled repeatedly while it shuts down."""
     async def test() -> None:
