--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -146,7 +146,7 @@
 # Guards against resets where the kernel can't divert new connections: the last clients wait in their connect instead.
 @pytest.mark.parametrize("test", [
     test_shutdown.test_a_client_that_comes_as_the_listener_closes_is_refused_before_it_sends_anything,
-    test_shutdown.test_who_comes_as_a_listener_that_shares_its_port_closes_is_served_by_the_other,
+    test_shutdown.test_a_client_that_comes_as_a_listener_on_a_shared_port_closes_is_served_by_the_other,
 ], ids=["alone", "shared"])
 def test_a_listener_that_cannot_be_hidden_closes_with_a_full_queue(test: Callable[[], None],
                                                                    monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -192,7 +192,7 @@
         super().close()
 
 
-def test_who_comes_as_a_listener_that_shares_its_port_closes_is_served_by_the_other() -> None:
+def test_a_client_that_comes_as_a_listener_on_a_shared_port_closes_is_served_by_the_other() -> None:
     async def test() -> None:
         second = Server(Answers(), 64, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
