--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -217,7 +217,7 @@
     run(test)
 
 
-def test_a_listener_that_shares_its_port_closes_without_a_connection_of_its_own() -> None:
+def test_a_listener_that_shares_its_port_closes_without_probing_the_other_one() -> None:
     async def test() -> None:
         second = Server(Answers(), 8, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
