--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -179,7 +179,7 @@
             patch.setattr(ListenerShutdown, "send_probe", unknown)
             assert not any(server.close_listener() for _ in range(3))
         async with asyncio.timeout(5.0):
-            await test_shutdown.closed(server)
+            await test_shutdown.close_listener_completely(server)
         await server.stop(0.0, 0.0, 0.0, 5.0)
 
     bind_once(monkeypatch)
@@ -194,7 +194,7 @@
             assert not server.close_listener()
             successor = await listening(address(server)[1], True)
             async with asyncio.timeout(5.0):
-                await test_shutdown.closed(server)
+                await test_shutdown.close_listener_completely(server)
             for _ in range(4):
                 assert await is_answered(socket.create_connection(address(successor), 2.0))
             for one in (server, successor):
--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -14,7 +14,7 @@
 
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.server import Server
-from tests.test_shutdown import REQUEST, Answers, closed, now_us
+from tests.test_shutdown import REQUEST, Answers, close_listener_completely, now_us
 
 CLIENTS = 6
 PAUSE_S = 0.0005  # between two connections of a client
@@ -77,7 +77,7 @@
         server = last or await listening(port, shares_port)
         last = await listening(port, shares_port) if shares_port else None
         await asyncio.sleep(LISTENS_S)
-        await closed(server)
+        await close_listener_completely(server)
         await asyncio.sleep(LISTENS_S)
         await server.stop(0.0, 0.0, 0.0, CLOSE_LIMIT_S)
     counts = await asyncio.to_thread(collect)  # the last successor serves until the clients have ended
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -106,7 +106,7 @@
     run(test)
 
 
-async def closed(server: Server) -> None:
+async def close_listener_completely(server: Server) -> None:
     """Closes the server's listener to the end."""
     while not server.close_listener():
         await asyncio.sleep(0.01)
@@ -133,7 +133,7 @@
         server.loop.remove_reader(server.listener)
         late = server.listener = Late(fileno=server.listener.detach())
         clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # they wait in its accept queue
-        await closed(server)
+        await close_listener_completely(server)
         assert late.came == 0, "a client connected whose request would have been reset"
         for client in clients:
             with client:
@@ -203,7 +203,7 @@
             first.loop.remove_reader(first.listener)
             late = first.listener = LateToBoth(fileno=first.listener.detach())
             waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either queue
-            await closed(first)
+            await close_listener_completely(first)
             assert late.came, "no client connected to the other listener"
             for client in waiting + late.came:
                 client.setblocking(False)
@@ -225,7 +225,7 @@
         for _ in range(8):  # the kernel chooses between the two by the client's port
             first = Server(Answers(), 8, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
-            await closed(first)
+            await close_listener_completely(first)
             await first.stop(0.0, 0.0, 0.0, 5.0)
         assert second.last_opened_us == opened_us
         await second.stop(0.0, 0.0, 0.0, 5.0)
