--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -15,11 +15,11 @@
 from ironscale.standins.http import read_message
 from tests import test_shutdown
 from tests.sockets import run
-from tests.test_shutdown import REQUEST, Answers, now_us
+from tests.test_shutdown import REQUEST, AnsweringApplication, now_us
 
 
 async def listening(port: int = 0, shares_port: bool = False) -> Server:
-    server = Server(Answers(), 64, now_us)
+    server = Server(AnsweringApplication(), 64, now_us)
     await server.listen(("127.0.0.1", port), shares_port)
     return server
 
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -13,12 +13,12 @@
 from ironscale.net.server import Server
 from ironscale.standins.http import read_message
 from tests.sockets import run, until
-from tests.test_shutdown import Answers, now_us
+from tests.test_shutdown import AnsweringApplication, now_us
 
 BODY = bytes(range(256)) * 256
 
 
-class LongAnswers(Answers):
+class LongAnswers(AnsweringApplication):
     def on_request(self, exchange: Exchange) -> None:
         exchange.answer(200, [], BODY)
 
--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -14,7 +14,7 @@
 
 from ironscale.net.lifecycle import Ledger
 from ironscale.net.server import Server
-from tests.test_shutdown import REQUEST, Answers, close_listener_completely, now_us
+from tests.test_shutdown import REQUEST, AnsweringApplication, close_listener_completely, now_us
 
 CLIENTS = 6
 PAUSE_S = 0.0005  # between two connections of a client
@@ -65,7 +65,7 @@
 
 
 async def listening(port: int, shares_port: bool) -> Server:
-    server = Server(Answers(), 400, now_us, Ledger(now_us, lambda text: None))
+    server = Server(AnsweringApplication(), 400, now_us, Ledger(now_us, lambda text: None))
     await server.listen(("127.0.0.1", port), shares_port)
     return server
 
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -12,7 +12,7 @@
 from ironscale.net.upstream import Upstreams
 from ironscale.tasks import alongside
 from tests.sockets import Scene, run, until
-from tests.test_shutdown import Answers, now_us
+from tests.test_shutdown import AnsweringApplication, now_us
 
 
 def test_a_job_goes_on_after_an_error(capsys: pytest.CaptureFixture[str]) -> None:
@@ -51,7 +51,7 @@
 # Guards against sweeps that stop at their first error: a paused listener and silent clients would stay for ever.
 def test_the_sweeps_go_on_after_an_error() -> None:
     async def test() -> None:
-        server = Server(Answers(), 8, now_us)
+        server = Server(AnsweringApplication(), 8, now_us)
         await server.listen(("127.0.0.1", 0))
         upstreams = Upstreams(now_us, 15_000_000, 1_000_000, 8)
         scene = await Scene().start()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,7 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Answers:
+class AnsweringApplication:
     """An application that answers everything at once."""
 
     def is_ready(self) -> bool:
@@ -56,7 +56,7 @@
 
 @contextlib.asynccontextmanager
 async def served(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
-    server = Server(Answers(), 8, now_us)
+    server = Server(AnsweringApplication(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
     with await connected(server, asked) as client:
         yield server, client
@@ -127,7 +127,7 @@
 
 def test_a_client_that_comes_as_the_listener_closes_is_refused_before_it_sends_anything() -> None:
     async def test() -> None:
-        server = Server(Answers(), 8, now_us)
+        server = Server(AnsweringApplication(), 8, now_us)
         await server.listen(("127.0.0.1", 0))
         assert server.listener is not None
         server.loop.remove_reader(server.listener)
@@ -194,10 +194,10 @@
 
 def test_a_client_that_comes_as_a_listener_on_a_shared_port_closes_is_served_by_the_other() -> None:
     async def test() -> None:
-        second = Server(Answers(), 64, now_us)
+        second = Server(AnsweringApplication(), 64, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
         for _ in range(4):
-            first = Server(Answers(), 64, now_us)
+            first = Server(AnsweringApplication(), 64, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
             assert first.listener is not None
             first.loop.remove_reader(first.listener)
@@ -219,11 +219,11 @@
 
 def test_a_listener_that_shares_its_port_closes_without_probing_the_other_one() -> None:
     async def test() -> None:
-        second = Server(Answers(), 8, now_us)
+        second = Server(AnsweringApplication(), 8, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
         opened_us = second.last_opened_us
         for _ in range(8):  # the kernel chooses between the two by the client's port
-            first = Server(Answers(), 8, now_us)
+            first = Server(AnsweringApplication(), 8, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
             await close_listener_completely(first)
             await first.stop(0.0, 0.0, 0.0, 5.0)
