--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -112,7 +112,7 @@
         await asyncio.sleep(0.01)
 
 
-class Late(socket.socket):
+class ListenerWithLateClients(socket.socket):
     """A listener to which clients connect at the last moment: after all have been accepted, just before it closes."""
 
     came: int = 0
@@ -131,7 +131,7 @@
         await server.listen(("127.0.0.1", 0))
         assert server.listener is not None
         server.loop.remove_reader(server.listener)
-        late = server.listener = Late(fileno=server.listener.detach())
+        late = server.listener = ListenerWithLateClients(fileno=server.listener.detach())
         clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # they wait in its accept queue
         await close_listener_completely(server)
         assert late.came == 0, "a client connected whose request would have been reset"
