--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -177,7 +177,7 @@
     run(test, 60)
 
 
-class LateToBoth(socket.socket):
+class SharedListenerWithLateClients(socket.socket):
     """A listener that shares its port with another one; clients connect just before it closes."""
 
     def close(self) -> None:
@@ -201,7 +201,7 @@
             await first.listen(("127.0.0.1", port), reuse_port=True)
             assert first.listener is not None
             first.loop.remove_reader(first.listener)
-            late = first.listener = LateToBoth(fileno=first.listener.detach())
+            late = first.listener = SharedListenerWithLateClients(fileno=first.listener.detach())
             waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either queue
             await close_listener_completely(first)
             assert late.came, "no client connected to the other listener"
