--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -38,7 +38,7 @@
     return time.monotonic_ns() // 1000
 
 
-async def connected(server: Server, asked: bool) -> socket.socket:
+async def quiet_connection(server: Server, asked: bool) -> socket.socket:
     """A client's connection that has been silent, or idle after a request, past every timeout."""
     address = server.listener.getsockname()  # type: ignore[union-attr]
     client = socket.create_connection(address)
@@ -58,7 +58,7 @@
 async def served(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
     server = Server(AnsweringApplication(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
-    with await connected(server, asked) as client:
+    with await quiet_connection(server, asked) as client:
         yield server, client
     await server.stop(0.0, 0.0, 0.0, 5.0)
 
