--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -21,7 +21,7 @@
 from ironscale.standins.http import ok, read_message
 from ironscale.standins.upstream import Peer, hang, reply
 from tests.sockets import Scene, run, until
-from tests.test_shutdown import REQUEST, served, sweep
+from tests.test_shutdown import REQUEST, serving, sweep
 
 
 async def close_idle_and_silent(own: module.Server) -> None:
@@ -251,7 +251,7 @@
         closing: Callable[[module.Server], Awaitable[None]]) -> None:
     """The process had no CPU for so long that the request seems abandoned, although its rest waits unread."""
     async def test() -> None:
-        async with served(asked=False) as (own, client):
+        async with serving(asked=False) as (own, client):
             client.send(REQUEST[:10])
             await until(lambda: all(one.has_partial_request for one in own.connections))
             for one in own.connections:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -55,7 +55,7 @@
 
 
 @contextlib.asynccontextmanager
-async def served(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
+async def serving(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
     server = Server(AnsweringApplication(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
     with await quiet_connection(server, asked) as client:
@@ -82,7 +82,7 @@
     """The process had no CPU while the request arrived: the code that closes quiet connections runs before the event
     loop reads it."""
     async def test() -> None:
-        async with served(asked) as (server, client):
+        async with serving(asked) as (server, client):
             client.send(REQUEST)  # within one step of the event loop, so that the loop can't read it before the close
             await closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
@@ -97,7 +97,7 @@
 def test_a_quiet_connection_is_still_closed(
         closing: Callable[[Server], Awaitable[None]], asked: bool) -> None:
     async def test() -> None:
-        async with served(asked) as (server, client):
+        async with serving(asked) as (server, client):
             await closing(server)
             assert all(one.finishing or one.transport is None or one.transport.is_closing()
                        for one in server.connections)
