--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -12,7 +12,7 @@
 
 
 # Guards against a signal that is only handled when the next timer fires, because a socket refused its wakeup byte.
-def test_a_signal_ends_the_loop_s_wait_through_a_pipe() -> None:
+def test_a_signal_wakes_the_event_loop_through_a_pipe() -> None:
     async def test() -> None:
         before = signal.getsignal(signal.SIGUSR1)
         heard = asyncio.Event()
