--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -14,7 +14,7 @@
 from ironscale.net.stream import Stream, Unread, peek
 from tests.sockets import run, until
 
-PASSING = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
+TRANSIENT_ERRNOS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
 
 
 class Failing(socket.socket):
@@ -64,7 +64,7 @@
 
 
 # Guards against a connection that is closed after a transient read error, so that its answer is lost.
-@pytest.mark.parametrize("number", PASSING)
+@pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
 def test_what_is_sent_is_read_though_reads_fail_for_a_moment(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
@@ -82,7 +82,7 @@
 
 
 # Guards against an answer that is truncated where a write fails with a transient error or is partial.
-@pytest.mark.parametrize("number", PASSING)
+@pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
 def test_all_that_is_written_arrives_though_writes_fail_for_a_moment(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
