--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -17,7 +17,7 @@
 TRANSIENT_ERRNOS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
 
 
-class Failing(socket.socket):
+class FailingSocket(socket.socket):
     """A socket whose next calls fail with the errno in its script; 0 = the call succeeds, for a single byte."""
 
     script: deque[int]
@@ -52,11 +52,11 @@
         self.ends.append(exc)
 
 
-def pair() -> tuple[Failing, socket.socket]:
+def pair() -> tuple[FailingSocket, socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         other = socket.create_connection(listener.getsockname())
         accepted, _ = listener.accept()
-    ours = Failing(fileno=accepted.detach())
+    ours = FailingSocket(fileno=accepted.detach())
     ours.script = deque()
     ours.setblocking(False)
     other.setblocking(False)
@@ -181,7 +181,7 @@
 def test_a_look_that_fails_by_an_error_of_the_way_is_no_end(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_connection(listener.getsockname()) as made:
         accepted, _ = listener.accept()
-        looked_at = Failing(fileno=made.detach())
+        looked_at = FailingSocket(fileno=made.detach())
         looked_at.script = deque([number])
         with accepted, looked_at:
             assert peek(looked_at) is Unread.NOTHING
