--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -22,17 +22,17 @@
 
     script: deque[int]
 
-    def strike(self) -> bool:
+    def next_result(self) -> bool:
         number = self.script.popleft() if self.script else -1
         if number > 0:
             raise OSError(number, errno.errorcode[number])
         return number == 0
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        return super().recv(1 if self.strike() else size, flags)
+        return super().recv(1 if self.next_result() else size, flags)
 
     def send(self, data: bytes | bytearray, flags: int = 0) -> int:  # type: ignore[override]
-        return super().send(data[:1] if self.strike() else data, flags)
+        return super().send(data[:1] if self.next_result() else data, flags)
 
 
 class User:
