--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -35,7 +35,7 @@
         return super().send(data[:1] if self.next_result() else data, flags)
 
 
-class User:
+class Owner:
     def __init__(self) -> None:
         self.got, self.resumed, self.ends = b"", 0, list[Exception | None]()
 
@@ -69,7 +69,7 @@
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([number, number, 0, 0, number])
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         other.send(b"a request")
         await until(lambda: user.got == b"a request")
@@ -87,7 +87,7 @@
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([0, number, 0, number])
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         stream.write(b"an answer")
         stream.write(b", and its end")
@@ -106,7 +106,7 @@
 def test_who_waits_for_room_hears_that_all_has_been_handed_over() -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         stream.write(bytes(64 << 20))
         assert stream.get_write_buffer_size() and not user.resumed
@@ -126,7 +126,7 @@
 def test_an_error_that_ends_the_connection_is_told_once(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         ours.script.append(number)
         other.send(b"x")
@@ -143,7 +143,7 @@
 def test_a_connection_that_has_timed_out_ends() -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         Stream(ours, user)
         ours.getpeername = lambda: (_ for _ in ()).throw(OSError(errno.ENOTCONN, ""))  # type: ignore[method-assign]
         ours.script.append(errno.ETIMEDOUT)
