--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -65,7 +65,7 @@
 
 # Guards against a connection that is closed after a transient read error, so that its answer is lost.
 @pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
-def test_what_is_sent_is_read_though_reads_fail_for_a_moment(number: int) -> None:
+def test_all_bytes_are_read_despite_transient_read_errors(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([number, number, 0, 0, number])
