--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -83,7 +83,7 @@
 
 # Guards against an answer that is truncated where a write fails with a transient error or is partial.
 @pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
-def test_all_that_is_written_arrives_though_writes_fail_for_a_moment(number: int) -> None:
+def test_all_bytes_are_written_despite_transient_write_errors(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([0, number, 0, number])
