--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -103,7 +103,7 @@
     run(test)
 
 
-def test_who_waits_for_room_hears_that_all_has_been_handed_over() -> None:
+def test_the_owner_is_told_when_all_buffered_bytes_are_written() -> None:
     async def test() -> None:
         ours, other = pair()
         user = Owner()
