--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -123,7 +123,7 @@
 
 # Guards against a connection that is kept although it has ended: requests would wait on it for ever.
 @pytest.mark.parametrize("number", [errno.ECONNRESET, errno.EPIPE, errno.EBADF])
-def test_an_error_that_ends_the_connection_is_told_once(number: int) -> None:
+def test_an_error_that_ends_the_connection_is_reported_once(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
         user = Owner()
