--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -154,7 +154,7 @@
     run(test)
 
 
-def test_errors_nobody_knows_are_fatal() -> None:
+def test_unknown_errors_are_fatal() -> None:
     assert errors.severity(OSError(errno.ENOTTY, "")) is errors.Severity.FATAL
     assert errors.severity(OSError("no number")) is errors.Severity.FATAL
     assert (errors.is_transient(OSError(errno.EINTR, ""))
