--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -162,7 +162,7 @@
 
 
 # Guards against an interrupted check that takes an ended connection for a live one without data.
-def test_what_lies_unread_is_seen() -> None:
+def test_peek_reports_unread_bytes_and_the_end() -> None:
     ours, other = pair()
     with ours, other:
         assert peek(ours) is Unread.NOTHING
