--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -178,7 +178,7 @@
 
 # Guards against a client that is taken for gone and gets no answer, because a check of its connection failed once.
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH])
-def test_a_look_that_fails_by_an_error_of_the_way_is_no_end(number: int) -> None:
+def test_a_peek_that_fails_with_an_error_of_the_network_path_is_no_end(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_connection(listener.getsockname()) as made:
         accepted, _ = listener.accept()
         looked_at = FailingSocket(fileno=made.detach())
