--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -68,7 +68,7 @@
 
 
 # Guards against a subsystem's failure that makes the shutdown fail, or that is not logged.
-def test_work_alongside_that_fails_ends_nothing_else(capsys: pytest.CaptureFixture[str]) -> None:
+def test_failing_work_alongside_ends_nothing_else(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async def work() -> None:
             raise RuntimeError("a bug")
