--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -27,7 +27,7 @@
 
 # Guards against stray bytes that are taken for the next request's answer, and a request sent on an ended connection.
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
-def test_a_kept_connection_that_has_gone_bad_is_not_used_though_polls_are_interrupted(
+def test_a_pooled_connection_that_has_gone_bad_is_not_used_with_interrupted_polls(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(select, "poll", InterruptedPoll)
     test_upstream.test_a_kept_connection_that_has_just_gone_bad_is_not_used(how)
