--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -51,7 +51,7 @@
     return [b"nonsense\r\n\r\n"]
 
 
-AHEAD = [nothing, one, half_of_one, much, nonsense]
+PIPELINED = [nothing, one, half_of_one, much, nonsense]
 PAUSED = {one, much, nonsense}
 
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-@pytest.mark.parametrize("ahead", AHEAD)
+@pytest.mark.parametrize("ahead", PIPELINED)
 def test_the_end_of_who_waits_is_told_in_time_without_a_look_at_each_send(
         ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     without_the_look_at_each_send(monkeypatch)
