--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -32,7 +32,7 @@
     return []
 
 
-def one(scene: Scene) -> list[bytes]:
+def one_request(scene: Scene) -> list[bytes]:
     return [scene.request()]
 
 
@@ -51,8 +51,8 @@
     return [b"nonsense\r\n\r\n"]
 
 
-PIPELINED = [nothing, one, half_of_one, much, nonsense]
-PAUSED = {one, much, nonsense}
+PIPELINED = [nothing, one_request, half_of_one, much, nonsense]
+PAUSED = {one_request, much, nonsense}
 
 
 async def late() -> None:
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("leave", [None, *LEAVING])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
-@pytest.mark.parametrize("ahead", [nothing, one])
+@pytest.mark.parametrize("ahead", [nothing, one_request])
 @pytest.mark.parametrize("off", [without_the_look_at_each_send, without_the_look_by_time])
 def test_nothing_is_sent_again_or_late_for_who_has_gone(
         off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
