--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -36,7 +36,7 @@
     return [scene.request()]
 
 
-def half_of_one(scene: Scene) -> list[bytes]:
+def partial_request(scene: Scene) -> list[bytes]:
     """The event loop goes on reading, as no complete request is queued."""
     return [scene.request("pay", b"x" * 100)[:-50]]
 
@@ -51,7 +51,7 @@
     return [b"nonsense\r\n\r\n"]
 
 
-PIPELINED = [nothing, one_request, half_of_one, much, nonsense]
+PIPELINED = [nothing, one_request, partial_request, much, nonsense]
 PAUSED = {one_request, much, nonsense}
 
 
