--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -41,7 +41,7 @@
     return [scene.request("pay", b"x" * 100)[:-50]]
 
 
-def much(scene: Scene) -> list[bytes]:
+def many_large_requests(scene: Scene) -> list[bytes]:
     """More than is read before reading is paused: the client's end lies behind unread bytes."""
     return [scene.request(), *(scene.request("pay", b"x" * 15_000) for _ in range(4))]
 
@@ -51,8 +51,8 @@
     return [b"nonsense\r\n\r\n"]
 
 
-PIPELINED = [nothing, one_request, partial_request, much, nonsense]
-PAUSED = {one_request, much, nonsense}
+PIPELINED = [nothing, one_request, partial_request, many_large_requests, nonsense]
+PAUSED = {one_request, many_large_requests, nonsense}
 
 
 async def late() -> None:
