--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -46,13 +46,13 @@
     return [scene.request(), *(scene.request("pay", b"x" * 15_000) for _ in range(4))]
 
 
-def nonsense(scene: Scene) -> list[bytes]:
+def malformed_request(scene: Scene) -> list[bytes]:
     """Nothing more is read, as the connection closes after the open answers."""
     return [b"nonsense\r\n\r\n"]
 
 
-PIPELINED = [nothing, one_request, partial_request, many_large_requests, nonsense]
-PAUSED = {one_request, many_large_requests, nonsense}
+PIPELINED = [nothing, one_request, partial_request, many_large_requests, malformed_request]
+PAUSED = {one_request, many_large_requests, malformed_request}
 
 
 async def late() -> None:
