--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -55,7 +55,7 @@
 PAUSED = {one_request, many_large_requests, malformed_request}
 
 
-async def late() -> None:
+async def wait_out_allowance() -> None:
     """Waits out the time allowed. This timer and the server's are of one event loop, which runs them in order however
     late it is."""
     await asyncio.sleep(ALLOWED_S)
@@ -89,7 +89,7 @@
     async def test() -> None:
         scene, peer, _first, client = await waiting_in_the_buffer(ahead)
         leave(client)
-        await late()
+        await wait_out_allowance()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
         await settled(scene, peer)
         assert len(peer.got) == 1 and not scene.sidecar.server.paused_connections
@@ -182,7 +182,7 @@
             if off is without_the_look_by_time:
                 arrived(scene, address)
             else:
-                await late()
+                await wait_out_allowance()
             cause(site)
         comes_up(site)
         while scene.sidecar.requests:
