--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.001)
 
 
-def without_the_look_at_each_send(monkeypatch: pytest.MonkeyPatch) -> None:
+def without_check_at_each_send(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientConnection, "client_has_left", lambda connection: False)
 
 
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("ahead", PIPELINED)
 def test_the_end_of_who_waits_is_told_in_time_without_a_look_at_each_send(
         ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    without_the_look_at_each_send(monkeypatch)
+    without_check_at_each_send(monkeypatch)
 
     async def test() -> None:
         scene, peer, _first, client = await waiting_in_the_buffer(ahead)
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("leave", [None, *LEAVING])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
 @pytest.mark.parametrize("ahead", [nothing, one_request])
-@pytest.mark.parametrize("off", [without_the_look_at_each_send, without_the_look_by_time])
+@pytest.mark.parametrize("off", [without_check_at_each_send, without_the_look_by_time])
 def test_nothing_is_sent_again_or_late_for_who_has_gone(
         off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
