--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -67,7 +67,7 @@
     monkeypatch.setattr(ClientConnection, "client_has_left", lambda connection: False)
 
 
-def without_the_look_by_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def without_end_polling(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Server, "poll_for_ends", lambda server: None)
 
 
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("leave", [None, *LEAVING])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
 @pytest.mark.parametrize("ahead", [nothing, one_request])
-@pytest.mark.parametrize("off", [without_check_at_each_send, without_the_look_by_time])
+@pytest.mark.parametrize("off", [without_check_at_each_send, without_end_polling])
 def test_nothing_is_sent_again_or_late_for_who_has_gone(
         off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
@@ -176,10 +176,10 @@
             client.close()
         else:
             connection, address = connection_of(scene, client), client.getsockname()
-            if off is without_the_look_by_time:
+            if off is without_end_polling:
                 connection.transport.pause_reading()  # type: ignore[union-attr]  # nor may the loop read the end
             leave(client)
-            if off is without_the_look_by_time:
+            if off is without_end_polling:
                 arrived(scene, address)
             else:
                 await wait_out_allowance()
