--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("ahead", PIPELINED)
-def test_the_end_of_who_waits_is_told_in_time_without_a_look_at_each_send(
+def test_the_end_of_a_waiting_client_is_detected_in_time_without_check_at_each_send(
         ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     without_check_at_each_send(monkeypatch)
 
