--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -124,16 +124,16 @@
     def sent(self) -> int:
         return sum(len(peer.got) for peer in self.peers)
 
-    def out(self) -> upstream.Connection:
+    def busy_connection(self) -> upstream.Connection:
         return next(connection for pool in self.scene.sidecar.upstreams.pools.values() for connection in pool.busy)
 
 
 def turned_away(site: Site) -> None:
-    site.out().data_received(TURNED_AWAY)
+    site.busy_connection().data_received(TURNED_AWAY)
 
 
 def reset(site: Site) -> None:
-    site.out().broken()
+    site.busy_connection().broken()
 
 
 def timed_out(site: Site) -> None:
