--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -144,12 +144,12 @@
     site.dials[0][1].end(Outcome.CONNECT_FAILED)
 
 
-def comes_up(site: Site) -> None:
+def connection_established(site: Site) -> None:
     site.dials[0][2].set()
 
 
 # Events that would cause a first or a further attempt, each with whether the request is still connecting then
-CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (not_connected, True), (comes_up, True)]
+CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (not_connected, True), (connection_established, True)]
 
 
 @pytest.mark.parametrize("leave", [None, *LEAVING])
@@ -184,7 +184,7 @@
             else:
                 await wait_out_allowance()
             cause(site)
-        comes_up(site)
+        connection_established(site)
         while scene.sidecar.requests:
             for peer in site.peers:
                 peer.answer_held(ok())
