--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -140,7 +140,7 @@
     site.dials[0][1].give_up(Outcome.TIMEOUT)
 
 
-def not_connected(site: Site) -> None:
+def connect_failed(site: Site) -> None:
     site.dials[0][1].end(Outcome.CONNECT_FAILED)
 
 
@@ -149,7 +149,7 @@
 
 
 # Events that would cause a first or a further attempt, each with whether the request is still connecting then
-CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (not_connected, True), (connection_established, True)]
+CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (connect_failed, True), (connection_established, True)]
 
 
 @pytest.mark.parametrize("leave", [None, *LEAVING])
