--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
 @pytest.mark.parametrize("ahead", [nothing, one_request])
 @pytest.mark.parametrize("off", [without_check_at_each_send, without_end_polling])
-def test_nothing_is_sent_again_or_late_for_who_has_gone(
+def test_no_attempt_begins_for_a_client_that_has_left(
         off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
         monkeypatch: pytest.MonkeyPatch) -> None:
