--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -65,7 +65,7 @@
 
 
 # Guards against clients that hang in their connect, because a close that failed at first had cut the accept queue.
-def test_a_close_that_fails_for_a_moment_keeps_nobody_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_close_that_fails_at_first_keeps_no_client_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         server = await listening()
         clients = [socket.socket() for _ in range(6)]
