--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -169,7 +169,7 @@
 
 
 # Guards against an unprivileged process that can't close its hidden listener, because it tries to bind it once more.
-def test_a_listener_whose_probes_fail_for_a_moment_is_bound_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_listener_whose_probes_fail_at_first_is_bound_once(monkeypatch: pytest.MonkeyPatch) -> None:
     def unknown(self: ListenerShutdown) -> Reached:
         return Reached.UNKNOWN
 
