--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -187,7 +187,7 @@
 
 
 # Guards against the same failure where a successor joins a shared port while its only listener is closing.
-def test_a_successor_that_comes_late_gets_what_is_new(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_successor_that_joins_late_gets_new_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         for _ in range(6):  # the kernel chooses between the two by the probe's port
             server = await listening(shares_port=True)
