--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -139,7 +139,7 @@
     run(test)
 
 
-def refuse(*_: object) -> None:
+def raise_unsupported(*_: object) -> None:
     raise OSError(errno.ENOPROTOOPT, "no such option")
 
 
@@ -150,8 +150,8 @@
 ], ids=["alone", "shared"])
 def test_a_listener_that_cannot_be_hidden_closes_with_a_full_queue(test: Callable[[], None],
                                                                    monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ListenerShutdown, "bind_to_device", refuse)
-    monkeypatch.setattr(ListenerShutdown, "select_listener", refuse)
+    monkeypatch.setattr(ListenerShutdown, "bind_to_device", raise_unsupported)
+    monkeypatch.setattr(ListenerShutdown, "select_listener", raise_unsupported)
     test()
 
 
