--- a/tests/ends/test_listener.py
+++ b/tests/ends/test_listener.py
@@ -155,7 +155,7 @@
     test()
 
 
-def bind_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def allow_only_one_bind(monkeypatch: pytest.MonkeyPatch) -> None:
     """Simulates an unprivileged process: a listener that is bound to a device can't be bound again."""
     bind_to, bound = ListenerShutdown.bind_to_device, set[ListenerShutdown]()
 
@@ -182,7 +182,7 @@
             await test_shutdown.close_listener_completely(server)
         await server.stop(0.0, 0.0, 0.0, 5.0)
 
-    bind_once(monkeypatch)
+    allow_only_one_bind(monkeypatch)
     run(test)
 
 
@@ -200,5 +200,5 @@
             for one in (server, successor):
                 await one.stop(0.0, 0.0, 0.0, 5.0)
 
-    bind_once(monkeypatch)
+    allow_only_one_bind(monkeypatch)
     run(test)
