--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -48,7 +48,7 @@
     return found
 
 
-def test_what_is_open_at_the_last_moment_has_its_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_open_at_the_last_moment_get_exactly_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients may wait for longer than the time that is left to the process."""
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
