--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -70,7 +70,7 @@
     run(test)
 
 
-def test_what_the_decisions_have_lost_is_answered_at_the_last_moment_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_lost_by_the_balancer_is_answered_at_the_last_moment_too(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
