--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -88,7 +88,7 @@
     run(test)
 
 
-def test_what_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client may use a connection that stays open until the process exits."""
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
