--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -145,7 +145,7 @@
         env={**os.environ, **{key: str(value) for key, value in environ.items()}})
 
 
-def test_a_new_configuration_during_the_imports_does_not_end_the_process(tmp_path: Path) -> None:
+def test_a_reload_signal_during_the_imports_does_not_end_the_process(tmp_path: Path) -> None:
     """The imports take a tenth of a second, during which SIGHUP would kill the process by default."""
     async def test() -> None:
         discovery = await FakeDiscovery().start()
