--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -163,7 +163,7 @@
     run(test)
 
 
-def test_a_new_configuration_while_the_old_one_is_read_is_heard(tmp_path: Path) -> None:
+def test_a_reload_signal_while_the_old_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
     """The file is a named pipe, so that the program is in the middle of reading it when the signal comes."""
     async def test() -> None:
         old, new, port = await FakeDiscovery().start(), await FakeDiscovery().start(), free_port()
