--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("signals", [
     (signal.SIGTERM, signal.SIGTERM), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP),
     (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)])
-def test_signals_that_cross_end_the_process_once_and_well(signals: tuple[signal.Signals, ...], tmp_path: Path) -> None:
+def test_signals_close_together_end_the_process_once_and_cleanly(signals: tuple[signal.Signals, ...], tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         discovery = await FakeDiscovery().start()
