--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -123,7 +123,7 @@
     run(test)
 
 
-STUB = """
+UVLOOP_STUB = """
 import os, sys
 os.write(1, b"importing\\n")
 sys.stdin.readline()
@@ -150,7 +150,7 @@
     async def test() -> None:
         discovery = await FakeDiscovery().start()
         (tmp_path / "c.json").write_text(configuration(free_port(), discovery))
-        (tmp_path / "uvloop.py").write_text(STUB)
+        (tmp_path / "uvloop.py").write_text(UVLOOP_STUB)
         process = await launch(GW_CONFIG=tmp_path / "c.json", PYTHONPATH=tmp_path, STUB=tmp_path)
         assert process.stdin is not None and process.stdout is not None
         assert await process.stdout.readline() == b"importing\n"
