--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -33,7 +33,7 @@
     client.close()
 
 
-def ends_its_side(client: socket.socket) -> None:
+def shuts_down_sending(client: socket.socket) -> None:
     client.shutdown(socket.SHUT_WR)
 
 
@@ -53,7 +53,7 @@
                 assert ends.poll(10_000)
 
 
-LEAVING: list[Callable[[socket.socket], None]] = [closes, ends_its_side, resets]
+LEAVING: list[Callable[[socket.socket], None]] = [closes, shuts_down_sending, resets]
 
 
 def connect(scene: Scene, *requests: bytes) -> socket.socket:
