--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -42,7 +42,7 @@
     client.close()
 
 
-def arrived(scene: Scene, client: tuple[str, int]) -> None:
+def wait_for_end(scene: Scene, client: tuple[str, int]) -> None:
     """Waits, without running the event loop, until a client's end has reached the sidecar's socket: on a busy machine
     the kernel delivers it a moment later, and the race would not take place."""
     for one in scene.sidecar.server.connections:
@@ -103,7 +103,7 @@
         await until(lambda: len(connection_of(scene, client).pipelined) == sent_ahead)
         address = client.getsockname()
         leave(client)
-        arrived(scene, address)
+        wait_for_end(scene, address)
         answers(scene)  # frees the slot while the client's end is unread
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 0
         await settled(scene, peer)
@@ -122,7 +122,7 @@
         await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
         address = client.getsockname()
         leave(client)
-        arrived(scene, address)
+        wait_for_end(scene, address)
         scene.sidecar.server.poll_for_ends()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
         await settled(scene, peer)
@@ -141,7 +141,7 @@
         await until(lambda: peer.got and connection_of(scene, client).pipelined)
         address = client.getsockname()
         leave(client)
-        arrived(scene, address)
+        wait_for_end(scene, address)
         answers(scene)
         await settled(scene, peer)
         assert len(peer.got) == 1
@@ -169,7 +169,7 @@
         connection_of(scene, client).transport.pause_reading()  # type: ignore[union-attr]  # the end stays unread
         address = client.getsockname()
         leave(client)
-        arrived(scene, address)
+        wait_for_end(scene, address)
         up.set()
         await until(lambda: not scene.sidecar.upstreams.tasks)
         await settled(scene, peer)
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -23,7 +23,7 @@
 from ironscale.standins.http import TURNED_AWAY, Message, ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from tests.ends.test_clients import LEAVING, arrived
+from tests.ends.test_clients import LEAVING, wait_for_end
 from tests.ends.test_lists import PUSHED, settings_of
 from tests.sockets import Scene, run, until
 
@@ -177,7 +177,7 @@
             way, address = self.random.choice(LEAVING), client.sock.getsockname()
             with contextlib.suppress(OSError):
                 way(client.sock)
-                arrived(self.scene, address)
+                wait_for_end(self.scene, address)
 
     def list_changes(self) -> None:
         self.generation += 1
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -20,7 +20,7 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import LEAVING, arrived, connect, connection_of, crowded, settled
+from tests.ends.test_clients import LEAVING, wait_for_end, connect, connection_of, crowded, settled
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -180,7 +180,7 @@
                 connection.transport.pause_reading()  # type: ignore[union-attr]  # nor may the loop read the end
             leave(client)
             if off is without_end_polling:
-                arrived(scene, address)
+                wait_for_end(scene, address)
             else:
                 await wait_out_allowance()
             cause(site)
