--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -53,7 +53,7 @@
                 assert ends.poll(10_000)
 
 
-LEAVING: list[Callable[[socket.socket], None]] = [closes, shuts_down_sending, resets]
+WAYS_TO_LEAVE: list[Callable[[socket.socket], None]] = [closes, shuts_down_sending, resets]
 
 
 def connect(scene: Scene, *requests: bytes) -> socket.socket:
@@ -90,7 +90,7 @@
     next(iter(pool.busy)).data_received(ok())
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
 @pytest.mark.parametrize("sent_ahead", [0, 1])
 def test_a_request_whose_client_left_while_it_waited_is_not_sent_on(
@@ -112,7 +112,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_who_leaves_while_reading_is_paused_is_noticed_by_the_next_look(
         leave: Callable[[socket.socket], None]) -> None:
     """Its request in the buffer would keep others out."""
@@ -131,7 +131,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_what_was_sent_ahead_is_not_sent_on_when_its_turn_comes_after_the_client_left(
         leave: Callable[[socket.socket], None]) -> None:
     async def test() -> None:
@@ -149,7 +149,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("paused", [False, True])
 def test_who_left_while_a_connection_came_up_has_nothing_sent(
         leave: Callable[[socket.socket], None], paused: bool, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -23,7 +23,7 @@
 from ironscale.standins.http import TURNED_AWAY, Message, ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from tests.ends.test_clients import LEAVING, wait_for_end
+from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end
 from tests.ends.test_lists import PUSHED, settings_of
 from tests.sockets import Scene, run, until
 
@@ -174,7 +174,7 @@
             client.left = True
             client.reading.cancel()
             self.left.update(txn for _, txn in client.asked[client.got.count(b"HTTP/1.1"):])
-            way, address = self.random.choice(LEAVING), client.sock.getsockname()
+            way, address = self.random.choice(WAYS_TO_LEAVE), client.sock.getsockname()
             with contextlib.suppress(OSError):
                 way(client.sock)
                 wait_for_end(self.scene, address)
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -20,7 +20,7 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import LEAVING, wait_for_end, connect, connection_of, crowded, settled
+from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, crowded, settled
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -80,7 +80,7 @@
     return scene, peer, first, client
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("ahead", PIPELINED)
 def test_the_end_of_a_waiting_client_is_detected_in_time_without_check_at_each_send(
         ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -152,7 +152,7 @@
 CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (connect_failed, True), (connection_established, True)]
 
 
-@pytest.mark.parametrize("leave", [None, *LEAVING])
+@pytest.mark.parametrize("leave", [None, *WAYS_TO_LEAVE])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
 @pytest.mark.parametrize("ahead", [nothing, one_request])
 @pytest.mark.parametrize("off", [without_check_at_each_send, without_end_polling])
--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -34,7 +34,7 @@
 
 
 # Guards against a request that is forwarded after its client has gone.
-@pytest.mark.parametrize("leave", test_clients.LEAVING)
+@pytest.mark.parametrize("leave", test_clients.WAYS_TO_LEAVE)
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
 def test_nothing_is_forwarded_for_a_client_that_has_left_with_interrupted_polls(
         leave: Callable[[socket.socket], None], lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
