--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -68,7 +68,7 @@
     return next(one for one in scene.sidecar.server.connections if one.sock.getpeername() == client.getsockname())
 
 
-async def settled(scene: Scene, peer: Peer) -> None:
+async def finish_all(scene: Scene, peer: Peer) -> None:
     """Answers all attempts in flight, and checks that nothing is left of any request."""
     peer.answer_held(ok())
     await until(lambda: not scene.sidecar.requests and not scene.sidecar.by_txn)
@@ -106,7 +106,7 @@
         wait_for_end(scene, address)
         answers(scene)  # frees the slot while the client's end is unread
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 0
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert len(peer.got) == 1
 
     run(test)
@@ -125,7 +125,7 @@
         wait_for_end(scene, address)
         scene.sidecar.server.poll_for_ends()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert module.END_POLL_INTERVAL_S <= 0.05 and len(peer.got) == 1
 
     run(test)
@@ -143,7 +143,7 @@
         leave(client)
         wait_for_end(scene, address)
         answers(scene)
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert len(peer.got) == 1
 
     run(test)
@@ -172,7 +172,7 @@
         wait_for_end(scene, address)
         up.set()
         await until(lambda: not scene.sidecar.upstreams.tasks)
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert not peer.got
 
     run(test)
@@ -218,7 +218,7 @@
             await asyncio.sleep(0.001)
         assert connection.transport is None and most <= MAX_UNREAD_ANSWER_BYTES
         assert (await scene.call()).status == 200
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         client.close()
 
     run(test)
@@ -239,7 +239,7 @@
         assert connection.transport is not None
         connection.transport.abort()
         connection.begin_next()
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert len(peer.got) == 1
         client.close()
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -20,7 +20,7 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, crowded, settled
+from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, crowded, finish_all
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -91,7 +91,7 @@
         leave(client)
         await wait_out_allowance()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert len(peer.got) == 1 and not scene.sidecar.server.paused_connections
 
     run(test)
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -14,7 +14,7 @@
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import ok, read_message
 from ironscale.standins.upstream import Peer, hang, reply, reset
-from tests.ends.test_clients import settled
+from tests.ends.test_clients import finish_all
 from tests.sockets import Scene, open_with_request, run, until
 from tests.test_upstream import GET, members, now_us
 
@@ -103,7 +103,7 @@
         gate.open.set()
         answer = await calling
         assert answer.status == 503 and not peer.got  # never sent: refused, whatever the class
-        await settled(scene, peer)
+        await finish_all(scene, peer)
 
     run(test)
 
@@ -129,7 +129,7 @@
             assert (await calling).status == 200 and len(peer.got) == 1
         else:
             assert (await calling).status == 503 and not peer.got
-        await settled(scene, peer)
+        await finish_all(scene, peer)
 
     run(test)
 
@@ -153,7 +153,7 @@
             scene.sidecar.timers.fire()
             connection.data_received(ok())
         assert (await calling).status == (200 if first == "answer" else status)
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert len(peer.got) == 1
 
     run(test)
@@ -165,7 +165,7 @@
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         assert (await scene.call("pay", remaining=remaining)).status == 503 and not peer.got
-        await settled(scene, peer)
+        await finish_all(scene, peer)
 
     run(test)
 
@@ -239,7 +239,7 @@
             assert (await read_message(reader)).status == 502
             writer.close()
         held[0].send()  # there is room now
-        await settled(scene, peer)
+        await finish_all(scene, peer)
         assert not peer.got and not scene.sidecar.requests
 
     run(test)
