--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -75,7 +75,7 @@
     assert scene.sidecar.balancer.buffer is None and not scene.sidecar.balancer.requests
 
 
-async def crowded() -> tuple[Scene, Peer, socket.socket]:
+async def scene_without_free_slot() -> tuple[Scene, Peer, socket.socket]:
     """A scene whose only slot is taken by a request that hangs, so that the next request waits in the buffer."""
     peer = await Peer(hang).start()
     scene = await Scene().start(peer.entry("s-1"))
@@ -97,7 +97,7 @@
         leave: Callable[[socket.socket], None], lane: str, sent_ahead: int) -> None:
     """With a pipelined request reading is paused, and the event loop would never read the client's end."""
     async def test() -> None:
-        scene, peer, _first = await crowded()
+        scene, peer, _first = await scene_without_free_slot()
         client = connect(scene, scene.request(lane), *(scene.request(lane) for _ in range(sent_ahead)))
         await until(lambda: scene.sidecar.balancer.buffer is not None)
         await until(lambda: len(connection_of(scene, client).pipelined) == sent_ahead)
@@ -117,7 +117,7 @@
         leave: Callable[[socket.socket], None]) -> None:
     """Its request in the buffer would keep others out."""
     async def test() -> None:
-        scene, peer, _first = await crowded()
+        scene, peer, _first = await scene_without_free_slot()
         client = connect(scene, scene.request(), scene.request())
         await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
         address = client.getsockname()
@@ -181,7 +181,7 @@
 def test_a_client_that_stays_is_served_though_it_has_sent_ahead() -> None:
     """The converse of the check: unread bytes are no end."""
     async def test() -> None:
-        scene, peer, _first = await crowded()
+        scene, peer, _first = await scene_without_free_slot()
         client = connect(scene, scene.request(), scene.request(), scene.request())
         await until(lambda: scene.sidecar.balancer.buffer is not None and connection_of(scene, client).reading_paused)
         scene.sidecar.server.poll_for_ends()
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -20,7 +20,7 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, crowded, finish_all
+from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, scene_without_free_slot, finish_all
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -73,7 +73,7 @@
 
 async def waiting_in_the_buffer(ahead: Callable[[Scene], list[bytes]]) -> tuple[
         Scene, Peer, socket.socket, socket.socket]:
-    scene, peer, first = await crowded()
+    scene, peer, first = await scene_without_free_slot()
     client = connect(scene, scene.request(), *ahead(scene))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
     await until(lambda: connection_of(scene, client).reading_paused is (ahead in PAUSED))
