--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -84,7 +84,7 @@
     return scene, peer, first
 
 
-def answers(scene: Scene) -> None:
+def upstream_answers(scene: Scene) -> None:
     """Reads the upstream's answer in this very step of the loop, which frees the slot."""
     pool = next(iter(scene.sidecar.upstreams.pools.values()))
     next(iter(pool.busy)).data_received(ok())
@@ -104,7 +104,7 @@
         address = client.getsockname()
         leave(client)
         wait_for_end(scene, address)
-        answers(scene)  # frees the slot while the client's end is unread
+        upstream_answers(scene)  # frees the slot while the client's end is unread
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 0
         await finish_all(scene, peer)
         assert len(peer.got) == 1
@@ -142,7 +142,7 @@
         address = client.getsockname()
         leave(client)
         wait_for_end(scene, address)
-        answers(scene)
+        upstream_answers(scene)
         await finish_all(scene, peer)
         assert len(peer.got) == 1
 
@@ -235,7 +235,7 @@
         client = connect(scene, scene.request(), scene.request())
         await until(lambda: peer.got and connection_of(scene, client).pipelined)
         connection = connection_of(scene, client)
-        answers(scene)
+        upstream_answers(scene)
         assert connection.transport is not None
         connection.transport.abort()
         connection.begin_next()
