--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -24,7 +24,7 @@
 from tests.test_shutdown import REQUEST, serving, sweep
 
 
-async def close_idle_and_silent(own: module.Server) -> None:
+async def close_all(own: module.Server) -> None:
     for one in list(own.connections):
         one.close("a test")
 
@@ -246,7 +246,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("closing", [sweep, close_idle_and_silent])
+@pytest.mark.parametrize("closing", [sweep, close_all])
 def test_the_rest_of_a_request_that_has_come_but_is_not_read_yet_keeps_it_from_a_408(
         closing: Callable[[module.Server], Awaitable[None]]) -> None:
     """The process had no CPU for so long that the request seems abandoned, although its rest waits unread."""
