--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
 @pytest.mark.parametrize("sent_ahead", [0, 1])
-def test_a_request_whose_client_left_while_it_waited_is_not_sent_on(
+def test_a_request_whose_client_left_while_it_waited_is_not_forwarded(
         leave: Callable[[socket.socket], None], lane: str, sent_ahead: int) -> None:
     """With a pipelined request reading is paused, and the event loop would never read the client's end."""
     async def test() -> None:
--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -39,4 +39,4 @@
 def test_nothing_is_forwarded_for_a_client_that_has_left_with_interrupted_polls(
         leave: Callable[[socket.socket], None], lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(select, "poll", InterruptedPoll)
-    test_clients.test_a_request_whose_client_left_while_it_waited_is_not_sent_on(leave, lane, 0)
+    test_clients.test_a_request_whose_client_left_while_it_waited_is_not_forwarded(leave, lane, 0)
