--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
-def test_who_leaves_while_reading_is_paused_is_noticed_by_the_next_look(
+def test_a_client_that_leaves_while_reading_is_paused_is_detected_by_the_next_poll(
         leave: Callable[[socket.socket], None]) -> None:
     """Its request in the buffer would keep others out."""
     async def test() -> None:
