--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
-def test_what_was_sent_ahead_is_not_sent_on_when_its_turn_comes_after_the_client_left(
+def test_a_pipelined_request_is_not_forwarded_when_its_turn_comes_after_the_client_left(
         leave: Callable[[socket.socket], None]) -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
