--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("paused", [False, True])
-def test_who_left_while_a_connection_came_up_has_nothing_sent(
+def test_nothing_is_sent_for_a_client_that_left_while_a_connection_was_established(
         leave: Callable[[socket.socket], None], paused: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer, up = await Peer().start(), asyncio.Event()
