--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -178,7 +178,7 @@
     run(test)
 
 
-def test_a_client_that_stays_is_served_though_it_has_sent_ahead() -> None:
+def test_a_client_that_stays_is_served_despite_pipelining() -> None:
     """The converse of the check: unread bytes are no end."""
     async def test() -> None:
         scene, peer, _first = await scene_without_free_slot()
