--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -198,7 +198,7 @@
     run(test)
 
 
-def test_who_sends_ahead_and_reads_no_answer_loses_the_connection_and_nobody_else_does() -> None:
+def test_a_client_that_pipelines_and_reads_no_answer_loses_only_its_own_connection() -> None:
     """Otherwise answers would pile up in memory for as long as requests come."""
     async def test() -> None:
         peer = await Peer(reply(ok(b"x" * 60_000))).start()
