--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -224,7 +224,7 @@
     run(test)
 
 
-def test_what_was_sent_ahead_is_not_sent_on_once_the_answer_before_it_could_not_be_written(
+def test_a_pipelined_request_is_not_forwarded_once_the_answer_before_could_not_be_written(
         monkeypatch: pytest.MonkeyPatch) -> None:
     """The write fails and the transport closes itself, but the loop reports it after the next request has begun."""
     monkeypatch.setattr(upstream, "REST_US", 0)  # the next request is written in the same step
