--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize("closing", [sweep, close_all])
-def test_the_rest_of_a_request_that_has_come_but_is_not_read_yet_keeps_it_from_a_408(
+def test_the_unread_rest_of_a_request_keeps_it_from_a_408(
         closing: Callable[[module.Server], Awaitable[None]]) -> None:
     """The process had no CPU for so long that the request seems abandoned, although its rest waits unread."""
     async def test() -> None:
