--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -29,7 +29,7 @@
 
 STEPS = 120
 TXN = re.compile(rb"X-Txn: (\S+)", re.IGNORECASE)
-WAYS = (*["answer"] * 8, "twice", "twice", "hang", "reset", "half", "turn away", "error", "endless", "nonsense")
+UPSTREAM_BEHAVIOURS = (*["answer"] * 8, "twice", "twice", "hang", "reset", "half", "turn away", "error", "endless", "nonsense")
 
 
 class Client:
@@ -122,7 +122,7 @@
 
     async def behave(self, peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
         txn = message.headers["x-txn"]
-        way = self.random.choice(WAYS)
+        way = self.random.choice(UPSTREAM_BEHAVIOURS)
         answer = ok(txn.encode())
         if way == "turn away":
             writer.write(TURNED_AWAY)
