--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -78,9 +78,9 @@
         self.out: dict[Connection, str] = {}
         self.clients: list[Client] = []
         self.generation = 50
-        self.watch(monkeypatch)
+        self.check_sends(monkeypatch)
 
-    def watch(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def check_sends(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """Checks each attempt as its first byte is sent to an upstream, independently of the program's own checks."""
         real = Connection.start
 
