--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -75,7 +75,7 @@
         self.faults: list[str] = []
         self.held: list[tuple[asyncio.Future[bytes], str]] = []
         self.left: set[str] = set()  # ids of requests whose client left before they were answered
-        self.out: dict[Connection, str] = {}
+        self.in_flight: dict[Connection, str] = {}
         self.clients: list[Client] = []
         self.generation = 50
         self.check_sends(monkeypatch)
@@ -91,9 +91,9 @@
             if txn in self.left:
                 self.faults.append(f"{txn} was sent after its client had left")
             if not self.copies and any(other == txn and not one.dropped and one.attempt is not None
-                                       for one, other in self.out.items()):
+                                       for one, other in self.in_flight.items()):
                 self.faults.append(f"{txn} was sent while another attempt was in flight")
-            self.out[connection] = txn
+            self.in_flight[connection] = txn
             real(connection, attempt)
 
         monkeypatch.setattr(Connection, "start", start)
