--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_nothing_is_owed_whatever_crosses(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_request_gets_exactly_one_answer_whatever_races(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.15)
     monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(sidecar, "STOP_MIN_ACCEPT_S", 0.05)
