--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -28,7 +28,7 @@
 END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 READY_PATH = b"/health/ready"
 REASON_PHRASES = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
-           502: b"Bad Gateway", 503: b"Service Unavailable"}
+                  502: b"Bad Gateway", 503: b"Service Unavailable"}
 # Headers that concern a single connection or the message framing, and so are not forwarded.
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
                         b"transfer-encoding", b"upgrade", b"content-length", b"expect"))
@@ -121,13 +121,13 @@
         self.transport: Stream | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.current: Exchange | None = None
-        self.pipelined: deque[Exchange] = deque()  # pipelined: received before the current request was answered
+        self.pipelined: deque[Exchange] = deque()  # received before the current request was answered
         self.unparsed = b""
         self.is_new = True  # nothing has been read from it
-        self.has_partial_request = False  # a request has been received in part
-        self.has_had_request = False  # has carried a request other than a readiness probe
+        self.has_partial_request = False
+        self.has_had_request = False  # readiness probes don't count
         self.finishing = False  # no more requests are read; the connection closes once the open ones are answered
-        self.reading_paused = False  # reading is paused, so the event loop does not report the client's end
+        self.reading_paused = False  # if so, the event loop does not report the client's end
         self.end_poll: select.poll | None = None
         self.quiet_since_us = self.last_answer_us = server.now_us()  # when it fell silent or idle; last answer
 
@@ -341,7 +341,7 @@
         self.server.forget(self)
 
     def cancel_requests(self, reason: str, own_failure: bool = False) -> None:
-        """Cancels all requests of the connection. With `is_ours` this side has failed, and each of them counts as a
+        """Cancels all requests of the connection. With `own_failure` this side has failed, and each of them counts as a
         violation."""
         self.finishing = True
         self.unparsed = b""
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -62,7 +62,7 @@
         self.idle: dict[ClientConnection, None] = {}
         self.stopping = False
         self.stopping_since_us = 0
-        self.accepting_paused = False  # accepting is paused until there is room
+        self.accepting_paused = False  # until there is room
         self.last_opened_us = now_us()
         self.listener: socket.socket | None = None
         self.reuse_port = False
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -24,8 +24,8 @@
 from tests.test_shutdown import REQUEST, serving, sweep
 
 
-async def close_all(own: module.Server) -> None:
-    for one in list(own.connections):
+async def close_all(server: module.Server) -> None:
+    for one in list(server.connections):
         one.close("a test")
 
 
@@ -92,15 +92,15 @@
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-@pytest.mark.parametrize("sent_ahead", [0, 1])
+@pytest.mark.parametrize("pipelined", [0, 1])
 def test_a_request_whose_client_left_while_it_waited_is_not_forwarded(
-        leave: Callable[[socket.socket], None], lane: str, sent_ahead: int) -> None:
+        leave: Callable[[socket.socket], None], lane: str, pipelined: int) -> None:
     """With a pipelined request reading is paused, and the event loop would never read the client's end."""
     async def test() -> None:
         scene, peer, _first = await scene_without_free_slot()
-        client = connect(scene, scene.request(lane), *(scene.request(lane) for _ in range(sent_ahead)))
+        client = connect(scene, scene.request(lane), *(scene.request(lane) for _ in range(pipelined)))
         await until(lambda: scene.sidecar.balancer.buffer is not None)
-        await until(lambda: len(connection_of(scene, client).pipelined) == sent_ahead)
+        await until(lambda: len(connection_of(scene, client).pipelined) == pipelined)
         address = client.getsockname()
         leave(client)
         wait_for_end(scene, address)
@@ -251,13 +251,13 @@
         closing: Callable[[module.Server], Awaitable[None]]) -> None:
     """The process had no CPU for so long that the request seems abandoned, although its rest waits unread."""
     async def test() -> None:
-        async with serving(asked=False) as (own, client):
+        async with serving(asked=False) as (server, client):
             client.send(REQUEST[:10])
-            await until(lambda: all(one.has_partial_request for one in own.connections))
-            for one in own.connections:
+            await until(lambda: all(one.has_partial_request for one in server.connections))
+            for one in server.connections:
                 one.quiet_since_us -= 60_000_000
             client.send(REQUEST[10:])  # within one step of the event loop
-            await closing(own)
+            await closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
             writer.close()
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -29,7 +29,8 @@
 
 STEPS = 120
 TXN = re.compile(rb"X-Txn: (\S+)", re.IGNORECASE)
-UPSTREAM_BEHAVIOURS = (*["answer"] * 8, "twice", "twice", "hang", "reset", "half", "turn away", "error", "endless", "nonsense")
+UPSTREAM_BEHAVIOURS = (*["answer"] * 8, "twice", "twice", "hang", "reset", "half", "turn away", "error", "endless",
+                       "nonsense")
 
 
 class Client:
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -21,7 +21,7 @@
 from ironscale.standins.upstream import Peer
 from tests.deployed import ROOT
 from tests.ends.test_lists import MODES
-from tests.sockets import Scene, open_with_request, free_port, run, until
+from tests.sockets import Scene, free_port, open_with_request, run, until
 
 LIMIT = 128  # of descriptors
 CLIENTS = 2 * LIMIT
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -20,7 +20,14 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import WAYS_TO_LEAVE, wait_for_end, connect, connection_of, scene_without_free_slot, finish_all
+from tests.ends.test_clients import (
+    WAYS_TO_LEAVE,
+    connect,
+    connection_of,
+    finish_all,
+    scene_without_free_slot,
+    wait_for_end,
+)
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -71,23 +78,23 @@
     monkeypatch.setattr(Server, "poll_for_ends", lambda server: None)
 
 
-async def waiting_in_the_buffer(ahead: Callable[[Scene], list[bytes]]) -> tuple[
+async def waiting_in_the_buffer(pipelined: Callable[[Scene], list[bytes]]) -> tuple[
         Scene, Peer, socket.socket, socket.socket]:
     scene, peer, first = await scene_without_free_slot()
-    client = connect(scene, scene.request(), *ahead(scene))
+    client = connect(scene, scene.request(), *pipelined(scene))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
-    await until(lambda: connection_of(scene, client).reading_paused is (ahead in PAUSED))
+    await until(lambda: connection_of(scene, client).reading_paused is (pipelined in PAUSED))
     return scene, peer, first, client
 
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
-@pytest.mark.parametrize("ahead", PIPELINED)
+@pytest.mark.parametrize("pipelined", PIPELINED)
 def test_the_end_of_a_waiting_client_is_detected_in_time_without_check_at_each_send(
-        ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
+        pipelined: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     without_check_at_each_send(monkeypatch)
 
     async def test() -> None:
-        scene, peer, _first, client = await waiting_in_the_buffer(ahead)
+        scene, peer, _first, client = await waiting_in_the_buffer(pipelined)
         leave(client)
         await wait_out_allowance()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
@@ -149,26 +156,27 @@
 
 
 # Events that would cause a first or a further attempt, each with whether the request is still connecting then
-CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (connect_failed, True), (connection_established, True)]
+CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (connect_failed, True),
+          (connection_established, True)]
 
 
 @pytest.mark.parametrize("leave", [None, *WAYS_TO_LEAVE])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
-@pytest.mark.parametrize("ahead", [nothing, one_request])
-@pytest.mark.parametrize("off", [without_check_at_each_send, without_end_polling])
+@pytest.mark.parametrize("pipelined", [nothing, one_request])
+@pytest.mark.parametrize("disable", [without_check_at_each_send, without_end_polling])
 def test_no_attempt_begins_for_a_client_that_has_left(
-        off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
+        disable: Callable[[pytest.MonkeyPatch], None], pipelined: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
         monkeypatch: pytest.MonkeyPatch) -> None:
     """For a client that stays (`leave` is None) each cause does send, so that there is something to prevent."""
-    off(monkeypatch)
+    disable(monkeypatch)
 
     async def test() -> None:
         site = await Site().start(dialling, monkeypatch)
         scene = site.scene
-        client = connect(scene, scene.request(), *ahead(scene))
+        client = connect(scene, scene.request(), *pipelined(scene))
         await until(lambda: site.dials if dialling else site.sent())
-        await until(lambda: connection_of(scene, client).reading_paused is (ahead in PAUSED))
+        await until(lambda: connection_of(scene, client).reading_paused is (pipelined in PAUSED))
         before = 0 if dialling else 1
         if leave is None:
             cause(site)
@@ -176,10 +184,10 @@
             client.close()
         else:
             connection, address = connection_of(scene, client), client.getsockname()
-            if off is without_end_polling:
+            if disable is without_end_polling:
                 connection.transport.pause_reading()  # type: ignore[union-attr]  # nor may the loop read the end
             leave(client)
-            if off is without_end_polling:
+            if disable is without_end_polling:
                 wait_for_end(scene, address)
             else:
                 await wait_out_allowance()
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -20,7 +20,7 @@
 from ironscale.standins.upstream import Peer, hang
 from tests.deployed import ROOT
 from tests.ends.test_clients import connect
-from tests.sockets import Scene, open_with_request, free_port, run, until
+from tests.sockets import Scene, free_port, open_with_request, run, until
 
 
 def test_the_last_answers_leave_before_the_process_can_be_killed() -> None:
@@ -189,7 +189,8 @@
 @pytest.mark.parametrize("signals", [
     (signal.SIGTERM, signal.SIGTERM), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP),
     (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)])
-def test_signals_close_together_end_the_process_once_and_cleanly(signals: tuple[signal.Signals, ...], tmp_path: Path) -> None:
+def test_signals_close_together_end_the_process_once_and_cleanly(signals: tuple[signal.Signals, ...],
+                                                                 tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         discovery = await FakeDiscovery().start()
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -25,7 +25,7 @@
 from ironscale.standins.upstream import Peer, hang
 from ironscale.telling import learned
 from tests.deployed import ROOT
-from tests.sockets import open_with_request, free_port, run, until
+from tests.sockets import free_port, open_with_request, run, until
 
 
 class Site:
