--- a/bench/record.py
+++ b/bench/record.py
@@ -144,7 +144,7 @@
             began = loop.time()
 
             async def pay(at: float) -> None:
-                status = (await scene.send_raw(asked(scene, "pay", BODY, remaining="2000m"))).status
+                status = (await scene.send(asked(scene, "pay", BODY, remaining="2000m"))).status
                 outcomes.append((at, status, loop.time() - began))
 
             async def view(at: float) -> None:
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -349,9 +349,9 @@
         held = asyncio.create_task(scene.call("pay"))
         await until(lambda: peer.got and agent.got)
         probe = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert (await scene.send_raw(probe)).status == 200
+        assert (await scene.send(probe)).status == 200
         assert (await agent.command("1.0.1", 1, "drain")).status == "applied"
-        assert (await scene.send_raw(probe)).status == 503
+        assert (await scene.send(probe)).status == 503
         refused = await scene.call("pay")
         assert refused.status == 503 and float(refused.headers["retry-after"]) > 0
         assert instance.report(0).open == 1 and instance.report(0).refusals == {"draining": 1}
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -359,11 +359,11 @@
         scene.port = await scene.sidecar.start()
         for lane, method, key in (("a", "GET", ""), ("b", "POST", "Idempotency-Key: k\r\n")) * 2:
             scene.count += 1
-            answer = await scene.send_raw((f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {lane}\r\n"
+            answer = await scene.send((f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {lane}\r\n"
                                       f"X-Remaining: 60000m\r\n{key}Content-Length: 0\r\n\r\n").encode())
             assert answer.status == 200
         peer.behave = reset
-        refused = await scene.send_raw(b"GET / HTTP/1.1\r\nHost: x\r\nX-Txn: z\r\nX-Lane: a\r\nX-Remaining: 150m\r\n\r\n")
+        refused = await scene.send(b"GET / HTTP/1.1\r\nHost: x\r\nX-Txn: z\r\nX-Lane: a\r\nX-Remaining: 150m\r\n\r\n")
         assert refused.status == 503 and "retry-after" not in refused.headers and len(peer.got) == 5
 
     run(test)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -91,9 +91,9 @@
                 f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
     async def call(self, lane: str = "view", body: bytes = b"", remaining: str = "8000m") -> Message:
-        return await self.send_raw(self.request(lane, body, remaining))
+        return await self.send(self.request(lane, body, remaining))
 
-    async def send_raw(self, data: bytes) -> Message:
+    async def send(self, data: bytes) -> Message:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data)
         try:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -333,13 +333,13 @@
         _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(data)
         await until(lambda: peer.got)
-        assert (await scene.send_raw(data)).status == 400 and len(peer.got) == 1
+        assert (await scene.send(data)).status == 400 and len(peer.got) == 1
         writer.close()
         await until(lambda: not scene.sidecar.by_txn)
         peer.behave = reply(ok())
         peer.answer_held(ok())
         await until(lambda: not scene.sidecar.requests)
-        assert (await scene.send_raw(data)).status == 200
+        assert (await scene.send(data)).status == 200
 
     run(test)
 
@@ -674,11 +674,11 @@
     async def test() -> None:
         scene = await Scene().start()
         probe = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert (await scene.send_raw(probe)).status == 503
+        assert (await scene.send(probe)).status == 503
         await until(lambda: scene.discovery.writers)
         scene.discovery.line(listing((await Peer().start()).entry("s-1")))
         await until(lambda: scene.sidecar.has_list)
-        assert (await scene.send_raw(probe)).status == 200
+        assert (await scene.send(probe)).status == 200
         assert (await scene.call()).status == 200
 
     run(test)
