--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -284,7 +284,7 @@
             unread = peek(self.sock)
             if unread is Unread.NOTHING or (unread is Unread.BYTES and not self.client_has_left_behind_bytes()):
                 return False
-        self.client_left()
+        self.on_client_left()
         return True
 
     def client_has_left_behind_bytes(self) -> bool:
@@ -295,7 +295,7 @@
         # a poll that a signal interrupts reports nothing, hence the repetition
         return any(events & END_EVENTS for _ in range(END_POLL_TRIES) for _, events in self.end_poll.poll(0))
 
-    def client_left(self) -> None:
+    def on_client_left(self) -> None:
         """Cancels the open requests and closes: the client has closed its side."""
         self.cancel_requests("client left")
         if self.transport is not None:
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -209,7 +209,7 @@
         for descriptor, _ in self.end_poll.poll(0):
             connection = self.paused_connections[descriptor]
             self.unwatch(connection)
-            connection.client_left()
+            connection.on_client_left()
         if not self.paused_connections and self.end_poller is not None:
             self.end_poller.cancel()
             self.end_poller = None
