--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -50,13 +50,13 @@
 async def open_with_request(port: int, request: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Opens a connection and sends a request on it, both in one step of the event loop. Were the loop to lose the CPU
     between the two, the other side would see a silent connection, which it may close to make room or at its end."""
-    found = socket.create_connection(("127.0.0.1", port))
+    sock = socket.create_connection(("127.0.0.1", port))
     try:
-        found.setblocking(False)
-        assert found.send(request) == len(request)
-        return await asyncio.open_connection(sock=found)
+        sock.setblocking(False)
+        assert sock.send(request) == len(request)
+        return await asyncio.open_connection(sock=sock)
     except BaseException:
-        found.close()
+        sock.close()
         raise
 
 
