--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -295,15 +295,15 @@
         """
         base, old = self.base, self.config
         new = parse(merged(base, overlay), self.environ)
-        needs_restart = api.unchangeable(old.settings, new.settings)
+        changed_setting = api.unchangeable(old.settings, new.settings)
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
-                needs_restart = needs_restart or name
+                changed_setting = changed_setting or name
         report_layouts = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
-        needs_restart = needs_restart or (
+        changed_setting = changed_setting or (
             "areas, kinds or report fields" if report_layouts[0] != report_layouts[1] else "")
-        if needs_restart:
-            raise NeedsRestart(needs_restart)
+        if changed_setting:
+            raise NeedsRestart(changed_setting)
         # Nothing below can fail, since all values have been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         max_connections = connections_each(new.sockets)
