--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -227,7 +227,7 @@
         self.clock = Clock()
         self.timers = Timers(self.clock)
         self.starts = StartTimes(wall_us, self.clock.now_us)
-        self.clock_watch = Periodic(CLOCK_CHECK_INTERVAL_S, self.watch_clock)
+        self.clock_watch = Periodic(CLOCK_CHECK_INTERVAL_S, self.check_clock)
         settings = config.settings
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
@@ -325,7 +325,7 @@
         self.discovery.close()
         self.upstreams.close()
 
-    def watch_clock(self) -> None:
+    def check_clock(self) -> None:
         """Records steps of the wall clock; looking between lists from discovery also finds several steps in a row."""
         if self.starts.look():
             self.log(f"the wall clock has stepped: {self.starts.ahead_us[-1] / 1e6:+.1f} s in all since the start")
