--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -227,7 +227,7 @@
         self.clock = Clock()
         self.timers = Timers(self.clock)
         self.starts = StartTimes(wall_us, self.clock.now_us)
-        self.clock_watch = Periodic(CLOCK_CHECK_INTERVAL_S, self.check_clock)
+        self.clock_checker = Periodic(CLOCK_CHECK_INTERVAL_S, self.check_clock)
         settings = config.settings
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(settings.tenants)}
@@ -321,7 +321,7 @@
         end_s = max(STOP_GRACE_S + min(longest_s, STOP_MAX_DEADLINE_S), STOP_MIN_END_S)
         await self.server.stop(STOP_QUIET_PERIOD_S, STOP_MIN_ACCEPT_S, STOP_MAX_ACCEPT_S, end_s, self.answer_all)
         self.log(f"ended: {self.ledger.summary()}")
-        self.clock_watch.cancel()
+        self.clock_checker.cancel()
         self.discovery.close()
         self.upstreams.close()
 
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -56,7 +56,7 @@
         upstreams = Upstreams(now_us, 15_000_000, 1_000_000, 8)
         scene = await Scene().start()
         assert server.sweeper is not None
-        for job in (server.sweeper, upstreams.sweeper, scene.sidecar.clock_watch):
+        for job in (server.sweeper, upstreams.sweeper, scene.sidecar.clock_checker):
             job.callback, done = failing_once(job.callback)
             job.interval_s = 0.001
             job.run()
