--- a/ironscale/net/closing.py
+++ b/ironscale/net/closing.py
@@ -142,7 +142,7 @@
     def close_with_full_queue(self) -> bool:
         """Closes the listener where new connections can't be diverted; returns whether it did. The accept queue is cut
         to one place, which a connection of our own takes, so that later clients wait in their connect. When two
-        handshakes end at the same moment both may pass that place, and one of them is reset."""
+        handshakes end at the same moment both may pass that place, and one of them is cut off."""
         with self.shortened_queue(), ExitStack() as stack:
             port = self.find_source_port() if self.shares_port else ANY_PORT
             for _ in range(QUEUE_FILL_TRIES):
@@ -165,8 +165,8 @@
 
     @contextmanager
     def shortened_queue(self) -> Iterator[None]:
-        """Cuts the accept queue to one place. Handshakes that find the queue full are reset, so this lasts one step
-        at most."""
+        """Cuts the accept queue to one place. Handshakes that find the queue full are cut off, so this lasts one
+        step at most."""
         self.listener.listen(0)
         try:
             yield
