--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -123,7 +123,6 @@
         return Accepted.FAILED
 
     def pause_accepting(self) -> None:
-        """Pauses accepting."""
         if self.listener is not None and not self.accepting_paused:
             self.accepting_paused = True
             self.loop.remove_reader(self.listener)
