--- a/ironscale/net/lifecycle.py
+++ b/ironscale/net/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of one request: the one place that says whether it may be sent, answered or let go now.
+"""The state machine of a request: the one place that decides whether it may be sent, answered or cancelled now.
 
-Each transition is noted with its reason; one that is not allowed is counted and logged with what came before it. The
-invariants are those of the service's rule on lost requests.
+Each transition is recorded with its reason; a forbidden one is counted and logged together with the request's history.
+The invariants are those of the service's rule on lost requests.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-SLACK_US = 150_000  # that the time told to an upstream may lie over what is left, and a send over its time
-MOST_NOTES = 2_000  # kept, the latest
-MOST_TOLD = 20  # notes of one request that a violation is logged with
-MOST_LOGGED = 50  # violations; more are only counted
+TOLERANCE_US = 150_000  # tolerance of the checks: a send past the deadline, or an upstream told more time than is left
+MAX_NOTES = 2_000  # only the latest notes are kept
+MAX_NOTES_LOGGED = 20  # notes of a request that are logged with a violation
+MAX_VIOLATIONS_LOGGED = 50  # violations that are logged; further ones are only counted
 
-violations: deque[str] = deque(maxlen=MOST_NOTES)  # of all ledgers of this process, for tests
+violations: deque[str] = deque(maxlen=MAX_NOTES)  # of all ledgers in this process; the tests check that there are none
 
 
 class State(enum.Enum):
-    ACCEPTED = "accepted"  # read, and nothing of it sent
+    ACCEPTED = "accepted"  # received; no attempt has begun
     IN_FLIGHT = "in flight"
     ANSWERED = "answered"
-    CANCELLED = "cancelled"  # its client has gone
+    CANCELLED = "cancelled"  # its client has left
 
 
 class Event(enum.Enum):
@@ -36,20 +36,20 @@
 
 
 class Invariant(enum.Enum):
-    """What must not happen."""
+    """A rule that must hold for every request; the value is the text of its violation."""
 
     SENT_AFTER_END = "sent after its end"
     SENT_TOO_LATE = "sent after its time"
-    TOLD_TOO_MUCH = "told more time than is left"
+    REMAINING_TIME_OVERSTATED = "told more time than is left"
     CLOSED_UNANSWERED = "closed with no answer"
 
 
 class Ledger:
-    """What a process has done with its requests and connections, and why."""
+    """Records the transitions of all requests and connections of a process, with reasons, and counts violations."""
 
     def __init__(self, now_us: Callable[[], int], log: Callable[[str], None]) -> None:
         self.now_us, self.log = now_us, log
-        self.notes: deque[tuple[int, str, Event, str]] = deque(maxlen=MOST_NOTES)
+        self.notes: deque[tuple[int, str, Event, str]] = deque(maxlen=MAX_NOTES)
         self.counts: Counter[tuple[Event, str]] = Counter()
         self.violations: Counter[Invariant] = Counter()
 
@@ -57,40 +57,41 @@
         self.counts[event, reason] += 1
         self.notes.append((self.now_us(), request, event, reason))
 
-    def violated(self, invariant: Invariant, request: str, detail: str) -> None:
+    def record_violation(self, invariant: Invariant, request: str, detail: str) -> None:
+        """Counts a violation and logs it with the request's history."""
         self.violations[invariant] += 1
         text = f"violation: request {request or '(unknown)'} {invariant.value}: {detail}"
         violations.append(text)
-        if self.violations.total() <= MOST_LOGGED:
+        if self.violations.total() <= MAX_VIOLATIONS_LOGGED:
             self.log("\n  ".join([text, *self.history(request)]))
 
     def history(self, request: str) -> list[str]:
-        """The latest notes on one request, with milliseconds before now."""
+        """The latest notes on one request, each with its time in milliseconds relative to now."""
         now_us = self.now_us()
         found = [f"{(at_us - now_us) / 1000:+.1f} ms {event.value}: {reason}"
                  for at_us, about, event, reason in self.notes if about == request]
-        return found[-MOST_TOLD:]
+        return found[-MAX_NOTES_LOGGED:]
 
     def summary(self) -> str:
-        """All counts on one line."""
-        named = {f"{event.value} ({reason})" if reason else event.value: count
+        """All counts in one line."""
+        counts_by_name = {f"{event.value} ({reason})" if reason else event.value: count
                  for (event, reason), count in self.counts.items()}
-        counts = [f"{name} {named[name]}" for name in sorted(named)]
+        counts = [f"{name} {counts_by_name[name]}" for name in sorted(counts_by_name)]
         return f"{'; '.join(counts) or 'no request'}; violations {self.violations.total()}"
 
 
 class Lifecycle:
-    """One request, from its last byte read to its answer or its client's end."""
+    """One request, from the moment it is fully read until it is answered or its client leaves."""
 
-    __slots__ = ("attempts", "due_us", "last", "ledger", "request", "state")
+    __slots__ = ("attempts", "due_us", "last_outcome", "ledger", "request", "state")
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
         self.state = State.ACCEPTED
         self.request = ""
-        self.due_us: int | None = None  # its client waits until then
+        self.due_us: int | None = None  # the client's deadline
         self.attempts = 0
-        self.last = ""  # how its latest attempt ended
+        self.last_outcome = ""  # outcome of the latest attempt
 
     @property
     def is_over(self) -> bool:
@@ -100,30 +101,31 @@
         self.request, self.due_us = request, due_us
         self.ledger.note(Event.ACCEPTED, "", request)
 
-    def may_send(self, now_us: int, until_us: int, has_left: Callable[[], bool]) -> bool:
-        """Whether its first or a further attempt may begin now; `has_left` looks for its client's end."""
-        return not self.is_over and now_us < until_us and not has_left()
+    def may_send(self, now_us: int, until_us: int, client_has_left: Callable[[], bool]) -> bool:
+        """Whether an attempt may begin now, before `until_us`; `client_has_left` checks whether the client has left."""
+        return not self.is_over and now_us < until_us and not client_has_left()
 
-    def sent(self, told_us: int) -> None:
-        """An attempt begins now, and tells its upstream so much time."""
+    def attempt_begun(self, remaining_us: int) -> None:
+        """An attempt begins now, with `remaining_us` as the time that is announced to the upstream."""
         now_us = self.ledger.now_us()
         if self.is_over:
-            self.ledger.violated(Invariant.SENT_AFTER_END, self.request, self.state.value)
-        if self.due_us is not None and now_us > self.due_us + SLACK_US:
-            self.ledger.violated(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
-        if self.due_us is not None and told_us > max(0, self.due_us - now_us) + SLACK_US:
-            self.ledger.violated(Invariant.TOLD_TOO_MUCH, self.request, f"{told_us} of {self.due_us - now_us} us")
-        self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last, self.request)
+            self.ledger.record_violation(Invariant.SENT_AFTER_END, self.request, self.state.value)
+        if self.due_us is not None and now_us > self.due_us + TOLERANCE_US:
+            self.ledger.record_violation(Invariant.SENT_TOO_LATE, self.request, f"by {now_us - self.due_us} us")
+        if self.due_us is not None and remaining_us > max(0, self.due_us - now_us) + TOLERANCE_US:
+            self.ledger.record_violation(Invariant.REMAINING_TIME_OVERSTATED, self.request,
+                                         f"{remaining_us} of {self.due_us - now_us} us")
+        self.ledger.note(Event.RETRIED if self.attempts else Event.SENT, self.last_outcome, self.request)
         self.attempts += 1
         if not self.is_over:
             self.state = State.IN_FLIGHT
 
     def attempt_ended(self, outcome: str) -> None:
-        self.last = outcome
+        self.last_outcome = outcome
         self.ledger.note(Event.ATTEMPT_ENDED, outcome, self.request)
 
     def answer(self, status: int) -> bool:
-        """Whether this is its one answer."""
+        """Marks the request answered; False if it has been answered or cancelled already."""
         if self.is_over:
             return False
         self.state = State.ANSWERED
@@ -131,7 +133,7 @@
         return True
 
     def cancel(self, reason: str) -> bool:
-        """Its client has gone; whether it was still owed something."""
+        """Marks the request cancelled, as its client has left; False if it has been answered or cancelled already."""
         if self.is_over:
             return False
         self.state = State.CANCELLED
@@ -139,6 +141,6 @@
         return True
 
     def connection_closed(self, reason: str) -> None:
-        """This side closes its connection now."""
+        """This side closes the client's connection now; a violation if the request is still open."""
         if not self.is_over:
-            self.ledger.violated(Invariant.CLOSED_UNANSWERED, self.request, reason)
+            self.ledger.record_violation(Invariant.CLOSED_UNANSWERED, self.request, reason)
--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -1,4 +1,4 @@
-"""Work that is done again and again on the event loop."""
+"""Periodic jobs on the event loop."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 
 
 class Periodic:
-    """Calls `act` every so many seconds. A job that arms its own timer last is over with its first error, and
-    what it looks after (silent clients, a paused listener) waits for ever."""
+    """Calls `callback` every `interval_s` seconds, also after it has raised an exception. The timer is set before the
+    call: a job that set its own timer last would stop at its first error, and what depends on it (closing silent
+    clients, resuming a paused listener) would never happen again."""
 
-    def __init__(self, every_s: float, act: Callable[[], None]) -> None:
-        self.every_s, self.act = every_s, act
+    def __init__(self, interval_s: float, callback: Callable[[], None]) -> None:
+        self.interval_s, self.callback = interval_s, callback
         self.loop = asyncio.get_running_loop()
-        self.handle = self.loop.call_later(every_s, self.run)
+        self.handle = self.loop.call_later(interval_s, self.run)
 
     def run(self) -> None:
-        self.handle = self.loop.call_later(self.every_s, self.run)
+        self.handle = self.loop.call_later(self.interval_s, self.run)
         try:
-            self.act()
+            self.callback()
         except Exception:
-            logs.line(f"{getattr(self.act, '__qualname__', self.act)}: tried again\n{traceback.format_exc()}")
+            logs.line(f"{getattr(self.callback, '__qualname__', self.callback)} failed; it will be tried again\n"
+                      f"{traceback.format_exc()}")
 
     def cancel(self) -> None:
         self.handle.cancel()
--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -1,7 +1,7 @@
-"""A connected socket on the event loop. Failed calls that may pass are made again; only the connection's end is told.
+"""A connected socket on the event loop. Transient errors are retried; its owner only hears of the connection's end.
 
-The event loop's own transports close a connection at the first error of any kind, and with it goes an answer
-that is owed.
+The event loop's own transports close a connection at the first error of any kind, and an answer that is still to be
+sent would be lost with it.
 """
 
 from __future__ import annotations
@@ -18,40 +18,42 @@
 from ironscale.net.errors import Severity, severity
 
 READ_BYTES = 64 << 10
-LAST_DATA_AT = 52  # of tcpi_last_data_recv in the kernel's struct tcp_info, in milliseconds
-UNREAD_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PAUSE_S = 0.005  # before a call that failed for want of something is made again
+LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info; the value is in milliseconds
+PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
+RETRY_PAUSE_S = 0.005  # before a call that hit a transient error is retried
 
 
 def since_last_byte_us(sock: socket.socket) -> int:
-    """How long ago the last byte came to this machine, read or not; 0 where nobody can tell."""
+    """How long ago the last byte reached this machine, whether or not it has been read; 0 if the kernel can't tell."""
     with contextlib.suppress(OSError):
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_AT + 4)
-        if len(info) == LAST_DATA_AT + 4:
-            return int.from_bytes(info[LAST_DATA_AT:], sys.byteorder) * 1000
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
+        if len(info) == LAST_DATA_RECV_OFFSET + 4:
+            return int.from_bytes(info[LAST_DATA_RECV_OFFSET:], sys.byteorder) * 1000
     return 0
 
 
 class Unread(enum.Enum):
-    """What has come on a socket and has not been read."""
+    """What a socket holds that has not been read."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
-    END = "end"  # the other side's, or an error that ended the connection
+    END = "end"  # the peer has ended its sending, or an error has ended the connection
 
 
 def peek(sock: socket.socket) -> Unread:
-    """A poll that a signal interrupts says that nothing is there; a read is made again."""
+    """What the next read would find, without consuming it. Reads instead of polling: a poll that a signal interrupts
+    reports nothing, while an interrupted read is repeated."""
     try:
-        return Unread.BYTES if sock.recv(1, UNREAD_FLAGS) else Unread.END
+        return Unread.BYTES if sock.recv(1, PEEK_FLAGS) else Unread.END
     except BlockingIOError:
         return Unread.NOTHING
     except OSError as error:
-        return Unread.NOTHING if is_outlasted(sock, error) else Unread.END
+        return Unread.NOTHING if survives(sock, error) else Unread.END
 
 
-def is_outlasted(sock: socket.socket, error: OSError) -> bool:
-    """Whether the connection outlasts the error. The kernel forgets the peer of one that has ended."""
+def survives(sock: socket.socket, error: OSError) -> bool:
+    """Whether the connection survives the error. Where the error leaves that open the peer's address is asked for: the
+    kernel no longer knows it once the connection has ended."""
     if severity(error) is Severity.EXHAUSTED:
         return True
     if severity(error) is not Severity.UNREACHABLE:
@@ -62,45 +64,45 @@
     return False
 
 
-class StreamUser(Protocol):
-    """Who owns the connection."""
+class StreamOwner(Protocol):
+    """The owner of a stream, which calls these methods; they are named as in asyncio's protocols."""
 
     def data_received(self, data: bytes) -> None: ...
 
     def eof_received(self) -> None:
-        """The other side has ended its sending; the stream closes once this returns."""
+        """The peer has ended its sending; the stream closes once this returns."""
 
     def resume_writing(self) -> None:
-        """All that was written has been handed to the kernel, not at once but now."""
+        """All buffered bytes have been handed to the kernel, after some of them had to wait."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Told once; the socket is closed."""
+        """Called once, after the socket has been closed."""
 
 
 class Stream:
-    """Reads from the start; writes at once what the kernel takes."""
+    """Reads from the start, and writes at once as much as the kernel takes; the rest is buffered."""
 
-    def __init__(self, sock: socket.socket, user: StreamUser) -> None:
-        self.sock, self.user = sock, user
+    def __init__(self, sock: socket.socket, owner: StreamOwner) -> None:
+        self.sock, self.owner = sock, owner
         self.loop = asyncio.get_running_loop()
-        self.unsent = bytearray()
+        self.write_buffer = bytearray()
         self.is_reading = False
-        self.awaits_room = False  # the loop tells when the kernel takes more
-        self.pauses: dict[str, asyncio.TimerHandle] = {}  # calls to be made again, by what they do
-        self.ending = False  # nothing is read any more; it ends once all is sent
-        self.over = False
+        self.awaits_writable = False  # the event loop watches for the socket to become writable
+        self.retry_timers: dict[str, asyncio.TimerHandle] = {}  # timers of the retries, by "read" and "write"
+        self.closing = False  # nothing is read any more; the stream ends once all is sent
+        self.is_over = False
         self.resume_reading()
 
     def is_closing(self) -> bool:
-        return self.ending or self.over
+        return self.closing or self.is_over
 
     def get_write_buffer_size(self) -> int:
-        return len(self.unsent)
+        return len(self.write_buffer)
 
     def pause_reading(self) -> None:
-        pause = self.pauses.pop("read", None)
-        if pause is not None:
-            pause.cancel()
+        timer = self.retry_timers.pop("read", None)
+        if timer is not None:
+            timer.cancel()
         if self.is_reading:
             self.is_reading = False
             self.loop.remove_reader(self.sock)
@@ -118,94 +120,94 @@
             return
         try:
             if data:
-                self.user.data_received(data)
+                self.owner.data_received(data)
             else:
-                self.user.eof_received()
+                self.owner.eof_received()
                 self.close()
         except Exception as error:
-            logs.line(f"a connection's user failed: {type(error).__name__}: {error}")
+            logs.line(f"connection closed after an error in its handler: {type(error).__name__}: {error}")
             self.end(error)
 
     def read_failed(self, error: OSError) -> None:
         if severity(error) is Severity.AGAIN:
             return
-        if is_outlasted(self.sock, error):
+        if survives(self.sock, error):
             self.pause_reading()
-            self.again("read", self.resume_reading)
+            self.retry_later("read", self.resume_reading)
         else:
             self.end(error)
 
-    def again(self, what: str, act: Callable[[], None]) -> None:
-        if what not in self.pauses:
-            self.pauses[what] = self.loop.call_later(PAUSE_S, self.after_pause, what, act)
+    def retry_later(self, operation: str, callback: Callable[[], None]) -> None:
+        if operation not in self.retry_timers:
+            self.retry_timers[operation] = self.loop.call_later(RETRY_PAUSE_S, self.retry, operation, callback)
 
-    def after_pause(self, what: str, act: Callable[[], None]) -> None:
-        self.pauses.pop(what, None)
-        if not self.over:
-            act()
+    def retry(self, operation: str, callback: Callable[[], None]) -> None:
+        self.retry_timers.pop(operation, None)
+        if not self.is_over:
+            callback()
 
     def write(self, data: bytes) -> None:
         if self.is_closing():
             return
-        waits = bool(self.unsent)
-        self.unsent += data
-        if not waits:
+        was_waiting = bool(self.write_buffer)
+        self.write_buffer += data
+        if not was_waiting:
             self.send()
 
     def send(self) -> None:
-        """Hands over what the kernel takes; the rest waits for room, or for a pause where a call has failed."""
+        """Sends what the kernel takes; the rest waits until the socket is writable, or for a pause after an error."""
         try:
-            while self.unsent:
-                del self.unsent[:self.sock.send(self.unsent)]
+            while self.write_buffer:
+                del self.write_buffer[:self.sock.send(self.write_buffer)]
         except OSError as error:
             if severity(error) is Severity.AGAIN:
-                self.await_room(True)
-            elif is_outlasted(self.sock, error):
-                self.await_room(False)
-                self.again("write", self.send_again)
+                self.await_writable(True)
+            elif survives(self.sock, error):
+                self.await_writable(False)
+                self.retry_later("write", self.resume_sending)
             else:
                 self.end(error)
             return
-        self.await_room(False)
-        if self.ending:
+        self.await_writable(False)
+        if self.closing:
             self.end(None)
 
-    def send_again(self) -> None:
+    def resume_sending(self) -> None:
         self.send()
-        if not self.unsent and not self.is_closing():
-            self.user.resume_writing()
-
-    def await_room(self, waits: bool) -> None:
-        if waits != self.awaits_room:
-            self.awaits_room = waits
-            if waits:
-                self.loop.add_writer(self.sock, self.send_again)
+        if not self.write_buffer and not self.is_closing():
+            self.owner.resume_writing()
+
+    def await_writable(self, wanted: bool) -> None:
+        if wanted != self.awaits_writable:
+            self.awaits_writable = wanted
+            if wanted:
+                self.loop.add_writer(self.sock, self.resume_sending)
             else:
                 self.loop.remove_writer(self.sock)
 
     def close(self) -> None:
-        """Ends it once all that was written is sent."""
+        """Stops reading, and ends the connection once all buffered bytes are sent."""
         if not self.is_closing():
             self.pause_reading()
-            self.ending = True
-            if not self.unsent:
+            self.closing = True
+            if not self.write_buffer:
                 self.end(None)
 
     def abort(self) -> None:
-        """Ends it now, whatever is unsent."""
+        """Ends the connection now and drops what is unsent."""
         self.end(None)
 
     def end(self, error: Exception | None) -> None:
-        if self.over:
+        if self.is_over:
             return
         self.pause_reading()
-        self.await_room(False)
-        self.over = True
-        for pause in self.pauses.values():
-            pause.cancel()
-        self.unsent.clear()
+        self.await_writable(False)
+        self.is_over = True
+        for timer in self.retry_timers.values():
+            timer.cancel()
+        self.write_buffer.clear()
         self.loop.call_soon(self.ended, error)
 
     def ended(self, error: Exception | None) -> None:
         self.sock.close()
-        self.user.connection_lost(error)
+        self.owner.connection_lost(error)
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -13,8 +13,8 @@
 
 from ironscale.interface import Outcome, UpstreamState
 from ironscale.net import socket_connect
-from ironscale.net.client import MAX_BODY, MAX_HEAD, MAX_HEADERS, Headers
-from ironscale.net.errors import passes
+from ironscale.net.client import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, Headers
+from ironscale.net.errors import is_transient
 from ironscale.net.periodic import Periodic
 from ironscale.net.stream import Stream, Unread, peek
 
@@ -157,7 +157,7 @@
             return
         # hazard: the parser keeps a line without end to itself, and no header is seen
         self.head_size += len(data) if self.in_head else 0
-        if spoilt or self.head_size > MAX_HEAD:
+        if spoilt or self.head_size > MAX_HEAD_BYTES:
             self.broken()
 
     def on_message_begin(self) -> None:
@@ -186,7 +186,7 @@
                 length = value
             elif name == b"transfer-encoding" and value.lower() == b"chunked":
                 chunked = True
-        if length is not None and int(length) > MAX_BODY:
+        if length is not None and int(length) > MAX_BODY_BYTES:
             raise OverflowError("body")  # hazard: 3 GB that are said to come
         if length is None and not chunked and self.answer.status not in BODILESS:
             raise ValueError("no length")  # nobody could tell whether it is whole
@@ -194,7 +194,7 @@
     def on_body(self, body: bytes) -> None:
         if not self.complete:
             self.answer.size += len(body)
-            if self.answer.size > MAX_BODY:
+            if self.answer.size > MAX_BODY_BYTES:
                 raise OverflowError("body")
             self.answer.parts.append(body)
 
@@ -357,7 +357,7 @@
                 sock.close()
             self.upstreams.open -= 1
             # what this machine lacks says nothing of the upstream
-            attempt.end(Outcome.NOT_SENT if passes(error) else Outcome.CONNECT_FAILED)
+            attempt.end(Outcome.NOT_SENT if is_transient(error) else Outcome.CONNECT_FAILED)
             return
         self.busy.add(connection)
         connection.retired = address != self.member.address
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -105,7 +105,7 @@
         self.numbers[action.request] = number + 1
         left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
-        request.exchange.lifecycle.sent(max(0, timeout_us))
+        request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
         out = self.out[action.request, number] = Out(number, action.upstream, now_us)
         request.attempts_in_flight += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
@@ -114,7 +114,7 @@
 
     def may_write(self, request: Request) -> bool:
         exchange = request.exchange
-        return exchange.lifecycle.may_send(self.now_us(), request.deadline_us, exchange.has_left)
+        return exchange.lifecycle.may_send(self.now_us(), request.deadline_us, exchange.client_has_left)
 
     def entry(self, request: Request) -> model.Entry:
         exchange, kind = request.exchange, self.host.config.settings.classes[request.class_index]
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -1,7 +1,7 @@
-"""A client that ends its side has gone: no attempt of its request, first or further, begins 0.1 s later.
+"""A client that closes its side has left: 0.1 s later no attempt of its request begins any more.
 
-Two things hold it, and each is tried with the other one off: its end is noticed and told by itself, and each send looks
-at the client's socket first.
+Two mechanisms ensure this, and each is tested with the other one disabled: the client's end is detected by itself, and
+the client's socket is checked before each send.
 """
 
 from __future__ import annotations
@@ -20,7 +20,14 @@
 from ironscale.net.upstream import Attempt, Pool
 from ironscale.standins.http import TURNED_AWAY, ok
 from ironscale.standins.upstream import Peer, hang
-from tests.ends.test_clients import LEAVING, arrived, connect, connection_of, crowded, settled
+from tests.ends.test_clients import (
+    WAYS_TO_LEAVE,
+    connect,
+    connection_of,
+    finish_all,
+    scene_without_free_slot,
+    wait_for_end,
+)
 from tests.sockets import Scene, run, until
 
 ALLOWED_S = 0.1
@@ -32,73 +39,74 @@
     return []
 
 
-def one(scene: Scene) -> list[bytes]:
+def one_request(scene: Scene) -> list[bytes]:
     return [scene.request()]
 
 
-def half_of_one(scene: Scene) -> list[bytes]:
-    """The loop reads on, as no whole request waits."""
+def partial_request(scene: Scene) -> list[bytes]:
+    """The event loop goes on reading, as no complete request is queued."""
     return [scene.request("pay", b"x" * 100)[:-50]]
 
 
-def much(scene: Scene) -> list[bytes]:
-    """More than is read before reading is paused: its end lies behind unread bytes."""
+def many_large_requests(scene: Scene) -> list[bytes]:
+    """More than is read before reading is paused: the client's end lies behind unread bytes."""
     return [scene.request(), *(scene.request("pay", b"x" * 15_000) for _ in range(4))]
 
 
-def nonsense(scene: Scene) -> list[bytes]:
-    """Nothing is read any more, as the connection ends with the answers that are owed."""
+def malformed_request(scene: Scene) -> list[bytes]:
+    """Nothing more is read, as the connection closes after the open answers."""
     return [b"nonsense\r\n\r\n"]
 
 
-AHEAD = [nothing, one, half_of_one, much, nonsense]
-PAUSED = {one, much, nonsense}
+PIPELINED = [nothing, one_request, partial_request, many_large_requests, malformed_request]
+PAUSED = {one_request, many_large_requests, malformed_request}
 
 
-async def late() -> None:
-    """All that is allowed has passed. Both timers are of one loop, which runs them in their order, however late."""
+async def wait_out_allowance() -> None:
+    """Waits out the time allowed. This timer and the server's are of one event loop, which runs them in order however
+    late it is."""
     await asyncio.sleep(ALLOWED_S)
-    for _ in range(3):  # and what has come meanwhile is read
+    for _ in range(3):  # lets the loop read what has arrived meanwhile
         await asyncio.sleep(0.001)
 
 
-def without_the_look_at_each_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ClientConnection, "has_left", lambda connection: False)
+def without_check_at_each_send(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ClientConnection, "client_has_left", lambda connection: False)
 
 
-def without_the_look_by_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Server, "look", lambda server: None)
+def without_end_polling(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Server, "poll_for_ends", lambda server: None)
 
 
-async def waiting_in_the_buffer(ahead: Callable[[Scene], list[bytes]]) -> tuple[
+async def waiting_in_the_buffer(pipelined: Callable[[Scene], list[bytes]]) -> tuple[
         Scene, Peer, socket.socket, socket.socket]:
-    scene, peer, first = await crowded()
-    client = connect(scene, scene.request(), *ahead(scene))
+    scene, peer, first = await scene_without_free_slot()
+    client = connect(scene, scene.request(), *pipelined(scene))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
-    await until(lambda: connection_of(scene, client).paused is (ahead in PAUSED))
+    await until(lambda: connection_of(scene, client).reading_paused is (pipelined in PAUSED))
     return scene, peer, first, client
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-@pytest.mark.parametrize("ahead", AHEAD)
-def test_the_end_of_who_waits_is_told_in_time_without_a_look_at_each_send(
-        ahead: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    without_the_look_at_each_send(monkeypatch)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("pipelined", PIPELINED)
+def test_the_end_of_a_waiting_client_is_detected_in_time_without_check_at_each_send(
+        pipelined: Callable[[Scene], list[bytes]], leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
+    without_check_at_each_send(monkeypatch)
 
     async def test() -> None:
-        scene, peer, _first, client = await waiting_in_the_buffer(ahead)
+        scene, peer, _first, client = await waiting_in_the_buffer(pipelined)
         leave(client)
-        await late()
+        await wait_out_allowance()
         assert scene.sidecar.balancer.buffer is None and len(scene.sidecar.by_txn) == 1
-        await settled(scene, peer)
-        assert len(peer.got) == 1 and not scene.sidecar.server.paused
+        await finish_all(scene, peer)
+        assert len(peer.got) == 1 and not scene.sidecar.server.paused_connections
 
     run(test)
-    assert module.LOOK_S <= ALLOWED_S / 2
+    assert module.END_POLL_INTERVAL_S <= ALLOWED_S / 2
 
 
 class Site:
-    """Two upstreams; the first attempt is out at one of them, or its connection comes up late."""
+    """Two upstreams; the first attempt is in flight at one of them, or its connection is established late."""
 
     def __init__(self) -> None:
         self.peers: list[Peer] = []
@@ -123,51 +131,52 @@
     def sent(self) -> int:
         return sum(len(peer.got) for peer in self.peers)
 
-    def out(self) -> upstream.Connection:
+    def busy_connection(self) -> upstream.Connection:
         return next(connection for pool in self.scene.sidecar.upstreams.pools.values() for connection in pool.busy)
 
 
 def turned_away(site: Site) -> None:
-    site.out().data_received(TURNED_AWAY)
+    site.busy_connection().data_received(TURNED_AWAY)
 
 
 def reset(site: Site) -> None:
-    site.out().broken()
+    site.busy_connection().broken()
 
 
 def timed_out(site: Site) -> None:
     site.dials[0][1].give_up(Outcome.TIMEOUT)
 
 
-def not_connected(site: Site) -> None:
+def connect_failed(site: Site) -> None:
     site.dials[0][1].end(Outcome.CONNECT_FAILED)
 
 
-def comes_up(site: Site) -> None:
+def connection_established(site: Site) -> None:
     site.dials[0][2].set()
 
 
-# What would send it, again or first, with what it is doing then and how often it has been sent before
-CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (not_connected, True), (comes_up, True)]
+# Events that would cause a first or a further attempt, each with whether the request is still connecting then
+CAUSES = [(turned_away, False), (reset, False), (timed_out, False), (connect_failed, True),
+          (connection_established, True)]
 
 
-@pytest.mark.parametrize("leave", [None, *LEAVING])
+@pytest.mark.parametrize("leave", [None, *WAYS_TO_LEAVE])
 @pytest.mark.parametrize(("cause", "dialling"), CAUSES)
-@pytest.mark.parametrize("ahead", [nothing, one])
-@pytest.mark.parametrize("off", [without_the_look_at_each_send, without_the_look_by_time])
-def test_nothing_is_sent_again_or_late_for_who_has_gone(
-        off: Callable[[pytest.MonkeyPatch], None], ahead: Callable[[Scene], list[bytes]],
+@pytest.mark.parametrize("pipelined", [nothing, one_request])
+@pytest.mark.parametrize("disable", [without_check_at_each_send, without_end_polling])
+def test_no_attempt_begins_for_a_client_that_has_left(
+        disable: Callable[[pytest.MonkeyPatch], None], pipelined: Callable[[Scene], list[bytes]],
         cause: Callable[[Site], None], dialling: bool, leave: Leave | None,
         monkeypatch: pytest.MonkeyPatch) -> None:
-    """For a client that stays each of the causes does send: there is something to be held back."""
-    off(monkeypatch)
+    """For a client that stays (`leave` is None) each cause does send, so that there is something to prevent."""
+    disable(monkeypatch)
 
     async def test() -> None:
         site = await Site().start(dialling, monkeypatch)
         scene = site.scene
-        client = connect(scene, scene.request(), *ahead(scene))
+        client = connect(scene, scene.request(), *pipelined(scene))
         await until(lambda: site.dials if dialling else site.sent())
-        await until(lambda: connection_of(scene, client).paused is (ahead in PAUSED))
+        await until(lambda: connection_of(scene, client).reading_paused is (pipelined in PAUSED))
         before = 0 if dialling else 1
         if leave is None:
             cause(site)
@@ -175,15 +184,15 @@
             client.close()
         else:
             connection, address = connection_of(scene, client), client.getsockname()
-            if off is without_the_look_by_time:
-                connection.transport.pause_reading()  # type: ignore[union-attr]  # nor does the loop read the end
+            if disable is without_end_polling:
+                connection.transport.pause_reading()  # type: ignore[union-attr]  # nor may the loop read the end
             leave(client)
-            if off is without_the_look_by_time:
-                arrived(scene, address)
+            if disable is without_end_polling:
+                wait_for_end(scene, address)
             else:
-                await late()
+                await wait_out_allowance()
             cause(site)
-        comes_up(site)
+        connection_established(site)
         while scene.sidecar.requests:
             for peer in site.peers:
                 peer.answer_held(ok())
--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -1,4 +1,4 @@
-"""A poll that a signal interrupts says that nothing is there; what has come is seen all the same."""
+"""A poll that a signal interrupts reports nothing; data and ends of connections must be detected all the same."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InterruptedPoll:
-    """Python gives up a poll of no time that is interrupted, as if nothing were there; one that waits goes on."""
+    """Behaves as if every poll were interrupted: Python returns nothing for one with no timeout, and resumes others."""
 
     def __init__(self) -> None:
         self.real = real_poll()
@@ -25,18 +25,18 @@
         return [] if timeout == 0 else self.real.poll(timeout)
 
 
-# Guards against stray bytes that are taken for the next request's answer, and a request written to an ended connection.
+# Guards against stray bytes that are taken for the next request's answer, and a request sent on an ended connection.
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
-def test_a_kept_connection_that_has_gone_bad_is_not_used_though_polls_are_interrupted(
+def test_a_pooled_connection_that_has_gone_bad_is_not_used_with_interrupted_polls(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(select, "poll", InterruptedPoll)
     test_upstream.test_a_kept_connection_that_has_just_gone_bad_is_not_used(how)
 
 
 # Guards against a request that is forwarded after its client has gone.
-@pytest.mark.parametrize("leave", test_clients.LEAVING)
+@pytest.mark.parametrize("leave", test_clients.WAYS_TO_LEAVE)
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-def test_nothing_is_sent_on_for_a_client_that_has_left_though_polls_are_interrupted(
+def test_nothing_is_forwarded_for_a_client_that_has_left_with_interrupted_polls(
         leave: Callable[[socket.socket], None], lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(select, "poll", InterruptedPoll)
-    test_clients.test_a_request_whose_client_left_while_it_waited_is_not_sent_on(leave, lane, 0)
+    test_clients.test_a_request_whose_client_left_while_it_waited_is_not_forwarded(leave, lane, 0)
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -22,7 +22,7 @@
 from ironscale.net.sidecar import Sidecar
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.upstream import Peer, reset
-from tests.sockets import LIMIT_S, Scene, run, until
+from tests.sockets import TEST_TIMEOUT_S, Scene, run, until
 from tests.test_discovery import ENTRY, kinds, watching
 
 PUSHED: dict[str, Any] = {"registry-mode": "pushed"}
@@ -202,7 +202,7 @@
         found, _ = self.listener.accept()
         found.recv(4096)
         self.asked.set()
-        self.go.wait(LIMIT_S)
+        self.go.wait(TEST_TIMEOUT_S)
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         found.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(raw))
         self.written.set()
@@ -222,7 +222,7 @@
         await until(elsewhere.asked.is_set)
         watch.silence = asyncio.get_running_loop().call_later(0.2, watch.fall_silent)
         elsewhere.go.set()
-        assert elsewhere.written.wait(LIMIT_S)
+        assert elsewhere.written.wait(TEST_TIMEOUT_S)
         time.sleep(0.3)  # the loop stands still past the time for silence
         await until(lambda: told)
         assert kinds(told) == [ListKind.FULL] and discovery.watch is watch
@@ -360,11 +360,11 @@
         scene.port = await scene.sidecar.start()
         for lane, method, key in (("a", "GET", ""), ("b", "POST", "Idempotency-Key: k\r\n")) * 2:
             scene.count += 1
-            answer = await scene.raw((f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {lane}\r\n"
+            answer = await scene.send((f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {lane}\r\n"
                                       f"X-Remaining: 60000m\r\n{key}Content-Length: 0\r\n\r\n").encode())
             assert answer.status == 200
         peer.behave = reset
-        refused = await scene.raw(b"GET / HTTP/1.1\r\nHost: x\r\nX-Txn: z\r\nX-Lane: a\r\nX-Remaining: 150m\r\n\r\n")
+        refused = await scene.send(b"GET / HTTP/1.1\r\nHost: x\r\nX-Txn: z\r\nX-Lane: a\r\nX-Remaining: 150m\r\n\r\n")
         assert refused.status == 503 and "retry-after" not in refused.headers and len(peer.got) == 5
 
     run(test)
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -1,4 +1,4 @@
-"""What a process owes as it starts and as it ends: a configuration that changes, requests that are still open."""
+"""The start and the end of a process: a configuration that changes meanwhile, and requests that are still open."""
 
 from __future__ import annotations
 
@@ -20,38 +20,39 @@
 from ironscale.standins.upstream import Peer, hang
 from tests.deployed import ROOT
 from tests.ends.test_clients import connect
-from tests.sockets import Scene, ask, free_port, run, until
+from tests.sockets import Scene, free_port, open_with_request, run, until
 
 
 def test_the_last_answers_leave_before_the_process_can_be_killed() -> None:
-    """SIGKILL comes 0.7 s and the longest deadline after SIGTERM, and of deadlines no more than 3 s count; the process
-    may lack the processor for 0.15 s."""
-    assert sidecar.STOP_END_S + server.LAST_S + 0.15 < 0.7 and sidecar.STOP_DEADLINE_S == 3.0
-    assert sidecar.STOP_LEAST_END_S + server.LAST_S < 0.7
+    """SIGKILL comes 0.7 s plus the longest deadline (counted as 3 s at most) after SIGTERM, and the process may get no
+    CPU for 0.15 s of it."""
+    assert sidecar.STOP_GRACE_S + server.LAST_ANSWERS_S + 0.15 < 0.7 and sidecar.STOP_MAX_DEADLINE_S == 3.0
+    assert sidecar.STOP_MIN_END_S + server.LAST_ANSWERS_S < 0.7
 
 
 async def open_requests(peer: Peer, scene: Scene) -> dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """One of each kind: out at an upstream that hangs, waiting, sent ahead behind another, and half read."""
+    """One request of each kind: in flight at an upstream that hangs (one of each class), waiting in the buffer, and
+    received in part."""
     found = {}
     for lane in ("view", "pay", "mark"):
         count = len(peer.got)
-        found[lane] = await ask(scene.port, scene.request(lane, remaining="60000m"))
+        found[lane] = await open_with_request(scene.port, scene.request(lane, remaining="60000m"))
         await until(lambda count=count: len(peer.got) > count)  # type: ignore[misc]
         server = next(iter(scene.sidecar.balancer.servers.values()))
         server.window.slots += 1.0  # room for the next one
     server.window.slots = 1.0
-    found["waits"] = await ask(scene.port, scene.request("pay", remaining="60000m"))
+    found["waits"] = await open_with_request(scene.port, scene.request("pay", remaining="60000m"))
     await until(lambda: scene.sidecar.balancer.buffer is not None)
-    found["half"] = await ask(scene.port, b"GET / HTTP/1.1\r\n")
-    await until(lambda: any(one.reading for one in scene.sidecar.server.connections))
+    found["half"] = await open_with_request(scene.port, b"GET / HTTP/1.1\r\n")
+    await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
     return found
 
 
-def test_what_is_open_at_the_last_moment_has_its_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients may wait for longer than a process that ends has left."""
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)  # wide: it ends as soon as all have left
+def test_requests_open_at_the_last_moment_get_exactly_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients may wait for longer than the time that is left to the process."""
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)  # generous: the wait ends as soon as all answers are sent
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -59,7 +60,7 @@
         found = await open_requests(peer, scene)
         ending = asyncio.create_task(scene.sidecar.stop())
         answers = {name: (await read_message(reader)).status for name, (reader, _) in found.items()}
-        # a refusal promises that nothing has run: reads, and what was never sent
+        # a refusal promises that nothing has run, so only reads and requests that were never sent get 503
         assert answers == {"view": 503, "pay": 502, "mark": 502, "waits": 503, "half": 408}
         for reader, _ in found.values():
             assert await reader.read() == b"", "more than one answer"
@@ -69,15 +70,15 @@
     run(test)
 
 
-def test_what_the_decisions_have_lost_is_answered_at_the_last_moment_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)
+def test_a_request_lost_by_the_balancer_is_answered_at_the_last_moment_too(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
 
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
-        reader, _ = await ask(scene.port, scene.request("pay", remaining="60000m"))
+        reader, _ = await open_with_request(scene.port, scene.request("pay", remaining="60000m"))
         await until(lambda: peer.got)
         scene.sidecar.balancer.requests.clear()
         ending = asyncio.create_task(scene.sidecar.stop())
@@ -87,33 +88,33 @@
     run(test)
 
 
-def test_what_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection that stays open is used by its client up to the exit."""
-    monkeypatch.setattr(sidecar, "STOP_END_S", 0.1)
-    monkeypatch.setattr(sidecar, "STOP_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server, "LAST_S", 5.0)
+def test_a_request_that_comes_at_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client may use a connection that stays open until the process exits."""
+    monkeypatch.setattr(sidecar, "STOP_GRACE_S", 0.1)
+    monkeypatch.setattr(sidecar, "STOP_MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server, "LAST_ANSWERS_S", 5.0)
 
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         request = scene.request("pay", remaining="60000m")
-        client = connect(scene, request[:10])  # it has begun, and so is not closed as idle
-        await until(lambda: any(one.reading for one in scene.sidecar.server.connections))
+        client = connect(scene, request[:10])  # received in part, so that the connection is not closed as idle
+        await until(lambda: any(one.has_partial_request for one in scene.sidecar.server.connections))
         ended = asyncio.get_running_loop().create_future()
         real = scene.sidecar.fail_open_requests
 
         def at_end() -> None:
             real()
-            client.send(request[10:])  # read in the next turn, after the last answers
+            client.send(request[10:])  # read in the next step of the loop, after the last answers
             for one in scene.sidecar.server.connections:
-                one.reading = False  # its bytes lie unread: no close may come between
+                one.has_partial_request = False  # the unread bytes alone must keep the connection from being closed
             ended.set_result(None)
 
         monkeypatch.setattr(scene.sidecar, "fail_open_requests", at_end)
         ending = asyncio.create_task(scene.sidecar.stop())
         await ended
         for one in scene.sidecar.server.connections:
-            one.reading = True
+            one.has_partial_request = True
         reader, writer = await asyncio.open_connection(sock=client)
         assert (await read_message(reader)).status == 503 and not peer.got
         writer.close()
@@ -122,7 +123,7 @@
     run(test)
 
 
-STUB = """
+UVLOOP_STUB = """
 import os, sys
 os.write(1, b"importing\\n")
 sys.stdin.readline()
@@ -144,12 +145,12 @@
         env={**os.environ, **{key: str(value) for key, value in environ.items()}})
 
 
-def test_a_new_configuration_during_the_imports_does_not_end_the_process(tmp_path: Path) -> None:
-    """They take a tenth of a second; by default the signal kills."""
+def test_a_reload_signal_during_the_imports_does_not_end_the_process(tmp_path: Path) -> None:
+    """The imports take a tenth of a second, during which SIGHUP would kill the process by default."""
     async def test() -> None:
         discovery = await FakeDiscovery().start()
         (tmp_path / "c.json").write_text(configuration(free_port(), discovery))
-        (tmp_path / "uvloop.py").write_text(STUB)
+        (tmp_path / "uvloop.py").write_text(UVLOOP_STUB)
         process = await launch(GW_CONFIG=tmp_path / "c.json", PYTHONPATH=tmp_path, STUB=tmp_path)
         assert process.stdin is not None and process.stdout is not None
         assert await process.stdout.readline() == b"importing\n"
@@ -162,8 +163,8 @@
     run(test)
 
 
-def test_a_new_configuration_while_the_old_one_is_read_is_heard(tmp_path: Path) -> None:
-    """The file is a pipe: the program stands in the middle of reading it as the signal comes."""
+def test_a_reload_signal_while_the_old_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
+    """The file is a named pipe, so that the program is in the middle of reading it when the signal comes."""
     async def test() -> None:
         old, new, port = await FakeDiscovery().start(), await FakeDiscovery().start(), free_port()
         path = tmp_path / "c.json"
@@ -171,7 +172,7 @@
         process = await launch(GW_CONFIG=path)
 
         def write() -> None:
-            with path.open("w") as file:  # the program stands at the other end
+            with path.open("w") as file:  # returns once the program has opened the pipe to read
                 (tmp_path / "new.json").write_text(configuration(port, new))
                 os.replace(tmp_path / "new.json", path)
                 process.send_signal(signal.SIGHUP)
@@ -188,7 +189,8 @@
 @pytest.mark.parametrize("signals", [
     (signal.SIGTERM, signal.SIGTERM), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP),
     (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)])
-def test_signals_that_cross_end_the_process_once_and_well(signals: tuple[signal.Signals, ...], tmp_path: Path) -> None:
+def test_signals_close_together_end_the_process_once_and_cleanly(signals: tuple[signal.Signals, ...],
+                                                                 tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         discovery = await FakeDiscovery().start()
@@ -198,7 +200,7 @@
         process = await launch(GW_CONFIG=tmp_path / "c.json")
         await until(lambda: discovery.targets)
         scene = Scene()
-        reader, _ = await ask(port, scene.request("pay"))
+        reader, _ = await open_with_request(port, scene.request("pay"))
         await until(lambda: peer.got)
         for number in signals:
             process.send_signal(number)
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -9,16 +9,16 @@
 
 import pytest
 
-from ironscale.net.client import UNREAD_ANSWER_S, Exchange
+from ironscale.net.client import UNREAD_ANSWER_TIMEOUT_S, Exchange
 from ironscale.net.server import Server
 from ironscale.standins.http import read_message
 from tests.sockets import run, until
-from tests.test_shutdown import Answers, now_us
+from tests.test_shutdown import AnsweringApplication, now_us
 
 BODY = bytes(range(256)) * 256
 
 
-class LongAnswers(Answers):
+class LongAnswers(AnsweringApplication):
     def on_request(self, exchange: Exchange) -> None:
         exchange.answer(200, [], BODY)
 
@@ -56,7 +56,7 @@
     async def test() -> None:
         async with leaving(close) as (server, client):
             for connection in server.connections:
-                connection.since_us -= 60_000_000
+                connection.quiet_since_us -= 60_000_000
             closing(server)
             closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
@@ -70,8 +70,8 @@
     async def test() -> None:
         async with leaving(True) as (server, client):
             connection, = server.connections
-            connection.answered_us -= int(UNREAD_ANSWER_S * 1e6)
-            connection.since_us -= 60_000_000
+            connection.last_answer_us -= int(UNREAD_ANSWER_TIMEOUT_S * 1e6)
+            connection.quiet_since_us -= 60_000_000
             server.sweep()
             await until(lambda: not server.connections)
 
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -1,4 +1,4 @@
-"""Jobs that are done again and again outlast their failures."""
+"""Periodic jobs go on after an error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ironscale.net.upstream import Upstreams
 from ironscale.tasks import run_in_background
 from tests.sockets import Scene, run, until
-from tests.test_shutdown import Answers, now_us
+from tests.test_shutdown import AnsweringApplication, now_us
 
 
 def test_a_job_goes_on_after_an_error(capsys: pytest.CaptureFixture[str]) -> None:
@@ -48,17 +48,17 @@
     return act, done
 
 
-# Guards against a sweep that is over with its first error: the listener stays paused, silent clients stay.
+# Guards against sweeps that stop at their first error: a paused listener and silent clients would stay for ever.
 def test_the_sweeps_go_on_after_an_error() -> None:
     async def test() -> None:
-        server = Server(Answers(), 8, now_us)
+        server = Server(AnsweringApplication(), 8, now_us)
         await server.listen(("127.0.0.1", 0))
         upstreams = Upstreams(now_us, 15_000_000, 1_000_000, 8)
         scene = await Scene().start()
         assert server.sweeper is not None
-        for job in (server.sweeper, upstreams.sweeper, scene.sidecar.clock_watch):
-            job.act, done = failing_once(job.act)
-            job.every_s = 0.001
+        for job in (server.sweeper, upstreams.sweeper, scene.sidecar.clock_checker):
+            job.callback, done = failing_once(job.callback)
+            job.interval_s = 0.001
             job.run()
             await until(lambda done=done: len(done) >= 2)  # type: ignore[misc]
         await server.stop(0.0, 0.0, 0.0, 5.0)
@@ -67,8 +67,8 @@
     run(test)
 
 
-# Guards against a subsystem's failure that ends the process after its last answer, or goes unsaid.
-def test_work_alongside_that_fails_ends_nothing_else(capsys: pytest.CaptureFixture[str]) -> None:
+# Guards against a subsystem's failure that makes the shutdown fail, or that is not logged.
+def test_failing_work_alongside_ends_nothing_else(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async def work() -> None:
             raise RuntimeError("a bug")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""No request is lost by what closes connections: the end of a process, the sweep, the want of room."""
+"""No request is lost where connections are closed: by a shutdown, by the sweep, or to make room."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Answers:
+class AnsweringApplication:
     """An application that answers everything at once."""
 
     def is_ready(self) -> bool:
@@ -38,8 +38,8 @@
     return time.monotonic_ns() // 1000
 
 
-async def connected(server: Server, asked: bool) -> socket.socket:
-    """A client's connection that has been silent, or idle after a request, for longer than it takes to be closed."""
+async def quiet_connection(server: Server, asked: bool) -> socket.socket:
+    """A client's connection that has been silent, or idle after a request, past every timeout."""
     address = server.listener.getsockname()  # type: ignore[union-attr]
     client = socket.create_connection(address)
     client.setblocking(False)
@@ -50,15 +50,15 @@
     await until(lambda: len(server.idle) + len(server.silent) == 1 and all(
         one.transport is not None for one in server.connections))
     for one in server.connections:
-        one.since_us -= 60_000_000
+        one.quiet_since_us -= 60_000_000
     return client
 
 
 @contextlib.asynccontextmanager
-async def served(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
-    server = Server(Answers(), 8, now_us)
+async def serving(asked: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
+    server = Server(AnsweringApplication(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
-    with await connected(server, asked) as client:
+    with await quiet_connection(server, asked) as client:
         yield server, client
     await server.stop(0.0, 0.0, 0.0, 5.0)
 
@@ -77,12 +77,13 @@
 
 @pytest.mark.parametrize("asked", [False, True])
 @pytest.mark.parametrize("closing", [close_idle, sweep, make_room])
-def test_a_request_that_has_come_but_is_not_read_yet_is_answered(
+def test_a_request_that_has_arrived_but_is_unread_is_answered(
         closing: Callable[[Server], Awaitable[None]], asked: bool) -> None:
-    """The process had no CPU while the request came: what closes quiet connections runs before the loop reads it."""
+    """The process had no CPU while the request arrived: the code that closes quiet connections runs before the event
+    loop reads it."""
     async def test() -> None:
-        async with served(asked) as (server, client):
-            client.send(REQUEST)  # from within one step of the loop, which so cannot read it
+        async with serving(asked) as (server, client):
+            client.send(REQUEST)  # within one step of the event loop, so that the loop can't read it before the close
             await closing(server)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
@@ -96,22 +97,23 @@
 def test_a_quiet_connection_is_still_closed(
         closing: Callable[[Server], Awaitable[None]], asked: bool) -> None:
     async def test() -> None:
-        async with served(asked) as (server, client):
+        async with serving(asked) as (server, client):
             await closing(server)
-            assert all(one.final or one.transport is None or one.transport.is_closing() for one in server.connections)
+            assert all(one.finishing or one.transport is None or one.transport.is_closing()
+                       for one in server.connections)
             assert await asyncio.get_running_loop().sock_recv(client, 10) == b""
 
     run(test)
 
 
-async def closed(server: Server) -> None:
-    """Its listener has taken all steps of its close."""
+async def close_listener_completely(server: Server) -> None:
+    """Closes the server's listener to the end."""
     while not server.close_listener():
         await asyncio.sleep(0.01)
 
 
-class Late(socket.socket):
-    """A listener to which clients come at the last moment: after all have been accepted, just before it closes."""
+class ListenerWithLateClients(socket.socket):
+    """A listener to which clients connect at the last moment: after all have been accepted, just before it closes."""
 
     came: int = 0
 
@@ -123,16 +125,16 @@
         super().close()
 
 
-def test_who_comes_as_the_listener_closes_finds_nobody_before_sending_anything() -> None:
+def test_a_client_that_comes_as_the_listener_closes_is_refused_before_it_sends_anything() -> None:
     async def test() -> None:
-        server = Server(Answers(), 8, now_us)
+        server = Server(AnsweringApplication(), 8, now_us)
         await server.listen(("127.0.0.1", 0))
         assert server.listener is not None
         server.loop.remove_reader(server.listener)
-        late = server.listener = Late(fileno=server.listener.detach())
-        clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # these wait in its queue
-        await closed(server)
-        assert late.came == 0, "it connected, and its request would have been reset"
+        late = server.listener = ListenerWithLateClients(fileno=server.listener.detach())
+        clients = [socket.create_connection(late.getsockname()) for _ in range(3)]  # they wait in its accept queue
+        await close_listener_completely(server)
+        assert late.came == 0, "a client connected whose request would have been reset"
         for client in clients:
             with client:
                 client.setblocking(False)
@@ -146,9 +148,9 @@
 
 
 @pytest.mark.parametrize("lane", ["view", "pay"])
-def test_a_process_that_ends_without_cpu_loses_nothing(lane: str, tmp_path: Path) -> None:
-    """Hazard: after a stop of 0.15 s the loop's timers run before its reads, and a connection that came 0.1 s ago
-    and seems silent has its request lying unread. The process is stopped again and again while it ends."""
+def test_a_process_that_is_stalled_while_it_ends_loses_nothing(lane: str, tmp_path: Path) -> None:
+    """After a stall of 0.15 s the event loop runs its timers before its reads: a connection that is 0.1 s old seems
+    silent although its request waits unread. The process is stalled repeatedly while it shuts down."""
     async def test() -> None:
         site, stop = await Site(tmp_path).start(), asyncio.Event()
         try:
@@ -175,12 +177,12 @@
     run(test, 60)
 
 
-class LateToBoth(socket.socket):
-    """A listener that shares its port with another process's; clients come just before it closes."""
+class SharedListenerWithLateClients(socket.socket):
+    """A listener that shares its port with another one; clients connect just before it closes."""
 
     def close(self) -> None:
         self.came = []
-        for _ in range(12):  # the kernel chooses between the two by the port that a client has
+        for _ in range(12):  # the kernel chooses between the two by the client's port
             client = socket.socket()
             client.settimeout(0.05)
             if client.connect_ex(self.getsockname()) == 0:
@@ -190,19 +192,19 @@
         super().close()
 
 
-def test_who_comes_as_a_listener_that_shares_its_port_closes_is_served_by_the_other() -> None:
+def test_a_client_that_comes_as_a_listener_on_a_shared_port_closes_is_served_by_the_other() -> None:
     async def test() -> None:
-        second = Server(Answers(), 64, now_us)
+        second = Server(AnsweringApplication(), 64, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
         for _ in range(4):
-            first = Server(Answers(), 64, now_us)
+            first = Server(AnsweringApplication(), 64, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
             assert first.listener is not None
             first.loop.remove_reader(first.listener)
-            late = first.listener = LateToBoth(fileno=first.listener.detach())
-            waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either one's queue
-            await closed(first)
-            assert late.came, "none came to the other"
+            late = first.listener = SharedListenerWithLateClients(fileno=first.listener.detach())
+            waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]  # in either queue
+            await close_listener_completely(first)
+            assert late.came, "no client connected to the other listener"
             for client in waiting + late.came:
                 client.setblocking(False)
                 client.send(REQUEST)
@@ -215,15 +217,15 @@
     run(test)
 
 
-def test_a_listener_that_shares_its_port_closes_without_a_connection_of_its_own() -> None:
+def test_a_listener_that_shares_its_port_closes_without_probing_the_other_one() -> None:
     async def test() -> None:
-        second = Server(Answers(), 8, now_us)
+        second = Server(AnsweringApplication(), 8, now_us)
         port = await second.listen(("127.0.0.1", 0), reuse_port=True)
         opened_us = second.last_opened_us
-        for _ in range(8):  # the kernel chooses between the two by the port that a client has
-            first = Server(Answers(), 8, now_us)
+        for _ in range(8):  # the kernel chooses between the two by the client's port
+            first = Server(AnsweringApplication(), 8, now_us)
             await first.listen(("127.0.0.1", port), reuse_port=True)
-            await closed(first)
+            await close_listener_completely(first)
             await first.stop(0.0, 0.0, 0.0, 5.0)
         assert second.last_opened_us == opened_us
         await second.stop(0.0, 0.0, 0.0, 5.0)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,7 +19,7 @@
 
 from ironscale import interface as api
 from ironscale.net import client, server, upstream
-from ironscale.net.sidecar import MARGIN_US, Clock, parse_load_report, parse_remaining_us
+from ironscale.net.sidecar import ANSWER_MARGIN_US, Clock, parse_load_report, parse_remaining_us
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok, read_message
 from ironscale.standins.settings import SETTINGS
@@ -28,7 +28,7 @@
 from tests.sockets import Scene, free_port, run, until
 
 
-def test_a_request_is_passed_on_unchanged_and_so_is_its_answer() -> None:
+def test_a_request_is_forwarded_unchanged_and_so_is_its_answer() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 256  # 64 KiB, the most that is allowed
         head = b"HTTP/1.1 200 OK\r\nX-Kind: k\r\nContent-Length: 65536\r\n\r\n"
@@ -40,12 +40,12 @@
         assert got.first == "POST /api?sid=7f HTTP/1.1" and got.body == body
         assert (got.headers["x-txn"], got.headers["idempotency-key"]) == ("t1", "k")
         left_us = int(got.headers["x-remaining"].removesuffix("u"))
-        assert 0 < left_us <= 8_000_000 - MARGIN_US
+        assert 0 < left_us <= 8_000_000 - ANSWER_MARGIN_US
 
     run(test)
 
 
-def test_the_connection_of_the_application_is_kept() -> None:
+def test_a_client_connection_is_kept_alive() -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
@@ -57,7 +57,7 @@
     run(test)
 
 
-def test_requests_sent_ahead_and_in_pieces_are_answered_in_order() -> None:
+def test_pipelined_requests_that_arrive_in_pieces_are_answered_in_order() -> None:
     async def test() -> None:
         async def echo(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(ok(message.headers["x-txn"].encode()))
@@ -75,7 +75,7 @@
 
 
 def first_then_ok(first: bytes | None) -> Any:
-    """What the first request to any of the upstreams meets; None is a reset."""
+    """Behaviour of upstreams: the first request to any of them gets these bytes (None: a reset), later ones 200."""
     left = [first]
 
     async def behave(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -95,12 +95,12 @@
     (TURNED_AWAY, "pay", 200, 2),
     (None, "view", 200, 2),
     (None, "mark", 200, 2),
-    # hazard: sent again or refused, an unsafe request that may have run would run twice
+    # an unsafe request that may have run must be neither sent again nor refused: it could run twice
     (None, "pay", 502, 1),
     (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
     (b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "pay", 502, 1),
 ])
-def test_a_failed_attempt_is_repeated_only_where_the_class_allows_it(
+def test_a_failed_attempt_is_retried_only_where_the_class_allows_it(
     first: bytes | None, lane: str, status: int, sent: int
 ) -> None:
     async def test() -> None:
@@ -117,11 +117,11 @@
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
-        await scene.call("pay")  # now an answer is expected within so short a time
+        await scene.call("pay")  # teaches the balancer to expect answers this fast
         peer.behave = hang
         start = time.monotonic()
         assert (await scene.call("pay", remaining="400000u")).status == 502
-        assert time.monotonic() - start >= 0.39 - MARGIN_US / 1e6
+        assert time.monotonic() - start >= 0.39 - ANSWER_MARGIN_US / 1e6
         await until(lambda: scene.sidecar.upstreams.open == 0)
         assert not scene.sidecar.requests and not scene.sidecar.by_txn
 
@@ -148,14 +148,15 @@
             writer.close()
         while (await scene.call(remaining="60000m")).status != 200:
             pass  # refused for now
-        assert scene.sidecar.requests  # the first is still out
+        assert scene.sidecar.requests  # the first attempt is still in flight
         writer.close()
 
     run(test)
 
 
-def test_an_upstream_far_away_gets_more_than_one_request_at_a_time() -> None:
-    """Hazard: its usual answers, near the time that counts as slow, kept it at one slot for good."""
+def test_a_distant_upstream_gets_more_than_one_request_at_a_time() -> None:
+    """Guards against a window that stays at one slot for good, because the usual answers of a distant upstream take
+    about as long as counts as slow."""
     out = [0]
 
     async def far(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -183,7 +184,7 @@
     run(test)
 
 
-def test_a_refusal_comes_at_once_with_advice() -> None:
+def test_a_refusal_comes_at_once_with_a_retry_after_header() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -197,7 +198,7 @@
     run(test)
 
 
-def test_a_client_that_has_gone_is_told_to_the_decisions_and_its_connection_serves_on(
+def test_the_balancer_hears_of_a_client_that_left_and_the_upstream_connection_is_reused(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "REST_US", 0)
@@ -221,7 +222,7 @@
 VIEW = b"Host: h\r\nX-Txn: t\r\nX-Lane: view\r\nX-Remaining: 8000m\r\n"
 MARK = VIEW.replace(b"view", b"mark") + b"Idempotency-Key: k\r\n"
 PAY = VIEW.replace(b"view", b"pay")
-BOTH = b"5\r\nabcde\r\n0\r\n\r\n"
+CHUNKED_BODY = b"5\r\nabcde\r\n0\r\n\r\n"
 
 
 def get(head: bytes) -> bytes:
@@ -232,7 +233,7 @@
     return b"POST /api HTTP/1.1\r\n" + head + b"\r\n" + body
 
 
-# Hazard: passed on, it would be served although nobody can say what was asked, or be asked twice.
+# Guards against forwarding ambiguous or malformed requests: the upstream could read them differently, or run one twice.
 @pytest.mark.parametrize(("data", "status"), [
     (b"nonsense\r\n\r\n", 400),
     (post(b"Content-Length: x\r\n"), 400),
@@ -240,24 +241,24 @@
     (post(PAY + b"Content-Length: 99999999999999999999999\r\n"), 400),
     (get(b"Host: h\r\n"), 400),
     (get(VIEW + b"Connection: Upgrade\r\nUpgrade: h2c\r\n"), 400),
-    (post(PAY + b"Content-Length: 65537\r\n"), 413),  # with the head, before the body comes
+    (post(PAY + b"Content-Length: 65537\r\n"), 413),  # rejected by the head, before the body arrives
     (post(PAY + b"Transfer-Encoding: chunked\r\n", b"10001\r\n" + bytes(65537)), 413),
     (get(VIEW + b"X-Long: %s\r\n" % (b"x" * 9000) * 8), 413),
     (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * 100_000, 413),
     (get(VIEW + b"X-Short: x\r\n" * 200), 413),
-    # two lengths, one of which may hide a second request in the body
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", BOTH), 400),
-    (post(PAY + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", BOTH), 400),
-    (post(PAY + b"content-length: 5\r\nTRANSFER-ENCODING: Chunked\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: identity\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: xchunked\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding:\tchunked\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding : chunked\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding:\r\n chunked\r\n", BOTH), 400),
-    (post(PAY + b"Content-Length: 15\r\nTransfer_Encoding: chunked\r\n", BOTH), 400),
-    (post(PAY + b"Content_Length: 5\r\nTransfer-Encoding: chunked\r\n", BOTH), 400),
+    # two conflicting lengths, by which a second request could be smuggled in the body
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"content-length: 5\r\nTRANSFER-ENCODING: Chunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: identity\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding: xchunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding:\tchunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding : chunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 5\r\nTransfer-Encoding:\r\n chunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content-Length: 15\r\nTransfer_Encoding: chunked\r\n", CHUNKED_BODY), 400),
+    (post(PAY + b"Content_Length: 5\r\nTransfer-Encoding: chunked\r\n", CHUNKED_BODY), 400),
     (post(PAY + b"Content-Length: 5\r\nContent-Length: 5\r\n", b"abcde"), 400),
-    # who asks, what, and for how long
+    # id, request class, remaining time, method and idempotency key
     (get(VIEW.replace(b"X-Txn: t\r\n", b"")), 400),
     (get(VIEW.replace(b"X-Txn: t\r\n", b"X-Txn: %s\r\n" % (b"t" * 257))), 400),
     (get(VIEW + b"X-Txn: u\r\n"), 400),
@@ -278,7 +279,7 @@
     (post(MARK.replace(b"Idempotency-Key: k\r\n", b"Idempotency-Key: \r\n")), 400),
     (b"HEAD /api HTTP/1.1\r\n" + VIEW + b"\r\n", 400),
 ])
-def test_what_cannot_be_used_is_answered_and_not_passed_on(data: bytes, status: int) -> None:
+def test_an_unusable_request_is_rejected_and_not_forwarded(data: bytes, status: int) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -298,7 +299,7 @@
     ("nanm", None), ("infm", None), ("1e3m", None), ("1_000m", None), ("\u0664m", None), ("0x10m", None),
     ("3600001m", None), ("9" * 400 + "m", None), ("5m,6m", None), (".m", None),
 ])
-def test_how_long_the_client_waits_is_read_strictly(text: str, expected: int | None) -> None:
+def test_the_remaining_time_is_parsed_strictly(text: str, expected: int | None) -> None:
     assert parse_remaining_us(text) == expected
 
 
@@ -306,12 +307,12 @@
     (b"rif=7,q=2,busy=0.61", [0.61, 7.0]), (b"busy=0.5,rif=1", [0.5, 1.0]), (b"busy=0.5", []), (b"", []),
     (b"busy=nan,rif=1", []), (b"busy=x,rif=1", []), (b"{", []), (b"\xff=,=", []),
 ])
-def test_a_load_report_that_cannot_be_read_counts_as_none(value: bytes, expected: list[float]) -> None:
+def test_a_malformed_load_report_counts_as_none(value: bytes, expected: list[float]) -> None:
     assert parse_load_report([(b"x-pressure", value)], ["busy", "rif"]) == expected
     assert parse_load_report([], ["busy"]) == parse_load_report([(b"x-pressure", value)], []) == []
 
 
-def test_the_load_report_reaches_the_decisions() -> None:
+def test_the_load_report_reaches_the_balancer() -> None:
     async def test() -> None:
         data = b"HTTP/1.1 200 OK\r\nX-Pressure: busy=0.25\r\nContent-Length: 0\r\n\r\n"
         scene = await Scene().start((await Peer(reply(data)).start()).entry("s-1"),
@@ -322,8 +323,8 @@
     run(test)
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_a_resend_after_a_close_is_not() -> None:
-    """Hazard: two open requests of one id could not be told apart; the resend is the only one left."""
+def test_the_id_of_an_open_request_is_rejected_and_a_resend_after_a_close_is_served() -> None:
+    """Two open requests with the same id could not be told apart; after a close the resend is the only one left."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -332,19 +333,19 @@
         _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(data)
         await until(lambda: peer.got)
-        assert (await scene.raw(data)).status == 400 and len(peer.got) == 1
+        assert (await scene.send(data)).status == 400 and len(peer.got) == 1
         writer.close()
         await until(lambda: not scene.sidecar.by_txn)
         peer.behave = reply(ok())
         peer.answer_held(ok())
         await until(lambda: not scene.sidecar.requests)
-        assert (await scene.raw(data)).status == 200
+        assert (await scene.send(data)).status == 200
 
     run(test)
 
 
-def test_requests_sent_ahead_are_held_back_and_counted_from_when_they_came() -> None:
-    """Hazard: they would fill the memory, and one that waited would be answered after its time."""
+def test_pipelined_requests_are_held_back_and_their_deadlines_count_from_arrival() -> None:
+    """Otherwise they would fill the memory, and one that waited would be answered after its deadline."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -357,20 +358,20 @@
             writer.write(scene.request(remaining="300m"))
         await until(lambda: connection.unparsed)
         await asyncio.sleep(0.35)
-        assert len(connection.waiting) <= client.PIECE // 100
+        assert len(connection.pipelined) <= client.PARSE_CHUNK_BYTES // 100
         assert len(connection.unparsed) <= 512 << 10
         peer.behave = reply(ok())
         peer.answer_held(ok())
         assert (await read_message(reader)).status == 200
-        assert (await read_message(reader)).status == 503  # its time was over before its turn
+        assert (await read_message(reader)).status == 503  # its deadline passed before its turn came
         writer.close()
         await until(lambda: not scene.sidecar.server.connections)
 
     run(test)
 
 
-def test_what_cannot_be_read_behind_whole_requests_ends_the_connection_after_their_answers() -> None:
-    """Hazard: the connection would stay open for ever with nobody reading it."""
+def test_garbage_behind_complete_requests_ends_the_connection_after_their_answers() -> None:
+    """Guards against a connection that stays open for ever although nothing reads it any more."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -387,11 +388,11 @@
     (b"", b""), (b"GET /api HT", b"HTTP/1.1 408"), (get(VIEW)[:-2], b"HTTP/1.1 408"),
     (post(PAY + b"Content-Length: 9\r\n", b"half"), b"HTTP/1.1 408"),
 ])
-def test_who_sends_no_whole_request_is_told_in_time(
+def test_a_client_that_sends_no_complete_request_gets_an_error_in_time(
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert server.SILENCE_S + server.SWEEP_S < 3.0
-    monkeypatch.setattr(server, "SILENCE_S", 0.7)
+    assert server.SILENCE_TIMEOUT_S + server.SWEEP_INTERVAL_S < 3.0
+    monkeypatch.setattr(server, "SILENCE_TIMEOUT_S", 0.7)
 
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
@@ -401,7 +402,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(scene.request())
         assert (await read_message(reader)).status == 200
-        await asyncio.sleep(1.0)  # idle between requests is no silence
+        await asyncio.sleep(1.0)  # a connection that is idle between requests is not silent
         writer.write(scene.request() + sent)
         assert (await read_message(reader)).status == 200
         if sent:
@@ -412,21 +413,21 @@
     run(test)
 
 
-def test_without_room_the_silent_go_first_and_a_request_that_is_written_waits_for_room() -> None:
-    """Hazard: the event loop would accept and close it, and with it a request that counts as taken."""
+def test_at_the_limit_silent_connections_go_first_and_a_written_request_waits_for_room() -> None:
+    """Guards against accepting and closing connections beyond the limit, and losing requests already written."""
 
     async def test() -> None:
         peers = [await Peer(hang).start() for _ in range(4)]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        scene.sidecar.server.most = 3
+        scene.sidecar.server.max_connections = 3
         silent = [await asyncio.open_connection("127.0.0.1", scene.port) for _ in range(3)]
         calls = [asyncio.create_task(scene.call("pay")) for _ in range(3)]
         await until(lambda: sum(len(peer.got) for peer in peers) == 3)
         for reader, _ in silent:
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
-        calls.append(asyncio.create_task(scene.call("pay")))  # no room: all three are being served
-        await until(lambda: scene.sidecar.server.is_full)
+        calls.append(asyncio.create_task(scene.call("pay")))  # no room: all three connections have an open request
+        await until(lambda: scene.sidecar.server.accepting_paused)
         assert len(scene.sidecar.server.connections) == 3
         for peer in peers:
             peer.behave = reply(ok())
@@ -436,12 +437,12 @@
     run(test)
 
 
-def test_a_crowd_that_asks_for_readiness_and_stays_keeps_nobody_out() -> None:
-    """Hazard: those who have work would wait in the kernel until their time is up."""
+def test_many_readiness_probes_that_stay_connected_keep_no_client_out() -> None:
+    """Otherwise clients with requests would wait in the accept queue until their deadlines pass."""
 
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
-        scene.sidecar.server.most = 4
+        scene.sidecar.server.max_connections = 4
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(scene.request())
         assert (await read_message(reader)).status == 200
@@ -450,7 +451,7 @@
             other.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         assert [(await read_message(other)).status for other, _ in crowd] == [200] * 12
         assert (await scene.call()).status == 200
-        writer.write(scene.request())  # and who had work before is still connected
+        writer.write(scene.request())  # the client that had sent a request before is still connected
         assert (await read_message(reader)).status == 200
         assert len(scene.sidecar.server.connections) <= 4
         for _, other in crowd:
@@ -460,13 +461,13 @@
     run(test)
 
 
-def test_clients_that_ask_once_and_stay_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: they would use up the descriptors, their own and ours, before any is idle long enough."""
+def test_clients_that_send_one_request_and_stay_connected_keep_no_client_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise they would use up descriptors, their own and ours, before any is idle long enough to be closed."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "LEAST_IDLE_S", 1000.0)
+        monkeypatch.setattr(server, "MIN_IDLE_S", 1000.0)
         scene = await Scene().start((await Peer().start()).entry("s-1"))
-        scene.sidecar.server.most = 9
+        scene.sidecar.server.max_connections = 9
         held = []
         for _ in range(40):
             reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
@@ -481,7 +482,7 @@
 
 
 def test_nothing_is_left_of_connections_and_requests_that_are_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: in a long life anything kept for each id, connection or upstream fills the memory."""
+    """Guards against leaks: anything kept per id, connection or upstream would fill the memory in the long run."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -490,7 +491,7 @@
         await until(lambda: scene.discovery.writers)
 
         async def churn(generation: int) -> None:
-            entry = peer.entry(f"s-{generation}", startedAtMs=generation)  # at the address of the former
+            entry = peer.entry(f"s-{generation}", startedAtMs=generation)  # at the address of the previous one
             scene.discovery.line(listing(entry, generation=generation))
             await until(lambda: [p.member.name for p in sidecar.upstreams.pools.values()]
                         == [entry["instanceId"]])
@@ -509,8 +510,9 @@
             return objects, len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
 
         def settled() -> bool:
-            """Nothing is out, and the upstream has no connection but those kept for the one that is listed. They may be
-            two, where a request met the first at its rest: one that is waited for is gone only once it expires."""
+            """No attempt is in flight, and the upstream has only the connections pooled for the listed instance. There
+            may be two, where a request came while the first one rested after its answer: the extra one stays until it
+            expires."""
             pool, = sidecar.upstreams.pools.values()
             return not pool.busy and len(peer.writers) == sidecar.upstreams.open == len(pool.idle)
 
@@ -530,7 +532,7 @@
     run(test)
 
 
-def test_an_error_in_the_decisions_fails_its_request_and_nothing_else(
+def test_an_error_in_the_balancer_fails_its_request_and_nothing_else(
     capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
@@ -550,7 +552,7 @@
     assert "a bug" in capsys.readouterr().err
 
 
-def test_an_error_outside_the_decisions_still_gives_an_answer(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_error_outside_the_balancer_still_gives_an_answer(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         scene.sidecar.tenants = None  # type: ignore[assignment]
@@ -577,7 +579,7 @@
     assert capsys.readouterr().err == "n0: upstream s-1 rests\nn0: upstream 12 is back\n"
 
 
-def test_a_request_that_the_decisions_lose_is_answered_by_its_deadline() -> None:
+def test_a_request_that_the_balancer_loses_is_answered_by_its_deadline() -> None:
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         scene.sidecar.balancer.handle = lambda now_us, event: []  # type: ignore[method-assign]
@@ -595,7 +597,7 @@
         def handle(now_us: int, event: api.Event) -> list[api.Action]:
             seen.append(type(event).__name__)
             if isinstance(event, api.RequestArrived):
-                # the first can't be sent: its end must come after the second action, not amid both
+                # the first can't be sent; the event of its end must be handled after both actions, not between them
                 return [api.Send(event.request, 5), api.Refuse(event.request, 250_000)]
             if isinstance(event, api.AttemptEnded):
                 ended.append(event)
@@ -639,7 +641,7 @@
 
 
 def test_timers_never_fire_early() -> None:
-    """Hazard: a timer that fires before its time is taken for a stale one, and the next is never set."""
+    """The balancer would ignore a timer that fires early as stale, and would never set the next one."""
 
     async def test() -> None:
         scene = await Scene().start()
@@ -660,10 +662,10 @@
     run(test)
 
 
-def test_the_clock_stands_at_unix_time_and_only_moves_forward(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_starts_at_unix_time_and_only_moves_forward(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock.now_us() - time.time_ns() // 1000) < 5_000_000
-    monkeypatch.setattr(time, "time_ns", lambda: 0)  # hazard: the system's clock may be set back
+    monkeypatch.setattr(time, "time_ns", lambda: 0)  # the system clock is set back
     seen = [clock.now_us() for _ in range(1000)]
     assert seen == sorted(seen) and seen[0] > 1_000_000_000_000_000
 
@@ -672,18 +674,18 @@
     async def test() -> None:
         scene = await Scene().start()
         probe = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert (await scene.raw(probe)).status == 503
+        assert (await scene.send(probe)).status == 503
         await until(lambda: scene.discovery.writers)
         scene.discovery.line(listing((await Peer().start()).entry("s-1")))
         await until(lambda: scene.sidecar.has_list)
-        assert (await scene.raw(probe)).status == 200
+        assert (await scene.send(probe)).status == 200
         assert (await scene.call()).status == 200
 
     run(test)
 
 
 class Process:
-    """The program as it is deployed, with its own discovery."""
+    """The program as it is deployed, run with a discovery of its own."""
 
     def __init__(self, *entries: dict[str, Any], settings: dict[str, Any] = SETTINGS) -> None:
         self.entries = entries
@@ -721,7 +723,7 @@
         return (await self.process.stderr.readline()).decode()
 
 
-def test_after_sigterm_what_is_taken_is_answered_and_new_connections_are_still_served() -> None:
+def test_after_sigterm_open_requests_are_answered_and_new_connections_are_still_served() -> None:
     async def test() -> None:
         peers = [await Peer(hang).start() for _ in range(4)]
         program = await Process(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers))).start()
@@ -731,7 +733,7 @@
         held[1].write(scene.request("pay"))
         await until(lambda: any(peer.got for peer in peers))
         program.process.send_signal(signal.SIGTERM)
-        assert await idle[0].read() == b""  # an idle connection is closed while a new one is still taken
+        assert await idle[0].read() == b""  # idle connections are closed while new ones are still accepted
         late = asyncio.create_task(scene.call("pay"))
         await until(lambda: sum(len(peer.got) for peer in peers) == 2)
         for peer in peers:
@@ -743,7 +745,7 @@
     run(test)
 
 
-def test_a_request_that_never_comes_whole_does_not_hold_up_the_exit() -> None:
+def test_a_request_that_is_never_completed_does_not_delay_the_exit() -> None:
     async def test() -> None:
         classes = [{**c, "deadline": 500_000} for c in SETTINGS["request-classes"]]
         program = await Process(settings={**SETTINGS, "request-classes": classes}).start()
@@ -751,14 +753,14 @@
         writer.write(b"GET / HTTP/1.1\r\n")
         program.process.send_signal(signal.SIGTERM)
         assert await program.process.wait() == 0
-        assert (await read_message(reader)).status == 408  # told in one answer, and no more
+        assert (await read_message(reader)).status == 408  # this answer, and no other
         assert await reader.read() == b""
 
     run(test)
 
 
 def test_a_reload_moves_discovery_and_loses_nothing() -> None:
-    """Hazard: by default the signal ends the process; and the environment still names the old address."""
+    """By default the signal would end the process; and the environment still names the old address."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -788,7 +790,7 @@
         assert f"discovery is at 127.0.0.1:{new.port}" in await program.log_line()
         begun = await program.log_line()
         assert begun.startswith("n0: shutdown, ") and " s: begins; " in begun
-        assert (await program.log_line()).endswith(" s: nothing is open; 0 connections, 0 with a request open\n")
+        assert (await program.log_line()).endswith(" s: no connection is open; 0 connections, 0 with an open request\n")
         ended = await program.log_line()
         assert ended.startswith("n0: ended: accepted ") and ended.rstrip().endswith("; violations 0")
         assert await program.log_line() == ""
@@ -823,7 +825,7 @@
     assert len(done.stderr.splitlines()) == 1 and words in done.stderr
 
 
-def test_a_reset_in_flight_is_not_sent_again_by_the_sidecar_itself() -> None:
+def test_a_request_reset_in_flight_is_not_retried_by_the_sidecar_itself() -> None:
     async def test() -> None:
         peer = await Peer(reset).start()
         scene = await Scene().start(peer.entry("s-1"))
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Connections outlast the calls that fail for a moment, and end with those that end them."""
+"""Connections survive calls that fail with a transient error, and end with errors that end them."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from ironscale.net.stream import Stream, Unread, peek
 from tests.sockets import run, until
 
-PASSING = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
+TRANSIENT_ERRNOS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
 
 
-class Failing(socket.socket):
-    """A socket whose next calls fail as a script says; 0 = a call that goes through, by one byte."""
+class FailingSocket(socket.socket):
+    """A socket whose next calls fail with the errno in its script; 0 = the call succeeds, for a single byte."""
 
     script: deque[int]
 
-    def strike(self) -> bool:
+    def next_result(self) -> bool:
         number = self.script.popleft() if self.script else -1
         if number > 0:
             raise OSError(number, errno.errorcode[number])
         return number == 0
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        return super().recv(1 if self.strike() else size, flags)
+        return super().recv(1 if self.next_result() else size, flags)
 
     def send(self, data: bytes | bytearray, flags: int = 0) -> int:  # type: ignore[override]
-        return super().send(data[:1] if self.strike() else data, flags)
+        return super().send(data[:1] if self.next_result() else data, flags)
 
 
-class User:
+class Owner:
     def __init__(self) -> None:
         self.got, self.resumed, self.ends = b"", 0, list[Exception | None]()
 
@@ -52,42 +52,42 @@
         self.ends.append(exc)
 
 
-def pair() -> tuple[Failing, socket.socket]:
+def pair() -> tuple[FailingSocket, socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         other = socket.create_connection(listener.getsockname())
         accepted, _ = listener.accept()
-    ours = Failing(fileno=accepted.detach())
+    ours = FailingSocket(fileno=accepted.detach())
     ours.script = deque()
     ours.setblocking(False)
     other.setblocking(False)
     return ours, other
 
 
-# Guards against a connection that is closed, with the answer that it owes, by a read that failed for a moment.
-@pytest.mark.parametrize("number", PASSING)
-def test_what_is_sent_is_read_though_reads_fail_for_a_moment(number: int) -> None:
+# Guards against a connection that is closed after a transient read error, so that its answer is lost.
+@pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
+def test_all_bytes_are_read_despite_transient_read_errors(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([number, number, 0, 0, number])
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         other.send(b"a request")
         await until(lambda: user.got == b"a request")
         assert not user.ends
         other.close()
         await until(lambda: user.ends)
-        assert user.got.endswith(b"|") and stream.over
+        assert user.got.endswith(b"|") and stream.is_over
 
     run(test)
 
 
-# Guards against an answer that is cut where a write fails for a moment or takes a part.
-@pytest.mark.parametrize("number", PASSING)
-def test_all_that_is_written_arrives_though_writes_fail_for_a_moment(number: int) -> None:
+# Guards against an answer that is truncated where a write fails with a transient error or is partial.
+@pytest.mark.parametrize("number", TRANSIENT_ERRNOS)
+def test_all_bytes_are_written_despite_transient_write_errors(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
         ours.script.extend([0, number, 0, number])
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         stream.write(b"an answer")
         stream.write(b", and its end")
@@ -103,10 +103,10 @@
     run(test)
 
 
-def test_who_waits_for_room_hears_that_all_has_been_handed_over() -> None:
+def test_the_owner_is_told_when_all_buffered_bytes_are_written() -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         stream.write(bytes(64 << 20))
         assert stream.get_write_buffer_size() and not user.resumed
@@ -121,12 +121,12 @@
     run(test)
 
 
-# Guards against a connection that is kept though it has ended: requests would wait on it for ever.
+# Guards against a connection that is kept although it has ended: requests would wait on it for ever.
 @pytest.mark.parametrize("number", [errno.ECONNRESET, errno.EPIPE, errno.EBADF])
-def test_an_error_that_ends_the_connection_is_told_once(number: int) -> None:
+def test_an_error_that_ends_the_connection_is_reported_once(number: int) -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         stream = Stream(ours, user)
         ours.script.append(number)
         other.send(b"x")
@@ -139,11 +139,11 @@
     run(test)
 
 
-# Guards against a timed-out connection that is read again for ever.
+# Guards against a timed-out connection whose read is retried for ever.
 def test_a_connection_that_has_timed_out_ends() -> None:
     async def test() -> None:
         ours, other = pair()
-        user = User()
+        user = Owner()
         Stream(ours, user)
         ours.getpeername = lambda: (_ for _ in ()).throw(OSError(errno.ENOTCONN, ""))  # type: ignore[method-assign]
         ours.script.append(errno.ETIMEDOUT)
@@ -154,37 +154,38 @@
     run(test)
 
 
-def test_errors_nobody_knows_are_fatal() -> None:
+def test_unknown_errors_are_fatal() -> None:
     assert errors.severity(OSError(errno.ENOTTY, "")) is errors.Severity.FATAL
     assert errors.severity(OSError("no number")) is errors.Severity.FATAL
-    assert errors.passes(OSError(errno.EINTR, "")) and not errors.passes(ConnectionResetError(errno.ECONNRESET, ""))
+    assert (errors.is_transient(OSError(errno.EINTR, ""))
+            and not errors.is_transient(ConnectionResetError(errno.ECONNRESET, "")))
 
 
-# Guards against an interrupted look that says "nothing is there" of a connection that has ended.
-def test_what_lies_unread_is_seen() -> None:
+# Guards against an interrupted check that takes an ended connection for a live one without data.
+def test_peek_reports_unread_bytes_and_the_end() -> None:
     ours, other = pair()
     with ours, other:
         assert peek(ours) is Unread.NOTHING
         other.send(b"x")
         assert peek(ours) is Unread.BYTES and ours.recv(10) == b"x"
         ours.script.append(errno.ENOMEM)
-        assert peek(ours) is Unread.NOTHING, "not known: the loop tells what there is"
+        assert peek(ours) is Unread.NOTHING, "unknown: left to the event loop"
         other.close()
         assert peek(ours) is Unread.END
         ours.script.append(errno.ECONNRESET)
         assert peek(ours) is Unread.END
 
 
-# Guards against a client that is taken for gone, and gets no answer, as one look at its connection failed.
+# Guards against a client that is taken for gone and gets no answer, because a check of its connection failed once.
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH])
-def test_a_look_that_fails_by_an_error_of_the_way_is_no_end(number: int) -> None:
+def test_a_peek_that_fails_with_an_error_of_the_network_path_is_no_end(number: int) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_connection(listener.getsockname()) as made:
         accepted, _ = listener.accept()
-        looked_at = Failing(fileno=made.detach())
+        looked_at = FailingSocket(fileno=made.detach())
         looked_at.script = deque([number])
         with accepted, looked_at:
             assert peek(looked_at) is Unread.NOTHING
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            accepted.close()  # by a reset: the kernel knows the peer no more
+            accepted.close()  # by a reset, after which the kernel no longer knows the peer
             looked_at.script = deque([number])
             assert peek(looked_at) is Unread.END
