--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: environment and JSON file into one checked `Config`."""
+"""The configuration of a sidecar at its start: reads the environment and JSON files into one validated `Config`."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 Address = tuple[str, int]
 LEAST_SOCKETS = 64
-# A shared discovery works at calls in turn; the settings don't say for how long one may wait (3 s at one customer's).
+# A shared discovery service handles calls one after another. The settings don't say how long a call may wait there; at
+# one customer's it is 3 s.
 CALL_US = 3_300_000
-LEAST_ANSWER_US, MOST_ANSWER_US = 250_000, 1_000_000  # of an agent on this machine, which answers at once
+LEAST_ANSWER_US, MOST_ANSWER_US = 250_000, 1_000_000  # limits for an agent on this machine, which answers at once
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text is one line."""
+    """An invalid configuration. The message is one line."""
 
 
 @dataclass(slots=True)
@@ -27,17 +28,17 @@
     name: str
     listen: Address
     discovery: Address
-    discovery_in_file: Address | None  # a reload goes by this: the environment can't change
+    discovery_in_file: Address | None  # used by a reload, because the environment can't change
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # limit on open file descriptors of the process
     settings: Settings
-    report_fields: list[str]  # as answers' load reports name them
-    answer_us: int  # discovery answers a call within so long, or it will not
-    idle_us: int  # an upstream closes a connection that has been idle for this long
-    directory: Directory  # reads discovery's lists with the settings' zone and kind names
-    known: Listing  # the list as last known; may be empty or old
-    document: Mapping[str, Any]  # the JSON that all this was read from
-    generation: int = 0  # of the overlay that it was started with; 0 = none
+    report_fields: list[str]  # names of the fields in the load reports of answers
+    answer_us: int  # a call that discovery has not answered by then counts as failed
+    idle_us: int  # an upstream closes a connection that was idle for this long
+    directory: Directory  # parses the lists of discovery, with the zone and machine type names of the settings
+    known: Listing  # the last known list of upstreams; may be empty or outdated
+    document: Mapping[str, Any]  # the JSON document that this was read from
+    generation: int = 0  # generation of the overlay that the process started with; 0 if there is none
     overlay: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -53,7 +54,8 @@
 
 
 def _answer_us(options: settings.Options) -> int:
-    """Hazard: what an agent on this machine has counts as told, also while it is silent and as soon as it is back."""
+    """Returns how long a call to discovery may wait for its answer. For an agent on this machine it is short: what the
+    agent knows counts as known to the sidecar, even while the agent is silent and as soon as it is back."""
     if options.text("registry-mode") == "on_request":
         return CALL_US
     grace_us = options.whole("invariants.drain-grace", "1000000")
@@ -61,7 +63,7 @@
 
 
 def parse(data: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    """The environment's name and addresses go before those in the file."""
+    """Validates the document. Name and addresses in the environment take precedence. Raises ConfigError."""
 
     def told(variable: str, key: str) -> str:
         value = environ.get(variable) or data.get(key)
@@ -103,7 +105,7 @@
 
 
 def merged(base: Any, patch: Any) -> Any:
-    """`base` with a JSON merge patch (RFC 7396) on it; neither is changed."""
+    """Returns `base` with a JSON merge patch (RFC 7396) applied; neither argument is modified."""
     if not isinstance(patch, Mapping):
         return patch
     result = dict(base) if isinstance(base, Mapping) else {}
@@ -116,6 +118,7 @@
 
 
 def read_object(path: str) -> dict[str, Any]:
+    """Reads a JSON file that holds an object. Raises ConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -129,7 +132,8 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """GW_CONFIG names the file; GW_OVERLAY, if set, one of `generation` and `overlay`, a patch on the first."""
+    """Reads the file that GW_CONFIG names. GW_OVERLAY, if set, names a file with `generation` and `overlay`, a JSON
+    merge patch for the first file. Raises ConfigError."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -1,5 +1,5 @@
-"""Opens connections. The event loop's own `sock_connect` looks even numeric addresses up in threads of its
-pool, and ends the process where none can be begun."""
+"""Opens TCP connections without a thread. The event loop's own `sock_connect` resolves even numeric addresses in its
+thread pool, and ends the process if no thread can be started."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 import socket
 
 Address = tuple[str, int]
-UNDER_WAY = (errno.EINPROGRESS, errno.EINTR)  # an interrupted connect goes on by itself (connect(2))
+UNDER_WAY = (errno.EINPROGRESS, errno.EINTR)  # an interrupted connect continues asynchronously, see connect(2)
 
 
 async def resolved(address: Address) -> Address:
+    """Returns the address with the host name resolved to an IPv4 address. Raises OSError."""
     host, port = address
     try:
         socket.inet_pton(socket.AF_INET, host)
         return address
-    except (OSError, ValueError):  # a name, or nothing that can be looked up
+    except (OSError, ValueError):  # a host name, or an invalid one, for which getaddrinfo reports the error
         found = await asyncio.get_running_loop().getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
         return str(found[0][4][0]), port
 
 
 async def connect(sock: socket.socket, address: Address) -> None:
-    """Connects `sock`, which does not block. Raises OSError."""
+    """Connects a non-blocking socket. Raises OSError."""
     number = sock.connect_ex(await resolved(address))
     if number in UNDER_WAY:
         await writable(sock)
@@ -33,6 +34,7 @@
 
 
 async def writable(sock: socket.socket) -> None:
+    """Waits until the socket becomes writable."""
     loop = asyncio.get_running_loop()
     waiter: asyncio.Future[None] = loop.create_future()
 
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: reads its lists and keeps one watch on their changes."""
+"""Client of the discovery service: parses its lists of upstreams and keeps one watch open for their changes."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 CONNECT_S = 2.0
 SILENCE_S = turns.SILENCE_S
 MOVE_AGAIN_S = 0.25
-KEPT_S = 60.0  # that the oldest call may wait for its turn beside those begun later
-# A discovery that stays behind our list for this long has begun to count anew; one that lags has caught up.
+KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
+# A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
+# lags has caught up by then.
 BEHIND_S = 3.0
 _STATES = {state.value: state for state in UpstreamState}
 
 
 class ListError(Exception):
-    """A list that cannot be read."""
+    """A list from discovery that is malformed."""
 
 
 @dataclass(slots=True)
 class Member:
-    """One entry: what the decisions see of it, and where it listens."""
+    """One entry of a list: the upstream as the balancer sees it, and the address where it listens."""
 
     upstream: Upstream
     address: tuple[str, int]
@@ -41,24 +42,27 @@
 
 @dataclass(slots=True)
 class Listing:
+    """A list from discovery: all upstreams if `full`, otherwise those that changed."""
+
     generation: int
     full: bool
     members: list[Member] = field(default_factory=list)
 
 
 def upstream_id(name: str) -> int:
-    """A number made from `instanceId` alone: the same at every sidecar and after every restart.
+    """Returns a number that depends on `instanceId` alone: the same in every sidecar and after every restart.
 
-    The hash in front spreads the ids evenly; the name itself follows, so that two names never
-    share a number, whatever their hashes. (The first byte keeps zeros behind it from being lost.)
+    The hash comes first and spreads the ids evenly; the name itself follows, so that two names never
+    have the same id, even if their hashes collide. (The first byte preserves leading zero bytes.)
     """
     raw = name.encode()
     return int.from_bytes(b"\1" + hashlib.blake2b(raw, digest_size=8).digest() + raw)
 
 
 class Names:
-    """Indexes into the settings' list, and beyond it for names that only discovery knows. Hazard: two unknown zones
-    that share an index would be one to the rule that keeps repeats of a request within its zone."""
+    """Maps names to their indexes in the settings' list, and names that only discovery knows to indexes beyond it. Each
+    unknown name gets its own index: two unknown zones with one index would count as the same zone for the rule that
+    keeps retries of a request within its zone."""
 
     def __init__(self, names: list[str]) -> None:
         self.listed = {name: index for index, name in enumerate(names)}
@@ -71,28 +75,29 @@
 
 
 class Directory:
-    """Reads discovery's JSON; zones and machine types become indexes into the settings' lists."""
+    """Parses the JSON lists of discovery. Zones and machine types become indexes into the settings' lists."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones, self.kinds = Names(zones), Names(kinds)
 
     def read(self, data: Any) -> Listing:
+        """Parses one list. Raises ListError."""
         members: list[Member] = []
         try:
             for entry in data["instances"]:
                 members.append(self._member(entry))
             return Listing(int(data["generation"]), bool(data.get("reset", False)), members)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ListError(f"a list that is malformed, after {len(members)} instances: "
+            raise ListError(f"malformed list after {len(members)} instances: "
                             f"{type(error).__name__}: {error}") from error
 
     def _member(self, entry: dict[str, Any]) -> Member:
         name = str(entry["instanceId"])
         host, _, port = str(entry["hostPort"]).rpartition(":")
         weight = entry.get("weight")
-        weight = 1.0 if weight is None else float(weight)  # nothing and null say the same, here and below
+        weight = 1.0 if weight is None else float(weight)  # a missing key means the same as null, here and below
         if not math.isfinite(weight):
-            raise ValueError(f"weight {weight}")
+            raise ValueError(f"weight is not finite: {weight}")
         upstream = Upstream(
             id=upstream_id(name),
             state=_STATES[entry["lifecycle"]],
@@ -109,28 +114,28 @@
 
 
 class Discovery:
-    """Carries out `Subscribe` and `FetchList`. A watch that ends is told as `FAILED` and opened anew: as soon as the
-    decisions ask for it, and without them no later than `turns` says; where many share a discovery, then and no
-    sooner."""
+    """Carries out the actions `Subscribe` and `FetchList`. The end of a watch is reported as `FAILED`, and a new watch
+    is opened: as soon as the balancer asks for it, and no later than the time that `turns` computes. If many sidecars
+    share a discovery service, it is opened at that time and not before."""
 
     def __init__(self, address: tuple[str, int], directory: Directory, generation: int, on_list: OnList,
                  answer_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
         self.address = address
-        self.answer_s = answer_s  # a call that has no answer by then will have none
+        self.answer_s = answer_s  # time to wait for the first data of a call
         self.log = log
-        self.unanswered = 0  # calls in a row that have fallen silent before their first word
+        self.unanswered = 0  # consecutive calls that timed out before their first data
         self.directory = directory
-        self.generation = generation  # of the list as told to `on_list`
+        self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
-        self.shared = shared  # by many sidecars: calls are made in turns
+        self.shared = shared  # many sidecars use this service, so calls are spread over time
         self.random = random.Random(seed)
-        self.heard_s: float | None = None  # the last word of a watch; None before the first
-        self.begun = 0  # calls since then
-        self.last_s = 0.0  # when the last one began
-        self.again: asyncio.TimerHandle | None = None  # begins the next one
-        self.waiting: dict[_Call, None] = {}  # begun before `watch`, still without a word, which may come; oldest first
+        self.heard_s: float | None = None  # when a watch last received data; None before the first time
+        self.begun = 0  # calls begun since then
+        self.last_s = 0.0  # when the last call began
+        self.again: asyncio.TimerHandle | None = None  # timer that begins the next call
+        self.waiting: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
-        self.successor: _Call | None = None  # the watch at a new address, until it has answered
+        self.successor: _Call | None = None  # the watch at a new address, until its first data arrives
         self.mover: asyncio.TimerHandle | None = None
         self.fetches: set[_Call] = set()
 
@@ -139,24 +144,25 @@
             if self.again is None or not self.shared:
                 self.open()
         elif self.watch.answered:
-            # the watch already tells every change: nothing is missing
+            # the open watch already delivers every change, so the list is up to date
             self.on_list(ListKind.DELTA, Listing(self.generation, False))
-        # else the call that is out will be the answer: a second one would wait behind it
+        # otherwise the pending call will report: discovery would handle a second one only after it
 
     def open(self) -> None:
-        """A new call; one that is out already goes on beside it, as long as its patience lasts."""
+        """Begins a new watch call. A pending one continues in parallel until its timeout."""
         if self.watch is not None:
             self.waiting[self.watch] = None
         self.watch = self.call_watch()
         self.has_begun(self.watch)
 
     def has_begun(self, call: _Call) -> None:
-        """The next one begins beside it if it stays without a word."""
+        """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.begun += 1
         self.last_s = call.began_s
         self.open_at(turns.beside_s(self.heard_s, self.begun, self.last_s, self.random.random()))
 
     def open_at(self, at_s: float | None) -> None:
+        """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
         if self.again is not None:
             self.again.cancel()
         self.again = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
@@ -174,17 +180,17 @@
             watch.close()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is there now; the watch at the old address serves until the new one has answered."""
+        """Switches to a new address. The watch at the old one stays open until the new one has answered."""
         if address != self.address:
             self.address = address
             self.stop_moving()
-            if self.watch is None:  # hazard: the decisions' back-off is for the old address; the new one counts soon
+            if self.watch is None:  # don't wait: the balancer's backoff was for the old address
                 self.open()
             self.start_moving()
 
     def start_moving(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(turns.SPAN_S - MOVE_AGAIN_S)  # none begins beside it
+            self.successor = self.call_watch(turns.SPAN_S - MOVE_AGAIN_S)  # no parallel call is begun for it
 
     def stop_moving(self) -> None:
         if self.mover is not None:
@@ -202,15 +208,17 @@
             self.fetches.pop().close()
 
     def patience_s(self) -> float:
-        """For a call's first word. Hazard: a discovery that needs longer than thought would never be heard."""
+        """Returns how long a call may wait for its first data. It doubles after a timeout: otherwise a discovery
+        service that is slower than expected would never be heard."""
         return self.answer_s * (2 if self.unanswered else 1)
 
     def told(self, call: _Call, value: Any | Blank) -> None:
+        """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, Blank):
             listing = self.directory.read(value)
         elif call.answered and call.behind_since_s is None:
             return
-        else:  # alive, and nothing has changed since our list
+        else:  # a heartbeat: nothing has changed since our list
             listing = Listing(self.generation if call.behind_since_s is None else -1, False)
         is_first = not call.answered
         call.answered, self.unanswered = True, 0
@@ -224,15 +232,15 @@
         if is_first and call is self.watch:
             self.has_word()
         if call is not self.watch and (not listing.full or listing.generation < self.generation):
-            return  # a fetched list that a watch has overtaken
+            return  # a fetched list that is older than what the watch has delivered
         if listing.generation < self.generation:
-            # hazard: a discovery that lags behind the last one would make drained upstreams ready again
+            # A discovery replica that lags behind the previous one would make drained upstreams ready again.
             if not self.may_lag(call):
-                self.generation = 0  # the next watch is told the whole list
+                self.generation = 0  # makes the next watch begin with the full list
                 call.end()
                 return
-            # hazard: one that counts anew tells drains too, and they count at once; heeded in vain, an upstream is
-            # left out until its next word
+            # If discovery has restarted its numbering instead, the drains in its lists are valid, so they are applied
+            # at once. If they turn out to be outdated, the upstream is left out only until its next update.
             heeded = [m for m in listing.members
                       if m.upstream.state is UpstreamState.DRAINING or m.name in call.heeded]
             call.heeded.update(member.name for member in heeded)
@@ -243,22 +251,24 @@
         self.on_list(ListKind.FULL if listing.full else ListKind.DELTA, listing)
 
     def has_word(self) -> None:
-        """The watch tells: what else was begun in its place is not needed."""
+        """The watch has received its first data: cancels the calls that were begun to replace it."""
         self.begun = 0
         self.open_at(None)
         while self.waiting:
             self.waiting.popitem()[0].close()
-        self.start_moving()  # an older call may have been answered at an address that has moved since
+        self.start_moving()  # the answer may come from an address that was replaced since the call began
 
     def may_lag(self, call: _Call) -> bool:
+        """Whether discovery may still be lagging, rather than have restarted its numbering."""
         now_s = asyncio.get_running_loop().time()
         if call.behind_since_s is None:
             call.behind_since_s = now_s
         return now_s - call.behind_since_s < BEHIND_S
 
     def keeps(self, call: _Call) -> bool:
-        """Whether a call stays out whose first word is late. Hazard: given up it loses its place at a discovery
-        that answers in turns, which may work at it all the same; 200 that all did so were never answered."""
+        """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
+        of a discovery service that handles calls one after another, which may process it nevertheless: when 200
+        sidecars all gave up in this way, none of them was ever answered."""
         if call is self.watch and not self.waiting and self.successor is None:
             self.waiting[call], self.watch = None, None
             self.has_failed()
@@ -271,20 +281,21 @@
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
+        """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
             self.mover = asyncio.get_running_loop().call_later(MOVE_AGAIN_S, self.start_moving)
             return
         if call in self.waiting:
             del self.waiting[call]
-            return  # another has begun, and its answer or end will be told
+            return  # a later call has begun and will report its answer or its end
         if call is self.watch:
             if call.answered:
                 self.heard_s = call.heard_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
                 self.has_begun(self.watch)
-                return  # its answer, or its end, will be told
+                return  # it will report its answer or its end
             self.has_failed()
             return
         if call in self.fetches:
@@ -297,15 +308,15 @@
 
 
 class _Call(asyncio.Protocol):
-    """One call to discovery, from connecting to its end."""
+    """One HTTP call to discovery, from the connect to the end of the response."""
 
     def __init__(self, owner: Discovery, target: str, most_s: float = math.inf) -> None:
         self.owner = owner
-        self.most_s = most_s  # that its first word may take
+        self.most_s = most_s  # upper limit on the wait for its first data
         self.address = owner.address
         self.answered = False
-        self.behind_since_s: float | None = None  # since when its lists are older than ours
-        self.heeded: set[str] = set()  # whose drain was told by such a list
+        self.behind_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
+        self.heeded: set[str] = set()  # names of upstreams whose drain such a list reported
         self.over = False
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
@@ -313,7 +324,7 @@
         self.request = (f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
-        self.began_s = self.heard_s = loop.time()  # the last byte from there
+        self.began_s = self.heard_s = loop.time()  # when the last data arrived
         self.silence = loop.call_later(min(owner.patience_s(), most_s), self.fall_silent)
         self.task = loop.create_task(self.connect())
 
@@ -325,7 +336,7 @@
             self.end()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's own are no subclass
+        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses
         if self.over:
             transport.abort()
         else:
@@ -334,7 +345,7 @@
     def data_received(self, data: bytes) -> None:
         if self.over:
             return
-        # any byte is a sign of life; silence on an open connection is the only sign of a lost one
+        # any data shows that the connection works; a lost connection can only be noticed by the lack of data
         self.silence.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_S
         if not self.answered:
@@ -344,7 +355,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # what a callback raises comes wrapped
+            # exceptions of callbacks are wrapped in HttpParserError
             self.owner.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
             self.end()
 
@@ -362,10 +373,11 @@
 
     def on_message_complete(self) -> None:
         if not self.over and not self.stream.is_between:
-            raise ValueError("an answer that ends within a list")
+            raise ValueError("the response ended in the middle of a list")
         self.end()
 
     def fall_silent(self) -> None:
+        """Handles the timeout of a call that has received no data."""
         self.owner.unanswered += not self.answered
         if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps(self):
             self.silence = asyncio.get_running_loop().call_later(KEPT_S, self.end)
@@ -384,7 +396,7 @@
             self.task.cancel()
 
     def end(self) -> None:
-        """The call is over, by itself or by its silence; told once."""
+        """Ends the call, because the response ended, failed or timed out. Reports the end once."""
         if not self.over:
             self.close()
             self.owner.ended(self)
--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -1,4 +1,4 @@
-"""JSON values cut out of a stream of bytes, however they are broken over lines and pieces. No I/O."""
+"""Incremental parser for a stream of JSON values, however they are split over lines and chunks. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,36 +7,37 @@
 from collections.abc import Iterator
 from typing import Any
 
-LONGEST = 16 << 20  # of one value
-# Up to the next bracket, past whole strings: what braces stand in a string means nothing. Never gives back what it took
-# (possessive), so that each byte is looked at once; a string whose end has not come yet is not passed.
+LONGEST = 16 << 20  # limit for one value
+# Matches up to the next bracket and skips complete strings, because brackets inside a string don't count. The
+# quantifiers are possessive (no backtracking), so that each byte is examined once. A string whose end has not arrived
+# yet is not skipped.
 TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
 OPENING, CLOSING = b"{[", b"}]"
 SPACE = b" \t\r\n"
 
 
 class Blank:
-    """A line with nothing on it, between two values."""
+    """An empty line between two values; discovery sends it as a heartbeat."""
 
 
 BLANK = Blank()
 
 
 class JsonStream:
-    """Takes bytes, gives objects and arrays as they become whole, and `BLANK` for each empty line between them.
+    """Takes bytes and yields each object or array once it is complete, and `BLANK` for each empty line between them.
 
-    Raises ValueError (which json's own error is) for what is no such value, and past `LONGEST`.
+    Raises ValueError (of which JSONDecodeError is a subclass) for anything else, and for a value longer than `LONGEST`.
     """
 
     def __init__(self) -> None:
-        self.data = bytearray()  # of the value that has begun, from its first byte on
-        self.at = 0  # looked at so far
+        self.data = bytearray()  # the unfinished value, from its first byte on
+        self.at = 0  # bytes of `data` that have been examined
         self.depth = 0
-        self.is_blank = True  # nothing has stood on this line yet
+        self.is_blank = True  # no value has begun on the current line
 
     @property
     def is_between(self) -> bool:
-        """No value has begun that is not whole."""
+        """Whether the stream is between two values, with none unfinished."""
         return not self.data
 
     def feed(self, piece: bytes) -> Iterator[Any | Blank]:
@@ -47,13 +48,13 @@
                 if not self.data:
                     return
                 if self.data[0] not in OPENING:
-                    raise ValueError(f"expected an object, got {bytes(self.data[:40])!r}")
+                    raise ValueError(f"expected a JSON object or array, got {bytes(self.data[:40])!r}")
                 self.is_blank = False
                 line = bytes(self.data[:self.data.find(b"\n") + 1])
-                if line.rstrip().endswith(b"}"):  # as most come, and three times as quick
+                if line.rstrip().endswith(b"}"):  # fast path, three times as fast: most values are one line
                     try:
                         value = json.loads(line)
-                    except ValueError:  # one line of several, or more than one value on it
+                    except ValueError:  # part of a value of several lines, or several values on one line
                         pass
                     else:
                         del self.data[:len(line) - 1]
@@ -62,12 +63,13 @@
                 self.at, self.depth = 1, 1
             if not self.reach_end():
                 if len(self.data) > LONGEST:
-                    raise ValueError(f"expected a value of {LONGEST} bytes at most, got one without end")
+                    raise ValueError(f"expected a value of {LONGEST} bytes at most, got a longer one")
                 return
             text, self.data, self.at = bytes(self.data[:self.at]), self.data[self.at:], 0
             yield json.loads(text)
 
     def skip_space(self) -> Iterator[Blank]:
+        """Removes leading whitespace and yields `BLANK` for each empty line in it."""
         count = len(self.data) - len(self.data.lstrip(SPACE))
         space = bytes(self.data[:count])
         del self.data[:count]
@@ -77,11 +79,11 @@
                 yield BLANK
 
     def reach_end(self) -> bool:
-        """Whether the value that has begun is whole, up to `at`."""
+        """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
         data = self.data
         while True:
             found = TO_BRACKET.match(data, self.at)
-            assert found is not None  # it matches the empty text too
+            assert found is not None  # the pattern also matches the empty string
             self.at = found.end()
             if self.at == len(data) or data[self.at] == ord('"'):
                 return False
--- a/ironscale/net/lane.py
+++ b/ironscale/net/lane.py
@@ -1,4 +1,4 @@
-"""One balancer on the data path: events in, one after the other; what it decides, carried out in order."""
+"""Drives one balancer on the data path: passes events to it one at a time and carries out its actions in order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 class Lane:
-    """What the sidecar's own balancer and those of other fronts have in common; who carries out fills in the rest."""
+    """The event loop around a balancer, shared by the sidecar and by the fronts of subsystems. Subclasses carry out the
+    actions."""
 
     def __init__(self, balancer: Balancer, now_us: Callable[[], int]) -> None:
         self.balancer = balancer
@@ -21,7 +22,7 @@
         self.pumping = False
 
     def post(self, event: api.Event) -> None:
-        """Hand over one event and carry out what comes of it; events that an action causes wait."""
+        """Handles one event and carries out the resulting actions. Events that an action causes are queued."""
         self.events.append(event)
         if self.pumping:
             return
@@ -33,13 +34,13 @@
             self.pumping = False
 
     def step(self, event: api.Event) -> None:
-        if isinstance(event, api.AttemptEnded):  # an action before it may have closed the request
+        if isinstance(event, api.AttemptEnded):  # an earlier action may have closed the request
             event.final = not self.is_open(event.request)
-        # hazard: one bad event must neither end the process nor leave its request unanswered
+        # an event that makes the balancer raise must neither end the process nor leave its request unanswered
         try:
             actions = self.balancer.handle(self.now_us(), event)
         except Exception:
-            self.log(f"the decisions failed on {event!r}\n{traceback.format_exc()}")
+            self.log(f"the balancer raised an exception for the event {event!r}\n{traceback.format_exc()}")
             if isinstance(event, api.RequestArrived | api.AttemptEnded):
                 self.fail(event.request)
             return
@@ -47,19 +48,19 @@
             try:
                 self.carry_out(action)
             except Exception:
-                self.log(f"could not carry out {action!r}\n{traceback.format_exc()}")
+                self.log(f"could not carry out the action {action!r}\n{traceback.format_exc()}")
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
                     self.fail(action.request)
 
     def is_open(self, ident: int) -> bool:
-        """Whether the request is still owed its answer."""
+        """Whether the request still waits for its answer."""
         raise NotImplementedError
 
     def carry_out(self, action: api.Action) -> None:
         raise NotImplementedError
 
     def fail(self, ident: int) -> None:
-        """The decisions gave no answer: the request has failed, whatever ran."""
+        """Answers the request as failed, because the balancer gave no answer. It may have run at an upstream."""
         raise NotImplementedError
 
     def log(self, text: str) -> None:
@@ -67,12 +68,12 @@
 
 
 class Front(Protocol):
-    """What carries the requests of some classes elsewhere than to the listed upstreams: a subsystem's, decided by
+    """Handles the requests of some classes elsewhere than at the listed upstreams. A subsystem provides it, with
     balancers of its own."""
 
     def arrived(self, event: api.RequestArrived) -> None: ...
 
     def gone(self, ident: int) -> None:
-        """The client has quit, or the request was ended over the decisions' heads."""
+        """The client has disconnected, or the request was ended without the balancer."""
 
     def told(self, event: api.DrainChanged | api.SettingsChanged) -> None: ...
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -1,5 +1,6 @@
-"""When upstreams started, on this process's own clock. Discovery tells starts in wall time, which may step. Pure, but
-for the clocks that are handed to it."""
+"""Converts the start times of upstreams to this process's monotonic clock, which counts from the Unix time at its
+start. Discovery reports them in wall-clock time, and the wall clock may be stepped. Does no I/O apart from reading the
+clocks that are passed in."""
 
 from __future__ import annotations
 
@@ -7,22 +8,22 @@
 
 from ironscale.interface import Upstream
 
-STEP_US = 250_000  # wall and running time drift apart by less than this without a step
-MOST_STEPS = 16  # remembered, the latest
+STEP_US = 250_000  # a smaller change between the two clocks is ordinary drift, not a step
+MOST_STEPS = 16  # only the offsets around the latest steps are remembered
 
 
 class StartTimes:
-    """Knows how far the wall clock has been ahead of the own one, before and after each of its steps."""
+    """Remembers the offset of the wall clock to the monotonic clock before and after each step of the wall clock."""
 
     def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
         self.wall_us, self.own_us = wall_us, own_us
-        self.ahead_us = [self.ahead()]  # before and after each step, the latest last
+        self.ahead_us = [self.ahead()]  # before and after each step, oldest first
 
     def ahead(self) -> int:
         return self.wall_us() - self.own_us()
 
     def look(self) -> bool:
-        """Notes a step since the last look; whether there was one."""
+        """Records a step of the wall clock since the last check. Returns whether there was one."""
         ahead_us = self.ahead()
         stepped = abs(ahead_us - self.ahead_us[-1]) > STEP_US
         if stepped:
@@ -30,15 +31,19 @@
         return stepped
 
     def place(self, entry: Upstream, known: Upstream | None) -> None:
-        """Sets `entry.begun_us`. A process that is known already keeps its start, whatever the clock has done since."""
+        """Sets `entry.begun_us`. A process that is already known keeps its start time, even if the wall clock was
+        stepped since then."""
         if known is not None and known.started_us == entry.started_us:
             entry.begun_us = known.begun_us
         elif entry.started_us:
             entry.begun_us = self.begun_us(entry.started_us)
 
     def begun_us(self, started_us: int) -> int | None:
-        """On the own clock; None where the wall clock can be taken for it. Nobody knows on which side of a step a start
-        was told: the latest that is not yet to come is taken. A cold upstream taken for a warm one falls."""
+        """Returns the start on the monotonic clock, or None if the wall-clock value can be used as it is.
+
+        It is not known whether a start time was taken before or after a step, so the latest candidate that isn't in
+        the future is used: an upstream believed too young gets too little load, but a cold one believed to be warm
+        collapses under full load."""
         now_us = self.own_us()
         possible = [started_us - ahead_us for ahead_us in self.ahead_us]
         latest_us = max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -1,33 +1,37 @@
-"""When the next call to discovery begins. Pure: times in seconds of one clock, draws from 0 to 1 are given.
+"""Computes when the next call to discovery begins. Pure functions: times are in seconds of one clock, `draw` is a
+random number from 0 to 1.
 
-What discovery has counts as told `TOLD_S` after it had it and could be reached, whatever has failed meanwhile. A call
-that begins when discovery can be reached is answered, so two sums have to hold, each `CALL_S` short of it:
+A sidecar must know a change at most `TOLD_S` after discovery had it and could be reached, whatever failed in between.
+A call that begins while discovery can be reached gets its answer within `CALL_S`, so two conditions must hold within
+`TOLD_S - CALL_S`:
 
-- after the last word of a watch two calls have begun: the first may fail;
-- no longer than that passes between the begins of two calls, so that one begins in time after discovery is back, be it
-  that the one before was refused, broke off, or is still without its first word: the next then begins beside it.
+- after the last data from a watch, two calls begin, because the first may fail;
+- no more than that passes between the begins of two calls, so that one begins in time once discovery is back. It does
+  not matter whether the previous call was refused, broke off or still waits for its first data: in the last case the
+  next call begins in parallel.
 """
 
 from __future__ import annotations
 
 TOLD_S = 6.0
-CALL_S = 0.5  # for a call that can be answered, the loop and the decisions
+CALL_S = 0.5  # covers the answer to a call, delays of the event loop and the balancing decisions
 SPAN_S = TOLD_S - CALL_S
-# While nothing changes an empty line comes every 2 s: past this discovery or the way to it is down, though the
-# connection may stay open.
+# While nothing changes, discovery sends an empty line every 2 s. After this long without data, discovery or the network
+# path to it is down, even if the connection stays open.
 SILENCE_S = 3.0
-# The first call of many is spread over half of what is left then, so the second has as much. A watch that has broken
-# leaves more, but no more than this is used.
+# The sidecars spread their first calls over half of the time that is left then, so that the second calls have as much.
+# A watch that broke leaves more time, but at most MOST_FIRST_S of it is used.
 FIRST_S = (SPAN_S - SILENCE_S) / 2
 MOST_FIRST_S = 2.5
 LONGEST_TURN_S = 5.0
-# Hazard: a discovery that answers in turns has one more call to work at, so a second begins late beside one that waits.
+# Share of the available time after which a call begins in parallel with one that waits. It is late because a discovery
+# service that handles calls one after another has one more call to work on.
 BESIDE = 0.8
 
 
 def latest_s(heard_s: float | None, begun: int, last_s: float) -> float:
-    """By when the next call has to begin: `begun` calls have, the last at `last_s`, since the last word of a watch at
-    `heard_s` (None: there has been none)."""
+    """Returns the latest time at which the next call may begin. Since the last data from a watch at `heard_s` (None if
+    there was none), `begun` calls have begun, the last of them at `last_s`."""
     if heard_s is not None and begun == 0:
         return heard_s + SILENCE_S + FIRST_S
     most_s = last_s + SPAN_S
@@ -35,7 +39,8 @@
 
 
 def after_end_s(now_s: float, heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
-    """When it begins, after a watch (`begun` 0) or the last call has ended: in a turn drawn within what is left."""
+    """Returns the start of the next call after a watch (`begun` is 0) or the last call has ended: a random time within
+    the time that is left."""
     left_s = max(0.0, latest_s(heard_s, begun, last_s) - now_s)
     if begun == 0:
         return now_s + min(left_s, MOST_FIRST_S) * draw
@@ -43,5 +48,5 @@
 
 
 def beside_s(heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
-    """When it begins beside the last one, if that has had no word until then."""
+    """Returns the start of the next call in parallel with the last one, if that has received nothing until then."""
     return last_s + (latest_s(heard_s, begun, last_s) - last_s) * (BESIDE + (1.0 - BESIDE) * draw)
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: attempts on sockets, kept connections, exact outcomes."""
+"""Connection pools for upstreams: sends attempts, reuses idle connections, reports exact outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 if TYPE_CHECKING:
     from ironscale.net.discovery import Member
 
-IDLE_SHARE = 0.9  # of the idle time after which an upstream closes: the rest is for bytes under way
+IDLE_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
 SWEEP_S = 1.0
 BODILESS = frozenset((*range(100, 200), 204, 304))
-# Hazard: a second copy of an answer may come a moment behind the first; on a connection that already
-# carries the next request it would be taken for that one's answer. So each rests between two.
+# A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
+# copy, and would be taken for the answer to the next request if that were already on the connection.
 REST_US = 2_000
 DEFAULT_CONNECT_S = 1.0
-# How often kept connections of an age fail at their next request: smoothed over about 8 of them, and
-# forgotten over some 20 s. Past UNTRUSTED a new one costs less than the requests that would be lost.
+# The share of reused connections that fail at their next request, by idle time: an exponential moving average over
+# about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
+# would fail.
 AGE_WEIGHT, AGE_FADES, UNTRUSTED = 1 / 8, 0.95, 0.3
 
 
 class Answer:
-    """What an upstream answered."""
+    """The HTTP response of an upstream. `size` is the length of the body in bytes."""
 
     __slots__ = ("headers", "parts", "size", "status")
 
@@ -51,45 +52,45 @@
     def outcome(self) -> Outcome:
         if self.status == 200:
             return Outcome.OK
-        # hazard: only this mark says that it never ran; a bare 503 may come from half-way through
+        # only this header shows that the request never ran; a 503 without it may come after part of the work
         if self.status in (503, 504) and (b"x-turned-away", b"1") in self.headers:
             return Outcome.FULL
         return Outcome.ERROR
 
 
 class Attempt:
-    """One send. It ends once, by whatever comes first."""
+    """One transmission of a request to an upstream. It ends exactly once, with the first outcome."""
 
     def __init__(self, payload: Callable[[], bytes], wanted: Callable[[], bool],
                  on_end: Callable[[Outcome, Answer | None], None]) -> None:
-        self.payload = payload  # made as it is written: it tells the time that is left then
-        self.wanted = wanted  # asked just before the first byte is written
+        self.payload = payload  # called when the request is written, because it contains the time left
+        self.wanted = wanted  # called just before the first byte is written
         self.on_end: Callable[[Outcome, Answer | None], None] | None = on_end
         self.connection: Connection | None = None
         self.ended = False
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
-        on_end, self.on_end = self.on_end, None  # it knows the timer, which knows the attempt: no cycle stays
+        on_end, self.on_end = self.on_end, None  # breaks the cycle attempt, callback, timer
         if on_end is not None:
             self.ended = True
             on_end(outcome, answer)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting; `outcome` if the whole request is out, else it never ran."""
+        """Stops waiting. Ends with `outcome` if the whole request was written; otherwise it never ran."""
         if self.ended:
             return
         connection, self.connection = self.connection, None
         if connection is None:
-            self.end(Outcome.CONNECT_FAILED)  # a connection that comes up later stays unused
+            self.end(Outcome.CONNECT_FAILED)  # a connection that is established later is not used for it
             return
         written = connection.written
-        # hazard: the late answer would be taken for the next request's
+        # close it: a late answer would be taken for the answer to the next request
         connection.drop()
         self.end(outcome if written else Outcome.CONNECT_FAILED)
 
 
     def withdraw(self) -> None:
-        """Nobody waits any more: what is not yet whole at its upstream never becomes so."""
+        """Cancels the attempt, since nobody waits for it any more, unless the whole request has been written."""
         connection = self.connection
         if not self.ended and connection is not None and not connection.written:
             self.connection = None
@@ -109,13 +110,13 @@
         self.attempt: Attempt | None = None
         self.answer = Answer()
         self.in_head = True
-        self.head_size = 0  # of all heads and trailers since the attempt began, interim answers' among them
+        self.head_size = 0  # bytes of headers and trailers since the attempt began, including interim answers
         self.headers_seen = 0
-        self.answered = False  # some of the answer has come
+        self.answered = False  # part of the answer has arrived
         self.complete = False
-        self.written = False  # the attempt's last byte has been handed to the kernel
-        self.age_us = 0  # how long it had been idle before the attempt; 0 = it was new
-        self.retired = False  # not to be used again
+        self.written = False  # the last byte of the request has been passed to the kernel
+        self.age_us = 0  # how long it was idle before the attempt; 0 for a new connection
+        self.retired = False  # must not be reused
         self.used = False
         self.dropped = False
 
@@ -123,8 +124,8 @@
         self.transport = Stream(self.sock, self)
 
     def is_stale(self) -> bool:
-        """Whether the upstream has closed it or sent what nobody asked for, and the loop has not seen
-        it yet. Hazard: a request written to it ends as a reset and may not be tried again."""
+        """Whether the upstream has closed the connection or sent unexpected data that the event loop has not
+        read yet. A request written to it would end as a reset, and might not be allowed to be retried."""
         return peek(self.sock) is not Unread.NOTHING
 
     def start(self, attempt: Attempt) -> None:
@@ -143,7 +144,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.drop()  # stray bytes: the next answer would not be its request's own
+            self.drop()  # unexpected data: the next answer would be matched to the wrong request
             return
         spoilt, self.answered = False, True
         try:
@@ -151,11 +152,11 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             spoilt = True
-        if self.complete:  # noise behind a whole answer does not make that worse
+        if self.complete:  # invalid data after a complete answer doesn't invalidate the answer
             self.retired = self.retired or spoilt
             self.finish()
             return
-        # hazard: the parser keeps a line without end to itself, and no header is seen
+        # the parser buffers an endless line without calling on_header, so the bytes are counted here
         self.head_size += len(data) if self.in_head else 0
         if spoilt or self.head_size > MAX_HEAD:
             self.broken()
@@ -163,14 +164,14 @@
     def on_message_begin(self) -> None:
         self.in_head = True
         if self.complete:
-            self.retired = True  # bytes after the end of the answer
+            self.retired = True  # data after the end of the answer
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.complete:
             return
         self.headers_seen += 1
-        if self.headers_seen > MAX_HEADERS:  # hazard: heads, interim answers or trailers without end
-            raise OverflowError("headers")
+        if self.headers_seen > MAX_HEADERS:  # an endless series of headers, interim answers or trailers
+            raise OverflowError("too many headers")
         if self.in_head:
             self.answer.headers.append((name.lower(), value))
 
@@ -187,24 +188,24 @@
             elif name == b"transfer-encoding" and value.lower() == b"chunked":
                 chunked = True
         if length is not None and int(length) > MAX_BODY:
-            raise OverflowError("body")  # hazard: 3 GB that are said to come
+            raise OverflowError("announced body too long")  # 3 GB, for example
         if length is None and not chunked and self.answer.status not in BODILESS:
-            raise ValueError("no length")  # nobody could tell whether it is whole
+            raise ValueError("body without a length")  # a truncated body could not be detected
 
     def on_body(self, body: bytes) -> None:
         if not self.complete:
             self.answer.size += len(body)
             if self.answer.size > MAX_BODY:
-                raise OverflowError("body")
+                raise OverflowError("body too long")
             self.answer.parts.append(body)
 
     def on_message_complete(self) -> None:
         if self.complete:
             return
-        if 100 <= self.answer.status < 200:  # 100 Continue and the like: the answer is still to come
+        if 100 <= self.answer.status < 200:  # an interim answer such as 100 Continue: the final answer follows
             self.headers_seen += 1
             if self.headers_seen > MAX_HEADERS:
-                raise OverflowError("interim answers")
+                raise OverflowError("too many interim answers")
             self.answer = Answer()
             return
         self.complete = True
@@ -218,11 +219,12 @@
         attempt.connection = None
         self.pool.upstreams.ages.add(self.age_us, False)
         if not self.written:
-            self.retired = True  # answered before the whole request was out: the rest is in the way
+            self.retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
         attempt.end(self.answer.outcome(), self.answer)
 
     def broken(self) -> None:
+        """Closes the failed connection and ends its attempt."""
         attempt, self.attempt = self.attempt, None
         written = self.written
         self.drop()
@@ -233,13 +235,14 @@
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
+        """Closes the connection at once, without ending its attempt."""
         self.attempt = None
         if not self.dropped:
             self.dropped = self.retired = True
             self.pool.forget(self)
             if self.transport is not None:
-                # hazard: the loop closes it in its next turn, and a new try that is written in this one would be a
-                # second copy beside an attempt that is still out
+                # The event loop closes the socket only in its next iteration. A retry that is written in this one would
+                # be a second copy of a request that is still being sent.
                 with contextlib.suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)
                 self.transport.abort()
@@ -249,15 +252,15 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.broken()
-        self.parser = None  # each refers to the other: only the collector would free them
+        self.parser = None  # breaks a reference cycle that only the garbage collector would free
 
 
 class Ages:
-    """For how long kept connections may be idle: an upstream may close them long before the settings'
-    time, and the request that shows it is lost."""
+    """Learns how long connections may be idle before reuse: an upstream may close them long before the configured
+    idle timeout, and the request that reveals it is lost."""
 
     def __init__(self) -> None:
-        self.failing = [0.0] * 65  # share of those whose age in microseconds has so many bits
+        self.failing = [0.0] * 65  # share that failed, by the bit length of the idle time in microseconds
 
     def add(self, age_us: int, failed: bool) -> None:
         if age_us > 0:
@@ -268,8 +271,8 @@
         return self.failing[min(age_us.bit_length(), 64)] < UNTRUSTED
 
     def recall(self, shares: Sequence[float], age_us: int) -> None:
-        """Shares that were seen so long ago. Hazard: full ones would keep all from being used, and so from being
-        tried: at most half is taken, and the greater of it and what has been seen here."""
+        """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
+        restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
         left = AGE_FADES ** min(1e4, age_us / 1e6 / SWEEP_S)
         for i, share in enumerate(shares[:len(self.failing)]):
             self.failing[i] = max(self.failing[i], min(0.5, share) * left)
@@ -279,12 +282,12 @@
 
 
 class Pool:
-    """The connections to one upstream, as the list last described it."""
+    """The connections to one upstream, which `member` describes as in the latest list."""
 
     def __init__(self, upstreams: Upstreams, member: Member) -> None:
         self.upstreams = upstreams
         self.member = member
-        self.idle: list[Connection] = []  # the newest last, and taken first: the old ones may expire
+        self.idle: list[Connection] = []  # newest last and reused first, so that the oldest may expire
         self.busy: set[Connection] = set()
 
     def is_ready(self) -> bool:
@@ -297,17 +300,18 @@
         if not moved and is_same and self.is_ready():
             return
         for connection in [*self.idle, *self.busy]:
-            # hazard: those to the former process are dead, though a machine that vanished never said so
+            # connections to the previous process are dead, but a machine that vanished did not close them
             if moved or not self.is_ready() or connection.opened_us < member.upstream.start_us:
                 self.retire(connection)
 
     def retire(self, connection: Connection) -> None:
+        """Closes the connection, but only after its current attempt if it has one."""
         connection.retired = True
         if connection.attempt is None:
             connection.drop()
 
     def leave(self) -> None:
-        """The list names it no more: what is out may still be answered, nothing new is sent."""
+        """Handles the removal from the list: pending requests may still be answered, no new ones are sent."""
         self.member = replace(self.member, upstream=replace(self.member.upstream, state=UpstreamState.GONE))
         for connection in [*self.idle, *self.busy]:
             self.retire(connection)
@@ -317,6 +321,7 @@
             self.idle[-1].drop()
 
     def start(self, attempt: Attempt) -> None:
+        """Sends the attempt on an idle connection, or on a new one."""
         now_us, ages = self.upstreams.now_us(), self.upstreams.ages
         for connection in reversed(self.idle):
             age_us = now_us - connection.idle_since_us
@@ -352,23 +357,24 @@
                 await dialing.connect(sock, address)
             connection = Connection(self, sock)
             connection.open()
-        except Exception as error:  # hazard: the attempt would hold its slot until its time-out
+        except Exception as error:  # of any kind: otherwise the attempt would hold its slot until its timeout
             if sock is not None:
                 sock.close()
             self.upstreams.open -= 1
-            # what this machine lacks says nothing of the upstream
+            # a lack of resources on this machine is no failure of the upstream
             attempt.end(Outcome.NOT_SENT if passes(error) else Outcome.CONNECT_FAILED)
             return
         self.busy.add(connection)
         connection.retired = address != self.member.address
         if attempt.ended or connection.retired or not self.is_ready() or not attempt.wanted():
-            # hazard: the list or the client may have changed its mind while the connection came up
+            # the upstream may have been removed, or the client may have cancelled, during the connect
             self.release(connection)
             attempt.end(Outcome.NOT_SENT)
         else:
             connection.start(attempt)
 
     def release(self, connection: Connection) -> None:
+        """Returns the connection to the idle ones, or closes it if it must not be reused."""
         if connection.retired or not self.is_ready():
             connection.drop()
         else:
@@ -389,15 +395,15 @@
 
 
 class Upstreams:
-    """All upstreams that the list has named, by id."""
+    """The connection pools of all upstreams in the list, by upstream id."""
 
     def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, most: int) -> None:
         self.now_us = now_us
         self.set_times(idle_us, connect_us)
-        self.most = most  # open connections
-        self.open = 0  # connections, those coming up among them
+        self.most = most  # limit on open connections
+        self.open = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
-        self.idle: dict[Connection, None] = {}  # of all pools, the longest idle first
+        self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
         self.ages = Ages()
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = Periodic(SWEEP_S, self.sweep)
@@ -407,8 +413,8 @@
         self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_S
 
     def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
-        """The list, with those gone whose address another has taken over. Hazard: what is meant for one
-        that has gone, if its end is told late, would go to the cold process in its place."""
+        """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
+        discovery reports their end late, requests meant for them would go to the cold process at that address."""
         told = {member.upstream.id: member for member in members}
         known = {} if full else {ident: pool.member for ident, pool in self.pools.items()}
         owners: dict[tuple[str, int], Member] = {}
@@ -425,6 +431,7 @@
         return list(told.values())
 
     def apply(self, members: list[Member], full: bool) -> None:
+        """Applies a list of upstreams: all of them if `full`, otherwise those that changed."""
         for member in members:
             ident = member.upstream.id
             if ident in self.pools:
@@ -440,6 +447,7 @@
                 pool.leave()
 
     def ready(self, ident: int) -> Pool | None:
+        """Returns the pool of the upstream if requests may be sent to it."""
         pool = self.pools.get(ident)
         return pool if pool is not None and pool.is_ready() else None
 
@@ -448,7 +456,8 @@
             self.pools[ident].close_idle()
 
     def make_room(self) -> bool:
-        """Room for one more connection, if need be in place of the one that has been idle longest."""
+        """Makes room for one more connection, if necessary by closing the one that has been idle longest. Returns
+        whether there is room."""
         if self.open >= self.most:
             oldest = next(iter(self.idle), None)
             if oldest is not None:
