--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -9,7 +9,7 @@
 from ironscale.interface import Upstream
 
 STEP_US = 250_000  # a smaller change between the two clocks is ordinary drift, not a step
-MOST_STEPS = 16  # only the offsets around the latest steps are remembered
+MAX_STEPS = 16  # only the offsets around the latest steps are remembered
 
 
 class StartTimes:
@@ -27,7 +27,7 @@
         ahead_us = self.ahead()
         stepped = abs(ahead_us - self.ahead_us[-1]) > STEP_US
         if stepped:
-            self.ahead_us = [*self.ahead_us[1 - MOST_STEPS:], ahead_us]
+            self.ahead_us = [*self.ahead_us[1 - MAX_STEPS:], ahead_us]
         return stepped
 
     def place(self, entry: Upstream, known: Upstream | None) -> None:
