--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -17,14 +17,14 @@
 
     def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
         self.wall_us, self.own_us = wall_us, own_us
-        self.ahead_us = [self.ahead()]  # before and after each step, oldest first
+        self.ahead_us = [self.offset_us()]  # before and after each step, oldest first
 
-    def ahead(self) -> int:
+    def offset_us(self) -> int:
         return self.wall_us() - self.own_us()
 
     def look(self) -> bool:
         """Records a step of the wall clock since the last check. Returns whether there was one."""
-        ahead_us = self.ahead()
+        ahead_us = self.offset_us()
         stepped = abs(ahead_us - self.ahead_us[-1]) > STEP_US
         if stepped:
             self.ahead_us = [*self.ahead_us[1 - MAX_STEPS:], ahead_us]
