--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -320,7 +320,7 @@
     def watch_clock(self) -> None:
         """Notes steps of the wall clock, also two between two lists."""
         if self.starts.look():
-            self.log(f"the wall clock is {self.starts.ahead_us[-1] / 1e6:+.1f} s off its course since the start")
+            self.log(f"the wall clock is {self.starts.offsets_us[-1] / 1e6:+.1f} s off its course since the start")
 
     def answer_all(self) -> None:
         """The process ends: each open request has its one answer now, and so has what comes yet."""
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -17,7 +17,7 @@
 
     def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
         self.wall_us, self.own_us = wall_us, own_us
-        self.ahead_us = [self.offset_us()]  # before and after each step, oldest first
+        self.offsets_us = [self.offset_us()]  # before and after each step, oldest first
 
     def offset_us(self) -> int:
         return self.wall_us() - self.own_us()
@@ -25,9 +25,9 @@
     def look(self) -> bool:
         """Records a step of the wall clock since the last check. Returns whether there was one."""
         ahead_us = self.offset_us()
-        stepped = abs(ahead_us - self.ahead_us[-1]) > STEP_US
+        stepped = abs(ahead_us - self.offsets_us[-1]) > STEP_US
         if stepped:
-            self.ahead_us = [*self.ahead_us[1 - MAX_STEPS:], ahead_us]
+            self.offsets_us = [*self.offsets_us[1 - MAX_STEPS:], ahead_us]
         return stepped
 
     def place(self, entry: Upstream, known: Upstream | None) -> None:
@@ -45,6 +45,6 @@
         the future is used: an upstream believed too young gets too little load, but a cold one believed to be warm
         collapses under full load."""
         now_us = self.own_us()
-        possible = [started_us - ahead_us for ahead_us in self.ahead_us]
+        possible = [started_us - ahead_us for ahead_us in self.offsets_us]
         latest_us = max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
         return None if abs(latest_us - started_us) <= STEP_US else latest_us
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -80,7 +80,7 @@
     clocks = Clocks()
     for _ in range(100):
         clocks.step(HOUR_US)
-    assert len(clocks.starts.ahead_us) == MAX_STEPS and clocks.starts.ahead_us[-1] == 100 * HOUR_US
+    assert len(clocks.starts.offsets_us) == MAX_STEPS and clocks.starts.offsets_us[-1] == 100 * HOUR_US
 
 
 # Guards against slow start that a step of the wall clock switches off, by a real list on a socket.
