--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -319,7 +319,7 @@
 
     def watch_clock(self) -> None:
         """Notes steps of the wall clock, also two between two lists."""
-        if self.starts.look():
+        if self.starts.check_for_step():
             self.log(f"the wall clock is {self.starts.offsets_us[-1] / 1e6:+.1f} s off its course since the start")
 
     def answer_all(self) -> None:
@@ -396,7 +396,7 @@
             self.post(api.UpstreamsUpdated(kind))
             return
         full = kind is not api.ListKind.DELTA
-        self.starts.look()
+        self.starts.check_for_step()
         for member in listing.members:
             pool = self.upstreams.pools.get(member.upstream.id)
             self.starts.place(member.upstream, pool.member.upstream if pool is not None else None)
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -22,7 +22,7 @@
     def offset_us(self) -> int:
         return self.wall_us() - self.own_us()
 
-    def look(self) -> bool:
+    def check_for_step(self) -> bool:
         """Records a step of the wall clock since the last check. Returns whether there was one."""
         ahead_us = self.offset_us()
         stepped = abs(ahead_us - self.offsets_us[-1]) > STEP_US
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -23,7 +23,7 @@
 
     def step(self, by_us: int) -> None:
         self.ahead_us += by_us
-        self.starts.look()
+        self.starts.check_for_step()
 
     def told(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
         entry = api.Upstream(1, started_us=started_us)
@@ -36,7 +36,7 @@
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
         assert clocks.told(started_us).start_us == started_us
     clocks.own_us += 100 * S
-    assert not clocks.starts.look()
+    assert not clocks.starts.check_for_step()
 
 
 # Guards against a cold upstream that is taken for a warm one, or for one that starts in an hour, after a step.
