--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -399,7 +399,7 @@
         self.starts.check_for_step()
         for member in listing.members:
             pool = self.upstreams.pools.get(member.upstream.id)
-            self.starts.place(member.upstream, pool.member.upstream if pool is not None else None)
+            self.starts.set_start(member.upstream, pool.member.upstream if pool is not None else None)
         self.has_list = self.has_list or kind is not api.ListKind.CACHED or bool(listing.members)
         members = self.upstreams.settle_addresses(listing.members, full)
         self.upstreams.apply(members, full)
--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -30,7 +30,7 @@
             self.offsets_us = [*self.offsets_us[1 - MAX_STEPS:], ahead_us]
         return stepped
 
-    def place(self, entry: Upstream, known: Upstream | None) -> None:
+    def set_start(self, entry: Upstream, known: Upstream | None) -> None:
         """Sets `entry.begun_us`. A process that is already known keeps its start time, even if the wall clock was
         stepped since then."""
         if known is not None and known.started_us == entry.started_us:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -27,7 +27,7 @@
 
     def told(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
         entry = api.Upstream(1, started_us=started_us)
-        self.starts.place(entry, known)
+        self.starts.set_start(entry, known)
         return entry
 
 
