--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -36,9 +36,9 @@
         if known is not None and known.started_us == entry.started_us:
             entry.begun_us = known.begun_us
         elif entry.started_us:
-            entry.begun_us = self.begun_us(entry.started_us)
+            entry.begun_us = self.monotonic_start_us(entry.started_us)
 
-    def begun_us(self, started_us: int) -> int | None:
+    def monotonic_start_us(self, started_us: int) -> int | None:
         """Returns the start on the monotonic clock, or None if the wall-clock value can be used as it is.
 
         It is not known whether a start time was taken before or after a step, so the latest candidate that isn't in
