--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -13,9 +13,9 @@
 
 from __future__ import annotations
 
-TOLD_S = 6.0
+MAX_STALENESS_S = 6.0
 CALL_S = 0.5  # covers the answer to a call, delays of the event loop and the balancing decisions
-SPAN_S = TOLD_S - CALL_S
+SPAN_S = MAX_STALENESS_S - CALL_S
 # While nothing changes, discovery sends an empty line every 2 s. After this long without data, discovery or the network
 # path to it is down, even if the connection stays open.
 SILENCE_S = 3.0
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -55,12 +55,12 @@
         assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
-    assert turns.SPAN_S + turns.CALL_S == turns.TOLD_S
+    assert turns.SPAN_S + turns.CALL_S == turns.MAX_STALENESS_S
     if count == 200:
         # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
         assert busiest <= count, busiest
-        later = [one for one in calls if one > turns.TOLD_S + turns.SPAN_S]
+        later = [one for one in calls if one > turns.MAX_STALENESS_S + turns.SPAN_S]
         assert all(sum(at <= one < at + 2.5 for one in later) <= count for at in later)
 
 
@@ -128,7 +128,7 @@
         # it could be reached from the last word on; later, from just after a call that failed had begun
         since_s = word_s if failures == 1 else discovery.begun[failures]
         told_s = discovery.now_s() - since_s
-        assert told_s <= turns.TOLD_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
+        assert told_s <= turns.MAX_STALENESS_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
@@ -160,7 +160,7 @@
         await discovery.open()
         back_s = discovery.now_s()
         await until(lambda: state(scene) is UpstreamState.DRAINING)
-        assert discovery.now_s() - back_s <= turns.TOLD_S
+        assert discovery.now_s() - back_s <= turns.MAX_STALENESS_S
         scene.sidecar.discovery.close()
 
     play(test, monkeypatch)
