--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -14,8 +14,8 @@
 from __future__ import annotations
 
 MAX_STALENESS_S = 6.0
-CALL_S = 0.5  # covers the answer to a call, delays of the event loop and the balancing decisions
-SPAN_S = MAX_STALENESS_S - CALL_S
+CALL_ALLOWANCE_S = 0.5  # covers the answer to a call, delays of the event loop and the balancing decisions
+SPAN_S = MAX_STALENESS_S - CALL_ALLOWANCE_S
 # While nothing changes, discovery sends an empty line every 2 s. After this long without data, discovery or the network
 # path to it is down, even if the connection stays open.
 SILENCE_S = 3.0
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -55,7 +55,7 @@
         assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
-    assert turns.SPAN_S + turns.CALL_S == turns.MAX_STALENESS_S
+    assert turns.SPAN_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
     if count == 200:
         # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
