--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -190,7 +190,7 @@
 
     def start_moving(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(turns.SPAN_S - MOVE_AGAIN_S)  # no parallel call is begun for it
+            self.successor = self.call_watch(turns.MAX_CALL_GAP_S - MOVE_AGAIN_S)  # no parallel call is begun for it
 
     def stop_moving(self) -> None:
         if self.mover is not None:
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -49,18 +49,18 @@
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
         found = begins(mode, kind, 6, is_silent, rng)
-        assert found[0] <= turns.SILENCE_S + turns.FIRST_S and found[1] <= turns.SPAN_S
+        assert found[0] <= turns.SILENCE_S + turns.FIRST_S and found[1] <= turns.MAX_CALL_GAP_S
         # discovery could be reached, at the earliest, just after a call that failed had begun
-        assert all(later - earlier <= turns.SPAN_S for earlier, later in pairwise(found))
+        assert all(later - earlier <= turns.MAX_CALL_GAP_S for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
-    assert turns.SPAN_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
+    assert turns.MAX_CALL_GAP_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
     if count == 200:
         # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
         assert busiest <= count, busiest
-        later = [one for one in calls if one > turns.MAX_STALENESS_S + turns.SPAN_S]
+        later = [one for one in calls if one > turns.MAX_STALENESS_S + turns.MAX_CALL_GAP_S]
         assert all(sum(at <= one < at + 2.5 for one in later) <= count for at in later)
 
 
