--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -18,7 +18,7 @@
 
 PATH = "/registry/instances"
 CONNECT_S = 2.0
-SILENCE_S = turns.SILENCE_S
+SILENCE_S = turns.SILENCE_TIMEOUT_S
 MOVE_AGAIN_S = 0.25
 KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
 # A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -30,7 +30,7 @@
 def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
     """When calls begin after the last word of a watch at 0, which fell silent or broke; none of them by the decisions,
     which may only be sooner (of few)."""
-    found = [turns.after_end_s(turns.SILENCE_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
+    found = [turns.after_end_s(turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
         beside_s = turns.beside_s(0.0, begun, last_s, rng.random())
@@ -49,7 +49,7 @@
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
         found = begins(mode, kind, 6, is_silent, rng)
-        assert found[0] <= turns.SILENCE_S + turns.FIRST_S and found[1] <= turns.MAX_CALL_GAP_S
+        assert found[0] <= turns.SILENCE_TIMEOUT_S + turns.FIRST_S and found[1] <= turns.MAX_CALL_GAP_S
         # discovery could be reached, at the earliest, just after a call that failed had begun
         assert all(later - earlier <= turns.MAX_CALL_GAP_S for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
