--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -21,7 +21,7 @@
 SILENCE_TIMEOUT_S = 3.0
 # The sidecars spread their first calls over half of the time that is left then, so that the second calls have as much.
 # A watch that broke leaves more time, but at most MOST_FIRST_S of it is used.
-FIRST_S = (MAX_CALL_GAP_S - SILENCE_TIMEOUT_S) / 2
+FIRST_CALL_DELAY_S = (MAX_CALL_GAP_S - SILENCE_TIMEOUT_S) / 2
 MOST_FIRST_S = 2.5
 LONGEST_TURN_S = 5.0
 # Share of the available time after which a call begins in parallel with one that waits. It is late because a discovery
@@ -33,7 +33,7 @@
     """Returns the latest time at which the next call may begin. Since the last data from a watch at `heard_s` (None if
     there was none), `begun` calls have begun, the last of them at `last_s`."""
     if heard_s is not None and begun == 0:
-        return heard_s + SILENCE_TIMEOUT_S + FIRST_S
+        return heard_s + SILENCE_TIMEOUT_S + FIRST_CALL_DELAY_S
     most_s = last_s + MAX_CALL_GAP_S
     return min(most_s, heard_s + MAX_CALL_GAP_S) if heard_s is not None and begun == 1 else most_s
 
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -49,10 +49,10 @@
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
         found = begins(mode, kind, 6, is_silent, rng)
-        assert found[0] <= turns.SILENCE_TIMEOUT_S + turns.FIRST_S and found[1] <= turns.MAX_CALL_GAP_S
+        assert found[0] <= turns.SILENCE_TIMEOUT_S + turns.FIRST_CALL_DELAY_S and found[1] <= turns.MAX_CALL_GAP_S
         # discovery could be reached, at the earliest, just after a call that failed had begun
         assert all(later - earlier <= turns.MAX_CALL_GAP_S for earlier, later in pairwise(found))
-        assert all(later - earlier >= turns.FIRST_S / 2 for earlier, later in pairwise(found))
+        assert all(later - earlier >= turns.FIRST_CALL_DELAY_S / 2 for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
     assert turns.MAX_CALL_GAP_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
