--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -22,7 +22,7 @@
 # The sidecars spread their first calls over half of the time that is left then, so that the second calls have as much.
 # A watch that broke leaves more time, but at most MOST_FIRST_S of it is used.
 FIRST_CALL_DELAY_S = (MAX_CALL_GAP_S - SILENCE_TIMEOUT_S) / 2
-MOST_FIRST_S = 2.5
+MAX_FIRST_CALL_SPREAD_S = 2.5
 LONGEST_TURN_S = 5.0
 # Share of the available time after which a call begins in parallel with one that waits. It is late because a discovery
 # service that handles calls one after another has one more call to work on.
@@ -43,7 +43,7 @@
     the time that is left."""
     left_s = max(0.0, latest_s(heard_s, begun, last_s) - now_s)
     if begun == 0:
-        return now_s + min(left_s, MOST_FIRST_S) * draw
+        return now_s + min(left_s, MAX_FIRST_CALL_SPREAD_S) * draw
     return now_s + min(left_s, LONGEST_TURN_S) * (0.5 + draw / 2)
 
 
