--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -23,7 +23,7 @@
 # A watch that broke leaves more time, but at most MOST_FIRST_S of it is used.
 FIRST_CALL_DELAY_S = (MAX_CALL_GAP_S - SILENCE_TIMEOUT_S) / 2
 MAX_FIRST_CALL_SPREAD_S = 2.5
-LONGEST_TURN_S = 5.0
+MAX_RETRY_DELAY_S = 5.0
 # Share of the available time after which a call begins in parallel with one that waits. It is late because a discovery
 # service that handles calls one after another has one more call to work on.
 BESIDE = 0.8
@@ -44,7 +44,7 @@
     left_s = max(0.0, latest_s(heard_s, begun, last_s) - now_s)
     if begun == 0:
         return now_s + min(left_s, MAX_FIRST_CALL_SPREAD_S) * draw
-    return now_s + min(left_s, LONGEST_TURN_S) * (0.5 + draw / 2)
+    return now_s + min(left_s, MAX_RETRY_DELAY_S) * (0.5 + draw / 2)
 
 
 def beside_s(heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -53,7 +53,7 @@
         # discovery could be reached, at the earliest, just after a call that failed had begun
         assert all(later - earlier <= turns.MAX_CALL_GAP_S for earlier, later in pairwise(found))
         assert all(later - earlier >= turns.FIRST_CALL_DELAY_S / 2 for earlier, later in pairwise(found))
-        assert all(later - earlier >= turns.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
+        assert all(later - earlier >= turns.MAX_RETRY_DELAY_S / 2 for earlier, later in pairwise(found[1:]))
         calls += found
     assert turns.MAX_CALL_GAP_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
     if count == 200:
