--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -26,7 +26,7 @@
 MAX_RETRY_DELAY_S = 5.0
 # Share of the available time after which a call begins in parallel with one that waits. It is late because a discovery
 # service that handles calls one after another has one more call to work on.
-BESIDE = 0.8
+PARALLEL_START_SHARE = 0.8
 
 
 def latest_s(heard_s: float | None, begun: int, last_s: float) -> float:
@@ -49,4 +49,4 @@
 
 def beside_s(heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
     """Returns the start of the next call in parallel with the last one, if that has received nothing until then."""
-    return last_s + (latest_s(heard_s, begun, last_s) - last_s) * (BESIDE + (1.0 - BESIDE) * draw)
+    return last_s + (latest_s(heard_s, begun, last_s) - last_s) * (PARALLEL_START_SHARE + (1.0 - PARALLEL_START_SHARE) * draw)
