--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -29,7 +29,7 @@
 PARALLEL_START_SHARE = 0.8
 
 
-def latest_s(heard_s: float | None, begun: int, last_s: float) -> float:
+def latest_start_s(heard_s: float | None, begun: int, last_s: float) -> float:
     """Returns the latest time at which the next call may begin. Since the last data from a watch at `heard_s` (None if
     there was none), `begun` calls have begun, the last of them at `last_s`."""
     if heard_s is not None and begun == 0:
@@ -41,7 +41,7 @@
 def after_end_s(now_s: float, heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
     """Returns the start of the next call after a watch (`begun` is 0) or the last call has ended: a random time within
     the time that is left."""
-    left_s = max(0.0, latest_s(heard_s, begun, last_s) - now_s)
+    left_s = max(0.0, latest_start_s(heard_s, begun, last_s) - now_s)
     if begun == 0:
         return now_s + min(left_s, MAX_FIRST_CALL_SPREAD_S) * draw
     return now_s + min(left_s, MAX_RETRY_DELAY_S) * (0.5 + draw / 2)
@@ -49,4 +49,4 @@
 
 def beside_s(heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
     """Returns the start of the next call in parallel with the last one, if that has received nothing until then."""
-    return last_s + (latest_s(heard_s, begun, last_s) - last_s) * (PARALLEL_START_SHARE + (1.0 - PARALLEL_START_SHARE) * draw)
+    return last_s + (latest_start_s(heard_s, begun, last_s) - last_s) * (PARALLEL_START_SHARE + (1.0 - PARALLEL_START_SHARE) * draw)
