--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -277,7 +277,7 @@
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(turns.after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(turns.start_after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -38,7 +38,7 @@
     return min(most_s, heard_s + MAX_CALL_GAP_S) if heard_s is not None and begun == 1 else most_s
 
 
-def after_end_s(now_s: float, heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
+def start_after_end_s(now_s: float, heard_s: float | None, begun: int, last_s: float, draw: float) -> float:
     """Returns the start of the next call after a watch (`begun` is 0) or the last call has ended: a random time within
     the time that is left."""
     left_s = max(0.0, latest_start_s(heard_s, begun, last_s) - now_s)
