--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -159,7 +159,7 @@
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.begun += 1
         self.last_s = call.began_s
-        self.open_at(turns.beside_s(self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(turns.parallel_start_s(self.heard_s, self.begun, self.last_s, self.random.random()))
 
     def open_at(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -33,7 +33,7 @@
     found = [turns.start_after_end_s(turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
-        beside_s = turns.beside_s(0.0, begun, last_s, rng.random())
+        beside_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
         took_s = ENDS[kind]
         end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
         found.append(beside_s if beside_s <= end_s else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
