--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -9,7 +9,7 @@
 import socket
 
 Address = tuple[str, int]
-UNDER_WAY = (errno.EINPROGRESS, errno.EINTR)  # an interrupted connect continues asynchronously, see connect(2)
+IN_PROGRESS_ERRORS = (errno.EINPROGRESS, errno.EINTR)  # an interrupted connect continues asynchronously, see connect(2)
 
 
 async def resolved(address: Address) -> Address:
@@ -26,7 +26,7 @@
 async def connect(sock: socket.socket, address: Address) -> None:
     """Connects a non-blocking socket. Raises OSError."""
     number = sock.connect_ex(await resolved(address))
-    if number in UNDER_WAY:
+    if number in IN_PROGRESS_ERRORS:
         await writable(sock)
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if number:
