--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -12,7 +12,7 @@
 IN_PROGRESS_ERRORS = (errno.EINPROGRESS, errno.EINTR)  # an interrupted connect continues asynchronously, see connect(2)
 
 
-async def resolved(address: Address) -> Address:
+async def resolve(address: Address) -> Address:
     """Returns the address with the host name resolved to an IPv4 address. Raises OSError."""
     host, port = address
     try:
@@ -25,7 +25,7 @@
 
 async def connect(sock: socket.socket, address: Address) -> None:
     """Connects a non-blocking socket. Raises OSError."""
-    number = sock.connect_ex(await resolved(address))
+    number = sock.connect_ex(await resolve(address))
     if number in IN_PROGRESS_ERRORS:
         await writable(sock)
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
