--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -27,13 +27,13 @@
     """Connects a non-blocking socket. Raises OSError."""
     number = sock.connect_ex(await resolve(address))
     if number in IN_PROGRESS_ERRORS:
-        await writable(sock)
+        await wait_until_writable(sock)
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if number:
         raise OSError(number, os.strerror(number))
 
 
-async def writable(sock: socket.socket) -> None:
+async def wait_until_writable(sock: socket.socket) -> None:
     """Waits until the socket becomes writable."""
     loop = asyncio.get_running_loop()
     waiter: asyncio.Future[None] = loop.create_future()
