--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-LONGEST = 16 << 20  # limit for one value
+MAX_VALUE_BYTES = 16 << 20  # limit for one value
 # Matches up to the next bracket and skips complete strings, because brackets inside a string don't count. The
 # quantifiers are possessive (no backtracking), so that each byte is examined once. A string whose end has not arrived
 # yet is not skipped.
@@ -62,8 +62,8 @@
                         continue
                 self.at, self.depth = 1, 1
             if not self.reach_end():
-                if len(self.data) > LONGEST:
-                    raise ValueError(f"expected a value of {LONGEST} bytes at most, got a longer one")
+                if len(self.data) > MAX_VALUE_BYTES:
+                    raise ValueError(f"expected a value of {MAX_VALUE_BYTES} bytes at most, got a longer one")
                 return
             text, self.data, self.at = bytes(self.data[:self.at]), self.data[self.at:], 0
             yield json.loads(text)
