--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -11,7 +11,7 @@
 # Matches up to the next bracket and skips complete strings, because brackets inside a string don't count. The
 # quantifiers are possessive (no backtracking), so that each byte is examined once. A string whose end has not arrived
 # yet is not skipped.
-TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
+UP_TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
 OPENING, CLOSING = b"{[", b"}]"
 SPACE = b" \t\r\n"
 
@@ -82,7 +82,7 @@
         """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
         data = self.data
         while True:
-            found = TO_BRACKET.match(data, self.at)
+            found = UP_TO_BRACKET.match(data, self.at)
             assert found is not None  # the pattern also matches the empty string
             self.at = found.end()
             if self.at == len(data) or data[self.at] == ord('"'):
