--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -13,7 +13,7 @@
 # yet is not skipped.
 UP_TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
 OPENING, CLOSING = b"{[", b"}]"
-SPACE = b" \t\r\n"
+WHITESPACE = b" \t\r\n"
 
 
 class Blank:
@@ -70,7 +70,7 @@
 
     def skip_space(self) -> Iterator[Blank]:
         """Removes leading whitespace and yields `BLANK` for each empty line in it."""
-        count = len(self.data) - len(self.data.lstrip(SPACE))
+        count = len(self.data) - len(self.data.lstrip(WHITESPACE))
         space = bytes(self.data[:count])
         del self.data[:count]
         for _ in range(space.count(b"\n")):
