--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -20,7 +20,7 @@
     """An empty line between two values; discovery sends it as a heartbeat."""
 
 
-BLANK = Blank()
+BLANK_LINE = Blank()
 
 
 class JsonStream:
@@ -76,7 +76,7 @@
         for _ in range(space.count(b"\n")):
             blank, self.is_blank = self.is_blank, True
             if blank:
-                yield BLANK
+                yield BLANK_LINE
 
     def reach_end(self) -> bool:
         """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -18,7 +18,7 @@
 from ironscale.net import jsonstream
 from ironscale.net.config import CALL_US, parse
 from ironscale.net.discovery import Directory
-from ironscale.net.jsonstream import BLANK, JsonStream
+from ironscale.net.jsonstream import BLANK_LINE, JsonStream
 from ironscale.net.sidecar import Sidecar
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.upstream import Peer, reset
@@ -111,13 +111,13 @@
         step = steps[turn % len(steps)]
         found += stream.feed(raw[at:at + step])
         at, turn = at + step, turn + 1
-    assert [one for one in found if one is not BLANK] == [value for value, _, _ in values]
+    assert [one for one in found if one is not BLANK_LINE] == [value for value, _, _ in values]
     blank, blanks = True, 0
     for _, _, end in values:  # a value's own line end is none
         blank = False
         for _ in range(end.count("\n")):
             blank, blanks = True, blanks + blank
-    assert found.count(BLANK) == blanks
+    assert found.count(BLANK_LINE) == blanks
     assert stream.is_between
 
 
