--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -14,7 +14,7 @@
 
 from ironscale.interface import ListKind, Upstream, UpstreamState
 from ironscale.net import turns
-from ironscale.net.jsonstream import Blank, JsonStream
+from ironscale.net.jsonstream import BlankLine, JsonStream
 
 PATH = "/registry/instances"
 CONNECT_S = 2.0
@@ -212,9 +212,9 @@
         service that is slower than expected would never be heard."""
         return self.answer_s * (2 if self.unanswered else 1)
 
-    def told(self, call: _Call, value: Any | Blank) -> None:
+    def told(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
-        if not isinstance(value, Blank):
+        if not isinstance(value, BlankLine):
             listing = self.directory.read(value)
         elif call.answered and call.behind_since_s is None:
             return
--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -16,11 +16,11 @@
 WHITESPACE = b" \t\r\n"
 
 
-class Blank:
+class BlankLine:
     """An empty line between two values; discovery sends it as a heartbeat."""
 
 
-BLANK_LINE = Blank()
+BLANK_LINE = BlankLine()
 
 
 class JsonStream:
@@ -40,7 +40,7 @@
         """Whether the stream is between two values, with none unfinished."""
         return not self.data
 
-    def feed(self, piece: bytes) -> Iterator[Any | Blank]:
+    def feed(self, piece: bytes) -> Iterator[Any | BlankLine]:
         self.data += piece
         while self.data:
             if not self.depth:
@@ -68,7 +68,7 @@
             text, self.data, self.at = bytes(self.data[:self.at]), self.data[self.at:], 0
             yield json.loads(text)
 
-    def skip_space(self) -> Iterator[Blank]:
+    def skip_space(self) -> Iterator[BlankLine]:
         """Removes leading whitespace and yields `BLANK` for each empty line in it."""
         count = len(self.data) - len(self.data.lstrip(WHITESPACE))
         space = bytes(self.data[:count])
