--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -30,7 +30,7 @@
     """
 
     def __init__(self) -> None:
-        self.data = bytearray()  # the unfinished value, from its first byte on
+        self.buffer = bytearray()  # the unfinished value, from its first byte on
         self.at = 0  # bytes of `data` that have been examined
         self.depth = 0
         self.is_blank = True  # no value has begun on the current line
@@ -38,41 +38,41 @@
     @property
     def is_between(self) -> bool:
         """Whether the stream is between two values, with none unfinished."""
-        return not self.data
+        return not self.buffer
 
     def feed(self, piece: bytes) -> Iterator[Any | BlankLine]:
-        self.data += piece
-        while self.data:
+        self.buffer += piece
+        while self.buffer:
             if not self.depth:
                 yield from self.skip_space()
-                if not self.data:
+                if not self.buffer:
                     return
-                if self.data[0] not in OPENING:
-                    raise ValueError(f"expected a JSON object or array, got {bytes(self.data[:40])!r}")
+                if self.buffer[0] not in OPENING:
+                    raise ValueError(f"expected a JSON object or array, got {bytes(self.buffer[:40])!r}")
                 self.is_blank = False
-                line = bytes(self.data[:self.data.find(b"\n") + 1])
+                line = bytes(self.buffer[:self.buffer.find(b"\n") + 1])
                 if line.rstrip().endswith(b"}"):  # fast path, three times as fast: most values are one line
                     try:
                         value = json.loads(line)
                     except ValueError:  # part of a value of several lines, or several values on one line
                         pass
                     else:
-                        del self.data[:len(line) - 1]
+                        del self.buffer[:len(line) - 1]
                         yield value
                         continue
                 self.at, self.depth = 1, 1
             if not self.reach_end():
-                if len(self.data) > MAX_VALUE_BYTES:
+                if len(self.buffer) > MAX_VALUE_BYTES:
                     raise ValueError(f"expected a value of {MAX_VALUE_BYTES} bytes at most, got a longer one")
                 return
-            text, self.data, self.at = bytes(self.data[:self.at]), self.data[self.at:], 0
+            text, self.buffer, self.at = bytes(self.buffer[:self.at]), self.buffer[self.at:], 0
             yield json.loads(text)
 
     def skip_space(self) -> Iterator[BlankLine]:
         """Removes leading whitespace and yields `BLANK` for each empty line in it."""
-        count = len(self.data) - len(self.data.lstrip(WHITESPACE))
-        space = bytes(self.data[:count])
-        del self.data[:count]
+        count = len(self.buffer) - len(self.buffer.lstrip(WHITESPACE))
+        space = bytes(self.buffer[:count])
+        del self.buffer[:count]
         for _ in range(space.count(b"\n")):
             blank, self.is_blank = self.is_blank, True
             if blank:
@@ -80,7 +80,7 @@
 
     def reach_end(self) -> bool:
         """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
-        data = self.data
+        data = self.buffer
         while True:
             found = UP_TO_BRACKET.match(data, self.at)
             assert found is not None  # the pattern also matches the empty string
