--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()  # the unfinished value, from its first byte on
-        self.at = 0  # bytes of `data` that have been examined
+        self.position = 0  # bytes of `data` that have been examined
         self.depth = 0
         self.is_blank = True  # no value has begun on the current line
 
@@ -60,12 +60,12 @@
                         del self.buffer[:len(line) - 1]
                         yield value
                         continue
-                self.at, self.depth = 1, 1
+                self.position, self.depth = 1, 1
             if not self.reach_end():
                 if len(self.buffer) > MAX_VALUE_BYTES:
                     raise ValueError(f"expected a value of {MAX_VALUE_BYTES} bytes at most, got a longer one")
                 return
-            text, self.buffer, self.at = bytes(self.buffer[:self.at]), self.buffer[self.at:], 0
+            text, self.buffer, self.position = bytes(self.buffer[:self.position]), self.buffer[self.position:], 0
             yield json.loads(text)
 
     def skip_space(self) -> Iterator[BlankLine]:
@@ -82,12 +82,12 @@
         """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
         data = self.buffer
         while True:
-            found = UP_TO_BRACKET.match(data, self.at)
+            found = UP_TO_BRACKET.match(data, self.position)
             assert found is not None  # the pattern also matches the empty string
-            self.at = found.end()
-            if self.at == len(data) or data[self.at] == ord('"'):
+            self.position = found.end()
+            if self.position == len(data) or data[self.position] == ord('"'):
                 return False
-            self.depth += 1 if data[self.at] in OPENING else -1
-            self.at += 1
+            self.depth += 1 if data[self.position] in OPENING else -1
+            self.position += 1
             if not self.depth:
                 return True
