--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -33,7 +33,7 @@
         self.buffer = bytearray()  # the unfinished value, from its first byte on
         self.position = 0  # bytes of `data` that have been examined
         self.depth = 0
-        self.is_blank = True  # no value has begun on the current line
+        self.is_line_blank = True  # no value has begun on the current line
 
     @property
     def is_between(self) -> bool:
@@ -49,7 +49,7 @@
                     return
                 if self.buffer[0] not in OPENING:
                     raise ValueError(f"expected a JSON object or array, got {bytes(self.buffer[:40])!r}")
-                self.is_blank = False
+                self.is_line_blank = False
                 line = bytes(self.buffer[:self.buffer.find(b"\n") + 1])
                 if line.rstrip().endswith(b"}"):  # fast path, three times as fast: most values are one line
                     try:
@@ -74,7 +74,7 @@
         space = bytes(self.buffer[:count])
         del self.buffer[:count]
         for _ in range(space.count(b"\n")):
-            blank, self.is_blank = self.is_blank, True
+            blank, self.is_line_blank = self.is_line_blank, True
             if blank:
                 yield BLANK_LINE
 
