--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -372,7 +372,7 @@
                 return
 
     def on_message_complete(self) -> None:
-        if not self.over and not self.stream.is_between:
+        if not self.over and not self.stream.is_between_values:
             raise ValueError("the response ended in the middle of a list")
         self.end()
 
--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -36,7 +36,7 @@
         self.is_line_blank = True  # no value has begun on the current line
 
     @property
-    def is_between(self) -> bool:
+    def is_between_values(self) -> bool:
         """Whether the stream is between two values, with none unfinished."""
         return not self.buffer
 
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -118,7 +118,7 @@
         for _ in range(end.count("\n")):
             blank, blanks = True, blanks + blank
     assert found.count(BLANK_LINE) == blanks
-    assert stream.is_between
+    assert stream.is_between_values
 
 
 @pytest.mark.parametrize("raw", [b"7", b"[1]x", b"null\n", b"}", b'{"a":}', b"{]}"])
