--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -44,7 +44,7 @@
         self.buffer += piece
         while self.buffer:
             if not self.depth:
-                yield from self.skip_space()
+                yield from self.skip_whitespace()
                 if not self.buffer:
                     return
                 if self.buffer[0] not in OPENING:
@@ -68,7 +68,7 @@
             text, self.buffer, self.position = bytes(self.buffer[:self.position]), self.buffer[self.position:], 0
             yield json.loads(text)
 
-    def skip_space(self) -> Iterator[BlankLine]:
+    def skip_whitespace(self) -> Iterator[BlankLine]:
         """Removes leading whitespace and yields `BLANK` for each empty line in it."""
         count = len(self.buffer) - len(self.buffer.lstrip(WHITESPACE))
         space = bytes(self.buffer[:count])
