--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -61,7 +61,7 @@
                         yield value
                         continue
                 self.position, self.depth = 1, 1
-            if not self.reach_end():
+            if not self.find_end():
                 if len(self.buffer) > MAX_VALUE_BYTES:
                     raise ValueError(f"expected a value of {MAX_VALUE_BYTES} bytes at most, got a longer one")
                 return
@@ -78,7 +78,7 @@
             if blank:
                 yield BLANK_LINE
 
-    def reach_end(self) -> bool:
+    def find_end(self) -> bool:
         """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
         data = self.buffer
         while True:
