--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -49,7 +49,7 @@
     return host, int(port)
 
 
-def _names(value: object) -> list[str]:
+def _string_list(value: object) -> list[str]:
     return [str(name) for name in value] if isinstance(value, list) else []
 
 
@@ -75,7 +75,7 @@
     try:
         options = settings.from_object(raw)
         assert isinstance(raw, dict)
-        directory = Directory(_names(raw.get("areas")), _names(raw.get("kinds")))
+        directory = Directory(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
         in_file = data.get("discovery")
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
