--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -53,7 +53,7 @@
     return [str(name) for name in value] if isinstance(value, list) else []
 
 
-def _answer_us(options: settings.Options) -> int:
+def _answer_timeout_us(options: settings.Options) -> int:
     """Returns how long a call to discovery may wait for its answer. For an agent on this machine it is short: what the
     agent knows counts as known to the sidecar, even while the agent is silent and as soon as it is back."""
     if options.text("registry-mode") == "on_request":
@@ -90,7 +90,7 @@
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
             report_fields=[name for name in options.text("report.names", "").split(",") if name],
-            answer_us=_answer_us(options),
+            answer_us=_answer_timeout_us(options),
             idle_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
             known=known,
