--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -16,7 +16,7 @@
 from ironscale.net import turns
 from ironscale.net.jsonstream import BlankLine, JsonStream
 
-PATH = "/registry/instances"
+LIST_PATH = "/registry/instances"
 CONNECT_S = 2.0
 SILENCE_S = turns.SILENCE_TIMEOUT_S
 MOVE_AGAIN_S = 0.25
@@ -168,7 +168,7 @@
         self.again = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
 
     def call_watch(self, most_s: float = math.inf) -> _Call:
-        return _Call(self, f"{PATH}?watch=1&after={self.generation}", most_s)
+        return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
 
     def unsubscribe(self) -> None:
         self.stop_moving()
@@ -200,7 +200,7 @@
             successor.close()
 
     def fetch(self) -> None:
-        self.fetches.add(_Call(self, PATH))
+        self.fetches.add(_Call(self, LIST_PATH))
 
     def close(self) -> None:
         self.unsubscribe()
