--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -17,7 +17,7 @@
 from ironscale.net.jsonstream import BlankLine, JsonStream
 
 LIST_PATH = "/registry/instances"
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 SILENCE_S = turns.SILENCE_TIMEOUT_S
 MOVE_AGAIN_S = 0.25
 KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
@@ -330,7 +330,7 @@
 
     async def connect(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
             self.end()
