--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -18,7 +18,7 @@
 
 LIST_PATH = "/registry/instances"
 CONNECT_TIMEOUT_S = 2.0
-SILENCE_S = turns.SILENCE_TIMEOUT_S
+SILENCE_TIMEOUT_S = turns.SILENCE_TIMEOUT_S
 MOVE_AGAIN_S = 0.25
 KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
 # A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
@@ -347,7 +347,7 @@
             return
         # any data shows that the connection works; a lost connection can only be noticed by the lack of data
         self.silence.cancel()
-        loop, limit_s = asyncio.get_running_loop(), SILENCE_S
+        loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.answered:
             limit_s = min(self.owner.patience_s(), self.most_s)
         self.heard_s = loop.time()
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -237,7 +237,7 @@
         peer = await Peer().start()
         for mode in MODES:
             scene = await watched(peer, mode, grace_us=500_000)
-            balancer, spent_s = scene.sidecar.balancer, module.SILENCE_S
+            balancer, spent_s = scene.sidecar.balancer, module.SILENCE_TIMEOUT_S
             for _ in range(2):
                 before_us = scene.sidecar.clock.now_us()
                 scene.sidecar.on_list(ListKind.FAILED, None)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,7 +24,7 @@
     told: Told = []
     logged: list[str] = []
     discovery = Discovery(("127.0.0.1", fake.port), Directory(["a", "b"], ["large", "small"]), generation,
-                          lambda kind, what: told.append((kind, what)), module.SILENCE_S, logged.append)
+                          lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
     discovery.subscribe()
     return discovery, told
 
@@ -196,7 +196,7 @@
         told: Told = []
         logged: list[str] = []
         discovery = Discovery(("127.0.0.1", server.sockets[0].getsockname()[1]), Directory([], []), 0,
-                              lambda kind, what: told.append((kind, what)), module.SILENCE_S, logged.append)
+                              lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
         discovery.fetch()
         await until(lambda: told)
         await until(lambda: not discovery.fetches)
