--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -19,7 +19,7 @@
 LIST_PATH = "/registry/instances"
 CONNECT_TIMEOUT_S = 2.0
 SILENCE_TIMEOUT_S = turns.SILENCE_TIMEOUT_S
-MOVE_AGAIN_S = 0.25
+MOVE_RETRY_S = 0.25
 KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
 # A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
 # lags has caught up by then.
@@ -190,7 +190,7 @@
 
     def start_moving(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(turns.MAX_CALL_GAP_S - MOVE_AGAIN_S)  # no parallel call is begun for it
+            self.successor = self.call_watch(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
 
     def stop_moving(self) -> None:
         if self.mover is not None:
@@ -284,7 +284,7 @@
         """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
-            self.mover = asyncio.get_running_loop().call_later(MOVE_AGAIN_S, self.start_moving)
+            self.mover = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.start_moving)
             return
         if call in self.waiting:
             del self.waiting[call]
