--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT_S = 2.0
 SILENCE_TIMEOUT_S = turns.SILENCE_TIMEOUT_S
 MOVE_RETRY_S = 0.25
-KEPT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
+LATE_ANSWER_TIMEOUT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
 # A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
 # lags has caught up by then.
 BEHIND_S = 3.0
@@ -380,7 +380,7 @@
         """Handles the timeout of a call that has received no data."""
         self.owner.unanswered += not self.answered
         if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps(self):
-            self.silence = asyncio.get_running_loop().call_later(KEPT_S, self.end)
+            self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
 
