--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -23,7 +23,7 @@
 LATE_ANSWER_TIMEOUT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
 # A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
 # lags has caught up by then.
-BEHIND_S = 3.0
+MAX_LAG_S = 3.0
 _STATES = {state.value: state for state in UpstreamState}
 
 
@@ -263,7 +263,7 @@
         now_s = asyncio.get_running_loop().time()
         if call.behind_since_s is None:
             call.behind_since_s = now_s
-        return now_s - call.behind_since_s < BEHIND_S
+        return now_s - call.behind_since_s < MAX_LAG_S
 
     def keeps(self, call: _Call) -> bool:
         """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
