--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -59,7 +59,7 @@
     return int.from_bytes(b"\1" + hashlib.blake2b(raw, digest_size=8).digest() + raw)
 
 
-class Names:
+class NameIndex:
     """Maps names to their indexes in the settings' list, and names that only discovery knows to indexes beyond it. Each
     unknown name gets its own index: two unknown zones with one index would count as the same zone for the rule that
     keeps retries of a request within its zone."""
@@ -78,7 +78,7 @@
     """Parses the JSON lists of discovery. Zones and machine types become indexes into the settings' lists."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.zones, self.kinds = Names(zones), Names(kinds)
+        self.zones, self.kinds = NameIndex(zones), NameIndex(kinds)
 
     def read(self, data: Any) -> Listing:
         """Parses one list. Raises ListError."""
