--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -47,7 +47,7 @@
 
 def listed(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
     """What the list says of an upstream, by the names that the configuration has for numbers."""
-    zones, kinds = list(directory.zones.listed), list(directory.kinds.listed)
+    zones, kinds = list(directory.zones.configured), list(directory.kinds.configured)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
             "kind": kinds[entry.kind] if entry.kind < len(kinds) else "", "group": str(entry.cell),
             "weight": entry.weight, "startedUs": entry.started_us}
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -63,7 +63,7 @@
         self.sidecar = sidecar
         self.boot = machine_boot()
         self.started_us = sidecar.clock.now_us()
-        self.zones = {index: name for name, index in sidecar.config.directory.zones.listed.items()}
+        self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
         self.longest_s = 0.0  # step on the loop since the start
 
     def spent(self, took_s: float) -> None:
@@ -101,7 +101,7 @@
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.Lessons:
         """A snapshot of that age for this sidecar's decisions."""
         now_us = self.sidecar.clock.now_us()
-        zone = self.sidecar.config.directory.zones.listed.get(snapshot.zone, -1)
+        zone = self.sidecar.config.directory.zones.configured.get(snapshot.zone, -1)
         return lessons_of(snapshot, now_us - age_us, now_us, zone, upstream_id)
 
 
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -65,13 +65,13 @@
     keeps retries of a request within its zone."""
 
     def __init__(self, names: list[str]) -> None:
-        self.listed = {name: index for index, name in enumerate(names)}
+        self.configured = {name: index for index, name in enumerate(names)}
         self.others: dict[str, int] = {}
 
     def index(self, name: object) -> int:
         text = str(name or "")
-        found = self.listed.get(text)
-        return self.others.setdefault(text, len(self.listed) + len(self.others)) if found is None else found
+        found = self.configured.get(text)
+        return self.others.setdefault(text, len(self.configured) + len(self.others)) if found is None else found
 
 
 class Directory:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -293,7 +293,7 @@
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
                 fixed = fixed or name
-        places = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
+        places = [(c.directory.zones.configured, c.directory.kinds.configured, c.report_fields) for c in (old, new)]
         fixed = fixed or ("areas, kinds or report fields" if places[0] != places[1] else "")
         if fixed:
             raise NeedsRestart(fixed)
