--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -66,12 +66,12 @@
 
     def __init__(self, names: list[str]) -> None:
         self.configured = {name: index for index, name in enumerate(names)}
-        self.others: dict[str, int] = {}
+        self.discovered: dict[str, int] = {}
 
     def index(self, name: object) -> int:
         text = str(name or "")
         found = self.configured.get(text)
-        return self.others.setdefault(text, len(self.configured) + len(self.others)) if found is None else found
+        return self.discovered.setdefault(text, len(self.configured) + len(self.discovered)) if found is None else found
 
 
 class Directory:
