--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -10,7 +10,7 @@
 from ironscale import interface as api
 from ironscale.control.messages import ClassCounts, Report
 from ironscale.net.config import ConfigError
-from ironscale.net.discovery import Directory
+from ironscale.net.discovery import ListParser
 from ironscale.net.sidecar import NeedsRestart, Sidecar
 from ironscale.telling import view
 
@@ -45,7 +45,7 @@
     def stop(self) -> None: ...
 
 
-def listed(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
+def listed(entry: api.Upstream, directory: ListParser) -> dict[str, Any]:
     """What the list says of an upstream, by the names that the configuration has for numbers."""
     zones, kinds = list(directory.zones.configured), list(directory.kinds.configured)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -9,7 +9,7 @@
 
 from ironscale import settings
 from ironscale.interface import Settings
-from ironscale.net.discovery import Directory, ListError, Listing
+from ironscale.net.discovery import ListParser, ListError, Listing
 
 Address = tuple[str, int]
 LEAST_SOCKETS = 64
@@ -35,7 +35,7 @@
     report_fields: list[str]  # names of the fields in the load reports of answers
     answer_us: int  # a call that discovery has not answered by then counts as failed
     idle_us: int  # an upstream closes a connection that was idle for this long
-    directory: Directory  # parses the lists of discovery, with the zone and machine type names of the settings
+    directory: ListParser  # parses the lists of discovery, with the zone and machine type names of the settings
     known: Listing  # the last known list of upstreams; may be empty or outdated
     document: Mapping[str, Any]  # the JSON document that this was read from
     generation: int = 0  # generation of the overlay that the process started with; 0 if there is none
@@ -75,7 +75,7 @@
     try:
         options = settings.from_object(raw)
         assert isinstance(raw, dict)
-        directory = Directory(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
+        directory = ListParser(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
         in_file = data.get("discovery")
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -74,7 +74,7 @@
         return self.discovered.setdefault(text, len(self.configured) + len(self.discovered)) if found is None else found
 
 
-class Directory:
+class ListParser:
     """Parses the JSON lists of discovery. Zones and machine types become indexes into the settings' lists."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
@@ -118,7 +118,7 @@
     is opened: as soon as the balancer asks for it, and no later than the time that `turns` computes. If many sidecars
     share a discovery service, it is opened at that time and not before."""
 
-    def __init__(self, address: tuple[str, int], directory: Directory, generation: int, on_list: OnList,
+    def __init__(self, address: tuple[str, int], directory: ListParser, generation: int, on_list: OnList,
                  answer_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
         self.address = address
         self.answer_s = answer_s  # time to wait for the first data of a call
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -29,7 +29,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.load.run import child, sidecar_settings
 from ironscale.net.config import CALL_US
-from ironscale.net.discovery import Directory, Discovery, Listing, _Call
+from ironscale.net.discovery import ListParser, Discovery, Listing, _Call
 from ironscale.scale.path import allow_files, percentile, scenario
 from ironscale.scale.run import RunError, Scene
 from ironscale.standins.discovery import ListedDiscovery
@@ -131,7 +131,7 @@
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
         self.first_s = -1.0  # from its start to its first list
-        self.client = CountedClient(herd.address, Directory([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
+        self.client = CountedClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = herd.counts
         options = settings.read(settings.from_object(herd.settings))
         self.balancer = Balancer(options, random.Random(f"{herd.seed}/{number}").randrange(1 << 62), self.now_us())
--- a/ironscale/scale/hollow.py
+++ b/ironscale/scale/hollow.py
@@ -27,7 +27,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.light import LightInstance, light, light_follower
 from ironscale.interface import ListKind
-from ironscale.net.discovery import Directory, Discovery, Listing
+from ironscale.net.discovery import ListParser, Discovery, Listing
 from ironscale.operator_file import read_secret
 from ironscale.scale.bounds import Crew, memory_mb
 from ironscale.versions.choice import Place
@@ -116,7 +116,7 @@
                         group.create_task(self.follow(instance, n, token, rng).run())
                 if order["discovery"]:
                     host, port = order["discovery"]
-                    self.discoveries.append(Discovery((host, port), Directory([], []), 0, partial(
+                    self.discoveries.append(Discovery((host, port), ListParser([], []), 0, partial(
                         self.told, len(self.discoveries)), 5.0, lambda text: None))
                     self.discoveries[-1].subscribe()
                 await asyncio.sleep(1 / DIALS_PER_S)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 from ironscale.interface import ListKind, UpstreamState
 from ironscale.net import discovery as module
-from ironscale.net.discovery import Directory, Discovery, ListError, Listing, upstream_id
+from ironscale.net.discovery import ListParser, Discovery, ListError, Listing, upstream_id
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import read_message
 from tests.sockets import run, until
@@ -23,7 +23,7 @@
 async def watching(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Told]:
     told: Told = []
     logged: list[str] = []
-    discovery = Discovery(("127.0.0.1", fake.port), Directory(["a", "b"], ["large", "small"]), generation,
+    discovery = Discovery(("127.0.0.1", fake.port), ListParser(["a", "b"], ["large", "small"]), generation,
                           lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
     discovery.subscribe()
     return discovery, told
@@ -195,7 +195,7 @@
         server = await asyncio.start_server(whole, "127.0.0.1", 0)
         told: Told = []
         logged: list[str] = []
-        discovery = Discovery(("127.0.0.1", server.sockets[0].getsockname()[1]), Directory([], []), 0,
+        discovery = Discovery(("127.0.0.1", server.sockets[0].getsockname()[1]), ListParser([], []), 0,
                               lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
         discovery.fetch()
         await until(lambda: told)
@@ -208,7 +208,7 @@
 def test_ids_come_from_the_name_alone_and_never_collide(monkeypatch: pytest.MonkeyPatch) -> None:
     assert upstream_id("s-5be2a07c") == upstream_id("s-5be2a07c") > 0
     moved = {**ENTRY, "hostPort": "127.0.0.2:1", "zone": "a", "startedAtMs": 0}
-    read = Directory([], []).read
+    read = ListParser([], []).read
     ids = {read(listing(entry)).members[0].upstream.id for entry in (ENTRY, moved)}
     assert ids == {upstream_id("s-1")}
 
@@ -229,7 +229,7 @@
 ])
 def test_a_malformed_list_is_told_in_one_line(data: Any) -> None:
     with pytest.raises(ListError) as caught:
-        Directory([], []).read(data)
+        ListParser([], []).read(data)
     assert "\n" not in str(caught.value)
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 
 from ironscale.interface import Outcome
 from ironscale.net import upstream as module
-from ironscale.net.discovery import Directory, Member
+from ironscale.net.discovery import ListParser, Member
 from ironscale.net.upstream import Answer, Attempt, Upstreams
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok
@@ -29,7 +29,7 @@
 
 
 def members(*entries: dict[str, Any]) -> list[Member]:
-    return Directory(["a"], ["large"]).read(listing(*entries)).members
+    return ListParser(["a"], ["large"]).read(listing(*entries)).members
 
 
 class Line:
