--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -80,7 +80,7 @@
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
-        known = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
+        known = directory.parse(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
             name=told("GW_NAME", "name"),
             listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -80,7 +80,7 @@
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones, self.kinds = NameIndex(zones), NameIndex(kinds)
 
-    def read(self, data: Any) -> Listing:
+    def parse(self, data: Any) -> Listing:
         """Parses one list. Raises ListError."""
         members: list[Member] = []
         try:
@@ -215,7 +215,7 @@
     def told(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, BlankLine):
-            listing = self.directory.read(value)
+            listing = self.directory.parse(value)
         elif call.answered and call.behind_since_s is None:
             return
         else:  # a heartbeat: nothing has changed since our list
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -292,7 +292,7 @@
 def test_zones_that_only_discovery_knows_are_kept_apart_and_nulls_say_nothing() -> None:
     entries = [{**ENTRY, "instanceId": f"s-{name}", "zone": name} for name in ("x", "b", "y", "x", None)]
     entries[4].update(cell=None, weight=None, startedAtMs=None, machineType=None)
-    found = [member.upstream for member in ListParser(["a", "b"], []).read(listing(*entries)).members]
+    found = [member.upstream for member in ListParser(["a", "b"], []).parse(listing(*entries)).members]
     assert [one.zone for one in found] == [2, 1, 3, 2, 4]
     assert (found[4].cell, found[4].weight, found[4].started_us) == (0, 1.0, 0)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -208,7 +208,7 @@
 def test_ids_come_from_the_name_alone_and_never_collide(monkeypatch: pytest.MonkeyPatch) -> None:
     assert upstream_id("s-5be2a07c") == upstream_id("s-5be2a07c") > 0
     moved = {**ENTRY, "hostPort": "127.0.0.2:1", "zone": "a", "startedAtMs": 0}
-    read = ListParser([], []).read
+    read = ListParser([], []).parse
     ids = {read(listing(entry)).members[0].upstream.id for entry in (ENTRY, moved)}
     assert ids == {upstream_id("s-1")}
 
@@ -229,7 +229,7 @@
 ])
 def test_a_malformed_list_is_told_in_one_line(data: Any) -> None:
     with pytest.raises(ListError) as caught:
-        ListParser([], []).read(data)
+        ListParser([], []).parse(data)
     assert "\n" not in str(caught.value)
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -29,7 +29,7 @@
 
 
 def members(*entries: dict[str, Any]) -> list[Member]:
-    return ListParser(["a"], ["large"]).read(listing(*entries)).members
+    return ListParser(["a"], ["large"]).parse(listing(*entries)).members
 
 
 class Line:
