--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -124,7 +124,7 @@
         self.answer_s = answer_s  # time to wait for the first data of a call
         self.log = log
         self.unanswered = 0  # consecutive calls that timed out before their first data
-        self.directory = directory
+        self.parser = directory
         self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
         self.shared = shared  # many sidecars use this service, so calls are spread over time
@@ -215,7 +215,7 @@
     def told(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, BlankLine):
-            listing = self.directory.parse(value)
+            listing = self.parser.parse(value)
         elif call.answered and call.behind_since_s is None:
             return
         else:  # a heartbeat: nothing has changed since our list
