--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -119,9 +119,9 @@
     share a discovery service, it is opened at that time and not before."""
 
     def __init__(self, address: tuple[str, int], directory: ListParser, generation: int, on_list: OnList,
-                 answer_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
+                 first_data_timeout_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
         self.address = address
-        self.answer_s = answer_s  # time to wait for the first data of a call
+        self.answer_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
         self.unanswered = 0  # consecutive calls that timed out before their first data
         self.parser = directory
