--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -123,7 +123,7 @@
         self.address = address
         self.answer_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
-        self.unanswered = 0  # consecutive calls that timed out before their first data
+        self.silent_calls = 0  # consecutive calls that timed out before their first data
         self.parser = directory
         self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
@@ -210,7 +210,7 @@
     def patience_s(self) -> float:
         """Returns how long a call may wait for its first data. It doubles after a timeout: otherwise a discovery
         service that is slower than expected would never be heard."""
-        return self.answer_s * (2 if self.unanswered else 1)
+        return self.answer_s * (2 if self.silent_calls else 1)
 
     def told(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
@@ -221,7 +221,7 @@
         else:  # a heartbeat: nothing has changed since our list
             listing = Listing(self.generation if call.behind_since_s is None else -1, False)
         is_first = not call.answered
-        call.answered, self.unanswered = True, 0
+        call.answered, self.silent_calls = True, 0
         if call is self.successor or call in self.waiting:
             self.waiting.pop(call, None)
             if self.watch is not None:
@@ -378,7 +378,7 @@
 
     def fall_silent(self) -> None:
         """Handles the timeout of a call that has received no data."""
-        self.owner.unanswered += not self.answered
+        self.owner.silent_calls += not self.answered
         if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps(self):
             self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -173,7 +173,7 @@
             discovery.answer_s = 0.2  # from these bytes on
             fake.writers[0].write(chunk(first))
         await until(lambda: told)
-        assert kinds(told) == [ListKind.FAILED] and discovery.watch is None and discovery.unanswered == 1
+        assert kinds(told) == [ListKind.FAILED] and discovery.watch is None and discovery.silent_calls == 1
         discovery.answer_s = CALL_US / 1e6
         discovery.subscribe()
         watch = cast(Any, discovery.watch)
@@ -182,7 +182,7 @@
         await until(lambda: [one for one in fake.writers if one.get_extra_info("peername") == own])
         fake.line(listing(ENTRY, generation=44), [one.get_extra_info("peername") for one in fake.writers].index(own))
         await until(lambda: len(told) == 2)
-        assert kinds(told)[1] is ListKind.FULL and discovery.unanswered == 0
+        assert kinds(told)[1] is ListKind.FULL and discovery.silent_calls == 0
         discovery.close()
 
     run(test)
