--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -127,7 +127,7 @@
         self.parser = directory
         self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
-        self.shared = shared  # many sidecars use this service, so calls are spread over time
+        self.is_shared = shared  # many sidecars use this service, so calls are spread over time
         self.random = random.Random(seed)
         self.heard_s: float | None = None  # when a watch last received data; None before the first time
         self.begun = 0  # calls begun since then
@@ -141,7 +141,7 @@
 
     def subscribe(self) -> None:
         if self.watch is None:
-            if self.again is None or not self.shared:
+            if self.again is None or not self.is_shared:
                 self.open()
         elif self.watch.answered:
             # the open watch already delivers every change, so the list is up to date
