--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -129,7 +129,7 @@
         self.on_list = on_list
         self.is_shared = shared  # many sidecars use this service, so calls are spread over time
         self.random = random.Random(seed)
-        self.heard_s: float | None = None  # when a watch last received data; None before the first time
+        self.last_heard_s: float | None = None  # when a watch last received data; None before the first time
         self.begun = 0  # calls begun since then
         self.last_s = 0.0  # when the last call began
         self.again: asyncio.TimerHandle | None = None  # timer that begins the next call
@@ -159,7 +159,7 @@
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.begun += 1
         self.last_s = call.began_s
-        self.open_at(turns.parallel_start_s(self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(turns.parallel_start_s(self.last_heard_s, self.begun, self.last_s, self.random.random()))
 
     def open_at(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
@@ -277,7 +277,7 @@
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(turns.start_after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.open_at(turns.start_after_end_s(now_s, self.last_heard_s, self.begun, self.last_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
@@ -291,7 +291,7 @@
             return  # a later call has begun and will report its answer or its end
         if call is self.watch:
             if call.answered:
-                self.heard_s = call.heard_s
+                self.last_heard_s = call.heard_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
                 self.has_begun(self.watch)
