--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -131,7 +131,7 @@
         self.random = random.Random(seed)
         self.last_heard_s: float | None = None  # when a watch last received data; None before the first time
         self.calls_begun = 0  # calls begun since then
-        self.last_s = 0.0  # when the last call began
+        self.last_begun_s = 0.0  # when the last call began
         self.again: asyncio.TimerHandle | None = None  # timer that begins the next call
         self.waiting: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
@@ -158,8 +158,8 @@
     def has_begun(self, call: _Call) -> None:
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.calls_begun += 1
-        self.last_s = call.began_s
-        self.open_at(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_s, self.random.random()))
+        self.last_begun_s = call.began_s
+        self.open_at(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
 
     def open_at(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
@@ -277,7 +277,7 @@
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_s, self.random.random()))
+        self.open_at(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
