--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -132,7 +132,7 @@
         self.last_heard_s: float | None = None  # when a watch last received data; None before the first time
         self.calls_begun = 0  # calls begun since then
         self.last_begun_s = 0.0  # when the last call began
-        self.again: asyncio.TimerHandle | None = None  # timer that begins the next call
+        self.next_call_timer: asyncio.TimerHandle | None = None  # timer that begins the next call
         self.waiting: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
         self.successor: _Call | None = None  # the watch at a new address, until its first data arrives
@@ -141,7 +141,7 @@
 
     def subscribe(self) -> None:
         if self.watch is None:
-            if self.again is None or not self.is_shared:
+            if self.next_call_timer is None or not self.is_shared:
                 self.open()
         elif self.watch.answered:
             # the open watch already delivers every change, so the list is up to date
@@ -163,9 +163,9 @@
 
     def open_at(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
-        if self.again is not None:
-            self.again.cancel()
-        self.again = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
+        if self.next_call_timer is not None:
+            self.next_call_timer.cancel()
+        self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
 
     def call_watch(self, most_s: float = math.inf) -> _Call:
         return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
