--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -133,7 +133,7 @@
         self.calls_begun = 0  # calls begun since then
         self.last_begun_s = 0.0  # when the last call began
         self.next_call_timer: asyncio.TimerHandle | None = None  # timer that begins the next call
-        self.waiting: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
+        self.late_calls: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
         self.successor: _Call | None = None  # the watch at a new address, until its first data arrives
         self.mover: asyncio.TimerHandle | None = None
@@ -151,7 +151,7 @@
     def open(self) -> None:
         """Begins a new watch call. A pending one continues in parallel until its timeout."""
         if self.watch is not None:
-            self.waiting[self.watch] = None
+            self.late_calls[self.watch] = None
         self.watch = self.call_watch()
         self.has_begun(self.watch)
 
@@ -173,8 +173,8 @@
     def unsubscribe(self) -> None:
         self.stop_moving()
         self.open_at(None)
-        while self.waiting:
-            self.waiting.popitem()[0].close()
+        while self.late_calls:
+            self.late_calls.popitem()[0].close()
         if self.watch is not None:
             watch, self.watch = self.watch, None
             watch.close()
@@ -222,8 +222,8 @@
             listing = Listing(self.generation if call.behind_since_s is None else -1, False)
         is_first = not call.answered
         call.answered, self.silent_calls = True, 0
-        if call is self.successor or call in self.waiting:
-            self.waiting.pop(call, None)
+        if call is self.successor or call in self.late_calls:
+            self.late_calls.pop(call, None)
             if self.watch is not None:
                 self.watch.close()
             self.watch = call
@@ -254,8 +254,8 @@
         """The watch has received its first data: cancels the calls that were begun to replace it."""
         self.calls_begun = 0
         self.open_at(None)
-        while self.waiting:
-            self.waiting.popitem()[0].close()
+        while self.late_calls:
+            self.late_calls.popitem()[0].close()
         self.start_moving()  # the answer may come from an address that was replaced since the call began
 
     def may_lag(self, call: _Call) -> bool:
@@ -269,11 +269,11 @@
         """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
         of a discovery service that handles calls one after another, which may process it nevertheless: when 200
         sidecars all gave up in this way, none of them was ever answered."""
-        if call is self.watch and not self.waiting and self.successor is None:
-            self.waiting[call], self.watch = None, None
+        if call is self.watch and not self.late_calls and self.successor is None:
+            self.late_calls[call], self.watch = None, None
             self.has_failed()
             return True
-        return call is next(iter(self.waiting), None)
+        return call is next(iter(self.late_calls), None)
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -286,8 +286,8 @@
             self.successor = None
             self.mover = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.start_moving)
             return
-        if call in self.waiting:
-            del self.waiting[call]
+        if call in self.late_calls:
+            del self.late_calls[call]
             return  # a later call has begun and will report its answer or its end
         if call is self.watch:
             if call.answered:
