--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -136,7 +136,7 @@
         self.late_calls: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
         self.successor: _Call | None = None  # the watch at a new address, until its first data arrives
-        self.mover: asyncio.TimerHandle | None = None
+        self.move_timer: asyncio.TimerHandle | None = None
         self.fetches: set[_Call] = set()
 
     def subscribe(self) -> None:
@@ -193,8 +193,8 @@
             self.successor = self.call_watch(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
 
     def stop_moving(self) -> None:
-        if self.mover is not None:
-            self.mover.cancel()
+        if self.move_timer is not None:
+            self.move_timer.cancel()
         if self.successor is not None:
             successor, self.successor = self.successor, None
             successor.close()
@@ -284,7 +284,7 @@
         """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
-            self.mover = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.start_moving)
+            self.move_timer = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.start_moving)
             return
         if call in self.late_calls:
             del self.late_calls[call]
