--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -142,13 +142,13 @@
     def subscribe(self) -> None:
         if self.watch is None:
             if self.next_call_timer is None or not self.is_shared:
-                self.open()
+                self.open_watch()
         elif self.watch.answered:
             # the open watch already delivers every change, so the list is up to date
             self.on_list(ListKind.DELTA, Listing(self.generation, False))
         # otherwise the pending call will report: discovery would handle a second one only after it
 
-    def open(self) -> None:
+    def open_watch(self) -> None:
         """Begins a new watch call. A pending one continues in parallel until its timeout."""
         if self.watch is not None:
             self.late_calls[self.watch] = None
@@ -165,7 +165,7 @@
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
         if self.next_call_timer is not None:
             self.next_call_timer.cancel()
-        self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
+        self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open_watch)
 
     def call_watch(self, most_s: float = math.inf) -> _Call:
         return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
@@ -185,7 +185,7 @@
             self.address = address
             self.stop_moving()
             if self.watch is None:  # don't wait: the balancer's backoff was for the old address
-                self.open()
+                self.open_watch()
             self.start_moving()
 
     def start_moving(self) -> None:
