--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -153,9 +153,9 @@
         if self.watch is not None:
             self.late_calls[self.watch] = None
         self.watch = self.call_watch()
-        self.has_begun(self.watch)
+        self.record_begin(self.watch)
 
-    def has_begun(self, call: _Call) -> None:
+    def record_begin(self, call: _Call) -> None:
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.calls_begun += 1
         self.last_begun_s = call.began_s
@@ -294,7 +294,7 @@
                 self.last_heard_s = call.heard_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
-                self.has_begun(self.watch)
+                self.record_begin(self.watch)
                 return  # it will report its answer or its end
             self.has_failed()
             return
