--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -159,9 +159,9 @@
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.calls_begun += 1
         self.last_begun_s = call.began_s
-        self.open_at(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
+        self.schedule_watch(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
 
-    def open_at(self, at_s: float | None) -> None:
+    def schedule_watch(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
         if self.next_call_timer is not None:
             self.next_call_timer.cancel()
@@ -172,7 +172,7 @@
 
     def unsubscribe(self) -> None:
         self.stop_moving()
-        self.open_at(None)
+        self.schedule_watch(None)
         while self.late_calls:
             self.late_calls.popitem()[0].close()
         if self.watch is not None:
@@ -253,7 +253,7 @@
     def has_word(self) -> None:
         """The watch has received its first data: cancels the calls that were begun to replace it."""
         self.calls_begun = 0
-        self.open_at(None)
+        self.schedule_watch(None)
         while self.late_calls:
             self.late_calls.popitem()[0].close()
         self.start_moving()  # the answer may come from an address that was replaced since the call began
@@ -277,7 +277,7 @@
 
     def has_failed(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
+        self.schedule_watch(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def ended(self, call: _Call) -> None:
