--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -152,7 +152,7 @@
         """Begins a new watch call. A pending one continues in parallel until its timeout."""
         if self.watch is not None:
             self.late_calls[self.watch] = None
-        self.watch = self.call_watch()
+        self.watch = self.new_watch_call()
         self.record_begin(self.watch)
 
     def record_begin(self, call: _Call) -> None:
@@ -167,7 +167,7 @@
             self.next_call_timer.cancel()
         self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open_watch)
 
-    def call_watch(self, most_s: float = math.inf) -> _Call:
+    def new_watch_call(self, most_s: float = math.inf) -> _Call:
         return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
 
     def unsubscribe(self) -> None:
@@ -190,7 +190,7 @@
 
     def start_moving(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
+            self.successor = self.new_watch_call(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
 
     def stop_moving(self) -> None:
         if self.move_timer is not None:
