--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -179,7 +179,7 @@
             watch, self.watch = self.watch, None
             watch.close()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switches to a new address. The watch at the old one stays open until the new one has answered."""
         if address != self.address:
             self.address = address
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -274,7 +274,7 @@
         if address is not None and address != before:
             self.base = {**self.base, "discovery": config.document["discovery"]}
             self.log(f"reload: discovery is at {address[0]}:{address[1]}")
-            self.discovery.move(address)
+            self.discovery.change_address(address)
 
     def drain(self, draining: bool) -> None:
         """Out of service, or back: readiness says 503 and the decisions refuse what is new."""
@@ -306,7 +306,7 @@
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.tell_all(api.SettingsChanged(new.settings))
         if new.discovery_in_file is not None and new.discovery_in_file != old.discovery_in_file:
-            self.discovery.move(new.discovery_in_file)  # as at a reload: the environment counts at the start
+            self.discovery.change_address(new.discovery_in_file)  # as at a reload: the environment counts at the start
 
     async def stop(self) -> None:
         longest_s = max(c.deadline_us for c in self.config.settings.classes) / 1e6
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -85,7 +85,7 @@
         scene.sidecar.balancer.list_failures = 20  # the next call is due in seconds
         scene.discovery.writers[0].transport.abort()
         await until(lambda: scene.sidecar.discovery.watch is None)
-        scene.sidecar.discovery.move(("127.0.0.1", new.port))
+        scene.sidecar.discovery.change_address(("127.0.0.1", new.port))
         assert scene.sidecar.discovery.watch is not None
         await until(lambda: new.targets)
 
@@ -323,7 +323,7 @@
             scene.discovery.writers[0].transport.abort()
             await until(lambda: scene.sidecar.discovery.watch is None)
         for one in new:
-            scene.sidecar.discovery.move(("127.0.0.1", one.port))
+            scene.sidecar.discovery.change_address(("127.0.0.1", one.port))
         if old == "silent":
             watch = scene.sidecar.discovery.watch
             assert watch is not None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -240,7 +240,7 @@
     await until(lambda: old.writers)
     old.line(listing(ENTRY, generation=42))
     await until(lambda: told)
-    discovery.move(("127.0.0.1", new.port))
+    discovery.change_address(("127.0.0.1", new.port))
     await until(lambda: new.writers)
     return old, new, discovery, told
 
@@ -250,7 +250,7 @@
 
     async def test() -> None:
         old, new, discovery, told = await moved()
-        discovery.move(("127.0.0.1", new.port))  # twice in a row is as good as once
+        discovery.change_address(("127.0.0.1", new.port))  # twice in a row is as good as once
         old.line(listing({**ENTRY, "lifecycle": "draining"}, generation=43, reset=False))
         await until(lambda: len(told) == 2)
         new.line(None)
@@ -320,7 +320,7 @@
     async def test() -> None:
         old, new, discovery, told = await moved()
         watch = discovery.watch
-        discovery.move(("127.0.0.1", old.port))
+        discovery.change_address(("127.0.0.1", old.port))
         assert discovery.watch is watch and discovery.successor is None
         old.line(listing(ENTRY, generation=43))
         await until(lambda: len(told) == 2)
