--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -186,9 +186,9 @@
             self.stop_moving()
             if self.watch is None:  # don't wait: the balancer's backoff was for the old address
                 self.open_watch()
-            self.start_moving()
+            self.open_successor()
 
-    def start_moving(self) -> None:
+    def open_successor(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
             self.successor = self.new_watch_call(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
 
@@ -256,7 +256,7 @@
         self.schedule_watch(None)
         while self.late_calls:
             self.late_calls.popitem()[0].close()
-        self.start_moving()  # the answer may come from an address that was replaced since the call began
+        self.open_successor()  # the answer may come from an address that was replaced since the call began
 
     def may_lag(self, call: _Call) -> bool:
         """Whether discovery may still be lagging, rather than have restarted its numbering."""
@@ -284,7 +284,7 @@
         """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
-            self.move_timer = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.start_moving)
+            self.move_timer = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.open_successor)
             return
         if call in self.late_calls:
             del self.late_calls[call]
