--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -171,7 +171,7 @@
         return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
 
     def unsubscribe(self) -> None:
-        self.stop_moving()
+        self.cancel_successor()
         self.schedule_watch(None)
         while self.late_calls:
             self.late_calls.popitem()[0].close()
@@ -183,7 +183,7 @@
         """Switches to a new address. The watch at the old one stays open until the new one has answered."""
         if address != self.address:
             self.address = address
-            self.stop_moving()
+            self.cancel_successor()
             if self.watch is None:  # don't wait: the balancer's backoff was for the old address
                 self.open_watch()
             self.open_successor()
@@ -192,7 +192,7 @@
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
             self.successor = self.new_watch_call(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
 
-    def stop_moving(self) -> None:
+    def cancel_successor(self) -> None:
         if self.move_timer is not None:
             self.move_timer.cancel()
         if self.successor is not None:
