--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -207,7 +207,7 @@
         while self.fetches:
             self.fetches.pop().close()
 
-    def patience_s(self) -> float:
+    def current_timeout_s(self) -> float:
         """Returns how long a call may wait for its first data. It doubles after a timeout: otherwise a discovery
         service that is slower than expected would never be heard."""
         return self.answer_s * (2 if self.silent_calls else 1)
@@ -325,7 +325,7 @@
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
         self.began_s = self.heard_s = loop.time()  # when the last data arrived
-        self.silence = loop.call_later(min(owner.patience_s(), most_s), self.fall_silent)
+        self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.fall_silent)
         self.task = loop.create_task(self.connect())
 
     async def connect(self) -> None:
@@ -349,7 +349,7 @@
         self.silence.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.answered:
-            limit_s = min(self.owner.patience_s(), self.most_s)
+            limit_s = min(self.owner.current_timeout_s(), self.most_s)
         self.heard_s = loop.time()
         self.silence = loop.call_later(limit_s, self.fall_silent)
         try:
