--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -212,7 +212,7 @@
         service that is slower than expected would never be heard."""
         return self.answer_s * (2 if self.silent_calls else 1)
 
-    def told(self, call: _Call, value: Any | BlankLine) -> None:
+    def handle_value(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, BlankLine):
             listing = self.parser.parse(value)
@@ -367,7 +367,7 @@
         if self.over:
             return
         for value in self.stream.feed(data):
-            self.owner.told(self, value)
+            self.owner.handle_value(self, value)
             if self.over:
                 return
 
