--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -230,7 +230,7 @@
             if call is self.successor:
                 self.successor = None
         if is_first and call is self.watch:
-            self.has_word()
+            self.handle_first_data()
         if call is not self.watch and (not listing.full or listing.generation < self.generation):
             return  # a fetched list that is older than what the watch has delivered
         if listing.generation < self.generation:
@@ -250,7 +250,7 @@
         self.generation = listing.generation
         self.on_list(ListKind.FULL if listing.full else ListKind.DELTA, listing)
 
-    def has_word(self) -> None:
+    def handle_first_data(self) -> None:
         """The watch has received its first data: cancels the calls that were begun to replace it."""
         self.calls_begun = 0
         self.schedule_watch(None)
