--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -235,7 +235,7 @@
             return  # a fetched list that is older than what the watch has delivered
         if listing.generation < self.generation:
             # A discovery replica that lags behind the previous one would make drained upstreams ready again.
-            if not self.may_lag(call):
+            if not self.is_lag_tolerated(call):
                 self.generation = 0  # makes the next watch begin with the full list
                 call.end()
                 return
@@ -258,7 +258,7 @@
             self.late_calls.popitem()[0].close()
         self.open_successor()  # the answer may come from an address that was replaced since the call began
 
-    def may_lag(self, call: _Call) -> bool:
+    def is_lag_tolerated(self, call: _Call) -> bool:
         """Whether discovery may still be lagging, rather than have restarted its numbering."""
         now_s = asyncio.get_running_loop().time()
         if call.behind_since_s is None:
