--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -265,7 +265,7 @@
             call.behind_since_s = now_s
         return now_s - call.behind_since_s < MAX_LAG_S
 
-    def keeps(self, call: _Call) -> bool:
+    def keeps_open(self, call: _Call) -> bool:
         """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
         of a discovery service that handles calls one after another, which may process it nevertheless: when 200
         sidecars all gave up in this way, none of them was ever answered."""
@@ -379,7 +379,7 @@
     def fall_silent(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.answered
-        if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps(self):
+        if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps_open(self):
             self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
