--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -271,11 +271,11 @@
         sidecars all gave up in this way, none of them was ever answered."""
         if call is self.watch and not self.late_calls and self.successor is None:
             self.late_calls[call], self.watch = None, None
-            self.has_failed()
+            self.handle_failure()
             return True
         return call is next(iter(self.late_calls), None)
 
-    def has_failed(self) -> None:
+    def handle_failure(self) -> None:
         now_s = asyncio.get_running_loop().time()
         self.schedule_watch(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
@@ -296,7 +296,7 @@
             if self.watch is not None:
                 self.record_begin(self.watch)
                 return  # it will report its answer or its end
-            self.has_failed()
+            self.handle_failure()
             return
         if call in self.fetches:
             self.fetches.discard(call)
