--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -280,7 +280,7 @@
         self.schedule_watch(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
-    def ended(self, call: _Call) -> None:
+    def handle_end(self, call: _Call) -> None:
         """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
@@ -399,4 +399,4 @@
         """Ends the call, because the response ended, failed or timed out. Reports the end once."""
         if not self.over:
             self.close()
-            self.owner.ended(self)
+            self.owner.handle_end(self)
