--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -312,7 +312,7 @@
 
     def __init__(self, owner: Discovery, target: str, most_s: float = math.inf) -> None:
         self.owner = owner
-        self.most_s = most_s  # upper limit on the wait for its first data
+        self.max_first_data_s = most_s  # upper limit on the wait for its first data
         self.address = owner.address
         self.answered = False
         self.behind_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
@@ -349,7 +349,7 @@
         self.silence.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.answered:
-            limit_s = min(self.owner.current_timeout_s(), self.most_s)
+            limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
         self.heard_s = loop.time()
         self.silence = loop.call_later(limit_s, self.fall_silent)
         try:
