--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -143,7 +143,7 @@
         if self.watch is None:
             if self.next_call_timer is None or not self.is_shared:
                 self.open_watch()
-        elif self.watch.answered:
+        elif self.watch.has_answered:
             # the open watch already delivers every change, so the list is up to date
             self.on_list(ListKind.DELTA, Listing(self.generation, False))
         # otherwise the pending call will report: discovery would handle a second one only after it
@@ -216,12 +216,12 @@
         """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, BlankLine):
             listing = self.parser.parse(value)
-        elif call.answered and call.behind_since_s is None:
+        elif call.has_answered and call.behind_since_s is None:
             return
         else:  # a heartbeat: nothing has changed since our list
             listing = Listing(self.generation if call.behind_since_s is None else -1, False)
-        is_first = not call.answered
-        call.answered, self.silent_calls = True, 0
+        is_first = not call.has_answered
+        call.has_answered, self.silent_calls = True, 0
         if call is self.successor or call in self.late_calls:
             self.late_calls.pop(call, None)
             if self.watch is not None:
@@ -290,7 +290,7 @@
             del self.late_calls[call]
             return  # a later call has begun and will report its answer or its end
         if call is self.watch:
-            if call.answered:
+            if call.has_answered:
                 self.last_heard_s = call.heard_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
@@ -300,7 +300,7 @@
             return
         if call in self.fetches:
             self.fetches.discard(call)
-            if call.answered:
+            if call.has_answered:
                 return
         else:
             return
@@ -314,7 +314,7 @@
         self.owner = owner
         self.max_first_data_s = most_s  # upper limit on the wait for its first data
         self.address = owner.address
-        self.answered = False
+        self.has_answered = False
         self.behind_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
         self.heeded: set[str] = set()  # names of upstreams whose drain such a list reported
         self.over = False
@@ -348,7 +348,7 @@
         # any data shows that the connection works; a lost connection can only be noticed by the lack of data
         self.silence.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
-        if not self.answered:
+        if not self.has_answered:
             limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
         self.heard_s = loop.time()
         self.silence = loop.call_later(limit_s, self.fall_silent)
@@ -378,8 +378,8 @@
 
     def fall_silent(self) -> None:
         """Handles the timeout of a call that has received no data."""
-        self.owner.silent_calls += not self.answered
-        if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps_open(self):
+        self.owner.silent_calls += not self.has_answered
+        if not self.has_answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps_open(self):
             self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
