--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -216,10 +216,10 @@
         """Handles one list or heartbeat that a call has received."""
         if not isinstance(value, BlankLine):
             listing = self.parser.parse(value)
-        elif call.has_answered and call.behind_since_s is None:
+        elif call.has_answered and call.lagging_since_s is None:
             return
         else:  # a heartbeat: nothing has changed since our list
-            listing = Listing(self.generation if call.behind_since_s is None else -1, False)
+            listing = Listing(self.generation if call.lagging_since_s is None else -1, False)
         is_first = not call.has_answered
         call.has_answered, self.silent_calls = True, 0
         if call is self.successor or call in self.late_calls:
@@ -246,7 +246,7 @@
             call.heeded.update(member.name for member in heeded)
             listing = Listing(self.generation, False, heeded)
         else:
-            call.behind_since_s = None
+            call.lagging_since_s = None
         self.generation = listing.generation
         self.on_list(ListKind.FULL if listing.full else ListKind.DELTA, listing)
 
@@ -261,9 +261,9 @@
     def is_lag_tolerated(self, call: _Call) -> bool:
         """Whether discovery may still be lagging, rather than have restarted its numbering."""
         now_s = asyncio.get_running_loop().time()
-        if call.behind_since_s is None:
-            call.behind_since_s = now_s
-        return now_s - call.behind_since_s < MAX_LAG_S
+        if call.lagging_since_s is None:
+            call.lagging_since_s = now_s
+        return now_s - call.lagging_since_s < MAX_LAG_S
 
     def keeps_open(self, call: _Call) -> bool:
         """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
@@ -315,7 +315,7 @@
         self.max_first_data_s = most_s  # upper limit on the wait for its first data
         self.address = owner.address
         self.has_answered = False
-        self.behind_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
+        self.lagging_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
         self.heeded: set[str] = set()  # names of upstreams whose drain such a list reported
         self.over = False
         self.transport: asyncio.Transport | None = None
