--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -242,8 +242,8 @@
             # If discovery has restarted its numbering instead, the drains in its lists are valid, so they are applied
             # at once. If they turn out to be outdated, the upstream is left out only until its next update.
             heeded = [m for m in listing.members
-                      if m.upstream.state is UpstreamState.DRAINING or m.name in call.heeded]
-            call.heeded.update(member.name for member in heeded)
+                      if m.upstream.state is UpstreamState.DRAINING or m.name in call.drained_while_lagging]
+            call.drained_while_lagging.update(member.name for member in heeded)
             listing = Listing(self.generation, False, heeded)
         else:
             call.lagging_since_s = None
@@ -316,7 +316,7 @@
         self.address = owner.address
         self.has_answered = False
         self.lagging_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
-        self.heeded: set[str] = set()  # names of upstreams whose drain such a list reported
+        self.drained_while_lagging: set[str] = set()  # names of upstreams whose drain such a list reported
         self.over = False
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
