--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -317,7 +317,7 @@
         self.has_answered = False
         self.lagging_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
         self.drained_while_lagging: set[str] = set()  # names of upstreams whose drain such a list reported
-        self.over = False
+        self.is_closed = False
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.stream = JsonStream()
@@ -337,13 +337,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses
-        if self.over:
+        if self.is_closed:
             transport.abort()
         else:
             transport.write(self.request)
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.is_closed:
             return
         # any data shows that the connection works; a lost connection can only be noticed by the lack of data
         self.silence.cancel()
@@ -364,15 +364,15 @@
             self.end()
 
     def on_body(self, data: bytes) -> None:
-        if self.over:
+        if self.is_closed:
             return
         for value in self.stream.feed(data):
             self.owner.handle_value(self, value)
-            if self.over:
+            if self.is_closed:
                 return
 
     def on_message_complete(self) -> None:
-        if not self.over and not self.stream.is_between_values:
+        if not self.is_closed and not self.stream.is_between_values:
             raise ValueError("the response ended in the middle of a list")
         self.end()
 
@@ -388,7 +388,7 @@
         self.end()
 
     def close(self) -> None:
-        self.over = True
+        self.is_closed = True
         self.silence.cancel()
         if self.transport is not None:
             self.transport.abort()
@@ -397,6 +397,6 @@
 
     def end(self) -> None:
         """Ends the call, because the response ended, failed or timed out. Reports the end once."""
-        if not self.over:
+        if not self.is_closed:
             self.close()
             self.owner.handle_end(self)
