--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -158,7 +158,7 @@
     def record_begin(self, call: _Call) -> None:
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.calls_begun += 1
-        self.last_begun_s = call.began_s
+        self.last_begun_s = call.begun_s
         self.schedule_watch(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
 
     def schedule_watch(self, at_s: float | None) -> None:
@@ -324,7 +324,7 @@
         self.request = (f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
-        self.began_s = self.heard_s = loop.time()  # when the last data arrived
+        self.begun_s = self.heard_s = loop.time()  # when the last data arrived
         self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.fall_silent)
         self.task = loop.create_task(self.connect())
 
@@ -379,7 +379,7 @@
     def fall_silent(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.has_answered
-        if not self.has_answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps_open(self):
+        if not self.has_answered and self.heard_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
             self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
