--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -291,7 +291,7 @@
             return  # a later call has begun and will report its answer or its end
         if call is self.watch:
             if call.has_answered:
-                self.last_heard_s = call.heard_s
+                self.last_heard_s = call.last_data_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
                 self.record_begin(self.watch)
@@ -324,7 +324,7 @@
         self.request = (f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
-        self.begun_s = self.heard_s = loop.time()  # when the last data arrived
+        self.begun_s = self.last_data_s = loop.time()  # when the last data arrived
         self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.fall_silent)
         self.task = loop.create_task(self.connect())
 
@@ -350,7 +350,7 @@
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.has_answered:
             limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
-        self.heard_s = loop.time()
+        self.last_data_s = loop.time()
         self.silence = loop.call_later(limit_s, self.fall_silent)
         try:
             self.parser.feed_data(data)
@@ -379,7 +379,7 @@
     def fall_silent(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.has_answered
-        if not self.has_answered and self.heard_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
+        if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
             self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
