--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -325,7 +325,7 @@
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
         self.begun_s = self.last_data_s = loop.time()  # when the last data arrived
-        self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.fall_silent)
+        self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.handle_silence)
         self.task = loop.create_task(self.connect())
 
     async def connect(self) -> None:
@@ -351,7 +351,7 @@
         if not self.has_answered:
             limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
         self.last_data_s = loop.time()
-        self.silence = loop.call_later(limit_s, self.fall_silent)
+        self.silence = loop.call_later(limit_s, self.handle_silence)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -376,7 +376,7 @@
             raise ValueError("the response ended in the middle of a list")
         self.end()
 
-    def fall_silent(self) -> None:
+    def handle_silence(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.has_answered
         if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -327,7 +327,7 @@
         if old == "silent":
             watch = scene.sidecar.discovery.watch
             assert watch is not None
-            watch.fall_silent()
+            watch.handle_silence()
         await until(lambda: new[-1].writers)
         new[-1].line(listing(peer.entry("s-1", lifecycle="draining"), generation=43))
         await until(lambda: state(scene) is UpstreamState.DRAINING)
