--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -325,7 +325,7 @@
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
         self.begun_s = self.last_data_s = loop.time()  # when the last data arrived
-        self.silence = loop.call_later(min(owner.current_timeout_s(), most_s), self.handle_silence)
+        self.silence_timer = loop.call_later(min(owner.current_timeout_s(), most_s), self.handle_silence)
         self.task = loop.create_task(self.connect())
 
     async def connect(self) -> None:
@@ -346,12 +346,12 @@
         if self.is_closed:
             return
         # any data shows that the connection works; a lost connection can only be noticed by the lack of data
-        self.silence.cancel()
+        self.silence_timer.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.has_answered:
             limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
         self.last_data_s = loop.time()
-        self.silence = loop.call_later(limit_s, self.handle_silence)
+        self.silence_timer = loop.call_later(limit_s, self.handle_silence)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -380,7 +380,7 @@
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.has_answered
         if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
-            self.silence = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
+            self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
         else:
             self.end()
 
@@ -389,7 +389,7 @@
 
     def close(self) -> None:
         self.is_closed = True
-        self.silence.cancel()
+        self.silence_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
         elif self.task is not asyncio.current_task():
