--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -237,7 +237,7 @@
             # A discovery replica that lags behind the previous one would make drained upstreams ready again.
             if not self.is_lag_tolerated(call):
                 self.generation = 0  # makes the next watch begin with the full list
-                call.end()
+                call.finish()
                 return
             # If discovery has restarted its numbering instead, the drains in its lists are valid, so they are applied
             # at once. If they turn out to be outdated, the upstream is left out only until its next update.
@@ -333,7 +333,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
-            self.end()
+            self.finish()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses
@@ -357,11 +357,11 @@
         except httptools.HttpParserError as error:
             # exceptions of callbacks are wrapped in HttpParserError
             self.owner.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
-            self.end()
+            self.finish()
 
     def on_headers_complete(self) -> None:
         if self.parser.get_status_code() != 200:
-            self.end()
+            self.finish()
 
     def on_body(self, data: bytes) -> None:
         if self.is_closed:
@@ -374,18 +374,18 @@
     def on_message_complete(self) -> None:
         if not self.is_closed and not self.stream.is_between_values:
             raise ValueError("the response ended in the middle of a list")
-        self.end()
+        self.finish()
 
     def handle_silence(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.owner.silent_calls += not self.has_answered
         if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
-            self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.end)
+            self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.finish)
         else:
-            self.end()
+            self.finish()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end()
+        self.finish()
 
     def close(self) -> None:
         self.is_closed = True
@@ -395,7 +395,7 @@
         elif self.task is not asyncio.current_task():
             self.task.cancel()
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Ends the call, because the response ended, failed or timed out. Reports the end once."""
         if not self.is_closed:
             self.close()
