--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from ironscale.net.discovery import Member
 
-IDLE_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
+IDLE_TIMEOUT_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
 SWEEP_S = 1.0
 BODILESS = frozenset((*range(100, 200), 204, 304))
 # A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
@@ -409,7 +409,7 @@
         self.sweeper = Periodic(SWEEP_S, self.sweep)
 
     def set_times(self, idle_us: int, connect_us: int) -> None:
-        self.idle_us = int(idle_us * IDLE_SHARE)
+        self.idle_us = int(idle_us * IDLE_TIMEOUT_SHARE)
         self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_S
 
     def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
