--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -22,7 +22,7 @@
     from ironscale.net.discovery import Member
 
 IDLE_TIMEOUT_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 BODILESS = frozenset((*range(100, 200), 204, 304))
 # A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
 # copy, and would be taken for the answer to the next request if that were already on the connection.
@@ -273,7 +273,7 @@
     def recall(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
         restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
-        left = AGE_FADES ** min(1e4, age_us / 1e6 / SWEEP_S)
+        left = AGE_FADES ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
         for i, share in enumerate(shares[:len(self.failing)]):
             self.failing[i] = max(self.failing[i], min(0.5, share) * left)
 
@@ -406,7 +406,7 @@
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
         self.ages = Ages()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sweeper = Periodic(SWEEP_S, self.sweep)
+        self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
     def set_times(self, idle_us: int, connect_us: int) -> None:
         self.idle_us = int(idle_us * IDLE_TIMEOUT_SHARE)
