--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -23,7 +23,7 @@
 
 IDLE_TIMEOUT_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
 SWEEP_INTERVAL_S = 1.0
-BODILESS = frozenset((*range(100, 200), 204, 304))
+STATUSES_WITHOUT_BODY = frozenset((*range(100, 200), 204, 304))
 # A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
 # copy, and would be taken for the answer to the next request if that were already on the connection.
 REST_US = 2_000
@@ -189,7 +189,7 @@
                 chunked = True
         if length is not None and int(length) > MAX_BODY:
             raise OverflowError("announced body too long")  # 3 GB, for example
-        if length is None and not chunked and self.answer.status not in BODILESS:
+        if length is None and not chunked and self.answer.status not in STATUSES_WITHOUT_BODY:
             raise ValueError("body without a length")  # a truncated body could not be detected
 
     def on_body(self, body: bytes) -> None:
