--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -26,7 +26,7 @@
 STATUSES_WITHOUT_BODY = frozenset((*range(100, 200), 204, 304))
 # A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
 # copy, and would be taken for the answer to the next request if that were already on the connection.
-REST_US = 2_000
+MIN_IDLE_US = 2_000
 DEFAULT_CONNECT_S = 1.0
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
 # about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
@@ -325,7 +325,7 @@
         now_us, ages = self.upstreams.now_us(), self.upstreams.ages
         for connection in reversed(self.idle):
             age_us = now_us - connection.idle_since_us
-            if age_us < REST_US:
+            if age_us < MIN_IDLE_US:
                 continue
             if self.has_expired(connection) or not ages.is_trusted(age_us) or connection.is_stale():
                 connection.drop()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -272,7 +272,7 @@
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Hazard: it would come as the answer to the request that follows at once on the same connection."""
-    assert module.REST_US > 0
+    assert module.MIN_IDLE_US > 0
     monkeypatch.setattr(module, "REST_US", 20_000_000)
 
     async def test() -> None:
@@ -564,7 +564,7 @@
 
         for number in (1, 0, 2, 1):  # the first one is asked again, and is no longer the oldest
             if number == 1 and pools[1].idle:
-                pools[1].idle[0].idle_since_us -= module.REST_US  # it need not rest
+                pools[1].idle[0].idle_since_us -= module.MIN_IDLE_US  # it need not rest
             assert await ask(pools[number]) is Outcome.OK
         assert [len(pool.idle) for pool in pools] == [1, 1, 1, 0] and peers[1].opened == 1
         assert list(upstreams.idle) == [pool.idle[0] for pool in (pools[0], pools[2], pools[1])]
@@ -596,7 +596,7 @@
                 return client
 
             first = await answered(line.start()[1])
-            line.pool.idle[0].idle_since_us -= 10 * module.REST_US
+            line.pool.idle[0].idle_since_us -= 10 * module.MIN_IDLE_US
             if how == "stray bytes":
                 first.send(b"x")
             else:
