--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -27,7 +27,7 @@
 # A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
 # copy, and would be taken for the answer to the next request if that were already on the connection.
 MIN_IDLE_US = 2_000
-DEFAULT_CONNECT_S = 1.0
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
 # about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
 # would fail.
@@ -410,7 +410,7 @@
 
     def set_times(self, idle_us: int, connect_us: int) -> None:
         self.idle_us = int(idle_us * IDLE_TIMEOUT_SHARE)
-        self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_S
+        self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
     def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
         """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
