--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -31,7 +31,7 @@
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
 # about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
 # would fail.
-AGE_WEIGHT, AGE_FADES, UNTRUSTED = 1 / 8, 0.95, 0.3
+FAILURE_WEIGHT, AGE_FADES, UNTRUSTED = 1 / 8, 0.95, 0.3
 
 
 class Answer:
@@ -265,7 +265,7 @@
     def add(self, age_us: int, failed: bool) -> None:
         if age_us > 0:
             bits = min(age_us.bit_length(), 64)
-            self.failing[bits] += (failed - self.failing[bits]) * AGE_WEIGHT
+            self.failing[bits] += (failed - self.failing[bits]) * FAILURE_WEIGHT
 
     def is_trusted(self, age_us: int) -> bool:
         return self.failing[min(age_us.bit_length(), 64)] < UNTRUSTED
