--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -31,7 +31,7 @@
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
 # about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
 # would fail.
-FAILURE_WEIGHT, AGE_FADES, UNTRUSTED = 1 / 8, 0.95, 0.3
+FAILURE_WEIGHT, FAILURE_DECAY, UNTRUSTED = 1 / 8, 0.95, 0.3
 
 
 class Answer:
@@ -273,12 +273,12 @@
     def recall(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
         restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
-        left = AGE_FADES ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
+        left = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
         for i, share in enumerate(shares[:len(self.failing)]):
             self.failing[i] = max(self.failing[i], min(0.5, share) * left)
 
     def fade(self) -> None:
-        self.failing = [share * AGE_FADES for share in self.failing]
+        self.failing = [share * FAILURE_DECAY for share in self.failing]
 
 
 class Pool:
