--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -31,7 +31,7 @@
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
 # about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
 # would fail.
-FAILURE_WEIGHT, FAILURE_DECAY, UNTRUSTED = 1 / 8, 0.95, 0.3
+FAILURE_WEIGHT, FAILURE_DECAY, MAX_FAILURE_SHARE = 1 / 8, 0.95, 0.3
 
 
 class Answer:
@@ -268,7 +268,7 @@
             self.failing[bits] += (failed - self.failing[bits]) * FAILURE_WEIGHT
 
     def is_trusted(self, age_us: int) -> bool:
-        return self.failing[min(age_us.bit_length(), 64)] < UNTRUSTED
+        return self.failing[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
 
     def recall(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
