--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -63,7 +63,7 @@
 
     def __init__(self, payload: Callable[[], bytes], wanted: Callable[[], bool],
                  on_end: Callable[[Outcome, Answer | None], None]) -> None:
-        self.payload = payload  # called when the request is written, because it contains the time left
+        self.build_payload = payload  # called when the request is written, because it contains the time left
         self.wanted = wanted  # called just before the first byte is written
         self.on_end: Callable[[Outcome, Answer | None], None] | None = on_end
         self.connection: Connection | None = None
@@ -135,7 +135,7 @@
         self.used = True
         self.answer, self.complete, self.written = Answer(), False, False
         self.in_head, self.head_size, self.headers_seen, self.answered = True, 0, 0, False
-        self.transport.write(attempt.payload())
+        self.transport.write(attempt.build_payload())
         self.written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
 
     def resume_writing(self) -> None:
