--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -483,7 +483,7 @@
         request.attempts.append(attempt)
         request.out += 1
         over = number >= self.config.settings.max_attempts
-        if pool is None or over or timeout_us <= 0 or not attempt.wanted():
+        if pool is None or over or timeout_us <= 0 or not attempt.is_wanted():
             attempt.end(api.Outcome.NOT_SENT)
             return
         timer = self.at(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -64,7 +64,7 @@
     def __init__(self, build_payload: Callable[[], bytes], wanted: Callable[[], bool],
                  on_end: Callable[[Outcome, Answer | None], None]) -> None:
         self.build_payload = build_payload  # called when the request is written, because it contains the time left
-        self.wanted = wanted  # called just before the first byte is written
+        self.is_wanted = wanted  # called just before the first byte is written
         self.on_end: Callable[[Outcome, Answer | None], None] | None = on_end
         self.connection: Connection | None = None
         self.ended = False
@@ -366,7 +366,7 @@
             return
         self.busy.add(connection)
         connection.retired = address != self.member.address
-        if attempt.ended or connection.retired or not self.is_ready() or not attempt.wanted():
+        if attempt.ended or connection.retired or not self.is_ready() or not attempt.is_wanted():
             # the upstream may have been removed, or the client may have cancelled, during the connect
             self.release(connection)
             attempt.end(Outcome.NOT_SENT)
