--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -61,10 +61,10 @@
 class Attempt:
     """One transmission of a request to an upstream. It ends exactly once, with the first outcome."""
 
-    def __init__(self, build_payload: Callable[[], bytes], wanted: Callable[[], bool],
+    def __init__(self, build_payload: Callable[[], bytes], is_wanted: Callable[[], bool],
                  on_end: Callable[[Outcome, Answer | None], None]) -> None:
         self.build_payload = build_payload  # called when the request is written, because it contains the time left
-        self.is_wanted = wanted  # called just before the first byte is written
+        self.is_wanted = is_wanted  # called just before the first byte is written
         self.on_end: Callable[[Outcome, Answer | None], None] | None = on_end
         self.connection: Connection | None = None
         self.ended = False
