--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -544,7 +544,7 @@
         if request.backstop is not None:
             request.backstop.cancel()
         for attempt in request.attempts:
-            attempt.withdraw()
+            attempt.cancel_unless_written()
         self.forget(request)
 
     def forget(self, request: Request) -> None:
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -89,7 +89,7 @@
         self.end(outcome if written else Outcome.CONNECT_FAILED)
 
 
-    def withdraw(self) -> None:
+    def cancel_unless_written(self) -> None:
         """Cancels the attempt, since nobody waits for it any more, unless the whole request has been written."""
         connection = self.connection
         if not self.ended and connection is not None and not connection.written:
