--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -111,7 +111,7 @@
         self.answer = Answer()
         self.in_head = True
         self.head_size = 0  # bytes of headers and trailers since the attempt began, including interim answers
-        self.headers_seen = 0
+        self.header_count = 0
         self.answered = False  # part of the answer has arrived
         self.complete = False
         self.written = False  # the last byte of the request has been passed to the kernel
@@ -134,7 +134,7 @@
         self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
         self.used = True
         self.answer, self.complete, self.written = Answer(), False, False
-        self.in_head, self.head_size, self.headers_seen, self.answered = True, 0, 0, False
+        self.in_head, self.head_size, self.header_count, self.answered = True, 0, 0, False
         self.transport.write(attempt.build_payload())
         self.written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
 
@@ -169,8 +169,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.complete:
             return
-        self.headers_seen += 1
-        if self.headers_seen > MAX_HEADERS:  # an endless series of headers, interim answers or trailers
+        self.header_count += 1
+        if self.header_count > MAX_HEADERS:  # an endless series of headers, interim answers or trailers
             raise OverflowError("too many headers")
         if self.in_head:
             self.answer.headers.append((name.lower(), value))
@@ -203,8 +203,8 @@
         if self.complete:
             return
         if 100 <= self.answer.status < 200:  # an interim answer such as 100 Continue: the final answer follows
-            self.headers_seen += 1
-            if self.headers_seen > MAX_HEADERS:
+            self.header_count += 1
+            if self.header_count > MAX_HEADERS:
                 raise OverflowError("too many interim answers")
             self.answer = Answer()
             return
