--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -112,7 +112,7 @@
         self.in_head = True
         self.head_size = 0  # bytes of headers and trailers since the attempt began, including interim answers
         self.header_count = 0
-        self.answered = False  # part of the answer has arrived
+        self.answer_begun = False  # part of the answer has arrived
         self.complete = False
         self.written = False  # the last byte of the request has been passed to the kernel
         self.age_us = 0  # how long it was idle before the attempt; 0 for a new connection
@@ -134,7 +134,7 @@
         self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
         self.used = True
         self.answer, self.complete, self.written = Answer(), False, False
-        self.in_head, self.head_size, self.header_count, self.answered = True, 0, 0, False
+        self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
         self.transport.write(attempt.build_payload())
         self.written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
 
@@ -146,7 +146,7 @@
         if self.attempt is None:
             self.drop()  # unexpected data: the next answer would be matched to the wrong request
             return
-        spoilt, self.answered = False, True
+        spoilt, self.answer_begun = False, True
         try:
             assert self.parser is not None
             self.parser.feed_data(data)
@@ -230,7 +230,7 @@
         self.drop()
         if attempt is not None:
             attempt.connection = None
-            if not self.answered:
+            if not self.answer_begun:
                 self.pool.upstreams.ages.add(self.age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
