--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -83,7 +83,7 @@
         if connection is None:
             self.end(Outcome.CONNECT_FAILED)  # a connection that is established later is not used for it
             return
-        written = connection.written
+        written = connection.is_written
         # close it: a late answer would be taken for the answer to the next request
         connection.drop()
         self.end(outcome if written else Outcome.CONNECT_FAILED)
@@ -92,7 +92,7 @@
     def cancel_unless_written(self) -> None:
         """Cancels the attempt, since nobody waits for it any more, unless the whole request has been written."""
         connection = self.connection
-        if not self.ended and connection is not None and not connection.written:
+        if not self.ended and connection is not None and not connection.is_written:
             self.connection = None
             connection.drop()
             self.end(Outcome.NOT_SENT)
@@ -114,7 +114,7 @@
         self.header_count = 0
         self.answer_begun = False  # part of the answer has arrived
         self.complete = False
-        self.written = False  # the last byte of the request has been passed to the kernel
+        self.is_written = False  # the last byte of the request has been passed to the kernel
         self.age_us = 0  # how long it was idle before the attempt; 0 for a new connection
         self.retired = False  # must not be reused
         self.used = False
@@ -133,14 +133,14 @@
         self.attempt, attempt.connection = attempt, self
         self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
         self.used = True
-        self.answer, self.complete, self.written = Answer(), False, False
+        self.answer, self.complete, self.is_written = Answer(), False, False
         self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
         self.transport.write(attempt.build_payload())
-        self.written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
+        self.is_written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
 
     def resume_writing(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.written = True
+            self.is_written = True
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
@@ -218,7 +218,7 @@
         assert attempt is not None
         attempt.connection = None
         self.pool.upstreams.ages.add(self.age_us, False)
-        if not self.written:
+        if not self.is_written:
             self.retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
         attempt.end(self.answer.outcome(), self.answer)
@@ -226,7 +226,7 @@
     def broken(self) -> None:
         """Closes the failed connection and ends its attempt."""
         attempt, self.attempt = self.attempt, None
-        written = self.written
+        written = self.is_written
         self.drop()
         if attempt is not None:
             attempt.connection = None
