--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -113,7 +113,7 @@
         self.head_size = 0  # bytes of headers and trailers since the attempt began, including interim answers
         self.header_count = 0
         self.answer_begun = False  # part of the answer has arrived
-        self.complete = False
+        self.is_complete = False
         self.is_written = False  # the last byte of the request has been passed to the kernel
         self.age_us = 0  # how long it was idle before the attempt; 0 for a new connection
         self.retired = False  # must not be reused
@@ -133,7 +133,7 @@
         self.attempt, attempt.connection = attempt, self
         self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
         self.used = True
-        self.answer, self.complete, self.is_written = Answer(), False, False
+        self.answer, self.is_complete, self.is_written = Answer(), False, False
         self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
         self.transport.write(attempt.build_payload())
         self.is_written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
@@ -152,7 +152,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             spoilt = True
-        if self.complete:  # invalid data after a complete answer doesn't invalidate the answer
+        if self.is_complete:  # invalid data after a complete answer doesn't invalidate the answer
             self.retired = self.retired or spoilt
             self.finish()
             return
@@ -163,11 +163,11 @@
 
     def on_message_begin(self) -> None:
         self.in_head = True
-        if self.complete:
+        if self.is_complete:
             self.retired = True  # data after the end of the answer
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         self.header_count += 1
         if self.header_count > MAX_HEADERS:  # an endless series of headers, interim answers or trailers
@@ -176,7 +176,7 @@
             self.answer.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         self.in_head = False
         assert self.parser is not None
@@ -193,14 +193,14 @@
             raise ValueError("body without a length")  # a truncated body could not be detected
 
     def on_body(self, body: bytes) -> None:
-        if not self.complete:
+        if not self.is_complete:
             self.answer.size += len(body)
             if self.answer.size > MAX_BODY:
                 raise OverflowError("body too long")
             self.answer.parts.append(body)
 
     def on_message_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         if 100 <= self.answer.status < 200:  # an interim answer such as 100 Continue: the final answer follows
             self.header_count += 1
@@ -208,7 +208,7 @@
                 raise OverflowError("too many interim answers")
             self.answer = Answer()
             return
-        self.complete = True
+        self.is_complete = True
         assert self.parser is not None
         if not self.parser.should_keep_alive():
             self.retired = True
