--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -115,7 +115,7 @@
         self.answer_begun = False  # part of the answer has arrived
         self.is_complete = False
         self.is_written = False  # the last byte of the request has been passed to the kernel
-        self.age_us = 0  # how long it was idle before the attempt; 0 for a new connection
+        self.idle_age_us = 0  # how long it was idle before the attempt; 0 for a new connection
         self.retired = False  # must not be reused
         self.used = False
         self.dropped = False
@@ -131,7 +131,7 @@
     def start(self, attempt: Attempt) -> None:
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
-        self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
+        self.idle_age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
         self.used = True
         self.answer, self.is_complete, self.is_written = Answer(), False, False
         self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
@@ -217,7 +217,7 @@
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         attempt.connection = None
-        self.pool.upstreams.ages.add(self.age_us, False)
+        self.pool.upstreams.ages.add(self.idle_age_us, False)
         if not self.is_written:
             self.retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
@@ -231,7 +231,7 @@
         if attempt is not None:
             attempt.connection = None
             if not self.answer_begun:
-                self.pool.upstreams.ages.add(self.age_us, True)
+                self.pool.upstreams.ages.add(self.idle_age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
