--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -116,7 +116,7 @@
         self.is_complete = False
         self.is_written = False  # the last byte of the request has been passed to the kernel
         self.idle_age_us = 0  # how long it was idle before the attempt; 0 for a new connection
-        self.retired = False  # must not be reused
+        self.is_retired = False  # must not be reused
         self.used = False
         self.dropped = False
 
@@ -153,7 +153,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             spoilt = True
         if self.is_complete:  # invalid data after a complete answer doesn't invalidate the answer
-            self.retired = self.retired or spoilt
+            self.is_retired = self.is_retired or spoilt
             self.finish()
             return
         # the parser buffers an endless line without calling on_header, so the bytes are counted here
@@ -164,7 +164,7 @@
     def on_message_begin(self) -> None:
         self.in_head = True
         if self.is_complete:
-            self.retired = True  # data after the end of the answer
+            self.is_retired = True  # data after the end of the answer
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.is_complete:
@@ -211,7 +211,7 @@
         self.is_complete = True
         assert self.parser is not None
         if not self.parser.should_keep_alive():
-            self.retired = True
+            self.is_retired = True
 
     def finish(self) -> None:
         attempt, self.attempt = self.attempt, None
@@ -219,7 +219,7 @@
         attempt.connection = None
         self.pool.upstreams.ages.add(self.idle_age_us, False)
         if not self.is_written:
-            self.retired = True  # answered before the request was fully written: the rest would corrupt the next one
+            self.is_retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
         attempt.end(self.answer.outcome(), self.answer)
 
@@ -238,7 +238,7 @@
         """Closes the connection at once, without ending its attempt."""
         self.attempt = None
         if not self.dropped:
-            self.dropped = self.retired = True
+            self.dropped = self.is_retired = True
             self.pool.forget(self)
             if self.transport is not None:
                 # The event loop closes the socket only in its next iteration. A retry that is written in this one would
@@ -306,7 +306,7 @@
 
     def retire(self, connection: Connection) -> None:
         """Closes the connection, but only after its current attempt if it has one."""
-        connection.retired = True
+        connection.is_retired = True
         if connection.attempt is None:
             connection.drop()
 
@@ -365,8 +365,8 @@
             attempt.end(Outcome.NOT_SENT if passes(error) else Outcome.CONNECT_FAILED)
             return
         self.busy.add(connection)
-        connection.retired = address != self.member.address
-        if attempt.ended or connection.retired or not self.is_ready() or not attempt.is_wanted():
+        connection.is_retired = address != self.member.address
+        if attempt.ended or connection.is_retired or not self.is_ready() or not attempt.is_wanted():
             # the upstream may have been removed, or the client may have cancelled, during the connect
             self.release(connection)
             attempt.end(Outcome.NOT_SENT)
@@ -375,7 +375,7 @@
 
     def release(self, connection: Connection) -> None:
         """Returns the connection to the idle ones, or closes it if it must not be reused."""
-        if connection.retired or not self.is_ready():
+        if connection.is_retired or not self.is_ready():
             connection.drop()
         else:
             self.busy.discard(connection)
