--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -117,7 +117,7 @@
         self.is_written = False  # the last byte of the request has been passed to the kernel
         self.idle_age_us = 0  # how long it was idle before the attempt; 0 for a new connection
         self.is_retired = False  # must not be reused
-        self.used = False
+        self.is_reused = False
         self.dropped = False
 
     def open(self) -> None:
@@ -131,8 +131,8 @@
     def start(self, attempt: Attempt) -> None:
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
-        self.idle_age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
-        self.used = True
+        self.idle_age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.is_reused else 0
+        self.is_reused = True
         self.answer, self.is_complete, self.is_written = Answer(), False, False
         self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
         self.transport.write(attempt.build_payload())
