--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -118,7 +118,7 @@
         self.idle_age_us = 0  # how long it was idle before the attempt; 0 for a new connection
         self.is_retired = False  # must not be reused
         self.is_reused = False
-        self.dropped = False
+        self.is_closed = False
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
@@ -237,8 +237,8 @@
     def drop(self) -> None:
         """Closes the connection at once, without ending its attempt."""
         self.attempt = None
-        if not self.dropped:
-            self.dropped = self.is_retired = True
+        if not self.is_closed:
+            self.is_closed = self.is_retired = True
             self.pool.forget(self)
             if self.transport is not None:
                 # The event loop closes the socket only in its next iteration. A retry that is written in this one would
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -90,7 +90,7 @@
             txn = found[1].decode()
             if txn in self.left:
                 self.faults.append(f"{txn} was sent after its client had left")
-            if not self.copies and any(other == txn and not one.dropped and one.attempt is not None
+            if not self.copies and any(other == txn and not one.is_closed and one.attempt is not None
                                        for one, other in self.out.items()):
                 self.faults.append(f"{txn} was sent beside an attempt that is out")
             self.out[connection] = txn
