--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -159,7 +159,7 @@
         # the parser buffers an endless line without calling on_header, so the bytes are counted here
         self.head_size += len(data) if self.in_head else 0
         if spoilt or self.head_size > MAX_HEAD:
-            self.broken()
+            self.fail()
 
     def on_message_begin(self) -> None:
         self.in_head = True
@@ -223,7 +223,7 @@
         self.pool.release(self)
         attempt.end(self.answer.outcome(), self.answer)
 
-    def broken(self) -> None:
+    def fail(self) -> None:
         """Closes the failed connection and ends its attempt."""
         attempt, self.attempt = self.attempt, None
         written = self.is_written
@@ -248,10 +248,10 @@
                 self.transport.abort()
 
     def eof_received(self) -> None:
-        self.broken()
+        self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.broken()
+        self.fail()
         self.parser = None  # breaks a reference cycle that only the garbage collector would free
 
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -132,7 +132,7 @@
 
 
 def reset(site: Site) -> None:
-    site.out().broken()
+    site.out().fail()
 
 
 def timed_out(site: Site) -> None:
