--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -85,7 +85,7 @@
             return
         written = connection.is_written
         # close it: a late answer would be taken for the answer to the next request
-        connection.drop()
+        connection.close()
         self.end(outcome if written else Outcome.CONNECT_FAILED)
 
 
@@ -94,7 +94,7 @@
         connection = self.connection
         if not self.ended and connection is not None and not connection.is_written:
             self.connection = None
-            connection.drop()
+            connection.close()
             self.end(Outcome.NOT_SENT)
 
 
@@ -144,7 +144,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.drop()  # unexpected data: the next answer would be matched to the wrong request
+            self.close()  # unexpected data: the next answer would be matched to the wrong request
             return
         spoilt, self.answer_begun = False, True
         try:
@@ -227,14 +227,14 @@
         """Closes the failed connection and ends its attempt."""
         attempt, self.attempt = self.attempt, None
         written = self.is_written
-        self.drop()
+        self.close()
         if attempt is not None:
             attempt.connection = None
             if not self.answer_begun:
                 self.pool.upstreams.ages.add(self.idle_age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Closes the connection at once, without ending its attempt."""
         self.attempt = None
         if not self.is_closed:
@@ -308,7 +308,7 @@
         """Closes the connection, but only after its current attempt if it has one."""
         connection.is_retired = True
         if connection.attempt is None:
-            connection.drop()
+            connection.close()
 
     def leave(self) -> None:
         """Handles the removal from the list: pending requests may still be answered, no new ones are sent."""
@@ -318,7 +318,7 @@
 
     def close_idle(self) -> None:
         while self.idle:
-            self.idle[-1].drop()
+            self.idle[-1].close()
 
     def start(self, attempt: Attempt) -> None:
         """Sends the attempt on an idle connection, or on a new one."""
@@ -328,7 +328,7 @@
             if age_us < MIN_IDLE_US:
                 continue
             if self.has_expired(connection) or not ages.is_trusted(age_us) or connection.is_stale():
-                connection.drop()
+                connection.close()
                 continue
             self.idle.remove(connection)
             del self.upstreams.idle[connection]
@@ -376,7 +376,7 @@
     def release(self, connection: Connection) -> None:
         """Returns the connection to the idle ones, or closes it if it must not be reused."""
         if connection.is_retired or not self.is_ready():
-            connection.drop()
+            connection.close()
         else:
             self.busy.discard(connection)
             connection.idle_since_us = self.upstreams.now_us()
@@ -391,7 +391,7 @@
 
     def sweep(self) -> None:
         while self.idle and self.has_expired(self.idle[0]):
-            self.idle[0].drop()
+            self.idle[0].close()
 
 
 class Upstreams:
@@ -461,7 +461,7 @@
         if self.open >= self.most:
             oldest = next(iter(self.idle), None)
             if oldest is not None:
-                oldest.drop()
+                oldest.close()
         return self.open < self.most
 
     def sweep(self) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -366,7 +366,7 @@
         async def next_after(idle_us: int) -> Outcome:
             assert await line.outcome() is Outcome.OK  # one to be kept
             for other in line.pool.idle[:-1]:
-                other.drop()  # on a slow machine it has rested, and would serve in its place
+                other.close()  # on a slow machine it has rested, and would serve in its place
             line.pool.idle[-1].idle_since_us -= idle_us
             peer.behave = reset if idle_us > 200_000 else reply(ok())
             first = peer.opened
