--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -146,19 +146,19 @@
         if self.attempt is None:
             self.close()  # unexpected data: the next answer would be matched to the wrong request
             return
-        spoilt, self.answer_begun = False, True
+        is_malformed, self.answer_begun = False, True
         try:
             assert self.parser is not None
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            spoilt = True
+            is_malformed = True
         if self.is_complete:  # invalid data after a complete answer doesn't invalidate the answer
-            self.is_retired = self.is_retired or spoilt
+            self.is_retired = self.is_retired or is_malformed
             self.finish()
             return
         # the parser buffers an endless line without calling on_header, so the bytes are counted here
         self.head_size += len(data) if self.in_head else 0
-        if spoilt or self.head_size > MAX_HEAD:
+        if is_malformed or self.head_size > MAX_HEAD:
             self.fail()
 
     def on_message_begin(self) -> None:
