--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -255,7 +255,7 @@
         self.parser = None  # breaks a reference cycle that only the garbage collector would free
 
 
-class Ages:
+class IdleFailures:
     """Learns how long connections may be idle before reuse: an upstream may close them long before the configured
     idle timeout, and the request that reveals it is lost."""
 
@@ -404,7 +404,7 @@
         self.open = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
-        self.ages = Ages()
+        self.ages = IdleFailures()
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
