--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -92,7 +92,7 @@
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MOST_CLASSES] if is_name(c.name)),
             tenants=tuple(t for t in whole.tenants[:MOST_TENANTS] if is_name(t[0])),
-            ages=tuple(sidecar.upstreams.ages.failing), upstreams=tuple(found))
+            ages=tuple(sidecar.upstreams.ages.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
         snapshot = await in_slices(self.collecting(), self.spent)
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -260,25 +260,25 @@
     idle timeout, and the request that reveals it is lost."""
 
     def __init__(self) -> None:
-        self.failing = [0.0] * 65  # share that failed, by the bit length of the idle time in microseconds
+        self.shares = [0.0] * 65  # share that failed, by the bit length of the idle time in microseconds
 
     def add(self, age_us: int, failed: bool) -> None:
         if age_us > 0:
             bits = min(age_us.bit_length(), 64)
-            self.failing[bits] += (failed - self.failing[bits]) * FAILURE_WEIGHT
+            self.shares[bits] += (failed - self.shares[bits]) * FAILURE_WEIGHT
 
     def is_trusted(self, age_us: int) -> bool:
-        return self.failing[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
+        return self.shares[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
 
     def recall(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
         restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
         left = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
-        for i, share in enumerate(shares[:len(self.failing)]):
-            self.failing[i] = max(self.failing[i], min(0.5, share) * left)
+        for i, share in enumerate(shares[:len(self.shares)]):
+            self.shares[i] = max(self.shares[i], min(0.5, share) * left)
 
     def fade(self) -> None:
-        self.failing = [share * FAILURE_DECAY for share in self.failing]
+        self.shares = [share * FAILURE_DECAY for share in self.shares]
 
 
 class Pool:
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -459,11 +459,11 @@
         for _ in range(11):  # seconds
             ages.fade()
         assert ages.is_trusted(1 << 20)
-        ages.failing = [0.0] * 65
+        ages.shares = [0.0] * 65
         ages.recall([1.0] * 65, 12_000_000)
         assert ages.is_trusted(1 << 20)
         ages.recall([1.0] * 65, 7 * 86_400_000_000)
-        assert max(ages.failing) < 0.3
+        assert max(ages.shares) < 0.3
 
     run(test)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -395,7 +395,7 @@
         line = Line(await Peer(reset).start())
         for _ in range(10):
             assert await line.outcome() is Outcome.RESET
-        assert max(line.upstreams.ages.failing) == 0.0
+        assert max(line.upstreams.ages.shares) == 0.0
 
     run(test)
 
