--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -217,7 +217,7 @@
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         attempt.connection = None
-        self.pool.upstreams.ages.add(self.idle_age_us, False)
+        self.pool.upstreams.ages.record(self.idle_age_us, False)
         if not self.is_written:
             self.is_retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
@@ -231,7 +231,7 @@
         if attempt is not None:
             attempt.connection = None
             if not self.answer_begun:
-                self.pool.upstreams.ages.add(self.idle_age_us, True)
+                self.pool.upstreams.ages.record(self.idle_age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
@@ -262,7 +262,7 @@
     def __init__(self) -> None:
         self.shares = [0.0] * 65  # share that failed, by the bit length of the idle time in microseconds
 
-    def add(self, age_us: int, failed: bool) -> None:
+    def record(self, age_us: int, failed: bool) -> None:
         if age_us > 0:
             bits = min(age_us.bit_length(), 64)
             self.shares[bits] += (failed - self.shares[bits]) * FAILURE_WEIGHT
