--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -267,7 +267,7 @@
             bits = min(age_us.bit_length(), 64)
             self.shares[bits] += (failed - self.shares[bits]) * FAILURE_WEIGHT
 
-    def is_trusted(self, age_us: int) -> bool:
+    def is_reliable(self, age_us: int) -> bool:
         return self.shares[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
 
     def recall(self, shares: Sequence[float], age_us: int) -> None:
@@ -327,7 +327,7 @@
             age_us = now_us - connection.idle_since_us
             if age_us < MIN_IDLE_US:
                 continue
-            if self.has_expired(connection) or not ages.is_trusted(age_us) or connection.is_stale():
+            if self.has_expired(connection) or not ages.is_reliable(age_us) or connection.is_stale():
                 connection.close()
                 continue
             self.idle.remove(connection)
