--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -138,7 +138,7 @@
             for text in lines:
                 self.log(text)
             if snapshot is not None:
-                self.sidecar.upstreams.ages.recall(snapshot.ages, age_us)
+                self.sidecar.upstreams.ages.restore(snapshot.ages, age_us)
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -270,7 +270,7 @@
     def is_reliable(self, age_us: int) -> bool:
         return self.shares[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
 
-    def recall(self, shares: Sequence[float], age_us: int) -> None:
+    def restore(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
         restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
         left = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -454,15 +454,15 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         ages = scene.sidecar.upstreams.ages
-        ages.recall([1.0] * 65, 0)
+        ages.restore([1.0] * 65, 0)
         assert not ages.is_reliable(1 << 20)
         for _ in range(11):  # seconds
             ages.fade()
         assert ages.is_reliable(1 << 20)
         ages.shares = [0.0] * 65
-        ages.recall([1.0] * 65, 12_000_000)
+        ages.restore([1.0] * 65, 12_000_000)
         assert ages.is_reliable(1 << 20)
-        ages.recall([1.0] * 65, 7 * 86_400_000_000)
+        ages.restore([1.0] * 65, 7 * 86_400_000_000)
         assert max(ages.shares) < 0.3
 
     run(test)
