--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -277,7 +277,7 @@
         for i, share in enumerate(shares[:len(self.shares)]):
             self.shares[i] = max(self.shares[i], min(0.5, share) * left)
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         self.shares = [share * FAILURE_DECAY for share in self.shares]
 
 
@@ -467,7 +467,7 @@
     def sweep(self) -> None:
         for pool in self.pools.values():
             pool.sweep()
-        self.ages.fade()
+        self.ages.decay()
 
     def close(self) -> None:
         self.sweeper.cancel()
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -457,7 +457,7 @@
         ages.restore([1.0] * 65, 0)
         assert not ages.is_reliable(1 << 20)
         for _ in range(11):  # seconds
-            ages.fade()
+            ages.decay()
         assert ages.is_reliable(1 << 20)
         ages.shares = [0.0] * 65
         ages.restore([1.0] * 65, 12_000_000)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -384,7 +384,7 @@
         opened = peer.opened
         assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one serves
         for _ in range(60):
-            line.upstreams.ages.fade()
+            line.upstreams.ages.decay()
         assert await next_after(270_000) is Outcome.RESET  # it is tried again in time
 
     run(test)
