--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -310,7 +310,7 @@
         if connection.attempt is None:
             connection.close()
 
-    def leave(self) -> None:
+    def handle_removal(self) -> None:
         """Handles the removal from the list: pending requests may still be answered, no new ones are sent."""
         self.member = replace(self.member, upstream=replace(self.member.upstream, state=UpstreamState.GONE))
         for connection in [*self.idle, *self.busy]:
@@ -444,7 +444,7 @@
         for ident in gone:
             pool = self.pools.pop(ident, None)
             if pool is not None:
-                pool.leave()
+                pool.handle_removal()
 
     def ready(self, ident: int) -> Pool | None:
         """Returns the pool of the upstream if requests may be sent to it."""
@@ -474,4 +474,4 @@
         for task in list(self.tasks):
             task.cancel()
         for pool in self.pools.values():
-            pool.leave()
+            pool.handle_removal()
