--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -239,7 +239,7 @@
         self.attempt = None
         if not self.is_closed:
             self.is_closed = self.is_retired = True
-            self.pool.forget(self)
+            self.pool.remove(self)
             if self.transport is not None:
                 # The event loop closes the socket only in its next iteration. A retry that is written in this one would
                 # be a second copy of a request that is still being sent.
@@ -383,7 +383,7 @@
             self.idle.append(connection)
             self.upstreams.idle[connection] = None
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         self.busy.discard(connection)
         if self.upstreams.idle.pop(connection, connection) is None:
             self.idle.remove(connection)
