--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -389,7 +389,7 @@
             self.idle.remove(connection)
         self.upstreams.open -= 1
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         while self.idle and self.has_expired(self.idle[0]):
             self.idle[0].close()
 
@@ -466,7 +466,7 @@
 
     def sweep(self) -> None:
         for pool in self.pools.values():
-            pool.sweep()
+            pool.close_expired()
         self.ages.decay()
 
     def close(self) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -408,7 +408,7 @@
         line.pool.idle[0].idle_since_us -= 13_600_000
         assert await line.outcome() is Outcome.OK and peer.opened == 2  # a write after 15 s is a reset
         line.pool.idle[0].idle_since_us -= 13_600_000
-        line.pool.sweep()
+        line.pool.close_expired()
         assert not line.pool.idle and line.upstreams.open == 0
 
     run(test)
