--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -300,7 +300,7 @@
         # Nothing below can fail: each takes on a value that has been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         half = connections_each(new.sockets)
-        self.server.most = self.upstreams.most = half
+        self.server.most = self.upstreams.max_open = half
         self.upstreams.set_times(new.idle_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -400,7 +400,7 @@
     def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, most: int) -> None:
         self.now_us = now_us
         self.set_times(idle_us, connect_us)
-        self.most = most  # limit on open connections
+        self.max_open = most  # limit on open connections
         self.open = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
@@ -458,11 +458,11 @@
     def make_room(self) -> bool:
         """Makes room for one more connection, if necessary by closing the one that has been idle longest. Returns
         whether there is room."""
-        if self.open >= self.most:
+        if self.open >= self.max_open:
             oldest = next(iter(self.idle), None)
             if oldest is not None:
                 oldest.close()
-        return self.open < self.most
+        return self.open < self.max_open
 
     def sweep(self) -> None:
         for pool in self.pools.values():
