--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -338,7 +338,7 @@
         if not self.upstreams.make_room():
             attempt.end(Outcome.NOT_SENT)
             return
-        self.upstreams.open += 1
+        self.upstreams.open_count += 1
         task = asyncio.get_running_loop().create_task(self.connect(attempt))
         self.upstreams.tasks.add(task)
         task.add_done_callback(self.upstreams.tasks.discard)
@@ -360,7 +360,7 @@
         except Exception as error:  # of any kind: otherwise the attempt would hold its slot until its timeout
             if sock is not None:
                 sock.close()
-            self.upstreams.open -= 1
+            self.upstreams.open_count -= 1
             # a lack of resources on this machine is no failure of the upstream
             attempt.end(Outcome.NOT_SENT if passes(error) else Outcome.CONNECT_FAILED)
             return
@@ -387,7 +387,7 @@
         self.busy.discard(connection)
         if self.upstreams.idle.pop(connection, connection) is None:
             self.idle.remove(connection)
-        self.upstreams.open -= 1
+        self.upstreams.open_count -= 1
 
     def close_expired(self) -> None:
         while self.idle and self.has_expired(self.idle[0]):
@@ -401,7 +401,7 @@
         self.now_us = now_us
         self.set_times(idle_us, connect_us)
         self.max_open = most  # limit on open connections
-        self.open = 0  # number of connections, including those being established
+        self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
         self.ages = IdleFailures()
@@ -458,11 +458,11 @@
     def make_room(self) -> bool:
         """Makes room for one more connection, if necessary by closing the one that has been idle longest. Returns
         whether there is room."""
-        if self.open >= self.max_open:
+        if self.open_count >= self.max_open:
             oldest = next(iter(self.idle), None)
             if oldest is not None:
                 oldest.close()
-        return self.open < self.max_open
+        return self.open_count < self.max_open
 
     def sweep(self) -> None:
         for pool in self.pools.values():
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -209,7 +209,7 @@
         assert not sidecar.by_txn and not sidecar.server.connections, "owed at the end"
         sidecar.clock.offset_ns += 120_000_000_000  # attempts that are still out end by their time
         sidecar.timers.fire()
-        await until(lambda: not sidecar.requests and not sidecar.upstreams.open)
+        await until(lambda: not sidecar.requests and not sidecar.upstreams.open_count)
         await until(lambda: all(one.ended or one.left for one in self.clients))
         for client in self.clients:
             client.sock.close()
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -262,7 +262,7 @@
         next(iter(upstreams.pools.values())).start(
             Attempt(lambda: GET, lambda: True, lambda found, _: ends.append(found)))
         await until(lambda: ends)
-        assert ends == [outcome] and upstreams.open == 0
+        assert ends == [outcome] and upstreams.open_count == 0
         upstreams.close()
 
     run(test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -122,7 +122,7 @@
         start = time.monotonic()
         assert (await scene.call("pay", remaining="400000u")).status == 502
         assert time.monotonic() - start >= 0.39 - MARGIN_US / 1e6
-        await until(lambda: scene.sidecar.upstreams.open == 0)
+        await until(lambda: scene.sidecar.upstreams.open_count == 0)
         assert not scene.sidecar.requests and not scene.sidecar.by_txn
 
     run(test)
@@ -512,7 +512,7 @@
             """Nothing is out, and the upstream has no connection but those kept for the one that is listed. They may be
             two, where a request met the first at its rest: one that is waited for is gone only once it expires."""
             pool, = sidecar.upstreams.pools.values()
-            return not pool.busy and len(peer.writers) == sidecar.upstreams.open == len(pool.idle)
+            return not pool.busy and len(peer.writers) == sidecar.upstreams.open_count == len(pool.idle)
 
         for generation in range(1, 6):
             await churn(generation)
@@ -633,7 +633,7 @@
         assert (await call).status == 502
         scene.sidecar.carry_out(api.Cancel(ident, 0))
         assert [(e.outcome, e.final) for e in ended] == [(api.Outcome.CANCELLED, True)]
-        assert not scene.sidecar.requests and scene.sidecar.upstreams.open == 0
+        assert not scene.sidecar.requests and scene.sidecar.upstreams.open_count == 0
 
     run(test)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -96,7 +96,7 @@
         line = Line(await Peer(behave).start())
         assert await line.outcome() is expected
         if expected is Outcome.RESET:
-            assert line.upstreams.open == 0  # dropped at once, though the upstream keeps it open
+            assert line.upstreams.open_count == 0  # dropped at once, though the upstream keeps it open
 
     run(test)
 
@@ -119,7 +119,7 @@
         peer.server.close()
         line = Line(peer)
         assert await line.outcome() is Outcome.CONNECT_FAILED
-        assert line.upstreams.open == 0
+        assert line.upstreams.open_count == 0
 
     run(test)
 
@@ -184,7 +184,7 @@
         await until(lambda: peer.got)
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.TIMEOUT
-        assert line.upstreams.open == 0
+        assert line.upstreams.open_count == 0
         peer.behave = reply(ok())
         assert await line.outcome() is Outcome.OK and peer.opened == 2
 
@@ -248,7 +248,7 @@
         for end in ends:
             assert await line.outcome() is Outcome.OK
             end(peer.writers.copy().pop())
-            await until(lambda: line.upstreams.open == 0)
+            await until(lambda: line.upstreams.open_count == 0)
             await until(lambda: not peer.writers)
 
     run(test)
@@ -263,7 +263,7 @@
         line = Line(await Peer(reply(ok(b"one") + more)).start())
         outcome, answer = await line.start()[1]
         assert outcome is Outcome.OK and answer.body == b"one"
-        assert not line.pool.idle and line.upstreams.open == 0
+        assert not line.pool.idle and line.upstreams.open_count == 0
 
     run(test)
 
@@ -307,7 +307,7 @@
             peer.writers.copy().pop().write(piece)
             await asyncio.sleep(0.01)
         outcome, answer = await ended
-        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and line.upstreams.open == 0
+        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and line.upstreams.open_count == 0
 
     run(test)
 
@@ -409,7 +409,7 @@
         assert await line.outcome() is Outcome.OK and peer.opened == 2  # a write after 15 s is a reset
         line.pool.idle[0].idle_since_us -= 13_600_000
         line.pool.close_expired()
-        assert not line.pool.idle and line.upstreams.open == 0
+        assert not line.pool.idle and line.upstreams.open_count == 0
 
     run(test)
 
@@ -422,7 +422,7 @@
         _, ended = line.start()
         line.tell(full=False, lifecycle=lifecycle)  # the connection is still coming up
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not peer.got and line.upstreams.open == 0
+        assert not peer.got and line.upstreams.open_count == 0
 
     run(test)
 
@@ -433,7 +433,7 @@
         line = Line(peer)
         await line.outcome()
         line.upstreams.apply([], True)
-        assert not line.upstreams.pools and line.upstreams.open == 0
+        assert not line.upstreams.pools and line.upstreams.open_count == 0
 
     run(test)
 
@@ -488,7 +488,7 @@
         line.peer = new
         line.tell(full=False)
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not old.got and line.upstreams.open == 0
+        assert not old.got and line.upstreams.open_count == 0
 
     run(test)
 
@@ -509,7 +509,7 @@
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         pool.start(Attempt(lambda: GET, lambda: True, lambda outcome, answer: done.set_result(outcome)))
         assert await done is Outcome.OK  # in place of the idle one
-        assert line.upstreams.open == 1
+        assert line.upstreams.open_count == 1
 
     run(test)
 
@@ -523,7 +523,7 @@
         with monkeypatch.context() as patched:
             patched.setattr(socket, "socket", out_of_descriptors)
             assert await line.outcome() is Outcome.NOT_SENT
-        assert line.upstreams.open == 0
+        assert line.upstreams.open_count == 0
         assert await line.outcome() is Outcome.OK
 
     run(test)
@@ -569,10 +569,10 @@
         assert [len(pool.idle) for pool in pools] == [1, 1, 1, 0] and peers[1].opened == 1
         assert list(upstreams.idle) == [pool.idle[0] for pool in (pools[0], pools[2], pools[1])]
         assert await ask(pools[3]) is Outcome.OK
-        assert [len(pool.idle) for pool in pools] == [0, 1, 1, 1] and upstreams.open == 3
+        assert [len(pool.idle) for pool in pools] == [0, 1, 1, 1] and upstreams.open_count == 3
         for pool in pools:
             pool.close_idle()
-        assert not upstreams.idle and upstreams.open == 0
+        assert not upstreams.idle and upstreams.open_count == 0
 
     run(test)
 
