--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -397,10 +397,10 @@
 class Upstreams:
     """The connection pools of all upstreams in the list, by upstream id."""
 
-    def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, most: int) -> None:
+    def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, max_open: int) -> None:
         self.now_us = now_us
         self.set_times(idle_us, connect_us)
-        self.max_open = most  # limit on open connections
+        self.max_open = max_open  # limit on open connections
         self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
