--- a/ironscale/learned/teaching.py
+++ b/ironscale/learned/teaching.py
@@ -196,7 +196,7 @@
         lessons = trust.agreed(donors, now_us, self.sidecar.config.settings.zone)
         if lessons is None:
             return False
-        self.sidecar.upstreams.ages.restore(agreed_ages(donors), 0)
+        self.sidecar.upstreams.idle_failures.restore(agreed_ages(donors), 0)
         self.sidecar.balancer.recall(now_us, lessons)
         self.learned, self.upstreams = True, len(lessons.upstreams)
         self.sidecar.log(f"learned: taught of {len(lessons.upstreams)} upstreams by {len(donors)} of {len(chosen)}")
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -217,7 +217,7 @@
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         attempt.connection = None
-        self.pool.upstreams.ages.record(self.idle_age_us, False)
+        self.pool.upstreams.idle_failures.record(self.idle_age_us, False)
         if not self.is_written:
             self.is_retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
@@ -231,7 +231,7 @@
         if attempt is not None:
             attempt.connection = None
             if not self.answer_begun:
-                self.pool.upstreams.ages.record(self.idle_age_us, True)
+                self.pool.upstreams.idle_failures.record(self.idle_age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
@@ -322,7 +322,7 @@
 
     def start(self, attempt: Attempt) -> None:
         """Sends the attempt on an idle connection, or on a new one."""
-        now_us, ages = self.upstreams.now_us(), self.upstreams.ages
+        now_us, ages = self.upstreams.now_us(), self.upstreams.idle_failures
         for connection in reversed(self.idle):
             age_us = now_us - connection.idle_since_us
             if age_us < MIN_IDLE_US:
@@ -404,7 +404,7 @@
         self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
-        self.ages = IdleFailures()
+        self.idle_failures = IdleFailures()
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
@@ -467,7 +467,7 @@
     def sweep(self) -> None:
         for pool in self.pools.values():
             pool.close_expired()
-        self.ages.decay()
+        self.idle_failures.decay()
 
     def close(self) -> None:
         self.sweeper.cancel()
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -453,7 +453,7 @@
 def test_ages_of_kept_connections_fade_by_their_age_and_shut_nothing_for_long() -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        ages = scene.sidecar.upstreams.ages
+        ages = scene.sidecar.upstreams.idle_failures
         ages.restore([1.0] * 65, 0)
         assert not ages.is_reliable(1 << 20)
         for _ in range(11):  # seconds
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -384,7 +384,7 @@
         opened = peer.opened
         assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one serves
         for _ in range(60):
-            line.upstreams.ages.decay()
+            line.upstreams.idle_failures.decay()
         assert await next_after(270_000) is Outcome.RESET  # it is tried again in time
 
     run(test)
@@ -395,7 +395,7 @@
         line = Line(await Peer(reset).start())
         for _ in range(10):
             assert await line.outcome() is Outcome.RESET
-        assert max(line.upstreams.ages.shares) == 0.0
+        assert max(line.upstreams.idle_failures.shares) == 0.0
 
     run(test)
 
