--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -301,7 +301,7 @@
         self.config, self.generation, self.overlay = new, generation, overlay
         half = connections_each(new.sockets)
         self.server.most = self.upstreams.max_open = half
-        self.upstreams.set_times(new.idle_us, new.settings.connect_timeout_us)
+        self.upstreams.set_timeouts(new.idle_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.tell_all(api.SettingsChanged(new.settings))
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -399,7 +399,7 @@
 
     def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, max_open: int) -> None:
         self.now_us = now_us
-        self.set_times(idle_us, connect_us)
+        self.set_timeouts(idle_us, connect_us)
         self.max_open = max_open  # limit on open connections
         self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
@@ -408,7 +408,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
-    def set_times(self, idle_us: int, connect_us: int) -> None:
+    def set_timeouts(self, idle_us: int, connect_us: int) -> None:
         self.idle_us = int(idle_us * IDLE_TIMEOUT_SHARE)
         self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
