--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -344,7 +344,7 @@
         task.add_done_callback(self.upstreams.tasks.discard)
 
     def has_expired(self, connection: Connection) -> bool:
-        return self.upstreams.now_us() - connection.idle_since_us >= self.upstreams.idle_us
+        return self.upstreams.now_us() - connection.idle_since_us >= self.upstreams.idle_timeout_us
 
     async def connect(self, attempt: Attempt) -> None:
         address = self.member.address
@@ -409,7 +409,7 @@
         self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
     def set_timeouts(self, idle_us: int, connect_us: int) -> None:
-        self.idle_us = int(idle_us * IDLE_TIMEOUT_SHARE)
+        self.idle_timeout_us = int(idle_us * IDLE_TIMEOUT_SHARE)
         self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
     def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
