--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -353,7 +353,7 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(self.upstreams.connect_s):
+            async with asyncio.timeout(self.upstreams.connect_timeout_s):
                 await dialing.connect(sock, address)
             connection = Connection(self, sock)
             connection.open()
@@ -410,7 +410,7 @@
 
     def set_timeouts(self, idle_us: int, connect_us: int) -> None:
         self.idle_timeout_us = int(idle_us * IDLE_TIMEOUT_SHARE)
-        self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
+        self.connect_timeout_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
     def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
         """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
