--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -401,7 +401,7 @@
             pool = self.upstreams.pools.get(member.upstream.id)
             self.starts.set_start(member.upstream, pool.member.upstream if pool is not None else None)
         self.has_list = self.has_list or kind is not api.ListKind.CACHED or bool(listing.members)
-        members = self.upstreams.settle_addresses(listing.members, full)
+        members = self.upstreams.resolve_address_conflicts(listing.members, full)
         self.upstreams.apply(members, full)
         self.post(api.UpstreamsUpdated(kind, [m.upstream for m in members], listing.generation))
 
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -412,7 +412,7 @@
         self.idle_timeout_us = int(idle_us * IDLE_TIMEOUT_SHARE)
         self.connect_timeout_s = connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
-    def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
+    def resolve_address_conflicts(self, members: list[Member], full: bool) -> list[Member]:
         """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
         discovery reports their end late, requests meant for them would go to the cold process at that address."""
         told = {member.upstream.id: member for member in members}
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -329,7 +329,7 @@
         line = Line(peer, startedAtMs=1000)
         new = peer.entry("s-2", startedAtMs=2000)
         told = [new, peer.entry("s-1", startedAtMs=1000)] if full else [new]
-        settled = line.upstreams.settle_addresses(members(*told), full)
+        settled = line.upstreams.resolve_address_conflicts(members(*told), full)
         assert {m.name: m.upstream.state.value for m in settled} == {"s-1": "gone", "s-2": "ready"}
         line.upstreams.apply(settled, full)
         assert [pool.member.name for pool in line.upstreams.pools.values()] == ["s-2"]
