--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -469,7 +469,7 @@
     def send(self, action: api.Send) -> None:
         now_us = self.clock.now_us()
         request = self.requests.get(action.request)
-        pool = self.upstreams.ready(action.upstream)
+        pool = self.upstreams.ready_pool(action.upstream)
         if request is None:
             return
         number = len(request.attempts)
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -446,7 +446,7 @@
             if pool is not None:
                 pool.handle_removal()
 
-    def ready(self, ident: int) -> Pool | None:
+    def ready_pool(self, ident: int) -> Pool | None:
         """Returns the pool of the upstream if requests may be sent to it."""
         pool = self.pools.get(ident)
         return pool if pool is not None and pool.is_ready() else None
