--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -16,11 +16,11 @@
     """Remembers the offset of the wall clock to the monotonic clock before and after each step of the wall clock."""
 
     def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
-        self.wall_us, self.own_us = wall_us, own_us
+        self.wall_us, self.monotonic_us = wall_us, own_us
         self.offsets_us = [self.offset_us()]  # before and after each step, oldest first
 
     def offset_us(self) -> int:
-        return self.wall_us() - self.own_us()
+        return self.wall_us() - self.monotonic_us()
 
     def check_for_step(self) -> bool:
         """Records a step of the wall clock since the last check. Returns whether there was one."""
@@ -44,7 +44,7 @@
         It is not known whether a start time was taken before or after a step, so the latest candidate that isn't in
         the future is used: an upstream believed too young gets too little load, but a cold one believed to be warm
         collapses under full load."""
-        now_us = self.own_us()
+        now_us = self.monotonic_us()
         possible = [started_us - ahead_us for ahead_us in self.offsets_us]
         latest_us = max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
         return None if abs(latest_us - started_us) <= STEP_US else latest_us
