--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -15,8 +15,8 @@
 class StartTimes:
     """Remembers the offset of the wall clock to the monotonic clock before and after each step of the wall clock."""
 
-    def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
-        self.wall_us, self.monotonic_us = wall_us, own_us
+    def __init__(self, wall_us: Callable[[], int], monotonic_us: Callable[[], int]) -> None:
+        self.wall_us, self.monotonic_us = wall_us, monotonic_us
         self.offsets_us = [self.offset_us()]  # before and after each step, oldest first
 
     def offset_us(self) -> int:
