--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -24,10 +24,10 @@
 
     def check_for_step(self) -> bool:
         """Records a step of the wall clock since the last check. Returns whether there was one."""
-        ahead_us = self.offset_us()
-        stepped = abs(ahead_us - self.offsets_us[-1]) > STEP_US
+        offset_us = self.offset_us()
+        stepped = abs(offset_us - self.offsets_us[-1]) > STEP_US
         if stepped:
-            self.offsets_us = [*self.offsets_us[1 - MAX_STEPS:], ahead_us]
+            self.offsets_us = [*self.offsets_us[1 - MAX_STEPS:], offset_us]
         return stepped
 
     def set_start(self, entry: Upstream, known: Upstream | None) -> None:
