--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -45,6 +45,6 @@
         the future is used: an upstream believed too young gets too little load, but a cold one believed to be warm
         collapses under full load."""
         now_us = self.monotonic_us()
-        possible = [started_us - offset_us for offset_us in self.offsets_us]
-        latest_us = max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
+        candidates_us = [started_us - offset_us for offset_us in self.offsets_us]
+        latest_us = max((at_us for at_us in candidates_us if at_us <= now_us + STEP_US), default=now_us)
         return None if abs(latest_us - started_us) <= STEP_US else latest_us
