--- a/ironscale/net/starts.py
+++ b/ironscale/net/starts.py
@@ -46,5 +46,5 @@
         collapses under full load."""
         now_us = self.monotonic_us()
         candidates_us = [started_us - offset_us for offset_us in self.offsets_us]
-        latest_us = max((at_us for at_us in candidates_us if at_us <= now_us + STEP_US), default=now_us)
-        return None if abs(latest_us - started_us) <= STEP_US else latest_us
+        start_us = max((at_us for at_us in candidates_us if at_us <= now_us + STEP_US), default=now_us)
+        return None if abs(start_us - started_us) <= STEP_US else start_us
