--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -25,12 +25,12 @@
 
 async def connect(sock: socket.socket, address: Address) -> None:
     """Connects a non-blocking socket. Raises OSError."""
-    number = sock.connect_ex(await resolve(address))
-    if number in IN_PROGRESS_ERRORS:
+    error_number = sock.connect_ex(await resolve(address))
+    if error_number in IN_PROGRESS_ERRORS:
         await wait_until_writable(sock)
-        number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    if number:
-        raise OSError(number, os.strerror(number))
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if error_number:
+        raise OSError(error_number, os.strerror(error_number))
 
 
 async def wait_until_writable(sock: socket.socket) -> None:
