--- a/ironscale/net/dialing.py
+++ b/ironscale/net/dialing.py
@@ -38,11 +38,11 @@
     loop = asyncio.get_running_loop()
     waiter: asyncio.Future[None] = loop.create_future()
 
-    def tell() -> None:
+    def on_writable() -> None:
         if not waiter.done():
             waiter.set_result(None)
 
-    loop.add_writer(sock, tell)
+    loop.add_writer(sock, on_writable)
     try:
         await waiter
     finally:
