--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -40,8 +40,8 @@
         """Whether the stream is between two values, with none unfinished."""
         return not self.buffer
 
-    def feed(self, piece: bytes) -> Iterator[Any | BlankLine]:
-        self.buffer += piece
+    def feed(self, chunk: bytes) -> Iterator[Any | BlankLine]:
+        self.buffer += chunk
         while self.buffer:
             if not self.depth:
                 yield from self.skip_whitespace()
