--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -121,7 +121,7 @@
     def __init__(self, address: tuple[str, int], directory: ListParser, generation: int, on_list: OnList,
                  first_data_timeout_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
         self.address = address
-        self.answer_s = first_data_timeout_s  # time to wait for the first data of a call
+        self.first_data_timeout_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
         self.silent_calls = 0  # consecutive calls that timed out before their first data
         self.parser = directory
@@ -210,7 +210,7 @@
     def current_timeout_s(self) -> float:
         """Returns how long a call may wait for its first data. It doubles after a timeout: otherwise a discovery
         service that is slower than expected would never be heard."""
-        return self.answer_s * (2 if self.silent_calls else 1)
+        return self.first_data_timeout_s * (2 if self.silent_calls else 1)
 
     def handle_value(self, call: _Call, value: Any | BlankLine) -> None:
         """Handles one list or heartbeat that a call has received."""
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -71,7 +71,7 @@
         scene = await Scene().start(peer.entry("s-1"), **settings_of(PUSHED, grace_us=600_000))
         await until(lambda: len(scene.discovery.targets) == 2)  # the first was accepted and not answered
         wait_us = scene.sidecar.config.answer_us + scene.sidecar.balancer.list_gap_us()
-        assert wait_us <= 600_000 and scene.sidecar.discovery.answer_s * 1e6 == scene.sidecar.config.answer_us
+        assert wait_us <= 600_000 and scene.sidecar.discovery.first_data_timeout_s * 1e6 == scene.sidecar.config.answer_us
 
     run(test)
 
@@ -170,11 +170,11 @@
         discovery, told = await watching(fake)
         if first:
             await until(lambda: fake.writers)
-            discovery.answer_s = 0.2  # from these bytes on
+            discovery.first_data_timeout_s = 0.2  # from these bytes on
             fake.writers[0].write(chunk(first))
         await until(lambda: told)
         assert kinds(told) == [ListKind.FAILED] and discovery.watch is None and discovery.silent_calls == 1
-        discovery.answer_s = CALL_US / 1e6
+        discovery.first_data_timeout_s = CALL_US / 1e6
         discovery.subscribe()
         watch = cast(Any, discovery.watch)
         await until(lambda: watch.transport)
