--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -118,13 +118,13 @@
     is opened: as soon as the balancer asks for it, and no later than the time that `turns` computes. If many sidecars
     share a discovery service, it is opened at that time and not before."""
 
-    def __init__(self, address: tuple[str, int], directory: ListParser, generation: int, on_list: OnList,
+    def __init__(self, address: tuple[str, int], parser: ListParser, generation: int, on_list: OnList,
                  first_data_timeout_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
         self.address = address
         self.first_data_timeout_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
         self.silent_calls = 0  # consecutive calls that timed out before their first data
-        self.parser = directory
+        self.parser = parser
         self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
         self.is_shared = shared  # many sidecars use this service, so calls are spread over time
