--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -119,7 +119,7 @@
     share a discovery service, it is opened at that time and not before."""
 
     def __init__(self, address: tuple[str, int], parser: ListParser, generation: int, on_list: OnList,
-                 first_data_timeout_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
+                 first_data_timeout_s: float, log: Callable[[str], None], is_shared: bool = False, seed: int = 0) -> None:
         self.address = address
         self.first_data_timeout_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
@@ -127,7 +127,7 @@
         self.parser = parser
         self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
-        self.is_shared = shared  # many sidecars use this service, so calls are spread over time
+        self.is_shared = is_shared  # many sidecars use this service, so calls are spread over time
         self.random = random.Random(seed)
         self.last_heard_s: float | None = None  # when a watch last received data; None before the first time
         self.calls_begun = 0  # calls begun since then
