--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -167,8 +167,8 @@
             self.next_call_timer.cancel()
         self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open_watch)
 
-    def new_watch_call(self, most_s: float = math.inf) -> _Call:
-        return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", most_s)
+    def new_watch_call(self, max_first_data_s: float = math.inf) -> _Call:
+        return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", max_first_data_s)
 
     def unsubscribe(self) -> None:
         self.cancel_successor()
