--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -310,10 +310,10 @@
 class _Call(asyncio.Protocol):
     """One HTTP call to discovery, from the connect to the end of the response."""
 
-    def __init__(self, owner: Discovery, target: str, max_first_data_s: float = math.inf) -> None:
-        self.owner = owner
+    def __init__(self, discovery: Discovery, target: str, max_first_data_s: float = math.inf) -> None:
+        self.owner = discovery
         self.max_first_data_s = max_first_data_s  # upper limit on the wait for its first data
-        self.address = owner.address
+        self.address = discovery.address
         self.has_answered = False
         self.lagging_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
         self.drained_while_lagging: set[str] = set()  # names of upstreams whose drain such a list reported
@@ -325,7 +325,7 @@
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
         self.begun_s = self.last_data_s = loop.time()  # when the last data arrived
-        self.silence_timer = loop.call_later(min(owner.current_timeout_s(), max_first_data_s), self.handle_silence)
+        self.silence_timer = loop.call_later(min(discovery.current_timeout_s(), max_first_data_s), self.handle_silence)
         self.task = loop.create_task(self.connect())
 
     async def connect(self) -> None:
