--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -311,7 +311,7 @@
     """One HTTP call to discovery, from the connect to the end of the response."""
 
     def __init__(self, discovery: Discovery, target: str, max_first_data_s: float = math.inf) -> None:
-        self.owner = discovery
+        self.discovery = discovery
         self.max_first_data_s = max_first_data_s  # upper limit on the wait for its first data
         self.address = discovery.address
         self.has_answered = False
@@ -349,14 +349,14 @@
         self.silence_timer.cancel()
         loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
         if not self.has_answered:
-            limit_s = min(self.owner.current_timeout_s(), self.max_first_data_s)
+            limit_s = min(self.discovery.current_timeout_s(), self.max_first_data_s)
         self.last_data_s = loop.time()
         self.silence_timer = loop.call_later(limit_s, self.handle_silence)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             # exceptions of callbacks are wrapped in HttpParserError
-            self.owner.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
+            self.discovery.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
             self.finish()
 
     def on_headers_complete(self) -> None:
@@ -367,7 +367,7 @@
         if self.is_closed:
             return
         for value in self.stream.feed(data):
-            self.owner.handle_value(self, value)
+            self.discovery.handle_value(self, value)
             if self.is_closed:
                 return
 
@@ -378,8 +378,8 @@
 
     def handle_silence(self) -> None:
         """Handles the timeout of a call that has received no data."""
-        self.owner.silent_calls += not self.has_answered
-        if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.owner.keeps_open(self):
+        self.discovery.silent_calls += not self.has_answered
+        if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.discovery.keeps_open(self):
             self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.finish)
         else:
             self.finish()
@@ -399,4 +399,4 @@
         """Ends the call, because the response ended, failed or timed out. Reports the end once."""
         if not self.is_closed:
             self.close()
-            self.owner.handle_end(self)
+            self.discovery.handle_end(self)
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -101,13 +101,13 @@
     """Tells its owner what came and went."""
 
     def data_received(self, data: bytes) -> None:
-        assert isinstance(self.owner, CountedClient)
-        self.owner.counts["in"] += len(data)
+        assert isinstance(self.discovery, CountedClient)
+        self.discovery.counts["in"] += len(data)
         super().data_received(data)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(self.owner, CountedClient)
-        self.owner.counts["out"] += len(self.request)
+        assert isinstance(self.discovery, CountedClient)
+        self.discovery.counts["out"] += len(self.request)
         super().connection_made(transport)
 
 
