--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -241,10 +241,10 @@
                 return
             # If discovery has restarted its numbering instead, the drains in its lists are valid, so they are applied
             # at once. If they turn out to be outdated, the upstream is left out only until its next update.
-            heeded = [m for m in listing.members
+            drains = [m for m in listing.members
                       if m.upstream.state is UpstreamState.DRAINING or m.name in call.drained_while_lagging]
-            call.drained_while_lagging.update(member.name for member in heeded)
-            listing = Listing(self.generation, False, heeded)
+            call.drained_while_lagging.update(member.name for member in drains)
+            listing = Listing(self.generation, False, drains)
         else:
             call.lagging_since_s = None
         self.generation = listing.generation
