--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -85,13 +85,13 @@
         members: list[Member] = []
         try:
             for entry in data["instances"]:
-                members.append(self._member(entry))
+                members.append(self._parse_member(entry))
             return Listing(int(data["generation"]), bool(data.get("reset", False)), members)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise ListError(f"malformed list after {len(members)} instances: "
                             f"{type(error).__name__}: {error}") from error
 
-    def _member(self, entry: dict[str, Any]) -> Member:
+    def _parse_member(self, entry: dict[str, Any]) -> Member:
         name = str(entry["instanceId"])
         host, _, port = str(entry["hostPort"]).rpartition(":")
         weight = entry.get("weight")
