--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -294,9 +294,9 @@
         return self.member.upstream.state is UpstreamState.READY
 
     def update(self, member: Member) -> None:
-        before, self.member = self.member, member
-        moved = before.address != member.address
-        is_same = before.upstream.started_us == member.upstream.started_us
+        previous, self.member = self.member, member
+        moved = previous.address != member.address
+        is_same = previous.upstream.started_us == member.upstream.started_us
         if not moved and is_same and self.is_ready():
             return
         for connection in [*self.idle, *self.busy]:
