--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -295,13 +295,13 @@
 
     def update(self, member: Member) -> None:
         previous, self.member = self.member, member
-        moved = previous.address != member.address
+        has_moved = previous.address != member.address
         is_same = previous.upstream.started_us == member.upstream.started_us
-        if not moved and is_same and self.is_ready():
+        if not has_moved and is_same and self.is_ready():
             return
         for connection in [*self.idle, *self.busy]:
             # connections to the previous process are dead, but a machine that vanished did not close them
-            if moved or not self.is_ready() or connection.opened_us < member.upstream.start_us:
+            if has_moved or not self.is_ready() or connection.opened_us < member.upstream.start_us:
                 self.retire(connection)
 
     def retire(self, connection: Connection) -> None:
