--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -296,8 +296,8 @@
     def update(self, member: Member) -> None:
         previous, self.member = self.member, member
         has_moved = previous.address != member.address
-        is_same = previous.upstream.started_us == member.upstream.started_us
-        if not has_moved and is_same and self.is_ready():
+        is_same_process = previous.upstream.started_us == member.upstream.started_us
+        if not has_moved and is_same_process and self.is_ready():
             return
         for connection in [*self.idle, *self.busy]:
             # connections to the previous process are dead, but a machine that vanished did not close them
