--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -273,9 +273,9 @@
     def restore(self, shares: Sequence[float], age_us: int) -> None:
         """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
         restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
-        left = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
+        decay_factor = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
         for i, share in enumerate(shares[:len(self.shares)]):
-            self.shares[i] = max(self.shares[i], min(0.5, share) * left)
+            self.shares[i] = max(self.shares[i], min(0.5, share) * decay_factor)
 
     def decay(self) -> None:
         self.shares = [share * FAILURE_DECAY for share in self.shares]
