--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -415,10 +415,10 @@
     def resolve_address_conflicts(self, members: list[Member], full: bool) -> list[Member]:
         """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
         discovery reports their end late, requests meant for them would go to the cold process at that address."""
-        told = {member.upstream.id: member for member in members}
+        members_by_id = {member.upstream.id: member for member in members}
         known = {} if full else {ident: pool.member for ident, pool in self.pools.items()}
         owners: dict[tuple[str, int], Member] = {}
-        for member in {**known, **told}.values():
+        for member in {**known, **members_by_id}.values():
             if member.upstream.state is UpstreamState.GONE:
                 continue
             other = owners.get(member.address, member)
@@ -426,9 +426,9 @@
             owners[member.address] = member if is_newer else other
             if other is not member:
                 loser = other if is_newer else member
-                told[loser.upstream.id] = replace(
+                members_by_id[loser.upstream.id] = replace(
                     loser, upstream=replace(loser.upstream, state=UpstreamState.GONE))
-        return list(told.values())
+        return list(members_by_id.values())
 
     def apply(self, members: list[Member], full: bool) -> None:
         """Applies a list of upstreams: all of them if `full`, otherwise those that changed."""
