--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -425,9 +425,9 @@
             is_newer = member.upstream.start_us >= other.upstream.start_us
             owners[member.address] = member if is_newer else other
             if other is not member:
-                loser = other if is_newer else member
-                members_by_id[loser.upstream.id] = replace(
-                    loser, upstream=replace(loser.upstream, state=UpstreamState.GONE))
+                replaced = other if is_newer else member
+                members_by_id[replaced.upstream.id] = replace(
+                    replaced, upstream=replace(replaced.upstream, state=UpstreamState.GONE))
         return list(members_by_id.values())
 
     def apply(self, members: list[Member], full: bool) -> None:
