--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -446,9 +446,9 @@
             if pool is not None:
                 pool.handle_removal()
 
-    def ready_pool(self, ident: int) -> Pool | None:
+    def ready_pool(self, upstream_id: int) -> Pool | None:
         """Returns the pool of the upstream if requests may be sent to it."""
-        pool = self.pools.get(ident)
+        pool = self.pools.get(upstream_id)
         return pool if pool is not None and pool.is_ready() else None
 
     def close_idle(self, ident: int) -> None:
