--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -451,9 +451,9 @@
         pool = self.pools.get(upstream_id)
         return pool if pool is not None and pool.is_ready() else None
 
-    def close_idle(self, ident: int) -> None:
-        if ident in self.pools:
-            self.pools[ident].close_idle()
+    def close_idle(self, upstream_id: int) -> None:
+        if upstream_id in self.pools:
+            self.pools[upstream_id].close_idle()
 
     def make_room(self) -> bool:
         """Makes room for one more connection, if necessary by closing the one that has been idle longest. Returns
