--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -397,9 +397,9 @@
 class Upstreams:
     """The connection pools of all upstreams in the list, by upstream id."""
 
-    def __init__(self, now_us: Callable[[], int], idle_us: int, connect_timeout_us: int, max_open: int) -> None:
+    def __init__(self, now_us: Callable[[], int], idle_timeout_us: int, connect_timeout_us: int, max_open: int) -> None:
         self.now_us = now_us
-        self.set_timeouts(idle_us, connect_timeout_us)
+        self.set_timeouts(idle_timeout_us, connect_timeout_us)
         self.max_open = max_open  # limit on open connections
         self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
