--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -408,8 +408,8 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
-    def set_timeouts(self, idle_us: int, connect_timeout_us: int) -> None:
-        self.idle_timeout_us = int(idle_us * IDLE_TIMEOUT_SHARE)
+    def set_timeouts(self, idle_timeout_us: int, connect_timeout_us: int) -> None:
+        self.idle_timeout_us = int(idle_timeout_us * IDLE_TIMEOUT_SHARE)
         self.connect_timeout_s = connect_timeout_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
     def resolve_address_conflicts(self, members: list[Member], full: bool) -> list[Member]:
