--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -29,12 +29,12 @@
 PARALLEL_START_SHARE = 0.8
 
 
-def latest_start_s(last_heard_s: float | None, calls_begun: int, last_s: float) -> float:
+def latest_start_s(last_heard_s: float | None, calls_begun: int, last_begun_s: float) -> float:
     """Returns the latest time at which the next call may begin. Since the last data from a watch at `heard_s` (None if
     there was none), `begun` calls have begun, the last of them at `last_s`."""
     if last_heard_s is not None and calls_begun == 0:
         return last_heard_s + SILENCE_TIMEOUT_S + FIRST_CALL_DELAY_S
-    most_s = last_s + MAX_CALL_GAP_S
+    most_s = last_begun_s + MAX_CALL_GAP_S
     return min(most_s, last_heard_s + MAX_CALL_GAP_S) if last_heard_s is not None and calls_begun == 1 else most_s
 
 
