--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -38,10 +38,10 @@
     return min(most_s, last_heard_s + MAX_CALL_GAP_S) if last_heard_s is not None and calls_begun == 1 else most_s
 
 
-def start_after_end_s(now_s: float, last_heard_s: float | None, calls_begun: int, last_s: float, draw: float) -> float:
+def start_after_end_s(now_s: float, last_heard_s: float | None, calls_begun: int, last_begun_s: float, draw: float) -> float:
     """Returns the start of the next call after a watch (`begun` is 0) or the last call has ended: a random time within
     the time that is left."""
-    left_s = max(0.0, latest_start_s(last_heard_s, calls_begun, last_s) - now_s)
+    left_s = max(0.0, latest_start_s(last_heard_s, calls_begun, last_begun_s) - now_s)
     if calls_begun == 0:
         return now_s + min(left_s, MAX_FIRST_CALL_SPREAD_S) * draw
     return now_s + min(left_s, MAX_RETRY_DELAY_S) * (0.5 + draw / 2)
