--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -47,6 +47,6 @@
     return now_s + min(left_s, MAX_RETRY_DELAY_S) * (0.5 + draw / 2)
 
 
-def parallel_start_s(last_heard_s: float | None, calls_begun: int, last_s: float, draw: float) -> float:
+def parallel_start_s(last_heard_s: float | None, calls_begun: int, last_begun_s: float, draw: float) -> float:
     """Returns the start of the next call in parallel with the last one, if that has received nothing until then."""
-    return last_s + (latest_start_s(last_heard_s, calls_begun, last_s) - last_s) * (PARALLEL_START_SHARE + (1.0 - PARALLEL_START_SHARE) * draw)
+    return last_begun_s + (latest_start_s(last_heard_s, calls_begun, last_begun_s) - last_begun_s) * (PARALLEL_START_SHARE + (1.0 - PARALLEL_START_SHARE) * draw)
