--- a/ironscale/net/turns.py
+++ b/ironscale/net/turns.py
@@ -34,8 +34,8 @@
     there was none), `begun` calls have begun, the last of them at `last_s`."""
     if last_heard_s is not None and calls_begun == 0:
         return last_heard_s + SILENCE_TIMEOUT_S + FIRST_CALL_DELAY_S
-    most_s = last_begun_s + MAX_CALL_GAP_S
-    return min(most_s, last_heard_s + MAX_CALL_GAP_S) if last_heard_s is not None and calls_begun == 1 else most_s
+    latest_s = last_begun_s + MAX_CALL_GAP_S
+    return min(latest_s, last_heard_s + MAX_CALL_GAP_S) if last_heard_s is not None and calls_begun == 1 else latest_s
 
 
 def start_after_end_s(now_s: float, last_heard_s: float | None, calls_begun: int, last_begun_s: float, draw: float) -> float:
