--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -65,7 +65,7 @@
 def parse(data: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
     """Validates the document. Name and addresses in the environment take precedence. Raises ConfigError."""
 
-    def told(variable: str, key: str) -> str:
+    def required(variable: str, key: str) -> str:
         value = environ.get(variable) or data.get(key)
         if not value:
             raise ConfigError(f"{variable} is not set and the configuration has no {key!r}")
@@ -82,9 +82,9 @@
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
         known = directory.parse(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
-            name=told("GW_NAME", "name"),
-            listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
-            discovery=parse_address(told("GW_DISCOVERY", "discovery"), "discovery"),
+            name=required("GW_NAME", "name"),
+            listen=parse_address(required("GW_LISTEN", "listen"), "listen"),
+            discovery=parse_address(required("GW_DISCOVERY", "discovery"), "discovery"),
             discovery_in_file=parse_address(in_file, "discovery") if in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
