--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -76,7 +76,7 @@
         options = settings.from_object(raw)
         assert isinstance(raw, dict)
         directory = ListParser(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
-        in_file = data.get("discovery")
+        address_in_file = data.get("discovery")
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
@@ -85,7 +85,7 @@
             name=required("GW_NAME", "name"),
             listen=parse_address(required("GW_LISTEN", "listen"), "listen"),
             discovery=parse_address(required("GW_DISCOVERY", "discovery"), "discovery"),
-            discovery_in_file=parse_address(in_file, "discovery") if in_file else None,
+            discovery_in_file=parse_address(address_in_file, "discovery") if address_in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
