--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -9,7 +9,7 @@
 
 from ironscale import settings
 from ironscale.interface import Settings
-from ironscale.net.discovery import ListParser, ListError, Listing
+from ironscale.net.discovery import ListError, Listing, ListParser
 
 Address = tuple[str, int]
 LEAST_SOCKETS = 64
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -119,7 +119,8 @@
     share a discovery service, it is opened at that time and not before."""
 
     def __init__(self, address: tuple[str, int], parser: ListParser, generation: int, on_list: OnList,
-                 first_data_timeout_s: float, log: Callable[[str], None], is_shared: bool = False, seed: int = 0) -> None:
+                 first_data_timeout_s: float, log: Callable[[str], None], is_shared: bool = False,
+                 seed: int = 0) -> None:
         self.address = address
         self.first_data_timeout_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
@@ -159,7 +160,8 @@
         """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
         self.calls_begun += 1
         self.last_begun_s = call.begun_s
-        self.schedule_watch(turns.parallel_start_s(self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
+        self.schedule_watch(turns.parallel_start_s(
+            self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
 
     def schedule_watch(self, at_s: float | None) -> None:
         """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
@@ -190,7 +192,7 @@
 
     def open_successor(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.new_watch_call(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # no parallel call is begun for it
+            self.successor = self.new_watch_call(turns.MAX_CALL_GAP_S - MOVE_RETRY_S)  # without parallel calls
 
     def cancel_successor(self) -> None:
         if self.move_timer is not None:
@@ -277,7 +279,8 @@
 
     def handle_failure(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.schedule_watch(turns.start_after_end_s(now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
+        self.schedule_watch(turns.start_after_end_s(
+            now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
     def handle_end(self, call: _Call) -> None:
@@ -315,7 +318,7 @@
         self.max_first_data_s = max_first_data_s  # upper limit on the wait for its first data
         self.address = discovery.address
         self.has_answered = False
-        self.lagging_since_s: float | None = None  # since when its lists have been older than ours; None if they are not
+        self.lagging_since_s: float | None = None  # since when its lists have been older than ours, if they are
         self.drained_while_lagging: set[str] = set()  # names of upstreams whose drain such a list reported
         self.is_closed = False
         self.transport: asyncio.Transport | None = None
@@ -379,7 +382,8 @@
     def handle_silence(self) -> None:
         """Handles the timeout of a call that has received no data."""
         self.discovery.silent_calls += not self.has_answered
-        if not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None and self.discovery.keeps_open(self):
+        if (not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None
+                and self.discovery.keeps_open(self)):
             self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.finish)
         else:
             self.finish()
--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -24,14 +24,16 @@
 
 
 class JsonStream:
-    """Takes bytes and yields each object or array once it is complete, and `BLANK` for each empty line between them.
+    """Takes bytes and yields each object or array once it is complete, and `BLANK_LINE` for each empty line between
+    them.
 
-    Raises ValueError (of which JSONDecodeError is a subclass) for anything else, and for a value longer than `LONGEST`.
+    Raises ValueError (of which JSONDecodeError is a subclass) for anything else, and for a value longer than
+    `MAX_VALUE_BYTES`.
     """
 
     def __init__(self) -> None:
         self.buffer = bytearray()  # the unfinished value, from its first byte on
-        self.position = 0  # bytes of `data` that have been examined
+        self.position = 0  # number of bytes in `buffer` that have been examined
         self.depth = 0
         self.is_line_blank = True  # no value has begun on the current line
 
@@ -69,7 +71,7 @@
             yield json.loads(text)
 
     def skip_whitespace(self) -> Iterator[BlankLine]:
-        """Removes leading whitespace and yields `BLANK` for each empty line in it."""
+        """Removes leading whitespace and yields `BLANK_LINE` for each empty line in it."""
         count = len(self.buffer) - len(self.buffer.lstrip(WHITESPACE))
         space = bytes(self.buffer[:count])
         del self.buffer[:count]
@@ -79,7 +81,7 @@
                 yield BLANK_LINE
 
     def find_end(self) -> bool:
-        """Scans for the end of the unfinished value. If it is there, returns True and `at` is the index behind it."""
+        """Scans for the end of the unfinished value. If it has arrived, returns True, and `position` is the index after it."""
         data = self.buffer
         while True:
             found = UP_TO_BRACKET.match(data, self.position)
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -29,8 +29,8 @@
 MIN_IDLE_US = 2_000
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 # The share of reused connections that fail at their next request, by idle time: an exponential moving average over
-# about 8 of them, which decays over some 20 s. Above UNTRUSTED a new connection costs less than the requests that
-# would fail.
+# about 8 of them, which decays over some 20 s. Above MAX_FAILURE_SHARE a new connection costs less than the
+# requests that would fail.
 FAILURE_WEIGHT, FAILURE_DECAY, MAX_FAILURE_SHARE = 1 / 8, 0.95, 0.3
 
 
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -29,7 +29,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.load.run import child, sidecar_settings
 from ironscale.net.config import CALL_US
-from ironscale.net.discovery import ListParser, Discovery, Listing, _Call
+from ironscale.net.discovery import Discovery, Listing, ListParser, _Call
 from ironscale.scale.path import allow_files, percentile, scenario
 from ironscale.scale.run import RunError, Scene
 from ironscale.standins.discovery import ListedDiscovery
--- a/ironscale/scale/hollow.py
+++ b/ironscale/scale/hollow.py
@@ -27,7 +27,7 @@
 from ironscale.control.follower import Follower
 from ironscale.control.light import LightInstance, light, light_follower
 from ironscale.interface import ListKind
-from ironscale.net.discovery import ListParser, Discovery, Listing
+from ironscale.net.discovery import Discovery, Listing, ListParser
 from ironscale.operator_file import read_secret
 from ironscale.scale.bounds import Crew, memory_mb
 from ironscale.versions.choice import Place
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -227,7 +227,7 @@
 def test_what_was_sent_ahead_is_not_sent_on_once_the_answer_before_it_could_not_be_written(
         monkeypatch: pytest.MonkeyPatch) -> None:
     """The write fails, the transport closes itself, and the loop tells so a turn later than the next one begins."""
-    monkeypatch.setattr(upstream, "REST_US", 0)  # the next one is written in the same step
+    monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)  # the next one is written in the same step
 
     async def test() -> None:
         peer = await Peer(hang).start()
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -105,7 +105,7 @@
         self.dials: list[tuple[Pool, Attempt, asyncio.Event]] = []
 
     async def start(self, dialling: bool, monkeypatch: pytest.MonkeyPatch) -> Site:
-        monkeypatch.setattr(upstream, "REST_US", 0)
+        monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)
         real = Pool.connect
 
         async def connect_late(pool: Pool, attempt: Attempt) -> None:
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -71,7 +71,8 @@
         scene = await Scene().start(peer.entry("s-1"), **settings_of(PUSHED, grace_us=600_000))
         await until(lambda: len(scene.discovery.targets) == 2)  # the first was accepted and not answered
         wait_us = scene.sidecar.config.answer_us + scene.sidecar.balancer.list_gap_us()
-        assert wait_us <= 600_000 and scene.sidecar.discovery.first_data_timeout_s * 1e6 == scene.sidecar.config.answer_us
+        assert (wait_us <= 600_000
+                and scene.sidecar.discovery.first_data_timeout_s * 1e6 == scene.sidecar.config.answer_us)
 
     run(test)
 
@@ -128,7 +129,7 @@
 
 
 def test_a_value_without_end_is_an_error_before_it_fills_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(jsonstream, "LONGEST", 1000)
+    monkeypatch.setattr(jsonstream, "MAX_VALUE_BYTES", 1000)
     stream = JsonStream()
     for piece in (b'{"a":"', b"x" * 900):
         assert not list(stream.feed(piece))
@@ -163,7 +164,7 @@
     """The first call alone has little time, and only where it stands for silence: what a loop without processor does
     to the second is another test's."""
     if not first:
-        monkeypatch.setattr(module, "SILENCE_S", 0.2)  # what `watching` gives a call for its first word
+        monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)  # what `watching` gives a call for its first word
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
@@ -211,7 +212,7 @@
 def test_what_has_come_and_is_not_read_yet_is_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
     """Hazard: were timers first after a moment without processor, a list that lies there would be thrown away with its
     call. The loop reads first; nothing of ours does it."""
-    monkeypatch.setattr(module, "SILENCE_S", 0.2)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         elsewhere = Elsewhere()
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -30,13 +30,15 @@
 def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
     """When calls begin after the last word of a watch at 0, which fell silent or broke; none of them by the decisions,
     which may only be sooner (of few)."""
-    found = [turns.start_after_end_s(turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
+    found = [turns.start_after_end_s(
+        turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
         beside_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
         took_s = ENDS[kind]
         end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
-        found.append(beside_s if beside_s <= end_s else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
+        found.append(beside_s if beside_s <= end_s
+                     else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 from ironscale.interface import ListKind, UpstreamState
 from ironscale.net import discovery as module
-from ironscale.net.discovery import ListParser, Discovery, ListError, Listing, upstream_id
+from ironscale.net.discovery import Discovery, ListError, Listing, ListParser, upstream_id
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.http import read_message
 from tests.sockets import run, until
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("end", [silent, ended, broken, malformed])
 def test_a_watch_that_ends_or_goes_silent_has_failed(end: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     """Hazard: a machine that is cut off says nothing, and its changes would never be heard of."""
-    monkeypatch.setattr(module, "SILENCE_S", 0.5)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
@@ -304,7 +304,7 @@
         await until(lambda: len(told) == 3)
         assert all(what is not None and not what.members and what.generation == 42 for _, what in told[1:])
         assert kinds(told) == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
-        monkeypatch.setattr(module, "BEHIND_S", 0.0)
+        monkeypatch.setattr(module, "MAX_LAG_S", 0.0)
         new.line(None)
         await until(lambda: len(told) == 4)
         assert kinds(told)[3] is ListKind.FAILED
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -200,7 +200,7 @@
 def test_a_client_that_has_gone_is_told_to_the_decisions_and_its_connection_serves_on(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "REST_US", 0)
+    monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)
 
     async def test() -> None:
         peer = await Peer(hang).start()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -156,7 +156,7 @@
 def test_a_connection_is_kept_and_the_newest_is_taken_first(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "REST_US", 0)
+    monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer(hang).start()
         line = Line(peer)
@@ -194,7 +194,7 @@
 def test_giving_up_before_the_connection_is_up_never_ran_and_nothing_is_written(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "REST_US", 0)
+    monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer().start()
         line = Line(peer)
@@ -273,7 +273,7 @@
 ) -> None:
     """Hazard: it would come as the answer to the request that follows at once on the same connection."""
     assert module.MIN_IDLE_US > 0
-    monkeypatch.setattr(module, "REST_US", 20_000_000)
+    monkeypatch.setattr(module, "MIN_IDLE_US", 20_000_000)
 
     async def test() -> None:
         answered: list[asyncio.StreamWriter] = []
