--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -81,7 +81,8 @@
                 yield BLANK_LINE
 
     def find_end(self) -> bool:
-        """Scans for the end of the unfinished value. If it has arrived, returns True, and `position` is the index after it."""
+        """Scans for the end of the unfinished value. Returns whether it has arrived; `position` is then the index after
+        it."""
         data = self.buffer
         while True:
             found = UP_TO_BRACKET.match(data, self.position)
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -133,7 +133,7 @@
     stream = JsonStream()
     for piece in (b'{"a":"', b"x" * 900):
         assert not list(stream.feed(piece))
-    with pytest.raises(ValueError, match="without end"):
+    with pytest.raises(ValueError, match="at most, got a longer one"):
         list(stream.feed(b"x" * 200))
 
 
@@ -218,9 +218,9 @@
         elsewhere = Elsewhere()
         discovery, told = await watching(cast(FakeDiscovery, elsewhere))
         watch = cast(Any, discovery.watch)
-        watch.silence.cancel()  # until the call has arrived, however long that takes
+        watch.silence_timer.cancel()  # until the call has arrived, however long that takes
         await until(elsewhere.asked.is_set)
-        watch.silence = asyncio.get_running_loop().call_later(0.2, watch.fall_silent)
+        watch.silence_timer = asyncio.get_running_loop().call_later(0.2, watch.handle_silence)
         elsewhere.go.set()
         assert elsewhere.written.wait(LIMIT_S)
         time.sleep(0.3)  # the loop stands still past the time for silence
