--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -1,4 +1,5 @@
-"""Idle clients fill the descriptors while discovery is down; its watch, upstreams and readiness have room yet."""
+"""Idle clients use up the file descriptors while discovery is down. Some must stay free for the watch, for upstreams
+and for readiness checks."""
 
 from __future__ import annotations
 
@@ -23,12 +24,12 @@
 from tests.ends.test_lists import MODES
 from tests.sockets import Scene, ask, free_port, run, until
 
-LIMIT = 128  # of descriptors
+LIMIT = 128  # file descriptors of the sidecar process
 CLIENTS = 2 * LIMIT
 
 
 def idle(port: int) -> socket.socket:
-    """It connects and says nothing; the kernel's queue holds what is not accepted."""
+    """A client that connects and sends nothing. Connections that are not accepted stay in the kernel's backlog."""
     found = socket.socket()
     found.setblocking(False)
     found.connect_ex(("127.0.0.1", port))
@@ -45,7 +46,7 @@
 
 
 async def crowd(port: int, clients: list[socket.socket]) -> None:
-    """Whoever is closed comes again."""
+    """Reconnects every client whose connection was closed."""
     while True:
         for place, client in enumerate(clients):
             if is_over(client):
@@ -62,10 +63,10 @@
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
 def test_discovery_back_is_heard_though_idle_clients_have_all_the_room(
         mode: dict[str, Any], sockets: int, tmp_path: Path) -> None:
-    """Hazard: the settings may allow more than the system gives, and the last descriptor went to an idle client."""
+    """Guards against an idle client that takes the last descriptor when the settings allow more than the system."""
     async def test() -> None:
         peer, discovery, port = await Peer().start(), FakeDiscovery(), free_port()
-        discovery.port = free_port()  # nobody listens there yet
+        discovery.port = free_port()  # nothing listens on it yet
         (tmp_path / "c.json").write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}", "seed": "1f",
             "limits": {"sockets": sockets}, "known": listing(), "settings": {**SETTINGS, **mode}}))
@@ -87,7 +88,7 @@
             assert asyncio.get_running_loop().time() - back_s < 6.0
             discovery.line(listing(peer.entry("s-1"), generation=42))
             scene = Scene()
-            while True:  # a connection may be shut unread to make room; its client comes again
+            while True:  # a connection may be closed unread to make room; the client retries
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     reader, writer = await ask(port, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     status = (await read_message(reader)).status
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -1,4 +1,4 @@
-"""What lists owe at an end: a watch that falls silent, ends or moves, and what it would have told meanwhile."""
+"""Tests that no list update is lost when a watch goes silent, ends or moves to another address."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     rules = {"ask-within": 10_000_000, "cold-share": 0.13, "fall": 1_000_000, "overload-factor": 2.5,
              "warm-up": 24_000_000, "drain-grace": grace_us}
     if mode:
-        del rules["ask-within"]  # it stands only where lists are asked for
+        del rules["ask-within"]  # only valid where lists are polled
     return {**mode, "invariants": rules, **changes}
 
 
@@ -46,14 +46,14 @@
 
 
 def state(scene: Scene) -> UpstreamState | None:
-    """Of the one upstream, as the data path has it; None once it has gone."""
+    """Returns the state of the only upstream in the data path; None once it is gone."""
     pools = list(scene.sidecar.upstreams.pools.values())
     return pools[0].member.upstream.state if pools else None
 
 
 @pytest.mark.parametrize("mode", MODES)
 def test_a_drain_is_heard_whether_lists_are_pushed_or_asked_for(mode: dict[str, Any]) -> None:
-    """Hazard: what an agent has been pushed counts as told, and no watch stood open that could tell it."""
+    """Guards against missing a drain that was pushed to an agent because the sidecar had no watch open."""
     async def test() -> None:
         peer = await Peer().start()
         scene = await watched(peer, mode)
@@ -65,11 +65,11 @@
 
 
 def test_an_agent_that_is_silent_is_asked_again_before_the_grace_of_a_drain_is_over() -> None:
-    """What the agent gets when discovery is back counts at once: no call may hang past that."""
+    """What the agent learns when discovery is back counts as known at once, so no call may hang beyond that."""
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"), **settings_of(PUSHED, grace_us=600_000))
-        await until(lambda: len(scene.discovery.targets) == 2)  # the first was accepted and not answered
+        await until(lambda: len(scene.discovery.targets) == 2)  # the first call was accepted but not answered
         wait_us = scene.sidecar.config.answer_us + scene.sidecar.balancer.list_gap_us()
         assert (wait_us <= 600_000
                 and scene.sidecar.discovery.first_data_timeout_s * 1e6 == scene.sidecar.config.answer_us)
@@ -79,7 +79,8 @@
 
 @pytest.mark.parametrize("mode", MODES)
 def test_a_new_address_is_asked_at_once_though_a_failed_call_has_to_wait(mode: dict[str, Any]) -> None:
-    """Hazard: after SIGHUP what the new address has counts 4 s later, and the back-off was for the old one."""
+    """Guards against a backoff for the old address that delays the call to the new one: 4 s after SIGHUP the list there
+    counts as known."""
     async def test() -> None:
         peer, new = await Peer().start(), await FakeDiscovery().start()
         scene = await watched(peer, mode)
@@ -114,7 +115,7 @@
         at, turn = at + step, turn + 1
     assert [one for one in found if one is not BLANK_LINE] == [value for value, _, _ in values]
     blank, blanks = True, 0
-    for _, _, end in values:  # a value's own line end is none
+    for _, _, end in values:  # the line end right after a value is not an empty line
         blank = False
         for _ in range(end.count("\n")):
             blank, blanks = True, blanks + blank
@@ -140,7 +141,7 @@
 @pytest.mark.parametrize("step", [1, 7, 10_000])
 @pytest.mark.parametrize("end", [b"\n", b""])
 def test_a_watch_may_write_its_lists_over_many_lines(step: int, end: bytes) -> None:
-    """Indented, cut anywhere, and with no line behind the last bracket: told as soon as it is whole."""
+    """A list may be indented, split anywhere and lack a final newline: it is reported as soon as it is complete."""
     async def test() -> None:
         fake = await FakeDiscovery().start()
         discovery, told = await watching(fake)
@@ -161,17 +162,17 @@
 @pytest.mark.parametrize("first", [b"", b'{"generation": 42, "reset"'])
 def test_a_watch_silent_from_its_first_second_or_within_a_list_is_opened_anew(
         first: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first call alone has little time, and only where it stands for silence: what a loop without processor does
-    to the second is another test's."""
+    """Only the first call has a short timeout, and only in the case of silence. What happens to a second call when the
+    event loop gets no CPU time is left to another test."""
     if not first:
-        monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)  # what `watching` gives a call for its first word
+        monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)  # the timeout that `watching` sets for first data
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
         discovery, told = await watching(fake)
         if first:
             await until(lambda: fake.writers)
-            discovery.first_data_timeout_s = 0.2  # from these bytes on
+            discovery.first_data_timeout_s = 0.2  # counts from this data on
             fake.writers[0].write(chunk(first))
         await until(lambda: told)
         assert kinds(told) == [ListKind.FAILED] and discovery.watch is None and discovery.silent_calls == 1
@@ -190,7 +191,7 @@
 
 
 class Elsewhere:
-    """A discovery in a thread of its own: it writes also while this loop has no processor."""
+    """A discovery service in a thread of its own, which writes even while the event loop is blocked."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -206,24 +207,24 @@
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         found.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(raw))
         self.written.set()
-        found.recv(4096)  # until the other side ends
+        found.recv(4096)  # until the peer closes
 
 
 def test_what_has_come_and_is_not_read_yet_is_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: were timers first after a moment without processor, a list that lies there would be thrown away with its
-    call. The loop reads first; nothing of ours does it."""
+    """Guards against discarding a list that has arrived, by closing its call, when timers run first after the process
+    got no CPU time. The event loop reads first; our code does nothing for it."""
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         elsewhere = Elsewhere()
         discovery, told = await watching(cast(FakeDiscovery, elsewhere))
         watch = cast(Any, discovery.watch)
-        watch.silence_timer.cancel()  # until the call has arrived, however long that takes
+        watch.silence_timer.cancel()  # until the call has arrived, which may take any time
         await until(elsewhere.asked.is_set)
         watch.silence_timer = asyncio.get_running_loop().call_later(0.2, watch.handle_silence)
         elsewhere.go.set()
         assert elsewhere.written.wait(LIMIT_S)
-        time.sleep(0.3)  # the loop stands still past the time for silence
+        time.sleep(0.3)  # blocks the event loop for longer than the silence timeout
         await until(lambda: told)
         assert kinds(told) == [ListKind.FULL] and discovery.watch is watch
         discovery.close()
@@ -233,7 +234,7 @@
 
 
 def test_one_clock_for_silence_holds_for_few_sidecars_at_the_first_failure_and_the_next() -> None:
-    """What a silent watch misses counts as told 6 s after its last word; the shortest grace known is 0.5 s."""
+    """What a silent watch misses must be known 6 s after its last data; the shortest drain grace known is 0.5 s."""
     async def test() -> None:
         peer = await Peer().start()
         for mode in MODES:
@@ -249,13 +250,13 @@
 
 
 def test_a_drain_told_by_a_list_that_counts_anew_is_kept_at_once_and_taken_back() -> None:
-    """Whether discovery lags or has begun anew shows only later; a drain costs nothing to heed meanwhile."""
+    """Only later it shows whether discovery lags or restarted its numbering; applying a drain meanwhile is harmless."""
     async def test() -> None:
         peer = await Peer().start()
         scene = await watched(peer, {})
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=7))
         await until(lambda: state(scene) is UpstreamState.DRAINING)
-        assert scene.sidecar.discovery.generation == 42  # and is not believed else
+        assert scene.sidecar.discovery.generation == 42  # and nothing else of that list is applied
         scene.discovery.line(listing(peer.entry("s-1"), generation=8, reset=False))
         await until(lambda: state(scene) is UpstreamState.READY)
 
@@ -315,7 +316,7 @@
 @pytest.mark.parametrize("old", ["alive", "silent", "gone"])
 @pytest.mark.parametrize("moves", [1, 2])
 def test_a_new_configuration_while_the_watch_is_down_or_silent_is_followed(old: str, moves: int) -> None:
-    """Also twice in a second; the last address counts, and the drain that it tells is kept."""
+    """Also when it changes twice within a second: the last address is used, and the drain reported there is applied."""
     async def test() -> None:
         peer = await Peer().start()
         scene = await watched(peer, {})
@@ -339,7 +340,7 @@
 
 
 def test_settings_with_all_left_out_that_may_be_run_a_sidecar() -> None:
-    """No tenants, no zones, no kinds, no reports, one upstream, one try, no advice: another customer's settings."""
+    """Another customer's settings: no tenants, zones, machine types or reports, one upstream, one try, no advice."""
     async def test() -> None:
         peer = await Peer().start()
         scene = Scene()
--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -1,4 +1,4 @@
-"""Many restarted at once, at a discovery that answers in turns: one list at a time, in the order of the calls."""
+"""Many sidecars restart at once, and a discovery service answers their calls one after another, in order."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 from tests.sockets import config
 from tests.virtual import play, until
 
-COUNT, ALL_S = 50, 30.0  # as long as 200 take at 0.15 s each
+COUNT, ALL_S = 50, 30.0  # the same total as 200 calls of 0.15 s each
 CALL_S = ALL_S / COUNT
 ENTRY: dict[str, Any] = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "ready"}
 
 
 class InTurns:
-    """`works`: also at calls whose caller has gone, as it learns of that only as it writes."""
+    """A discovery service that handles one call at a time, with at most `room` waiting. With `works` it also spends
+    time on calls whose caller has gone, because it notices that only when it writes."""
 
     def __init__(self, works: bool, room: int) -> None:
         self.works, self.room, self.calls, self.port = works, room, 0, 0
@@ -69,8 +70,8 @@
                          ids=["waits", "refuses"])
 def test_many_that_start_at_once_are_ready_and_all_are_answered(
         seed: int, works: bool, room: int, most_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: calls that were given up lost their place and were worked at all the same, so after the first few nobody
-    was answered in time, for good."""
+    """Guards against abandoned calls that lose their place in the queue and are processed nevertheless: after the first
+    few, no sidecar was ever answered in time."""
     async def test() -> None:
         discovery = InTurns(works, room)
         await discovery.start()
@@ -81,14 +82,14 @@
             sidecar = Sidecar(replace(made, seed=1000 * seed + number))
             sidecar.on_list(ListKind.CACHED, made.known)
             sidecars.append(sidecar)
-        # nine in ten within 10 s: all at once, as they have the list as last known
+        # required are nine in ten within 10 s; all are ready at once, because they have the last known list
         assert all(sidecar.is_ready() for sidecar in sidecars)
 
         def told() -> int:
             return sum(sidecar.discovery.generation == 42 for sidecar in sidecars)
 
         await asyncio.sleep(10.0)
-        assert told() >= 0.9 * 10.0 / CALL_S, (seed, told())  # of all that discovery could tell by then
+        assert told() >= 0.9 * 10.0 / CALL_S, (seed, told())  # of all that discovery could have answered by then
         await until(lambda: told() == COUNT)
         took_s = asyncio.get_running_loop().time() - begun_s
         assert took_s <= most_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -1,4 +1,4 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever has failed meanwhile."""
+"""A sidecar must know a change 6 s after discovery had it and could be reached, whatever failed in between."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 from tests.virtual import play, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-# How a call fails, and after how many seconds it has; None: when the sidecar gives it up.
+# How a call fails, and after how many seconds; None if the sidecar has to time it out.
 ENDS: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
-PATIENCE_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}  # for the first word, at first and after one without
+# Timeout for the first data of a call: at first, and after a call that timed out.
+PATIENCE_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
 
 
 def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
-    """When calls begin after the last word of a watch at 0, which fell silent or broke; none of them by the decisions,
-    which may only be sooner (of few)."""
+    """Returns when calls begin after the last data from a watch at time 0, which went silent or broke. Calls that the
+    balancer asks for are left out: with few sidecars they may come sooner."""
     found = [turns.start_after_end_s(
         turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
@@ -47,7 +48,7 @@
 @pytest.mark.parametrize("count", [1, 20, 200])
 @pytest.mark.parametrize("is_silent", [True, False])
 def test_the_sums_of_all_that_may_fail_stay_under_the_clock(mode: str, kind: str, count: int, is_silent: bool) -> None:
-    """And discovery's protection: so many share it, and their calls stay apart."""
+    """Also checks that discovery isn't overloaded: the calls of `count` sidecars that share it are spread over time."""
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
         found = begins(mode, kind, 6, is_silent, rng)
@@ -59,7 +60,8 @@
         calls += found
     assert turns.MAX_CALL_GAP_S + turns.CALL_ALLOWANCE_S == turns.MAX_STALENESS_S
     if count == 200:
-        # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
+        # after a silence the first calls come at 160 a second, as they are spread over 1.25 s; the second ones begin at
+        # the end of that
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
         assert busiest <= count, busiest
         later = [one for one in calls if one > turns.MAX_STALENESS_S + turns.MAX_CALL_GAP_S]
@@ -67,7 +69,7 @@
 
 
 class Discovery:
-    """Tells one list on the first call; later calls fail as is written down, and then one is answered."""
+    """Answers the first call with one list; then `failures` calls fail as `kind` says, and the next is answered."""
 
     def __init__(self, entry: Callable[[str], dict[str, Any]]) -> None:
         self.entry, self.kind, self.failures = entry, "", 0
@@ -114,8 +116,8 @@
 @pytest.mark.parametrize("kind", ["reset", "unwell", "cut", "stuck", "silent"])
 def test_a_drain_is_heard_in_time_though_calls_fail_after_a_silent_watch(
         kind: str, mode: dict[str, Any], instances: int, failures: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: of many, one whose call after a silent watch failed waited its turn of 2.5 to 5 s, and what was silent
-    was waited for."""
+    """Guards against long waits where many sidecars share discovery: after a silent watch and a failed call the next
+    one came 2.5 to 5 s later, and a silent call was waited for."""
     async def test() -> None:
         peer = await Peer().start()
         discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
@@ -127,7 +129,7 @@
         await until(lambda: scene.sidecar.discovery.generation == 42)
         word_s = discovery.now_s()
         await until(lambda: state(scene) is UpstreamState.DRAINING)
-        # it could be reached from the last word on; later, from just after a call that failed had begun
+        # it could be reached from the last data on; after more failures, from just after a failed call had begun
         since_s = word_s if failures == 1 else discovery.begun[failures]
         told_s = discovery.now_s() - since_s
         assert told_s <= turns.MAX_STALENESS_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
@@ -145,7 +147,7 @@
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
 def test_a_discovery_that_comes_back_after_long_is_heard_in_time(
         mode: dict[str, Any], instances: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Refused until then, for half a minute."""
+    """Connections are refused for half a minute before that."""
     async def test() -> None:
         peer = await Peer().start()
         discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -1,4 +1,4 @@
-"""An answer that is still leaving is not cut off by what closes quiet connections."""
+"""An answer that is still being sent is not cut off when quiet connections are closed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def leaving(close: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
-    """A connection with an answer that its client has not begun to read, past what the kernel holds."""
+    """A connection with an answer that the client has not begun to read, larger than the kernel's socket buffers."""
     server = Server(LongAnswers(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
     with socket.socket() as client:
@@ -49,7 +49,7 @@
     server.sweep()
 
 
-# Guards against half an answer where the sweep comes, or room is needed, while its client still reads.
+# Guards against a truncated answer when a sweep runs, or room is needed, while the client still reads.
 @pytest.mark.parametrize("close", [False, True])
 @pytest.mark.parametrize("closing", [make_room, sweep])
 def test_an_answer_that_still_leaves_arrives_whole(closing: Callable[[Server], None], close: bool) -> None:
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -1,4 +1,4 @@
-"""What is owed between the sidecar and an upstream as an attempt ends: no second copy, nothing sent too late."""
+"""Tests the end of attempts at upstreams: no request is sent twice at once, and none is sent too late."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"nonsense\r\n\r\n"])
 def test_an_attempt_that_is_over_is_over_at_its_upstream_in_the_same_turn(answer: bytes) -> None:
-    """Hazard: the loop closes a connection in its next turn, and a new try that is written in this one is a second copy
-    beside the first. The upstream's end is looked at before the loop runs again."""
+    """Guards against two copies of a request in progress: the event loop closes a connection only in its next
+    iteration, and a retry may be written in this one. The test reads the upstream's end before the loop runs again."""
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             entry = {"instanceId": "s", "hostPort": f"127.0.0.1:{listener.getsockname()[1]}", "lifecycle": "ready"}
@@ -40,7 +40,7 @@
                 attempt.give_up(Outcome.TIMEOUT)
                 peer.setblocking(False)
                 got = b""
-                while piece := peer.recv(4096):  # BlockingIOError: it is still open
+                while piece := peer.recv(4096):  # raises BlockingIOError if it is still open
                     got += piece
                 assert got == GET and len(ends) == 1
             upstreams.close()
@@ -49,7 +49,7 @@
 
 
 class Gate:
-    """Holds connections to upstreams back until it opens, but for the first `passing`."""
+    """Delays connections to upstreams, except the first `passing` ones, until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, passing: int = 0) -> None:
         self.open = asyncio.Event()
@@ -69,13 +69,13 @@
 @pytest.mark.parametrize(("past_us", "sends"), [(1_190_000, 1), (1_201_000, 0)])
 def test_a_keyed_repeat_leaves_before_its_upstreams_forget(
         past_us: int, sends: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Decided in time, it waits for a connection; memory-span is 1.2 s from the send that may have run."""
+    """The retry is decided in time, but waits to connect. memory-span is 1.2 s from the send that may have run."""
     async def test() -> None:
         peers = [await Peer(reset).start(), await Peer(reset).start()]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
         gate = Gate(monkeypatch, passing=1)
         calling = asyncio.create_task(scene.call("mark"))
-        await until(lambda: gate.held)  # the repeat, which the reset has brought about
+        await until(lambda: gate.held)  # the retry that follows the reset
         for peer in peers:
             peer.behave = reply(ok())
         first = next(iter(scene.sidecar.balancer.requests.values())).attempts[0]
@@ -83,7 +83,7 @@
         gate.open.set()
         answer = await calling
         assert sum(len(peer.got) for peer in peers) == 1 + sends
-        assert answer.status == (200 if sends else 502)  # of a group in a cell: refused would promise too much
+        assert answer.status == (200 if sends else 502)  # not 503, which would promise that nothing ran
 
     run(test)
 
@@ -98,11 +98,11 @@
         calling = asyncio.create_task(scene.call(lane))
         await until(lambda: scene.sidecar.upstreams.tasks)
         request = next(iter(scene.sidecar.requests.values()))
-        # the loop had no processor: the time-out is due as well, and has not been seen yet
+        # as if the process had no CPU time: the timeout is due as well, but its timer has not run yet
         scene.sidecar.clock.offset_ns += (request.due_us - scene.sidecar.clock.now_us()) * 1000
         gate.open.set()
         answer = await calling
-        assert answer.status == 503 and not peer.got  # never sent: refused, whatever the class
+        assert answer.status == 503 and not peer.got  # never sent, so it is refused for every request class
         await settled(scene, peer)
 
     run(test)
@@ -125,7 +125,7 @@
         task = next(iter(scene.sidecar.upstreams.tasks))
         gate.open.set()
         await until(task.done)
-        if how == "replaced":  # the new process may be sent to, on a connection of its own
+        if how == "replaced":  # the new process may get the request, on a new connection
             assert (await calling).status == 200 and len(peer.got) == 1
         else:
             assert (await calling).status == 503 and not peer.got
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize(("lane", "status"), [("view", 503), ("pay", 502), ("mark", 502)])
 @pytest.mark.parametrize("first", ["answer", "deadline"])
 def test_the_deadline_in_the_turn_of_the_answer_gives_one_answer(lane: str, status: int, first: str) -> None:
-    """Both orders: whichever is handled first is the one answer."""
+    """Tests both orders: whichever is handled first determines the answer."""
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -184,7 +184,7 @@
     run(test)
 
 
-# Guards against a deadline that was reckoned before the connection came up and promises time that has passed.
+# Guards against a remaining time that was computed before the connect and includes time that has passed since.
 def test_a_request_whose_connection_comes_up_late_tells_the_time_that_is_left_then(
         monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
@@ -194,7 +194,7 @@
         calling = asyncio.create_task(scene.call("pay", remaining="8000m"))
         await until(lambda: gate.held)
         late_ns = 700_000_000
-        scene.sidecar.clock.offset_ns += late_ns  # as if so much had passed
+        scene.sidecar.clock.offset_ns += late_ns  # as if that much time had passed
         gate.open.set()
         assert (await calling).status == 200
         told_us = int(peer.got[0].headers["x-remaining"].removesuffix("u"))
@@ -204,7 +204,8 @@
 
 
 def hold_back(monkeypatch: pytest.MonkeyPatch) -> list[Stream]:
-    """Of what is written to upstreams the kernel takes ten bytes, until the test calls `send` on what this gives."""
+    """Lets the kernel accept only ten bytes of each request to an upstream, until the test calls `send` on the streams
+    that this returns."""
     held: list[Stream] = []
     real = Stream.send
 
@@ -219,7 +220,7 @@
     return held
 
 
-# Guards against a request whose last byte reaches its upstream after its end, as the rest of it waited to be written.
+# Guards against a request whose unwritten rest reaches its upstream after the request has ended.
 @pytest.mark.parametrize("end", ["its client leaves", "its time ends"])
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
 def test_a_request_that_is_half_written_at_its_end_never_becomes_whole(
@@ -238,14 +239,14 @@
             scene.sidecar.fail(request.ident)
             assert (await read_message(reader)).status == 502
             writer.close()
-        held[0].send()  # there is room now
+        held[0].send()  # the kernel accepts the rest now
         await settled(scene, peer)
         assert not peer.got and not scene.sidecar.requests
 
     run(test)
 
 
-# Guards against an upstream that is blamed for what this machine lacks.
+# Guards against counting a lack of resources on this machine as a failure of the upstream.
 @pytest.mark.parametrize(("number", "outcome"), [
     (errno.EADDRNOTAVAIL, Outcome.NOT_SENT), (errno.ENOBUFS, Outcome.NOT_SENT), (errno.ENFILE, Outcome.NOT_SENT),
     (errno.ECONNREFUSED, Outcome.CONNECT_FAILED), (errno.EHOSTUNREACH, Outcome.CONNECT_FAILED),
--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -1,4 +1,4 @@
-"""Clients that connect all the time while listeners close, one after another, alone or beside their successor."""
+"""Clients connect continuously while listeners close one after another, with or without a successor on the port."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from tests.test_shutdown import REQUEST, Answers, closed, now_us
 
 CLIENTS = 6
-PAUSE_S = 0.0005  # between two connections of a client
+PAUSE_S = 0.0005  # between two connections of one client
 CLOSE_LIMIT_S = 3.0
-LISTENS_S = 0.03  # before it closes
+LISTENS_S = 0.03  # how long a listener is open before it closes
 SLOW_S = 0.1
 
 
 @dataclass
 class Counts:
-    """What became of the clients' connections: each is answered, refused in its connect, or reset after it."""
+    """Outcomes of the clients' connections: answered, refused by the connect, or reset after it."""
 
     answered: int = 0
     reset: int = 0
     refused: int = 0
-    slow: int = 0  # of those answered
+    slow: int = 0  # answered connections that took longer than SLOW_S
 
     def __add__(self, other: Counts) -> Counts:
         return Counts(*(a + b for a, b in zip(astuple(self), astuple(other), strict=True)))
@@ -80,14 +80,14 @@
         await closed(server)
         await asyncio.sleep(LISTENS_S)
         await server.stop(0.0, 0.0, 0.0, CLOSE_LIMIT_S)
-    counts = await asyncio.to_thread(collect)  # the last successor serves until the clients have ended
+    counts = await asyncio.to_thread(collect)  # the last successor serves until the clients have finished
     if last is not None:
         await last.stop(0.0, 0.0, 0.0, CLOSE_LIMIT_S)
     return counts
 
 
 def play(closes: int, shares_port: bool) -> Counts:
-    with socket.socket() as kept:  # the port stays ours between two listeners
+    with socket.socket() as kept:  # keeps the port reserved between two listeners
         kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, shares_port)
         kept.bind(("127.0.0.1", 0))
--- a/tests/faults/shim.c
+++ b/tests/faults/shim.c
@@ -1,8 +1,8 @@
-/* An LD_PRELOAD library: system calls of one process fail at given rates, and its wall clock may be stepped.
+/* An LD_PRELOAD library that makes system calls of a process fail at given rates and can step its wall clock.
  *
- * A file named by FAULT_FILE is shared with the test: per-mille rates (uint32) by kind at offset 0, how often each kind
- * struck at offset 256, and the step of the wall clock in nanoseconds (int64) at offset 512. Opens fail only below
- * FAULT_FOLDER. */
+ * The file named by FAULT_FILE is shared with the test. It holds the failure rates in per mille (uint32) by kind at
+ * offset 0, the number of injected failures by kind (uint32) at offset 256, and the step of the wall clock in
+ * nanoseconds (int64) at offset 512. Opens fail only below FAULT_FOLDER. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -23,7 +23,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order of tests/faults/shim.py's Fault. */
+/* In the order of the enum Fault in tests/faults/shim.py. */
 enum { LOG_WRITE, SOCKET, CONNECT, ACCEPT, BIND, SHORT_READ, READ_ERROR, SHORT_WRITE, WRITE_ERROR, INTERRUPT,
        DISK_SHORT, DISK_WRITE, DISK_SYNC, FILE_OPEN, RENAME, THREAD, SOCKET_OPTION, KINDS };
 
@@ -121,7 +121,7 @@
   return FAILS(SOCKET_OPTION, ENOBUFS, ENOMEM) ? -1 : real(fd, level, name, value, size);
 }
 
-/* A read of a socket: fails, or gives a few bytes. */
+/* Decides whether a read from a socket fails (returns 1), or shortens *size to a few bytes. */
 static int read_strikes(int fd, size_t *size) {
   if (!rate || *size < 2 || !(rate[READ_ERROR] || rate[SHORT_READ]) || !is_kind(fd, S_IFSOCK)) return 0;
   if (FAILS(READ_ERROR, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ENOMEM, EINTR)) return 1;
--- a/tests/faults/shim.py
+++ b/tests/faults/shim.py
@@ -1,4 +1,4 @@
-"""System calls of a process under test that fail, and a wall clock that steps: builds `shim.c` and steers it."""
+"""Makes system calls of a process under test fail and steps its wall clock: compiles `shim.c` and controls it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Fault(enum.IntEnum):
-    """Kinds of calls that fail, in the order of `shim.c`."""
+    """Kinds of system calls that can fail, in the order of the enum in `shim.c`."""
 
     LOG_WRITE = 0
     SOCKET = 1
@@ -40,7 +40,7 @@
 
 @functools.cache
 def library() -> Path:
-    """The compiled shim; one a process."""
+    """Compiles the shim, once per test process, and returns its path."""
     path = Path(tempfile.mkdtemp(prefix="fault-shim-")) / "shim.so"
     command = ["cc", "-O1", "-w", "-shared", "-fPIC", "-o", str(path), str(SOURCE), "-ldl", "-lpthread"]
     subprocess.run(command, check=True)
@@ -48,7 +48,7 @@
 
 
 class Shim:
-    """What one process, or several, of a test are made to see."""
+    """Controls the faults of one or more processes that share one fault file."""
 
     def __init__(self, folder: Path, name: str = "faults") -> None:
         self.folder, self.path = folder, folder / f"{name}.shared"
@@ -57,12 +57,12 @@
             self.shared = mmap.mmap(file.fileno(), SIZE)
 
     def environment(self) -> dict[str, str]:
-        # the folder below which opens fail; the shared file itself is opened before any rate is set
+        # opens fail only below FAULT_FOLDER; the shared file is opened before any rate is set
         return {**os.environ, "LD_PRELOAD": str(library()), "FAULT_FILE": str(self.path),
                 "FAULT_FOLDER": str(self.folder), "PYTHONFAULTHANDLER": "1"}
 
     def set(self, rates: dict[Fault, int]) -> None:
-        """Per-mille rates; what is not named does not fail."""
+        """Sets the failure rates in per mille; kinds that are left out do not fail."""
         for kind in Fault:
             struct.pack_into("I", self.shared, 4 * kind, rates.get(kind, 0))
 
--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -1,7 +1,7 @@
-"""Real sidecar processes whose system calls fail, between upstreams and clients of this process, and what they owe.
+"""Runs real sidecar processes whose system calls fail, between upstreams and clients in this process.
 
-Clients and upstreams write down what they saw with one clock; `Ledger.violations` judges it by the service's rules and
-shares no code with the program.
+Clients and upstreams record what they see, with one clock. `Ledger.violations` checks the records against the rules of
+the service and shares no code with the program.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from tests.faults.shim import Fault, Shim
 from tests.sockets import free_port
 
-LANES = ("view", "mark", "pay")  # safe to repeat, keyed, unsafe to repeat
-LATE_S = 0.5  # after its time an answer earns nothing; later still it is lost
-AFTER_END_S = 0.1  # an attempt may begin so long after its client has gone or been answered
-DEADLINE_SLACK_S = 0.15  # of what an attempt tells its upstream
-READS_BEHIND = 3  # turns of the loop in which it reads what lay there as a timer ran
-MEASURING_S = 0.1  # what this process itself may be late, beside the lag that it has seen
-# The first fields of the kernel's struct tcp_info, and the places of those that are told.
+LANES = ("view", "mark", "pay")  # idempotent, deduplicated by key, at most once
+LATE_S = 0.5  # an answer after the deadline is worthless; one later than this counts as lost
+AFTER_END_S = 0.1  # how long after the client left or was answered an attempt may still begin
+DEADLINE_SLACK_S = 0.15  # tolerance for the remaining time that an attempt tells its upstream
+READS_BEHIND = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
+MEASURING_S = 0.1  # tolerance for delays of this process, in addition to its measured lag
+# The first fields of the kernel's struct tcp_info, and the indexes of those that are used.
 TCP_INFO = struct.Struct("8B15I")
 RETRANSMITS, BACKOFF, UNACKED, SINCE_LAST_DATA_MS = 2, 4, 12, 19
 
@@ -45,7 +45,7 @@
 
 @dataclass
 class Arrival:
-    """One attempt whose last byte has come to an upstream."""
+    """One attempt whose last byte has arrived at an upstream. `told_s` is the remaining time that it carried."""
 
     at_s: float
     told_s: float
@@ -53,28 +53,28 @@
 
 @dataclass
 class Call:
-    """One request as its client sees it."""
+    """One request as its client sees it, with its arrivals at upstreams."""
 
     txn: str
     lane: str
     limit_s: float
     sent_s: float = 0.0
-    ended_s: float | None = None  # its answer was whole, or its connection closed
-    left_s: float | None = None  # the client closed it
+    ended_s: float | None = None  # when the answer was complete or the connection closed
+    left_s: float | None = None  # when the client closed the connection
     status: int = 0
     body: bytes = b""
     trouble: str = ""
-    connect_s: float = 0.0  # that its connection took to come up
-    seen: str = ""  # of its connection, where it is lost
+    connect_s: float = 0.0  # duration of the connect
+    seen: str = ""  # state of its connection, if the request was lost
     arrivals: list[Arrival] = field(default_factory=list)
 
 
 class Ledger:
-    """All requests of a run, and what rules they show broken."""
+    """Records all requests of a run and finds the rules that were violated."""
 
     def __init__(self) -> None:
         self.calls: dict[str, Call] = {}
-        self.lag_s = 0.0  # the most that this process has been late
+        self.lag_s = 0.0  # the longest delay of the event loop of this process
 
     def new(self, lane: str, limit_s: float) -> Call:
         call = Call(f"t{len(self.calls)}", lane, limit_s)
@@ -141,7 +141,7 @@
         headers, self.headers = self.headers, {}
         txn = headers.get(b"x-txn", b"").decode()
         told = headers.get(b"x-remaining", b"0u")
-        # this process may read it some turns of its loop later, which is not the sidecar's doing
+        # subtract how long the data waited to be read, because this process may be late to read it
         lay_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
         told_s = int(told[:-1]) / (1e6 if told.endswith(b"u") else 1e3)
         self.upstream.ledger.arrived(txn, told_s, time.monotonic() - lay_s)
@@ -153,7 +153,7 @@
 
 
 class Upstream:
-    """An upstream that answers after `delay_s`, or does what `trouble` says: hang, fail, reset, stray, halt."""
+    """An upstream that answers after `delay_s`, or misbehaves as `trouble` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger, self.delay_s, self.trouble = ledger, 0.02, ""
@@ -182,7 +182,7 @@
                 connection.answer(b"500 Error", b"")
             case "reset":
                 connection.transport.abort()
-            case "stray":  # a second answer, as a spoilt one: it must not become the next request's
+            case "stray":  # an unsolicited second answer, which must not become the answer to the next request
                 connection.answer(b"200 OK", body, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
             case "halt":
                 connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
@@ -204,12 +204,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's kept connection, one request at a time."""
+    """A reusable connection of a client, with one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
         self.parser = httptools.HttpResponseParser(self)
-        self.waiting: asyncio.Future[bool] | None = None  # True: a whole answer; False: the connection ended
+        self.waiting: asyncio.Future[bool] | None = None  # True: a complete answer; False: the connection ended
         self.body = b""
         self.used = False
         self.closed = False
@@ -219,7 +219,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def seen(self) -> str:
-        """How it ended; while it is open, what the kernel knows of it."""
+        """Describes how the connection ended or, while it is open, its TCP state in the kernel."""
         if self.closed:
             return f"its connection ended by {self.end}"
         if self.transport.is_closing():
@@ -251,7 +251,8 @@
             self.waiting.set_result(whole)
 
     async def begin(self, data: bytes, pause_s: float) -> bool:
-        """Writes the first part of a request; whether after a pause it still has no answer, and its rest may follow."""
+        """Writes the first part of a request and waits. Returns whether the rest may follow, as there is no answer
+        yet."""
         self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
@@ -260,6 +261,7 @@
         return not (self.waiting.done() or self.transport.is_closing())
 
     async def ask(self, data: bytes, limit_s: float) -> bool:
+        """Sends a request. Returns whether a complete answer arrived; raises TimeoutError."""
         self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
@@ -268,7 +270,7 @@
             async with asyncio.timeout(limit_s):
                 return await asyncio.shield(self.waiting)
         except TimeoutError:
-            # after a moment without processor this loop's timers run before it reads what has come in time
+            # after the process got no CPU time, timers run before the event loop reads data that arrived in time
             for _ in range(READS_BEHIND):
                 await asyncio.sleep(0)
             if self.waiting.done():
@@ -277,7 +279,7 @@
 
 
 class Clients:
-    """The application beside one sidecar: keeps connections, one request at a time on each."""
+    """The application next to one sidecar: reuses connections, with one request at a time on each."""
 
     def __init__(self, ledger: Ledger, port: int) -> None:
         self.ledger, self.port = ledger, port
@@ -295,8 +297,8 @@
                 f"X-Org: north\r\nX-Remaining: {int(left_s * 1000)}m\r\n{key}Content-Length: 0\r\n\r\n").encode()
 
     async def call_slowly(self, lane: str, limit_s: float, connected_s: float, half_s: float) -> Call:
-        """Sends one request on a new connection: its first bytes so long after the connect, and the rest so long after
-        these. Its time counts from its last byte; what has an end before that is not lost."""
+        """Sends one request on a new connection: the first half `connected_s` after the connect, the rest `half_s`
+        later. Its deadline counts from its last byte; a request whose connection ends before that is not lost."""
         call = self.ledger.new(lane, limit_s)
         try:
             connection = await self.connect()
@@ -315,13 +317,13 @@
 
     async def call(self, lane: str = "view", limit_s: float = 2.0, leave_after_s: float | None = None,
                    keep: bool = True) -> Call:
-        """Sends one request; `leave_after_s` closes its connection before the answer, if that has not come."""
+        """Sends one request. With `leave_after_s` the client closes the connection if no answer has come by then."""
         call = self.ledger.new(lane, limit_s)
         connection = None
         while self.kept and (connection is None or connection.closed):
             connection = self.kept.pop()
         call.sent_s = time.monotonic()
-        for _ in range(2):  # a request that crosses the end of a resting connection is sent once more
+        for _ in range(2):  # a request that crosses with the close of an idle connection is sent once more
             if connection is None or connection.closed:
                 begun_s = time.monotonic()
                 try:
@@ -344,7 +346,7 @@
 
     async def on(self, connection: ClientConnection, call: Call, leave_after_s: float | None, used: bool,
                  data: bytes = b"") -> bool:
-        """Whether the call has ended on this connection; `data`: what is left of it to be written."""
+        """Returns whether the call has ended on this connection. `data` is the unwritten part of the request."""
         due_s = call.sent_s + call.limit_s
         wait_s = due_s + LATE_S + self.ledger.lag_s + MEASURING_S - time.monotonic()
         connection.used = True
@@ -376,7 +378,7 @@
 
 
 class SidecarProcess:
-    """One sidecar on a port of its own, with a shim."""
+    """One sidecar process with its own port and shim."""
 
     def __init__(self, site: Site, number: int) -> None:
         self.site, self.name = site, f"n{number}"
@@ -429,7 +431,7 @@
         return self.process.poll()
 
     async def ended(self, limit_s: float) -> int | None:
-        """Its status, or None if it still runs."""
+        """Waits for the end. Returns the exit status, or None if the process still runs."""
         end_s = time.monotonic() + limit_s
         while self.code() is None and time.monotonic() < end_s:
             await asyncio.sleep(0.01)
@@ -446,7 +448,7 @@
 
 
 class Site:
-    """Upstreams, discovery and sidecars of one run."""
+    """The upstreams, the discovery service and the sidecars of one run."""
 
     def __init__(self, folder: Path, deadline_s: float = 2.0, **settings: Any) -> None:
         self.folder, self.deadline_s = folder, deadline_s
@@ -471,7 +473,7 @@
         return self
 
     async def serving(self, upstreams: int = 6) -> SidecarProcess:
-        """Starts one sidecar, ready."""
+        """Starts one sidecar and waits until it is ready."""
         await self.start(upstreams)
         sidecar = self.sidecars[0]
         sidecar.launch()
@@ -497,7 +499,7 @@
 
 
 async def load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
-    """Open-loop arrivals of all classes at an even pace; every other one gives its connection up."""
+    """Sends requests of all classes in an open loop at a constant rate. Every other one closes its connection."""
     tasks, end_s, count = [], time.monotonic() + seconds, 0
     while time.monotonic() < end_s:
         tasks.append(asyncio.create_task(clients.call(LANES[count % 3], limit_s, keep=count % 2 == 0)))
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -1,8 +1,8 @@
-"""A soak: a few dozen real sidecars under drawn, overlapping faults, judged by the invariants of `site.Ledger`.
+"""A soak test: a few dozen real sidecars under random, overlapping faults, checked by the invariants of `site.Ledger`.
 
-Each sidecar lives through starts, services, reloads and shutdowns of its own, with signals in series and a SIGKILL at
-the earliest moment that the pages allow, while its system calls fail, its clock steps, upstreams misbehave, lists
-change and clients leave. The seed draws the schedule; the kernel's own timing is not in it.
+Each sidecar is started, serves, reloads and shuts down at its own times, with series of signals and a SIGKILL at the
+earliest moment that the service's rules allow. Meanwhile its system calls fail, its clock is stepped, upstreams
+misbehave, lists change and clients leave. The seed determines the schedule, but not the timing of the kernel.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from tests.faults.shim import Fault
 from tests.faults.site import LANES, SidecarProcess, Site
 
-KILL_S = 0.7  # after SIGTERM, beside the longest deadline
-NEW_CONNECTIONS_S = (0.2, 0.4)  # that they go on coming after SIGTERM
+KILL_S = 0.7  # SIGKILL comes this long after SIGTERM, plus the longest deadline
+NEW_CONNECTIONS_S = (0.2, 0.4)  # range of how long new connections keep coming after SIGTERM
 READY_S = 30.0
-STARTS_S = 3.0  # over which the first starts are spread
+STARTS_S = 3.0  # the first starts are spread over this time
 DEADLINES_S = (0.8, 2.0, 3.0)
-SLOW_SHARE, MOST_SILENT_S, MOST_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; before the first byte, and the last
+SLOW_SHARE, MOST_SILENT_S, MOST_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
 STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 TROUBLES = ("", "", "", "fail", "hang", "reset", "stray", "halt")
 MOST_RATES = {
@@ -35,13 +35,13 @@
     Fault.DISK_SHORT: 1000, Fault.DISK_WRITE: 1000, Fault.DISK_SYNC: 1000, Fault.FILE_OPEN: 1000, Fault.RENAME: 1000,
     Fault.THREAD: 1000, Fault.SOCKET_OPTION: 1000,
 }
-# On the disk that lasts: what is learned, and the arrivals.
+# Makes the sidecar write to disk: its learned state and the record of arrivals.
 OPERATOR = '[learned]\nfolder = "learned"\nevery_s = 0.3\n[record]\nfile = "arrivals.jsonl"\n'
 
 
 @dataclass(frozen=True)
 class Plan:
-    """One run; `crowd` clients send several times as much, and of `slow` ones some are late with a request's bytes."""
+    """The parameters of one run. `crowd`: clients send several times as much. `slow`: some send their bytes late."""
 
     seed: int
     sidecars: int = 12
@@ -63,13 +63,13 @@
         results = ", ".join(f"{name[:40]} {count}" for name, count in self.results.most_common(8))
         ends = ", ".join(f"{name} {count}" for name, count in self.ends.items())
         clients = f"{' crowd' if self.plan.crowd else ''}{' slow' if self.plan.slow else ''}"
-        return (f"seed {self.plan.seed}{clients}: {len(self.broken)} broken; "
+        return (f"seed {self.plan.seed}{clients}: {len(self.broken)} violations; "
                 f"{self.results.total()} requests ({results}); {self.faults.total()} failed calls; ends: {ends}; "
-                f"rig late by {self.lag_s:.3f} s" + "".join(f"\n  {text}" for text in self.broken[:5]))
+                f"test process late by {self.lag_s:.3f} s" + "".join(f"\n  {text}" for text in self.broken[:5]))
 
 
 def tracebacks(log: str) -> list[str]:
-    """Errors that nobody handled."""
+    """Returns the unhandled exceptions in a log."""
     return [text[:1500] for text in log.split("Traceback (most recent call last):")[1:]]
 
 
@@ -103,7 +103,7 @@
         return self.verdict
 
     async def pause(self, seconds: float) -> bool:
-        """Whether the run goes on after so long."""
+        """Waits. Returns whether the run continues after that."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self.over.wait()
@@ -139,15 +139,15 @@
 
 
 class Life:
-    """One sidecar and its clients, from start to start."""
+    """One sidecar and its clients, through repeated starts and shutdowns."""
 
     def __init__(self, soak: Soak, sidecar: SidecarProcess, rng: random.Random) -> None:
         self.soak, self.sidecar, self.rng = soak, sidecar, rng
-        self.serves = False  # its clients send
+        self.serves = False  # whether its clients send requests
         self.calls: set[asyncio.Task[Any]] = set()
 
     async def run(self) -> None:
-        await asyncio.sleep(self.rng.uniform(0.0, STARTS_S))  # an interpreter's start takes a core
+        await asyncio.sleep(self.rng.uniform(0.0, STARTS_S))  # starting an interpreter keeps one core busy
         async with asyncio.TaskGroup() as group:
             group.create_task(self.send())
             group.create_task(self.fail_calls())
@@ -176,7 +176,7 @@
         await self.shut_down()
 
     async def shut_down(self) -> None:
-        """Signals in series; its clients go on where they can until it ends, by itself or by SIGKILL."""
+        """Sends a series of signals. Clients continue until the process ends, by itself or by SIGKILL."""
         sidecar, rng = self.sidecar, self.rng
         begun_s, kill_s = time.monotonic(), self.soak.site.deadline_s + KILL_S
         stop_connecting_s = rng.uniform(*NEW_CONNECTIONS_S)
@@ -199,7 +199,7 @@
         sidecar.clients.close()
 
     async def send(self) -> None:
-        """Open-loop arrivals, uneven; some clients leave before their answer."""
+        """Sends requests in an open loop at random intervals. Some clients leave before their answer."""
         rng, limit_s = self.rng, self.soak.site.deadline_s
         mean_s = 1 / (60.0 if self.soak.plan.crowd else 15.0)
         while not self.soak.over.is_set() or self.serves:
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -1,4 +1,4 @@
-"""One real sidecar process whose system calls fail for a moment: nothing that it has taken is lost."""
+"""System calls of one real sidecar process fail for a while: no request that it has accepted is lost."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def play(folder: Path, test: Callable[[Site], Awaitable[None]], deadline_s: float = 2.0) -> None:
-    """Runs `test` at a site of its own, and ends whatever it started."""
+    """Runs `test` with its own site and stops everything that it started."""
     async def whole() -> None:
         site = Site(folder, deadline_s)
         try:
@@ -54,7 +54,7 @@
 }
 
 
-# Guards against a failed call that costs a request of another its answer, or brings it a wrong one.
+# Guards against a failed system call that loses the answer to another request, or gives it a wrong one.
 @pytest.mark.parametrize("rates", STEADY.values(), ids=[name.replace(" ", "-") for name in STEADY])
 def test_requests_are_answered_while_calls_fail_in_service(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.5)
         for upstream, trouble in zip(site.upstreams, ("fail", "hang", "reset", "stray"), strict=False):
             upstream.trouble = trouble
-        site.upstreams[4].reset_all()  # sockets are needed anew
+        site.upstreams[4].reset_all()  # so that new sockets are needed
         site.upstreams[5].reset_all()
         sidecar.shim.set(rates)
         await asyncio.sleep(2.0)
@@ -91,7 +91,7 @@
 }
 
 
-# Guards against a shutdown that ends early, or closes over connections that it could not accept for a moment.
+# Guards against a shutdown that ends early, or that drops connections which could not be accepted for a while.
 @pytest.mark.parametrize("rates", SHUTDOWN.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN])
 def test_a_shutdown_loses_nothing_while_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
@@ -101,7 +101,7 @@
         await asyncio.sleep(0.4)
         sidecar.signal(signal.SIGTERM)
         sidecar.shim.set(rates)
-        await asyncio.sleep(1.0)  # new connections come for 0.4 s of it
+        await asyncio.sleep(1.0)  # new connections come during the first 0.4 s
         sidecar.shim.set({})
         await job
         check(site)
@@ -120,7 +120,7 @@
 }
 
 
-# Guards against a start that gives up at the first call that fails.
+# Guards against a start that gives up when a system call fails.
 @pytest.mark.parametrize("rates", START.values(), ids=[name.replace(" ", "-") for name in START])
 def test_a_start_outlasts_calls_that_fail_for_a_moment(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
@@ -139,7 +139,7 @@
     play(tmp_path, test)
 
 
-# Guards against a new configuration that is never heeded as its file could not be read for a moment.
+# Guards against a new configuration that is never applied because its file could not be read for a while.
 def test_a_reload_that_cannot_read_its_file_is_tried_again(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
--- a/tests/faults/test_closing.py
+++ b/tests/faults/test_closing.py
@@ -1,4 +1,4 @@
-"""No client of many is reset as listeners close in their midst; longer runs are `python -m bench.closing`."""
+"""No client is reset while listeners close under load. For longer runs use `python -m bench.closing`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.faults.closing import play
 
 
-# Guards against clients that are reset after their connect, alone or beside a successor on the port.
+# Guards against clients that are reset after their connect, with or without a successor on the same port.
 @pytest.mark.parametrize("shares_port", [False, True], ids=["alone", "beside-a-successor"])
 def test_no_client_is_reset_as_listeners_close(shares_port: bool) -> None:
     counts = play(60, shares_port)
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -1,4 +1,4 @@
-"""A process that gets no processor for a while counts a request's time from its last byte."""
+"""A process that gets no CPU time for a while counts a request's remaining time from its last byte."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.faults.test_calls import check, ends_well, play
 
 
-# Guards against upstreams that are told more time than the client has left, as its request lay unread.
+# Guards against telling upstreams more time than the client has left, because its request waited to be read.
 def test_a_request_that_lay_unread_tells_the_time_that_its_client_has_left(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -1,4 +1,4 @@
-"""What a sidecar has taken is answered before the earliest SIGKILL, also where it was held up as SIGTERM came."""
+"""Accepted requests are answered before the earliest SIGKILL, even if the process was stalled when SIGTERM came."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.faults.test_calls import play
 
 DEADLINE_S = 0.8
-HELD_UP_S = 0.15  # that a process may lack the processor
-COMPLETE_S = 1.0  # after SIGTERM: a slow client's request is whole, and its time ends after the SIGKILL
+HELD_UP_S = 0.15  # how long a process may get no CPU time
+COMPLETE_S = 1.0  # after SIGTERM a slow client's request is complete; its deadline is after the SIGKILL
 
 
 async def held_up(sidecar: SidecarProcess) -> None:
@@ -28,14 +28,14 @@
 
 
 async def hard_of_hearing(sidecar: SidecarProcess) -> None:
-    """The byte that tells the event loop of a signal is lost."""
+    """Sends SIGTERM while the write that wakes up the event loop for a signal fails."""
     sidecar.shim.set(always(Fault.WRITE_ERROR))
     sidecar.signal(signal.SIGTERM)
     await asyncio.sleep(0.25)
     sidecar.shim.set({})
 
 
-# Guards against requests that SIGKILL finds unanswered, as the time of the last answers counts from a late moment.
+# Guards against requests that are unanswered at SIGKILL because the shutdown time was counted from too late a moment.
 @pytest.mark.parametrize("tell", [held_up, hard_of_hearing])
 def test_a_request_that_comes_last_is_answered_before_sigkill(tell: Callable[[SidecarProcess], Awaitable[None]],
                                                               tmp_path: Path) -> None:
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals are heard, and ends are good ends, though calls of the event loop itself fail."""
+"""Signals are handled and shutdowns end cleanly although system calls of the event loop itself fail."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.faults.test_calls import check, ends_well, play
 
 
-# Guards against a SIGTERM that is lost with the byte that tells the loop of it, so that SIGKILL ends the service.
+# Guards against a SIGTERM that is lost when the wake-up write to the event loop fails, so that only SIGKILL helps.
 @pytest.mark.parametrize("faults", [(Fault.WRITE_ERROR,), (Fault.READ_ERROR,), (Fault.SOCKET, Fault.BIND)],
                          ids=["no write", "no read", "no socket"])
 def test_signals_are_heard_while_the_loop_s_own_calls_fail(faults: tuple[Fault, ...], tmp_path: Path) -> None:
@@ -31,7 +31,7 @@
     play(tmp_path, test)
 
 
-# Guards against a process that ends by an error, after its last answer, as the loop can't be closed.
+# Guards against a process that ends with an error after its last answer, because the loop can't be closed.
 def test_an_end_at_which_nothing_can_be_opened_is_a_good_one(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
@@ -44,7 +44,7 @@
     play(tmp_path, test)
 
 
-# Guards against a process that is ended by its event loop as no thread can be begun for a look-up of an address.
+# Guards against a process that the event loop ends because no thread can be started to resolve an address.
 def test_connections_come_up_though_no_thread_can_be_begun(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short and seeded; longer campaigns are `python -m bench.soak`."""
+"""Short soak tests with fixed seeds. For longer campaigns use `python -m bench.soak`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 PLANS = [Plan(1), Plan(2), Plan(3, crowd=True), Plan(5), Plan(6)]
 
 
-# Guards against faults that lose a request only where they overlap.
+# Guards against faults that lose a request only when they overlap.
 @pytest.mark.parametrize("plan", PLANS, ids=lambda plan: f"seed-{plan.seed}")
 def test_drawn_faults_over_real_processes_break_no_invariant(plan: Plan, tmp_path: Path) -> None:
     async def test() -> None:
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -1,4 +1,4 @@
-"""A store of record on a disk that fails for a while, under a process that is killed: what was answered stands once."""
+"""A store of record on a failing disk, with a process that is killed: each answered request is stored exactly once."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def broken(calls: dict[str, Call], written: Counter[str]) -> list[str]:
-    """What was answered stands once; what was refused does not stand; nothing stands twice."""
+    """Finds answered requests that are not stored, refused ones that are, and those stored more than once."""
     found = [f"{txn}: written {count} times" for txn, count in written.items() if count > 1]
     for call in calls.values():
         if call.lane != "view" and call.status == 200 and not written[call.txn]:
@@ -63,7 +63,7 @@
     return sidecar
 
 
-# Guards against an answer for what is not in the store, a refusal for what is, and a request that nobody answers.
+# Guards against answering a request that is not stored, refusing one that is, and leaving one unanswered.
 @pytest.mark.parametrize("rates", FAULTS.values(), ids=[name.replace(" ", "-") for name in FAULTS])
 @pytest.mark.parametrize("killed", [False, True], ids=["goes on", "is killed"])
 def test_a_store_keeps_its_word_while_its_disk_fails(tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
@@ -81,11 +81,11 @@
             sidecar.launch()
             assert await sidecar.ready(), sidecar.log()
             for call in site.ledger.calls.values():
-                call.trouble = call.trouble.replace("lost", "killed")  # whoever had no answer as it was killed
+                call.trouble = call.trouble.replace("lost", "killed")  # they had no answer at the kill
             await load(sidecar.clients, 0.3)
         sidecar.shim.set({})
         await job
-        async with asyncio.timeout(20):  # what was left open is found out
+        async with asyncio.timeout(20):  # until the outcome of all open journal entries is known
             while read_all(sidecar.folder / "open")[0]:
                 await asyncio.sleep(0.05)
         await ends_well(sidecar)
@@ -96,7 +96,7 @@
     play(tmp_path, test)
 
 
-# Guards against a start that gives up as the store's disk or threads fail just then.
+# Guards against a start that gives up because the store's disk or threads fail at that moment.
 def test_a_store_starts_on_a_disk_that_fails_for_a_moment(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         await site.start()
@@ -115,7 +115,7 @@
     play(tmp_path, test)
 
 
-# Guards against a keyed request that is written again within its memory, as the wall clock has stepped.
+# Guards against storing a keyed request twice within its memory span because the wall clock was stepped.
 @pytest.mark.parametrize("seconds", [3600.0, 5.0, -3600.0])
 def test_the_memory_of_a_keyed_request_outlasts_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
     async def test(site: Site) -> None:
@@ -128,7 +128,7 @@
         sidecar.clients.request = of_one_key  # type: ignore[method-assign]
         first = await sidecar.clients.call("mark")
         sidecar.shim.step_wall_clock(seconds)
-        again = await sidecar.clients.call("mark")  # well within the 1.2 s of its class
+        again = await sidecar.clients.call("mark")  # well within the memory span of its class, 1.2 s
         assert (first.status, again.status) == (200, 200) and first.body == again.body
         await ends_well(sidecar)
         assert rows(sidecar).total() == 1
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -1,4 +1,4 @@
-"""A successor on the same port while the calls of the process that ends fail: clients notice nothing."""
+"""A successor takes over the port while system calls of the ending process fail: clients notice nothing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 }
 
 
-# Guards against connections that are reset in the queue of a listener which closes beside its successor's.
+# Guards against resets of connections in the backlog of a listener that closes next to its successor's.
 @pytest.mark.parametrize("rates", FAULTS.values(), ids=[name.replace(" ", "-") for name in FAULTS])
 def test_a_successor_takes_over_while_calls_of_the_former_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
@@ -34,7 +34,7 @@
         job = asyncio.create_task(load(former.clients, 4.0, 100.0))
         successor.launch()
         assert await successor.ready(), successor.log()
-        await asyncio.sleep(0.7)  # an interpreter's start: both listen
+        await asyncio.sleep(0.7)  # for the start of an interpreter: then both listen
         former.signal(signal.SIGTERM)
         former.shim.set(rates)
         await asyncio.sleep(1.2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery and the reading of its lists, on loopback sockets."""
+"""Tests the watch on discovery and the parsing of its lists, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def test_there_is_one_watch_however_often_it_is_asked_for() -> None:
-    """Hazard: each further call would load discovery and wait in its line again."""
+    """Guards against further calls, each of which would load discovery and wait in its queue again."""
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
@@ -96,7 +96,7 @@
         discovery.subscribe()
         fake.line(listing(ENTRY, generation=42))
         await until(lambda: told)
-        discovery.subscribe()  # each is answered all the same
+        discovery.subscribe()  # every subscription is answered nevertheless
         assert kinds(told) == [ListKind.FULL, ListKind.DELTA]
         assert len(fake.targets) == 1
         discovery.close()
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("end", [silent, ended, broken, malformed])
 def test_a_watch_that_ends_or_goes_silent_has_failed(end: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: a machine that is cut off says nothing, and its changes would never be heard of."""
+    """Guards against waiting forever: a machine that loses its network sends no close, and changes would be missed."""
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
@@ -234,7 +234,7 @@
 
 
 async def moved() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Told]:
-    """A watch at the first that has told generation 42, on its way to the second."""
+    """A watch at the first address that has delivered generation 42 and is moving to the second address."""
     old, new = await FakeDiscovery().start(), await FakeDiscovery().start()
     discovery, told = await watching(old)
     await until(lambda: old.writers)
@@ -246,11 +246,11 @@
 
 
 def test_the_old_watch_serves_until_the_new_address_has_answered() -> None:
-    """Hazard: a drain told in between would be missed, and the end of the old watch taken for a failure."""
+    """Guards against missing a drain during the move, and against taking the end of the old watch for a failure."""
 
     async def test() -> None:
         old, new, discovery, told = await moved()
-        discovery.change_address(("127.0.0.1", new.port))  # twice in a row is as good as once
+        discovery.change_address(("127.0.0.1", new.port))  # a second call changes nothing
         old.line(listing({**ENTRY, "lifecycle": "draining"}, generation=43, reset=False))
         await until(lambda: len(told) == 2)
         new.line(None)
@@ -294,8 +294,8 @@
 
 
 def test_a_list_older_than_the_last_counts_only_if_it_stays_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: a discovery that lags would make drained upstreams ready again; one that counts anew
-    would never be heard."""
+    """Guards against a discovery replica that lags and makes drained upstreams ready again, and against ignoring
+    for ever a discovery service that has restarted its numbering."""
 
     async def test() -> None:
         _, new, discovery, told = await moved()
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""The wall clock may step by seconds or an hour; what goes by real time does not."""
+"""Tests start times of upstreams while the wall clock is stepped by seconds or an hour."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Clocks:
-    """The wall clock ahead of the own one by what steps have made of it."""
+    """A monotonic clock, and a wall clock that is ahead of it by the sum of its steps."""
 
     def __init__(self) -> None:
         self.own_us, self.ahead_us = START_US, 0
@@ -39,12 +39,12 @@
     assert not clocks.starts.check_for_step()
 
 
-# Guards against a cold upstream that is taken for a warm one, or for one that starts in an hour, after a step.
+# Guards against taking a cold upstream, after a step, for a warm one or for one that starts an hour later.
 @pytest.mark.parametrize("by_us", STEPS_US)
 @pytest.mark.parametrize("stamped", ["before the step", "after it"])
 def test_a_start_that_is_told_after_a_step_is_never_older_than_it_is(by_us: int, stamped: str) -> None:
     clocks = Clocks()
-    started_us = clocks.own_us  # in truth, on the own clock
+    started_us = clocks.own_us  # the true start, on the monotonic clock
     stamp_us = started_us
     if stamped == "after it":
         clocks.step(by_us)
@@ -55,12 +55,12 @@
     clocks.own_us += S
     entry = clocks.told(stamp_us)
     assert started_us <= entry.start_us <= clocks.own_us
-    assert entry.started_us == stamp_us, "the process keeps its name"
+    assert entry.started_us == stamp_us, "the reported start identifies the process and must not change"
     if abs(by_us) == HOUR_US:
         assert entry.start_us == started_us
 
 
-# Guards against a warm upstream that is taken for a cold one as the whole list is told again after a step.
+# Guards against taking a warm upstream for a cold one when the full list is sent again after a step.
 @pytest.mark.parametrize("by_us", STEPS_US)
 def test_a_process_that_is_known_keeps_its_start(by_us: int) -> None:
     clocks = Clocks()
@@ -68,7 +68,7 @@
     clocks.step(by_us)
     again = clocks.told(START_US - 30 * S, known)
     assert again.start_us == START_US - 30 * S
-    assert clocks.told(START_US + by_us, known).start_us != START_US - 30 * S, "another process behind the same id"
+    assert clocks.told(START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
 
 
 def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
@@ -83,7 +83,7 @@
     assert len(clocks.starts.offsets_us) == MAX_STEPS and clocks.starts.offsets_us[-1] == 100 * HOUR_US
 
 
-# Guards against slow start that a step of the wall clock switches off, by a real list on a socket.
+# Guards against a step of the wall clock that disables slow start; uses a real list on a socket.
 @pytest.mark.parametrize("by_us", [HOUR_US, -HOUR_US])
 def test_an_upstream_that_starts_after_a_step_is_cold(by_us: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Outcomes and kept connections, on loopback sockets."""
+"""Tests the outcomes of attempts and the reuse of idle connections, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Line:
-    """An `Upstreams` with one upstream behind it."""
+    """An `Upstreams` with one upstream in its list."""
 
     def __init__(self, peer: Peer, idle_us: int = 15_000_000, most: int = 100,
                  connect_us: int = 5_000_000, **changes: Any) -> None:
@@ -65,14 +65,14 @@
     (reply(status("500 Error")), Outcome.ERROR),
     (reply(status("503 Busy", "X-Turned-Away: 1\r\n")), Outcome.FULL),
     (reply(status("504 Late", "X-Turned-Away: 1\r\n")), Outcome.FULL),
-    # hazard: taken for turned away, what did run would run twice
+    # a 503 or 504 without the header may have run: counted as refused, the request would run twice
     (reply(status("503 Busy")), Outcome.ERROR),
     (reply(status("504 Late")), Outcome.ERROR),
     (reply(status("503 Busy", "X-Turned-Away: 0\r\n")), Outcome.ERROR),
     (reply(status("500 Error", "X-Turned-Away: 1\r\n")), Outcome.ERROR),
     (reply(status("404 Unknown")), Outcome.ERROR),
     (reply(b"nonsense\r\n\r\n"), Outcome.RESET),
-    # hazard: what can't be read, does not fit or does not end has run, and would fill the memory meanwhile
+    # malformed, oversized and endless answers: the request has run, and the answer must not fill the memory
     (reply(b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
     (reply(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
     (reply(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
@@ -96,7 +96,7 @@
         line = Line(await Peer(behave).start())
         assert await line.outcome() is expected
         if expected is Outcome.RESET:
-            assert line.upstreams.open_count == 0  # dropped at once, though the upstream keeps it open
+            assert line.upstreams.open_count == 0  # closed at once, though the upstream keeps it open
 
     run(test)
 
@@ -125,7 +125,7 @@
 
 
 def test_a_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
-    """Hazard: counted as may have run, a request that never reached the upstream whole would fail."""
+    """Guards against failing a request, as one that may have run, that the upstream never received completely."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -137,7 +137,7 @@
             _, ended = line.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1)
-            accepted.close()  # with bytes unread: a reset
+            accepted.close()  # a reset, because bytes are unread
         assert (await ended)[0] is Outcome.CONNECT_FAILED
 
     run(test)
@@ -175,7 +175,7 @@
 
 
 def test_a_connection_given_up_on_is_closed_and_not_used_again() -> None:
-    """Hazard: the late answer would be taken for that of the next request."""
+    """Guards against a late answer that is taken for the answer to the next request."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -201,7 +201,7 @@
         attempt, ended = line.start()
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.CONNECT_FAILED
-        await until(lambda: line.pool.idle)  # it came up all the same, and is kept for the next
+        await until(lambda: line.pool.idle)  # it was established nevertheless, and is kept for the next attempt
         assert await line.outcome() is Outcome.OK
         assert peer.opened == 1 and len(peer.got) == 1
 
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 408 Timeout\r\n\r\n"])
 def test_a_closed_or_talking_connection_is_not_used_though_the_loop_has_not_seen_it(stray: bytes) -> None:
-    """Hazard: the request would end as a reset, and an unsafe one may not be tried again."""
+    """Guards against sending on it: the request would end as a reset, and an unsafe one may not be retried."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -225,7 +225,7 @@
             await loop.sock_sendall(first, ok())
             assert (await ended)[0] is Outcome.OK
             if stray:
-                first.send(stray)  # no await from here to `start`: the loop can't have read it
+                first.send(stray)  # no await from here to `start`, so the event loop can't have read it
             else:
                 first.close()
             _, ended = line.start()
@@ -257,7 +257,7 @@
 @pytest.mark.parametrize("more", [
     ok(b"two"), b"\xff\xfe\x00noise\r\n\r\n", b"HTT", b"HTTP/1.1 2x0 OK\r\n\r\n"])
 def test_bytes_after_an_answer_end_the_connection_and_not_the_answer(more: bytes) -> None:
-    """Hazard: noise in the same read makes the parser fail, and a good answer would be thrown away."""
+    """Guards against discarding a complete answer when invalid data in the same read makes the parser fail."""
 
     async def test() -> None:
         line = Line(await Peer(reply(ok(b"one") + more)).start())
@@ -271,7 +271,7 @@
 def test_a_second_copy_that_comes_late_is_not_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hazard: it would come as the answer to the request that follows at once on the same connection."""
+    """Guards against taking it for the answer to the request that follows immediately on the same connection."""
     assert module.MIN_IDLE_US > 0
     monkeypatch.setattr(module, "MIN_IDLE_US", 20_000_000)
 
@@ -288,7 +288,7 @@
         first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(line.start()[1]))
         line.pool.start(first)
         await until(lambda: follower)
-        # to the first connection alone: the follower's may be up already, and strays would end it
+        # only to the first connection: the next request's may exist already, and stray data would close it
         peer.behave = reply(ok(b"next"))
         answered[0].write(ok(b"copy"))
         assert (await follower[0])[1].body in (b"one", b"next") and peer.opened == 2
@@ -322,7 +322,7 @@
 
 @pytest.mark.parametrize("full", [True, False])
 def test_an_address_belongs_to_the_upstream_that_started_last(full: bool) -> None:
-    """Hazard: its cold process would get what is meant for the one that it has replaced."""
+    """Guards against sending a cold process the load of the upstream that it has replaced at this address."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -356,17 +356,17 @@
 
 
 def test_kept_connections_of_an_age_that_fails_are_not_trusted_for_a_while() -> None:
-    """Hazard: an upstream may close idle connections long before the settings' time without a sign, and
-    the request that shows it has failed."""
+    """Guards against reusing connections that an upstream closes long before the configured idle timeout: the
+    request that reveals it has failed."""
 
     async def test() -> None:
         peer = await Peer().start()
         line = Line(peer)
 
         async def next_after(idle_us: int) -> Outcome:
-            assert await line.outcome() is Outcome.OK  # one to be kept
+            assert await line.outcome() is Outcome.OK  # leaves an idle connection
             for other in line.pool.idle[:-1]:
-                other.close()  # on a slow machine it has rested, and would serve in its place
+                other.close()  # on a slow machine it may be reusable by now
             line.pool.idle[-1].idle_since_us -= idle_us
             peer.behave = reset if idle_us > 200_000 else reply(ok())
             first = peer.opened
@@ -382,10 +382,10 @@
         seen = [await next_after(270_000) for _ in range(6)]
         assert seen == [Outcome.RESET] * 3 + [Outcome.OK] * 3
         opened = peer.opened
-        assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one serves
+        assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one is reused
         for _ in range(60):
             line.upstreams.idle_failures.decay()
-        assert await next_after(270_000) is Outcome.RESET  # it is tried again in time
+        assert await next_after(270_000) is Outcome.RESET  # after the decay it is reused again
 
     run(test)
 
@@ -406,7 +406,7 @@
         line = Line(peer)
         assert await line.outcome() is Outcome.OK
         line.pool.idle[0].idle_since_us -= 13_600_000
-        assert await line.outcome() is Outcome.OK and peer.opened == 2  # a write after 15 s is a reset
+        assert await line.outcome() is Outcome.OK and peer.opened == 2  # after 15 s a write ends in a reset
         line.pool.idle[0].idle_since_us -= 13_600_000
         line.pool.close_expired()
         assert not line.pool.idle and line.upstreams.open_count == 0
@@ -420,7 +420,7 @@
         peer = await Peer().start()
         line = Line(peer)
         _, ended = line.start()
-        line.tell(full=False, lifecycle=lifecycle)  # the connection is still coming up
+        line.tell(full=False, lifecycle=lifecycle)  # the connection is still being established
         assert (await ended)[0] is Outcome.NOT_SENT
         assert not peer.got and line.upstreams.open_count == 0
 
@@ -450,7 +450,7 @@
 
 
 def test_an_upstream_that_has_restarted_loses_its_old_connections_only() -> None:
-    """Hazard: a machine that vanished leaves connections that look whole and are dead."""
+    """Guards against using connections to a machine that vanished: they look open and are dead."""
 
     async def test() -> None:
         peer = await Peer().start()
@@ -459,7 +459,7 @@
         line.tell(full=False, startedAtMs=now_us() // 1000 + 1000)
         assert not line.pool.idle
         await line.outcome()
-        line.pool.idle[0].opened_us += 2_000_000  # opened after the start that is told only now
+        line.pool.idle[0].opened_us += 2_000_000  # opened after the start that discovery reports only now
         line.tell(full=False, startedAtMs=now_us() // 1000 + 1500)
         assert len(line.pool.idle) == 1
 
@@ -484,7 +484,7 @@
         old, new = await Peer().start(), await Peer().start()
         line = Line(old)
         _, ended = line.start()
-        await asyncio.sleep(0)  # on its way to the old address
+        await asyncio.sleep(0)  # the connect to the old address has begun
         line.peer = new
         line.tell(full=False)
         assert (await ended)[0] is Outcome.NOT_SENT
@@ -499,7 +499,7 @@
         line = Line(peer, most=1)
         attempt, ended = line.start()
         await until(lambda: peer.got)
-        assert await line.outcome() is Outcome.NOT_SENT  # never ran: no second connection was opened
+        assert await line.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
         assert peer.opened == 1
         other = await Peer().start()
         peer.answer_held(ok())
@@ -508,7 +508,7 @@
         pool = line.upstreams.pools[members(other.entry("s-2"))[0].upstream.id]
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         pool.start(Attempt(lambda: GET, lambda: True, lambda outcome, answer: done.set_result(outcome)))
-        assert await done is Outcome.OK  # in place of the idle one
+        assert await done is Outcome.OK  # the idle connection was closed to make room
         assert line.upstreams.open_count == 1
 
     run(test)
@@ -564,7 +564,7 @@
 
         for number in (1, 0, 2, 1):  # the first one is asked again, and is no longer the oldest
             if number == 1 and pools[1].idle:
-                pools[1].idle[0].idle_since_us -= module.MIN_IDLE_US  # it need not rest
+                pools[1].idle[0].idle_since_us -= module.MIN_IDLE_US  # so that it can be reused at once
             assert await ask(pools[number]) is Outcome.OK
         assert [len(pool.idle) for pool in pools] == [1, 1, 1, 0] and peers[1].opened == 1
         assert list(upstreams.idle) == [pool.idle[0] for pool in (pools[0], pools[2], pools[1])]
@@ -579,7 +579,7 @@
 
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
 def test_a_kept_connection_that_has_just_gone_bad_is_not_used(how: str) -> None:
-    """What happened to it lies in the kernel, and the loop has not read it yet."""
+    """The kernel knows of the close or data, but the event loop has not read it yet."""
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
