--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -32,7 +32,7 @@
     return ListParser(["a"], ["large"]).parse(listing(*entries)).members
 
 
-class Line:
+class UpstreamHarness:
     """An `Upstreams` with one upstream in its list."""
 
     def __init__(self, peer: Peer, idle_us: int = 15_000_000, most: int = 100,
@@ -93,7 +93,7 @@
 ])
 def test_each_answer_has_its_outcome(behave: Behaviour, expected: Outcome) -> None:
     async def test() -> None:
-        line = Line(await Peer(behave).start())
+        line = UpstreamHarness(await Peer(behave).start())
         assert await line.outcome() is expected
         if expected is Outcome.RESET:
             assert line.upstreams.open_count == 0  # closed at once, though the upstream keeps it open
@@ -107,7 +107,7 @@
         writer.close()
 
     async def test() -> None:
-        assert await Line(await Peer(half).start()).outcome() is Outcome.RESET
+        assert await UpstreamHarness(await Peer(half).start()).outcome() is Outcome.RESET
 
     run(test)
 
@@ -117,7 +117,7 @@
         peer = await Peer().start()
         assert peer.server is not None
         peer.server.close()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         assert await line.outcome() is Outcome.CONNECT_FAILED
         assert line.upstreams.open_count == 0
 
@@ -132,7 +132,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = Line(peer)
+            line = UpstreamHarness(peer)
             listener.setblocking(False)
             _, ended = line.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
             accepted, _ = await loop.sock_accept(listener)
@@ -145,7 +145,7 @@
 
 def test_a_large_request_counts_as_written_once_its_last_byte_is() -> None:
     async def test() -> None:
-        line = Line(await Peer(reset).start())
+        line = UpstreamHarness(await Peer(reset).start())
         body = b"x" * (32 << 20)
         head = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n" % len(body)
         assert await line.outcome(head + body) is Outcome.RESET
@@ -159,7 +159,7 @@
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         both = [line.start(), line.start()]
         await until(lambda: len(peer.got) == 2)
         peer.answer_held(ok())
@@ -179,7 +179,7 @@
 
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         attempt, ended = line.start()
         await until(lambda: peer.got)
         attempt.give_up(Outcome.TIMEOUT)
@@ -197,7 +197,7 @@
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         attempt, ended = line.start()
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.CONNECT_FAILED
@@ -218,7 +218,7 @@
             listener.setblocking(False)
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = Line(peer)
+            line = UpstreamHarness(peer)
             _, ended = line.start()
             first, _ = await loop.sock_accept(listener)
             await loop.sock_recv(first, 1000)
@@ -242,7 +242,7 @@
 def test_an_idle_connection_that_ends_or_talks_is_dropped() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         ends: list[Callable[[asyncio.StreamWriter], None]] = [
             lambda w: w.write(ok()), lambda w: w.write_eof(), lambda w: w.transport.abort()]
         for end in ends:
@@ -260,7 +260,7 @@
     """Guards against discarding a complete answer when invalid data in the same read makes the parser fail."""
 
     async def test() -> None:
-        line = Line(await Peer(reply(ok(b"one") + more)).start())
+        line = UpstreamHarness(await Peer(reply(ok(b"one") + more)).start())
         outcome, answer = await line.start()[1]
         assert outcome is Outcome.OK and answer.body == b"one"
         assert not line.pool.idle and line.upstreams.open_count == 0
@@ -283,7 +283,7 @@
             writer.write(ok(b"one"))
 
         peer = await Peer(one).start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         follower: list[asyncio.Future[Any]] = []
         first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(line.start()[1]))
         line.pool.start(first)
@@ -299,7 +299,7 @@
 def test_a_drain_while_an_answer_comes_in_pieces_lets_it_come() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         _, ended = line.start()
         await until(lambda: peer.got)
         line.tell(full=False, lifecycle="draining")
@@ -315,7 +315,7 @@
 def test_trailers_are_not_headers() -> None:
     async def test() -> None:
         data = b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Turned-Away: 1\r\n\r\n"
-        assert await Line(await Peer(reply(data)).start()).outcome() is Outcome.ERROR
+        assert await UpstreamHarness(await Peer(reply(data)).start()).outcome() is Outcome.ERROR
 
     run(test)
 
@@ -326,7 +326,7 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer, startedAtMs=1000)
+        line = UpstreamHarness(peer, startedAtMs=1000)
         new = peer.entry("s-2", startedAtMs=2000)
         told = [new, peer.entry("s-1", startedAtMs=1000)] if full else [new]
         settled = line.upstreams.resolve_address_conflicts(members(*told), full)
@@ -340,7 +340,7 @@
 def test_an_interim_answer_is_passed_over() -> None:
     async def test() -> None:
         peer = await Peer(reply(b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"last"))).start()
-        outcome, answer = await Line(peer).start()[1]
+        outcome, answer = await UpstreamHarness(peer).start()[1]
         assert outcome is Outcome.OK and answer.body == b"last"
 
     run(test)
@@ -349,7 +349,7 @@
 def test_a_chunked_answer_is_put_together() -> None:
     async def test() -> None:
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-        outcome, answer = await Line(await Peer(reply(chunked)).start()).start()[1]
+        outcome, answer = await UpstreamHarness(await Peer(reply(chunked)).start()).start()[1]
         assert (outcome, answer.body) == (Outcome.OK, b"abcde")
 
     run(test)
@@ -361,7 +361,7 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
 
         async def next_after(idle_us: int) -> Outcome:
             assert await line.outcome() is Outcome.OK  # leaves an idle connection
@@ -392,7 +392,7 @@
 
 def test_a_new_connection_that_breaks_says_nothing_of_kept_ones() -> None:
     async def test() -> None:
-        line = Line(await Peer(reset).start())
+        line = UpstreamHarness(await Peer(reset).start())
         for _ in range(10):
             assert await line.outcome() is Outcome.RESET
         assert max(line.upstreams.idle_failures.shares) == 0.0
@@ -403,7 +403,7 @@
 def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         assert await line.outcome() is Outcome.OK
         line.pool.idle[0].idle_since_us -= 13_600_000
         assert await line.outcome() is Outcome.OK and peer.opened == 2  # after 15 s a write ends in a reset
@@ -418,7 +418,7 @@
 def test_a_connection_that_comes_up_after_the_drain_is_not_written_to(lifecycle: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         _, ended = line.start()
         line.tell(full=False, lifecycle=lifecycle)  # the connection is still being established
         assert (await ended)[0] is Outcome.NOT_SENT
@@ -430,7 +430,7 @@
 def test_a_full_list_without_an_upstream_ends_its_connections() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         await line.outcome()
         line.upstreams.apply([], True)
         assert not line.upstreams.pools and line.upstreams.open_count == 0
@@ -441,7 +441,7 @@
 def test_nothing_is_written_for_a_request_that_is_over() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         _, ended = line.start(wanted=False)
         assert (await ended)[0] is Outcome.NOT_SENT
         assert not peer.got and len(line.pool.idle) == 1
@@ -454,7 +454,7 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        line = UpstreamHarness(peer)
         await line.outcome()
         line.tell(full=False, startedAtMs=now_us() // 1000 + 1000)
         assert not line.pool.idle
@@ -469,7 +469,7 @@
 def test_an_upstream_that_moves_is_reached_at_its_new_address() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = Line(old)
+        line = UpstreamHarness(old)
         await line.outcome()
         line.peer = new
         line.tell(full=False)
@@ -482,7 +482,7 @@
 def test_nothing_is_written_to_an_address_that_was_left_while_the_connection_came_up() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = Line(old)
+        line = UpstreamHarness(old)
         _, ended = line.start()
         await asyncio.sleep(0)  # the connect to the old address has begun
         line.peer = new
@@ -496,7 +496,7 @@
 def test_connections_stay_within_the_limit_on_sockets() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer, most=1)
+        line = UpstreamHarness(peer, most=1)
         attempt, ended = line.start()
         await until(lambda: peer.got)
         assert await line.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
@@ -519,7 +519,7 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     async def test() -> None:
-        line = Line(await Peer().start())
+        line = UpstreamHarness(await Peer().start())
         with monkeypatch.context() as patched:
             patched.setattr(socket, "socket", out_of_descriptors)
             assert await line.outcome() is Outcome.NOT_SENT
@@ -531,7 +531,7 @@
 
 def test_the_turned_away_mark_is_read_in_any_case() -> None:
     async def test() -> None:
-        assert await Line(await Peer(reply(TURNED_AWAY.lower().replace(b"http/1.1", b"HTTP/1.1"))).start()
+        assert await UpstreamHarness(await Peer(reply(TURNED_AWAY.lower().replace(b"http/1.1", b"HTTP/1.1"))).start()
                           ).outcome() is Outcome.FULL
 
     run(test)
@@ -542,7 +542,7 @@
 
 def test_sends_are_not_held_back_by_the_kernel() -> None:
     async def test() -> None:
-        line = Line(await Peer().start())
+        line = UpstreamHarness(await Peer().start())
         await line.outcome()
         sock = line.pool.idle[0].sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
@@ -586,7 +586,7 @@
             server.setblocking(False)
             peer = Peer()
             peer.port = server.getsockname()[1]
-            line = Line(peer)
+            line = UpstreamHarness(peer)
 
             async def answered(ended: asyncio.Future[Any]) -> socket.socket:
                 client, _ = await loop.sock_accept(server)
