--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -39,10 +39,10 @@
                  connect_us: int = 5_000_000, **changes: Any) -> None:
         self.peer = peer
         self.upstreams = Upstreams(now_us, idle_us, connect_us, most)
-        self.tell(**changes)
+        self.announce(**changes)
         self.pool = next(iter(self.upstreams.pools.values()))
 
-    def tell(self, full: bool = True, **changes: Any) -> None:
+    def announce(self, full: bool = True, **changes: Any) -> None:
         self.upstreams.apply(members(self.peer.entry("s-1", **changes)), full)
 
     def start(self, payload: bytes = GET, wanted: bool = True) -> tuple[Attempt, asyncio.Future[Any]]:
@@ -302,7 +302,7 @@
         line = UpstreamHarness(peer)
         _, ended = line.start()
         await until(lambda: peer.got)
-        line.tell(full=False, lifecycle="draining")
+        line.announce(full=False, lifecycle="draining")
         for piece in (b"HTTP/1.1 200 OK\r\nContent-", b"Length: 4\r\n\r\nab", b"cd"):
             peer.writers.copy().pop().write(piece)
             await asyncio.sleep(0.01)
@@ -420,7 +420,7 @@
         peer = await Peer().start()
         line = UpstreamHarness(peer)
         _, ended = line.start()
-        line.tell(full=False, lifecycle=lifecycle)  # the connection is still being established
+        line.announce(full=False, lifecycle=lifecycle)  # the connection is still being established
         assert (await ended)[0] is Outcome.NOT_SENT
         assert not peer.got and line.upstreams.open_count == 0
 
@@ -456,11 +456,11 @@
         peer = await Peer().start()
         line = UpstreamHarness(peer)
         await line.outcome()
-        line.tell(full=False, startedAtMs=now_us() // 1000 + 1000)
+        line.announce(full=False, startedAtMs=now_us() // 1000 + 1000)
         assert not line.pool.idle
         await line.outcome()
         line.pool.idle[0].opened_us += 2_000_000  # opened after the start that discovery reports only now
-        line.tell(full=False, startedAtMs=now_us() // 1000 + 1500)
+        line.announce(full=False, startedAtMs=now_us() // 1000 + 1500)
         assert len(line.pool.idle) == 1
 
     run(test)
@@ -472,7 +472,7 @@
         line = UpstreamHarness(old)
         await line.outcome()
         line.peer = new
-        line.tell(full=False)
+        line.announce(full=False)
         assert await line.outcome() is Outcome.OK
         assert (len(old.got), len(new.got), len(line.pool.idle)) == (1, 1, 1)
 
@@ -486,7 +486,7 @@
         _, ended = line.start()
         await asyncio.sleep(0)  # the connect to the old address has begun
         line.peer = new
-        line.tell(full=False)
+        line.announce(full=False)
         assert (await ended)[0] is Outcome.NOT_SENT
         assert not old.got and line.upstreams.open_count == 0
 
