--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -45,9 +45,9 @@
     def announce(self, full: bool = True, **changes: Any) -> None:
         self.upstreams.apply(members(self.peer.entry("s-1", **changes)), full)
 
-    def start(self, payload: bytes = GET, wanted: bool = True) -> tuple[Attempt, asyncio.Future[Any]]:
+    def start(self, payload: bytes = GET, is_wanted: bool = True) -> tuple[Attempt, asyncio.Future[Any]]:
         ended: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        attempt = Attempt(lambda: payload, lambda: wanted, lambda *end: ended.set_result(end))
+        attempt = Attempt(lambda: payload, lambda: is_wanted, lambda *end: ended.set_result(end))
         self.pool.start(attempt)
         return attempt, ended
 
@@ -442,7 +442,7 @@
     async def test() -> None:
         peer = await Peer().start()
         line = UpstreamHarness(peer)
-        _, ended = line.start(wanted=False)
+        _, ended = line.start(is_wanted=False)
         assert (await ended)[0] is Outcome.NOT_SENT
         assert not peer.got and len(line.pool.idle) == 1
 
