--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -35,10 +35,10 @@
 class UpstreamHarness:
     """An `Upstreams` with one upstream in its list."""
 
-    def __init__(self, peer: Peer, idle_us: int = 15_000_000, most: int = 100,
+    def __init__(self, peer: Peer, idle_us: int = 15_000_000, max_open: int = 100,
                  connect_us: int = 5_000_000, **changes: Any) -> None:
         self.peer = peer
-        self.upstreams = Upstreams(now_us, idle_us, connect_us, most)
+        self.upstreams = Upstreams(now_us, idle_us, connect_us, max_open)
         self.announce(**changes)
         self.pool = next(iter(self.upstreams.pools.values()))
 
@@ -496,7 +496,7 @@
 def test_connections_stay_within_the_limit_on_sockets() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = UpstreamHarness(peer, most=1)
+        line = UpstreamHarness(peer, max_open=1)
         attempt, ended = line.start()
         await until(lambda: peer.got)
         assert await line.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
