--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -35,10 +35,10 @@
 class UpstreamHarness:
     """An `Upstreams` with one upstream in its list."""
 
-    def __init__(self, peer: Peer, idle_us: int = 15_000_000, max_open: int = 100,
+    def __init__(self, peer: Peer, idle_timeout_us: int = 15_000_000, max_open: int = 100,
                  connect_timeout_us: int = 5_000_000, **changes: Any) -> None:
         self.peer = peer
-        self.upstreams = Upstreams(now_us, idle_us, connect_timeout_us, max_open)
+        self.upstreams = Upstreams(now_us, idle_timeout_us, connect_timeout_us, max_open)
         self.announce(**changes)
         self.pool = next(iter(self.upstreams.pools.values()))
 
