--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -23,7 +23,7 @@
 from ironscale.standins.discovery import FakeDiscovery, listing
 from ironscale.standins.upstream import Peer, reset
 from tests.sockets import LIMIT_S, Scene, run, until
-from tests.test_discovery import ENTRY, kinds, watching
+from tests.test_discovery import ENTRY, kinds, open_watch
 
 PUSHED: dict[str, Any] = {"registry-mode": "pushed"}
 MODES: list[dict[str, Any]] = [{}, PUSHED]
@@ -144,7 +144,7 @@
     """A list may be indented, split anywhere and lack a final newline: it is reported as soon as it is complete."""
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         for generation, state in ((42, "ready"), (43, "draining")):
             raw = json.dumps(listing({**ENTRY, "lifecycle": state}, generation=generation, reset=generation == 42),
@@ -169,7 +169,7 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         if first:
             await until(lambda: fake.writers)
             discovery.first_data_timeout_s = 0.2  # counts from this data on
@@ -217,7 +217,7 @@
 
     async def test() -> None:
         elsewhere = Elsewhere()
-        discovery, told = await watching(cast(FakeDiscovery, elsewhere))
+        discovery, told = await open_watch(cast(FakeDiscovery, elsewhere))
         watch = cast(Any, discovery.watch)
         watch.silence_timer.cancel()  # until the call has arrived, which may take any time
         await until(elsewhere.asked.is_set)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
 Told = list[tuple[ListKind, Listing | None]]
 
 
-async def watching(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Told]:
+async def open_watch(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Told]:
     told: Told = []
     logged: list[str] = []
     discovery = Discovery(("127.0.0.1", fake.port), ListParser(["a", "b"], ["large", "small"]), generation,
@@ -36,7 +36,7 @@
 def test_a_watch_tells_the_full_list_and_then_each_change() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         fake.line(listing(ENTRY, generation=42))
         fake.line(None)
@@ -58,7 +58,7 @@
 def test_a_line_may_come_in_pieces() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         for piece in (b'{"generation":42,"reset":fal', b'se,"instances":[]}', b"\n"):
             fake.writers[0].write(b"%x\r\n%s\r\n" % (len(piece), piece))
@@ -73,7 +73,7 @@
 def test_an_empty_first_line_answers_the_call_once() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         for _ in range(3):
             fake.line(None)
@@ -90,7 +90,7 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         discovery.subscribe()
         await until(lambda: fake.writers)
         discovery.subscribe()
@@ -127,7 +127,7 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         fake.line(listing(ENTRY, generation=42))
         await until(lambda: told)
@@ -147,7 +147,7 @@
     async def test() -> None:
         fake = await FakeDiscovery().start()
         fake.head = head
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: told)
         await until(lambda: discovery.watch is None)
         assert kinds(told) == [ListKind.FAILED]
@@ -161,7 +161,7 @@
         fake = FakeDiscovery()
         fake.port = server.sockets[0].getsockname()[1]
         server.close()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: told)
         assert kinds(told) == [ListKind.FAILED]
 
@@ -171,7 +171,7 @@
 def test_an_unsubscribed_watch_says_nothing_more() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await watching(fake)
+        discovery, told = await open_watch(fake)
         await until(lambda: fake.writers)
         discovery.unsubscribe()
         fake.line(listing(ENTRY, generation=42))
@@ -236,7 +236,7 @@
 async def moved() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Told]:
     """A watch at the first address that has delivered generation 42 and is moving to the second address."""
     old, new = await FakeDiscovery().start(), await FakeDiscovery().start()
-    discovery, told = await watching(old)
+    discovery, told = await open_watch(old)
     await until(lambda: old.writers)
     old.line(listing(ENTRY, generation=42))
     await until(lambda: told)
