--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -233,7 +233,7 @@
     assert "\n" not in str(caught.value)
 
 
-async def moved() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Told]:
+async def moving_watch() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Told]:
     """A watch at the first address that has delivered generation 42 and is moving to the second address."""
     old, new = await FakeDiscovery().start(), await FakeDiscovery().start()
     discovery, told = await open_watch(old)
@@ -249,7 +249,7 @@
     """Guards against missing a drain during the move, and against taking the end of the old watch for a failure."""
 
     async def test() -> None:
-        old, new, discovery, told = await moved()
+        old, new, discovery, told = await moving_watch()
         discovery.change_address(("127.0.0.1", new.port))  # a second call changes nothing
         old.line(listing({**ENTRY, "lifecycle": "draining"}, generation=43, reset=False))
         await until(lambda: len(told) == 2)
@@ -267,7 +267,7 @@
 
 def test_when_the_old_watch_ends_first_the_new_one_takes_its_place() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moved()
+        old, new, discovery, told = await moving_watch()
         watch, successor = discovery.watch, discovery.successor
         old.writers[0].close()
         await until(lambda: discovery.watch is not watch)
@@ -282,7 +282,7 @@
 
 def test_a_new_address_that_fails_is_tried_again_while_the_old_watch_serves() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moved()
+        old, new, discovery, told = await moving_watch()
         new.writers[0].close()
         await until(lambda: len(new.writers) == 2)
         assert kinds(told) == [ListKind.FULL]
@@ -298,7 +298,7 @@
     for ever a discovery service that has restarted its numbering."""
 
     async def test() -> None:
-        _, new, discovery, told = await moved()
+        _, new, discovery, told = await moving_watch()
         new.line(listing(generation=40))
         new.line(listing(generation=41, reset=False))
         await until(lambda: len(told) == 3)
@@ -318,7 +318,7 @@
 
 def test_a_move_that_is_taken_back_leaves_the_old_watch_alone() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moved()
+        old, new, discovery, told = await moving_watch()
         watch = discovery.watch
         discovery.change_address(("127.0.0.1", old.port))
         assert discovery.watch is watch and discovery.successor is None
