--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,11 +17,11 @@
 
 ENTRY = {"instanceId": "s-1", "hostPort": "127.0.0.1:9000", "zone": "b", "machineType": "small", "cell": 3,
          "lifecycle": "ready", "weight": 1.5, "startedAtMs": 1_700_000_000_123}
-Told = list[tuple[ListKind, Listing | None]]
+Reports = list[tuple[ListKind, Listing | None]]
 
 
-async def open_watch(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Told]:
-    told: Told = []
+async def open_watch(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Reports]:
+    told: Reports = []
     logged: list[str] = []
     discovery = Discovery(("127.0.0.1", fake.port), ListParser(["a", "b"], ["large", "small"]), generation,
                           lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
@@ -29,7 +29,7 @@
     return discovery, told
 
 
-def kinds(told: Told) -> list[ListKind]:
+def kinds(told: Reports) -> list[ListKind]:
     return [kind for kind, _ in told]
 
 
@@ -193,7 +193,7 @@
                          b'{"generation": 9,"reset":true,"instances":[]} ')
 
         server = await asyncio.start_server(whole, "127.0.0.1", 0)
-        told: Told = []
+        told: Reports = []
         logged: list[str] = []
         discovery = Discovery(("127.0.0.1", server.sockets[0].getsockname()[1]), ListParser([], []), 0,
                               lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
@@ -233,7 +233,7 @@
     assert "\n" not in str(caught.value)
 
 
-async def moving_watch() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Told]:
+async def moving_watch() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Reports]:
     """A watch at the first address that has delivered generation 42 and is moving to the second address."""
     old, new = await FakeDiscovery().start(), await FakeDiscovery().start()
     discovery, told = await open_watch(old)
