--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -18,8 +18,8 @@
     """A monotonic clock, and a wall clock that is ahead of it by the sum of its steps."""
 
     def __init__(self) -> None:
-        self.own_us, self.ahead_us = START_US, 0
-        self.starts = StartTimes(lambda: self.own_us + self.ahead_us, lambda: self.own_us)
+        self.monotonic_us, self.ahead_us = START_US, 0
+        self.starts = StartTimes(lambda: self.monotonic_us + self.ahead_us, lambda: self.monotonic_us)
 
     def step(self, by_us: int) -> None:
         self.ahead_us += by_us
@@ -35,7 +35,7 @@
     clocks = Clocks()
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
         assert clocks.told(started_us).start_us == started_us
-    clocks.own_us += 100 * S
+    clocks.monotonic_us += 100 * S
     assert not clocks.starts.check_for_step()
 
 
@@ -44,17 +44,17 @@
 @pytest.mark.parametrize("stamped", ["before the step", "after it"])
 def test_a_start_that_is_told_after_a_step_is_never_older_than_it_is(by_us: int, stamped: str) -> None:
     clocks = Clocks()
-    started_us = clocks.own_us  # the true start, on the monotonic clock
+    started_us = clocks.monotonic_us  # the true start, on the monotonic clock
     stamp_us = started_us
     if stamped == "after it":
         clocks.step(by_us)
         stamp_us += by_us
     else:
-        clocks.own_us += S
+        clocks.monotonic_us += S
         clocks.step(by_us)
-    clocks.own_us += S
+    clocks.monotonic_us += S
     entry = clocks.told(stamp_us)
-    assert started_us <= entry.start_us <= clocks.own_us
+    assert started_us <= entry.start_us <= clocks.monotonic_us
     assert entry.started_us == stamp_us, "the reported start identifies the process and must not change"
     if abs(by_us) == HOUR_US:
         assert entry.start_us == started_us
