--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -18,11 +18,11 @@
     """A monotonic clock, and a wall clock that is ahead of it by the sum of its steps."""
 
     def __init__(self) -> None:
-        self.monotonic_us, self.ahead_us = START_US, 0
-        self.starts = StartTimes(lambda: self.monotonic_us + self.ahead_us, lambda: self.monotonic_us)
+        self.monotonic_us, self.wall_offset_us = START_US, 0
+        self.starts = StartTimes(lambda: self.monotonic_us + self.wall_offset_us, lambda: self.monotonic_us)
 
     def step(self, by_us: int) -> None:
-        self.ahead_us += by_us
+        self.wall_offset_us += by_us
         self.starts.check_for_step()
 
     def told(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
