--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -25,7 +25,7 @@
         self.wall_offset_us += by_us
         self.starts.check_for_step()
 
-    def told(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
+    def entry_with_start(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
         entry = api.Upstream(1, started_us=started_us)
         self.starts.set_start(entry, known)
         return entry
@@ -34,7 +34,7 @@
 def test_without_a_step_starts_are_taken_as_told() -> None:
     clocks = Clocks()
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
-        assert clocks.told(started_us).start_us == started_us
+        assert clocks.entry_with_start(started_us).start_us == started_us
     clocks.monotonic_us += 100 * S
     assert not clocks.starts.check_for_step()
 
@@ -53,7 +53,7 @@
         clocks.monotonic_us += S
         clocks.step(by_us)
     clocks.monotonic_us += S
-    entry = clocks.told(stamp_us)
+    entry = clocks.entry_with_start(stamp_us)
     assert started_us <= entry.start_us <= clocks.monotonic_us
     assert entry.started_us == stamp_us, "the reported start identifies the process and must not change"
     if abs(by_us) == HOUR_US:
@@ -64,16 +64,16 @@
 @pytest.mark.parametrize("by_us", STEPS_US)
 def test_a_process_that_is_known_keeps_its_start(by_us: int) -> None:
     clocks = Clocks()
-    known = clocks.told(START_US - 30 * S)
+    known = clocks.entry_with_start(START_US - 30 * S)
     clocks.step(by_us)
-    again = clocks.told(START_US - 30 * S, known)
+    again = clocks.entry_with_start(START_US - 30 * S, known)
     assert again.start_us == START_US - 30 * S
-    assert clocks.told(START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
+    assert clocks.entry_with_start(START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
 
 
 def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
     clocks = Clocks()
-    assert clocks.told(START_US + HOUR_US).start_us == START_US
+    assert clocks.entry_with_start(START_US + HOUR_US).start_us == START_US
 
 
 def test_many_steps_are_bounded() -> None:
