--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -22,7 +22,7 @@
 ENTRY: dict[str, Any] = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "ready"}
 
 
-class InTurns:
+class SequentialDiscovery:
     """A discovery service that handles one call at a time, with at most `room` waiting. With `works` it also spends
     time on calls whose caller has gone, because it notices that only when it writes."""
 
@@ -73,7 +73,7 @@
     """Guards against abandoned calls that lose their place in the queue and are processed nevertheless: after the first
     few, no sidecar was ever answered in time."""
     async def test() -> None:
-        discovery = InTurns(works, room)
+        discovery = SequentialDiscovery(works, room)
         await discovery.start()
         begun_s = asyncio.get_running_loop().time()
         sidecars = []
