--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -26,8 +26,8 @@
     """A discovery service that handles one call at a time, with at most `room` waiting. With `works` it also spends
     time on calls whose caller has gone, because it notices that only when it writes."""
 
-    def __init__(self, handles_abandoned: bool, room: int) -> None:
-        self.works, self.room, self.calls, self.port = handles_abandoned, room, 0, 0
+    def __init__(self, handles_abandoned: bool, queue_limit: int) -> None:
+        self.works, self.room, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
         self.told: list[asyncio.StreamWriter] = []
         self.queue: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
