--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -27,7 +27,7 @@
     time on calls whose caller has gone, because it notices that only when it writes."""
 
     def __init__(self, handles_abandoned: bool, queue_limit: int) -> None:
-        self.works, self.room, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
+        self.handles_abandoned, self.room, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
         self.told: list[asyncio.StreamWriter] = []
         self.queue: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
@@ -57,7 +57,7 @@
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         while True:
             reader, writer = await self.queue.get()
-            if reader.at_eof() and not self.works:
+            if reader.at_eof() and not self.handles_abandoned:
                 continue
             await asyncio.sleep(CALL_S)
             self.told.append(writer)
