--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -27,7 +27,7 @@
     time on calls whose caller has gone, because it notices that only when it writes."""
 
     def __init__(self, handles_abandoned: bool, queue_limit: int) -> None:
-        self.handles_abandoned, self.room, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
+        self.handles_abandoned, self.queue_limit, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
         self.told: list[asyncio.StreamWriter] = []
         self.queue: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
@@ -42,7 +42,7 @@
             await read_message(reader)
         except (asyncio.IncompleteReadError, ConnectionError):
             return
-        if self.queue.qsize() >= self.room:
+        if self.queue.qsize() >= self.queue_limit:
             writer.transport.abort()
         else:
             self.queue.put_nowait((reader, writer))
