--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -28,7 +28,7 @@
 
     def __init__(self, handles_abandoned: bool, queue_limit: int) -> None:
         self.handles_abandoned, self.queue_limit, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
-        self.told: list[asyncio.StreamWriter] = []
+        self.answered: list[asyncio.StreamWriter] = []
         self.queue: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
     async def start(self) -> None:
@@ -50,7 +50,7 @@
     async def beat(self) -> None:
         while True:
             await asyncio.sleep(2.0)
-            for writer in self.told:
+            for writer in self.answered:
                 writer.write(b"1\r\n\n\r\n")
 
     async def work(self) -> None:
@@ -60,7 +60,7 @@
             if reader.at_eof() and not self.handles_abandoned:
                 continue
             await asyncio.sleep(CALL_S)
-            self.told.append(writer)
+            self.answered.append(writer)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(raw), raw))
 
 
