--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -34,7 +34,7 @@
     async def start(self) -> None:
         server = await asyncio.start_server(self.on_call, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
-        self.tasks = [asyncio.create_task(self.work()), asyncio.create_task(self.beat())]
+        self.tasks = [asyncio.create_task(self.work()), asyncio.create_task(self.send_heartbeats())]
 
     async def on_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
@@ -47,7 +47,7 @@
         else:
             self.queue.put_nowait((reader, writer))
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(2.0)
             for writer in self.answered:
