--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -34,7 +34,7 @@
     async def start(self) -> None:
         server = await asyncio.start_server(self.on_call, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
-        self.tasks = [asyncio.create_task(self.work()), asyncio.create_task(self.send_heartbeats())]
+        self.tasks = [asyncio.create_task(self.handle_calls()), asyncio.create_task(self.send_heartbeats())]
 
     async def on_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
@@ -53,7 +53,7 @@
             for writer in self.answered:
                 writer.write(b"1\r\n\n\r\n")
 
-    async def work(self) -> None:
+    async def handle_calls(self) -> None:
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         while True:
             reader, writer = await self.queue.get()
