--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -17,8 +17,8 @@
 from tests.sockets import config
 from tests.virtual import play, until
 
-COUNT, ALL_S = 50, 30.0  # the same total as 200 calls of 0.15 s each
-CALL_S = ALL_S / COUNT
+COUNT, TOTAL_S = 50, 30.0  # the same total as 200 calls of 0.15 s each
+CALL_S = TOTAL_S / COUNT
 ENTRY: dict[str, Any] = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "ready"}
 
 
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("works", [True, False], ids=["works-at-all", "works-at-who-is-there"])
-@pytest.mark.parametrize(("room", "most_s"), [(10_000, 1.1 * ALL_S), (COUNT // 4, 2.0 * ALL_S)],
+@pytest.mark.parametrize(("room", "most_s"), [(10_000, 1.1 * TOTAL_S), (COUNT // 4, 2.0 * TOTAL_S)],
                          ids=["waits", "refuses"])
 def test_many_that_start_at_once_are_ready_and_all_are_answered(
         seed: int, works: bool, room: int, most_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
