--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -18,7 +18,7 @@
 from tests.virtual import play, until
 
 COUNT, TOTAL_S = 50, 30.0  # the same total as 200 calls of 0.15 s each
-CALL_S = TOTAL_S / COUNT
+CALL_DURATION_S = TOTAL_S / COUNT
 ENTRY: dict[str, Any] = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "ready"}
 
 
@@ -59,7 +59,7 @@
             reader, writer = await self.queue.get()
             if reader.at_eof() and not self.handles_abandoned:
                 continue
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_DURATION_S)
             self.answered.append(writer)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(raw), raw))
 
@@ -89,7 +89,7 @@
             return sum(sidecar.discovery.generation == 42 for sidecar in sidecars)
 
         await asyncio.sleep(10.0)
-        assert told() >= 0.9 * 10.0 / CALL_S, (seed, told())  # of all that discovery could have answered by then
+        assert told() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, told())  # of all that discovery could have answered by then
         await until(lambda: told() == COUNT)
         took_s = asyncio.get_running_loop().time() - begun_s
         assert took_s <= most_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
