--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -85,12 +85,12 @@
         # required are nine in ten within 10 s; all are ready at once, because they have the last known list
         assert all(sidecar.is_ready() for sidecar in sidecars)
 
-        def told() -> int:
+        def answered_count() -> int:
             return sum(sidecar.discovery.generation == 42 for sidecar in sidecars)
 
         await asyncio.sleep(10.0)
-        assert told() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, told())  # of all that discovery could have answered by then
-        await until(lambda: told() == COUNT)
+        assert answered_count() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, answered_count())  # of all that discovery could have answered by then
+        await until(lambda: answered_count() == COUNT)
         took_s = asyncio.get_running_loop().time() - begun_s
         assert took_s <= most_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
         for sidecar in sidecars:
