--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -23,7 +23,7 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 # How a call fails, and after how many seconds; None if the sidecar has to time it out.
-ENDS: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
+FAILURE_AFTER_S: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
 # Timeout for the first data of a call: at first, and after a call that timed out.
 PATIENCE_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
 
@@ -36,7 +36,7 @@
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
         beside_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
-        took_s = ENDS[kind]
+        took_s = FAILURE_AFTER_S[kind]
         end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
         found.append(beside_s if beside_s <= end_s
                      else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("mode", PATIENCE_S)
-@pytest.mark.parametrize("kind", ENDS)
+@pytest.mark.parametrize("kind", FAILURE_AFTER_S)
 @pytest.mark.parametrize("count", [1, 20, 200])
 @pytest.mark.parametrize("is_silent", [True, False])
 def test_the_sums_of_all_that_may_fail_stay_under_the_clock(mode: str, kind: str, count: int, is_silent: bool) -> None:
