--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -25,7 +25,7 @@
 # How a call fails, and after how many seconds; None if the sidecar has to time it out.
 FAILURE_AFTER_S: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
 # Timeout for the first data of a call: at first, and after a call that timed out.
-PATIENCE_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
+FIRST_DATA_TIMEOUT_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
 
 
 def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
@@ -37,13 +37,13 @@
         begun, last_s = len(found), found[-1]
         beside_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
         took_s = FAILURE_AFTER_S[kind]
-        end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
+        end_s = last_s + (FIRST_DATA_TIMEOUT_S[mode][begun > 1] if took_s is None else took_s)
         found.append(beside_s if beside_s <= end_s
                      else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
 
 
-@pytest.mark.parametrize("mode", PATIENCE_S)
+@pytest.mark.parametrize("mode", FIRST_DATA_TIMEOUT_S)
 @pytest.mark.parametrize("kind", FAILURE_AFTER_S)
 @pytest.mark.parametrize("count", [1, 20, 200])
 @pytest.mark.parametrize("is_silent", [True, False])
