--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -28,7 +28,7 @@
 FIRST_DATA_TIMEOUT_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
 
 
-def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
+def call_begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
     """Returns when calls begin after the last data from a watch at time 0, which went silent or broke. Calls that the
     balancer asks for are left out: with few sidecars they may come sooner."""
     found = [turns.start_after_end_s(
@@ -51,7 +51,7 @@
     """Also checks that discovery isn't overloaded: the calls of `count` sidecars that share it are spread over time."""
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
-        found = begins(mode, kind, 6, is_silent, rng)
+        found = call_begins(mode, kind, 6, is_silent, rng)
         assert found[0] <= turns.SILENCE_TIMEOUT_S + turns.FIRST_CALL_DELAY_S and found[1] <= turns.MAX_CALL_GAP_S
         # discovery could be reached, at the earliest, just after a call that failed had begun
         assert all(later - earlier <= turns.MAX_CALL_GAP_S for earlier, later in pairwise(found))
