--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -68,7 +68,7 @@
         assert all(sum(at <= one < at + 2.5 for one in later) <= count for at in later)
 
 
-class Discovery:
+class FailingDiscovery:
     """Answers the first call with one list; then `failures` calls fail as `kind` says, and the next is answered."""
 
     def __init__(self, entry: Callable[[str], dict[str, Any]]) -> None:
@@ -120,7 +120,7 @@
     one came 2.5 to 5 s later, and a silent call was waited for."""
     async def test() -> None:
         peer = await Peer().start()
-        discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
+        discovery = FailingDiscovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
         discovery.kind, discovery.failures = kind, failures
         await discovery.open()
         scene = Scene()
@@ -150,7 +150,7 @@
     """Connections are refused for half a minute before that."""
     async def test() -> None:
         peer = await Peer().start()
-        discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
+        discovery = FailingDiscovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
         await discovery.open()
         scene = Scene()
         scene.sidecar = sidecar_at(discovery.port, peer, instances, mode)
