--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -127,12 +127,12 @@
         scene.sidecar = sidecar_at(discovery.port, peer, instances, mode)
         await scene.sidecar.start()
         await until(lambda: scene.sidecar.discovery.generation == 42)
-        word_s = discovery.now_s()
+        last_data_s = discovery.now_s()
         await until(lambda: state(scene) is UpstreamState.DRAINING)
         # it could be reached from the last data on; after more failures, from just after a failed call had begun
-        since_s = word_s if failures == 1 else discovery.begun[failures]
+        since_s = last_data_s if failures == 1 else discovery.begun[failures]
         told_s = discovery.now_s() - since_s
-        assert told_s <= turns.MAX_STALENESS_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
+        assert told_s <= turns.MAX_STALENESS_S, (told_s, [round(one - last_data_s, 2) for one in discovery.begun])
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
