--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -130,8 +130,8 @@
         last_data_s = discovery.now_s()
         await until(lambda: state(scene) is UpstreamState.DRAINING)
         # it could be reached from the last data on; after more failures, from just after a failed call had begun
-        since_s = last_data_s if failures == 1 else discovery.begun[failures]
-        delay_s = discovery.now_s() - since_s
+        reachable_s = last_data_s if failures == 1 else discovery.begun[failures]
+        delay_s = discovery.now_s() - reachable_s
         assert delay_s <= turns.MAX_STALENESS_S, (delay_s, [round(one - last_data_s, 2) for one in discovery.begun])
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
