--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -35,10 +35,10 @@
         turns.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
-        beside_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
+        parallel_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
         took_s = FAILURE_AFTER_S[kind]
         end_s = last_s + (FIRST_DATA_TIMEOUT_S[mode][begun > 1] if took_s is None else took_s)
-        found.append(beside_s if beside_s <= end_s
+        found.append(parallel_s if parallel_s <= end_s
                      else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
 
