--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -36,8 +36,8 @@
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
         parallel_s = turns.parallel_start_s(0.0, begun, last_s, rng.random())
-        took_s = FAILURE_AFTER_S[kind]
-        end_s = last_s + (FIRST_DATA_TIMEOUT_S[mode][begun > 1] if took_s is None else took_s)
+        duration_s = FAILURE_AFTER_S[kind]
+        end_s = last_s + (FIRST_DATA_TIMEOUT_S[mode][begun > 1] if duration_s is None else duration_s)
         found.append(parallel_s if parallel_s <= end_s
                      else turns.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
