--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -24,7 +24,7 @@
 
 
 @contextlib.asynccontextmanager
-async def leaving(close: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
+async def unread_answer(close: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
     """A connection with an answer that the client has not begun to read, larger than the kernel's socket buffers."""
     server = Server(LongAnswers(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("closing", [make_room, sweep])
 def test_an_answer_that_still_leaves_arrives_whole(closing: Callable[[Server], None], close: bool) -> None:
     async def test() -> None:
-        async with leaving(close) as (server, client):
+        async with unread_answer(close) as (server, client):
             for connection in server.connections:
                 connection.since_us -= 60_000_000
             closing(server)
@@ -68,7 +68,7 @@
 
 def test_a_closing_connection_whose_client_never_reads_is_given_up() -> None:
     async def test() -> None:
-        async with leaving(True) as (server, client):
+        async with unread_answer(True) as (server, client):
             connection, = server.connections
             connection.answered_us -= int(UNREAD_ANSWER_S * 1e6)
             connection.since_us -= 60_000_000
