--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -37,7 +37,7 @@
     return {**mode, "invariants": rules, **changes}
 
 
-async def watched(peer: Peer, mode: dict[str, Any], **changes: Any) -> Scene:
+async def scene_with_watch(peer: Peer, mode: dict[str, Any], **changes: Any) -> Scene:
     scene = await Scene().start(peer.entry("s-1"), **settings_of(mode, **changes))
     await until(lambda: scene.discovery.writers)
     scene.discovery.line(listing(peer.entry("s-1"), generation=42))
@@ -56,7 +56,7 @@
     """Guards against missing a drain that was pushed to an agent because the sidecar had no watch open."""
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, mode)
+        scene = await scene_with_watch(peer, mode)
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=43, reset=False))
         await until(lambda: state(scene) is UpstreamState.DRAINING)
         assert (await scene.call()).status == 503 and not peer.got
@@ -83,7 +83,7 @@
     counts as known."""
     async def test() -> None:
         peer, new = await Peer().start(), await FakeDiscovery().start()
-        scene = await watched(peer, mode)
+        scene = await scene_with_watch(peer, mode)
         scene.sidecar.balancer.list_failures = 20  # the next call is due in seconds
         scene.discovery.writers[0].transport.abort()
         await until(lambda: scene.sidecar.discovery.watch is None)
@@ -238,7 +238,7 @@
     async def test() -> None:
         peer = await Peer().start()
         for mode in MODES:
-            scene = await watched(peer, mode, grace_us=500_000)
+            scene = await scene_with_watch(peer, mode, grace_us=500_000)
             balancer, spent_s = scene.sidecar.balancer, module.SILENCE_TIMEOUT_S
             for _ in range(2):
                 before_us = scene.sidecar.clock.now_us()
@@ -253,7 +253,7 @@
     """Only later it shows whether discovery lags or restarted its numbering; applying a drain meanwhile is harmless."""
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, {})
+        scene = await scene_with_watch(peer, {})
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=7))
         await until(lambda: state(scene) is UpstreamState.DRAINING)
         assert scene.sidecar.discovery.generation == 42  # and nothing else of that list is applied
@@ -267,7 +267,7 @@
         capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, {})
+        scene = await scene_with_watch(peer, {})
         scene.discovery.line({"generation": 43, "instances": [peer.entry("s-2"), {"hostPort": 5}]})
         await until(lambda: len(scene.discovery.writers) == 2)
         assert (await scene.call()).status == 200
@@ -280,7 +280,7 @@
 def test_a_list_of_nothing_is_a_list() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, {})
+        scene = await scene_with_watch(peer, {})
         scene.discovery.line(listing(generation=43))
         await until(lambda: not scene.sidecar.upstreams.pools)
         assert (await scene.call()).status == 503
@@ -303,7 +303,7 @@
 def test_a_watch_reset_again_while_it_is_opened_anew_is_opened_anew(mode: dict[str, Any]) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, mode)
+        scene = await scene_with_watch(peer, mode)
         for count in (2, 3, 4):
             scene.discovery.writers[-1].transport.abort()
             await until(lambda count=count: len(scene.discovery.writers) == count)  # type: ignore[misc]
@@ -319,7 +319,7 @@
     """Also when it changes twice within a second: the last address is used, and the drain reported there is applied."""
     async def test() -> None:
         peer = await Peer().start()
-        scene = await watched(peer, {})
+        scene = await scene_with_watch(peer, {})
         new = [await FakeDiscovery().start() for _ in range(moves)]
         if old == "gone":
             scene.discovery.writers[0].transport.abort()
