--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -45,7 +45,7 @@
     return scene
 
 
-def state(scene: Scene) -> UpstreamState | None:
+def upstream_state(scene: Scene) -> UpstreamState | None:
     """Returns the state of the only upstream in the data path; None once it is gone."""
     pools = list(scene.sidecar.upstreams.pools.values())
     return pools[0].member.upstream.state if pools else None
@@ -58,7 +58,7 @@
         peer = await Peer().start()
         scene = await scene_with_watch(peer, mode)
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=43, reset=False))
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
         assert (await scene.call()).status == 503 and not peer.got
 
     run(test)
@@ -255,10 +255,10 @@
         peer = await Peer().start()
         scene = await scene_with_watch(peer, {})
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=7))
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
         assert scene.sidecar.discovery.generation == 42  # and nothing else of that list is applied
         scene.discovery.line(listing(peer.entry("s-1"), generation=8, reset=False))
-        await until(lambda: state(scene) is UpstreamState.READY)
+        await until(lambda: upstream_state(scene) is UpstreamState.READY)
 
     run(test)
 
@@ -308,7 +308,7 @@
             scene.discovery.writers[-1].transport.abort()
             await until(lambda count=count: len(scene.discovery.writers) == count)  # type: ignore[misc]
         scene.discovery.line(listing(peer.entry("s-1", lifecycle="draining"), generation=43))
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
 
     run(test)
 
@@ -332,7 +332,7 @@
             watch.handle_silence()
         await until(lambda: new[-1].writers)
         new[-1].line(listing(peer.entry("s-1", lifecycle="draining"), generation=43))
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
         watch = scene.sidecar.discovery.watch
         assert watch is not None and watch.address[1] == new[-1].port and scene.sidecar.discovery.successor is None
 
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -17,7 +17,7 @@
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import read_message
 from ironscale.standins.upstream import Peer
-from tests.ends.test_lists import MODES, settings_of, state
+from tests.ends.test_lists import MODES, settings_of, upstream_state
 from tests.sockets import Scene, config, free_port
 from tests.virtual import play, until
 
@@ -128,7 +128,7 @@
         await scene.sidecar.start()
         await until(lambda: scene.sidecar.discovery.generation == 42)
         last_data_s = discovery.now_s()
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
         # it could be reached from the last data on; after more failures, from just after a failed call had begun
         reachable_s = last_data_s if failures == 1 else discovery.begun[failures]
         delay_s = discovery.now_s() - reachable_s
@@ -160,10 +160,10 @@
         discovery.server.close()
         discovery.watch.transport.abort()
         await asyncio.sleep(30.0)
-        assert len(discovery.begun) == 1 and state(scene) is UpstreamState.READY
+        assert len(discovery.begun) == 1 and upstream_state(scene) is UpstreamState.READY
         await discovery.open()
         back_s = discovery.now_s()
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
         assert discovery.now_s() - back_s <= turns.MAX_STALENESS_S
         scene.sidecar.discovery.close()
 
