--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -190,7 +190,7 @@
     run(test)
 
 
-class Elsewhere:
+class ThreadedDiscovery:
     """A discovery service in a thread of its own, which writes even while the event loop is blocked."""
 
     def __init__(self) -> None:
@@ -216,7 +216,7 @@
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        elsewhere = Elsewhere()
+        elsewhere = ThreadedDiscovery()
         discovery, told = await open_watch(cast(FakeDiscovery, elsewhere))
         watch = cast(Any, discovery.watch)
         watch.silence_timer.cancel()  # until the call has arrived, which may take any time
