--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -196,14 +196,14 @@
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = int(self.listener.getsockname()[1])
-        self.has_call, self.go, self.written = threading.Event(), threading.Event(), threading.Event()
+        self.has_call, self.may_write, self.written = threading.Event(), threading.Event(), threading.Event()
         threading.Thread(target=self.serve, daemon=True).start()
 
     def serve(self) -> None:
         found, _ = self.listener.accept()
         found.recv(4096)
         self.has_call.set()
-        self.go.wait(LIMIT_S)
+        self.may_write.wait(LIMIT_S)
         raw = json.dumps(listing(ENTRY, generation=42)).encode() + b"\n"
         found.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(raw))
         self.written.set()
@@ -222,7 +222,7 @@
         watch.silence_timer.cancel()  # until the call has arrived, which may take any time
         await until(elsewhere.has_call.is_set)
         watch.silence_timer = asyncio.get_running_loop().call_later(0.2, watch.handle_silence)
-        elsewhere.go.set()
+        elsewhere.may_write.set()
         assert elsewhere.written.wait(LIMIT_S)
         time.sleep(0.3)  # blocks the event loop for longer than the silence timeout
         await until(lambda: told)
