--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -48,7 +48,7 @@
     run(test)
 
 
-class Gate:
+class ConnectGate:
     """Delays connections to upstreams, except the first `passing` ones, until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, passing: int = 0) -> None:
@@ -73,7 +73,7 @@
     async def test() -> None:
         peers = [await Peer(reset).start(), await Peer(reset).start()]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        gate = Gate(monkeypatch, passing=1)
+        gate = ConnectGate(monkeypatch, passing=1)
         calling = asyncio.create_task(scene.call("mark"))
         await until(lambda: gate.held)  # the retry that follows the reset
         for peer in peers:
@@ -94,7 +94,7 @@
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         calling = asyncio.create_task(scene.call(lane))
         await until(lambda: scene.sidecar.upstreams.tasks)
         request = next(iter(scene.sidecar.requests.values()))
@@ -115,7 +115,7 @@
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         await until(lambda: scene.discovery.writers)
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         calling = asyncio.create_task(scene.call("pay"))
         await until(lambda: scene.sidecar.upstreams.tasks)
         entries = {"draining": [peer.entry("s-1", lifecycle="draining")], "gone": [],
@@ -188,7 +188,7 @@
 def test_a_request_whose_connection_comes_up_late_tells_the_time_that_is_left_then(
         monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         calling = asyncio.create_task(scene.call("pay", remaining="8000m"))
