--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -203,7 +203,7 @@
     run(test)
 
 
-def hold_back(monkeypatch: pytest.MonkeyPatch) -> list[Stream]:
+def limit_first_write(monkeypatch: pytest.MonkeyPatch) -> list[Stream]:
     """Lets the kernel accept only ten bytes of each request to an upstream, until the test calls `send` on the streams
     that this returns."""
     held: list[Stream] = []
@@ -226,7 +226,7 @@
 def test_a_request_that_is_half_written_at_its_end_never_becomes_whole(
         end: str, lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        held = hold_back(monkeypatch)
+        held = limit_first_write(monkeypatch)
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         reader, writer = await ask(scene.port, scene.request(lane))
