--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -45,7 +45,7 @@
         return True
 
 
-async def crowd(port: int, clients: list[socket.socket]) -> None:
+async def reconnect_closed(port: int, clients: list[socket.socket]) -> None:
     """Reconnects every client whose connection was closed."""
     while True:
         for place, client in enumerate(clients):
@@ -80,7 +80,7 @@
             await until(lambda: is_up(port))
             least = opened(process.pid)
             clients += [idle(port) for _ in range(CLIENTS)]
-            coming = asyncio.create_task(crowd(port, clients))
+            coming = asyncio.create_task(reconnect_closed(port, clients))
             await until(lambda: opened(process.pid) >= least + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
             back_s = asyncio.get_running_loop().time()
