--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -55,7 +55,7 @@
         await asyncio.sleep(0.02)
 
 
-def opened(pid: int) -> int:
+def open_descriptors(pid: int) -> int:
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
@@ -78,10 +78,10 @@
         coming: asyncio.Task[None] | None = None
         try:
             await until(lambda: is_up(port))
-            least = opened(process.pid)
+            least = open_descriptors(process.pid)
             clients += [idle(port) for _ in range(CLIENTS)]
             coming = asyncio.create_task(reconnect_closed(port, clients))
-            await until(lambda: opened(process.pid) >= least + (LIMIT - 32) // 2)
+            await until(lambda: open_descriptors(process.pid) >= least + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
             back_s = asyncio.get_running_loop().time()
             await until(lambda: discovery.writers)
