--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -28,7 +28,7 @@
 CLIENTS = 2 * LIMIT
 
 
-def idle(port: int) -> socket.socket:
+def connect_idle(port: int) -> socket.socket:
     """A client that connects and sends nothing. Connections that are not accepted stay in the kernel's backlog."""
     found = socket.socket()
     found.setblocking(False)
@@ -51,7 +51,7 @@
         for place, client in enumerate(clients):
             if is_over(client):
                 client.close()
-                clients[place] = idle(port)
+                clients[place] = connect_idle(port)
         await asyncio.sleep(0.02)
 
 
@@ -79,7 +79,7 @@
         try:
             await until(lambda: is_up(port))
             least = open_descriptors(process.pid)
-            clients += [idle(port) for _ in range(CLIENTS)]
+            clients += [connect_idle(port) for _ in range(CLIENTS)]
             coming = asyncio.create_task(reconnect_closed(port, clients))
             await until(lambda: open_descriptors(process.pid) >= least + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
