--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -36,7 +36,7 @@
     return found
 
 
-def is_over(client: socket.socket) -> bool:
+def is_closed(client: socket.socket) -> bool:
     try:
         return not client.recv(64)
     except BlockingIOError:
@@ -49,7 +49,7 @@
     """Reconnects every client whose connection was closed."""
     while True:
         for place, client in enumerate(clients):
-            if is_over(client):
+            if is_closed(client):
                 client.close()
                 clients[place] = connect_idle(port)
         await asyncio.sleep(0.02)
