--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -75,12 +75,12 @@
             env={**os.environ, "GW_CONFIG": str(tmp_path / "c.json")},
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LIMIT, LIMIT)))
         clients: list[socket.socket] = []
-        coming: asyncio.Task[None] | None = None
+        reconnecting: asyncio.Task[None] | None = None
         try:
             await until(lambda: is_up(port))
             least = open_descriptors(process.pid)
             clients += [connect_idle(port) for _ in range(CLIENTS)]
-            coming = asyncio.create_task(reconnect_closed(port, clients))
+            reconnecting = asyncio.create_task(reconnect_closed(port, clients))
             await until(lambda: open_descriptors(process.pid) >= least + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
             back_s = asyncio.get_running_loop().time()
@@ -102,8 +102,8 @@
                     writer.close()
             server.close()
         finally:
-            if coming is not None:
-                coming.cancel()
+            if reconnecting is not None:
+                reconnecting.cancel()
             for client in clients:
                 client.close()
             process.send_signal(signal.SIGTERM)
