--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -78,10 +78,10 @@
         reconnecting: asyncio.Task[None] | None = None
         try:
             await until(lambda: is_up(port))
-            least = open_descriptors(process.pid)
+            initial = open_descriptors(process.pid)
             clients += [connect_idle(port) for _ in range(CLIENTS)]
             reconnecting = asyncio.create_task(reconnect_closed(port, clients))
-            await until(lambda: open_descriptors(process.pid) >= least + (LIMIT - 32) // 2)
+            await until(lambda: open_descriptors(process.pid) >= initial + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
             back_s = asyncio.get_running_loop().time()
             await until(lambda: discovery.writers)
