--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -36,7 +36,7 @@
         return Counts(*(a + b for a, b in zip(astuple(self), astuple(other), strict=True)))
 
 
-def client(port: int, begin: Event, stop: Event, found: multiprocessing.Queue[Counts]) -> None:
+def run_client(port: int, begin: Event, stop: Event, found: multiprocessing.Queue[Counts]) -> None:
     counts = Counts()
     begin.wait()
     while not stop.is_set():
@@ -94,7 +94,7 @@
         port = kept.getsockname()[1]
         begin, stop = multiprocessing.Event(), multiprocessing.Event()
         found: multiprocessing.Queue[Counts] = multiprocessing.Queue()
-        clients = [multiprocessing.Process(target=client, args=(port, begin, stop, found)) for _ in range(CLIENTS)]
+        clients = [multiprocessing.Process(target=run_client, args=(port, begin, stop, found)) for _ in range(CLIENTS)]
         for one in clients:
             one.start()
 
