--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -64,18 +64,18 @@
     counts.slow += is_answered and time.monotonic() - begun_s > SLOW_S
 
 
-async def listening(port: int, shares_port: bool) -> Server:
+async def start_server(port: int, shares_port: bool) -> Server:
     server = Server(Answers(), 400, now_us, Ledger(now_us, lambda text: None))
     await server.listen(("127.0.0.1", port), shares_port)
     return server
 
 
 async def close_often(port: int, closes: int, shares_port: bool, begin: Event, collect: Callable[[], Counts]) -> Counts:
-    last = await listening(port, shares_port) if shares_port else None
+    last = await start_server(port, shares_port) if shares_port else None
     begin.set()
     for _ in range(closes):
-        server = last or await listening(port, shares_port)
-        last = await listening(port, shares_port) if shares_port else None
+        server = last or await start_server(port, shares_port)
+        last = await start_server(port, shares_port) if shares_port else None
         await asyncio.sleep(LISTENS_S)
         await closed(server)
         await asyncio.sleep(LISTENS_S)
