--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -70,7 +70,7 @@
     return server
 
 
-async def close_often(port: int, closes: int, shares_port: bool, begin: Event, collect: Callable[[], Counts]) -> Counts:
+async def close_listeners(port: int, closes: int, shares_port: bool, begin: Event, collect: Callable[[], Counts]) -> Counts:
     last = await start_server(port, shares_port) if shares_port else None
     begin.set()
     for _ in range(closes):
@@ -107,6 +107,6 @@
 
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                return runner.run(close_often(port, closes, shares_port, begin, collect))
+                return runner.run(close_listeners(port, closes, shares_port, begin, collect))
         finally:
             stop.set()
