--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -76,7 +76,7 @@
         self.calls: dict[str, Call] = {}
         self.lag_s = 0.0  # the longest delay of the event loop of this process
 
-    def new(self, lane: str, limit_s: float) -> Call:
+    def new_call(self, lane: str, limit_s: float) -> Call:
         call = Call(f"t{len(self.calls)}", lane, limit_s)
         self.calls[call.txn] = call
         return call
@@ -299,7 +299,7 @@
     async def call_slowly(self, lane: str, limit_s: float, connected_s: float, half_s: float) -> Call:
         """Sends one request on a new connection: the first half `connected_s` after the connect, the rest `half_s`
         later. Its deadline counts from its last byte; a request whose connection ends before that is not lost."""
-        call = self.ledger.new(lane, limit_s)
+        call = self.ledger.new_call(lane, limit_s)
         try:
             connection = await self.connect()
         except OSError:
@@ -318,7 +318,7 @@
     async def call(self, lane: str = "view", limit_s: float = 2.0, leave_after_s: float | None = None,
                    keep: bool = True) -> Call:
         """Sends one request. With `leave_after_s` the client closes the connection if no answer has come by then."""
-        call = self.ledger.new(lane, limit_s)
+        call = self.ledger.new_call(lane, limit_s)
         connection = None
         while self.kept and (connection is None or connection.closed):
             connection = self.kept.pop()
--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -44,7 +44,7 @@
         for upstream in site.upstreams:
             upstream.trouble = "hang"
         connection: ClientConnection = await sidecar.clients.connect()
-        call = site.ledger.new("view", DEADLINE_S)
+        call = site.ledger.new_call("view", DEADLINE_S)
         request = sidecar.clients.request(call, DEADLINE_S)
         connection.transport.write(request[:40])
         await asyncio.sleep(0.1)
