--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -81,7 +81,7 @@
         self.calls[call.txn] = call
         return call
 
-    def arrived(self, txn: str, told_s: float, at_s: float) -> None:
+    def record_arrival(self, txn: str, told_s: float, at_s: float) -> None:
         if txn in self.calls:
             self.calls[txn].arrivals.append(Arrival(at_s, told_s))
 
@@ -144,7 +144,7 @@
         # subtract how long the data waited to be read, because this process may be late to read it
         lay_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
         told_s = int(told[:-1]) / (1e6 if told.endswith(b"u") else 1e3)
-        self.upstream.ledger.arrived(txn, told_s, time.monotonic() - lay_s)
+        self.upstream.ledger.record_arrival(txn, told_s, time.monotonic() - lay_s)
         self.upstream.serve(self, txn)
 
     def answer(self, status: bytes, body: bytes, extra: bytes = b"") -> None:
