--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -89,9 +89,9 @@
         return Counter(str(call.status) if call.status else call.trouble or "left" for call in self.calls.values())
 
     def violations(self) -> list[str]:
-        return [f"{call.txn} ({call.lane}): {text}" for call in self.calls.values() for text in self.broken(call)]
+        return [f"{call.txn} ({call.lane}): {text}" for call in self.calls.values() for text in self.violations_of(call)]
 
-    def broken(self, call: Call) -> list[str]:
+    def violations_of(self, call: Call) -> list[str]:
         found = []
         slack_s = MEASURING_S + self.lag_s
         if call.trouble.startswith("lost"):
