--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -60,7 +60,7 @@
     limit_s: float
     sent_s: float = 0.0
     ended_s: float | None = None  # when the answer was complete or the connection closed
-    left_s: float | None = None  # when the client closed the connection
+    abandoned_s: float | None = None  # when the client closed the connection
     status: int = 0
     body: bytes = b""
     trouble: str = ""
@@ -103,7 +103,7 @@
             found.append(f"{len(call.arrivals)} attempts of a request that may run once")
         if call.lane != "view" and call.status in (429, 503) and call.arrivals:
             found.append(f"refused with {call.status} though it was sent")
-        end_s = call.left_s if call.left_s is not None else call.ended_s
+        end_s = call.abandoned_s if call.abandoned_s is not None else call.ended_s
         for arrival in call.arrivals:
             if end_s is not None and arrival.at_s > end_s + AFTER_END_S + slack_s:
                 found.append(f"forwarded {arrival.at_s - end_s:.3f} s after its end")
@@ -354,11 +354,11 @@
             whole = await connection.ask(data or self.request(call, max(0.001, due_s - time.monotonic())),
                                          wait_s if leave_after_s is None else min(wait_s, leave_after_s))
         except TimeoutError:
-            call.left_s = time.monotonic()
+            call.abandoned_s = time.monotonic()
             call.seen = connection.seen()
             connection.transport.abort()
             if leave_after_s is None:
-                call.trouble = f"lost: no answer {call.left_s - due_s:.2f} s after its time"
+                call.trouble = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
             return True
         call.ended_s = time.monotonic()
         if whole:
