--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -63,7 +63,7 @@
     abandoned_s: float | None = None  # when the client closed the connection
     status: int = 0
     body: bytes = b""
-    trouble: str = ""
+    failure: str = ""
     connect_s: float = 0.0  # duration of the connect
     seen: str = ""  # state of its connection, if the request was lost
     arrivals: list[Arrival] = field(default_factory=list)
@@ -86,7 +86,7 @@
             self.calls[txn].arrivals.append(Arrival(at_s, told_s))
 
     def results(self) -> Counter[str]:
-        return Counter(str(call.status) if call.status else call.trouble or "left" for call in self.calls.values())
+        return Counter(str(call.status) if call.status else call.failure or "left" for call in self.calls.values())
 
     def violations(self) -> list[str]:
         return [f"{call.txn} ({call.lane}): {text}" for call in self.calls.values() for text in self.violations_of(call)]
@@ -94,8 +94,8 @@
     def violations_of(self, call: Call) -> list[str]:
         found = []
         slack_s = MEASURING_S + self.lag_s
-        if call.trouble.startswith("lost"):
-            found.append(f"{call.trouble}; {call.seen}, connected in {call.connect_s:.3f} s, "
+        if call.failure.startswith("lost"):
+            found.append(f"{call.failure}; {call.seen}, connected in {call.connect_s:.3f} s, "
                          f"sent at {call.sent_s:.3f}, {len(call.arrivals)} attempts")
         if call.status == 200 and call.body != b"answer " + call.txn.encode():
             found.append(f"wrong body {call.body[:40]!r}")
@@ -303,7 +303,7 @@
         try:
             connection = await self.connect()
         except OSError:
-            call.trouble = "not connected"
+            call.failure = "not connected"
             return call
         await asyncio.sleep(connected_s)
         data = self.request(call, limit_s)
@@ -311,7 +311,7 @@
             call.sent_s = time.monotonic()
             await self.on(connection, call, None, False, data[len(data) // 2:])
         else:
-            call.trouble = "ended before it was whole"
+            call.failure = "ended before it was whole"
         connection.transport.abort()
         return call
 
@@ -332,7 +332,7 @@
                     connection = None
                 call.connect_s = time.monotonic() - begun_s
                 if connection is None:
-                    call.trouble = "not connected"
+                    call.failure = "not connected"
                     return call
             crossed = connection.used
             if await self.on(connection, call, leave_after_s, crossed):
@@ -358,7 +358,7 @@
             call.seen = connection.seen()
             connection.transport.abort()
             if leave_after_s is None:
-                call.trouble = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
+                call.failure = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
             return True
         call.ended_s = time.monotonic()
         if whole:
@@ -368,7 +368,7 @@
             call.ended_s = None
             return False
         call.seen = connection.seen()
-        call.trouble = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
+        call.failure = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
         return True
 
     def close(self) -> None:
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -48,8 +48,8 @@
             found.append(f"{call.txn} ({call.lane}): answered, and not in the store")
         if call.status in (429, 503) and written[call.txn]:
             found.append(f"{call.txn} ({call.lane}): refused, and in the store")
-        if call.trouble.startswith("lost"):
-            found.append(f"{call.txn} ({call.lane}): {call.trouble}")
+        if call.failure.startswith("lost"):
+            found.append(f"{call.txn} ({call.lane}): {call.failure}")
     return found
 
 
@@ -81,7 +81,7 @@
             sidecar.launch()
             assert await sidecar.ready(), sidecar.log()
             for call in site.ledger.calls.values():
-                call.trouble = call.trouble.replace("lost", "killed")  # they had no answer at the kill
+                call.failure = call.failure.replace("lost", "killed")  # they had no answer at the kill
             await load(sidecar.clients, 0.3)
         sidecar.shim.set({})
         await job
