--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -65,7 +65,7 @@
     body: bytes = b""
     failure: str = ""
     connect_s: float = 0.0  # duration of the connect
-    seen: str = ""  # state of its connection, if the request was lost
+    connection_state: str = ""  # state of its connection, if the request was lost
     arrivals: list[Arrival] = field(default_factory=list)
 
 
@@ -95,7 +95,7 @@
         found = []
         slack_s = MEASURING_S + self.lag_s
         if call.failure.startswith("lost"):
-            found.append(f"{call.failure}; {call.seen}, connected in {call.connect_s:.3f} s, "
+            found.append(f"{call.failure}; {call.connection_state}, connected in {call.connect_s:.3f} s, "
                          f"sent at {call.sent_s:.3f}, {len(call.arrivals)} attempts")
         if call.status == 200 and call.body != b"answer " + call.txn.encode():
             found.append(f"wrong body {call.body[:40]!r}")
@@ -355,7 +355,7 @@
                                          wait_s if leave_after_s is None else min(wait_s, leave_after_s))
         except TimeoutError:
             call.abandoned_s = time.monotonic()
-            call.seen = connection.seen()
+            call.connection_state = connection.seen()
             connection.transport.abort()
             if leave_after_s is None:
                 call.failure = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
@@ -367,7 +367,7 @@
         if used and not call.arrivals:
             call.ended_s = None
             return False
-        call.seen = connection.seen()
+        call.connection_state = connection.seen()
         call.failure = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
         return True
 
