--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -48,7 +48,7 @@
     """One attempt whose last byte has arrived at an upstream. `told_s` is the remaining time that it carried."""
 
     at_s: float
-    told_s: float
+    remaining_s: float
 
 
 @dataclass
@@ -108,8 +108,8 @@
             if end_s is not None and arrival.at_s > end_s + AFTER_END_S + slack_s:
                 found.append(f"forwarded {arrival.at_s - end_s:.3f} s after its end")
             left_s = call.sent_s + call.limit_s - arrival.at_s
-            if arrival.told_s > left_s + DEADLINE_SLACK_S + slack_s:
-                found.append(f"told {arrival.told_s:.3f} s, its client has {left_s:.3f} s left")
+            if arrival.remaining_s > left_s + DEADLINE_SLACK_S + slack_s:
+                found.append(f"told {arrival.remaining_s:.3f} s, its client has {left_s:.3f} s left")
         return found
 
 
