--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -81,9 +81,9 @@
         self.calls[call.txn] = call
         return call
 
-    def record_arrival(self, txn: str, told_s: float, at_s: float) -> None:
+    def record_arrival(self, txn: str, remaining_s: float, at_s: float) -> None:
         if txn in self.calls:
-            self.calls[txn].arrivals.append(Arrival(at_s, told_s))
+            self.calls[txn].arrivals.append(Arrival(at_s, remaining_s))
 
     def results(self) -> Counter[str]:
         return Counter(str(call.status) if call.status else call.failure or "left" for call in self.calls.values())
