--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -156,7 +156,7 @@
     """An upstream that answers after `delay_s`, or misbehaves as `trouble` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self.ledger, self.delay_s, self.trouble = ledger, 0.02, ""
+        self.ledger, self.delay_s, self.fault = ledger, 0.02, ""
         self.connections: set[UpstreamConnection] = set()
         self.unreadable: list[str] = []
         self.server: asyncio.Server | None = None
@@ -169,7 +169,7 @@
         return self
 
     def serve(self, connection: UpstreamConnection, txn: str) -> None:
-        if self.trouble == "hang":
+        if self.fault == "hang":
             return
         asyncio.get_running_loop().call_later(self.delay_s, self.answer, connection, txn)
 
@@ -177,7 +177,7 @@
         if connection.transport.is_closing():
             return
         body = b"answer " + txn.encode()
-        match self.trouble:
+        match self.fault:
             case "fail":
                 connection.answer(b"500 Error", b"")
             case "reset":
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -112,7 +112,7 @@
     async def trouble_upstreams(self, rng: random.Random) -> None:
         while await self.pause(rng.uniform(0.1, 0.6)):
             upstream = rng.choice(self.site.upstreams)
-            upstream.trouble, upstream.delay_s = rng.choice(TROUBLES), rng.choice((0.005, 0.02, 0.2))
+            upstream.fault, upstream.delay_s = rng.choice(TROUBLES), rng.choice((0.005, 0.02, 0.2))
             if rng.random() < 0.2:
                 upstream.reset_all()
 
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -62,14 +62,14 @@
         job = asyncio.create_task(load(sidecar.clients, 4.0))
         await asyncio.sleep(0.5)
         for upstream, trouble in zip(site.upstreams, ("fail", "hang", "reset", "stray"), strict=False):
-            upstream.trouble = trouble
+            upstream.fault = trouble
         site.upstreams[4].reset_all()  # so that new sockets are needed
         site.upstreams[5].reset_all()
         sidecar.shim.set(rates)
         await asyncio.sleep(2.0)
         sidecar.shim.set({})
         for upstream in site.upstreams:
-            upstream.trouble = ""
+            upstream.fault = ""
         await job
         assert sidecar.shim.hits(), "no call failed"
         check(site)
--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -42,7 +42,7 @@
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         for upstream in site.upstreams:
-            upstream.trouble = "hang"
+            upstream.fault = "hang"
         connection: ClientConnection = await sidecar.clients.connect()
         call = site.ledger.new_call("view", DEADLINE_S)
         request = sidecar.clients.request(call, DEADLINE_S)
