--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -209,7 +209,7 @@
     def __init__(self) -> None:
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
         self.parser = httptools.HttpResponseParser(self)
-        self.waiting: asyncio.Future[bool] | None = None  # True: a complete answer; False: the connection ended
+        self.answer_waiter: asyncio.Future[bool] | None = None  # True: a complete answer; False: the connection ended
         self.body = b""
         self.used = False
         self.closed = False
@@ -247,34 +247,34 @@
         self.finish(False)
 
     def finish(self, whole: bool) -> None:
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(whole)
+        if self.answer_waiter is not None and not self.answer_waiter.done():
+            self.answer_waiter.set_result(whole)
 
     async def begin(self, data: bytes, pause_s: float) -> bool:
         """Writes the first part of a request and waits. Returns whether the rest may follow, as there is no answer
         yet."""
-        self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
+        self.body, self.answer_waiter = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
         self.transport.write(data)
-        await asyncio.wait([self.waiting], timeout=pause_s)
-        return not (self.waiting.done() or self.transport.is_closing())
+        await asyncio.wait([self.answer_waiter], timeout=pause_s)
+        return not (self.answer_waiter.done() or self.transport.is_closing())
 
     async def ask(self, data: bytes, limit_s: float) -> bool:
         """Sends a request. Returns whether a complete answer arrived; raises TimeoutError."""
-        self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
+        self.body, self.answer_waiter = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
         self.transport.write(data)
         try:
             async with asyncio.timeout(limit_s):
-                return await asyncio.shield(self.waiting)
+                return await asyncio.shield(self.answer_waiter)
         except TimeoutError:
             # after the process got no CPU time, timers run before the event loop reads data that arrived in time
             for _ in range(READS_BEHIND):
                 await asyncio.sleep(0)
-            if self.waiting.done():
-                return self.waiting.result()
+            if self.answer_waiter.done():
+                return self.answer_waiter.result()
             raise
 
 
