--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -218,7 +218,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def seen(self) -> str:
+    def describe_state(self) -> str:
         """Describes how the connection ended or, while it is open, its TCP state in the kernel."""
         if self.closed:
             return f"its connection ended by {self.end}"
@@ -355,7 +355,7 @@
                                          wait_s if leave_after_s is None else min(wait_s, leave_after_s))
         except TimeoutError:
             call.abandoned_s = time.monotonic()
-            call.connection_state = connection.seen()
+            call.connection_state = connection.describe_state()
             connection.transport.abort()
             if leave_after_s is None:
                 call.failure = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
@@ -367,7 +367,7 @@
         if used and not call.arrivals:
             call.ended_s = None
             return False
-        call.connection_state = connection.seen()
+        call.connection_state = connection.describe_state()
         call.failure = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
         return True
 
