--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -250,7 +250,7 @@
         if self.answer_waiter is not None and not self.answer_waiter.done():
             self.answer_waiter.set_result(whole)
 
-    async def begin(self, data: bytes, pause_s: float) -> bool:
+    async def send_part(self, data: bytes, pause_s: float) -> bool:
         """Writes the first part of a request and waits. Returns whether the rest may follow, as there is no answer
         yet."""
         self.body, self.answer_waiter = b"", asyncio.get_running_loop().create_future()
@@ -307,7 +307,7 @@
             return call
         await asyncio.sleep(connected_s)
         data = self.request(call, limit_s)
-        if await connection.begin(data[:len(data) // 2], half_s):
+        if await connection.send_part(data[:len(data) // 2], half_s):
             call.sent_s = time.monotonic()
             await self.on(connection, call, None, False, data[len(data) // 2:])
         else:
