--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -213,7 +213,7 @@
         self.body = b""
         self.used = False
         self.closed = False
-        self.end = "open"
+        self.end_reason = "open"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -221,7 +221,7 @@
     def describe_state(self) -> str:
         """Describes how the connection ended or, while it is open, its TCP state in the kernel."""
         if self.closed:
-            return f"its connection ended by {self.end}"
+            return f"its connection ended by {self.end_reason}"
         if self.transport.is_closing():
             return "its connection had ended before it was written"
         info = tcp_info(self.transport)
@@ -243,7 +243,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.end = repr(exc) if exc is not None else "a close"
+        self.end_reason = repr(exc) if exc is not None else "a close"
         self.finish(False)
 
     def finish(self, whole: bool) -> None:
