--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -283,7 +283,7 @@
 
     def __init__(self, ledger: Ledger, port: int) -> None:
         self.ledger, self.port = ledger, port
-        self.kept: list[ClientConnection] = []
+        self.idle: list[ClientConnection] = []
         self.may_connect = True
 
     async def connect(self) -> ClientConnection:
@@ -320,8 +320,8 @@
         """Sends one request. With `leave_after_s` the client closes the connection if no answer has come by then."""
         call = self.ledger.new_call(lane, limit_s)
         connection = None
-        while self.kept and (connection is None or connection.closed):
-            connection = self.kept.pop()
+        while self.idle and (connection is None or connection.closed):
+            connection = self.idle.pop()
         call.sent_s = time.monotonic()
         for _ in range(2):  # a request that crosses with the close of an idle connection is sent once more
             if connection is None or connection.closed:
@@ -339,7 +339,7 @@
                 break
             connection = None
         if connection is not None and keep and call.status and not connection.closed:
-            self.kept.append(connection)
+            self.idle.append(connection)
         elif connection is not None:
             connection.transport.abort()
         return call
@@ -372,9 +372,9 @@
         return True
 
     def close(self) -> None:
-        for connection in self.kept:
+        for connection in self.idle:
             connection.transport.abort()
-        self.kept.clear()
+        self.idle.clear()
 
 
 class SidecarProcess:
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -205,7 +205,7 @@
         while not self.soak.over.is_set() or self.serves:
             await asyncio.sleep(rng.expovariate(1 / mean_s))
             clients = self.sidecar.clients
-            if not self.serves or not (clients.may_connect or clients.kept):
+            if not self.serves or not (clients.may_connect or clients.idle):
                 continue
             if self.soak.plan.slow and rng.random() < SLOW_SHARE and clients.may_connect:
                 self.begin(clients.call_slowly(rng.choice(LANES), limit_s, rng.uniform(0.0, MOST_SILENT_S),
