--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -309,7 +309,7 @@
         data = self.request(call, limit_s)
         if await connection.send_part(data[:len(data) // 2], half_s):
             call.sent_s = time.monotonic()
-            await self.on(connection, call, None, False, data[len(data) // 2:])
+            await self.send_on(connection, call, None, False, data[len(data) // 2:])
         else:
             call.failure = "ended before it was whole"
         connection.transport.abort()
@@ -335,7 +335,7 @@
                     call.failure = "not connected"
                     return call
             crossed = connection.used
-            if await self.on(connection, call, leave_after_s, crossed):
+            if await self.send_on(connection, call, leave_after_s, crossed):
                 break
             connection = None
         if connection is not None and keep and call.status and not connection.closed:
@@ -344,7 +344,7 @@
             connection.transport.abort()
         return call
 
-    async def on(self, connection: ClientConnection, call: Call, leave_after_s: float | None, used: bool,
+    async def send_on(self, connection: ClientConnection, call: Call, leave_after_s: float | None, used: bool,
                  data: bytes = b"") -> bool:
         """Returns whether the call has ended on this connection. `data` is the unwritten part of the request."""
         due_s = call.sent_s + call.limit_s
