--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -411,7 +411,7 @@
 
     async def ready(self, limit_s: float = 20.0) -> bool:
         end_s = time.monotonic() + limit_s
-        while time.monotonic() < end_s and self.code() is None:
+        while time.monotonic() < end_s and self.exit_code() is None:
             try:
                 connection = await self.clients.connect()
                 if await connection.ask(b"GET /health/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n", 2.0) \
@@ -426,16 +426,16 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    def code(self) -> int | None:
+    def exit_code(self) -> int | None:
         assert self.process is not None
         return self.process.poll()
 
     async def ended(self, limit_s: float) -> int | None:
         """Waits for the end. Returns the exit status, or None if the process still runs."""
         end_s = time.monotonic() + limit_s
-        while self.code() is None and time.monotonic() < end_s:
+        while self.exit_code() is None and time.monotonic() < end_s:
             await asyncio.sleep(0.01)
-        return self.code()
+        return self.exit_code()
 
     def log(self) -> str:
         return (self.folder / "log").read_text(errors="replace")
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -169,8 +169,8 @@
                 sidecar.configure()
             for _ in range(rng.randint(1, 3)):
                 sidecar.signal(signal.SIGHUP)
-            if sidecar.code() is not None:
-                self.soak.verdict.broken.append(f"{sidecar.name}: ended by {sidecar.code()}: {sidecar.log()[-800:]}")
+            if sidecar.exit_code() is not None:
+                self.soak.verdict.broken.append(f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
                 self.serves = False
                 return
         await self.shut_down()
@@ -183,7 +183,7 @@
         sidecar.signal(signal.SIGTERM)
         for number in rng.choices((signal.SIGHUP, signal.SIGTERM, signal.SIGINT), k=rng.randint(0, 3)):
             await asyncio.sleep(rng.uniform(0.0, 0.1))
-            if sidecar.code() is None:
+            if sidecar.exit_code() is None:
                 sidecar.signal(number)
         await asyncio.sleep(max(0.0, begun_s + stop_connecting_s - time.monotonic()))
         sidecar.clients.may_connect = False
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -28,7 +28,7 @@
 
 async def ends_well(sidecar: SidecarProcess, limit_s: float = 8.0) -> None:
     sidecar.shim.set({})
-    if sidecar.code() is None:
+    if sidecar.exit_code() is None:
         sidecar.signal(signal.SIGTERM)
     assert await sidecar.ended(limit_s) == 0, sidecar.log()[-2000:]
 
@@ -129,7 +129,7 @@
         sidecar.shim.set(rates)
         sidecar.launch()
         await asyncio.sleep(1.5)
-        assert sidecar.code() is None, sidecar.log()
+        assert sidecar.exit_code() is None, sidecar.log()
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
         await load(sidecar.clients, 0.5)
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -50,7 +50,7 @@
         sidecar = await site.serving()
         sidecar.shim.set(always(Fault.THREAD))
         await load(sidecar.clients, 1.0)
-        assert sidecar.code() is None, sidecar.log()[-2000:]
+        assert sidecar.exit_code() is None, sidecar.log()[-2000:]
         check(site, 20)
         await ends_well(sidecar)
 
