--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -430,7 +430,7 @@
         assert self.process is not None
         return self.process.poll()
 
-    async def ended(self, limit_s: float) -> int | None:
+    async def wait_for_exit(self, limit_s: float) -> int | None:
         """Waits for the end. Returns the exit status, or None if the process still runs."""
         end_s = time.monotonic() + limit_s
         while self.exit_code() is None and time.monotonic() < end_s:
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -187,7 +187,7 @@
                 sidecar.signal(number)
         await asyncio.sleep(max(0.0, begun_s + stop_connecting_s - time.monotonic()))
         sidecar.clients.may_connect = False
-        code = await sidecar.ended(max(0.0, begun_s + kill_s - time.monotonic()))
+        code = await sidecar.wait_for_exit(max(0.0, begun_s + kill_s - time.monotonic()))
         if code is None:
             sidecar.kill()
             self.soak.verdict.ends["SIGKILL"] += 1
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -30,7 +30,7 @@
     sidecar.shim.set({})
     if sidecar.exit_code() is None:
         sidecar.signal(signal.SIGTERM)
-    assert await sidecar.ended(limit_s) == 0, sidecar.log()[-2000:]
+    assert await sidecar.wait_for_exit(limit_s) == 0, sidecar.log()[-2000:]
 
 
 def check(site: Site, served: int = 1) -> None:
@@ -105,7 +105,7 @@
         sidecar.shim.set({})
         await job
         check(site)
-        assert await sidecar.ended(3.0) == 0, sidecar.log()[-2000:]
+        assert await sidecar.wait_for_exit(3.0) == 0, sidecar.log()[-2000:]
 
     play(tmp_path, test)
 
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -25,7 +25,7 @@
         sidecar.signal(signal.SIGTERM)
         await asyncio.sleep(0.6)
         sidecar.shim.set({})
-        assert await sidecar.ended(site.deadline_s + 0.7) == 0, sidecar.log()[-2000:]
+        assert await sidecar.wait_for_exit(site.deadline_s + 0.7) == 0, sidecar.log()[-2000:]
         check(site)
 
     play(tmp_path, test)
@@ -38,7 +38,7 @@
         await load(sidecar.clients, 0.2)
         sidecar.shim.set(always(Fault.SOCKET, Fault.THREAD, Fault.FILE_OPEN, Fault.DISK_WRITE))
         sidecar.signal(signal.SIGTERM)
-        assert await sidecar.ended(site.deadline_s + 1.5) == 0, sidecar.log()[-2000:]
+        assert await sidecar.wait_for_exit(site.deadline_s + 1.5) == 0, sidecar.log()[-2000:]
         check(site)
 
     play(tmp_path, test)
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -40,7 +40,7 @@
         await asyncio.sleep(1.2)
         former.shim.set({})
         await job
-        assert await former.ended(site.deadline_s + 1.0) == 0, former.log()[-2000:]
+        assert await former.wait_for_exit(site.deadline_s + 1.0) == 0, former.log()[-2000:]
         check(site, 200)
         await ends_well(successor)
 
