--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -498,7 +498,7 @@
             self.lag.cancel()
 
 
-async def load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
+async def send_load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
     """Sends requests of all classes in an open loop at a constant rate. Every other one closes its connection."""
     tasks, end_s, count = [], time.monotonic() + seconds, 0
     while time.monotonic() < end_s:
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.faults.shim import Fault
-from tests.faults.site import SidecarProcess, Site, always, load
+from tests.faults.site import SidecarProcess, Site, always, send_load
 from tests.sockets import run
 
 
@@ -59,7 +59,7 @@
 def test_requests_are_answered_while_calls_fail_in_service(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
-        job = asyncio.create_task(load(sidecar.clients, 4.0))
+        job = asyncio.create_task(send_load(sidecar.clients, 4.0))
         await asyncio.sleep(0.5)
         for upstream, trouble in zip(site.upstreams, ("fail", "hang", "reset", "stray"), strict=False):
             upstream.fault = trouble
@@ -97,7 +97,7 @@
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         site.upstreams[0].delay_s = site.upstreams[1].delay_s = 1.2
-        job = asyncio.create_task(load(sidecar.clients, 0.8, 100.0))
+        job = asyncio.create_task(send_load(sidecar.clients, 0.8, 100.0))
         await asyncio.sleep(0.4)
         sidecar.signal(signal.SIGTERM)
         sidecar.shim.set(rates)
@@ -132,7 +132,7 @@
         assert sidecar.exit_code() is None, sidecar.log()
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
-        await load(sidecar.clients, 0.5)
+        await send_load(sidecar.clients, 0.5)
         check(site)
         await ends_well(sidecar)
 
@@ -154,7 +154,7 @@
         async with asyncio.timeout(3.0):
             while not other.watches:
                 await asyncio.sleep(0.01)
-        await load(sidecar.clients, 0.3)
+        await send_load(sidecar.clients, 0.3)
         check(site)
         await ends_well(sidecar)
         await other.stop()
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.faults.shim import Fault
-from tests.faults.site import Site, always, load
+from tests.faults.site import Site, always, send_load
 from tests.faults.test_calls import check, ends_well, play
 
 
@@ -19,7 +19,7 @@
 def test_signals_are_heard_while_the_loop_s_own_calls_fail(faults: tuple[Fault, ...], tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
-        await load(sidecar.clients, 0.2)
+        await send_load(sidecar.clients, 0.2)
         sidecar.shim.set(always(*faults))
         sidecar.signal(signal.SIGHUP)
         sidecar.signal(signal.SIGTERM)
@@ -35,7 +35,7 @@
 def test_an_end_at_which_nothing_can_be_opened_is_a_good_one(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
-        await load(sidecar.clients, 0.2)
+        await send_load(sidecar.clients, 0.2)
         sidecar.shim.set(always(Fault.SOCKET, Fault.THREAD, Fault.FILE_OPEN, Fault.DISK_WRITE))
         sidecar.signal(signal.SIGTERM)
         assert await sidecar.wait_for_exit(site.deadline_s + 1.5) == 0, sidecar.log()[-2000:]
@@ -49,7 +49,7 @@
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         sidecar.shim.set(always(Fault.THREAD))
-        await load(sidecar.clients, 1.0)
+        await send_load(sidecar.clients, 1.0)
         assert sidecar.exit_code() is None, sidecar.log()[-2000:]
         check(site, 20)
         await ends_well(sidecar)
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -12,7 +12,7 @@
 
 from ironscale.record.journal import read_all
 from tests.faults.shim import Fault
-from tests.faults.site import Call, SidecarProcess, Site, load
+from tests.faults.site import Call, SidecarProcess, Site, send_load
 from tests.faults.test_calls import ends_well, play
 
 OPERATOR = """[store]
@@ -69,7 +69,7 @@
 def test_a_store_keeps_its_word_while_its_disk_fails(tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
     async def test(site: Site) -> None:
         sidecar = await stored(site)
-        job = asyncio.create_task(load(sidecar.clients, 2.5, 60.0))
+        job = asyncio.create_task(send_load(sidecar.clients, 2.5, 60.0))
         await asyncio.sleep(0.4)
         sidecar.shim.set(rates)
         await asyncio.sleep(1.2)
@@ -82,7 +82,7 @@
             assert await sidecar.ready(), sidecar.log()
             for call in site.ledger.calls.values():
                 call.failure = call.failure.replace("lost", "killed")  # they had no answer at the kill
-            await load(sidecar.clients, 0.3)
+            await send_load(sidecar.clients, 0.3)
         sidecar.shim.set({})
         await job
         async with asyncio.timeout(20):  # until the outcome of all open journal entries is known
@@ -108,7 +108,7 @@
         await asyncio.sleep(1.5)
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
-        await load(sidecar.clients, 0.5)
+        await send_load(sidecar.clients, 0.5)
         await ends_well(sidecar)
         assert not broken(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
 
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.faults.shim import Fault
-from tests.faults.site import Site, load
+from tests.faults.site import Site, send_load
 from tests.faults.test_calls import check, ends_well, play
 
 FAULTS = {
@@ -31,7 +31,7 @@
             sidecar.configure()
         former.launch()
         assert await former.ready(), former.log()
-        job = asyncio.create_task(load(former.clients, 4.0, 100.0))
+        job = asyncio.create_task(send_load(former.clients, 4.0, 100.0))
         successor.launch()
         assert await successor.ready(), successor.log()
         await asyncio.sleep(0.7)  # for the start of an interpreter: then both listen
