--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -459,10 +459,10 @@
         self.discovery = ListedDiscovery()
         self.upstreams: list[Upstream] = []
         self.sidecars: list[SidecarProcess] = []
-        self.lag: asyncio.Task[None] | None = None
+        self.lag_task: asyncio.Task[None] | None = None
 
     async def start(self, upstreams: int = 6, sidecars: int = 1) -> Site:
-        self.lag = asyncio.create_task(self.watch_lag())
+        self.lag_task = asyncio.create_task(self.watch_lag())
         self.upstreams = [await Upstream(self.ledger).start() for _ in range(upstreams)]
         await self.discovery.start()
         self.discovery.put(*(one.entry(f"u{i}") for i, one in enumerate(self.upstreams)))
@@ -494,8 +494,8 @@
         for upstream in self.upstreams:
             upstream.stop()
         await self.discovery.stop()
-        if self.lag is not None:
-            self.lag.cancel()
+        if self.lag_task is not None:
+            self.lag_task.cancel()
 
 
 async def send_load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
