--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -28,7 +28,7 @@
 from tests.sockets import free_port
 
 LANES = ("view", "mark", "pay")  # idempotent, deduplicated by key, at most once
-LATE_S = 0.5  # an answer after the deadline is worthless; one later than this counts as lost
+LATE_ANSWER_LIMIT_S = 0.5  # an answer after the deadline is worthless; one later than this counts as lost
 AFTER_END_S = 0.1  # how long after the client left or was answered an attempt may still begin
 DEADLINE_SLACK_S = 0.15  # tolerance for the remaining time that an attempt tells its upstream
 READS_BEHIND = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
@@ -348,7 +348,7 @@
                  data: bytes = b"") -> bool:
         """Returns whether the call has ended on this connection. `data` is the unwritten part of the request."""
         due_s = call.sent_s + call.limit_s
-        wait_s = due_s + LATE_S + self.ledger.lag_s + MEASURING_S - time.monotonic()
+        wait_s = due_s + LATE_ANSWER_LIMIT_S + self.ledger.lag_s + MEASURING_S - time.monotonic()
         connection.used = True
         try:
             whole = await connection.ask(data or self.request(call, max(0.001, due_s - time.monotonic())),
