--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -31,7 +31,7 @@
 LATE_ANSWER_LIMIT_S = 0.5  # an answer after the deadline is worthless; one later than this counts as lost
 AFTER_END_S = 0.1  # how long after the client left or was answered an attempt may still begin
 DEADLINE_SLACK_S = 0.15  # tolerance for the remaining time that an attempt tells its upstream
-READS_BEHIND = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
+LATE_READ_ITERATIONS = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
 MEASURING_S = 0.1  # tolerance for delays of this process, in addition to its measured lag
 # The first fields of the kernel's struct tcp_info, and the indexes of those that are used.
 TCP_INFO = struct.Struct("8B15I")
@@ -271,7 +271,7 @@
                 return await asyncio.shield(self.answer_waiter)
         except TimeoutError:
             # after the process got no CPU time, timers run before the event loop reads data that arrived in time
-            for _ in range(READS_BEHIND):
+            for _ in range(LATE_READ_ITERATIONS):
                 await asyncio.sleep(0)
             if self.answer_waiter.done():
                 return self.answer_waiter.result()
