--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -32,7 +32,7 @@
 AFTER_END_S = 0.1  # how long after the client left or was answered an attempt may still begin
 DEADLINE_SLACK_S = 0.15  # tolerance for the remaining time that an attempt tells its upstream
 LATE_READ_ITERATIONS = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
-MEASURING_S = 0.1  # tolerance for delays of this process, in addition to its measured lag
+MEASUREMENT_SLACK_S = 0.1  # tolerance for delays of this process, in addition to its measured lag
 # The first fields of the kernel's struct tcp_info, and the indexes of those that are used.
 TCP_INFO = struct.Struct("8B15I")
 RETRANSMITS, BACKOFF, UNACKED, SINCE_LAST_DATA_MS = 2, 4, 12, 19
@@ -93,7 +93,7 @@
 
     def violations_of(self, call: Call) -> list[str]:
         found = []
-        slack_s = MEASURING_S + self.lag_s
+        slack_s = MEASUREMENT_SLACK_S + self.lag_s
         if call.failure.startswith("lost"):
             found.append(f"{call.failure}; {call.connection_state}, connected in {call.connect_s:.3f} s, "
                          f"sent at {call.sent_s:.3f}, {len(call.arrivals)} attempts")
@@ -348,7 +348,7 @@
                  data: bytes = b"") -> bool:
         """Returns whether the call has ended on this connection. `data` is the unwritten part of the request."""
         due_s = call.sent_s + call.limit_s
-        wait_s = due_s + LATE_ANSWER_LIMIT_S + self.ledger.lag_s + MEASURING_S - time.monotonic()
+        wait_s = due_s + LATE_ANSWER_LIMIT_S + self.ledger.lag_s + MEASUREMENT_SLACK_S - time.monotonic()
         connection.used = True
         try:
             whole = await connection.ask(data or self.request(call, max(0.001, due_s - time.monotonic())),
