--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -92,7 +92,7 @@
                     if self.rng.random() < 0.5:
                         sidecar.operator = OPERATOR
                     sidecar.configure()
-                    group.create_task(Life(self, sidecar, self.drawn()).run())
+                    group.create_task(SidecarLifecycle(self, sidecar, self.drawn()).run())
                 group.create_task(self.trouble_upstreams(self.drawn()))
                 group.create_task(self.trouble_discovery(self.drawn()))
                 await asyncio.sleep(self.plan.seconds)
@@ -138,7 +138,7 @@
         verdict.results, verdict.lag_s = site.ledger.results(), site.ledger.lag_s
 
 
-class Life:
+class SidecarLifecycle:
     """One sidecar and its clients, through repeated starts and shutdowns."""
 
     def __init__(self, soak: Soak, sidecar: SidecarProcess, rng: random.Random) -> None:
