--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,7 +25,7 @@
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{plan.seed}-"))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         verdict = runner.run(play(plan, folder))
-    if not verdict.broken:
+    if not verdict.violations:
         shutil.rmtree(folder)
     return verdict, str(folder)
 
@@ -46,8 +46,8 @@
     with ProcessPoolExecutor(options.jobs) as pool:
         for done in as_completed([pool.submit(played, plan) for plan in plans]):
             verdict, folder = done.result()
-            broken += bool(verdict.broken)
-            print(verdict.line() + (f"\n  logs: {folder}" if verdict.broken else ""), flush=True)
+            broken += bool(verdict.violations)
+            print(verdict.line() + (f"\n  logs: {folder}" if verdict.violations else ""), flush=True)
     print(f"{broken} of {len(plans)} seeds broken")
     return int(broken > 0)
 
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -53,7 +53,7 @@
 @dataclass
 class Verdict:
     plan: Plan
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     results: Counter[str] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     ends: Counter[str] = field(default_factory=Counter)
@@ -63,9 +63,9 @@
         results = ", ".join(f"{name[:40]} {count}" for name, count in self.results.most_common(8))
         ends = ", ".join(f"{name} {count}" for name, count in self.ends.items())
         clients = f"{' crowd' if self.plan.crowd else ''}{' slow' if self.plan.slow else ''}"
-        return (f"seed {self.plan.seed}{clients}: {len(self.broken)} violations; "
+        return (f"seed {self.plan.seed}{clients}: {len(self.violations)} violations; "
                 f"{self.results.total()} requests ({results}); {self.faults.total()} failed calls; ends: {ends}; "
-                f"test process late by {self.lag_s:.3f} s" + "".join(f"\n  {text}" for text in self.broken[:5]))
+                f"test process late by {self.lag_s:.3f} s" + "".join(f"\n  {text}" for text in self.violations[:5]))
 
 
 def tracebacks(log: str) -> list[str]:
@@ -128,13 +128,13 @@
 
     def judge(self) -> None:
         site, verdict = self.site, self.verdict
-        verdict.broken += site.ledger.violations()
+        verdict.violations += site.ledger.violations()
         for sidecar in site.sidecars:
             log = sidecar.log()
-            verdict.broken += [f"{sidecar.name}: {line}" for line in log.splitlines() if "violation:" in line]
-            verdict.broken += [f"{sidecar.name}: {text}" for text in tracebacks(log)]
+            verdict.violations += [f"{sidecar.name}: {line}" for line in log.splitlines() if "violation:" in line]
+            verdict.violations += [f"{sidecar.name}: {text}" for text in tracebacks(log)]
             verdict.faults.update({kind.name: count for kind, count in sidecar.shim.hits().items()})
-        verdict.broken += [f"unreadable request: {text}" for one in site.upstreams for text in one.unreadable]
+        verdict.violations += [f"unreadable request: {text}" for one in site.upstreams for text in one.unreadable]
         verdict.results, verdict.lag_s = site.ledger.results(), site.ledger.lag_s
 
 
@@ -160,7 +160,7 @@
         sidecar, rng = self.sidecar, self.rng
         sidecar.launch()
         if not await sidecar.ready(READY_S):
-            self.soak.verdict.broken.append(f"{sidecar.name}: not ready in {READY_S} s: {sidecar.log()[-500:]}")
+            self.soak.verdict.violations.append(f"{sidecar.name}: not ready in {READY_S} s: {sidecar.log()[-500:]}")
             sidecar.kill()
             return
         sidecar.clients.may_connect = self.serves = True
@@ -170,7 +170,7 @@
             for _ in range(rng.randint(1, 3)):
                 sidecar.signal(signal.SIGHUP)
             if sidecar.exit_code() is not None:
-                self.soak.verdict.broken.append(f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
+                self.soak.verdict.violations.append(f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
                 self.serves = False
                 return
         await self.shut_down()
@@ -194,7 +194,7 @@
         else:
             self.soak.verdict.ends[f"status {code}"] += 1
             if code != 0:
-                self.soak.verdict.broken.append(f"{sidecar.name}: shutdown ended by {code}: {sidecar.log()[-800:]}")
+                self.soak.verdict.violations.append(f"{sidecar.name}: shutdown ended by {code}: {sidecar.log()[-800:]}")
         self.serves = False
         sidecar.clients.close()
 
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -17,7 +17,7 @@
 def test_drawn_faults_over_real_processes_break_no_invariant(plan: Plan, tmp_path: Path) -> None:
     async def test() -> None:
         verdict = await play(plan, tmp_path)
-        assert not verdict.broken, verdict.line()
+        assert not verdict.violations, verdict.line()
         assert verdict.faults.total() > 100 and verdict.ends["status 0"] >= plan.sidecars, verdict.line()
 
     run(test, 120.0)
