--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -79,7 +79,7 @@
         self.rng = random.Random(plan.seed)
         self.site = Site(folder, self.rng.choice(DEADLINES_S))
         self.verdict = Verdict(plan)
-        self.over = asyncio.Event()
+        self.is_finished = asyncio.Event()
 
     def drawn(self) -> random.Random:
         return random.Random(self.rng.getrandbits(64))
@@ -96,7 +96,7 @@
                 group.create_task(self.trouble_upstreams(self.drawn()))
                 group.create_task(self.trouble_discovery(self.drawn()))
                 await asyncio.sleep(self.plan.seconds)
-                self.over.set()
+                self.is_finished.set()
             self.judge()
         finally:
             await site.stop()
@@ -106,8 +106,8 @@
         """Waits. Returns whether the run continues after that."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self.over.wait()
-        return not self.over.is_set()
+                await self.is_finished.wait()
+        return not self.is_finished.is_set()
 
     async def trouble_upstreams(self, rng: random.Random) -> None:
         while await self.pause(rng.uniform(0.1, 0.6)):
@@ -151,7 +151,7 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.send())
             group.create_task(self.fail_calls())
-            while not self.soak.over.is_set():
+            while not self.soak.is_finished.is_set():
                 await self.one_process()
             if self.calls:
                 await asyncio.wait(list(self.calls))
@@ -202,7 +202,7 @@
         """Sends requests in an open loop at random intervals. Some clients leave before their answer."""
         rng, limit_s = self.rng, self.soak.site.deadline_s
         mean_s = 1 / (60.0 if self.soak.plan.crowd else 15.0)
-        while not self.soak.over.is_set() or self.serves:
+        while not self.soak.is_finished.is_set() or self.serves:
             await asyncio.sleep(rng.expovariate(1 / mean_s))
             clients = self.sidecar.clients
             if not self.serves or not (clients.may_connect or clients.idle):
