--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -81,7 +81,7 @@
         self.verdict = Verdict(plan)
         self.is_finished = asyncio.Event()
 
-    def drawn(self) -> random.Random:
+    def new_random(self) -> random.Random:
         return random.Random(self.rng.getrandbits(64))
 
     async def run(self) -> Verdict:
@@ -92,9 +92,9 @@
                     if self.rng.random() < 0.5:
                         sidecar.operator = OPERATOR
                     sidecar.configure()
-                    group.create_task(SidecarLifecycle(self, sidecar, self.drawn()).run())
-                group.create_task(self.trouble_upstreams(self.drawn()))
-                group.create_task(self.trouble_discovery(self.drawn()))
+                    group.create_task(SidecarLifecycle(self, sidecar, self.new_random()).run())
+                group.create_task(self.trouble_upstreams(self.new_random()))
+                group.create_task(self.trouble_discovery(self.new_random()))
                 await asyncio.sleep(self.plan.seconds)
                 self.is_finished.set()
             self.judge()
