--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -93,7 +93,7 @@
                         sidecar.operator = OPERATOR
                     sidecar.configure()
                     group.create_task(SidecarLifecycle(self, sidecar, self.new_random()).run())
-                group.create_task(self.trouble_upstreams(self.new_random()))
+                group.create_task(self.disturb_upstreams(self.new_random()))
                 group.create_task(self.trouble_discovery(self.new_random()))
                 await asyncio.sleep(self.plan.seconds)
                 self.is_finished.set()
@@ -109,7 +109,7 @@
                 await self.is_finished.wait()
         return not self.is_finished.is_set()
 
-    async def trouble_upstreams(self, rng: random.Random) -> None:
+    async def disturb_upstreams(self, rng: random.Random) -> None:
         while await self.pause(rng.uniform(0.1, 0.6)):
             upstream = rng.choice(self.site.upstreams)
             upstream.fault, upstream.delay_s = rng.choice(TROUBLES), rng.choice((0.005, 0.02, 0.2))
