--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -94,7 +94,7 @@
                     sidecar.configure()
                     group.create_task(SidecarLifecycle(self, sidecar, self.new_random()).run())
                 group.create_task(self.disturb_upstreams(self.new_random()))
-                group.create_task(self.trouble_discovery(self.new_random()))
+                group.create_task(self.disturb_discovery(self.new_random()))
                 await asyncio.sleep(self.plan.seconds)
                 self.is_finished.set()
             self.judge()
@@ -116,7 +116,7 @@
             if rng.random() < 0.2:
                 upstream.reset_all()
 
-    async def trouble_discovery(self, rng: random.Random) -> None:
+    async def disturb_discovery(self, rng: random.Random) -> None:
         discovery = self.site.discovery
         while await self.pause(rng.uniform(0.2, 1.0)):
             index = rng.randrange(len(self.site.upstreams))
