--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -97,7 +97,7 @@
                 group.create_task(self.disturb_discovery(self.new_random()))
                 await asyncio.sleep(self.plan.seconds)
                 self.is_finished.set()
-            self.judge()
+            self.check_invariants()
         finally:
             await site.stop()
         return self.verdict
@@ -126,7 +126,7 @@
                 for writer in list(discovery.watches):
                     writer.transport.abort()
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         site, verdict = self.site, self.verdict
         verdict.violations += site.ledger.violations()
         for sidecar in site.sidecars:
