--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -143,7 +143,7 @@
 
     def __init__(self, soak: Soak, sidecar: SidecarProcess, rng: random.Random) -> None:
         self.soak, self.sidecar, self.rng = soak, sidecar, rng
-        self.serves = False  # whether its clients send requests
+        self.is_serving = False  # whether its clients send requests
         self.calls: set[asyncio.Task[Any]] = set()
 
     async def run(self) -> None:
@@ -163,7 +163,7 @@
             self.soak.verdict.violations.append(f"{sidecar.name}: not ready in {READY_S} s: {sidecar.log()[-500:]}")
             sidecar.kill()
             return
-        sidecar.clients.may_connect = self.serves = True
+        sidecar.clients.may_connect = self.is_serving = True
         while await self.soak.pause(rng.uniform(0.3, 1.5)) and rng.random() < 0.7:
             if rng.random() < 0.4:
                 sidecar.configure()
@@ -171,7 +171,7 @@
                 sidecar.signal(signal.SIGHUP)
             if sidecar.exit_code() is not None:
                 self.soak.verdict.violations.append(f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
-                self.serves = False
+                self.is_serving = False
                 return
         await self.shut_down()
 
@@ -195,17 +195,17 @@
             self.soak.verdict.ends[f"status {code}"] += 1
             if code != 0:
                 self.soak.verdict.violations.append(f"{sidecar.name}: shutdown ended by {code}: {sidecar.log()[-800:]}")
-        self.serves = False
+        self.is_serving = False
         sidecar.clients.close()
 
     async def send(self) -> None:
         """Sends requests in an open loop at random intervals. Some clients leave before their answer."""
         rng, limit_s = self.rng, self.soak.site.deadline_s
         mean_s = 1 / (60.0 if self.soak.plan.crowd else 15.0)
-        while not self.soak.is_finished.is_set() or self.serves:
+        while not self.soak.is_finished.is_set() or self.is_serving:
             await asyncio.sleep(rng.expovariate(1 / mean_s))
             clients = self.sidecar.clients
-            if not self.serves or not (clients.may_connect or clients.idle):
+            if not self.is_serving or not (clients.may_connect or clients.idle):
                 continue
             if self.soak.plan.slow and rng.random() < SLOW_SHARE and clients.may_connect:
                 self.begin(clients.call_slowly(rng.choice(LANES), limit_s, rng.uniform(0.0, MOST_SILENT_S),
