--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -152,11 +152,11 @@
             group.create_task(self.send())
             group.create_task(self.fail_calls())
             while not self.soak.is_finished.is_set():
-                await self.one_process()
+                await self.run_process()
             if self.calls:
                 await asyncio.wait(list(self.calls))
 
-    async def one_process(self) -> None:
+    async def run_process(self) -> None:
         sidecar, rng = self.sidecar, self.rng
         sidecar.launch()
         if not await sidecar.ready(READY_S):
