--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -208,13 +208,13 @@
             if not self.is_serving or not (clients.may_connect or clients.idle):
                 continue
             if self.soak.plan.slow and rng.random() < SLOW_SHARE and clients.may_connect:
-                self.begin(clients.call_slowly(rng.choice(LANES), limit_s, rng.uniform(0.0, MOST_SILENT_S),
+                self.start_call(clients.call_slowly(rng.choice(LANES), limit_s, rng.uniform(0.0, MOST_SILENT_S),
                                                rng.uniform(0.0, MOST_HALF_S)))
                 continue
             leave_s = rng.uniform(0.0, 0.3) if rng.random() < 0.1 else None
-            self.begin(clients.call(rng.choice(LANES), limit_s, leave_s, keep=rng.random() < 0.8))
+            self.start_call(clients.call(rng.choice(LANES), limit_s, leave_s, keep=rng.random() < 0.8))
 
-    def begin(self, call: Coroutine[Any, Any, Any]) -> None:
+    def start_call(self, call: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.create_task(call)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
