--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -28,7 +28,7 @@
 DEADLINES_S = (0.8, 2.0, 3.0)
 SLOW_SHARE, MOST_SILENT_S, MOST_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
 STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
-TROUBLES = ("", "", "", "fail", "hang", "reset", "stray", "halt")
+UPSTREAM_FAULTS = ("", "", "", "fail", "hang", "reset", "stray", "halt")
 MOST_RATES = {
     Fault.LOG_WRITE: 1000, Fault.SOCKET: 1000, Fault.CONNECT: 1000, Fault.ACCEPT: 1000, Fault.BIND: 1000,
     Fault.SHORT_READ: 500, Fault.READ_ERROR: 200, Fault.SHORT_WRITE: 500, Fault.WRITE_ERROR: 500, Fault.INTERRUPT: 700,
@@ -112,7 +112,7 @@
     async def disturb_upstreams(self, rng: random.Random) -> None:
         while await self.pause(rng.uniform(0.1, 0.6)):
             upstream = rng.choice(self.site.upstreams)
-            upstream.fault, upstream.delay_s = rng.choice(TROUBLES), rng.choice((0.005, 0.02, 0.2))
+            upstream.fault, upstream.delay_s = rng.choice(UPSTREAM_FAULTS), rng.choice((0.005, 0.02, 0.2))
             if rng.random() < 0.2:
                 upstream.reset_all()
 
