--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -29,7 +29,7 @@
 SLOW_SHARE, MOST_SILENT_S, MOST_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
 STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 UPSTREAM_FAULTS = ("", "", "", "fail", "hang", "reset", "stray", "halt")
-MOST_RATES = {
+MAX_RATES = {
     Fault.LOG_WRITE: 1000, Fault.SOCKET: 1000, Fault.CONNECT: 1000, Fault.ACCEPT: 1000, Fault.BIND: 1000,
     Fault.SHORT_READ: 500, Fault.READ_ERROR: 200, Fault.SHORT_WRITE: 500, Fault.WRITE_ERROR: 500, Fault.INTERRUPT: 700,
     Fault.DISK_SHORT: 1000, Fault.DISK_WRITE: 1000, Fault.DISK_SYNC: 1000, Fault.FILE_OPEN: 1000, Fault.RENAME: 1000,
@@ -222,8 +222,8 @@
     async def fail_calls(self) -> None:
         rng, shim = self.rng, self.sidecar.shim
         while await self.soak.pause(rng.uniform(0.0, 1.0)):
-            kinds = rng.sample(list(MOST_RATES), rng.randint(1, 4))
-            shim.set({kind: rng.randint(1, MOST_RATES[kind]) for kind in kinds})
+            kinds = rng.sample(list(MAX_RATES), rng.randint(1, 4))
+            shim.set({kind: rng.randint(1, MAX_RATES[kind]) for kind in kinds})
             if rng.random() < 0.2:
                 shim.step_wall_clock(rng.choice(STEPS_S))
             await asyncio.sleep(rng.uniform(0.05, 0.7))
