--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -26,7 +26,7 @@
 READY_S = 30.0
 STARTS_S = 3.0  # the first starts are spread over this time
 DEADLINES_S = (0.8, 2.0, 3.0)
-SLOW_SHARE, MAX_SILENT_S, MOST_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
+SLOW_SHARE, MAX_SILENT_S, MAX_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
 STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 UPSTREAM_FAULTS = ("", "", "", "fail", "hang", "reset", "stray", "halt")
 MAX_RATES = {
@@ -209,7 +209,7 @@
                 continue
             if self.soak.plan.slow and rng.random() < SLOW_SHARE and clients.may_connect:
                 self.start_call(clients.call_slowly(rng.choice(LANES), limit_s, rng.uniform(0.0, MAX_SILENT_S),
-                                               rng.uniform(0.0, MOST_HALF_S)))
+                                               rng.uniform(0.0, MAX_HALF_S)))
                 continue
             leave_s = rng.uniform(0.0, 0.3) if rng.random() < 0.1 else None
             self.start_call(clients.call(rng.choice(LANES), limit_s, leave_s, keep=rng.random() < 0.8))
