--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -24,7 +24,7 @@
 KILL_S = 0.7  # SIGKILL comes this long after SIGTERM, plus the longest deadline
 NEW_CONNECTIONS_S = (0.2, 0.4)  # range of how long new connections keep coming after SIGTERM
 READY_S = 30.0
-STARTS_S = 3.0  # the first starts are spread over this time
+START_SPREAD_S = 3.0  # the first starts are spread over this time
 DEADLINES_S = (0.8, 2.0, 3.0)
 SLOW_SHARE, MAX_SILENT_S, MAX_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
 STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
@@ -147,7 +147,7 @@
         self.calls: set[asyncio.Task[Any]] = set()
 
     async def run(self) -> None:
-        await asyncio.sleep(self.rng.uniform(0.0, STARTS_S))  # starting an interpreter keeps one core busy
+        await asyncio.sleep(self.rng.uniform(0.0, START_SPREAD_S))  # starting an interpreter keeps one core busy
         async with asyncio.TaskGroup() as group:
             group.create_task(self.send())
             group.create_task(self.fail_calls())
