--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -23,7 +23,7 @@
 
 KILL_S = 0.7  # SIGKILL comes this long after SIGTERM, plus the longest deadline
 NEW_CONNECTIONS_S = (0.2, 0.4)  # range of how long new connections keep coming after SIGTERM
-READY_S = 30.0
+READY_TIMEOUT_S = 30.0
 START_SPREAD_S = 3.0  # the first starts are spread over this time
 DEADLINES_S = (0.8, 2.0, 3.0)
 SLOW_SHARE, MAX_SILENT_S, MAX_HALF_S = 0.15, 0.8, 1.5  # of slow clients' calls; waits before first and second half
@@ -159,8 +159,8 @@
     async def run_process(self) -> None:
         sidecar, rng = self.sidecar, self.rng
         sidecar.launch()
-        if not await sidecar.ready(READY_S):
-            self.soak.verdict.violations.append(f"{sidecar.name}: not ready in {READY_S} s: {sidecar.log()[-500:]}")
+        if not await sidecar.ready(READY_TIMEOUT_S):
+            self.soak.verdict.violations.append(f"{sidecar.name}: not ready in {READY_TIMEOUT_S} s: {sidecar.log()[-500:]}")
             sidecar.kill()
             return
         sidecar.clients.may_connect = self.is_serving = True
