--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -21,7 +21,7 @@
 from tests.faults.shim import Fault
 from tests.faults.site import LANES, SidecarProcess, Site
 
-KILL_S = 0.7  # SIGKILL comes this long after SIGTERM, plus the longest deadline
+KILL_AFTER_S = 0.7  # SIGKILL comes this long after SIGTERM, plus the longest deadline
 NEW_CONNECTIONS_S = (0.2, 0.4)  # range of how long new connections keep coming after SIGTERM
 READY_TIMEOUT_S = 30.0
 START_SPREAD_S = 3.0  # the first starts are spread over this time
@@ -178,7 +178,7 @@
     async def shut_down(self) -> None:
         """Sends a series of signals. Clients continue until the process ends, by itself or by SIGKILL."""
         sidecar, rng = self.sidecar, self.rng
-        begun_s, kill_s = time.monotonic(), self.soak.site.deadline_s + KILL_S
+        begun_s, kill_s = time.monotonic(), self.soak.site.deadline_s + KILL_AFTER_S
         stop_connecting_s = rng.uniform(*NEW_CONNECTIONS_S)
         sidecar.signal(signal.SIGTERM)
         for number in rng.choices((signal.SIGHUP, signal.SIGTERM, signal.SIGINT), k=rng.randint(0, 3)):
--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -12,7 +12,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import ClientConnection, SidecarProcess, Site, always
-from tests.faults.soak import KILL_S
+from tests.faults.soak import KILL_AFTER_S
 from tests.faults.test_calls import play
 
 DEADLINE_S = 0.8
@@ -51,7 +51,7 @@
         begun_s = time.monotonic()
         await tell(sidecar)
         await asyncio.sleep(begun_s + COMPLETE_S - time.monotonic())
-        answered = await connection.ask(request[40:], begun_s + DEADLINE_S + KILL_S - time.monotonic())
+        answered = await connection.ask(request[40:], begun_s + DEADLINE_S + KILL_AFTER_S - time.monotonic())
         sidecar.kill()
         assert answered and connection.parser.get_status_code() in (502, 503), sidecar.log()[-2000:]
 
