--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -26,7 +26,7 @@
     run(whole, 60.0)
 
 
-async def ends_well(sidecar: SidecarProcess, limit_s: float = 8.0) -> None:
+async def assert_clean_exit(sidecar: SidecarProcess, limit_s: float = 8.0) -> None:
     sidecar.shim.set({})
     if sidecar.exit_code() is None:
         sidecar.signal(signal.SIGTERM)
@@ -73,7 +73,7 @@
         await job
         assert sidecar.shim.hits(), "no call failed"
         check(site)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
 
@@ -134,7 +134,7 @@
         assert await sidecar.ready(), sidecar.log()
         await send_load(sidecar.clients, 0.5)
         check(site)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
 
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.01)
         await send_load(sidecar.clients, 0.3)
         check(site)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
         await other.stop()
 
     play(tmp_path, test)
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.faults.site import Site
-from tests.faults.test_calls import check, ends_well, play
+from tests.faults.test_calls import check, assert_clean_exit, play
 
 
 # Guards against telling upstreams more time than the client has left, because its request waited to be read.
@@ -21,6 +21,6 @@
         sidecar.signal(signal.SIGCONT)
         await asyncio.gather(*calls)
         check(site, 4)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -10,7 +10,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import Site, always, send_load
-from tests.faults.test_calls import check, ends_well, play
+from tests.faults.test_calls import check, assert_clean_exit, play
 
 
 # Guards against a SIGTERM that is lost when the wake-up write to the event loop fails, so that only SIGKILL helps.
@@ -52,6 +52,6 @@
         await send_load(sidecar.clients, 1.0)
         assert sidecar.exit_code() is None, sidecar.log()[-2000:]
         check(site, 20)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -13,7 +13,7 @@
 from ironscale.record.journal import read_all
 from tests.faults.shim import Fault
 from tests.faults.site import Call, SidecarProcess, Site, send_load
-from tests.faults.test_calls import ends_well, play
+from tests.faults.test_calls import assert_clean_exit, play
 
 OPERATOR = """[store]
 classes = ["mark", "pay"]
@@ -88,7 +88,7 @@
         async with asyncio.timeout(20):  # until the outcome of all open journal entries is known
             while read_all(sidecar.folder / "open")[0]:
                 await asyncio.sleep(0.05)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
         assert not broken(site.ledger.calls, rows(sidecar)), (broken(site.ledger.calls, rows(sidecar))[:5],
                                                               site.ledger.results(), sidecar.log()[-3000:])
         assert site.ledger.results()["200"] > 30, site.ledger.results()
@@ -109,7 +109,7 @@
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
         await send_load(sidecar.clients, 0.5)
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
         assert not broken(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
 
     play(tmp_path, test)
@@ -130,7 +130,7 @@
         sidecar.shim.step_wall_clock(seconds)
         again = await sidecar.clients.call("mark")  # well within the memory span of its class, 1.2 s
         assert (first.status, again.status) == (200, 200) and first.body == again.body
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
         assert rows(sidecar).total() == 1
 
     play(tmp_path, test)
