--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -33,7 +33,7 @@
     assert await sidecar.wait_for_exit(limit_s) == 0, sidecar.log()[-2000:]
 
 
-def check(site: Site, served: int = 1) -> None:
+def assert_no_violations(site: Site, served: int = 1) -> None:
     assert not site.ledger.violations(), (site.ledger.violations()[:5], site.ledger.results(),
                                           [one.log()[-1500:] for one in site.sidecars])
     assert not [one for one in site.sidecars if "violation:" in one.log()], [one.log()[-3000:] for one in site.sidecars]
@@ -72,7 +72,7 @@
             upstream.fault = ""
         await job
         assert sidecar.shim.hits(), "no call failed"
-        check(site)
+        assert_no_violations(site)
         await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
@@ -104,7 +104,7 @@
         await asyncio.sleep(1.0)  # new connections come during the first 0.4 s
         sidecar.shim.set({})
         await job
-        check(site)
+        assert_no_violations(site)
         assert await sidecar.wait_for_exit(3.0) == 0, sidecar.log()[-2000:]
 
     play(tmp_path, test)
@@ -133,7 +133,7 @@
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
         await send_load(sidecar.clients, 0.5)
-        check(site)
+        assert_no_violations(site)
         await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
@@ -155,7 +155,7 @@
             while not other.watches:
                 await asyncio.sleep(0.01)
         await send_load(sidecar.clients, 0.3)
-        check(site)
+        assert_no_violations(site)
         await assert_clean_exit(sidecar)
         await other.stop()
 
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.faults.site import Site
-from tests.faults.test_calls import check, assert_clean_exit, play
+from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
 
 
 # Guards against telling upstreams more time than the client has left, because its request waited to be read.
@@ -20,7 +20,7 @@
         await asyncio.sleep(0.8)
         sidecar.signal(signal.SIGCONT)
         await asyncio.gather(*calls)
-        check(site, 4)
+        assert_no_violations(site, 4)
         await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -10,7 +10,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import Site, always, send_load
-from tests.faults.test_calls import check, assert_clean_exit, play
+from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
 
 
 # Guards against a SIGTERM that is lost when the wake-up write to the event loop fails, so that only SIGKILL helps.
@@ -26,7 +26,7 @@
         await asyncio.sleep(0.6)
         sidecar.shim.set({})
         assert await sidecar.wait_for_exit(site.deadline_s + 0.7) == 0, sidecar.log()[-2000:]
-        check(site)
+        assert_no_violations(site)
 
     play(tmp_path, test)
 
@@ -39,7 +39,7 @@
         sidecar.shim.set(always(Fault.SOCKET, Fault.THREAD, Fault.FILE_OPEN, Fault.DISK_WRITE))
         sidecar.signal(signal.SIGTERM)
         assert await sidecar.wait_for_exit(site.deadline_s + 1.5) == 0, sidecar.log()[-2000:]
-        check(site)
+        assert_no_violations(site)
 
     play(tmp_path, test)
 
@@ -51,7 +51,7 @@
         sidecar.shim.set(always(Fault.THREAD))
         await send_load(sidecar.clients, 1.0)
         assert sidecar.exit_code() is None, sidecar.log()[-2000:]
-        check(site, 20)
+        assert_no_violations(site, 20)
         await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -10,7 +10,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import Site, send_load
-from tests.faults.test_calls import check, assert_clean_exit, play
+from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
 
 FAULTS = {
     "none": {}, "no socket": {Fault.SOCKET: 1000}, "no connect": {Fault.CONNECT: 1000}, "no bind": {Fault.BIND: 1000},
@@ -41,7 +41,7 @@
         former.shim.set({})
         await job
         assert await former.wait_for_exit(site.deadline_s + 1.0) == 0, former.log()[-2000:]
-        check(site, 200)
+        assert_no_violations(site, 200)
         await assert_clean_exit(successor)
 
     play(tmp_path, test)
