--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -40,7 +40,7 @@
     assert site.ledger.results()["200"] >= served, site.ledger.results()
 
 
-STEADY = {
+SERVICE_FAULTS = {
     "no log line is written": {Fault.LOG_WRITE: 1000},
     "sockets and connects": {Fault.SOCKET: 300, Fault.CONNECT: 300},
     "accepts": {Fault.ACCEPT: 500},
@@ -55,7 +55,7 @@
 
 
 # Guards against a failed system call that loses the answer to another request, or gives it a wrong one.
-@pytest.mark.parametrize("rates", STEADY.values(), ids=[name.replace(" ", "-") for name in STEADY])
+@pytest.mark.parametrize("rates", SERVICE_FAULTS.values(), ids=[name.replace(" ", "-") for name in SERVICE_FAULTS])
 def test_requests_are_answered_while_calls_fail_in_service(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
