--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -78,7 +78,7 @@
     play(tmp_path, test)
 
 
-SHUTDOWN = {
+SHUTDOWN_FAULTS = {
     "no socket": {Fault.SOCKET: 1000},
     "no connect": {Fault.CONNECT: 1000},
     "no accept": {Fault.ACCEPT: 1000},
@@ -92,7 +92,7 @@
 
 
 # Guards against a shutdown that ends early, or that drops connections which could not be accepted for a while.
-@pytest.mark.parametrize("rates", SHUTDOWN.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN])
+@pytest.mark.parametrize("rates", SHUTDOWN_FAULTS.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN_FAULTS])
 def test_a_shutdown_loses_nothing_while_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
