--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -110,7 +110,7 @@
     play(tmp_path, test)
 
 
-START = {
+START_FAULTS = {
     "no socket": {Fault.SOCKET: 1000},
     "no bind": {Fault.BIND: 1000},
     "no file": {Fault.FILE_OPEN: 1000},
@@ -121,7 +121,7 @@
 
 
 # Guards against a start that gives up when a system call fails.
-@pytest.mark.parametrize("rates", START.values(), ids=[name.replace(" ", "-") for name in START])
+@pytest.mark.parametrize("rates", START_FAULTS.values(), ids=[name.replace(" ", "-") for name in START_FAULTS])
 def test_a_start_outlasts_calls_that_fail_for_a_moment(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         await site.start()
