--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -27,7 +27,7 @@
     sidecar.signal(signal.SIGCONT)
 
 
-async def hard_of_hearing(sidecar: SidecarProcess) -> None:
+async def terminate_unheard(sidecar: SidecarProcess) -> None:
     """Sends SIGTERM while the write that wakes up the event loop for a signal fails."""
     sidecar.shim.set(always(Fault.WRITE_ERROR))
     sidecar.signal(signal.SIGTERM)
@@ -36,7 +36,7 @@
 
 
 # Guards against requests that are unanswered at SIGKILL because the shutdown time was counted from too late a moment.
-@pytest.mark.parametrize("tell", [held_up, hard_of_hearing])
+@pytest.mark.parametrize("tell", [held_up, terminate_unheard])
 def test_a_request_that_comes_last_is_answered_before_sigkill(tell: Callable[[SidecarProcess], Awaitable[None]],
                                                               tmp_path: Path) -> None:
     async def test(site: Site) -> None:
