--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -20,7 +20,7 @@
 COMPLETE_S = 1.0  # after SIGTERM a slow client's request is complete; its deadline is after the SIGKILL
 
 
-async def held_up(sidecar: SidecarProcess) -> None:
+async def terminate_stalled(sidecar: SidecarProcess) -> None:
     sidecar.signal(signal.SIGSTOP)
     sidecar.signal(signal.SIGTERM)
     await asyncio.sleep(HELD_UP_S)
@@ -36,7 +36,7 @@
 
 
 # Guards against requests that are unanswered at SIGKILL because the shutdown time was counted from too late a moment.
-@pytest.mark.parametrize("tell", [held_up, terminate_unheard])
+@pytest.mark.parametrize("tell", [terminate_stalled, terminate_unheard])
 def test_a_request_that_comes_last_is_answered_before_sigkill(tell: Callable[[SidecarProcess], Awaitable[None]],
                                                               tmp_path: Path) -> None:
     async def test(site: Site) -> None:
