--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -16,14 +16,14 @@
 from tests.faults.test_calls import play
 
 DEADLINE_S = 0.8
-HELD_UP_S = 0.15  # how long a process may get no CPU time
+STALL_S = 0.15  # how long a process may get no CPU time
 COMPLETE_S = 1.0  # after SIGTERM a slow client's request is complete; its deadline is after the SIGKILL
 
 
 async def terminate_stalled(sidecar: SidecarProcess) -> None:
     sidecar.signal(signal.SIGSTOP)
     sidecar.signal(signal.SIGTERM)
-    await asyncio.sleep(HELD_UP_S)
+    await asyncio.sleep(STALL_S)
     sidecar.signal(signal.SIGCONT)
 
 
