--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -53,7 +53,7 @@
     return found
 
 
-async def stored(site: Site) -> SidecarProcess:
+async def start_with_store(site: Site) -> SidecarProcess:
     await site.start()
     sidecar = site.sidecars[0]
     sidecar.operator = OPERATOR
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("killed", [False, True], ids=["goes on", "is killed"])
 def test_a_store_keeps_its_word_while_its_disk_fails(tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
     async def test(site: Site) -> None:
-        sidecar = await stored(site)
+        sidecar = await start_with_store(site)
         job = asyncio.create_task(send_load(sidecar.clients, 2.5, 60.0))
         await asyncio.sleep(0.4)
         sidecar.shim.set(rates)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("seconds", [3600.0, 5.0, -3600.0])
 def test_the_memory_of_a_keyed_request_outlasts_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
     async def test(site: Site) -> None:
-        sidecar = await stored(site)
+        sidecar = await start_with_store(site)
         plain = sidecar.clients.request
 
         def of_one_key(call: Call, left_s: float) -> bytes:
