--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -40,7 +40,7 @@
     return Counter(request for request, in found)
 
 
-def broken(calls: dict[str, Call], written: Counter[str]) -> list[str]:
+def store_violations(calls: dict[str, Call], written: Counter[str]) -> list[str]:
     """Finds answered requests that are not stored, refused ones that are, and those stored more than once."""
     found = [f"{txn}: written {count} times" for txn, count in written.items() if count > 1]
     for call in calls.values():
@@ -89,7 +89,7 @@
             while read_all(sidecar.folder / "open")[0]:
                 await asyncio.sleep(0.05)
         await assert_clean_exit(sidecar)
-        assert not broken(site.ledger.calls, rows(sidecar)), (broken(site.ledger.calls, rows(sidecar))[:5],
+        assert not store_violations(site.ledger.calls, rows(sidecar)), (store_violations(site.ledger.calls, rows(sidecar))[:5],
                                                               site.ledger.results(), sidecar.log()[-3000:])
         assert site.ledger.results()["200"] > 30, site.ledger.results()
 
@@ -110,7 +110,7 @@
         assert await sidecar.ready(), sidecar.log()
         await send_load(sidecar.clients, 0.5)
         await assert_clean_exit(sidecar)
-        assert not broken(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
+        assert not store_violations(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
 
     play(tmp_path, test)
 
