--- a/tests/faults/shim.py
+++ b/tests/faults/shim.py
@@ -69,6 +69,6 @@
     def step_wall_clock(self, seconds: float) -> None:
         struct.pack_into("q", self.shared, STEP_AT, int(seconds * 1e9))
 
-    def hits(self) -> dict[Fault, int]:
+    def injected(self) -> dict[Fault, int]:
         found = {kind: struct.unpack_from("I", self.shared, HITS_AT + 4 * kind)[0] for kind in Fault}
         return {kind: count for kind, count in found.items() if count}
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -133,7 +133,7 @@
             log = sidecar.log()
             verdict.violations += [f"{sidecar.name}: {line}" for line in log.splitlines() if "violation:" in line]
             verdict.violations += [f"{sidecar.name}: {text}" for text in tracebacks(log)]
-            verdict.faults.update({kind.name: count for kind, count in sidecar.shim.hits().items()})
+            verdict.faults.update({kind.name: count for kind, count in sidecar.shim.injected().items()})
         verdict.violations += [f"unreadable request: {text}" for one in site.upstreams for text in one.unreadable]
         verdict.results, verdict.lag_s = site.ledger.results(), site.ledger.lag_s
 
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -71,7 +71,7 @@
         for upstream in site.upstreams:
             upstream.fault = ""
         await job
-        assert sidecar.shim.hits(), "no call failed"
+        assert sidecar.shim.injected(), "no call failed"
         assert_no_violations(site)
         await assert_clean_exit(sidecar)
 
