--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -23,8 +23,8 @@
 
 
 class SequentialDiscovery:
-    """A discovery service that handles one call at a time, with at most `room` waiting. With `works` it also spends
-    time on calls whose caller has gone, because it notices that only when it writes."""
+    """A discovery service that handles one call at a time, with at most `queue_limit` waiting. With
+    `handles_abandoned` it also spends time on calls whose caller has gone, as it notices that only when it writes."""
 
     def __init__(self, handles_abandoned: bool, queue_limit: int) -> None:
         self.handles_abandoned, self.queue_limit, self.calls, self.port = handles_abandoned, queue_limit, 0, 0
@@ -89,7 +89,8 @@
             return sum(sidecar.discovery.generation == 42 for sidecar in sidecars)
 
         await asyncio.sleep(10.0)
-        assert answered_count() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, answered_count())  # of all that discovery could have answered by then
+        # of all that discovery could have answered by then
+        assert answered_count() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, answered_count())
         await until(lambda: answered_count() == COUNT)
         took_s = asyncio.get_running_loop().time() - begun_s
         assert took_s <= most_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -23,7 +23,8 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 # How a call fails, and after how many seconds; None if the sidecar has to time it out.
-FAILURE_AFTER_S: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
+FAILURE_AFTER_S: dict[str, float | None] = {
+    "refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
 # Timeout for the first data of a call: at first, and after a call that timed out.
 FIRST_DATA_TIMEOUT_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
 
--- a/tests/faults/closing.py
+++ b/tests/faults/closing.py
@@ -70,7 +70,8 @@
     return server
 
 
-async def close_listeners(port: int, closes: int, shares_port: bool, begin: Event, collect: Callable[[], Counts]) -> Counts:
+async def close_listeners(port: int, closes: int, shares_port: bool, begin: Event,
+                          collect: Callable[[], Counts]) -> Counts:
     last = await start_server(port, shares_port) if shares_port else None
     begin.set()
     for _ in range(closes):
--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -45,7 +45,7 @@
 
 @dataclass
 class Arrival:
-    """One attempt whose last byte has arrived at an upstream. `told_s` is the remaining time that it carried."""
+    """One attempt whose last byte has arrived at an upstream. `remaining_s` is the time left that it carried."""
 
     at_s: float
     remaining_s: float
@@ -89,7 +89,8 @@
         return Counter(str(call.status) if call.status else call.failure or "left" for call in self.calls.values())
 
     def violations(self) -> list[str]:
-        return [f"{call.txn} ({call.lane}): {text}" for call in self.calls.values() for text in self.violations_of(call)]
+        return [f"{call.txn} ({call.lane}): {text}"
+                for call in self.calls.values() for text in self.violations_of(call)]
 
     def violations_of(self, call: Call) -> list[str]:
         found = []
@@ -153,7 +154,7 @@
 
 
 class Upstream:
-    """An upstream that answers after `delay_s`, or misbehaves as `trouble` says: hang, fail, reset, stray, halt."""
+    """An upstream that answers after `delay_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger, self.delay_s, self.fault = ledger, 0.02, ""
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -160,7 +160,8 @@
         sidecar, rng = self.sidecar, self.rng
         sidecar.launch()
         if not await sidecar.ready(READY_TIMEOUT_S):
-            self.soak.verdict.violations.append(f"{sidecar.name}: not ready in {READY_TIMEOUT_S} s: {sidecar.log()[-500:]}")
+            self.soak.verdict.violations.append(
+                f"{sidecar.name}: not ready in {READY_TIMEOUT_S} s: {sidecar.log()[-500:]}")
             sidecar.kill()
             return
         sidecar.clients.may_connect = self.is_serving = True
@@ -170,7 +171,8 @@
             for _ in range(rng.randint(1, 3)):
                 sidecar.signal(signal.SIGHUP)
             if sidecar.exit_code() is not None:
-                self.soak.verdict.violations.append(f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
+                self.soak.verdict.violations.append(
+                    f"{sidecar.name}: ended by {sidecar.exit_code()}: {sidecar.log()[-800:]}")
                 self.is_serving = False
                 return
         await self.shut_down()
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.faults.site import Site
-from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
+from tests.faults.test_calls import assert_clean_exit, assert_no_violations, play
 
 
 # Guards against telling upstreams more time than the client has left, because its request waited to be read.
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -10,7 +10,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import Site, always, send_load
-from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
+from tests.faults.test_calls import assert_clean_exit, assert_no_violations, play
 
 
 # Guards against a SIGTERM that is lost when the wake-up write to the event loop fails, so that only SIGKILL helps.
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -89,8 +89,8 @@
             while read_all(sidecar.folder / "open")[0]:
                 await asyncio.sleep(0.05)
         await assert_clean_exit(sidecar)
-        assert not store_violations(site.ledger.calls, rows(sidecar)), (store_violations(site.ledger.calls, rows(sidecar))[:5],
-                                                              site.ledger.results(), sidecar.log()[-3000:])
+        assert not store_violations(site.ledger.calls, rows(sidecar)), (
+            store_violations(site.ledger.calls, rows(sidecar))[:5], site.ledger.results(), sidecar.log()[-3000:])
         assert site.ledger.results()["200"] > 30, site.ledger.results()
 
     play(tmp_path, test)
@@ -110,7 +110,8 @@
         assert await sidecar.ready(), sidecar.log()
         await send_load(sidecar.clients, 0.5)
         await assert_clean_exit(sidecar)
-        assert not store_violations(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
+        assert (not store_violations(site.ledger.calls, rows(sidecar))
+                and site.ledger.results()["200"] > 10), sidecar.log()
 
     play(tmp_path, test)
 
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -10,7 +10,7 @@
 
 from tests.faults.shim import Fault
 from tests.faults.site import Site, send_load
-from tests.faults.test_calls import assert_no_violations, assert_clean_exit, play
+from tests.faults.test_calls import assert_clean_exit, assert_no_violations, play
 
 FAULTS = {
     "none": {}, "no socket": {Fault.SOCKET: 1000}, "no connect": {Fault.CONNECT: 1000}, "no bind": {Fault.BIND: 1000},
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -68,7 +68,8 @@
     clocks.step(by_us)
     again = clocks.entry_with_start(START_US - 30 * S, known)
     assert again.start_us == START_US - 30 * S
-    assert clocks.entry_with_start(START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
+    assert clocks.entry_with_start(
+        START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
 
 
 def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
