--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -144,16 +144,16 @@
     """A list may be indented, split anywhere and lack a final newline: it is reported as soon as it is complete."""
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         for generation, state in ((42, "ready"), (43, "draining")):
             raw = json.dumps(listing({**ENTRY, "lifecycle": state}, generation=generation, reset=generation == 42),
                              indent=2).encode() + end
             for at in range(0, len(raw), step):
                 fake.writers[0].write(chunk(raw[at:at + step]))
-        await until(lambda: len(told) == 2)
-        assert kinds(told) == [ListKind.FULL, ListKind.DELTA] and discovery.generation == 43
-        assert told[1][1] is not None and told[1][1].members[0].upstream.state is UpstreamState.DRAINING
+        await until(lambda: len(reported) == 2)
+        assert kinds(reported) == [ListKind.FULL, ListKind.DELTA] and discovery.generation == 43
+        assert reported[1][1] is not None and reported[1][1].members[0].upstream.state is UpstreamState.DRAINING
         discovery.close()
 
     run(test)
@@ -169,13 +169,13 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         if first:
             await until(lambda: fake.writers)
             discovery.first_data_timeout_s = 0.2  # counts from this data on
             fake.writers[0].write(chunk(first))
-        await until(lambda: told)
-        assert kinds(told) == [ListKind.FAILED] and discovery.watch is None and discovery.silent_calls == 1
+        await until(lambda: reported)
+        assert kinds(reported) == [ListKind.FAILED] and discovery.watch is None and discovery.silent_calls == 1
         discovery.first_data_timeout_s = CALL_US / 1e6
         discovery.subscribe()
         watch = cast(Any, discovery.watch)
@@ -183,8 +183,8 @@
         own = watch.transport.get_extra_info("sockname")
         await until(lambda: [one for one in fake.writers if one.get_extra_info("peername") == own])
         fake.line(listing(ENTRY, generation=44), [one.get_extra_info("peername") for one in fake.writers].index(own))
-        await until(lambda: len(told) == 2)
-        assert kinds(told)[1] is ListKind.FULL and discovery.silent_calls == 0
+        await until(lambda: len(reported) == 2)
+        assert kinds(reported)[1] is ListKind.FULL and discovery.silent_calls == 0
         discovery.close()
 
     run(test)
@@ -217,7 +217,7 @@
 
     async def test() -> None:
         elsewhere = ThreadedDiscovery()
-        discovery, told = await open_watch(cast(FakeDiscovery, elsewhere))
+        discovery, reported = await open_watch(cast(FakeDiscovery, elsewhere))
         watch = cast(Any, discovery.watch)
         watch.silence_timer.cancel()  # until the call has arrived, which may take any time
         await until(elsewhere.has_call.is_set)
@@ -225,8 +225,8 @@
         elsewhere.may_write.set()
         assert elsewhere.written.wait(LIMIT_S)
         time.sleep(0.3)  # blocks the event loop for longer than the silence timeout
-        await until(lambda: told)
-        assert kinds(told) == [ListKind.FULL] and discovery.watch is watch
+        await until(lambda: reported)
+        assert kinds(reported) == [ListKind.FULL] and discovery.watch is watch
         discovery.close()
         elsewhere.listener.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,30 +21,30 @@
 
 
 async def open_watch(fake: FakeDiscovery, generation: int = 41) -> tuple[Discovery, Reports]:
-    told: Reports = []
+    reported: Reports = []
     logged: list[str] = []
     discovery = Discovery(("127.0.0.1", fake.port), ListParser(["a", "b"], ["large", "small"]), generation,
-                          lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
+                          lambda kind, what: reported.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
     discovery.subscribe()
-    return discovery, told
+    return discovery, reported
 
 
-def kinds(told: Reports) -> list[ListKind]:
-    return [kind for kind, _ in told]
+def kinds(reported: Reports) -> list[ListKind]:
+    return [kind for kind, _ in reported]
 
 
 def test_a_watch_tells_the_full_list_and_then_each_change() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         fake.line(listing(ENTRY, generation=42))
         fake.line(None)
         fake.line(listing({**ENTRY, "lifecycle": "draining"}, generation=43, reset=False))
-        await until(lambda: len(told) == 2)
-        assert kinds(told) == [ListKind.FULL, ListKind.DELTA] and discovery.generation == 43
+        await until(lambda: len(reported) == 2)
+        assert kinds(reported) == [ListKind.FULL, ListKind.DELTA] and discovery.generation == 43
         assert fake.targets == ["/registry/instances?watch=1&after=41"]
-        full, delta = told[0][1], told[1][1]
+        full, delta = reported[0][1], reported[1][1]
         assert full is not None and delta is not None
         upstream = full.members[0].upstream
         assert (upstream.zone, upstream.kind, upstream.cell, upstream.weight) == (1, 1, 3, 1.5)
@@ -58,13 +58,13 @@
 def test_a_line_may_come_in_pieces() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         for piece in (b'{"generation":42,"reset":fal', b'se,"instances":[]}', b"\n"):
             fake.writers[0].write(b"%x\r\n%s\r\n" % (len(piece), piece))
             await fake.writers[0].drain()
-        await until(lambda: told)
-        assert kinds(told) == [ListKind.DELTA]
+        await until(lambda: reported)
+        assert kinds(reported) == [ListKind.DELTA]
         discovery.close()
 
     run(test)
@@ -73,13 +73,13 @@
 def test_an_empty_first_line_answers_the_call_once() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         for _ in range(3):
             fake.line(None)
         fake.line(listing(generation=42, reset=False))
         await until(lambda: discovery.generation == 42)
-        assert kinds(told) == [ListKind.DELTA, ListKind.DELTA]
+        assert kinds(reported) == [ListKind.DELTA, ListKind.DELTA]
         discovery.close()
 
     run(test)
@@ -90,14 +90,14 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         discovery.subscribe()
         await until(lambda: fake.writers)
         discovery.subscribe()
         fake.line(listing(ENTRY, generation=42))
-        await until(lambda: told)
+        await until(lambda: reported)
         discovery.subscribe()  # every subscription is answered nevertheless
-        assert kinds(told) == [ListKind.FULL, ListKind.DELTA]
+        assert kinds(reported) == [ListKind.FULL, ListKind.DELTA]
         assert len(fake.targets) == 1
         discovery.close()
 
@@ -127,13 +127,13 @@
 
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         fake.line(listing(ENTRY, generation=42))
-        await until(lambda: told)
+        await until(lambda: reported)
         await end(fake)
-        await until(lambda: len(told) == 2)
-        assert kinds(told) == [ListKind.FULL, ListKind.FAILED] and discovery.watch is None
+        await until(lambda: len(reported) == 2)
+        assert kinds(reported) == [ListKind.FULL, ListKind.FAILED] and discovery.watch is None
         discovery.subscribe()
         await until(lambda: len(fake.targets) == 2)
         assert fake.targets[1].endswith("after=42")
@@ -147,10 +147,10 @@
     async def test() -> None:
         fake = await FakeDiscovery().start()
         fake.head = head
-        discovery, told = await open_watch(fake)
-        await until(lambda: told)
+        discovery, reported = await open_watch(fake)
+        await until(lambda: reported)
         await until(lambda: discovery.watch is None)
-        assert kinds(told) == [ListKind.FAILED]
+        assert kinds(reported) == [ListKind.FAILED]
 
     run(test)
 
@@ -161,9 +161,9 @@
         fake = FakeDiscovery()
         fake.port = server.sockets[0].getsockname()[1]
         server.close()
-        discovery, told = await open_watch(fake)
-        await until(lambda: told)
-        assert kinds(told) == [ListKind.FAILED]
+        discovery, reported = await open_watch(fake)
+        await until(lambda: reported)
+        assert kinds(reported) == [ListKind.FAILED]
 
     run(test)
 
@@ -171,15 +171,15 @@
 def test_an_unsubscribed_watch_says_nothing_more() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
-        discovery, told = await open_watch(fake)
+        discovery, reported = await open_watch(fake)
         await until(lambda: fake.writers)
         discovery.unsubscribe()
         fake.line(listing(ENTRY, generation=42))
         discovery.subscribe()
         await until(lambda: len(fake.writers) == 2)
         fake.line(listing(ENTRY, generation=43))
-        await until(lambda: told)
-        assert [what.generation for _, what in told if what] == [43]
+        await until(lambda: reported)
+        assert [what.generation for _, what in reported if what] == [43]
         discovery.close()
 
     run(test)
@@ -193,14 +193,14 @@
                          b'{"generation": 9,"reset":true,"instances":[]} ')
 
         server = await asyncio.start_server(whole, "127.0.0.1", 0)
-        told: Reports = []
+        reported: Reports = []
         logged: list[str] = []
         discovery = Discovery(("127.0.0.1", server.sockets[0].getsockname()[1]), ListParser([], []), 0,
-                              lambda kind, what: told.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
+                              lambda kind, what: reported.append((kind, what)), module.SILENCE_TIMEOUT_S, logged.append)
         discovery.fetch()
-        await until(lambda: told)
+        await until(lambda: reported)
         await until(lambda: not discovery.fetches)
-        assert kinds(told) == [ListKind.FULL] and discovery.generation == 9
+        assert kinds(reported) == [ListKind.FULL] and discovery.generation == 9
 
     run(test)
 
@@ -236,29 +236,29 @@
 async def moving_watch() -> tuple[FakeDiscovery, FakeDiscovery, Discovery, Reports]:
     """A watch at the first address that has delivered generation 42 and is moving to the second address."""
     old, new = await FakeDiscovery().start(), await FakeDiscovery().start()
-    discovery, told = await open_watch(old)
+    discovery, reported = await open_watch(old)
     await until(lambda: old.writers)
     old.line(listing(ENTRY, generation=42))
-    await until(lambda: told)
+    await until(lambda: reported)
     discovery.change_address(("127.0.0.1", new.port))
     await until(lambda: new.writers)
-    return old, new, discovery, told
+    return old, new, discovery, reported
 
 
 def test_the_old_watch_serves_until_the_new_address_has_answered() -> None:
     """Guards against missing a drain during the move, and against taking the end of the old watch for a failure."""
 
     async def test() -> None:
-        old, new, discovery, told = await moving_watch()
+        old, new, discovery, reported = await moving_watch()
         discovery.change_address(("127.0.0.1", new.port))  # a second call changes nothing
         old.line(listing({**ENTRY, "lifecycle": "draining"}, generation=43, reset=False))
-        await until(lambda: len(told) == 2)
+        await until(lambda: len(reported) == 2)
         new.line(None)
-        await until(lambda: len(told) == 3)
+        await until(lambda: len(reported) == 3)
         old.writers[0].close()
         new.line(listing(ENTRY, generation=44, reset=False))
-        await until(lambda: len(told) == 4)
-        assert kinds(told) == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA, ListKind.DELTA]
+        await until(lambda: len(reported) == 4)
+        assert kinds(reported) == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA, ListKind.DELTA]
         assert new.targets == ["/registry/instances?watch=1&after=42"]
         discovery.close()
 
@@ -267,14 +267,14 @@
 
 def test_when_the_old_watch_ends_first_the_new_one_takes_its_place() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moving_watch()
+        old, new, discovery, reported = await moving_watch()
         watch, successor = discovery.watch, discovery.successor
         old.writers[0].close()
         await until(lambda: discovery.watch is not watch)
         assert discovery.watch is successor and discovery.successor is None
         new.line(listing(ENTRY, generation=43))
-        await until(lambda: len(told) == 2)
-        assert kinds(told) == [ListKind.FULL, ListKind.FULL]
+        await until(lambda: len(reported) == 2)
+        assert kinds(reported) == [ListKind.FULL, ListKind.FULL]
         discovery.close()
 
     run(test)
@@ -282,12 +282,12 @@
 
 def test_a_new_address_that_fails_is_tried_again_while_the_old_watch_serves() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moving_watch()
+        old, new, discovery, reported = await moving_watch()
         new.writers[0].close()
         await until(lambda: len(new.writers) == 2)
-        assert kinds(told) == [ListKind.FULL]
+        assert kinds(reported) == [ListKind.FULL]
         old.line(listing(ENTRY, generation=43))
-        await until(lambda: len(told) == 2)
+        await until(lambda: len(reported) == 2)
         discovery.close()
 
     run(test)
@@ -298,16 +298,16 @@
     for ever a discovery service that has restarted its numbering."""
 
     async def test() -> None:
-        _, new, discovery, told = await moving_watch()
+        _, new, discovery, reported = await moving_watch()
         new.line(listing(generation=40))
         new.line(listing(generation=41, reset=False))
-        await until(lambda: len(told) == 3)
-        assert all(what is not None and not what.members and what.generation == 42 for _, what in told[1:])
-        assert kinds(told) == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
+        await until(lambda: len(reported) == 3)
+        assert all(what is not None and not what.members and what.generation == 42 for _, what in reported[1:])
+        assert kinds(reported) == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
         monkeypatch.setattr(module, "MAX_LAG_S", 0.0)
         new.line(None)
-        await until(lambda: len(told) == 4)
-        assert kinds(told)[3] is ListKind.FAILED
+        await until(lambda: len(reported) == 4)
+        assert kinds(reported)[3] is ListKind.FAILED
         discovery.subscribe()
         await until(lambda: len(new.writers) == 2)
         assert new.targets[1] == "/registry/instances?watch=1&after=0"
@@ -318,12 +318,12 @@
 
 def test_a_move_that_is_taken_back_leaves_the_old_watch_alone() -> None:
     async def test() -> None:
-        old, new, discovery, told = await moving_watch()
+        old, new, discovery, reported = await moving_watch()
         watch = discovery.watch
         discovery.change_address(("127.0.0.1", old.port))
         assert discovery.watch is watch and discovery.successor is None
         old.line(listing(ENTRY, generation=43))
-        await until(lambda: len(told) == 2)
+        await until(lambda: len(reported) == 2)
         assert len(old.writers) == 1
         discovery.close()
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -93,10 +93,10 @@
 ])
 def test_each_answer_has_its_outcome(behave: Behaviour, expected: Outcome) -> None:
     async def test() -> None:
-        line = UpstreamHarness(await Peer(behave).start())
-        assert await line.outcome() is expected
+        harness = UpstreamHarness(await Peer(behave).start())
+        assert await harness.outcome() is expected
         if expected is Outcome.RESET:
-            assert line.upstreams.open_count == 0  # closed at once, though the upstream keeps it open
+            assert harness.upstreams.open_count == 0  # closed at once, though the upstream keeps it open
 
     run(test)
 
@@ -117,9 +117,9 @@
         peer = await Peer().start()
         assert peer.server is not None
         peer.server.close()
-        line = UpstreamHarness(peer)
-        assert await line.outcome() is Outcome.CONNECT_FAILED
-        assert line.upstreams.open_count == 0
+        harness = UpstreamHarness(peer)
+        assert await harness.outcome() is Outcome.CONNECT_FAILED
+        assert harness.upstreams.open_count == 0
 
     run(test)
 
@@ -132,9 +132,9 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = UpstreamHarness(peer)
+            harness = UpstreamHarness(peer)
             listener.setblocking(False)
-            _, ended = line.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
+            _, ended = harness.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1)
             accepted.close()  # a reset, because bytes are unread
@@ -145,10 +145,10 @@
 
 def test_a_large_request_counts_as_written_once_its_last_byte_is() -> None:
     async def test() -> None:
-        line = UpstreamHarness(await Peer(reset).start())
+        harness = UpstreamHarness(await Peer(reset).start())
         body = b"x" * (32 << 20)
         head = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n" % len(body)
-        assert await line.outcome(head + body) is Outcome.RESET
+        assert await harness.outcome(head + body) is Outcome.RESET
 
     run(test)
 
@@ -159,13 +159,13 @@
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = UpstreamHarness(peer)
-        both = [line.start(), line.start()]
+        harness = UpstreamHarness(peer)
+        both = [harness.start(), harness.start()]
         await until(lambda: len(peer.got) == 2)
         peer.answer_held(ok())
         await asyncio.gather(*(ended for _, ended in both))
-        newest = line.pool.idle[-1]
-        _, ended = line.start()
+        newest = harness.pool.idle[-1]
+        _, ended = harness.start()
         assert newest.attempt is not None and peer.opened == 2
         await until(lambda: peer.held)
         peer.answer_held(ok())
@@ -179,14 +179,14 @@
 
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = UpstreamHarness(peer)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer)
+        attempt, ended = harness.start()
         await until(lambda: peer.got)
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.TIMEOUT
-        assert line.upstreams.open_count == 0
+        assert harness.upstreams.open_count == 0
         peer.behave = reply(ok())
-        assert await line.outcome() is Outcome.OK and peer.opened == 2
+        assert await harness.outcome() is Outcome.OK and peer.opened == 2
 
     run(test)
 
@@ -197,12 +197,12 @@
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer)
+        attempt, ended = harness.start()
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.CONNECT_FAILED
-        await until(lambda: line.pool.idle)  # it was established nevertheless, and is kept for the next attempt
-        assert await line.outcome() is Outcome.OK
+        await until(lambda: harness.pool.idle)  # it was established nevertheless, and is kept for the next attempt
+        assert await harness.outcome() is Outcome.OK
         assert peer.opened == 1 and len(peer.got) == 1
 
     run(test)
@@ -218,8 +218,8 @@
             listener.setblocking(False)
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = UpstreamHarness(peer)
-            _, ended = line.start()
+            harness = UpstreamHarness(peer)
+            _, ended = harness.start()
             first, _ = await loop.sock_accept(listener)
             await loop.sock_recv(first, 1000)
             await loop.sock_sendall(first, ok())
@@ -228,7 +228,7 @@
                 first.send(stray)  # no await from here to `start`, so the event loop can't have read it
             else:
                 first.close()
-            _, ended = line.start()
+            _, ended = harness.start()
             second, _ = await loop.sock_accept(listener)
             await loop.sock_recv(second, 1000)
             await loop.sock_sendall(second, ok())
@@ -242,13 +242,13 @@
 def test_an_idle_connection_that_ends_or_talks_is_dropped() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
+        harness = UpstreamHarness(peer)
         ends: list[Callable[[asyncio.StreamWriter], None]] = [
             lambda w: w.write(ok()), lambda w: w.write_eof(), lambda w: w.transport.abort()]
         for end in ends:
-            assert await line.outcome() is Outcome.OK
+            assert await harness.outcome() is Outcome.OK
             end(peer.writers.copy().pop())
-            await until(lambda: line.upstreams.open_count == 0)
+            await until(lambda: harness.upstreams.open_count == 0)
             await until(lambda: not peer.writers)
 
     run(test)
@@ -260,10 +260,10 @@
     """Guards against discarding a complete answer when invalid data in the same read makes the parser fail."""
 
     async def test() -> None:
-        line = UpstreamHarness(await Peer(reply(ok(b"one") + more)).start())
-        outcome, answer = await line.start()[1]
+        harness = UpstreamHarness(await Peer(reply(ok(b"one") + more)).start())
+        outcome, answer = await harness.start()[1]
         assert outcome is Outcome.OK and answer.body == b"one"
-        assert not line.pool.idle and line.upstreams.open_count == 0
+        assert not harness.pool.idle and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -283,10 +283,10 @@
             writer.write(ok(b"one"))
 
         peer = await Peer(one).start()
-        line = UpstreamHarness(peer)
+        harness = UpstreamHarness(peer)
         follower: list[asyncio.Future[Any]] = []
-        first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(line.start()[1]))
-        line.pool.start(first)
+        first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(harness.start()[1]))
+        harness.pool.start(first)
         await until(lambda: follower)
         # only to the first connection: the next request's may exist already, and stray data would close it
         peer.behave = reply(ok(b"next"))
@@ -299,15 +299,15 @@
 def test_a_drain_while_an_answer_comes_in_pieces_lets_it_come() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = UpstreamHarness(peer)
-        _, ended = line.start()
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start()
         await until(lambda: peer.got)
-        line.announce(full=False, lifecycle="draining")
+        harness.announce(full=False, lifecycle="draining")
         for piece in (b"HTTP/1.1 200 OK\r\nContent-", b"Length: 4\r\n\r\nab", b"cd"):
             peer.writers.copy().pop().write(piece)
             await asyncio.sleep(0.01)
         outcome, answer = await ended
-        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and line.upstreams.open_count == 0
+        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -326,13 +326,13 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer, startedAtMs=1000)
+        harness = UpstreamHarness(peer, startedAtMs=1000)
         new = peer.entry("s-2", startedAtMs=2000)
         told = [new, peer.entry("s-1", startedAtMs=1000)] if full else [new]
-        settled = line.upstreams.resolve_address_conflicts(members(*told), full)
+        settled = harness.upstreams.resolve_address_conflicts(members(*told), full)
         assert {m.name: m.upstream.state.value for m in settled} == {"s-1": "gone", "s-2": "ready"}
-        line.upstreams.apply(settled, full)
-        assert [pool.member.name for pool in line.upstreams.pools.values()] == ["s-2"]
+        harness.upstreams.apply(settled, full)
+        assert [pool.member.name for pool in harness.upstreams.pools.values()] == ["s-2"]
 
     run(test)
 
@@ -361,17 +361,17 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
+        harness = UpstreamHarness(peer)
 
         async def next_after(idle_us: int) -> Outcome:
-            assert await line.outcome() is Outcome.OK  # leaves an idle connection
-            for other in line.pool.idle[:-1]:
+            assert await harness.outcome() is Outcome.OK  # leaves an idle connection
+            for other in harness.pool.idle[:-1]:
                 other.close()  # on a slow machine it may be reusable by now
-            line.pool.idle[-1].idle_since_us -= idle_us
+            harness.pool.idle[-1].idle_since_us -= idle_us
             peer.behave = reset if idle_us > 200_000 else reply(ok())
             first = peer.opened
-            _, ended = line.start()
-            kept = line.pool.busy != set()
+            _, ended = harness.start()
+            kept = harness.pool.busy != set()
             if not kept:
                 peer.behave = reply(ok())
             outcome: Outcome = (await ended)[0]
@@ -384,7 +384,7 @@
         opened = peer.opened
         assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one is reused
         for _ in range(60):
-            line.upstreams.idle_failures.decay()
+            harness.upstreams.idle_failures.decay()
         assert await next_after(270_000) is Outcome.RESET  # after the decay it is reused again
 
     run(test)
@@ -392,10 +392,10 @@
 
 def test_a_new_connection_that_breaks_says_nothing_of_kept_ones() -> None:
     async def test() -> None:
-        line = UpstreamHarness(await Peer(reset).start())
+        harness = UpstreamHarness(await Peer(reset).start())
         for _ in range(10):
-            assert await line.outcome() is Outcome.RESET
-        assert max(line.upstreams.idle_failures.shares) == 0.0
+            assert await harness.outcome() is Outcome.RESET
+        assert max(harness.upstreams.idle_failures.shares) == 0.0
 
     run(test)
 
@@ -403,13 +403,13 @@
 def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        assert await line.outcome() is Outcome.OK
-        line.pool.idle[0].idle_since_us -= 13_600_000
-        assert await line.outcome() is Outcome.OK and peer.opened == 2  # after 15 s a write ends in a reset
-        line.pool.idle[0].idle_since_us -= 13_600_000
-        line.pool.close_expired()
-        assert not line.pool.idle and line.upstreams.open_count == 0
+        harness = UpstreamHarness(peer)
+        assert await harness.outcome() is Outcome.OK
+        harness.pool.idle[0].idle_since_us -= 13_600_000
+        assert await harness.outcome() is Outcome.OK and peer.opened == 2  # after 15 s a write ends in a reset
+        harness.pool.idle[0].idle_since_us -= 13_600_000
+        harness.pool.close_expired()
+        assert not harness.pool.idle and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -418,11 +418,11 @@
 def test_a_connection_that_comes_up_after_the_drain_is_not_written_to(lifecycle: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        _, ended = line.start()
-        line.announce(full=False, lifecycle=lifecycle)  # the connection is still being established
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start()
+        harness.announce(full=False, lifecycle=lifecycle)  # the connection is still being established
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not peer.got and line.upstreams.open_count == 0
+        assert not peer.got and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -430,10 +430,10 @@
 def test_a_full_list_without_an_upstream_ends_its_connections() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        await line.outcome()
-        line.upstreams.apply([], True)
-        assert not line.upstreams.pools and line.upstreams.open_count == 0
+        harness = UpstreamHarness(peer)
+        await harness.outcome()
+        harness.upstreams.apply([], True)
+        assert not harness.upstreams.pools and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -441,10 +441,10 @@
 def test_nothing_is_written_for_a_request_that_is_over() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        _, ended = line.start(is_wanted=False)
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start(is_wanted=False)
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not peer.got and len(line.pool.idle) == 1
+        assert not peer.got and len(harness.pool.idle) == 1
 
     run(test)
 
@@ -454,14 +454,14 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        line = UpstreamHarness(peer)
-        await line.outcome()
-        line.announce(full=False, startedAtMs=now_us() // 1000 + 1000)
-        assert not line.pool.idle
-        await line.outcome()
-        line.pool.idle[0].opened_us += 2_000_000  # opened after the start that discovery reports only now
-        line.announce(full=False, startedAtMs=now_us() // 1000 + 1500)
-        assert len(line.pool.idle) == 1
+        harness = UpstreamHarness(peer)
+        await harness.outcome()
+        harness.announce(full=False, startedAtMs=now_us() // 1000 + 1000)
+        assert not harness.pool.idle
+        await harness.outcome()
+        harness.pool.idle[0].opened_us += 2_000_000  # opened after the start that discovery reports only now
+        harness.announce(full=False, startedAtMs=now_us() // 1000 + 1500)
+        assert len(harness.pool.idle) == 1
 
     run(test)
 
@@ -469,12 +469,12 @@
 def test_an_upstream_that_moves_is_reached_at_its_new_address() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = UpstreamHarness(old)
-        await line.outcome()
-        line.peer = new
-        line.announce(full=False)
-        assert await line.outcome() is Outcome.OK
-        assert (len(old.got), len(new.got), len(line.pool.idle)) == (1, 1, 1)
+        harness = UpstreamHarness(old)
+        await harness.outcome()
+        harness.peer = new
+        harness.announce(full=False)
+        assert await harness.outcome() is Outcome.OK
+        assert (len(old.got), len(new.got), len(harness.pool.idle)) == (1, 1, 1)
 
     run(test)
 
@@ -482,13 +482,13 @@
 def test_nothing_is_written_to_an_address_that_was_left_while_the_connection_came_up() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = UpstreamHarness(old)
-        _, ended = line.start()
+        harness = UpstreamHarness(old)
+        _, ended = harness.start()
         await asyncio.sleep(0)  # the connect to the old address has begun
-        line.peer = new
-        line.announce(full=False)
+        harness.peer = new
+        harness.announce(full=False)
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not old.got and line.upstreams.open_count == 0
+        assert not old.got and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -496,20 +496,20 @@
 def test_connections_stay_within_the_limit_on_sockets() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = UpstreamHarness(peer, max_open=1)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer, max_open=1)
+        attempt, ended = harness.start()
         await until(lambda: peer.got)
-        assert await line.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
+        assert await harness.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
         assert peer.opened == 1
         other = await Peer().start()
         peer.answer_held(ok())
         await ended
-        line.upstreams.apply(members(other.entry("s-2")), False)
-        pool = line.upstreams.pools[members(other.entry("s-2"))[0].upstream.id]
+        harness.upstreams.apply(members(other.entry("s-2")), False)
+        pool = harness.upstreams.pools[members(other.entry("s-2"))[0].upstream.id]
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         pool.start(Attempt(lambda: GET, lambda: True, lambda outcome, answer: done.set_result(outcome)))
         assert await done is Outcome.OK  # the idle connection was closed to make room
-        assert line.upstreams.open_count == 1
+        assert harness.upstreams.open_count == 1
 
     run(test)
 
@@ -519,12 +519,12 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     async def test() -> None:
-        line = UpstreamHarness(await Peer().start())
+        harness = UpstreamHarness(await Peer().start())
         with monkeypatch.context() as patched:
             patched.setattr(socket, "socket", out_of_descriptors)
-            assert await line.outcome() is Outcome.NOT_SENT
-        assert line.upstreams.open_count == 0
-        assert await line.outcome() is Outcome.OK
+            assert await harness.outcome() is Outcome.NOT_SENT
+        assert harness.upstreams.open_count == 0
+        assert await harness.outcome() is Outcome.OK
 
     run(test)
 
@@ -542,9 +542,9 @@
 
 def test_sends_are_not_held_back_by_the_kernel() -> None:
     async def test() -> None:
-        line = UpstreamHarness(await Peer().start())
-        await line.outcome()
-        sock = line.pool.idle[0].sock
+        harness = UpstreamHarness(await Peer().start())
+        await harness.outcome()
+        sock = harness.pool.idle[0].sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
 
     run(test)
@@ -586,7 +586,7 @@
             server.setblocking(False)
             peer = Peer()
             peer.port = server.getsockname()[1]
-            line = UpstreamHarness(peer)
+            harness = UpstreamHarness(peer)
 
             async def answered(ended: asyncio.Future[Any]) -> socket.socket:
                 client, _ = await loop.sock_accept(server)
@@ -595,15 +595,15 @@
                 assert (await ended)[0] is Outcome.OK
                 return client
 
-            first = await answered(line.start()[1])
-            line.pool.idle[0].idle_since_us -= 10 * module.MIN_IDLE_US
+            first = await answered(harness.start()[1])
+            harness.pool.idle[0].idle_since_us -= 10 * module.MIN_IDLE_US
             if how == "stray bytes":
                 first.send(b"x")
             else:
                 if how == "reset":
                     first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 first.close()
-            second = await answered(line.start()[1])
+            second = await answered(harness.start()[1])
             for client in (first, second):
                 client.close()
 
