--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("sockets", [LIMIT, 8 * LIMIT], ids=["told", "only-by-the-system"])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
-def test_discovery_back_is_heard_though_idle_clients_have_all_the_room(
+def test_discovery_is_heard_again_although_idle_clients_use_up_the_descriptors(
         mode: dict[str, Any], sockets: int, tmp_path: Path) -> None:
     """Guards against an idle client that takes the last descriptor when the settings allow more than the system."""
     async def test() -> None:
--- a/tests/ends/test_interrupted.py
+++ b/tests/ends/test_interrupted.py
@@ -30,7 +30,7 @@
 def test_a_kept_connection_that_has_gone_bad_is_not_used_though_polls_are_interrupted(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(select, "poll", InterruptedPoll)
-    test_upstream.test_a_kept_connection_that_has_just_gone_bad_is_not_used(how)
+    test_upstream.test_an_idle_connection_that_has_just_failed_is_not_reused(how)
 
 
 # Guards against a request that is forwarded after its client has gone.
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_drain_is_heard_whether_lists_are_pushed_or_asked_for(mode: dict[str, Any]) -> None:
+def test_a_drain_is_noticed_whether_lists_are_pushed_or_polled(mode: dict[str, Any]) -> None:
     """Guards against missing a drain that was pushed to an agent because the sidecar had no watch open."""
     async def test() -> None:
         peer = await Peer().start()
@@ -64,7 +64,7 @@
     run(test)
 
 
-def test_an_agent_that_is_silent_is_asked_again_before_the_grace_of_a_drain_is_over() -> None:
+def test_a_silent_agent_is_called_again_before_the_drain_grace_ends() -> None:
     """What the agent learns when discovery is back counts as known at once, so no call may hang beyond that."""
     async def test() -> None:
         peer = await Peer().start()
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_new_address_is_asked_at_once_though_a_failed_call_has_to_wait(mode: dict[str, Any]) -> None:
+def test_a_new_address_is_called_at_once_despite_the_backoff_after_a_failure(mode: dict[str, Any]) -> None:
     """Guards against a backoff for the old address that delays the call to the new one: 4 s after SIGHUP the list there
     counts as known."""
     async def test() -> None:
@@ -105,7 +105,7 @@
 
 @given(st.lists(st.tuples(VALUES, st.sampled_from([None, 0, 3]), st.sampled_from(["\n", "\r\n", "\n\n", "", " "]))),
        st.lists(st.integers(1, 9), min_size=1))
-def test_values_are_cut_out_whole_however_they_are_broken(
+def test_values_are_parsed_however_they_are_split(
         values: list[tuple[dict[str, Any], int | None, str]], steps: list[int]) -> None:
     raw = "".join(json.dumps(value, indent=indent) + end for value, indent, end in values).encode()
     stream, found, at, turn = JsonStream(), list[Any](), 0, 0
@@ -124,12 +124,12 @@
 
 
 @pytest.mark.parametrize("raw", [b"7", b"[1]x", b"null\n", b"}", b'{"a":}', b"{]}"])
-def test_what_is_no_list_is_an_error_and_not_waited_for(raw: bytes) -> None:
+def test_invalid_json_is_an_error_at_once(raw: bytes) -> None:
     with pytest.raises(ValueError, match="expected|Expecting|delimiter"):
         list(JsonStream().feed(raw + b"\n"))
 
 
-def test_a_value_without_end_is_an_error_before_it_fills_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_value_is_an_error_before_it_fills_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(jsonstream, "MAX_VALUE_BYTES", 1000)
     stream = JsonStream()
     for piece in (b'{"a":"', b"x" * 900):
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
 @pytest.mark.parametrize("end", [b"\n", b""])
-def test_a_watch_may_write_its_lists_over_many_lines(step: int, end: bytes) -> None:
+def test_a_watch_may_send_lists_over_many_lines(step: int, end: bytes) -> None:
     """A list may be indented, split anywhere and lack a final newline: it is reported as soon as it is complete."""
     async def test() -> None:
         fake = await FakeDiscovery().start()
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("first", [b"", b'{"generation": 42, "reset"'])
-def test_a_watch_silent_from_its_first_second_or_within_a_list_is_opened_anew(
+def test_a_watch_silent_from_the_start_or_within_a_list_is_reopened(
         first: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Only the first call has a short timeout, and only in the case of silence. What happens to a second call when the
     event loop gets no CPU time is left to another test."""
@@ -210,7 +210,7 @@
         found.recv(4096)  # until the peer closes
 
 
-def test_what_has_come_and_is_not_read_yet_is_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_data_that_has_arrived_but_is_unread_does_not_count_as_silence(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against discarding a list that has arrived, by closing its call, when timers run first after the process
     got no CPU time. The event loop reads first; our code does nothing for it."""
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.2)
@@ -233,7 +233,7 @@
     run(test)
 
 
-def test_one_clock_for_silence_holds_for_few_sidecars_at_the_first_failure_and_the_next() -> None:
+def test_with_few_sidecars_silence_and_backoff_stay_within_the_limit_for_two_failures() -> None:
     """What a silent watch misses must be known 6 s after its last data; the shortest drain grace known is 0.5 s."""
     async def test() -> None:
         peer = await Peer().start()
@@ -249,7 +249,7 @@
     run(test)
 
 
-def test_a_drain_told_by_a_list_that_counts_anew_is_kept_at_once_and_taken_back() -> None:
+def test_a_drain_in_a_list_with_restarted_numbering_is_applied_at_once_and_can_be_revoked() -> None:
     """Only later it shows whether discovery lags or restarted its numbering; applying a drain meanwhile is harmless."""
     async def test() -> None:
         peer = await Peer().start()
@@ -263,7 +263,7 @@
     run(test)
 
 
-def test_a_list_that_cannot_be_read_is_told_once_and_leaves_the_last_good_one(
+def test_a_malformed_list_is_logged_once_and_keeps_the_last_valid_one(
         capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         peer = await Peer().start()
@@ -277,7 +277,7 @@
     assert len(said) == 1 and "after 1 instances: KeyError: 'instanceId'" in said[0]
 
 
-def test_a_list_of_nothing_is_a_list() -> None:
+def test_an_empty_list_is_valid() -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await scene_with_watch(peer, {})
@@ -291,7 +291,7 @@
     run(test)
 
 
-def test_zones_that_only_discovery_knows_are_kept_apart_and_nulls_say_nothing() -> None:
+def test_unknown_zones_are_distinct_and_null_means_absent() -> None:
     entries = [{**ENTRY, "instanceId": f"s-{name}", "zone": name} for name in ("x", "b", "y", "x", None)]
     entries[4].update(cell=None, weight=None, startedAtMs=None, machineType=None)
     found = [member.upstream for member in ListParser(["a", "b"], []).parse(listing(*entries)).members]
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_watch_reset_again_while_it_is_opened_anew_is_opened_anew(mode: dict[str, Any]) -> None:
+def test_a_watch_that_is_reset_repeatedly_is_reopened_each_time(mode: dict[str, Any]) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await scene_with_watch(peer, mode)
@@ -315,7 +315,7 @@
 
 @pytest.mark.parametrize("old", ["alive", "silent", "gone"])
 @pytest.mark.parametrize("moves", [1, 2])
-def test_a_new_configuration_while_the_watch_is_down_or_silent_is_followed(old: str, moves: int) -> None:
+def test_an_address_change_while_the_watch_is_down_or_silent_is_followed(old: str, moves: int) -> None:
     """Also when it changes twice within a second: the last address is used, and the drain reported there is applied."""
     async def test() -> None:
         peer = await Peer().start()
@@ -339,7 +339,7 @@
     run(test)
 
 
-def test_settings_with_all_left_out_that_may_be_run_a_sidecar() -> None:
+def test_a_sidecar_runs_with_minimal_settings() -> None:
     """Another customer's settings: no tenants, zones, machine types or reports, one upstream, one try, no advice."""
     async def test() -> None:
         peer = await Peer().start()
--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("works", [True, False], ids=["works-at-all", "works-at-who-is-there"])
 @pytest.mark.parametrize(("room", "most_s"), [(10_000, 1.1 * TOTAL_S), (COUNT // 4, 2.0 * TOTAL_S)],
                          ids=["waits", "refuses"])
-def test_many_that_start_at_once_are_ready_and_all_are_answered(
+def test_many_sidecars_that_start_at_once_are_ready_and_all_are_answered(
         seed: int, works: bool, room: int, most_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against abandoned calls that lose their place in the queue and are processed nevertheless: after the first
     few, no sidecar was ever answered in time."""
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -48,7 +48,8 @@
 @pytest.mark.parametrize("kind", FAILURE_AFTER_S)
 @pytest.mark.parametrize("count", [1, 20, 200])
 @pytest.mark.parametrize("is_silent", [True, False])
-def test_the_sums_of_all_that_may_fail_stay_under_the_clock(mode: str, kind: str, count: int, is_silent: bool) -> None:
+def test_call_times_stay_within_the_limit_for_every_kind_of_failure(
+        mode: str, kind: str, count: int, is_silent: bool) -> None:
     """Also checks that discovery isn't overloaded: the calls of `count` sidecars that share it are spread over time."""
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
@@ -115,7 +116,7 @@
 @pytest.mark.parametrize("instances", [1, 200])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
 @pytest.mark.parametrize("kind", ["reset", "unwell", "cut", "stuck", "silent"])
-def test_a_drain_is_heard_in_time_though_calls_fail_after_a_silent_watch(
+def test_a_drain_is_noticed_in_time_although_calls_fail_after_a_silent_watch(
         kind: str, mode: dict[str, Any], instances: int, failures: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against long waits where many sidecars share discovery: after a silent watch and a failed call the next
     one came 2.5 to 5 s later, and a silent call was waited for."""
@@ -146,7 +147,7 @@
 
 @pytest.mark.parametrize("instances", [1, 200])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
-def test_a_discovery_that_comes_back_after_long_is_heard_in_time(
+def test_a_discovery_that_returns_after_a_long_outage_is_heard_in_time(
         mode: dict[str, Any], instances: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections are refused for half a minute before that."""
     async def test() -> None:
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -52,7 +52,7 @@
 # Guards against a truncated answer when a sweep runs, or room is needed, while the client still reads.
 @pytest.mark.parametrize("close", [False, True])
 @pytest.mark.parametrize("closing", [make_room, sweep])
-def test_an_answer_that_still_leaves_arrives_whole(closing: Callable[[Server], None], close: bool) -> None:
+def test_an_answer_that_is_still_being_sent_arrives_complete(closing: Callable[[Server], None], close: bool) -> None:
     async def test() -> None:
         async with unread_answer(close) as (server, client):
             for connection in server.connections:
@@ -66,7 +66,7 @@
     run(test)
 
 
-def test_a_closing_connection_whose_client_never_reads_is_given_up() -> None:
+def test_a_closing_connection_whose_client_never_reads_is_aborted() -> None:
     async def test() -> None:
         async with unread_answer(True) as (server, client):
             connection, = server.connections
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"nonsense\r\n\r\n"])
-def test_an_attempt_that_is_over_is_over_at_its_upstream_in_the_same_turn(answer: bytes) -> None:
+def test_an_ended_attempt_is_closed_at_its_upstream_in_the_same_loop_iteration(answer: bytes) -> None:
     """Guards against two copies of a request in progress: the event loop closes a connection only in its next
     iteration, and a retry may be written in this one. The test reads the upstream's end before the loop runs again."""
     async def test() -> None:
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("past_us", "sends"), [(1_190_000, 1), (1_201_000, 0)])
-def test_a_keyed_repeat_leaves_before_its_upstreams_forget(
+def test_a_keyed_retry_is_sent_only_within_the_memory_span(
         past_us: int, sends: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """The retry is decided in time, but waits to connect. memory-span is 1.2 s from the send that may have run."""
     async def test() -> None:
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-def test_nothing_is_sent_after_the_deadline_though_a_connection_comes_up_in_its_turn(
+def test_nothing_is_sent_on_a_connection_established_after_the_deadline(
         lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer = await Peer().start()
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("how", ["draining", "replaced", "gone"])
-def test_a_connection_that_comes_up_after_its_upstream_went_carries_nothing(
+def test_a_connection_established_after_its_upstream_left_carries_nothing(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer = await Peer().start()
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize(("lane", "status"), [("view", 503), ("pay", 502), ("mark", 502)])
 @pytest.mark.parametrize("first", ["answer", "deadline"])
-def test_the_deadline_in_the_turn_of_the_answer_gives_one_answer(lane: str, status: int, first: str) -> None:
+def test_deadline_and_answer_in_the_same_loop_iteration_give_one_answer(lane: str, status: int, first: str) -> None:
     """Tests both orders: whichever is handled first determines the answer."""
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("remaining", ["0m", "1m", "7999u", "8m"])
-def test_less_time_than_an_answer_takes_is_refused_and_sent_nowhere(remaining: str) -> None:
+def test_a_request_with_too_little_time_is_refused_and_not_sent(remaining: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -170,7 +170,7 @@
     run(test)
 
 
-def test_a_failed_list_while_a_request_waits_owes_it_still() -> None:
+def test_a_waiting_request_is_answered_although_the_list_fails() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -185,7 +185,7 @@
 
 
 # Guards against a remaining time that was computed before the connect and includes time that has passed since.
-def test_a_request_whose_connection_comes_up_late_tells_the_time_that_is_left_then(
+def test_a_request_on_a_late_connection_carries_the_time_left_then(
         monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         gate = ConnectGate(monkeypatch)
@@ -223,7 +223,7 @@
 # Guards against a request whose unwritten rest reaches its upstream after the request has ended.
 @pytest.mark.parametrize("end", ["its client leaves", "its time ends"])
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-def test_a_request_that_is_half_written_at_its_end_never_becomes_whole(
+def test_a_request_half_written_at_its_end_is_never_completed(
         end: str, lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         held = limit_first_write(monkeypatch)
@@ -251,7 +251,7 @@
     (errno.EADDRNOTAVAIL, Outcome.NOT_SENT), (errno.ENOBUFS, Outcome.NOT_SENT), (errno.ENFILE, Outcome.NOT_SENT),
     (errno.ECONNREFUSED, Outcome.CONNECT_FAILED), (errno.EHOSTUNREACH, Outcome.CONNECT_FAILED),
     (errno.ENETUNREACH, Outcome.CONNECT_FAILED)])
-def test_a_connect_that_fails_says_whose_fault_it_is(
+def test_a_failed_connect_tells_local_faults_from_upstream_faults(
         number: int, outcome: Outcome, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstreams = Upstreams(now_us, 15_000_000, 1_000_000, 10)
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -56,7 +56,7 @@
 
 # Guards against a failed system call that loses the answer to another request, or gives it a wrong one.
 @pytest.mark.parametrize("rates", SERVICE_FAULTS.values(), ids=[name.replace(" ", "-") for name in SERVICE_FAULTS])
-def test_requests_are_answered_while_calls_fail_in_service(tmp_path: Path, rates: dict[Fault, int]) -> None:
+def test_requests_are_answered_while_system_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         job = asyncio.create_task(send_load(sidecar.clients, 4.0))
@@ -93,7 +93,7 @@
 
 # Guards against a shutdown that ends early, or that drops connections which could not be accepted for a while.
 @pytest.mark.parametrize("rates", SHUTDOWN_FAULTS.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN_FAULTS])
-def test_a_shutdown_loses_nothing_while_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
+def test_a_shutdown_loses_nothing_while_system_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         site.upstreams[0].delay_s = site.upstreams[1].delay_s = 1.2
@@ -122,7 +122,7 @@
 
 # Guards against a start that gives up when a system call fails.
 @pytest.mark.parametrize("rates", START_FAULTS.values(), ids=[name.replace(" ", "-") for name in START_FAULTS])
-def test_a_start_outlasts_calls_that_fail_for_a_moment(tmp_path: Path, rates: dict[Fault, int]) -> None:
+def test_a_start_survives_system_calls_that_fail_for_a_while(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         await site.start()
         sidecar = site.sidecars[0]
@@ -140,7 +140,7 @@
 
 
 # Guards against a new configuration that is never applied because its file could not be read for a while.
-def test_a_reload_that_cannot_read_its_file_is_tried_again(tmp_path: Path) -> None:
+def test_a_reload_that_cannot_read_its_file_is_retried(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         other = type(site.discovery)()
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -11,7 +11,7 @@
 
 
 # Guards against telling upstreams more time than the client has left, because its request waited to be read.
-def test_a_request_that_lay_unread_tells_the_time_that_its_client_has_left(tmp_path: Path) -> None:
+def test_a_request_that_waited_unread_carries_the_time_its_client_has_left(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         await asyncio.gather(*(sidecar.clients.call() for _ in range(4)))
--- a/tests/faults/test_last_moment.py
+++ b/tests/faults/test_last_moment.py
@@ -37,8 +37,8 @@
 
 # Guards against requests that are unanswered at SIGKILL because the shutdown time was counted from too late a moment.
 @pytest.mark.parametrize("tell", [terminate_stalled, terminate_unheard])
-def test_a_request_that_comes_last_is_answered_before_sigkill(tell: Callable[[SidecarProcess], Awaitable[None]],
-                                                              tmp_path: Path) -> None:
+def test_the_last_request_is_answered_before_sigkill(tell: Callable[[SidecarProcess], Awaitable[None]],
+                                                    tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         for upstream in site.upstreams:
--- a/tests/faults/test_signals.py
+++ b/tests/faults/test_signals.py
@@ -16,7 +16,8 @@
 # Guards against a SIGTERM that is lost when the wake-up write to the event loop fails, so that only SIGKILL helps.
 @pytest.mark.parametrize("faults", [(Fault.WRITE_ERROR,), (Fault.READ_ERROR,), (Fault.SOCKET, Fault.BIND)],
                          ids=["no write", "no read", "no socket"])
-def test_signals_are_heard_while_the_loop_s_own_calls_fail(faults: tuple[Fault, ...], tmp_path: Path) -> None:
+def test_signals_are_handled_while_system_calls_of_the_event_loop_fail(
+        faults: tuple[Fault, ...], tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         await send_load(sidecar.clients, 0.2)
@@ -32,7 +33,7 @@
 
 
 # Guards against a process that ends with an error after its last answer, because the loop can't be closed.
-def test_an_end_at_which_nothing_can_be_opened_is_a_good_one(tmp_path: Path) -> None:
+def test_a_shutdown_is_clean_although_nothing_can_be_opened(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         await send_load(sidecar.clients, 0.2)
@@ -45,7 +46,7 @@
 
 
 # Guards against a process that the event loop ends because no thread can be started to resolve an address.
-def test_connections_come_up_though_no_thread_can_be_begun(tmp_path: Path) -> None:
+def test_connections_are_established_although_no_thread_can_be_started(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         sidecar.shim.set(always(Fault.THREAD))
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -14,7 +14,7 @@
 
 # Guards against faults that lose a request only when they overlap.
 @pytest.mark.parametrize("plan", PLANS, ids=lambda plan: f"seed-{plan.seed}")
-def test_drawn_faults_over_real_processes_break_no_invariant(plan: Plan, tmp_path: Path) -> None:
+def test_random_faults_in_real_processes_break_no_invariant(plan: Plan, tmp_path: Path) -> None:
     async def test() -> None:
         verdict = await play(plan, tmp_path)
         assert not verdict.violations, verdict.line()
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -66,7 +66,8 @@
 # Guards against answering a request that is not stored, refusing one that is, and leaving one unanswered.
 @pytest.mark.parametrize("rates", FAULTS.values(), ids=[name.replace(" ", "-") for name in FAULTS])
 @pytest.mark.parametrize("killed", [False, True], ids=["goes on", "is killed"])
-def test_a_store_keeps_its_word_while_its_disk_fails(tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
+def test_stored_requests_match_the_answers_while_the_disk_fails(
+        tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
     async def test(site: Site) -> None:
         sidecar = await start_with_store(site)
         job = asyncio.create_task(send_load(sidecar.clients, 2.5, 60.0))
@@ -97,7 +98,7 @@
 
 
 # Guards against a start that gives up because the store's disk or threads fail at that moment.
-def test_a_store_starts_on_a_disk_that_fails_for_a_moment(tmp_path: Path) -> None:
+def test_a_store_starts_on_a_disk_that_fails_for_a_while(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         await site.start()
         sidecar = site.sidecars[0]
@@ -118,7 +119,7 @@
 
 # Guards against storing a keyed request twice within its memory span because the wall clock was stepped.
 @pytest.mark.parametrize("seconds", [3600.0, 5.0, -3600.0])
-def test_the_memory_of_a_keyed_request_outlasts_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
+def test_the_memory_span_of_a_keyed_request_survives_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
     async def test(site: Site) -> None:
         sidecar = await start_with_store(site)
         plain = sidecar.clients.request
--- a/tests/faults/test_take_over.py
+++ b/tests/faults/test_take_over.py
@@ -21,7 +21,8 @@
 
 # Guards against resets of connections in the backlog of a listener that closes next to its successor's.
 @pytest.mark.parametrize("rates", FAULTS.values(), ids=[name.replace(" ", "-") for name in FAULTS])
-def test_a_successor_takes_over_while_calls_of_the_former_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
+def test_a_successor_takes_over_while_system_calls_of_its_predecessor_fail(
+        tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         await site.start(sidecars=2)
         former, successor = site.sidecars
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -33,7 +33,7 @@
     return [kind for kind, _ in reported]
 
 
-def test_a_watch_tells_the_full_list_and_then_each_change() -> None:
+def test_a_watch_reports_the_full_list_and_then_each_change() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
         discovery, reported = await open_watch(fake)
@@ -55,7 +55,7 @@
     run(test)
 
 
-def test_a_line_may_come_in_pieces() -> None:
+def test_a_line_may_arrive_in_pieces() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
         discovery, reported = await open_watch(fake)
@@ -85,7 +85,7 @@
     run(test)
 
 
-def test_there_is_one_watch_however_often_it_is_asked_for() -> None:
+def test_there_is_only_one_watch_for_several_subscriptions() -> None:
     """Guards against further calls, each of which would load discovery and wait in its queue again."""
 
     async def test() -> None:
@@ -168,7 +168,7 @@
     run(test)
 
 
-def test_an_unsubscribed_watch_says_nothing_more() -> None:
+def test_an_unsubscribed_watch_reports_nothing_more() -> None:
     async def test() -> None:
         fake = await FakeDiscovery().start()
         discovery, reported = await open_watch(fake)
@@ -185,7 +185,7 @@
     run(test)
 
 
-def test_the_whole_list_may_be_fetched_once() -> None:
+def test_the_full_list_can_be_fetched_once() -> None:
     async def test() -> None:
         async def whole(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             assert (await read_message(reader)).first == "GET /registry/instances HTTP/1.1"
@@ -205,7 +205,7 @@
     run(test)
 
 
-def test_ids_come_from_the_name_alone_and_never_collide(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ids_depend_only_on_the_name_and_never_collide(monkeypatch: pytest.MonkeyPatch) -> None:
     assert upstream_id("s-5be2a07c") == upstream_id("s-5be2a07c") > 0
     moved = {**ENTRY, "hostPort": "127.0.0.2:1", "zone": "a", "startedAtMs": 0}
     read = ListParser([], []).parse
@@ -227,7 +227,7 @@
     {"generation": 1, "instances": [{**ENTRY, "weight": float("nan")}]},
     {"generation": 1, "instances": [{**ENTRY, "hostPort": "nowhere"}]},
 ])
-def test_a_malformed_list_is_told_in_one_line(data: Any) -> None:
+def test_a_malformed_list_is_reported_in_one_line(data: Any) -> None:
     with pytest.raises(ListError) as caught:
         ListParser([], []).parse(data)
     assert "\n" not in str(caught.value)
@@ -293,7 +293,7 @@
     run(test)
 
 
-def test_a_list_older_than_the_last_counts_only_if_it_stays_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_older_generation_is_accepted_only_if_it_persists(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a discovery replica that lags and makes drained upstreams ready again, and against ignoring
     for ever a discovery service that has restarted its numbering."""
 
@@ -316,7 +316,7 @@
     run(test)
 
 
-def test_a_move_that_is_taken_back_leaves_the_old_watch_alone() -> None:
+def test_a_reverted_address_change_keeps_the_old_watch() -> None:
     async def test() -> None:
         old, new, discovery, reported = await moving_watch()
         watch = discovery.watch
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -31,7 +31,7 @@
         return entry
 
 
-def test_without_a_step_starts_are_taken_as_told() -> None:
+def test_without_a_step_start_times_are_used_as_reported() -> None:
     clocks = Clocks()
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
         assert clocks.entry_with_start(started_us).start_us == started_us
@@ -42,7 +42,7 @@
 # Guards against taking a cold upstream, after a step, for a warm one or for one that starts an hour later.
 @pytest.mark.parametrize("by_us", STEPS_US)
 @pytest.mark.parametrize("stamped", ["before the step", "after it"])
-def test_a_start_that_is_told_after_a_step_is_never_older_than_it_is(by_us: int, stamped: str) -> None:
+def test_a_start_reported_after_a_step_is_never_believed_older_than_it_is(by_us: int, stamped: str) -> None:
     clocks = Clocks()
     started_us = clocks.monotonic_us  # the true start, on the monotonic clock
     stamp_us = started_us
@@ -62,7 +62,7 @@
 
 # Guards against taking a warm upstream for a cold one when the full list is sent again after a step.
 @pytest.mark.parametrize("by_us", STEPS_US)
-def test_a_process_that_is_known_keeps_its_start(by_us: int) -> None:
+def test_a_known_process_keeps_its_start(by_us: int) -> None:
     clocks = Clocks()
     known = clocks.entry_with_start(START_US - 30 * S)
     clocks.step(by_us)
@@ -72,12 +72,12 @@
         START_US + by_us, known).start_us != START_US - 30 * S, "another process with the same id"
 
 
-def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
+def test_a_start_in_the_future_counts_from_when_it_was_reported() -> None:
     clocks = Clocks()
     assert clocks.entry_with_start(START_US + HOUR_US).start_us == START_US
 
 
-def test_many_steps_are_bounded() -> None:
+def test_the_number_of_remembered_steps_is_bounded() -> None:
     clocks = Clocks()
     for _ in range(100):
         clocks.step(HOUR_US)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -91,7 +91,7 @@
     (reply(b"HTTP/1.1 204 None\r\n\r\n"), Outcome.ERROR),
     (reset, Outcome.RESET),
 ])
-def test_each_answer_has_its_outcome(behave: Behaviour, expected: Outcome) -> None:
+def test_each_response_maps_to_its_outcome(behave: Behaviour, expected: Outcome) -> None:
     async def test() -> None:
         harness = UpstreamHarness(await Peer(behave).start())
         assert await harness.outcome() is expected
@@ -101,7 +101,7 @@
     run(test)
 
 
-def test_an_answer_that_breaks_off_is_a_reset() -> None:
+def test_a_truncated_answer_is_a_reset() -> None:
     async def half(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
         writer.close()
@@ -112,7 +112,7 @@
     run(test)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_refused_connection_means_that_the_request_never_ran() -> None:
     async def test() -> None:
         peer = await Peer().start()
         assert peer.server is not None
@@ -124,7 +124,7 @@
     run(test)
 
 
-def test_a_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
+def test_a_connection_lost_before_the_last_byte_is_written_means_never_ran() -> None:
     """Guards against failing a request, as one that may have run, that the upstream never received completely."""
 
     async def test() -> None:
@@ -153,7 +153,7 @@
     run(test)
 
 
-def test_a_connection_is_kept_and_the_newest_is_taken_first(
+def test_connections_are_reused_newest_first(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
@@ -174,7 +174,7 @@
     run(test)
 
 
-def test_a_connection_given_up_on_is_closed_and_not_used_again() -> None:
+def test_a_connection_of_an_abandoned_attempt_is_closed_and_not_reused() -> None:
     """Guards against a late answer that is taken for the answer to the next request."""
 
     async def test() -> None:
@@ -191,7 +191,7 @@
     run(test)
 
 
-def test_giving_up_before_the_connection_is_up_never_ran_and_nothing_is_written(
+def test_an_attempt_abandoned_before_the_connect_never_ran_and_writes_nothing(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "MIN_IDLE_US", 0)
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 408 Timeout\r\n\r\n"])
-def test_a_closed_or_talking_connection_is_not_used_though_the_loop_has_not_seen_it(stray: bytes) -> None:
+def test_a_closed_connection_or_one_with_stray_data_is_not_reused_before_the_loop_reads_it(stray: bytes) -> None:
     """Guards against sending on it: the request would end as a reset, and an unsafe one may not be retried."""
 
     async def test() -> None:
@@ -239,7 +239,7 @@
     run(test)
 
 
-def test_an_idle_connection_that_ends_or_talks_is_dropped() -> None:
+def test_an_idle_connection_that_ends_or_receives_data_is_closed() -> None:
     async def test() -> None:
         peer = await Peer().start()
         harness = UpstreamHarness(peer)
@@ -256,7 +256,7 @@
 
 @pytest.mark.parametrize("more", [
     ok(b"two"), b"\xff\xfe\x00noise\r\n\r\n", b"HTT", b"HTTP/1.1 2x0 OK\r\n\r\n"])
-def test_bytes_after_an_answer_end_the_connection_and_not_the_answer(more: bytes) -> None:
+def test_data_after_an_answer_closes_the_connection_but_keeps_the_answer(more: bytes) -> None:
     """Guards against discarding a complete answer when invalid data in the same read makes the parser fail."""
 
     async def test() -> None:
@@ -268,7 +268,7 @@
     run(test)
 
 
-def test_a_second_copy_that_comes_late_is_not_taken_for_the_next_answer(
+def test_a_late_duplicate_is_not_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against taking it for the answer to the request that follows immediately on the same connection."""
@@ -296,7 +296,7 @@
     run(test)
 
 
-def test_a_drain_while_an_answer_comes_in_pieces_lets_it_come() -> None:
+def test_a_drain_does_not_interrupt_an_answer_that_arrives_in_pieces() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         harness = UpstreamHarness(peer)
@@ -337,7 +337,7 @@
     run(test)
 
 
-def test_an_interim_answer_is_passed_over() -> None:
+def test_an_interim_answer_is_skipped() -> None:
     async def test() -> None:
         peer = await Peer(reply(b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"last"))).start()
         outcome, answer = await UpstreamHarness(peer).start()[1]
@@ -346,7 +346,7 @@
     run(test)
 
 
-def test_a_chunked_answer_is_put_together() -> None:
+def test_a_chunked_answer_is_reassembled() -> None:
     async def test() -> None:
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         outcome, answer = await UpstreamHarness(await Peer(reply(chunked)).start()).start()[1]
@@ -355,7 +355,7 @@
     run(test)
 
 
-def test_kept_connections_of_an_age_that_fails_are_not_trusted_for_a_while() -> None:
+def test_idle_connections_of_an_age_that_fails_are_not_reused_for_a_while() -> None:
     """Guards against reusing connections that an upstream closes long before the configured idle timeout: the
     request that reveals it has failed."""
 
@@ -390,7 +390,7 @@
     run(test)
 
 
-def test_a_new_connection_that_breaks_says_nothing_of_kept_ones() -> None:
+def test_a_failed_new_connection_does_not_count_against_idle_ones() -> None:
     async def test() -> None:
         harness = UpstreamHarness(await Peer(reset).start())
         for _ in range(10):
@@ -400,7 +400,7 @@
     run(test)
 
 
-def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
+def test_an_idle_connection_is_closed_before_the_upstream_closes_it() -> None:
     async def test() -> None:
         peer = await Peer().start()
         harness = UpstreamHarness(peer)
@@ -415,7 +415,7 @@
 
 
 @pytest.mark.parametrize("lifecycle", ["draining", "gone"])
-def test_a_connection_that_comes_up_after_the_drain_is_not_written_to(lifecycle: str) -> None:
+def test_a_connection_established_after_the_drain_is_not_written_to(lifecycle: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
         harness = UpstreamHarness(peer)
@@ -427,7 +427,7 @@
     run(test)
 
 
-def test_a_full_list_without_an_upstream_ends_its_connections() -> None:
+def test_a_full_list_without_an_upstream_closes_its_connections() -> None:
     async def test() -> None:
         peer = await Peer().start()
         harness = UpstreamHarness(peer)
@@ -438,7 +438,7 @@
     run(test)
 
 
-def test_nothing_is_written_for_a_request_that_is_over() -> None:
+def test_nothing_is_written_for_a_request_that_has_ended() -> None:
     async def test() -> None:
         peer = await Peer().start()
         harness = UpstreamHarness(peer)
@@ -449,7 +449,7 @@
     run(test)
 
 
-def test_an_upstream_that_has_restarted_loses_its_old_connections_only() -> None:
+def test_only_older_connections_to_a_restarted_upstream_are_closed() -> None:
     """Guards against using connections to a machine that vanished: they look open and are dead."""
 
     async def test() -> None:
@@ -479,7 +479,7 @@
     run(test)
 
 
-def test_nothing_is_written_to_an_address_that_was_left_while_the_connection_came_up() -> None:
+def test_nothing_is_written_to_an_address_that_changed_during_the_connect() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
         harness = UpstreamHarness(old)
@@ -514,7 +514,7 @@
     run(test)
 
 
-def test_without_a_descriptor_nothing_was_sent_and_nothing_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_file_descriptor_nothing_is_sent_and_nothing_leaks(monkeypatch: pytest.MonkeyPatch) -> None:
     def out_of_descriptors(*args: object) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
@@ -529,7 +529,7 @@
     run(test)
 
 
-def test_the_turned_away_mark_is_read_in_any_case() -> None:
+def test_the_turned_away_header_is_case_insensitive() -> None:
     async def test() -> None:
         assert await UpstreamHarness(await Peer(reply(TURNED_AWAY.lower().replace(b"http/1.1", b"HTTP/1.1"))).start()
                           ).outcome() is Outcome.FULL
@@ -540,7 +540,7 @@
     assert answer.outcome() is Outcome.ERROR
 
 
-def test_sends_are_not_held_back_by_the_kernel() -> None:
+def test_sends_are_not_delayed_by_the_kernel() -> None:
     async def test() -> None:
         harness = UpstreamHarness(await Peer().start())
         await harness.outcome()
@@ -550,7 +550,7 @@
     run(test)
 
 
-def test_room_is_made_by_the_connection_idle_longest_of_all_upstreams() -> None:
+def test_the_connection_idle_longest_of_all_upstreams_is_closed_to_make_room() -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(4)]
         upstreams = Upstreams(now_us, 15_000_000, 5_000_000, 3)
@@ -578,7 +578,7 @@
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
-def test_a_kept_connection_that_has_just_gone_bad_is_not_used(how: str) -> None:
+def test_an_idle_connection_that_has_just_failed_is_not_reused(how: str) -> None:
     """The kernel knows of the close or data, but the event loop has not read it yet."""
     async def test() -> None:
         loop = asyncio.get_running_loop()
