--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -50,7 +50,7 @@
 
 
 def upstream_id(name: str) -> int:
-    """Returns a number that depends on `instanceId` alone: the same in every sidecar and after every restart.
+    """Returns a number that depends only on `instanceId`: the same in every sidecar and after every restart.
 
     The hash comes first and spreads the ids evenly; the name itself follows, so that two names never
     have the same id, even if their hashes collide. (The first byte preserves leading zero bytes.)
@@ -327,7 +327,7 @@
         self.request = (f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
-        self.begun_s = self.last_data_s = loop.time()  # when the last data arrived
+        self.begun_s = self.last_data_s = loop.time()  # when the last data arrived; until then, the begin
         self.silence_timer = loop.call_later(min(discovery.current_timeout_s(), max_first_data_s), self.handle_silence)
         self.task = loop.create_task(self.connect())
 
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -114,9 +114,9 @@
 class CountedClient(Discovery):
     counts: Counter[str]
 
-    def call_watch(self, most_s: float = math.inf) -> CountedCall:
+    def new_watch_call(self, max_first_data_s: float = math.inf) -> CountedCall:
         self.counts["calls"] += 1
-        return CountedCall(self, f"/registry/instances?watch=1&after={self.generation}", most_s)
+        return CountedCall(self, f"/registry/instances?watch=1&after={self.generation}", max_first_data_s)
 
     def fetch(self) -> None:
         self.counts["calls"] += 1
