--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -65,15 +65,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("works", [True, False], ids=["works-at-all", "works-at-who-is-there"])
-@pytest.mark.parametrize(("room", "most_s"), [(10_000, 1.1 * TOTAL_S), (COUNT // 4, 2.0 * TOTAL_S)],
+@pytest.mark.parametrize("handles_abandoned", [True, False], ids=["handles-abandoned-calls", "skips-abandoned-calls"])
+@pytest.mark.parametrize(("queue_limit", "max_s"), [(10_000, 1.1 * TOTAL_S), (COUNT // 4, 2.0 * TOTAL_S)],
                          ids=["waits", "refuses"])
 def test_many_sidecars_that_start_at_once_are_ready_and_all_are_answered(
-        seed: int, works: bool, room: int, most_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
+        seed: int, handles_abandoned: bool, queue_limit: int, max_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against abandoned calls that lose their place in the queue and are processed nevertheless: after the first
     few, no sidecar was ever answered in time."""
     async def test() -> None:
-        discovery = SequentialDiscovery(works, room)
+        discovery = SequentialDiscovery(handles_abandoned, queue_limit)
         await discovery.start()
         begun_s = asyncio.get_running_loop().time()
         sidecars = []
@@ -93,7 +93,7 @@
         assert answered_count() >= 0.9 * 10.0 / CALL_DURATION_S, (seed, answered_count())
         await until(lambda: answered_count() == COUNT)
         took_s = asyncio.get_running_loop().time() - begun_s
-        assert took_s <= most_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
+        assert took_s <= max_s and discovery.calls <= 6 * COUNT, (seed, took_s, discovery.calls)
         for sidecar in sidecars:
             sidecar.discovery.close()
         for task in discovery.tasks:
--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -143,9 +143,9 @@
         txn = headers.get(b"x-txn", b"").decode()
         told = headers.get(b"x-remaining", b"0u")
         # subtract how long the data waited to be read, because this process may be late to read it
-        lay_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
+        unread_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
         told_s = int(told[:-1]) / (1e6 if told.endswith(b"u") else 1e3)
-        self.upstream.ledger.record_arrival(txn, told_s, time.monotonic() - lay_s)
+        self.upstream.ledger.record_arrival(txn, told_s, time.monotonic() - unread_s)
         self.upstream.serve(self, txn)
 
     def answer(self, status: bytes, body: bytes, extra: bytes = b"") -> None:
@@ -154,10 +154,10 @@
 
 
 class Upstream:
-    """An upstream that answers after `delay_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
+    """An upstream that answers after `deunread_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self.ledger, self.delay_s, self.fault = ledger, 0.02, ""
+        self.ledger, self.deunread_s, self.fault = ledger, 0.02, ""
         self.connections: set[UpstreamConnection] = set()
         self.unreadable: list[str] = []
         self.server: asyncio.Server | None = None
@@ -172,7 +172,7 @@
     def serve(self, connection: UpstreamConnection, txn: str) -> None:
         if self.fault == "hang":
             return
-        asyncio.get_running_loop().call_later(self.delay_s, self.answer, connection, txn)
+        asyncio.get_running_loop().call_later(self.deunread_s, self.answer, connection, txn)
 
     def answer(self, connection: UpstreamConnection, txn: str) -> None:
         if connection.transport.is_closing():
