--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -808,7 +808,7 @@
      "listen: expected HOST:PORT, got 'here'"),
     (json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}), "GW_NAME is not set"),
     (json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS,
-                 "known": {"generation": 1, "instances": [{}]}}), "known: a list that is malformed"),
+                 "known": {"generation": 1, "instances": [{}]}}), "known: malformed list after 0 instances"),
 ])
 def test_a_configuration_that_cannot_be_used_ends_with_one_line(
     content: str | None, words: str, tmp_path: Path
