--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -11,7 +11,7 @@
 from ironscale.control.messages import ClassCounts, Report
 from ironscale.introspection import upstream_views
 from ironscale.net.config import ConfigError
-from ironscale.net.discovery import Directory
+from ironscale.net.discovery import ListParser
 from ironscale.net.sidecar import RestartRequired, Sidecar
 
 # What each instance has of its own: a patch for many can't set it.
@@ -45,9 +45,9 @@
     def stop(self) -> None: ...
 
 
-def listed(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
+def listed(entry: api.Upstream, directory: ListParser) -> dict[str, Any]:
     """What the list says of an upstream, by the names that the configuration has for numbers."""
-    zones, kinds = list(directory.zones.listed), list(directory.kinds.listed)
+    zones, kinds = list(directory.zones.configured), list(directory.kinds.configured)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
             "kind": kinds[entry.kind] if entry.kind < len(kinds) else "", "group": str(entry.cell),
             "weight": entry.weight, "startedUs": entry.started_us}
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -63,7 +63,7 @@
         self.sidecar = sidecar
         self.boot = machine_boot()
         self.started_us = sidecar.clock.now_us()
-        self.zones = {index: name for name, index in sidecar.config.directory.zones.listed.items()}
+        self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
         self.longest_s = 0.0  # step on the loop since the start
 
     def spent(self, took_s: float) -> None:
@@ -92,7 +92,7 @@
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MOST_CLASSES] if is_name(c.name)),
             tenants=tuple(t for t in whole.tenants[:MOST_TENANTS] if is_name(t[0])),
-            ages=tuple(sidecar.upstreams.ages.failing), upstreams=tuple(found))
+            ages=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
         snapshot = await in_slices(self.collecting(), self.spent)
@@ -101,7 +101,7 @@
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """A snapshot of that age for this sidecar's decisions."""
         now_us = self.sidecar.clock.now_us()
-        zone = self.sidecar.config.directory.zones.listed.get(snapshot.zone, -1)
+        zone = self.sidecar.config.directory.zones.configured.get(snapshot.zone, -1)
         return lessons_of(snapshot, now_us - age_us, now_us, zone, upstream_id)
 
 
@@ -138,7 +138,7 @@
             for text in lines:
                 self.log(text)
             if snapshot is not None:
-                self.sidecar.upstreams.ages.recall(snapshot.ages, age_us)
+                self.sidecar.upstreams.idle_failures.restore(snapshot.ages, age_us)
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: environment and JSON file into one checked `Config`."""
+"""The configuration of a sidecar at its start: reads the environment and JSON files into one validated `Config`."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 
 from ironscale import settings
 from ironscale.interface import Settings
-from ironscale.net.discovery import Directory, ListError, Listing
+from ironscale.net.discovery import ListError, Listing, ListParser
 
 Address = tuple[str, int]
 LEAST_SOCKETS = 64
-# A shared discovery works at calls in turn; the settings don't say for how long one may wait (3 s at one customer's).
+# A shared discovery service handles calls one after another. The settings don't say how long a call may wait there; at
+# one customer's it is 3 s.
 CALL_US = 3_300_000
-LEAST_ANSWER_US, MOST_ANSWER_US = 250_000, 1_000_000  # of an agent on this machine, which answers at once
+LEAST_ANSWER_US, MOST_ANSWER_US = 250_000, 1_000_000  # limits for an agent on this machine, which answers at once
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text is one line."""
+    """An invalid configuration. The message is one line."""
 
 
 @dataclass(slots=True)
@@ -27,17 +28,17 @@
     name: str
     listen: Address
     discovery: Address
-    file_discovery: Address | None  # a reload goes by this: the environment can't change
+    file_discovery: Address | None  # used by a reload, because the environment can't change
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # limit on open file descriptors of the process
     settings: Settings
-    report_fields: list[str]  # as answers' load reports name them
-    discovery_timeout_us: int  # discovery answers a call within so long, or it will not
-    upstream_idle_timeout_us: int  # an upstream closes a connection that has been idle for this long
-    directory: Directory  # reads discovery's lists with the settings' zone and kind names
-    known: Listing  # the list as last known; may be empty or old
-    document: Mapping[str, Any]  # the JSON that all this was read from
-    generation: int = 0  # of the overlay that it was started with; 0 = none
+    report_fields: list[str]  # names of the fields in the load reports of answers
+    discovery_timeout_us: int  # a call that discovery has not answered by then counts as failed
+    upstream_idle_timeout_us: int  # an upstream closes a connection that was idle for this long
+    directory: ListParser  # parses the lists of discovery, with the zone and machine type names of the settings
+    known: Listing  # the last known list of upstreams; may be empty or outdated
+    document: Mapping[str, Any]  # the JSON document that this was read from
+    generation: int = 0  # generation of the overlay that the process started with; 0 if there is none
     overlay: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -48,12 +49,13 @@
     return host, int(port)
 
 
-def _names(value: object) -> list[str]:
+def _string_list(value: object) -> list[str]:
     return [str(name) for name in value] if isinstance(value, list) else []
 
 
-def _answer_us(options: settings.Options) -> int:
-    """Hazard: what an agent on this machine has counts as told, also while it is silent and as soon as it is back."""
+def _answer_timeout_us(options: settings.Options) -> int:
+    """Returns how long a call to discovery may wait for its answer. For an agent on this machine it is short: what the
+    agent knows counts as known to the sidecar, even while the agent is silent and as soon as it is back."""
     if options.text("registry-mode") == "on_request":
         return CALL_US
     grace_us = options.whole("invariants.drain-grace", "1000000")
@@ -61,9 +63,9 @@
 
 
 def parse(data: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    """The environment's name and addresses go before those in the file."""
+    """Validates the document. Name and addresses in the environment take precedence. Raises ConfigError."""
 
-    def told(variable: str, key: str) -> str:
+    def required(variable: str, key: str) -> str:
         value = environ.get(variable) or data.get(key)
         if not value:
             raise ConfigError(f"{variable} is not set and the configuration has no {key!r}")
@@ -73,22 +75,22 @@
     try:
         options = settings.from_object(raw)
         assert isinstance(raw, dict)
-        directory = Directory(_names(raw.get("areas")), _names(raw.get("kinds")))
-        in_file = data.get("discovery")
+        directory = ListParser(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
+        address_in_file = data.get("discovery")
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
-        last_known_list = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
+        last_known_list = directory.parse(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
-            name=told("GW_NAME", "name"),
-            listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
-            discovery=parse_address(told("GW_DISCOVERY", "discovery"), "discovery"),
-            file_discovery=parse_address(in_file, "discovery") if in_file else None,
+            name=required("GW_NAME", "name"),
+            listen=parse_address(required("GW_LISTEN", "listen"), "listen"),
+            discovery=parse_address(required("GW_DISCOVERY", "discovery"), "discovery"),
+            file_discovery=parse_address(address_in_file, "discovery") if address_in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
             report_fields=[name for name in options.text("report.names", "").split(",") if name],
-            discovery_timeout_us=_answer_us(options),
+            discovery_timeout_us=_answer_timeout_us(options),
             upstream_idle_timeout_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
             known=last_known_list,
@@ -103,7 +105,7 @@
 
 
 def apply_merge_patch(base: Any, patch: Any) -> Any:
-    """`base` with a JSON merge patch (RFC 7396) on it; neither is changed."""
+    """Returns `base` with a JSON merge patch (RFC 7396) applied; neither argument is modified."""
     if not isinstance(patch, Mapping):
         return patch
     result = dict(base) if isinstance(base, Mapping) else {}
@@ -116,6 +118,7 @@
 
 
 def read_json_object(path: str) -> dict[str, Any]:
+    """Reads a JSON file that holds an object. Raises ConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -129,7 +132,8 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """GW_CONFIG names the file; GW_OVERLAY, if set, one of `generation` and `overlay`, a patch on the first."""
+    """Reads the file that GW_CONFIG names. GW_OVERLAY, if set, names a file with `generation` and `overlay`, a JSON
+    merge patch for the first file. Raises ConfigError."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
--- a/ironscale/net/discovery.py
+++ b/ironscale/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: reads its lists and keeps one watch on their changes."""
+"""Client of the discovery service: parses its lists of upstreams and keeps one watch open for their changes."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 
 from ironscale.interface import ListKind, Upstream, UpstreamState
 from ironscale.net import discovery_schedule
-from ironscale.net.jsonstream import Blank, JsonStream
-
-PATH = "/registry/instances"
-CONNECT_S = 2.0
-SILENCE_S = discovery_schedule.SILENCE_S
-MOVE_AGAIN_S = 0.25
-KEPT_S = 60.0  # that the oldest call may wait for its turn beside those begun later
-# A discovery that stays behind our list for this long has begun to count anew; one that lags has caught up.
-BEHIND_S = 3.0
+from ironscale.net.jsonstream import BlankLine, JsonStream
+
+LIST_PATH = "/registry/instances"
+CONNECT_TIMEOUT_S = 2.0
+SILENCE_TIMEOUT_S = discovery_schedule.SILENCE_TIMEOUT_S
+MOVE_RETRY_S = 0.25
+LATE_ANSWER_TIMEOUT_S = 60.0  # how long the oldest unanswered call stays open in parallel with later ones
+# A discovery service whose generation stays lower than ours for this long has restarted its numbering; one that merely
+# lags has caught up by then.
+MAX_LAG_S = 3.0
 _STATES = {state.value: state for state in UpstreamState}
 
 
 class ListError(Exception):
-    """A list that cannot be read."""
+    """A list from discovery that is malformed."""
 
 
 @dataclass(slots=True)
 class Member:
-    """One entry: what the decisions see of it, and where it listens."""
+    """One entry of a list: the upstream as the balancer sees it, and the address where it listens."""
 
     upstream: Upstream
     address: tuple[str, int]
@@ -41,58 +42,62 @@
 
 @dataclass(slots=True)
 class Listing:
+    """A list from discovery: all upstreams if `full`, otherwise those that changed."""
+
     generation: int
     full: bool
     members: list[Member] = field(default_factory=list)
 
 
 def upstream_id(name: str) -> int:
-    """A number made from `instanceId` alone: the same at every sidecar and after every restart.
+    """Returns a number that depends only on `instanceId`: the same in every sidecar and after every restart.
 
-    The hash in front spreads the ids evenly; the name itself follows, so that two names never
-    share a number, whatever their hashes. (The first byte keeps zeros behind it from being lost.)
+    The hash comes first and spreads the ids evenly; the name itself follows, so that two names never
+    have the same id, even if their hashes collide. (The first byte preserves leading zero bytes.)
     """
     raw = name.encode()
     return int.from_bytes(b"\1" + hashlib.blake2b(raw, digest_size=8).digest() + raw)
 
 
-class Names:
-    """Indexes into the settings' list, and beyond it for names that only discovery knows. Hazard: two unknown zones
-    that share an index would be one to the rule that keeps repeats of a request within its zone."""
+class NameIndex:
+    """Maps names to their indexes in the settings' list, and names that only discovery knows to indexes beyond it. Each
+    unknown name gets its own index: two unknown zones with one index would count as the same zone for the rule that
+    keeps retries of a request within its zone."""
 
     def __init__(self, names: list[str]) -> None:
-        self.listed = {name: index for index, name in enumerate(names)}
-        self.others: dict[str, int] = {}
+        self.configured = {name: index for index, name in enumerate(names)}
+        self.discovered: dict[str, int] = {}
 
     def index(self, name: object) -> int:
         text = str(name or "")
-        found = self.listed.get(text)
-        return self.others.setdefault(text, len(self.listed) + len(self.others)) if found is None else found
+        found = self.configured.get(text)
+        return self.discovered.setdefault(text, len(self.configured) + len(self.discovered)) if found is None else found
 
 
-class Directory:
-    """Reads discovery's JSON; zones and machine types become indexes into the settings' lists."""
+class ListParser:
+    """Parses the JSON lists of discovery. Zones and machine types become indexes into the settings' lists."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.zones, self.kinds = Names(zones), Names(kinds)
+        self.zones, self.kinds = NameIndex(zones), NameIndex(kinds)
 
-    def read(self, data: Any) -> Listing:
+    def parse(self, data: Any) -> Listing:
+        """Parses one list. Raises ListError."""
         members: list[Member] = []
         try:
             for entry in data["instances"]:
-                members.append(self._member(entry))
+                members.append(self._parse_member(entry))
             return Listing(int(data["generation"]), bool(data.get("reset", False)), members)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ListError(f"a list that is malformed, after {len(members)} instances: "
+            raise ListError(f"malformed list after {len(members)} instances: "
                             f"{type(error).__name__}: {error}") from error
 
-    def _member(self, entry: dict[str, Any]) -> Member:
+    def _parse_member(self, entry: dict[str, Any]) -> Member:
         name = str(entry["instanceId"])
         host, _, port = str(entry["hostPort"]).rpartition(":")
         weight = entry.get("weight")
-        weight = 1.0 if weight is None else float(weight)  # nothing and null say the same, here and below
+        weight = 1.0 if weight is None else float(weight)  # a missing key means the same as null, here and below
         if not math.isfinite(weight):
-            raise ValueError(f"weight {weight}")
+            raise ValueError(f"weight is not finite: {weight}")
         upstream = Upstream(
             id=upstream_id(name),
             state=_STATES[entry["lifecycle"]],
@@ -109,187 +114,197 @@
 
 
 class Discovery:
-    """Carries out `Subscribe` and `FetchList`. A watch that ends is told as `FAILED` and opened anew: as soon as the
-    decisions ask for it, and without them no later than `discovery_schedule` says; where many share a discovery,
-    then and no sooner."""
+    """Carries out the actions `Subscribe` and `FetchList`. The end of a watch is reported as `FAILED`, and a new watch
+    is opened: as soon as the balancer asks for it, and no later than the time that `discovery_schedule`
+    computes. If many sidecars share a discovery service, it is opened at that time and not before."""
 
-    def __init__(self, address: tuple[str, int], directory: Directory, generation: int, on_list: OnList,
-                 answer_s: float, log: Callable[[str], None], shared: bool = False, seed: int = 0) -> None:
+    def __init__(self, address: tuple[str, int], parser: ListParser, generation: int, on_list: OnList,
+                 first_data_timeout_s: float, log: Callable[[str], None], is_shared: bool = False,
+                 seed: int = 0) -> None:
         self.address = address
-        self.answer_s = answer_s  # a call that has no answer by then will have none
+        self.first_data_timeout_s = first_data_timeout_s  # time to wait for the first data of a call
         self.log = log
-        self.unanswered = 0  # calls in a row that have fallen silent before their first word
-        self.directory = directory
-        self.generation = generation  # of the list as told to `on_list`
+        self.silent_calls = 0  # consecutive calls that timed out before their first data
+        self.parser = parser
+        self.generation = generation  # of the list that was last passed to `on_list`
         self.on_list = on_list
-        self.shared = shared  # by many sidecars: calls are made in turns
+        self.is_shared = is_shared  # many sidecars use this service, so calls are spread over time
         self.random = random.Random(seed)
-        self.heard_s: float | None = None  # the last word of a watch; None before the first
-        self.begun = 0  # calls since then
-        self.last_s = 0.0  # when the last one began
-        self.again: asyncio.TimerHandle | None = None  # begins the next one
-        self.waiting: dict[_Call, None] = {}  # begun before `watch`, still without a word, which may come; oldest first
+        self.last_heard_s: float | None = None  # when a watch last received data; None before the first time
+        self.calls_begun = 0  # calls begun since then
+        self.last_begun_s = 0.0  # when the last call began
+        self.next_call_timer: asyncio.TimerHandle | None = None  # timer that begins the next call
+        self.late_calls: dict[_Call, None] = {}  # unanswered calls that began before `watch`, oldest first
         self.watch: _Call | None = None
-        self.successor: _Call | None = None  # the watch at a new address, until it has answered
-        self.mover: asyncio.TimerHandle | None = None
+        self.successor: _Call | None = None  # the watch at a new address, until its first data arrives
+        self.move_timer: asyncio.TimerHandle | None = None
         self.fetches: set[_Call] = set()
 
     def subscribe(self) -> None:
         if self.watch is None:
-            if self.again is None or not self.shared:
-                self.open()
-        elif self.watch.answered:
-            # the watch already tells every change: nothing is missing
+            if self.next_call_timer is None or not self.is_shared:
+                self.open_watch()
+        elif self.watch.has_answered:
+            # the open watch already delivers every change, so the list is up to date
             self.on_list(ListKind.DELTA, Listing(self.generation, False))
-        # else the call that is out will be the answer: a second one would wait behind it
+        # otherwise the pending call will report: discovery would handle a second one only after it
 
-    def open(self) -> None:
-        """A new call; one that is out already goes on beside it, as long as its patience lasts."""
+    def open_watch(self) -> None:
+        """Begins a new watch call. A pending one continues in parallel until its timeout."""
         if self.watch is not None:
-            self.waiting[self.watch] = None
-        self.watch = self.call_watch()
-        self.has_begun(self.watch)
-
-    def has_begun(self, call: _Call) -> None:
-        """The next one begins beside it if it stays without a word."""
-        self.begun += 1
-        self.last_s = call.began_s
-        self.open_at(discovery_schedule.beside_s(self.heard_s, self.begun, self.last_s, self.random.random()))
-
-    def open_at(self, at_s: float | None) -> None:
-        if self.again is not None:
-            self.again.cancel()
-        self.again = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open)
-
-    def call_watch(self, most_s: float = math.inf) -> _Call:
-        return _Call(self, f"{PATH}?watch=1&after={self.generation}", most_s)
+            self.late_calls[self.watch] = None
+        self.watch = self.new_watch_call()
+        self.record_begin(self.watch)
+
+    def record_begin(self, call: _Call) -> None:
+        """Records the begin of a call, and schedules another to begin in parallel if this one receives no data."""
+        self.calls_begun += 1
+        self.last_begun_s = call.begun_s
+        self.schedule_watch(discovery_schedule.parallel_start_s(
+            self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
+
+    def schedule_watch(self, at_s: float | None) -> None:
+        """Schedules the next call, in place of the one scheduled so far; None only cancels that."""
+        if self.next_call_timer is not None:
+            self.next_call_timer.cancel()
+        self.next_call_timer = None if at_s is None else asyncio.get_running_loop().call_at(at_s, self.open_watch)
+
+    def new_watch_call(self, max_first_data_s: float = math.inf) -> _Call:
+        return _Call(self, f"{LIST_PATH}?watch=1&after={self.generation}", max_first_data_s)
 
     def unsubscribe(self) -> None:
-        self.stop_moving()
-        self.open_at(None)
-        while self.waiting:
-            self.waiting.popitem()[0].close()
+        self.cancel_successor()
+        self.schedule_watch(None)
+        while self.late_calls:
+            self.late_calls.popitem()[0].close()
         if self.watch is not None:
             watch, self.watch = self.watch, None
             watch.close()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Discovery is there now; the watch at the old address serves until the new one has answered."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Switches to a new address. The watch at the old one stays open until the new one has answered."""
         if address != self.address:
             self.address = address
-            self.stop_moving()
-            if self.watch is None:  # hazard: the decisions' back-off is for the old address; the new one counts soon
-                self.open()
-            self.start_moving()
+            self.cancel_successor()
+            if self.watch is None:  # don't wait: the balancer's backoff was for the old address
+                self.open_watch()
+            self.open_successor()
 
-    def start_moving(self) -> None:
+    def open_successor(self) -> None:
         if self.watch is not None and self.watch.address != self.address and self.successor is None:
-            self.successor = self.call_watch(discovery_schedule.SPAN_S - MOVE_AGAIN_S)  # none begins beside it
+            # without parallel calls
+            self.successor = self.new_watch_call(discovery_schedule.MAX_CALL_GAP_S - MOVE_RETRY_S)
 
-    def stop_moving(self) -> None:
-        if self.mover is not None:
-            self.mover.cancel()
+    def cancel_successor(self) -> None:
+        if self.move_timer is not None:
+            self.move_timer.cancel()
         if self.successor is not None:
             successor, self.successor = self.successor, None
             successor.close()
 
     def fetch(self) -> None:
-        self.fetches.add(_Call(self, PATH))
+        self.fetches.add(_Call(self, LIST_PATH))
 
     def close(self) -> None:
         self.unsubscribe()
         while self.fetches:
             self.fetches.pop().close()
 
-    def patience_s(self) -> float:
-        """For a call's first word. Hazard: a discovery that needs longer than thought would never be heard."""
-        return self.answer_s * (2 if self.unanswered else 1)
+    def current_timeout_s(self) -> float:
+        """Returns how long a call may wait for its first data. It doubles after a timeout: otherwise a discovery
+        service that is slower than expected would never be heard."""
+        return self.first_data_timeout_s * (2 if self.silent_calls else 1)
 
-    def told(self, call: _Call, value: Any | Blank) -> None:
-        if not isinstance(value, Blank):
-            listing = self.directory.read(value)
-        elif call.answered and call.behind_since_s is None:
+    def handle_value(self, call: _Call, value: Any | BlankLine) -> None:
+        """Handles one list or heartbeat that a call has received."""
+        if not isinstance(value, BlankLine):
+            listing = self.parser.parse(value)
+        elif call.has_answered and call.lagging_since_s is None:
             return
-        else:  # alive, and nothing has changed since our list
-            listing = Listing(self.generation if call.behind_since_s is None else -1, False)
-        is_first = not call.answered
-        call.answered, self.unanswered = True, 0
-        if call is self.successor or call in self.waiting:
-            self.waiting.pop(call, None)
+        else:  # a heartbeat: nothing has changed since our list
+            listing = Listing(self.generation if call.lagging_since_s is None else -1, False)
+        is_first = not call.has_answered
+        call.has_answered, self.silent_calls = True, 0
+        if call is self.successor or call in self.late_calls:
+            self.late_calls.pop(call, None)
             if self.watch is not None:
                 self.watch.close()
             self.watch = call
             if call is self.successor:
                 self.successor = None
         if is_first and call is self.watch:
-            self.has_word()
+            self.handle_first_data()
         if call is not self.watch and (not listing.full or listing.generation < self.generation):
-            return  # a fetched list that a watch has overtaken
+            return  # a fetched list that is older than what the watch has delivered
         if listing.generation < self.generation:
-            # hazard: a discovery that lags behind the last one would make drained upstreams ready again
-            if not self.may_lag(call):
-                self.generation = 0  # the next watch is told the whole list
-                call.end()
+            # A discovery replica that lags behind the previous one would make drained upstreams ready again.
+            if not self.is_lag_tolerated(call):
+                self.generation = 0  # makes the next watch begin with the full list
+                call.finish()
                 return
-            # hazard: one that counts anew tells drains too, and they count at once; heeded in vain, an upstream is
-            # left out until its next word
-            heeded = [m for m in listing.members
-                      if m.upstream.state is UpstreamState.DRAINING or m.name in call.heeded]
-            call.heeded.update(member.name for member in heeded)
-            listing = Listing(self.generation, False, heeded)
+            # If discovery has restarted its numbering instead, the drains in its lists are valid, so they are applied
+            # at once. If they turn out to be outdated, the upstream is left out only until its next update.
+            drains = [m for m in listing.members
+                      if m.upstream.state is UpstreamState.DRAINING or m.name in call.drained_while_lagging]
+            call.drained_while_lagging.update(member.name for member in drains)
+            listing = Listing(self.generation, False, drains)
         else:
-            call.behind_since_s = None
+            call.lagging_since_s = None
         self.generation = listing.generation
         self.on_list(ListKind.FULL if listing.full else ListKind.DELTA, listing)
 
-    def has_word(self) -> None:
-        """The watch tells: what else was begun in its place is not needed."""
-        self.begun = 0
-        self.open_at(None)
-        while self.waiting:
-            self.waiting.popitem()[0].close()
-        self.start_moving()  # an older call may have been answered at an address that has moved since
+    def handle_first_data(self) -> None:
+        """The watch has received its first data: cancels the calls that were begun to replace it."""
+        self.calls_begun = 0
+        self.schedule_watch(None)
+        while self.late_calls:
+            self.late_calls.popitem()[0].close()
+        self.open_successor()  # the answer may come from an address that was replaced since the call began
 
-    def may_lag(self, call: _Call) -> bool:
+    def is_lag_tolerated(self, call: _Call) -> bool:
+        """Whether discovery may still be lagging, rather than have restarted its numbering."""
         now_s = asyncio.get_running_loop().time()
-        if call.behind_since_s is None:
-            call.behind_since_s = now_s
-        return now_s - call.behind_since_s < BEHIND_S
-
-    def keeps(self, call: _Call) -> bool:
-        """Whether a call stays out whose first word is late. Hazard: given up it loses its place at a discovery
-        that answers in turns, which may work at it all the same; 200 that all did so were never answered."""
-        if call is self.watch and not self.waiting and self.successor is None:
-            self.waiting[call], self.watch = None, None
-            self.has_failed()
+        if call.lagging_since_s is None:
+            call.lagging_since_s = now_s
+        return now_s - call.lagging_since_s < MAX_LAG_S
+
+    def keeps_open(self, call: _Call) -> bool:
+        """Whether a call whose first data is late stays open. If it were closed, it would lose its place in the queue
+        of a discovery service that handles calls one after another, which may process it nevertheless: when 200
+        sidecars all gave up in this way, none of them was ever answered."""
+        if call is self.watch and not self.late_calls and self.successor is None:
+            self.late_calls[call], self.watch = None, None
+            self.handle_failure()
             return True
-        return call is next(iter(self.waiting), None)
+        return call is next(iter(self.late_calls), None)
 
-    def has_failed(self) -> None:
+    def handle_failure(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.open_at(discovery_schedule.after_end_s(now_s, self.heard_s, self.begun, self.last_s, self.random.random()))
+        self.schedule_watch(discovery_schedule.start_after_end_s(
+            now_s, self.last_heard_s, self.calls_begun, self.last_begun_s, self.random.random()))
         self.on_list(ListKind.FAILED, None)
 
-    def ended(self, call: _Call) -> None:
+    def handle_end(self, call: _Call) -> None:
+        """Handles the end of a call."""
         if call is self.successor:
             self.successor = None
-            self.mover = asyncio.get_running_loop().call_later(MOVE_AGAIN_S, self.start_moving)
+            self.move_timer = asyncio.get_running_loop().call_later(MOVE_RETRY_S, self.open_successor)
             return
-        if call in self.waiting:
-            del self.waiting[call]
-            return  # another has begun, and its answer or end will be told
+        if call in self.late_calls:
+            del self.late_calls[call]
+            return  # a later call has begun and will report its answer or its end
         if call is self.watch:
-            if call.answered:
-                self.heard_s = call.heard_s
+            if call.has_answered:
+                self.last_heard_s = call.last_data_s
             self.watch, self.successor = self.successor, None
             if self.watch is not None:
-                self.has_begun(self.watch)
-                return  # its answer, or its end, will be told
-            self.has_failed()
+                self.record_begin(self.watch)
+                return  # it will report its answer or its end
+            self.handle_failure()
             return
         if call in self.fetches:
             self.fetches.discard(call)
-            if call.answered:
+            if call.has_answered:
                 return
         else:
             return
@@ -297,94 +312,96 @@
 
 
 class _Call(asyncio.Protocol):
-    """One call to discovery, from connecting to its end."""
-
-    def __init__(self, owner: Discovery, target: str, most_s: float = math.inf) -> None:
-        self.owner = owner
-        self.most_s = most_s  # that its first word may take
-        self.address = owner.address
-        self.answered = False
-        self.behind_since_s: float | None = None  # since when its lists are older than ours
-        self.heeded: set[str] = set()  # whose drain was told by such a list
-        self.over = False
+    """One HTTP call to discovery, from the connect to the end of the response."""
+
+    def __init__(self, discovery: Discovery, target: str, max_first_data_s: float = math.inf) -> None:
+        self.discovery = discovery
+        self.max_first_data_s = max_first_data_s  # upper limit on the wait for its first data
+        self.address = discovery.address
+        self.has_answered = False
+        self.lagging_since_s: float | None = None  # since when its lists have been older than ours, if they are
+        self.drained_while_lagging: set[str] = set()  # names of upstreams whose drain such a list reported
+        self.is_closed = False
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.stream = JsonStream()
         self.request = (f"GET {target} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
                         "Accept: application/json\r\n\r\n").encode()
         loop = asyncio.get_running_loop()
-        self.began_s = self.heard_s = loop.time()  # the last byte from there
-        self.silence = loop.call_later(min(owner.patience_s(), most_s), self.fall_silent)
+        self.begun_s = self.last_data_s = loop.time()  # when the last data arrived; until then, the begin
+        self.silence_timer = loop.call_later(min(discovery.current_timeout_s(), max_first_data_s), self.handle_silence)
         self.task = loop.create_task(self.connect())
 
     async def connect(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
-            self.end()
+            self.finish()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's own are no subclass
-        if self.over:
+        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses
+        if self.is_closed:
             transport.abort()
         else:
             transport.write(self.request)
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.is_closed:
             return
-        # any byte is a sign of life; silence on an open connection is the only sign of a lost one
-        self.silence.cancel()
-        loop, limit_s = asyncio.get_running_loop(), SILENCE_S
-        if not self.answered:
-            limit_s = min(self.owner.patience_s(), self.most_s)
-        self.heard_s = loop.time()
-        self.silence = loop.call_later(limit_s, self.fall_silent)
+        # any data shows that the connection works; a lost connection can only be noticed by the lack of data
+        self.silence_timer.cancel()
+        loop, limit_s = asyncio.get_running_loop(), SILENCE_TIMEOUT_S
+        if not self.has_answered:
+            limit_s = min(self.discovery.current_timeout_s(), self.max_first_data_s)
+        self.last_data_s = loop.time()
+        self.silence_timer = loop.call_later(limit_s, self.handle_silence)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # what a callback raises comes wrapped
-            self.owner.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
-            self.end()
+            # exceptions of callbacks are wrapped in HttpParserError
+            self.discovery.log(f"discovery at {self.address[0]}:{self.address[1]}: {error.__context__ or error}")
+            self.finish()
 
     def on_headers_complete(self) -> None:
         if self.parser.get_status_code() != 200:
-            self.end()
+            self.finish()
 
     def on_body(self, data: bytes) -> None:
-        if self.over:
+        if self.is_closed:
             return
         for value in self.stream.feed(data):
-            self.owner.told(self, value)
-            if self.over:
+            self.discovery.handle_value(self, value)
+            if self.is_closed:
                 return
 
     def on_message_complete(self) -> None:
-        if not self.over and not self.stream.is_between:
-            raise ValueError("an answer that ends within a list")
-        self.end()
-
-    def fall_silent(self) -> None:
-        self.owner.unanswered += not self.answered
-        if not self.answered and self.heard_s == self.began_s and self.transport is not None and self.owner.keeps(self):
-            self.silence = asyncio.get_running_loop().call_later(KEPT_S, self.end)
+        if not self.is_closed and not self.stream.is_between_values:
+            raise ValueError("the response ended in the middle of a list")
+        self.finish()
+
+    def handle_silence(self) -> None:
+        """Handles the timeout of a call that has received no data."""
+        self.discovery.silent_calls += not self.has_answered
+        if (not self.has_answered and self.last_data_s == self.begun_s and self.transport is not None
+                and self.discovery.keeps_open(self)):
+            self.silence_timer = asyncio.get_running_loop().call_later(LATE_ANSWER_TIMEOUT_S, self.finish)
         else:
-            self.end()
+            self.finish()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end()
+        self.finish()
 
     def close(self) -> None:
-        self.over = True
-        self.silence.cancel()
+        self.is_closed = True
+        self.silence_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
         elif self.task is not asyncio.current_task():
             self.task.cancel()
 
-    def end(self) -> None:
-        """The call is over, by itself or by its silence; told once."""
-        if not self.over:
+    def finish(self) -> None:
+        """Ends the call, because the response ended, failed or timed out. Reports the end once."""
+        if not self.is_closed:
             self.close()
-            self.owner.ended(self)
+            self.discovery.handle_end(self)
--- a/ironscale/net/jsonstream.py
+++ b/ironscale/net/jsonstream.py
@@ -1,4 +1,4 @@
-"""JSON values cut out of a stream of bytes, however they are broken over lines and pieces. No I/O."""
+"""Incremental parser for a stream of JSON values, however they are split over lines and chunks. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,85 +7,90 @@
 from collections.abc import Iterator
 from typing import Any
 
-LONGEST = 16 << 20  # of one value
-# Up to the next bracket, past whole strings: what braces stand in a string means nothing. Never gives back what it took
-# (possessive), so that each byte is looked at once; a string whose end has not come yet is not passed.
-TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
+MAX_VALUE_BYTES = 16 << 20  # limit for one value
+# Matches up to the next bracket and skips complete strings, because brackets inside a string don't count. The
+# quantifiers are possessive (no backtracking), so that each byte is examined once. A string whose end has not arrived
+# yet is not skipped.
+UP_TO_BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)
 OPENING, CLOSING = b"{[", b"}]"
-SPACE = b" \t\r\n"
+WHITESPACE = b" \t\r\n"
 
 
-class Blank:
-    """A line with nothing on it, between two values."""
+class BlankLine:
+    """An empty line between two values; discovery sends it as a heartbeat."""
 
 
-BLANK = Blank()
+BLANK_LINE = BlankLine()
 
 
 class JsonStream:
-    """Takes bytes, gives objects and arrays as they become whole, and `BLANK` for each empty line between them.
+    """Takes bytes and yields each object or array once it is complete, and `BLANK_LINE` for each empty line between
+    them.
 
-    Raises ValueError (which json's own error is) for what is no such value, and past `LONGEST`.
+    Raises ValueError (of which JSONDecodeError is a subclass) for anything else, and for a value longer than
+    `MAX_VALUE_BYTES`.
     """
 
     def __init__(self) -> None:
-        self.data = bytearray()  # of the value that has begun, from its first byte on
-        self.at = 0  # looked at so far
+        self.buffer = bytearray()  # the unfinished value, from its first byte on
+        self.position = 0  # number of bytes in `buffer` that have been examined
         self.depth = 0
-        self.is_blank = True  # nothing has stood on this line yet
+        self.is_line_blank = True  # no value has begun on the current line
 
     @property
-    def is_between(self) -> bool:
-        """No value has begun that is not whole."""
-        return not self.data
+    def is_between_values(self) -> bool:
+        """Whether the stream is between two values, with none unfinished."""
+        return not self.buffer
 
-    def feed(self, piece: bytes) -> Iterator[Any | Blank]:
-        self.data += piece
-        while self.data:
+    def feed(self, chunk: bytes) -> Iterator[Any | BlankLine]:
+        self.buffer += chunk
+        while self.buffer:
             if not self.depth:
-                yield from self.skip_space()
-                if not self.data:
+                yield from self.skip_whitespace()
+                if not self.buffer:
                     return
-                if self.data[0] not in OPENING:
-                    raise ValueError(f"expected an object, got {bytes(self.data[:40])!r}")
-                self.is_blank = False
-                line = bytes(self.data[:self.data.find(b"\n") + 1])
-                if line.rstrip().endswith(b"}"):  # as most come, and three times as quick
+                if self.buffer[0] not in OPENING:
+                    raise ValueError(f"expected a JSON object or array, got {bytes(self.buffer[:40])!r}")
+                self.is_line_blank = False
+                line = bytes(self.buffer[:self.buffer.find(b"\n") + 1])
+                if line.rstrip().endswith(b"}"):  # fast path, three times as fast: most values are one line
                     try:
                         value = json.loads(line)
-                    except ValueError:  # one line of several, or more than one value on it
+                    except ValueError:  # part of a value of several lines, or several values on one line
                         pass
                     else:
-                        del self.data[:len(line) - 1]
+                        del self.buffer[:len(line) - 1]
                         yield value
                         continue
-                self.at, self.depth = 1, 1
-            if not self.reach_end():
-                if len(self.data) > LONGEST:
-                    raise ValueError(f"expected a value of {LONGEST} bytes at most, got one without end")
+                self.position, self.depth = 1, 1
+            if not self.find_end():
+                if len(self.buffer) > MAX_VALUE_BYTES:
+                    raise ValueError(f"expected a value of {MAX_VALUE_BYTES} bytes at most, got a longer one")
                 return
-            text, self.data, self.at = bytes(self.data[:self.at]), self.data[self.at:], 0
+            text, self.buffer, self.position = bytes(self.buffer[:self.position]), self.buffer[self.position:], 0
             yield json.loads(text)
 
-    def skip_space(self) -> Iterator[Blank]:
-        count = len(self.data) - len(self.data.lstrip(SPACE))
-        space = bytes(self.data[:count])
-        del self.data[:count]
+    def skip_whitespace(self) -> Iterator[BlankLine]:
+        """Removes leading whitespace and yields `BLANK_LINE` for each empty line in it."""
+        count = len(self.buffer) - len(self.buffer.lstrip(WHITESPACE))
+        space = bytes(self.buffer[:count])
+        del self.buffer[:count]
         for _ in range(space.count(b"\n")):
-            blank, self.is_blank = self.is_blank, True
+            blank, self.is_line_blank = self.is_line_blank, True
             if blank:
-                yield BLANK
+                yield BLANK_LINE
 
-    def reach_end(self) -> bool:
-        """Whether the value that has begun is whole, up to `at`."""
-        data = self.data
+    def find_end(self) -> bool:
+        """Scans for the end of the unfinished value. Returns whether it has arrived; `position` is then the index after
+        it."""
+        data = self.buffer
         while True:
-            found = TO_BRACKET.match(data, self.at)
-            assert found is not None  # it matches the empty text too
-            self.at = found.end()
-            if self.at == len(data) or data[self.at] == ord('"'):
+            found = UP_TO_BRACKET.match(data, self.position)
+            assert found is not None  # the pattern also matches the empty string
+            self.position = found.end()
+            if self.position == len(data) or data[self.position] == ord('"'):
                 return False
-            self.depth += 1 if data[self.at] in OPENING else -1
-            self.at += 1
+            self.depth += 1 if data[self.position] in OPENING else -1
+            self.position += 1
             if not self.depth:
                 return True
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -284,7 +284,7 @@
         if address is not None and address != old_address:
             self.base = {**self.base, "discovery": config.document["discovery"]}
             self.log(f"reload: discovery is at {address[0]}:{address[1]}")
-            self.discovery.move(address)
+            self.discovery.change_address(address)
 
     def drain(self, draining: bool) -> None:
         """Starts or ends draining: the readiness probe answers 503, and the balancer refuses new requests."""
@@ -303,7 +303,9 @@
         for name in ("name", "listen"):
             if getattr(old, name) != getattr(new, name):
                 changed_setting = changed_setting or name
-        report_layouts = [(c.directory.zones.listed, c.directory.kinds.listed, c.report_fields) for c in (old, new)]
+        report_layouts = [
+            (c.directory.zones.configured, c.directory.kinds.configured, c.report_fields) for c in (old, new)
+        ]
         changed_setting = changed_setting or (
             "areas, kinds or report fields" if report_layouts[0] != report_layouts[1] else "")
         if changed_setting:
@@ -311,13 +313,14 @@
         # Nothing below can fail, since all values have been checked.
         self.config, self.generation, self.overlay = new, generation, overlay
         max_connections = connections_each(new.sockets)
-        self.server.max_connections = self.upstreams.most = max_connections
-        self.upstreams.set_times(new.upstream_idle_timeout_us, new.settings.connect_timeout_us)
+        self.server.max_connections = self.upstreams.max_open = max_connections
+        self.upstreams.set_timeouts(new.upstream_idle_timeout_us, new.settings.connect_timeout_us)
         self.classes = {c.name: i for i, c in enumerate(new.settings.classes)}
         self.tenants = {t.name: i for i, t in enumerate(new.settings.tenants)}
         self.notify_all(api.SettingsChanged(new.settings))
         if new.file_discovery is not None and new.file_discovery != old.file_discovery:
-            self.discovery.move(new.file_discovery)  # as at a reload; the environment only counts at the start
+            # as at a reload; the environment only counts at the start
+            self.discovery.change_address(new.file_discovery)
 
     async def stop(self) -> None:
         """Shuts down gracefully; all open requests are answered."""
@@ -332,8 +335,8 @@
 
     def check_clock(self) -> None:
         """Records steps of the wall clock; looking between lists from discovery also finds several steps in a row."""
-        if self.starts.look():
-            self.log(f"the wall clock has stepped: {self.starts.ahead_us[-1] / 1e6:+.1f} s in all since the start")
+        if self.starts.check_for_step():
+            self.log(f"the wall clock has stepped: {self.starts.offsets_us[-1] / 1e6:+.1f} s in all since the start")
 
     def fail_open_requests(self) -> None:
         """Called as the process ends: all open requests are answered now, and later ones at once."""
@@ -410,12 +413,12 @@
             self.dispatch(api.UpstreamsUpdated(kind))
             return
         full = kind is not api.ListKind.DELTA
-        self.starts.look()
+        self.starts.check_for_step()
         for member in listing.members:
             pool = self.upstreams.pools.get(member.upstream.id)
-            self.starts.place(member.upstream, pool.member.upstream if pool is not None else None)
+            self.starts.set_start(member.upstream, pool.member.upstream if pool is not None else None)
         self.has_list = self.has_list or kind is not api.ListKind.CACHED or bool(listing.members)
-        members = self.upstreams.settle_addresses(listing.members, full)
+        members = self.upstreams.resolve_address_conflicts(listing.members, full)
         self.upstreams.apply(members, full)
         self.dispatch(api.UpstreamsUpdated(kind, [m.upstream for m in members], listing.generation))
 
@@ -483,7 +486,7 @@
     def send(self, action: api.Send) -> None:
         now_us = self.clock.now_us()
         request = self.requests.get(action.request)
-        pool = self.upstreams.ready(action.upstream)
+        pool = self.upstreams.ready_pool(action.upstream)
         if request is None:
             return
         number = len(request.attempts)
@@ -497,7 +500,7 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         attempts_used_up = number >= self.config.settings.max_attempts
-        if pool is None or attempts_used_up or timeout_us <= 0 or not attempt.wanted():
+        if pool is None or attempts_used_up or timeout_us <= 0 or not attempt.is_wanted():
             attempt.end(api.Outcome.NOT_SENT)
             return
         timer = self.schedule(now_us + timeout_us, partial(attempt.give_up, api.Outcome.TIMEOUT))
@@ -561,7 +564,7 @@
         if request.backstop is not None:
             request.backstop.cancel()
         for attempt in request.attempts:
-            attempt.withdraw()
+            attempt.cancel_unless_written()
         self.forget(request)
 
     def forget(self, request: Request) -> None:
--- a/ironscale/net/start_times.py
+++ b/ironscale/net/start_times.py
@@ -1,5 +1,6 @@
-"""When upstreams started, on this process's own clock. Discovery tells starts in wall time, which may step. Pure, but
-for the clocks that are handed to it."""
+"""Converts the start times of upstreams to this process's monotonic clock, which counts from the Unix time at its
+start. Discovery reports them in wall-clock time, and the wall clock may be stepped. Does no I/O apart from reading the
+clocks that are passed in."""
 
 from __future__ import annotations
 
@@ -7,40 +8,43 @@
 
 from ironscale.interface import Upstream
 
-STEP_US = 250_000  # wall and running time drift apart by less than this without a step
-MOST_STEPS = 16  # remembered, the latest
+STEP_US = 250_000  # a smaller change between the two clocks is ordinary drift, not a step
+MAX_STEPS = 16  # only the offsets around the latest steps are remembered
 
 
 class StartTimes:
-    """Knows how far the wall clock has been ahead of the own one, before and after each of its steps."""
+    """Remembers the offset of the wall clock to the monotonic clock before and after each step of the wall clock."""
 
-    def __init__(self, wall_us: Callable[[], int], own_us: Callable[[], int]) -> None:
-        self.wall_us, self.own_us = wall_us, own_us
-        self.ahead_us = [self.ahead()]  # before and after each step, the latest last
+    def __init__(self, wall_us: Callable[[], int], monotonic_us: Callable[[], int]) -> None:
+        self.wall_us, self.monotonic_us = wall_us, monotonic_us
+        self.offsets_us = [self.offset_us()]  # before and after each step, oldest first
 
-    def ahead(self) -> int:
-        return self.wall_us() - self.own_us()
+    def offset_us(self) -> int:
+        return self.wall_us() - self.monotonic_us()
 
-    def look(self) -> bool:
-        """Notes a step since the last look; whether there was one."""
-        ahead_us = self.ahead()
-        stepped = abs(ahead_us - self.ahead_us[-1]) > STEP_US
+    def check_for_step(self) -> bool:
+        """Records a step of the wall clock since the last check. Returns whether there was one."""
+        offset_us = self.offset_us()
+        stepped = abs(offset_us - self.offsets_us[-1]) > STEP_US
         if stepped:
-            self.ahead_us = [*self.ahead_us[1 - MOST_STEPS:], ahead_us]
+            self.offsets_us = [*self.offsets_us[1 - MAX_STEPS:], offset_us]
         return stepped
 
-    def place(self, entry: Upstream, known: Upstream | None) -> None:
-        """Sets `entry.local_started_us`. A process that is known already keeps its start, whatever the clock has done
-        since."""
+    def set_start(self, entry: Upstream, known: Upstream | None) -> None:
+        """Sets `entry.local_started_us`. A process that is already known keeps its start time, even if the wall clock
+        was stepped since then."""
         if known is not None and known.started_us == entry.started_us:
             entry.local_started_us = known.local_started_us
         elif entry.started_us:
-            entry.local_started_us = self.begun_us(entry.started_us)
-
-    def begun_us(self, started_us: int) -> int | None:
-        """On the own clock; None where the wall clock can be taken for it. Nobody knows on which side of a step a start
-        was told: the latest that is not yet to come is taken. A cold upstream taken for a warm one falls."""
-        now_us = self.own_us()
-        possible = [started_us - ahead_us for ahead_us in self.ahead_us]
-        latest_us = max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
-        return None if abs(latest_us - started_us) <= STEP_US else latest_us
+            entry.local_started_us = self.monotonic_start_us(entry.started_us)
+
+    def monotonic_start_us(self, started_us: int) -> int | None:
+        """Returns the start on the monotonic clock, or None if the wall-clock value can be used as it is.
+
+        It is not known whether a start time was taken before or after a step, so the latest candidate that isn't in
+        the future is used: an upstream believed too young gets too little load, but a cold one believed to be warm
+        collapses under full load."""
+        now_us = self.monotonic_us()
+        candidates_us = [started_us - offset_us for offset_us in self.offsets_us]
+        start_us = max((at_us for at_us in candidates_us if at_us <= now_us + STEP_US), default=now_us)
+        return None if abs(start_us - started_us) <= STEP_US else start_us
--- a/ironscale/net/upstream.py
+++ b/ironscale/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: attempts on sockets, kept connections, exact outcomes."""
+"""Connection pools for upstreams: sends attempts, reuses idle connections, reports exact outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 if TYPE_CHECKING:
     from ironscale.net.discovery import Member
 
-IDLE_SHARE = 0.9  # of the idle time after which an upstream closes: the rest is for bytes under way
-SWEEP_S = 1.0
-BODILESS = frozenset((*range(100, 200), 204, 304))
-# Hazard: a second copy of an answer may come a moment behind the first; on a connection that already
-# carries the next request it would be taken for that one's answer. So each rests between two.
-REST_US = 2_000
-DEFAULT_CONNECT_S = 1.0
-# How often kept connections of an age fail at their next request: smoothed over about 8 of them, and
-# forgotten over some 20 s. Past UNTRUSTED a new one costs less than the requests that would be lost.
-AGE_WEIGHT, AGE_FADES, UNTRUSTED = 1 / 8, 0.95, 0.3
+IDLE_TIMEOUT_SHARE = 0.9  # share of the upstream's idle timeout; the rest allows for data in flight
+SWEEP_INTERVAL_S = 1.0
+STATUSES_WITHOUT_BODY = frozenset((*range(100, 200), 204, 304))
+# A connection stays idle for this long between two requests: a duplicate of an answer may arrive just after the first
+# copy, and would be taken for the answer to the next request if that were already on the connection.
+MIN_IDLE_US = 2_000
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
+# The share of reused connections that fail at their next request, by idle time: an exponential moving average over
+# about 8 of them, which decays over some 20 s. Above MAX_FAILURE_SHARE a new connection costs less than the
+# requests that would fail.
+FAILURE_WEIGHT, FAILURE_DECAY, MAX_FAILURE_SHARE = 1 / 8, 0.95, 0.3
 
 
 class Answer:
-    """What an upstream answered."""
+    """The HTTP response of an upstream. `size` is the length of the body in bytes."""
 
     __slots__ = ("headers", "parts", "size", "status")
 
@@ -51,49 +52,49 @@
     def outcome(self) -> Outcome:
         if self.status == 200:
             return Outcome.OK
-        # hazard: only this mark says that it never ran; a bare 503 may come from half-way through
+        # only this header shows that the request never ran; a 503 without it may come after part of the work
         if self.status in (503, 504) and (b"x-turned-away", b"1") in self.headers:
             return Outcome.FULL
         return Outcome.ERROR
 
 
 class Attempt:
-    """One send. It ends once, by whatever comes first."""
+    """One transmission of a request to an upstream. It ends exactly once, with the first outcome."""
 
-    def __init__(self, payload: Callable[[], bytes], wanted: Callable[[], bool],
+    def __init__(self, build_payload: Callable[[], bytes], is_wanted: Callable[[], bool],
                  on_end: Callable[[Outcome, Answer | None], None]) -> None:
-        self.payload = payload  # made as it is written: it tells the time that is left then
-        self.wanted = wanted  # asked just before the first byte is written
+        self.build_payload = build_payload  # called when the request is written, because it contains the time left
+        self.is_wanted = is_wanted  # called just before the first byte is written
         self.on_end: Callable[[Outcome, Answer | None], None] | None = on_end
         self.connection: Connection | None = None
         self.ended = False
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
-        on_end, self.on_end = self.on_end, None  # it knows the timer, which knows the attempt: no cycle stays
+        on_end, self.on_end = self.on_end, None  # breaks the cycle attempt, callback, timer
         if on_end is not None:
             self.ended = True
             on_end(outcome, answer)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting; `outcome` if the whole request is out, else it never ran."""
+        """Stops waiting. Ends with `outcome` if the whole request was written; otherwise it never ran."""
         if self.ended:
             return
         connection, self.connection = self.connection, None
         if connection is None:
-            self.end(Outcome.CONNECT_FAILED)  # a connection that comes up later stays unused
+            self.end(Outcome.CONNECT_FAILED)  # a connection that is established later is not used for it
             return
-        written = connection.written
-        # hazard: the late answer would be taken for the next request's
-        connection.drop()
+        written = connection.is_written
+        # close it: a late answer would be taken for the answer to the next request
+        connection.close()
         self.end(outcome if written else Outcome.CONNECT_FAILED)
 
 
-    def withdraw(self) -> None:
-        """Nobody waits any more: what is not yet whole at its upstream never becomes so."""
+    def cancel_unless_written(self) -> None:
+        """Cancels the attempt, since nobody waits for it any more, unless the whole request has been written."""
         connection = self.connection
-        if not self.ended and connection is not None and not connection.written:
+        if not self.ended and connection is not None and not connection.is_written:
             self.connection = None
-            connection.drop()
+            connection.close()
             self.end(Outcome.NOT_SENT)
 
 
@@ -109,73 +110,73 @@
         self.attempt: Attempt | None = None
         self.answer = Answer()
         self.in_head = True
-        self.head_size = 0  # of all heads and trailers since the attempt began, interim answers' among them
-        self.headers_seen = 0
-        self.answered = False  # some of the answer has come
-        self.complete = False
-        self.written = False  # the attempt's last byte has been handed to the kernel
-        self.age_us = 0  # how long it had been idle before the attempt; 0 = it was new
-        self.retired = False  # not to be used again
-        self.used = False
-        self.dropped = False
+        self.head_size = 0  # bytes of headers and trailers since the attempt began, including interim answers
+        self.header_count = 0
+        self.answer_begun = False  # part of the answer has arrived
+        self.is_complete = False
+        self.is_written = False  # the last byte of the request has been passed to the kernel
+        self.idle_age_us = 0  # how long it was idle before the attempt; 0 for a new connection
+        self.is_retired = False  # must not be reused
+        self.is_reused = False
+        self.is_closed = False
 
     def open(self) -> None:
         self.transport = Stream(self.sock, self)
 
     def is_stale(self) -> bool:
-        """Whether the upstream has closed it or sent what nobody asked for, and the loop has not seen
-        it yet. Hazard: a request written to it ends as a reset and may not be tried again."""
+        """Whether the upstream has closed the connection or sent unexpected data that the event loop has not
+        read yet. A request written to it would end as a reset, and might not be allowed to be retried."""
         return peek(self.sock) is not Unread.NOTHING
 
     def start(self, attempt: Attempt) -> None:
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
-        self.age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.used else 0
-        self.used = True
-        self.answer, self.complete, self.written = Answer(), False, False
-        self.in_head, self.head_size, self.headers_seen, self.answered = True, 0, 0, False
-        self.transport.write(attempt.payload())
-        self.written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
+        self.idle_age_us = self.pool.upstreams.now_us() - self.idle_since_us if self.is_reused else 0
+        self.is_reused = True
+        self.answer, self.is_complete, self.is_written = Answer(), False, False
+        self.in_head, self.head_size, self.header_count, self.answer_begun = True, 0, 0, False
+        self.transport.write(attempt.build_payload())
+        self.is_written = self.transport.get_write_buffer_size() == 0 and not self.transport.is_closing()
 
     def resume_writing(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.written = True
+            self.is_written = True
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.drop()  # stray bytes: the next answer would not be its request's own
+            self.close()  # unexpected data: the next answer would be matched to the wrong request
             return
-        spoilt, self.answered = False, True
+        is_malformed, self.answer_begun = False, True
         try:
             assert self.parser is not None
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            spoilt = True
-        if self.complete:  # noise behind a whole answer does not make that worse
-            self.retired = self.retired or spoilt
+            is_malformed = True
+        if self.is_complete:  # invalid data after a complete answer doesn't invalidate the answer
+            self.is_retired = self.is_retired or is_malformed
             self.finish()
             return
-        # hazard: the parser keeps a line without end to itself, and no header is seen
+        # the parser buffers an endless line without calling on_header, so the bytes are counted here
         self.head_size += len(data) if self.in_head else 0
-        if spoilt or self.head_size > MAX_HEAD_BYTES:
-            self.broken()
+        if is_malformed or self.head_size > MAX_HEAD_BYTES:
+            self.fail()
 
     def on_message_begin(self) -> None:
         self.in_head = True
-        if self.complete:
-            self.retired = True  # bytes after the end of the answer
+        if self.is_complete:
+            self.is_retired = True  # data after the end of the answer
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete:
+        if self.is_complete:
             return
-        self.headers_seen += 1
-        if self.headers_seen > MAX_HEADERS:  # hazard: heads, interim answers or trailers without end
-            raise OverflowError("headers")
+        self.header_count += 1
+        if self.header_count > MAX_HEADERS:  # an endless series of headers, interim answers or trailers
+            raise OverflowError("too many headers")
         if self.in_head:
             self.answer.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         self.in_head = False
         assert self.parser is not None
@@ -187,143 +188,147 @@
             elif name == b"transfer-encoding" and value.lower() == b"chunked":
                 chunked = True
         if length is not None and int(length) > MAX_BODY_BYTES:
-            raise OverflowError("body")  # hazard: 3 GB that are said to come
-        if length is None and not chunked and self.answer.status not in BODILESS:
-            raise ValueError("no length")  # nobody could tell whether it is whole
+            raise OverflowError("announced body too long")  # 3 GB, for example
+        if length is None and not chunked and self.answer.status not in STATUSES_WITHOUT_BODY:
+            raise ValueError("body without a length")  # a truncated body could not be detected
 
     def on_body(self, body: bytes) -> None:
-        if not self.complete:
+        if not self.is_complete:
             self.answer.size += len(body)
             if self.answer.size > MAX_BODY_BYTES:
-                raise OverflowError("body")
+                raise OverflowError("body too long")
             self.answer.parts.append(body)
 
     def on_message_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
-        if 100 <= self.answer.status < 200:  # 100 Continue and the like: the answer is still to come
-            self.headers_seen += 1
-            if self.headers_seen > MAX_HEADERS:
-                raise OverflowError("interim answers")
+        if 100 <= self.answer.status < 200:  # an interim answer such as 100 Continue: the final answer follows
+            self.header_count += 1
+            if self.header_count > MAX_HEADERS:
+                raise OverflowError("too many interim answers")
             self.answer = Answer()
             return
-        self.complete = True
+        self.is_complete = True
         assert self.parser is not None
         if not self.parser.should_keep_alive():
-            self.retired = True
+            self.is_retired = True
 
     def finish(self) -> None:
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         attempt.connection = None
-        self.pool.upstreams.ages.add(self.age_us, False)
-        if not self.written:
-            self.retired = True  # answered before the whole request was out: the rest is in the way
+        self.pool.upstreams.idle_failures.record(self.idle_age_us, False)
+        if not self.is_written:
+            self.is_retired = True  # answered before the request was fully written: the rest would corrupt the next one
         self.pool.release(self)
         attempt.end(self.answer.outcome(), self.answer)
 
-    def broken(self) -> None:
+    def fail(self) -> None:
+        """Closes the failed connection and ends its attempt."""
         attempt, self.attempt = self.attempt, None
-        written = self.written
-        self.drop()
+        written = self.is_written
+        self.close()
         if attempt is not None:
             attempt.connection = None
-            if not self.answered:
-                self.pool.upstreams.ages.add(self.age_us, True)
+            if not self.answer_begun:
+                self.pool.upstreams.idle_failures.record(self.idle_age_us, True)
             attempt.end(Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
-    def drop(self) -> None:
+    def close(self) -> None:
+        """Closes the connection at once, without ending its attempt."""
         self.attempt = None
-        if not self.dropped:
-            self.dropped = self.retired = True
-            self.pool.forget(self)
+        if not self.is_closed:
+            self.is_closed = self.is_retired = True
+            self.pool.remove(self)
             if self.transport is not None:
-                # hazard: the loop closes it in its next turn, and a new try that is written in this one would be a
-                # second copy beside an attempt that is still out
+                # The event loop closes the socket only in its next iteration. A retry that is written in this one would
+                # be a second copy of a request that is still being sent.
                 with contextlib.suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)
                 self.transport.abort()
 
     def eof_received(self) -> None:
-        self.broken()
+        self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.broken()
-        self.parser = None  # each refers to the other: only the collector would free them
+        self.fail()
+        self.parser = None  # breaks a reference cycle that only the garbage collector would free
 
 
-class Ages:
-    """For how long kept connections may be idle: an upstream may close them long before the settings'
-    time, and the request that shows it is lost."""
+class IdleFailures:
+    """Learns how long connections may be idle before reuse: an upstream may close them long before the configured
+    idle timeout, and the request that reveals it is lost."""
 
     def __init__(self) -> None:
-        self.failing = [0.0] * 65  # share of those whose age in microseconds has so many bits
+        self.shares = [0.0] * 65  # share that failed, by the bit length of the idle time in microseconds
 
-    def add(self, age_us: int, failed: bool) -> None:
+    def record(self, age_us: int, failed: bool) -> None:
         if age_us > 0:
             bits = min(age_us.bit_length(), 64)
-            self.failing[bits] += (failed - self.failing[bits]) * AGE_WEIGHT
+            self.shares[bits] += (failed - self.shares[bits]) * FAILURE_WEIGHT
 
-    def is_trusted(self, age_us: int) -> bool:
-        return self.failing[min(age_us.bit_length(), 64)] < UNTRUSTED
+    def is_reliable(self, age_us: int) -> bool:
+        return self.shares[min(age_us.bit_length(), 64)] < MAX_FAILURE_SHARE
 
-    def recall(self, shares: Sequence[float], age_us: int) -> None:
-        """Shares that were seen so long ago. Hazard: full ones would keep all from being used, and so from being
-        tried: at most half is taken, and the greater of it and what has been seen here."""
-        left = AGE_FADES ** min(1e4, age_us / 1e6 / SWEEP_S)
-        for i, share in enumerate(shares[:len(self.failing)]):
-            self.failing[i] = max(self.failing[i], min(0.5, share) * left)
+    def restore(self, shares: Sequence[float], age_us: int) -> None:
+        """Restores shares that were observed `age_us` ago, where they exceed those observed since. At most one half is
+        restored: with a share of 1 no connection would be reused, so the share could never be corrected."""
+        decay_factor = FAILURE_DECAY ** min(1e4, age_us / 1e6 / SWEEP_INTERVAL_S)
+        for i, share in enumerate(shares[:len(self.shares)]):
+            self.shares[i] = max(self.shares[i], min(0.5, share) * decay_factor)
 
-    def fade(self) -> None:
-        self.failing = [share * AGE_FADES for share in self.failing]
+    def decay(self) -> None:
+        self.shares = [share * FAILURE_DECAY for share in self.shares]
 
 
 class Pool:
-    """The connections to one upstream, as the list last described it."""
+    """The connections to one upstream, which `member` describes as in the latest list."""
 
     def __init__(self, upstreams: Upstreams, member: Member) -> None:
         self.upstreams = upstreams
         self.member = member
-        self.idle: list[Connection] = []  # the newest last, and taken first: the old ones may expire
+        self.idle: list[Connection] = []  # newest last and reused first, so that the oldest may expire
         self.busy: set[Connection] = set()
 
     def is_ready(self) -> bool:
         return self.member.upstream.state is UpstreamState.READY
 
     def update(self, member: Member) -> None:
-        before, self.member = self.member, member
-        moved = before.address != member.address
-        is_same = before.upstream.started_us == member.upstream.started_us
-        if not moved and is_same and self.is_ready():
+        previous, self.member = self.member, member
+        has_moved = previous.address != member.address
+        is_same_process = previous.upstream.started_us == member.upstream.started_us
+        if not has_moved and is_same_process and self.is_ready():
             return
         for connection in [*self.idle, *self.busy]:
-            # hazard: those to the former process are dead, though a machine that vanished never said so
-            if moved or not self.is_ready() or connection.opened_us < member.upstream.effective_start_us:
+            # connections to the previous process are dead, but a machine that vanished did not close them
+            if has_moved or not self.is_ready() or connection.opened_us < member.upstream.effective_start_us:
                 self.retire(connection)
 
     def retire(self, connection: Connection) -> None:
-        connection.retired = True
+        """Closes the connection, but only after its current attempt if it has one."""
+        connection.is_retired = True
         if connection.attempt is None:
-            connection.drop()
+            connection.close()
 
-    def leave(self) -> None:
-        """The list names it no more: what is out may still be answered, nothing new is sent."""
+    def handle_removal(self) -> None:
+        """Handles the removal from the list: pending requests may still be answered, no new ones are sent."""
         self.member = replace(self.member, upstream=replace(self.member.upstream, state=UpstreamState.GONE))
         for connection in [*self.idle, *self.busy]:
             self.retire(connection)
 
     def close_idle(self) -> None:
         while self.idle:
-            self.idle[-1].drop()
+            self.idle[-1].close()
 
     def start(self, attempt: Attempt) -> None:
-        now_us, ages = self.upstreams.now_us(), self.upstreams.ages
+        """Sends the attempt on an idle connection, or on a new one."""
+        now_us, ages = self.upstreams.now_us(), self.upstreams.idle_failures
         for connection in reversed(self.idle):
             age_us = now_us - connection.idle_since_us
-            if age_us < REST_US:
+            if age_us < MIN_IDLE_US:
                 continue
-            if self.has_expired(connection) or not ages.is_trusted(age_us) or connection.is_stale():
-                connection.drop()
+            if self.has_expired(connection) or not ages.is_reliable(age_us) or connection.is_stale():
+                connection.close()
                 continue
             self.idle.remove(connection)
             del self.upstreams.idle[connection]
@@ -333,13 +338,13 @@
         if not self.upstreams.make_room():
             attempt.end(Outcome.NOT_SENT)
             return
-        self.upstreams.open += 1
+        self.upstreams.open_count += 1
         task = asyncio.get_running_loop().create_task(self.connect(attempt))
         self.upstreams.tasks.add(task)
         task.add_done_callback(self.upstreams.tasks.discard)
 
     def has_expired(self, connection: Connection) -> bool:
-        return self.upstreams.now_us() - connection.idle_since_us >= self.upstreams.idle_us
+        return self.upstreams.now_us() - connection.idle_since_us >= self.upstreams.idle_timeout_us
 
     async def connect(self, attempt: Attempt) -> None:
         address = self.member.address
@@ -348,83 +353,85 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(self.upstreams.connect_s):
+            async with asyncio.timeout(self.upstreams.connect_timeout_s):
                 await socket_connect.connect(sock, address)
             connection = Connection(self, sock)
             connection.open()
-        except Exception as error:  # hazard: the attempt would hold its slot until its time-out
+        except Exception as error:  # of any kind: otherwise the attempt would hold its slot until its timeout
             if sock is not None:
                 sock.close()
-            self.upstreams.open -= 1
-            # what this machine lacks says nothing of the upstream
+            self.upstreams.open_count -= 1
+            # a lack of resources on this machine is no failure of the upstream
             attempt.end(Outcome.NOT_SENT if is_transient(error) else Outcome.CONNECT_FAILED)
             return
         self.busy.add(connection)
-        connection.retired = address != self.member.address
-        if attempt.ended or connection.retired or not self.is_ready() or not attempt.wanted():
-            # hazard: the list or the client may have changed its mind while the connection came up
+        connection.is_retired = address != self.member.address
+        if attempt.ended or connection.is_retired or not self.is_ready() or not attempt.is_wanted():
+            # the upstream may have been removed, or the client may have cancelled, during the connect
             self.release(connection)
             attempt.end(Outcome.NOT_SENT)
         else:
             connection.start(attempt)
 
     def release(self, connection: Connection) -> None:
-        if connection.retired or not self.is_ready():
-            connection.drop()
+        """Returns the connection to the idle ones, or closes it if it must not be reused."""
+        if connection.is_retired or not self.is_ready():
+            connection.close()
         else:
             self.busy.discard(connection)
             connection.idle_since_us = self.upstreams.now_us()
             self.idle.append(connection)
             self.upstreams.idle[connection] = None
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         self.busy.discard(connection)
         if self.upstreams.idle.pop(connection, connection) is None:
             self.idle.remove(connection)
-        self.upstreams.open -= 1
+        self.upstreams.open_count -= 1
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         while self.idle and self.has_expired(self.idle[0]):
-            self.idle[0].drop()
+            self.idle[0].close()
 
 
 class Upstreams:
-    """All upstreams that the list has named, by id."""
+    """The connection pools of all upstreams in the list, by upstream id."""
 
-    def __init__(self, now_us: Callable[[], int], idle_us: int, connect_us: int, most: int) -> None:
+    def __init__(self, now_us: Callable[[], int], idle_timeout_us: int, connect_timeout_us: int, max_open: int) -> None:
         self.now_us = now_us
-        self.set_times(idle_us, connect_us)
-        self.most = most  # open connections
-        self.open = 0  # connections, those coming up among them
+        self.set_timeouts(idle_timeout_us, connect_timeout_us)
+        self.max_open = max_open  # limit on open connections
+        self.open_count = 0  # number of connections, including those being established
         self.pools: dict[int, Pool] = {}
-        self.idle: dict[Connection, None] = {}  # of all pools, the longest idle first
-        self.ages = Ages()
+        self.idle: dict[Connection, None] = {}  # of all pools, the one that has been idle longest first
+        self.idle_failures = IdleFailures()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sweeper = Periodic(SWEEP_S, self.sweep)
+        self.sweeper = Periodic(SWEEP_INTERVAL_S, self.sweep)
 
-    def set_times(self, idle_us: int, connect_us: int) -> None:
-        self.idle_us = int(idle_us * IDLE_SHARE)
-        self.connect_s = connect_us / 1e6 or DEFAULT_CONNECT_S
+    def set_timeouts(self, idle_timeout_us: int, connect_timeout_us: int) -> None:
+        self.idle_timeout_us = int(idle_timeout_us * IDLE_TIMEOUT_SHARE)
+        self.connect_timeout_s = connect_timeout_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
 
-    def settle_addresses(self, members: list[Member], full: bool) -> list[Member]:
-        """The list, with those gone whose address another has taken over. Hazard: what is meant for one
-        that has gone, if its end is told late, would go to the cold process in its place."""
-        told = {member.upstream.id: member for member in members}
+    def resolve_address_conflicts(self, members: list[Member], full: bool) -> list[Member]:
+        """Returns the list with upstreams marked as gone whose address has been taken over by a newer one. If
+        discovery reports their end late, requests meant for them would go to the cold process at that address."""
+        members_by_id = {member.upstream.id: member for member in members}
         known = {} if full else {ident: pool.member for ident, pool in self.pools.items()}
         owners: dict[tuple[str, int], Member] = {}
-        for member in {**known, **told}.values():
+        for member in {**known, **members_by_id}.values():
             if member.upstream.state is UpstreamState.GONE:
                 continue
             other = owners.get(member.address, member)
             is_newer = member.upstream.effective_start_us >= other.upstream.effective_start_us
             owners[member.address] = member if is_newer else other
             if other is not member:
-                loser = other if is_newer else member
-                told[loser.upstream.id] = replace(
-                    loser, upstream=replace(loser.upstream, state=UpstreamState.GONE))
-        return list(told.values())
+                replaced = other if is_newer else member
+                members_by_id[replaced.upstream.id] = replace(
+                    replaced, upstream=replace(replaced.upstream, state=UpstreamState.GONE))
+        return list(members_by_id.values())
 
     def apply(self, members: list[Member], full: bool) -> None:
+        """Applies a list of upstreams: all of them if `full`, otherwise those that changed."""
         for member in members:
             ident = member.upstream.id
             if ident in self.pools:
@@ -437,32 +444,34 @@
         for ident in gone:
             pool = self.pools.pop(ident, None)
             if pool is not None:
-                pool.leave()
+                pool.handle_removal()
 
-    def ready(self, ident: int) -> Pool | None:
-        pool = self.pools.get(ident)
+    def ready_pool(self, upstream_id: int) -> Pool | None:
+        """Returns the pool of the upstream if requests may be sent to it."""
+        pool = self.pools.get(upstream_id)
         return pool if pool is not None and pool.is_ready() else None
 
-    def close_idle(self, ident: int) -> None:
-        if ident in self.pools:
-            self.pools[ident].close_idle()
+    def close_idle(self, upstream_id: int) -> None:
+        if upstream_id in self.pools:
+            self.pools[upstream_id].close_idle()
 
     def make_room(self) -> bool:
-        """Room for one more connection, if need be in place of the one that has been idle longest."""
-        if self.open >= self.most:
+        """Makes room for one more connection, if necessary by closing the one that has been idle longest. Returns
+        whether there is room."""
+        if self.open_count >= self.max_open:
             oldest = next(iter(self.idle), None)
             if oldest is not None:
-                oldest.drop()
-        return self.open < self.most
+                oldest.close()
+        return self.open_count < self.max_open
 
     def sweep(self) -> None:
         for pool in self.pools.values():
-            pool.sweep()
-        self.ages.fade()
+            pool.close_expired()
+        self.idle_failures.decay()
 
     def close(self) -> None:
         self.sweeper.cancel()
         for task in list(self.tasks):
             task.cancel()
         for pool in self.pools.values():
-            pool.leave()
+            pool.handle_removal()
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -29,7 +29,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.load.run import child, sidecar_settings
 from ironscale.net.config import CALL_US
-from ironscale.net.discovery import Directory, Discovery, Listing, _Call
+from ironscale.net.discovery import Discovery, Listing, ListParser, _Call
 from ironscale.scale.path import allow_files, percentile, scenario
 from ironscale.scale.run import RunError, Scene
 from ironscale.standins.discovery import ListedDiscovery
@@ -101,22 +101,22 @@
     """Tells its owner what came and went."""
 
     def data_received(self, data: bytes) -> None:
-        assert isinstance(self.owner, CountedClient)
-        self.owner.counts["in"] += len(data)
+        assert isinstance(self.discovery, CountedClient)
+        self.discovery.counts["in"] += len(data)
         super().data_received(data)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(self.owner, CountedClient)
-        self.owner.counts["out"] += len(self.request)
+        assert isinstance(self.discovery, CountedClient)
+        self.discovery.counts["out"] += len(self.request)
         super().connection_made(transport)
 
 
 class CountedClient(Discovery):
     counts: Counter[str]
 
-    def call_watch(self, most_s: float = math.inf) -> CountedCall:
+    def new_watch_call(self, max_first_data_s: float = math.inf) -> CountedCall:
         self.counts["calls"] += 1
-        return CountedCall(self, f"/registry/instances?watch=1&after={self.generation}", most_s)
+        return CountedCall(self, f"/registry/instances?watch=1&after={self.generation}", max_first_data_s)
 
     def fetch(self) -> None:
         self.counts["calls"] += 1
@@ -131,7 +131,7 @@
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
         self.first_s = -1.0  # from its start to its first list
-        self.client = CountedClient(herd.address, Directory([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
+        self.client = CountedClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = herd.counts
         options = settings.read(settings.from_object(herd.settings))
         self.balancer = Balancer(options, random.Random(f"{herd.seed}/{number}").randrange(1 << 62), self.now_us())
--- a/tests/ends/test_clients.py
+++ b/tests/ends/test_clients.py
@@ -227,7 +227,7 @@
 def test_a_pipelined_request_is_not_forwarded_once_the_answer_before_could_not_be_written(
         monkeypatch: pytest.MonkeyPatch) -> None:
     """The write fails and the transport closes itself, but the loop reports it after the next request has begun."""
-    monkeypatch.setattr(upstream, "REST_US", 0)  # the next request is written in the same step
+    monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)  # the next request is written in the same step
 
     async def test() -> None:
         peer = await Peer(hang).start()
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -91,7 +91,7 @@
             txn = found[1].decode()
             if txn in self.left:
                 self.faults.append(f"{txn} was sent after its client had left")
-            if not self.copies and any(other == txn and not one.dropped and one.attempt is not None
+            if not self.copies and any(other == txn and not one.is_closed and one.attempt is not None
                                        for one, other in self.in_flight.items()):
                 self.faults.append(f"{txn} was sent while another attempt was in flight")
             self.in_flight[connection] = txn
@@ -210,7 +210,7 @@
         assert not sidecar.by_txn and not sidecar.server.connections, "left open at the end"
         sidecar.clock.offset_ns += 120_000_000_000  # attempts still in flight time out
         sidecar.timers.fire()
-        await until(lambda: not sidecar.requests and not sidecar.upstreams.open)
+        await until(lambda: not sidecar.requests and not sidecar.upstreams.open_count)
         await until(lambda: all(one.ended or one.left for one in self.clients))
         for client in self.clients:
             client.sock.close()
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -1,4 +1,5 @@
-"""Idle clients fill the descriptors while discovery is down; its watch, upstreams and readiness have room yet."""
+"""Idle clients use up the file descriptors while discovery is down. Some must stay free for the watch, for upstreams
+and for readiness checks."""
 
 from __future__ import annotations
 
@@ -23,19 +24,19 @@
 from tests.ends.test_lists import MODES
 from tests.sockets import Scene, free_port, open_with_request, run, until
 
-LIMIT = 128  # of descriptors
+LIMIT = 128  # file descriptors of the sidecar process
 CLIENTS = 2 * LIMIT
 
 
-def idle(port: int) -> socket.socket:
-    """It connects and says nothing; the kernel's queue holds what is not accepted."""
+def connect_idle(port: int) -> socket.socket:
+    """A client that connects and sends nothing. Connections that are not accepted stay in the kernel's backlog."""
     found = socket.socket()
     found.setblocking(False)
     found.connect_ex(("127.0.0.1", port))
     return found
 
 
-def is_over(client: socket.socket) -> bool:
+def is_closed(client: socket.socket) -> bool:
     try:
         return not client.recv(64)
     except BlockingIOError:
@@ -44,28 +45,28 @@
         return True
 
 
-async def crowd(port: int, clients: list[socket.socket]) -> None:
-    """Whoever is closed comes again."""
+async def reconnect_closed(port: int, clients: list[socket.socket]) -> None:
+    """Reconnects every client whose connection was closed."""
     while True:
         for place, client in enumerate(clients):
-            if is_over(client):
+            if is_closed(client):
                 client.close()
-                clients[place] = idle(port)
+                clients[place] = connect_idle(port)
         await asyncio.sleep(0.02)
 
 
-def opened(pid: int) -> int:
+def open_descriptors(pid: int) -> int:
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 @pytest.mark.parametrize("sockets", [LIMIT, 8 * LIMIT], ids=["told", "only-by-the-system"])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
-def test_discovery_back_is_heard_though_idle_clients_have_all_the_room(
+def test_discovery_is_heard_again_although_idle_clients_use_up_the_descriptors(
         mode: dict[str, Any], sockets: int, tmp_path: Path) -> None:
-    """Hazard: the settings may allow more than the system gives, and the last descriptor went to an idle client."""
+    """Guards against an idle client that takes the last descriptor when the settings allow more than the system."""
     async def test() -> None:
         peer, discovery, port = await Peer().start(), FakeDiscovery(), free_port()
-        discovery.port = free_port()  # nobody listens there yet
+        discovery.port = free_port()  # nothing listens on it yet
         (tmp_path / "c.json").write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}", "seed": "1f",
             "limits": {"sockets": sockets}, "known": listing(), "settings": {**SETTINGS, **mode}}))
@@ -74,20 +75,20 @@
             env={**os.environ, "GW_CONFIG": str(tmp_path / "c.json")},
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LIMIT, LIMIT)))
         clients: list[socket.socket] = []
-        coming: asyncio.Task[None] | None = None
+        reconnecting: asyncio.Task[None] | None = None
         try:
             await until(lambda: is_up(port))
-            least = opened(process.pid)
-            clients += [idle(port) for _ in range(CLIENTS)]
-            coming = asyncio.create_task(crowd(port, clients))
-            await until(lambda: opened(process.pid) >= least + (LIMIT - 32) // 2)
+            initial = open_descriptors(process.pid)
+            clients += [connect_idle(port) for _ in range(CLIENTS)]
+            reconnecting = asyncio.create_task(reconnect_closed(port, clients))
+            await until(lambda: open_descriptors(process.pid) >= initial + (LIMIT - 32) // 2)
             server = await asyncio.start_server(discovery.on_connection, "127.0.0.1", discovery.port)
             back_s = asyncio.get_running_loop().time()
             await until(lambda: discovery.writers)
             assert asyncio.get_running_loop().time() - back_s < 6.0
             discovery.line(listing(peer.entry("s-1"), generation=42))
             scene = Scene()
-            while True:  # a connection may be shut unread to make room; its client comes again
+            while True:  # a connection may be closed unread to make room; the client retries
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     reader, writer = await open_with_request(port, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     status = (await read_message(reader)).status
@@ -101,8 +102,8 @@
                     writer.close()
             server.close()
         finally:
-            if coming is not None:
-                coming.cancel()
+            if reconnecting is not None:
+                reconnecting.cancel()
             for client in clients:
                 client.close()
             process.send_signal(signal.SIGTERM)
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -113,7 +113,7 @@
         self.dials: list[tuple[Pool, Attempt, asyncio.Event]] = []
 
     async def start(self, dialling: bool, monkeypatch: pytest.MonkeyPatch) -> Site:
-        monkeypatch.setattr(upstream, "REST_US", 0)
+        monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)
         real = Pool.connect
 
         async def connect_late(pool: Pool, attempt: Attempt) -> None:
@@ -140,7 +140,7 @@
 
 
 def reset(site: Site) -> None:
-    site.busy_connection().broken()
+    site.busy_connection().fail()
 
 
 def timed_out(site: Site) -> None:
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -1,4 +1,4 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever has failed meanwhile."""
+"""A sidecar must know a change 6 s after discovery had it and could be reached, whatever failed in between."""
 
 from __future__ import annotations
 
@@ -17,58 +17,66 @@
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import read_message
 from ironscale.standins.upstream import Peer
-from tests.ends.test_lists import MODES, settings_of, state
+from tests.ends.test_lists import MODES, settings_of, upstream_state
 from tests.sockets import Scene, config, free_port
 from tests.virtual_clock import play, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-# How a call fails, and after how many seconds it has; None: when the sidecar gives it up.
-ENDS: dict[str, float | None] = {"refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
-PATIENCE_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}  # for the first word, at first and after one without
-
-
-def begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
-    """When calls begin after the last word of a watch at 0, which fell silent or broke; none of them by the decisions,
-    which may only be sooner (of few)."""
-    found = [discovery_schedule.after_end_s(
-        discovery_schedule.SILENCE_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
+# How a call fails, and after how many seconds; None if the sidecar has to time it out.
+FAILURE_AFTER_S: dict[str, float | None] = {
+    "refused": 0.0, "reset": 0.0, "unwell": 0.0, "cut": 0.1, "stuck": None, "silent": None}
+# Timeout for the first data of a call: at first, and after a call that timed out.
+FIRST_DATA_TIMEOUT_S = {"pushed": (1.0, 2.0), "asked": (3.3, 6.6)}
+
+
+def call_begins(mode: str, kind: str, failures: int, is_silent: bool, rng: random.Random) -> list[float]:
+    """Returns when calls begin after the last data from a watch at time 0, which went silent or broke. Calls that the
+    balancer asks for are left out: with few sidecars they may come sooner."""
+    found = [discovery_schedule.start_after_end_s(
+        discovery_schedule.SILENCE_TIMEOUT_S if is_silent else rng.random() * 2, 0.0, 0, 0.0, rng.random())]
     while len(found) <= failures:
         begun, last_s = len(found), found[-1]
-        beside_s = discovery_schedule.beside_s(0.0, begun, last_s, rng.random())
-        took_s = ENDS[kind]
-        end_s = last_s + (PATIENCE_S[mode][begun > 1] if took_s is None else took_s)
-        found.append(beside_s if beside_s <= end_s
-                     else discovery_schedule.after_end_s(end_s, 0.0, begun, last_s, rng.random()))
+        parallel_s = discovery_schedule.parallel_start_s(0.0, begun, last_s, rng.random())
+        duration_s = FAILURE_AFTER_S[kind]
+        end_s = last_s + (FIRST_DATA_TIMEOUT_S[mode][begun > 1] if duration_s is None else duration_s)
+        found.append(parallel_s if parallel_s <= end_s
+                     else discovery_schedule.start_after_end_s(end_s, 0.0, begun, last_s, rng.random()))
     return found
 
 
-@pytest.mark.parametrize("mode", PATIENCE_S)
-@pytest.mark.parametrize("kind", ENDS)
+@pytest.mark.parametrize("mode", FIRST_DATA_TIMEOUT_S)
+@pytest.mark.parametrize("kind", FAILURE_AFTER_S)
 @pytest.mark.parametrize("count", [1, 20, 200])
 @pytest.mark.parametrize("is_silent", [True, False])
-def test_the_sums_of_all_that_may_fail_stay_under_the_clock(mode: str, kind: str, count: int, is_silent: bool) -> None:
-    """And discovery's protection: so many share it, and their calls stay apart."""
+def test_call_times_stay_within_the_limit_for_every_kind_of_failure(
+        mode: str, kind: str, count: int, is_silent: bool) -> None:
+    """Also checks that discovery isn't overloaded: the calls of `count` sidecars that share it are spread over time."""
     rng, calls = random.Random(f"{mode} {kind} {count} {is_silent}"), list[float]()
     for _ in range(200):
-        found = begins(mode, kind, 6, is_silent, rng)
-        assert (found[0] <= discovery_schedule.SILENCE_S + discovery_schedule.FIRST_S
-                and found[1] <= discovery_schedule.SPAN_S)
+        found = call_begins(mode, kind, 6, is_silent, rng)
+        assert (
+            found[0] <= discovery_schedule.SILENCE_TIMEOUT_S + discovery_schedule.FIRST_CALL_DELAY_S
+            and found[1] <= discovery_schedule.MAX_CALL_GAP_S
+        )
         # discovery could be reached, at the earliest, just after a call that failed had begun
-        assert all(later - earlier <= discovery_schedule.SPAN_S for earlier, later in pairwise(found))
-        assert all(later - earlier >= discovery_schedule.FIRST_S / 2 for earlier, later in pairwise(found))
-        assert all(later - earlier >= discovery_schedule.LONGEST_TURN_S / 2 for earlier, later in pairwise(found[1:]))
+        assert all(later - earlier <= discovery_schedule.MAX_CALL_GAP_S for earlier, later in pairwise(found))
+        assert all(later - earlier >= discovery_schedule.FIRST_CALL_DELAY_S / 2 for earlier, later in pairwise(found))
+        assert all(
+            later - earlier >= discovery_schedule.MAX_RETRY_DELAY_S / 2 for earlier, later in pairwise(found[1:])
+        )
         calls += found
-    assert discovery_schedule.SPAN_S + discovery_schedule.CALL_S == discovery_schedule.TOLD_S
+    assert discovery_schedule.MAX_CALL_GAP_S + discovery_schedule.CALL_ALLOWANCE_S == discovery_schedule.MAX_STALENESS_S
     if count == 200:
-        # after a silence first calls come at 160 a second, as their turn is 1.25 s, and second ones begin in its end
+        # after a silence the first calls come at 160 a second, as they are spread over 1.25 s; the second ones begin at
+        # the end of that
         busiest = max(sum(at <= one < at + 1.0 for one in calls) for at in calls)
         assert busiest <= count, busiest
-        later = [one for one in calls if one > discovery_schedule.TOLD_S + discovery_schedule.SPAN_S]
+        later = [one for one in calls if one > discovery_schedule.MAX_STALENESS_S + discovery_schedule.MAX_CALL_GAP_S]
         assert all(sum(at <= one < at + 2.5 for one in later) <= count for at in later)
 
 
-class Discovery:
-    """Tells one list on the first call; later calls fail as is written down, and then one is answered."""
+class FailingDiscovery:
+    """Answers the first call with one list; then `failures` calls fail as `kind` says, and the next is answered."""
 
     def __init__(self, entry: Callable[[str], dict[str, Any]]) -> None:
         self.entry, self.kind, self.failures = entry, "", 0
@@ -113,25 +121,28 @@
 @pytest.mark.parametrize("instances", [1, 200])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
 @pytest.mark.parametrize("kind", ["reset", "unwell", "cut", "stuck", "silent"])
-def test_a_drain_is_heard_in_time_though_calls_fail_after_a_silent_watch(
+def test_a_drain_is_noticed_in_time_although_calls_fail_after_a_silent_watch(
         kind: str, mode: dict[str, Any], instances: int, failures: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: of many, one whose call after a silent watch failed waited its turn of 2.5 to 5 s, and what was silent
-    was waited for."""
+    """Guards against long waits where many sidecars share discovery: after a silent watch and a failed call the next
+    one came 2.5 to 5 s later, and a silent call was waited for."""
     async def test() -> None:
         peer = await Peer().start()
-        discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
+        discovery = FailingDiscovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
         discovery.kind, discovery.failures = kind, failures
         await discovery.open()
         scene = Scene()
         scene.sidecar = sidecar_at(discovery.port, peer, instances, mode)
         await scene.sidecar.start()
         await until(lambda: scene.sidecar.discovery.generation == 42)
-        word_s = discovery.now_s()
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
-        # it could be reached from the last word on; later, from just after a call that failed had begun
-        since_s = word_s if failures == 1 else discovery.begun[failures]
-        told_s = discovery.now_s() - since_s
-        assert told_s <= discovery_schedule.TOLD_S, (told_s, [round(one - word_s, 2) for one in discovery.begun])
+        last_data_s = discovery.now_s()
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
+        # it could be reached from the last data on; after more failures, from just after a failed call had begun
+        reachable_s = last_data_s if failures == 1 else discovery.begun[failures]
+        delay_s = discovery.now_s() - reachable_s
+        assert delay_s <= discovery_schedule.MAX_STALENESS_S, (
+            delay_s,
+            [round(one - last_data_s, 2) for one in discovery.begun],
+        )
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
@@ -144,12 +155,12 @@
 
 @pytest.mark.parametrize("instances", [1, 200])
 @pytest.mark.parametrize("mode", MODES, ids=["asked", "pushed"])
-def test_a_discovery_that_comes_back_after_long_is_heard_in_time(
+def test_a_discovery_that_returns_after_a_long_outage_is_heard_in_time(
         mode: dict[str, Any], instances: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Refused until then, for half a minute."""
+    """Connections are refused for half a minute before that."""
     async def test() -> None:
         peer = await Peer().start()
-        discovery = Discovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
+        discovery = FailingDiscovery(lambda lifecycle: peer.entry("s-1", lifecycle=lifecycle))
         await discovery.open()
         scene = Scene()
         scene.sidecar = sidecar_at(discovery.port, peer, instances, mode)
@@ -159,11 +170,11 @@
         discovery.server.close()
         discovery.watch.transport.abort()
         await asyncio.sleep(30.0)
-        assert len(discovery.begun) == 1 and state(scene) is UpstreamState.READY
+        assert len(discovery.begun) == 1 and upstream_state(scene) is UpstreamState.READY
         await discovery.open()
         back_s = discovery.now_s()
-        await until(lambda: state(scene) is UpstreamState.DRAINING)
-        assert discovery.now_s() - back_s <= discovery_schedule.TOLD_S
+        await until(lambda: upstream_state(scene) is UpstreamState.DRAINING)
+        assert discovery.now_s() - back_s <= discovery_schedule.MAX_STALENESS_S
         scene.sidecar.discovery.close()
 
     play(test, monkeypatch)
--- a/tests/ends/test_unsent.py
+++ b/tests/ends/test_unsent.py
@@ -1,4 +1,4 @@
-"""An answer that is still leaving is not cut off by what closes quiet connections."""
+"""An answer that is still being sent is not cut off when quiet connections are closed."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @contextlib.asynccontextmanager
-async def leaving(close: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
-    """A connection with an answer that its client has not begun to read, past what the kernel holds."""
+async def unread_answer(close: bool) -> AsyncIterator[tuple[Server, socket.socket]]:
+    """A connection with an answer that the client has not begun to read, larger than the kernel's socket buffers."""
     server = Server(LongAnswers(), 8, now_us)
     await server.listen(("127.0.0.1", 0))
     with socket.socket() as client:
@@ -49,12 +49,12 @@
     server.sweep()
 
 
-# Guards against half an answer where the sweep comes, or room is needed, while its client still reads.
+# Guards against a truncated answer when a sweep runs, or room is needed, while the client still reads.
 @pytest.mark.parametrize("close", [False, True])
 @pytest.mark.parametrize("closing", [make_room, sweep])
-def test_an_answer_that_still_leaves_arrives_whole(closing: Callable[[Server], None], close: bool) -> None:
+def test_an_answer_that_is_still_being_sent_arrives_complete(closing: Callable[[Server], None], close: bool) -> None:
     async def test() -> None:
-        async with leaving(close) as (server, client):
+        async with unread_answer(close) as (server, client):
             for connection in server.connections:
                 connection.quiet_since_us -= 60_000_000
             closing(server)
@@ -66,9 +66,9 @@
     run(test)
 
 
-def test_a_closing_connection_whose_client_never_reads_is_given_up() -> None:
+def test_a_closing_connection_whose_client_never_reads_is_aborted() -> None:
     async def test() -> None:
-        async with leaving(True) as (server, client):
+        async with unread_answer(True) as (server, client):
             connection, = server.connections
             connection.last_answer_us -= int(UNREAD_ANSWER_TIMEOUT_S * 1e6)
             connection.quiet_since_us -= 60_000_000
--- a/tests/ends/test_upstreams.py
+++ b/tests/ends/test_upstreams.py
@@ -1,4 +1,4 @@
-"""What is owed between the sidecar and an upstream as an attempt ends: no second copy, nothing sent too late."""
+"""Tests the end of attempts at upstreams: no request is sent twice at once, and none is sent too late."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"nonsense\r\n\r\n"])
-def test_an_attempt_that_is_over_is_over_at_its_upstream_in_the_same_turn(answer: bytes) -> None:
-    """Hazard: the loop closes a connection in its next turn, and a new try that is written in this one is a second copy
-    beside the first. The upstream's end is looked at before the loop runs again."""
+def test_an_ended_attempt_is_closed_at_its_upstream_in_the_same_loop_iteration(answer: bytes) -> None:
+    """Guards against two copies of a request in progress: the event loop closes a connection only in its next
+    iteration, and a retry may be written in this one. The test reads the upstream's end before the loop runs again."""
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             entry = {"instanceId": "s", "hostPort": f"127.0.0.1:{listener.getsockname()[1]}", "lifecycle": "ready"}
@@ -40,7 +40,7 @@
                 attempt.give_up(Outcome.TIMEOUT)
                 peer.setblocking(False)
                 got = b""
-                while piece := peer.recv(4096):  # BlockingIOError: it is still open
+                while piece := peer.recv(4096):  # raises BlockingIOError if it is still open
                     got += piece
                 assert got == GET and len(ends) == 1
             upstreams.close()
@@ -48,8 +48,8 @@
     run(test)
 
 
-class Gate:
-    """Holds connections to upstreams back until it opens, but for the first `passing`."""
+class ConnectGate:
+    """Delays connections to upstreams, except the first `passing` ones, until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, passing: int = 0) -> None:
         self.open = asyncio.Event()
@@ -67,15 +67,15 @@
 
 
 @pytest.mark.parametrize(("past_us", "sends"), [(1_190_000, 1), (1_201_000, 0)])
-def test_a_keyed_repeat_leaves_before_its_upstreams_forget(
+def test_a_keyed_retry_is_sent_only_within_the_memory_span(
         past_us: int, sends: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Decided in time, it waits for a connection; memory-span is 1.2 s from the send that may have run."""
+    """The retry is decided in time, but waits to connect. memory-span is 1.2 s from the send that may have run."""
     async def test() -> None:
         peers = [await Peer(reset).start(), await Peer(reset).start()]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        gate = Gate(monkeypatch, passing=1)
+        gate = ConnectGate(monkeypatch, passing=1)
         calling = asyncio.create_task(scene.call("mark"))
-        await until(lambda: gate.held)  # the repeat, which the reset has brought about
+        await until(lambda: gate.held)  # the retry that follows the reset
         for peer in peers:
             peer.behave = reply(ok())
         first = next(iter(scene.sidecar.balancer.requests.values())).attempts[0]
@@ -83,39 +83,39 @@
         gate.open.set()
         answer = await calling
         assert sum(len(peer.got) for peer in peers) == 1 + sends
-        assert answer.status == (200 if sends else 502)  # of a group in a cell: refused would promise too much
+        assert answer.status == (200 if sends else 502)  # not 503, which would promise that nothing ran
 
     run(test)
 
 
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-def test_nothing_is_sent_after_the_deadline_though_a_connection_comes_up_in_its_turn(
+def test_nothing_is_sent_on_a_connection_established_after_the_deadline(
         lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         calling = asyncio.create_task(scene.call(lane))
         await until(lambda: scene.sidecar.upstreams.tasks)
         request = next(iter(scene.sidecar.requests.values()))
-        # the loop had no processor: the time-out is due as well, and has not been seen yet
+        # as if the process had no CPU time: the timeout is due as well, but its timer has not run yet
         scene.sidecar.clock.offset_ns += (request.deadline_us - scene.sidecar.clock.now_us()) * 1000
         gate.open.set()
         answer = await calling
-        assert answer.status == 503 and not peer.got  # never sent: refused, whatever the class
+        assert answer.status == 503 and not peer.got  # never sent, so it is refused for every request class
         await finish_all(scene, peer)
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["draining", "replaced", "gone"])
-def test_a_connection_that_comes_up_after_its_upstream_went_carries_nothing(
+def test_a_connection_established_after_its_upstream_left_carries_nothing(
         how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         await until(lambda: scene.discovery.writers)
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         calling = asyncio.create_task(scene.call("pay"))
         await until(lambda: scene.sidecar.upstreams.tasks)
         entries = {"draining": [peer.entry("s-1", lifecycle="draining")], "gone": [],
@@ -125,7 +125,7 @@
         task = next(iter(scene.sidecar.upstreams.tasks))
         gate.open.set()
         await until(task.done)
-        if how == "replaced":  # the new process may be sent to, on a connection of its own
+        if how == "replaced":  # the new process may get the request, on a new connection
             assert (await calling).status == 200 and len(peer.got) == 1
         else:
             assert (await calling).status == 503 and not peer.got
@@ -136,8 +136,8 @@
 
 @pytest.mark.parametrize(("lane", "status"), [("view", 503), ("pay", 502), ("mark", 502)])
 @pytest.mark.parametrize("first", ["answer", "deadline"])
-def test_the_deadline_in_the_turn_of_the_answer_gives_one_answer(lane: str, status: int, first: str) -> None:
-    """Both orders: whichever is handled first is the one answer."""
+def test_deadline_and_answer_in_the_same_loop_iteration_give_one_answer(lane: str, status: int, first: str) -> None:
+    """Tests both orders: whichever is handled first determines the answer."""
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("remaining", ["0m", "1m", "7999u", "8m"])
-def test_less_time_than_an_answer_takes_is_refused_and_sent_nowhere(remaining: str) -> None:
+def test_a_request_with_too_little_time_is_refused_and_not_sent(remaining: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -170,7 +170,7 @@
     run(test)
 
 
-def test_a_failed_list_while_a_request_waits_owes_it_still() -> None:
+def test_a_waiting_request_is_answered_although_the_list_fails() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
@@ -184,17 +184,17 @@
     run(test)
 
 
-# Guards against a deadline that was reckoned before the connection came up and promises time that has passed.
-def test_a_request_whose_connection_comes_up_late_tells_the_time_that_is_left_then(
+# Guards against a remaining time that was computed before the connect and includes time that has passed since.
+def test_a_request_on_a_late_connection_carries_the_time_left_then(
         monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        gate = Gate(monkeypatch)
+        gate = ConnectGate(monkeypatch)
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         calling = asyncio.create_task(scene.call("pay", remaining="8000m"))
         await until(lambda: gate.held)
         late_ns = 700_000_000
-        scene.sidecar.clock.offset_ns += late_ns  # as if so much had passed
+        scene.sidecar.clock.offset_ns += late_ns  # as if that much time had passed
         gate.open.set()
         assert (await calling).status == 200
         told_us = int(peer.got[0].headers["x-remaining"].removesuffix("u"))
@@ -203,8 +203,9 @@
     run(test)
 
 
-def hold_back(monkeypatch: pytest.MonkeyPatch) -> list[Stream]:
-    """Of what is written to upstreams the kernel takes ten bytes, until the test calls `send` on what this gives."""
+def limit_first_write(monkeypatch: pytest.MonkeyPatch) -> list[Stream]:
+    """Lets the kernel accept only ten bytes of each request to an upstream, until the test calls `send` on the streams
+    that this returns."""
     held: list[Stream] = []
     real = Stream.send
 
@@ -219,13 +220,13 @@
     return held
 
 
-# Guards against a request whose last byte reaches its upstream after its end, as the rest of it waited to be written.
+# Guards against a request whose unwritten rest reaches its upstream after the request has ended.
 @pytest.mark.parametrize("end", ["its client leaves", "its time ends"])
 @pytest.mark.parametrize("lane", ["view", "pay", "mark"])
-def test_a_request_that_is_half_written_at_its_end_never_becomes_whole(
+def test_a_request_half_written_at_its_end_is_never_completed(
         end: str, lane: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        held = hold_back(monkeypatch)
+        held = limit_first_write(monkeypatch)
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"))
         reader, writer = await open_with_request(scene.port, scene.request(lane))
@@ -238,19 +239,19 @@
             scene.sidecar.fail(request.ident)
             assert (await read_message(reader)).status == 502
             writer.close()
-        held[0].send()  # there is room now
+        held[0].send()  # the kernel accepts the rest now
         await finish_all(scene, peer)
         assert not peer.got and not scene.sidecar.requests
 
     run(test)
 
 
-# Guards against an upstream that is blamed for what this machine lacks.
+# Guards against counting a lack of resources on this machine as a failure of the upstream.
 @pytest.mark.parametrize(("number", "outcome"), [
     (errno.EADDRNOTAVAIL, Outcome.NOT_SENT), (errno.ENOBUFS, Outcome.NOT_SENT), (errno.ENFILE, Outcome.NOT_SENT),
     (errno.ECONNREFUSED, Outcome.CONNECT_FAILED), (errno.EHOSTUNREACH, Outcome.CONNECT_FAILED),
     (errno.ENETUNREACH, Outcome.CONNECT_FAILED)])
-def test_a_connect_that_fails_says_whose_fault_it_is(
+def test_a_failed_connect_tells_local_faults_from_upstream_faults(
         number: int, outcome: Outcome, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstreams = Upstreams(now_us, 15_000_000, 1_000_000, 10)
@@ -262,7 +263,7 @@
         next(iter(upstreams.pools.values())).start(
             Attempt(lambda: GET, lambda: True, lambda found, _: ends.append(found)))
         await until(lambda: ends)
-        assert ends == [outcome] and upstreams.open == 0
+        assert ends == [outcome] and upstreams.open_count == 0
         upstreams.close()
 
     run(test)
--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -1,7 +1,7 @@
-"""Real sidecar processes whose system calls fail, between upstreams and clients of this process, and what they owe.
+"""Runs real sidecar processes whose system calls fail, between upstreams and clients in this process.
 
-Clients and upstreams write down what they saw with one clock; `Ledger.violations` judges it by the service's rules and
-shares no code with the program.
+Clients and upstreams record what they see, with one clock. `Ledger.violations` checks the records against the rules of
+the service and shares no code with the program.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from tests.faults.shim import Fault, Shim
 from tests.sockets import free_port
 
-LANES = ("view", "mark", "pay")  # safe to repeat, keyed, unsafe to repeat
-LATE_S = 0.5  # after its time an answer earns nothing; later still it is lost
-AFTER_END_S = 0.1  # an attempt may begin so long after its client has gone or been answered
-DEADLINE_SLACK_S = 0.15  # of what an attempt tells its upstream
-READS_BEHIND = 3  # turns of the loop in which it reads what lay there as a timer ran
-MEASURING_S = 0.1  # what this process itself may be late, beside the lag that it has seen
-# The first fields of the kernel's struct tcp_info, and the places of those that are told.
+LANES = ("view", "mark", "pay")  # idempotent, deduplicated by key, at most once
+LATE_ANSWER_LIMIT_S = 0.5  # an answer after the deadline is worthless; one later than this counts as lost
+AFTER_END_S = 0.1  # how long after the client left or was answered an attempt may still begin
+DEADLINE_SLACK_S = 0.15  # tolerance for the remaining time that an attempt tells its upstream
+LATE_READ_ITERATIONS = 3  # iterations of the event loop in which it reads data that had arrived before a timer ran
+MEASUREMENT_SLACK_S = 0.1  # tolerance for delays of this process, in addition to its measured lag
+# The first fields of the kernel's struct tcp_info, and the indexes of those that are used.
 TCP_INFO = struct.Struct("8B15I")
 RETRANSMITS, BACKOFF, UNACKED, SINCE_LAST_DATA_MS = 2, 4, 12, 19
 
@@ -45,57 +45,58 @@
 
 @dataclass
 class Arrival:
-    """One attempt whose last byte has come to an upstream."""
+    """One attempt whose last byte has arrived at an upstream. `remaining_s` is the time left that it carried."""
 
     at_s: float
-    told_s: float
+    remaining_s: float
 
 
 @dataclass
 class Call:
-    """One request as its client sees it."""
+    """One request as its client sees it, with its arrivals at upstreams."""
 
     txn: str
     lane: str
     limit_s: float
     sent_s: float = 0.0
-    ended_s: float | None = None  # its answer was whole, or its connection closed
-    left_s: float | None = None  # the client closed it
+    ended_s: float | None = None  # when the answer was complete or the connection closed
+    abandoned_s: float | None = None  # when the client closed the connection
     status: int = 0
     body: bytes = b""
-    trouble: str = ""
-    connect_s: float = 0.0  # that its connection took to come up
-    seen: str = ""  # of its connection, where it is lost
+    failure: str = ""
+    connect_s: float = 0.0  # duration of the connect
+    connection_state: str = ""  # state of its connection, if the request was lost
     arrivals: list[Arrival] = field(default_factory=list)
 
 
 class Ledger:
-    """All requests of a run, and what rules they show broken."""
+    """Records all requests of a run and finds the rules that were violated."""
 
     def __init__(self) -> None:
         self.calls: dict[str, Call] = {}
-        self.lag_s = 0.0  # the most that this process has been late
+        self.lag_s = 0.0  # the longest delay of the event loop of this process
 
-    def new(self, lane: str, limit_s: float) -> Call:
+    def new_call(self, lane: str, limit_s: float) -> Call:
         call = Call(f"t{len(self.calls)}", lane, limit_s)
         self.calls[call.txn] = call
         return call
 
-    def arrived(self, txn: str, told_s: float, at_s: float) -> None:
+    def record_arrival(self, txn: str, remaining_s: float, at_s: float) -> None:
         if txn in self.calls:
-            self.calls[txn].arrivals.append(Arrival(at_s, told_s))
+            self.calls[txn].arrivals.append(Arrival(at_s, remaining_s))
 
     def results(self) -> Counter[str]:
-        return Counter(str(call.status) if call.status else call.trouble or "left" for call in self.calls.values())
+        return Counter(str(call.status) if call.status else call.failure or "left" for call in self.calls.values())
 
     def violations(self) -> list[str]:
-        return [f"{call.txn} ({call.lane}): {text}" for call in self.calls.values() for text in self.broken(call)]
+        return [f"{call.txn} ({call.lane}): {text}"
+                for call in self.calls.values() for text in self.violations_of(call)]
 
-    def broken(self, call: Call) -> list[str]:
+    def violations_of(self, call: Call) -> list[str]:
         found = []
-        slack_s = MEASURING_S + self.lag_s
-        if call.trouble.startswith("lost"):
-            found.append(f"{call.trouble}; {call.seen}, connected in {call.connect_s:.3f} s, "
+        slack_s = MEASUREMENT_SLACK_S + self.lag_s
+        if call.failure.startswith("lost"):
+            found.append(f"{call.failure}; {call.connection_state}, connected in {call.connect_s:.3f} s, "
                          f"sent at {call.sent_s:.3f}, {len(call.arrivals)} attempts")
         if call.status == 200 and call.body != b"answer " + call.txn.encode():
             found.append(f"wrong body {call.body[:40]!r}")
@@ -103,13 +104,13 @@
             found.append(f"{len(call.arrivals)} attempts of a request that may run once")
         if call.lane != "view" and call.status in (429, 503) and call.arrivals:
             found.append(f"refused with {call.status} though it was sent")
-        end_s = call.left_s if call.left_s is not None else call.ended_s
+        end_s = call.abandoned_s if call.abandoned_s is not None else call.ended_s
         for arrival in call.arrivals:
             if end_s is not None and arrival.at_s > end_s + AFTER_END_S + slack_s:
                 found.append(f"forwarded {arrival.at_s - end_s:.3f} s after its end")
             left_s = call.sent_s + call.limit_s - arrival.at_s
-            if arrival.told_s > left_s + DEADLINE_SLACK_S + slack_s:
-                found.append(f"told {arrival.told_s:.3f} s, its client has {left_s:.3f} s left")
+            if arrival.remaining_s > left_s + DEADLINE_SLACK_S + slack_s:
+                found.append(f"told {arrival.remaining_s:.3f} s, its client has {left_s:.3f} s left")
         return found
 
 
@@ -141,10 +142,10 @@
         headers, self.headers = self.headers, {}
         txn = headers.get(b"x-txn", b"").decode()
         told = headers.get(b"x-remaining", b"0u")
-        # this process may read it some turns of its loop later, which is not the sidecar's doing
-        lay_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
+        # subtract how long the data waited to be read, because this process may be late to read it
+        unread_s = tcp_info(self.transport)[SINCE_LAST_DATA_MS] / 1e3
         told_s = int(told[:-1]) / (1e6 if told.endswith(b"u") else 1e3)
-        self.upstream.ledger.arrived(txn, told_s, time.monotonic() - lay_s)
+        self.upstream.ledger.record_arrival(txn, told_s, time.monotonic() - unread_s)
         self.upstream.serve(self, txn)
 
     def answer(self, status: bytes, body: bytes, extra: bytes = b"") -> None:
@@ -153,10 +154,10 @@
 
 
 class Upstream:
-    """An upstream that answers after `delay_s`, or does what `trouble` says: hang, fail, reset, stray, halt."""
+    """An upstream that answers after `delay_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self.ledger, self.delay_s, self.trouble = ledger, 0.02, ""
+        self.ledger, self.delay_s, self.fault = ledger, 0.02, ""
         self.connections: set[UpstreamConnection] = set()
         self.unreadable: list[str] = []
         self.server: asyncio.Server | None = None
@@ -169,7 +170,7 @@
         return self
 
     def serve(self, connection: UpstreamConnection, txn: str) -> None:
-        if self.trouble == "hang":
+        if self.fault == "hang":
             return
         asyncio.get_running_loop().call_later(self.delay_s, self.answer, connection, txn)
 
@@ -177,12 +178,12 @@
         if connection.transport.is_closing():
             return
         body = b"answer " + txn.encode()
-        match self.trouble:
+        match self.fault:
             case "fail":
                 connection.answer(b"500 Error", b"")
             case "reset":
                 connection.transport.abort()
-            case "stray":  # a second answer, as a spoilt one: it must not become the next request's
+            case "stray":  # an unsolicited second answer, which must not become the answer to the next request
                 connection.answer(b"200 OK", body, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
             case "halt":
                 connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
@@ -204,24 +205,24 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's kept connection, one request at a time."""
+    """A reusable connection of a client, with one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
         self.parser = httptools.HttpResponseParser(self)
-        self.waiting: asyncio.Future[bool] | None = None  # True: a whole answer; False: the connection ended
+        self.answer_waiter: asyncio.Future[bool] | None = None  # True: a complete answer; False: the connection ended
         self.body = b""
         self.used = False
         self.closed = False
-        self.end = "open"
+        self.end_reason = "open"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def seen(self) -> str:
-        """How it ended; while it is open, what the kernel knows of it."""
+    def describe_state(self) -> str:
+        """Describes how the connection ended or, while it is open, its TCP state in the kernel."""
         if self.closed:
-            return f"its connection ended by {self.end}"
+            return f"its connection ended by {self.end_reason}"
         if self.transport.is_closing():
             return "its connection had ended before it was written"
         info = tcp_info(self.transport)
@@ -243,45 +244,47 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.end = repr(exc) if exc is not None else "a close"
+        self.end_reason = repr(exc) if exc is not None else "a close"
         self.finish(False)
 
     def finish(self, whole: bool) -> None:
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(whole)
+        if self.answer_waiter is not None and not self.answer_waiter.done():
+            self.answer_waiter.set_result(whole)
 
-    async def begin(self, data: bytes, pause_s: float) -> bool:
-        """Writes the first part of a request; whether after a pause it still has no answer, and its rest may follow."""
-        self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
+    async def send_part(self, data: bytes, pause_s: float) -> bool:
+        """Writes the first part of a request and waits. Returns whether the rest may follow, as there is no answer
+        yet."""
+        self.body, self.answer_waiter = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
         self.transport.write(data)
-        await asyncio.wait([self.waiting], timeout=pause_s)
-        return not (self.waiting.done() or self.transport.is_closing())
+        await asyncio.wait([self.answer_waiter], timeout=pause_s)
+        return not (self.answer_waiter.done() or self.transport.is_closing())
 
     async def ask(self, data: bytes, limit_s: float) -> bool:
-        self.body, self.waiting = b"", asyncio.get_running_loop().create_future()
+        """Sends a request. Returns whether a complete answer arrived; raises TimeoutError."""
+        self.body, self.answer_waiter = b"", asyncio.get_running_loop().create_future()
         if self.closed or self.transport.is_closing():
             return False
         self.transport.write(data)
         try:
             async with asyncio.timeout(limit_s):
-                return await asyncio.shield(self.waiting)
+                return await asyncio.shield(self.answer_waiter)
         except TimeoutError:
-            # after a moment without processor this loop's timers run before it reads what has come in time
-            for _ in range(READS_BEHIND):
+            # after the process got no CPU time, timers run before the event loop reads data that arrived in time
+            for _ in range(LATE_READ_ITERATIONS):
                 await asyncio.sleep(0)
-            if self.waiting.done():
-                return self.waiting.result()
+            if self.answer_waiter.done():
+                return self.answer_waiter.result()
             raise
 
 
 class Clients:
-    """The application beside one sidecar: keeps connections, one request at a time on each."""
+    """The application next to one sidecar: reuses connections, with one request at a time on each."""
 
     def __init__(self, ledger: Ledger, port: int) -> None:
         self.ledger, self.port = ledger, port
-        self.kept: list[ClientConnection] = []
+        self.idle: list[ClientConnection] = []
         self.may_connect = True
 
     async def connect(self) -> ClientConnection:
@@ -295,33 +298,33 @@
                 f"X-Org: north\r\nX-Remaining: {int(left_s * 1000)}m\r\n{key}Content-Length: 0\r\n\r\n").encode()
 
     async def call_slowly(self, lane: str, limit_s: float, connected_s: float, half_s: float) -> Call:
-        """Sends one request on a new connection: its first bytes so long after the connect, and the rest so long after
-        these. Its time counts from its last byte; what has an end before that is not lost."""
-        call = self.ledger.new(lane, limit_s)
+        """Sends one request on a new connection: the first half `connected_s` after the connect, the rest `half_s`
+        later. Its deadline counts from its last byte; a request whose connection ends before that is not lost."""
+        call = self.ledger.new_call(lane, limit_s)
         try:
             connection = await self.connect()
         except OSError:
-            call.trouble = "not connected"
+            call.failure = "not connected"
             return call
         await asyncio.sleep(connected_s)
         data = self.request(call, limit_s)
-        if await connection.begin(data[:len(data) // 2], half_s):
+        if await connection.send_part(data[:len(data) // 2], half_s):
             call.sent_s = time.monotonic()
-            await self.on(connection, call, None, False, data[len(data) // 2:])
+            await self.send_on(connection, call, None, False, data[len(data) // 2:])
         else:
-            call.trouble = "ended before it was whole"
+            call.failure = "ended before it was whole"
         connection.transport.abort()
         return call
 
     async def call(self, lane: str = "view", limit_s: float = 2.0, leave_after_s: float | None = None,
                    keep: bool = True) -> Call:
-        """Sends one request; `leave_after_s` closes its connection before the answer, if that has not come."""
-        call = self.ledger.new(lane, limit_s)
+        """Sends one request. With `leave_after_s` the client closes the connection if no answer has come by then."""
+        call = self.ledger.new_call(lane, limit_s)
         connection = None
-        while self.kept and (connection is None or connection.closed):
-            connection = self.kept.pop()
+        while self.idle and (connection is None or connection.closed):
+            connection = self.idle.pop()
         call.sent_s = time.monotonic()
-        for _ in range(2):  # a request that crosses the end of a resting connection is sent once more
+        for _ in range(2):  # a request that crosses with the close of an idle connection is sent once more
             if connection is None or connection.closed:
                 begun_s = time.monotonic()
                 try:
@@ -330,33 +333,33 @@
                     connection = None
                 call.connect_s = time.monotonic() - begun_s
                 if connection is None:
-                    call.trouble = "not connected"
+                    call.failure = "not connected"
                     return call
             crossed = connection.used
-            if await self.on(connection, call, leave_after_s, crossed):
+            if await self.send_on(connection, call, leave_after_s, crossed):
                 break
             connection = None
         if connection is not None and keep and call.status and not connection.closed:
-            self.kept.append(connection)
+            self.idle.append(connection)
         elif connection is not None:
             connection.transport.abort()
         return call
 
-    async def on(self, connection: ClientConnection, call: Call, leave_after_s: float | None, used: bool,
+    async def send_on(self, connection: ClientConnection, call: Call, leave_after_s: float | None, used: bool,
                  data: bytes = b"") -> bool:
-        """Whether the call has ended on this connection; `data`: what is left of it to be written."""
+        """Returns whether the call has ended on this connection. `data` is the unwritten part of the request."""
         due_s = call.sent_s + call.limit_s
-        wait_s = due_s + LATE_S + self.ledger.lag_s + MEASURING_S - time.monotonic()
+        wait_s = due_s + LATE_ANSWER_LIMIT_S + self.ledger.lag_s + MEASUREMENT_SLACK_S - time.monotonic()
         connection.used = True
         try:
             whole = await connection.ask(data or self.request(call, max(0.001, due_s - time.monotonic())),
                                          wait_s if leave_after_s is None else min(wait_s, leave_after_s))
         except TimeoutError:
-            call.left_s = time.monotonic()
-            call.seen = connection.seen()
+            call.abandoned_s = time.monotonic()
+            call.connection_state = connection.describe_state()
             connection.transport.abort()
             if leave_after_s is None:
-                call.trouble = f"lost: no answer {call.left_s - due_s:.2f} s after its time"
+                call.failure = f"lost: no answer {call.abandoned_s - due_s:.2f} s after its time"
             return True
         call.ended_s = time.monotonic()
         if whole:
@@ -365,18 +368,18 @@
         if used and not call.arrivals:
             call.ended_s = None
             return False
-        call.seen = connection.seen()
-        call.trouble = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
+        call.connection_state = connection.describe_state()
+        call.failure = f"lost: closed after {call.ended_s - call.sent_s:.3f} s with no whole answer"
         return True
 
     def close(self) -> None:
-        for connection in self.kept:
+        for connection in self.idle:
             connection.transport.abort()
-        self.kept.clear()
+        self.idle.clear()
 
 
 class SidecarProcess:
-    """One sidecar on a port of its own, with a shim."""
+    """One sidecar process with its own port and shim."""
 
     def __init__(self, site: Site, number: int) -> None:
         self.site, self.name = site, f"n{number}"
@@ -409,7 +412,7 @@
 
     async def ready(self, limit_s: float = 20.0) -> bool:
         end_s = time.monotonic() + limit_s
-        while time.monotonic() < end_s and self.code() is None:
+        while time.monotonic() < end_s and self.exit_code() is None:
             try:
                 connection = await self.clients.connect()
                 if await connection.ask(b"GET /health/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n", 2.0) \
@@ -424,16 +427,16 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    def code(self) -> int | None:
+    def exit_code(self) -> int | None:
         assert self.process is not None
         return self.process.poll()
 
-    async def ended(self, limit_s: float) -> int | None:
-        """Its status, or None if it still runs."""
+    async def wait_for_exit(self, limit_s: float) -> int | None:
+        """Waits for the end. Returns the exit status, or None if the process still runs."""
         end_s = time.monotonic() + limit_s
-        while self.code() is None and time.monotonic() < end_s:
+        while self.exit_code() is None and time.monotonic() < end_s:
             await asyncio.sleep(0.01)
-        return self.code()
+        return self.exit_code()
 
     def log(self) -> str:
         return (self.folder / "log").read_text(errors="replace")
@@ -446,7 +449,7 @@
 
 
 class Site:
-    """Upstreams, discovery and sidecars of one run."""
+    """The upstreams, the discovery service and the sidecars of one run."""
 
     def __init__(self, folder: Path, deadline_s: float = 2.0, **settings: Any) -> None:
         self.folder, self.deadline_s = folder, deadline_s
@@ -457,10 +460,10 @@
         self.discovery = ListedDiscovery()
         self.upstreams: list[Upstream] = []
         self.sidecars: list[SidecarProcess] = []
-        self.lag: asyncio.Task[None] | None = None
+        self.lag_task: asyncio.Task[None] | None = None
 
     async def start(self, upstreams: int = 6, sidecars: int = 1) -> Site:
-        self.lag = asyncio.create_task(self.watch_lag())
+        self.lag_task = asyncio.create_task(self.watch_lag())
         self.upstreams = [await Upstream(self.ledger).start() for _ in range(upstreams)]
         await self.discovery.start()
         self.discovery.put(*(one.entry(f"u{i}") for i, one in enumerate(self.upstreams)))
@@ -471,7 +474,7 @@
         return self
 
     async def serving(self, upstreams: int = 6) -> SidecarProcess:
-        """Starts one sidecar, ready."""
+        """Starts one sidecar and waits until it is ready."""
         await self.start(upstreams)
         sidecar = self.sidecars[0]
         sidecar.launch()
@@ -492,12 +495,12 @@
         for upstream in self.upstreams:
             upstream.stop()
         await self.discovery.stop()
-        if self.lag is not None:
-            self.lag.cancel()
+        if self.lag_task is not None:
+            self.lag_task.cancel()
 
 
-async def load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
-    """Open-loop arrivals of all classes at an even pace; every other one gives its connection up."""
+async def send_load(clients: Clients, seconds: float, rate: float = 60.0, limit_s: float = 2.0) -> list[Call]:
+    """Sends requests of all classes in an open loop at a constant rate. Every other one closes its connection."""
     tasks, end_s, count = [], time.monotonic() + seconds, 0
     while time.monotonic() < end_s:
         tasks.append(asyncio.create_task(clients.call(LANES[count % 3], limit_s, keep=count % 2 == 0)))
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -1,4 +1,4 @@
-"""One real sidecar process whose system calls fail for a moment: nothing that it has taken is lost."""
+"""System calls of one real sidecar process fail for a while: no request that it has accepted is lost."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 import pytest
 
 from tests.faults.shim import Fault
-from tests.faults.site import SidecarProcess, Site, always, load
+from tests.faults.site import SidecarProcess, Site, always, send_load
 from tests.sockets import run
 
 
 def play(folder: Path, test: Callable[[Site], Awaitable[None]], deadline_s: float = 2.0) -> None:
-    """Runs `test` at a site of its own, and ends whatever it started."""
+    """Runs `test` with its own site and stops everything that it started."""
     async def whole() -> None:
         site = Site(folder, deadline_s)
         try:
@@ -26,21 +26,21 @@
     run(whole, 60.0)
 
 
-async def ends_well(sidecar: SidecarProcess, limit_s: float = 8.0) -> None:
+async def assert_clean_exit(sidecar: SidecarProcess, limit_s: float = 8.0) -> None:
     sidecar.shim.set({})
-    if sidecar.code() is None:
+    if sidecar.exit_code() is None:
         sidecar.signal(signal.SIGTERM)
-    assert await sidecar.ended(limit_s) == 0, sidecar.log()[-2000:]
+    assert await sidecar.wait_for_exit(limit_s) == 0, sidecar.log()[-2000:]
 
 
-def check(site: Site, served: int = 1) -> None:
+def assert_no_violations(site: Site, served: int = 1) -> None:
     assert not site.ledger.violations(), (site.ledger.violations()[:5], site.ledger.results(),
                                           [one.log()[-1500:] for one in site.sidecars])
     assert not [one for one in site.sidecars if "violation:" in one.log()], [one.log()[-3000:] for one in site.sidecars]
     assert site.ledger.results()["200"] >= served, site.ledger.results()
 
 
-STEADY = {
+SERVICE_FAULTS = {
     "no log line is written": {Fault.LOG_WRITE: 1000},
     "sockets and connects": {Fault.SOCKET: 300, Fault.CONNECT: 300},
     "accepts": {Fault.ACCEPT: 500},
@@ -54,31 +54,31 @@
 }
 
 
-# Guards against a failed call that costs a request of another its answer, or brings it a wrong one.
-@pytest.mark.parametrize("rates", STEADY.values(), ids=[name.replace(" ", "-") for name in STEADY])
-def test_requests_are_answered_while_calls_fail_in_service(tmp_path: Path, rates: dict[Fault, int]) -> None:
+# Guards against a failed system call that loses the answer to another request, or gives it a wrong one.
+@pytest.mark.parametrize("rates", SERVICE_FAULTS.values(), ids=[name.replace(" ", "-") for name in SERVICE_FAULTS])
+def test_requests_are_answered_while_system_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
-        job = asyncio.create_task(load(sidecar.clients, 4.0))
+        job = asyncio.create_task(send_load(sidecar.clients, 4.0))
         await asyncio.sleep(0.5)
         for upstream, trouble in zip(site.upstreams, ("fail", "hang", "reset", "stray"), strict=False):
-            upstream.trouble = trouble
-        site.upstreams[4].reset_all()  # sockets are needed anew
+            upstream.fault = trouble
+        site.upstreams[4].reset_all()  # so that new sockets are needed
         site.upstreams[5].reset_all()
         sidecar.shim.set(rates)
         await asyncio.sleep(2.0)
         sidecar.shim.set({})
         for upstream in site.upstreams:
-            upstream.trouble = ""
+            upstream.fault = ""
         await job
-        assert sidecar.shim.hits(), "no call failed"
-        check(site)
-        await ends_well(sidecar)
+        assert sidecar.shim.injected(), "no call failed"
+        assert_no_violations(site)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
 
 
-SHUTDOWN = {
+SHUTDOWN_FAULTS = {
     "no socket": {Fault.SOCKET: 1000},
     "no connect": {Fault.CONNECT: 1000},
     "no accept": {Fault.ACCEPT: 1000},
@@ -91,26 +91,26 @@
 }
 
 
-# Guards against a shutdown that ends early, or closes over connections that it could not accept for a moment.
-@pytest.mark.parametrize("rates", SHUTDOWN.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN])
-def test_a_shutdown_loses_nothing_while_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
+# Guards against a shutdown that ends early, or that drops connections which could not be accepted for a while.
+@pytest.mark.parametrize("rates", SHUTDOWN_FAULTS.values(), ids=[name.replace(" ", "-") for name in SHUTDOWN_FAULTS])
+def test_a_shutdown_loses_nothing_while_system_calls_fail(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         site.upstreams[0].delay_s = site.upstreams[1].delay_s = 1.2
-        job = asyncio.create_task(load(sidecar.clients, 0.8, 100.0))
+        job = asyncio.create_task(send_load(sidecar.clients, 0.8, 100.0))
         await asyncio.sleep(0.4)
         sidecar.signal(signal.SIGTERM)
         sidecar.shim.set(rates)
-        await asyncio.sleep(1.0)  # new connections come for 0.4 s of it
+        await asyncio.sleep(1.0)  # new connections come during the first 0.4 s
         sidecar.shim.set({})
         await job
-        check(site)
-        assert await sidecar.ended(3.0) == 0, sidecar.log()[-2000:]
+        assert_no_violations(site)
+        assert await sidecar.wait_for_exit(3.0) == 0, sidecar.log()[-2000:]
 
     play(tmp_path, test)
 
 
-START = {
+START_FAULTS = {
     "no socket": {Fault.SOCKET: 1000},
     "no bind": {Fault.BIND: 1000},
     "no file": {Fault.FILE_OPEN: 1000},
@@ -120,27 +120,27 @@
 }
 
 
-# Guards against a start that gives up at the first call that fails.
-@pytest.mark.parametrize("rates", START.values(), ids=[name.replace(" ", "-") for name in START])
-def test_a_start_outlasts_calls_that_fail_for_a_moment(tmp_path: Path, rates: dict[Fault, int]) -> None:
+# Guards against a start that gives up when a system call fails.
+@pytest.mark.parametrize("rates", START_FAULTS.values(), ids=[name.replace(" ", "-") for name in START_FAULTS])
+def test_a_start_survives_system_calls_that_fail_for_a_while(tmp_path: Path, rates: dict[Fault, int]) -> None:
     async def test(site: Site) -> None:
         await site.start()
         sidecar = site.sidecars[0]
         sidecar.shim.set(rates)
         sidecar.launch()
         await asyncio.sleep(1.5)
-        assert sidecar.code() is None, sidecar.log()
+        assert sidecar.exit_code() is None, sidecar.log()
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
-        await load(sidecar.clients, 0.5)
-        check(site)
-        await ends_well(sidecar)
+        await send_load(sidecar.clients, 0.5)
+        assert_no_violations(site)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
 
 
-# Guards against a new configuration that is never heeded as its file could not be read for a moment.
-def test_a_reload_that_cannot_read_its_file_is_tried_again(tmp_path: Path) -> None:
+# Guards against a new configuration that is never applied because its file could not be read for a while.
+def test_a_reload_that_cannot_read_its_file_is_retried(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         other = type(site.discovery)()
@@ -154,9 +154,9 @@
         async with asyncio.timeout(3.0):
             while not other.watches:
                 await asyncio.sleep(0.01)
-        await load(sidecar.clients, 0.3)
-        check(site)
-        await ends_well(sidecar)
+        await send_load(sidecar.clients, 0.3)
+        assert_no_violations(site)
+        await assert_clean_exit(sidecar)
         await other.stop()
 
     play(tmp_path, test)
--- a/tests/faults/test_held_up.py
+++ b/tests/faults/test_held_up.py
@@ -1,4 +1,4 @@
-"""A process that gets no processor for a while counts a request's time from its last byte."""
+"""A process that gets no CPU time for a while counts a request's remaining time from its last byte."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from pathlib import Path
 
 from tests.faults.site import Site
-from tests.faults.test_calls import check, ends_well, play
+from tests.faults.test_calls import assert_clean_exit, assert_no_violations, play
 
 
-# Guards against upstreams that are told more time than the client has left, as its request lay unread.
-def test_a_request_that_lay_unread_tells_the_time_that_its_client_has_left(tmp_path: Path) -> None:
+# Guards against telling upstreams more time than the client has left, because its request waited to be read.
+def test_a_request_that_waited_unread_carries_the_time_its_client_has_left(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         sidecar = await site.serving()
         await asyncio.gather(*(sidecar.clients.call() for _ in range(4)))
@@ -20,7 +20,7 @@
         await asyncio.sleep(0.8)
         sidecar.signal(signal.SIGCONT)
         await asyncio.gather(*calls)
-        check(site, 4)
-        await ends_well(sidecar)
+        assert_no_violations(site, 4)
+        await assert_clean_exit(sidecar)
 
     play(tmp_path, test)
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -1,4 +1,4 @@
-"""A store of record on a disk that fails for a while, under a process that is killed: what was answered stands once."""
+"""A store of record on a failing disk, with a process that is killed: each answered request is stored exactly once."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from ironscale.record.journal import read_all
 from tests.faults.shim import Fault
-from tests.faults.site import Call, SidecarProcess, Site, load
-from tests.faults.test_calls import ends_well, play
+from tests.faults.site import Call, SidecarProcess, Site, send_load
+from tests.faults.test_calls import assert_clean_exit, play
 
 OPERATOR = """[store]
 classes = ["mark", "pay"]
@@ -40,20 +40,20 @@
     return Counter(request for request, in found)
 
 
-def broken(calls: dict[str, Call], written: Counter[str]) -> list[str]:
-    """What was answered stands once; what was refused does not stand; nothing stands twice."""
+def store_violations(calls: dict[str, Call], written: Counter[str]) -> list[str]:
+    """Finds answered requests that are not stored, refused ones that are, and those stored more than once."""
     found = [f"{txn}: written {count} times" for txn, count in written.items() if count > 1]
     for call in calls.values():
         if call.lane != "view" and call.status == 200 and not written[call.txn]:
             found.append(f"{call.txn} ({call.lane}): answered, and not in the store")
         if call.status in (429, 503) and written[call.txn]:
             found.append(f"{call.txn} ({call.lane}): refused, and in the store")
-        if call.trouble.startswith("lost"):
-            found.append(f"{call.txn} ({call.lane}): {call.trouble}")
+        if call.failure.startswith("lost"):
+            found.append(f"{call.txn} ({call.lane}): {call.failure}")
     return found
 
 
-async def stored(site: Site) -> SidecarProcess:
+async def start_with_store(site: Site) -> SidecarProcess:
     await site.start()
     sidecar = site.sidecars[0]
     sidecar.operator = OPERATOR
@@ -63,13 +63,14 @@
     return sidecar
 
 
-# Guards against an answer for what is not in the store, a refusal for what is, and a request that nobody answers.
+# Guards against answering a request that is not stored, refusing one that is, and leaving one unanswered.
 @pytest.mark.parametrize("rates", FAULTS.values(), ids=[name.replace(" ", "-") for name in FAULTS])
 @pytest.mark.parametrize("killed", [False, True], ids=["goes on", "is killed"])
-def test_a_store_keeps_its_word_while_its_disk_fails(tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
+def test_stored_requests_match_the_answers_while_the_disk_fails(
+        tmp_path: Path, rates: dict[Fault, int], killed: bool) -> None:
     async def test(site: Site) -> None:
-        sidecar = await stored(site)
-        job = asyncio.create_task(load(sidecar.clients, 2.5, 60.0))
+        sidecar = await start_with_store(site)
+        job = asyncio.create_task(send_load(sidecar.clients, 2.5, 60.0))
         await asyncio.sleep(0.4)
         sidecar.shim.set(rates)
         await asyncio.sleep(1.2)
@@ -81,23 +82,23 @@
             sidecar.launch()
             assert await sidecar.ready(), sidecar.log()
             for call in site.ledger.calls.values():
-                call.trouble = call.trouble.replace("lost", "killed")  # whoever had no answer as it was killed
-            await load(sidecar.clients, 0.3)
+                call.failure = call.failure.replace("lost", "killed")  # they had no answer at the kill
+            await send_load(sidecar.clients, 0.3)
         sidecar.shim.set({})
         await job
-        async with asyncio.timeout(20):  # what was left open is found out
+        async with asyncio.timeout(20):  # until the outcome of all open journal entries is known
             while read_all(sidecar.folder / "open")[0]:
                 await asyncio.sleep(0.05)
-        await ends_well(sidecar)
-        assert not broken(site.ledger.calls, rows(sidecar)), (broken(site.ledger.calls, rows(sidecar))[:5],
-                                                              site.ledger.results(), sidecar.log()[-3000:])
+        await assert_clean_exit(sidecar)
+        assert not store_violations(site.ledger.calls, rows(sidecar)), (
+            store_violations(site.ledger.calls, rows(sidecar))[:5], site.ledger.results(), sidecar.log()[-3000:])
         assert site.ledger.results()["200"] > 30, site.ledger.results()
 
     play(tmp_path, test)
 
 
-# Guards against a start that gives up as the store's disk or threads fail just then.
-def test_a_store_starts_on_a_disk_that_fails_for_a_moment(tmp_path: Path) -> None:
+# Guards against a start that gives up because the store's disk or threads fail at that moment.
+def test_a_store_starts_on_a_disk_that_fails_for_a_while(tmp_path: Path) -> None:
     async def test(site: Site) -> None:
         await site.start()
         sidecar = site.sidecars[0]
@@ -108,18 +109,19 @@
         await asyncio.sleep(1.5)
         sidecar.shim.set({})
         assert await sidecar.ready(), sidecar.log()
-        await load(sidecar.clients, 0.5)
-        await ends_well(sidecar)
-        assert not broken(site.ledger.calls, rows(sidecar)) and site.ledger.results()["200"] > 10, sidecar.log()
+        await send_load(sidecar.clients, 0.5)
+        await assert_clean_exit(sidecar)
+        assert (not store_violations(site.ledger.calls, rows(sidecar))
+                and site.ledger.results()["200"] > 10), sidecar.log()
 
     play(tmp_path, test)
 
 
-# Guards against a keyed request that is written again within its memory, as the wall clock has stepped.
+# Guards against storing a keyed request twice within its memory span because the wall clock was stepped.
 @pytest.mark.parametrize("seconds", [3600.0, 5.0, -3600.0])
-def test_the_memory_of_a_keyed_request_outlasts_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
+def test_the_memory_span_of_a_keyed_request_survives_a_step_of_the_wall_clock(tmp_path: Path, seconds: float) -> None:
     async def test(site: Site) -> None:
-        sidecar = await stored(site)
+        sidecar = await start_with_store(site)
         plain = sidecar.clients.request
 
         def of_one_key(call: Call, left_s: float) -> bytes:
@@ -128,9 +130,9 @@
         sidecar.clients.request = of_one_key  # type: ignore[method-assign]
         first = await sidecar.clients.call("mark")
         sidecar.shim.step_wall_clock(seconds)
-        again = await sidecar.clients.call("mark")  # well within the 1.2 s of its class
+        again = await sidecar.clients.call("mark")  # well within the memory span of its class, 1.2 s
         assert (first.status, again.status) == (200, 200) and first.body == again.body
-        await ends_well(sidecar)
+        await assert_clean_exit(sidecar)
         assert rows(sidecar).total() == 1
 
     play(tmp_path, test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -122,7 +122,7 @@
         start = time.monotonic()
         assert (await scene.call("pay", remaining="400000u")).status == 502
         assert time.monotonic() - start >= 0.39 - ANSWER_MARGIN_US / 1e6
-        await until(lambda: scene.sidecar.upstreams.open == 0)
+        await until(lambda: scene.sidecar.upstreams.open_count == 0)
         assert not scene.sidecar.requests and not scene.sidecar.by_txn
 
     run(test)
@@ -201,7 +201,7 @@
 def test_the_balancer_hears_of_a_client_that_left_and_the_upstream_connection_is_reused(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "REST_US", 0)
+    monkeypatch.setattr(upstream, "MIN_IDLE_US", 0)
 
     async def test() -> None:
         peer = await Peer(hang).start()
@@ -514,7 +514,7 @@
             may be two, where a request came while the first one rested after its answer: the extra one stays until it
             expires."""
             pool, = sidecar.upstreams.pools.values()
-            return not pool.busy and len(peer.writers) == sidecar.upstreams.open == len(pool.idle)
+            return not pool.busy and len(peer.writers) == sidecar.upstreams.open_count == len(pool.idle)
 
         for generation in range(1, 6):
             await churn(generation)
@@ -635,7 +635,7 @@
         assert (await call).status == 502
         scene.sidecar.execute_action(api.Cancel(ident, 0))
         assert [(e.outcome, e.request_ended) for e in ended] == [(api.Outcome.CANCELLED, True)]
-        assert not scene.sidecar.requests and scene.sidecar.upstreams.open == 0
+        assert not scene.sidecar.requests and scene.sidecar.upstreams.open_count == 0
 
     run(test)
 
@@ -810,7 +810,7 @@
      "listen: expected HOST:PORT, got 'here'"),
     (json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}), "GW_NAME is not set"),
     (json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS,
-                 "known": {"generation": 1, "instances": [{}]}}), "known: a list that is malformed"),
+                 "known": {"generation": 1, "instances": [{}]}}), "known: malformed list after 0 instances"),
 ])
 def test_a_configuration_that_cannot_be_used_ends_with_one_line(
     content: str | None, words: str, tmp_path: Path
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,11 +1,11 @@
-"""The wall clock may step by seconds or an hour; what goes by real time does not."""
+"""Tests start times of upstreams while the wall clock is stepped by seconds or an hour."""
 
 from __future__ import annotations
 
 import pytest
 
 from ironscale import interface as api
-from ironscale.net.start_times import MOST_STEPS, StartTimes
+from ironscale.net.start_times import MAX_STEPS, StartTimes
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer
 from tests.sockets import Scene, run, until
@@ -15,76 +15,77 @@
 
 
 class Clocks:
-    """The wall clock ahead of the own one by what steps have made of it."""
+    """A monotonic clock, and a wall clock that is ahead of it by the sum of its steps."""
 
     def __init__(self) -> None:
-        self.own_us, self.ahead_us = START_US, 0
-        self.starts = StartTimes(lambda: self.own_us + self.ahead_us, lambda: self.own_us)
+        self.monotonic_us, self.wall_offset_us = START_US, 0
+        self.starts = StartTimes(lambda: self.monotonic_us + self.wall_offset_us, lambda: self.monotonic_us)
 
     def step(self, by_us: int) -> None:
-        self.ahead_us += by_us
-        self.starts.look()
+        self.wall_offset_us += by_us
+        self.starts.check_for_step()
 
-    def told(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
+    def entry_with_start(self, started_us: int, known: api.Upstream | None = None) -> api.Upstream:
         entry = api.Upstream(1, started_us=started_us)
-        self.starts.place(entry, known)
+        self.starts.set_start(entry, known)
         return entry
 
 
-def test_without_a_step_starts_are_taken_as_told() -> None:
+def test_without_a_step_start_times_are_used_as_reported() -> None:
     clocks = Clocks()
     for started_us in (0, START_US - HOUR_US, START_US - S, START_US + 100_000):
-        assert clocks.told(started_us).effective_start_us == started_us
-    clocks.own_us += 100 * S
-    assert not clocks.starts.look()
+        assert clocks.entry_with_start(started_us).effective_start_us == started_us
+    clocks.monotonic_us += 100 * S
+    assert not clocks.starts.check_for_step()
 
 
-# Guards against a cold upstream that is taken for a warm one, or for one that starts in an hour, after a step.
+# Guards against taking a cold upstream, after a step, for a warm one or for one that starts an hour later.
 @pytest.mark.parametrize("by_us", STEPS_US)
 @pytest.mark.parametrize("stamped", ["before the step", "after it"])
-def test_a_start_that_is_told_after_a_step_is_never_older_than_it_is(by_us: int, stamped: str) -> None:
+def test_a_start_reported_after_a_step_is_never_believed_older_than_it_is(by_us: int, stamped: str) -> None:
     clocks = Clocks()
-    started_us = clocks.own_us  # in truth, on the own clock
+    started_us = clocks.monotonic_us  # the true start, on the monotonic clock
     stamp_us = started_us
     if stamped == "after it":
         clocks.step(by_us)
         stamp_us += by_us
     else:
-        clocks.own_us += S
+        clocks.monotonic_us += S
         clocks.step(by_us)
-    clocks.own_us += S
-    entry = clocks.told(stamp_us)
-    assert started_us <= entry.effective_start_us <= clocks.own_us
-    assert entry.started_us == stamp_us, "the process keeps its name"
+    clocks.monotonic_us += S
+    entry = clocks.entry_with_start(stamp_us)
+    assert started_us <= entry.effective_start_us <= clocks.monotonic_us
+    assert entry.started_us == stamp_us, "the reported start identifies the process and must not change"
     if abs(by_us) == HOUR_US:
         assert entry.effective_start_us == started_us
 
 
-# Guards against a warm upstream that is taken for a cold one as the whole list is told again after a step.
+# Guards against taking a warm upstream for a cold one when the full list is sent again after a step.
 @pytest.mark.parametrize("by_us", STEPS_US)
-def test_a_process_that_is_known_keeps_its_start(by_us: int) -> None:
+def test_a_known_process_keeps_its_start(by_us: int) -> None:
     clocks = Clocks()
-    known = clocks.told(START_US - 30 * S)
+    known = clocks.entry_with_start(START_US - 30 * S)
     clocks.step(by_us)
-    again = clocks.told(START_US - 30 * S, known)
+    again = clocks.entry_with_start(START_US - 30 * S, known)
     assert again.effective_start_us == START_US - 30 * S
-    assert clocks.told(START_US + by_us, known).effective_start_us != START_US - 30 * S, (
-        "another process behind the same id")
+    assert clocks.entry_with_start(
+        START_US + by_us, known).effective_start_us != START_US - 30 * S, (
+        "another process with the same id")
 
 
-def test_a_start_in_the_future_counts_from_when_it_was_told() -> None:
+def test_a_start_in_the_future_counts_from_when_it_was_reported() -> None:
     clocks = Clocks()
-    assert clocks.told(START_US + HOUR_US).effective_start_us == START_US
+    assert clocks.entry_with_start(START_US + HOUR_US).effective_start_us == START_US
 
 
-def test_many_steps_are_bounded() -> None:
+def test_the_number_of_remembered_steps_is_bounded() -> None:
     clocks = Clocks()
     for _ in range(100):
         clocks.step(HOUR_US)
-    assert len(clocks.starts.ahead_us) == MOST_STEPS and clocks.starts.ahead_us[-1] == 100 * HOUR_US
+    assert len(clocks.starts.offsets_us) == MAX_STEPS and clocks.starts.offsets_us[-1] == 100 * HOUR_US
 
 
-# Guards against slow start that a step of the wall clock switches off, by a real list on a socket.
+# Guards against a step of the wall clock that disables slow start; uses a real list on a socket.
 @pytest.mark.parametrize("by_us", [HOUR_US, -HOUR_US])
 def test_an_upstream_that_starts_after_a_step_is_cold(by_us: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
