--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Outcomes and kept connections, on loopback sockets."""
+"""Tests the outcomes of attempts and the reuse of idle connections, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from ironscale.interface import Outcome
 from ironscale.net import upstream as module
-from ironscale.net.discovery import Directory, Member
+from ironscale.net.discovery import ListParser, Member
 from ironscale.net.upstream import Answer, Attempt, Upstreams
 from ironscale.standins.discovery import listing
 from ironscale.standins.http import TURNED_AWAY, Message, ok
@@ -29,25 +29,25 @@
 
 
 def members(*entries: dict[str, Any]) -> list[Member]:
-    return Directory(["a"], ["large"]).read(listing(*entries)).members
+    return ListParser(["a"], ["large"]).parse(listing(*entries)).members
 
 
-class Line:
-    """An `Upstreams` with one upstream behind it."""
+class UpstreamHarness:
+    """An `Upstreams` with one upstream in its list."""
 
-    def __init__(self, peer: Peer, idle_us: int = 15_000_000, most: int = 100,
-                 connect_us: int = 5_000_000, **changes: Any) -> None:
+    def __init__(self, peer: Peer, idle_timeout_us: int = 15_000_000, max_open: int = 100,
+                 connect_timeout_us: int = 5_000_000, **changes: Any) -> None:
         self.peer = peer
-        self.upstreams = Upstreams(now_us, idle_us, connect_us, most)
-        self.tell(**changes)
+        self.upstreams = Upstreams(now_us, idle_timeout_us, connect_timeout_us, max_open)
+        self.announce(**changes)
         self.pool = next(iter(self.upstreams.pools.values()))
 
-    def tell(self, full: bool = True, **changes: Any) -> None:
+    def announce(self, full: bool = True, **changes: Any) -> None:
         self.upstreams.apply(members(self.peer.entry("s-1", **changes)), full)
 
-    def start(self, payload: bytes = GET, wanted: bool = True) -> tuple[Attempt, asyncio.Future[Any]]:
+    def start(self, payload: bytes = GET, is_wanted: bool = True) -> tuple[Attempt, asyncio.Future[Any]]:
         ended: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        attempt = Attempt(lambda: payload, lambda: wanted, lambda *end: ended.set_result(end))
+        attempt = Attempt(lambda: payload, lambda: is_wanted, lambda *end: ended.set_result(end))
         self.pool.start(attempt)
         return attempt, ended
 
@@ -65,14 +65,14 @@
     (reply(status("500 Error")), Outcome.ERROR),
     (reply(status("503 Busy", "X-Turned-Away: 1\r\n")), Outcome.FULL),
     (reply(status("504 Late", "X-Turned-Away: 1\r\n")), Outcome.FULL),
-    # hazard: taken for turned away, what did run would run twice
+    # a 503 or 504 without the header may have run: counted as refused, the request would run twice
     (reply(status("503 Busy")), Outcome.ERROR),
     (reply(status("504 Late")), Outcome.ERROR),
     (reply(status("503 Busy", "X-Turned-Away: 0\r\n")), Outcome.ERROR),
     (reply(status("500 Error", "X-Turned-Away: 1\r\n")), Outcome.ERROR),
     (reply(status("404 Unknown")), Outcome.ERROR),
     (reply(b"nonsense\r\n\r\n"), Outcome.RESET),
-    # hazard: what can't be read, does not fit or does not end has run, and would fill the memory meanwhile
+    # malformed, oversized and endless answers: the request has run, and the answer must not fill the memory
     (reply(b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
     (reply(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
     (reply(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nno"), Outcome.RESET),
@@ -91,53 +91,53 @@
     (reply(b"HTTP/1.1 204 None\r\n\r\n"), Outcome.ERROR),
     (reset, Outcome.RESET),
 ])
-def test_each_answer_has_its_outcome(behave: Behaviour, expected: Outcome) -> None:
+def test_each_response_maps_to_its_outcome(behave: Behaviour, expected: Outcome) -> None:
     async def test() -> None:
-        line = Line(await Peer(behave).start())
-        assert await line.outcome() is expected
+        harness = UpstreamHarness(await Peer(behave).start())
+        assert await harness.outcome() is expected
         if expected is Outcome.RESET:
-            assert line.upstreams.open == 0  # dropped at once, though the upstream keeps it open
+            assert harness.upstreams.open_count == 0  # closed at once, though the upstream keeps it open
 
     run(test)
 
 
-def test_an_answer_that_breaks_off_is_a_reset() -> None:
+def test_a_truncated_answer_is_a_reset() -> None:
     async def half(peer: Peer, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
         writer.close()
 
     async def test() -> None:
-        assert await Line(await Peer(half).start()).outcome() is Outcome.RESET
+        assert await UpstreamHarness(await Peer(half).start()).outcome() is Outcome.RESET
 
     run(test)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_refused_connection_means_that_the_request_never_ran() -> None:
     async def test() -> None:
         peer = await Peer().start()
         assert peer.server is not None
         peer.server.close()
-        line = Line(peer)
-        assert await line.outcome() is Outcome.CONNECT_FAILED
-        assert line.upstreams.open == 0
+        harness = UpstreamHarness(peer)
+        assert await harness.outcome() is Outcome.CONNECT_FAILED
+        assert harness.upstreams.open_count == 0
 
     run(test)
 
 
-def test_a_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
-    """Hazard: counted as may have run, a request that never reached the upstream whole would fail."""
+def test_a_connection_lost_before_the_last_byte_is_written_means_never_ran() -> None:
+    """Guards against failing a request, as one that may have run, that the upstream never received completely."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = Line(peer)
+            harness = UpstreamHarness(peer)
             listener.setblocking(False)
-            _, ended = line.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
+            _, ended = harness.start(b"x" * (64 << 20))  # more than the sockets' buffers hold
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1)
-            accepted.close()  # with bytes unread: a reset
+            accepted.close()  # a reset, because bytes are unread
         assert (await ended)[0] is Outcome.CONNECT_FAILED
 
     run(test)
@@ -145,27 +145,27 @@
 
 def test_a_large_request_counts_as_written_once_its_last_byte_is() -> None:
     async def test() -> None:
-        line = Line(await Peer(reset).start())
+        harness = UpstreamHarness(await Peer(reset).start())
         body = b"x" * (32 << 20)
         head = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n" % len(body)
-        assert await line.outcome(head + body) is Outcome.RESET
+        assert await harness.outcome(head + body) is Outcome.RESET
 
     run(test)
 
 
-def test_a_connection_is_kept_and_the_newest_is_taken_first(
+def test_connections_are_reused_newest_first(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "REST_US", 0)
+    monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
-        both = [line.start(), line.start()]
+        harness = UpstreamHarness(peer)
+        both = [harness.start(), harness.start()]
         await until(lambda: len(peer.got) == 2)
         peer.answer_held(ok())
         await asyncio.gather(*(ended for _, ended in both))
-        newest = line.pool.idle[-1]
-        _, ended = line.start()
+        newest = harness.pool.idle[-1]
+        _, ended = harness.start()
         assert newest.attempt is not None and peer.opened == 2
         await until(lambda: peer.held)
         peer.answer_held(ok())
@@ -174,43 +174,43 @@
     run(test)
 
 
-def test_a_connection_given_up_on_is_closed_and_not_used_again() -> None:
-    """Hazard: the late answer would be taken for that of the next request."""
+def test_a_connection_of_an_abandoned_attempt_is_closed_and_not_reused() -> None:
+    """Guards against a late answer that is taken for the answer to the next request."""
 
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer)
+        attempt, ended = harness.start()
         await until(lambda: peer.got)
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.TIMEOUT
-        assert line.upstreams.open == 0
+        assert harness.upstreams.open_count == 0
         peer.behave = reply(ok())
-        assert await line.outcome() is Outcome.OK and peer.opened == 2
+        assert await harness.outcome() is Outcome.OK and peer.opened == 2
 
     run(test)
 
 
-def test_giving_up_before_the_connection_is_up_never_ran_and_nothing_is_written(
+def test_an_attempt_abandoned_before_the_connect_never_ran_and_writes_nothing(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "REST_US", 0)
+    monkeypatch.setattr(module, "MIN_IDLE_US", 0)
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer)
+        attempt, ended = harness.start()
         attempt.give_up(Outcome.TIMEOUT)
         assert (await ended)[0] is Outcome.CONNECT_FAILED
-        await until(lambda: line.pool.idle)  # it came up all the same, and is kept for the next
-        assert await line.outcome() is Outcome.OK
+        await until(lambda: harness.pool.idle)  # it was established nevertheless, and is kept for the next attempt
+        assert await harness.outcome() is Outcome.OK
         assert peer.opened == 1 and len(peer.got) == 1
 
     run(test)
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 408 Timeout\r\n\r\n"])
-def test_a_closed_or_talking_connection_is_not_used_though_the_loop_has_not_seen_it(stray: bytes) -> None:
-    """Hazard: the request would end as a reset, and an unsafe one may not be tried again."""
+def test_a_closed_connection_or_one_with_stray_data_is_not_reused_before_the_loop_reads_it(stray: bytes) -> None:
+    """Guards against sending on it: the request would end as a reset, and an unsafe one may not be retried."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -218,17 +218,17 @@
             listener.setblocking(False)
             peer = Peer()
             peer.port = listener.getsockname()[1]
-            line = Line(peer)
-            _, ended = line.start()
+            harness = UpstreamHarness(peer)
+            _, ended = harness.start()
             first, _ = await loop.sock_accept(listener)
             await loop.sock_recv(first, 1000)
             await loop.sock_sendall(first, ok())
             assert (await ended)[0] is Outcome.OK
             if stray:
-                first.send(stray)  # no await from here to `start`: the loop can't have read it
+                first.send(stray)  # no await from here to `start`, so the event loop can't have read it
             else:
                 first.close()
-            _, ended = line.start()
+            _, ended = harness.start()
             second, _ = await loop.sock_accept(listener)
             await loop.sock_recv(second, 1000)
             await loop.sock_sendall(second, ok())
@@ -239,16 +239,16 @@
     run(test)
 
 
-def test_an_idle_connection_that_ends_or_talks_is_dropped() -> None:
+def test_an_idle_connection_that_ends_or_receives_data_is_closed() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        harness = UpstreamHarness(peer)
         ends: list[Callable[[asyncio.StreamWriter], None]] = [
             lambda w: w.write(ok()), lambda w: w.write_eof(), lambda w: w.transport.abort()]
         for end in ends:
-            assert await line.outcome() is Outcome.OK
+            assert await harness.outcome() is Outcome.OK
             end(peer.writers.copy().pop())
-            await until(lambda: line.upstreams.open == 0)
+            await until(lambda: harness.upstreams.open_count == 0)
             await until(lambda: not peer.writers)
 
     run(test)
@@ -256,24 +256,24 @@
 
 @pytest.mark.parametrize("more", [
     ok(b"two"), b"\xff\xfe\x00noise\r\n\r\n", b"HTT", b"HTTP/1.1 2x0 OK\r\n\r\n"])
-def test_bytes_after_an_answer_end_the_connection_and_not_the_answer(more: bytes) -> None:
-    """Hazard: noise in the same read makes the parser fail, and a good answer would be thrown away."""
+def test_data_after_an_answer_closes_the_connection_but_keeps_the_answer(more: bytes) -> None:
+    """Guards against discarding a complete answer when invalid data in the same read makes the parser fail."""
 
     async def test() -> None:
-        line = Line(await Peer(reply(ok(b"one") + more)).start())
-        outcome, answer = await line.start()[1]
+        harness = UpstreamHarness(await Peer(reply(ok(b"one") + more)).start())
+        outcome, answer = await harness.start()[1]
         assert outcome is Outcome.OK and answer.body == b"one"
-        assert not line.pool.idle and line.upstreams.open == 0
+        assert not harness.pool.idle and harness.upstreams.open_count == 0
 
     run(test)
 
 
-def test_a_second_copy_that_comes_late_is_not_taken_for_the_next_answer(
+def test_a_late_duplicate_is_not_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hazard: it would come as the answer to the request that follows at once on the same connection."""
-    assert module.REST_US > 0
-    monkeypatch.setattr(module, "REST_US", 20_000_000)
+    """Guards against taking it for the answer to the request that follows immediately on the same connection."""
+    assert module.MIN_IDLE_US > 0
+    monkeypatch.setattr(module, "MIN_IDLE_US", 20_000_000)
 
     async def test() -> None:
         answered: list[asyncio.StreamWriter] = []
@@ -283,12 +283,12 @@
             writer.write(ok(b"one"))
 
         peer = await Peer(one).start()
-        line = Line(peer)
+        harness = UpstreamHarness(peer)
         follower: list[asyncio.Future[Any]] = []
-        first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(line.start()[1]))
-        line.pool.start(first)
+        first = Attempt(lambda: GET, lambda: True, lambda *end: follower.append(harness.start()[1]))
+        harness.pool.start(first)
         await until(lambda: follower)
-        # to the first connection alone: the follower's may be up already, and strays would end it
+        # only to the first connection: the next request's may exist already, and stray data would close it
         peer.behave = reply(ok(b"next"))
         answered[0].write(ok(b"copy"))
         assert (await follower[0])[1].body in (b"one", b"next") and peer.opened == 2
@@ -296,18 +296,18 @@
     run(test)
 
 
-def test_a_drain_while_an_answer_comes_in_pieces_lets_it_come() -> None:
+def test_a_drain_does_not_interrupt_an_answer_that_arrives_in_pieces() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer)
-        _, ended = line.start()
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start()
         await until(lambda: peer.got)
-        line.tell(full=False, lifecycle="draining")
+        harness.announce(full=False, lifecycle="draining")
         for piece in (b"HTTP/1.1 200 OK\r\nContent-", b"Length: 4\r\n\r\nab", b"cd"):
             peer.writers.copy().pop().write(piece)
             await asyncio.sleep(0.01)
         outcome, answer = await ended
-        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and line.upstreams.open == 0
+        assert (outcome, answer.body) == (Outcome.OK, b"abcd") and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -315,63 +315,63 @@
 def test_trailers_are_not_headers() -> None:
     async def test() -> None:
         data = b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Turned-Away: 1\r\n\r\n"
-        assert await Line(await Peer(reply(data)).start()).outcome() is Outcome.ERROR
+        assert await UpstreamHarness(await Peer(reply(data)).start()).outcome() is Outcome.ERROR
 
     run(test)
 
 
 @pytest.mark.parametrize("full", [True, False])
 def test_an_address_belongs_to_the_upstream_that_started_last(full: bool) -> None:
-    """Hazard: its cold process would get what is meant for the one that it has replaced."""
+    """Guards against sending a cold process the load of the upstream that it has replaced at this address."""
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer, startedAtMs=1000)
+        harness = UpstreamHarness(peer, startedAtMs=1000)
         new = peer.entry("s-2", startedAtMs=2000)
         told = [new, peer.entry("s-1", startedAtMs=1000)] if full else [new]
-        settled = line.upstreams.settle_addresses(members(*told), full)
+        settled = harness.upstreams.resolve_address_conflicts(members(*told), full)
         assert {m.name: m.upstream.state.value for m in settled} == {"s-1": "gone", "s-2": "ready"}
-        line.upstreams.apply(settled, full)
-        assert [pool.member.name for pool in line.upstreams.pools.values()] == ["s-2"]
+        harness.upstreams.apply(settled, full)
+        assert [pool.member.name for pool in harness.upstreams.pools.values()] == ["s-2"]
 
     run(test)
 
 
-def test_an_interim_answer_is_passed_over() -> None:
+def test_an_interim_answer_is_skipped() -> None:
     async def test() -> None:
         peer = await Peer(reply(b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"last"))).start()
-        outcome, answer = await Line(peer).start()[1]
+        outcome, answer = await UpstreamHarness(peer).start()[1]
         assert outcome is Outcome.OK and answer.body == b"last"
 
     run(test)
 
 
-def test_a_chunked_answer_is_put_together() -> None:
+def test_a_chunked_answer_is_reassembled() -> None:
     async def test() -> None:
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-        outcome, answer = await Line(await Peer(reply(chunked)).start()).start()[1]
+        outcome, answer = await UpstreamHarness(await Peer(reply(chunked)).start()).start()[1]
         assert (outcome, answer.body) == (Outcome.OK, b"abcde")
 
     run(test)
 
 
-def test_kept_connections_of_an_age_that_fails_are_not_trusted_for_a_while() -> None:
-    """Hazard: an upstream may close idle connections long before the settings' time without a sign, and
-    the request that shows it has failed."""
+def test_idle_connections_of_an_age_that_fails_are_not_reused_for_a_while() -> None:
+    """Guards against reusing connections that an upstream closes long before the configured idle timeout: the
+    request that reveals it has failed."""
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
+        harness = UpstreamHarness(peer)
 
         async def next_after(idle_us: int) -> Outcome:
-            assert await line.outcome() is Outcome.OK  # one to be kept
-            for other in line.pool.idle[:-1]:
-                other.drop()  # on a slow machine it has rested, and would serve in its place
-            line.pool.idle[-1].idle_since_us -= idle_us
+            assert await harness.outcome() is Outcome.OK  # leaves an idle connection
+            for other in harness.pool.idle[:-1]:
+                other.close()  # on a slow machine it may be reusable by now
+            harness.pool.idle[-1].idle_since_us -= idle_us
             peer.behave = reset if idle_us > 200_000 else reply(ok())
             first = peer.opened
-            _, ended = line.start()
-            kept = line.pool.busy != set()
+            _, ended = harness.start()
+            kept = harness.pool.busy != set()
             if not kept:
                 peer.behave = reply(ok())
             outcome: Outcome = (await ended)[0]
@@ -382,86 +382,86 @@
         seen = [await next_after(270_000) for _ in range(6)]
         assert seen == [Outcome.RESET] * 3 + [Outcome.OK] * 3
         opened = peer.opened
-        assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one serves
+        assert await next_after(50_000) is Outcome.OK and peer.opened <= opened + 1  # a younger one is reused
         for _ in range(60):
-            line.upstreams.ages.fade()
-        assert await next_after(270_000) is Outcome.RESET  # it is tried again in time
+            harness.upstreams.idle_failures.decay()
+        assert await next_after(270_000) is Outcome.RESET  # after the decay it is reused again
 
     run(test)
 
 
-def test_a_new_connection_that_breaks_says_nothing_of_kept_ones() -> None:
+def test_a_failed_new_connection_does_not_count_against_idle_ones() -> None:
     async def test() -> None:
-        line = Line(await Peer(reset).start())
+        harness = UpstreamHarness(await Peer(reset).start())
         for _ in range(10):
-            assert await line.outcome() is Outcome.RESET
-        assert max(line.upstreams.ages.failing) == 0.0
+            assert await harness.outcome() is Outcome.RESET
+        assert max(harness.upstreams.idle_failures.shares) == 0.0
 
     run(test)
 
 
-def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
+def test_an_idle_connection_is_closed_before_the_upstream_closes_it() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        assert await line.outcome() is Outcome.OK
-        line.pool.idle[0].idle_since_us -= 13_600_000
-        assert await line.outcome() is Outcome.OK and peer.opened == 2  # a write after 15 s is a reset
-        line.pool.idle[0].idle_since_us -= 13_600_000
-        line.pool.sweep()
-        assert not line.pool.idle and line.upstreams.open == 0
+        harness = UpstreamHarness(peer)
+        assert await harness.outcome() is Outcome.OK
+        harness.pool.idle[0].idle_since_us -= 13_600_000
+        assert await harness.outcome() is Outcome.OK and peer.opened == 2  # after 15 s a write ends in a reset
+        harness.pool.idle[0].idle_since_us -= 13_600_000
+        harness.pool.close_expired()
+        assert not harness.pool.idle and harness.upstreams.open_count == 0
 
     run(test)
 
 
 @pytest.mark.parametrize("lifecycle", ["draining", "gone"])
-def test_a_connection_that_comes_up_after_the_drain_is_not_written_to(lifecycle: str) -> None:
+def test_a_connection_established_after_the_drain_is_not_written_to(lifecycle: str) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        _, ended = line.start()
-        line.tell(full=False, lifecycle=lifecycle)  # the connection is still coming up
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start()
+        harness.announce(full=False, lifecycle=lifecycle)  # the connection is still being established
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not peer.got and line.upstreams.open == 0
+        assert not peer.got and harness.upstreams.open_count == 0
 
     run(test)
 
 
-def test_a_full_list_without_an_upstream_ends_its_connections() -> None:
+def test_a_full_list_without_an_upstream_closes_its_connections() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        await line.outcome()
-        line.upstreams.apply([], True)
-        assert not line.upstreams.pools and line.upstreams.open == 0
+        harness = UpstreamHarness(peer)
+        await harness.outcome()
+        harness.upstreams.apply([], True)
+        assert not harness.upstreams.pools and harness.upstreams.open_count == 0
 
     run(test)
 
 
-def test_nothing_is_written_for_a_request_that_is_over() -> None:
+def test_nothing_is_written_for_a_request_that_has_ended() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        _, ended = line.start(wanted=False)
+        harness = UpstreamHarness(peer)
+        _, ended = harness.start(is_wanted=False)
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not peer.got and len(line.pool.idle) == 1
+        assert not peer.got and len(harness.pool.idle) == 1
 
     run(test)
 
 
-def test_an_upstream_that_has_restarted_loses_its_old_connections_only() -> None:
-    """Hazard: a machine that vanished leaves connections that look whole and are dead."""
+def test_only_older_connections_to_a_restarted_upstream_are_closed() -> None:
+    """Guards against using connections to a machine that vanished: they look open and are dead."""
 
     async def test() -> None:
         peer = await Peer().start()
-        line = Line(peer)
-        await line.outcome()
-        line.tell(full=False, startedAtMs=now_us() // 1000 + 1000)
-        assert not line.pool.idle
-        await line.outcome()
-        line.pool.idle[0].opened_us += 2_000_000  # opened after the start that is told only now
-        line.tell(full=False, startedAtMs=now_us() // 1000 + 1500)
-        assert len(line.pool.idle) == 1
+        harness = UpstreamHarness(peer)
+        await harness.outcome()
+        harness.announce(full=False, startedAtMs=now_us() // 1000 + 1000)
+        assert not harness.pool.idle
+        await harness.outcome()
+        harness.pool.idle[0].opened_us += 2_000_000  # opened after the start that discovery reports only now
+        harness.announce(full=False, startedAtMs=now_us() // 1000 + 1500)
+        assert len(harness.pool.idle) == 1
 
     run(test)
 
@@ -469,26 +469,26 @@
 def test_an_upstream_that_moves_is_reached_at_its_new_address() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = Line(old)
-        await line.outcome()
-        line.peer = new
-        line.tell(full=False)
-        assert await line.outcome() is Outcome.OK
-        assert (len(old.got), len(new.got), len(line.pool.idle)) == (1, 1, 1)
+        harness = UpstreamHarness(old)
+        await harness.outcome()
+        harness.peer = new
+        harness.announce(full=False)
+        assert await harness.outcome() is Outcome.OK
+        assert (len(old.got), len(new.got), len(harness.pool.idle)) == (1, 1, 1)
 
     run(test)
 
 
-def test_nothing_is_written_to_an_address_that_was_left_while_the_connection_came_up() -> None:
+def test_nothing_is_written_to_an_address_that_changed_during_the_connect() -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
-        line = Line(old)
-        _, ended = line.start()
-        await asyncio.sleep(0)  # on its way to the old address
-        line.peer = new
-        line.tell(full=False)
+        harness = UpstreamHarness(old)
+        _, ended = harness.start()
+        await asyncio.sleep(0)  # the connect to the old address has begun
+        harness.peer = new
+        harness.announce(full=False)
         assert (await ended)[0] is Outcome.NOT_SENT
-        assert not old.got and line.upstreams.open == 0
+        assert not old.got and harness.upstreams.open_count == 0
 
     run(test)
 
@@ -496,42 +496,42 @@
 def test_connections_stay_within_the_limit_on_sockets() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
-        line = Line(peer, most=1)
-        attempt, ended = line.start()
+        harness = UpstreamHarness(peer, max_open=1)
+        attempt, ended = harness.start()
         await until(lambda: peer.got)
-        assert await line.outcome() is Outcome.NOT_SENT  # never ran: no second connection was opened
+        assert await harness.outcome() is Outcome.NOT_SENT  # never ran, because no second connection was opened
         assert peer.opened == 1
         other = await Peer().start()
         peer.answer_held(ok())
         await ended
-        line.upstreams.apply(members(other.entry("s-2")), False)
-        pool = line.upstreams.pools[members(other.entry("s-2"))[0].upstream.id]
+        harness.upstreams.apply(members(other.entry("s-2")), False)
+        pool = harness.upstreams.pools[members(other.entry("s-2"))[0].upstream.id]
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         pool.start(Attempt(lambda: GET, lambda: True, lambda outcome, answer: done.set_result(outcome)))
-        assert await done is Outcome.OK  # in place of the idle one
-        assert line.upstreams.open == 1
+        assert await done is Outcome.OK  # the idle connection was closed to make room
+        assert harness.upstreams.open_count == 1
 
     run(test)
 
 
-def test_without_a_descriptor_nothing_was_sent_and_nothing_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_file_descriptor_nothing_is_sent_and_nothing_leaks(monkeypatch: pytest.MonkeyPatch) -> None:
     def out_of_descriptors(*args: object) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
     async def test() -> None:
-        line = Line(await Peer().start())
+        harness = UpstreamHarness(await Peer().start())
         with monkeypatch.context() as patched:
             patched.setattr(socket, "socket", out_of_descriptors)
-            assert await line.outcome() is Outcome.NOT_SENT
-        assert line.upstreams.open == 0
-        assert await line.outcome() is Outcome.OK
+            assert await harness.outcome() is Outcome.NOT_SENT
+        assert harness.upstreams.open_count == 0
+        assert await harness.outcome() is Outcome.OK
 
     run(test)
 
 
-def test_the_turned_away_mark_is_read_in_any_case() -> None:
+def test_the_turned_away_header_is_case_insensitive() -> None:
     async def test() -> None:
-        assert await Line(await Peer(reply(TURNED_AWAY.lower().replace(b"http/1.1", b"HTTP/1.1"))).start()
+        assert await UpstreamHarness(await Peer(reply(TURNED_AWAY.lower().replace(b"http/1.1", b"HTTP/1.1"))).start()
                           ).outcome() is Outcome.FULL
 
     run(test)
@@ -540,17 +540,17 @@
     assert answer.outcome() is Outcome.ERROR
 
 
-def test_sends_are_not_held_back_by_the_kernel() -> None:
+def test_sends_are_not_delayed_by_the_kernel() -> None:
     async def test() -> None:
-        line = Line(await Peer().start())
-        await line.outcome()
-        sock = line.pool.idle[0].sock
+        harness = UpstreamHarness(await Peer().start())
+        await harness.outcome()
+        sock = harness.pool.idle[0].sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
 
     run(test)
 
 
-def test_room_is_made_by_the_connection_idle_longest_of_all_upstreams() -> None:
+def test_the_connection_idle_longest_of_all_upstreams_is_closed_to_make_room() -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(4)]
         upstreams = Upstreams(now_us, 15_000_000, 5_000_000, 3)
@@ -564,29 +564,29 @@
 
         for number in (1, 0, 2, 1):  # the first one is asked again, and is no longer the oldest
             if number == 1 and pools[1].idle:
-                pools[1].idle[0].idle_since_us -= module.REST_US  # it need not rest
+                pools[1].idle[0].idle_since_us -= module.MIN_IDLE_US  # so that it can be reused at once
             assert await ask(pools[number]) is Outcome.OK
         assert [len(pool.idle) for pool in pools] == [1, 1, 1, 0] and peers[1].opened == 1
         assert list(upstreams.idle) == [pool.idle[0] for pool in (pools[0], pools[2], pools[1])]
         assert await ask(pools[3]) is Outcome.OK
-        assert [len(pool.idle) for pool in pools] == [0, 1, 1, 1] and upstreams.open == 3
+        assert [len(pool.idle) for pool in pools] == [0, 1, 1, 1] and upstreams.open_count == 3
         for pool in pools:
             pool.close_idle()
-        assert not upstreams.idle and upstreams.open == 0
+        assert not upstreams.idle and upstreams.open_count == 0
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "stray bytes"])
-def test_a_kept_connection_that_has_just_gone_bad_is_not_used(how: str) -> None:
-    """What happened to it lies in the kernel, and the loop has not read it yet."""
+def test_an_idle_connection_that_has_just_failed_is_not_reused(how: str) -> None:
+    """The kernel knows of the close or data, but the event loop has not read it yet."""
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             peer = Peer()
             peer.port = server.getsockname()[1]
-            line = Line(peer)
+            harness = UpstreamHarness(peer)
 
             async def answered(ended: asyncio.Future[Any]) -> socket.socket:
                 client, _ = await loop.sock_accept(server)
@@ -595,15 +595,15 @@
                 assert (await ended)[0] is Outcome.OK
                 return client
 
-            first = await answered(line.start()[1])
-            line.pool.idle[0].idle_since_us -= 10 * module.REST_US
+            first = await answered(harness.start()[1])
+            harness.pool.idle[0].idle_since_us -= 10 * module.MIN_IDLE_US
             if how == "stray bytes":
                 first.send(b"x")
             else:
                 if how == "reset":
                     first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 first.close()
-            second = await answered(line.start()[1])
+            second = await answered(harness.start()[1])
             for client in (first, second):
                 client.close()
 
