--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1,7 +1,20 @@
-"""All decisions of the balancer. Its interface, types, events and actions: ironscale/interface.py.
+"""The load-balancing decisions, all in one class: `Balancer`. Settings, events and actions: ironscale/interface.py.
 
-Everything is slots (README.md): a request takes a free slot of a random upstream, waits in the
-ONE buffer when none is free, is refused when the buffer is taken, and is reissued through a slot.
+Concurrency is limited by slots, per upstream and for the whole sidecar. A request is sent to a free slot of an
+upstream that is drawn by weighted random choice. If no slot is free, it waits in a buffer that holds one request.
+If the buffer is taken too, it is refused. Retries and hedged copies need a free slot as well.
+
+`Balancer` does no I/O and reads no clock: a sidecar passes in events with their time and carries out the actions
+that come back. "Large fleet" means LARGE_FLEET_INSTANCES sidecars or more: each of them sees too few answers of
+most upstreams, so some rules differ there. "Slow time" means half of a request class's aim; "slowness" is an
+answer's time divided by it.
+
+Four rules hold for every action:
+
+1. Every request gets exactly one final answer, by its due time.
+2. A request that may have run is sent again, or refused as not done, only where its class's effect allows that.
+3. Nothing is sent to a draining or gone upstream, and the upstream list is asked for often enough.
+4. A cold upstream is not pushed over: all sidecars together send it less than the overload that it bears.
 """
 
 import heapq
@@ -14,100 +27,144 @@
 from ironscale.crowd import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
 from ironscale.places import Places
 
-RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
-RETRIES_KEPT = 5.0  # and so many saved up at most
+# Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
+RETRY_SHARE = 0.2
+RETRIES_KEPT = 5.0  # tokens that the retry budget holds at most
 IDLE = 0.8  # reported utilization under which requests hardly queue
-SLOTS_EACH = 8.0  # first slots at an upstream from all sidecars together
-SMALLEST_SIZE = 0.1  # of the mean: a listed weight near 0 must not cut an upstream off
-KEPT_IN_HAND = 2.0  # slow answers leave an upstream about so many requests from all sidecars together
-STACKED = 3.0  # times its even share of what is out, that an upstream may get: idle ones come first
-MANY = 20  # sidecars, from which on one's own answers are too few to judge all by
-KEPT_BY_MANY = 4.0  # in place of KEPT_IN_HAND, by each one's part of the traffic
-SPREAD = 4.0  # of an upstream's load, what comes from this sidecar is a part in so many at most
-MOST_FAULTS = 0.75  # that count: (1 - this) ** 3 is SMALLEST_WINDOW
-WELL = 0.3  # share of faults, under which nearness counts
-LEAST_FAVOUR = 1e-4  # hazard: a weight of 0 would mean no try at all, and a refusal in its place
-FAR = 1e-3  # weight of what is not idle and in this zone, where crossing zones costs
-SUBSET = 3.0  # free slots that a draw chooses among, in upstreams of mean size
-COST_NOTHING = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)  # of any upstream's work
+SLOTS_EACH = 8.0  # slots that all sidecars together start with at one upstream
+# Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
+SMALLEST_SIZE = 0.1
+# Outstanding requests, of all sidecars together, that slow answers always leave to an upstream.
+KEPT_IN_HAND = 2.0
+# An upstream's window grows to at most this multiple of its even share of this sidecar's outstanding attempts, so
+# that idle upstreams are used first.
+STACKED = 3.0
+# A large fleet begins here: one sidecar's own answers are then too few to judge every upstream by.
+MANY = 20
+# Takes the place of MIN_REQUESTS_PER_UPSTREAM in a large fleet; each sidecar keeps a part by its share of the
+# traffic.
+KEPT_BY_MANY = 4.0
+# This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
+SPREAD = 4.0
+MOST_FAULTS = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
+WELL = 0.3  # fault rate under which the preference for the own zone applies
+# Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
+LEAST_FAVOUR = 1e-4
+# Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
+FAR = 1e-3
+# Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
+SUBSET = 3.0
+# Outcomes that cost no upstream any work: a retry after one of them takes no token.
+COST_NOTHING = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+# Outcomes after which the request surely did not run.
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+# Failures that usually come back at once.
 INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
-SHOWS_NOTHING = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)  # of the upstream
+# Outcomes that tell nothing about the upstream.
+SHOWS_NOTHING = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
 SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
-GROWTH = 0.4  # of its slots, by which a round of answers moves an upstream's window
-FULL_LOAD = 0.7  # of the slow time, where an upstream's slots settle: more chokes it, less refuses early
-FULL_QUEUE = 2.0  # times the least usual answer, where the sidecar's slots settle: as much queue as service
-MUTE = 3  # times the slow time, after which an attempt without an answer first gives its slot to another
-NEAR, MOST_WAY = 0.2, 0.5  # of the slow time: an upstream's least answer past NEAR is the way there
-LEAST_LOAD = 0.3  # of the slow time; under it a queue does no harm yet
-TENANT_MEMORY = 200  # arrivals: enough to tell a tenant at twice its share from chance, soon forgotten
-LOG_GAP_US = 1_000_000  # a line a second at most, however many upstreams change
-FIRST_RETRY_US = 250_000  # discovery back-off starts here: long beside one call, short beside a drain
-CALL_US = 150_000  # of discovery's time, for the list of one of many sidecars; they share it
+# Share of an upstream's window by which one round of answers moves it, for each unit of slowness.
+GROWTH = 0.4
+# Slowness at which an upstream's window settles. A higher target overloads it, a lower one refuses requests too
+# early.
+FULL_LOAD = 0.7
+# The sidecar's window settles at this multiple of the base latency: as much time queued as served.
+FULL_QUEUE = 2.0
+# Multiple of the slow time after which an unanswered attempt may first give its slot to another.
+MUTE = 3
+# Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
+# the second.
+NEAR, MOST_WAY = 0.2, 0.5
+LEAST_LOAD = 0.3  # slowness under which queues do no harm yet
+# Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
+# and soon forgotten.
+TENANT_MEMORY = 200
+LOG_GAP_US = 1_000_000  # at most one log line a second, however many upstreams change
+# First backoff of discovery calls: long beside one call, short beside a drain.
+FIRST_RETRY_US = 250_000
+# Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
+CALL_US = 150_000
 
 
 class Window:
-    """Slots for outstanding sends; below one, the one slot rests between sends."""
+    """A sliding limit on outstanding attempts, in slots. Below one slot, a single attempt at a time is let through,
+    with a pause after each."""
 
     def __init__(self, name: str, slots: float) -> None:
         self.name, self.slots = name, slots
         self.rest_until_us = 0
-        self.resting = False  # as last logged
+        self.resting = False  # whether the last log line said that it rests
 
     def open(self, now_us: int) -> int:
+        """The number of slots usable now, whether taken or free."""
         return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.rest_until_us)
 
     def move(self, step: float, least: float, most: float) -> None:
-        """A round of answers moves the slots by the share `step`."""
+        """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
+        outside these bounds is not forced back into them."""
         slots = self.slots + step * min(1.0, self.slots)
         most, least = max(most, self.slots), max(SMALLEST_WINDOW, min(least, self.slots))
         self.slots = min(max(slots, least), most)
 
     def rest(self, now_us: int, busy_us: float) -> None:
+        """Below one slot, pauses for so long that the slot is busy for the share `slots` of the time."""
         self.rest_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
 
 
 class Server:
-    """What this sidecar knows of one upstream."""
+    """What this sidecar knows of one process behind an upstream."""
 
     def __init__(self, entry: api.Upstream) -> None:
         self.entry = entry
-        self.size = 1.0  # listed weight, in upstreams of mean weight
-        self.used = 0  # slots taken by this sidecar's sends
-        self.window = Window(f"upstream {entry.id}", 1.0)  # one slot, as in the paper
-        self.busy = 1.0  # as it last reported; not known counts as busy
+        self.size = 1.0  # listed weight, divided by the mean weight
+        self.used = 0  # slots taken by this sidecar's attempts
+        self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
+        self.busy = 1.0  # utilization as last reported; unknown counts as busy
         self.faults = Faults()
-        self.favour = 1.0  # as last looked at
-        self.failing = False  # its last answer was a fault
-        self.least_us = 0  # the quickest of its answers: how far it is; 0 = none yet
-        self.answered_us = 0  # when what it answered was sent, the latest of it
-        self.mute = 1  # so often the patience with its late answers doubles: more while it answers nothing
-        self.warms = True  # while it is cold, this sidecar sends there too
-        self.next_cold_us = 0  # while it is cold, no send before this
-        self.turn_us = 0  # and for so long from then on, until its next turn; 0 = until it is used
-        self.confirmed_us = 0  # when an attempt last showed something of it
-        self.lesson: api.UpstreamLesson | None = None  # recalled, and not yet tested by an attempt of ours
-        self.place = -1  # in the sidecar's order; -1 = it is drawn no more
-        self.look_us = self.shut_us = 0  # times in `opening` and `shut`, at which its slot may open by itself
+        self.favour = 1.0  # as last computed
+        self.failing = False  # its last answer was a failure
+        self.least_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
+        # when the attempt that it answered with success was sent, the latest of them
+        self.answered_us = 0
+        # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
+        # answer resets it to 1.
+        self.mute = 1
+        self.warms = True  # whether this sidecar sends to it while it is cold
+        self.next_cold_us = 0  # while it is cold, nothing is sent before this time
+        # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
+        # it is used.
+        self.turn_us = 0
+        self.confirmed_us = 0  # when an attempt last told something about it
+        # knowledge taken over, not yet tested by an attempt of our own
+        self.lesson: api.UpstreamLesson | None = None
+        self.place = -1  # index in this sidecar's draw order; -1 = no longer drawn
+        # Its current entries in `refresh_times` and `opening_times`; 0 = none.
+        self.look_us = self.shut_us = 0
 
     def opens_us(self) -> int:
+        """When its slot opens again, if only time keeps it closed."""
         return max(self.next_cold_us, self.window.rest_until_us)
 
 
 class Attempt:
+    """One send of a request to an upstream."""
+
     def __init__(self, server: Server, now_us: int, slow_us: int) -> None:
         self.server, self.sent_us, self.slow_us = server, now_us, slow_us
-        self.slowness = 0.0  # as judged so far; 0 = it is not late yet
-        self.holds = True  # its upstream's slot
-        self.paced = False  # to a cold upstream: beside this sidecar's window
-        self.ended: api.Outcome | None = None  # None while it is out
+        self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
+        self.holds = True  # whether it still takes up a slot of its upstream
+        # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
+        self.paced = False
+        self.ended: api.Outcome | None = None  # None while it is outstanding
 
 
 class Request:
+    """An open request and its attempts."""
+
     def __init__(self, event: api.RequestArrived) -> None:
         self.event = event
         self.attempts: list[Attempt] = []
-        self.out = 0  # of its attempts, those that have not ended
+        self.out = 0  # outstanding attempts
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
@@ -115,98 +172,124 @@
 
 
 class Latency:
-    """Smoothed time of a class's answers, and the least it has been."""
+    """Moving average of a request class's answer times, in microseconds, and a slowly rising minimum of that
+    average."""
 
     def __init__(self, first_us: int) -> None:
-        self.first_us = self.mean_us = self.base_us = first_us / 2  # until something is seen: half the aim
-        self.seen, self.confirmed_us, self.doubt = False, 0, 0.0  # doubt: of the recalled, beside an answer
+        # half the aim, until there is a sample
+        self.first_us = self.mean_us = self.base_us = first_us / 2
+        # `doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves with
+        # each sample.
+        self.seen, self.confirmed_us, self.doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
-        sample_us = max(1.0, sample_us)  # a clock that ticks slowly may say 0
+        """Adds an answer time to the average."""
+        sample_us = max(1.0, sample_us)  # a clock with coarse ticks may measure 0
         if not self.seen:
             self.seen, self.mean_us, self.base_us = True, sample_us, sample_us
-        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.doubt)  # as TCP keeps its (RFC 6298)
+        # gain 1/8 as in TCP's smoothed round-trip time (RFC 6298)
+        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.doubt)
         base_us = self.base_us + (self.mean_us - self.base_us) * max(1 / 256, self.doubt)
         self.base_us = min(self.mean_us, base_us)
         self.doubt = self.doubt / 2 if self.doubt > 1 / 8 else 0.0
 
     def careful_us(self) -> float:
-        """For the pacing of cold upstreams. Hazard: a mean by hearsay, too short, would push them over."""
+        """The average for the pacing of cold upstreams. While an average from elsewhere is uncertain, it is not
+        taken for shorter than the initial value: too short an estimate would overload cold upstreams."""
         return max(self.mean_us, self.first_us) if self.doubt else self.mean_us
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
-        # hazard: longer than without it, cold upstreams would warm up more slowly and requests be late sooner
+        """Takes over a class's latency that was learned before or elsewhere, trusted by `share` of 1."""
+        # Never longer than the initial value: with a longer one, cold upstreams would warm up more slowly and
+        # requests would count as too late sooner.
         self.mean_us = trust.between(self.first_us, min(lesson.mean_us, self.first_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
         self.seen, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
 
 
 class Balancer:
+    """The load-balancing decisions of one sidecar: takes events, returns actions. The same settings, seed and events
+    always give the same actions."""
+
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings, self.random, self.now_us = settings, random.Random(seed), now_us
         self.actions: list[api.Action] = []
-        self.servers: dict[int, Server] = {}  # listed and not gone
+        self.servers: dict[int, Server] = {}  # by id: those on the list that are not gone
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
         self.latency = [Latency(c.aim_us) for c in settings.classes]
-        self.window = Window("this sidecar", 1.0)  # for all sends of this sidecar together
-        self.least = 1.0  # hazard: after an outage all would rest for long
-        self.load = Mean(now_us)  # those that count for it
-        self.order: list[Server] = []  # ready upstreams, from this sidecar's own starting point on
-        self.early = 0  # the first of them, which are cold and which one of many warms
-        self.able = 0.0  # what they can do, in warm ones of mean size
-        self.rank_us = 0  # when one that is cold will be warm, and goes by its usual place; 0 = none will
-        self.places = Places(0)  # those of `order` that are free, as far as they have been looked at
-        self.changed: dict[Server, None] = {}  # to be looked at before the next draw
-        self.warming: dict[Server, None] = {}  # cold and free: their weight changes by itself
-        self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
-        self.shut: list[tuple[int, int, Server]] = []  # until when a slot is shut by time alone; a heap
+        self.window = Window("this sidecar", 1.0)  # limits all attempts of this sidecar together
+        # lower bound of that window: without it all sidecars would pause for long after an outage
+        self.least = 1.0
+        self.load = Mean(now_us)  # attempts that count against the sidecar's window
+        # ready upstreams, rotated to this sidecar's own starting point
+        self.order: list[Server] = []
+        # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
+        self.early = 0
+        self.able = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
+        # when the next upstream at the front will be warm and return to its usual place; 0 = none will
+        self.rank_us = 0
+        # weights of the free upstreams in draw order, as of their last refresh
+        self.places = Places(0)
+        # upstreams whose weight is refreshed before the next draw
+        self.changed: dict[Server, None] = {}
+        self.warming: dict[Server, None] = {}  # cold and free: their weight changes with time alone
+        # heap: when to refresh an upstream's weight
+        self.opening: list[tuple[int, int, Server]] = []
+        # heap: when a slot opens that only time keeps closed
+        self.shut: list[tuple[int, int, Server]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
-        self.slowness = Slowness()  # of all answers
+        self.slowness = Slowness()  # of the answers of all upstreams
         self.kinds: dict[int, Slowness] = {}
         self.zones: dict[int, Faults] = {}
-        self.home = -1  # a zone, if what is not idle there counts less
+        self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset = self.least_subset = SUBSET
         self.retry_tokens = RETRIES_KEPT
         self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
         self.tenant_seen = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
-        self.wakeups: list[tuple[int, str, int]] = []  # (when, what, request); a heap
-        self.armed_us = 0  # the next timer already asked for; 0 = none
-        self.list_failures = self.ask_list_us = 0  # when the list is asked for next; 0 = it is subscribed to
+        self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
+        self.armed_us = 0  # the time of the earliest timer already asked for; 0 = none
+        # The next time to ask for the list; 0 = it is subscribed to.
+        self.list_failures = self.ask_list_us = 0
         self.draining = False
-        self.confirmed_us = 0  # when an attempt last showed something
-        self.lessons: list[api.Lessons] = []  # recalled; they wait for the list
-        self.has_list = False  # from discovery, not one as last known
-        # hazard: all of many start together, and discovery goes on working at calls that have waited too long
+        self.confirmed_us = 0  # when an attempt last told something about any upstream
+        self.lessons: list[api.Lessons] = []  # knowledge taken over, waiting for an upstream list
+        self.has_list = False  # whether a list has come from discovery, not only a cached one
+        # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
+        # given up waiting: the first calls are spread.
         turn_us = self.list_turn_us()
         self.ask_list_at(now_us + (self.random.randrange(turn_us) if turn_us else 0))
 
     @property
     def is_one_of_many(self) -> bool:
-        """One of so many that what it alone sees and sends tells little. Hazard: by the upstreams too, a
-        release, in which a few of them are away, would turn the meaning of all windows over."""
+        """Whether this sidecar belongs to a large fleet, in which what it sees and sends itself tells little.
+        Decided by the number of sidecars alone: if upstreams counted too, a release that takes a few of them away
+        would change the meaning of all windows."""
         return self.settings.instances >= MANY
 
     def list_turn_us(self) -> int:
-        """Discovery has a turn for each of many in so long; at most half of the time it may go unasked."""
+        """Over how long the list calls of a large fleet's sidecars are spread, one call's time for each; at most
+        half of the time within which the list must be asked for. 0 = they are not spread."""
         s = self.settings
         is_shared = self.is_one_of_many and s.list_on_request
         return min(CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
 
     def list_gap_us(self) -> int:
-        """At most so long between two calls for a list. What an agent has been pushed counts as told here, so
-        it is asked again soon."""
+        """The longest time between two calls for a list. Where lists are pushed, changes that an agent has received
+        count as known to this sidecar too, so it asks again soon."""
         return max(FIRST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Takes in one event at its time and returns the actions to carry out, in order."""
         self.now_us = now_us
         if isinstance(event, api.AttemptEnded):
             self.on_attempt_ended(event)
         elif isinstance(event, api.RequestArrived):
             self.on_arrival(event)
         elif isinstance(event, api.TimerFired):
-            if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
+            # a stale timer that armed another would keep timers going for ever
+            if self.armed_us <= now_us:
                 self.armed_us = 0
             self.run_due()
         elif isinstance(event, api.RequestGone) and event.request in self.requests:
@@ -229,9 +312,10 @@
         return actions
 
     def on_arrival(self, event: api.RequestArrived) -> None:
+        """Takes in a new request. One whose id is already open is ignored."""
         if event.request in self.requests:
             return
-        if event.class_index >= len(self.settings.classes):  # one that the settings don't have
+        if event.class_index >= len(self.settings.classes):  # not in the settings
             self.actions.append(api.Refuse(event.request, reason="unknown class"))
             return
         request = Request(event)
@@ -240,7 +324,7 @@
             self.finish(request, "draining")
             return
         if event.tenant < len(self.tenant_weights):
-            # in place of all that fades a little, what is new weighs a little more
+            # Instead of scaling all old arrivals down, each new one counts a little more.
             self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY
             self.tenant_weights[event.tenant] += self.arrival_weight
             self.tenant_weight += self.arrival_weight
@@ -251,7 +335,7 @@
 
     @property
     def tenant_seen(self) -> list[float]:
-        """Arrivals of each tenant, the old ones fading."""
+        """Arrivals by tenant, in which old ones fade exponentially."""
         return [weight / self.arrival_weight for weight in self.tenant_weights]
 
     @tenant_seen.setter
@@ -259,21 +343,25 @@
         self.tenant_weights, self.tenant_weight, self.arrival_weight = seen, sum(seen), 1.0
 
     def log(self, window: Window) -> None:
+        """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
         resting = window.slots < (1.0 if window.resting else 0.25)
-        if resting != window.resting and self.now_us >= self.next_log_us:  # else told later, if it lasts
+        # otherwise logged later, if it lasts
+        if resting != window.resting and self.now_us >= self.next_log_us:
             self.next_log_us = self.now_us + LOG_GAP_US
             window.resting = resting
             self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
 
     def place(self, request: Request) -> None:
-        """Through a free slot, else into the buffer, else refused."""
+        """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
+        value displaces the one in the buffer."""
         holder = self.buffer
         in_time = self.now_us < self.latest_start_us(request)
         if in_time and self.try_send(request):
             return
         wanted = holder is None or self.value(request) > self.value(holder)
         if in_time and wanted and self.may_send(request):
-            # hazard: in a shortage the bulk of cheap requests would keep the dear ones out of every slot
+            # Without displacement, a shortage would let many cheap requests keep the valuable ones out of every
+            # slot.
             self.buffer = request
             if holder is not None:
                 self.finish(holder, "displaced")
@@ -284,8 +372,8 @@
             self.finish(request, "too late" if not in_time else "tries spent" if spent else "full")
 
     def value(self, request: Request) -> float:
-        """The worth of a slot's time given to this request; what is beyond its tenant's share counts less.
-        The share is judged among the tenants seen here: of total rates a sidecar knows nothing."""
+        """The worth that a slot earns per unit of time with this request; reduced for a tenant beyond its share. The
+        share is judged among the arrivals at this sidecar, as it does not know the tenants' total rates."""
         s, worth = self.settings, self.class_of(request).worth
         if not s.worth_by_work:
             worth /= self.latency[request.event.class_index].mean_us
@@ -299,17 +387,20 @@
         return self.settings.classes[request.event.class_index]
 
     def half_aim_us(self, class_index: int) -> int:
-        """The delay threshold, and the time of a slow answer: the other half is left for a new try."""
+        """Half of the class's aim: the longest wait in the buffer, and the time after which an answer counts as
+        slow, which leaves the other half for another attempt."""
         return self.settings.classes[class_index].aim_us // 2
 
     def latest_start_us(self, request: Request) -> int:
-        """An attempt that starts later is not expected back by the due time. Hazard: after an outage that
-        every answer outlasted, nothing would be tried again; so at most half the aim is left for it."""
+        """The latest time at which an attempt can start and be expected back by the due time. At most half the aim
+        is reserved for the answer: after an outage in which every answer took longer than that, nothing would be
+        tried again otherwise."""
         answer_us = int(self.latency[request.event.class_index].mean_us)
         return request.event.due_us - min(answer_us, self.half_aim_us(request.event.class_index))
 
     def finish(self, request: Request, reason: str) -> None:
-        """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
+        """The only place where the balancer answers a request itself (rules 1 and 2): with a refusal if surely
+        nothing ran or a repeat is harmless, else with a failure."""
         ident, kind = request.event.request, self.class_of(request)
         harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
                     or (kind.effect == "deduplicated" and kind.group == "all"))
@@ -318,6 +409,7 @@
                             else api.Fail(ident))
 
     def close(self, request: Request) -> None:
+        """Marks the request as answered. It is forgotten once no attempt is outstanding."""
         request.done = True
         if self.buffer is request:
             self.buffer = None
@@ -325,13 +417,14 @@
             self.requests.pop(request.event.request, None)
 
     def retry_after_us(self, request: Request) -> int:
-        """About when a slot frees: one answer's time, spread lest refused clients return together."""
+        """When to advise the client to come back: about one answer's time, jittered so that refused clients do not
+        return together."""
         after_us = self.latency[request.event.class_index].mean_us * (0.5 + self.random.random())
         return min(int(after_us), self.settings.max_retry_after_us) if self.settings.retry_after else 0
 
     def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
-        """How an attempt's end, or its being late, opens or closes slots: at its upstream, and of this
-        sidecar's window, which sees more answers. Both go by the time it took in slow times."""
+        """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
+        steered by its slowness; the sidecar's window sees more answers than any upstream's."""
         server, outcome, latency = attempt.server, attempt.ended, self.latency[class_index]
         self.changed[server] = None
         if outcome not in SHOWS_NOTHING:
@@ -340,37 +433,44 @@
                 self.test(server, outcome, elapsed_us)
         if outcome is not None and outcome not in SHOWS_NOTHING:
             is_fault = outcome is not api.Outcome.OK
-            # hazard: each of a lost zone's upstreams would be found out anew, at the price of a request each
+            # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
             if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.order if other.entry.zone == server.entry.zone)
                 self.changed.update(dict.fromkeys(alike))
-            # hazard: met every few seconds, an upstream that fails at random would never be found out
+            # A failure weighs more than a success: an upstream that fails at random and is met only every few
+            # seconds would otherwise not be found out.
             server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
         if outcome in INSTANT_FAULTS:
-            # hazard: what fails at once would draw ever more; but one in ten must not close them all, nor
-            # those that turn away though they have room the sidecar: how full others are, their slots tell
+            # An upstream that fails at once is always idle and would draw ever more requests. A single failure
+            # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
+            # stays: an upstream may turn requests away although it has room, and how full the others are is told by
+            # their own windows.
             lone, server.failing = not server.failing, True
             server.window.move(-0.1 if lone else -0.5, 0.0, 1.0)
         elif outcome in (None, api.Outcome.OK, api.Outcome.TIMEOUT):
-            # hazard: queues that outlast the aim serve nobody in time, however busy everyone is
+            # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
+            # however busy the upstreams are.
             if outcome is api.Outcome.OK:
                 server.failing, server.least_us = False, min(server.least_us or elapsed_us, elapsed_us)
-            # hazard: a far upstream's usual answers would be taken for its queue and keep it at one slot.
-            # Guards also against a slow network here; harms where even its quickest answer had queued, and
-            # so no more than MOST_WAY is taken off
+            # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
+            # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
+            # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
             way = min(MOST_WAY, max(0.0, server.least_us / attempt.slow_us - NEAR))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
             step = (attempt.slowness or FULL_LOAD) - slowness
-            # hazard: slots opened without need, by many sidecars above all, choke bursts (cf. RFC 7661)
+            # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, STACKED * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(GROWTH * step, self.least_each(), most)
             full = min(1.0, max(LEAST_LOAD, FULL_QUEUE * latency.base_us / attempt.slow_us))
-            if self.is_one_of_many:  # hazard: the least of so few answers' mean is far under what is usual
+            # the minimum of a mean of so few answers is far below the usual
+            if self.is_one_of_many:
                 full = 1.0
             step = (attempt.slowness or full) - slowness
-            if server.busy < IDLE:  # hazard: a long request is slow by itself
+            # an upstream with idle cores does not queue: the request itself is long
+            if server.busy < IDLE:
                 step = max(step, full)
-            # hazard: long requests alone would close a window that is not half used, and a burst find it shut
+            # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
+            # and a burst would find it closed.
             need = self.need()
             if self.is_one_of_many and step < 0.0 and not attempt.paced:
                 self.window.slots = min(self.window.slots, max(self.least, need))
@@ -379,44 +479,49 @@
             attempt.slowness = slowness
             for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
-        # hazard: beside answers of seconds, short rests leave a choked upstream crowded
+        # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
+        # pauses would leave an overloaded upstream crowded.
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_us)
         for window in (server.window, self.window):
             window.rest(self.now_us, busy_us * (0.5 + self.random.random()))
             self.log(window)
 
     def need(self) -> float:
-        """Slots of this sidecar that may be of use: twice those in use, and some."""
+        """Slots that this sidecar can make use of: about twice those in use."""
         if self.is_one_of_many:
             return 1.0 + 2.0 * self.load.at(self.now_us)
         return 2.0 * (self.load.out + 1)
 
     def has_room(self) -> bool:
-        """For one more send. Hazard: one that sends little, in waves of chance, would refuse their crests,
-        though the sum of many is even: there the mean counts."""
+        """Whether the sidecar's window allows one more attempt. In a large fleet the smoothed number of outstanding
+        attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
+        all sidecars is even."""
         if self.is_one_of_many:
             return self.load.at(self.now_us) < self.window.slots
         return self.window.open(self.now_us) > self.load.out
 
     def least_each(self) -> float:
-        """Slots that slow answers leave at an upstream. Hazard: by number alone, the few of many sidecars
-        that carry most of the traffic would hold back for all, and refuse what idle upstreams could serve."""
+        """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
+        of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
+        refuse what idle upstreams could serve."""
         return min(1.0, KEPT_BY_MANY * self.traffic.part() if self.is_one_of_many else
                    KEPT_IN_HAND / self.settings.instances)
 
     def warmth(self, server: Server) -> float:
-        """Rule 4: the share of its capacity that an upstream surely has; 1 from where one slot from each of
-        few can't push it over, as that takes more than one and a half times what it does when warm."""
+        """Rule 4: the share of its capacity that an upstream surely has. In a small fleet it counts as warm (1.0) as
+        soon as its overload limit is 1.5 times its warm capacity, since one slot from each sidecar can't reach that."""
         s, started_us = self.settings, server.entry.start_us
-        age_us = max(0, self.now_us - started_us)  # by its own clock it may start after now
+        # by the upstream's own clock, it may have started after now
+        age_us = max(0, self.now_us - started_us)
         if started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
         warmth = s.cold_share + (1.0 - s.cold_share) * age_us / s.warm_up_us
-        # hazard: one slot from each of 200 is many times what it does, and all would come as the pacing ends
+        # Not in a large fleet: one slot from each of 200 sidecars is many times its capacity, and all would send as
+        # the pacing ends.
         return warmth if self.is_one_of_many or warmth * s.overload_factor < 1.5 else 1.0
 
     def warm_at_us(self, server: Server) -> int:
-        """From about when on `warmth` is 1: rounding may make it later, not earlier."""
+        """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
         age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
         if s.cold_share < 1.0 and reach < 1.0 and not self.is_one_of_many:
@@ -424,32 +529,37 @@
         return server.entry.start_us + age_us
 
     def cold_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
-        """Rule 4: how long after a send the next may follow, so that all sidecars together send half the
-        multiple that a cold upstream bears; where they are many, what it can do. A request's work is taken
-        as the time of a usual answer, as if the upstream had one core; at most as what its part of all that
-        tenants are allowed leaves for one. `share` is of the way to the next, for the first send of all."""
+        """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
+        half of the overload multiple that it bears; in a large fleet, what it can serve. The work of a request is
+        estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
+        tenants' allowed rate leaves for one request. `share` is the fraction of that time to wait, for the first
+        send of all."""
         s, warmth, traffic = self.settings, self.warmth(server), self.traffic
         if warmth == 1.0:
             return 0
-        if traffic.allowed_per_s:  # hazard: answers' times are mostly the way and the queue, also elsewhere
+        # answer times are mostly network and queueing, also at other upstreams
+        if traffic.allowed_per_s:
             work_us = min(work_us, 1e6 * len(self.order) / traffic.allowed_per_s)
-        # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
+        # The work estimate holds for an upstream of mean size. A small one does two thirds of that, so even without
+        # a multiple it is paced to 1.5 times what it can do.
         part = (traffic.part_of_cold() if self.is_one_of_many else
                 traffic.part() * max(1.0, s.overload_factor / 2))
         server.turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
-        # hazard: at the first pace it would be warm before the next one comes
+        # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
+        # that.
         growth = (1.0 - s.cold_share) / s.warm_up_us
         return int((math.sqrt(warmth**2 + 2.0 * growth * share * work_us / part) - warmth) / growth)
 
     def draw(self, request: Request) -> Server | None:
-        """A random one of the first free slots in this sidecar's order that the request may use, drawn by the
-        upstreams' listed size, of upstreams not yet tried."""
+        """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
+        not tried yet; None if there is none."""
         self.look()
         if not self.has_room():
             return self.pick_paced(request)
         if self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
-            # hazard: drawn among the warm ones, a cold one is met far more seldom than its pace lets, while
-            # those are crowded. Guards also against a slow network; never where answers come in good time
+            # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
+            # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
+            # time never do.
             early = self.pick_paced(request)
             if early is not None:
                 return early
@@ -464,12 +574,14 @@
         return self.pick()
 
     def pick(self) -> Server | None:
+        """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
         weight = self.places.weight_of_first(self.subset)
         return self.order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_paced(self, request: Request) -> Server | None:
-        """Hazard: a window that answers of crowded upstreams have narrowed would keep cold ones idle; what
-        they get is bounded by their own pace."""
+        """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
+        window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
+        their own pacing bounds what they get."""
         tried = [attempt.server for attempt in request.attempts]
         early = self.places.weights[self.places.leaves:self.places.leaves + self.early]
         free = [(server, weight) for server, weight in zip(self.order, early, strict=False)
@@ -477,6 +589,7 @@
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
     def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
+        """Weighted random choice for a request that may only go to upstreams of one group."""
         free, weights, room, leaves = [], [], 0.0, self.places.leaves
         for place, weight in enumerate(self.places.weights[leaves:leaves + len(self.order)]):
             server = self.order[place]
@@ -489,7 +602,7 @@
         return self.random.choices(free, weights)[0] if free else None
 
     def look(self) -> None:
-        """Brings `places` up to date: with what changed since, and what time alone has changed."""
+        """Refreshes the draw weights of upstreams that changed, and of those that change with time alone."""
         now_us = self.now_us
         if 0 < self.rank_us <= now_us:
             self.rank()
@@ -505,8 +618,10 @@
                 self.look_at(server)
 
     def favour(self, server: Server) -> float:
-        """What is known beyond its slots. Hazard: what fails at once is idle, and would draw the most."""
-        # hazard: with more sidecars than upstreams what we leave idle is busy, and a zone is overrun
+        """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
+        distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
+        # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
+        # idle is busy for others then, and the zone would be overrun.
         near = server.entry.zone == self.home and server.used == 0
         kind, zone = self.kinds.get(server.entry.kind), self.zones.get(server.entry.zone)
         own = min(MOST_FAULTS, server.faults.share(self.now_us))
@@ -516,6 +631,7 @@
         return max(LEAST_FAVOUR, favour) * (1.0 if near and max(own, shared) < WELL else FAR)
 
     def look_at(self, server: Server) -> None:
+        """Computes an upstream's draw weight and schedules when time alone will change it."""
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.open(now_us) - server.used, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
@@ -526,7 +642,7 @@
             server.favour = self.favour(server)
             weight = min(float(slots), window.slots) * server.size * server.favour
             if is_cold and self.is_one_of_many:
-                room = 0.0  # beside those that it would draw among else; its pace alone says how much
+                room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * server.size
         self.places.put(server.place, weight, room)
@@ -535,7 +651,9 @@
         else:
             self.warming.pop(server, None)
         again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
-        if server.favour < FAR / 2 and not again_us:  # hazard: what is never drawn is never thought better of
+        # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
+        # again.
+        if server.favour < FAR / 2 and not again_us:
             again_us = now_us + FAULT_HALVES_US // 8
         if is_cold and server.next_cold_us > now_us:
             cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
@@ -552,35 +670,39 @@
                 heapq.heappush(self.shut, (shut_us, server.place, server))
 
     def may_send(self, request: Request) -> bool:
-        """Rules 1 and 2 as far as they don't depend on the upstream."""
+        """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
         s, sent = self.settings, len(request.attempts)
         if request.done or request.streaming or self.now_us >= request.event.due_us or sent >= s.max_attempts:
             return False
         if request.out > 0 and not s.second_copies:
             return False
-        # hazard: reissues and copies feed the overload that they answer
+        # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
         if self.retry_costs(request) and self.retry_tokens < 1.0:
             return False
         until_us = self.until_us(request)
         return until_us == 0 or self.now_us < until_us
 
     def until_us(self, request: Request) -> int:
-        """Rule 2: nothing of it may be sent from then on, as upstreams forget; 0 = at any time."""
+        """Rule 2: the time from which on nothing of the request may be sent, as upstreams have forgotten the key by
+        then (for at_most_once the time of the first send); 0 = no limit."""
         first, kind = request.first_that_may_have_run(), self.class_of(request)
         if first is None or kind.effect == "idempotent":
             return 0
         return first.sent_us + (kind.memory_us if kind.effect == "deduplicated" else 0)
 
     def retry_costs(self, request: Request) -> bool:
+        """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
         return bool(request.attempts) and request.attempts[-1].ended not in COST_NOTHING
 
     def is_bound(self, request: Request) -> bool:
-        """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
+        """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
+        get the next one."""
         kind = self.class_of(request)
         return (kind.effect == "deduplicated" and kind.group != "all"
                 and request.first_that_may_have_run() is not None)
 
     def in_group(self, request: Request, server: Server) -> bool:
+        """Whether the upstream drops repeats of what this request may already have run."""
         first, kind = request.first_that_may_have_run(), self.class_of(request)
         if first is None or kind.effect != "deduplicated" or kind.group == "all":
             return True
@@ -588,7 +710,8 @@
         return ours.zone == theirs.zone if kind.group == "zone" else ours.cell == theirs.cell
 
     def try_send(self, request: Request) -> bool:
-        """The one place of sends: through a slot that `draw` finds free, if the rules allow it."""
+        """The only place of sends: sends the request to an upstream that `draw` returns, if the rules allow it.
+        False if it was not sent."""
         server = self.draw(request) if self.may_send(request) else None
         if server is None:
             return False
@@ -608,15 +731,16 @@
         request.out += 1
         timeout_us = request.event.due_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
-            timeout_us = min(timeout_us, 3 * slow_us)  # hazard: a hung upstream would use up all the time
+            timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
         self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
         self.wake(self.now_us + slow_us, "late", request.event.request)
         return True
 
     def on_late(self, request: Request) -> None:
-        """A late answer may be a hung upstream or a long request: its upstream's slot stays taken for now,
-        this sidecar's is freed, and where a copy is allowed it is sent and the first runs on. Never in a
-        shortage, when copies would take the slots of requests that have none."""
+        """Handles attempts without an answer after the slow time: either a hung upstream or a long request. The
+        upstream's slot stays taken for now; the slot of the sidecar's window is freed. Where hedging is allowed, a
+        copy is sent and the first attempt goes on. Not in a shortage: there the copies would take slots from
+        requests that have none."""
         for attempt in request.attempts:
             server, late_us = attempt.server, self.now_us - attempt.sent_us
             if late_us < attempt.slow_us or attempt.ended is not None:
@@ -625,10 +749,11 @@
                 if not attempt.paced:
                     self.load.move(self.now_us, -1)
                 self.judge(attempt, attempt.slow_us, request.event.class_index)
-            # hazard: answers that never come, of connections fallen silent, would hold the slots of an
-            # upstream that answers all else. What was sent to it later is answered: it is not hung, and the
-            # slot is free. Else one more send is risked, ever later while nothing comes. Guards also against
-            # answers that stall and packets lost; harms where long requests fill an upstream unseen.
+            # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
+            # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
+            # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
+            # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
+            # requests fill up an upstream unnoticed.
             overtaken = server.answered_us > attempt.sent_us
             patience_us = MUTE * attempt.slow_us
             if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.mute, 20)):
@@ -640,13 +765,16 @@
                 self.changed[server] = None
             elif attempt.holds:
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
-        # hazard: where all are slow, copies are what makes them so, and those of many sidecars come together
+        # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
+        # copies of many sidecars come together.
         calm = LEAST_LOAD if self.is_one_of_many else FULL_LOAD
         useful = self.buffer is None and not self.slowness.exceeds(calm)
         if request.out == 1 and useful and self.settings.second_copies:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Takes in the end of an attempt; retries the request if it still has no answer. The end of an unknown or
+        already ended attempt is ignored."""
         request = self.requests.get(event.request)
         if (request is None or event.attempt >= len(request.attempts)
                 or request.attempts[event.attempt].ended is not None):
@@ -661,25 +789,30 @@
             attempt.server.answered_us = max(attempt.server.answered_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
             self.load.move(self.now_us, -1)
-        if attempt.holds:  # else it has been judged: its end says nothing of what is sent now
+        # otherwise already counted when its slot was freed: its end tells nothing about current attempts
+        if attempt.holds:
             attempt.server.used -= 1
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         if attempt.holds and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
-            # time-outs count too: else a slow fleet would go on being judged by its few quick answers
+            # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
             latency = self.latency[request.event.class_index]
             latency.add(event.elapsed_us)
             latency.confirmed_us = self.now_us
         if event.final or request.done:
             self.close(request)
         elif request.out == 0:
-            self.place(request)  # hazard: an upstream that fails a part of its requests would lose them all
+            # without a retry, an upstream that fails some requests would lose them
+            self.place(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
+        """Takes in an upstream list or a part of one, or schedules the next call after a failed one."""
         if event.kind is api.ListKind.FAILED:
-            # doubles with each failure; jittered, as all sidecars fail together; inside ask-within (rule 3)
+            # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
+            # between two calls (rule 3).
             first_us = max(FIRST_RETRY_US, self.list_turn_us())
             backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
-            # hazard: what a silent watch missed counts as told soon, and those of many fell silent together
+            # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
+            # the watches of a large fleet fall silent together: the first call is spread from zero on.
             least = 0.0 if self.ask_list_us == 0 and self.is_one_of_many else 0.5
             self.list_failures += 1
             self.ask_list_at(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
@@ -687,7 +820,8 @@
         if event.kind is not api.ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
         old, new = self.servers, list[Server]()
-        # hazard: under rolling deploys what is gone would pile up; its outstanding attempts still hold it
+        # Gone upstreams are dropped, otherwise they would pile up with each rolling deployment. Outstanding attempts
+        # still refer to theirs.
         self.servers = dict(old) if event.kind is api.ListKind.DELTA else {}
         for entry in event.upstreams:
             server = old.get(entry.id)
@@ -695,16 +829,18 @@
                 self.servers.pop(entry.id, None)
                 continue
             if server is None or server.entry.started_us != entry.started_us:
-                if entry.zone in self.zones:  # its past tells little of what starts anew
+                # the zone's past tells little about a process that has just started
+                if entry.zone in self.zones:
                     self.zones[entry.zone].last /= 2
-                server = Server(entry)  # a new process: nothing the former one earned or lost is kept
+                server = Server(entry)  # a new process: nothing is kept of the former one
                 new.append(server)
             server.entry = entry
             self.servers[entry.id] = server
         self.has_list = self.has_list or event.kind is not api.ListKind.CACHED
         self.rank()
         for server in new:
-            # all sidecars hear of a start within moments: their first sends must not come as one burst
+            # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
+            # come as one burst.
             if server.warms:
                 work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
                 share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
@@ -712,9 +848,9 @@
         self.apply_lessons()
 
     def rank(self) -> None:
-        """Subsetting: the ready upstreams by id, each sidecar from a starting point of its own, so that
-        every upstream is near the front of as many; first the cold ones that one of many is to warm.
-        Rule 3: draining and gone ones are drawn no more."""
+        """Subsetting: orders the ready upstreams by id, rotated to this sidecar's starting point, so that every
+        upstream is near the front for as many sidecars. In a large fleet, the cold upstreams that this sidecar warms
+        up come first. Draining and gone ones are left out (rule 3)."""
         count = self.settings.instances
         ready = [self.servers[i] for i in sorted(self.servers)
                  if self.servers[i].entry.state is api.UpstreamState.READY]
@@ -726,9 +862,11 @@
             self.window.slots = self.usual_slots(len(ready))
         able, self.able = self.able, sum(server.size * self.warmth(server) for server in ready)
         if self.is_one_of_many and self.able < able:
-            # hazard: slow answers come when the queues stand, and what all went on sending is then in them
+            # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
+            # queues have formed, with everything that all sidecars went on sending in them.
             kept = min(self.window.slots, self.need()) * self.able / able
-            self.window.slots = max(SMALLEST_WINDOW, self.least, kept)  # also where nothing is left
+            # also if no upstream is left
+            self.window.slots = max(SMALLEST_WINDOW, self.least, kept)
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.order:
             server.place = -1
@@ -750,11 +888,11 @@
         self.subset = self.least_subset = max(SUBSET, 2.0 * SUBSET * len(ready) / count)
 
     def usual_slots(self, ready: int) -> float:
-        """Of this sidecar, for all its sends, before anything is learned."""
+        """The sidecar's window before anything is learned."""
         return max(SMALLEST_WINDOW, SLOTS_EACH * ready / self.settings.instances)
 
     def on_settings(self, settings: api.Settings) -> None:
-        """Takes on new settings between two events; what has been learned and what is out stays."""
+        """Takes over new settings between two events. What has been learned and outstanding attempts are kept."""
         old, self.settings = self.settings, settings
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         places = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
@@ -764,15 +902,16 @@
             if place < len(places):
                 kept[place] = seen[index]
         self.tenant_seen = kept
-        for request in self.requests.values():  # hazard: one that waits would be judged by another's share
+        for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
             request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.rank()
 
     def recall(self, now_us: int, lessons: api.Lessons) -> None:
-        """Takes in what was learned before or elsewhere, as far as nothing has been seen here; its times
-        are on our clock. Hazard: it may be stale, wrong or a lie: trust.py and `believe`."""
+        """Takes over what was learned in an earlier run or by other sidecars, where nothing has been observed here
+        yet. Its times are on this clock. It may be outdated or wrong: trust.py says how far it counts, and upstreams
+        are tested before more than a preference rests on it."""
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_seen) < trust.TENANT_WEIGHT:
             told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
@@ -783,7 +922,8 @@
         self.apply_lessons()
 
     def apply_lessons(self) -> None:
-        """Once the list has named their upstreams. What discovery's own list does not name is forgotten."""
+        """Applies what was taken over, once a list has named the upstreams. After a list from discovery, the rest is
+        dropped."""
         count = len(self.order)
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
@@ -795,7 +935,8 @@
                         and (server.lesson is not None or server.confirmed_us == 0)):
                     faded = trust.faded(found, self.now_us)
                     if faded is not None:
-                        if lessons.zone != self.settings.zone:  # how far it is holds from there only
+                        # the distance holds only for the zone in which it was measured
+                        if lessons.zone != self.settings.zone:
                             found = replace(found, least_us=0)
                         told[server] = found, faded
             here = sum(ident in known and known[ident].started_us == server.entry.started_us
@@ -811,7 +952,8 @@
             self.lessons = []
 
     def recall_times(self, lessons: api.Lessons, count: int) -> None:
-        """What was learned of all upstreams together. Hazard: of a fleet that was replaced it is wrong."""
+        """Takes over the class latencies and the sidecar's window. The caller checks that the fleet is still mostly
+        the same: for a replaced one they are wrong."""
         for kind, latency in zip(self.settings.classes, self.latency, strict=True):
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
             if told is not None and latency.confirmed_us < told.confirmed_us and (
@@ -820,25 +962,31 @@
                 if share > 0.0:
                     latency.recall(told, share)
         if self.confirmed_us == 0 and lessons.slots > 0.0:
-            # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
+            # From the usual window to twice that: a smaller one would be a self-fulfilling prophecy, a larger one
+            # would allow a burst.
             share = trust.share(self.now_us - lessons.confirmed_us, trust.SIDECAR_HALVES_US)
             usual = self.usual_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
     def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
-        """Until a try of our own. Hazard: by mere word it gets no more than the one slot of a new one, and is
-        not shut so far that few tries would come: it is drawn rarely, and still before a refusal."""
-        server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
+        """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
+        more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
+        test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
+        same after fading with age."""
+        # passed on unfaded, so that it fades only once
+        server.lesson, server.confirmed_us = whole, whole.confirmed_us
         self.changed[server] = None
         server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
         server.failing, server.mute = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
-        if lesson.first_hand:  # what we sent before a restart still warms it up
+        # what this sidecar sent before its restart still occupies the upstream
+        if lesson.first_hand:
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
             server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
     def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
-        """The first attempt of ours at an upstream that we were told of: its answer opens what was shut, and
-        what was open as far as it was; without one, what we were told is taken for so."""
+        """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
+        its window: to at least one slot, and as far as the knowledge says. Any other outcome leaves what was told as
+        it is."""
         told, server.lesson = server.lesson, None
         lesson = trust.faded(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
@@ -846,26 +994,31 @@
         elif outcome is api.Outcome.OK and lesson is not None:
             most = max(1.0, STACKED * self.window.slots / max(1, len(self.order)))
             server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
-            # hazard: one told too short would keep a far upstream at one slot for good
+            # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
+            # good.
             server.least_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
 
     def ask_list_at(self, at_us: int) -> None:
+        """Schedules a call for the list, if lists are asked for or watched at all."""
         if self.settings.list_on_request or self.settings.list_by_watch:
             self.ask_list_us = at_us
             self.wake(at_us, "list", 0)
 
     def wake(self, at_us: int, what: str, ident: int) -> None:
+        """Schedules a wakeup, at the next microsecond if the time has passed."""
         heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), what, ident))
 
     def arm(self) -> None:
+        """Asks for a timer at the next wakeup or, while a request waits, when a slot opens; unless an earlier one is
+        pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
-        if self.buffer is not None:  # a resting slot opens by time, not by an event
+        if self.buffer is not None:  # a paused slot opens with time, not with an event
             opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
                      else self.window.rest_until_us]
             self.look()
             while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].place >= 0
                                      and self.shut[0][0] == self.shut[0][2].opens_us()):
-                heapq.heappop(self.shut)  # over, or another time has taken its place
+                heapq.heappop(self.shut)  # past, or replaced by another time
             opens += [self.shut[0][0]] if self.shut else []
             later = [opens_us for opens_us in opens if opens_us > self.now_us]
             at_us = min([at_us, *later] if at_us else later, default=0)
@@ -874,10 +1027,11 @@
             self.actions.append(api.SetTimer(self.armed_us, 0))
 
     def run_due(self) -> None:
+        """Carries out the wakeups whose time has come."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
             _, what, ident = heapq.heappop(self.wakeups)
             if what == "list" and 0 < self.ask_list_us <= self.now_us:
-                # asks again if no answer comes: a lost call must not leave us without a list (rule 3)
+                # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
                 self.ask_list_at(self.now_us + self.list_gap_us())
             elif what == "late" and ident in self.requests:
