--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -28,7 +28,7 @@
 from ironscale.places import Places
 
 # Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
-RETRY_SHARE = 0.2
+RETRY_TOKENS_PER_REQUEST = 0.2
 RETRIES_KEPT = 5.0  # tokens that the retry budget holds at most
 IDLE = 0.8  # reported utilization under which requests hardly queue
 SLOTS_EACH = 8.0  # slots that all sidecars together start with at one upstream
@@ -330,7 +330,7 @@
             self.tenant_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
                 self.tenant_seen = self.tenant_seen
-        self.retry_tokens = min(RETRIES_KEPT, self.retry_tokens + RETRY_SHARE)
+        self.retry_tokens = min(RETRIES_KEPT, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
         self.place(request)
 
     @property
