--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -29,7 +29,7 @@
 
 # Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
 RETRY_TOKENS_PER_REQUEST = 0.2
-RETRIES_KEPT = 5.0  # tokens that the retry budget holds at most
+MAX_RETRY_TOKENS = 5.0  # tokens that the retry budget holds at most
 IDLE = 0.8  # reported utilization under which requests hardly queue
 SLOTS_EACH = 8.0  # slots that all sidecars together start with at one upstream
 # Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
@@ -244,7 +244,7 @@
         self.zones: dict[int, Faults] = {}
         self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset = self.least_subset = SUBSET
-        self.retry_tokens = RETRIES_KEPT
+        self.retry_tokens = MAX_RETRY_TOKENS
         self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
         self.tenant_seen = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
@@ -330,7 +330,7 @@
             self.tenant_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
                 self.tenant_seen = self.tenant_seen
-        self.retry_tokens = min(RETRIES_KEPT, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
         self.place(request)
 
     @property
