--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -30,7 +30,7 @@
 # Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
 RETRY_TOKENS_PER_REQUEST = 0.2
 MAX_RETRY_TOKENS = 5.0  # tokens that the retry budget holds at most
-IDLE = 0.8  # reported utilization under which requests hardly queue
+IDLE_UTILIZATION = 0.8  # reported utilization under which requests hardly queue
 SLOTS_EACH = 8.0  # slots that all sidecars together start with at one upstream
 # Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
 SMALLEST_SIZE = 0.1
@@ -467,7 +467,7 @@
                 full = 1.0
             step = (attempt.slowness or full) - slowness
             # an upstream with idle cores does not queue: the request itself is long
-            if server.busy < IDLE:
+            if server.busy < IDLE_UTILIZATION:
                 step = max(step, full)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
