--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -31,7 +31,7 @@
 RETRY_TOKENS_PER_REQUEST = 0.2
 MAX_RETRY_TOKENS = 5.0  # tokens that the retry budget holds at most
 IDLE_UTILIZATION = 0.8  # reported utilization under which requests hardly queue
-SLOTS_EACH = 8.0  # slots that all sidecars together start with at one upstream
+INITIAL_SLOTS_PER_UPSTREAM = 8.0  # slots that all sidecars together start with at one upstream
 # Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
 SMALLEST_SIZE = 0.1
 # Outstanding requests, of all sidecars together, that slow answers always leave to an upstream.
@@ -889,7 +889,7 @@
 
     def usual_slots(self, ready: int) -> float:
         """The sidecar's window before anything is learned."""
-        return max(SMALLEST_WINDOW, SLOTS_EACH * ready / self.settings.instances)
+        return max(SMALLEST_WINDOW, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
 
     def on_settings(self, settings: api.Settings) -> None:
         """Takes over new settings between two events. What has been learned and outstanding attempts are kept."""
