--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -33,7 +33,7 @@
 IDLE_UTILIZATION = 0.8  # reported utilization under which requests hardly queue
 INITIAL_SLOTS_PER_UPSTREAM = 8.0  # slots that all sidecars together start with at one upstream
 # Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
-SMALLEST_SIZE = 0.1
+MIN_RELATIVE_WEIGHT = 0.1
 # Outstanding requests, of all sidecars together, that slow answers always leave to an upstream.
 KEPT_IN_HAND = 2.0
 # An upstream's window grows to at most this multiple of its even share of this sidecar's outstanding attempts, so
@@ -856,7 +856,7 @@
                  if self.servers[i].entry.state is api.UpstreamState.READY]
         mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
         for server in ready:
-            server.size = max(SMALLEST_SIZE, server.entry.weight / mean) if mean > 0.0 else 1.0
+            server.size = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
         self.least = min(1.0, len(ready) / count)
         if ready and not self.order:
             self.window.slots = self.usual_slots(len(ready))
