--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -35,7 +35,7 @@
 # Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
 MIN_RELATIVE_WEIGHT = 0.1
 # Outstanding requests, of all sidecars together, that slow answers always leave to an upstream.
-KEPT_IN_HAND = 2.0
+MIN_REQUESTS_PER_UPSTREAM = 2.0
 # An upstream's window grows to at most this multiple of its even share of this sidecar's outstanding attempts, so
 # that idle upstreams are used first.
 STACKED = 3.0
@@ -505,7 +505,7 @@
         of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
         refuse what idle upstreams could serve."""
         return min(1.0, KEPT_BY_MANY * self.traffic.part() if self.is_one_of_many else
-                   KEPT_IN_HAND / self.settings.instances)
+                   MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
     def warmth(self, server: Server) -> float:
         """Rule 4: the share of its capacity that an upstream surely has. In a small fleet it counts as warm (1.0) as
