--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -38,7 +38,7 @@
 MIN_REQUESTS_PER_UPSTREAM = 2.0
 # An upstream's window grows to at most this multiple of its even share of this sidecar's outstanding attempts, so
 # that idle upstreams are used first.
-STACKED = 3.0
+MAX_MULTIPLE_OF_EVEN_SHARE = 3.0
 # A large fleet begins here: one sidecar's own answers are then too few to judge every upstream by.
 MANY = 20
 # Takes the place of MIN_REQUESTS_PER_UPSTREAM in a large fleet; each sidecar keeps a part by its share of the
@@ -459,7 +459,7 @@
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
             step = (attempt.slowness or FULL_LOAD) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
-            most = max(1.0, STACKED * (self.load.out + 1) / max(1, len(self.order)))
+            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(GROWTH * step, self.least_each(), most)
             full = min(1.0, max(LEAST_LOAD, FULL_QUEUE * latency.base_us / attempt.slow_us))
             # the minimum of a mean of so few answers is far below the usual
@@ -992,7 +992,7 @@
         if outcome is api.Outcome.OK and lesson is None:
             server.window.slots = max(1.0, server.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
-            most = max(1.0, STACKED * self.window.slots / max(1, len(self.order)))
+            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.order)))
             server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
             # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
             # good.
