--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -40,7 +40,7 @@
 # that idle upstreams are used first.
 MAX_MULTIPLE_OF_EVEN_SHARE = 3.0
 # A large fleet begins here: one sidecar's own answers are then too few to judge every upstream by.
-MANY = 20
+LARGE_FLEET_INSTANCES = 20
 # Takes the place of MIN_REQUESTS_PER_UPSTREAM in a large fleet; each sidecar keeps a part by its share of the
 # traffic.
 KEPT_BY_MANY = 4.0
@@ -266,7 +266,7 @@
         """Whether this sidecar belongs to a large fleet, in which what it sees and sends itself tells little.
         Decided by the number of sidecars alone: if upstreams counted too, a release that takes a few of them away
         would change the meaning of all windows."""
-        return self.settings.instances >= MANY
+        return self.settings.instances >= LARGE_FLEET_INSTANCES
 
     def list_turn_us(self) -> int:
         """Over how long the list calls of a large fleet's sidecars are spread, one call's time for each; at most
