--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -43,7 +43,7 @@
 LARGE_FLEET_INSTANCES = 20
 # Takes the place of MIN_REQUESTS_PER_UPSTREAM in a large fleet; each sidecar keeps a part by its share of the
 # traffic.
-KEPT_BY_MANY = 4.0
+LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM = 4.0
 # This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
 SPREAD = 4.0
 MOST_FAULTS = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
@@ -504,7 +504,7 @@
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
         of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
         refuse what idle upstreams could serve."""
-        return min(1.0, KEPT_BY_MANY * self.traffic.part() if self.is_one_of_many else
+        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.is_one_of_many else
                    MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
     def warmth(self, server: Server) -> float:
