--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -45,7 +45,7 @@
 # traffic.
 LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM = 4.0
 # This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
-SPREAD = 4.0
+MIN_SIDECARS_PER_UPSTREAM = 4.0
 MOST_FAULTS = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
 WELL = 0.3  # fault rate under which the preference for the own zone applies
 # Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
@@ -721,7 +721,7 @@
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.count(self.now_us)
-        self.subset = max(self.least_subset, SPREAD * len(self.order) * self.traffic.part())
+        self.subset = max(self.least_subset, MIN_SIDECARS_PER_UPSTREAM * len(self.order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
