--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -46,7 +46,7 @@
 LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM = 4.0
 # This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
 MIN_SIDECARS_PER_UPSTREAM = 4.0
-MOST_FAULTS = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
+MAX_COUNTED_FAULT_RATE = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
 WELL = 0.3  # fault rate under which the preference for the own zone applies
 # Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
 LEAST_FAVOUR = 1e-4
@@ -624,7 +624,7 @@
         # idle is busy for others then, and the zone would be overrun.
         near = server.entry.zone == self.home and server.used == 0
         kind, zone = self.kinds.get(server.entry.kind), self.zones.get(server.entry.zone)
-        own = min(MOST_FAULTS, server.faults.share(self.now_us))
+        own = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
         favour *= kind.favour(self.slowness) if kind is not None else 1.0
