--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -49,7 +49,7 @@
 MAX_COUNTED_FAULT_RATE = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
 HEALTHY_FAULT_RATE = 0.3  # fault rate under which the preference for the own zone applies
 # Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
-LEAST_FAVOUR = 1e-4
+MIN_PREFERENCE = 1e-4
 # Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
 FAR = 1e-3
 # Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
@@ -628,7 +628,7 @@
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
         favour *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(LEAST_FAVOUR, favour) * (1.0 if near and max(own, shared) < HEALTHY_FAULT_RATE else FAR)
+        return max(MIN_PREFERENCE, favour) * (1.0 if near and max(own, shared) < HEALTHY_FAULT_RATE else FAR)
 
     def look_at(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
