--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -51,7 +51,7 @@
 # Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
 MIN_PREFERENCE = 1e-4
 # Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
-FAR = 1e-3
+NON_LOCAL_WEIGHT = 1e-3
 # Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
 SUBSET = 3.0
 # Outcomes that cost no upstream any work: a retry after one of them takes no token.
@@ -628,7 +628,7 @@
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
         favour *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(MIN_PREFERENCE, favour) * (1.0 if near and max(own, shared) < HEALTHY_FAULT_RATE else FAR)
+        return max(MIN_PREFERENCE, favour) * (1.0 if near and max(own, shared) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
     def look_at(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
@@ -653,7 +653,7 @@
         again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
-        if server.favour < FAR / 2 and not again_us:
+        if server.favour < NON_LOCAL_WEIGHT / 2 and not again_us:
             again_us = now_us + FAULT_HALVES_US // 8
         if is_cold and server.next_cold_us > now_us:
             cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
