--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -53,7 +53,7 @@
 # Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
 NON_LOCAL_WEIGHT = 1e-3
 # Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
-SUBSET = 3.0
+MIN_SUBSET_SLOTS = 3.0
 # Outcomes that cost no upstream any work: a retry after one of them takes no token.
 COST_NOTHING = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Outcomes after which the request surely did not run.
@@ -243,7 +243,7 @@
         self.kinds: dict[int, Slowness] = {}
         self.zones: dict[int, Faults] = {}
         self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
-        self.subset = self.least_subset = SUBSET
+        self.subset = self.least_subset = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
         self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
         self.tenant_seen = [0.0 for _ in settings.tenants]
@@ -885,7 +885,7 @@
         for place, server in enumerate(self.order):
             server.place, server.look_us, server.shut_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
-        self.subset = self.least_subset = max(SUBSET, 2.0 * SUBSET * len(ready) / count)
+        self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
     def usual_slots(self, ready: int) -> float:
         """The sidecar's window before anything is learned."""
