--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -55,7 +55,7 @@
 # Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
 MIN_SUBSET_SLOTS = 3.0
 # Outcomes that cost no upstream any work: a retry after one of them takes no token.
-COST_NOTHING = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+UNCHARGED_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Outcomes after which the request surely did not run.
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Failures that usually come back at once.
@@ -692,7 +692,7 @@
 
     def retry_costs(self, request: Request) -> bool:
         """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
-        return bool(request.attempts) and request.attempts[-1].ended not in COST_NOTHING
+        return bool(request.attempts) and request.attempts[-1].ended not in UNCHARGED_OUTCOMES
 
     def is_bound(self, request: Request) -> bool:
         """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
