--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -57,7 +57,7 @@
 # Outcomes that cost no upstream any work: a retry after one of them takes no token.
 UNCHARGED_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Outcomes after which the request surely did not run.
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+NEVER_RAN_OUTCOMES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Failures that usually come back at once.
 INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
 # Outcomes that tell nothing about the upstream.
@@ -168,7 +168,7 @@
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
-        return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN_OUTCOMES), None)
 
 
 class Latency:
