--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -59,7 +59,7 @@
 # Outcomes after which the request surely did not run.
 NEVER_RAN_OUTCOMES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 # Failures that usually come back at once.
-INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
+FAST_FAILURES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
 # Outcomes that tell nothing about the upstream.
 SHOWS_NOTHING = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
 SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
@@ -440,7 +440,7 @@
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
             server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
-        if outcome in INSTANT_FAULTS:
+        if outcome in FAST_FAILURES:
             # An upstream that fails at once is always idle and would draw ever more requests. A single failure
             # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
             # stays: an upstream may turn requests away although it has room, and how full the others are is told by
