--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -61,7 +61,7 @@
 # Failures that usually come back at once.
 FAST_FAILURES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
 # Outcomes that tell nothing about the upstream.
-SHOWS_NOTHING = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
+UNINFORMATIVE_OUTCOMES = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
 SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
 # Share of an upstream's window by which one round of answers moves it, for each unit of slowness.
 GROWTH = 0.4
@@ -427,11 +427,11 @@
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
         server, outcome, latency = attempt.server, attempt.ended, self.latency[class_index]
         self.changed[server] = None
-        if outcome not in SHOWS_NOTHING:
+        if outcome not in UNINFORMATIVE_OUTCOMES:
             server.confirmed_us = self.confirmed_us = self.now_us
             if server.lesson is not None:
                 self.test(server, outcome, elapsed_us)
-        if outcome is not None and outcome not in SHOWS_NOTHING:
+        if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
             if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
