--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -62,7 +62,7 @@
 FAST_FAILURES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
 # Outcomes that tell nothing about the upstream.
 UNINFORMATIVE_OUTCOMES = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
-SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
+MIN_WINDOW_SLOTS = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
 # Share of an upstream's window by which one round of answers moves it, for each unit of slowness.
 GROWTH = 0.4
 # Slowness at which an upstream's window settles. A higher target overloads it, a lower one refuses requests too
@@ -103,7 +103,7 @@
         """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
         outside these bounds is not forced back into them."""
         slots = self.slots + step * min(1.0, self.slots)
-        most, least = max(most, self.slots), max(SMALLEST_WINDOW, min(least, self.slots))
+        most, least = max(most, self.slots), max(MIN_WINDOW_SLOTS, min(least, self.slots))
         self.slots = min(max(slots, least), most)
 
     def rest(self, now_us: int, busy_us: float) -> None:
@@ -866,7 +866,7 @@
             # queues have formed, with everything that all sidecars went on sending in them.
             kept = min(self.window.slots, self.need()) * self.able / able
             # also if no upstream is left
-            self.window.slots = max(SMALLEST_WINDOW, self.least, kept)
+            self.window.slots = max(MIN_WINDOW_SLOTS, self.least, kept)
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.order:
             server.place = -1
@@ -889,7 +889,7 @@
 
     def usual_slots(self, ready: int) -> float:
         """The sidecar's window before anything is learned."""
-        return max(SMALLEST_WINDOW, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
+        return max(MIN_WINDOW_SLOTS, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
 
     def on_settings(self, settings: api.Settings) -> None:
         """Takes over new settings between two events. What has been learned and outstanding attempts are kept."""
