--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -64,7 +64,7 @@
 UNINFORMATIVE_OUTCOMES = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
 MIN_WINDOW_SLOTS = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
 # Share of an upstream's window by which one round of answers moves it, for each unit of slowness.
-GROWTH = 0.4
+WINDOW_STEP_GAIN = 0.4
 # Slowness at which an upstream's window settles. A higher target overloads it, a lower one refuses requests too
 # early.
 FULL_LOAD = 0.7
@@ -460,7 +460,7 @@
             step = (attempt.slowness or FULL_LOAD) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
-            server.window.move(GROWTH * step, self.least_each(), most)
+            server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
             full = min(1.0, max(LEAST_LOAD, FULL_QUEUE * latency.base_us / attempt.slow_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.is_one_of_many:
@@ -475,7 +475,7 @@
             if self.is_one_of_many and step < 0.0 and not attempt.paced:
                 self.window.slots = min(self.window.slots, max(self.least, need))
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
-                self.window.move(GROWTH / 2 * step, self.least, need)
+                self.window.move(WINDOW_STEP_GAIN / 2 * step, self.least, need)
             attempt.slowness = slowness
             for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
