--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -67,7 +67,7 @@
 WINDOW_STEP_GAIN = 0.4
 # Slowness at which an upstream's window settles. A higher target overloads it, a lower one refuses requests too
 # early.
-FULL_LOAD = 0.7
+TARGET_SLOWNESS = 0.7
 # The sidecar's window settles at this multiple of the base latency: as much time queued as served.
 FULL_QUEUE = 2.0
 # Multiple of the slow time after which an unanswered attempt may first give its slot to another.
@@ -457,7 +457,7 @@
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
             way = min(MOST_WAY, max(0.0, server.least_us / attempt.slow_us - NEAR))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
-            step = (attempt.slowness or FULL_LOAD) - slowness
+            step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
@@ -556,7 +556,7 @@
         self.look()
         if not self.has_room():
             return self.pick_paced(request)
-        if self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
+        if self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
             # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
             # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
             # time never do.
@@ -767,7 +767,7 @@
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
-        calm = LEAST_LOAD if self.is_one_of_many else FULL_LOAD
+        calm = LEAST_LOAD if self.is_one_of_many else TARGET_SLOWNESS
         useful = self.buffer is None and not self.slowness.exceeds(calm)
         if request.out == 1 and useful and self.settings.second_copies:
             self.try_send(request)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ironscale import interface as api
-from ironscale.balance import FULL_LOAD, Balancer, Request, Server
+from ironscale.balance import TARGET_SLOWNESS, Balancer, Request, Server
 from ironscale.places import Places
 from ironscale.telling import learned
 
@@ -29,7 +29,7 @@
         free: list[Server] = []
         weights: list[float] = []
         room = 0.0
-        if self.has_room() and self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
+        if self.has_room() and self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
             for server in self.order:  # in a shortage the cold ones first, as far as their pace lets
                 slots = server.window.open(self.now_us) - server.used
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_us
