--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -69,7 +69,7 @@
 # early.
 TARGET_SLOWNESS = 0.7
 # The sidecar's window settles at this multiple of the base latency: as much time queued as served.
-FULL_QUEUE = 2.0
+TARGET_LATENCY_MULTIPLE = 2.0
 # Multiple of the slow time after which an unanswered attempt may first give its slot to another.
 MUTE = 3
 # Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
@@ -461,7 +461,7 @@
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
-            full = min(1.0, max(LEAST_LOAD, FULL_QUEUE * latency.base_us / attempt.slow_us))
+            full = min(1.0, max(LEAST_LOAD, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.is_one_of_many:
                 full = 1.0
