--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -71,7 +71,7 @@
 # The sidecar's window settles at this multiple of the base latency: as much time queued as served.
 TARGET_LATENCY_MULTIPLE = 2.0
 # Multiple of the slow time after which an unanswered attempt may first give its slot to another.
-MUTE = 3
+HUNG_AFTER_SLOW_TIMES = 3
 # Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
 # the second.
 NEAR, MOST_WAY = 0.2, 0.5
@@ -755,7 +755,7 @@
             # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
             # requests fill up an upstream unnoticed.
             overtaken = server.answered_us > attempt.sent_us
-            patience_us = MUTE * attempt.slow_us
+            patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_us
             if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.mute, 20)):
                 if not overtaken:
                     server.mute += 1
