--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -74,7 +74,7 @@
 HUNG_AFTER_SLOW_TIMES = 3
 # Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
 # the second.
-NEARBY_LATENCY, MOST_WAY = 0.2, 0.5
+NEARBY_LATENCY, MAX_NETWORK_LATENCY = 0.2, 0.5
 LEAST_LOAD = 0.3  # slowness under which queues do no harm yet
 # Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
 # and soon forgotten.
@@ -455,7 +455,7 @@
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            way = min(MOST_WAY, max(0.0, server.least_us / attempt.slow_us - NEARBY_LATENCY))
+            way = min(MAX_NETWORK_LATENCY, max(0.0, server.least_us / attempt.slow_us - NEARBY_LATENCY))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
