--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -75,7 +75,7 @@
 # Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
 # the second.
 NEARBY_LATENCY, MAX_NETWORK_LATENCY = 0.2, 0.5
-LEAST_LOAD = 0.3  # slowness under which queues do no harm yet
+HARMLESS_SLOWNESS = 0.3  # slowness under which queues do no harm yet
 # Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
 # and soon forgotten.
 TENANT_MEMORY = 200
@@ -461,7 +461,7 @@
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
-            full = min(1.0, max(LEAST_LOAD, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_us))
+            full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.is_one_of_many:
                 full = 1.0
@@ -767,7 +767,7 @@
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
-        calm = LEAST_LOAD if self.is_one_of_many else TARGET_SLOWNESS
+        calm = HARMLESS_SLOWNESS if self.is_one_of_many else TARGET_SLOWNESS
         useful = self.buffer is None and not self.slowness.exceeds(calm)
         if request.out == 1 and useful and self.settings.second_copies:
             self.try_send(request)
