--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -78,7 +78,7 @@
 HARMLESS_SLOWNESS = 0.3  # slowness under which queues do no harm yet
 # Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
 # and soon forgotten.
-TENANT_MEMORY = 200
+TENANT_MEMORY_ARRIVALS = 200
 LOG_GAP_US = 1_000_000  # at most one log line a second, however many upstreams change
 # First backoff of discovery calls: long beside one call, short beside a drain.
 FIRST_RETRY_US = 250_000
@@ -325,7 +325,7 @@
             return
         if event.tenant < len(self.tenant_weights):
             # Instead of scaling all old arrivals down, each new one counts a little more.
-            self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY
+            self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY_ARRIVALS
             self.tenant_weights[event.tenant] += self.arrival_weight
             self.tenant_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
