--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -79,7 +79,7 @@
 # Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
 # and soon forgotten.
 TENANT_MEMORY_ARRIVALS = 200
-LOG_GAP_US = 1_000_000  # at most one log line a second, however many upstreams change
+MIN_LOG_INTERVAL_US = 1_000_000  # at most one log line a second, however many upstreams change
 # First backoff of discovery calls: long beside one call, short beside a drain.
 FIRST_RETRY_US = 250_000
 # Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
@@ -347,7 +347,7 @@
         resting = window.slots < (1.0 if window.resting else 0.25)
         # otherwise logged later, if it lasts
         if resting != window.resting and self.now_us >= self.next_log_us:
-            self.next_log_us = self.now_us + LOG_GAP_US
+            self.next_log_us = self.now_us + MIN_LOG_INTERVAL_US
             window.resting = resting
             self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
 
