--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -81,7 +81,7 @@
 TENANT_MEMORY_ARRIVALS = 200
 MIN_LOG_INTERVAL_US = 1_000_000  # at most one log line a second, however many upstreams change
 # First backoff of discovery calls: long beside one call, short beside a drain.
-FIRST_RETRY_US = 250_000
+FIRST_LIST_RETRY_US = 250_000
 # Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
 CALL_US = 150_000
 
@@ -278,7 +278,7 @@
     def list_gap_us(self) -> int:
         """The longest time between two calls for a list. Where lists are pushed, changes that an agent has received
         count as known to this sidecar too, so it asks again soon."""
-        return max(FIRST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
+        return max(FIRST_LIST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Takes in one event at its time and returns the actions to carry out, in order."""
@@ -809,7 +809,7 @@
         if event.kind is api.ListKind.FAILED:
             # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
             # between two calls (rule 3).
-            first_us = max(FIRST_RETRY_US, self.list_turn_us())
+            first_us = max(FIRST_LIST_RETRY_US, self.list_turn_us())
             backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
