--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -83,7 +83,7 @@
 # First backoff of discovery calls: long beside one call, short beside a drain.
 FIRST_LIST_RETRY_US = 250_000
 # Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
-CALL_US = 150_000
+LIST_CALL_US = 150_000
 
 
 class Window:
@@ -273,7 +273,7 @@
         half of the time within which the list must be asked for. 0 = they are not spread."""
         s = self.settings
         is_shared = self.is_one_of_many and s.list_on_request
-        return min(CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
+        return min(LIST_CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
 
     def list_gap_us(self) -> int:
         """The longest time between two calls for a list. Where lists are pushed, changes that an agent has received
