--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -92,12 +92,12 @@
 
     def __init__(self, name: str, slots: float) -> None:
         self.name, self.slots = name, slots
-        self.rest_until_us = 0
+        self.paused_until_us = 0
         self.resting = False  # whether the last log line said that it rests
 
     def open(self, now_us: int) -> int:
         """The number of slots usable now, whether taken or free."""
-        return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.rest_until_us)
+        return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
     def move(self, step: float, least: float, most: float) -> None:
         """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
@@ -108,7 +108,7 @@
 
     def rest(self, now_us: int, busy_us: float) -> None:
         """Below one slot, pauses for so long that the slot is busy for the share `slots` of the time."""
-        self.rest_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
+        self.paused_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
 
 
 class Server:
@@ -143,7 +143,7 @@
 
     def opens_us(self) -> int:
         """When its slot opens again, if only time keeps it closed."""
-        return max(self.next_cold_us, self.window.rest_until_us)
+        return max(self.next_cold_us, self.window.paused_until_us)
 
 
 class Attempt:
@@ -650,7 +650,7 @@
             self.warming[server] = None
         else:
             self.warming.pop(server, None)
-        again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
+        again_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
         if server.favour < NON_LOCAL_WEIGHT / 2 and not again_us:
@@ -1014,7 +1014,7 @@
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
             opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
-                     else self.window.rest_until_us]
+                     else self.window.paused_until_us]
             self.look()
             while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].place >= 0
                                      and self.shut[0][0] == self.shut[0][2].opens_us()):
