--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -93,7 +93,7 @@
     def __init__(self, name: str, slots: float) -> None:
         self.name, self.slots = name, slots
         self.paused_until_us = 0
-        self.resting = False  # whether the last log line said that it rests
+        self.logged_as_backed_off = False  # whether the last log line said that it rests
 
     def open(self, now_us: int) -> int:
         """The number of slots usable now, whether taken or free."""
@@ -344,11 +344,11 @@
 
     def log(self, window: Window) -> None:
         """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
-        resting = window.slots < (1.0 if window.resting else 0.25)
+        resting = window.slots < (1.0 if window.logged_as_backed_off else 0.25)
         # otherwise logged later, if it lasts
-        if resting != window.resting and self.now_us >= self.next_log_us:
+        if resting != window.logged_as_backed_off and self.now_us >= self.next_log_us:
             self.next_log_us = self.now_us + MIN_LOG_INTERVAL_US
-            window.resting = resting
+            window.logged_as_backed_off = resting
             self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
 
     def place(self, request: Request) -> None:
