--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -116,7 +116,7 @@
 
     def __init__(self, entry: api.Upstream) -> None:
         self.entry = entry
-        self.size = 1.0  # listed weight, divided by the mean weight
+        self.relative_weight = 1.0  # listed weight, divided by the mean weight
         self.used = 0  # slots taken by this sidecar's attempts
         self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
         self.busy = 1.0  # utilization as last reported; unknown counts as busy
@@ -640,11 +640,11 @@
             server.next_cold_us += server.turn_us + self.cold_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_us):
             server.favour = self.favour(server)
-            weight = min(float(slots), window.slots) * server.size * server.favour
+            weight = min(float(slots), window.slots) * server.relative_weight * server.favour
             if is_cold and self.is_one_of_many:
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
-                weight, room = weight * warmth, min(1.0, window.slots) * server.size
+                weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
         self.places.put(server.place, weight, room)
         if is_cold and weight > 0.0:
             self.warming[server] = None
@@ -856,11 +856,11 @@
                  if self.servers[i].entry.state is api.UpstreamState.READY]
         mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
         for server in ready:
-            server.size = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
+            server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
         self.least = min(1.0, len(ready) / count)
         if ready and not self.order:
             self.window.slots = self.usual_slots(len(ready))
-        able, self.able = self.able, sum(server.size * self.warmth(server) for server in ready)
+        able, self.able = self.able, sum(server.relative_weight * self.warmth(server) for server in ready)
         if self.is_one_of_many and self.able < able:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
