--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -117,7 +117,7 @@
     def __init__(self, entry: api.Upstream) -> None:
         self.entry = entry
         self.relative_weight = 1.0  # listed weight, divided by the mean weight
-        self.used = 0  # slots taken by this sidecar's attempts
+        self.used_slots = 0  # slots taken by this sidecar's attempts
         self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
         self.busy = 1.0  # utilization as last reported; unknown counts as busy
         self.faults = Faults()
@@ -622,7 +622,7 @@
         distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
         # idle is busy for others then, and the zone would be overrun.
-        near = server.entry.zone == self.home and server.used == 0
+        near = server.entry.zone == self.home and server.used_slots == 0
         kind, zone = self.kinds.get(server.entry.kind), self.zones.get(server.entry.zone)
         own = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
@@ -633,7 +633,7 @@
     def look_at(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
         now_us, window = self.now_us, server.window
-        slots, weight, room, warmth = window.open(now_us) - server.used, 0.0, 0.0, self.warmth(server)
+        slots, weight, room, warmth = window.open(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
         while is_cold and server.warms and 0 < server.turn_us < now_us - server.next_cold_us:
             work_us = min(latency.careful_us() for latency in self.latency)
@@ -717,7 +717,7 @@
             return False
         work_us = max(self.latency[request.event.class_index].careful_us(), request.event.cost_us)
         server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us)
-        server.used += 1
+        server.used_slots += 1
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.count(self.now_us)
@@ -761,7 +761,7 @@
                     server.mute += 1
                     self.judge(attempt, late_us, request.event.class_index)
                 attempt.holds = False
-                server.used -= 1
+                server.used_slots -= 1
                 self.changed[server] = None
             elif attempt.holds:
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
@@ -791,7 +791,7 @@
             self.load.move(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
         if attempt.holds:
-            attempt.server.used -= 1
+            attempt.server.used_slots -= 1
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         if attempt.holds and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -365,7 +365,7 @@
     for server in inside[:count]:
         request = world.arrive(READ)
         attempt = world.balancer.requests[request].attempts[0]
-        attempt.server.used, server.used, attempt.server = attempt.server.used - 1, server.used + 1, server
+        attempt.server.used_slots, server.used_slots, attempt.server = attempt.server.used_slots - 1, server.used_slots + 1, server
         world.end(request, 0, Outcome.CONNECT_FAILED)
     return inside[count:]
 
@@ -400,7 +400,7 @@
         for _ in range(count):
             request = world.arrive(READ)
             attempt = world.balancer.requests[request].attempts[0]
-            attempt.server.used, server.used, attempt.server = attempt.server.used - 1, server.used + 1, server
+            attempt.server.used_slots, server.used_slots, attempt.server = attempt.server.used_slots - 1, server.used_slots + 1, server
             world.end(request, 0, Outcome.ERROR)
         left = world.balancer.favour(server) / world.balancer.favour(like)
         assert least < left < most, (count, left)
@@ -425,7 +425,7 @@
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
     world.balancer.changed.update(dict.fromkeys(world.balancer.order))
     slow, quick = (weight(world, next(server for server in world.balancer.order if server.entry.kind == kind
-                                      and server.window.slots == 1.0 and not server.used)) for kind in (0, 1))
+                                      and server.window.slots == 1.0 and not server.used_slots)) for kind in (0, 1))
     assert slow < quick / 3
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -504,11 +504,11 @@
     world.end(world.arrive(READ), 0, Outcome.OK)
     world.advance(300_000)
     world.end(world.arrive(READ), 0, Outcome.OK)
-    assert world.balancer.servers[100].used == 1  # it may still be a long request
+    assert world.balancer.servers[100].used_slots == 1  # it may still be a long request
     world.advance(310_000)
-    assert world.balancer.servers[100].used == 0
+    assert world.balancer.servers[100].used_slots == 0
     world.advance(1_500_000)  # its end frees nothing more
-    assert world.balancer.servers[100].used == 0
+    assert world.balancer.servers[100].used_slots == 0
 
 
 def test_what_gave_its_slot_up_is_not_judged_again() -> None:
