--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -119,7 +119,7 @@
         self.relative_weight = 1.0  # listed weight, divided by the mean weight
         self.used_slots = 0  # slots taken by this sidecar's attempts
         self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
-        self.busy = 1.0  # utilization as last reported; unknown counts as busy
+        self.utilization = 1.0  # utilization as last reported; unknown counts as busy
         self.faults = Faults()
         self.favour = 1.0  # as last computed
         self.failing = False  # its last answer was a failure
@@ -467,7 +467,7 @@
                 full = 1.0
             step = (attempt.slowness or full) - slowness
             # an upstream with idle cores does not queue: the request itself is long
-            if server.busy < IDLE_UTILIZATION:
+            if server.utilization < IDLE_UTILIZATION:
                 step = max(step, full)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
@@ -783,7 +783,7 @@
         attempt.ended = event.outcome
         request.out -= 1
         if self.busy_at is not None and len(event.report) > self.busy_at:
-            attempt.server.busy = event.report[self.busy_at]
+            attempt.server.utilization = event.report[self.busy_at]
         if event.outcome is api.Outcome.OK:
             attempt.server.mute = 1
             attempt.server.answered_us = max(attempt.server.answered_us, attempt.sent_us)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -317,7 +317,7 @@
         scene = await Scene().start((await Peer(reply(data)).start()).entry("s-1"),
                                     report={"how": "answers", "names": ["busy"]})
         assert (await scene.call()).status == 200
-        await until(lambda: [s.busy for s in scene.sidecar.balancer.servers.values()] == [0.25])
+        await until(lambda: [s.utilization for s in scene.sidecar.balancer.servers.values()] == [0.25])
 
     run(test)
 
