--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -121,7 +121,7 @@
         self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
         self.utilization = 1.0  # utilization as last reported; unknown counts as busy
         self.faults = Faults()
-        self.favour = 1.0  # as last computed
+        self.preference = 1.0  # as last computed
         self.failing = False  # its last answer was a failure
         self.least_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
         # when the attempt that it answered with success was sent, the latest of them
@@ -639,8 +639,8 @@
             work_us = min(latency.careful_us() for latency in self.latency)
             server.next_cold_us += server.turn_us + self.cold_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_us):
-            server.favour = self.favour(server)
-            weight = min(float(slots), window.slots) * server.relative_weight * server.favour
+            server.preference = self.favour(server)
+            weight = min(float(slots), window.slots) * server.relative_weight * server.preference
             if is_cold and self.is_one_of_many:
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
@@ -653,7 +653,7 @@
         again_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
-        if server.favour < NON_LOCAL_WEIGHT / 2 and not again_us:
+        if server.preference < NON_LOCAL_WEIGHT / 2 and not again_us:
             again_us = now_us + FAULT_HALVES_US // 8
         if is_cold and server.next_cold_us > now_us:
             cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -35,7 +35,7 @@
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_us
                         and server not in tried and self.in_group(request, server)):
                     free.append(server)
-                    weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.favour)
+                    weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference)
             if free:
                 return self.random.choices(free, weights)[0]
             free, weights = [], []
@@ -49,7 +49,7 @@
             if warmth == 1.0 or self.now_us >= server.next_cold_us:
                 free.append(server)
                 paced = warmth < 1.0 and self.is_one_of_many  # by its pace alone
-                weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.favour
+                weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
                                * (1.0 if paced else warmth))
                 room += 0.0 if paced else min(1.0, server.window.slots) * server.relative_weight
                 if room >= self.subset:
