--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -123,7 +123,7 @@
         self.faults = Faults()
         self.preference = 1.0  # as last computed
         self.failing = False  # its last answer was a failure
-        self.least_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
+        self.min_latency_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
         # when the attempt that it answered with success was sent, the latest of them
         self.answered_us = 0
         # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
@@ -451,11 +451,11 @@
             # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
             # however busy the upstreams are.
             if outcome is api.Outcome.OK:
-                server.failing, server.least_us = False, min(server.least_us or elapsed_us, elapsed_us)
+                server.failing, server.min_latency_us = False, min(server.min_latency_us or elapsed_us, elapsed_us)
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            way = min(MAX_NETWORK_LATENCY, max(0.0, server.least_us / attempt.slow_us - NEARBY_LATENCY))
+            way = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_us - NEARBY_LATENCY))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
@@ -996,7 +996,7 @@
             server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
             # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
             # good.
-            server.least_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
+            server.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
 
     def ask_list_at(self, at_us: int) -> None:
         """Schedules a call for the list, if lists are asked for or watched at all."""
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -11,7 +11,7 @@
 def view(balancer: Balancer) -> list[api.UpstreamView]:
     """Each upstream as it stands now."""
     return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used_slots, s.window.open(balancer.now_us) == 0,
-                             balancer.warmth(s), s.failing, s.mute > 1, s.least_us)
+                             balancer.warmth(s), s.failing, s.mute > 1, s.min_latency_us)
             for i, s in balancer.servers.items()]
 
 
@@ -24,7 +24,7 @@
         if server is None or (server.lesson is None and server.confirmed_us == 0):
             continue
         upstreams.append(server.lesson or api.UpstreamLesson(
-            ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.least_us,
+            ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.min_latency_us,
             server.failing, server.mute, server.next_cold_us))
     settings = balancer.settings
     classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -258,7 +258,7 @@
 def test_a_far_upstream_told_to_be_near_is_believed_to_a_quarter() -> None:
     world = taught(told(100, 1.0, least_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
-    assert world.balancer.servers[100].least_us >= 20_000
+    assert world.balancer.servers[100].min_latency_us >= 20_000
 
 
 def test_pace_towards_a_cold_one_is_kept_over_a_restart() -> None:
@@ -293,7 +293,7 @@
     for zone, least_us in ((0, 19_000), (1, 20_000)):
         world = taught(told(100, 1.0, least_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
-        assert world.balancer.servers[100].least_us == least_us
+        assert world.balancer.servers[100].min_latency_us == least_us
 
 
 def test_tenants_shares_count_for_a_few_arrivals_only() -> None:
