--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -125,7 +125,7 @@
         self.failing = False  # its last answer was a failure
         self.min_latency_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
         # when the attempt that it answered with success was sent, the latest of them
-        self.answered_us = 0
+        self.latest_answered_sent_us = 0
         # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
         # answer resets it to 1.
         self.mute = 1
@@ -754,7 +754,7 @@
             # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
             # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
             # requests fill up an upstream unnoticed.
-            overtaken = server.answered_us > attempt.sent_us
+            overtaken = server.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_us
             if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.mute, 20)):
                 if not overtaken:
@@ -786,7 +786,7 @@
             attempt.server.utilization = event.report[self.busy_at]
         if event.outcome is api.Outcome.OK:
             attempt.server.mute = 1
-            attempt.server.answered_us = max(attempt.server.answered_us, attempt.sent_us)
+            attempt.server.latest_answered_sent_us = max(attempt.server.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
             self.load.move(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
