--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -128,7 +128,7 @@
         self.latest_answered_sent_us = 0
         # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
         # answer resets it to 1.
-        self.mute = 1
+        self.patience_doublings = 1
         self.warms = True  # whether this sidecar sends to it while it is cold
         self.next_cold_us = 0  # while it is cold, nothing is sent before this time
         # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
@@ -756,9 +756,9 @@
             # requests fill up an upstream unnoticed.
             overtaken = server.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_us
-            if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.mute, 20)):
+            if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
                 if not overtaken:
-                    server.mute += 1
+                    server.patience_doublings += 1
                     self.judge(attempt, late_us, request.event.class_index)
                 attempt.holds = False
                 server.used_slots -= 1
@@ -785,7 +785,7 @@
         if self.busy_at is not None and len(event.report) > self.busy_at:
             attempt.server.utilization = event.report[self.busy_at]
         if event.outcome is api.Outcome.OK:
-            attempt.server.mute = 1
+            attempt.server.patience_doublings = 1
             attempt.server.latest_answered_sent_us = max(attempt.server.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
             self.load.move(self.now_us, -1)
@@ -977,7 +977,7 @@
         server.lesson, server.confirmed_us = whole, whole.confirmed_us
         self.changed[server] = None
         server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
-        server.failing, server.mute = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
+        server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
         if lesson.first_hand:
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -11,7 +11,7 @@
 def view(balancer: Balancer) -> list[api.UpstreamView]:
     """Each upstream as it stands now."""
     return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used_slots, s.window.open(balancer.now_us) == 0,
-                             balancer.warmth(s), s.failing, s.mute > 1, s.min_latency_us)
+                             balancer.warmth(s), s.failing, s.patience_doublings > 1, s.min_latency_us)
             for i, s in balancer.servers.items()]
 
 
@@ -25,7 +25,7 @@
             continue
         upstreams.append(server.lesson or api.UpstreamLesson(
             ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.min_latency_us,
-            server.failing, server.mute, server.next_cold_us))
+            server.failing, server.patience_doublings, server.next_cold_us))
     settings = balancer.settings
     classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
