--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -129,7 +129,7 @@
         # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
         # answer resets it to 1.
         self.patience_doublings = 1
-        self.warms = True  # whether this sidecar sends to it while it is cold
+        self.sends_while_cold = True  # whether this sidecar sends to it while it is cold
         self.next_cold_us = 0  # while it is cold, nothing is sent before this time
         # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
         # it is used.
@@ -635,7 +635,7 @@
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.open(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
-        while is_cold and server.warms and 0 < server.turn_us < now_us - server.next_cold_us:
+        while is_cold and server.sends_while_cold and 0 < server.turn_us < now_us - server.next_cold_us:
             work_us = min(latency.careful_us() for latency in self.latency)
             server.next_cold_us += server.turn_us + self.cold_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_us):
@@ -841,7 +841,7 @@
         for server in new:
             # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
             # come as one burst.
-            if server.warms:
+            if server.sends_while_cold:
                 work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
                 share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
                 server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us, share)
@@ -873,10 +873,10 @@
         early: dict[Server, None] = {}
         if self.is_one_of_many:
             for server in ready:
-                server.warms = warms(server.entry.id, self.settings.self_index, count)
-                if not server.warms and self.warmth(server) < 1.0:
+                server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
+                if not server.sends_while_cold and self.warmth(server) < 1.0:
                     server.next_cold_us = self.warm_at_us(server)
-            early = dict.fromkeys(s for s in ready if s.warms and self.warmth(s) < 1.0)
+            early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.early = len(early)
         self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -319,7 +319,7 @@
         cold = [Upstream(900 + i, started_us=world.now_us) for i in range(6)]
         world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
         server = world.balancer.servers[900]
-        waits += [server.next_cold_us - world.now_us] if server.warms else []
+        waits += [server.next_cold_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
     gap_us = world.balancer.cold_gap_us(server, 150_000)
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
