--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -130,7 +130,7 @@
         # answer resets it to 1.
         self.patience_doublings = 1
         self.sends_while_cold = True  # whether this sidecar sends to it while it is cold
-        self.next_cold_us = 0  # while it is cold, nothing is sent before this time
+        self.next_cold_send_us = 0  # while it is cold, nothing is sent before this time
         # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
         # it is used.
         self.turn_us = 0
@@ -143,7 +143,7 @@
 
     def opens_us(self) -> int:
         """When its slot opens again, if only time keeps it closed."""
-        return max(self.next_cold_us, self.window.paused_until_us)
+        return max(self.next_cold_send_us, self.window.paused_until_us)
 
 
 class Attempt:
@@ -635,10 +635,10 @@
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.open(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
-        while is_cold and server.sends_while_cold and 0 < server.turn_us < now_us - server.next_cold_us:
+        while is_cold and server.sends_while_cold and 0 < server.turn_us < now_us - server.next_cold_send_us:
             work_us = min(latency.careful_us() for latency in self.latency)
-            server.next_cold_us += server.turn_us + self.cold_gap_us(server, work_us)
-        if slots > 0 and not (is_cold and now_us < server.next_cold_us):
+            server.next_cold_send_us += server.turn_us + self.cold_gap_us(server, work_us)
+        if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
             server.preference = self.favour(server)
             weight = min(float(slots), window.slots) * server.relative_weight * server.preference
             if is_cold and self.is_one_of_many:
@@ -655,8 +655,8 @@
         # again.
         if server.preference < NON_LOCAL_WEIGHT / 2 and not again_us:
             again_us = now_us + FAULT_HALVES_US // 8
-        if is_cold and server.next_cold_us > now_us:
-            cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
+        if is_cold and server.next_cold_send_us > now_us:
+            cold_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
             again_us = min(again_us, cold_us) if again_us else cold_us
         if again_us and not now_us < server.look_us <= again_us:
             server.look_us = again_us
@@ -716,7 +716,7 @@
         if server is None:
             return False
         work_us = max(self.latency[request.event.class_index].careful_us(), request.event.cost_us)
-        server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us)
+        server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us)
         server.used_slots += 1
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
@@ -844,7 +844,7 @@
             if server.sends_while_cold:
                 work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
                 share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
-                server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us, share)
+                server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us, share)
         self.apply_lessons()
 
     def rank(self) -> None:
@@ -875,7 +875,7 @@
             for server in ready:
                 server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
                 if not server.sends_while_cold and self.warmth(server) < 1.0:
-                    server.next_cold_us = self.warm_at_us(server)
+                    server.next_cold_send_us = self.warm_at_us(server)
             early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.early = len(early)
         self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
@@ -981,7 +981,7 @@
         # what this sidecar sent before its restart still occupies the upstream
         if lesson.first_hand:
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
-            server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_us, self.now_us + gap_us))
+            server.next_cold_send_us = max(server.next_cold_send_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
     def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -25,7 +25,7 @@
             continue
         upstreams.append(server.lesson or api.UpstreamLesson(
             ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.min_latency_us,
-            server.failing, server.patience_doublings, server.next_cold_us))
+            server.failing, server.patience_doublings, server.next_cold_send_us))
     settings = balancer.settings
     classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -267,13 +267,13 @@
     world.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
     world.tell_list(entry)
-    until_us = world.balancer.servers[100].next_cold_us
+    until_us = world.balancer.servers[100].next_cold_send_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
     other = World(settings(second_copies=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
     other.tell_list(entry)
-    assert other.balancer.servers[100].next_cold_us < until_us
+    assert other.balancer.servers[100].next_cold_send_us < until_us
 
 
 def test_times_learned_of_a_fleet_that_was_replaced_are_not_taken() -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -319,7 +319,7 @@
         cold = [Upstream(900 + i, started_us=world.now_us) for i in range(6)]
         world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
         server = world.balancer.servers[900]
-        waits += [server.next_cold_us - world.now_us] if server.sends_while_cold else []
+        waits += [server.next_cold_send_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
     gap_us = world.balancer.cold_gap_us(server, 150_000)
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
@@ -617,7 +617,7 @@
     balancer.window.slots = balancer.least = 0.1
     balancer.load.mean = 5.0
     for server in (balancer.servers[ident] for ident in mine):
-        server.next_cold_us = world.now_us
+        server.next_cold_send_us = world.now_us
     balancer.changed = dict.fromkeys(balancer.order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
@@ -628,7 +628,7 @@
     assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
     again = world.arrive(READ)
     assert not world.sends(again)  # nor do they come at once
-    assert sorted(server.next_cold_us > world.now_us for server in balancer.servers.values())[-3:] == [True] * 3
+    assert sorted(server.next_cold_send_us > world.now_us for server in balancer.servers.values())[-3:] == [True] * 3
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.OK, Outcome.TIMEOUT])
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -32,7 +32,7 @@
         if self.has_room() and self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
             for server in self.order:  # in a shortage the cold ones first, as far as their pace lets
                 slots = server.window.open(self.now_us) - server.used_slots
-                if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_us
+                if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
                         and server not in tried and self.in_group(request, server)):
                     free.append(server)
                     weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference)
@@ -46,7 +46,7 @@
             if slots <= 0 or (tried and (server in tried or not self.in_group(request, server))):
                 continue
             warmth = self.warmth(server)
-            if warmth == 1.0 or self.now_us >= server.next_cold_us:
+            if warmth == 1.0 or self.now_us >= server.next_cold_send_us:
                 free.append(server)
                 paced = warmth < 1.0 and self.is_one_of_many  # by its pace alone
                 weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
@@ -61,7 +61,7 @@
         if self.buffer is not None:
             self.look()
             opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many else self.window.paused_until_us]
-            opens += [max(s.next_cold_us, s.window.paused_until_us) for s in self.order]
+            opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
             self.armed_us = min(times)
