--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -133,7 +133,7 @@
         self.next_cold_send_us = 0  # while it is cold, nothing is sent before this time
         # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
         # it is used.
-        self.turn_us = 0
+        self.cold_turn_us = 0
         self.confirmed_us = 0  # when an attempt last told something about it
         # knowledge taken over, not yet tested by an attempt of our own
         self.lesson: api.UpstreamLesson | None = None
@@ -544,7 +544,7 @@
         # a multiple it is paced to 1.5 times what it can do.
         part = (traffic.part_of_cold() if self.is_one_of_many else
                 traffic.part() * max(1.0, s.overload_factor / 2))
-        server.turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
+        server.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
         # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
         # that.
         growth = (1.0 - s.cold_share) / s.warm_up_us
@@ -635,9 +635,9 @@
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.open(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
-        while is_cold and server.sends_while_cold and 0 < server.turn_us < now_us - server.next_cold_send_us:
+        while is_cold and server.sends_while_cold and 0 < server.cold_turn_us < now_us - server.next_cold_send_us:
             work_us = min(latency.careful_us() for latency in self.latency)
-            server.next_cold_send_us += server.turn_us + self.cold_gap_us(server, work_us)
+            server.next_cold_send_us += server.cold_turn_us + self.cold_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
             server.preference = self.favour(server)
             weight = min(float(slots), window.slots) * server.relative_weight * server.preference
