--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -134,7 +134,7 @@
         # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
         # it is used.
         self.cold_turn_us = 0
-        self.confirmed_us = 0  # when an attempt last told something about it
+        self.last_observed_us = 0  # when an attempt last told something about it
         # knowledge taken over, not yet tested by an attempt of our own
         self.lesson: api.UpstreamLesson | None = None
         self.place = -1  # index in this sidecar's draw order; -1 = no longer drawn
@@ -428,7 +428,7 @@
         server, outcome, latency = attempt.server, attempt.ended, self.latency[class_index]
         self.changed[server] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
-            server.confirmed_us = self.confirmed_us = self.now_us
+            server.last_observed_us = self.confirmed_us = self.now_us
             if server.lesson is not None:
                 self.test(server, outcome, elapsed_us)
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
@@ -931,8 +931,8 @@
             for server in self.order:
                 found = known.get(server.entry.id)
                 if (found is not None and found.started_us == server.entry.started_us
-                        and found.confirmed_us > server.confirmed_us
-                        and (server.lesson is not None or server.confirmed_us == 0)):
+                        and found.confirmed_us > server.last_observed_us
+                        and (server.lesson is not None or server.last_observed_us == 0)):
                     faded = trust.faded(found, self.now_us)
                     if faded is not None:
                         # the distance holds only for the zone in which it was measured
@@ -974,7 +974,7 @@
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
         same after fading with age."""
         # passed on unfaded, so that it fades only once
-        server.lesson, server.confirmed_us = whole, whole.confirmed_us
+        server.lesson, server.last_observed_us = whole, whole.confirmed_us
         self.changed[server] = None
         server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
         server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -21,10 +21,10 @@
     upstreams = []
     for ident in balancer.servers if idents is None else idents:
         server = balancer.servers.get(ident)
-        if server is None or (server.lesson is None and server.confirmed_us == 0):
+        if server is None or (server.lesson is None and server.last_observed_us == 0):
             continue
         upstreams.append(server.lesson or api.UpstreamLesson(
-            ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.min_latency_us,
+            ident, server.entry.started_us, server.last_observed_us, server.window.slots, server.min_latency_us,
             server.failing, server.patience_doublings, server.next_cold_send_us))
     settings = balancer.settings
     classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -531,7 +531,7 @@
         scene = await Scene().start(
             peers[0].entry("up-0"), peers[1].entry("up\x1b[1m"), peers[2].entry("x" * 300),
             peers[3].entry("up-3", startedAtMs=-10**15))
-        while any(server.confirmed_us == 0 for server in scene.sidecar.balancer.servers.values()):
+        while any(server.last_observed_us == 0 for server in scene.sidecar.balancer.servers.values()):
             await scene.call()
         found = decode(await Collector(scene.sidecar).collect())
         assert [one.name for one in found.upstreams] == ["up-0"]
