--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -137,7 +137,7 @@
         self.last_observed_us = 0  # when an attempt last told something about it
         # knowledge taken over, not yet tested by an attempt of our own
         self.lesson: api.UpstreamLesson | None = None
-        self.place = -1  # index in this sidecar's draw order; -1 = no longer drawn
+        self.order_index = -1  # index in this sidecar's draw order; -1 = no longer drawn
         # Its current entries in `refresh_times` and `opening_times`; 0 = none.
         self.look_us = self.shut_us = 0
 
@@ -565,11 +565,11 @@
                 return early
         if not request.attempts:
             return self.pick()
-        tried = {attempt.server: None for attempt in request.attempts if attempt.server.place >= 0}
+        tried = {attempt.server: None for attempt in request.attempts if attempt.server.order_index >= 0}
         if self.is_bound(request):
             return self.pick_in_group(request, tried)
         for server in tried:
-            self.places.put(server.place, 0.0, 0.0)
+            self.places.put(server.order_index, 0.0, 0.0)
         self.changed.update(tried)
         return self.pick()
 
@@ -614,7 +614,7 @@
         self.changed.update(self.warming)
         changed, self.changed = self.changed, {}
         for server in changed:
-            if server.place >= 0:
+            if server.order_index >= 0:
                 self.look_at(server)
 
     def favour(self, server: Server) -> float:
@@ -645,7 +645,7 @@
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
-        self.places.put(server.place, weight, room)
+        self.places.put(server.order_index, weight, room)
         if is_cold and weight > 0.0:
             self.warming[server] = None
         else:
@@ -660,14 +660,14 @@
             again_us = min(again_us, cold_us) if again_us else cold_us
         if again_us and not now_us < server.look_us <= again_us:
             server.look_us = again_us
-            heapq.heappush(self.opening, (again_us, server.place, server))
+            heapq.heappush(self.opening, (again_us, server.order_index, server))
         shut_us = server.opens_us()
         if shut_us != server.shut_us:
             server.shut_us = shut_us
             while self.shut and self.shut[0][0] <= now_us:
                 heapq.heappop(self.shut)
             if shut_us > now_us:
-                heapq.heappush(self.shut, (shut_us, server.place, server))
+                heapq.heappush(self.shut, (shut_us, server.order_index, server))
 
     def may_send(self, request: Request) -> bool:
         """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
@@ -869,7 +869,7 @@
             self.window.slots = max(MIN_WINDOW_SLOTS, self.least, kept)
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.order:
-            server.place = -1
+            server.order_index = -1
         early: dict[Server, None] = {}
         if self.is_one_of_many:
             for server in ready:
@@ -883,7 +883,7 @@
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.order)
         for place, server in enumerate(self.order):
-            server.place, server.look_us, server.shut_us = place, 0, 0
+            server.order_index, server.look_us, server.shut_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
@@ -1016,7 +1016,7 @@
             opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
                      else self.window.paused_until_us]
             self.look()
-            while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].place >= 0
+            while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].order_index >= 0
                                      and self.shut[0][0] == self.shut[0][2].opens_us()):
                 heapq.heappop(self.shut)  # past, or replaced by another time
             opens += [self.shut[0][0]] if self.shut else []
