--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -139,7 +139,7 @@
         self.lesson: api.UpstreamLesson | None = None
         self.order_index = -1  # index in this sidecar's draw order; -1 = no longer drawn
         # Its current entries in `refresh_times` and `opening_times`; 0 = none.
-        self.look_us = self.shut_us = 0
+        self.queued_refresh_us = self.shut_us = 0
 
     def opens_us(self) -> int:
         """When its slot opens again, if only time keeps it closed."""
@@ -609,7 +609,7 @@
         opening = self.opening
         while opening and opening[0][0] <= now_us:
             server = heapq.heappop(opening)[2]
-            server.look_us = 0
+            server.queued_refresh_us = 0
             self.changed[server] = None
         self.changed.update(self.warming)
         changed, self.changed = self.changed, {}
@@ -658,8 +658,8 @@
         if is_cold and server.next_cold_send_us > now_us:
             cold_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
             again_us = min(again_us, cold_us) if again_us else cold_us
-        if again_us and not now_us < server.look_us <= again_us:
-            server.look_us = again_us
+        if again_us and not now_us < server.queued_refresh_us <= again_us:
+            server.queued_refresh_us = again_us
             heapq.heappush(self.opening, (again_us, server.order_index, server))
         shut_us = server.opens_us()
         if shut_us != server.shut_us:
@@ -883,7 +883,7 @@
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.order)
         for place, server in enumerate(self.order):
-            server.order_index, server.look_us, server.shut_us = place, 0, 0
+            server.order_index, server.queued_refresh_us, server.shut_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
