--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -139,7 +139,7 @@
         self.lesson: api.UpstreamLesson | None = None
         self.order_index = -1  # index in this sidecar's draw order; -1 = no longer drawn
         # Its current entries in `refresh_times` and `opening_times`; 0 = none.
-        self.queued_refresh_us = self.shut_us = 0
+        self.queued_refresh_us = self.queued_opens_us = 0
 
     def opens_us(self) -> int:
         """When its slot opens again, if only time keeps it closed."""
@@ -662,8 +662,8 @@
             server.queued_refresh_us = again_us
             heapq.heappush(self.opening, (again_us, server.order_index, server))
         shut_us = server.opens_us()
-        if shut_us != server.shut_us:
-            server.shut_us = shut_us
+        if shut_us != server.queued_opens_us:
+            server.queued_opens_us = shut_us
             while self.shut and self.shut[0][0] <= now_us:
                 heapq.heappop(self.shut)
             if shut_us > now_us:
@@ -883,7 +883,7 @@
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.order)
         for place, server in enumerate(self.order):
-            server.order_index, server.queued_refresh_us, server.shut_us = place, 0, 0
+            server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
