--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -150,7 +150,7 @@
     """One send of a request to an upstream."""
 
     def __init__(self, server: Server, now_us: int, slow_us: int) -> None:
-        self.server, self.sent_us, self.slow_us = server, now_us, slow_us
+        self.server, self.sent_us, self.slow_after_us = server, now_us, slow_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
         self.holds = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
@@ -455,13 +455,13 @@
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            way = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_us - NEARBY_LATENCY))
-            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
+            way = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
+            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - way))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
-            full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_us))
+            full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.is_one_of_many:
                 full = 1.0
@@ -481,7 +481,7 @@
                 shared.add(slowness)
         # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
         # pauses would leave an overloaded upstream crowded.
-        busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_us)
+        busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
         for window in (server.window, self.window):
             window.rest(self.now_us, busy_us * (0.5 + self.random.random()))
             self.log(window)
@@ -743,19 +743,19 @@
         requests that have none."""
         for attempt in request.attempts:
             server, late_us = attempt.server, self.now_us - attempt.sent_us
-            if late_us < attempt.slow_us or attempt.ended is not None:
+            if late_us < attempt.slow_after_us or attempt.ended is not None:
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
                     self.load.move(self.now_us, -1)
-                self.judge(attempt, attempt.slow_us, request.event.class_index)
+                self.judge(attempt, attempt.slow_after_us, request.event.class_index)
             # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
             # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
             # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
             # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
             # requests fill up an upstream unnoticed.
             overtaken = server.latest_answered_sent_us > attempt.sent_us
-            patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_us
+            patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
             if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
                 if not overtaken:
                     server.patience_doublings += 1
