--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -152,7 +152,7 @@
     def __init__(self, server: Server, now_us: int, slow_us: int) -> None:
         self.server, self.sent_us, self.slow_after_us = server, now_us, slow_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
-        self.holds = True  # whether it still takes up a slot of its upstream
+        self.holds_slot = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
         self.paced = False
         self.ended: api.Outcome | None = None  # None while it is outstanding
@@ -756,14 +756,14 @@
             # requests fill up an upstream unnoticed.
             overtaken = server.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
-            if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
+            if attempt.holds_slot and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
                 if not overtaken:
                     server.patience_doublings += 1
                     self.judge(attempt, late_us, request.event.class_index)
-                attempt.holds = False
+                attempt.holds_slot = False
                 server.used_slots -= 1
                 self.changed[server] = None
-            elif attempt.holds:
+            elif attempt.holds_slot:
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
@@ -790,10 +790,10 @@
         if attempt.slowness == 0.0 and not attempt.paced:
             self.load.move(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
-        if attempt.holds:
+        if attempt.holds_slot:
             attempt.server.used_slots -= 1
             self.judge(attempt, event.elapsed_us, request.event.class_index)
-        if attempt.holds and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
+        if attempt.holds_slot and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
             latency = self.latency[request.event.class_index]
             latency.add(event.elapsed_us)
