--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -155,7 +155,7 @@
         self.holds_slot = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
         self.paced = False
-        self.ended: api.Outcome | None = None  # None while it is outstanding
+        self.outcome: api.Outcome | None = None  # None while it is outstanding
 
 
 class Request:
@@ -168,7 +168,7 @@
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
-        return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN_OUTCOMES), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN_OUTCOMES), None)
 
 
 class Latency:
@@ -425,7 +425,7 @@
     def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
-        server, outcome, latency = attempt.server, attempt.ended, self.latency[class_index]
+        server, outcome, latency = attempt.server, attempt.outcome, self.latency[class_index]
         self.changed[server] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
             server.last_observed_us = self.confirmed_us = self.now_us
@@ -692,7 +692,7 @@
 
     def retry_costs(self, request: Request) -> bool:
         """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
-        return bool(request.attempts) and request.attempts[-1].ended not in UNCHARGED_OUTCOMES
+        return bool(request.attempts) and request.attempts[-1].outcome not in UNCHARGED_OUTCOMES
 
     def is_bound(self, request: Request) -> bool:
         """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
@@ -743,7 +743,7 @@
         requests that have none."""
         for attempt in request.attempts:
             server, late_us = attempt.server, self.now_us - attempt.sent_us
-            if late_us < attempt.slow_after_us or attempt.ended is not None:
+            if late_us < attempt.slow_after_us or attempt.outcome is not None:
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
@@ -777,10 +777,10 @@
         already ended attempt is ignored."""
         request = self.requests.get(event.request)
         if (request is None or event.attempt >= len(request.attempts)
-                or request.attempts[event.attempt].ended is not None):
+                or request.attempts[event.attempt].outcome is not None):
             return
         attempt = request.attempts[event.attempt]
-        attempt.ended = event.outcome
+        attempt.outcome = event.outcome
         request.out -= 1
         if self.busy_at is not None and len(event.report) > self.busy_at:
             attempt.server.utilization = event.report[self.busy_at]
