--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -164,7 +164,7 @@
     def __init__(self, event: api.RequestArrived) -> None:
         self.event = event
         self.attempts: list[Attempt] = []
-        self.out = 0  # outstanding attempts
+        self.outstanding = 0  # outstanding attempts
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
@@ -413,7 +413,7 @@
         request.done = True
         if self.buffer is request:
             self.buffer = None
-        if request.out == 0:
+        if request.outstanding == 0:
             self.requests.pop(request.event.request, None)
 
     def retry_after_us(self, request: Request) -> int:
@@ -674,7 +674,7 @@
         s, sent = self.settings, len(request.attempts)
         if request.done or request.streaming or self.now_us >= request.event.due_us or sent >= s.max_attempts:
             return False
-        if request.out > 0 and not s.second_copies:
+        if request.outstanding > 0 and not s.second_copies:
             return False
         # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
         if self.retry_costs(request) and self.retry_tokens < 1.0:
@@ -728,7 +728,7 @@
         if not attempt.paced:
             self.load.move(self.now_us, 1)
         request.attempts.append(attempt)
-        request.out += 1
+        request.outstanding += 1
         timeout_us = request.event.due_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
@@ -769,7 +769,7 @@
         # copies of many sidecars come together.
         calm = HARMLESS_SLOWNESS if self.is_one_of_many else TARGET_SLOWNESS
         useful = self.buffer is None and not self.slowness.exceeds(calm)
-        if request.out == 1 and useful and self.settings.second_copies:
+        if request.outstanding == 1 and useful and self.settings.second_copies:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -781,7 +781,7 @@
             return
         attempt = request.attempts[event.attempt]
         attempt.outcome = event.outcome
-        request.out -= 1
+        request.outstanding -= 1
         if self.busy_at is not None and len(event.report) > self.busy_at:
             attempt.server.utilization = event.report[self.busy_at]
         if event.outcome is api.Outcome.OK:
@@ -800,7 +800,7 @@
             latency.confirmed_us = self.now_us
         if event.final or request.done:
             self.close(request)
-        elif request.out == 0:
+        elif request.outstanding == 0:
             # without a retry, an upstream that fails some requests would lose them
             self.place(request)
 
