--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -177,7 +177,7 @@
 
     def __init__(self, first_us: int) -> None:
         # half the aim, until there is a sample
-        self.first_us = self.mean_us = self.base_us = first_us / 2
+        self.initial_us = self.mean_us = self.base_us = first_us / 2
         # `doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves with
         # each sample.
         self.seen, self.confirmed_us, self.doubt = False, 0, 0.0
@@ -196,13 +196,13 @@
     def careful_us(self) -> float:
         """The average for the pacing of cold upstreams. While an average from elsewhere is uncertain, it is not
         taken for shorter than the initial value: too short an estimate would overload cold upstreams."""
-        return max(self.mean_us, self.first_us) if self.doubt else self.mean_us
+        return max(self.mean_us, self.initial_us) if self.doubt else self.mean_us
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
         """Takes over a class's latency that was learned before or elsewhere, trusted by `share` of 1."""
         # Never longer than the initial value: with a longer one, cold upstreams would warm up more slowly and
         # requests would count as too late sooner.
-        self.mean_us = trust.between(self.first_us, min(lesson.mean_us, self.first_us), share)
+        self.mean_us = trust.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
         self.seen, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
 
