--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -85,7 +85,7 @@
                 assert server.lesson is not None and server.lesson.least_us == told[ident].least_us
             await until(lambda: other.discovery.writers)
             other.discovery.line(listing(*(peer.entry(f"up-{i}") for i, peer in enumerate(peers))))
-            await until(lambda: other.sidecar.balancer.latency[0].seen)  # once discovery itself has spoken
+            await until(lambda: other.sidecar.balancer.latency[0].has_samples)  # once discovery itself has spoken
 
     run(test)
 
@@ -519,7 +519,7 @@
         others = snapshot(0, taken=now(machine_boot()), upstreams=(lesson("another-service-0"),))
         pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
-        assert not scene.sidecar.balancer.latency[0].seen
+        assert not scene.sidecar.balancer.latency[0].has_samples
 
     run(test)
     assert "expected lessons on upstreams of ours, got 1 of others" in capfd.readouterr().err
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -281,12 +281,12 @@
     kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
         world = taught(*(told(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
-        assert world.balancer.latency[0].seen is recalled
+        assert world.balancer.latency[0].has_samples is recalled
         assert (world.balancer.window.slots > 1.5 * taught().balancer.window.slots) is recalled
     world = taught(*(told(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
-    assert not world.balancer.latency[0].seen  # a list as last known may be of the former fleet
+    assert not world.balancer.latency[0].has_samples  # a list as last known may be of the former fleet
     world.tell_list(upstreams(6))
-    assert world.balancer.latency[0].seen
+    assert world.balancer.latency[0].has_samples
 
 
 def test_distance_told_from_another_zone_is_not_taken() -> None:
