--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -180,7 +180,7 @@
         self.initial_us = self.mean_us = self.base_us = first_us / 2
         # `doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves with
         # each sample.
-        self.has_samples, self.confirmed_us, self.doubt = False, 0, 0.0
+        self.has_samples, self.confirmed_us, self.recall_doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
         """Adds an answer time to the average."""
@@ -188,15 +188,15 @@
         if not self.has_samples:
             self.has_samples, self.mean_us, self.base_us = True, sample_us, sample_us
         # gain 1/8 as in TCP's smoothed round-trip time (RFC 6298)
-        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.doubt)
-        base_us = self.base_us + (self.mean_us - self.base_us) * max(1 / 256, self.doubt)
+        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.recall_doubt)
+        base_us = self.base_us + (self.mean_us - self.base_us) * max(1 / 256, self.recall_doubt)
         self.base_us = min(self.mean_us, base_us)
-        self.doubt = self.doubt / 2 if self.doubt > 1 / 8 else 0.0
+        self.recall_doubt = self.recall_doubt / 2 if self.recall_doubt > 1 / 8 else 0.0
 
     def careful_us(self) -> float:
         """The average for the pacing of cold upstreams. While an average from elsewhere is uncertain, it is not
         taken for shorter than the initial value: too short an estimate would overload cold upstreams."""
-        return max(self.mean_us, self.initial_us) if self.doubt else self.mean_us
+        return max(self.mean_us, self.initial_us) if self.recall_doubt else self.mean_us
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
         """Takes over a class's latency that was learned before or elsewhere, trusted by `share` of 1."""
@@ -204,7 +204,7 @@
         # requests would count as too late sooner.
         self.mean_us = trust.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
-        self.has_samples, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
+        self.has_samples, self.recall_doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
 
 
 class Balancer:
@@ -957,7 +957,7 @@
         for kind, latency in zip(self.settings.classes, self.latency, strict=True):
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
             if told is not None and latency.confirmed_us < told.confirmed_us and (
-                    not latency.has_samples or latency.doubt == 1 / 2):
+                    not latency.has_samples or latency.recall_doubt == 1 / 2):
                 share = trust.share(self.now_us - told.confirmed_us, trust.LATENCY_HALVES_US)
                 if share > 0.0:
                     latency.recall(told, share)
