--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -180,7 +180,7 @@
         self.initial_us = self.mean_us = self.base_us = first_us / 2
         # `doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves with
         # each sample.
-        self.has_samples, self.confirmed_us, self.recall_doubt = False, 0, 0.0
+        self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
         """Adds an answer time to the average."""
@@ -204,7 +204,7 @@
         # requests would count as too late sooner.
         self.mean_us = trust.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
-        self.has_samples, self.recall_doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
+        self.has_samples, self.recall_doubt, self.last_observed_us = True, 1 / 2, lesson.confirmed_us
 
 
 class Balancer:
@@ -797,7 +797,7 @@
             # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
             latency = self.latency[request.event.class_index]
             latency.add(event.elapsed_us)
-            latency.confirmed_us = self.now_us
+            latency.last_observed_us = self.now_us
         if event.final or request.done:
             self.close(request)
         elif request.outstanding == 0:
@@ -956,7 +956,7 @@
         the same: for a replaced one they are wrong."""
         for kind, latency in zip(self.settings.classes, self.latency, strict=True):
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
-            if told is not None and latency.confirmed_us < told.confirmed_us and (
+            if told is not None and latency.last_observed_us < told.confirmed_us and (
                     not latency.has_samples or latency.recall_doubt == 1 / 2):
                 share = trust.share(self.now_us - told.confirmed_us, trust.LATENCY_HALVES_US)
                 if share > 0.0:
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -27,7 +27,7 @@
             ident, server.entry.started_us, server.last_observed_us, server.window.slots, server.min_latency_us,
             server.failing, server.patience_doublings, server.next_cold_send_us))
     settings = balancer.settings
-    classes = [api.ClassLesson(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
+    classes = [api.ClassLesson(kind.name, latency.last_observed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.has_samples]
     seen = sum(balancer.tenant_seen)
     tenants = [(tenant.name, count / seen) for tenant, count in
