--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -214,7 +214,7 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings, self.random, self.now_us = settings, random.Random(seed), now_us
         self.actions: list[api.Action] = []
-        self.servers: dict[int, Server] = {}  # by id: those on the list that are not gone
+        self.upstreams: dict[int, Server] = {}  # by id: those on the list that are not gone
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
         self.latency = [Latency(c.aim_us) for c in settings.classes]
@@ -819,14 +819,14 @@
             return
         if event.kind is not api.ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
-        old, new = self.servers, list[Server]()
+        old, new = self.upstreams, list[Server]()
         # Gone upstreams are dropped, otherwise they would pile up with each rolling deployment. Outstanding attempts
         # still refer to theirs.
-        self.servers = dict(old) if event.kind is api.ListKind.DELTA else {}
+        self.upstreams = dict(old) if event.kind is api.ListKind.DELTA else {}
         for entry in event.upstreams:
             server = old.get(entry.id)
             if entry.state is api.UpstreamState.GONE:
-                self.servers.pop(entry.id, None)
+                self.upstreams.pop(entry.id, None)
                 continue
             if server is None or server.entry.started_us != entry.started_us:
                 # the zone's past tells little about a process that has just started
@@ -835,7 +835,7 @@
                 server = Server(entry)  # a new process: nothing is kept of the former one
                 new.append(server)
             server.entry = entry
-            self.servers[entry.id] = server
+            self.upstreams[entry.id] = server
         self.has_list = self.has_list or event.kind is not api.ListKind.CACHED
         self.rank()
         for server in new:
@@ -852,8 +852,8 @@
         upstream is near the front for as many sidecars. In a large fleet, the cold upstreams that this sidecar warms
         up come first. Draining and gone ones are left out (rule 3)."""
         count = self.settings.instances
-        ready = [self.servers[i] for i in sorted(self.servers)
-                 if self.servers[i].entry.state is api.UpstreamState.READY]
+        ready = [self.upstreams[i] for i in sorted(self.upstreams)
+                 if self.upstreams[i].entry.state is api.UpstreamState.READY]
         mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
         for server in ready:
             server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
@@ -940,7 +940,7 @@
                             found = replace(found, least_us=0)
                         told[server] = found, faded
             here = sum(ident in known and known[ident].started_us == server.entry.started_us
-                       for ident, server in self.servers.items())
+                       for ident, server in self.upstreams.items())
             if self.has_list and 2 * here >= len(lessons.upstreams):
                 self.recall_times(lessons, count)
             shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -102,7 +102,7 @@
 
     def upstreams(self) -> list[dict[str, Any]]:
         pools, directory = self.sidecar.upstreams.pools, self.sidecar.config.directory
-        servers = self.sidecar.balancer.servers
+        servers = self.sidecar.balancer.upstreams
         return [{
             "name": pools[view.id].member.name if view.id in pools else str(view.id),
             **listed(servers[view.id].entry, directory), "warmth": round(view.warmth, 4),
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -73,7 +73,7 @@
         """In steps: what the sidecar knows now."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         told_us, taken = sidecar.clock.now_us(), now(self.boot)
-        idents = list(balancer.servers)
+        idents = list(balancer.upstreams)
         found: list[NamedLesson] = []
         for start in range(0, len(idents), SLICE):
             for lesson in learned(balancer, idents[start:start + SLICE]).upstreams:
--- a/ironscale/learned/teaching.py
+++ b/ironscale/learned/teaching.py
@@ -160,7 +160,7 @@
         received_us = self.sidecar.clock.now_us()
         snapshot = await in_slices(decoding(data), self.collector.spent)
         age_us += self.sidecar.clock.now_us() - received_us
-        known = self.sidecar.balancer.servers
+        known = self.sidecar.balancer.upstreams
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
             raise CodecError(f"expected lessons on upstreams of ours, got {len(snapshot.upstreams)} of others")
         return trust.Donor(self.collector.lessons(snapshot, age_us), snapshot.up_us, snapshot.resting,
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -12,15 +12,15 @@
     """Each upstream as it stands now."""
     return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used_slots, s.window.open(balancer.now_us) == 0,
                              balancer.warmth(s), s.failing, s.patience_doublings > 1, s.min_latency_us)
-            for i, s in balancer.servers.items()]
+            for i, s in balancer.upstreams.items()]
 
 
 def learned(balancer: Balancer, idents: Iterable[int] | None = None) -> api.Lessons:
     """What has been learned, of the upstreams `idents` (None: of all). What was recalled and not tested since is told
     as it was told to the balancer: with its time and whose it was."""
     upstreams = []
-    for ident in balancer.servers if idents is None else idents:
-        server = balancer.servers.get(ident)
+    for ident in balancer.upstreams if idents is None else idents:
+        server = balancer.upstreams.get(ident)
         if server is None or (server.lesson is None and server.last_observed_us == 0):
             continue
         upstreams.append(server.lesson or api.UpstreamLesson(
--- a/tests/ends/test_process.py
+++ b/tests/ends/test_process.py
@@ -37,7 +37,7 @@
         count = len(peer.got)
         found[lane] = await ask(scene.port, scene.request(lane, remaining="60000m"))
         await until(lambda count=count: len(peer.got) > count)  # type: ignore[misc]
-        server = next(iter(scene.sidecar.balancer.servers.values()))
+        server = next(iter(scene.sidecar.balancer.upstreams.values()))
         server.window.slots += 1.0  # room for the next one
     server.window.slots = 1.0
     found["waits"] = await ask(scene.port, scene.request("pay", remaining="60000m"))
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -81,7 +81,7 @@
         again = keeper_of(other, Store(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(again.run())):
             await again.reading.wait()
-            for ident, server in other.sidecar.balancer.servers.items():
+            for ident, server in other.sidecar.balancer.upstreams.items():
                 assert server.lesson is not None and server.lesson.least_us == told[ident].least_us
             await until(lambda: other.discovery.writers)
             other.discovery.line(listing(*(peer.entry(f"up-{i}") for i, peer in enumerate(peers))))
@@ -280,13 +280,13 @@
         teacher = Teacher(Collector(old.sidecar), ("127.0.0.1", 0))
         teacher.collector.started_us -= 60_000_000  # it has run for a minute
         async with running(asyncio.create_task(teacher.run())):
-            while (old.sidecar.balancer.servers[upstream_id("up-0")].window.slots > 0.2
+            while (old.sidecar.balancer.upstreams[upstream_id("up-0")].window.slots > 0.2
                    or len(learned(old.sidecar.balancer).upstreams) < 4):
                 await old.call()
             await until(teacher.port)
             pupil = Pupil(new.sidecar, Collector(new.sidecar), random.Random(1))
             assert await pupil.learn([("127.0.0.1", teacher.port())])
-        bad = new.sidecar.balancer.servers[upstream_id("up-0")]
+        bad = new.sidecar.balancer.upstreams[upstream_id("up-0")]
         assert bad.lesson is not None and not bad.lesson.first_hand and bad.window.slots < 0.5
         assert pupil.upstreams == 4 and teacher.taught == 1
 
@@ -423,7 +423,7 @@
         scene = await scene_with(peers)
         learned = Learned(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
         async with beside(learned)(scene.sidecar, lambda: None):
-            await until(lambda: scene.sidecar.balancer.servers[upstream_id("up-0")].lesson)
+            await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
             await scene.call()
         found, _, lines = load(Store(path_for(tmp_path, "n0")), "n0", now(machine_boot()))
@@ -494,7 +494,7 @@
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
                 async with one(new, "new", Learned(from_agent=True)) as channel:
                     await until(lambda: channel.running is not None and channel.running.pupil.learned)
-                    assert all(server.lesson for server in new.sidecar.balancer.servers.values())
+                    assert all(server.lesson for server in new.sidecar.balancer.upstreams.values())
 
     run(test)
 
@@ -531,7 +531,7 @@
         scene = await Scene().start(
             peers[0].entry("up-0"), peers[1].entry("up\x1b[1m"), peers[2].entry("x" * 300),
             peers[3].entry("up-3", startedAtMs=-10**15))
-        while any(server.last_observed_us == 0 for server in scene.sidecar.balancer.servers.values()):
+        while any(server.last_observed_us == 0 for server in scene.sidecar.balancer.upstreams.values()):
             await scene.call()
         found = decode(await Collector(scene.sidecar).collect())
         assert [one.name for one in found.upstreams] == ["up-0"]
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -129,10 +129,10 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert slots(world)[100] == trust.LEAST_SLOTS and world.balancer.servers[100].patience_doublings == trust.MOST_MUTE
+    assert slots(world)[100] == trust.LEAST_SLOTS and world.balancer.upstreams[100].patience_doublings == trust.MOST_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
-    server = world.balancer.servers[100]
+    server = world.balancer.upstreams[100]
     assert server.patience_doublings == 1 and not server.failing and server.lesson is None
 
 
@@ -157,19 +157,19 @@
 def test_one_that_started_anew_is_new() -> None:
     world = taught(told(100, 1 / 64, started_us=5), told(101, 9.0, started_us=5))
     assert slots(world)[100] == slots(world)[101] == 1.0
-    assert world.balancer.servers[100].lesson is None
+    assert world.balancer.upstreams[100].lesson is None
 
 
 def test_what_the_list_does_not_name_is_forgotten() -> None:
     world = taught(told(999, 9.0))
     world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
-    assert world.balancer.servers[999].lesson is None and world.balancer.lessons == []
+    assert world.balancer.upstreams[999].lesson is None and world.balancer.lessons == []
 
 
 def test_a_list_as_last_known_is_not_the_last_word() -> None:
     world = taught(told(100, 9.0), told(106, 9.0), count=6, listed=False)
     world.tell_list(upstreams(7))
-    assert world.balancer.servers[106].lesson is not None
+    assert world.balancer.upstreams[106].lesson is not None
 
 
 def test_own_evidence_goes_first() -> None:
@@ -180,7 +180,7 @@
     fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), told(seen, 1 / 64, -10 * S))
     world.advance(20 * S)
     world.balancer.recall(world.now_us, replace(fresh, confirmed_us=world.now_us))
-    assert slots(world)[seen] == before and world.balancer.servers[seen].lesson is None
+    assert slots(world)[seen] == before and world.balancer.upstreams[seen].lesson is None
 
 
 def test_the_fresher_of_two_lessons_counts_whatever_their_order() -> None:
@@ -199,7 +199,7 @@
 def test_more_than_half_shut_is_no_news_of_the_upstreams() -> None:
     world = taught(*(told(100 + i, 1 / 64, mute=5) for i in range(4)), told(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
-    assert world.balancer.servers[104].lesson is not None
+    assert world.balancer.upstreams[104].lesson is not None
     half = taught(*(told(100 + i, 1 / 64, mute=5) for i in range(3)))
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
@@ -258,7 +258,7 @@
 def test_a_far_upstream_told_to_be_near_is_believed_to_a_quarter() -> None:
     world = taught(told(100, 1.0, least_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
-    assert world.balancer.servers[100].min_latency_us >= 20_000
+    assert world.balancer.upstreams[100].min_latency_us >= 20_000
 
 
 def test_pace_towards_a_cold_one_is_kept_over_a_restart() -> None:
@@ -267,13 +267,13 @@
     world.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
     world.tell_list(entry)
-    until_us = world.balancer.servers[100].next_cold_send_us
+    until_us = world.balancer.upstreams[100].next_cold_send_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
     other = World(settings(second_copies=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
     other.tell_list(entry)
-    assert other.balancer.servers[100].next_cold_send_us < until_us
+    assert other.balancer.upstreams[100].next_cold_send_us < until_us
 
 
 def test_times_learned_of_a_fleet_that_was_replaced_are_not_taken() -> None:
@@ -293,7 +293,7 @@
     for zone, least_us in ((0, 19_000), (1, 20_000)):
         world = taught(told(100, 1.0, least_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
-        assert world.balancer.servers[100].min_latency_us == least_us
+        assert world.balancer.upstreams[100].min_latency_us == least_us
 
 
 def test_tenants_shares_count_for_a_few_arrivals_only() -> None:
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -97,7 +97,7 @@
     world = World(settings(tenants=[Tenant("t", 5.0)], over_share_worth=0.2))
     twice = upstreams(2) + upstreams(2, weight=0.0)
     world.tell_list(twice)
-    assert len(world.balancer.servers) == 2
+    assert len(world.balancer.upstreams) == 2
     assert world.sends(world.arrive(0, tenant=99))
     late = world.arrive(0, patience_us=-5_000)
     assert not world.sends(late) and world.answer(late) is not None
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -153,7 +153,7 @@
 def test_one_error_is_remembered_where_an_upstream_is_met_every_few_seconds() -> None:
     """A good one's errors are one in thousands; two in five of a bad one's, and the next try is seconds away."""
     world = many()
-    bad = world.balancer.servers[104]
+    bad = world.balancer.upstreams[104]
     before = world.balancer.favour(bad)
     bad.faults.end(world.now_us, True, 1 / 2)
     world.advance(3 * SECOND_US)
@@ -235,7 +235,7 @@
     Answers of 5 s would make it far longer."""
     world = many()
     world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
-    server = world.balancer.servers[900]
+    server = world.balancer.upstreams[900]
     gaps = [world.balancer.cold_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
     assert gaps[0] == gaps[1] == pytest.approx(4_200_000, rel=0.05)
     assert world.balancer.cold_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
@@ -318,7 +318,7 @@
         world = World(settings(instances=40, self_index=number, tenants=[Tenant("north", 1000.0, 1.0)]), number)
         cold = [Upstream(900 + i, started_us=world.now_us) for i in range(6)]
         world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
-        server = world.balancer.servers[900]
+        server = world.balancer.upstreams[900]
         waits += [server.next_cold_send_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
     gap_us = world.balancer.cold_gap_us(server, 150_000)
@@ -395,7 +395,7 @@
 
 def test_two_errors_in_a_row_take_most_of_an_upstreams_weight_and_not_all() -> None:
     world = many()
-    server, like = world.balancer.servers[104], world.balancer.servers[108]
+    server, like = world.balancer.upstreams[104], world.balancer.upstreams[108]
     for count, least, most in ((2, 0.01, 0.05), (10, 0.01, 0.05)):
         for _ in range(count):
             request = world.arrive(READ)
@@ -616,7 +616,7 @@
     balancer = world.balancer
     balancer.window.slots = balancer.least = 0.1
     balancer.load.mean = 5.0
-    for server in (balancer.servers[ident] for ident in mine):
+    for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
     balancer.changed = dict.fromkeys(balancer.order)
     requests = [world.arrive(READ) for _ in range(8)]
@@ -628,7 +628,7 @@
     assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
     again = world.arrive(READ)
     assert not world.sends(again)  # nor do they come at once
-    assert sorted(server.next_cold_send_us > world.now_us for server in balancer.servers.values())[-3:] == [True] * 3
+    assert sorted(server.next_cold_send_us > world.now_us for server in balancer.upstreams.values())[-3:] == [True] * 3
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.OK, Outcome.TIMEOUT])
@@ -648,4 +648,4 @@
     for warm_up_us, cold in ((20_000_000, True), (0, False)):
         world = World(settings(instances=40, warm_up_us=warm_up_us))
         world.tell_list([Upstream(100, started_us=world.now_us + 5_000_000)])
-        assert (world.balancer.warmth(world.balancer.servers[100]) < 1.0) is cold
+        assert (world.balancer.warmth(world.balancer.upstreams[100]) < 1.0) is cold
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -317,7 +317,7 @@
         scene = await Scene().start((await Peer(reply(data)).start()).entry("s-1"),
                                     report={"how": "answers", "names": ["busy"]})
         assert (await scene.call()).status == 200
-        await until(lambda: [s.utilization for s in scene.sidecar.balancer.servers.values()] == [0.25])
+        await until(lambda: [s.utilization for s in scene.sidecar.balancer.upstreams.values()] == [0.25])
 
     run(test)
 
@@ -523,7 +523,7 @@
         await until(settled)
         objects, descriptors, tasks = counts()
         assert objects <= before[0] + 5 and descriptors <= before[1] + 3 and tasks <= before[2] + 3
-        assert len(sidecar.balancer.servers) == len(sidecar.upstreams.pools) == 1
+        assert len(sidecar.balancer.upstreams) == len(sidecar.upstreams.pools) == 1
         assert not sidecar.by_txn and not sidecar.balancer.requests
         assert not sidecar.server.silent and not sidecar.server.idle and not sidecar.server.connections
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -156,7 +156,7 @@
         world.advance(60_000)
         for attempt in world.owed[request].out() if request in world.owed else []:
             world.end(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
-    assert all(server.window.slots > 0.5 for server in world.balancer.servers.values())
+    assert all(server.window.slots > 0.5 for server in world.balancer.upstreams.values())
 
 
 def test_long_requests_do_not_close_a_window_that_is_hardly_used() -> None:
@@ -355,7 +355,7 @@
 def test_without_need_an_upstream_keeps_one_slot() -> None:
     world = ready_world(40, instances=19)
     churn(world, 400)
-    assert all(server.window.slots <= 1.0 for server in world.balancer.servers.values())
+    assert all(server.window.slots <= 1.0 for server in world.balancer.upstreams.values())
     assert world.balancer.window.slots <= 8.0 * 40 / 19
 
 
@@ -493,7 +493,7 @@
 def two_slots() -> World:
     """One upstream with two slots."""
     world = ready_world(1, instances=1)
-    world.balancer.servers[100].window.slots = 2.0
+    world.balancer.upstreams[100].window.slots = 2.0
     return world
 
 
@@ -504,11 +504,11 @@
     world.end(world.arrive(READ), 0, Outcome.OK)
     world.advance(300_000)
     world.end(world.arrive(READ), 0, Outcome.OK)
-    assert world.balancer.servers[100].used_slots == 1  # it may still be a long request
+    assert world.balancer.upstreams[100].used_slots == 1  # it may still be a long request
     world.advance(310_000)
-    assert world.balancer.servers[100].used_slots == 0
+    assert world.balancer.upstreams[100].used_slots == 0
     world.advance(1_500_000)  # its end frees nothing more
-    assert world.balancer.servers[100].used_slots == 0
+    assert world.balancer.upstreams[100].used_slots == 0
 
 
 def test_what_gave_its_slot_up_is_not_judged_again() -> None:
@@ -518,10 +518,10 @@
     world.advance(300_000)
     world.end(world.arrive(READ), 0, Outcome.OK)
     world.advance(310_000)
-    slots = world.balancer.servers[100].window.slots
+    slots = world.balancer.upstreams[100].window.slots
     world.advance(1_400_000)
     assert world.owed[first].tries[0].outcome is Outcome.TIMEOUT
-    assert world.balancer.servers[100].window.slots == slots
+    assert world.balancer.upstreams[100].window.slots == slots
 
 
 def test_an_upstream_that_answers_nothing_gets_ever_less() -> None:
@@ -548,13 +548,13 @@
 
 def test_an_upstream_whose_answers_are_all_slow_gets_no_slots_for_being_far() -> None:
     world = ready_world(1, instances=1, second_copies=False)
-    world.balancer.servers[100].window.slots = 2.0
+    world.balancer.upstreams[100].window.slots = 2.0
     for _ in range(20):
         request = world.arrive(READ)
         world.advance(400_000)
         if world.sends(request):
             world.end(request, 0, Outcome.OK)
-    assert world.balancer.servers[100].window.slots < 1.5
+    assert world.balancer.upstreams[100].window.slots < 1.5
 
 
 def test_what_a_cold_upstream_was_paced_to_does_not_hold_it_when_it_is_warm() -> None:
@@ -567,9 +567,9 @@
 def test_an_upstream_that_restarts_starts_afresh() -> None:
     world = ready_world(1)
     churn(world, 90, 100, Outcome.ERROR)
-    assert world.balancer.servers[100].window.slots < 0.2
+    assert world.balancer.upstreams[100].window.slots < 0.2
     world.tell_list([Upstream(100, started_us=world.now_us)])
-    assert world.balancer.servers[100].window.slots == 1.0
+    assert world.balancer.upstreams[100].window.slots == 1.0
 
 
 def test_upstreams_that_are_gone_are_forgotten_with_sends_still_out() -> None:
@@ -577,7 +577,7 @@
     request = world.arrive(PAY)
     for start in range(200, 2000, 10):
         world.tell_list([Upstream(start + i) for i in range(4)])
-    assert len(world.balancer.servers) == 4
+    assert len(world.balancer.upstreams) == 4
     world.end(request, 0, Outcome.OK)
     world.advance(3_000_000)
     assert not world.balancer.requests and world.balancer.load.out == 0
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -95,8 +95,8 @@
         sidecar.starts.wall_us = lambda: now_us() + by_us
         entry = other.entry("s-2", startedAtMs=(now_us() + by_us) // 1000)
         scene.discovery.line(listing(peer.entry("s-1"), entry, generation=42))
-        await until(lambda: len(sidecar.balancer.servers) == 2)
-        server = next(s for s in sidecar.balancer.servers.values() if s.entry.started_us)
+        await until(lambda: len(sidecar.balancer.upstreams) == 2)
+        server = next(s for s in sidecar.balancer.upstreams.values() if s.entry.started_us)
         assert abs(server.entry.start_us - now_us()) < 5 * S
         assert sidecar.balancer.warmth(server) < 1.0
 
