--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -220,7 +220,7 @@
         self.latency = [Latency(c.aim_us) for c in settings.classes]
         self.window = Window("this sidecar", 1.0)  # limits all attempts of this sidecar together
         # lower bound of that window: without it all sidecars would pause for long after an outage
-        self.least = 1.0
+        self.min_window_slots = 1.0
         self.load = Mean(now_us)  # attempts that count against the sidecar's window
         # ready upstreams, rotated to this sidecar's own starting point
         self.order: list[Server] = []
@@ -473,9 +473,9 @@
             # and a burst would find it closed.
             need = self.need()
             if self.is_one_of_many and step < 0.0 and not attempt.paced:
-                self.window.slots = min(self.window.slots, max(self.least, need))
+                self.window.slots = min(self.window.slots, max(self.min_window_slots, need))
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
-                self.window.move(WINDOW_STEP_GAIN / 2 * step, self.least, need)
+                self.window.move(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
             attempt.slowness = slowness
             for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
@@ -857,7 +857,7 @@
         mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
         for server in ready:
             server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
-        self.least = min(1.0, len(ready) / count)
+        self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.order:
             self.window.slots = self.usual_slots(len(ready))
         able, self.able = self.able, sum(server.relative_weight * self.warmth(server) for server in ready)
@@ -866,7 +866,7 @@
             # queues have formed, with everything that all sidecars went on sending in them.
             kept = min(self.window.slots, self.need()) * self.able / able
             # also if no upstream is left
-            self.window.slots = max(MIN_WINDOW_SLOTS, self.least, kept)
+            self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.order:
             server.order_index = -1
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -168,7 +168,7 @@
     for _ in range(40):
         end(world, world.arrive(READ), 0, Outcome.OK, 600_000)
     narrow = world.balancer.window.slots
-    assert world.balancer.least <= narrow <= 1.0
+    assert world.balancer.min_window_slots <= narrow <= 1.0
     for _ in range(60):
         end(world, world.arrive(READ), 0, Outcome.OK, 40_000)
     assert world.balancer.window.slots >= 2 * narrow
@@ -195,7 +195,7 @@
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
     world = many(2.0)
-    world.balancer.window.slots, world.balancer.least = 1.0, 1.0
+    world.balancer.window.slots, world.balancer.min_window_slots = 1.0, 1.0
     assert refused(world, [10_000] * 300, 160_000) > 60  # at once, of a hundred a second for three seconds
     assert world.balancer.load.at(world.now_us) <= world.balancer.window.slots + 1.0
 
@@ -595,7 +595,7 @@
     assert world.balancer.window.slots == before
     world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:30]],
                     ListKind.DELTA)
-    assert world.balancer.least <= world.balancer.window.slots <= before * 0.55
+    assert world.balancer.min_window_slots <= world.balancer.window.slots <= before * 0.55
 
 
 def test_a_release_that_takes_upstreams_away_leaves_one_of_many_what_it_is() -> None:
@@ -614,7 +614,7 @@
     world.tell_list([Upstream(i) for i in range(100, 140)]
                     + [Upstream(i, started_us=START_US - 10 * SECOND_US) for i in mine])
     balancer = world.balancer
-    balancer.window.slots = balancer.least = 0.1
+    balancer.window.slots = balancer.min_window_slots = 0.1
     balancer.load.mean = 5.0
     for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
