--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -221,7 +221,7 @@
         self.window = Window("this sidecar", 1.0)  # limits all attempts of this sidecar together
         # lower bound of that window: without it all sidecars would pause for long after an outage
         self.min_window_slots = 1.0
-        self.load = Mean(now_us)  # attempts that count against the sidecar's window
+        self.outstanding = Mean(now_us)  # attempts that count against the sidecar's window
         # ready upstreams, rotated to this sidecar's own starting point
         self.order: list[Server] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
@@ -459,7 +459,7 @@
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - way))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
-            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.load.out + 1) / max(1, len(self.order)))
+            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
@@ -489,16 +489,16 @@
     def need(self) -> float:
         """Slots that this sidecar can make use of: about twice those in use."""
         if self.is_one_of_many:
-            return 1.0 + 2.0 * self.load.at(self.now_us)
-        return 2.0 * (self.load.out + 1)
+            return 1.0 + 2.0 * self.outstanding.at(self.now_us)
+        return 2.0 * (self.outstanding.out + 1)
 
     def has_room(self) -> bool:
         """Whether the sidecar's window allows one more attempt. In a large fleet the smoothed number of outstanding
         attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
         all sidecars is even."""
         if self.is_one_of_many:
-            return self.load.at(self.now_us) < self.window.slots
-        return self.window.open(self.now_us) > self.load.out
+            return self.outstanding.at(self.now_us) < self.window.slots
+        return self.window.open(self.now_us) > self.outstanding.out
 
     def least_each(self) -> float:
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
@@ -726,7 +726,7 @@
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
         if not attempt.paced:
-            self.load.move(self.now_us, 1)
+            self.outstanding.move(self.now_us, 1)
         request.attempts.append(attempt)
         request.outstanding += 1
         timeout_us = request.event.due_us - self.now_us
@@ -747,7 +747,7 @@
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
-                    self.load.move(self.now_us, -1)
+                    self.outstanding.move(self.now_us, -1)
                 self.judge(attempt, attempt.slow_after_us, request.event.class_index)
             # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
             # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
@@ -788,7 +788,7 @@
             attempt.server.patience_doublings = 1
             attempt.server.latest_answered_sent_us = max(attempt.server.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
-            self.load.move(self.now_us, -1)
+            self.outstanding.move(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
         if attempt.holds_slot:
             attempt.server.used_slots -= 1
@@ -1013,7 +1013,7 @@
         pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
-            opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
+            opens = [self.outstanding.falls_us(self.window.slots) if self.is_one_of_many
                      else self.window.paused_until_us]
             self.look()
             while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].order_index >= 0
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -197,7 +197,7 @@
     world = many(2.0)
     world.balancer.window.slots, world.balancer.min_window_slots = 1.0, 1.0
     assert refused(world, [10_000] * 300, 160_000) > 60  # at once, of a hundred a second for three seconds
-    assert world.balancer.load.at(world.now_us) <= world.balancer.window.slots + 1.0
+    assert world.balancer.outstanding.at(world.now_us) <= world.balancer.window.slots + 1.0
 
 
 def test_one_that_waits_for_the_mean_to_fall_is_sent_when_it_has(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -213,11 +213,11 @@
     for request in sent:
         world.end(request, 0, Outcome.OK)
     assert not world.sends(waits)
-    opens_us = world.balancer.load.falls_us(0.5)
+    opens_us = world.balancer.outstanding.falls_us(0.5)
     world.advance(opens_us - world.now_us - 1)
     assert not world.sends(waits)
     world.advance(1)
-    assert world.sends(waits) and world.balancer.load.at(world.now_us) < 0.51
+    assert world.sends(waits) and world.balancer.outstanding.at(world.now_us) < 0.51
 
 
 def test_one_that_carries_much_keeps_more_slots_at_slow_upstreams() -> None:
@@ -615,17 +615,17 @@
                     + [Upstream(i, started_us=START_US - 10 * SECOND_US) for i in mine])
     balancer = world.balancer
     balancer.window.slots = balancer.min_window_slots = 0.1
-    balancer.load.mean = 5.0
+    balancer.outstanding.mean = 5.0
     for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
     balancer.changed = dict.fromkeys(balancer.order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
     assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
-    slots, out = balancer.window.slots, balancer.load.out
+    slots, out = balancer.window.slots, balancer.outstanding.out
     for request in requests[:3]:
         end(world, request, 0, Outcome.OK, 20_000)
-    assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
+    assert (balancer.window.slots, balancer.outstanding.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
     again = world.arrive(READ)
     assert not world.sends(again)  # nor do they come at once
     assert sorted(server.next_cold_send_us > world.now_us for server in balancer.upstreams.values())[-3:] == [True] * 3
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -580,7 +580,7 @@
     assert len(world.balancer.upstreams) == 4
     world.end(request, 0, Outcome.OK)
     world.advance(3_000_000)
-    assert not world.balancer.requests and world.balancer.load.out == 0
+    assert not world.balancer.requests and world.balancer.outstanding.out == 0
 
 
 def test_a_class_that_the_settings_do_not_have_is_refused() -> None:
