--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -223,7 +223,7 @@
         self.min_window_slots = 1.0
         self.outstanding = Mean(now_us)  # attempts that count against the sidecar's window
         # ready upstreams, rotated to this sidecar's own starting point
-        self.order: list[Server] = []
+        self.draw_order: list[Server] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
         self.early = 0
         self.able = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
@@ -435,7 +435,7 @@
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
             if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
-                alike = (other for other in self.order if other.entry.zone == server.entry.zone)
+                alike = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
                 self.changed.update(dict.fromkeys(alike))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
@@ -459,7 +459,7 @@
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - way))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
-            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.order)))
+            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
             server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
@@ -539,7 +539,7 @@
             return 0
         # answer times are mostly network and queueing, also at other upstreams
         if traffic.allowed_per_s:
-            work_us = min(work_us, 1e6 * len(self.order) / traffic.allowed_per_s)
+            work_us = min(work_us, 1e6 * len(self.draw_order) / traffic.allowed_per_s)
         # The work estimate holds for an upstream of mean size. A small one does two thirds of that, so even without
         # a multiple it is paced to 1.5 times what it can do.
         part = (traffic.part_of_cold() if self.is_one_of_many else
@@ -576,7 +576,7 @@
     def pick(self) -> Server | None:
         """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
         weight = self.places.weight_of_first(self.subset)
-        return self.order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
+        return self.draw_order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_paced(self, request: Request) -> Server | None:
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
@@ -584,15 +584,15 @@
         their own pacing bounds what they get."""
         tried = [attempt.server for attempt in request.attempts]
         early = self.places.weights[self.places.leaves:self.places.leaves + self.early]
-        free = [(server, weight) for server, weight in zip(self.order, early, strict=False)
+        free = [(server, weight) for server, weight in zip(self.draw_order, early, strict=False)
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
     def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
         """Weighted random choice for a request that may only go to upstreams of one group."""
         free, weights, room, leaves = [], [], 0.0, self.places.leaves
-        for place, weight in enumerate(self.places.weights[leaves:leaves + len(self.order)]):
-            server = self.order[place]
+        for place, weight in enumerate(self.places.weights[leaves:leaves + len(self.draw_order)]):
+            server = self.draw_order[place]
             if weight > 0.0 and server not in tried and self.in_group(request, server):
                 free.append(server)
                 weights.append(weight)
@@ -721,7 +721,7 @@
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.count(self.now_us)
-        self.subset = max(self.least_subset, MIN_SIDECARS_PER_UPSTREAM * len(self.order) * self.traffic.part())
+        self.subset = max(self.least_subset, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
@@ -858,7 +858,7 @@
         for server in ready:
             server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
         self.min_window_slots = min(1.0, len(ready) / count)
-        if ready and not self.order:
+        if ready and not self.draw_order:
             self.window.slots = self.usual_slots(len(ready))
         able, self.able = self.able, sum(server.relative_weight * self.warmth(server) for server in ready)
         if self.is_one_of_many and self.able < able:
@@ -868,7 +868,7 @@
             # also if no upstream is left
             self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
-        for server in self.order:
+        for server in self.draw_order:
             server.order_index = -1
         early: dict[Server, None] = {}
         if self.is_one_of_many:
@@ -879,10 +879,10 @@
             early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.early = len(early)
         self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
-        self.order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
+        self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
-        self.changed = dict.fromkeys(self.order)
-        for place, server in enumerate(self.order):
+        self.changed = dict.fromkeys(self.draw_order)
+        for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
@@ -924,11 +924,11 @@
     def apply_lessons(self) -> None:
         """Applies what was taken over, once a list has named the upstreams. After a list from discovery, the rest is
         dropped."""
-        count = len(self.order)
+        count = len(self.draw_order)
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
             told = {}
-            for server in self.order:
+            for server in self.draw_order:
                 found = known.get(server.entry.id)
                 if (found is not None and found.started_us == server.entry.started_us
                         and found.confirmed_us > server.last_observed_us
@@ -944,7 +944,7 @@
             if self.has_list and 2 * here >= len(lessons.upstreams):
                 self.recall_times(lessons, count)
             shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
-                       for server in self.order)
+                       for server in self.draw_order)
             for server, (lesson, faded) in told.items():
                 if 2 * shut <= count or not trust.is_shut(faded):
                     self.believe(server, lesson, faded)
@@ -992,7 +992,7 @@
         if outcome is api.Outcome.OK and lesson is None:
             server.window.slots = max(1.0, server.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
-            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.order)))
+            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
             server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
             # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
             # good.
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -361,7 +361,7 @@
 
 def zone_fails(world: World, zone: int, count: int) -> list[Server]:
     """So many attempts at upstreams of the zone fail, each at another one; those of it that were not tried."""
-    inside = [server for server in world.balancer.order if server.entry.zone == zone]
+    inside = [server for server in world.balancer.draw_order if server.entry.zone == zone]
     for server in inside[:count]:
         request = world.arrive(READ)
         attempt = world.balancer.requests[request].attempts[0]
@@ -377,8 +377,8 @@
 
 def test_the_faults_of_some_in_a_zone_are_told_to_the_others_of_it_and_to_no_other_zone() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
-    elsewhere = [server for server in world.balancer.order if server.entry.zone == 1]
-    before, beside = [weight(world, s) for s in world.balancer.order if s.entry.zone == 0], weight(world, elsewhere[0])
+    elsewhere = [server for server in world.balancer.draw_order if server.entry.zone == 1]
+    before, beside = [weight(world, s) for s in world.balancer.draw_order if s.entry.zone == 0], weight(world, elsewhere[0])
     untried = zone_fails(world, 0, 6)
     assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer near
     assert weight(world, elsewhere[0]) == beside
@@ -408,7 +408,7 @@
 
 def test_a_fault_costs_nearness_and_one_long_ago_does_not() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
-    server = next(server for server in world.balancer.order if server.entry.zone == 0)
+    server = next(server for server in world.balancer.draw_order if server.entry.zone == 0)
     near = world.balancer.favour(server)
     server.faults.end(world.now_us, True, 1 / 2)
     assert world.balancer.favour(server) < near / 500
@@ -423,8 +423,8 @@
         request = world.arrive(READ)
         kind = world.known[world.sends(request)[0].upstream].kind
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
-    world.balancer.changed.update(dict.fromkeys(world.balancer.order))
-    slow, quick = (weight(world, next(server for server in world.balancer.order if server.entry.kind == kind
+    world.balancer.changed.update(dict.fromkeys(world.balancer.draw_order))
+    slow, quick = (weight(world, next(server for server in world.balancer.draw_order if server.entry.kind == kind
                                       and server.window.slots == 1.0 and not server.used_slots)) for kind in (0, 1))
     assert slow < quick / 3
 
@@ -464,7 +464,7 @@
     assert (slow.favour(quick), quick.favour(slow)) == (1 / 8, 8.0)
     world = many()
     zone_fails(world, 0, 15)
-    assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
+    assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.draw_order)
     assert Slowness().exceeds(0.0) is False
 
 
@@ -581,10 +581,10 @@
             if world.sends(request):
                 end(world, request, 0, Outcome.OK, 0)
     assert {send.upstream for send in world.sends()} <= set(mine) and mine
-    assert [server.entry.id for server in world.balancer.order][:len(mine)] == sorted(mine)
+    assert [server.entry.id for server in world.balancer.draw_order][:len(mine)] == sorted(mine)
     world.advance(SECOND_US + 10)
     request = world.arrive(READ)
-    assert [server.entry.id for server in world.balancer.order] == sorted(idents)
+    assert [server.entry.id for server in world.balancer.draw_order] == sorted(idents)
     assert world.sends(request)
 
 
@@ -618,7 +618,7 @@
     balancer.outstanding.mean = 5.0
     for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
-    balancer.changed = dict.fromkeys(balancer.order)
+    balancer.changed = dict.fromkeys(balancer.draw_order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
     assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -30,7 +30,7 @@
         weights: list[float] = []
         room = 0.0
         if self.has_room() and self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
-            for server in self.order:  # in a shortage the cold ones first, as far as their pace lets
+            for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
                 slots = server.window.open(self.now_us) - server.used_slots
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
                         and server not in tried and self.in_group(request, server)):
@@ -39,7 +39,7 @@
             if free:
                 return self.random.choices(free, weights)[0]
             free, weights = [], []
-        for server in self.order:
+        for server in self.draw_order:
             slots = server.window.open(self.now_us) - server.used_slots
             if not self.has_room() and not (self.is_one_of_many and self.warmth(server) < 1.0):
                 continue
@@ -61,7 +61,7 @@
         if self.buffer is not None:
             self.look()
             opens = [self.outstanding.falls_us(self.window.slots) if self.is_one_of_many else self.window.paused_until_us]
-            opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.order]
+            opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
             self.armed_us = min(times)
