--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -225,7 +225,7 @@
         # ready upstreams, rotated to this sidecar's own starting point
         self.draw_order: list[Server] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
-        self.early = 0
+        self.cold_first_count = 0
         self.able = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
         # when the next upstream at the front will be warm and return to its usual place; 0 = none will
         self.rank_us = 0
@@ -583,7 +583,7 @@
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
         tried = [attempt.server for attempt in request.attempts]
-        early = self.places.weights[self.places.leaves:self.places.leaves + self.early]
+        early = self.places.weights[self.places.leaves:self.places.leaves + self.cold_first_count]
         free = [(server, weight) for server, weight in zip(self.draw_order, early, strict=False)
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
@@ -877,7 +877,7 @@
                 if not server.sends_while_cold and self.warmth(server) < 1.0:
                     server.next_cold_send_us = self.warm_at_us(server)
             early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
-        self.early = len(early)
+        self.cold_first_count = len(early)
         self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
