--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -226,7 +226,7 @@
         self.draw_order: list[Server] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
         self.cold_first_count = 0
-        self.able = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
+        self.ready_capacity = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
         # when the next upstream at the front will be warm and return to its usual place; 0 = none will
         self.rank_us = 0
         # weights of the free upstreams in draw order, as of their last refresh
@@ -860,11 +860,11 @@
         self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.draw_order:
             self.window.slots = self.usual_slots(len(ready))
-        able, self.able = self.able, sum(server.relative_weight * self.warmth(server) for server in ready)
-        if self.is_one_of_many and self.able < able:
+        able, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
+        if self.is_one_of_many and self.ready_capacity < able:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
-            kept = min(self.window.slots, self.need()) * self.able / able
+            kept = min(self.window.slots, self.need()) * self.ready_capacity / able
             # also if no upstream is left
             self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
