--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -228,7 +228,7 @@
         self.cold_first_count = 0
         self.ready_capacity = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
         # when the next upstream at the front will be warm and return to its usual place; 0 = none will
-        self.rank_us = 0
+        self.reorder_at_us = 0
         # weights of the free upstreams in draw order, as of their last refresh
         self.places = Places(0)
         # upstreams whose weight is refreshed before the next draw
@@ -604,7 +604,7 @@
     def look(self) -> None:
         """Refreshes the draw weights of upstreams that changed, and of those that change with time alone."""
         now_us = self.now_us
-        if 0 < self.rank_us <= now_us:
+        if 0 < self.reorder_at_us <= now_us:
             self.rank()
         opening = self.opening
         while opening and opening[0][0] <= now_us:
@@ -878,7 +878,7 @@
                     server.next_cold_send_us = self.warm_at_us(server)
             early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.cold_first_count = len(early)
-        self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
+        self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
         self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.draw_order)
