--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -230,7 +230,7 @@
         # when the next upstream at the front will be warm and return to its usual place; 0 = none will
         self.reorder_at_us = 0
         # weights of the free upstreams in draw order, as of their last refresh
-        self.places = Places(0)
+        self.draw_weights = Places(0)
         # upstreams whose weight is refreshed before the next draw
         self.changed: dict[Server, None] = {}
         self.warming: dict[Server, None] = {}  # cold and free: their weight changes with time alone
@@ -569,34 +569,34 @@
         if self.is_bound(request):
             return self.pick_in_group(request, tried)
         for server in tried:
-            self.places.put(server.order_index, 0.0, 0.0)
+            self.draw_weights.put(server.order_index, 0.0, 0.0)
         self.changed.update(tried)
         return self.pick()
 
     def pick(self) -> Server | None:
         """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
-        weight = self.places.weight_of_first(self.subset)
-        return self.draw_order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
+        weight = self.draw_weights.weight_of_first(self.subset)
+        return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_paced(self, request: Request) -> Server | None:
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
         tried = [attempt.server for attempt in request.attempts]
-        early = self.places.weights[self.places.leaves:self.places.leaves + self.cold_first_count]
+        early = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
         free = [(server, weight) for server, weight in zip(self.draw_order, early, strict=False)
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
     def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
         """Weighted random choice for a request that may only go to upstreams of one group."""
-        free, weights, room, leaves = [], [], 0.0, self.places.leaves
-        for place, weight in enumerate(self.places.weights[leaves:leaves + len(self.draw_order)]):
+        free, weights, room, leaves = [], [], 0.0, self.draw_weights.leaves
+        for place, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
             server = self.draw_order[place]
             if weight > 0.0 and server not in tried and self.in_group(request, server):
                 free.append(server)
                 weights.append(weight)
-                room += self.places.rooms[leaves + place]
+                room += self.draw_weights.rooms[leaves + place]
                 if room >= self.subset:
                     break
         return self.random.choices(free, weights)[0] if free else None
@@ -645,7 +645,7 @@
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
-        self.places.put(server.order_index, weight, room)
+        self.draw_weights.put(server.order_index, weight, room)
         if is_cold and weight > 0.0:
             self.warming[server] = None
         else:
@@ -880,7 +880,7 @@
         self.cold_first_count = len(early)
         self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
+        self.draw_weights, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -372,7 +372,7 @@
 
 def weight(world: World, server: Server) -> float:
     world.balancer.look()
-    return world.balancer.places.weights[world.balancer.places.leaves + server.order_index]
+    return world.balancer.draw_weights.weights[world.balancer.draw_weights.leaves + server.order_index]
 
 
 def test_the_faults_of_some_in_a_zone_are_told_to_the_others_of_it_and_to_no_other_zone() -> None:
