--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -232,7 +232,7 @@
         # weights of the free upstreams in draw order, as of their last refresh
         self.draw_weights = Places(0)
         # upstreams whose weight is refreshed before the next draw
-        self.changed: dict[Server, None] = {}
+        self.needs_refresh: dict[Server, None] = {}
         self.warming: dict[Server, None] = {}  # cold and free: their weight changes with time alone
         # heap: when to refresh an upstream's weight
         self.opening: list[tuple[int, int, Server]] = []
@@ -426,7 +426,7 @@
         """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
         server, outcome, latency = attempt.server, attempt.outcome, self.latency[class_index]
-        self.changed[server] = None
+        self.needs_refresh[server] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
             server.last_observed_us = self.confirmed_us = self.now_us
             if server.lesson is not None:
@@ -436,7 +436,7 @@
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
             if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
-                self.changed.update(dict.fromkeys(alike))
+                self.needs_refresh.update(dict.fromkeys(alike))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
             server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
@@ -570,7 +570,7 @@
             return self.pick_in_group(request, tried)
         for server in tried:
             self.draw_weights.put(server.order_index, 0.0, 0.0)
-        self.changed.update(tried)
+        self.needs_refresh.update(tried)
         return self.pick()
 
     def pick(self) -> Server | None:
@@ -610,9 +610,9 @@
         while opening and opening[0][0] <= now_us:
             server = heapq.heappop(opening)[2]
             server.queued_refresh_us = 0
-            self.changed[server] = None
-        self.changed.update(self.warming)
-        changed, self.changed = self.changed, {}
+            self.needs_refresh[server] = None
+        self.needs_refresh.update(self.warming)
+        changed, self.needs_refresh = self.needs_refresh, {}
         for server in changed:
             if server.order_index >= 0:
                 self.look_at(server)
@@ -718,7 +718,7 @@
         work_us = max(self.latency[request.event.class_index].careful_us(), request.event.cost_us)
         server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us)
         server.used_slots += 1
-        self.changed[server] = None
+        self.needs_refresh[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.count(self.now_us)
         self.subset = max(self.least_subset, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
@@ -762,7 +762,7 @@
                     self.judge(attempt, late_us, request.event.class_index)
                 attempt.holds_slot = False
                 server.used_slots -= 1
-                self.changed[server] = None
+                self.needs_refresh[server] = None
             elif attempt.holds_slot:
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
@@ -881,7 +881,7 @@
         self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
         self.draw_weights, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
-        self.changed = dict.fromkeys(self.draw_order)
+        self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
         self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
@@ -975,7 +975,7 @@
         same after fading with age."""
         # passed on unfaded, so that it fades only once
         server.lesson, server.last_observed_us = whole, whole.confirmed_us
-        self.changed[server] = None
+        self.needs_refresh[server] = None
         server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
         server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -423,7 +423,7 @@
         request = world.arrive(READ)
         kind = world.known[world.sends(request)[0].upstream].kind
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
-    world.balancer.changed.update(dict.fromkeys(world.balancer.draw_order))
+    world.balancer.needs_refresh.update(dict.fromkeys(world.balancer.draw_order))
     slow, quick = (weight(world, next(server for server in world.balancer.draw_order if server.entry.kind == kind
                                       and server.window.slots == 1.0 and not server.used_slots)) for kind in (0, 1))
     assert slow < quick / 3
@@ -618,7 +618,7 @@
     balancer.outstanding.mean = 5.0
     for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
-    balancer.changed = dict.fromkeys(balancer.draw_order)
+    balancer.needs_refresh = dict.fromkeys(balancer.draw_order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
     assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -25,7 +25,7 @@
         self.look()  # what is thought of an upstream holds as last looked at
         tried = [attempt.server for attempt in request.attempts]
         if tried and not self.is_bound(request) and self.has_room():
-            self.changed.update((server, None) for server in tried if server.order_index >= 0)
+            self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
         free: list[Server] = []
         weights: list[float] = []
         room = 0.0
