--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -233,7 +233,7 @@
         self.draw_weights = Places(0)
         # upstreams whose weight is refreshed before the next draw
         self.needs_refresh: dict[Server, None] = {}
-        self.warming: dict[Server, None] = {}  # cold and free: their weight changes with time alone
+        self.warming_up: dict[Server, None] = {}  # cold and free: their weight changes with time alone
         # heap: when to refresh an upstream's weight
         self.opening: list[tuple[int, int, Server]] = []
         # heap: when a slot opens that only time keeps closed
@@ -611,7 +611,7 @@
             server = heapq.heappop(opening)[2]
             server.queued_refresh_us = 0
             self.needs_refresh[server] = None
-        self.needs_refresh.update(self.warming)
+        self.needs_refresh.update(self.warming_up)
         changed, self.needs_refresh = self.needs_refresh, {}
         for server in changed:
             if server.order_index >= 0:
@@ -647,9 +647,9 @@
                 weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
         self.draw_weights.put(server.order_index, weight, room)
         if is_cold and weight > 0.0:
-            self.warming[server] = None
+            self.warming_up[server] = None
         else:
-            self.warming.pop(server, None)
+            self.warming_up.pop(server, None)
         again_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
@@ -880,7 +880,7 @@
         self.cold_first_count = len(early)
         self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.draw_weights, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
+        self.draw_weights, self.opening, self.shut, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
