--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -235,7 +235,7 @@
         self.needs_refresh: dict[Server, None] = {}
         self.warming_up: dict[Server, None] = {}  # cold and free: their weight changes with time alone
         # heap: when to refresh an upstream's weight
-        self.opening: list[tuple[int, int, Server]] = []
+        self.refresh_times: list[tuple[int, int, Server]] = []
         # heap: when a slot opens that only time keeps closed
         self.shut: list[tuple[int, int, Server]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
@@ -606,7 +606,7 @@
         now_us = self.now_us
         if 0 < self.reorder_at_us <= now_us:
             self.rank()
-        opening = self.opening
+        opening = self.refresh_times
         while opening and opening[0][0] <= now_us:
             server = heapq.heappop(opening)[2]
             server.queued_refresh_us = 0
@@ -660,7 +660,7 @@
             again_us = min(again_us, cold_us) if again_us else cold_us
         if again_us and not now_us < server.queued_refresh_us <= again_us:
             server.queued_refresh_us = again_us
-            heapq.heappush(self.opening, (again_us, server.order_index, server))
+            heapq.heappush(self.refresh_times, (again_us, server.order_index, server))
         shut_us = server.opens_us()
         if shut_us != server.queued_opens_us:
             server.queued_opens_us = shut_us
@@ -880,7 +880,7 @@
         self.cold_first_count = len(early)
         self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.draw_weights, self.opening, self.shut, self.warming_up = Places(len(ready)), [], [], {}
+        self.draw_weights, self.refresh_times, self.shut, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
