--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -237,7 +237,7 @@
         # heap: when to refresh an upstream's weight
         self.refresh_times: list[tuple[int, int, Server]] = []
         # heap: when a slot opens that only time keeps closed
-        self.shut: list[tuple[int, int, Server]] = []
+        self.opening_times: list[tuple[int, int, Server]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = Slowness()  # of the answers of all upstreams
         self.kinds: dict[int, Slowness] = {}
@@ -664,10 +664,10 @@
         shut_us = server.opens_us()
         if shut_us != server.queued_opens_us:
             server.queued_opens_us = shut_us
-            while self.shut and self.shut[0][0] <= now_us:
-                heapq.heappop(self.shut)
+            while self.opening_times and self.opening_times[0][0] <= now_us:
+                heapq.heappop(self.opening_times)
             if shut_us > now_us:
-                heapq.heappush(self.shut, (shut_us, server.order_index, server))
+                heapq.heappush(self.opening_times, (shut_us, server.order_index, server))
 
     def may_send(self, request: Request) -> bool:
         """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
@@ -880,7 +880,7 @@
         self.cold_first_count = len(early)
         self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.draw_weights, self.refresh_times, self.shut, self.warming_up = Places(len(ready)), [], [], {}
+        self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
@@ -1016,10 +1016,10 @@
             opens = [self.outstanding.falls_us(self.window.slots) if self.is_one_of_many
                      else self.window.paused_until_us]
             self.look()
-            while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].order_index >= 0
-                                     and self.shut[0][0] == self.shut[0][2].opens_us()):
-                heapq.heappop(self.shut)  # past, or replaced by another time
-            opens += [self.shut[0][0]] if self.shut else []
+            while self.opening_times and not (self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
+                                     and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
+                heapq.heappop(self.opening_times)  # past, or replaced by another time
+            opens += [self.opening_times[0][0]] if self.opening_times else []
             later = [opens_us for opens_us in opens if opens_us > self.now_us]
             at_us = min([at_us, *later] if at_us else later, default=0)
         if at_us and (self.armed_us == 0 or at_us < self.armed_us):
