--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -240,7 +240,7 @@
         self.opening_times: list[tuple[int, int, Server]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = Slowness()  # of the answers of all upstreams
-        self.kinds: dict[int, Slowness] = {}
+        self.kind_slowness: dict[int, Slowness] = {}
         self.zones: dict[int, Faults] = {}
         self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset = self.least_subset = MIN_SUBSET_SLOTS
@@ -477,7 +477,7 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
                 self.window.move(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
             attempt.slowness = slowness
-            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
+            for shared in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
         # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
         # pauses would leave an overloaded upstream crowded.
@@ -623,7 +623,7 @@
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
         # idle is busy for others then, and the zone would be overrun.
         near = server.entry.zone == self.home and server.used_slots == 0
-        kind, zone = self.kinds.get(server.entry.kind), self.zones.get(server.entry.zone)
+        kind, zone = self.kind_slowness.get(server.entry.kind), self.zones.get(server.entry.zone)
         own = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
