--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -241,7 +241,7 @@
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = Slowness()  # of the answers of all upstreams
         self.kind_slowness: dict[int, Slowness] = {}
-        self.zones: dict[int, Faults] = {}
+        self.zone_faults: dict[int, Faults] = {}
         self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset = self.least_subset = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
@@ -434,7 +434,7 @@
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
-            if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
+            if self.zone_faults.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
                 self.needs_refresh.update(dict.fromkeys(alike))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
@@ -623,7 +623,7 @@
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
         # idle is busy for others then, and the zone would be overrun.
         near = server.entry.zone == self.home and server.used_slots == 0
-        kind, zone = self.kind_slowness.get(server.entry.kind), self.zones.get(server.entry.zone)
+        kind, zone = self.kind_slowness.get(server.entry.kind), self.zone_faults.get(server.entry.zone)
         own = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
@@ -830,8 +830,8 @@
                 continue
             if server is None or server.entry.started_us != entry.started_us:
                 # the zone's past tells little about a process that has just started
-                if entry.zone in self.zones:
-                    self.zones[entry.zone].last /= 2
+                if entry.zone in self.zone_faults:
+                    self.zone_faults[entry.zone].last /= 2
                 server = Server(entry)  # a new process: nothing is kept of the former one
                 new.append(server)
             server.entry = entry
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -387,10 +387,10 @@
 def test_a_zone_whose_upstreams_start_anew_is_thought_better_of() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     zone_fails(world, 0, 10)
-    before = world.balancer.zones[0].share(world.now_us)
+    before = world.balancer.zone_faults[0].share(world.now_us)
     anew = [replace(entry, started_us=world.now_us) for entry in world.known.values() if entry.zone == 0][:3]
     world.tell_list(anew, ListKind.DELTA)
-    assert world.balancer.zones[0].share(world.now_us) < before / 7
+    assert world.balancer.zone_faults[0].share(world.now_us) < before / 7
 
 
 def test_two_errors_in_a_row_take_most_of_an_upstreams_weight_and_not_all() -> None:
