--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -242,7 +242,7 @@
         self.slowness = Slowness()  # of the answers of all upstreams
         self.kind_slowness: dict[int, Slowness] = {}
         self.zone_faults: dict[int, Faults] = {}
-        self.home = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
+        self.preferred_zone = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset = self.least_subset = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
         self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
@@ -622,7 +622,7 @@
         distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
         # idle is busy for others then, and the zone would be overrun.
-        near = server.entry.zone == self.home and server.used_slots == 0
+        near = server.entry.zone == self.preferred_zone and server.used_slots == 0
         kind, zone = self.kind_slowness.get(server.entry.kind), self.zone_faults.get(server.entry.zone)
         own = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
@@ -884,7 +884,7 @@
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
-        self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
+        self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
     def usual_slots(self, ready: int) -> float:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -445,8 +445,8 @@
 
 
 def test_no_zone_is_near_where_sidecars_outnumber_upstreams() -> None:
-    assert many(zone=0, cross_zone_fee=0.03).balancer.home == 0
-    assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.home == -1
+    assert many(zone=0, cross_zone_fee=0.03).balancer.preferred_zone == 0
+    assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.preferred_zone == -1
 
 
 def test_new_allowances_count_for_the_part() -> None:
