--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -52,7 +52,7 @@
                 weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
                                * (1.0 if paced else warmth))
                 room += 0.0 if paced else min(1.0, server.window.slots) * server.relative_weight
-                if room >= self.subset:
+                if room >= self.subset_slots:
                     break
         return self.random.choices(free, weights)[0] if free else None
 
