--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -243,7 +243,7 @@
         self.kind_slowness: dict[int, Slowness] = {}
         self.zone_faults: dict[int, Faults] = {}
         self.preferred_zone = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
-        self.subset_slots = self.least_subset = MIN_SUBSET_SLOTS
+        self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
         self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
         self.tenant_seen = [0.0 for _ in settings.tenants]
@@ -721,7 +721,7 @@
         self.needs_refresh[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.count(self.now_us)
-        self.subset_slots = max(self.least_subset, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
+        self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
@@ -885,7 +885,7 @@
         for place, server in enumerate(self.draw_order):
             server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
         self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
-        self.subset_slots = self.least_subset = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
+        self.subset_slots = self.min_subset_slots = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
     def usual_slots(self, ready: int) -> float:
         """The sidecar's window before anything is learned."""
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -441,7 +441,7 @@
 
 def test_one_that_carries_much_draws_among_more_upstreams() -> None:
     heavy, light = many(300.0).balancer, many(10.0).balancer
-    assert heavy.subset_slots > 3 * light.subset_slots == 3 * light.least_subset
+    assert heavy.subset_slots > 3 * light.subset_slots == 3 * light.min_subset_slots
 
 
 def test_no_zone_is_near_where_sidecars_outnumber_upstreams() -> None:
