--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -245,7 +245,7 @@
         self.preferred_zone = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
         self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
-        self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
+        self.utilization_index = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
         self.tenant_seen = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
@@ -782,8 +782,8 @@
         attempt = request.attempts[event.attempt]
         attempt.outcome = event.outcome
         request.outstanding -= 1
-        if self.busy_at is not None and len(event.report) > self.busy_at:
-            attempt.server.utilization = event.report[self.busy_at]
+        if self.utilization_index is not None and len(event.report) > self.utilization_index:
+            attempt.server.utilization = event.report[self.utilization_index]
         if event.outcome is api.Outcome.OK:
             attempt.server.patience_doublings = 1
             attempt.server.latest_answered_sent_us = max(attempt.server.latest_answered_sent_us, attempt.sent_us)
