--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -327,7 +327,7 @@
             # Instead of scaling all old arrivals down, each new one counts a little more.
             self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY_ARRIVALS
             self.tenant_arrival_weights[event.tenant] += self.arrival_weight
-            self.tenant_weight += self.arrival_weight
+            self.total_arrival_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
                 self.tenant_seen = self.tenant_seen
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
@@ -340,7 +340,7 @@
 
     @tenant_seen.setter
     def tenant_seen(self, seen: list[float]) -> None:
-        self.tenant_arrival_weights, self.tenant_weight, self.arrival_weight = seen, sum(seen), 1.0
+        self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = seen, sum(seen), 1.0
 
     def log(self, window: Window) -> None:
         """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
@@ -379,7 +379,7 @@
             worth /= self.latency[request.event.class_index].mean_us
         if request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / max(1.0, self.traffic.allowed_per_s)
-            seen = self.tenant_arrival_weights[request.event.tenant] / self.tenant_weight
+            seen = self.tenant_arrival_weights[request.event.tenant] / self.total_arrival_weight
             worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
         return worth
 
