--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -249,7 +249,7 @@
         self.tenant_seen = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
-        self.armed_us = 0  # the time of the earliest timer already asked for; 0 = none
+        self.armed_timer_us = 0  # the time of the earliest timer already asked for; 0 = none
         # The next time to ask for the list; 0 = it is subscribed to.
         self.list_failures = self.ask_list_us = 0
         self.draining = False
@@ -289,8 +289,8 @@
             self.on_arrival(event)
         elif isinstance(event, api.TimerFired):
             # a stale timer that armed another would keep timers going for ever
-            if self.armed_us <= now_us:
-                self.armed_us = 0
+            if self.armed_timer_us <= now_us:
+                self.armed_timer_us = 0
             self.run_due()
         elif isinstance(event, api.RequestGone) and event.request in self.requests:
             self.close(self.requests[event.request])
@@ -1022,9 +1022,9 @@
             opens += [self.opening_times[0][0]] if self.opening_times else []
             later = [opens_us for opens_us in opens if opens_us > self.now_us]
             at_us = min([at_us, *later] if at_us else later, default=0)
-        if at_us and (self.armed_us == 0 or at_us < self.armed_us):
-            self.armed_us = at_us
-            self.actions.append(api.SetTimer(self.armed_us, 0))
+        if at_us and (self.armed_timer_us == 0 or at_us < self.armed_timer_us):
+            self.armed_timer_us = at_us
+            self.actions.append(api.SetTimer(self.armed_timer_us, 0))
 
     def run_due(self) -> None:
         """Carries out the wakeups whose time has come."""
