--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -251,7 +251,7 @@
         self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
         self.armed_timer_us = 0  # the time of the earliest timer already asked for; 0 = none
         # The next time to ask for the list; 0 = it is subscribed to.
-        self.list_failures = self.ask_list_us = 0
+        self.list_failures = self.next_list_call_us = 0
         self.draining = False
         self.confirmed_us = 0  # when an attempt last told something about any upstream
         self.lessons: list[api.Lessons] = []  # knowledge taken over, waiting for an upstream list
@@ -813,12 +813,12 @@
             backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
-            least = 0.0 if self.ask_list_us == 0 and self.is_one_of_many else 0.5
+            least = 0.0 if self.next_list_call_us == 0 and self.is_one_of_many else 0.5
             self.list_failures += 1
             self.ask_list_at(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
             return
         if event.kind is not api.ListKind.CACHED:
-            self.list_failures = self.ask_list_us = 0
+            self.list_failures = self.next_list_call_us = 0
         old, new = self.upstreams, list[Server]()
         # Gone upstreams are dropped, otherwise they would pile up with each rolling deployment. Outstanding attempts
         # still refer to theirs.
@@ -1001,7 +1001,7 @@
     def ask_list_at(self, at_us: int) -> None:
         """Schedules a call for the list, if lists are asked for or watched at all."""
         if self.settings.list_on_request or self.settings.list_by_watch:
-            self.ask_list_us = at_us
+            self.next_list_call_us = at_us
             self.wake(at_us, "list", 0)
 
     def wake(self, at_us: int, what: str, ident: int) -> None:
@@ -1030,7 +1030,7 @@
         """Carries out the wakeups whose time has come."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
             _, what, ident = heapq.heappop(self.wakeups)
-            if what == "list" and 0 < self.ask_list_us <= self.now_us:
+            if what == "list" and 0 < self.next_list_call_us <= self.now_us:
                 # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
                 self.ask_list_at(self.now_us + self.list_gap_us())
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -241,7 +241,7 @@
             for _ in range(2):
                 before_us = scene.sidecar.clock.now_us()
                 scene.sidecar.on_list(ListKind.FAILED, None)
-                spent_s += (balancer.ask_list_us - before_us) / 1e6
+                spent_s += (balancer.next_list_call_us - before_us) / 1e6
             assert spent_s < 4.0
 
     run(test)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -339,7 +339,7 @@
     balancer.handle(START_US, UpstreamsUpdated(ListKind.CACHED, [Upstream(100)]))
     failed_us = START_US + 8 * SECOND_US
     balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED, []))
-    assert balancer.ask_list_us >= failed_us + 2 * SECOND_US  # half of the turn of 5 s, at least
+    assert balancer.next_list_call_us >= failed_us + 2 * SECOND_US  # half of the turn of 5 s, at least
 
 
 def test_after_a_watch_has_broken_many_open_it_anew_soon_and_not_at_once() -> None:
@@ -350,11 +350,11 @@
                                      ask_within_us=10 * SECOND_US), number, START_US)
         balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, [Upstream(100)]))
         balancer.handle(START_US + SECOND_US, UpstreamsUpdated(ListKind.FAILED))
-        waits.append(balancer.ask_list_us - START_US - SECOND_US)
-        balancer.handle(balancer.ask_list_us, TimerFired(0))
+        waits.append(balancer.next_list_call_us - START_US - SECOND_US)
+        balancer.handle(balancer.next_list_call_us, TimerFired(0))
         failed_us = balancer.now_us + SECOND_US
         balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED))  # that call too: now its turn is waited for
-        assert balancer.ask_list_us >= failed_us + 2 * SECOND_US
+        assert balancer.next_list_call_us >= failed_us + 2 * SECOND_US
     assert max(waits) <= 2_500_000
     assert all(sum(at <= wait < at + 250_000 for wait in waits) <= 36 for at in range(0, 2_500_000, 250_000))
 
