--- a/bench/learned.py
+++ b/bench/learned.py
@@ -255,7 +255,7 @@
         end_s = time.monotonic() + 4
         while time.monotonic() < end_s:
             if what == "writing":
-                sidecar.balancer.confirmed_us += 1
+                sidecar.balancer.last_observed_us += 1
                 await keeper.write()
             await asyncio.sleep(0.05)
         until.set()
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -253,7 +253,7 @@
         # The next time to ask for the list; 0 = it is subscribed to.
         self.list_failures = self.next_list_call_us = 0
         self.draining = False
-        self.confirmed_us = 0  # when an attempt last told something about any upstream
+        self.last_observed_us = 0  # when an attempt last told something about any upstream
         self.lessons: list[api.Lessons] = []  # knowledge taken over, waiting for an upstream list
         self.has_list = False  # whether a list has come from discovery, not only a cached one
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
@@ -428,7 +428,7 @@
         server, outcome, latency = attempt.server, attempt.outcome, self.latency[class_index]
         self.needs_refresh[server] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
-            server.last_observed_us = self.confirmed_us = self.now_us
+            server.last_observed_us = self.last_observed_us = self.now_us
             if server.lesson is not None:
                 self.test(server, outcome, elapsed_us)
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
@@ -961,7 +961,7 @@
                 share = trust.share(self.now_us - told.confirmed_us, trust.LATENCY_HALVES_US)
                 if share > 0.0:
                     latency.recall(told, share)
-        if self.confirmed_us == 0 and lessons.slots > 0.0:
+        if self.last_observed_us == 0 and lessons.slots > 0.0:
             # From the usual window to twice that: a smaller one would be a self-fulfilling prophecy, a larger one
             # would allow a burst.
             share = trust.share(self.now_us - lessons.confirmed_us, trust.SIDECAR_HALVES_US)
--- a/ironscale/learned/keeper.py
+++ b/ironscale/learned/keeper.py
@@ -160,7 +160,7 @@
             self.skipped += 1
             self.log(f"{self.store.path}: still being written after {self.every_s:g} s; serving goes on without it")
             return
-        state_us = self.sidecar.balancer.confirmed_us
+        state_us = self.sidecar.balancer.last_observed_us
         if state_us == self.written_us:
             return
         data = await self.collector.collect()
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -32,5 +32,5 @@
     seen = sum(balancer.tenant_seen)
     tenants = [(tenant.name, count / seen) for tenant, count in
                zip(settings.tenants, balancer.tenant_seen, strict=True) if count > 0.0]
-    return api.Lessons(balancer.now_us, settings.zone, balancer.window.slots if balancer.confirmed_us else 0.0,
-                       balancer.confirmed_us, tuple(upstreams), tuple(classes), tuple(tenants))
+    return api.Lessons(balancer.now_us, settings.zone, balancer.window.slots if balancer.last_observed_us else 0.0,
+                       balancer.last_observed_us, tuple(upstreams), tuple(classes), tuple(tenants))
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -72,7 +72,7 @@
         async with running(asyncio.create_task(keeper.run())):
             for _ in range(30):
                 assert (await scene.call()).status == 200
-            await until(lambda: keeper.written_us == scene.sidecar.balancer.confirmed_us)
+            await until(lambda: keeper.written_us == scene.sidecar.balancer.last_observed_us)
         keeper.store.release()
         writes = keeper.writes
         assert writes >= 1
