--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -255,7 +255,7 @@
         self.draining = False
         self.last_observed_us = 0  # when an attempt last told something about any upstream
         self.lessons: list[api.Lessons] = []  # knowledge taken over, waiting for an upstream list
-        self.has_list = False  # whether a list has come from discovery, not only a cached one
+        self.has_discovery_list = False  # whether a list has come from discovery, not only a cached one
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
         # given up waiting: the first calls are spread.
         turn_us = self.list_turn_us()
@@ -836,7 +836,7 @@
                 new.append(server)
             server.entry = entry
             self.upstreams[entry.id] = server
-        self.has_list = self.has_list or event.kind is not api.ListKind.CACHED
+        self.has_discovery_list = self.has_discovery_list or event.kind is not api.ListKind.CACHED
         self.rank()
         for server in new:
             # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
@@ -941,14 +941,14 @@
                         told[server] = found, faded
             here = sum(ident in known and known[ident].started_us == server.entry.started_us
                        for ident, server in self.upstreams.items())
-            if self.has_list and 2 * here >= len(lessons.upstreams):
+            if self.has_discovery_list and 2 * here >= len(lessons.upstreams):
                 self.recall_times(lessons, count)
             shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
                        for server in self.draw_order)
             for server, (lesson, faded) in told.items():
                 if 2 * shut <= count or not trust.is_shut(faded):
                     self.believe(server, lesson, faded)
-        if self.has_list:
+        if self.has_discovery_list:
             self.lessons = []
 
     def recall_times(self, lessons: api.Lessons, count: int) -> None:
