--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -95,7 +95,7 @@
         self.paused_until_us = 0
         self.logged_as_backed_off = False  # whether the last log line said that it rests
 
-    def open(self, now_us: int) -> int:
+    def usable_slots(self, now_us: int) -> int:
         """The number of slots usable now, whether taken or free."""
         return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
@@ -498,7 +498,7 @@
         all sidecars is even."""
         if self.is_one_of_many:
             return self.outstanding.at(self.now_us) < self.window.slots
-        return self.window.open(self.now_us) > self.outstanding.out
+        return self.window.usable_slots(self.now_us) > self.outstanding.out
 
     def least_each(self) -> float:
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
@@ -633,7 +633,7 @@
     def look_at(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
         now_us, window = self.now_us, server.window
-        slots, weight, room, warmth = window.open(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
+        slots, weight, room, warmth = window.usable_slots(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
         while is_cold and server.sends_while_cold and 0 < server.cold_turn_us < now_us - server.next_cold_send_us:
             work_us = min(latency.careful_us() for latency in self.latency)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -31,7 +31,7 @@
         room = 0.0
         if self.has_room() and self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
             for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
-                slots = server.window.open(self.now_us) - server.used_slots
+                slots = server.window.usable_slots(self.now_us) - server.used_slots
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
                         and server not in tried and self.in_group(request, server)):
                     free.append(server)
@@ -40,7 +40,7 @@
                 return self.random.choices(free, weights)[0]
             free, weights = [], []
         for server in self.draw_order:
-            slots = server.window.open(self.now_us) - server.used_slots
+            slots = server.window.usable_slots(self.now_us) - server.used_slots
             if not self.has_room() and not (self.is_one_of_many and self.warmth(server) < 1.0):
                 continue
             if slots <= 0 or (tried and (server in tried or not self.in_group(request, server))):
