--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -99,7 +99,7 @@
         """The number of slots usable now, whether taken or free."""
         return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
-    def move(self, step: float, least: float, most: float) -> None:
+    def adjust(self, step: float, least: float, most: float) -> None:
         """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
         outside these bounds is not forced back into them."""
         slots = self.slots + step * min(1.0, self.slots)
@@ -446,7 +446,7 @@
             # stays: an upstream may turn requests away although it has room, and how full the others are is told by
             # their own windows.
             lone, server.failing = not server.failing, True
-            server.window.move(-0.1 if lone else -0.5, 0.0, 1.0)
+            server.window.adjust(-0.1 if lone else -0.5, 0.0, 1.0)
         elif outcome in (None, api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
             # however busy the upstreams are.
@@ -460,7 +460,7 @@
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
-            server.window.move(WINDOW_STEP_GAIN * step, self.least_each(), most)
+            server.window.adjust(WINDOW_STEP_GAIN * step, self.least_each(), most)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.is_one_of_many:
@@ -475,7 +475,7 @@
             if self.is_one_of_many and step < 0.0 and not attempt.paced:
                 self.window.slots = min(self.window.slots, max(self.min_window_slots, need))
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
-                self.window.move(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
+                self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
             attempt.slowness = slowness
             for shared in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
