--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -106,7 +106,7 @@
         most, least = max(most, self.slots), max(MIN_WINDOW_SLOTS, min(least, self.slots))
         self.slots = min(max(slots, least), most)
 
-    def rest(self, now_us: int, busy_us: float) -> None:
+    def pause(self, now_us: int, busy_us: float) -> None:
         """Below one slot, pauses for so long that the slot is busy for the share `slots` of the time."""
         self.paused_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
 
@@ -483,7 +483,7 @@
         # pauses would leave an overloaded upstream crowded.
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
         for window in (server.window, self.window):
-            window.rest(self.now_us, busy_us * (0.5 + self.random.random()))
+            window.pause(self.now_us, busy_us * (0.5 + self.random.random()))
             self.log(window)
 
     def need(self) -> float:
