--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -193,7 +193,7 @@
         self.base_us = min(self.mean_us, base_us)
         self.recall_doubt = self.recall_doubt / 2 if self.recall_doubt > 1 / 8 else 0.0
 
-    def careful_us(self) -> float:
+    def conservative_us(self) -> float:
         """The average for the pacing of cold upstreams. While an average from elsewhere is uncertain, it is not
         taken for shorter than the initial value: too short an estimate would overload cold upstreams."""
         return max(self.mean_us, self.initial_us) if self.recall_doubt else self.mean_us
@@ -636,7 +636,7 @@
         slots, weight, room, warmth = window.usable_slots(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
         is_cold = warmth < 1.0
         while is_cold and server.sends_while_cold and 0 < server.cold_turn_us < now_us - server.next_cold_send_us:
-            work_us = min(latency.careful_us() for latency in self.latency)
+            work_us = min(latency.conservative_us() for latency in self.latency)
             server.next_cold_send_us += server.cold_turn_us + self.cold_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
             server.preference = self.favour(server)
@@ -715,7 +715,7 @@
         server = self.draw(request) if self.may_send(request) else None
         if server is None:
             return False
-        work_us = max(self.latency[request.event.class_index].careful_us(), request.event.cost_us)
+        work_us = max(self.latency[request.event.class_index].conservative_us(), request.event.cost_us)
         server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us)
         server.used_slots += 1
         self.needs_refresh[server] = None
@@ -842,7 +842,7 @@
             # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
             # come as one burst.
             if server.sends_while_cold:
-                work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
+                work_us, s = min(latency.conservative_us() for latency in self.latency), self.settings
                 share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
                 server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us, share)
         self.apply_lessons()
@@ -980,7 +980,7 @@
         server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
         if lesson.first_hand:
-            gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
+            gap_us = self.cold_gap_us(server, min(latency.conservative_us() for latency in self.latency))
             server.next_cold_send_us = max(server.next_cold_send_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
     def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -244,7 +244,7 @@
 def test_a_lie_of_endless_times_makes_nothing_slower_than_a_cold_start() -> None:
     cold = taught().balancer.latency[0]
     lied = taught(classes=(ClassLesson("read", START_US, 1e12, 1e12),)).balancer.latency[0]
-    assert lied.mean_us <= cold.mean_us and lied.careful_us() == cold.careful_us()
+    assert lied.mean_us <= cold.mean_us and lied.conservative_us() == cold.conservative_us()
 
 
 def test_a_lie_about_times_is_outweighed_by_three_answers() -> None:
