--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -262,7 +262,7 @@
         self.ask_list_at(now_us + (self.random.randrange(turn_us) if turn_us else 0))
 
     @property
-    def is_one_of_many(self) -> bool:
+    def in_large_fleet(self) -> bool:
         """Whether this sidecar belongs to a large fleet, in which what it sees and sends itself tells little.
         Decided by the number of sidecars alone: if upstreams counted too, a release that takes a few of them away
         would change the meaning of all windows."""
@@ -272,7 +272,7 @@
         """Over how long the list calls of a large fleet's sidecars are spread, one call's time for each; at most
         half of the time within which the list must be asked for. 0 = they are not spread."""
         s = self.settings
-        is_shared = self.is_one_of_many and s.list_on_request
+        is_shared = self.in_large_fleet and s.list_on_request
         return min(LIST_CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
 
     def list_gap_us(self) -> int:
@@ -463,7 +463,7 @@
             server.window.adjust(WINDOW_STEP_GAIN * step, self.least_each(), most)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
-            if self.is_one_of_many:
+            if self.in_large_fleet:
                 full = 1.0
             step = (attempt.slowness or full) - slowness
             # an upstream with idle cores does not queue: the request itself is long
@@ -472,7 +472,7 @@
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
             need = self.need()
-            if self.is_one_of_many and step < 0.0 and not attempt.paced:
+            if self.in_large_fleet and step < 0.0 and not attempt.paced:
                 self.window.slots = min(self.window.slots, max(self.min_window_slots, need))
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
                 self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
@@ -488,7 +488,7 @@
 
     def need(self) -> float:
         """Slots that this sidecar can make use of: about twice those in use."""
-        if self.is_one_of_many:
+        if self.in_large_fleet:
             return 1.0 + 2.0 * self.outstanding.at(self.now_us)
         return 2.0 * (self.outstanding.out + 1)
 
@@ -496,7 +496,7 @@
         """Whether the sidecar's window allows one more attempt. In a large fleet the smoothed number of outstanding
         attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
         all sidecars is even."""
-        if self.is_one_of_many:
+        if self.in_large_fleet:
             return self.outstanding.at(self.now_us) < self.window.slots
         return self.window.usable_slots(self.now_us) > self.outstanding.out
 
@@ -504,7 +504,7 @@
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
         of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
         refuse what idle upstreams could serve."""
-        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.is_one_of_many else
+        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.in_large_fleet else
                    MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
     def warmth(self, server: Server) -> float:
@@ -518,13 +518,13 @@
         warmth = s.cold_share + (1.0 - s.cold_share) * age_us / s.warm_up_us
         # Not in a large fleet: one slot from each of 200 sidecars is many times its capacity, and all would send as
         # the pacing ends.
-        return warmth if self.is_one_of_many or warmth * s.overload_factor < 1.5 else 1.0
+        return warmth if self.in_large_fleet or warmth * s.overload_factor < 1.5 else 1.0
 
     def warm_at_us(self, server: Server) -> int:
         """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
         age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
-        if s.cold_share < 1.0 and reach < 1.0 and not self.is_one_of_many:
+        if s.cold_share < 1.0 and reach < 1.0 and not self.in_large_fleet:
             age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
         return server.entry.start_us + age_us
 
@@ -542,9 +542,9 @@
             work_us = min(work_us, 1e6 * len(self.draw_order) / traffic.allowed_per_s)
         # The work estimate holds for an upstream of mean size. A small one does two thirds of that, so even without
         # a multiple it is paced to 1.5 times what it can do.
-        part = (traffic.part_of_cold() if self.is_one_of_many else
+        part = (traffic.part_of_cold() if self.in_large_fleet else
                 traffic.part() * max(1.0, s.overload_factor / 2))
-        server.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
+        server.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
         # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
         # that.
         growth = (1.0 - s.cold_share) / s.warm_up_us
@@ -556,7 +556,7 @@
         self.look()
         if not self.has_room():
             return self.pick_paced(request)
-        if self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
+        if self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
             # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
             # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
             # time never do.
@@ -641,7 +641,7 @@
         if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
             server.preference = self.favour(server)
             weight = min(float(slots), window.slots) * server.relative_weight * server.preference
-            if is_cold and self.is_one_of_many:
+            if is_cold and self.in_large_fleet:
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
@@ -724,7 +724,7 @@
         self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
-        attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
+        attempt.paced = self.in_large_fleet and self.warmth(server) < 1.0
         if not attempt.paced:
             self.outstanding.move(self.now_us, 1)
         request.attempts.append(attempt)
@@ -767,7 +767,7 @@
                 self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
-        calm = HARMLESS_SLOWNESS if self.is_one_of_many else TARGET_SLOWNESS
+        calm = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
         useful = self.buffer is None and not self.slowness.exceeds(calm)
         if request.outstanding == 1 and useful and self.settings.second_copies:
             self.try_send(request)
@@ -813,7 +813,7 @@
             backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
-            least = 0.0 if self.next_list_call_us == 0 and self.is_one_of_many else 0.5
+            least = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
             self.list_failures += 1
             self.ask_list_at(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
             return
@@ -861,7 +861,7 @@
         if ready and not self.draw_order:
             self.window.slots = self.usual_slots(len(ready))
         able, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
-        if self.is_one_of_many and self.ready_capacity < able:
+        if self.in_large_fleet and self.ready_capacity < able:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
             kept = min(self.window.slots, self.need()) * self.ready_capacity / able
@@ -871,7 +871,7 @@
         for server in self.draw_order:
             server.order_index = -1
         early: dict[Server, None] = {}
-        if self.is_one_of_many:
+        if self.in_large_fleet:
             for server in ready:
                 server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
                 if not server.sends_while_cold and self.warmth(server) < 1.0:
@@ -1013,7 +1013,7 @@
         pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
-            opens = [self.outstanding.falls_us(self.window.slots) if self.is_one_of_many
+            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
                      else self.window.paused_until_us]
             self.look()
             while self.opening_times and not (self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -29,7 +29,7 @@
         free: list[Server] = []
         weights: list[float] = []
         room = 0.0
-        if self.has_room() and self.is_one_of_many and self.slowness.exceeds(TARGET_SLOWNESS):
+        if self.has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
             for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
                 slots = server.window.usable_slots(self.now_us) - server.used_slots
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
@@ -41,14 +41,14 @@
             free, weights = [], []
         for server in self.draw_order:
             slots = server.window.usable_slots(self.now_us) - server.used_slots
-            if not self.has_room() and not (self.is_one_of_many and self.warmth(server) < 1.0):
+            if not self.has_room() and not (self.in_large_fleet and self.warmth(server) < 1.0):
                 continue
             if slots <= 0 or (tried and (server in tried or not self.in_group(request, server))):
                 continue
             warmth = self.warmth(server)
             if warmth == 1.0 or self.now_us >= server.next_cold_send_us:
                 free.append(server)
-                paced = warmth < 1.0 and self.is_one_of_many  # by its pace alone
+                paced = warmth < 1.0 and self.in_large_fleet  # by its pace alone
                 weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
                                * (1.0 if paced else warmth))
                 room += 0.0 if paced else min(1.0, server.window.slots) * server.relative_weight
@@ -60,7 +60,7 @@
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
             self.look()
-            opens = [self.outstanding.falls_us(self.window.slots) if self.is_one_of_many else self.window.paused_until_us]
+            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet else self.window.paused_until_us]
             opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
