--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -258,7 +258,7 @@
         self.has_discovery_list = False  # whether a list has come from discovery, not only a cached one
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
         # given up waiting: the first calls are spread.
-        turn_us = self.list_turn_us()
+        turn_us = self.list_call_spread_us()
         self.ask_list_at(now_us + (self.random.randrange(turn_us) if turn_us else 0))
 
     @property
@@ -268,7 +268,7 @@
         would change the meaning of all windows."""
         return self.settings.instances >= LARGE_FLEET_INSTANCES
 
-    def list_turn_us(self) -> int:
+    def list_call_spread_us(self) -> int:
         """Over how long the list calls of a large fleet's sidecars are spread, one call's time for each; at most
         half of the time within which the list must be asked for. 0 = they are not spread."""
         s = self.settings
@@ -809,7 +809,7 @@
         if event.kind is api.ListKind.FAILED:
             # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
             # between two calls (rule 3).
-            first_us = max(FIRST_LIST_RETRY_US, self.list_turn_us())
+            first_us = max(FIRST_LIST_RETRY_US, self.list_call_spread_us())
             backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
