--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -275,7 +275,7 @@
         is_shared = self.in_large_fleet and s.list_on_request
         return min(LIST_CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
 
-    def list_gap_us(self) -> int:
+    def max_list_call_gap_us(self) -> int:
         """The longest time between two calls for a list. Where lists are pushed, changes that an agent has received
         count as known to this sidecar too, so it asks again soon."""
         return max(FIRST_LIST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
@@ -810,7 +810,7 @@
             # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
             # between two calls (rule 3).
             first_us = max(FIRST_LIST_RETRY_US, self.list_call_spread_us())
-            backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
+            backoff_us = min(first_us << min(self.list_failures, 20), self.max_list_call_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
             least = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
@@ -1033,7 +1033,7 @@
             if what == "list" and 0 < self.next_list_call_us <= self.now_us:
                 # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
-                self.ask_list_at(self.now_us + self.list_gap_us())
+                self.ask_list_at(self.now_us + self.max_list_call_gap_us())
             elif what == "late" and ident in self.requests:
                 self.on_late(self.requests[ident])
             elif what == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -70,7 +70,7 @@
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"), **settings_of(PUSHED, grace_us=600_000))
         await until(lambda: len(scene.discovery.targets) == 2)  # the first was accepted and not answered
-        wait_us = scene.sidecar.config.answer_us + scene.sidecar.balancer.list_gap_us()
+        wait_us = scene.sidecar.config.answer_us + scene.sidecar.balancer.max_list_call_gap_us()
         assert wait_us <= 600_000 and scene.sidecar.discovery.answer_s * 1e6 == scene.sidecar.config.answer_us
 
     run(test)
