--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -246,7 +246,7 @@
         self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
         self.utilization_index = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
-        self.tenant_seen = [0.0 for _ in settings.tenants]
+        self.tenant_arrivals = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
         self.armed_timer_us = 0  # the time of the earliest timer already asked for; 0 = none
@@ -329,17 +329,17 @@
             self.tenant_arrival_weights[event.tenant] += self.arrival_weight
             self.total_arrival_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
-                self.tenant_seen = self.tenant_seen
+                self.tenant_arrivals = self.tenant_arrivals
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
         self.place(request)
 
     @property
-    def tenant_seen(self) -> list[float]:
+    def tenant_arrivals(self) -> list[float]:
         """Arrivals by tenant, in which old ones fade exponentially."""
         return [weight / self.arrival_weight for weight in self.tenant_arrival_weights]
 
-    @tenant_seen.setter
-    def tenant_seen(self, seen: list[float]) -> None:
+    @tenant_arrivals.setter
+    def tenant_arrivals(self, seen: list[float]) -> None:
         self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = seen, sum(seen), 1.0
 
     def log(self, window: Window) -> None:
@@ -897,11 +897,11 @@
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         places = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         moved = [places.get(tenant.name, len(places)) for tenant in old.tenants]
-        seen, kept = self.tenant_seen, [0.0 for _ in settings.tenants]
+        seen, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
         for index, place in enumerate(moved):
             if place < len(places):
                 kept[place] = seen[index]
-        self.tenant_seen = kept
+        self.tenant_arrivals = kept
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
             request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
@@ -913,11 +913,11 @@
         yet. Its times are on this clock. It may be outdated or wrong: trust.py says how far it counts, and upstreams
         are tested before more than a preference rests on it."""
         self.now_us = max(self.now_us, now_us)
-        if sum(self.tenant_seen) < trust.TENANT_WEIGHT:
+        if sum(self.tenant_arrivals) < trust.TENANT_WEIGHT:
             told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
             share = trust.TENANT_WEIGHT * trust.share(age_us, trust.LATENCY_HALVES_US)
-            self.tenant_seen = [seen + share * min(1.0, told.get(tenant.name, 0.0))
-                                for tenant, seen in zip(self.settings.tenants, self.tenant_seen, strict=True)]
+            self.tenant_arrivals = [seen + share * min(1.0, told.get(tenant.name, 0.0))
+                                for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
         self.lessons.append(lessons)
         self.apply_lessons()
 
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -29,8 +29,8 @@
     settings = balancer.settings
     classes = [api.ClassLesson(kind.name, latency.last_observed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.has_samples]
-    seen = sum(balancer.tenant_seen)
+    seen = sum(balancer.tenant_arrivals)
     tenants = [(tenant.name, count / seen) for tenant, count in
-               zip(settings.tenants, balancer.tenant_seen, strict=True) if count > 0.0]
+               zip(settings.tenants, balancer.tenant_arrivals, strict=True) if count > 0.0]
     return api.Lessons(balancer.now_us, settings.zone, balancer.window.slots if balancer.last_observed_us else 0.0,
                        balancer.last_observed_us, tuple(upstreams), tuple(classes), tuple(tenants))
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -65,13 +65,13 @@
     world = ready_world(2, tenants=[Tenant("big", 100.0), Tenant("small", 10.0)])
     out = world.arrive(PAY, tenant=0)
     before = {ident: server.window.slots for ident, server in world.balancer.upstreams.items()}
-    world.balancer.tenant_seen = [7.0, 3.0]
+    world.balancer.tenant_arrivals = [7.0, 3.0]
     new = settings(tenants=[Tenant("new", 5.0), Tenant("small", 10.0), Tenant("big", 200.0)])
     new.classes.append(RequestClass("extra", 100_000, 500_000))
     world.tell(SettingsChanged(new))
     world.settings = new
     assert {i: s.window.slots for i, s in world.balancer.upstreams.items()} == before
-    assert world.balancer.tenant_seen == [0.0, 3.0, 7.0]
+    assert world.balancer.tenant_arrivals == [0.0, 3.0, 7.0]
     assert world.balancer.requests[out].event.tenant == 2  # still big's
     world.end(out, 0, Outcome.OK)
     assert world.owed[out].answers == 1
@@ -82,7 +82,7 @@
     world = ready_world(2, tenants=[Tenant("a", 1.0)])
     out = world.arrive(READ, tenant=0)
     world.tell(SettingsChanged(settings(tenants=[])))
-    assert world.balancer.requests[out].event.tenant == 0 >= len(world.balancer.tenant_seen)
+    assert world.balancer.requests[out].event.tenant == 0 >= len(world.balancer.tenant_arrivals)
     assert world.sends(world.arrive(READ, tenant=0))
 
 
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -301,10 +301,10 @@
     world = World(config)
     world.balancer.recall(START_US, lessons(tenants=(("a", 0.9), ("b", 0.1), ("unknown", 5.0)), confirmed_us=START_US))
     world.tell_list(upstreams(6))
-    assert world.balancer.tenant_seen == pytest.approx([18.0, 2.0])
+    assert world.balancer.tenant_arrivals == pytest.approx([18.0, 2.0])
     for _ in range(100):
         answer(world, world.arrive(tenant=1), after_us=1_000)
-    seen = world.balancer.tenant_seen
+    seen = world.balancer.tenant_arrivals
     assert seen[1] > 4 * seen[0]
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -231,7 +231,7 @@
         plain = [seen * (1.0 - 1.0 / 200) for seen in plain]
         plain[tenant] += 1.0
         if not step % 100:
-            assert balancer.tenant_seen == pytest.approx(plain, rel=1e-9)
+            assert balancer.tenant_arrivals == pytest.approx(plain, rel=1e-9)
             assert balancer.tenant_arrival_weights[tenant] / balancer.total_arrival_weight == pytest.approx(
                 plain[tenant] / sum(plain), rel=1e-9)
     assert balancer.arrival_weight < 1e13
