--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -342,7 +342,7 @@
     def tenant_arrivals(self, seen: list[float]) -> None:
         self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = seen, sum(seen), 1.0
 
-    def log(self, window: Window) -> None:
+    def log_window(self, window: Window) -> None:
         """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
         resting = window.slots < (1.0 if window.logged_as_backed_off else 0.25)
         # otherwise logged later, if it lasts
@@ -484,7 +484,7 @@
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
         for window in (server.window, self.window):
             window.pause(self.now_us, busy_us * (0.5 + self.random.random()))
-            self.log(window)
+            self.log_window(window)
 
     def need(self) -> float:
         """Slots that this sidecar can make use of: about twice those in use."""
