--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -331,7 +331,7 @@
             if self.arrival_weight > 1e12:
                 self.tenant_arrivals = self.tenant_arrivals
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
-        self.place(request)
+        self.dispatch(request)
 
     @property
     def tenant_arrivals(self) -> list[float]:
@@ -351,7 +351,7 @@
             window.logged_as_backed_off = resting
             self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
 
-    def place(self, request: Request) -> None:
+    def dispatch(self, request: Request) -> None:
         """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
         value displaces the one in the buffer."""
         holder = self.buffer
@@ -802,7 +802,7 @@
             self.close(request)
         elif request.outstanding == 0:
             # without a retry, an upstream that fails some requests would lose them
-            self.place(request)
+            self.dispatch(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
         """Takes in an upstream list or a part of one, or schedules the next call after a failed one."""
