--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -358,7 +358,7 @@
         in_time = self.now_us < self.latest_start_us(request)
         if in_time and self.try_send(request):
             return
-        wanted = holder is None or self.value(request) > self.value(holder)
+        wanted = holder is None or self.slot_value(request) > self.slot_value(holder)
         if in_time and wanted and self.may_send(request):
             # Without displacement, a shortage would let many cheap requests keep the valuable ones out of every
             # slot.
@@ -371,7 +371,7 @@
             spent = request.attempts and not self.may_send(request)
             self.finish(request, "too late" if not in_time else "tries spent" if spent else "full")
 
-    def value(self, request: Request) -> float:
+    def slot_value(self, request: Request) -> float:
         """The worth that a slot earns per unit of time with this request; reduced for a tenant beyond its share. The
         share is judged among the arrivals at this sidecar, as it does not know the tenants' total rates."""
         s, worth = self.settings, self.class_of(request).worth
