--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -302,7 +302,7 @@
             self.draining = event.draining
             for request in [*self.requests.values()] if event.ends else ():
                 if not request.done:
-                    self.finish(request, "draining")
+                    self.refuse_or_fail(request, "draining")
         elif isinstance(event, api.SettingsChanged):
             self.on_settings(event.settings)
         if self.buffer is not None and self.try_send(self.buffer):
@@ -321,7 +321,7 @@
         request = Request(event)
         self.requests[event.request] = request
         if self.draining:
-            self.finish(request, "draining")
+            self.refuse_or_fail(request, "draining")
             return
         if event.tenant < len(self.tenant_arrival_weights):
             # Instead of scaling all old arrivals down, each new one counts a little more.
@@ -364,12 +364,12 @@
             # slot.
             self.buffer = request
             if holder is not None:
-                self.finish(holder, "displaced")
+                self.refuse_or_fail(holder, "displaced")
             until_us = self.now_us + self.half_aim_us(request.event.class_index)
             self.wake(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
         else:
             spent = request.attempts and not self.may_send(request)
-            self.finish(request, "too late" if not in_time else "tries spent" if spent else "full")
+            self.refuse_or_fail(request, "too late" if not in_time else "tries spent" if spent else "full")
 
     def slot_value(self, request: Request) -> float:
         """The worth that a slot earns per unit of time with this request; reduced for a tenant beyond its share. The
@@ -398,7 +398,7 @@
         answer_us = int(self.latency[request.event.class_index].mean_us)
         return request.event.due_us - min(answer_us, self.half_aim_us(request.event.class_index))
 
-    def finish(self, request: Request, reason: str) -> None:
+    def refuse_or_fail(self, request: Request, reason: str) -> None:
         """The only place where the balancer answers a request itself (rules 1 and 2): with a refusal if surely
         nothing ran or a repeat is harmless, else with a failure."""
         ident, kind = request.event.request, self.class_of(request)
@@ -1037,4 +1037,4 @@
             elif what == "late" and ident in self.requests:
                 self.on_late(self.requests[ident])
             elif what == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
-                self.finish(self.buffer, "waited")
+                self.refuse_or_fail(self.buffer, "waited")
