--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -422,7 +422,7 @@
         after_us = self.latency[request.event.class_index].mean_us * (0.5 + self.random.random())
         return min(int(after_us), self.settings.max_retry_after_us) if self.settings.retry_after else 0
 
-    def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
+    def adjust_windows(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
         server, outcome, latency = attempt.server, attempt.outcome, self.latency[class_index]
@@ -748,7 +748,7 @@
             if attempt.slowness == 0.0:
                 if not attempt.paced:
                     self.outstanding.move(self.now_us, -1)
-                self.judge(attempt, attempt.slow_after_us, request.event.class_index)
+                self.adjust_windows(attempt, attempt.slow_after_us, request.event.class_index)
             # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
             # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
             # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
@@ -759,7 +759,7 @@
             if attempt.holds_slot and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
                 if not overtaken:
                     server.patience_doublings += 1
-                    self.judge(attempt, late_us, request.event.class_index)
+                    self.adjust_windows(attempt, late_us, request.event.class_index)
                 attempt.holds_slot = False
                 server.used_slots -= 1
                 self.needs_refresh[server] = None
@@ -792,7 +792,7 @@
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
         if attempt.holds_slot:
             attempt.server.used_slots -= 1
-            self.judge(attempt, event.elapsed_us, request.event.class_index)
+            self.adjust_windows(attempt, event.elapsed_us, request.event.class_index)
         if attempt.holds_slot and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
             latency = self.latency[request.event.class_index]
