--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -471,7 +471,7 @@
                 step = max(step, full)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
-            need = self.need()
+            need = self.needed_slots()
             if self.in_large_fleet and step < 0.0 and not attempt.paced:
                 self.window.slots = min(self.window.slots, max(self.min_window_slots, need))
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
@@ -486,7 +486,7 @@
             window.pause(self.now_us, busy_us * (0.5 + self.random.random()))
             self.log_window(window)
 
-    def need(self) -> float:
+    def needed_slots(self) -> float:
         """Slots that this sidecar can make use of: about twice those in use."""
         if self.in_large_fleet:
             return 1.0 + 2.0 * self.outstanding.at(self.now_us)
@@ -864,7 +864,7 @@
         if self.in_large_fleet and self.ready_capacity < able:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
-            kept = min(self.window.slots, self.need()) * self.ready_capacity / able
+            kept = min(self.window.slots, self.needed_slots()) * self.ready_capacity / able
             # also if no upstream is left
             self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
