--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -492,7 +492,7 @@
             return 1.0 + 2.0 * self.outstanding.at(self.now_us)
         return 2.0 * (self.outstanding.out + 1)
 
-    def has_room(self) -> bool:
+    def window_has_room(self) -> bool:
         """Whether the sidecar's window allows one more attempt. In a large fleet the smoothed number of outstanding
         attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
         all sidecars is even."""
@@ -554,7 +554,7 @@
         """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
         not tried yet; None if there is none."""
         self.look()
-        if not self.has_room():
+        if not self.window_has_room():
             return self.pick_paced(request)
         if self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
             # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -621,7 +621,7 @@
     balancer.needs_refresh = dict.fromkeys(balancer.draw_order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
-    assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
+    assert sorted(first) == mine and not balancer.window_has_room()  # each as its pace lets, and nothing else
     slots, out = balancer.window.slots, balancer.outstanding.out
     for request in requests[:3]:
         end(world, request, 0, Outcome.OK, 20_000)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -24,12 +24,12 @@
     def draw(self, request: Request) -> Server | None:
         self.look()  # what is thought of an upstream holds as last looked at
         tried = [attempt.server for attempt in request.attempts]
-        if tried and not self.is_bound(request) and self.has_room():
+        if tried and not self.is_bound(request) and self.window_has_room():
             self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
         free: list[Server] = []
         weights: list[float] = []
         room = 0.0
-        if self.has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
+        if self.window_has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
             for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
                 slots = server.window.usable_slots(self.now_us) - server.used_slots
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
@@ -41,7 +41,7 @@
             free, weights = [], []
         for server in self.draw_order:
             slots = server.window.usable_slots(self.now_us) - server.used_slots
-            if not self.has_room() and not (self.in_large_fleet and self.warmth(server) < 1.0):
+            if not self.window_has_room() and not (self.in_large_fleet and self.warmth(server) < 1.0):
                 continue
             if slots <= 0 or (tried and (server in tried or not self.in_group(request, server))):
                 continue
