--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -460,7 +460,7 @@
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
-            server.window.adjust(WINDOW_STEP_GAIN * step, self.least_each(), most)
+            server.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), most)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.in_large_fleet:
@@ -500,7 +500,7 @@
             return self.outstanding.at(self.now_us) < self.window.slots
         return self.window.usable_slots(self.now_us) > self.outstanding.out
 
-    def least_each(self) -> float:
+    def min_upstream_slots(self) -> float:
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
         of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
         refuse what idle upstreams could serve."""
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -222,7 +222,7 @@
 
 def test_one_that_carries_much_keeps_more_slots_at_slow_upstreams() -> None:
     heavy, light = many(200.0), many(5.0)
-    assert heavy.balancer.least_each() > 4 * light.balancer.least_each() > 0.0
+    assert heavy.balancer.min_upstream_slots() > 4 * light.balancer.min_upstream_slots() > 0.0
 
 
 def test_one_that_carries_much_uses_more_upstreams() -> None:
