--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -528,7 +528,7 @@
             age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
         return server.entry.start_us + age_us
 
-    def cold_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
+    def cold_send_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
         """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
         half of the overload multiple that it bears; in a large fleet, what it can serve. The work of a request is
         estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
@@ -637,7 +637,7 @@
         is_cold = warmth < 1.0
         while is_cold and server.sends_while_cold and 0 < server.cold_turn_us < now_us - server.next_cold_send_us:
             work_us = min(latency.conservative_us() for latency in self.latency)
-            server.next_cold_send_us += server.cold_turn_us + self.cold_gap_us(server, work_us)
+            server.next_cold_send_us += server.cold_turn_us + self.cold_send_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
             server.preference = self.favour(server)
             weight = min(float(slots), window.slots) * server.relative_weight * server.preference
@@ -716,7 +716,7 @@
         if server is None:
             return False
         work_us = max(self.latency[request.event.class_index].conservative_us(), request.event.cost_us)
-        server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us)
+        server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us)
         server.used_slots += 1
         self.needs_refresh[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
@@ -844,7 +844,7 @@
             if server.sends_while_cold:
                 work_us, s = min(latency.conservative_us() for latency in self.latency), self.settings
                 share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
-                server.next_cold_send_us = self.now_us + self.cold_gap_us(server, work_us, share)
+                server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us, share)
         self.apply_lessons()
 
     def rank(self) -> None:
@@ -980,7 +980,7 @@
         server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
         if lesson.first_hand:
-            gap_us = self.cold_gap_us(server, min(latency.conservative_us() for latency in self.latency))
+            gap_us = self.cold_send_gap_us(server, min(latency.conservative_us() for latency in self.latency))
             server.next_cold_send_us = max(server.next_cold_send_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
     def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -236,9 +236,9 @@
     world = many()
     world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
     server = world.balancer.upstreams[900]
-    gaps = [world.balancer.cold_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
+    gaps = [world.balancer.cold_send_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
     assert gaps[0] == gaps[1] == pytest.approx(4_200_000, rel=0.05)
-    assert world.balancer.cold_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
+    assert world.balancer.cold_send_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
 
 
 def test_copies_are_left_out_while_all_answer_slowly() -> None:
@@ -321,7 +321,7 @@
         server = world.balancer.upstreams[900]
         waits += [server.next_cold_send_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
-    gap_us = world.balancer.cold_gap_us(server, 150_000)
+    gap_us = world.balancer.cold_send_gap_us(server, 150_000)
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
 
 
