--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -564,16 +564,16 @@
             if early is not None:
                 return early
         if not request.attempts:
-            return self.pick()
+            return self.pick_from_subset()
         tried = {attempt.server: None for attempt in request.attempts if attempt.server.order_index >= 0}
         if self.is_bound(request):
             return self.pick_in_group(request, tried)
         for server in tried:
             self.draw_weights.put(server.order_index, 0.0, 0.0)
         self.needs_refresh.update(tried)
-        return self.pick()
+        return self.pick_from_subset()
 
-    def pick(self) -> Server | None:
+    def pick_from_subset(self) -> Server | None:
         """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
         weight = self.draw_weights.weight_of_first(self.subset_slots)
         return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
