--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -555,12 +555,12 @@
         not tried yet; None if there is none."""
         self.look()
         if not self.window_has_room():
-            return self.pick_paced(request)
+            return self.pick_cold(request)
         if self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
             # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
             # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
             # time never do.
-            early = self.pick_paced(request)
+            early = self.pick_cold(request)
             if early is not None:
                 return early
         if not request.attempts:
@@ -578,7 +578,7 @@
         weight = self.draw_weights.weight_of_first(self.subset_slots)
         return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
 
-    def pick_paced(self, request: Request) -> Server | None:
+    def pick_cold(self, request: Request) -> Server | None:
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
