--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -553,7 +553,7 @@
     def draw(self, request: Request) -> Server | None:
         """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
         not tried yet; None if there is none."""
-        self.look()
+        self.refresh_weights()
         if not self.window_has_room():
             return self.pick_cold(request)
         if self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
@@ -601,7 +601,7 @@
                     break
         return self.random.choices(free, weights)[0] if free else None
 
-    def look(self) -> None:
+    def refresh_weights(self) -> None:
         """Refreshes the draw weights of upstreams that changed, and of those that change with time alone."""
         now_us = self.now_us
         if 0 < self.reorder_at_us <= now_us:
@@ -1015,7 +1015,7 @@
         if self.buffer is not None:  # a paused slot opens with time, not with an event
             opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
                      else self.window.paused_until_us]
-            self.look()
+            self.refresh_weights()
             while self.opening_times and not (self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
                                      and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
                 heapq.heappop(self.opening_times)  # past, or replaced by another time
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -371,7 +371,7 @@
 
 
 def weight(world: World, server: Server) -> float:
-    world.balancer.look()
+    world.balancer.refresh_weights()
     return world.balancer.draw_weights.weights[world.balancer.draw_weights.leaves + server.order_index]
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -22,7 +22,7 @@
     """The decisions as they were: every draw and every timer looks at all upstreams."""
 
     def draw(self, request: Request) -> Server | None:
-        self.look()  # what is thought of an upstream holds as last looked at
+        self.refresh_weights()  # what is thought of an upstream holds as last looked at
         tried = [attempt.server for attempt in request.attempts]
         if tried and not self.is_bound(request) and self.window_has_room():
             self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
@@ -59,7 +59,7 @@
     def arm(self) -> None:
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
-            self.look()
+            self.refresh_weights()
             opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet else self.window.paused_until_us]
             opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
