--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -615,7 +615,7 @@
         changed, self.needs_refresh = self.needs_refresh, {}
         for server in changed:
             if server.order_index >= 0:
-                self.look_at(server)
+                self.refresh_weight(server)
 
     def favour(self, server: Server) -> float:
         """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
@@ -630,7 +630,7 @@
         favour *= kind.favour(self.slowness) if kind is not None else 1.0
         return max(MIN_PREFERENCE, favour) * (1.0 if near and max(own, shared) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
-    def look_at(self, server: Server) -> None:
+    def refresh_weight(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.usable_slots(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
