--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -617,7 +617,7 @@
             if server.order_index >= 0:
                 self.refresh_weight(server)
 
-    def favour(self, server: Server) -> float:
+    def compute_preference(self, server: Server) -> float:
         """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
         distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
@@ -639,7 +639,7 @@
             work_us = min(latency.conservative_us() for latency in self.latency)
             server.next_cold_send_us += server.cold_turn_us + self.cold_send_gap_us(server, work_us)
         if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
-            server.preference = self.favour(server)
+            server.preference = self.compute_preference(server)
             weight = min(float(slots), window.slots) * server.relative_weight * server.preference
             if is_cold and self.in_large_fleet:
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -154,12 +154,12 @@
     """A good one's errors are one in thousands; two in five of a bad one's, and the next try is seconds away."""
     world = many()
     bad = world.balancer.upstreams[104]
-    before = world.balancer.favour(bad)
+    before = world.balancer.compute_preference(bad)
     bad.faults.end(world.now_us, True, 1 / 2)
     world.advance(3 * SECOND_US)
     bad.faults.end(world.now_us, False, 1 / 4)
     world.advance(3 * SECOND_US)
-    assert world.balancer.favour(bad) < before / 2
+    assert world.balancer.compute_preference(bad) < before / 2
 
 
 def test_slow_answers_narrow_one_of_many_sidecars_and_it_is_back_soon() -> None:
@@ -402,19 +402,19 @@
             attempt = world.balancer.requests[request].attempts[0]
             attempt.server.used_slots, server.used_slots, attempt.server = attempt.server.used_slots - 1, server.used_slots + 1, server
             world.end(request, 0, Outcome.ERROR)
-        left = world.balancer.favour(server) / world.balancer.favour(like)
+        left = world.balancer.compute_preference(server) / world.balancer.compute_preference(like)
         assert least < left < most, (count, left)
 
 
 def test_a_fault_costs_nearness_and_one_long_ago_does_not() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     server = next(server for server in world.balancer.draw_order if server.entry.zone == 0)
-    near = world.balancer.favour(server)
+    near = world.balancer.compute_preference(server)
     server.faults.end(world.now_us, True, 1 / 2)
-    assert world.balancer.favour(server) < near / 500
+    assert world.balancer.compute_preference(server) < near / 500
     world.advance(10 * SECOND_US)
     world.tell_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
-    assert world.balancer.favour(server) > near / 2
+    assert world.balancer.compute_preference(server) > near / 2
 
 
 def test_the_draw_favours_kinds_that_answer_quickly() -> None:
@@ -464,7 +464,7 @@
     assert (slow.favour(quick), quick.favour(slow)) == (1 / 8, 8.0)
     world = many()
     zone_fails(world, 0, 15)
-    assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.draw_order)
+    assert all(world.balancer.compute_preference(server) >= 1e-4 * 1e-3 for server in world.balancer.draw_order)
     assert Slowness().exceeds(0.0) is False
 
 
