--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -679,10 +679,10 @@
         # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
         if self.retry_costs(request) and self.retry_tokens < 1.0:
             return False
-        until_us = self.until_us(request)
+        until_us = self.resend_until_us(request)
         return until_us == 0 or self.now_us < until_us
 
-    def until_us(self, request: Request) -> int:
+    def resend_until_us(self, request: Request) -> int:
         """Rule 2: the time from which on nothing of the request may be sent, as upstreams have forgotten the key by
         then (for at_most_once the time of the first send); 0 = no limit."""
         first, kind = request.first_that_may_have_run(), self.class_of(request)
@@ -723,7 +723,7 @@
         self.traffic.count(self.now_us)
         self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
-        attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
+        attempt, until_us = Attempt(server, self.now_us, slow_us), self.resend_until_us(request)
         attempt.paced = self.in_large_fleet and self.warmth(server) < 1.0
         if not attempt.paced:
             self.outstanding.move(self.now_us, 1)
