--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -677,7 +677,7 @@
         if request.outstanding > 0 and not s.second_copies:
             return False
         # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
-        if self.retry_costs(request) and self.retry_tokens < 1.0:
+        if self.needs_retry_token(request) and self.retry_tokens < 1.0:
             return False
         until_us = self.resend_until_us(request)
         return until_us == 0 or self.now_us < until_us
@@ -690,7 +690,7 @@
             return 0
         return first.sent_us + (kind.memory_us if kind.effect == "deduplicated" else 0)
 
-    def retry_costs(self, request: Request) -> bool:
+    def needs_retry_token(self, request: Request) -> bool:
         """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
         return bool(request.attempts) and request.attempts[-1].outcome not in UNCHARGED_OUTCOMES
 
@@ -719,7 +719,7 @@
         server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us)
         server.used_slots += 1
         self.needs_refresh[server] = None
-        self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
+        self.retry_tokens -= 1.0 if self.needs_retry_token(request) else 0.0
         self.traffic.count(self.now_us)
         self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
