--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -566,7 +566,7 @@
         if not request.attempts:
             return self.pick_from_subset()
         tried = {attempt.server: None for attempt in request.attempts if attempt.server.order_index >= 0}
-        if self.is_bound(request):
+        if self.is_bound_to_group(request):
             return self.pick_in_group(request, tried)
         for server in tried:
             self.draw_weights.put(server.order_index, 0.0, 0.0)
@@ -694,7 +694,7 @@
         """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
         return bool(request.attempts) and request.attempts[-1].outcome not in UNCHARGED_OUTCOMES
 
-    def is_bound(self, request: Request) -> bool:
+    def is_bound_to_group(self, request: Request) -> bool:
         """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
         get the next one."""
         kind = self.class_of(request)
