--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -605,7 +605,7 @@
         """Refreshes the draw weights of upstreams that changed, and of those that change with time alone."""
         now_us = self.now_us
         if 0 < self.reorder_at_us <= now_us:
-            self.rank()
+            self.reorder()
         opening = self.refresh_times
         while opening and opening[0][0] <= now_us:
             server = heapq.heappop(opening)[2]
@@ -837,7 +837,7 @@
             server.entry = entry
             self.upstreams[entry.id] = server
         self.has_discovery_list = self.has_discovery_list or event.kind is not api.ListKind.CACHED
-        self.rank()
+        self.reorder()
         for server in new:
             # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
             # come as one burst.
@@ -847,7 +847,7 @@
                 server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us, share)
         self.apply_lessons()
 
-    def rank(self) -> None:
+    def reorder(self) -> None:
         """Subsetting: orders the ready upstreams by id, rotated to this sidecar's starting point, so that every
         upstream is near the front for as many sidecars. In a large fleet, the cold upstreams that this sidecar warms
         up come first. Draining and gone ones are left out (rule 3)."""
@@ -906,7 +906,7 @@
             tenant = request.event.tenant
             request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
-        self.rank()
+        self.reorder()
 
     def recall(self, now_us: int, lessons: api.Lessons) -> None:
         """Takes over what was learned in an earlier run or by other sidecars, where nothing has been observed here
