--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -859,7 +859,7 @@
             server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
         self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.draw_order:
-            self.window.slots = self.usual_slots(len(ready))
+            self.window.slots = self.initial_slots(len(ready))
         able, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
         if self.in_large_fleet and self.ready_capacity < able:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
@@ -887,7 +887,7 @@
         self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset_slots = self.min_subset_slots = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
-    def usual_slots(self, ready: int) -> float:
+    def initial_slots(self, ready: int) -> float:
         """The sidecar's window before anything is learned."""
         return max(MIN_WINDOW_SLOTS, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
 
@@ -965,7 +965,7 @@
             # From the usual window to twice that: a smaller one would be a self-fulfilling prophecy, a larger one
             # would allow a burst.
             share = trust.share(self.now_us - lessons.confirmed_us, trust.SIDECAR_HALVES_US)
-            usual = self.usual_slots(count)
+            usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
     def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -331,7 +331,7 @@
     newcomer = Balancer(world.settings, 8, world.now_us)
     newcomer.recall(world.now_us, lessons)
     newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.known.values())))
-    assert newcomer.window.slots >= newcomer.usual_slots(60) == 12.0
+    assert newcomer.window.slots >= newcomer.initial_slots(60) == 12.0
 
 
 def test_a_call_that_failed_is_made_again_in_a_turn_and_not_at_once() -> None:
