--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -942,7 +942,7 @@
             here = sum(ident in known and known[ident].started_us == server.entry.started_us
                        for ident, server in self.upstreams.items())
             if self.has_discovery_list and 2 * here >= len(lessons.upstreams):
-                self.recall_times(lessons, count)
+                self.recall_fleet_values(lessons, count)
             shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
                        for server in self.draw_order)
             for server, (lesson, faded) in told.items():
@@ -951,7 +951,7 @@
         if self.has_discovery_list:
             self.lessons = []
 
-    def recall_times(self, lessons: api.Lessons, count: int) -> None:
+    def recall_fleet_values(self, lessons: api.Lessons, count: int) -> None:
         """Takes over the class latencies and the sidecar's window. The caller checks that the fleet is still mostly
         the same: for a replaced one they are wrong."""
         for kind, latency in zip(self.settings.classes, self.latency, strict=True):
