--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -947,7 +947,7 @@
                        for server in self.draw_order)
             for server, (lesson, faded) in told.items():
                 if 2 * shut <= count or not trust.is_shut(faded):
-                    self.believe(server, lesson, faded)
+                    self.apply_upstream_lesson(server, lesson, faded)
         if self.has_discovery_list:
             self.lessons = []
 
@@ -968,7 +968,7 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
