--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -430,7 +430,7 @@
         if outcome not in UNINFORMATIVE_OUTCOMES:
             server.last_observed_us = self.last_observed_us = self.now_us
             if server.lesson is not None:
-                self.test(server, outcome, elapsed_us)
+                self.confirm_lesson(server, outcome, elapsed_us)
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
@@ -983,7 +983,7 @@
             gap_us = self.cold_send_gap_us(server, min(latency.conservative_us() for latency in self.latency))
             server.next_cold_send_us = max(server.next_cold_send_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
-    def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
+    def confirm_lesson(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
         its window: to at least one slot, and as far as the knowledge says. Any other outcome leaves what was told as
         it is."""
