--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -259,7 +259,7 @@
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
         # given up waiting: the first calls are spread.
         turn_us = self.list_call_spread_us()
-        self.ask_list_at(now_us + (self.random.randrange(turn_us) if turn_us else 0))
+        self.schedule_list_call(now_us + (self.random.randrange(turn_us) if turn_us else 0))
 
     @property
     def in_large_fleet(self) -> bool:
@@ -815,7 +815,7 @@
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
             least = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
             self.list_failures += 1
-            self.ask_list_at(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
+            self.schedule_list_call(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
             return
         if event.kind is not api.ListKind.CACHED:
             self.list_failures = self.next_list_call_us = 0
@@ -998,7 +998,7 @@
             # good.
             server.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
 
-    def ask_list_at(self, at_us: int) -> None:
+    def schedule_list_call(self, at_us: int) -> None:
         """Schedules a call for the list, if lists are asked for or watched at all."""
         if self.settings.list_on_request or self.settings.list_by_watch:
             self.next_list_call_us = at_us
@@ -1033,7 +1033,7 @@
             if what == "list" and 0 < self.next_list_call_us <= self.now_us:
                 # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
-                self.ask_list_at(self.now_us + self.max_list_call_gap_us())
+                self.schedule_list_call(self.now_us + self.max_list_call_gap_us())
             elif what == "late" and ident in self.requests:
                 self.on_late(self.requests[ident])
             elif what == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
