--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -366,7 +366,7 @@
             if holder is not None:
                 self.refuse_or_fail(holder, "displaced")
             until_us = self.now_us + self.half_aim_us(request.event.class_index)
-            self.wake(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
+            self.schedule(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
         else:
             spent = request.attempts and not self.may_send(request)
             self.refuse_or_fail(request, "too late" if not in_time else "tries spent" if spent else "full")
@@ -733,7 +733,7 @@
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
         self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
-        self.wake(self.now_us + slow_us, "late", request.event.request)
+        self.schedule(self.now_us + slow_us, "late", request.event.request)
         return True
 
     def on_late(self, request: Request) -> None:
@@ -764,7 +764,7 @@
                 server.used_slots -= 1
                 self.needs_refresh[server] = None
             elif attempt.holds_slot:
-                self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
+                self.schedule(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
         calm = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
@@ -1002,9 +1002,9 @@
         """Schedules a call for the list, if lists are asked for or watched at all."""
         if self.settings.list_on_request or self.settings.list_by_watch:
             self.next_list_call_us = at_us
-            self.wake(at_us, "list", 0)
+            self.schedule(at_us, "list", 0)
 
-    def wake(self, at_us: int, what: str, ident: int) -> None:
+    def schedule(self, at_us: int, what: str, ident: int) -> None:
         """Schedules a wakeup, at the next microsecond if the time has passed."""
         heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), what, ident))
 
