--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -307,7 +307,7 @@
             self.on_settings(event.settings)
         if self.buffer is not None and self.try_send(self.buffer):
             self.buffer = None
-        self.arm()
+        self.arm_timer()
         actions, self.actions = self.actions, []
         return actions
 
@@ -1008,7 +1008,7 @@
         """Schedules a wakeup, at the next microsecond if the time has passed."""
         heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), what, ident))
 
-    def arm(self) -> None:
+    def arm_timer(self) -> None:
         """Asks for a timer at the next wakeup or, while a request waits, when a slot opens; unless an earlier one is
         pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
