--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -291,7 +291,7 @@
             # a stale timer that armed another would keep timers going for ever
             if self.armed_timer_us <= now_us:
                 self.armed_timer_us = 0
-            self.run_due()
+            self.run_due_wakeups()
         elif isinstance(event, api.RequestGone) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted) and event.request in self.requests:
@@ -1026,7 +1026,7 @@
             self.armed_timer_us = at_us
             self.actions.append(api.SetTimer(self.armed_timer_us, 0))
 
-    def run_due(self) -> None:
+    def run_due_wakeups(self) -> None:
         """Carries out the wakeups whose time has come."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
             _, what, ident = heapq.heappop(self.wakeups)
