--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -99,12 +99,12 @@
         """The number of slots usable now, whether taken or free."""
         return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
-    def adjust(self, step: float, minimum: float, most: float) -> None:
+    def adjust(self, step: float, minimum: float, maximum: float) -> None:
         """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
         outside these bounds is not forced back into them."""
         slots = self.slots + step * min(1.0, self.slots)
-        most, minimum = max(most, self.slots), max(MIN_WINDOW_SLOTS, min(minimum, self.slots))
-        self.slots = min(max(slots, minimum), most)
+        maximum, minimum = max(maximum, self.slots), max(MIN_WINDOW_SLOTS, min(minimum, self.slots))
+        self.slots = min(max(slots, minimum), maximum)
 
     def pause(self, now_us: int, busy_us: float) -> None:
         """Below one slot, pauses for so long that the slot is busy for the share `slots` of the time."""
