--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -258,8 +258,8 @@
         self.has_discovery_list = False  # whether a list has come from discovery, not only a cached one
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
         # given up waiting: the first calls are spread.
-        turn_us = self.list_call_spread_us()
-        self.schedule_list_call(now_us + (self.random.randrange(turn_us) if turn_us else 0))
+        spread_us = self.list_call_spread_us()
+        self.schedule_list_call(now_us + (self.random.randrange(spread_us) if spread_us else 0))
 
     @property
     def in_large_fleet(self) -> bool:
