--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -344,12 +344,12 @@
 
     def log_window(self, window: Window) -> None:
         """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
-        resting = window.slots < (1.0 if window.logged_as_backed_off else 0.25)
+        backed_off = window.slots < (1.0 if window.logged_as_backed_off else 0.25)
         # otherwise logged later, if it lasts
-        if resting != window.logged_as_backed_off and self.now_us >= self.next_log_us:
+        if backed_off != window.logged_as_backed_off and self.now_us >= self.next_log_us:
             self.next_log_us = self.now_us + MIN_LOG_INTERVAL_US
-            window.logged_as_backed_off = resting
-            self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
+            window.logged_as_backed_off = backed_off
+            self.actions.append(api.Log(f"{window.name} {'rests' if backed_off else 'is back'}"))
 
     def dispatch(self, request: Request) -> None:
         """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
