--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -354,17 +354,17 @@
     def dispatch(self, request: Request) -> None:
         """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
         value displaces the one in the buffer."""
-        holder = self.buffer
+        buffered = self.buffer
         in_time = self.now_us < self.latest_start_us(request)
         if in_time and self.try_send(request):
             return
-        wanted = holder is None or self.slot_value(request) > self.slot_value(holder)
+        wanted = buffered is None or self.slot_value(request) > self.slot_value(buffered)
         if in_time and wanted and self.may_send(request):
             # Without displacement, a shortage would let many cheap requests keep the valuable ones out of every
             # slot.
             self.buffer = request
-            if holder is not None:
-                self.refuse_or_fail(holder, "displaced")
+            if buffered is not None:
+                self.refuse_or_fail(buffered, "displaced")
             until_us = self.now_us + self.half_aim_us(request.event.class_index)
             self.schedule(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
         else:
