--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -401,9 +401,9 @@
     def refuse_or_fail(self, request: Request, reason: str) -> None:
         """The only place where the balancer answers a request itself (rules 1 and 2): with a refusal if surely
         nothing ran or a repeat is harmless, else with a failure."""
-        request_id, kind = request.event.request, self.class_of(request)
-        harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                    or (kind.effect == "deduplicated" and kind.group == "all"))
+        request_id, request_class = request.event.request, self.class_of(request)
+        harmless = (request_class.effect == "idempotent" or request.first_that_may_have_run() is None
+                    or (request_class.effect == "deduplicated" and request_class.group == "all"))
         self.close(request)
         self.actions.append(api.Refuse(request_id, self.retry_after_us(request), reason) if harmless
                             else api.Fail(request_id))
