--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -435,8 +435,8 @@
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
             if self.zone_faults.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
-                alike = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
-                self.needs_refresh.update(dict.fromkeys(alike))
+                same_zone = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
+                self.needs_refresh.update(dict.fromkeys(same_zone))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
             server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
