--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -455,8 +455,8 @@
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            way = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
-            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - way))
+            network_latency = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
+            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - network_latency))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
