--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -459,8 +459,8 @@
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - network_latency))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
-            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
-            server.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), most)
+            max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
+            server.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), max_slots)
             full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.in_large_fleet:
