--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -461,14 +461,14 @@
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
             server.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), max_slots)
-            full = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
+            target = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.in_large_fleet:
-                full = 1.0
-            step = (attempt.slowness or full) - slowness
+                target = 1.0
+            step = (attempt.slowness or target) - slowness
             # an upstream with idle cores does not queue: the request itself is long
             if server.utilization < IDLE_UTILIZATION:
-                step = max(step, full)
+                step = max(step, target)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
             need = self.needed_slots()
