--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -471,11 +471,11 @@
                 step = max(step, target)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
-            need = self.needed_slots()
+            needed = self.needed_slots()
             if self.in_large_fleet and step < 0.0 and not attempt.paced:
-                self.window.slots = min(self.window.slots, max(self.min_window_slots, need))
-            if not attempt.paced and (step > 0.0 or self.window.slots <= need):
-                self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, need)
+                self.window.slots = min(self.window.slots, max(self.min_window_slots, needed))
+            if not attempt.paced and (step > 0.0 or self.window.slots <= needed):
+                self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, needed)
             attempt.slowness = slowness
             for shared in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
                 shared.add(slowness)
