--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -477,8 +477,8 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= needed):
                 self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, needed)
             attempt.slowness = slowness
-            for shared in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
-                shared.add(slowness)
+            for average in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
+                average.add(slowness)
         # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
         # pauses would leave an overloaded upstream crowded.
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
