--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -560,9 +560,9 @@
             # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
             # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
             # time never do.
-            early = self.pick_cold(request)
-            if early is not None:
-                return early
+            cold = self.pick_cold(request)
+            if cold is not None:
+                return cold
         if not request.attempts:
             return self.pick_from_subset()
         tried = {attempt.server: None for attempt in request.attempts if attempt.server.order_index >= 0}
