--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -583,8 +583,8 @@
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
         tried = [attempt.server for attempt in request.attempts]
-        early = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
-        free = [(server, weight) for server, weight in zip(self.draw_order, early, strict=False)
+        cold_weights = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
+        free = [(server, weight) for server, weight in zip(self.draw_order, cold_weights, strict=False)
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
