--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -591,12 +591,12 @@
     def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
         """Weighted random choice for a request that may only go to upstreams of one group."""
         free, weights, room, leaves = [], [], 0.0, self.draw_weights.leaves
-        for place, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
-            server = self.draw_order[place]
+        for index, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
+            server = self.draw_order[index]
             if weight > 0.0 and server not in tried and self.in_group(request, server):
                 free.append(server)
                 weights.append(weight)
-                room += self.draw_weights.rooms[leaves + place]
+                room += self.draw_weights.rooms[leaves + index]
                 if room >= self.subset_slots:
                     break
         return self.random.choices(free, weights)[0] if free else None
