--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -612,8 +612,8 @@
             server.queued_refresh_us = 0
             self.needs_refresh[server] = None
         self.needs_refresh.update(self.warming_up)
-        changed, self.needs_refresh = self.needs_refresh, {}
-        for server in changed:
+        pending, self.needs_refresh = self.needs_refresh, {}
+        for server in pending:
             if server.order_index >= 0:
                 self.refresh_weight(server)
 
