--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -606,9 +606,9 @@
         now_us = self.now_us
         if 0 < self.reorder_at_us <= now_us:
             self.reorder()
-        opening = self.refresh_times
-        while opening and opening[0][0] <= now_us:
-            server = heapq.heappop(opening)[2]
+        queue = self.refresh_times
+        while queue and queue[0][0] <= now_us:
+            server = heapq.heappop(queue)[2]
             server.queued_refresh_us = 0
             self.needs_refresh[server] = None
         self.needs_refresh.update(self.warming_up)
