--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -625,10 +625,10 @@
         is_idle_and_local = server.entry.zone == self.preferred_zone and server.used_slots == 0
         kind, zone = self.kind_slowness.get(server.entry.kind), self.zone_faults.get(server.entry.zone)
         own_fault_rate = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
-        shared = zone.share(self.now_us) if zone is not None else 0.0
-        favour = ((1.0 - own_fault_rate) * (1.0 - shared)) ** 3
+        zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
+        favour = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
         favour *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(MIN_PREFERENCE, favour) * (1.0 if is_idle_and_local and max(own_fault_rate, shared) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
+        return max(MIN_PREFERENCE, favour) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
     def refresh_weight(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
