--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -626,9 +626,9 @@
         kind, zone = self.kind_slowness.get(server.entry.kind), self.zone_faults.get(server.entry.zone)
         own_fault_rate = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
         zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
-        favour = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
-        favour *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(MIN_PREFERENCE, favour) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
+        preference = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
+        preference *= kind.favour(self.slowness) if kind is not None else 1.0
+        return max(MIN_PREFERENCE, preference) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
     def refresh_weight(self, server: Server) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
