--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -650,17 +650,17 @@
             self.warming_up[server] = None
         else:
             self.warming_up.pop(server, None)
-        again_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
+        refresh_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
-        if server.preference < NON_LOCAL_WEIGHT / 2 and not again_us:
-            again_us = now_us + FAULT_HALVES_US // 8
+        if server.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
+            refresh_us = now_us + FAULT_HALVES_US // 8
         if is_cold and server.next_cold_send_us > now_us:
             cold_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
-            again_us = min(again_us, cold_us) if again_us else cold_us
-        if again_us and not now_us < server.queued_refresh_us <= again_us:
-            server.queued_refresh_us = again_us
-            heapq.heappush(self.refresh_times, (again_us, server.order_index, server))
+            refresh_us = min(refresh_us, cold_us) if refresh_us else cold_us
+        if refresh_us and not now_us < server.queued_refresh_us <= refresh_us:
+            server.queued_refresh_us = refresh_us
+            heapq.heappush(self.refresh_times, (refresh_us, server.order_index, server))
         shut_us = server.opens_us()
         if shut_us != server.queued_opens_us:
             server.queued_opens_us = shut_us
