--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -656,8 +656,8 @@
         if server.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
             refresh_us = now_us + FAULT_HALVES_US // 8
         if is_cold and server.next_cold_send_us > now_us:
-            cold_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
-            refresh_us = min(refresh_us, cold_us) if refresh_us else cold_us
+            cold_refresh_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
+            refresh_us = min(refresh_us, cold_refresh_us) if refresh_us else cold_refresh_us
         if refresh_us and not now_us < server.queued_refresh_us <= refresh_us:
             server.queued_refresh_us = refresh_us
             heapq.heappush(self.refresh_times, (refresh_us, server.order_index, server))
