--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -661,13 +661,13 @@
         if refresh_us and not now_us < server.queued_refresh_us <= refresh_us:
             server.queued_refresh_us = refresh_us
             heapq.heappush(self.refresh_times, (refresh_us, server.order_index, server))
-        shut_us = server.opens_us()
-        if shut_us != server.queued_opens_us:
-            server.queued_opens_us = shut_us
+        opens_us = server.opens_us()
+        if opens_us != server.queued_opens_us:
+            server.queued_opens_us = opens_us
             while self.opening_times and self.opening_times[0][0] <= now_us:
                 heapq.heappop(self.opening_times)
-            if shut_us > now_us:
-                heapq.heappush(self.opening_times, (shut_us, server.order_index, server))
+            if opens_us > now_us:
+                heapq.heappush(self.opening_times, (opens_us, server.order_index, server))
 
     def may_send(self, request: Request) -> bool:
         """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
