--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -767,8 +767,8 @@
                 self.schedule(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
-        calm = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
-        useful = self.buffer is None and not self.slowness.exceeds(calm)
+        max_slowness = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
+        useful = self.buffer is None and not self.slowness.exceeds(max_slowness)
         if request.outstanding == 1 and useful and self.settings.second_copies:
             self.try_send(request)
 
