--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -768,8 +768,8 @@
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
         # copies of many sidecars come together.
         max_slowness = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
-        useful = self.buffer is None and not self.slowness.exceeds(max_slowness)
-        if request.outstanding == 1 and useful and self.settings.second_copies:
+        may_hedge = self.buffer is None and not self.slowness.exceeds(max_slowness)
+        if request.outstanding == 1 and may_hedge and self.settings.second_copies:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
