--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -754,10 +754,10 @@
             # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
             # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
             # requests fill up an upstream unnoticed.
-            overtaken = server.latest_answered_sent_us > attempt.sent_us
+            later_answered = server.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
-            if attempt.holds_slot and late_us >= patience_us << (0 if overtaken else min(server.patience_doublings, 20)):
-                if not overtaken:
+            if attempt.holds_slot and late_us >= patience_us << (0 if later_answered else min(server.patience_doublings, 20)):
+                if not later_answered:
                     server.patience_doublings += 1
                     self.adjust_windows(attempt, late_us, request.event.class_index)
                 attempt.holds_slot = False
