--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -813,9 +813,9 @@
             backoff_us = min(first_us << min(self.list_failures, 20), self.max_list_call_gap_us())
             # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
             # the watches of a large fleet fall silent together: the first call is spread from zero on.
-            least = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
+            min_jitter = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
             self.list_failures += 1
-            self.schedule_list_call(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
+            self.schedule_list_call(self.now_us + int(backoff_us * (min_jitter + self.random.random() / 2)))
             return
         if event.kind is not api.ListKind.CACHED:
             self.list_failures = self.next_list_call_us = 0
