--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -860,11 +860,11 @@
         self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.draw_order:
             self.window.slots = self.initial_slots(len(ready))
-        able, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
-        if self.in_large_fleet and self.ready_capacity < able:
+        former_capacity, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
+        if self.in_large_fleet and self.ready_capacity < former_capacity:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
-            kept = min(self.window.slots, self.needed_slots()) * self.ready_capacity / able
+            kept = min(self.window.slots, self.needed_slots()) * self.ready_capacity / former_capacity
             # also if no upstream is left
             self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
