--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -870,16 +870,16 @@
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.draw_order:
             server.order_index = -1
-        early: dict[Server, None] = {}
+        cold_first: dict[Server, None] = {}
         if self.in_large_fleet:
             for server in ready:
                 server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
                 if not server.sends_while_cold and self.warmth(server) < 1.0:
                     server.next_cold_send_us = self.warm_at_us(server)
-            early = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
-        self.cold_first_count = len(early)
-        self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
-        self.draw_order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
+            cold_first = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
+        self.cold_first_count = len(cold_first)
+        self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in cold_first), default=0)
+        self.draw_order = [*cold_first, *(server for server in ready[start:] + ready[:start] if server not in cold_first)]
         self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for place, server in enumerate(self.draw_order):
