--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -882,8 +882,8 @@
         self.draw_order = [*cold_first, *(server for server in ready[start:] + ready[:start] if server not in cold_first)]
         self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
-        for place, server in enumerate(self.draw_order):
-            server.order_index, server.queued_refresh_us, server.queued_opens_us = place, 0, 0
+        for index, server in enumerate(self.draw_order):
+            server.order_index, server.queued_refresh_us, server.queued_opens_us = index, 0, 0
         self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset_slots = self.min_subset_slots = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
