--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -895,16 +895,16 @@
         """Takes over new settings between two events. What has been learned and outstanding attempts are kept."""
         old, self.settings = self.settings, settings
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
-        places = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        moved = [places.get(tenant.name, len(places)) for tenant in old.tenants]
+        new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        moved = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
         seen, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
         for index, place in enumerate(moved):
-            if place < len(places):
+            if place < len(new_indexes):
                 kept[place] = seen[index]
         self.tenant_arrivals = kept
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
-            request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
+            request.event.tenant = moved[tenant] if tenant < len(moved) else len(new_indexes)
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.reorder()
 
