--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -896,15 +896,15 @@
         old, self.settings = self.settings, settings
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        moved = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
+        moved_to = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
         seen, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
-        for index, place in enumerate(moved):
+        for index, place in enumerate(moved_to):
             if place < len(new_indexes):
                 kept[place] = seen[index]
         self.tenant_arrivals = kept
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
-            request.event.tenant = moved[tenant] if tenant < len(moved) else len(new_indexes)
+            request.event.tenant = moved_to[tenant] if tenant < len(moved_to) else len(new_indexes)
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.reorder()
 
