--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -897,10 +897,10 @@
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         moved_to = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
-        seen, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
+        old_arrivals, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
         for index, place in enumerate(moved_to):
             if place < len(new_indexes):
-                kept[place] = seen[index]
+                kept[place] = old_arrivals[index]
         self.tenant_arrivals = kept
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
