--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -897,11 +897,11 @@
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         moved_to = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
-        old_arrivals, kept = self.tenant_arrivals, [0.0 for _ in settings.tenants]
+        old_arrivals, new_arrivals = self.tenant_arrivals, [0.0 for _ in settings.tenants]
         for index, place in enumerate(moved_to):
             if place < len(new_indexes):
-                kept[place] = old_arrivals[index]
-        self.tenant_arrivals = kept
+                new_arrivals[place] = old_arrivals[index]
+        self.tenant_arrivals = new_arrivals
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
             request.event.tenant = moved_to[tenant] if tenant < len(moved_to) else len(new_indexes)
