--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -898,9 +898,9 @@
         new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         moved_to = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
         old_arrivals, new_arrivals = self.tenant_arrivals, [0.0 for _ in settings.tenants]
-        for index, place in enumerate(moved_to):
-            if place < len(new_indexes):
-                new_arrivals[place] = old_arrivals[index]
+        for index, new_index in enumerate(moved_to):
+            if new_index < len(new_indexes):
+                new_arrivals[new_index] = old_arrivals[index]
         self.tenant_arrivals = new_arrivals
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
