--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -914,9 +914,9 @@
         are tested before more than a preference rests on it."""
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_arrivals) < trust.TENANT_WEIGHT:
-            told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
+            told_shares, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
             share = trust.TENANT_WEIGHT * trust.share(age_us, trust.LATENCY_HALVES_US)
-            self.tenant_arrivals = [seen + share * min(1.0, told.get(tenant.name, 0.0))
+            self.tenant_arrivals = [seen + share * min(1.0, told_shares.get(tenant.name, 0.0))
                                 for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
         self.lessons.append(lessons)
         self.apply_lessons()
