--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -939,9 +939,9 @@
                         if lessons.zone != self.settings.zone:
                             found = replace(found, least_us=0)
                         told[server] = found, faded
-            here = sum(ident in known and known[ident].started_us == server.entry.started_us
+            still_running = sum(ident in known and known[ident].started_us == server.entry.started_us
                        for ident, server in self.upstreams.items())
-            if self.has_discovery_list and 2 * here >= len(lessons.upstreams):
+            if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
             shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
                        for server in self.draw_order)
