--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -943,10 +943,10 @@
                        for ident, server in self.upstreams.items())
             if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
-            shut = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
+            distrusted = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
                        for server in self.draw_order)
             for server, (lesson, faded) in told.items():
-                if 2 * shut <= count or not trust.is_shut(faded):
+                if 2 * distrusted <= count or not trust.is_shut(faded):
                     self.apply_upstream_lesson(server, lesson, faded)
         if self.has_discovery_list:
             self.lessons = []
