--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -968,13 +968,13 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def apply_upstream_lesson(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, server: Server, unfaded: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
         same after fading with age."""
         # passed on unfaded, so that it fades only once
-        server.lesson, server.last_observed_us = whole, whole.confirmed_us
+        server.lesson, server.last_observed_us = unfaded, unfaded.confirmed_us
         self.needs_refresh[server] = None
         server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
         server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
