--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -968,7 +968,7 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def apply_upstream_lesson(self, server: Server, unfaded: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, server: Server, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
@@ -976,12 +976,12 @@
         # passed on unfaded, so that it fades only once
         server.lesson, server.last_observed_us = unfaded, unfaded.confirmed_us
         self.needs_refresh[server] = None
-        server.window.slots = min(1.0, max(trust.LEAST_SLOTS, lesson.slots))
-        server.failing, server.patience_doublings = lesson.failing, min(lesson.mute, trust.MOST_MUTE)
+        server.window.slots = min(1.0, max(trust.LEAST_SLOTS, faded.slots))
+        server.failing, server.patience_doublings = faded.failing, min(faded.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
-        if lesson.first_hand:
+        if faded.first_hand:
             gap_us = self.cold_send_gap_us(server, min(latency.conservative_us() for latency in self.latency))
-            server.next_cold_send_us = max(server.next_cold_send_us, min(lesson.next_cold_us, self.now_us + gap_us))
+            server.next_cold_send_us = max(server.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us))
 
     def confirm_lesson(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
