--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1004,9 +1004,9 @@
             self.next_list_call_us = at_us
             self.schedule(at_us, "list", 0)
 
-    def schedule(self, at_us: int, purpose: str, ident: int) -> None:
+    def schedule(self, at_us: int, purpose: str, request_id: int) -> None:
         """Schedules a wakeup, at the next microsecond if the time has passed."""
-        heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), purpose, ident))
+        heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), purpose, request_id))
 
     def arm_timer(self) -> None:
         """Asks for a timer at the next wakeup or, while a request waits, when a slot opens; unless an earlier one is
