--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1029,12 +1029,12 @@
     def run_due_wakeups(self) -> None:
         """Carries out the wakeups whose time has come."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
-            _, purpose, ident = heapq.heappop(self.wakeups)
+            _, purpose, request_id = heapq.heappop(self.wakeups)
             if purpose == "list" and 0 < self.next_list_call_us <= self.now_us:
                 # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
                 self.schedule_list_call(self.now_us + self.max_list_call_gap_us())
-            elif purpose == "late" and ident in self.requests:
-                self.on_late(self.requests[ident])
-            elif purpose == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
+            elif purpose == "late" and request_id in self.requests:
+                self.on_late(self.requests[request_id])
+            elif purpose == "buffer" and self.buffer is not None and self.buffer.event.request == request_id:
                 self.refuse_or_fail(self.buffer, "waited")
