--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1020,8 +1020,8 @@
                                      and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
                 heapq.heappop(self.opening_times)  # past, or replaced by another time
             opens += [self.opening_times[0][0]] if self.opening_times else []
-            later = [opens_us for opens_us in opens if opens_us > self.now_us]
-            at_us = min([at_us, *later] if at_us else later, default=0)
+            later_us = [opens_us for opens_us in opens if opens_us > self.now_us]
+            at_us = min([at_us, *later_us] if at_us else later_us, default=0)
         if at_us and (self.armed_timer_us == 0 or at_us < self.armed_timer_us):
             self.armed_timer_us = at_us
             self.actions.append(api.SetTimer(self.armed_timer_us, 0))
