--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -547,8 +547,8 @@
         server.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
         # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
         # that.
-        growth = (1.0 - s.cold_share) / s.warm_up_us
-        return int((math.sqrt(warmth**2 + 2.0 * growth * share * work_us / part) - warmth) / growth)
+        capacity_growth = (1.0 - s.cold_share) / s.warm_up_us
+        return int((math.sqrt(warmth**2 + 2.0 * capacity_growth * share * work_us / part) - warmth) / capacity_growth)
 
     def draw(self, request: Request) -> Server | None:
         """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
