--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -685,10 +685,10 @@
     def resend_until_us(self, request: Request) -> int:
         """Rule 2: the time from which on nothing of the request may be sent, as upstreams have forgotten the key by
         then (for at_most_once the time of the first send); 0 = no limit."""
-        first, kind = request.first_that_may_have_run(), self.class_of(request)
-        if first is None or kind.effect == "idempotent":
+        first, request_class = request.first_that_may_have_run(), self.class_of(request)
+        if first is None or request_class.effect == "idempotent":
             return 0
-        return first.sent_us + (kind.memory_us if kind.effect == "deduplicated" else 0)
+        return first.sent_us + (request_class.memory_us if request_class.effect == "deduplicated" else 0)
 
     def needs_retry_token(self, request: Request) -> bool:
         """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
