--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -697,8 +697,8 @@
     def is_bound_to_group(self, request: Request) -> bool:
         """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
         get the next one."""
-        kind = self.class_of(request)
-        return (kind.effect == "deduplicated" and kind.group != "all"
+        request_class = self.class_of(request)
+        return (request_class.effect == "deduplicated" and request_class.group != "all"
                 and request.first_that_may_have_run() is not None)
 
     def in_group(self, request: Request, server: Server) -> bool:
