--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -703,11 +703,11 @@
 
     def in_group(self, request: Request, server: Server) -> bool:
         """Whether the upstream drops repeats of what this request may already have run."""
-        first, kind = request.first_that_may_have_run(), self.class_of(request)
-        if first is None or kind.effect != "deduplicated" or kind.group == "all":
+        first, request_class = request.first_that_may_have_run(), self.class_of(request)
+        if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return True
         ours, theirs = first.server.entry, server.entry
-        return ours.zone == theirs.zone if kind.group == "zone" else ours.cell == theirs.cell
+        return ours.zone == theirs.zone if request_class.group == "zone" else ours.cell == theirs.cell
 
     def try_send(self, request: Request) -> bool:
         """The only place of sends: sends the request to an upstream that `draw` returns, if the rules allow it.
