--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1013,14 +1013,14 @@
         pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
-            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+            candidates_us = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
                      else self.window.paused_until_us]
             self.refresh_weights()
             while self.opening_times and not (self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
                                      and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
                 heapq.heappop(self.opening_times)  # past, or replaced by another time
-            opens += [self.opening_times[0][0]] if self.opening_times else []
-            later_us = [opens_us for opens_us in opens if opens_us > self.now_us]
+            candidates_us += [self.opening_times[0][0]] if self.opening_times else []
+            later_us = [opens_us for opens_us in candidates_us if opens_us > self.now_us]
             at_us = min([at_us, *later_us] if at_us else later_us, default=0)
         if at_us and (self.armed_timer_us == 0 or at_us < self.armed_timer_us):
             self.armed_timer_us = at_us
