--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -339,8 +339,8 @@
         return [weight / self.arrival_weight for weight in self.tenant_arrival_weights]
 
     @tenant_arrivals.setter
-    def tenant_arrivals(self, seen: list[float]) -> None:
-        self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = seen, sum(seen), 1.0
+    def tenant_arrivals(self, arrivals: list[float]) -> None:
+        self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = arrivals, sum(arrivals), 1.0
 
     def log_window(self, window: Window) -> None:
         """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
