--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -111,7 +111,7 @@
         self.paused_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
 
 
-class Server:
+class TrackedUpstream:
     """What this sidecar knows of one process behind an upstream."""
 
     def __init__(self, entry: api.Upstream) -> None:
@@ -149,7 +149,7 @@
 class Attempt:
     """One send of a request to an upstream."""
 
-    def __init__(self, server: Server, now_us: int, slow_us: int) -> None:
+    def __init__(self, server: TrackedUpstream, now_us: int, slow_us: int) -> None:
         self.server, self.sent_us, self.slow_after_us = server, now_us, slow_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
         self.holds_slot = True  # whether it still takes up a slot of its upstream
@@ -214,7 +214,7 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings, self.random, self.now_us = settings, random.Random(seed), now_us
         self.actions: list[api.Action] = []
-        self.upstreams: dict[int, Server] = {}  # by id: those on the list that are not gone
+        self.upstreams: dict[int, TrackedUpstream] = {}  # by id: those on the list that are not gone
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
         self.latency = [Latency(c.aim_us) for c in settings.classes]
@@ -223,7 +223,7 @@
         self.min_window_slots = 1.0
         self.outstanding = Mean(now_us)  # attempts that count against the sidecar's window
         # ready upstreams, rotated to this sidecar's own starting point
-        self.draw_order: list[Server] = []
+        self.draw_order: list[TrackedUpstream] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
         self.cold_first_count = 0
         self.ready_capacity = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
@@ -232,12 +232,12 @@
         # weights of the free upstreams in draw order, as of their last refresh
         self.draw_weights = Places(0)
         # upstreams whose weight is refreshed before the next draw
-        self.needs_refresh: dict[Server, None] = {}
-        self.warming_up: dict[Server, None] = {}  # cold and free: their weight changes with time alone
+        self.needs_refresh: dict[TrackedUpstream, None] = {}
+        self.warming_up: dict[TrackedUpstream, None] = {}  # cold and free: their weight changes with time alone
         # heap: when to refresh an upstream's weight
-        self.refresh_times: list[tuple[int, int, Server]] = []
+        self.refresh_times: list[tuple[int, int, TrackedUpstream]] = []
         # heap: when a slot opens that only time keeps closed
-        self.opening_times: list[tuple[int, int, Server]] = []
+        self.opening_times: list[tuple[int, int, TrackedUpstream]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = Slowness()  # of the answers of all upstreams
         self.kind_slowness: dict[int, Slowness] = {}
@@ -507,7 +507,7 @@
         return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.in_large_fleet else
                    MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
-    def warmth(self, server: Server) -> float:
+    def warmth(self, server: TrackedUpstream) -> float:
         """Rule 4: the share of its capacity that an upstream surely has. In a small fleet it counts as warm (1.0) as
         soon as its overload limit is 1.5 times its warm capacity, since one slot from each sidecar can't reach that."""
         s, started_us = self.settings, server.entry.start_us
@@ -520,7 +520,7 @@
         # the pacing ends.
         return warmth if self.in_large_fleet or warmth * s.overload_factor < 1.5 else 1.0
 
-    def warm_at_us(self, server: Server) -> int:
+    def warm_at_us(self, server: TrackedUpstream) -> int:
         """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
         age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
@@ -528,7 +528,7 @@
             age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
         return server.entry.start_us + age_us
 
-    def cold_send_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
+    def cold_send_gap_us(self, server: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
         """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
         half of the overload multiple that it bears; in a large fleet, what it can serve. The work of a request is
         estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
@@ -550,7 +550,7 @@
         capacity_growth = (1.0 - s.cold_share) / s.warm_up_us
         return int((math.sqrt(warmth**2 + 2.0 * capacity_growth * share * work_us / part) - warmth) / capacity_growth)
 
-    def draw(self, request: Request) -> Server | None:
+    def draw(self, request: Request) -> TrackedUpstream | None:
         """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
         not tried yet; None if there is none."""
         self.refresh_weights()
@@ -573,12 +573,12 @@
         self.needs_refresh.update(tried)
         return self.pick_from_subset()
 
-    def pick_from_subset(self) -> Server | None:
+    def pick_from_subset(self) -> TrackedUpstream | None:
         """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
         weight = self.draw_weights.weight_of_first(self.subset_slots)
         return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
 
-    def pick_cold(self, request: Request) -> Server | None:
+    def pick_cold(self, request: Request) -> TrackedUpstream | None:
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
@@ -588,7 +588,7 @@
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
-    def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
+    def pick_in_group(self, request: Request, tried: dict[TrackedUpstream, None]) -> TrackedUpstream | None:
         """Weighted random choice for a request that may only go to upstreams of one group."""
         free, weights, room, leaves = [], [], 0.0, self.draw_weights.leaves
         for index, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
@@ -617,7 +617,7 @@
             if server.order_index >= 0:
                 self.refresh_weight(server)
 
-    def compute_preference(self, server: Server) -> float:
+    def compute_preference(self, server: TrackedUpstream) -> float:
         """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
         distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
@@ -630,7 +630,7 @@
         preference *= kind.favour(self.slowness) if kind is not None else 1.0
         return max(MIN_PREFERENCE, preference) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
-    def refresh_weight(self, server: Server) -> None:
+    def refresh_weight(self, server: TrackedUpstream) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
         now_us, window = self.now_us, server.window
         slots, weight, room, warmth = window.usable_slots(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
@@ -701,7 +701,7 @@
         return (request_class.effect == "deduplicated" and request_class.group != "all"
                 and request.first_that_may_have_run() is not None)
 
-    def in_group(self, request: Request, server: Server) -> bool:
+    def in_group(self, request: Request, server: TrackedUpstream) -> bool:
         """Whether the upstream drops repeats of what this request may already have run."""
         first, request_class = request.first_that_may_have_run(), self.class_of(request)
         if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
@@ -819,7 +819,7 @@
             return
         if event.kind is not api.ListKind.CACHED:
             self.list_failures = self.next_list_call_us = 0
-        old, new = self.upstreams, list[Server]()
+        old, new = self.upstreams, list[TrackedUpstream]()
         # Gone upstreams are dropped, otherwise they would pile up with each rolling deployment. Outstanding attempts
         # still refer to theirs.
         self.upstreams = dict(old) if event.kind is api.ListKind.DELTA else {}
@@ -832,7 +832,7 @@
                 # the zone's past tells little about a process that has just started
                 if entry.zone in self.zone_faults:
                     self.zone_faults[entry.zone].last /= 2
-                server = Server(entry)  # a new process: nothing is kept of the former one
+                server = TrackedUpstream(entry)  # a new process: nothing is kept of the former one
                 new.append(server)
             server.entry = entry
             self.upstreams[entry.id] = server
@@ -870,7 +870,7 @@
         start = len(ready) * (self.settings.self_index % count) // count
         for server in self.draw_order:
             server.order_index = -1
-        cold_first: dict[Server, None] = {}
+        cold_first: dict[TrackedUpstream, None] = {}
         if self.in_large_fleet:
             for server in ready:
                 server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
@@ -968,7 +968,7 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def apply_upstream_lesson(self, server: Server, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, server: TrackedUpstream, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
@@ -983,7 +983,7 @@
             gap_us = self.cold_send_gap_us(server, min(latency.conservative_us() for latency in self.latency))
             server.next_cold_send_us = max(server.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us))
 
-    def confirm_lesson(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
+    def confirm_lesson(self, server: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
         its window: to at least one slot, and as far as the knowledge says. Any other outcome leaves what was told as
         it is."""
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironscale.balance import Balancer, Server
+from ironscale.balance import Balancer, TrackedUpstream
 from ironscale.crowd import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
@@ -359,7 +359,7 @@
     assert all(sum(at <= wait < at + 250_000 for wait in waits) <= 36 for at in range(0, 2_500_000, 250_000))
 
 
-def zone_fails(world: World, zone: int, count: int) -> list[Server]:
+def zone_fails(world: World, zone: int, count: int) -> list[TrackedUpstream]:
     """So many attempts at upstreams of the zone fail, each at another one; those of it that were not tried."""
     inside = [server for server in world.balancer.draw_order if server.entry.zone == zone]
     for server in inside[:count]:
@@ -370,7 +370,7 @@
     return inside[count:]
 
 
-def weight(world: World, server: Server) -> float:
+def weight(world: World, server: TrackedUpstream) -> float:
     world.balancer.refresh_weights()
     return world.balancer.draw_weights.weights[world.balancer.draw_weights.leaves + server.order_index]
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ironscale import interface as api
-from ironscale.balance import TARGET_SLOWNESS, Balancer, Request, Server
+from ironscale.balance import TARGET_SLOWNESS, Balancer, Request, TrackedUpstream
 from ironscale.places import Places
 from ironscale.telling import learned
 
@@ -21,12 +21,12 @@
 class Scanning(Balancer):
     """The decisions as they were: every draw and every timer looks at all upstreams."""
 
-    def draw(self, request: Request) -> Server | None:
+    def draw(self, request: Request) -> TrackedUpstream | None:
         self.refresh_weights()  # what is thought of an upstream holds as last looked at
         tried = [attempt.server for attempt in request.attempts]
         if tried and not self.is_bound_to_group(request) and self.window_has_room():
             self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
-        free: list[Server] = []
+        free: list[TrackedUpstream] = []
         weights: list[float] = []
         room = 0.0
         if self.window_has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
