--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -18,7 +18,7 @@
 from tests.scale.test_path import scene_of
 from tests.sockets import run
 
-SHARE, MOST, KEPT = 0.2, 4, 5.0  # the budget of a sidecar: balance.RETRY_SHARE, the settings' tries, RETRIES_KEPT
+SHARE, MOST, KEPT = 0.2, 4, 5.0  # the budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, MAX_RETRY_TOKENS
 
 
 def brute(failing: float, hops: int, calls: int, random: Random) -> float:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -201,7 +201,7 @@
 
 
 def test_one_that_waits_for_the_mean_to_fall_is_sent_when_it_has(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ironscale.balance.GROWTH", 0.0)  # no answer opens a slot: time alone does
+    monkeypatch.setattr("ironscale.balance.WINDOW_STEP_GAIN", 0.0)  # no answer opens a slot: time alone does
     world = many(2.0)
     world.balancer.window.slots = 0.5
     world.advance(3 * SECOND_US)
