--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -150,7 +150,7 @@
     """One send of a request to an upstream."""
 
     def __init__(self, server: TrackedUpstream, now_us: int, slow_us: int) -> None:
-        self.server, self.sent_us, self.slow_after_us = server, now_us, slow_us
+        self.upstream, self.sent_us, self.slow_after_us = server, now_us, slow_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
         self.holds_slot = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
@@ -425,7 +425,7 @@
     def adjust_windows(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
-        server, outcome, latency = attempt.server, attempt.outcome, self.latency[class_index]
+        server, outcome, latency = attempt.upstream, attempt.outcome, self.latency[class_index]
         self.needs_refresh[server] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
             server.last_observed_us = self.last_observed_us = self.now_us
@@ -565,7 +565,7 @@
                 return cold
         if not request.attempts:
             return self.pick_from_subset()
-        tried = {attempt.server: None for attempt in request.attempts if attempt.server.order_index >= 0}
+        tried = {attempt.upstream: None for attempt in request.attempts if attempt.upstream.order_index >= 0}
         if self.is_bound_to_group(request):
             return self.pick_in_group(request, tried)
         for server in tried:
@@ -582,7 +582,7 @@
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
-        tried = [attempt.server for attempt in request.attempts]
+        tried = [attempt.upstream for attempt in request.attempts]
         cold_weights = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
         free = [(server, weight) for server, weight in zip(self.draw_order, cold_weights, strict=False)
                 if weight > 0.0 and server not in tried and self.in_group(request, server)]
@@ -706,7 +706,7 @@
         first, request_class = request.first_that_may_have_run(), self.class_of(request)
         if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return True
-        ours, theirs = first.server.entry, server.entry
+        ours, theirs = first.upstream.entry, server.entry
         return ours.zone == theirs.zone if request_class.group == "zone" else ours.cell == theirs.cell
 
     def try_send(self, request: Request) -> bool:
@@ -742,7 +742,7 @@
         copy is sent and the first attempt goes on. Not in a shortage: there the copies would take slots from
         requests that have none."""
         for attempt in request.attempts:
-            server, late_us = attempt.server, self.now_us - attempt.sent_us
+            server, late_us = attempt.upstream, self.now_us - attempt.sent_us
             if late_us < attempt.slow_after_us or attempt.outcome is not None:
                 continue
             if attempt.slowness == 0.0:
@@ -783,15 +783,15 @@
         attempt.outcome = event.outcome
         request.outstanding -= 1
         if self.utilization_index is not None and len(event.report) > self.utilization_index:
-            attempt.server.utilization = event.report[self.utilization_index]
+            attempt.upstream.utilization = event.report[self.utilization_index]
         if event.outcome is api.Outcome.OK:
-            attempt.server.patience_doublings = 1
-            attempt.server.latest_answered_sent_us = max(attempt.server.latest_answered_sent_us, attempt.sent_us)
+            attempt.upstream.patience_doublings = 1
+            attempt.upstream.latest_answered_sent_us = max(attempt.upstream.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
             self.outstanding.move(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
         if attempt.holds_slot:
-            attempt.server.used_slots -= 1
+            attempt.upstream.used_slots -= 1
             self.adjust_windows(attempt, event.elapsed_us, request.event.class_index)
         if attempt.holds_slot and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -365,7 +365,7 @@
     for server in inside[:count]:
         request = world.arrive(READ)
         attempt = world.balancer.requests[request].attempts[0]
-        attempt.server.used_slots, server.used_slots, attempt.server = attempt.server.used_slots - 1, server.used_slots + 1, server
+        attempt.upstream.used_slots, server.used_slots, attempt.upstream = attempt.upstream.used_slots - 1, server.used_slots + 1, server
         world.end(request, 0, Outcome.CONNECT_FAILED)
     return inside[count:]
 
@@ -400,7 +400,7 @@
         for _ in range(count):
             request = world.arrive(READ)
             attempt = world.balancer.requests[request].attempts[0]
-            attempt.server.used_slots, server.used_slots, attempt.server = attempt.server.used_slots - 1, server.used_slots + 1, server
+            attempt.upstream.used_slots, server.used_slots, attempt.upstream = attempt.upstream.used_slots - 1, server.used_slots + 1, server
             world.end(request, 0, Outcome.ERROR)
         left = world.balancer.compute_preference(server) / world.balancer.compute_preference(like)
         assert least < left < most, (count, left)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -23,7 +23,7 @@
 
     def draw(self, request: Request) -> TrackedUpstream | None:
         self.refresh_weights()  # what is thought of an upstream holds as last looked at
-        tried = [attempt.server for attempt in request.attempts]
+        tried = [attempt.upstream for attempt in request.attempts]
         if tried and not self.is_bound_to_group(request) and self.window_has_room():
             self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
         free: list[TrackedUpstream] = []
