--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -149,8 +149,8 @@
 class Attempt:
     """One send of a request to an upstream."""
 
-    def __init__(self, server: TrackedUpstream, now_us: int, slow_us: int) -> None:
-        self.upstream, self.sent_us, self.slow_after_us = server, now_us, slow_us
+    def __init__(self, upstream: TrackedUpstream, now_us: int, slow_us: int) -> None:
+        self.upstream, self.sent_us, self.slow_after_us = upstream, now_us, slow_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
         self.holds_slot = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
@@ -425,49 +425,49 @@
     def adjust_windows(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
         steered by its slowness; the sidecar's window sees more answers than any upstream's."""
-        server, outcome, latency = attempt.upstream, attempt.outcome, self.latency[class_index]
-        self.needs_refresh[server] = None
+        upstream, outcome, latency = attempt.upstream, attempt.outcome, self.latency[class_index]
+        self.needs_refresh[upstream] = None
         if outcome not in UNINFORMATIVE_OUTCOMES:
-            server.last_observed_us = self.last_observed_us = self.now_us
-            if server.lesson is not None:
-                self.confirm_lesson(server, outcome, elapsed_us)
+            upstream.last_observed_us = self.last_observed_us = self.now_us
+            if upstream.lesson is not None:
+                self.confirm_lesson(upstream, outcome, elapsed_us)
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
             is_fault = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
-            if self.zone_faults.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
-                same_zone = (other for other in self.draw_order if other.entry.zone == server.entry.zone)
+            if self.zone_faults.setdefault(upstream.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
+                same_zone = (other for other in self.draw_order if other.entry.zone == upstream.entry.zone)
                 self.needs_refresh.update(dict.fromkeys(same_zone))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
-            server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
+            upstream.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
         if outcome in FAST_FAILURES:
             # An upstream that fails at once is always idle and would draw ever more requests. A single failure
             # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
             # stays: an upstream may turn requests away although it has room, and how full the others are is told by
             # their own windows.
-            is_first, server.failing = not server.failing, True
-            server.window.adjust(-0.1 if is_first else -0.5, 0.0, 1.0)
+            is_first, upstream.failing = not upstream.failing, True
+            upstream.window.adjust(-0.1 if is_first else -0.5, 0.0, 1.0)
         elif outcome in (None, api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
             # however busy the upstreams are.
             if outcome is api.Outcome.OK:
-                server.failing, server.min_latency_us = False, min(server.min_latency_us or elapsed_us, elapsed_us)
+                upstream.failing, upstream.min_latency_us = False, min(upstream.min_latency_us or elapsed_us, elapsed_us)
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            network_latency = min(MAX_NETWORK_LATENCY, max(0.0, server.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
+            network_latency = min(MAX_NETWORK_LATENCY, max(0.0, upstream.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - network_latency))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
             max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
-            server.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), max_slots)
+            upstream.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), max_slots)
             target = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
             # the minimum of a mean of so few answers is far below the usual
             if self.in_large_fleet:
                 target = 1.0
             step = (attempt.slowness or target) - slowness
             # an upstream with idle cores does not queue: the request itself is long
-            if server.utilization < IDLE_UTILIZATION:
+            if upstream.utilization < IDLE_UTILIZATION:
                 step = max(step, target)
             # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
             # and a burst would find it closed.
@@ -477,12 +477,12 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= needed):
                 self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, needed)
             attempt.slowness = slowness
-            for average in (self.slowness, self.kind_slowness.setdefault(server.entry.kind, Slowness())):
+            for average in (self.slowness, self.kind_slowness.setdefault(upstream.entry.kind, Slowness())):
                 average.add(slowness)
         # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
         # pauses would leave an overloaded upstream crowded.
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
-        for window in (server.window, self.window):
+        for window in (upstream.window, self.window):
             window.pause(self.now_us, busy_us * (0.5 + self.random.random()))
             self.log_window(window)
 
@@ -507,10 +507,10 @@
         return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.in_large_fleet else
                    MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
-    def warmth(self, server: TrackedUpstream) -> float:
+    def warmth(self, upstream: TrackedUpstream) -> float:
         """Rule 4: the share of its capacity that an upstream surely has. In a small fleet it counts as warm (1.0) as
         soon as its overload limit is 1.5 times its warm capacity, since one slot from each sidecar can't reach that."""
-        s, started_us = self.settings, server.entry.start_us
+        s, started_us = self.settings, upstream.entry.start_us
         # by the upstream's own clock, it may have started after now
         age_us = max(0, self.now_us - started_us)
         if started_us == 0 or age_us >= s.warm_up_us:
@@ -520,21 +520,21 @@
         # the pacing ends.
         return warmth if self.in_large_fleet or warmth * s.overload_factor < 1.5 else 1.0
 
-    def warm_at_us(self, server: TrackedUpstream) -> int:
+    def warm_at_us(self, upstream: TrackedUpstream) -> int:
         """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
         age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
         if s.cold_share < 1.0 and reach < 1.0 and not self.in_large_fleet:
             age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
-        return server.entry.start_us + age_us
+        return upstream.entry.start_us + age_us
 
-    def cold_send_gap_us(self, server: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
+    def cold_send_gap_us(self, upstream: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
         """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
         half of the overload multiple that it bears; in a large fleet, what it can serve. The work of a request is
         estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
         tenants' allowed rate leaves for one request. `share` is the fraction of that time to wait, for the first
         send of all."""
-        s, warmth, traffic = self.settings, self.warmth(server), self.traffic
+        s, warmth, traffic = self.settings, self.warmth(upstream), self.traffic
         if warmth == 1.0:
             return 0
         # answer times are mostly network and queueing, also at other upstreams
@@ -544,7 +544,7 @@
         # a multiple it is paced to 1.5 times what it can do.
         part = (traffic.part_of_cold() if self.in_large_fleet else
                 traffic.part() * max(1.0, s.overload_factor / 2))
-        server.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
+        upstream.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
         # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
         # that.
         capacity_growth = (1.0 - s.cold_share) / s.warm_up_us
@@ -568,8 +568,8 @@
         tried = {attempt.upstream: None for attempt in request.attempts if attempt.upstream.order_index >= 0}
         if self.is_bound_to_group(request):
             return self.pick_in_group(request, tried)
-        for server in tried:
-            self.draw_weights.put(server.order_index, 0.0, 0.0)
+        for upstream in tried:
+            self.draw_weights.put(upstream.order_index, 0.0, 0.0)
         self.needs_refresh.update(tried)
         return self.pick_from_subset()
 
@@ -584,17 +584,17 @@
         their own pacing bounds what they get."""
         tried = [attempt.upstream for attempt in request.attempts]
         cold_weights = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
-        free = [(server, weight) for server, weight in zip(self.draw_order, cold_weights, strict=False)
-                if weight > 0.0 and server not in tried and self.in_group(request, server)]
+        free = [(upstream, weight) for upstream, weight in zip(self.draw_order, cold_weights, strict=False)
+                if weight > 0.0 and upstream not in tried and self.in_group(request, upstream)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
     def pick_in_group(self, request: Request, tried: dict[TrackedUpstream, None]) -> TrackedUpstream | None:
         """Weighted random choice for a request that may only go to upstreams of one group."""
         free, weights, room, leaves = [], [], 0.0, self.draw_weights.leaves
         for index, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
-            server = self.draw_order[index]
-            if weight > 0.0 and server not in tried and self.in_group(request, server):
-                free.append(server)
+            upstream = self.draw_order[index]
+            if weight > 0.0 and upstream not in tried and self.in_group(request, upstream):
+                free.append(upstream)
                 weights.append(weight)
                 room += self.draw_weights.rooms[leaves + index]
                 if room >= self.subset_slots:
@@ -608,66 +608,66 @@
             self.reorder()
         queue = self.refresh_times
         while queue and queue[0][0] <= now_us:
-            server = heapq.heappop(queue)[2]
-            server.queued_refresh_us = 0
-            self.needs_refresh[server] = None
+            upstream = heapq.heappop(queue)[2]
+            upstream.queued_refresh_us = 0
+            self.needs_refresh[upstream] = None
         self.needs_refresh.update(self.warming_up)
         pending, self.needs_refresh = self.needs_refresh, {}
-        for server in pending:
-            if server.order_index >= 0:
-                self.refresh_weight(server)
+        for upstream in pending:
+            if upstream.order_index >= 0:
+                self.refresh_weight(upstream)
 
-    def compute_preference(self, server: TrackedUpstream) -> float:
+    def compute_preference(self, upstream: TrackedUpstream) -> float:
         """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
         distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
         # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
         # idle is busy for others then, and the zone would be overrun.
-        is_idle_and_local = server.entry.zone == self.preferred_zone and server.used_slots == 0
-        kind, zone = self.kind_slowness.get(server.entry.kind), self.zone_faults.get(server.entry.zone)
-        own_fault_rate = min(MAX_COUNTED_FAULT_RATE, server.faults.share(self.now_us))
+        is_idle_and_local = upstream.entry.zone == self.preferred_zone and upstream.used_slots == 0
+        kind, zone = self.kind_slowness.get(upstream.entry.kind), self.zone_faults.get(upstream.entry.zone)
+        own_fault_rate = min(MAX_COUNTED_FAULT_RATE, upstream.faults.share(self.now_us))
         zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
         preference = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
         preference *= kind.favour(self.slowness) if kind is not None else 1.0
         return max(MIN_PREFERENCE, preference) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
 
-    def refresh_weight(self, server: TrackedUpstream) -> None:
+    def refresh_weight(self, upstream: TrackedUpstream) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
-        now_us, window = self.now_us, server.window
-        slots, weight, room, warmth = window.usable_slots(now_us) - server.used_slots, 0.0, 0.0, self.warmth(server)
+        now_us, window = self.now_us, upstream.window
+        slots, weight, room, warmth = window.usable_slots(now_us) - upstream.used_slots, 0.0, 0.0, self.warmth(upstream)
         is_cold = warmth < 1.0
-        while is_cold and server.sends_while_cold and 0 < server.cold_turn_us < now_us - server.next_cold_send_us:
+        while is_cold and upstream.sends_while_cold and 0 < upstream.cold_turn_us < now_us - upstream.next_cold_send_us:
             work_us = min(latency.conservative_us() for latency in self.latency)
-            server.next_cold_send_us += server.cold_turn_us + self.cold_send_gap_us(server, work_us)
-        if slots > 0 and not (is_cold and now_us < server.next_cold_send_us):
-            server.preference = self.compute_preference(server)
-            weight = min(float(slots), window.slots) * server.relative_weight * server.preference
+            upstream.next_cold_send_us += upstream.cold_turn_us + self.cold_send_gap_us(upstream, work_us)
+        if slots > 0 and not (is_cold and now_us < upstream.next_cold_send_us):
+            upstream.preference = self.compute_preference(upstream)
+            weight = min(float(slots), window.slots) * upstream.relative_weight * upstream.preference
             if is_cold and self.in_large_fleet:
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
-                weight, room = weight * warmth, min(1.0, window.slots) * server.relative_weight
-        self.draw_weights.put(server.order_index, weight, room)
+                weight, room = weight * warmth, min(1.0, window.slots) * upstream.relative_weight
+        self.draw_weights.put(upstream.order_index, weight, room)
         if is_cold and weight > 0.0:
-            self.warming_up[server] = None
+            self.warming_up[upstream] = None
         else:
-            self.warming_up.pop(server, None)
+            self.warming_up.pop(upstream, None)
         refresh_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
-        if server.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
+        if upstream.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
             refresh_us = now_us + FAULT_HALVES_US // 8
-        if is_cold and server.next_cold_send_us > now_us:
-            cold_refresh_us = min(server.next_cold_send_us, max(now_us + 1, self.warm_at_us(server)))
+        if is_cold and upstream.next_cold_send_us > now_us:
+            cold_refresh_us = min(upstream.next_cold_send_us, max(now_us + 1, self.warm_at_us(upstream)))
             refresh_us = min(refresh_us, cold_refresh_us) if refresh_us else cold_refresh_us
-        if refresh_us and not now_us < server.queued_refresh_us <= refresh_us:
-            server.queued_refresh_us = refresh_us
-            heapq.heappush(self.refresh_times, (refresh_us, server.order_index, server))
-        opens_us = server.opens_us()
-        if opens_us != server.queued_opens_us:
-            server.queued_opens_us = opens_us
+        if refresh_us and not now_us < upstream.queued_refresh_us <= refresh_us:
+            upstream.queued_refresh_us = refresh_us
+            heapq.heappush(self.refresh_times, (refresh_us, upstream.order_index, upstream))
+        opens_us = upstream.opens_us()
+        if opens_us != upstream.queued_opens_us:
+            upstream.queued_opens_us = opens_us
             while self.opening_times and self.opening_times[0][0] <= now_us:
                 heapq.heappop(self.opening_times)
             if opens_us > now_us:
-                heapq.heappush(self.opening_times, (opens_us, server.order_index, server))
+                heapq.heappush(self.opening_times, (opens_us, upstream.order_index, upstream))
 
     def may_send(self, request: Request) -> bool:
         """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
@@ -701,30 +701,30 @@
         return (request_class.effect == "deduplicated" and request_class.group != "all"
                 and request.first_that_may_have_run() is not None)
 
-    def in_group(self, request: Request, server: TrackedUpstream) -> bool:
+    def in_group(self, request: Request, upstream: TrackedUpstream) -> bool:
         """Whether the upstream drops repeats of what this request may already have run."""
         first, request_class = request.first_that_may_have_run(), self.class_of(request)
         if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return True
-        ours, theirs = first.upstream.entry, server.entry
+        ours, theirs = first.upstream.entry, upstream.entry
         return ours.zone == theirs.zone if request_class.group == "zone" else ours.cell == theirs.cell
 
     def try_send(self, request: Request) -> bool:
         """The only place of sends: sends the request to an upstream that `draw` returns, if the rules allow it.
         False if it was not sent."""
-        server = self.draw(request) if self.may_send(request) else None
-        if server is None:
+        upstream = self.draw(request) if self.may_send(request) else None
+        if upstream is None:
             return False
         work_us = max(self.latency[request.event.class_index].conservative_us(), request.event.cost_us)
-        server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us)
-        server.used_slots += 1
-        self.needs_refresh[server] = None
+        upstream.next_cold_send_us = self.now_us + self.cold_send_gap_us(upstream, work_us)
+        upstream.used_slots += 1
+        self.needs_refresh[upstream] = None
         self.retry_tokens -= 1.0 if self.needs_retry_token(request) else 0.0
         self.traffic.count(self.now_us)
         self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
-        attempt, until_us = Attempt(server, self.now_us, slow_us), self.resend_until_us(request)
-        attempt.paced = self.in_large_fleet and self.warmth(server) < 1.0
+        attempt, until_us = Attempt(upstream, self.now_us, slow_us), self.resend_until_us(request)
+        attempt.paced = self.in_large_fleet and self.warmth(upstream) < 1.0
         if not attempt.paced:
             self.outstanding.move(self.now_us, 1)
         request.attempts.append(attempt)
@@ -732,7 +732,7 @@
         timeout_us = request.event.due_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
-        self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
+        self.actions.append(api.Send(request.event.request, upstream.entry.id, timeout_us, until_us))
         self.schedule(self.now_us + slow_us, "late", request.event.request)
         return True
 
@@ -742,7 +742,7 @@
         copy is sent and the first attempt goes on. Not in a shortage: there the copies would take slots from
         requests that have none."""
         for attempt in request.attempts:
-            server, late_us = attempt.upstream, self.now_us - attempt.sent_us
+            upstream, late_us = attempt.upstream, self.now_us - attempt.sent_us
             if late_us < attempt.slow_after_us or attempt.outcome is not None:
                 continue
             if attempt.slowness == 0.0:
@@ -754,15 +754,15 @@
             # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
             # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
             # requests fill up an upstream unnoticed.
-            later_answered = server.latest_answered_sent_us > attempt.sent_us
+            later_answered = upstream.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
-            if attempt.holds_slot and late_us >= patience_us << (0 if later_answered else min(server.patience_doublings, 20)):
+            if attempt.holds_slot and late_us >= patience_us << (0 if later_answered else min(upstream.patience_doublings, 20)):
                 if not later_answered:
-                    server.patience_doublings += 1
+                    upstream.patience_doublings += 1
                     self.adjust_windows(attempt, late_us, request.event.class_index)
                 attempt.holds_slot = False
-                server.used_slots -= 1
-                self.needs_refresh[server] = None
+                upstream.used_slots -= 1
+                self.needs_refresh[upstream] = None
             elif attempt.holds_slot:
                 self.schedule(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
         # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
@@ -824,27 +824,27 @@
         # still refer to theirs.
         self.upstreams = dict(old) if event.kind is api.ListKind.DELTA else {}
         for entry in event.upstreams:
-            server = old.get(entry.id)
+            upstream = old.get(entry.id)
             if entry.state is api.UpstreamState.GONE:
                 self.upstreams.pop(entry.id, None)
                 continue
-            if server is None or server.entry.started_us != entry.started_us:
+            if upstream is None or upstream.entry.started_us != entry.started_us:
                 # the zone's past tells little about a process that has just started
                 if entry.zone in self.zone_faults:
                     self.zone_faults[entry.zone].last /= 2
-                server = TrackedUpstream(entry)  # a new process: nothing is kept of the former one
-                new.append(server)
-            server.entry = entry
-            self.upstreams[entry.id] = server
+                upstream = TrackedUpstream(entry)  # a new process: nothing is kept of the former one
+                new.append(upstream)
+            upstream.entry = entry
+            self.upstreams[entry.id] = upstream
         self.has_discovery_list = self.has_discovery_list or event.kind is not api.ListKind.CACHED
         self.reorder()
-        for server in new:
+        for upstream in new:
             # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
             # come as one burst.
-            if server.sends_while_cold:
+            if upstream.sends_while_cold:
                 work_us, s = min(latency.conservative_us() for latency in self.latency), self.settings
-                share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
-                server.next_cold_send_us = self.now_us + self.cold_send_gap_us(server, work_us, share)
+                share = turn(upstream.entry.id, s.self_index, s.instances, self.random.random())
+                upstream.next_cold_send_us = self.now_us + self.cold_send_gap_us(upstream, work_us, share)
         self.apply_lessons()
 
     def reorder(self) -> None:
@@ -854,13 +854,13 @@
         count = self.settings.instances
         ready = [self.upstreams[i] for i in sorted(self.upstreams)
                  if self.upstreams[i].entry.state is api.UpstreamState.READY]
-        mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
-        for server in ready:
-            server.relative_weight = max(MIN_RELATIVE_WEIGHT, server.entry.weight / mean) if mean > 0.0 else 1.0
+        mean = sum(upstream.entry.weight for upstream in ready) / max(1, len(ready))
+        for upstream in ready:
+            upstream.relative_weight = max(MIN_RELATIVE_WEIGHT, upstream.entry.weight / mean) if mean > 0.0 else 1.0
         self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.draw_order:
             self.window.slots = self.initial_slots(len(ready))
-        former_capacity, self.ready_capacity = self.ready_capacity, sum(server.relative_weight * self.warmth(server) for server in ready)
+        former_capacity, self.ready_capacity = self.ready_capacity, sum(upstream.relative_weight * self.warmth(upstream) for upstream in ready)
         if self.in_large_fleet and self.ready_capacity < former_capacity:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
@@ -868,22 +868,22 @@
             # also if no upstream is left
             self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
         start = len(ready) * (self.settings.self_index % count) // count
-        for server in self.draw_order:
-            server.order_index = -1
+        for upstream in self.draw_order:
+            upstream.order_index = -1
         cold_first: dict[TrackedUpstream, None] = {}
         if self.in_large_fleet:
-            for server in ready:
-                server.sends_while_cold = warms(server.entry.id, self.settings.self_index, count)
-                if not server.sends_while_cold and self.warmth(server) < 1.0:
-                    server.next_cold_send_us = self.warm_at_us(server)
+            for upstream in ready:
+                upstream.sends_while_cold = warms(upstream.entry.id, self.settings.self_index, count)
+                if not upstream.sends_while_cold and self.warmth(upstream) < 1.0:
+                    upstream.next_cold_send_us = self.warm_at_us(upstream)
             cold_first = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.cold_first_count = len(cold_first)
-        self.reorder_at_us = min((self.warm_at_us(server) + 3 for server in cold_first), default=0)
-        self.draw_order = [*cold_first, *(server for server in ready[start:] + ready[:start] if server not in cold_first)]
+        self.reorder_at_us = min((self.warm_at_us(upstream) + 3 for upstream in cold_first), default=0)
+        self.draw_order = [*cold_first, *(upstream for upstream in ready[start:] + ready[:start] if upstream not in cold_first)]
         self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
-        for index, server in enumerate(self.draw_order):
-            server.order_index, server.queued_refresh_us, server.queued_opens_us = index, 0, 0
+        for index, upstream in enumerate(self.draw_order):
+            upstream.order_index, upstream.queued_refresh_us, upstream.queued_opens_us = index, 0, 0
         self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
         self.subset_slots = self.min_subset_slots = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
 
@@ -928,26 +928,26 @@
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
             told = {}
-            for server in self.draw_order:
-                found = known.get(server.entry.id)
-                if (found is not None and found.started_us == server.entry.started_us
-                        and found.confirmed_us > server.last_observed_us
-                        and (server.lesson is not None or server.last_observed_us == 0)):
+            for upstream in self.draw_order:
+                found = known.get(upstream.entry.id)
+                if (found is not None and found.started_us == upstream.entry.started_us
+                        and found.confirmed_us > upstream.last_observed_us
+                        and (upstream.lesson is not None or upstream.last_observed_us == 0)):
                     faded = trust.faded(found, self.now_us)
                     if faded is not None:
                         # the distance holds only for the zone in which it was measured
                         if lessons.zone != self.settings.zone:
                             found = replace(found, least_us=0)
-                        told[server] = found, faded
-            still_running = sum(ident in known and known[ident].started_us == server.entry.started_us
-                       for ident, server in self.upstreams.items())
+                        told[upstream] = found, faded
+            still_running = sum(ident in known and known[ident].started_us == upstream.entry.started_us
+                       for ident, upstream in self.upstreams.items())
             if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
-            distrusted = sum(trust.is_shut(told[server][1] if server in told else server.lesson)
-                       for server in self.draw_order)
-            for server, (lesson, faded) in told.items():
+            distrusted = sum(trust.is_shut(told[upstream][1] if upstream in told else upstream.lesson)
+                       for upstream in self.draw_order)
+            for upstream, (lesson, faded) in told.items():
                 if 2 * distrusted <= count or not trust.is_shut(faded):
-                    self.apply_upstream_lesson(server, lesson, faded)
+                    self.apply_upstream_lesson(upstream, lesson, faded)
         if self.has_discovery_list:
             self.lessons = []
 
@@ -968,35 +968,35 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def apply_upstream_lesson(self, server: TrackedUpstream, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
         test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
         same after fading with age."""
         # passed on unfaded, so that it fades only once
-        server.lesson, server.last_observed_us = unfaded, unfaded.confirmed_us
-        self.needs_refresh[server] = None
-        server.window.slots = min(1.0, max(trust.LEAST_SLOTS, faded.slots))
-        server.failing, server.patience_doublings = faded.failing, min(faded.mute, trust.MOST_MUTE)
+        upstream.lesson, upstream.last_observed_us = unfaded, unfaded.confirmed_us
+        self.needs_refresh[upstream] = None
+        upstream.window.slots = min(1.0, max(trust.LEAST_SLOTS, faded.slots))
+        upstream.failing, upstream.patience_doublings = faded.failing, min(faded.mute, trust.MOST_MUTE)
         # what this sidecar sent before its restart still occupies the upstream
         if faded.first_hand:
-            gap_us = self.cold_send_gap_us(server, min(latency.conservative_us() for latency in self.latency))
-            server.next_cold_send_us = max(server.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us))
+            gap_us = self.cold_send_gap_us(upstream, min(latency.conservative_us() for latency in self.latency))
+            upstream.next_cold_send_us = max(upstream.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us))
 
-    def confirm_lesson(self, server: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
+    def confirm_lesson(self, upstream: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
         its window: to at least one slot, and as far as the knowledge says. Any other outcome leaves what was told as
         it is."""
-        told, server.lesson = server.lesson, None
+        told, upstream.lesson = upstream.lesson, None
         lesson = trust.faded(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
-            server.window.slots = max(1.0, server.window.slots)
+            upstream.window.slots = max(1.0, upstream.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
             most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
-            server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
+            upstream.window.slots = 1.0 if self.warmth(upstream) < 1.0 else min(max(1.0, lesson.slots), most)
             # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
             # good.
-            server.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
+            upstream.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
 
     def schedule_list_call(self, at_us: int) -> None:
         """Schedules a call for the list, if lists are asked for or watched at all."""
