--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -52,7 +52,7 @@
 MIN_PREFERENCE = 1e-4
 # Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
 NON_LOCAL_WEIGHT = 1e-3
-# Slots of the subset that a draw chooses among; an upstream of mean weight counts 1 at most.
+# A draw chooses among a subset of the upstreams with at least so many slots; one of mean weight counts 1 at most.
 MIN_SUBSET_SLOTS = 3.0
 # Outcomes that cost no upstream any work: a retry after one of them takes no token.
 UNCHARGED_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
@@ -93,15 +93,15 @@
     def __init__(self, name: str, slots: float) -> None:
         self.name, self.slots = name, slots
         self.paused_until_us = 0
-        self.logged_as_backed_off = False  # whether the last log line said that it rests
+        self.logged_as_backed_off = False  # whether the last log line said that it backed off
 
     def usable_slots(self, now_us: int) -> int:
         """The number of slots usable now, whether taken or free."""
         return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
     def adjust(self, step: float, minimum: float, maximum: float) -> None:
-        """Grows or shrinks the window by the share `step` of itself, within `least` and `most`. A window already
-        outside these bounds is not forced back into them."""
+        """Moves the window by `step` slots, below one slot by the share `step` of it: a round of answers moves it by
+        that share. It stays within `minimum` and `maximum`, or moves towards them if it is outside."""
         slots = self.slots + step * min(1.0, self.slots)
         maximum, minimum = max(maximum, self.slots), max(MIN_WINDOW_SLOTS, min(minimum, self.slots))
         self.slots = min(max(slots, minimum), maximum)
@@ -178,8 +178,8 @@
     def __init__(self, first_us: int) -> None:
         # half the aim, until there is a sample
         self.initial_us = self.mean_us = self.base_us = first_us / 2
-        # `doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves with
-        # each sample.
+        # `recall_doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves
+        # with each sample.
         self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
@@ -451,11 +451,13 @@
             # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
             # however busy the upstreams are.
             if outcome is api.Outcome.OK:
-                upstream.failing, upstream.min_latency_us = False, min(upstream.min_latency_us or elapsed_us, elapsed_us)
+                upstream.failing, upstream.min_latency_us = (
+                    False, min(upstream.min_latency_us or elapsed_us, elapsed_us))
             # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
             # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
             # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
-            network_latency = min(MAX_NETWORK_LATENCY, max(0.0, upstream.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
+            network_latency = min(MAX_NETWORK_LATENCY,
+                                  max(0.0, upstream.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
             slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - network_latency))
             step = (attempt.slowness or TARGET_SLOWNESS) - slowness
             # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
@@ -583,7 +585,8 @@
         window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
         their own pacing bounds what they get."""
         tried = [attempt.upstream for attempt in request.attempts]
-        cold_weights = self.draw_weights.weights[self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
+        cold_weights = self.draw_weights.weights[
+            self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
         free = [(upstream, weight) for upstream, weight in zip(self.draw_order, cold_weights, strict=False)
                 if weight > 0.0 and upstream not in tried and self.in_group(request, upstream)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
@@ -628,7 +631,9 @@
         zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
         preference = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
         preference *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(MIN_PREFERENCE, preference) * (1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE else NON_LOCAL_WEIGHT)
+        return max(MIN_PREFERENCE, preference) * (
+            1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE
+            else NON_LOCAL_WEIGHT)
 
     def refresh_weight(self, upstream: TrackedUpstream) -> None:
         """Computes an upstream's draw weight and schedules when time alone will change it."""
@@ -721,7 +726,8 @@
         self.needs_refresh[upstream] = None
         self.retry_tokens -= 1.0 if self.needs_retry_token(request) else 0.0
         self.traffic.count(self.now_us)
-        self.subset_slots = max(self.min_subset_slots, MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
+        self.subset_slots = max(self.min_subset_slots,
+                                MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(upstream, self.now_us, slow_us), self.resend_until_us(request)
         attempt.paced = self.in_large_fleet and self.warmth(upstream) < 1.0
@@ -756,7 +762,8 @@
             # requests fill up an upstream unnoticed.
             later_answered = upstream.latest_answered_sent_us > attempt.sent_us
             patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
-            if attempt.holds_slot and late_us >= patience_us << (0 if later_answered else min(upstream.patience_doublings, 20)):
+            if attempt.holds_slot and late_us >= patience_us << (
+                    0 if later_answered else min(upstream.patience_doublings, 20)):
                 if not later_answered:
                     upstream.patience_doublings += 1
                     self.adjust_windows(attempt, late_us, request.event.class_index)
@@ -811,8 +818,8 @@
             # between two calls (rule 3).
             first_us = max(FIRST_LIST_RETRY_US, self.list_call_spread_us())
             backoff_us = min(first_us << min(self.list_failures, 20), self.max_list_call_gap_us())
-            # Changes missed by a watch that fell silent soon count as known here, so the list is needed early; but
-            # the watches of a large fleet fall silent together: the first call is spread from zero on.
+            # A watch that fell silent may have missed changes, which soon count as known here: the list is needed
+            # early. But the watches of a large fleet fall silent together, so the first call is spread from zero on.
             min_jitter = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
             self.list_failures += 1
             self.schedule_list_call(self.now_us + int(backoff_us * (min_jitter + self.random.random() / 2)))
@@ -860,7 +867,8 @@
         self.min_window_slots = min(1.0, len(ready) / count)
         if ready and not self.draw_order:
             self.window.slots = self.initial_slots(len(ready))
-        former_capacity, self.ready_capacity = self.ready_capacity, sum(upstream.relative_weight * self.warmth(upstream) for upstream in ready)
+        former_capacity, self.ready_capacity = self.ready_capacity, sum(
+            upstream.relative_weight * self.warmth(upstream) for upstream in ready)
         if self.in_large_fleet and self.ready_capacity < former_capacity:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
@@ -879,7 +887,8 @@
             cold_first = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
         self.cold_first_count = len(cold_first)
         self.reorder_at_us = min((self.warm_at_us(upstream) + 3 for upstream in cold_first), default=0)
-        self.draw_order = [*cold_first, *(upstream for upstream in ready[start:] + ready[:start] if upstream not in cold_first)]
+        self.draw_order = [*cold_first, *(upstream for upstream in ready[start:] + ready[:start]
+                                          if upstream not in cold_first)]
         self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for index, upstream in enumerate(self.draw_order):
@@ -917,7 +926,7 @@
             told_shares, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
             share = trust.TENANT_WEIGHT * trust.share(age_us, trust.LATENCY_HALVES_US)
             self.tenant_arrivals = [seen + share * min(1.0, told_shares.get(tenant.name, 0.0))
-                                for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
+                                    for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
         self.lessons.append(lessons)
         self.apply_lessons()
 
@@ -940,11 +949,11 @@
                             found = replace(found, least_us=0)
                         told[upstream] = found, faded
             still_running = sum(ident in known and known[ident].started_us == upstream.entry.started_us
-                       for ident, upstream in self.upstreams.items())
+                                for ident, upstream in self.upstreams.items())
             if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
             distrusted = sum(trust.is_shut(told[upstream][1] if upstream in told else upstream.lesson)
-                       for upstream in self.draw_order)
+                             for upstream in self.draw_order)
             for upstream, (lesson, faded) in told.items():
                 if 2 * distrusted <= count or not trust.is_shut(faded):
                     self.apply_upstream_lesson(upstream, lesson, faded)
@@ -968,11 +977,12 @@
             usual = self.initial_slots(count)
             self.window.slots = trust.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.UpstreamLesson, faded: api.UpstreamLesson) -> None:
+    def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.UpstreamLesson,
+                              faded: api.UpstreamLesson) -> None:
         """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
-        test it: it is drawn rarely, but before a request is refused. `whole` is the knowledge as told, `lesson` the
-        same after fading with age."""
+        test it: it is drawn rarely, but before a request is refused. `unfaded` is the knowledge as told, `faded` the
+        same after its trust has faded with age."""
         # passed on unfaded, so that it fades only once
         upstream.lesson, upstream.last_observed_us = unfaded, unfaded.confirmed_us
         self.needs_refresh[upstream] = None
@@ -1014,10 +1024,11 @@
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
             candidates_us = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
-                     else self.window.paused_until_us]
+                             else self.window.paused_until_us]
             self.refresh_weights()
-            while self.opening_times and not (self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
-                                     and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
+            while self.opening_times and not (
+                    self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
+                    and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
                 heapq.heappop(self.opening_times)  # past, or replaced by another time
             candidates_us += [self.opening_times[0][0]] if self.opening_times else []
             later_us = [opens_us for opens_us in candidates_us if opens_us > self.now_us]
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -231,7 +231,8 @@
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, half, self.clock.now_us, self.ledger)
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
-                                   config.answer_us / 1e6, self.log, self.balancer.list_call_spread_us() > 0, config.seed)
+                                   config.answer_us / 1e6, self.log, self.balancer.list_call_spread_us() > 0,
+                                   config.seed)
         self.requests: dict[int, Request] = {}
         self.by_txn: dict[str, Request] = {}  # those not yet answered
         self.next_request = 1
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -10,8 +10,9 @@
 
 def view(balancer: Balancer) -> list[api.UpstreamView]:
     """Each upstream as it stands now."""
-    return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used_slots, s.window.usable_slots(balancer.now_us) == 0,
-                             balancer.warmth(s), s.failing, s.patience_doublings > 1, s.min_latency_us)
+    return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used_slots,
+                             s.window.usable_slots(balancer.now_us) == 0, balancer.warmth(s), s.failing,
+                             s.patience_doublings > 1, s.min_latency_us)
             for i, s in balancer.upstreams.items()]
 
 
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -18,7 +18,8 @@
 from tests.scale.test_path import scene_of
 from tests.sockets import run
 
-SHARE, MOST, KEPT = 0.2, 4, 5.0  # the budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, MAX_RETRY_TOKENS
+# The retry budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
+SHARE, MOST, KEPT = 0.2, 4, 5.0
 
 
 def brute(failing: float, hops: int, calls: int, random: Random) -> float:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -365,7 +365,8 @@
     for server in inside[:count]:
         request = world.arrive(READ)
         attempt = world.balancer.requests[request].attempts[0]
-        attempt.upstream.used_slots, server.used_slots, attempt.upstream = attempt.upstream.used_slots - 1, server.used_slots + 1, server
+        attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
+            attempt.upstream.used_slots - 1, server.used_slots + 1, server)
         world.end(request, 0, Outcome.CONNECT_FAILED)
     return inside[count:]
 
@@ -378,7 +379,8 @@
 def test_the_faults_of_some_in_a_zone_are_told_to_the_others_of_it_and_to_no_other_zone() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     elsewhere = [server for server in world.balancer.draw_order if server.entry.zone == 1]
-    before, beside = [weight(world, s) for s in world.balancer.draw_order if s.entry.zone == 0], weight(world, elsewhere[0])
+    before, beside = ([weight(world, s) for s in world.balancer.draw_order if s.entry.zone == 0],
+                      weight(world, elsewhere[0]))
     untried = zone_fails(world, 0, 6)
     assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer near
     assert weight(world, elsewhere[0]) == beside
@@ -400,7 +402,8 @@
         for _ in range(count):
             request = world.arrive(READ)
             attempt = world.balancer.requests[request].attempts[0]
-            attempt.upstream.used_slots, server.used_slots, attempt.upstream = attempt.upstream.used_slots - 1, server.used_slots + 1, server
+            attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
+                attempt.upstream.used_slots - 1, server.used_slots + 1, server)
             world.end(request, 0, Outcome.ERROR)
         left = world.balancer.compute_preference(server) / world.balancer.compute_preference(like)
         assert least < left < most, (count, left)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -60,7 +60,8 @@
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
             self.refresh_weights()
-            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet else self.window.paused_until_us]
+            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+                     else self.window.paused_until_us]
             opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
         if times and (self.armed_timer_us == 0 or min(times) < self.armed_timer_us):
