--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -808,7 +808,7 @@
         if event.final or request.done:
             self.close(request)
         elif request.outstanding == 0:
-            # without a retry, an upstream that fails some requests would lose them
+            # Without a retry, every request that an upstream fails would be lost.
             self.dispatch(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unusual but legal events do no harm; invalid settings raise an error that names what was expected."""
 
 from __future__ import annotations
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -1,4 +1,4 @@
-"""The upstream list: asking for it, failures, deltas, full lists, restarts."""
+"""The upstream list: calls for it and their failures, deltas, full lists, restarts of upstreams."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def asks(world: World) -> list[int]:
-    """When the world's balancer asked, seen by stepping through time."""
+    """The indexes, in the world's action log, of the balancer's calls for the list."""
     return [i for i, action in enumerate(world.log) if isinstance(action, Subscribe)]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules of ironscale/balance.py under arbitrary legal event sequences; tests/world.py checks every action."""
 
 from __future__ import annotations
 
@@ -52,6 +52,7 @@
 
 
 def play(world: World, step: tuple[str, int, object]) -> None:
+    """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
     open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
     if what == "arrive":
@@ -96,7 +97,8 @@
 
 
 def busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
+    """Heavy load with every kind of failure, so that slots run out and requests wait and are retried. Returns all
+    actions."""
     dice = random.Random(seed)
     world = World(settings(classes=many_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
@@ -129,10 +131,12 @@
 
 
 def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
+    """The most work that all sidecars together send one cold upstream within any `fall_us`, as a share of the overload
+    that it bears.
 
-    The upstream is new among nine, has one core and serves in turn; requests take 40 ms of it when warm. Each
-    sidecar gets `skew` requests a tick of 4 ms."""
+    The upstream joins nine others, has one core and serves one request after the other; when warm, a request takes
+    40 ms. Sidecar number n gets `skew[n]` requests in each tick of 4 ms. Attempts at the cold upstream end with
+    `outcome`."""
     config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
     listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,5 @@
-"""The plain mechanism and each departure from it, seen through the interface."""
+"""Slots, the buffer, retries, hedged copies, pacing and the choice of upstreams, seen through the balancer's events
+and actions."""
 
 from __future__ import annotations
 
@@ -29,7 +30,7 @@
 
 
 def fill(world: World) -> list[int]:
-    """Take every slot; the last request is the one that waits in the buffer."""
+    """Takes every slot; the last request is the one that waits in the buffer."""
     taken = []
     for _ in range(1000):
         taken.append(world.arrive(READ))
@@ -137,7 +138,7 @@
 
 def churn(world: World, steps: int, bad: int | None = None, fault: Outcome = Outcome.FULL,
           class_index: int = READ, took_us: int = 10_000) -> None:
-    """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
+    """Sends one request a step. All outstanding attempts end at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
         world.arrive(class_index)
         world.advance(took_us)
@@ -149,7 +150,8 @@
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.FULL])
 def test_where_one_answer_in_six_breaks_no_upstream_closes(fault: Outcome) -> None:
-    """Hazard: on a bad network half the slots for each break left every upstream resting for good."""
+    """Guards against windows that lose half their slots with each failure: on a bad network, all upstreams stayed
+    paused."""
     world = ready_world(4)
     for step in range(900):
         request = world.arrive(READ)
@@ -178,7 +180,7 @@
 
 
 def held(world: World) -> int:
-    """How many requests can be outstanding now; they are ended again."""
+    """How many attempts can be outstanding now; those sent to find out are ended again."""
     taken = [r for r in fill(world) if world.sends(r)]
     for request in taken:
         world.end(request, 0, Outcome.OK)
@@ -328,7 +330,7 @@
 
 
 def busy_world() -> World:
-    """One upstream whose slots have opened under need."""
+    """One upstream whose window has grown under demand."""
     world = ready_world(1)
     for _ in range(80):
         fill(world)
@@ -410,7 +412,7 @@
 
 
 def churn_all(world: World, outcome: Outcome) -> None:
-    """A few requests, and one outcome for all that is out."""
+    """Sends a few requests; all outstanding attempts then end with one outcome."""
     for _ in range(20):
         world.arrive(PAY)
     world.advance(10_000)
@@ -434,7 +436,7 @@
 
 
 def drawn(world: World) -> set[int]:
-    """The upstreams that got something."""
+    """The upstreams that got a request."""
     return {send.upstream for send in world.sends()}
 
 
@@ -498,16 +500,17 @@
 
 
 def test_a_late_send_gives_its_slot_free_when_a_later_one_is_answered() -> None:
-    """Hazard: connections fallen silent held two slots in three of upstreams that answered all else."""
+    """Guards against silent connections that hold an upstream's slots: they held two of three slots of upstreams that
+    answered everything else."""
     world = two_slots()
     world.arrive(MARK)
     world.end(world.arrive(READ), 0, Outcome.OK)
     world.advance(300_000)
     world.end(world.arrive(READ), 0, Outcome.OK)
-    assert world.balancer.upstreams[100].used_slots == 1  # it may still be a long request
+    assert world.balancer.upstreams[100].used_slots == 1  # it may still be a long request, so it keeps its slot
     world.advance(310_000)
     assert world.balancer.upstreams[100].used_slots == 0
-    world.advance(1_500_000)  # its end frees nothing more
+    world.advance(1_500_000)  # its end must not free a second slot
     assert world.balancer.upstreams[100].used_slots == 0
 
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The sidecar's timers, all behind one of the loop's."""
+"""The sidecar's timers, which share a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
             told.append("first")
             assert second is not None
             second.cancel()
-            second.cancel()  # again: no harm
+            second.cancel()  # cancelling it again does no harm
 
         timers.at(at_us, first)
         second = timers.at(at_us, lambda: told.append("second"))
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,5 +1,5 @@
-"""Real sockets under a clock that only moves on when nothing is left to do: seconds pass in milliseconds, and a busy
-machine, which makes everything later, makes nothing later here."""
+"""An event loop with real sockets and a virtual clock. The clock moves to the next timer only when no socket is ready,
+so that seconds pass in milliseconds and a busy machine does not delay anything in virtual time."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 
 from ironscale.net import sidecar
 
-SETTLE_S = 0.002  # what the kernel may need to carry bytes over the loopback
-LIMIT_S = 600.0  # of its own clock
+SETTLE_S = 0.002  # time for the kernel to carry bytes over the loopback interface
+LIMIT_S = 600.0  # limit of a test, in virtual time
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop whose time is moved by its selector."""
+
     def __init__(self) -> None:
         self.ahead_s = 1_000.0
         super().__init__(Jumping(self))
@@ -26,7 +28,7 @@
 
 
 class Jumping(selectors.DefaultSelector):
-    """Waits a moment for the sockets, and else for the next timer by moving the clock there."""
+    """Waits briefly for the sockets; if none is ready, moves the clock to the next timer."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__()
@@ -40,19 +42,21 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """As the one for real time, in longer steps: each of them takes `SETTLE_S`."""
+    """Waits until the condition holds. Its steps are longer than those of tests.sockets.until, as each of them takes
+    `SETTLE_S` of real time."""
     while not condition():
         await asyncio.sleep(0.02)
 
 
 class VirtualClock:
-    """In place of a sidecar's own."""
+    """Takes the place of a sidecar's clock: the loop's time as microseconds since the epoch."""
 
     def now_us(self) -> int:
         return 1_700_000_000_000_000 + int(asyncio.get_running_loop().time() * 1e6)
 
 
 def play(test: Callable[[], Coroutine[Any, Any, None]], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Runs a test on a `VirtualLoop`, with sidecars that use its clock."""
     async def limited() -> None:
         await asyncio.wait_for(test(), LIMIT_S)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""A stand-in for the sidecar around a Balancer: carries out its actions and checks the contract.
+"""A stand-in for the sidecar around a Balancer: carries out its actions and checks that they keep the rules.
 
-It is no simulator: tests say what happens and when. Every action is checked against the four rules as
-the contract words them, from records kept here and not from the module's own.
+It simulates no upstreams: tests say what happens and when. Every action is checked against the four rules that
+ironscale/balance.py lists, by records kept here rather than by the balancer's own state.
 """
 
 from __future__ import annotations
@@ -59,12 +59,14 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+    """`count` ready upstreams with the ids 100, 101 ...; each zone and each cell has two."""
     return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
 class Try:
+    """One attempt that the balancer has sent."""
+
     upstream: int
     zone: int
     cell: int
@@ -75,6 +77,8 @@
 
 @dataclass
 class Owed:
+    """A request, its attempts and how many final answers it has got."""
+
     event: RequestArrived
     tries: list[Try] = field(default_factory=list)
     answers: int = 0
@@ -89,13 +93,15 @@
 
 
 class World:
+    """One balancer, the upstream list that it was told, its requests and a clock that tests move."""
+
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.owed: dict[int, Owed] = {}
         self.known: dict[int, Upstream] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
+        self.refused_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
         self.next_id = 1
@@ -151,7 +157,7 @@
         self.tell(RequestGone(request))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
+        """Moves the clock; timers fire and attempts time out at their times on the way."""
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
@@ -171,7 +177,7 @@
         slack_us = 4 * self.settings.tick_us
         for ident, owed in self.owed.items():
             overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
-            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered past due"
+            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered after its due time"
 
     # Checks
 
@@ -181,13 +187,13 @@
         elif isinstance(action, Refuse | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.owed[action.request].tries), "a cancel of no attempt"
+            assert self.settings.cancel, "cancelled an attempt although the settings forbid that"
+            assert action.attempt < len(self.owed[action.request].tries), "cancelled an attempt that was never sent"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+            assert self.settings.probes, "sent a probe although the settings forbid that"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
 
@@ -195,16 +201,16 @@
         owed = self.owed[send.request]
         entry = self.known[send.upstream]
         kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a send after the end"
+        assert not owed.closed, "rule 1: a send after the final answer"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts out together"
+        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts outstanding together"
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: past the memory"
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
+                assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: a repeat past the memory of its key"
+                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: a repeat in another cell"
+                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: a repeat in another zone"
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
@@ -219,9 +225,9 @@
         if isinstance(answer, Refuse):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
             harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
-            assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
+            assert harmless or not owed.may_have_run(), "rule 2: a refusal of a request that may have run"
 
-    # What tests look at
+    # Queries for tests
 
     def sends(self, request: int | None = None) -> list[Send]:
         return [a for a in self.log if isinstance(a, Send) and request in (None, a.request)]
