--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -349,7 +349,8 @@
         if backed_off != window.logged_as_backed_off and self.now_us >= self.next_log_us:
             self.next_log_us = self.now_us + MIN_LOG_INTERVAL_US
             window.logged_as_backed_off = backed_off
-            self.actions.append(api.Log(f"{window.name} {'rests' if backed_off else 'is back'}"))
+            self.actions.append(api.Log(
+                f"{window.name}: concurrency limit {'backed off' if backed_off else 'recovered'}"))
 
     def dispatch(self, request: Request) -> None:
         """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -570,11 +570,12 @@
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         ident = next(iter(scene.sidecar.upstreams.pools))
-        scene.sidecar.carry_out(api.Log(f"upstream {ident} rests"))
-        scene.sidecar.carry_out(api.Log("upstream 12 is back"))
+        scene.sidecar.carry_out(api.Log(f"upstream {ident}: concurrency limit backed off"))
+        scene.sidecar.carry_out(api.Log("upstream 12: concurrency limit recovered"))
 
     run(test)
-    assert capsys.readouterr().err == "n0: upstream s-1 rests\nn0: upstream 12 is back\n"
+    assert capsys.readouterr().err == (
+        "n0: upstream s-1: concurrency limit backed off\nn0: upstream 12: concurrency limit recovered\n")
 
 
 def test_a_request_that_the_decisions_lose_is_answered_by_its_deadline() -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -387,9 +387,10 @@
 def test_a_failing_upstream_is_logged_when_it_rests_and_when_it_is_back() -> None:
     world = ready_world(2)
     churn(world, 40, 100)
-    assert log_lines(world) == ["upstream 100 rests"]
+    assert log_lines(world) == ["upstream 100: concurrency limit backed off"]
     churn(world, 1000)
-    assert log_lines(world) == ["upstream 100 rests", "upstream 100 is back"]
+    assert log_lines(world) == ["upstream 100: concurrency limit backed off",
+                                "upstream 100: concurrency limit recovered"]
 
 
 def test_overload_is_logged_when_it_begins_and_ends() -> None:
@@ -397,9 +398,9 @@
     for _ in range(30):
         world.arrive(READ)
         world.advance(1_500_000)
-    assert "this sidecar rests" in log_lines(world)
+    assert "this sidecar: concurrency limit backed off" in log_lines(world)
     churn(world, 1500)
-    assert "this sidecar is back" in log_lines(world)
+    assert "this sidecar: concurrency limit recovered" in log_lines(world)
 
 
 def test_log_lines_are_few_on_the_worst_day() -> None:
@@ -602,5 +603,6 @@
         world.advance(1_500_000)
     churn(world, 1500)
     written = {line.replace("100", "N").replace("101", "N") for line in log_lines(world)}
-    assert "this sidecar rests" in written and "upstream N rests" in written
+    assert ("this sidecar: concurrency limit backed off" in written
+            and "upstream N: concurrency limit backed off" in written)
     assert all(f"`{line}`" in " ".join(page.split()) for line in written)
