--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -164,7 +164,7 @@
     def __init__(self, event: api.RequestArrived) -> None:
         self.event = event
         self.attempts: list[Attempt] = []
-        self.outstanding = 0  # outstanding attempts
+        self.open_attempts = 0  # outstanding attempts
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
@@ -414,7 +414,7 @@
         request.done = True
         if self.buffer is request:
             self.buffer = None
-        if request.outstanding == 0:
+        if request.open_attempts == 0:
             self.requests.pop(request.event.request, None)
 
     def retry_after_us(self, request: Request) -> int:
@@ -680,7 +680,7 @@
         s, sent = self.settings, len(request.attempts)
         if request.done or request.streaming or self.now_us >= request.event.due_us or sent >= s.max_attempts:
             return False
-        if request.outstanding > 0 and not s.second_copies:
+        if request.open_attempts > 0 and not s.second_copies:
             return False
         # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
         if self.needs_retry_token(request) and self.retry_tokens < 1.0:
@@ -735,7 +735,7 @@
         if not attempt.paced:
             self.outstanding.move(self.now_us, 1)
         request.attempts.append(attempt)
-        request.outstanding += 1
+        request.open_attempts += 1
         timeout_us = request.event.due_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
@@ -777,7 +777,7 @@
         # copies of many sidecars come together.
         max_slowness = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
         may_hedge = self.buffer is None and not self.slowness.exceeds(max_slowness)
-        if request.outstanding == 1 and may_hedge and self.settings.second_copies:
+        if request.open_attempts == 1 and may_hedge and self.settings.second_copies:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -789,7 +789,7 @@
             return
         attempt = request.attempts[event.attempt]
         attempt.outcome = event.outcome
-        request.outstanding -= 1
+        request.open_attempts -= 1
         if self.utilization_index is not None and len(event.report) > self.utilization_index:
             attempt.upstream.utilization = event.report[self.utilization_index]
         if event.outcome is api.Outcome.OK:
@@ -808,7 +808,7 @@
             latency.last_observed_us = self.now_us
         if event.final or request.done:
             self.close(request)
-        elif request.outstanding == 0:
+        elif request.open_attempts == 0:
             # Without a retry, every request that an upstream fails would be lost.
             self.dispatch(request)
 
