--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -175,9 +175,9 @@
     """Moving average of a request class's answer times, in microseconds, and a slowly rising minimum of that
     average."""
 
-    def __init__(self, first_us: int) -> None:
+    def __init__(self, aim_us: int) -> None:
         # half the aim, until there is a sample
-        self.initial_us = self.mean_us = self.base_us = first_us / 2
+        self.initial_us = self.mean_us = self.base_us = aim_us / 2
         # `recall_doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves
         # with each sample.
         self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
