--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -446,8 +446,8 @@
             # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
             # stays: an upstream may turn requests away although it has room, and how full the others are is told by
             # their own windows.
-            is_first, upstream.failing = not upstream.failing, True
-            upstream.window.adjust(-0.1 if is_first else -0.5, 0.0, 1.0)
+            is_first_failure, upstream.failing = not upstream.failing, True
+            upstream.window.adjust(-0.1 if is_first_failure else -0.5, 0.0, 1.0)
         elif outcome in (None, api.Outcome.OK, api.Outcome.TIMEOUT):
             # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
             # however busy the upstreams are.
