--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -433,14 +433,14 @@
             if upstream.lesson is not None:
                 self.confirm_lesson(upstream, outcome, elapsed_us)
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
-            is_fault = outcome is not api.Outcome.OK
+            is_failure = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
-            if self.zone_faults.setdefault(upstream.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
+            if self.zone_faults.setdefault(upstream.entry.zone, Faults()).end(self.now_us, is_failure, 1 / 8):
                 same_zone = (other for other in self.draw_order if other.entry.zone == upstream.entry.zone)
                 self.needs_refresh.update(dict.fromkeys(same_zone))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
-            upstream.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
+            upstream.faults.end(self.now_us, is_failure, 1 / 2 if is_failure else 1 / 4)
         if outcome in FAST_FAILURES:
             # An upstream that fails at once is always idle and would draw ever more requests. A single failure
             # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
