--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -526,9 +526,9 @@
     def warm_at_us(self, upstream: TrackedUpstream) -> int:
         """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
-        age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
-        if s.cold_share < 1.0 and reach < 1.0 and not self.in_large_fleet:
-            age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
+        age_us, warm_from = s.warm_up_us, 1.5 / s.overload_factor
+        if s.cold_share < 1.0 and warm_from < 1.0 and not self.in_large_fleet:
+            age_us = int(max(0.0, (warm_from - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
         return upstream.entry.start_us + age_us
 
     def cold_send_gap_us(self, upstream: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
