--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -873,9 +873,9 @@
         if self.in_large_fleet and self.ready_capacity < former_capacity:
             # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
             # queues have formed, with everything that all sidecars went on sending in them.
-            kept = min(self.window.slots, self.needed_slots()) * self.ready_capacity / former_capacity
+            kept_slots = min(self.window.slots, self.needed_slots()) * self.ready_capacity / former_capacity
             # also if no upstream is left
-            self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept)
+            self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept_slots)
         start = len(ready) * (self.settings.self_index % count) // count
         for upstream in self.draw_order:
             upstream.order_index = -1
