--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1003,8 +1003,8 @@
         if outcome is api.Outcome.OK and lesson is None:
             upstream.window.slots = max(1.0, upstream.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
-            most = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
-            upstream.window.slots = 1.0 if self.warmth(upstream) < 1.0 else min(max(1.0, lesson.slots), most)
+            max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
+            upstream.window.slots = 1.0 if self.warmth(upstream) < 1.0 else min(max(1.0, lesson.slots), max_slots)
             # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
             # good.
             upstream.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
