--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -964,8 +964,8 @@
     def recall_fleet_values(self, lessons: api.Lessons, count: int) -> None:
         """Takes over the class latencies and the sidecar's window. The caller checks that the fleet is still mostly
         the same: for a replaced one they are wrong."""
-        for kind, latency in zip(self.settings.classes, self.latency, strict=True):
-            told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
+        for request_class, latency in zip(self.settings.classes, self.latency, strict=True):
+            told = next((lesson for lesson in lessons.classes if lesson.name == request_class.name), None)
             if told is not None and latency.last_observed_us < told.confirmed_us and (
                     not latency.has_samples or latency.recall_doubt == 1 / 2):
                 share = trust.share(self.now_us - told.confirmed_us, trust.LATENCY_HALVES_US)
