--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -610,9 +610,9 @@
         now_us = self.now_us
         if 0 < self.reorder_at_us <= now_us:
             self.reorder()
-        queue = self.refresh_times
-        while queue and queue[0][0] <= now_us:
-            upstream = heapq.heappop(queue)[2]
+        due = self.refresh_times
+        while due and due[0][0] <= now_us:
+            upstream = heapq.heappop(due)[2]
             upstream.queued_refresh_us = 0
             self.needs_refresh[upstream] = None
         self.needs_refresh.update(self.warming_up)
