--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -369,8 +369,8 @@
             until_us = self.now_us + self.half_aim_us(request.event.class_index)
             self.schedule(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
         else:
-            spent = request.attempts and not self.may_send(request)
-            self.refuse_or_fail(request, "too late" if not in_time else "tries spent" if spent else "full")
+            attempts_used_up = request.attempts and not self.may_send(request)
+            self.refuse_or_fail(request, "too late" if not in_time else "tries spent" if attempts_used_up else "full")
 
     def slot_value(self, request: Request) -> float:
         """The worth that a slot earns per unit of time with this request; reduced for a tenant beyond its share. The
