--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -937,7 +937,7 @@
         count = len(self.draw_order)
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
-            told = {}
+            accepted = {}
             for upstream in self.draw_order:
                 found = known.get(upstream.entry.id)
                 if (found is not None and found.started_us == upstream.entry.started_us
@@ -948,14 +948,14 @@
                         # the distance holds only for the zone in which it was measured
                         if lessons.zone != self.settings.zone:
                             found = replace(found, least_us=0)
-                        told[upstream] = found, faded
+                        accepted[upstream] = found, faded
             still_running = sum(ident in known and known[ident].started_us == upstream.entry.started_us
                                 for ident, upstream in self.upstreams.items())
             if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
-            distrusted = sum(trust.is_shut(told[upstream][1] if upstream in told else upstream.lesson)
+            distrusted = sum(trust.is_shut(accepted[upstream][1] if upstream in accepted else upstream.lesson)
                              for upstream in self.draw_order)
-            for upstream, (lesson, faded) in told.items():
+            for upstream, (lesson, faded) in accepted.items():
                 if 2 * distrusted <= count or not trust.is_shut(faded):
                     self.apply_upstream_lesson(upstream, lesson, faded)
         if self.has_discovery_list:
