--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -149,8 +149,8 @@
 class Attempt:
     """One send of a request to an upstream."""
 
-    def __init__(self, upstream: TrackedUpstream, now_us: int, slow_us: int) -> None:
-        self.upstream, self.sent_us, self.slow_after_us = upstream, now_us, slow_us
+    def __init__(self, upstream: TrackedUpstream, now_us: int, slow_after_us: int) -> None:
+        self.upstream, self.sent_us, self.slow_after_us = upstream, now_us, slow_after_us
         self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
         self.holds_slot = True  # whether it still takes up a slot of its upstream
         # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
