--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -729,8 +729,8 @@
         self.traffic.count(self.now_us)
         self.subset_slots = max(self.min_subset_slots,
                                 MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
-        slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
-        attempt, until_us = Attempt(upstream, self.now_us, slow_us), self.resend_until_us(request)
+        slow_after_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
+        attempt, until_us = Attempt(upstream, self.now_us, slow_after_us), self.resend_until_us(request)
         attempt.paced = self.in_large_fleet and self.warmth(upstream) < 1.0
         if not attempt.paced:
             self.outstanding.move(self.now_us, 1)
@@ -738,9 +738,9 @@
         request.open_attempts += 1
         timeout_us = request.event.due_us - self.now_us
         if not self.settings.second_copies and self.class_of(request).effect != "at_most_once":
-            timeout_us = min(timeout_us, 3 * slow_us)  # a hung upstream would use up all the time
+            timeout_us = min(timeout_us, 3 * slow_after_us)  # a hung upstream would use up all the time
         self.actions.append(api.Send(request.event.request, upstream.entry.id, timeout_us, until_us))
-        self.schedule(self.now_us + slow_us, "late", request.event.request)
+        self.schedule(self.now_us + slow_after_us, "late", request.event.request)
         return True
 
     def on_late(self, request: Request) -> None:
