--- a/tests/world.py
+++ b/tests/world.py
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class Try:
+class SentAttempt:
     """One attempt that the balancer has sent."""
 
     upstream: int
@@ -80,12 +80,12 @@
     """A request, its attempts and how many final answers it has got."""
 
     event: RequestArrived
-    tries: list[Try] = field(default_factory=list)
+    tries: list[SentAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
     stream: bool = False
 
-    def may_have_run(self) -> list[Try]:
+    def may_have_run(self) -> list[SentAttempt]:
         return [t for t in self.tries if t.outcome not in NEVER_RAN]
 
     def out(self) -> list[int]:
@@ -214,7 +214,7 @@
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        owed.tries.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
 
     def check_answer(self, answer: Refuse | Fail) -> None:
         owed = self.owed[answer.request]
