--- a/tests/world.py
+++ b/tests/world.py
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Owed:
+class RequestState:
     """A request, its attempts and how many final answers it has got."""
 
     event: RequestArrived
@@ -99,7 +99,7 @@
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, Owed] = {}
+        self.owed: dict[int, RequestState] = {}
         self.known: dict[int, Upstream] = {}
         self.refused_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
@@ -132,7 +132,7 @@
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = Owed(event)
+        self.owed[ident] = RequestState(event)
         self.tell(event)
         return ident
 
