--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -30,7 +30,7 @@
     assert isinstance(refusal, Refuse) and refusal.reason == "draining" and refusal.retry_after_us > 0
     assert not world.sends(new) and world.answer(taken) is None
     world.end(taken, 0, Outcome.OK)
-    assert world.owed[taken].answers == 1
+    assert world.requests[taken].answers == 1
     world.tell(DrainChanged(False))
     assert world.sends(world.arrive(READ))
 
@@ -74,7 +74,7 @@
     assert world.balancer.tenant_arrivals == [0.0, 3.0, 7.0]
     assert world.balancer.requests[out].event.tenant == 2  # still big's
     world.end(out, 0, Outcome.OK)
-    assert world.owed[out].answers == 1
+    assert world.requests[out].answers == 1
     assert world.sends(world.arrive(3))  # the new class is served
 
 
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -54,7 +54,7 @@
     """Ends the request's one attempt; gives its upstream."""
     world.advance(after_us)
     upstream = world.sends(request)[-1].upstream
-    world.end(request, len(world.owed[request].tries) - 1, outcome)
+    world.end(request, len(world.requests[request].tries) - 1, outcome)
     return upstream
 
 
@@ -232,11 +232,11 @@
         for _ in range(3_000):  # 3 s
             world.arrive()
             world.advance(1_000)
-            for ident, owed in world.owed.items():
+            for ident, owed in world.requests.items():
                 for number in owed.out():
                     if world.now_us - owed.tries[number].sent_us >= 20_000:
                         world.end(ident, number, Outcome.OK)
-        sent = sorted(one.sent_us for owed in world.owed.values() for one in owed.tries)[:3]
+        sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.tries)[:3]
         assert len(sent) == 3
         gaps.append([later - at for at, later in zip(sent, sent[1:], strict=False)])
     assert all(lied >= honest - 1_000 for honest, lied in zip(*gaps, strict=True)), gaps
@@ -425,11 +425,11 @@
             world.balancer.recall(world.now_us, any_lessons())
         request = world.arrive(rng.randrange(3))
         world.advance(rng.randrange(60_000))
-        for number in list(world.owed[request].out()):
-            if number in world.owed[request].out() and rng.random() < 0.7:
+        for number in list(world.requests[request].out()):
+            if number in world.requests[request].out() and rng.random() < 0.7:
                 world.end(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
     world.advance(5 * S)
-    assert all(owed.answers == 1 for owed in world.owed.values())
+    assert all(owed.answers == 1 for owed in world.requests.values())
 
 
 def test_a_sidecar_taught_by_itself_is_as_it_was() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
 def play(world: World, step: tuple[str, int, object]) -> None:
     """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.out()]
     if what == "arrive":
         assert isinstance(extra, int)
         world.arrive(number, patience_us=extra)
@@ -70,17 +70,17 @@
         world.tell_list(upstreams(number), extra)
     elif what == "fail" and world.settings.list_on_request:
         world.tell(UpstreamsUpdated(ListKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
+    elif what == "quit" and world.requests:
+        ident = list(world.requests)[number % len(world.requests)]
+        if not world.requests[ident].closed:
             world.quit(ident)
     elif what == "end" and open_tries:
         assert isinstance(extra, Outcome)
         world.end(*open_tries[number % len(open_tries)], extra)
     elif what == "stream":
         streams = [(i, n) for i, n in open_tries
-                   if world.settings.classes[world.owed[i].event.class_index].stream
-                   and not world.owed[i].stream and not world.owed[i].closed]
+                   if world.settings.classes[world.requests[i].event.class_index].stream
+                   and not world.requests[i].stream and not world.requests[i].closed]
         if streams:
             world.begin_stream(*streams[number % len(streams)])
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -142,9 +142,9 @@
     for _ in range(steps):
         world.arrive(class_index)
         world.advance(took_us)
-        for ident in [i for i, owed in world.owed.items() if owed.out()]:
-            for attempt in world.owed[ident].out():
-                at_bad = world.owed[ident].tries[attempt].upstream == bad
+        for ident in [i for i, owed in world.requests.items() if owed.out()]:
+            for attempt in world.requests[ident].out():
+                at_bad = world.requests[ident].tries[attempt].upstream == bad
                 world.end(ident, attempt, fault if at_bad else Outcome.OK)
 
 
@@ -156,7 +156,7 @@
     for step in range(900):
         request = world.arrive(READ)
         world.advance(60_000)
-        for attempt in world.owed[request].out() if request in world.owed else []:
+        for attempt in world.requests[request].out() if request in world.requests else []:
             world.end(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
     assert all(server.window.slots > 0.5 for server in world.balancer.upstreams.values())
 
@@ -229,7 +229,7 @@
     for _ in range(50):
         fill(world)
         world.advance(1_000)
-        for ident, owed in list(world.owed.items()):
+        for ident, owed in list(world.requests.items()):
             for attempt in owed.out():
                 world.end(ident, attempt, Outcome.FULL)
     world.advance(10_000_000)
@@ -285,7 +285,7 @@
     first, second = world.sends(request)
     assert first.upstream != second.upstream
     world.end(request, 0, Outcome.OK)
-    assert world.answer(request) is None and world.owed[request].answers == 1
+    assert world.answer(request) is None and world.requests[request].answers == 1
 
 
 @pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
@@ -302,7 +302,7 @@
     world.advance(140_000)
     fill(world)
     world.advance(20_000)
-    assert all(len(owed.tries) <= 1 for owed in world.owed.values())
+    assert all(len(owed.tries) <= 1 for owed in world.requests.values())
 
 
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
@@ -417,7 +417,7 @@
     for _ in range(20):
         world.arrive(PAY)
     world.advance(10_000)
-    for ident, owed in list(world.owed.items()):
+    for ident, owed in list(world.requests.items()):
         for attempt in owed.out():
             world.end(ident, attempt, outcome)
 
@@ -478,9 +478,9 @@
     world = ready_world(30, instances=3)
     for _ in range(60):
         request = world.arrive(READ)
-        while world.owed[request].out():
-            world.end(request, world.owed[request].out()[0], Outcome.FULL)
-    extra = len(world.sends()) - sum(1 for owed in world.owed.values() if owed.tries)
+        while world.requests[request].out():
+            world.end(request, world.requests[request].out()[0], Outcome.FULL)
+    extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.tries)
     assert 5 <= extra <= 5 + 0.2 * 60
 
 
@@ -524,7 +524,7 @@
     world.advance(310_000)
     slots = world.balancer.upstreams[100].window.slots
     world.advance(1_400_000)
-    assert world.owed[first].tries[0].outcome is Outcome.TIMEOUT
+    assert world.requests[first].tries[0].outcome is Outcome.TIMEOUT
     assert world.balancer.upstreams[100].window.slots == slots
 
 
@@ -544,7 +544,7 @@
         for _ in range(40):
             request = world.arrive(PAY)
             world.advance(400_000)
-            if world.sends(request) and world.owed[request].out():
+            if world.sends(request) and world.requests[request].out():
                 world.end(request, 0, Outcome.OK, report=[busy])
         slots.append(world.balancer.window.slots)
     assert slots[0] >= 1.0 and slots[0] > slots[1]
--- a/tests/world.py
+++ b/tests/world.py
@@ -99,7 +99,7 @@
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, RequestState] = {}
+        self.requests: dict[int, RequestState] = {}
         self.known: dict[int, Upstream] = {}
         self.refused_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
@@ -132,12 +132,12 @@
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = RequestState(event)
+        self.requests[ident] = RequestState(event)
         self.tell(event)
         return ident
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.owed[request]
+        owed = self.requests[request]
         this = owed.tries[attempt]
         assert this.outcome is None
         this.outcome = outcome
@@ -148,12 +148,12 @@
                                       owed.closed, **fields))
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        self.owed[request].stream = True
-        self.tell(StreamStarted(request, attempt, self.owed[request].tries[attempt].upstream))
+        self.requests[request].stream = True
+        self.tell(StreamStarted(request, attempt, self.requests[request].tries[attempt].upstream))
 
     def quit(self, request: int) -> None:
-        self.owed[request].closed = True
-        self.owed[request].answers = 1
+        self.requests[request].closed = True
+        self.requests[request].answers = 1
         self.tell(RequestGone(request))
 
     def advance(self, by_us: int) -> None:
@@ -161,7 +161,7 @@
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [(t.ends_us, 0, ident, n) for ident, owed in self.owed.items() if not owed.stream
+            due += [(t.ends_us, 0, ident, n) for ident, owed in self.requests.items() if not owed.stream
                     for n, t in enumerate(owed.tries) if t.outcome is None]
             due = [d for d in due if d[0] <= end_us]
             if not due:
@@ -175,7 +175,7 @@
                 self.tell(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, owed in self.owed.items():
+        for ident, owed in self.requests.items():
             overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
             assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered after its due time"
 
@@ -188,7 +188,7 @@
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "cancelled an attempt although the settings forbid that"
-            assert action.attempt < len(self.owed[action.request].tries), "cancelled an attempt that was never sent"
+            assert action.attempt < len(self.requests[action.request].tries), "cancelled an attempt that was never sent"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
@@ -198,7 +198,7 @@
             assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
 
     def check_send(self, send: Send) -> None:
-        owed = self.owed[send.request]
+        owed = self.requests[send.request]
         entry = self.known[send.upstream]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a send after the final answer"
@@ -217,7 +217,7 @@
         owed.tries.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
 
     def check_answer(self, answer: Refuse | Fail) -> None:
-        owed = self.owed[answer.request]
+        owed = self.requests[answer.request]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a second answer"
         owed.closed = True
