--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -107,7 +107,7 @@
         request = world.arrive(READ)
         number = 0
         while number < len(world.sends(request)) and world.answer(request) is None:
-            zone = world.known[world.sends(request)[number].upstream].zone
+            zone = world.listed[world.sends(request)[number].upstream].zone
             lost[zone] += zone == 0
             end(world, request, number, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK, 50_000)
             number += 1
@@ -146,7 +146,7 @@
         end(world, request, 0, Outcome.ERROR if upstream == bad and number % 2 else Outcome.OK, 5_000)
         if len(world.sends(request)) == 2:
             end(world, request, 1, Outcome.OK, 5_000)
-    near = [ident for ident, entry in world.known.items() if entry.zone == 0 and drawn[ident] and ident != bad]
+    near = [ident for ident, entry in world.listed.items() if entry.zone == 0 and drawn[ident] and ident != bad]
     assert drawn[bad] < sum(drawn[ident] for ident in near) / len(near) / 2
 
 
@@ -234,7 +234,7 @@
     sidecars, one of them sends the next when the rest can have done 20: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at 4.2 s.
     Answers of 5 s would make it far longer."""
     world = many()
-    world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
+    world.tell_list([*world.listed.values(), Upstream(900, started_us=world.now_us)])
     server = world.balancer.upstreams[900]
     gaps = [world.balancer.cold_send_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
     assert gaps[0] == gaps[1] == pytest.approx(4_200_000, rel=0.05)
@@ -330,7 +330,7 @@
     lessons = replace(learned(world.balancer), slots=1.0)
     newcomer = Balancer(world.settings, 8, world.now_us)
     newcomer.recall(world.now_us, lessons)
-    newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.known.values())))
+    newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.listed.values())))
     assert newcomer.window.slots >= newcomer.initial_slots(60) == 12.0
 
 
@@ -390,7 +390,7 @@
     world = many(zone=0, cross_zone_fee=0.03)
     zone_fails(world, 0, 10)
     before = world.balancer.zone_faults[0].share(world.now_us)
-    anew = [replace(entry, started_us=world.now_us) for entry in world.known.values() if entry.zone == 0][:3]
+    anew = [replace(entry, started_us=world.now_us) for entry in world.listed.values() if entry.zone == 0][:3]
     world.tell_list(anew, ListKind.DELTA)
     assert world.balancer.zone_faults[0].share(world.now_us) < before / 7
 
@@ -424,7 +424,7 @@
     world = many(20.0)
     for _ in range(120):
         request = world.arrive(READ)
-        kind = world.known[world.sends(request)[0].upstream].kind
+        kind = world.listed[world.sends(request)[0].upstream].kind
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
     world.balancer.needs_refresh.update(dict.fromkeys(world.balancer.draw_order))
     slow, quick = (weight(world, next(server for server in world.balancer.draw_order if server.entry.kind == kind
@@ -596,14 +596,14 @@
     before = world.balancer.window.slots
     world.tell_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
     assert world.balancer.window.slots == before
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:30]],
+    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:30]],
                     ListKind.DELTA)
     assert world.balancer.min_window_slots <= world.balancer.window.slots <= before * 0.55
 
 
 def test_a_release_that_takes_upstreams_away_leaves_one_of_many_what_it_is() -> None:
     world = many(2.0, count=30)
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:15]],
+    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:15]],
                     ListKind.DELTA)
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
@@ -639,7 +639,7 @@
     """Hazard: a window of nothing at all would divide by zero when what is out ends."""
     world = many(20.0)
     request = world.arrive(READ)
-    draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.known.values()]
+    draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.listed.values()]
     world.tell_list(draining, ListKind.DELTA)
     world.end(request, 0, outcome)
     assert world.balancer.window.slots > 0.0
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -42,14 +42,14 @@
 def test_a_request_goes_to_a_ready_upstream_at_once() -> None:
     world = ready_world()
     request = world.arrive(READ)
-    assert [s.upstream in world.known for s in world.sends(request)] == [True]
+    assert [s.upstream in world.listed for s in world.sends(request)] == [True]
 
 
 def test_choice_is_spread_over_all_upstreams() -> None:
     world = ready_world(6)
     for _ in range(60):
         world.end(world.arrive(READ), 0, Outcome.OK)
-    assert {s.upstream for s in world.sends()} == set(world.known)
+    assert {s.upstream for s in world.sends()} == set(world.listed)
 
 
 def test_outstanding_sends_are_capped_and_one_request_waits_and_the_next_is_refused() -> None:
@@ -239,22 +239,22 @@
 def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_costs() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03)
     first = [world.arrive(READ) for _ in range(2)]
-    assert {world.known[world.sends(r)[0].upstream].zone for r in first} == {1}
+    assert {world.listed[world.sends(r)[0].upstream].zone for r in first} == {1}
     third = world.arrive(READ)
-    assert world.known[world.sends(third)[0].upstream].zone != 1
+    assert world.listed[world.sends(third)[0].upstream].zone != 1
 
 
 def test_the_home_zone_does_not_matter_with_more_sidecars_than_upstreams() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03, instances=9)
     churn(world, 100)
-    at_home = sum(1 for send in world.sends() if world.known[send.upstream].zone == 1)
+    at_home = sum(1 for send in world.sends() if world.listed[send.upstream].zone == 1)
     assert 0 < at_home < len(world.sends()) / 2
 
 
 def test_zones_do_not_matter_where_crossing_is_free() -> None:
     world = ready_world(8, zone=1)
     churn(world, 100)
-    assert {world.known[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
+    assert {world.listed[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
 
 
 def test_a_dearer_request_takes_the_buffer_from_a_cheaper_one() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -100,7 +100,7 @@
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, RequestState] = {}
-        self.known: dict[int, Upstream] = {}
+        self.listed: dict[int, Upstream] = {}
         self.refused_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
@@ -117,13 +117,13 @@
 
     def tell_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
-            self.known[entry.id] = entry
+            self.listed[entry.id] = entry
             if entry.state is UpstreamState.READY:
                 self.refused_us.pop(entry.id, None)
             else:
                 self.refused_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
+            for ident in self.listed.keys() - {e.id for e in entries}:
                 self.refused_us.setdefault(ident, self.now_us)
         return self.tell(UpstreamsUpdated(kind, entries))
 
@@ -199,7 +199,7 @@
 
     def check_send(self, send: Send) -> None:
         owed = self.requests[send.request]
-        entry = self.known[send.upstream]
+        entry = self.listed[send.upstream]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a send after the final answer"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
