--- a/tests/world.py
+++ b/tests/world.py
@@ -101,7 +101,7 @@
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, RequestState] = {}
         self.listed: dict[int, Upstream] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
+        self.unavailable_since_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
         self.next_id = 1
@@ -119,12 +119,12 @@
         for entry in entries:
             self.listed[entry.id] = entry
             if entry.state is UpstreamState.READY:
-                self.refused_us.pop(entry.id, None)
+                self.unavailable_since_us.pop(entry.id, None)
             else:
-                self.refused_us.setdefault(entry.id, self.now_us)
+                self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
             for ident in self.listed.keys() - {e.id for e in entries}:
-                self.refused_us.setdefault(ident, self.now_us)
+                self.unavailable_since_us.setdefault(ident, self.now_us)
         return self.tell(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
@@ -203,7 +203,7 @@
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a send after the final answer"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
         assert self.settings.second_copies or not owed.out(), "rule 2: two attempts outstanding together"
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
