--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -24,21 +24,21 @@
 def test_a_drained_sidecar_refuses_what_is_new_and_answers_what_it_took() -> None:
     world = ready_world(4)
     taken = world.arrive(PAY)
-    world.tell(DrainChanged(True))
+    world.deliver(DrainChanged(True))
     new = world.arrive(READ)
     refusal = world.answer(new)
     assert isinstance(refusal, Refuse) and refusal.reason == "draining" and refusal.retry_after_us > 0
     assert not world.sends(new) and world.answer(taken) is None
     world.end(taken, 0, Outcome.OK)
     assert world.requests[taken].answers == 1
-    world.tell(DrainChanged(False))
+    world.deliver(DrainChanged(False))
     assert world.sends(world.arrive(READ))
 
 
 def test_what_waited_in_the_buffer_when_the_drain_began_is_sent() -> None:
     world = ready_world(2)
     waiting = fill(world)[-1]
-    world.tell(DrainChanged(True))
+    world.deliver(DrainChanged(True))
     world.end(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(waiting)
 
@@ -46,7 +46,7 @@
 def test_what_was_taken_is_tried_again_during_a_drain() -> None:
     world = ready_world(4)
     taken = world.arrive(READ)
-    world.tell(DrainChanged(True))
+    world.deliver(DrainChanged(True))
     world.end(taken, 0, Outcome.FULL)
     assert len(world.sends(taken)) == 2
 
@@ -55,7 +55,7 @@
 def test_a_drain_promises_no_more_than_before(class_index: int, kind: type[object]) -> None:
     world = ready_world(1)
     taken = world.arrive(class_index)
-    world.tell(DrainChanged(True))
+    world.deliver(DrainChanged(True))
     world.end(taken, 0, Outcome.RESET)
     world.advance(5_000_000)
     assert isinstance(world.answer(taken), kind)
@@ -68,7 +68,7 @@
     world.balancer.tenant_arrivals = [7.0, 3.0]
     new = settings(tenants=[Tenant("new", 5.0), Tenant("small", 10.0), Tenant("big", 200.0)])
     new.classes.append(RequestClass("extra", 100_000, 500_000))
-    world.tell(SettingsChanged(new))
+    world.deliver(SettingsChanged(new))
     world.settings = new
     assert {i: s.window.slots for i, s in world.balancer.upstreams.items()} == before
     assert world.balancer.tenant_arrivals == [0.0, 3.0, 7.0]
@@ -81,7 +81,7 @@
 def test_a_request_whose_tenant_is_taken_away_counts_as_nobodys() -> None:
     world = ready_world(2, tenants=[Tenant("a", 1.0)])
     out = world.arrive(READ, tenant=0)
-    world.tell(SettingsChanged(settings(tenants=[])))
+    world.deliver(SettingsChanged(settings(tenants=[])))
     assert world.balancer.requests[out].event.tenant == 0 >= len(world.balancer.tenant_arrivals)
     assert world.sends(world.arrive(READ, tenant=0))
 
@@ -90,7 +90,7 @@
     world = ready_world(2, second_copies=False)
     changed = settings(second_copies=False)
     changed.classes[READ] = RequestClass("read", 30_000, 1_000_000)
-    world.tell(SettingsChanged(changed))
+    world.deliver(SettingsChanged(changed))
     assert world.sends(world.arrive(READ))[0].timeout_us == 45_000
 
 
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -29,7 +29,7 @@
     for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
                   StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
                   PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
-        assert world.tell(event) == []
+        assert world.deliver(event) == []
     assert world.sends(world.arrive(0))
 
 
@@ -39,18 +39,18 @@
     request = world.arrive(0)
     world.quit(request)
     assert world.end(request, 0, Outcome.ERROR) == []
-    assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestGone(request)) == []
+    assert world.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
+    assert world.deliver(RequestGone(request)) == []
     served = world.arrive(0)
     world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestGone(served)) == []
+    assert world.deliver(RequestGone(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
     world = World()
     world.tell_list(upstreams(3))
     request = world.arrive(0)
-    assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
+    assert world.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_a_stream_that_breaks_is_not_sent_again() -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -455,7 +455,7 @@
 def test_new_allowances_count_for_the_part() -> None:
     world = many(200.0)
     before = world.balancer.traffic.part()
-    world.tell(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
+    world.deliver(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
     assert world.balancer.traffic.part() < before / 2
 
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -44,7 +44,7 @@
     waits = []
     for _ in range(12):
         before = len(asks(world))
-        world.tell(UpstreamsUpdated(ListKind.FAILED))
+        world.deliver(UpstreamsUpdated(ListKind.FAILED))
         start_us = world.now_us
         while len(asks(world)) == before:
             world.advance(10_000)
@@ -57,8 +57,8 @@
     world = asking_world()
     world.advance(2_000_000)
     before = len(asks(world))
-    world.tell(UpstreamsUpdated(ListKind.FAILED))
-    world.tell(UpstreamsUpdated(ListKind.FAILED))
+    world.deliver(UpstreamsUpdated(ListKind.FAILED))
+    world.deliver(UpstreamsUpdated(ListKind.FAILED))
     world.advance(4_000_000)
     world.tell_list(upstreams(4), ListKind.DELTA)
     assert len(asks(world)) == before + 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -69,7 +69,7 @@
         assert isinstance(extra, ListKind)
         world.tell_list(upstreams(number), extra)
     elif what == "fail" and world.settings.list_on_request:
-        world.tell(UpstreamsUpdated(ListKind.FAILED))
+        world.deliver(UpstreamsUpdated(ListKind.FAILED))
     elif what == "quit" and world.requests:
         ident = list(world.requests)[number % len(world.requests)]
         if not world.requests[ident].closed:
--- a/tests/world.py
+++ b/tests/world.py
@@ -108,7 +108,7 @@
 
     # Events
 
-    def tell(self, event: Event) -> list[Action]:
+    def deliver(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -125,7 +125,7 @@
         if kind in (ListKind.FULL, ListKind.CACHED):
             for ident in self.listed.keys() - {e.id for e in entries}:
                 self.unavailable_since_us.setdefault(ident, self.now_us)
-        return self.tell(UpstreamsUpdated(kind, entries))
+        return self.deliver(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
         ident = self.next_id
@@ -133,7 +133,7 @@
         patience = patience_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
         self.requests[ident] = RequestState(event)
-        self.tell(event)
+        self.deliver(event)
         return ident
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
@@ -144,17 +144,17 @@
         if (outcome is Outcome.OK or owed.stream) and not owed.closed:
             owed.closed = True
             owed.answers += 1
-        return self.tell(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
+        return self.deliver(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
                                       owed.closed, **fields))
 
     def begin_stream(self, request: int, attempt: int) -> None:
         self.requests[request].stream = True
-        self.tell(StreamStarted(request, attempt, self.requests[request].tries[attempt].upstream))
+        self.deliver(StreamStarted(request, attempt, self.requests[request].tries[attempt].upstream))
 
     def quit(self, request: int) -> None:
         self.requests[request].closed = True
         self.requests[request].answers = 1
-        self.tell(RequestGone(request))
+        self.deliver(RequestGone(request))
 
     def advance(self, by_us: int) -> None:
         """Moves the clock; timers fire and attempts time out at their times on the way."""
@@ -172,7 +172,7 @@
                 self.end(first, second, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, first))
-                self.tell(TimerFired(first))
+                self.deliver(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
         for ident, owed in self.requests.items():
