--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -121,7 +121,7 @@
 
 def test_the_view_shows_each_upstream() -> None:
     world = ready_world(1)
-    world.tell_list([Upstream(100), Upstream(101, started_us=world.now_us)])
+    world.deliver_list([Upstream(100), Upstream(101, started_us=world.now_us)])
     request = world.arrive(PAY)
     views = {view.id: view for view in view(world.balancer)}
     assert set(views) == {100, 101} and views[101].cold and not views[100].cold
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -42,7 +42,7 @@
 def taught(*found: UpstreamLesson, count: int = 6, listed: bool = True, **changes: object) -> World:
     world = World(settings(second_copies=False))
     world.balancer.recall(START_US, lessons(*found, **changes))
-    world.tell_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
+    world.deliver_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
     return world
 
 
@@ -106,7 +106,7 @@
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
-    cold.tell_list(upstreams(6))
+    cold.deliver_list(upstreams(6))
     assert slots(world) == slots(cold) and world.balancer.window.slots == cold.balancer.window.slots
     assert [x.mean_us for x in world.balancer.latency] == [x.mean_us for x in cold.balancer.latency]
 
@@ -142,7 +142,7 @@
     for seed in range(300):
         world = World(settings(second_copies=False, instances=1), seed)
         world.balancer.recall(START_US, lessons(told(100, 1 / 64, mute=4), told(101, 1.0)))
-        world.tell_list(upstreams(2))
+        world.deliver_list(upstreams(2))
         sent = [world.sends(world.arrive())[-1].upstream for _ in range(2)]
         assert sorted(sent) == [100, 101]  # the second is not refused: the distrusted one has a slot
         first += sent[0] == 100
@@ -163,19 +163,19 @@
 
 def test_what_the_list_does_not_name_is_forgotten() -> None:
     world = taught(told(999, 9.0))
-    world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
+    world.deliver_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
     assert world.balancer.upstreams[999].lesson is None and world.balancer.lessons == []
 
 
 def test_a_list_as_last_known_is_not_the_last_word() -> None:
     world = taught(told(100, 9.0), told(106, 9.0), count=6, listed=False)
-    world.tell_list(upstreams(7))
+    world.deliver_list(upstreams(7))
     assert world.balancer.upstreams[106].lesson is not None
 
 
 def test_own_evidence_goes_first() -> None:
     world = World(settings(second_copies=False))
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     seen = answer(world, world.arrive())
     before = slots(world)[seen]
     fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), told(seen, 1 / 64, -10 * S))
@@ -190,7 +190,7 @@
         both = [lessons(told(100, 5.0, 30 * S), confirmed_us=START_US - 30 * S), lessons(told(100, 0.25, S))]
         for one in both[::-1] if order else both:
             world.balancer.recall(START_US, one)
-        world.tell_list(upstreams(6))
+        world.deliver_list(upstreams(6))
         assert slots(world)[100] == pytest.approx(0.25 ** 0.5 ** 0.1)
 
 
@@ -207,7 +207,7 @@
 
 def test_two_teachers_do_not_shut_more_than_half_together() -> None:
     world = World(settings())
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     world.balancer.recall(START_US, lessons(*(told(100 + i, 1 / 64, mute=5) for i in range(3))))
     world.balancer.recall(START_US, lessons(*(told(103 + i, 1 / 64, mute=5) for i in range(3))))
     assert sum(value < 1.0 for value in slots(world).values()) == 3
@@ -228,7 +228,7 @@
             world.balancer.recall(START_US, lessons(
                 told(100, 1e6, started_us=START_US - S),
                 classes=tuple(ClassLesson(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
-        world.tell_list(upstreams(1, started_us=START_US - S))
+        world.deliver_list(upstreams(1, started_us=START_US - S))
         for _ in range(3_000):  # 3 s
             world.arrive()
             world.advance(1_000)
@@ -267,13 +267,13 @@
     world = World(settings(second_copies=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
-    world.tell_list(entry)
+    world.deliver_list(entry)
     until_us = world.balancer.upstreams[100].next_cold_send_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
     other = World(settings(second_copies=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
-    other.tell_list(entry)
+    other.deliver_list(entry)
     assert other.balancer.upstreams[100].next_cold_send_us < until_us
 
 
@@ -286,7 +286,7 @@
         assert (world.balancer.window.slots > 1.5 * taught().balancer.window.slots) is recalled
     world = taught(*(told(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
     assert not world.balancer.latency[0].has_samples  # a list as last known may be of the former fleet
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     assert world.balancer.latency[0].has_samples
 
 
@@ -301,7 +301,7 @@
     config = settings(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
     world = World(config)
     world.balancer.recall(START_US, lessons(tenants=(("a", 0.9), ("b", 0.1), ("unknown", 5.0)), confirmed_us=START_US))
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     assert world.balancer.tenant_arrivals == pytest.approx([18.0, 2.0])
     for _ in range(100):
         answer(world, world.arrive(tenant=1), after_us=1_000)
@@ -327,7 +327,7 @@
     """A teaches B, B teaches A again and again: nothing gets younger, and nothing second-hand is taken at all."""
     world = World(settings())
     world.balancer.recall(START_US, lessons(told(100, 6.0, S)))
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     for _ in range(5):
         world.advance(2 * S)
         given = learned(world.balancer)
@@ -337,7 +337,7 @@
         other = World(settings())
         other.now_us = world.now_us
         other.balancer.recall(world.now_us, agreed)
-        other.tell_list(upstreams(6))
+        other.deliver_list(upstreams(6))
         back = learned(other.balancer)
         assert [one.first_hand for one in back.upstreams] == [False]
         assert trust.agreed([trust.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
@@ -419,7 +419,7 @@
                                      for c in world.settings.classes if rng.random() < 0.5))
 
     world.balancer.recall(START_US, any_lessons())
-    world.tell_list(upstreams(6, started_us=rng.choice([0, START_US - S])))
+    world.deliver_list(upstreams(6, started_us=rng.choice([0, START_US - S])))
     for step in range(60):
         if step % 20 == 7:
             world.balancer.recall(world.now_us, any_lessons())
@@ -435,7 +435,7 @@
 def test_a_sidecar_taught_by_itself_is_as_it_was() -> None:
     """Given and taken back at once, after one try of each upstream, it is where it was."""
     world = World(settings(second_copies=False, instances=1))
-    world.tell_list(upstreams(4))
+    world.deliver_list(upstreams(4))
     for _ in range(200):
         answer(world, world.arrive(), after_us=5_000)
     given = learned(world.balancer)
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -25,7 +25,7 @@
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
     world = World()
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
                   StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
                   PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
@@ -35,7 +35,7 @@
 
 def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
     world = World()
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     request = world.arrive(0)
     world.quit(request)
     assert world.end(request, 0, Outcome.ERROR) == []
@@ -48,14 +48,14 @@
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
     world = World()
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     request = world.arrive(0)
     assert world.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_a_stream_that_breaks_is_not_sent_again() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     request = world.arrive(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
@@ -96,12 +96,12 @@
 def test_odd_requests_and_lists_are_taken_without_an_exception() -> None:
     world = World(settings(tenants=[Tenant("t", 5.0)], over_share_worth=0.2))
     twice = upstreams(2) + upstreams(2, weight=0.0)
-    world.tell_list(twice)
+    world.deliver_list(twice)
     assert len(world.balancer.upstreams) == 2
     assert world.sends(world.arrive(0, tenant=99))
     late = world.arrive(0, patience_us=-5_000)
     assert not world.sends(late) and world.answer(late) is not None
-    world.tell_list([])
+    world.deliver_list([])
     stranded = world.arrive(1)
     world.advance(2_000_000)
     assert not world.sends(stranded) and world.answer(stranded) is not None
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -49,7 +49,7 @@
     sent = 0
     for number in range(instances):
         world = World(replace(config, self_index=number), seed=number)
-        world.tell_list([Upstream(100 + i) for i in range(11)] + [Upstream(900, started_us=START_US)])
+        world.deliver_list([Upstream(100 + i) for i in range(11)] + [Upstream(900, started_us=START_US)])
         world.balancer.slowness.exceeds = lambda limit: True  # type: ignore[method-assign]
         world.advance(10 * SECOND_US)
         for _ in range(10):
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -42,7 +42,7 @@
     """One of 40 sidecars before 60 upstreams in four zones, the fleet allowed 1,000 requests a second; after ten
     seconds in which it has sent so many."""
     world = World(settings(**{"instances": 40, "tenants": [Tenant("north", 1000.0, 1.0)], **changes}))
-    world.tell_list([Upstream(100 + i, zone=i % 4, kind=i % 3, cell=i % 4) for i in range(count)])
+    world.deliver_list([Upstream(100 + i, zone=i % 4, kind=i % 3, cell=i % 4) for i in range(count)])
     out: deque[tuple[int, int]] = deque()
     for _ in range(int(10 * rate_per_s)):
         world.advance(int(SECOND_US / rate_per_s))
@@ -234,7 +234,7 @@
     sidecars, one of them sends the next when the rest can have done 20: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at 4.2 s.
     Answers of 5 s would make it far longer."""
     world = many()
-    world.tell_list([*world.listed.values(), Upstream(900, started_us=world.now_us)])
+    world.deliver_list([*world.listed.values(), Upstream(900, started_us=world.now_us)])
     server = world.balancer.upstreams[900]
     gaps = [world.balancer.cold_send_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
     assert gaps[0] == gaps[1] == pytest.approx(4_200_000, rel=0.05)
@@ -317,7 +317,7 @@
     for number in range(40):
         world = World(settings(instances=40, self_index=number, tenants=[Tenant("north", 1000.0, 1.0)]), number)
         cold = [Upstream(900 + i, started_us=world.now_us) for i in range(6)]
-        world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
+        world.deliver_list([Upstream(100 + i) for i in range(54)] + cold)
         server = world.balancer.upstreams[900]
         waits += [server.next_cold_send_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
@@ -391,7 +391,7 @@
     zone_fails(world, 0, 10)
     before = world.balancer.zone_faults[0].share(world.now_us)
     anew = [replace(entry, started_us=world.now_us) for entry in world.listed.values() if entry.zone == 0][:3]
-    world.tell_list(anew, ListKind.DELTA)
+    world.deliver_list(anew, ListKind.DELTA)
     assert world.balancer.zone_faults[0].share(world.now_us) < before / 7
 
 
@@ -416,7 +416,7 @@
     server.faults.end(world.now_us, True, 1 / 2)
     assert world.balancer.compute_preference(server) < near / 500
     world.advance(10 * SECOND_US)
-    world.tell_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
+    world.deliver_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
     assert world.balancer.compute_preference(server) > near / 2
 
 
@@ -480,7 +480,7 @@
     sent: list[int] = []
     ends: list[tuple[int, int, int, int]] = []
     for world in sidecars:
-        world.tell_list([Upstream(1), Upstream(2, started_us=START_US - age_s * SECOND_US)])
+        world.deliver_list([Upstream(1), Upstream(2, started_us=START_US - age_s * SECOND_US)])
     for now_us in range(START_US, START_US + 4 * SECOND_US, 20_000):
         while ends and ends[0][0] <= now_us:
             _, number, request, nth = heapq.heappop(ends)
@@ -524,7 +524,7 @@
     sent: dict[int, list[int]] = {900 + i: [] for i in range(30)}
     for number in range(instances):
         world = World(replace(config, self_index=number), seed=number)
-        world.tell_list(listed)
+        world.deliver_list(listed)
         world.balancer.slowness.exceeds = lambda limit: slowness >= limit  # type: ignore[method-assign]
         out: deque[tuple[int, int, int]] = deque()
         for _step in range(int(3 * rate_per_s)):
@@ -576,7 +576,7 @@
     idents = [900 + i for i in range(40)]
     mine = [ident for ident in idents if warms(ident, 0, 200)]
     world = World(settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)]))
-    world.tell_list([Upstream(ident, started_us=START_US) for ident in idents])
+    world.deliver_list([Upstream(ident, started_us=START_US) for ident in idents])
     for _at_s in range(19):
         for _ in range(5):
             world.advance(200_000)
@@ -594,16 +594,16 @@
 def test_a_window_narrows_by_what_the_list_has_lost_and_not_by_a_list_that_only_grows() -> None:
     world = many(40.0)
     before = world.balancer.window.slots
-    world.tell_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
+    world.deliver_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
     assert world.balancer.window.slots == before
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:30]],
+    world.deliver_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:30]],
                     ListKind.DELTA)
     assert world.balancer.min_window_slots <= world.balancer.window.slots <= before * 0.55
 
 
 def test_a_release_that_takes_upstreams_away_leaves_one_of_many_what_it_is() -> None:
     world = many(2.0, count=30)
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:15]],
+    world.deliver_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:15]],
                     ListKind.DELTA)
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
@@ -614,7 +614,7 @@
     config = settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)])
     mine = [ident for ident in range(900, 960) if warms(ident, 0, 200)][:3]
     world = World(config)
-    world.tell_list([Upstream(i) for i in range(100, 140)]
+    world.deliver_list([Upstream(i) for i in range(100, 140)]
                     + [Upstream(i, started_us=START_US - 10 * SECOND_US) for i in mine])
     balancer = world.balancer
     balancer.window.slots = balancer.min_window_slots = 0.1
@@ -640,15 +640,15 @@
     world = many(20.0)
     request = world.arrive(READ)
     draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.listed.values()]
-    world.tell_list(draining, ListKind.DELTA)
+    world.deliver_list(draining, ListKind.DELTA)
     world.end(request, 0, outcome)
     assert world.balancer.window.slots > 0.0
-    world.tell_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
+    world.deliver_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
     assert world.sends(world.arrive(READ))
 
 
 def test_an_upstream_that_starts_after_now_is_cold_or_without_a_warm_up_warm() -> None:
     for warm_up_us, cold in ((20_000_000, True), (0, False)):
         world = World(settings(instances=40, warm_up_us=warm_up_us))
-        world.tell_list([Upstream(100, started_us=world.now_us + 5_000_000)])
+        world.deliver_list([Upstream(100, started_us=world.now_us + 5_000_000)])
         assert (world.balancer.warmth(world.balancer.upstreams[100]) < 1.0) is cold
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -16,7 +16,7 @@
 
 def asking_world() -> World:
     world = World(settings(list_on_request=True, ask_within_us=10_000_000))
-    world.tell_list(upstreams(4), ListKind.CACHED)
+    world.deliver_list(upstreams(4), ListKind.CACHED)
     return world
 
 
@@ -33,7 +33,7 @@
 
 def test_a_pushed_list_is_never_asked_for() -> None:
     world = World()
-    world.tell_list(upstreams(4), ListKind.CACHED)
+    world.deliver_list(upstreams(4), ListKind.CACHED)
     world.advance(60_000_000)
     assert not asks(world)
 
@@ -60,7 +60,7 @@
     world.deliver(UpstreamsUpdated(ListKind.FAILED))
     world.deliver(UpstreamsUpdated(ListKind.FAILED))
     world.advance(4_000_000)
-    world.tell_list(upstreams(4), ListKind.DELTA)
+    world.deliver_list(upstreams(4), ListKind.DELTA)
     assert len(asks(world)) == before + 1
 
 
@@ -72,8 +72,8 @@
 
 def test_a_delta_changes_only_what_it_names() -> None:
     world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
+    world.deliver_list(upstreams(2))
+    world.deliver_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
     for _ in range(10):
         world.end(world.arrive(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {101}
@@ -81,12 +81,12 @@
 
 def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
     world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list(upstreams(1))
+    world.deliver_list(upstreams(2))
+    world.deliver_list(upstreams(1))
     for _ in range(10):
         world.end(world.arrive(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100}
-    world.tell_list(upstreams(2))
+    world.deliver_list(upstreams(2))
     for _ in range(30):
         world.end(world.arrive(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100, 101}
@@ -94,8 +94,8 @@
 
 def test_a_restart_under_the_same_id_is_cold_again() -> None:
     world = World()
-    world.tell_list(upstreams(3))
-    world.tell_list([Upstream(100, started_us=START_US)], ListKind.DELTA)
+    world.deliver_list(upstreams(3))
+    world.deliver_list([Upstream(100, started_us=START_US)], ListKind.DELTA)
     for _ in range(60):
         request = world.arrive(0)
         world.advance(5_000)
@@ -105,10 +105,10 @@
 
 def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
     world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([], ListKind.DELTA)
+    world.deliver_list(upstreams(2))
+    world.deliver_list([], ListKind.DELTA)
     assert world.sends(world.arrive(0))
-    world.tell_list([])
+    world.deliver_list([])
     request = world.arrive(0)
     world.advance(2_000_000)
     assert world.answer(request) is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -64,10 +64,10 @@
         started = world.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
         entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
-        world.tell_list([entry], ListKind.DELTA)
+        world.deliver_list([entry], ListKind.DELTA)
     elif what == "full":
         assert isinstance(extra, ListKind)
-        world.tell_list(upstreams(number), extra)
+        world.deliver_list(upstreams(number), extra)
     elif what == "fail" and world.settings.list_on_request:
         world.deliver(UpstreamsUpdated(ListKind.FAILED))
     elif what == "quit" and world.requests:
@@ -90,7 +90,7 @@
 def test_no_rule_is_broken_whatever_happens(config: dict[str, object], seed: int,
                                             steps: list[tuple[str, int, object]]) -> None:
     world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    world.deliver_list(upstreams(6), ListKind.CACHED)
     for step in steps:
         play(world, step)
     world.advance(5_000_000)  # everything is answered by its due time
@@ -101,7 +101,7 @@
     actions."""
     dice = random.Random(seed)
     world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    world.deliver_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
         kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
                             [50, 40, 10, 1, 1, 1, 1, 1])[0]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -25,7 +25,7 @@
 
 def ready_world(count: int = 4, **changes: object) -> World:
     world = World(settings(**changes))
-    world.tell_list(upstreams(count))
+    world.deliver_list(upstreams(count))
     return world
 
 
@@ -110,19 +110,19 @@
 
 def test_no_ready_upstream_waits_and_then_refuses() -> None:
     world = World()
-    world.tell_list([])
+    world.deliver_list([])
     request = world.arrive(READ)
     world.advance(400_000)
     assert isinstance(world.answer(request), Refuse)
-    world.tell_list([Upstream(5)])
+    world.deliver_list([Upstream(5)])
     assert world.sends(world.arrive(READ))
 
 
 def test_a_cold_upstream_gets_little() -> None:
     world = World(settings(instances=24))
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     churn(world, 20, took_us=20_000)
-    world.tell_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(3)])
+    world.deliver_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(3)])
     churn(world, 150, took_us=20_000)
     cold = sum(1 for s in world.sends() if s.upstream == 1)
     assert 0 < cold <= 4
@@ -130,7 +130,7 @@
 
 def test_drained_upstreams_get_nothing() -> None:
     world = ready_world(2)
-    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
+    world.deliver_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
     request = world.arrive(READ)
     world.advance(1_000_000)
     assert not world.sends(request)
@@ -468,7 +468,7 @@
 
 def test_listed_size_draws_more() -> None:
     world = World(settings())
-    world.tell_list([Upstream(1, weight=1.0), Upstream(2, weight=4.0)])
+    world.deliver_list([Upstream(1, weight=1.0), Upstream(2, weight=4.0)])
     churn(world, 300)
     big = sum(1 for send in world.sends() if send.upstream == 2)
     assert big > 2 * (len(world.sends()) - big)
@@ -563,7 +563,7 @@
 
 def test_what_a_cold_upstream_was_paced_to_does_not_hold_it_when_it_is_warm() -> None:
     world = World(settings(instances=400, warm_up_us=2_000_000))
-    world.tell_list([Upstream(1, started_us=world.now_us)])
+    world.deliver_list([Upstream(1, started_us=world.now_us)])
     world.advance(2_000_000)
     assert world.sends(world.arrive(READ))
 
@@ -572,7 +572,7 @@
     world = ready_world(1)
     churn(world, 90, 100, Outcome.ERROR)
     assert world.balancer.upstreams[100].window.slots < 0.2
-    world.tell_list([Upstream(100, started_us=world.now_us)])
+    world.deliver_list([Upstream(100, started_us=world.now_us)])
     assert world.balancer.upstreams[100].window.slots == 1.0
 
 
@@ -580,7 +580,7 @@
     world = ready_world(4)
     request = world.arrive(PAY)
     for start in range(200, 2000, 10):
-        world.tell_list([Upstream(start + i) for i in range(4)])
+        world.deliver_list([Upstream(start + i) for i in range(4)])
     assert len(world.balancer.upstreams) == 4
     world.end(request, 0, Outcome.OK)
     world.advance(3_000_000)
--- a/tests/world.py
+++ b/tests/world.py
@@ -115,7 +115,7 @@
         self.log.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+    def deliver_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
             self.listed[entry.id] = entry
             if entry.state is UpstreamState.READY:
