--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,7 +57,7 @@
     open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.out()]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.arrive(number, patience_us=extra)
+        world.send_request(number, patience_us=extra)
     elif what == "advance":
         world.advance(number)
     elif what in ("list", "restart"):
