--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -29,7 +29,7 @@
     refusal = world.answer(new)
     assert isinstance(refusal, Refuse) and refusal.reason == "draining" and refusal.retry_after_us > 0
     assert not world.sends(new) and world.answer(taken) is None
-    world.end(taken, 0, Outcome.OK)
+    world.end_attempt(taken, 0, Outcome.OK)
     assert world.requests[taken].answers == 1
     world.deliver(DrainChanged(False))
     assert world.sends(world.send_request(READ))
@@ -39,7 +39,7 @@
     world = ready_world(2)
     waiting = fill(world)[-1]
     world.deliver(DrainChanged(True))
-    world.end(world.sends()[0].request, 0, Outcome.OK)
+    world.end_attempt(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(waiting)
 
 
@@ -47,7 +47,7 @@
     world = ready_world(4)
     taken = world.send_request(READ)
     world.deliver(DrainChanged(True))
-    world.end(taken, 0, Outcome.FULL)
+    world.end_attempt(taken, 0, Outcome.FULL)
     assert len(world.sends(taken)) == 2
 
 
@@ -56,7 +56,7 @@
     world = ready_world(1)
     taken = world.send_request(class_index)
     world.deliver(DrainChanged(True))
-    world.end(taken, 0, Outcome.RESET)
+    world.end_attempt(taken, 0, Outcome.RESET)
     world.advance(5_000_000)
     assert isinstance(world.answer(taken), kind)
 
@@ -73,7 +73,7 @@
     assert {i: s.window.slots for i, s in world.balancer.upstreams.items()} == before
     assert world.balancer.tenant_arrivals == [0.0, 3.0, 7.0]
     assert world.balancer.requests[out].event.tenant == 2  # still big's
-    world.end(out, 0, Outcome.OK)
+    world.end_attempt(out, 0, Outcome.OK)
     assert world.requests[out].answers == 1
     assert world.sends(world.send_request(3))  # the new class is served
 
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -54,7 +54,7 @@
     """Ends the request's one attempt; gives its upstream."""
     world.advance(after_us)
     upstream = world.sends(request)[-1].upstream
-    world.end(request, len(world.requests[request].tries) - 1, outcome)
+    world.end_attempt(request, len(world.requests[request].tries) - 1, outcome)
     return upstream
 
 
@@ -235,7 +235,7 @@
             for ident, owed in world.requests.items():
                 for number in owed.out():
                     if world.now_us - owed.tries[number].sent_us >= 20_000:
-                        world.end(ident, number, Outcome.OK)
+                        world.end_attempt(ident, number, Outcome.OK)
         sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.tries)[:3]
         assert len(sent) == 3
         gaps.append([later - at for at, later in zip(sent, sent[1:], strict=False)])
@@ -427,7 +427,7 @@
         world.advance(rng.randrange(60_000))
         for number in list(world.requests[request].out()):
             if number in world.requests[request].out() and rng.random() < 0.7:
-                world.end(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
+                world.end_attempt(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
     world.advance(5 * S)
     assert all(owed.answers == 1 for owed in world.requests.values())
 
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -38,11 +38,11 @@
     world.deliver_list(upstreams(3))
     request = world.send_request(0)
     world.quit(request)
-    assert world.end(request, 0, Outcome.ERROR) == []
+    assert world.end_attempt(request, 0, Outcome.ERROR) == []
     assert world.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
     assert world.deliver(RequestGone(request)) == []
     served = world.send_request(0)
-    world.end(served, 0, Outcome.OK)
+    world.end_attempt(served, 0, Outcome.OK)
     assert world.deliver(RequestGone(served)) == []
 
 
@@ -59,7 +59,7 @@
     request = world.send_request(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
-    world.end(request, 0, Outcome.RESET)
+    world.end_attempt(request, 0, Outcome.RESET)
     assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -35,7 +35,7 @@
 
 def end(world: World, request: int, number: int, outcome: Outcome, after_us: int) -> None:
     world.advance(after_us)
-    world.end(request, number, outcome)
+    world.end_attempt(request, number, outcome)
 
 
 def many(rate_per_s: float = 0.0, count: int = 60, **changes: object) -> World:
@@ -47,7 +47,7 @@
     for _ in range(int(10 * rate_per_s)):
         world.advance(int(SECOND_US / rate_per_s))
         while out and out[0][0] <= world.now_us:
-            world.end(out.popleft()[1], 0, Outcome.OK)
+            world.end_attempt(out.popleft()[1], 0, Outcome.OK)
         out.append((world.now_us + 50_000, world.send_request(READ)))
     for _, request in out:
         end(world, request, 0, Outcome.OK, 50_000 // len(out))
@@ -181,7 +181,7 @@
     for gap_us in gaps_us:
         world.advance(gap_us)
         while out and out[0][0] <= world.now_us:
-            world.end(out.popleft()[1], 0, Outcome.OK)
+            world.end_attempt(out.popleft()[1], 0, Outcome.OK)
         request = world.send_request(READ)
         if world.sends(request):
             out.append((world.now_us + answer_us, request))
@@ -211,7 +211,7 @@
         sent.append(world.send_request(READ))
     waits = sent.pop()
     for request in sent:
-        world.end(request, 0, Outcome.OK)
+        world.end_attempt(request, 0, Outcome.OK)
     assert not world.sends(waits)
     opens_us = world.balancer.outstanding.falls_us(0.5)
     world.advance(opens_us - world.now_us - 1)
@@ -367,7 +367,7 @@
         attempt = world.balancer.requests[request].attempts[0]
         attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
             attempt.upstream.used_slots - 1, server.used_slots + 1, server)
-        world.end(request, 0, Outcome.CONNECT_FAILED)
+        world.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     return inside[count:]
 
 
@@ -404,7 +404,7 @@
             attempt = world.balancer.requests[request].attempts[0]
             attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
                 attempt.upstream.used_slots - 1, server.used_slots + 1, server)
-            world.end(request, 0, Outcome.ERROR)
+            world.end_attempt(request, 0, Outcome.ERROR)
         left = world.balancer.compute_preference(server) / world.balancer.compute_preference(like)
         assert least < left < most, (count, left)
 
@@ -436,9 +436,9 @@
     world = many()
     world.balancer.retry_tokens = 0.0
     request = world.send_request(READ)
-    world.end(request, 0, Outcome.CONNECT_FAILED)
+    world.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     assert len(world.sends(request)) == 2 and world.balancer.retry_tokens >= 0.0
-    world.end(request, 1, Outcome.ERROR)
+    world.end_attempt(request, 1, Outcome.ERROR)
     assert len(world.sends(request)) == 2
 
 
@@ -484,7 +484,7 @@
     for now_us in range(START_US, START_US + 4 * SECOND_US, 20_000):
         while ends and ends[0][0] <= now_us:
             _, number, request, nth = heapq.heappop(ends)
-            sidecars[number].end(request, nth, Outcome.OK)
+            sidecars[number].end_attempt(request, nth, Outcome.OK)
         for number, world in enumerate(sidecars):
             world.advance(now_us - world.now_us)
             if (now_us // 20_000 + number) % 10 == 0:
@@ -531,7 +531,7 @@
             world.advance(int(SECOND_US / rate_per_s))
             while out and out[0][0] <= world.now_us:
                 _, request, nth = out.popleft()
-                world.end(request, nth, Outcome.OK)
+                world.end_attempt(request, nth, Outcome.OK)
             request = world.send_request(READ)
             for nth, send in enumerate(world.sends(request)):
                 out.append((world.now_us + 80_000, request, nth))
@@ -641,7 +641,7 @@
     request = world.send_request(READ)
     draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.listed.values()]
     world.deliver_list(draining, ListKind.DELTA)
-    world.end(request, 0, outcome)
+    world.end_attempt(request, 0, outcome)
     assert world.balancer.window.slots > 0.0
     world.deliver_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
     assert world.sends(world.send_request(READ))
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -75,7 +75,7 @@
     world.deliver_list(upstreams(2))
     world.deliver_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
     for _ in range(10):
-        world.end(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.send_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {101}
 
 
@@ -84,11 +84,11 @@
     world.deliver_list(upstreams(2))
     world.deliver_list(upstreams(1))
     for _ in range(10):
-        world.end(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.send_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100}
     world.deliver_list(upstreams(2))
     for _ in range(30):
-        world.end(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.send_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100, 101}
 
 
@@ -99,7 +99,7 @@
     for _ in range(60):
         request = world.send_request(0)
         world.advance(5_000)
-        world.end(request, 0, Outcome.OK)
+        world.end_attempt(request, 0, Outcome.OK)
     assert sum(1 for s in world.sends() if s.upstream == 100) <= 6
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -76,7 +76,7 @@
             world.quit(ident)
     elif what == "end" and open_tries:
         assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
+        world.end_attempt(*open_tries[number % len(open_tries)], extra)
     elif what == "stream":
         streams = [(i, n) for i, n in open_tries
                    if world.settings.classes[world.requests[i].event.class_index].stream
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -48,7 +48,7 @@
 def test_choice_is_spread_over_all_upstreams() -> None:
     world = ready_world(6)
     for _ in range(60):
-        world.end(world.send_request(READ), 0, Outcome.OK)
+        world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == set(world.listed)
 
 
@@ -65,7 +65,7 @@
     world = ready_world()
     taken = fill(world)
     freed = world.sends(taken[0])[0].upstream
-    world.end(taken[0], 0, Outcome.OK)
+    world.end_attempt(taken[0], 0, Outcome.OK)
     assert [s.upstream for s in world.sends(taken[-1])] == [freed]
 
 
@@ -87,7 +87,7 @@
 def test_what_never_ran_is_reissued_elsewhere(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
     request = world.send_request(class_index)
-    world.end(request, 0, outcome)
+    world.end_attempt(request, 0, outcome)
     first, second = world.sends(request)
     assert first.upstream != second.upstream
 
@@ -95,7 +95,7 @@
 def test_an_unsafe_request_that_may_have_run_is_failed() -> None:
     world = ready_world()
     request = world.send_request(PAY)
-    world.end(request, 0, Outcome.RESET)
+    world.end_attempt(request, 0, Outcome.RESET)
     assert isinstance(world.answer(request), Fail) and len(world.sends(request)) == 1
 
 
@@ -145,7 +145,7 @@
         for ident in [i for i, owed in world.requests.items() if owed.out()]:
             for attempt in world.requests[ident].out():
                 at_bad = world.requests[ident].tries[attempt].upstream == bad
-                world.end(ident, attempt, fault if at_bad else Outcome.OK)
+                world.end_attempt(ident, attempt, fault if at_bad else Outcome.OK)
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.FULL])
@@ -157,7 +157,7 @@
         request = world.send_request(READ)
         world.advance(60_000)
         for attempt in world.requests[request].out() if request in world.requests else []:
-            world.end(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
+            world.end_attempt(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
     assert all(server.window.slots > 0.5 for server in world.balancer.upstreams.values())
 
 
@@ -167,7 +167,7 @@
     for took_us in (5_000, 140_000) * 40:
         request = world.send_request(READ)
         world.advance(took_us)
-        world.end(request, 0, Outcome.OK)
+        world.end_attempt(request, 0, Outcome.OK)
     assert before > 8.0 and world.balancer.window.slots == before
 
 
@@ -183,7 +183,7 @@
     """How many attempts can be outstanding now; those sent to find out are ended again."""
     taken = [r for r in fill(world) if world.sends(r)]
     for request in taken:
-        world.end(request, 0, Outcome.OK)
+        world.end_attempt(request, 0, Outcome.OK)
     return len(taken)
 
 
@@ -231,7 +231,7 @@
         world.advance(1_000)
         for ident, owed in list(world.requests.items()):
             for attempt in owed.out():
-                world.end(ident, attempt, Outcome.FULL)
+                world.end_attempt(ident, attempt, Outcome.FULL)
     world.advance(10_000_000)
     assert len(world.timers) == 0
 
@@ -264,7 +264,7 @@
     assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
     late = world.send_request(READ)
     assert isinstance(world.answer(late), Refuse)
-    world.end(world.sends()[0].request, 0, Outcome.OK)
+    world.end_attempt(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(dear)
 
 
@@ -284,7 +284,7 @@
     world.advance(250_000)
     first, second = world.sends(request)
     assert first.upstream != second.upstream
-    world.end(request, 0, Outcome.OK)
+    world.end_attempt(request, 0, Outcome.OK)
     assert world.answer(request) is None and world.requests[request].answers == 1
 
 
@@ -316,7 +316,7 @@
 def test_an_error_is_reissued_where_the_class_may_run_again(class_index: int, again: bool) -> None:
     world = ready_world()
     request = world.send_request(class_index)
-    world.end(request, 0, Outcome.ERROR)
+    world.end_attempt(request, 0, Outcome.ERROR)
     assert (len(world.sends(request)) == 2) is again
 
 
@@ -342,7 +342,7 @@
 def test_one_natural_error_leaves_an_upstream_its_other_slots() -> None:
     world = busy_world()
     before = held(world)
-    world.end(world.send_request(PAY), 0, Outcome.ERROR)
+    world.end_attempt(world.send_request(PAY), 0, Outcome.ERROR)
     assert before >= 4
     assert held(world) >= before / 2 - 1
 
@@ -419,7 +419,7 @@
     world.advance(10_000)
     for ident, owed in list(world.requests.items()):
         for attempt in owed.out():
-            world.end(ident, attempt, outcome)
+            world.end_attempt(ident, attempt, outcome)
 
 
 @pytest.mark.parametrize("second_copies", [True, False])
@@ -479,7 +479,7 @@
     for _ in range(60):
         request = world.send_request(READ)
         while world.requests[request].out():
-            world.end(request, world.requests[request].out()[0], Outcome.FULL)
+            world.end_attempt(request, world.requests[request].out()[0], Outcome.FULL)
     extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.tries)
     assert 5 <= extra <= 5 + 0.2 * 60
 
@@ -505,9 +505,9 @@
     answered everything else."""
     world = two_slots()
     world.send_request(MARK)
-    world.end(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     world.advance(300_000)
-    world.end(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     assert world.balancer.upstreams[100].used_slots == 1  # it may still be a long request, so it keeps its slot
     world.advance(310_000)
     assert world.balancer.upstreams[100].used_slots == 0
@@ -518,9 +518,9 @@
 def test_what_gave_its_slot_up_is_not_judged_again() -> None:
     world = two_slots()
     first = world.send_request(MARK)
-    world.end(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     world.advance(300_000)
-    world.end(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     world.advance(310_000)
     slots = world.balancer.upstreams[100].window.slots
     world.advance(1_400_000)
@@ -545,7 +545,7 @@
             request = world.send_request(PAY)
             world.advance(400_000)
             if world.sends(request) and world.requests[request].out():
-                world.end(request, 0, Outcome.OK, report=[busy])
+                world.end_attempt(request, 0, Outcome.OK, report=[busy])
         slots.append(world.balancer.window.slots)
     assert slots[0] >= 1.0 and slots[0] > slots[1]
 
@@ -557,7 +557,7 @@
         request = world.send_request(READ)
         world.advance(400_000)
         if world.sends(request):
-            world.end(request, 0, Outcome.OK)
+            world.end_attempt(request, 0, Outcome.OK)
     assert world.balancer.upstreams[100].window.slots < 1.5
 
 
@@ -582,7 +582,7 @@
     for start in range(200, 2000, 10):
         world.deliver_list([Upstream(start + i) for i in range(4)])
     assert len(world.balancer.upstreams) == 4
-    world.end(request, 0, Outcome.OK)
+    world.end_attempt(request, 0, Outcome.OK)
     world.advance(3_000_000)
     assert not world.balancer.requests and world.balancer.outstanding.out == 0
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -136,7 +136,7 @@
         self.deliver(event)
         return ident
 
-    def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
+    def end_attempt(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
         owed = self.requests[request]
         this = owed.tries[attempt]
         assert this.outcome is None
@@ -169,7 +169,7 @@
             at, kind, first, second = min(due)
             self.now_us = max(self.now_us, at)
             if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+                self.end_attempt(first, second, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, first))
                 self.deliver(TimerFired(first))
