--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -37,7 +37,7 @@
     world = World()
     world.deliver_list(upstreams(3))
     request = world.send_request(0)
-    world.quit(request)
+    world.client_quits(request)
     assert world.end_attempt(request, 0, Outcome.ERROR) == []
     assert world.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
     assert world.deliver(RequestGone(request)) == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,7 +73,7 @@
     elif what == "quit" and world.requests:
         ident = list(world.requests)[number % len(world.requests)]
         if not world.requests[ident].closed:
-            world.quit(ident)
+            world.client_quits(ident)
     elif what == "end" and open_tries:
         assert isinstance(extra, Outcome)
         world.end_attempt(*open_tries[number % len(open_tries)], extra)
--- a/tests/world.py
+++ b/tests/world.py
@@ -151,7 +151,7 @@
         self.requests[request].stream = True
         self.deliver(StreamStarted(request, attempt, self.requests[request].tries[attempt].upstream))
 
-    def quit(self, request: int) -> None:
+    def client_quits(self, request: int) -> None:
         self.requests[request].closed = True
         self.requests[request].answers = 1
         self.deliver(RequestGone(request))
