--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -233,7 +233,7 @@
             world.send_request()
             world.advance(1_000)
             for ident, owed in world.requests.items():
-                for number in owed.out():
+                for number in owed.outstanding():
                     if world.now_us - owed.tries[number].sent_us >= 20_000:
                         world.end_attempt(ident, number, Outcome.OK)
         sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.tries)[:3]
@@ -425,8 +425,8 @@
             world.balancer.recall(world.now_us, any_lessons())
         request = world.send_request(rng.randrange(3))
         world.advance(rng.randrange(60_000))
-        for number in list(world.requests[request].out()):
-            if number in world.requests[request].out() and rng.random() < 0.7:
+        for number in list(world.requests[request].outstanding()):
+            if number in world.requests[request].outstanding() and rng.random() < 0.7:
                 world.end_attempt(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
     world.advance(5 * S)
     assert all(owed.answers == 1 for owed in world.requests.values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
 def play(world: World, step: tuple[str, int, object]) -> None:
     """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.out()]
+    open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.outstanding()]
     if what == "arrive":
         assert isinstance(extra, int)
         world.send_request(number, patience_us=extra)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -142,8 +142,8 @@
     for _ in range(steps):
         world.send_request(class_index)
         world.advance(took_us)
-        for ident in [i for i, owed in world.requests.items() if owed.out()]:
-            for attempt in world.requests[ident].out():
+        for ident in [i for i, owed in world.requests.items() if owed.outstanding()]:
+            for attempt in world.requests[ident].outstanding():
                 at_bad = world.requests[ident].tries[attempt].upstream == bad
                 world.end_attempt(ident, attempt, fault if at_bad else Outcome.OK)
 
@@ -156,7 +156,7 @@
     for step in range(900):
         request = world.send_request(READ)
         world.advance(60_000)
-        for attempt in world.requests[request].out() if request in world.requests else []:
+        for attempt in world.requests[request].outstanding() if request in world.requests else []:
             world.end_attempt(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
     assert all(server.window.slots > 0.5 for server in world.balancer.upstreams.values())
 
@@ -230,7 +230,7 @@
         fill(world)
         world.advance(1_000)
         for ident, owed in list(world.requests.items()):
-            for attempt in owed.out():
+            for attempt in owed.outstanding():
                 world.end_attempt(ident, attempt, Outcome.FULL)
     world.advance(10_000_000)
     assert len(world.timers) == 0
@@ -418,7 +418,7 @@
         world.send_request(PAY)
     world.advance(10_000)
     for ident, owed in list(world.requests.items()):
-        for attempt in owed.out():
+        for attempt in owed.outstanding():
             world.end_attempt(ident, attempt, outcome)
 
 
@@ -478,8 +478,8 @@
     world = ready_world(30, instances=3)
     for _ in range(60):
         request = world.send_request(READ)
-        while world.requests[request].out():
-            world.end_attempt(request, world.requests[request].out()[0], Outcome.FULL)
+        while world.requests[request].outstanding():
+            world.end_attempt(request, world.requests[request].outstanding()[0], Outcome.FULL)
     extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.tries)
     assert 5 <= extra <= 5 + 0.2 * 60
 
@@ -544,7 +544,7 @@
         for _ in range(40):
             request = world.send_request(PAY)
             world.advance(400_000)
-            if world.sends(request) and world.requests[request].out():
+            if world.sends(request) and world.requests[request].outstanding():
                 world.end_attempt(request, 0, Outcome.OK, report=[busy])
         slots.append(world.balancer.window.slots)
     assert slots[0] >= 1.0 and slots[0] > slots[1]
--- a/tests/world.py
+++ b/tests/world.py
@@ -88,7 +88,7 @@
     def may_have_run(self) -> list[SentAttempt]:
         return [t for t in self.tries if t.outcome not in NEVER_RAN]
 
-    def out(self) -> list[int]:
+    def outstanding(self) -> list[int]:
         return [n for n, t in enumerate(self.tries) if t.outcome is None]
 
 
@@ -204,7 +204,7 @@
         assert not owed.closed, "rule 1: a send after the final answer"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts outstanding together"
+        assert self.settings.second_copies or not owed.outstanding(), "rule 2: two attempts outstanding together"
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
