--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -54,7 +54,7 @@
     """Ends the request's one attempt; gives its upstream."""
     world.advance(after_us)
     upstream = world.sends(request)[-1].upstream
-    world.end_attempt(request, len(world.requests[request].tries) - 1, outcome)
+    world.end_attempt(request, len(world.requests[request].attempts) - 1, outcome)
     return upstream
 
 
@@ -234,9 +234,9 @@
             world.advance(1_000)
             for ident, owed in world.requests.items():
                 for number in owed.outstanding():
-                    if world.now_us - owed.tries[number].sent_us >= 20_000:
+                    if world.now_us - owed.attempts[number].sent_us >= 20_000:
                         world.end_attempt(ident, number, Outcome.OK)
-        sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.tries)[:3]
+        sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.attempts)[:3]
         assert len(sent) == 3
         gaps.append([later - at for at, later in zip(sent, sent[1:], strict=False)])
     assert all(lied >= honest - 1_000 for honest, lied in zip(*gaps, strict=True)), gaps
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -144,7 +144,7 @@
         world.advance(took_us)
         for ident in [i for i, owed in world.requests.items() if owed.outstanding()]:
             for attempt in world.requests[ident].outstanding():
-                at_bad = world.requests[ident].tries[attempt].upstream == bad
+                at_bad = world.requests[ident].attempts[attempt].upstream == bad
                 world.end_attempt(ident, attempt, fault if at_bad else Outcome.OK)
 
 
@@ -302,7 +302,7 @@
     world.advance(140_000)
     fill(world)
     world.advance(20_000)
-    assert all(len(owed.tries) <= 1 for owed in world.requests.values())
+    assert all(len(owed.attempts) <= 1 for owed in world.requests.values())
 
 
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
@@ -480,7 +480,7 @@
         request = world.send_request(READ)
         while world.requests[request].outstanding():
             world.end_attempt(request, world.requests[request].outstanding()[0], Outcome.FULL)
-    extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.tries)
+    extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.attempts)
     assert 5 <= extra <= 5 + 0.2 * 60
 
 
@@ -524,7 +524,7 @@
     world.advance(310_000)
     slots = world.balancer.upstreams[100].window.slots
     world.advance(1_400_000)
-    assert world.requests[first].tries[0].outcome is Outcome.TIMEOUT
+    assert world.requests[first].attempts[0].outcome is Outcome.TIMEOUT
     assert world.balancer.upstreams[100].window.slots == slots
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -80,16 +80,16 @@
     """A request, its attempts and how many final answers it has got."""
 
     event: RequestArrived
-    tries: list[SentAttempt] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
     stream: bool = False
 
     def may_have_run(self) -> list[SentAttempt]:
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
 
     def outstanding(self) -> list[int]:
-        return [n for n, t in enumerate(self.tries) if t.outcome is None]
+        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
 
 
 class World:
@@ -138,7 +138,7 @@
 
     def end_attempt(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
         owed = self.requests[request]
-        this = owed.tries[attempt]
+        this = owed.attempts[attempt]
         assert this.outcome is None
         this.outcome = outcome
         if (outcome is Outcome.OK or owed.stream) and not owed.closed:
@@ -149,7 +149,7 @@
 
     def begin_stream(self, request: int, attempt: int) -> None:
         self.requests[request].stream = True
-        self.deliver(StreamStarted(request, attempt, self.requests[request].tries[attempt].upstream))
+        self.deliver(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def client_quits(self, request: int) -> None:
         self.requests[request].closed = True
@@ -162,7 +162,7 @@
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
             due += [(t.ends_us, 0, ident, n) for ident, owed in self.requests.items() if not owed.stream
-                    for n, t in enumerate(owed.tries) if t.outcome is None]
+                    for n, t in enumerate(owed.attempts) if t.outcome is None]
             due = [d for d in due if d[0] <= end_us]
             if not due:
                 break
@@ -188,7 +188,7 @@
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "cancelled an attempt although the settings forbid that"
-            assert action.attempt < len(self.requests[action.request].tries), "cancelled an attempt that was never sent"
+            assert action.attempt < len(self.requests[action.request].attempts), "cancelled an attempt that was never sent"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
@@ -202,7 +202,7 @@
         entry = self.listed[send.upstream]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a send after the final answer"
-        assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
+        assert len(owed.attempts) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
         assert self.settings.second_copies or not owed.outstanding(), "rule 2: two attempts outstanding together"
         for earlier in owed.may_have_run():
@@ -214,7 +214,7 @@
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        owed.attempts.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
 
     def check_answer(self, answer: Refuse | Fail) -> None:
         owed = self.requests[answer.request]
