--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -21,13 +21,13 @@
 
     def __init__(self) -> None:
         self.ahead_s = 1_000.0
-        super().__init__(Jumping(self))
+        super().__init__(ClockMovingSelector(self))
 
     def time(self) -> float:
         return self.ahead_s
 
 
-class Jumping(selectors.DefaultSelector):
+class ClockMovingSelector(selectors.DefaultSelector):
     """Waits briefly for the sockets; if none is ready, moves the clock to the next timer."""
 
     def __init__(self, loop: VirtualLoop) -> None:
