--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -20,11 +20,11 @@
     """An event loop whose time is moved by its selector."""
 
     def __init__(self) -> None:
-        self.ahead_s = 1_000.0
+        self.virtual_time_s = 1_000.0
         super().__init__(ClockMovingSelector(self))
 
     def time(self) -> float:
-        return self.ahead_s
+        return self.virtual_time_s
 
 
 class ClockMovingSelector(selectors.DefaultSelector):
@@ -37,7 +37,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(timeout if timeout is None else min(timeout, SETTLE_S))
         if not ready and timeout:
-            self.loop.ahead_s += timeout
+            self.loop.virtual_time_s += timeout
         return ready
 
 
