--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -15,7 +15,7 @@
 from ironscale.standins.http import read_message
 from tests.ends.test_lists import settings_of
 from tests.sockets import config
-from tests.virtual import play, until
+from tests.virtual import run_virtual, until
 
 COUNT, ALL_S = 50, 30.0  # as long as 200 take at 0.15 s each
 CALL_S = ALL_S / COUNT
@@ -97,4 +97,4 @@
         for task in discovery.tasks:
             task.cancel()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -19,7 +19,7 @@
 from ironscale.standins.upstream import Peer
 from tests.ends.test_lists import MODES, settings_of, state
 from tests.sockets import Scene, config, free_port
-from tests.virtual import play, until
+from tests.virtual import run_virtual, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 # How a call fails, and after how many seconds it has; None: when the sidecar gives it up.
@@ -132,7 +132,7 @@
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
 
 
 def sidecar_at(port: int, peer: Peer, instances: int, mode: dict[str, Any]) -> Sidecar:
@@ -163,4 +163,4 @@
         assert discovery.now_s() - back_s <= turns.TOLD_S
         scene.sidecar.discovery.close()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -55,7 +55,7 @@
         return 1_700_000_000_000_000 + int(asyncio.get_running_loop().time() * 1e6)
 
 
-def play(test: Callable[[], Coroutine[Any, Any, None]], monkeypatch: pytest.MonkeyPatch) -> None:
+def run_virtual(test: Callable[[], Coroutine[Any, Any, None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Runs a test on a `VirtualLoop`, with sidecars that use its clock."""
     async def limited() -> None:
         await asyncio.wait_for(test(), LIMIT_S)
