--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -13,7 +13,7 @@
 from ironscale.net import sidecar
 
 SETTLE_S = 0.002  # time for the kernel to carry bytes over the loopback interface
-LIMIT_S = 600.0  # limit of a test, in virtual time
+TIMEOUT_S = 600.0  # limit of a test, in virtual time
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -58,7 +58,7 @@
 def run_virtual(test: Callable[[], Coroutine[Any, Any, None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Runs a test on a `VirtualLoop`, with sidecars that use its clock."""
     async def limited() -> None:
-        await asyncio.wait_for(test(), LIMIT_S)
+        await asyncio.wait_for(test(), TIMEOUT_S)
 
     monkeypatch.setattr(sidecar, "Clock", VirtualClock)
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
