--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -17,7 +17,7 @@
     unchangeable,
 )
 from ironscale.telling import view
-from tests.test_slots import MARK, PAY, READ, fill, ready_world
+from tests.test_slots import MARK, PAY, READ, fill_slots, ready_world
 from tests.world import settings
 
 
@@ -37,7 +37,7 @@
 
 def test_what_waited_in_the_buffer_when_the_drain_began_is_sent() -> None:
     world = ready_world(2)
-    waiting = fill(world)[-1]
+    waiting = fill_slots(world)[-1]
     world.deliver(DrainChanged(True))
     world.end_attempt(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(waiting)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -29,7 +29,7 @@
     return world
 
 
-def fill(world: World) -> list[int]:
+def fill_slots(world: World) -> list[int]:
     """Takes every slot; the last request is the one that waits in the buffer."""
     taken = []
     for _ in range(1000):
@@ -54,7 +54,7 @@
 
 def test_outstanding_sends_are_capped_and_one_request_waits_and_the_next_is_refused() -> None:
     world = ready_world()
-    taken = fill(world)
+    taken = fill_slots(world)
     assert world.answer(taken[-1]) is None
     last = world.send_request(READ)
     answer = world.answer(last)
@@ -63,7 +63,7 @@
 
 def test_the_waiting_request_takes_the_first_slot_that_frees() -> None:
     world = ready_world()
-    taken = fill(world)
+    taken = fill_slots(world)
     freed = world.sends(taken[0])[0].upstream
     world.end_attempt(taken[0], 0, Outcome.OK)
     assert [s.upstream for s in world.sends(taken[-1])] == [freed]
@@ -71,7 +71,7 @@
 
 def test_what_waited_past_the_delay_threshold_is_refused() -> None:
     world = ready_world()
-    waiting = fill(world)[-1]
+    waiting = fill_slots(world)[-1]
     world.advance(200_000)
     assert isinstance(world.answer(waiting), Refuse)
 
@@ -181,7 +181,7 @@
 
 def held(world: World) -> int:
     """How many attempts can be outstanding now; those sent to find out are ended again."""
-    taken = [r for r in fill(world) if world.sends(r)]
+    taken = [r for r in fill_slots(world) if world.sends(r)]
     for request in taken:
         world.end_attempt(request, 0, Outcome.OK)
     return len(taken)
@@ -212,7 +212,7 @@
 
     def rounds(count: int, took_us: int) -> None:
         for _ in range(count):
-            fill(world)
+            fill_slots(world)
             churn(world, 1, took_us=took_us)
 
     rounds(60, 20_000)
@@ -227,7 +227,7 @@
 def test_a_stale_timer_does_not_arm_another() -> None:
     world = ready_world(2)
     for _ in range(50):
-        fill(world)
+        fill_slots(world)
         world.advance(1_000)
         for ident, owed in list(world.requests.items()):
             for attempt in owed.outstanding():
@@ -259,7 +259,7 @@
 
 def test_a_dearer_request_takes_the_buffer_from_a_cheaper_one() -> None:
     world = ready_world()
-    cheap = fill(world)[-1]
+    cheap = fill_slots(world)[-1]
     dear = world.send_request(PAY)
     assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
     late = world.send_request(READ)
@@ -298,9 +298,9 @@
 
 def test_no_copy_while_others_wait_for_a_slot() -> None:
     world = ready_world()
-    fill(world)
+    fill_slots(world)
     world.advance(140_000)
-    fill(world)
+    fill_slots(world)
     world.advance(20_000)
     assert all(len(owed.attempts) <= 1 for owed in world.requests.values())
 
@@ -308,7 +308,7 @@
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
     world = ready_world()
     churn(world, 50, took_us=0)
-    waiting, last = fill(world)[-1], world.send_request(PAY)
+    waiting, last = fill_slots(world)[-1], world.send_request(PAY)
     assert [world.answer(r) is None for r in (waiting, last)].count(True) == 1
 
 
@@ -323,7 +323,7 @@
 def test_with_many_sidecars_the_first_slot_rests_between_sends() -> None:
     few, many = ready_world(4, instances=3), ready_world(4, instances=16)
     for world in (few, many):
-        fill(world)
+        fill_slots(world)
         churn(world, 1, took_us=20_000)
         churn(world, 1, took_us=1_000)
     assert held(many) < held(few)
@@ -333,7 +333,7 @@
     """One upstream whose window has grown under demand."""
     world = ready_world(1)
     for _ in range(80):
-        fill(world)
+        fill_slots(world)
         churn(world, 1, took_us=20_000)
     churn(world, 1)
     return world
@@ -366,7 +366,7 @@
     for took_us in (10_000, 120_000):
         world = ready_world(4)
         for _ in range(6):
-            fill(world)
+            fill_slots(world)
             churn(world, 1, took_us=took_us)
         churn(world, 1, took_us=took_us)
         counts.append(held(world))
@@ -453,7 +453,7 @@
 
 def test_a_busy_sidecar_reaches_beyond_its_few_upstreams() -> None:
     world = ready_world(40, instances=4)
-    fill(world)
+    fill_slots(world)
     assert len(drawn(world)) > 20
 
 
