--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -121,9 +121,9 @@
 def test_a_cold_upstream_gets_little() -> None:
     world = World(settings(instances=24))
     world.deliver_list(upstreams(3))
-    churn(world, 20, took_us=20_000)
+    run_requests(world, 20, took_us=20_000)
     world.deliver_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(3)])
-    churn(world, 150, took_us=20_000)
+    run_requests(world, 150, took_us=20_000)
     cold = sum(1 for s in world.sends() if s.upstream == 1)
     assert 0 < cold <= 4
 
@@ -136,7 +136,7 @@
     assert not world.sends(request)
 
 
-def churn(world: World, steps: int, bad: int | None = None, fault: Outcome = Outcome.FULL,
+def run_requests(world: World, steps: int, bad: int | None = None, fault: Outcome = Outcome.FULL,
           class_index: int = READ, took_us: int = 10_000) -> None:
     """Sends one request a step. All outstanding attempts end at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
@@ -173,9 +173,9 @@
 
 def test_one_upstream_that_turns_all_away_does_not_close_the_sidecar() -> None:
     world = ready_world(4)
-    churn(world, 20)
+    run_requests(world, 20)
     before = world.balancer.window.slots
-    churn(world, 400, 100)
+    run_requests(world, 400, 100)
     assert world.balancer.window.slots > 0.9 * before
 
 
@@ -190,20 +190,20 @@
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_an_upstream_that_fails_at_once_does_not_draw_more(outcome: Outcome) -> None:
     world = ready_world(5)
-    churn(world, 200, 100, outcome)
+    run_requests(world, 200, 100, outcome)
     assert sum(1 for s in world.sends() if s.upstream == 100) < 20
 
 
 def test_an_upstream_that_failed_is_tried_again_and_comes_back() -> None:
     world = ready_world(2)
-    churn(world, 40, 100)
-    churn(world, 1000)
+    run_requests(world, 40, 100)
+    run_requests(world, 1000)
     assert sum(1 for s in world.sends()[-200:] if s.upstream == 100) > 30
 
 
 def test_slots_open_only_while_requests_find_none_free() -> None:
     world = ready_world(4)
-    churn(world, 100)
+    run_requests(world, 100)
     assert held(world) == 4
 
 
@@ -213,14 +213,14 @@
     def rounds(count: int, took_us: int) -> None:
         for _ in range(count):
             fill_slots(world)
-            churn(world, 1, took_us=took_us)
+            run_requests(world, 1, took_us=took_us)
 
     rounds(60, 20_000)
-    churn(world, 1)
+    run_requests(world, 1)
     grown = held(world)
     assert 8 <= grown <= 32
     rounds(20, 250_000)
-    churn(world, 3)
+    run_requests(world, 3)
     assert held(world) < grown / 2
 
 
@@ -246,14 +246,14 @@
 
 def test_the_home_zone_does_not_matter_with_more_sidecars_than_upstreams() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03, instances=9)
-    churn(world, 100)
+    run_requests(world, 100)
     at_home = sum(1 for send in world.sends() if world.listed[send.upstream].zone == 1)
     assert 0 < at_home < len(world.sends()) / 2
 
 
 def test_zones_do_not_matter_where_crossing_is_free() -> None:
     world = ready_world(8, zone=1)
-    churn(world, 100)
+    run_requests(world, 100)
     assert {world.listed[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
 
 
@@ -307,7 +307,7 @@
 
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
     world = ready_world()
-    churn(world, 50, took_us=0)
+    run_requests(world, 50, took_us=0)
     waiting, last = fill_slots(world)[-1], world.send_request(PAY)
     assert [world.answer(r) is None for r in (waiting, last)].count(True) == 1
 
@@ -324,8 +324,8 @@
     few, many = ready_world(4, instances=3), ready_world(4, instances=16)
     for world in (few, many):
         fill_slots(world)
-        churn(world, 1, took_us=20_000)
-        churn(world, 1, took_us=1_000)
+        run_requests(world, 1, took_us=20_000)
+        run_requests(world, 1, took_us=1_000)
     assert held(many) < held(few)
 
 
@@ -334,8 +334,8 @@
     world = ready_world(1)
     for _ in range(80):
         fill_slots(world)
-        churn(world, 1, took_us=20_000)
-    churn(world, 1)
+        run_requests(world, 1, took_us=20_000)
+    run_requests(world, 1)
     return world
 
 
@@ -350,13 +350,13 @@
 def test_one_heavy_request_among_quick_answers_closes_no_slot() -> None:
     world = busy_world()
     before = held(world)
-    churn(world, 1, took_us=170_000)  # over half the aim
+    run_requests(world, 1, took_us=170_000)  # over half the aim
     assert held(world) >= before - 1
 
 
 def test_without_need_an_upstream_keeps_one_slot() -> None:
     world = ready_world(40, instances=19)
-    churn(world, 400)
+    run_requests(world, 400)
     assert all(server.window.slots <= 1.0 for server in world.balancer.upstreams.values())
     assert world.balancer.window.slots <= 8.0 * 40 / 19
 
@@ -367,15 +367,15 @@
         world = ready_world(4)
         for _ in range(6):
             fill_slots(world)
-            churn(world, 1, took_us=took_us)
-        churn(world, 1, took_us=took_us)
+            run_requests(world, 1, took_us=took_us)
+        run_requests(world, 1, took_us=took_us)
         counts.append(held(world))
     assert counts[0] > counts[1]
 
 
 def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
     world = ready_world(second_copies=False)
-    churn(world, 50)
+    run_requests(world, 50)
     light, heavy = world.send_request(READ, cost_us=10_000), world.send_request(READ, cost_us=200_000)
     assert (world.sends(light)[0].timeout_us, world.sends(heavy)[0].timeout_us) == (450_000, 1_200_000)
 
@@ -386,9 +386,9 @@
 
 def test_a_failing_upstream_is_logged_when_it_rests_and_when_it_is_back() -> None:
     world = ready_world(2)
-    churn(world, 40, 100)
+    run_requests(world, 40, 100)
     assert log_lines(world) == ["upstream 100: concurrency limit backed off"]
-    churn(world, 1000)
+    run_requests(world, 1000)
     assert log_lines(world) == ["upstream 100: concurrency limit backed off",
                                 "upstream 100: concurrency limit recovered"]
 
@@ -399,7 +399,7 @@
         world.send_request(READ)
         world.advance(1_500_000)
     assert "this sidecar: concurrency limit backed off" in log_lines(world)
-    churn(world, 1500)
+    run_requests(world, 1500)
     assert "this sidecar: concurrency limit recovered" in log_lines(world)
 
 
@@ -430,9 +430,9 @@
             world.send_request(class_index)
         world.advance(3_000_000)
     for class_index in (READ, PAY, MARK):
-        churn(world, 20, class_index=class_index)
+        run_requests(world, 20, class_index=class_index)
         before = len(world.sends())
-        churn(world, 20, class_index=class_index)
+        run_requests(world, 20, class_index=class_index)
         assert len(world.sends()) - before >= 15
 
 
@@ -445,7 +445,7 @@
     seen = []
     for index in (0, 200):
         world = ready_world(40, instances=400, self_index=index)
-        churn(world, 300)
+        run_requests(world, 300)
         seen.append(drawn(world))
         assert 3 <= len(seen[-1]) <= 5
     assert not seen[0] & seen[1]
@@ -459,9 +459,9 @@
 
 def test_a_sick_upstream_of_the_few_is_made_up_for_by_the_next() -> None:
     world = ready_world(40, instances=400)
-    churn(world, 300)
+    run_requests(world, 300)
     sick = min(drawn(world))
-    churn(world, 300, bad=sick, fault=Outcome.ERROR)
+    run_requests(world, 300, bad=sick, fault=Outcome.ERROR)
     late = {send.upstream for send in world.sends()[-100:]}
     assert len(late - {sick}) >= 3
 
@@ -469,7 +469,7 @@
 def test_listed_size_draws_more() -> None:
     world = World(settings())
     world.deliver_list([Upstream(1, weight=1.0), Upstream(2, weight=4.0)])
-    churn(world, 300)
+    run_requests(world, 300)
     big = sum(1 for send in world.sends() if send.upstream == 2)
     assert big > 2 * (len(world.sends()) - big)
 
@@ -570,7 +570,7 @@
 
 def test_an_upstream_that_restarts_starts_afresh() -> None:
     world = ready_world(1)
-    churn(world, 90, 100, Outcome.ERROR)
+    run_requests(world, 90, 100, Outcome.ERROR)
     assert world.balancer.upstreams[100].window.slots < 0.2
     world.deliver_list([Upstream(100, started_us=world.now_us)])
     assert world.balancer.upstreams[100].window.slots == 1.0
@@ -597,11 +597,11 @@
 def test_the_readme_names_the_lines_that_are_written() -> None:
     page = (Path(__file__).parent.parent / "README.md").read_text()
     world = ready_world(2, instances=40)
-    churn(world, 40, 100)
+    run_requests(world, 40, 100)
     for _ in range(30):
         world.send_request(READ)
         world.advance(1_500_000)
-    churn(world, 1500)
+    run_requests(world, 1500)
     written = {line.replace("100", "N").replace("101", "N") for line in log_lines(world)}
     assert ("this sidecar: concurrency limit backed off" in written
             and "upstream N: concurrency limit backed off" in written)
