--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -408,11 +408,11 @@
     begin_us = world.now_us
     for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
         for _ in range(30):
-            churn_all(world, fault)
+            run_burst(world, fault)
     assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
 
 
-def churn_all(world: World, outcome: Outcome) -> None:
+def run_burst(world: World, outcome: Outcome) -> None:
     """Sends a few requests; all outstanding attempts then end with one outcome."""
     for _ in range(20):
         world.send_request(PAY)
