--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -179,7 +179,7 @@
     assert world.balancer.window.slots > 0.9 * before
 
 
-def held(world: World) -> int:
+def count_free_slots(world: World) -> int:
     """How many attempts can be outstanding now; those sent to find out are ended again."""
     taken = [r for r in fill_slots(world) if world.sends(r)]
     for request in taken:
@@ -204,7 +204,7 @@
 def test_slots_open_only_while_requests_find_none_free() -> None:
     world = ready_world(4)
     run_requests(world, 100)
-    assert held(world) == 4
+    assert count_free_slots(world) == 4
 
 
 def test_slots_open_under_need_and_close_on_slow_answers() -> None:
@@ -217,11 +217,11 @@
 
     rounds(60, 20_000)
     run_requests(world, 1)
-    grown = held(world)
+    grown = count_free_slots(world)
     assert 8 <= grown <= 32
     rounds(20, 250_000)
     run_requests(world, 3)
-    assert held(world) < grown / 2
+    assert count_free_slots(world) < grown / 2
 
 
 def test_a_stale_timer_does_not_arm_another() -> None:
@@ -326,7 +326,7 @@
         fill_slots(world)
         run_requests(world, 1, took_us=20_000)
         run_requests(world, 1, took_us=1_000)
-    assert held(many) < held(few)
+    assert count_free_slots(many) < count_free_slots(few)
 
 
 def busy_world() -> World:
@@ -341,17 +341,17 @@
 
 def test_one_natural_error_leaves_an_upstream_its_other_slots() -> None:
     world = busy_world()
-    before = held(world)
+    before = count_free_slots(world)
     world.end_attempt(world.send_request(PAY), 0, Outcome.ERROR)
     assert before >= 4
-    assert held(world) >= before / 2 - 1
+    assert count_free_slots(world) >= before / 2 - 1
 
 
 def test_one_heavy_request_among_quick_answers_closes_no_slot() -> None:
     world = busy_world()
-    before = held(world)
+    before = count_free_slots(world)
     run_requests(world, 1, took_us=170_000)  # over half the aim
-    assert held(world) >= before - 1
+    assert count_free_slots(world) >= before - 1
 
 
 def test_without_need_an_upstream_keeps_one_slot() -> None:
@@ -369,7 +369,7 @@
             fill_slots(world)
             run_requests(world, 1, took_us=took_us)
         run_requests(world, 1, took_us=took_us)
-        counts.append(held(world))
+        counts.append(count_free_slots(world))
     assert counts[0] > counts[1]
 
 
