--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -493,7 +493,7 @@
     assert world.sends(third) and world.sends(third)[0].upstream != world.sends(hung)[0].upstream
 
 
-def two_slots() -> World:
+def world_with_two_slots() -> World:
     """One upstream with two slots."""
     world = ready_world(1, instances=1)
     world.balancer.upstreams[100].window.slots = 2.0
@@ -503,7 +503,7 @@
 def test_a_late_send_gives_its_slot_free_when_a_later_one_is_answered() -> None:
     """Guards against silent connections that hold an upstream's slots: they held two of three slots of upstreams that
     answered everything else."""
-    world = two_slots()
+    world = world_with_two_slots()
     world.send_request(MARK)
     world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     world.advance(300_000)
@@ -516,7 +516,7 @@
 
 
 def test_what_gave_its_slot_up_is_not_judged_again() -> None:
-    world = two_slots()
+    world = world_with_two_slots()
     first = world.send_request(MARK)
     world.end_attempt(world.send_request(READ), 0, Outcome.OK)
     world.advance(300_000)
