--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -436,7 +436,7 @@
         assert len(world.sends()) - before >= 15
 
 
-def drawn(world: World) -> set[int]:
+def used_upstreams(world: World) -> set[int]:
     """The upstreams that got a request."""
     return {send.upstream for send in world.sends()}
 
@@ -446,7 +446,7 @@
     for index in (0, 200):
         world = ready_world(40, instances=400, self_index=index)
         run_requests(world, 300)
-        seen.append(drawn(world))
+        seen.append(used_upstreams(world))
         assert 3 <= len(seen[-1]) <= 5
     assert not seen[0] & seen[1]
 
@@ -454,13 +454,13 @@
 def test_a_busy_sidecar_reaches_beyond_its_few_upstreams() -> None:
     world = ready_world(40, instances=4)
     fill_slots(world)
-    assert len(drawn(world)) > 20
+    assert len(used_upstreams(world)) > 20
 
 
 def test_a_sick_upstream_of_the_few_is_made_up_for_by_the_next() -> None:
     world = ready_world(40, instances=400)
     run_requests(world, 300)
-    sick = min(drawn(world))
+    sick = min(used_upstreams(world))
     run_requests(world, 300, bad=sick, fault=Outcome.ERROR)
     late = {send.upstream for send in world.sends()[-100:]}
     assert len(late - {sick}) >= 3
