--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -69,7 +69,7 @@
     assert [s.upstream for s in world.sends(taken[-1])] == [freed]
 
 
-def test_what_waited_past_the_delay_threshold_is_refused() -> None:
+def test_a_request_that_waited_past_half_the_aim_is_refused() -> None:
     world = ready_world()
     waiting = fill_slots(world)[-1]
     world.advance(200_000)
