--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
-def test_what_never_ran_is_reissued_elsewhere(outcome: Outcome, class_index: int) -> None:
+def test_a_request_that_never_ran_is_retried_at_another_upstream(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
     request = world.send_request(class_index)
     world.end_attempt(request, 0, outcome)
