--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -99,7 +99,7 @@
     assert isinstance(world.answer(request), Fail) and len(world.sends(request)) == 1
 
 
-def test_an_unsafe_request_is_waited_for_till_due() -> None:
+def test_an_unsafe_request_stays_open_until_its_due_time() -> None:
     world = ready_world()
     request = world.send_request(PAY)
     world.advance(590_000)
