--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -108,7 +108,7 @@
     assert isinstance(world.answer(request), Fail)
 
 
-def test_no_ready_upstream_waits_and_then_refuses() -> None:
+def test_without_a_ready_upstream_a_request_waits_and_is_then_refused() -> None:
     world = World()
     world.deliver_list([])
     request = world.send_request(READ)
