--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -118,7 +118,7 @@
     assert world.sends(world.send_request(READ))
 
 
-def test_a_cold_upstream_gets_little() -> None:
+def test_a_cold_upstream_gets_few_requests() -> None:
     world = World(settings(instances=24))
     world.deliver_list(upstreams(3))
     run_requests(world, 20, took_us=20_000)
