--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.FULL])
-def test_where_one_answer_in_six_breaks_no_upstream_closes(fault: Outcome) -> None:
+def test_failures_of_one_answer_in_six_close_no_upstreams_window(fault: Outcome) -> None:
     """Guards against windows that lose half their slots with each failure: on a bad network, all upstreams stayed
     paused."""
     world = ready_world(4)
