--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -171,7 +171,7 @@
     assert before > 8.0 and world.balancer.window.slots == before
 
 
-def test_one_upstream_that_turns_all_away_does_not_close_the_sidecar() -> None:
+def test_an_upstream_that_refuses_everything_does_not_shrink_the_sidecars_window() -> None:
     world = ready_world(4)
     run_requests(world, 20)
     before = world.balancer.window.slots
