--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
-def test_an_upstream_that_fails_at_once_does_not_draw_more(outcome: Outcome) -> None:
+def test_an_upstream_that_fails_at_once_does_not_attract_requests(outcome: Outcome) -> None:
     world = ready_world(5)
     run_requests(world, 200, 100, outcome)
     assert sum(1 for s in world.sends() if s.upstream == 100) < 20
