--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -194,7 +194,7 @@
     assert sum(1 for s in world.sends() if s.upstream == 100) < 20
 
 
-def test_an_upstream_that_failed_is_tried_again_and_comes_back() -> None:
+def test_an_upstream_that_failed_is_tried_again_and_recovers() -> None:
     world = ready_world(2)
     run_requests(world, 40, 100)
     run_requests(world, 1000)
