--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -207,7 +207,7 @@
     assert count_free_slots(world) == 4
 
 
-def test_slots_open_under_need_and_close_on_slow_answers() -> None:
+def test_slots_open_under_demand_and_close_on_slow_answers() -> None:
     world = ready_world(4)
 
     def rounds(count: int, took_us: int) -> None:
