--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -236,7 +236,7 @@
     assert len(world.timers) == 0
 
 
-def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_costs() -> None:
+def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_zones_costs() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03)
     first = [world.send_request(READ) for _ in range(2)]
     assert {world.listed[world.sends(r)[0].upstream].zone for r in first} == {1}
