--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -244,7 +244,7 @@
     assert world.listed[world.sends(third)[0].upstream].zone != 1
 
 
-def test_the_home_zone_does_not_matter_with_more_sidecars_than_upstreams() -> None:
+def test_the_own_zone_is_not_preferred_with_more_sidecars_than_upstreams() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03, instances=9)
     run_requests(world, 100)
     at_home = sum(1 for send in world.sends() if world.listed[send.upstream].zone == 1)
