--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -251,7 +251,7 @@
     assert 0 < at_home < len(world.sends()) / 2
 
 
-def test_zones_do_not_matter_where_crossing_is_free() -> None:
+def test_zones_do_not_matter_where_crossing_them_is_free() -> None:
     world = ready_world(8, zone=1)
     run_requests(world, 100)
     assert {world.listed[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
