--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -257,7 +257,7 @@
     assert {world.listed[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
 
 
-def test_a_dearer_request_takes_the_buffer_from_a_cheaper_one() -> None:
+def test_a_more_valuable_request_displaces_the_one_in_the_buffer() -> None:
     world = ready_world()
     cheap = fill_slots(world)[-1]
     dear = world.send_request(PAY)
