--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -278,7 +278,7 @@
     assert world.answer(modest) is None and world.answer(holder.event.request) is not None
 
 
-def test_a_late_answer_gets_a_copy_elsewhere_and_the_first_may_still_answer() -> None:
+def test_a_late_attempt_is_hedged_at_another_upstream_and_may_still_answer() -> None:
     world = ready_world()
     request = world.send_request(READ)
     world.advance(250_000)
