--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
-def test_no_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
+def test_no_hedged_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
     world = ready_world(second_copies=second_copies)
     request = world.send_request(class_index)
     world.advance(250_000)
