--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -296,7 +296,7 @@
     assert len(world.sends(request)) == 1
 
 
-def test_no_copy_while_others_wait_for_a_slot() -> None:
+def test_no_hedged_copy_while_others_wait_for_a_slot() -> None:
     world = ready_world()
     fill_slots(world)
     world.advance(140_000)
