--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -313,7 +313,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
-def test_an_error_is_reissued_where_the_class_may_run_again(class_index: int, again: bool) -> None:
+def test_an_error_is_retried_where_the_class_may_run_again(class_index: int, again: bool) -> None:
     world = ready_world()
     request = world.send_request(class_index)
     world.end_attempt(request, 0, Outcome.ERROR)
