--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -320,7 +320,7 @@
     assert (len(world.sends(request)) == 2) is again
 
 
-def test_with_many_sidecars_the_first_slot_rests_between_sends() -> None:
+def test_with_many_sidecars_the_first_slot_pauses_between_sends() -> None:
     few, many = ready_world(4, instances=3), ready_world(4, instances=16)
     for world in (few, many):
         fill_slots(world)
