--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -339,7 +339,7 @@
     return world
 
 
-def test_one_natural_error_leaves_an_upstream_its_other_slots() -> None:
+def test_a_single_error_leaves_an_upstream_its_other_slots() -> None:
     world = busy_world()
     before = count_free_slots(world)
     world.end_attempt(world.send_request(PAY), 0, Outcome.ERROR)
