--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -354,7 +354,7 @@
     assert count_free_slots(world) >= before - 1
 
 
-def test_without_need_an_upstream_keeps_one_slot() -> None:
+def test_without_demand_an_upstream_keeps_one_slot() -> None:
     world = ready_world(40, instances=19)
     run_requests(world, 400)
     assert all(server.window.slots <= 1.0 for server in world.balancer.upstreams.values())
