--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -373,7 +373,7 @@
     assert counts[0] > counts[1]
 
 
-def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
+def test_a_request_known_to_be_expensive_is_not_timed_out_early() -> None:
     world = ready_world(second_copies=False)
     run_requests(world, 50)
     light, heavy = world.send_request(READ, cost_us=10_000), world.send_request(READ, cost_us=200_000)
