--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -384,7 +384,7 @@
     return [action.text for action in world.log if isinstance(action, Log)]
 
 
-def test_a_failing_upstream_is_logged_when_it_rests_and_when_it_is_back() -> None:
+def test_a_failing_upstream_is_logged_when_its_limit_backs_off_and_recovers() -> None:
     world = ready_world(2)
     run_requests(world, 40, 100)
     assert log_lines(world) == ["upstream 100: concurrency limit backed off"]
