--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -403,7 +403,7 @@
     assert "this sidecar: concurrency limit recovered" in log_lines(world)
 
 
-def test_log_lines_are_few_on_the_worst_day() -> None:
+def test_log_lines_are_rate_limited_when_all_upstreams_fail_and_recover() -> None:
     world = ready_world(50)
     begin_us = world.now_us
     for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
