--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -423,7 +423,7 @@
 
 
 @pytest.mark.parametrize("second_copies", [True, False])
-def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(second_copies: bool) -> None:
+def test_requests_are_sent_again_after_an_outage_without_answers(second_copies: bool) -> None:
     world = ready_world(2, second_copies=second_copies)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
