--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -441,7 +441,7 @@
     return {send.upstream for send in world.sends()}
 
 
-def test_a_quiet_sidecar_of_many_keeps_to_a_few_upstreams_and_others_to_others() -> None:
+def test_sidecars_with_little_traffic_in_a_large_fleet_use_small_disjoint_subsets() -> None:
     seen = []
     for index in (0, 200):
         world = ready_world(40, instances=400, self_index=index)
