--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -457,7 +457,7 @@
     assert len(used_upstreams(world)) > 20
 
 
-def test_a_sick_upstream_of_the_few_is_made_up_for_by_the_next() -> None:
+def test_a_failing_upstream_of_the_subset_is_replaced_by_the_next() -> None:
     world = ready_world(40, instances=400)
     run_requests(world, 300)
     sick = min(used_upstreams(world))
