--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -466,7 +466,7 @@
     assert len(late - {sick}) >= 3
 
 
-def test_listed_size_draws_more() -> None:
+def test_a_larger_listed_weight_gets_more_requests() -> None:
     world = World(settings())
     world.deliver_list([Upstream(1, weight=1.0), Upstream(2, weight=4.0)])
     run_requests(world, 300)
