--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -474,7 +474,7 @@
     assert big > 2 * (len(world.sends()) - big)
 
 
-def test_reissues_stop_when_the_retry_budget_is_spent() -> None:
+def test_retries_stop_when_the_retry_budget_is_spent() -> None:
     world = ready_world(30, instances=3)
     for _ in range(60):
         request = world.send_request(READ)
