--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -484,7 +484,7 @@
     assert 5 <= extra <= 5 + 0.2 * 60
 
 
-def test_a_hung_send_leaves_the_sidecars_window_but_keeps_its_upstreams_slot() -> None:
+def test_a_hung_attempt_leaves_the_sidecars_window_but_keeps_its_upstreams_slot() -> None:
     world = ready_world(2, instances=16, second_copies=False)
     hung = world.send_request(PAY)
     assert not world.sends(world.send_request(PAY))  # one slot for all upstreams together
