--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -500,7 +500,7 @@
     return world
 
 
-def test_a_late_send_gives_its_slot_free_when_a_later_one_is_answered() -> None:
+def test_a_late_attempt_frees_its_slot_when_a_later_one_is_answered() -> None:
     """Guards against silent connections that hold an upstream's slots: they held two of three slots of upstreams that
     answered everything else."""
     world = world_with_two_slots()
