--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -515,7 +515,7 @@
     assert world.balancer.upstreams[100].used_slots == 0
 
 
-def test_what_gave_its_slot_up_is_not_judged_again() -> None:
+def test_an_attempt_that_freed_its_slot_is_not_counted_again() -> None:
     world = world_with_two_slots()
     first = world.send_request(MARK)
     world.end_attempt(world.send_request(READ), 0, Outcome.OK)
