--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -528,7 +528,7 @@
     assert world.balancer.upstreams[100].window.slots == slots
 
 
-def test_an_upstream_that_answers_nothing_gets_ever_less() -> None:
+def test_an_upstream_that_answers_nothing_gets_ever_fewer_requests() -> None:
     world = ready_world(1, instances=1, classes=[RequestClass("pay", 300_000, 60_000_000)])
     for _ in range(1200):
         world.send_request(READ)
