--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -536,7 +536,7 @@
     assert 4 <= len(world.sends()) <= 9
 
 
-def test_slow_answers_of_an_upstream_that_reports_idle_cores_do_not_close_the_sidecar() -> None:
+def test_slow_answers_of_an_upstream_that_reports_idle_cores_do_not_shrink_the_sidecars_window() -> None:
     slots = []
     for busy in (0.3, 0.95):
         world = ready_world(8, instances=8, report_names=["utilization"])
