--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -550,7 +550,7 @@
     assert slots[0] >= 1.0 and slots[0] > slots[1]
 
 
-def test_an_upstream_whose_answers_are_all_slow_gets_no_slots_for_being_far() -> None:
+def test_an_upstream_whose_answers_are_all_slow_is_not_taken_for_a_distant_one() -> None:
     world = ready_world(1, instances=1, second_copies=False)
     world.balancer.upstreams[100].window.slots = 2.0
     for _ in range(20):
