--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -561,7 +561,7 @@
     assert world.balancer.upstreams[100].window.slots < 1.5
 
 
-def test_what_a_cold_upstream_was_paced_to_does_not_hold_it_when_it_is_warm() -> None:
+def test_pacing_ends_when_an_upstream_is_warm() -> None:
     world = World(settings(instances=400, warm_up_us=2_000_000))
     world.deliver_list([Upstream(1, started_us=world.now_us)])
     world.advance(2_000_000)
