--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -568,7 +568,7 @@
     assert world.sends(world.send_request(READ))
 
 
-def test_an_upstream_that_restarts_starts_afresh() -> None:
+def test_a_restarted_upstream_keeps_nothing_of_its_former_process() -> None:
     world = ready_world(1)
     run_requests(world, 90, 100, Outcome.ERROR)
     assert world.balancer.upstreams[100].window.slots < 0.2
