--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -576,7 +576,7 @@
     assert world.balancer.upstreams[100].window.slots == 1.0
 
 
-def test_upstreams_that_are_gone_are_forgotten_with_sends_still_out() -> None:
+def test_gone_upstreams_are_forgotten_even_with_outstanding_attempts() -> None:
     world = ready_world(4)
     request = world.send_request(PAY)
     for start in range(200, 2000, 10):
