--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -594,7 +594,7 @@
     assert actions == [Refuse(9_999, reason="unknown class")]
 
 
-def test_the_readme_names_the_lines_that_are_written() -> None:
+def test_the_readme_lists_every_log_line() -> None:
     page = (Path(__file__).parent.parent / "README.md").read_text()
     world = ready_world(2, instances=40)
     run_requests(world, 40, 100)
