--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -87,7 +87,7 @@
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(config: dict[str, object], seed: int,
+def test_no_rule_is_broken_by_any_legal_sequence_of_events(config: dict[str, object], seed: int,
                                             steps: list[tuple[str, int, object]]) -> None:
     world = World(settings(classes=many_classes(), **config), seed)
     world.deliver_list(upstreams(6), ListKind.CACHED)
