--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -96,7 +96,7 @@
     world.advance(5_000_000)  # everything is answered by its due time
 
 
-def busy_day(config: dict[str, object], seed: int) -> list[object]:
+def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
     """Heavy load with every kind of failure, so that slots run out and requests wait and are retried. Returns all
     actions."""
     dice = random.Random(seed)
@@ -127,7 +127,7 @@
             "second_copies": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3], "probes": seed % 4 == 0,
         }
-        assert busy_day(config, seed) == busy_day(config, seed)
+        assert run_heavy_load(config, seed) == run_heavy_load(config, seed)
 
 
 def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
