--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -130,7 +130,7 @@
         assert run_heavy_load(config, seed) == run_heavy_load(config, seed)
 
 
-def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
+def worst_overload_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
     """The most work that all sidecars together send one cold upstream within any `fall_us`, as a share of the overload
     that it bears.
 
@@ -188,4 +188,4 @@
 def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(skew, outcome) <= 1, (skew, outcome)
