--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,7 +51,7 @@
             RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True)]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:
+def apply_step(world: World, step: tuple[str, int, object]) -> None:
     """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
     open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.outstanding()]
@@ -92,7 +92,7 @@
     world = World(settings(classes=many_classes(), **config), seed)
     world.deliver_list(upstreams(6), ListKind.CACHED)
     for step in steps:
-        play(world, step)
+        apply_step(world, step)
     world.advance(5_000_000)  # everything is answered by its due time
 
 
@@ -116,7 +116,7 @@
         elif kind in ("list", "restart"):
             number = dice.randrange(8)
             extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
+        apply_step(world, (kind, number, extra))
     world.advance(5_000_000)
     return list(world.log)
 
