--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,7 +45,7 @@
 })
 
 
-def many_classes() -> list[RequestClass]:
+def classes_of_every_kind() -> list[RequestClass]:
     return [*classes(),
             RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
             RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True)]
@@ -89,7 +89,7 @@
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
 def test_no_rule_is_broken_by_any_legal_sequence_of_events(config: dict[str, object], seed: int,
                                             steps: list[tuple[str, int, object]]) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
+    world = World(settings(classes=classes_of_every_kind(), **config), seed)
     world.deliver_list(upstreams(6), ListKind.CACHED)
     for step in steps:
         apply_step(world, step)
@@ -100,7 +100,7 @@
     """Heavy load with every kind of failure, so that slots run out and requests wait and are retried. Returns all
     actions."""
     dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
+    world = World(settings(classes=classes_of_every_kind(), **config), seed)
     world.deliver_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
         kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
