--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -99,23 +99,23 @@
 def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
     """Heavy load with every kind of failure, so that slots run out and requests wait and are retried. Returns all
     actions."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     world = World(settings(classes=classes_of_every_kind(), **config), seed)
     world.deliver_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
+        kind = rng.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
                             [50, 40, 10, 1, 1, 1, 1, 1])[0]
         extra: object = 0
-        number = dice.randrange(50)
+        number = rng.randrange(50)
         if kind == "arrive":
-            number, extra = dice.randrange(5), dice.randrange(1_000, 2_000_000)
+            number, extra = rng.randrange(5), rng.randrange(1_000, 2_000_000)
         elif kind == "end":
-            extra = dice.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
+            extra = rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
         elif kind == "advance":
-            number = dice.randrange(60_000)
+            number = rng.randrange(60_000)
         elif kind in ("list", "restart"):
-            number = dice.randrange(8)
-            extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
+            number = rng.randrange(8)
+            extra = rng.choice(list(UpstreamState)) if kind == "list" else rng.randrange(30_000_000)
         apply_step(world, (kind, number, extra))
     world.advance(5_000_000)
     return list(world.log)
