--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -23,7 +23,7 @@
 from tests.world import START_US, World, settings, upstreams
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
+def test_events_about_unknown_requests_and_upstreams_change_nothing() -> None:
     world = World()
     world.deliver_list(upstreams(3))
     for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
