--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -33,7 +33,7 @@
     assert world.sends(world.send_request(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
+def test_outcomes_and_client_departures_after_the_answer_are_ignored() -> None:
     world = World()
     world.deliver_list(upstreams(3))
     request = world.send_request(0)
