--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -46,7 +46,7 @@
     assert world.deliver(RequestGone(served)) == []
 
 
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+def test_an_outcome_of_an_attempt_never_sent_is_ignored() -> None:
     world = World()
     world.deliver_list(upstreams(3))
     request = world.send_request(0)
