--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -53,7 +53,7 @@
     assert world.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_a_broken_stream_is_not_retried() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
     world.deliver_list(upstreams(3))
     request = world.send_request(0)
