--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -87,7 +87,7 @@
     (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
     (lambda: settings(classes=[]), "at least one request class"),
 ])
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_invalid_settings_say_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
     assert words in str(caught.value)
