--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -93,7 +93,7 @@
     assert words in str(caught.value)
 
 
-def test_odd_requests_and_lists_are_taken_without_an_exception() -> None:
+def test_unusual_requests_and_lists_raise_no_exception() -> None:
     world = World(settings(tenants=[Tenant("t", 5.0)], over_share_worth=0.2))
     twice = upstreams(2) + upstreams(2, weight=0.0)
     world.deliver_list(twice)
