--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -14,7 +14,7 @@
 from tests.world import START_US, World, settings, upstreams
 
 
-def asking_world() -> World:
+def world_that_asks_for_lists() -> World:
     world = World(settings(list_on_request=True, ask_within_us=10_000_000))
     world.deliver_list(upstreams(4), ListKind.CACHED)
     return world
@@ -26,7 +26,7 @@
 
 
 def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
-    world = asking_world()
+    world = world_that_asks_for_lists()
     world.advance(2_000_000)
     assert len(asks(world)) >= 1
 
@@ -39,7 +39,7 @@
 
 
 def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
-    world = asking_world()
+    world = world_that_asks_for_lists()
     world.advance(2_000_000)
     waits = []
     for _ in range(12):
@@ -54,7 +54,7 @@
 
 
 def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
-    world = asking_world()
+    world = world_that_asks_for_lists()
     world.advance(2_000_000)
     before = len(asks(world))
     world.deliver(UpstreamsUpdated(ListKind.FAILED))
@@ -65,7 +65,7 @@
 
 
 def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
-    world = asking_world()
+    world = world_that_asks_for_lists()
     world.advance(10_000_000)
     assert len(asks(world)) >= 2
 
