--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -20,7 +20,7 @@
     return world
 
 
-def asks(world: World) -> list[int]:
+def list_calls(world: World) -> list[int]:
     """The indexes, in the world's action log, of the balancer's calls for the list."""
     return [i for i, action in enumerate(world.log) if isinstance(action, Subscribe)]
 
@@ -28,14 +28,14 @@
 def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
     world = world_that_asks_for_lists()
     world.advance(2_000_000)
-    assert len(asks(world)) >= 1
+    assert len(list_calls(world)) >= 1
 
 
 def test_a_pushed_list_is_never_asked_for() -> None:
     world = World()
     world.deliver_list(upstreams(4), ListKind.CACHED)
     world.advance(60_000_000)
-    assert not asks(world)
+    assert not list_calls(world)
 
 
 def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
@@ -43,10 +43,10 @@
     world.advance(2_000_000)
     waits = []
     for _ in range(12):
-        before = len(asks(world))
+        before = len(list_calls(world))
         world.deliver(UpstreamsUpdated(ListKind.FAILED))
         start_us = world.now_us
-        while len(asks(world)) == before:
+        while len(list_calls(world)) == before:
             world.advance(10_000)
             assert world.now_us - start_us < 10_000_000
         waits.append(world.now_us - start_us)
@@ -56,18 +56,18 @@
 def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
     world = world_that_asks_for_lists()
     world.advance(2_000_000)
-    before = len(asks(world))
+    before = len(list_calls(world))
     world.deliver(UpstreamsUpdated(ListKind.FAILED))
     world.deliver(UpstreamsUpdated(ListKind.FAILED))
     world.advance(4_000_000)
     world.deliver_list(upstreams(4), ListKind.DELTA)
-    assert len(asks(world)) == before + 1
+    assert len(list_calls(world)) == before + 1
 
 
 def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
     world = world_that_asks_for_lists()
     world.advance(10_000_000)
-    assert len(asks(world)) >= 2
+    assert len(list_calls(world)) >= 2
 
 
 def test_a_delta_changes_only_what_it_names() -> None:
