--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -38,7 +38,7 @@
     assert not list_calls(world)
 
 
-def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
+def test_a_failed_list_call_is_repeated_with_backoff_within_the_allowed_time() -> None:
     world = world_that_asks_for_lists()
     world.advance(2_000_000)
     waits = []
