--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -53,7 +53,7 @@
     assert waits[0] < 500_000 and waits[-1] > 1_000_000
 
 
-def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
+def test_a_second_failure_before_the_retry_does_not_double_the_calls() -> None:
     world = world_that_asks_for_lists()
     world.advance(2_000_000)
     before = len(list_calls(world))
