--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -64,7 +64,7 @@
     assert len(list_calls(world)) == before + 1
 
 
-def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
+def test_an_unanswered_list_call_is_repeated_within_the_allowed_time() -> None:
     world = world_that_asks_for_lists()
     world.advance(10_000_000)
     assert len(list_calls(world)) >= 2
