--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -79,7 +79,7 @@
     assert {s.upstream for s in world.sends()} == {101}
 
 
-def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
+def test_an_upstream_missing_from_a_full_list_is_gone_and_may_come_back() -> None:
     world = World()
     world.deliver_list(upstreams(2))
     world.deliver_list(upstreams(1))
