--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -103,7 +103,7 @@
     assert sum(1 for s in world.sends() if s.upstream == 100) <= 6
 
 
-def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
+def test_an_empty_list_and_an_empty_delta_are_accepted() -> None:
     world = World()
     world.deliver_list(upstreams(2))
     world.deliver_list([], ListKind.DELTA)
