--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -15,7 +15,7 @@
 from tests.sockets import run, until
 
 
-def test_each_acts_once_and_never_before_its_time() -> None:
+def test_each_timer_fires_once_and_never_early() -> None:
     async def test() -> None:
         clock, random = Clock(), Random(1)
         timers = Timers(clock)
