--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -31,7 +31,7 @@
     run(test)
 
 
-def test_they_act_in_the_order_of_time_and_of_asking() -> None:
+def test_timers_fire_in_order_of_time_and_then_of_creation() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = Timers(clock), []
