--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -44,7 +44,7 @@
     run(test)
 
 
-def test_a_cancelled_one_does_not_act_also_if_another_of_its_moment_cancels_it() -> None:
+def test_a_timer_cancelled_by_another_of_the_same_moment_does_not_fire() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = Timers(clock), []
