--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -66,7 +66,7 @@
     run(test)
 
 
-def test_one_that_fails_keeps_no_other_from_acting() -> None:
+def test_a_timer_that_raises_does_not_stop_others() -> None:
     async def test() -> None:
         said: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: said.append(context))
