--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -82,7 +82,7 @@
     run(test)
 
 
-def test_one_asked_for_while_another_acts_comes_too() -> None:
+def test_a_timer_created_by_a_firing_timer_fires() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = Timers(clock), []
