--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_cancelled_ones_of_far_moments_do_not_pile_up() -> None:
+def test_cancelled_timers_of_the_far_future_do_not_pile_up() -> None:
     async def test() -> None:
         clock = Clock()
         timers = Timers(clock)
