--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -112,7 +112,7 @@
     run(test)
 
 
-def test_the_loop_is_asked_for_few_timers() -> None:
+def test_many_timers_need_few_timers_of_the_event_loop() -> None:
     async def test() -> None:
         timers, clock = Timers(Clock()), Clock()
         asked = 0
