--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -133,7 +133,7 @@
 
 
 @given(st.binary(max_size=20), st.sampled_from([b"?sid=", b"?x=1&sid=", b"?s%69d=", b"?", b"", b"?sid=a&sid="]))
-def test_what_a_request_is_about_is_read_as_the_library_reads_it(value: bytes, before: bytes) -> None:
+def test_the_subject_of_a_request_is_parsed_as_by_the_standard_library(value: bytes, before: bytes) -> None:
     target = b"/api" + before + value.replace(b"?", b"")
     query = target.partition(b"?")[2].decode("latin-1")
     assert subject(target) == parse_qs(query).get("sid", [""])[0]
