--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -23,16 +23,16 @@
 
 def test_a_drained_sidecar_refuses_what_is_new_and_answers_what_it_took() -> None:
     world = ready_world(4)
-    taken = world.send_request(PAY)
+    taken = world.new_request(PAY)
     world.deliver(DrainChanged(True))
-    new = world.send_request(READ)
+    new = world.new_request(READ)
     refusal = world.answer(new)
     assert isinstance(refusal, Refuse) and refusal.reason == "draining" and refusal.retry_after_us > 0
     assert not world.sends(new) and world.answer(taken) is None
     world.end_attempt(taken, 0, Outcome.OK)
     assert world.requests[taken].answers == 1
     world.deliver(DrainChanged(False))
-    assert world.sends(world.send_request(READ))
+    assert world.sends(world.new_request(READ))
 
 
 def test_what_waited_in_the_buffer_when_the_drain_began_is_sent() -> None:
@@ -45,7 +45,7 @@
 
 def test_what_was_taken_is_tried_again_during_a_drain() -> None:
     world = ready_world(4)
-    taken = world.send_request(READ)
+    taken = world.new_request(READ)
     world.deliver(DrainChanged(True))
     world.end_attempt(taken, 0, Outcome.FULL)
     assert len(world.sends(taken)) == 2
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(("class_index", "kind"), [(PAY, Fail), (READ, Refuse)])
 def test_a_drain_promises_no_more_than_before(class_index: int, kind: type[object]) -> None:
     world = ready_world(1)
-    taken = world.send_request(class_index)
+    taken = world.new_request(class_index)
     world.deliver(DrainChanged(True))
     world.end_attempt(taken, 0, Outcome.RESET)
     world.advance(5_000_000)
@@ -63,7 +63,7 @@
 
 def test_new_settings_keep_what_was_learned_and_what_is_out() -> None:
     world = ready_world(2, tenants=[Tenant("big", 100.0), Tenant("small", 10.0)])
-    out = world.send_request(PAY, tenant=0)
+    out = world.new_request(PAY, tenant=0)
     before = {ident: server.window.slots for ident, server in world.balancer.upstreams.items()}
     world.balancer.tenant_arrivals = [7.0, 3.0]
     new = settings(tenants=[Tenant("new", 5.0), Tenant("small", 10.0), Tenant("big", 200.0)])
@@ -75,15 +75,15 @@
     assert world.balancer.requests[out].event.tenant == 2  # still big's
     world.end_attempt(out, 0, Outcome.OK)
     assert world.requests[out].answers == 1
-    assert world.sends(world.send_request(3))  # the new class is served
+    assert world.sends(world.new_request(3))  # the new class is served
 
 
 def test_a_request_whose_tenant_is_taken_away_counts_as_nobodys() -> None:
     world = ready_world(2, tenants=[Tenant("a", 1.0)])
-    out = world.send_request(READ, tenant=0)
+    out = world.new_request(READ, tenant=0)
     world.deliver(SettingsChanged(settings(tenants=[])))
     assert world.balancer.requests[out].event.tenant == 0 >= len(world.balancer.tenant_arrivals)
-    assert world.sends(world.send_request(READ, tenant=0))
+    assert world.sends(world.new_request(READ, tenant=0))
 
 
 def test_a_new_aim_counts_from_the_next_request() -> None:
@@ -91,7 +91,7 @@
     changed = settings(second_copies=False)
     changed.classes[READ] = RequestClass("read", 30_000, 1_000_000)
     world.deliver(SettingsChanged(changed))
-    assert world.sends(world.send_request(READ))[0].timeout_us == 45_000
+    assert world.sends(world.new_request(READ))[0].timeout_us == 45_000
 
 
 @pytest.mark.parametrize(("change", "words"), [
@@ -122,7 +122,7 @@
 def test_the_view_shows_each_upstream() -> None:
     world = ready_world(1)
     world.deliver_list([Upstream(100), Upstream(101, started_us=world.now_us)])
-    request = world.send_request(PAY)
+    request = world.new_request(PAY)
     views = {view.id: view for view in view(world.balancer)}
     assert set(views) == {100, 101} and views[101].cold and not views[100].cold
     assert sum(view.used for view in views.values()) == 1
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -61,7 +61,7 @@
 def send_to(world: World, ident: int) -> int:
     """A request whose first attempt is at `ident`; the others are answered at once."""
     for _ in range(200):
-        request = world.send_request()
+        request = world.new_request()
         sent = world.sends(request)
         if sent and sent[-1].upstream == ident:
             return request
@@ -143,7 +143,7 @@
         world = World(settings(second_copies=False, instances=1), seed)
         world.balancer.recall(START_US, lessons(told(100, 1 / 64, mute=4), told(101, 1.0)))
         world.deliver_list(upstreams(2))
-        sent = [world.sends(world.send_request())[-1].upstream for _ in range(2)]
+        sent = [world.sends(world.new_request())[-1].upstream for _ in range(2)]
         assert sorted(sent) == [100, 101]  # the second is not refused: the distrusted one has a slot
         first += sent[0] == 100
     assert first < 300 / 4  # by weight, one in nine
@@ -176,7 +176,7 @@
 def test_own_evidence_goes_first() -> None:
     world = World(settings(second_copies=False))
     world.deliver_list(upstreams(6))
-    seen = answer(world, world.send_request())
+    seen = answer(world, world.new_request())
     before = slots(world)[seen]
     fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), told(seen, 1 / 64, -10 * S))
     world.advance(20 * S)
@@ -230,7 +230,7 @@
                 classes=tuple(ClassLesson(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
         world.deliver_list(upstreams(1, started_us=START_US - S))
         for _ in range(3_000):  # 3 s
-            world.send_request()
+            world.new_request()
             world.advance(1_000)
             for ident, owed in world.requests.items():
                 for number in owed.outstanding():
@@ -252,7 +252,7 @@
     world = taught(classes=(ClassLesson("read", START_US, 1.0, 1.0),))
     assert world.balancer.latency[0].mean_us < 2.0
     for _ in range(3):
-        answer(world, world.send_request(), after_us=80_000)
+        answer(world, world.new_request(), after_us=80_000)
     assert world.balancer.latency[0].mean_us > 50_000 and world.balancer.latency[0].base_us > 25_000
 
 
@@ -304,7 +304,7 @@
     world.deliver_list(upstreams(6))
     assert world.balancer.tenant_arrivals == pytest.approx([18.0, 2.0])
     for _ in range(100):
-        answer(world, world.send_request(tenant=1), after_us=1_000)
+        answer(world, world.new_request(tenant=1), after_us=1_000)
     seen = world.balancer.tenant_arrivals
     assert seen[1] > 4 * seen[0]
 
@@ -423,7 +423,7 @@
     for step in range(60):
         if step % 20 == 7:
             world.balancer.recall(world.now_us, any_lessons())
-        request = world.send_request(rng.randrange(3))
+        request = world.new_request(rng.randrange(3))
         world.advance(rng.randrange(60_000))
         for number in list(world.requests[request].outstanding()):
             if number in world.requests[request].outstanding() and rng.random() < 0.7:
@@ -437,7 +437,7 @@
     world = World(settings(second_copies=False, instances=1))
     world.deliver_list(upstreams(4))
     for _ in range(200):
-        answer(world, world.send_request(), after_us=5_000)
+        answer(world, world.new_request(), after_us=5_000)
     given = learned(world.balancer)
     again = Balancer(world.settings, 9, world.now_us)
     again.recall(world.now_us, given)
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -30,18 +30,18 @@
                   StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
                   PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
         assert world.deliver(event) == []
-    assert world.sends(world.send_request(0))
+    assert world.sends(world.new_request(0))
 
 
 def test_outcomes_and_client_departures_after_the_answer_are_ignored() -> None:
     world = World()
     world.deliver_list(upstreams(3))
-    request = world.send_request(0)
+    request = world.new_request(0)
     world.client_quits(request)
     assert world.end_attempt(request, 0, Outcome.ERROR) == []
     assert world.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
     assert world.deliver(RequestGone(request)) == []
-    served = world.send_request(0)
+    served = world.new_request(0)
     world.end_attempt(served, 0, Outcome.OK)
     assert world.deliver(RequestGone(served)) == []
 
@@ -49,14 +49,14 @@
 def test_an_outcome_of_an_attempt_never_sent_is_ignored() -> None:
     world = World()
     world.deliver_list(upstreams(3))
-    request = world.send_request(0)
+    request = world.new_request(0)
     assert world.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_a_broken_stream_is_not_retried() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
     world.deliver_list(upstreams(3))
-    request = world.send_request(0)
+    request = world.new_request(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
     world.end_attempt(request, 0, Outcome.RESET)
@@ -98,10 +98,10 @@
     twice = upstreams(2) + upstreams(2, weight=0.0)
     world.deliver_list(twice)
     assert len(world.balancer.upstreams) == 2
-    assert world.sends(world.send_request(0, tenant=99))
-    late = world.send_request(0, patience_us=-5_000)
+    assert world.sends(world.new_request(0, tenant=99))
+    late = world.new_request(0, patience_us=-5_000)
     assert not world.sends(late) and world.answer(late) is not None
     world.deliver_list([])
-    stranded = world.send_request(1)
+    stranded = world.new_request(1)
     world.advance(2_000_000)
     assert not world.sends(stranded) and world.answer(stranded) is not None
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -53,7 +53,7 @@
         world.balancer.slowness.exceeds = lambda limit: True  # type: ignore[method-assign]
         world.advance(10 * SECOND_US)
         for _ in range(10):
-            world.send_request(0)
+            world.new_request(0)
             world.advance(50_000)
         sent += sum(send.upstream == 900 for send in world.sends())
     allowed = config.overload_factor * (0.2 + 0.8 * 10 / 24) * 5.0
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -48,7 +48,7 @@
         world.advance(int(SECOND_US / rate_per_s))
         while out and out[0][0] <= world.now_us:
             world.end_attempt(out.popleft()[1], 0, Outcome.OK)
-        out.append((world.now_us + 50_000, world.send_request(READ)))
+        out.append((world.now_us + 50_000, world.new_request(READ)))
     for _, request in out:
         end(world, request, 0, Outcome.OK, 50_000 // len(out))
     return world
@@ -104,7 +104,7 @@
     lost: Counter[int] = Counter()
     for _ in range(60):
         world.advance(50_000)
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         number = 0
         while number < len(world.sends(request)) and world.answer(request) is None:
             zone = world.listed[world.sends(request)[number].upstream].zone
@@ -117,7 +117,7 @@
 def test_a_failed_connect_costs_nothing_of_the_retry_budget() -> None:
     world = many()
     for _ in range(30):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         end(world, request, 0, Outcome.CONNECT_FAILED, 1_000)
         end(world, request, 1, Outcome.OK, 1_000)
         assert len(world.sends(request)) == 2
@@ -127,7 +127,7 @@
     world = many()
     answers = []
     for _ in range(30):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         end(world, request, 0, Outcome.ERROR, 1_000)
         if len(world.sends(request)) == 2:
             end(world, request, 1, Outcome.OK, 1_000)
@@ -140,7 +140,7 @@
     bad, drawn = 104, Counter[int]()
     for number in range(300):
         world.advance(50_000)
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         upstream = world.sends(request)[0].upstream
         drawn[upstream] += 1
         end(world, request, 0, Outcome.ERROR if upstream == bad and number % 2 else Outcome.OK, 5_000)
@@ -166,11 +166,11 @@
     """Hazard: what each of 200 leaves at upstreams that answer late adds up to queues that nobody is served from."""
     world = many(20.0)
     for _ in range(40):
-        end(world, world.send_request(READ), 0, Outcome.OK, 600_000)
+        end(world, world.new_request(READ), 0, Outcome.OK, 600_000)
     narrow = world.balancer.window.slots
     assert world.balancer.min_window_slots <= narrow <= 1.0
     for _ in range(60):
-        end(world, world.send_request(READ), 0, Outcome.OK, 40_000)
+        end(world, world.new_request(READ), 0, Outcome.OK, 40_000)
     assert world.balancer.window.slots >= 2 * narrow
 
 
@@ -182,7 +182,7 @@
         world.advance(gap_us)
         while out and out[0][0] <= world.now_us:
             world.end_attempt(out.popleft()[1], 0, Outcome.OK)
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         if world.sends(request):
             out.append((world.now_us + answer_us, request))
         count += isinstance(world.answer(request), Refuse)
@@ -205,10 +205,10 @@
     world = many(2.0)
     world.balancer.window.slots = 0.5
     world.advance(3 * SECOND_US)
-    sent = [world.send_request(READ)]
+    sent = [world.new_request(READ)]
     while world.sends(sent[-1]):  # as many at once as the mean lets
         world.advance(10_000)
-        sent.append(world.send_request(READ))
+        sent.append(world.new_request(READ))
     waits = sent.pop()
     for request in sent:
         world.end_attempt(request, 0, Outcome.OK)
@@ -246,8 +246,8 @@
         world = many(20.0, instances=instances)
         for _ in range(40):
             world.advance(50_000)
-            end(world, world.send_request(READ), 0, Outcome.OK, answer_us)
-        request = world.send_request(READ)
+            end(world, world.new_request(READ), 0, Outcome.OK, answer_us)
+        request = world.new_request(READ)
         world.advance(160_000)
         return len(world.sends(request)) - 1
 
@@ -363,7 +363,7 @@
     """So many attempts at upstreams of the zone fail, each at another one; those of it that were not tried."""
     inside = [server for server in world.balancer.draw_order if server.entry.zone == zone]
     for server in inside[:count]:
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         attempt = world.balancer.requests[request].attempts[0]
         attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
             attempt.upstream.used_slots - 1, server.used_slots + 1, server)
@@ -400,7 +400,7 @@
     server, like = world.balancer.upstreams[104], world.balancer.upstreams[108]
     for count, least, most in ((2, 0.01, 0.05), (10, 0.01, 0.05)):
         for _ in range(count):
-            request = world.send_request(READ)
+            request = world.new_request(READ)
             attempt = world.balancer.requests[request].attempts[0]
             attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
                 attempt.upstream.used_slots - 1, server.used_slots + 1, server)
@@ -423,7 +423,7 @@
 def test_the_draw_favours_kinds_that_answer_quickly() -> None:
     world = many(20.0)
     for _ in range(120):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         kind = world.listed[world.sends(request)[0].upstream].kind
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
     world.balancer.needs_refresh.update(dict.fromkeys(world.balancer.draw_order))
@@ -435,7 +435,7 @@
 def test_a_failed_connect_is_tried_again_though_the_budget_is_spent() -> None:
     world = many()
     world.balancer.retry_tokens = 0.0
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     world.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     assert len(world.sends(request)) == 2 and world.balancer.retry_tokens >= 0.0
     world.end_attempt(request, 1, Outcome.ERROR)
@@ -488,7 +488,7 @@
         for number, world in enumerate(sidecars):
             world.advance(now_us - world.now_us)
             if (now_us // 20_000 + number) % 10 == 0:
-                request = world.send_request(READ)
+                request = world.new_request(READ)
                 for nth, send in enumerate(world.sends(request)):
                     heapq.heappush(ends, (now_us + (400_000 if send.upstream == 2 else 100_000), number, request, nth))
                     sent += [now_us] if send.upstream == 2 else []
@@ -532,7 +532,7 @@
             while out and out[0][0] <= world.now_us:
                 _, request, nth = out.popleft()
                 world.end_attempt(request, nth, Outcome.OK)
-            request = world.send_request(READ)
+            request = world.new_request(READ)
             for nth, send in enumerate(world.sends(request)):
                 out.append((world.now_us + 80_000, request, nth))
                 if send.upstream in sent:
@@ -580,13 +580,13 @@
     for _at_s in range(19):
         for _ in range(5):
             world.advance(200_000)
-            request = world.send_request(READ)
+            request = world.new_request(READ)
             if world.sends(request):
                 end(world, request, 0, Outcome.OK, 0)
     assert {send.upstream for send in world.sends()} <= set(mine) and mine
     assert [server.entry.id for server in world.balancer.draw_order][:len(mine)] == sorted(mine)
     world.advance(SECOND_US + 10)
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     assert [server.entry.id for server in world.balancer.draw_order] == sorted(idents)
     assert world.sends(request)
 
@@ -622,14 +622,14 @@
     for server in (balancer.upstreams[ident] for ident in mine):
         server.next_cold_send_us = world.now_us
     balancer.needs_refresh = dict.fromkeys(balancer.draw_order)
-    requests = [world.send_request(READ) for _ in range(8)]
+    requests = [world.new_request(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
     assert sorted(first) == mine and not balancer.window_has_room()  # each as its pace lets, and nothing else
     slots, out = balancer.window.slots, balancer.outstanding.out
     for request in requests[:3]:
         end(world, request, 0, Outcome.OK, 20_000)
     assert (balancer.window.slots, balancer.outstanding.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
-    again = world.send_request(READ)
+    again = world.new_request(READ)
     assert not world.sends(again)  # nor do they come at once
     assert sorted(server.next_cold_send_us > world.now_us for server in balancer.upstreams.values())[-3:] == [True] * 3
 
@@ -638,13 +638,13 @@
 def test_a_list_that_has_lost_all_leaves_a_window_that_opens_again(outcome: Outcome) -> None:
     """Hazard: a window of nothing at all would divide by zero when what is out ends."""
     world = many(20.0)
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.listed.values()]
     world.deliver_list(draining, ListKind.DELTA)
     world.end_attempt(request, 0, outcome)
     assert world.balancer.window.slots > 0.0
     world.deliver_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
-    assert world.sends(world.send_request(READ))
+    assert world.sends(world.new_request(READ))
 
 
 def test_an_upstream_that_starts_after_now_is_cold_or_without_a_warm_up_warm() -> None:
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -75,7 +75,7 @@
     world.deliver_list(upstreams(2))
     world.deliver_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
     for _ in range(10):
-        world.end_attempt(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.new_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {101}
 
 
@@ -84,11 +84,11 @@
     world.deliver_list(upstreams(2))
     world.deliver_list(upstreams(1))
     for _ in range(10):
-        world.end_attempt(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.new_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100}
     world.deliver_list(upstreams(2))
     for _ in range(30):
-        world.end_attempt(world.send_request(0), 0, Outcome.OK)
+        world.end_attempt(world.new_request(0), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == {100, 101}
 
 
@@ -97,7 +97,7 @@
     world.deliver_list(upstreams(3))
     world.deliver_list([Upstream(100, started_us=START_US)], ListKind.DELTA)
     for _ in range(60):
-        request = world.send_request(0)
+        request = world.new_request(0)
         world.advance(5_000)
         world.end_attempt(request, 0, Outcome.OK)
     assert sum(1 for s in world.sends() if s.upstream == 100) <= 6
@@ -107,9 +107,9 @@
     world = World()
     world.deliver_list(upstreams(2))
     world.deliver_list([], ListKind.DELTA)
-    assert world.sends(world.send_request(0))
+    assert world.sends(world.new_request(0))
     world.deliver_list([])
-    request = world.send_request(0)
+    request = world.new_request(0)
     world.advance(2_000_000)
     assert world.answer(request) is not None
     assert all(t.at_us > START_US for t in world.log if isinstance(t, SetTimer))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,7 +57,7 @@
     open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.outstanding()]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.send_request(number, patience_us=extra)
+        world.new_request(number, patience_us=extra)
     elif what == "advance":
         world.advance(number)
     elif what in ("list", "restart"):
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -33,7 +33,7 @@
     """Takes every slot; the last request is the one that waits in the buffer."""
     taken = []
     for _ in range(1000):
-        taken.append(world.send_request(READ))
+        taken.append(world.new_request(READ))
         if not world.sends(taken[-1]):
             return taken
     raise AssertionError("the slots never ran out")
@@ -41,14 +41,14 @@
 
 def test_a_request_goes_to_a_ready_upstream_at_once() -> None:
     world = ready_world()
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     assert [s.upstream in world.listed for s in world.sends(request)] == [True]
 
 
 def test_choice_is_spread_over_all_upstreams() -> None:
     world = ready_world(6)
     for _ in range(60):
-        world.end_attempt(world.send_request(READ), 0, Outcome.OK)
+        world.end_attempt(world.new_request(READ), 0, Outcome.OK)
     assert {s.upstream for s in world.sends()} == set(world.listed)
 
 
@@ -56,7 +56,7 @@
     world = ready_world()
     taken = fill_slots(world)
     assert world.answer(taken[-1]) is None
-    last = world.send_request(READ)
+    last = world.new_request(READ)
     answer = world.answer(last)
     assert isinstance(answer, Refuse) and answer.retry_after_us > 0
 
@@ -78,7 +78,7 @@
 
 def test_a_request_too_near_its_due_time_is_refused_unsent() -> None:
     world = ready_world()
-    request = world.send_request(READ, patience_us=1_000)
+    request = world.new_request(READ, patience_us=1_000)
     assert isinstance(world.answer(request), Refuse) and not world.sends(request)
 
 
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
 def test_a_request_that_never_ran_is_retried_at_another_upstream(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
-    request = world.send_request(class_index)
+    request = world.new_request(class_index)
     world.end_attempt(request, 0, outcome)
     first, second = world.sends(request)
     assert first.upstream != second.upstream
@@ -94,14 +94,14 @@
 
 def test_an_unsafe_request_that_may_have_run_is_failed() -> None:
     world = ready_world()
-    request = world.send_request(PAY)
+    request = world.new_request(PAY)
     world.end_attempt(request, 0, Outcome.RESET)
     assert isinstance(world.answer(request), Fail) and len(world.sends(request)) == 1
 
 
 def test_an_unsafe_request_stays_open_until_its_due_time() -> None:
     world = ready_world()
-    request = world.send_request(PAY)
+    request = world.new_request(PAY)
     world.advance(590_000)
     assert world.answer(request) is None
     world.advance(20_000)
@@ -111,11 +111,11 @@
 def test_without_a_ready_upstream_a_request_waits_and_is_then_refused() -> None:
     world = World()
     world.deliver_list([])
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     world.advance(400_000)
     assert isinstance(world.answer(request), Refuse)
     world.deliver_list([Upstream(5)])
-    assert world.sends(world.send_request(READ))
+    assert world.sends(world.new_request(READ))
 
 
 def test_a_cold_upstream_gets_few_requests() -> None:
@@ -131,7 +131,7 @@
 def test_drained_upstreams_get_nothing() -> None:
     world = ready_world(2)
     world.deliver_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     world.advance(1_000_000)
     assert not world.sends(request)
 
@@ -140,7 +140,7 @@
           class_index: int = READ, took_us: int = 10_000) -> None:
     """Sends one request a step. All outstanding attempts end at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
-        world.send_request(class_index)
+        world.new_request(class_index)
         world.advance(took_us)
         for ident in [i for i, owed in world.requests.items() if owed.outstanding()]:
             for attempt in world.requests[ident].outstanding():
@@ -154,7 +154,7 @@
     paused."""
     world = ready_world(4)
     for step in range(900):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         world.advance(60_000)
         for attempt in world.requests[request].outstanding() if request in world.requests else []:
             world.end_attempt(request, attempt, fault if step % 6 == 0 and attempt == 0 else Outcome.OK)
@@ -165,7 +165,7 @@
     world = ready_world(4, second_copies=False)
     before = world.balancer.window.slots
     for took_us in (5_000, 140_000) * 40:
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         world.advance(took_us)
         world.end_attempt(request, 0, Outcome.OK)
     assert before > 8.0 and world.balancer.window.slots == before
@@ -238,9 +238,9 @@
 
 def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_zones_costs() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03)
-    first = [world.send_request(READ) for _ in range(2)]
+    first = [world.new_request(READ) for _ in range(2)]
     assert {world.listed[world.sends(r)[0].upstream].zone for r in first} == {1}
-    third = world.send_request(READ)
+    third = world.new_request(READ)
     assert world.listed[world.sends(third)[0].upstream].zone != 1
 
 
@@ -260,9 +260,9 @@
 def test_a_more_valuable_request_displaces_the_one_in_the_buffer() -> None:
     world = ready_world()
     cheap = fill_slots(world)[-1]
-    dear = world.send_request(PAY)
+    dear = world.new_request(PAY)
     assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
-    late = world.send_request(READ)
+    late = world.new_request(READ)
     assert isinstance(world.answer(late), Refuse)
     world.end_attempt(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(dear)
@@ -271,16 +271,16 @@
 def test_a_tenant_beyond_its_share_yields_the_buffer() -> None:
     world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_worth=0.1)
     for _ in range(50):
-        world.send_request(READ, tenant=0)
+        world.new_request(READ, tenant=0)
     holder = world.balancer.buffer
     assert holder is not None and holder.event.tenant == 0
-    modest = world.send_request(READ, tenant=1)
+    modest = world.new_request(READ, tenant=1)
     assert world.answer(modest) is None and world.answer(holder.event.request) is not None
 
 
 def test_a_late_attempt_is_hedged_at_another_upstream_and_may_still_answer() -> None:
     world = ready_world()
-    request = world.send_request(READ)
+    request = world.new_request(READ)
     world.advance(250_000)
     first, second = world.sends(request)
     assert first.upstream != second.upstream
@@ -291,7 +291,7 @@
 @pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
 def test_no_hedged_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
     world = ready_world(second_copies=second_copies)
-    request = world.send_request(class_index)
+    request = world.new_request(class_index)
     world.advance(250_000)
     assert len(world.sends(request)) == 1
 
@@ -308,14 +308,14 @@
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
     world = ready_world()
     run_requests(world, 50, took_us=0)
-    waiting, last = fill_slots(world)[-1], world.send_request(PAY)
+    waiting, last = fill_slots(world)[-1], world.new_request(PAY)
     assert [world.answer(r) is None for r in (waiting, last)].count(True) == 1
 
 
 @pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
 def test_an_error_is_retried_where_the_class_may_run_again(class_index: int, again: bool) -> None:
     world = ready_world()
-    request = world.send_request(class_index)
+    request = world.new_request(class_index)
     world.end_attempt(request, 0, Outcome.ERROR)
     assert (len(world.sends(request)) == 2) is again
 
@@ -342,7 +342,7 @@
 def test_a_single_error_leaves_an_upstream_its_other_slots() -> None:
     world = busy_world()
     before = count_free_slots(world)
-    world.end_attempt(world.send_request(PAY), 0, Outcome.ERROR)
+    world.end_attempt(world.new_request(PAY), 0, Outcome.ERROR)
     assert before >= 4
     assert count_free_slots(world) >= before / 2 - 1
 
@@ -376,7 +376,7 @@
 def test_a_request_known_to_be_expensive_is_not_timed_out_early() -> None:
     world = ready_world(second_copies=False)
     run_requests(world, 50)
-    light, heavy = world.send_request(READ, cost_us=10_000), world.send_request(READ, cost_us=200_000)
+    light, heavy = world.new_request(READ, cost_us=10_000), world.new_request(READ, cost_us=200_000)
     assert (world.sends(light)[0].timeout_us, world.sends(heavy)[0].timeout_us) == (450_000, 1_200_000)
 
 
@@ -396,7 +396,7 @@
 def test_overload_is_logged_when_it_begins_and_ends() -> None:
     world = ready_world(2, instances=40)
     for _ in range(30):
-        world.send_request(READ)
+        world.new_request(READ)
         world.advance(1_500_000)
     assert "this sidecar: concurrency limit backed off" in log_lines(world)
     run_requests(world, 1500)
@@ -415,7 +415,7 @@
 def run_burst(world: World, outcome: Outcome) -> None:
     """Sends a few requests; all outstanding attempts then end with one outcome."""
     for _ in range(20):
-        world.send_request(PAY)
+        world.new_request(PAY)
     world.advance(10_000)
     for ident, owed in list(world.requests.items()):
         for attempt in owed.outstanding():
@@ -427,7 +427,7 @@
     world = ready_world(2, second_copies=second_copies)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
-            world.send_request(class_index)
+            world.new_request(class_index)
         world.advance(3_000_000)
     for class_index in (READ, PAY, MARK):
         run_requests(world, 20, class_index=class_index)
@@ -477,7 +477,7 @@
 def test_retries_stop_when_the_retry_budget_is_spent() -> None:
     world = ready_world(30, instances=3)
     for _ in range(60):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         while world.requests[request].outstanding():
             world.end_attempt(request, world.requests[request].outstanding()[0], Outcome.FULL)
     extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.attempts)
@@ -486,10 +486,10 @@
 
 def test_a_hung_attempt_leaves_the_sidecars_window_but_keeps_its_upstreams_slot() -> None:
     world = ready_world(2, instances=16, second_copies=False)
-    hung = world.send_request(PAY)
-    assert not world.sends(world.send_request(PAY))  # one slot for all upstreams together
+    hung = world.new_request(PAY)
+    assert not world.sends(world.new_request(PAY))  # one slot for all upstreams together
     world.advance(160_000)
-    third = world.send_request(PAY)
+    third = world.new_request(PAY)
     assert world.sends(third) and world.sends(third)[0].upstream != world.sends(hung)[0].upstream
 
 
@@ -504,10 +504,10 @@
     """Guards against silent connections that hold an upstream's slots: they held two of three slots of upstreams that
     answered everything else."""
     world = world_with_two_slots()
-    world.send_request(MARK)
-    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
+    world.new_request(MARK)
+    world.end_attempt(world.new_request(READ), 0, Outcome.OK)
     world.advance(300_000)
-    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.new_request(READ), 0, Outcome.OK)
     assert world.balancer.upstreams[100].used_slots == 1  # it may still be a long request, so it keeps its slot
     world.advance(310_000)
     assert world.balancer.upstreams[100].used_slots == 0
@@ -517,10 +517,10 @@
 
 def test_an_attempt_that_freed_its_slot_is_not_counted_again() -> None:
     world = world_with_two_slots()
-    first = world.send_request(MARK)
-    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
+    first = world.new_request(MARK)
+    world.end_attempt(world.new_request(READ), 0, Outcome.OK)
     world.advance(300_000)
-    world.end_attempt(world.send_request(READ), 0, Outcome.OK)
+    world.end_attempt(world.new_request(READ), 0, Outcome.OK)
     world.advance(310_000)
     slots = world.balancer.upstreams[100].window.slots
     world.advance(1_400_000)
@@ -531,7 +531,7 @@
 def test_an_upstream_that_answers_nothing_gets_ever_fewer_requests() -> None:
     world = ready_world(1, instances=1, classes=[RequestClass("pay", 300_000, 60_000_000)])
     for _ in range(1200):
-        world.send_request(READ)
+        world.new_request(READ)
         world.advance(50_000)
     assert 4 <= len(world.sends()) <= 9
 
@@ -542,7 +542,7 @@
         world = ready_world(8, instances=8, report_names=["utilization"])
         world.balancer.window.slots = 1.9  # more than half of it is used
         for _ in range(40):
-            request = world.send_request(PAY)
+            request = world.new_request(PAY)
             world.advance(400_000)
             if world.sends(request) and world.requests[request].outstanding():
                 world.end_attempt(request, 0, Outcome.OK, report=[busy])
@@ -554,7 +554,7 @@
     world = ready_world(1, instances=1, second_copies=False)
     world.balancer.upstreams[100].window.slots = 2.0
     for _ in range(20):
-        request = world.send_request(READ)
+        request = world.new_request(READ)
         world.advance(400_000)
         if world.sends(request):
             world.end_attempt(request, 0, Outcome.OK)
@@ -565,7 +565,7 @@
     world = World(settings(instances=400, warm_up_us=2_000_000))
     world.deliver_list([Upstream(1, started_us=world.now_us)])
     world.advance(2_000_000)
-    assert world.sends(world.send_request(READ))
+    assert world.sends(world.new_request(READ))
 
 
 def test_a_restarted_upstream_keeps_nothing_of_its_former_process() -> None:
@@ -578,7 +578,7 @@
 
 def test_gone_upstreams_are_forgotten_even_with_outstanding_attempts() -> None:
     world = ready_world(4)
-    request = world.send_request(PAY)
+    request = world.new_request(PAY)
     for start in range(200, 2000, 10):
         world.deliver_list([Upstream(start + i) for i in range(4)])
     assert len(world.balancer.upstreams) == 4
@@ -599,7 +599,7 @@
     world = ready_world(2, instances=40)
     run_requests(world, 40, 100)
     for _ in range(30):
-        world.send_request(READ)
+        world.new_request(READ)
         world.advance(1_500_000)
     run_requests(world, 1500)
     written = {line.replace("100", "N").replace("101", "N") for line in log_lines(world)}
--- a/tests/world.py
+++ b/tests/world.py
@@ -127,7 +127,7 @@
                 self.unavailable_since_us.setdefault(ident, self.now_us)
         return self.deliver(UpstreamsUpdated(kind, entries))
 
-    def send_request(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+    def new_request(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
         ident = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
