--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,8 +11,8 @@
 from tests import known_red
 
 # Seconds by the end of a test's id, as measured on 8 cores; what is not named is short.
-LONG = ("pushed_over_by_all_sidecars_together", "ends_well_and_leaves_no_process", "requests_that_are_over",
-        "are_decided_alike_each_time", "is_true[1]", "is_true[2]", "before_its_deadline_and_frees_the_connection",
+LONG = ("not_overloaded_by_all_sidecars_together", "ends_well_and_leaves_no_process", "requests_that_are_over",
+        "is_decided_alike_each_time", "is_true[1]", "is_true[2]", "before_its_deadline_and_frees_the_connection",
         "one_winner_each_round", "ctrl_c_in_the_middle_leaves_no_process")
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
 def apply_step(world: World, step: tuple[str, int, object]) -> None:
     """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.requests.items() for n in owed.outstanding()]
+    open_attempts = [(ident, n) for ident, request in world.requests.items() for n in request.outstanding()]
     if what == "arrive":
         assert isinstance(extra, int)
         world.new_request(number, patience_us=extra)
@@ -74,11 +74,11 @@
         ident = list(world.requests)[number % len(world.requests)]
         if not world.requests[ident].closed:
             world.client_quits(ident)
-    elif what == "end" and open_tries:
+    elif what == "end" and open_attempts:
         assert isinstance(extra, Outcome)
-        world.end_attempt(*open_tries[number % len(open_tries)], extra)
+        world.end_attempt(*open_attempts[number % len(open_attempts)], extra)
     elif what == "stream":
-        streams = [(i, n) for i, n in open_tries
+        streams = [(i, n) for i, n in open_attempts
                    if world.settings.classes[world.requests[i].event.class_index].stream
                    and not world.requests[i].stream and not world.requests[i].closed]
         if streams:
@@ -121,7 +121,7 @@
     return list(world.log)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_heavy_load_breaks_no_rule_and_is_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "second_copies": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
@@ -185,7 +185,7 @@
     return worst
 
 
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+def test_a_cold_upstream_is_not_overloaded_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < worst_overload_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -142,7 +142,7 @@
     for _ in range(steps):
         world.new_request(class_index)
         world.advance(took_us)
-        for ident in [i for i, owed in world.requests.items() if owed.outstanding()]:
+        for ident in [i for i, state in world.requests.items() if state.outstanding()]:
             for attempt in world.requests[ident].outstanding():
                 at_bad = world.requests[ident].attempts[attempt].upstream == bad
                 world.end_attempt(ident, attempt, fault if at_bad else Outcome.OK)
@@ -229,8 +229,8 @@
     for _ in range(50):
         fill_slots(world)
         world.advance(1_000)
-        for ident, owed in list(world.requests.items()):
-            for attempt in owed.outstanding():
+        for ident, state in list(world.requests.items()):
+            for attempt in state.outstanding():
                 world.end_attempt(ident, attempt, Outcome.FULL)
     world.advance(10_000_000)
     assert len(world.timers) == 0
@@ -302,7 +302,7 @@
     world.advance(140_000)
     fill_slots(world)
     world.advance(20_000)
-    assert all(len(owed.attempts) <= 1 for owed in world.requests.values())
+    assert all(len(state.attempts) <= 1 for state in world.requests.values())
 
 
 def test_answers_that_took_no_measurable_time_do_no_harm() -> None:
@@ -417,8 +417,8 @@
     for _ in range(20):
         world.new_request(PAY)
     world.advance(10_000)
-    for ident, owed in list(world.requests.items()):
-        for attempt in owed.outstanding():
+    for ident, state in list(world.requests.items()):
+        for attempt in state.outstanding():
             world.end_attempt(ident, attempt, outcome)
 
 
@@ -480,7 +480,7 @@
         request = world.new_request(READ)
         while world.requests[request].outstanding():
             world.end_attempt(request, world.requests[request].outstanding()[0], Outcome.FULL)
-    extra = len(world.sends()) - sum(1 for owed in world.requests.values() if owed.attempts)
+    extra = len(world.sends()) - sum(1 for state in world.requests.values() if state.attempts)
     assert 5 <= extra <= 5 + 0.2 * 60
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -128,24 +128,24 @@
         return self.deliver(UpstreamsUpdated(kind, entries))
 
     def new_request(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        ident = self.next_id
+        request_id = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.requests[ident] = RequestState(event)
+        event = RequestArrived(request_id, self.now_us + patience, class_index, **fields)
+        self.requests[request_id] = RequestState(event)
         self.deliver(event)
-        return ident
+        return request_id
 
     def end_attempt(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.requests[request]
-        this = owed.attempts[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
-        if (outcome is Outcome.OK or owed.stream) and not owed.closed:
-            owed.closed = True
-            owed.answers += 1
-        return self.deliver(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
-                                      owed.closed, **fields))
+        state = self.requests[request]
+        ended = state.attempts[attempt]
+        assert ended.outcome is None
+        ended.outcome = outcome
+        if (outcome is Outcome.OK or state.stream) and not state.closed:
+            state.closed = True
+            state.answers += 1
+        return self.deliver(AttemptEnded(request, attempt, ended.upstream, outcome, self.now_us - ended.sent_us,
+                                         state.closed, **fields))
 
     def begin_stream(self, request: int, attempt: int) -> None:
         self.requests[request].stream = True
@@ -161,8 +161,8 @@
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [(t.ends_us, 0, ident, n) for ident, owed in self.requests.items() if not owed.stream
-                    for n, t in enumerate(owed.attempts) if t.outcome is None]
+            due += [(t.ends_us, 0, request_id, n) for request_id, state in self.requests.items() if not state.stream
+                    for n, t in enumerate(state.attempts) if t.outcome is None]
             due = [d for d in due if d[0] <= end_us]
             if not due:
                 break
@@ -175,9 +175,9 @@
                 self.deliver(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, owed in self.requests.items():
-            overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
-            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered after its due time"
+        for request_id, state in self.requests.items():
+            overdue = self.now_us > state.event.due_us + slack_us and not state.stream
+            assert not overdue or state.answers == 1, f"rule 1: request {request_id} is unanswered after its due time"
 
     # Checks
 
@@ -188,7 +188,7 @@
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "cancelled an attempt although the settings forbid that"
-            assert action.attempt < len(self.requests[action.request].attempts), "cancelled an attempt that was never sent"
+            assert action.attempt < len(self.requests[action.request].attempts), "cancelled an attempt never sent"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
@@ -198,34 +198,35 @@
             assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
 
     def check_send(self, send: Send) -> None:
-        owed = self.requests[send.request]
+        state = self.requests[send.request]
         entry = self.listed[send.upstream]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a send after the final answer"
-        assert len(owed.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        request_class = self.settings.classes[state.event.class_index]
+        assert not state.closed, "rule 1: a send after the final answer"
+        assert len(state.attempts) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.outstanding(), "rule 2: two attempts outstanding together"
-        for earlier in owed.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
-            if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: a repeat past the memory of its key"
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: a repeat in another cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: a repeat in another zone"
-        ends_us = owed.event.due_us
+        assert self.settings.second_copies or not state.outstanding(), "rule 2: two attempts outstanding together"
+        for earlier in state.may_have_run():
+            assert request_class.effect != "at_most_once", "rule 2: an unsafe request sent again"
+            if request_class.effect == "deduplicated":
+                assert self.now_us - earlier.sent_us <= request_class.memory_us, "rule 2: a repeat past its memory"
+                assert request_class.group != "cell" or entry.cell == earlier.cell, "rule 2: a repeat in another cell"
+                assert request_class.group != "zone" or entry.zone == earlier.zone, "rule 2: a repeat in another zone"
+        ends_us = state.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.attempts.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        state.attempts.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
 
     def check_answer(self, answer: Refuse | Fail) -> None:
-        owed = self.requests[answer.request]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a second answer"
-        owed.closed = True
-        owed.answers += 1
+        state = self.requests[answer.request]
+        request_class = self.settings.classes[state.event.class_index]
+        assert not state.closed, "rule 1: a second answer"
+        state.closed = True
+        state.answers += 1
         if isinstance(answer, Refuse):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
-            assert harmless or not owed.may_have_run(), "rule 2: a refusal of a request that may have run"
+            harmless = (request_class.effect == "idempotent"
+                        or (request_class.effect == "deduplicated" and request_class.group == "all"))
+            assert harmless or not state.may_have_run(), "rule 2: a refusal of a request that may have run"
 
     # Queries for tests
 
