--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -14,7 +14,7 @@
 1. Every request gets exactly one final answer, by its due time.
 2. A request that may have run is sent again, or refused as not done, only where its class's effect allows that.
 3. Nothing is sent to a draining or gone upstream, and the upstream list is asked for often enough.
-4. A cold upstream is not pushed over: all sidecars together send it less than the overload that it bears.
+4. A cold upstream is not overloaded: all sidecars together send it less than the overload that it withstands.
 """
 
 import heapq
@@ -47,7 +47,7 @@
 # This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
 MIN_SIDECARS_PER_UPSTREAM = 4.0
 MAX_COUNTED_FAULT_RATE = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
-HEALTHY_FAULT_RATE = 0.3  # fault rate under which the preference for the own zone applies
+HEALTHY_FAULT_RATE = 0.3  # fault rate under which the preference for this sidecar's zone applies
 # Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
 MIN_PREFERENCE = 1e-4
 # Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
@@ -135,7 +135,7 @@
         # it is used.
         self.cold_turn_us = 0
         self.last_observed_us = 0  # when an attempt last told something about it
-        # knowledge taken over, not yet tested by an attempt of our own
+        # what was learned of it elsewhere or in an earlier run, not yet tested by an attempt of this sidecar
         self.lesson: api.UpstreamLesson | None = None
         self.order_index = -1  # index in this sidecar's draw order; -1 = no longer drawn
         # Its current entries in `refresh_times` and `opening_times`; 0 = none.
@@ -178,7 +178,7 @@
     def __init__(self, aim_us: int) -> None:
         # half the aim, until there is a sample
         self.initial_us = self.mean_us = self.base_us = aim_us / 2
-        # `recall_doubt`: the least weight of a new sample beside a value that was taken over from elsewhere; halves
+        # `recall_doubt`: the least weight of a new sample beside a value that was learned elsewhere; halves
         # with each sample.
         self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
 
@@ -199,7 +199,7 @@
         return max(self.mean_us, self.initial_us) if self.recall_doubt else self.mean_us
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
-        """Takes over a class's latency that was learned before or elsewhere, trusted by `share` of 1."""
+        """Adopts a class's latency that was learned in an earlier run or by other sidecars, trusted by `share` of 1."""
         # Never longer than the initial value: with a longer one, cold upstreams would warm up more slowly and
         # requests would count as too late sooner.
         self.mean_us = trust.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
@@ -242,7 +242,7 @@
         self.slowness = Slowness()  # of the answers of all upstreams
         self.kind_slowness: dict[int, Slowness] = {}
         self.zone_faults: dict[int, Faults] = {}
-        self.preferred_zone = -1  # the own zone, if idle upstreams there are preferred; -1 = no preference
+        self.preferred_zone = -1  # this sidecar's zone, if idle upstreams there are preferred; else -1
         self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
         self.utilization_index = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
@@ -254,7 +254,7 @@
         self.list_failures = self.next_list_call_us = 0
         self.draining = False
         self.last_observed_us = 0  # when an attempt last told something about any upstream
-        self.lessons: list[api.Lessons] = []  # knowledge taken over, waiting for an upstream list
+        self.lessons: list[api.Lessons] = []  # learned before or elsewhere, waiting for an upstream list
         self.has_discovery_list = False  # whether a list has come from discovery, not only a cached one
         # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
         # given up waiting: the first calls are spread.
@@ -281,14 +281,14 @@
         return max(FIRST_LIST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Takes in one event at its time and returns the actions to carry out, in order."""
+        """Handles one event at its time and returns the actions to carry out, in order."""
         self.now_us = now_us
         if isinstance(event, api.AttemptEnded):
             self.on_attempt_ended(event)
         elif isinstance(event, api.RequestArrived):
             self.on_arrival(event)
         elif isinstance(event, api.TimerFired):
-            # a stale timer that armed another would keep timers going for ever
+            # a stale timer that armed another would keep timers going forever
             if self.armed_timer_us <= now_us:
                 self.armed_timer_us = 0
             self.run_due_wakeups()
@@ -312,7 +312,7 @@
         return actions
 
     def on_arrival(self, event: api.RequestArrived) -> None:
-        """Takes in a new request. One whose id is already open is ignored."""
+        """Handles a new request. One whose id is already open is ignored."""
         if event.request in self.requests:
             return
         if event.class_index >= len(self.settings.classes):  # not in the settings
@@ -533,7 +533,7 @@
 
     def cold_send_gap_us(self, upstream: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
         """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
-        half of the overload multiple that it bears; in a large fleet, what it can serve. The work of a request is
+        half of the overload multiple that it withstands; in a large fleet, what it can serve. The work of a request is
         estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
         tenants' allowed rate leaves for one request. `share` is the fraction of that time to wait, for the first
         send of all."""
@@ -781,7 +781,7 @@
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Takes in the end of an attempt; retries the request if it still has no answer. The end of an unknown or
+        """Handles the end of an attempt; retries the request if it still has no answer. The end of an unknown or
         already ended attempt is ignored."""
         request = self.requests.get(event.request)
         if (request is None or event.attempt >= len(request.attempts)
@@ -813,7 +813,7 @@
             self.dispatch(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
-        """Takes in an upstream list or a part of one, or schedules the next call after a failed one."""
+        """Applies an upstream list or a part of one, or schedules the next call after a failed one."""
         if event.kind is api.ListKind.FAILED:
             # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
             # between two calls (rule 3).
@@ -902,7 +902,7 @@
         return max(MIN_WINDOW_SLOTS, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
 
     def on_settings(self, settings: api.Settings) -> None:
-        """Takes over new settings between two events. What has been learned and outstanding attempts are kept."""
+        """Applies new settings between two events. What has been learned and outstanding attempts are kept."""
         old, self.settings = self.settings, settings
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
         new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
@@ -919,9 +919,9 @@
         self.reorder()
 
     def recall(self, now_us: int, lessons: api.Lessons) -> None:
-        """Takes over what was learned in an earlier run or by other sidecars, where nothing has been observed here
-        yet. Its times are on this clock. It may be outdated or wrong: trust.py says how far it counts, and upstreams
-        are tested before more than a preference rests on it."""
+        """Adopts what was learned in an earlier run or by other sidecars, where nothing has been observed here yet.
+        Its times are on this sidecar's clock. It may be outdated or wrong: trust.py says how far it counts, and an
+        upstream is tested by one attempt before it is used for more than a preference."""
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_arrivals) < trust.TENANT_WEIGHT:
             told_shares, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
@@ -932,8 +932,8 @@
         self.apply_lessons()
 
     def apply_lessons(self) -> None:
-        """Applies what was taken over, once a list has named the upstreams. After a list from discovery, the rest is
-        dropped."""
+        """Applies the lessons that `recall` was given, once a list has named the upstreams. After a list from
+        discovery, the rest is dropped."""
         count = len(self.draw_order)
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
@@ -962,8 +962,8 @@
             self.lessons = []
 
     def recall_fleet_values(self, lessons: api.Lessons, count: int) -> None:
-        """Takes over the class latencies and the sidecar's window. The caller checks that the fleet is still mostly
-        the same: for a replaced one they are wrong."""
+        """Adopts the class latencies and the sidecar's window. The caller checks that the fleet is still mostly the
+        same: for a replaced one they are wrong."""
         for request_class, latency in zip(self.settings.classes, self.latency, strict=True):
             told = next((lesson for lesson in lessons.classes if lesson.name == request_class.name), None)
             if told is not None and latency.last_observed_us < told.confirmed_us and (
@@ -980,10 +980,10 @@
 
     def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.UpstreamLesson,
                               faded: api.UpstreamLesson) -> None:
-        """Takes over what was learned of an upstream, until an attempt of our own tests it. Until then it gets no
+        """Adopts what was learned of an upstream, until an attempt of this sidecar tests it. Until then it gets no
         more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
-        test it: it is drawn rarely, but before a request is refused. `unfaded` is the knowledge as told, `faded` the
-        same after its trust has faded with age."""
+        test it: it is drawn rarely, but before a request is refused. `unfaded` is the lesson as it was told, `faded`
+        what is left of it at its age."""
         # passed on unfaded, so that it fades only once
         upstream.lesson, upstream.last_observed_us = unfaded, unfaded.confirmed_us
         self.needs_refresh[upstream] = None
@@ -995,9 +995,9 @@
             upstream.next_cold_send_us = max(upstream.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us))
 
     def confirm_lesson(self, upstream: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
-        """Handles the first attempt of our own at an upstream with knowledge that was taken over. A success opens
-        its window: to at least one slot, and as far as the knowledge says. Any other outcome leaves what was told as
-        it is."""
+        """Handles the first attempt of this sidecar at an upstream that it has a lesson of. A success opens its
+        window: to at least one slot, and as far as the lesson says. Any other outcome counts as confirming the
+        lesson."""
         told, upstream.lesson = upstream.lesson, None
         lesson = trust.faded(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
@@ -1005,7 +1005,7 @@
         elif outcome is api.Outcome.OK and lesson is not None:
             max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
             upstream.window.slots = 1.0 if self.warmth(upstream) < 1.0 else min(max(1.0, lesson.slots), max_slots)
-            # Not below a quarter of our own answer: too small a value would keep a distant upstream at one slot for
+            # Not below a quarter of this answer: too small a value would keep a distant upstream at one slot for
             # good.
             upstream.min_latency_us = max(lesson.least_us, elapsed_us // 4) if lesson.least_us else 0
 
