--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -1,7 +1,20 @@
-"""All decisions of the balancer. Its interface, types, events and actions: ironscale/interface.py.
+"""The load-balancing decisions, all in one class: `Balancer`. Settings, events and actions: ironscale/interface.py.
 
-Everything is slots (README.md): a request takes a free slot of a random upstream, waits in the
-ONE buffer when none is free, is refused when the buffer is taken, and is reissued through a slot.
+Concurrency is limited by slots, per upstream and for the whole sidecar. A request is sent to a free slot of an
+upstream that is drawn by weighted random choice. If no slot is free, it waits in a buffer that holds one request.
+If the buffer is taken too, it is refused. Retries and hedged copies need a free slot as well.
+
+`Balancer` does no I/O and reads no clock: a sidecar passes in events with their time and carries out the actions
+that come back. "Large fleet" means LARGE_FLEET_INSTANCES sidecars or more: each of them sees too few answers of
+most upstreams, so some rules differ there. "Slow time" means half of a request class's aim; "slowness" is an
+answer's time divided by it.
+
+Four rules hold for every action:
+
+1. Every request gets exactly one final answer, by its due time.
+2. A request that may have run is sent again, or refused as not done, only where its class's effect allows that.
+3. Nothing is sent to a draining or gone upstream, and the upstream list is asked for often enough.
+4. A cold upstream is not overloaded: all sidecars together send it less than the overload that it withstands.
 """
 
 import heapq
@@ -14,201 +27,271 @@
 from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
 from ironscale.sum_tree import Places
 
-RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
-RETRIES_KEPT = 5.0  # and so many saved up at most
-IDLE = 0.8  # reported utilization under which requests hardly queue
-SLOTS_EACH = 8.0  # first slots at an upstream from all sidecars together
-SMALLEST_SIZE = 0.1  # of the mean: a listed weight near 0 must not cut an upstream off
-KEPT_IN_HAND = 2.0  # slow answers leave an upstream about so many requests from all sidecars together
-STACKED = 3.0  # times its even share of what is out, that an upstream may get: idle ones come first
-MANY = 20  # sidecars, from which on one's own answers are too few to judge all by
-KEPT_BY_MANY = 4.0  # in place of KEPT_IN_HAND, by each one's part of the traffic
-SPREAD = 4.0  # of an upstream's load, what comes from this sidecar is a part in so many at most
-MOST_FAULTS = 0.75  # that count: (1 - this) ** 3 is SMALLEST_WINDOW
-WELL = 0.3  # share of faults, under which nearness counts
-LEAST_FAVOUR = 1e-4  # hazard: a weight of 0 would mean no try at all, and a refusal in its place
-FAR = 1e-3  # weight of what is not idle and in this zone, where crossing zones costs
-SUBSET = 3.0  # free slots that a draw chooses among, in upstreams of mean size
-COST_NOTHING = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)  # of any upstream's work
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
-INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
-SHOWS_NOTHING = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)  # of the upstream
-SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
-GROWTH = 0.4  # of its slots, by which a round of answers moves an upstream's window
-FULL_LOAD = 0.7  # of the slow time, where an upstream's slots settle: more chokes it, less refuses early
-FULL_QUEUE = 2.0  # times the least usual answer, where the sidecar's slots settle: as much queue as service
-MUTE = 3  # times the slow time, after which an attempt without an answer first gives its slot to another
-NEAR, MOST_WAY = 0.2, 0.5  # of the slow time: an upstream's least answer past NEAR is the way there
-LEAST_LOAD = 0.3  # of the slow time; under it a queue does no harm yet
-TENANT_MEMORY = 200  # arrivals: enough to tell a tenant at twice its share from chance, soon forgotten
-LOG_GAP_US = 1_000_000  # a line a second at most, however many upstreams change
-FIRST_RETRY_US = 250_000  # discovery back-off starts here: long beside one call, short beside a drain
-CALL_US = 150_000  # of discovery's time, for the list of one of many sidecars; they share it
+# Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
+RETRY_TOKENS_PER_REQUEST = 0.2
+MAX_RETRY_TOKENS = 5.0  # tokens that the retry budget holds at most
+IDLE_UTILIZATION = 0.8  # reported utilization under which requests hardly queue
+INITIAL_SLOTS_PER_UPSTREAM = 8.0  # slots that all sidecars together start with at one upstream
+# Share of the mean weight: an upstream listed with a weight near 0 still gets requests.
+MIN_RELATIVE_WEIGHT = 0.1
+# Outstanding requests, of all sidecars together, that slow answers always leave to an upstream.
+MIN_REQUESTS_PER_UPSTREAM = 2.0
+# An upstream's window grows to at most this multiple of its even share of this sidecar's outstanding attempts, so
+# that idle upstreams are used first.
+MAX_MULTIPLE_OF_EVEN_SHARE = 3.0
+# A large fleet begins here: one sidecar's own answers are then too few to judge every upstream by.
+LARGE_FLEET_INSTANCES = 20
+# Takes the place of MIN_REQUESTS_PER_UPSTREAM in a large fleet; each sidecar keeps a part by its share of the
+# traffic.
+LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM = 4.0
+# This sidecar's subset is so large that it supplies at most one part in this many of an upstream's load.
+MIN_SIDECARS_PER_UPSTREAM = 4.0
+MAX_COUNTED_FAULT_RATE = 0.75  # fault rates count up to this: (1 - 0.75) ** 3 is MIN_WINDOW_SLOTS
+HEALTHY_FAULT_RATE = 0.3  # fault rate under which the preference for this sidecar's zone applies
+# Lower bound of an upstream's preference. At 0 it would never be tried, and requests would be refused instead.
+MIN_PREFERENCE = 1e-4
+# Factor on the weight of an upstream that is not both idle and in this zone, where crossing zones costs.
+NON_LOCAL_WEIGHT = 1e-3
+# A draw chooses among a subset of the upstreams with at least so many slots; one of mean weight counts 1 at most.
+MIN_SUBSET_SLOTS = 3.0
+# Outcomes that cost no upstream any work: a retry after one of them takes no token.
+UNCHARGED_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+# Outcomes after which the request surely did not run.
+NEVER_RAN_OUTCOMES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+# Failures that usually come back at once.
+FAST_FAILURES = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
+# Outcomes that tell nothing about the upstream.
+UNINFORMATIVE_OUTCOMES = (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
+MIN_WINDOW_SLOTS = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
+# Share of an upstream's window by which one round of answers moves it, for each unit of slowness.
+WINDOW_STEP_GAIN = 0.4
+# Slowness at which an upstream's window settles. A higher target overloads it, a lower one refuses requests too
+# early.
+TARGET_SLOWNESS = 0.7
+# The sidecar's window settles at this multiple of the base latency: as much time queued as served.
+TARGET_LATENCY_MULTIPLE = 2.0
+# Multiple of the slow time after which an unanswered attempt may first give its slot to another.
+HUNG_AFTER_SLOW_TIMES = 3
+# Both in slow times. The part of an upstream's quickest answer above the first is taken for network latency, up to
+# the second.
+NEARBY_LATENCY, MAX_NETWORK_LATENCY = 0.2, 0.5
+HARMLESS_SLOWNESS = 0.3  # slowness under which queues do no harm yet
+# Number of arrivals over which tenant shares are averaged: enough to tell a tenant at twice its share from chance,
+# and soon forgotten.
+TENANT_MEMORY_ARRIVALS = 200
+MIN_LOG_INTERVAL_US = 1_000_000  # at most one log line a second, however many upstreams change
+# First backoff of discovery calls: long beside one call, short beside a drain.
+FIRST_LIST_RETRY_US = 250_000
+# Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
+LIST_CALL_US = 150_000
 
 
 class Window:
-    """Slots for outstanding sends; below one, the one slot rests between sends."""
+    """A sliding limit on outstanding attempts, in slots. Below one slot, a single attempt at a time is let through,
+    with a pause after each."""
 
     def __init__(self, name: str, slots: float) -> None:
         self.name, self.slots = name, slots
-        self.rest_until_us = 0
-        self.resting = False  # as last logged
+        self.paused_until_us = 0
+        self.logged_as_backed_off = False  # whether the last log line said that it backed off
 
-    def open(self, now_us: int) -> int:
-        return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.rest_until_us)
+    def usable_slots(self, now_us: int) -> int:
+        """The number of slots usable now, whether taken or free."""
+        return int(self.slots) if self.slots >= 1.0 else int(now_us >= self.paused_until_us)
 
-    def move(self, step: float, least: float, most: float) -> None:
-        """A round of answers moves the slots by the share `step`."""
+    def adjust(self, step: float, minimum: float, maximum: float) -> None:
+        """Moves the window by `step` slots, below one slot by the share `step` of it: a round of answers moves it by
+        that share. It stays within `minimum` and `maximum`, or moves towards them if it is outside."""
         slots = self.slots + step * min(1.0, self.slots)
-        most, least = max(most, self.slots), max(SMALLEST_WINDOW, min(least, self.slots))
-        self.slots = min(max(slots, least), most)
+        maximum, minimum = max(maximum, self.slots), max(MIN_WINDOW_SLOTS, min(minimum, self.slots))
+        self.slots = min(max(slots, minimum), maximum)
 
-    def rest(self, now_us: int, busy_us: float) -> None:
-        self.rest_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
+    def pause(self, now_us: int, busy_us: float) -> None:
+        """Below one slot, pauses for so long that the slot is busy for the share `slots` of the time."""
+        self.paused_until_us = now_us + int(busy_us * max(0.0, 1.0 / self.slots - 1.0))
 
 
-class Server:
-    """What this sidecar knows of one upstream."""
+class TrackedUpstream:
+    """What this sidecar knows of one process behind an upstream."""
 
     def __init__(self, entry: api.Upstream) -> None:
         self.entry = entry
-        self.size = 1.0  # listed weight, in upstreams of mean weight
-        self.used = 0  # slots taken by this sidecar's sends
-        self.window = Window(f"upstream {entry.id}", 1.0)  # one slot, as in the paper
-        self.busy = 1.0  # as it last reported; not known counts as busy
+        self.relative_weight = 1.0  # listed weight, divided by the mean weight
+        self.used_slots = 0  # slots taken by this sidecar's attempts
+        self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
+        self.utilization = 1.0  # utilization as last reported; unknown counts as busy
         self.faults = Faults()
-        self.favour = 1.0  # as last looked at
-        self.failing = False  # its last answer was a fault
-        self.least_us = 0  # the quickest of its answers: how far it is; 0 = none yet
-        self.answered_us = 0  # when what it answered was sent, the latest of it
-        self.mute = 1  # so often the patience with its late answers doubles: more while it answers nothing
-        self.warms = True  # while it is cold, this sidecar sends there too
-        self.next_cold_us = 0  # while it is cold, no send before this
-        self.turn_us = 0  # and for so long from then on, until its next turn; 0 = until it is used
-        self.confirmed_us = 0  # when an attempt last showed something of it
-        self.lesson: api.LearnedUpstream | None = None  # recalled, and not yet tested by an attempt of ours
-        self.place = -1  # in the sidecar's order; -1 = it is drawn no more
-        self.look_us = self.shut_us = 0  # times in `opening` and `shut`, at which its slot may open by itself
+        self.preference = 1.0  # as last computed
+        self.failing = False  # its last answer was a failure
+        self.min_latency_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
+        # when the attempt that it answered with success was sent, the latest of them
+        self.latest_answered_sent_us = 0
+        # The patience with its unanswered attempts doubles this many times. Grows while nothing is answered; an
+        # answer resets it to 1.
+        self.patience_doublings = 1
+        self.sends_while_cold = True  # whether this sidecar sends to it while it is cold
+        self.next_cold_send_us = 0  # while it is cold, nothing is sent before this time
+        # How long after `next_cold_send_us` an unused turn lapses and the next one is scheduled; 0 = it waits until
+        # it is used.
+        self.cold_turn_us = 0
+        self.last_observed_us = 0  # when an attempt last told something about it
+        # what was learned of it elsewhere or in an earlier run, not yet tested by an attempt of this sidecar
+        self.lesson: api.LearnedUpstream | None = None
+        self.order_index = -1  # index in this sidecar's draw order; -1 = no longer drawn
+        # Its current entries in `refresh_times` and `opening_times`; 0 = none.
+        self.queued_refresh_us = self.queued_opens_us = 0
 
     def opens_us(self) -> int:
-        return max(self.next_cold_us, self.window.rest_until_us)
+        """When its slot opens again, if only time keeps it closed."""
+        return max(self.next_cold_send_us, self.window.paused_until_us)
 
 
 class Attempt:
-    def __init__(self, server: Server, now_us: int, slow_us: int) -> None:
-        self.server, self.sent_us, self.slow_us = server, now_us, slow_us
-        self.slowness = 0.0  # as judged so far; 0 = it is not late yet
-        self.holds = True  # its upstream's slot
-        self.paced = False  # to a cold upstream: beside this sidecar's window
-        self.ended: api.Outcome | None = None  # None while it is out
+    """One send of a request to an upstream."""
+
+    def __init__(self, upstream: TrackedUpstream, now_us: int, slow_after_us: int) -> None:
+        self.upstream, self.sent_us, self.slow_after_us = upstream, now_us, slow_after_us
+        self.slowness = 0.0  # as counted in the windows so far; 0 = neither late nor ended yet
+        self.holds_slot = True  # whether it still takes up a slot of its upstream
+        # sent to a cold upstream of a large fleet: bounded by that one's pacing, not by the sidecar's window
+        self.paced = False
+        self.outcome: api.Outcome | None = None  # None while it is outstanding
 
 
 class Request:
+    """An open request and its attempts."""
+
     def __init__(self, event: api.RequestArrived) -> None:
         self.event = event
         self.attempts: list[Attempt] = []
-        self.out = 0  # of its attempts, those that have not ended
+        self.open_attempts = 0  # outstanding attempts
         self.done = self.streaming = False
 
     def first_that_may_have_run(self) -> Attempt | None:
-        return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN_OUTCOMES), None)
 
 
 class Latency:
-    """Smoothed time of a class's answers, and the least it has been."""
+    """Moving average of a request class's answer times, in microseconds, and a slowly rising minimum of that
+    average."""
 
-    def __init__(self, first_us: int) -> None:
-        self.first_us = self.mean_us = self.base_us = first_us / 2  # until something is seen: half the aim
-        self.seen, self.confirmed_us, self.doubt = False, 0, 0.0  # doubt: of the recalled, beside an answer
+    def __init__(self, aim_us: int) -> None:
+        # half the aim, until there is a sample
+        self.initial_us = self.mean_us = self.base_us = aim_us / 2
+        # `recall_doubt`: the least weight of a new sample beside a value that was learned elsewhere; halves
+        # with each sample.
+        self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
-        sample_us = max(1.0, sample_us)  # a clock that ticks slowly may say 0
-        if not self.seen:
-            self.seen, self.mean_us, self.base_us = True, sample_us, sample_us
-        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.doubt)  # as TCP keeps its (RFC 6298)
-        base_us = self.base_us + (self.mean_us - self.base_us) * max(1 / 256, self.doubt)
+        """Adds an answer time to the average."""
+        sample_us = max(1.0, sample_us)  # a clock with coarse ticks may measure 0
+        if not self.has_samples:
+            self.has_samples, self.mean_us, self.base_us = True, sample_us, sample_us
+        # gain 1/8 as in TCP's smoothed round-trip time (RFC 6298)
+        self.mean_us += (sample_us - self.mean_us) * max(1 / 8, self.recall_doubt)
+        base_us = self.base_us + (self.mean_us - self.base_us) * max(1 / 256, self.recall_doubt)
         self.base_us = min(self.mean_us, base_us)
-        self.doubt = self.doubt / 2 if self.doubt > 1 / 8 else 0.0
+        self.recall_doubt = self.recall_doubt / 2 if self.recall_doubt > 1 / 8 else 0.0
 
-    def careful_us(self) -> float:
-        """For the pacing of cold upstreams. Hazard: a mean by hearsay, too short, would push them over."""
-        return max(self.mean_us, self.first_us) if self.doubt else self.mean_us
+    def conservative_us(self) -> float:
+        """The average for the pacing of cold upstreams. While an average from elsewhere is uncertain, it is not
+        taken for shorter than the initial value: too short an estimate would overload cold upstreams."""
+        return max(self.mean_us, self.initial_us) if self.recall_doubt else self.mean_us
 
     def recall(self, lesson: api.LearnedClass, share: float) -> None:
-        # hazard: longer than without it, cold upstreams would warm up more slowly and requests be late sooner
-        self.mean_us = confidence.between(self.first_us, min(lesson.mean_us, self.first_us), share)
+        """Adopts a class's latency that was learned in an earlier run or by other sidecars, trusted by `share` of 1."""
+        # Never longer than the initial value: with a longer one, cold upstreams would warm up more slowly and
+        # requests would count as too late sooner.
+        self.mean_us = confidence.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
-        self.seen, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
+        self.has_samples, self.recall_doubt, self.last_observed_us = True, 1 / 2, lesson.confirmed_us
 
 
 class Balancer:
+    """The load-balancing decisions of one sidecar: takes events, returns actions. The same settings, seed and events
+    always give the same actions."""
+
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings, self.random, self.now_us = settings, random.Random(seed), now_us
         self.actions: list[api.Action] = []
-        self.servers: dict[int, Server] = {}  # listed and not gone
+        self.upstreams: dict[int, TrackedUpstream] = {}  # by id: those on the list that are not gone
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
         self.latency = [Latency(c.aim_us) for c in settings.classes]
-        self.window = Window("this sidecar", 1.0)  # for all sends of this sidecar together
-        self.least = 1.0  # hazard: after an outage all would rest for long
-        self.load = Mean(now_us)  # those that count for it
-        self.order: list[Server] = []  # ready upstreams, from this sidecar's own starting point on
-        self.early = 0  # the first of them, which are cold and which one of many warms
-        self.able = 0.0  # what they can do, in warm ones of mean size
-        self.rank_us = 0  # when one that is cold will be warm, and goes by its usual place; 0 = none will
-        self.places = Places(0)  # those of `order` that are free, as far as they have been looked at
-        self.changed: dict[Server, None] = {}  # to be looked at before the next draw
-        self.warming: dict[Server, None] = {}  # cold and free: their weight changes by itself
-        self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
-        self.shut: list[tuple[int, int, Server]] = []  # until when a slot is shut by time alone; a heap
+        self.window = Window("this sidecar", 1.0)  # limits all attempts of this sidecar together
+        # lower bound of that window: without it all sidecars would pause for long after an outage
+        self.min_window_slots = 1.0
+        self.outstanding = Mean(now_us)  # attempts that count against the sidecar's window
+        # ready upstreams, rotated to this sidecar's own starting point
+        self.draw_order: list[TrackedUpstream] = []
+        # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
+        self.cold_first_count = 0
+        self.ready_capacity = 0.0  # capacity of the ready upstreams, in warm upstreams of mean weight
+        # when the next upstream at the front will be warm and return to its usual place; 0 = none will
+        self.reorder_at_us = 0
+        # weights of the free upstreams in draw order, as of their last refresh
+        self.draw_weights = Places(0)
+        # upstreams whose weight is refreshed before the next draw
+        self.needs_refresh: dict[TrackedUpstream, None] = {}
+        self.warming_up: dict[TrackedUpstream, None] = {}  # cold and free: their weight changes with time alone
+        # heap: when to refresh an upstream's weight
+        self.refresh_times: list[tuple[int, int, TrackedUpstream]] = []
+        # heap: when a slot opens that only time keeps closed
+        self.opening_times: list[tuple[int, int, TrackedUpstream]] = []
         self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
-        self.slowness = Slowness()  # of all answers
-        self.kinds: dict[int, Slowness] = {}
-        self.zones: dict[int, Faults] = {}
-        self.home = -1  # a zone, if what is not idle there counts less
-        self.subset = self.least_subset = SUBSET
-        self.retry_tokens = RETRIES_KEPT
-        self.busy_at = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
-        self.tenant_seen = [0.0 for _ in settings.tenants]
+        self.slowness = Slowness()  # of the answers of all upstreams
+        self.kind_slowness: dict[int, Slowness] = {}
+        self.zone_faults: dict[int, Faults] = {}
+        self.preferred_zone = -1  # this sidecar's zone, if idle upstreams there are preferred; else -1
+        self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
+        self.retry_tokens = MAX_RETRY_TOKENS
+        self.utilization_index = next((i for i, n in enumerate(settings.report_names) if n == "utilization"), None)
+        self.tenant_arrivals = [0.0 for _ in settings.tenants]
         self.next_log_us = now_us
-        self.wakeups: list[tuple[int, str, int]] = []  # (when, what, request); a heap
-        self.armed_us = 0  # the next timer already asked for; 0 = none
-        self.list_failures = self.ask_list_us = 0  # when the list is asked for next; 0 = it is subscribed to
+        self.wakeups: list[tuple[int, str, int]] = []  # heap of (time, purpose, request id)
+        self.armed_timer_us = 0  # the time of the earliest timer already asked for; 0 = none
+        # The next time to ask for the list; 0 = it is subscribed to.
+        self.list_failures = self.next_list_call_us = 0
         self.draining = False
-        self.confirmed_us = 0  # when an attempt last showed something
-        self.lessons: list[api.LearnedState] = []  # recalled; they wait for the list
-        self.has_list = False  # from discovery, not one as last known
-        # hazard: all of many start together, and discovery goes on working at calls that have waited too long
-        turn_us = self.list_turn_us()
-        self.ask_list_at(now_us + (self.random.randrange(turn_us) if turn_us else 0))
+        self.last_observed_us = 0  # when an attempt last told something about any upstream
+        self.lessons: list[api.LearnedState] = []  # learned before or elsewhere, waiting for an upstream list
+        self.has_discovery_list = False  # whether a list has come from discovery, not only a cached one
+        # The sidecars of a large fleet may all start at once, and discovery still works off calls whose callers have
+        # given up waiting: the first calls are spread.
+        spread_us = self.list_call_spread_us()
+        self.schedule_list_call(now_us + (self.random.randrange(spread_us) if spread_us else 0))
 
     @property
-    def is_one_of_many(self) -> bool:
-        """One of so many that what it alone sees and sends tells little. Hazard: by the upstreams too, a
-        release, in which a few of them are away, would turn the meaning of all windows over."""
-        return self.settings.instances >= MANY
-
-    def list_turn_us(self) -> int:
-        """Discovery has a turn for each of many in so long; at most half of the time it may go unasked."""
+    def in_large_fleet(self) -> bool:
+        """Whether this sidecar belongs to a large fleet, in which what it sees and sends itself tells little.
+        Decided by the number of sidecars alone: if upstreams counted too, a release that takes a few of them away
+        would change the meaning of all windows."""
+        return self.settings.instances >= LARGE_FLEET_INSTANCES
+
+    def list_call_spread_us(self) -> int:
+        """Over how long the list calls of a large fleet's sidecars are spread, one call's time for each; at most
+        half of the time within which the list must be asked for. 0 = they are not spread."""
         s = self.settings
-        is_shared = self.is_one_of_many and s.list_on_request
-        return min(CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
+        is_shared = self.in_large_fleet and s.list_on_request
+        return min(LIST_CALL_US * s.instances, s.ask_within_us // 2) if is_shared else 0
 
-    def list_gap_us(self) -> int:
-        """At most so long between two calls for a list. What an agent has been pushed counts as told here, so
-        it is asked again soon."""
-        return max(FIRST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
+    def max_list_call_gap_us(self) -> int:
+        """The longest time between two calls for a list. Where lists are pushed, changes that an agent has received
+        count as known to this sidecar too, so it asks again soon."""
+        return max(FIRST_LIST_RETRY_US, self.settings.ask_within_us // 2 if self.settings.list_on_request else 0)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Handles one event at its time and returns the actions to carry out, in order."""
         self.now_us = now_us
         if isinstance(event, api.AttemptEnded):
             self.on_attempt_ended(event)
         elif isinstance(event, api.RequestArrived):
             self.on_arrival(event)
         elif isinstance(event, api.TimerFired):
-            if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
-                self.armed_us = 0
-            self.run_due()
+            # a stale timer that armed another would keep timers going forever
+            if self.armed_timer_us <= now_us:
+                self.armed_timer_us = 0
+            self.run_due_wakeups()
         elif isinstance(event, api.RequestAbandoned) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted) and event.request in self.requests:
@@ -219,79 +302,85 @@
             self.draining = event.draining
             for request in [*self.requests.values()] if event.shutting_down else ():
                 if not request.done:
-                    self.finish(request, "draining")
+                    self.refuse_or_fail(request, "draining")
         elif isinstance(event, api.SettingsChanged):
             self.on_settings(event.settings)
         if self.buffer is not None and self.try_send(self.buffer):
             self.buffer = None
-        self.arm()
+        self.arm_timer()
         actions, self.actions = self.actions, []
         return actions
 
     def on_arrival(self, event: api.RequestArrived) -> None:
+        """Handles a new request. One whose id is already open is ignored."""
         if event.request in self.requests:
             return
-        if event.class_index >= len(self.settings.classes):  # one that the settings don't have
+        if event.class_index >= len(self.settings.classes):  # not in the settings
             self.actions.append(api.Refuse(event.request, reason="unknown class"))
             return
         request = Request(event)
         self.requests[event.request] = request
         if self.draining:
-            self.finish(request, "draining")
+            self.refuse_or_fail(request, "draining")
             return
-        if event.tenant < len(self.tenant_weights):
-            # in place of all that fades a little, what is new weighs a little more
-            self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY
-            self.tenant_weights[event.tenant] += self.arrival_weight
-            self.tenant_weight += self.arrival_weight
+        if event.tenant < len(self.tenant_arrival_weights):
+            # Instead of scaling all old arrivals down, each new one counts a little more.
+            self.arrival_weight /= 1.0 - 1.0 / TENANT_MEMORY_ARRIVALS
+            self.tenant_arrival_weights[event.tenant] += self.arrival_weight
+            self.total_arrival_weight += self.arrival_weight
             if self.arrival_weight > 1e12:
-                self.tenant_seen = self.tenant_seen
-        self.retry_tokens = min(RETRIES_KEPT, self.retry_tokens + RETRY_SHARE)
-        self.place(request)
+                self.tenant_arrivals = self.tenant_arrivals
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
+        self.dispatch(request)
 
     @property
-    def tenant_seen(self) -> list[float]:
-        """Arrivals of each tenant, the old ones fading."""
-        return [weight / self.arrival_weight for weight in self.tenant_weights]
-
-    @tenant_seen.setter
-    def tenant_seen(self, seen: list[float]) -> None:
-        self.tenant_weights, self.tenant_weight, self.arrival_weight = seen, sum(seen), 1.0
-
-    def log(self, window: Window) -> None:
-        resting = window.slots < (1.0 if window.resting else 0.25)
-        if resting != window.resting and self.now_us >= self.next_log_us:  # else told later, if it lasts
-            self.next_log_us = self.now_us + LOG_GAP_US
-            window.resting = resting
-            self.actions.append(api.Log(f"{window.name} {'rests' if resting else 'is back'}"))
-
-    def place(self, request: Request) -> None:
-        """Through a free slot, else into the buffer, else refused."""
-        holder = self.buffer
+    def tenant_arrivals(self) -> list[float]:
+        """Arrivals by tenant, in which old ones fade exponentially."""
+        return [weight / self.arrival_weight for weight in self.tenant_arrival_weights]
+
+    @tenant_arrivals.setter
+    def tenant_arrivals(self, arrivals: list[float]) -> None:
+        self.tenant_arrival_weights, self.total_arrival_weight, self.arrival_weight = arrivals, sum(arrivals), 1.0
+
+    def log_window(self, window: Window) -> None:
+        """Logs when a window shrinks below a quarter of a slot and when it is back at one slot."""
+        backed_off = window.slots < (1.0 if window.logged_as_backed_off else 0.25)
+        # otherwise logged later, if it lasts
+        if backed_off != window.logged_as_backed_off and self.now_us >= self.next_log_us:
+            self.next_log_us = self.now_us + MIN_LOG_INTERVAL_US
+            window.logged_as_backed_off = backed_off
+            self.actions.append(api.Log(
+                f"{window.name}: concurrency limit {'backed off' if backed_off else 'recovered'}"))
+
+    def dispatch(self, request: Request) -> None:
+        """Sends a request through a free slot, else puts it into the buffer, else refuses it. A request of higher
+        value displaces the one in the buffer."""
+        buffered = self.buffer
         in_time = self.now_us < self.latest_start_us(request)
         if in_time and self.try_send(request):
             return
-        wanted = holder is None or self.value(request) > self.value(holder)
+        wanted = buffered is None or self.slot_value(request) > self.slot_value(buffered)
         if in_time and wanted and self.may_send(request):
-            # hazard: in a shortage the bulk of cheap requests would keep the dear ones out of every slot
+            # Without displacement, a shortage would let many cheap requests keep the valuable ones out of every
+            # slot.
             self.buffer = request
-            if holder is not None:
-                self.finish(holder, "displaced")
+            if buffered is not None:
+                self.refuse_or_fail(buffered, "displaced")
             until_us = self.now_us + self.half_aim_us(request.event.class_index)
-            self.wake(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
+            self.schedule(min(until_us, self.latest_start_us(request)), "buffer", request.event.request)
         else:
-            spent = request.attempts and not self.may_send(request)
-            self.finish(request, "too late" if not in_time else "tries spent" if spent else "full")
+            attempts_used_up = request.attempts and not self.may_send(request)
+            self.refuse_or_fail(request, "too late" if not in_time else "tries spent" if attempts_used_up else "full")
 
-    def value(self, request: Request) -> float:
-        """The worth of a slot's time given to this request; what is beyond its tenant's share counts less.
-        The share is judged among the tenants seen here: of total rates a sidecar knows nothing."""
+    def slot_value(self, request: Request) -> float:
+        """The worth that a slot earns per unit of time with this request; reduced for a tenant beyond its share. The
+        share is judged among the arrivals at this sidecar, as it does not know the tenants' total rates."""
         s, worth = self.settings, self.class_of(request).worth
         if not s.worth_by_work:
             worth /= self.latency[request.event.class_index].mean_us
         if request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / max(1.0, self.traffic.allowed_per_s)
-            seen = self.tenant_weights[request.event.tenant] / self.tenant_weight
+            seen = self.tenant_arrival_weights[request.event.tenant] / self.total_arrival_weight
             worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
         return worth
 
@@ -299,588 +388,670 @@
         return self.settings.classes[request.event.class_index]
 
     def half_aim_us(self, class_index: int) -> int:
-        """The delay threshold, and the time of a slow answer: the other half is left for a new try."""
+        """Half of the class's aim: the longest wait in the buffer, and the time after which an answer counts as
+        slow, which leaves the other half for another attempt."""
         return self.settings.classes[class_index].aim_us // 2
 
     def latest_start_us(self, request: Request) -> int:
-        """An attempt that starts later is not expected back by the due time. Hazard: after an outage that
-        every answer outlasted, nothing would be tried again; so at most half the aim is left for it."""
+        """The latest time at which an attempt can start and be expected back by the due time. At most half the aim
+        is reserved for the answer: after an outage in which every answer took longer than that, nothing would be
+        tried again otherwise."""
         answer_us = int(self.latency[request.event.class_index].mean_us)
         return request.event.deadline_us - min(answer_us, self.half_aim_us(request.event.class_index))
 
-    def finish(self, request: Request, reason: str) -> None:
-        """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
-        ident, kind = request.event.request, self.class_of(request)
-        harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                    or (kind.effect == "deduplicated" and kind.group == "all"))
+    def refuse_or_fail(self, request: Request, reason: str) -> None:
+        """The only place where the balancer answers a request itself (rules 1 and 2): with a refusal if surely
+        nothing ran or a repeat is harmless, else with a failure."""
+        request_id, request_class = request.event.request, self.class_of(request)
+        harmless = (request_class.effect == "idempotent" or request.first_that_may_have_run() is None
+                    or (request_class.effect == "deduplicated" and request_class.group == "all"))
         self.close(request)
-        self.actions.append(api.Refuse(ident, self.retry_after_us(request), reason) if harmless
-                            else api.Fail(ident))
+        self.actions.append(api.Refuse(request_id, self.retry_after_us(request), reason) if harmless
+                            else api.Fail(request_id))
 
     def close(self, request: Request) -> None:
+        """Marks the request as answered. It is forgotten once no attempt is outstanding."""
         request.done = True
         if self.buffer is request:
             self.buffer = None
-        if request.out == 0:
+        if request.open_attempts == 0:
             self.requests.pop(request.event.request, None)
 
     def retry_after_us(self, request: Request) -> int:
-        """About when a slot frees: one answer's time, spread lest refused clients return together."""
+        """When to advise the client to come back: about one answer's time, jittered so that refused clients do not
+        return together."""
         after_us = self.latency[request.event.class_index].mean_us * (0.5 + self.random.random())
         return min(int(after_us), self.settings.max_retry_after_us) if self.settings.retry_after else 0
 
-    def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
-        """How an attempt's end, or its being late, opens or closes slots: at its upstream, and of this
-        sidecar's window, which sees more answers. Both go by the time it took in slow times."""
-        server, outcome, latency = attempt.server, attempt.ended, self.latency[class_index]
-        self.changed[server] = None
-        if outcome not in SHOWS_NOTHING:
-            server.confirmed_us = self.confirmed_us = self.now_us
-            if server.lesson is not None:
-                self.test(server, outcome, elapsed_us)
-        if outcome is not None and outcome not in SHOWS_NOTHING:
-            is_fault = outcome is not api.Outcome.OK
-            # hazard: each of a lost zone's upstreams would be found out anew, at the price of a request each
-            if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
-                alike = (other for other in self.order if other.entry.zone == server.entry.zone)
-                self.changed.update(dict.fromkeys(alike))
-            # hazard: met every few seconds, an upstream that fails at random would never be found out
-            server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
-        if outcome in INSTANT_FAULTS:
-            # hazard: what fails at once would draw ever more; but one in ten must not close them all, nor
-            # those that turn away though they have room the sidecar: how full others are, their slots tell
-            lone, server.failing = not server.failing, True
-            server.window.move(-0.1 if lone else -0.5, 0.0, 1.0)
+    def adjust_windows(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
+        """Adjusts the windows of the attempt's upstream and of this sidecar, once it has ended or is late. Both are
+        steered by its slowness; the sidecar's window sees more answers than any upstream's."""
+        upstream, outcome, latency = attempt.upstream, attempt.outcome, self.latency[class_index]
+        self.needs_refresh[upstream] = None
+        if outcome not in UNINFORMATIVE_OUTCOMES:
+            upstream.last_observed_us = self.last_observed_us = self.now_us
+            if upstream.lesson is not None:
+                self.confirm_lesson(upstream, outcome, elapsed_us)
+        if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
+            is_failure = outcome is not api.Outcome.OK
+            # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
+            if self.zone_faults.setdefault(upstream.entry.zone, Faults()).end(self.now_us, is_failure, 1 / 8):
+                same_zone = (other for other in self.draw_order if other.entry.zone == upstream.entry.zone)
+                self.needs_refresh.update(dict.fromkeys(same_zone))
+            # A failure weighs more than a success: an upstream that fails at random and is met only every few
+            # seconds would otherwise not be found out.
+            upstream.faults.end(self.now_us, is_failure, 1 / 2 if is_failure else 1 / 4)
+        if outcome in FAST_FAILURES:
+            # An upstream that fails at once is always idle and would draw ever more requests. A single failure
+            # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
+            # stays: an upstream may turn requests away although it has room, and how full the others are is told by
+            # their own windows.
+            is_first_failure, upstream.failing = not upstream.failing, True
+            upstream.window.adjust(-0.1 if is_first_failure else -0.5, 0.0, 1.0)
         elif outcome in (None, api.Outcome.OK, api.Outcome.TIMEOUT):
-            # hazard: queues that outlast the aim serve nobody in time, however busy everyone is
+            # Time-outs and late answers count like slow ones: queues longer than the aim serve nobody in time,
+            # however busy the upstreams are.
             if outcome is api.Outcome.OK:
-                server.failing, server.least_us = False, min(server.least_us or elapsed_us, elapsed_us)
-            # hazard: a far upstream's usual answers would be taken for its queue and keep it at one slot.
-            # Guards also against a slow network here; harms where even its quickest answer had queued, and
-            # so no more than MOST_WAY is taken off
-            way = min(MOST_WAY, max(0.0, server.least_us / attempt.slow_us - NEAR))
-            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_us - way))
-            step = (attempt.slowness or FULL_LOAD) - slowness
-            # hazard: slots opened without need, by many sidecars above all, choke bursts (cf. RFC 7661)
-            most = max(1.0, STACKED * (self.load.out + 1) / max(1, len(self.order)))
-            server.window.move(GROWTH * step, self.least_each(), most)
-            full = min(1.0, max(LEAST_LOAD, FULL_QUEUE * latency.base_us / attempt.slow_us))
-            if self.is_one_of_many:  # hazard: the least of so few answers' mean is far under what is usual
-                full = 1.0
-            step = (attempt.slowness or full) - slowness
-            if server.busy < IDLE:  # hazard: a long request is slow by itself
-                step = max(step, full)
-            # hazard: long requests alone would close a window that is not half used, and a burst find it shut
-            need = self.need()
-            if self.is_one_of_many and step < 0.0 and not attempt.paced:
-                self.window.slots = min(self.window.slots, max(self.least, need))
-            if not attempt.paced and (step > 0.0 or self.window.slots <= need):
-                self.window.move(GROWTH / 2 * step, self.least, need)
+                upstream.failing, upstream.min_latency_us = (
+                    False, min(upstream.min_latency_us or elapsed_us, elapsed_us))
+            # The network latency is subtracted: otherwise a distant upstream's usual answers would be taken for a
+            # queue and keep it at one slot. This also covers a slow network at this sidecar. It errs where even the
+            # quickest answer had queued, so at most MAX_NETWORK_LATENCY is taken off.
+            network_latency = min(MAX_NETWORK_LATENCY,
+                                  max(0.0, upstream.min_latency_us / attempt.slow_after_us - NEARBY_LATENCY))
+            slowness = min(2.0, max(0.01, elapsed_us / attempt.slow_after_us - network_latency))
+            step = (attempt.slowness or TARGET_SLOWNESS) - slowness
+            # Unneeded slots, above all of many sidecars, let bursts overload an upstream (compare RFC 7661).
+            max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * (self.outstanding.out + 1) / max(1, len(self.draw_order)))
+            upstream.window.adjust(WINDOW_STEP_GAIN * step, self.min_upstream_slots(), max_slots)
+            target = min(1.0, max(HARMLESS_SLOWNESS, TARGET_LATENCY_MULTIPLE * latency.base_us / attempt.slow_after_us))
+            # the minimum of a mean of so few answers is far below the usual
+            if self.in_large_fleet:
+                target = 1.0
+            step = (attempt.slowness or target) - slowness
+            # an upstream with idle cores does not queue: the request itself is long
+            if upstream.utilization < IDLE_UTILIZATION:
+                step = max(step, target)
+            # The window shrinks only if at least half of it is used: otherwise long requests alone would close it,
+            # and a burst would find it closed.
+            needed = self.needed_slots()
+            if self.in_large_fleet and step < 0.0 and not attempt.paced:
+                self.window.slots = min(self.window.slots, max(self.min_window_slots, needed))
+            if not attempt.paced and (step > 0.0 or self.window.slots <= needed):
+                self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, needed)
             attempt.slowness = slowness
-            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
-                shared.add(slowness)
-        # hazard: beside answers of seconds, short rests leave a choked upstream crowded
-        busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_us)
-        for window in (server.window, self.window):
-            window.rest(self.now_us, busy_us * (0.5 + self.random.random()))
-            self.log(window)
-
-    def need(self) -> float:
-        """Slots of this sidecar that may be of use: twice those in use, and some."""
-        if self.is_one_of_many:
-            return 1.0 + 2.0 * self.load.at(self.now_us)
-        return 2.0 * (self.load.out + 1)
-
-    def has_room(self) -> bool:
-        """For one more send. Hazard: one that sends little, in waves of chance, would refuse their crests,
-        though the sum of many is even: there the mean counts."""
-        if self.is_one_of_many:
-            return self.load.at(self.now_us) < self.window.slots
-        return self.window.open(self.now_us) > self.load.out
-
-    def least_each(self) -> float:
-        """Slots that slow answers leave at an upstream. Hazard: by number alone, the few of many sidecars
-        that carry most of the traffic would hold back for all, and refuse what idle upstreams could serve."""
-        return min(1.0, KEPT_BY_MANY * self.traffic.part() if self.is_one_of_many else
-                   KEPT_IN_HAND / self.settings.instances)
-
-    def warmth(self, server: Server) -> float:
-        """Rule 4: the share of its capacity that an upstream surely has; 1 from where one slot from each of
-        few can't push it over, as that takes more than one and a half times what it does when warm."""
-        s, started_us = self.settings, server.entry.effective_start_us
-        age_us = max(0, self.now_us - started_us)  # by its own clock it may start after now
+            for average in (self.slowness, self.kind_slowness.setdefault(upstream.entry.kind, Slowness())):
+                average.add(slowness)
+        # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
+        # pauses would leave an overloaded upstream crowded.
+        busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_after_us)
+        for window in (upstream.window, self.window):
+            window.pause(self.now_us, busy_us * (0.5 + self.random.random()))
+            self.log_window(window)
+
+    def needed_slots(self) -> float:
+        """Slots that this sidecar can make use of: about twice those in use."""
+        if self.in_large_fleet:
+            return 1.0 + 2.0 * self.outstanding.at(self.now_us)
+        return 2.0 * (self.outstanding.out + 1)
+
+    def window_has_room(self) -> bool:
+        """Whether the sidecar's window allows one more attempt. In a large fleet the smoothed number of outstanding
+        attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
+        all sidecars is even."""
+        if self.in_large_fleet:
+            return self.outstanding.at(self.now_us) < self.window.slots
+        return self.window.usable_slots(self.now_us) > self.outstanding.out
+
+    def min_upstream_slots(self) -> float:
+        """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
+        of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
+        refuse what idle upstreams could serve."""
+        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.in_large_fleet else
+                   MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
+
+    def warmth(self, upstream: TrackedUpstream) -> float:
+        """Rule 4: the share of its capacity that an upstream surely has. In a small fleet it counts as warm (1.0) as
+        soon as its overload limit is 1.5 times its warm capacity, since one slot from each sidecar can't reach that."""
+        s, started_us = self.settings, upstream.entry.effective_start_us
+        # by the upstream's own clock, it may have started after now
+        age_us = max(0, self.now_us - started_us)
         if started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
         warmth = s.cold_share + (1.0 - s.cold_share) * age_us / s.warm_up_us
-        # hazard: one slot from each of 200 is many times what it does, and all would come as the pacing ends
-        return warmth if self.is_one_of_many or warmth * s.overload_factor < 1.5 else 1.0
+        # Not in a large fleet: one slot from each of 200 sidecars is many times its capacity, and all would send as
+        # the pacing ends.
+        return warmth if self.in_large_fleet or warmth * s.overload_factor < 1.5 else 1.0
 
-    def warm_at_us(self, server: Server) -> int:
-        """From about when on `warmth` is 1: rounding may make it later, not earlier."""
+    def warm_at_us(self, upstream: TrackedUpstream) -> int:
+        """From about when on `warmth` is 1: because of rounding it may be a little later, never earlier."""
         s = self.settings
-        age_us, reach = s.warm_up_us, 1.5 / s.overload_factor
-        if s.cold_share < 1.0 and reach < 1.0 and not self.is_one_of_many:
-            age_us = int(max(0.0, (reach - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
-        return server.entry.effective_start_us + age_us
-
-    def cold_gap_us(self, server: Server, work_us: float, share: float = 1.0) -> int:
-        """Rule 4: how long after a send the next may follow, so that all sidecars together send half the
-        multiple that a cold upstream bears; where they are many, what it can do. A request's work is taken
-        as the time of a usual answer, as if the upstream had one core; at most as what its part of all that
-        tenants are allowed leaves for one. `share` is of the way to the next, for the first send of all."""
-        s, warmth, traffic = self.settings, self.warmth(server), self.traffic
+        age_us, warm_from = s.warm_up_us, 1.5 / s.overload_factor
+        if s.cold_share < 1.0 and warm_from < 1.0 and not self.in_large_fleet:
+            age_us = int(max(0.0, (warm_from - s.cold_share) / (1.0 - s.cold_share)) * s.warm_up_us) - 2
+        return upstream.entry.effective_start_us + age_us
+
+    def cold_send_gap_us(self, upstream: TrackedUpstream, work_us: float, share: float = 1.0) -> int:
+        """Rule 4: the time after a send to a cold upstream until the next one. All sidecars together then send it
+        half of the overload multiple that it withstands; in a large fleet, what it can serve. The work of a request is
+        estimated by the usual answer time, as if the upstream had one core, and at most by what an even share of the
+        tenants' allowed rate leaves for one request. `share` is the fraction of that time to wait, for the first
+        send of all."""
+        s, warmth, traffic = self.settings, self.warmth(upstream), self.traffic
         if warmth == 1.0:
             return 0
-        if traffic.allowed_per_s:  # hazard: answers' times are mostly the way and the queue, also elsewhere
-            work_us = min(work_us, 1e6 * len(self.order) / traffic.allowed_per_s)
-        # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
-        part = (traffic.part_of_cold() if self.is_one_of_many else
+        # answer times are mostly network and queueing, also at other upstreams
+        if traffic.allowed_per_s:
+            work_us = min(work_us, 1e6 * len(self.draw_order) / traffic.allowed_per_s)
+        # The work estimate holds for an upstream of mean size. A small one does two thirds of that, so even without
+        # a multiple it is paced to 1.5 times what it can do.
+        part = (traffic.part_of_cold() if self.in_large_fleet else
                 traffic.part() * max(1.0, s.overload_factor / 2))
-        server.turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
-        # hazard: at the first pace it would be warm before the next one comes
-        growth = (1.0 - s.cold_share) / s.warm_up_us
-        return int((math.sqrt(warmth**2 + 2.0 * growth * share * work_us / part) - warmth) / growth)
-
-    def draw(self, request: Request) -> Server | None:
-        """A random one of the first free slots in this sidecar's order that the request may use, drawn by the
-        upstreams' listed size, of upstreams not yet tried."""
-        self.look()
-        if not self.has_room():
-            return self.pick_paced(request)
-        if self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
-            # hazard: drawn among the warm ones, a cold one is met far more seldom than its pace lets, while
-            # those are crowded. Guards also against a slow network; never where answers come in good time
-            early = self.pick_paced(request)
-            if early is not None:
-                return early
+        upstream.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
+        # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
+        # that.
+        capacity_growth = (1.0 - s.cold_share) / s.warm_up_us
+        return int((math.sqrt(warmth**2 + 2.0 * capacity_growth * share * work_us / part) - warmth) / capacity_growth)
+
+    def draw(self, request: Request) -> TrackedUpstream | None:
+        """Weighted random choice among the free upstreams of this sidecar's subset that the request may use and has
+        not tried yet; None if there is none."""
+        self.refresh_weights()
+        if not self.window_has_room():
+            return self.pick_cold(request)
+        if self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
+            # Cold upstreams come first: drawn among the warm ones, they would be met far more seldom than their
+            # pacing allows, while the warm ones are crowded. A slow network triggers this as well; answers in good
+            # time never do.
+            cold = self.pick_cold(request)
+            if cold is not None:
+                return cold
         if not request.attempts:
-            return self.pick()
-        tried = {attempt.server: None for attempt in request.attempts if attempt.server.place >= 0}
-        if self.is_bound(request):
+            return self.pick_from_subset()
+        tried = {attempt.upstream: None for attempt in request.attempts if attempt.upstream.order_index >= 0}
+        if self.is_bound_to_group(request):
             return self.pick_in_group(request, tried)
-        for server in tried:
-            self.places.put(server.place, 0.0, 0.0)
-        self.changed.update(tried)
-        return self.pick()
-
-    def pick(self) -> Server | None:
-        weight = self.places.weight_of_first(self.subset)
-        return self.order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
-
-    def pick_paced(self, request: Request) -> Server | None:
-        """Hazard: a window that answers of crowded upstreams have narrowed would keep cold ones idle; what
-        they get is bounded by their own pace."""
-        tried = [attempt.server for attempt in request.attempts]
-        early = self.places.weights[self.places.leaves:self.places.leaves + self.early]
-        free = [(server, weight) for server, weight in zip(self.order, early, strict=False)
-                if weight > 0.0 and server not in tried and self.in_group(request, server)]
+        for upstream in tried:
+            self.draw_weights.put(upstream.order_index, 0.0, 0.0)
+        self.needs_refresh.update(tried)
+        return self.pick_from_subset()
+
+    def pick_from_subset(self) -> TrackedUpstream | None:
+        """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
+        weight = self.draw_weights.weight_of_first(self.subset_slots)
+        return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
+
+    def pick_cold(self, request: Request) -> TrackedUpstream | None:
+        """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
+        window. That window may have shrunk because the warm upstreams are crowded, which would keep cold ones idle;
+        their own pacing bounds what they get."""
+        tried = [attempt.upstream for attempt in request.attempts]
+        cold_weights = self.draw_weights.weights[
+            self.draw_weights.leaves:self.draw_weights.leaves + self.cold_first_count]
+        free = [(upstream, weight) for upstream, weight in zip(self.draw_order, cold_weights, strict=False)
+                if weight > 0.0 and upstream not in tried and self.in_group(request, upstream)]
         return self.random.choices(*zip(*free, strict=True))[0] if free else None
 
-    def pick_in_group(self, request: Request, tried: dict[Server, None]) -> Server | None:
-        free, weights, room, leaves = [], [], 0.0, self.places.leaves
-        for place, weight in enumerate(self.places.weights[leaves:leaves + len(self.order)]):
-            server = self.order[place]
-            if weight > 0.0 and server not in tried and self.in_group(request, server):
-                free.append(server)
+    def pick_in_group(self, request: Request, tried: dict[TrackedUpstream, None]) -> TrackedUpstream | None:
+        """Weighted random choice for a request that may only go to upstreams of one group."""
+        free, weights, room, leaves = [], [], 0.0, self.draw_weights.leaves
+        for index, weight in enumerate(self.draw_weights.weights[leaves:leaves + len(self.draw_order)]):
+            upstream = self.draw_order[index]
+            if weight > 0.0 and upstream not in tried and self.in_group(request, upstream):
+                free.append(upstream)
                 weights.append(weight)
-                room += self.places.rooms[leaves + place]
-                if room >= self.subset:
+                room += self.draw_weights.rooms[leaves + index]
+                if room >= self.subset_slots:
                     break
         return self.random.choices(free, weights)[0] if free else None
 
-    def look(self) -> None:
-        """Brings `places` up to date: with what changed since, and what time alone has changed."""
+    def refresh_weights(self) -> None:
+        """Refreshes the draw weights of upstreams that changed, and of those that change with time alone."""
         now_us = self.now_us
-        if 0 < self.rank_us <= now_us:
-            self.rank()
-        opening = self.opening
-        while opening and opening[0][0] <= now_us:
-            server = heapq.heappop(opening)[2]
-            server.look_us = 0
-            self.changed[server] = None
-        self.changed.update(self.warming)
-        changed, self.changed = self.changed, {}
-        for server in changed:
-            if server.place >= 0:
-                self.look_at(server)
-
-    def favour(self, server: Server) -> float:
-        """What is known beyond its slots. Hazard: what fails at once is idle, and would draw the most."""
-        # hazard: with more sidecars than upstreams what we leave idle is busy, and a zone is overrun
-        near = server.entry.zone == self.home and server.used == 0
-        kind, zone = self.kinds.get(server.entry.kind), self.zones.get(server.entry.zone)
-        own = min(MOST_FAULTS, server.faults.share(self.now_us))
-        shared = zone.share(self.now_us) if zone is not None else 0.0
-        favour = ((1.0 - own) * (1.0 - shared)) ** 3
-        favour *= kind.favour(self.slowness) if kind is not None else 1.0
-        return max(LEAST_FAVOUR, favour) * (1.0 if near and max(own, shared) < WELL else FAR)
-
-    def look_at(self, server: Server) -> None:
-        now_us, window = self.now_us, server.window
-        slots, weight, room, warmth = window.open(now_us) - server.used, 0.0, 0.0, self.warmth(server)
+        if 0 < self.reorder_at_us <= now_us:
+            self.reorder()
+        due = self.refresh_times
+        while due and due[0][0] <= now_us:
+            upstream = heapq.heappop(due)[2]
+            upstream.queued_refresh_us = 0
+            self.needs_refresh[upstream] = None
+        self.needs_refresh.update(self.warming_up)
+        pending, self.needs_refresh = self.needs_refresh, {}
+        for upstream in pending:
+            if upstream.order_index >= 0:
+                self.refresh_weight(upstream)
+
+    def compute_preference(self, upstream: TrackedUpstream) -> float:
+        """The factor on an upstream's draw weight from its fault rate, its zone's, the speed of its kind and its
+        distance. Without it, an upstream that fails at once would be idle and draw the most requests."""
+        # `preferred_zone` is unset if there are more sidecars than upstreams: an upstream that this sidecar leaves
+        # idle is busy for others then, and the zone would be overrun.
+        is_idle_and_local = upstream.entry.zone == self.preferred_zone and upstream.used_slots == 0
+        kind, zone = self.kind_slowness.get(upstream.entry.kind), self.zone_faults.get(upstream.entry.zone)
+        own_fault_rate = min(MAX_COUNTED_FAULT_RATE, upstream.faults.share(self.now_us))
+        zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
+        preference = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
+        preference *= kind.favour(self.slowness) if kind is not None else 1.0
+        return max(MIN_PREFERENCE, preference) * (
+            1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE
+            else NON_LOCAL_WEIGHT)
+
+    def refresh_weight(self, upstream: TrackedUpstream) -> None:
+        """Computes an upstream's draw weight and schedules when time alone will change it."""
+        now_us, window = self.now_us, upstream.window
+        slots, weight, room, warmth = window.usable_slots(now_us) - upstream.used_slots, 0.0, 0.0, self.warmth(upstream)
         is_cold = warmth < 1.0
-        while is_cold and server.warms and 0 < server.turn_us < now_us - server.next_cold_us:
-            work_us = min(latency.careful_us() for latency in self.latency)
-            server.next_cold_us += server.turn_us + self.cold_gap_us(server, work_us)
-        if slots > 0 and not (is_cold and now_us < server.next_cold_us):
-            server.favour = self.favour(server)
-            weight = min(float(slots), window.slots) * server.size * server.favour
-            if is_cold and self.is_one_of_many:
-                room = 0.0  # beside those that it would draw among else; its pace alone says how much
+        while is_cold and upstream.sends_while_cold and 0 < upstream.cold_turn_us < now_us - upstream.next_cold_send_us:
+            work_us = min(latency.conservative_us() for latency in self.latency)
+            upstream.next_cold_send_us += upstream.cold_turn_us + self.cold_send_gap_us(upstream, work_us)
+        if slots > 0 and not (is_cold and now_us < upstream.next_cold_send_us):
+            upstream.preference = self.compute_preference(upstream)
+            weight = min(float(slots), window.slots) * upstream.relative_weight * upstream.preference
+            if is_cold and self.in_large_fleet:
+                room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
-                weight, room = weight * warmth, min(1.0, window.slots) * server.size
-        self.places.put(server.place, weight, room)
+                weight, room = weight * warmth, min(1.0, window.slots) * upstream.relative_weight
+        self.draw_weights.put(upstream.order_index, weight, room)
         if is_cold and weight > 0.0:
-            self.warming[server] = None
+            self.warming_up[upstream] = None
         else:
-            self.warming.pop(server, None)
-        again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
-        if server.favour < FAR / 2 and not again_us:  # hazard: what is never drawn is never thought better of
-            again_us = now_us + FAULT_HALVES_US // 8
-        if is_cold and server.next_cold_us > now_us:
-            cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
-            again_us = min(again_us, cold_us) if again_us else cold_us
-        if again_us and not now_us < server.look_us <= again_us:
-            server.look_us = again_us
-            heapq.heappush(self.opening, (again_us, server.place, server))
-        shut_us = server.opens_us()
-        if shut_us != server.shut_us:
-            server.shut_us = shut_us
-            while self.shut and self.shut[0][0] <= now_us:
-                heapq.heappop(self.shut)
-            if shut_us > now_us:
-                heapq.heappush(self.shut, (shut_us, server.place, server))
+            self.warming_up.pop(upstream, None)
+        refresh_us = window.paused_until_us if window.slots < 1.0 and window.paused_until_us > now_us else 0
+        # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
+        # again.
+        if upstream.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
+            refresh_us = now_us + FAULT_HALVES_US // 8
+        if is_cold and upstream.next_cold_send_us > now_us:
+            cold_refresh_us = min(upstream.next_cold_send_us, max(now_us + 1, self.warm_at_us(upstream)))
+            refresh_us = min(refresh_us, cold_refresh_us) if refresh_us else cold_refresh_us
+        if refresh_us and not now_us < upstream.queued_refresh_us <= refresh_us:
+            upstream.queued_refresh_us = refresh_us
+            heapq.heappush(self.refresh_times, (refresh_us, upstream.order_index, upstream))
+        opens_us = upstream.opens_us()
+        if opens_us != upstream.queued_opens_us:
+            upstream.queued_opens_us = opens_us
+            while self.opening_times and self.opening_times[0][0] <= now_us:
+                heapq.heappop(self.opening_times)
+            if opens_us > now_us:
+                heapq.heappush(self.opening_times, (opens_us, upstream.order_index, upstream))
 
     def may_send(self, request: Request) -> bool:
-        """Rules 1 and 2 as far as they don't depend on the upstream."""
+        """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
         s, sent = self.settings, len(request.attempts)
         if request.done or request.streaming or self.now_us >= request.event.deadline_us or sent >= s.max_attempts:
             return False
-        if request.out > 0 and not s.hedging:
+        if request.open_attempts > 0 and not s.hedging:
             return False
-        # hazard: reissues and copies feed the overload that they answer
-        if self.retry_costs(request) and self.retry_tokens < 1.0:
+        # Retries and copies add to the overload that they respond to, so they need a token of the retry budget.
+        if self.needs_retry_token(request) and self.retry_tokens < 1.0:
             return False
-        until_us = self.until_us(request)
+        until_us = self.resend_until_us(request)
         return until_us == 0 or self.now_us < until_us
 
-    def until_us(self, request: Request) -> int:
-        """Rule 2: nothing of it may be sent from then on, as upstreams forget; 0 = at any time."""
-        first, kind = request.first_that_may_have_run(), self.class_of(request)
-        if first is None or kind.effect == "idempotent":
+    def resend_until_us(self, request: Request) -> int:
+        """Rule 2: the time from which on nothing of the request may be sent, as upstreams have forgotten the key by
+        then (for at_most_once the time of the first send); 0 = no limit."""
+        first, request_class = request.first_that_may_have_run(), self.class_of(request)
+        if first is None or request_class.effect == "idempotent":
             return 0
-        return first.sent_us + (kind.dedup_memory_us if kind.effect == "deduplicated" else 0)
+        return first.sent_us + (request_class.dedup_memory_us if request_class.effect == "deduplicated" else 0)
 
-    def retry_costs(self, request: Request) -> bool:
-        return bool(request.attempts) and request.attempts[-1].ended not in COST_NOTHING
+    def needs_retry_token(self, request: Request) -> bool:
+        """Whether the next attempt is a retry or copy that takes a token of the retry budget."""
+        return bool(request.attempts) and request.attempts[-1].outcome not in UNCHARGED_OUTCOMES
 
-    def is_bound(self, request: Request) -> bool:
-        """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
-        kind = self.class_of(request)
-        return (kind.effect == "deduplicated" and kind.group != "all"
+    def is_bound_to_group(self, request: Request) -> bool:
+        """Rule 2: whether an attempt with a deduplication key may have run, so that only upstreams of its group may
+        get the next one."""
+        request_class = self.class_of(request)
+        return (request_class.effect == "deduplicated" and request_class.group != "all"
                 and request.first_that_may_have_run() is not None)
 
-    def in_group(self, request: Request, server: Server) -> bool:
-        first, kind = request.first_that_may_have_run(), self.class_of(request)
-        if first is None or kind.effect != "deduplicated" or kind.group == "all":
+    def in_group(self, request: Request, upstream: TrackedUpstream) -> bool:
+        """Whether the upstream drops repeats of what this request may already have run."""
+        first, request_class = request.first_that_may_have_run(), self.class_of(request)
+        if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return True
-        ours, theirs = first.server.entry, server.entry
-        return ours.zone == theirs.zone if kind.group == "zone" else ours.cell == theirs.cell
+        ours, theirs = first.upstream.entry, upstream.entry
+        return ours.zone == theirs.zone if request_class.group == "zone" else ours.cell == theirs.cell
 
     def try_send(self, request: Request) -> bool:
-        """The one place of sends: through a slot that `draw` finds free, if the rules allow it."""
-        server = self.draw(request) if self.may_send(request) else None
-        if server is None:
+        """The only place of sends: sends the request to an upstream that `draw` returns, if the rules allow it.
+        False if it was not sent."""
+        upstream = self.draw(request) if self.may_send(request) else None
+        if upstream is None:
             return False
-        work_us = max(self.latency[request.event.class_index].careful_us(), request.event.cost_us)
-        server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us)
-        server.used += 1
-        self.changed[server] = None
-        self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
+        work_us = max(self.latency[request.event.class_index].conservative_us(), request.event.cost_us)
+        upstream.next_cold_send_us = self.now_us + self.cold_send_gap_us(upstream, work_us)
+        upstream.used_slots += 1
+        self.needs_refresh[upstream] = None
+        self.retry_tokens -= 1.0 if self.needs_retry_token(request) else 0.0
         self.traffic.count(self.now_us)
-        self.subset = max(self.least_subset, SPREAD * len(self.order) * self.traffic.part())
-        slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
-        attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
-        attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
+        self.subset_slots = max(self.min_subset_slots,
+                                MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
+        slow_after_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
+        attempt, until_us = Attempt(upstream, self.now_us, slow_after_us), self.resend_until_us(request)
+        attempt.paced = self.in_large_fleet and self.warmth(upstream) < 1.0
         if not attempt.paced:
-            self.load.move(self.now_us, 1)
+            self.outstanding.move(self.now_us, 1)
         request.attempts.append(attempt)
-        request.out += 1
+        request.open_attempts += 1
         timeout_us = request.event.deadline_us - self.now_us
         if not self.settings.hedging and self.class_of(request).effect != "at_most_once":
-            timeout_us = min(timeout_us, 3 * slow_us)  # hazard: a hung upstream would use up all the time
-        self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, until_us))
-        self.wake(self.now_us + slow_us, "late", request.event.request)
+            timeout_us = min(timeout_us, 3 * slow_after_us)  # a hung upstream would use up all the time
+        self.actions.append(api.Send(request.event.request, upstream.entry.id, timeout_us, until_us))
+        self.schedule(self.now_us + slow_after_us, "late", request.event.request)
         return True
 
     def on_late(self, request: Request) -> None:
-        """A late answer may be a hung upstream or a long request: its upstream's slot stays taken for now,
-        this sidecar's is freed, and where a copy is allowed it is sent and the first runs on. Never in a
-        shortage, when copies would take the slots of requests that have none."""
+        """Handles attempts without an answer after the slow time: either a hung upstream or a long request. The
+        upstream's slot stays taken for now; the slot of the sidecar's window is freed. Where hedging is allowed, a
+        copy is sent and the first attempt goes on. Not in a shortage: there the copies would take slots from
+        requests that have none."""
         for attempt in request.attempts:
-            server, late_us = attempt.server, self.now_us - attempt.sent_us
-            if late_us < attempt.slow_us or attempt.ended is not None:
+            upstream, late_us = attempt.upstream, self.now_us - attempt.sent_us
+            if late_us < attempt.slow_after_us or attempt.outcome is not None:
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
-                    self.load.move(self.now_us, -1)
-                self.judge(attempt, attempt.slow_us, request.event.class_index)
-            # hazard: answers that never come, of connections fallen silent, would hold the slots of an
-            # upstream that answers all else. What was sent to it later is answered: it is not hung, and the
-            # slot is free. Else one more send is risked, ever later while nothing comes. Guards also against
-            # answers that stall and packets lost; harms where long requests fill an upstream unseen.
-            overtaken = server.answered_us > attempt.sent_us
-            patience_us = MUTE * attempt.slow_us
-            if attempt.holds and late_us >= patience_us << (0 if overtaken else min(server.mute, 20)):
-                if not overtaken:
-                    server.mute += 1
-                    self.judge(attempt, late_us, request.event.class_index)
-                attempt.holds = False
-                server.used -= 1
-                self.changed[server] = None
-            elif attempt.holds:
-                self.wake(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
-        # hazard: where all are slow, copies are what makes them so, and those of many sidecars come together
-        calm = LEAST_LOAD if self.is_one_of_many else FULL_LOAD
-        useful = self.buffer is None and not self.slowness.exceeds(calm)
-        if request.out == 1 and useful and self.settings.hedging:
+                    self.outstanding.move(self.now_us, -1)
+                self.adjust_windows(attempt, attempt.slow_after_us, request.event.class_index)
+            # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
+            # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
+            # hung and the slot is freed. Otherwise the slot is freed to risk one more attempt, after ever longer
+            # waits while nothing is answered. This also covers stalled answers and lost packets. It errs where long
+            # requests fill up an upstream unnoticed.
+            later_answered = upstream.latest_answered_sent_us > attempt.sent_us
+            patience_us = HUNG_AFTER_SLOW_TIMES * attempt.slow_after_us
+            if attempt.holds_slot and late_us >= patience_us << (
+                    0 if later_answered else min(upstream.patience_doublings, 20)):
+                if not later_answered:
+                    upstream.patience_doublings += 1
+                    self.adjust_windows(attempt, late_us, request.event.class_index)
+                attempt.holds_slot = False
+                upstream.used_slots -= 1
+                self.needs_refresh[upstream] = None
+            elif attempt.holds_slot:
+                self.schedule(attempt.sent_us + max(patience_us, 2 * late_us), "late", request.event.request)
+        # No copies where all answers are slow: copies add to that. In a large fleet the limit is lower, as the
+        # copies of many sidecars come together.
+        max_slowness = HARMLESS_SLOWNESS if self.in_large_fleet else TARGET_SLOWNESS
+        may_hedge = self.buffer is None and not self.slowness.exceeds(max_slowness)
+        if request.open_attempts == 1 and may_hedge and self.settings.hedging:
             self.try_send(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Handles the end of an attempt; retries the request if it still has no answer. The end of an unknown or
+        already ended attempt is ignored."""
         request = self.requests.get(event.request)
         if (request is None or event.attempt >= len(request.attempts)
-                or request.attempts[event.attempt].ended is not None):
+                or request.attempts[event.attempt].outcome is not None):
             return
         attempt = request.attempts[event.attempt]
-        attempt.ended = event.outcome
-        request.out -= 1
-        if self.busy_at is not None and len(event.report) > self.busy_at:
-            attempt.server.busy = event.report[self.busy_at]
+        attempt.outcome = event.outcome
+        request.open_attempts -= 1
+        if self.utilization_index is not None and len(event.report) > self.utilization_index:
+            attempt.upstream.utilization = event.report[self.utilization_index]
         if event.outcome is api.Outcome.OK:
-            attempt.server.mute = 1
-            attempt.server.answered_us = max(attempt.server.answered_us, attempt.sent_us)
+            attempt.upstream.patience_doublings = 1
+            attempt.upstream.latest_answered_sent_us = max(attempt.upstream.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
-            self.load.move(self.now_us, -1)
-        if attempt.holds:  # else it has been judged: its end says nothing of what is sent now
-            attempt.server.used -= 1
-            self.judge(attempt, event.elapsed_us, request.event.class_index)
-        if attempt.holds and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
-            # time-outs count too: else a slow fleet would go on being judged by its few quick answers
+            self.outstanding.move(self.now_us, -1)
+        # otherwise already counted when its slot was freed: its end tells nothing about current attempts
+        if attempt.holds_slot:
+            attempt.upstream.used_slots -= 1
+            self.adjust_windows(attempt, event.elapsed_us, request.event.class_index)
+        if attempt.holds_slot and event.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
+            # Time-outs count too, otherwise a slow fleet would be judged by its few quick answers alone.
             latency = self.latency[request.event.class_index]
             latency.add(event.elapsed_us)
-            latency.confirmed_us = self.now_us
+            latency.last_observed_us = self.now_us
         if event.request_ended or request.done:
             self.close(request)
-        elif request.out == 0:
-            self.place(request)  # hazard: an upstream that fails a part of its requests would lose them all
+        elif request.open_attempts == 0:
+            # Without a retry, every request that an upstream fails would be lost.
+            self.dispatch(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
+        """Applies an upstream list or a part of one, or schedules the next call after a failed one."""
         if event.kind is api.ListKind.FAILED:
-            # doubles with each failure; jittered, as all sidecars fail together; inside ask-within (rule 3)
-            first_us = max(FIRST_RETRY_US, self.list_turn_us())
-            backoff_us = min(first_us << min(self.list_failures, 20), self.list_gap_us())
-            # hazard: what a silent watch missed counts as told soon, and those of many fell silent together
-            least = 0.0 if self.ask_list_us == 0 and self.is_one_of_many else 0.5
+            # Exponential backoff, jittered because all sidecars fail together, and below the longest time allowed
+            # between two calls (rule 3).
+            first_us = max(FIRST_LIST_RETRY_US, self.list_call_spread_us())
+            backoff_us = min(first_us << min(self.list_failures, 20), self.max_list_call_gap_us())
+            # A watch that fell silent may have missed changes, which soon count as known here: the list is needed
+            # early. But the watches of a large fleet fall silent together, so the first call is spread from zero on.
+            min_jitter = 0.0 if self.next_list_call_us == 0 and self.in_large_fleet else 0.5
             self.list_failures += 1
-            self.ask_list_at(self.now_us + int(backoff_us * (least + self.random.random() / 2)))
+            self.schedule_list_call(self.now_us + int(backoff_us * (min_jitter + self.random.random() / 2)))
             return
         if event.kind is not api.ListKind.CACHED:
-            self.list_failures = self.ask_list_us = 0
-        old, new = self.servers, list[Server]()
-        # hazard: under rolling deploys what is gone would pile up; its outstanding attempts still hold it
-        self.servers = dict(old) if event.kind is api.ListKind.DELTA else {}
+            self.list_failures = self.next_list_call_us = 0
+        old, new = self.upstreams, list[TrackedUpstream]()
+        # Gone upstreams are dropped, otherwise they would pile up with each rolling deployment. Outstanding attempts
+        # still refer to theirs.
+        self.upstreams = dict(old) if event.kind is api.ListKind.DELTA else {}
         for entry in event.upstreams:
-            server = old.get(entry.id)
+            upstream = old.get(entry.id)
             if entry.state is api.UpstreamState.GONE:
-                self.servers.pop(entry.id, None)
+                self.upstreams.pop(entry.id, None)
                 continue
-            if server is None or server.entry.started_us != entry.started_us:
-                if entry.zone in self.zones:  # its past tells little of what starts anew
-                    self.zones[entry.zone].last /= 2
-                server = Server(entry)  # a new process: nothing the former one earned or lost is kept
-                new.append(server)
-            server.entry = entry
-            self.servers[entry.id] = server
-        self.has_list = self.has_list or event.kind is not api.ListKind.CACHED
-        self.rank()
-        for server in new:
-            # all sidecars hear of a start within moments: their first sends must not come as one burst
-            if server.warms:
-                work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
-                share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
-                server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us, share)
+            if upstream is None or upstream.entry.started_us != entry.started_us:
+                # the zone's past tells little about a process that has just started
+                if entry.zone in self.zone_faults:
+                    self.zone_faults[entry.zone].last /= 2
+                upstream = TrackedUpstream(entry)  # a new process: nothing is kept of the former one
+                new.append(upstream)
+            upstream.entry = entry
+            self.upstreams[entry.id] = upstream
+        self.has_discovery_list = self.has_discovery_list or event.kind is not api.ListKind.CACHED
+        self.reorder()
+        for upstream in new:
+            # All sidecars hear of a start at nearly the same time: their first sends are spread, so that they do not
+            # come as one burst.
+            if upstream.sends_while_cold:
+                work_us, s = min(latency.conservative_us() for latency in self.latency), self.settings
+                share = turn(upstream.entry.id, s.self_index, s.instances, self.random.random())
+                upstream.next_cold_send_us = self.now_us + self.cold_send_gap_us(upstream, work_us, share)
         self.apply_lessons()
 
-    def rank(self) -> None:
-        """Subsetting: the ready upstreams by id, each sidecar from a starting point of its own, so that
-        every upstream is near the front of as many; first the cold ones that one of many is to warm.
-        Rule 3: draining and gone ones are drawn no more."""
+    def reorder(self) -> None:
+        """Subsetting: orders the ready upstreams by id, rotated to this sidecar's starting point, so that every
+        upstream is near the front for as many sidecars. In a large fleet, the cold upstreams that this sidecar warms
+        up come first. Draining and gone ones are left out (rule 3)."""
         count = self.settings.instances
-        ready = [self.servers[i] for i in sorted(self.servers)
-                 if self.servers[i].entry.state is api.UpstreamState.READY]
-        mean = sum(server.entry.weight for server in ready) / max(1, len(ready))
-        for server in ready:
-            server.size = max(SMALLEST_SIZE, server.entry.weight / mean) if mean > 0.0 else 1.0
-        self.least = min(1.0, len(ready) / count)
-        if ready and not self.order:
-            self.window.slots = self.usual_slots(len(ready))
-        able, self.able = self.able, sum(server.size * self.warmth(server) for server in ready)
-        if self.is_one_of_many and self.able < able:
-            # hazard: slow answers come when the queues stand, and what all went on sending is then in them
-            kept = min(self.window.slots, self.need()) * self.able / able
-            self.window.slots = max(SMALLEST_WINDOW, self.least, kept)  # also where nothing is left
+        ready = [self.upstreams[i] for i in sorted(self.upstreams)
+                 if self.upstreams[i].entry.state is api.UpstreamState.READY]
+        mean = sum(upstream.entry.weight for upstream in ready) / max(1, len(ready))
+        for upstream in ready:
+            upstream.relative_weight = max(MIN_RELATIVE_WEIGHT, upstream.entry.weight / mean) if mean > 0.0 else 1.0
+        self.min_window_slots = min(1.0, len(ready) / count)
+        if ready and not self.draw_order:
+            self.window.slots = self.initial_slots(len(ready))
+        former_capacity, self.ready_capacity = self.ready_capacity, sum(
+            upstream.relative_weight * self.warmth(upstream) for upstream in ready)
+        if self.in_large_fleet and self.ready_capacity < former_capacity:
+            # After a loss of capacity the window shrinks at once: slow answers would show the loss only after the
+            # queues have formed, with everything that all sidecars went on sending in them.
+            kept_slots = min(self.window.slots, self.needed_slots()) * self.ready_capacity / former_capacity
+            # also if no upstream is left
+            self.window.slots = max(MIN_WINDOW_SLOTS, self.min_window_slots, kept_slots)
         start = len(ready) * (self.settings.self_index % count) // count
-        for server in self.order:
-            server.place = -1
-        early: dict[Server, None] = {}
-        if self.is_one_of_many:
-            for server in ready:
-                server.warms = warms(server.entry.id, self.settings.self_index, count)
-                if not server.warms and self.warmth(server) < 1.0:
-                    server.next_cold_us = self.warm_at_us(server)
-            early = dict.fromkeys(s for s in ready if s.warms and self.warmth(s) < 1.0)
-        self.early = len(early)
-        self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
-        self.order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
-        self.changed = dict.fromkeys(self.order)
-        for place, server in enumerate(self.order):
-            server.place, server.look_us, server.shut_us = place, 0, 0
-        self.home = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
-        self.subset = self.least_subset = max(SUBSET, 2.0 * SUBSET * len(ready) / count)
-
-    def usual_slots(self, ready: int) -> float:
-        """Of this sidecar, for all its sends, before anything is learned."""
-        return max(SMALLEST_WINDOW, SLOTS_EACH * ready / self.settings.instances)
+        for upstream in self.draw_order:
+            upstream.order_index = -1
+        cold_first: dict[TrackedUpstream, None] = {}
+        if self.in_large_fleet:
+            for upstream in ready:
+                upstream.sends_while_cold = warms(upstream.entry.id, self.settings.self_index, count)
+                if not upstream.sends_while_cold and self.warmth(upstream) < 1.0:
+                    upstream.next_cold_send_us = self.warm_at_us(upstream)
+            cold_first = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
+        self.cold_first_count = len(cold_first)
+        self.reorder_at_us = min((self.warm_at_us(upstream) + 3 for upstream in cold_first), default=0)
+        self.draw_order = [*cold_first, *(upstream for upstream in ready[start:] + ready[:start]
+                                          if upstream not in cold_first)]
+        self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
+        self.needs_refresh = dict.fromkeys(self.draw_order)
+        for index, upstream in enumerate(self.draw_order):
+            upstream.order_index, upstream.queued_refresh_us, upstream.queued_opens_us = index, 0, 0
+        self.preferred_zone = self.settings.zone if self.settings.cross_zone_fee > 0.0 and len(ready) >= count else -1
+        self.subset_slots = self.min_subset_slots = max(MIN_SUBSET_SLOTS, 2.0 * MIN_SUBSET_SLOTS * len(ready) / count)
+
+    def initial_slots(self, ready: int) -> float:
+        """The sidecar's window before anything is learned."""
+        return max(MIN_WINDOW_SLOTS, INITIAL_SLOTS_PER_UPSTREAM * ready / self.settings.instances)
 
     def on_settings(self, settings: api.Settings) -> None:
-        """Takes on new settings between two events; what has been learned and what is out stays."""
+        """Applies new settings between two events. What has been learned and outstanding attempts are kept."""
         old, self.settings = self.settings, settings
         self.latency += [Latency(c.aim_us) for c in settings.classes[len(self.latency):]]
-        places = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        moved = [places.get(tenant.name, len(places)) for tenant in old.tenants]
-        seen, kept = self.tenant_seen, [0.0 for _ in settings.tenants]
-        for index, place in enumerate(moved):
-            if place < len(places):
-                kept[place] = seen[index]
-        self.tenant_seen = kept
-        for request in self.requests.values():  # hazard: one that waits would be judged by another's share
+        new_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        moved_to = [new_indexes.get(tenant.name, len(new_indexes)) for tenant in old.tenants]
+        old_arrivals, new_arrivals = self.tenant_arrivals, [0.0 for _ in settings.tenants]
+        for index, new_index in enumerate(moved_to):
+            if new_index < len(new_indexes):
+                new_arrivals[new_index] = old_arrivals[index]
+        self.tenant_arrivals = new_arrivals
+        for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
-            request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
+            request.event.tenant = moved_to[tenant] if tenant < len(moved_to) else len(new_indexes)
         self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
-        self.rank()
+        self.reorder()
 
     def recall(self, now_us: int, lessons: api.LearnedState) -> None:
-        """Takes in what was learned before or elsewhere, as far as nothing has been seen here; its times
-        are on our clock. Hazard: it may be stale, wrong or a lie: confidence.py and `believe`."""
+        """Adopts what was learned in an earlier run or by other sidecars, where nothing has been observed here yet.
+        Its times are on this sidecar's clock. It may be outdated or wrong: confidence.py says how far it counts, and an
+        upstream is tested by one attempt before it is used for more than a preference."""
         self.now_us = max(self.now_us, now_us)
-        if sum(self.tenant_seen) < confidence.TENANT_WEIGHT:
-            told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
+        if sum(self.tenant_arrivals) < confidence.TENANT_WEIGHT:
+            told_shares, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
             share = confidence.TENANT_WEIGHT * confidence.share(age_us, confidence.LATENCY_HALVES_US)
-            self.tenant_seen = [seen + share * min(1.0, told.get(tenant.name, 0.0))
-                                for tenant, seen in zip(self.settings.tenants, self.tenant_seen, strict=True)]
+            self.tenant_arrivals = [seen + share * min(1.0, told_shares.get(tenant.name, 0.0))
+                                    for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
         self.lessons.append(lessons)
         self.apply_lessons()
 
     def apply_lessons(self) -> None:
-        """Once the list has named their upstreams. What discovery's own list does not name is forgotten."""
-        count = len(self.order)
+        """Applies the lessons that `recall` was given, once a list has named the upstreams. After a list from
+        discovery, the rest is dropped."""
+        count = len(self.draw_order)
         for lessons in sorted(self.lessons, key=lambda told: told.confirmed_us) if count else []:
             known = {lesson.id: lesson for lesson in lessons.upstreams}
-            told = {}
-            for server in self.order:
-                found = known.get(server.entry.id)
-                if (found is not None and found.started_us == server.entry.started_us
-                        and found.confirmed_us > server.confirmed_us
-                        and (server.lesson is not None or server.confirmed_us == 0)):
+            accepted = {}
+            for upstream in self.draw_order:
+                found = known.get(upstream.entry.id)
+                if (found is not None and found.started_us == upstream.entry.started_us
+                        and found.confirmed_us > upstream.last_observed_us
+                        and (upstream.lesson is not None or upstream.last_observed_us == 0)):
                     faded = confidence.faded(found, self.now_us)
                     if faded is not None:
-                        if lessons.zone != self.settings.zone:  # how far it is holds from there only
+                        # the distance holds only for the zone in which it was measured
+                        if lessons.zone != self.settings.zone:
                             found = replace(found, min_latency_us=0)
-                        told[server] = found, faded
-            here = sum(ident in known and known[ident].started_us == server.entry.started_us
-                       for ident, server in self.servers.items())
-            if self.has_list and 2 * here >= len(lessons.upstreams):
-                self.recall_times(lessons, count)
-            shut = sum(confidence.is_shut(told[server][1] if server in told else server.lesson)
-                       for server in self.order)
-            for server, (lesson, faded) in told.items():
-                if 2 * shut <= count or not confidence.is_shut(faded):
-                    self.believe(server, lesson, faded)
-        if self.has_list:
+                        accepted[upstream] = found, faded
+            still_running = sum(ident in known and known[ident].started_us == upstream.entry.started_us
+                                for ident, upstream in self.upstreams.items())
+            if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
+                self.recall_fleet_values(lessons, count)
+            distrusted = sum(confidence.is_shut(accepted[upstream][1] if upstream in accepted else upstream.lesson)
+                             for upstream in self.draw_order)
+            for upstream, (lesson, faded) in accepted.items():
+                if 2 * distrusted <= count or not confidence.is_shut(faded):
+                    self.apply_upstream_lesson(upstream, lesson, faded)
+        if self.has_discovery_list:
             self.lessons = []
 
-    def recall_times(self, lessons: api.LearnedState, count: int) -> None:
-        """What was learned of all upstreams together. Hazard: of a fleet that was replaced it is wrong."""
-        for kind, latency in zip(self.settings.classes, self.latency, strict=True):
-            told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
-            if told is not None and latency.confirmed_us < told.confirmed_us and (
-                    not latency.seen or latency.doubt == 1 / 2):
+    def recall_fleet_values(self, lessons: api.LearnedState, count: int) -> None:
+        """Adopts the class latencies and the sidecar's window. The caller checks that the fleet is still mostly the
+        same: for a replaced one they are wrong."""
+        for request_class, latency in zip(self.settings.classes, self.latency, strict=True):
+            told = next((lesson for lesson in lessons.classes if lesson.name == request_class.name), None)
+            if told is not None and latency.last_observed_us < told.confirmed_us and (
+                    not latency.has_samples or latency.recall_doubt == 1 / 2):
                 share = confidence.share(self.now_us - told.confirmed_us, confidence.LATENCY_HALVES_US)
                 if share > 0.0:
                     latency.recall(told, share)
-        if self.confirmed_us == 0 and lessons.slots > 0.0:
-            # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
+        if self.last_observed_us == 0 and lessons.slots > 0.0:
+            # From the usual window to twice that: a smaller one would be a self-fulfilling prophecy, a larger one
+            # would allow a burst.
             share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALVES_US)
-            usual = self.usual_slots(count)
+            usual = self.initial_slots(count)
             self.window.slots = confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
-    def believe(self, server: Server, whole: api.LearnedUpstream, lesson: api.LearnedUpstream) -> None:
-        """Until a try of our own. Hazard: by mere word it gets no more than the one slot of a new one, and is
-        not shut so far that few tries would come: it is drawn rarely, and still before a refusal."""
-        server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
-        self.changed[server] = None
-        server.window.slots = min(1.0, max(confidence.LEAST_SLOTS, lesson.slots))
-        server.failing, server.mute = lesson.failing, min(lesson.timeout_doublings, confidence.MOST_MUTE)
-        if lesson.first_hand:  # what we sent before a restart still warms it up
-            gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
-            server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_send_us, self.now_us + gap_us))
-
-    def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
-        """The first attempt of ours at an upstream that we were told of: its answer opens what was shut, and
-        what was open as far as it was; without one, what we were told is taken for so."""
-        told, server.lesson = server.lesson, None
+    def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.LearnedUpstream,
+                              faded: api.LearnedUpstream) -> None:
+        """Adopts what was learned of an upstream, until an attempt of this sidecar tests it. Until then it gets no
+        more than the one slot of a new upstream, and its window is not closed so far that hardly any attempt would
+        test it: it is drawn rarely, but before a request is refused. `unfaded` is the lesson as it was told, `faded`
+        what is left of it at its age."""
+        # passed on unfaded, so that it fades only once
+        upstream.lesson, upstream.last_observed_us = unfaded, unfaded.confirmed_us
+        self.needs_refresh[upstream] = None
+        upstream.window.slots = min(1.0, max(confidence.LEAST_SLOTS, faded.slots))
+        upstream.failing, upstream.patience_doublings = (
+            faded.failing,
+            min(faded.timeout_doublings, confidence.MOST_MUTE),
+        )
+        # what this sidecar sent before its restart still occupies the upstream
+        if faded.first_hand:
+            gap_us = self.cold_send_gap_us(upstream, min(latency.conservative_us() for latency in self.latency))
+            upstream.next_cold_send_us = max(
+                upstream.next_cold_send_us, min(faded.next_cold_send_us, self.now_us + gap_us)
+            )
+
+    def confirm_lesson(self, upstream: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
+        """Handles the first attempt of this sidecar at an upstream that it has a lesson of. A success opens its
+        window: to at least one slot, and as far as the lesson says. Any other outcome counts as confirming the
+        lesson."""
+        told, upstream.lesson = upstream.lesson, None
         lesson = confidence.faded(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
-            server.window.slots = max(1.0, server.window.slots)
+            upstream.window.slots = max(1.0, upstream.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
-            most = max(1.0, STACKED * self.window.slots / max(1, len(self.order)))
-            server.window.slots = 1.0 if self.warmth(server) < 1.0 else min(max(1.0, lesson.slots), most)
-            # hazard: one told too short would keep a far upstream at one slot for good
-            server.least_us = max(lesson.min_latency_us, elapsed_us // 4) if lesson.min_latency_us else 0
-
-    def ask_list_at(self, at_us: int) -> None:
+            max_slots = max(1.0, MAX_MULTIPLE_OF_EVEN_SHARE * self.window.slots / max(1, len(self.draw_order)))
+            upstream.window.slots = 1.0 if self.warmth(upstream) < 1.0 else min(max(1.0, lesson.slots), max_slots)
+            # Not below a quarter of this answer: too small a value would keep a distant upstream at one slot for
+            # good.
+            upstream.min_latency_us = max(lesson.min_latency_us, elapsed_us // 4) if lesson.min_latency_us else 0
+
+    def schedule_list_call(self, at_us: int) -> None:
+        """Schedules a call for the list, if lists are asked for or watched at all."""
         if self.settings.list_on_request or self.settings.list_by_watch:
-            self.ask_list_us = at_us
-            self.wake(at_us, "list", 0)
+            self.next_list_call_us = at_us
+            self.schedule(at_us, "list", 0)
 
-    def wake(self, at_us: int, what: str, ident: int) -> None:
-        heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), what, ident))
+    def schedule(self, at_us: int, purpose: str, request_id: int) -> None:
+        """Schedules a wakeup, at the next microsecond if the time has passed."""
+        heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), purpose, request_id))
 
-    def arm(self) -> None:
+    def arm_timer(self) -> None:
+        """Asks for a timer at the next wakeup or, while a request waits, when a slot opens; unless an earlier one is
+        pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
-        if self.buffer is not None:  # a resting slot opens by time, not by an event
-            opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
-                     else self.window.rest_until_us]
-            self.look()
-            while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].place >= 0
-                                     and self.shut[0][0] == self.shut[0][2].opens_us()):
-                heapq.heappop(self.shut)  # over, or another time has taken its place
-            opens += [self.shut[0][0]] if self.shut else []
-            later = [opens_us for opens_us in opens if opens_us > self.now_us]
-            at_us = min([at_us, *later] if at_us else later, default=0)
-        if at_us and (self.armed_us == 0 or at_us < self.armed_us):
-            self.armed_us = at_us
-            self.actions.append(api.SetTimer(self.armed_us, 0))
-
-    def run_due(self) -> None:
+        if self.buffer is not None:  # a paused slot opens with time, not with an event
+            candidates_us = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+                             else self.window.paused_until_us]
+            self.refresh_weights()
+            while self.opening_times and not (
+                    self.opening_times[0][0] > self.now_us and self.opening_times[0][2].order_index >= 0
+                    and self.opening_times[0][0] == self.opening_times[0][2].opens_us()):
+                heapq.heappop(self.opening_times)  # past, or replaced by another time
+            candidates_us += [self.opening_times[0][0]] if self.opening_times else []
+            later_us = [opens_us for opens_us in candidates_us if opens_us > self.now_us]
+            at_us = min([at_us, *later_us] if at_us else later_us, default=0)
+        if at_us and (self.armed_timer_us == 0 or at_us < self.armed_timer_us):
+            self.armed_timer_us = at_us
+            self.actions.append(api.SetTimer(self.armed_timer_us, 0))
+
+    def run_due_wakeups(self) -> None:
+        """Carries out the wakeups whose time has come."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
-            _, what, ident = heapq.heappop(self.wakeups)
-            if what == "list" and 0 < self.ask_list_us <= self.now_us:
-                # asks again if no answer comes: a lost call must not leave us without a list (rule 3)
+            _, purpose, request_id = heapq.heappop(self.wakeups)
+            if purpose == "list" and 0 < self.next_list_call_us <= self.now_us:
+                # Asks again if no answer comes: a lost call must not leave the sidecar without a list (rule 3).
                 self.actions.append(api.Subscribe(True))
-                self.ask_list_at(self.now_us + self.list_gap_us())
-            elif what == "late" and ident in self.requests:
-                self.on_late(self.requests[ident])
-            elif what == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
-                self.finish(self.buffer, "waited")
+                self.schedule_list_call(self.now_us + self.max_list_call_gap_us())
+            elif purpose == "late" and request_id in self.requests:
+                self.on_late(self.requests[request_id])
+            elif purpose == "buffer" and self.buffer is not None and self.buffer.event.request == request_id:
+                self.refuse_or_fail(self.buffer, "waited")
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -73,7 +73,7 @@
         """In steps: what the sidecar knows now."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         told_us, taken = sidecar.clock.now_us(), now(self.boot)
-        idents = list(balancer.servers)
+        idents = list(balancer.upstreams)
         found: list[NamedLesson] = []
         for start in range(0, len(idents), SLICE):
             for lesson in learned_state(balancer, idents[start:start + SLICE]).upstreams:
@@ -160,7 +160,7 @@
             self.skipped += 1
             self.log(f"{self.store.path}: still being written after {self.every_s:g} s; serving goes on without it")
             return
-        state_us = self.sidecar.balancer.confirmed_us
+        state_us = self.sidecar.balancer.last_observed_us
         if state_us == self.written_us:
             return
         data = await self.collector.collect()
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -239,7 +239,7 @@
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, max_connections, self.clock.now_us, self.ledger)
         self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
-                                   config.discovery_timeout_us / 1e6, self.log, self.balancer.list_turn_us() > 0,
+                                   config.discovery_timeout_us / 1e6, self.log, self.balancer.list_call_spread_us() > 0,
                                    config.seed)
         self.requests: dict[int, Request] = {}
         self.by_txn: dict[str, Request] = {}  # by transaction id: those not yet answered
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,7 +1,7 @@
-"""A stand-in for the sidecar around a Balancer: carries out its actions and checks the contract.
+"""A stand-in for the sidecar around a Balancer: carries out its actions and checks that they keep the rules.
 
-It is no simulator: tests say what happens and when. Every action is checked against the four rules as
-the contract words them, from records kept here and not from the module's own.
+It simulates no upstreams: tests say what happens and when. Every action is checked against the four rules that
+ironscale/balance.py lists, by records kept here rather than by the balancer's own state.
 """
 
 from __future__ import annotations
@@ -59,12 +59,14 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+    """`count` ready upstreams with the ids 100, 101 ...; each zone and each cell has two."""
     return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
-class Try:
+class SentAttempt:
+    """One attempt that the balancer has sent."""
+
     upstream: int
     zone: int
     cell: int
@@ -74,104 +76,108 @@
 
 
 @dataclass
-class Owed:
+class RequestState:
+    """A request, its attempts and how many final answers it has got."""
+
     event: RequestArrived
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
     stream: bool = False
 
-    def may_have_run(self) -> list[Try]:
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+    def may_have_run(self) -> list[SentAttempt]:
+        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
 
-    def out(self) -> list[int]:
-        return [n for n, t in enumerate(self.tries) if t.outcome is None]
+    def outstanding(self) -> list[int]:
+        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
 
 
 class World:
+    """One balancer, the upstream list that it was told, its requests and a clock that tests move."""
+
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, Owed] = {}
-        self.known: dict[int, Upstream] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
+        self.requests: dict[int, RequestState] = {}
+        self.listed: dict[int, Upstream] = {}
+        self.unavailable_since_us: dict[int, int] = {}  # upstreams listed as draining or gone, and since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
         self.next_id = 1
 
     # Events
 
-    def tell(self, event: Event) -> list[Action]:
+    def deliver(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
         self.log.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+    def deliver_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
-            self.known[entry.id] = entry
+            self.listed[entry.id] = entry
             if entry.state is UpstreamState.READY:
-                self.refused_us.pop(entry.id, None)
+                self.unavailable_since_us.pop(entry.id, None)
             else:
-                self.refused_us.setdefault(entry.id, self.now_us)
+                self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
-                self.refused_us.setdefault(ident, self.now_us)
-        return self.tell(UpstreamsUpdated(kind, entries))
+            for ident in self.listed.keys() - {e.id for e in entries}:
+                self.unavailable_since_us.setdefault(ident, self.now_us)
+        return self.deliver(UpstreamsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        ident = self.next_id
+    def new_request(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+        request_id = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = Owed(event)
-        self.tell(event)
-        return ident
-
-    def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.owed[request]
-        this = owed.tries[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
-        if (outcome is Outcome.OK or owed.stream) and not owed.closed:
-            owed.closed = True
-            owed.answers += 1
-        return self.tell(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
-                                      owed.closed, **fields))
+        event = RequestArrived(request_id, self.now_us + patience, class_index, **fields)
+        self.requests[request_id] = RequestState(event)
+        self.deliver(event)
+        return request_id
+
+    def end_attempt(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
+        state = self.requests[request]
+        ended = state.attempts[attempt]
+        assert ended.outcome is None
+        ended.outcome = outcome
+        if (outcome is Outcome.OK or state.stream) and not state.closed:
+            state.closed = True
+            state.answers += 1
+        return self.deliver(AttemptEnded(request, attempt, ended.upstream, outcome, self.now_us - ended.sent_us,
+                                         state.closed, **fields))
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        self.owed[request].stream = True
-        self.tell(StreamStarted(request, attempt, self.owed[request].tries[attempt].upstream))
+        self.requests[request].stream = True
+        self.deliver(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
-    def quit(self, request: int) -> None:
-        self.owed[request].closed = True
-        self.owed[request].answers = 1
-        self.tell(RequestAbandoned(request))
+    def client_quits(self, request: int) -> None:
+        self.requests[request].closed = True
+        self.requests[request].answers = 1
+        self.deliver(RequestAbandoned(request))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
+        """Moves the clock; timers fire and attempts time out at their times on the way."""
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [(t.ends_us, 0, ident, n) for ident, owed in self.owed.items() if not owed.stream
-                    for n, t in enumerate(owed.tries) if t.outcome is None]
+            due += [(t.ends_us, 0, request_id, n) for request_id, state in self.requests.items() if not state.stream
+                    for n, t in enumerate(state.attempts) if t.outcome is None]
             due = [d for d in due if d[0] <= end_us]
             if not due:
                 break
             at, kind, first, second = min(due)
             self.now_us = max(self.now_us, at)
             if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+                self.end_attempt(first, second, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, first))
-                self.tell(TimerFired(first))
+                self.deliver(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, owed in self.owed.items():
-            overdue = self.now_us > owed.event.deadline_us + slack_us and not owed.stream
-            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered past due"
+        for request_id, state in self.requests.items():
+            overdue = self.now_us > state.event.deadline_us + slack_us and not state.stream
+            assert not overdue or state.answers == 1, f"rule 1: request {request_id} is unanswered after its due time"
 
     # Checks
 
@@ -181,47 +187,50 @@
         elif isinstance(action, Refuse | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.owed[action.request].tries), "a cancel of no attempt"
+            assert self.settings.cancel, "cancelled an attempt although the settings forbid that"
+            assert action.attempt < len(self.requests[action.request].attempts), "cancelled an attempt never sent"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+            assert self.settings.probes, "sent a probe although the settings forbid that"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
 
     def check_send(self, send: Send) -> None:
-        owed = self.owed[send.request]
-        entry = self.known[send.upstream]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a send after the end"
-        assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
-        for earlier in owed.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
-            if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.dedup_memory_us, "rule 2: past the memory"
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
-        ends_us = owed.event.deadline_us
+        state = self.requests[send.request]
+        entry = self.listed[send.upstream]
+        request_class = self.settings.classes[state.event.class_index]
+        assert not state.closed, "rule 1: a send after the final answer"
+        assert len(state.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
+        assert self.settings.hedging or not state.outstanding(), "rule 2: two attempts outstanding together"
+        for earlier in state.may_have_run():
+            assert request_class.effect != "at_most_once", "rule 2: an unsafe request sent again"
+            if request_class.effect == "deduplicated":
+                assert self.now_us - earlier.sent_us <= request_class.dedup_memory_us, (
+                    "rule 2: a repeat past its memory"
+                )
+                assert request_class.group != "cell" or entry.cell == earlier.cell, "rule 2: a repeat in another cell"
+                assert request_class.group != "zone" or entry.zone == earlier.zone, "rule 2: a repeat in another zone"
+        ends_us = state.event.deadline_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        state.attempts.append(SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
 
     def check_answer(self, answer: Refuse | Fail) -> None:
-        owed = self.owed[answer.request]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a second answer"
-        owed.closed = True
-        owed.answers += 1
+        state = self.requests[answer.request]
+        request_class = self.settings.classes[state.event.class_index]
+        assert not state.closed, "rule 1: a second answer"
+        state.closed = True
+        state.answers += 1
         if isinstance(answer, Refuse):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
-            assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
+            harmless = (request_class.effect == "idempotent"
+                        or (request_class.effect == "deduplicated" and request_class.group == "all"))
+            assert harmless or not state.may_have_run(), "rule 2: a refusal of a request that may have run"
 
-    # What tests look at
+    # Queries for tests
 
     def sends(self, request: int | None = None) -> list[Send]:
         return [a for a in self.log if isinstance(a, Send) and request in (None, a.request)]
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -70,7 +70,7 @@
         peer = await Peer().start()
         scene = await Scene().start(peer.entry("s-1"), **settings_of(PUSHED, grace_us=600_000))
         await until(lambda: len(scene.discovery.targets) == 2)  # the first call was accepted but not answered
-        wait_us = scene.sidecar.config.discovery_timeout_us + scene.sidecar.balancer.list_gap_us()
+        wait_us = scene.sidecar.config.discovery_timeout_us + scene.sidecar.balancer.max_list_call_gap_us()
         assert (wait_us <= 600_000
                 and scene.sidecar.discovery.first_data_timeout_s * 1e6 == scene.sidecar.config.discovery_timeout_us)
 
@@ -243,7 +243,7 @@
             for _ in range(2):
                 before_us = scene.sidecar.clock.now_us()
                 scene.sidecar.on_list(ListKind.FAILED, None)
-                spent_s += (balancer.ask_list_us - before_us) / 1e6
+                spent_s += (balancer.next_list_call_us - before_us) / 1e6
             assert spent_s < 4.0
 
     run(test)
--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -15,7 +15,7 @@
 from ironscale.standins.http import read_message
 from tests.ends.test_lists import settings_of
 from tests.sockets import config
-from tests.virtual_clock import play, until
+from tests.virtual_clock import run_virtual, until
 
 COUNT, TOTAL_S = 50, 30.0  # the same total as 200 calls of 0.15 s each
 CALL_DURATION_S = TOTAL_S / COUNT
@@ -99,4 +99,4 @@
         for task in discovery.tasks:
             task.cancel()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -19,7 +19,7 @@
 from ironscale.standins.upstream import Peer
 from tests.ends.test_lists import MODES, settings_of, upstream_state
 from tests.sockets import Scene, config, free_port
-from tests.virtual_clock import play, until
+from tests.virtual_clock import run_virtual, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 # How a call fails, and after how many seconds; None if the sidecar has to time it out.
@@ -146,7 +146,7 @@
         assert len(discovery.begun) >= failures + 2
         scene.sidecar.discovery.close()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
 
 
 def sidecar_at(port: int, peer: Peer, instances: int, mode: dict[str, Any]) -> Sidecar:
@@ -177,4 +177,4 @@
         assert discovery.now_s() - back_s <= discovery_schedule.MAX_STALENESS_S
         scene.sidecar.discovery.close()
 
-    play(test, monkeypatch)
+    run_virtual(test, monkeypatch)
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -42,7 +42,7 @@
 def taught(*found: LearnedUpstream, count: int = 6, listed: bool = True, **changes: object) -> World:
     world = World(settings(hedging=False))
     world.balancer.recall(START_US, lessons(*found, **changes))
-    world.tell_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
+    world.deliver_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
     return world
 
 
@@ -54,14 +54,14 @@
     """Ends the request's one attempt; gives its upstream."""
     world.advance(after_us)
     upstream = world.sends(request)[-1].upstream
-    world.end(request, len(world.owed[request].tries) - 1, outcome)
+    world.end_attempt(request, len(world.requests[request].attempts) - 1, outcome)
     return upstream
 
 
 def send_to(world: World, ident: int) -> int:
     """A request whose first attempt is at `ident`; the others are answered at once."""
     for _ in range(200):
-        request = world.arrive()
+        request = world.new_request()
         sent = world.sends(request)
         if sent and sent[-1].upstream == ident:
             return request
@@ -107,7 +107,7 @@
     cold, world = World(settings(hedging=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(LearnedClass("read", START_US - age_us, 1.0, 1.0),))
-    cold.tell_list(upstreams(6))
+    cold.deliver_list(upstreams(6))
     assert slots(world) == slots(cold) and world.balancer.window.slots == cold.balancer.window.slots
     assert [x.mean_us for x in world.balancer.latency] == [x.mean_us for x in cold.balancer.latency]
 
@@ -130,11 +130,12 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, timeout_doublings=6, failing=True))
-    assert slots(world)[100] == confidence.LEAST_SLOTS and world.balancer.servers[100].mute == confidence.MOST_MUTE
+    assert (slots(world)[100] == confidence.LEAST_SLOTS
+            and world.balancer.upstreams[100].patience_doublings == confidence.MOST_MUTE)
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
-    server = world.balancer.servers[100]
-    assert server.mute == 1 and not server.failing and server.lesson is None
+    server = world.balancer.upstreams[100]
+    assert server.patience_doublings == 1 and not server.failing and server.lesson is None
 
 
 def test_a_distrusted_one_is_drawn_rarely_and_still_before_a_refusal() -> None:
@@ -142,8 +143,8 @@
     for seed in range(300):
         world = World(settings(hedging=False, instances=1), seed)
         world.balancer.recall(START_US, lessons(told(100, 1 / 64, timeout_doublings=4), told(101, 1.0)))
-        world.tell_list(upstreams(2))
-        sent = [world.sends(world.arrive())[-1].upstream for _ in range(2)]
+        world.deliver_list(upstreams(2))
+        sent = [world.sends(world.new_request())[-1].upstream for _ in range(2)]
         assert sorted(sent) == [100, 101]  # the second is not refused: the distrusted one has a slot
         first += sent[0] == 100
     assert first < 300 / 4  # by weight, one in nine
@@ -158,31 +159,31 @@
 def test_one_that_started_anew_is_new() -> None:
     world = taught(told(100, 1 / 64, started_us=5), told(101, 9.0, started_us=5))
     assert slots(world)[100] == slots(world)[101] == 1.0
-    assert world.balancer.servers[100].lesson is None
+    assert world.balancer.upstreams[100].lesson is None
 
 
 def test_what_the_list_does_not_name_is_forgotten() -> None:
     world = taught(told(999, 9.0))
-    world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
-    assert world.balancer.servers[999].lesson is None and world.balancer.lessons == []
+    world.deliver_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
+    assert world.balancer.upstreams[999].lesson is None and world.balancer.lessons == []
 
 
 def test_a_list_as_last_known_is_not_the_last_word() -> None:
     world = taught(told(100, 9.0), told(106, 9.0), count=6, listed=False)
-    world.tell_list(upstreams(7))
-    assert world.balancer.servers[106].lesson is not None
+    world.deliver_list(upstreams(7))
+    assert world.balancer.upstreams[106].lesson is not None
 
 
 def test_own_evidence_goes_first() -> None:
     world = World(settings(hedging=False))
-    world.tell_list(upstreams(6))
-    seen = answer(world, world.arrive())
+    world.deliver_list(upstreams(6))
+    seen = answer(world, world.new_request())
     before = slots(world)[seen]
     fresh = lessons(*(told(100 + i, 1 / 64, -10 * S, timeout_doublings=3) for i in range(2)),
                     told(seen, 1 / 64, -10 * S))
     world.advance(20 * S)
     world.balancer.recall(world.now_us, replace(fresh, confirmed_us=world.now_us))
-    assert slots(world)[seen] == before and world.balancer.servers[seen].lesson is None
+    assert slots(world)[seen] == before and world.balancer.upstreams[seen].lesson is None
 
 
 def test_the_fresher_of_two_lessons_counts_whatever_their_order() -> None:
@@ -191,7 +192,7 @@
         both = [lessons(told(100, 5.0, 30 * S), confirmed_us=START_US - 30 * S), lessons(told(100, 0.25, S))]
         for one in both[::-1] if order else both:
             world.balancer.recall(START_US, one)
-        world.tell_list(upstreams(6))
+        world.deliver_list(upstreams(6))
         assert slots(world)[100] == pytest.approx(0.25 ** 0.5 ** 0.1)
 
 
@@ -201,14 +202,14 @@
 def test_more_than_half_shut_is_no_news_of_the_upstreams() -> None:
     world = taught(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(4)), told(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
-    assert world.balancer.servers[104].lesson is not None
+    assert world.balancer.upstreams[104].lesson is not None
     half = taught(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(3)))
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
 
 def test_two_teachers_do_not_shut_more_than_half_together() -> None:
     world = World(settings())
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     world.balancer.recall(START_US, lessons(*(told(100 + i, 1 / 64, timeout_doublings=5) for i in range(3))))
     world.balancer.recall(START_US, lessons(*(told(103 + i, 1 / 64, timeout_doublings=5) for i in range(3))))
     assert sum(value < 1.0 for value in slots(world).values()) == 3
@@ -229,15 +230,15 @@
             world.balancer.recall(START_US, lessons(
                 told(100, 1e6, started_us=START_US - S),
                 classes=tuple(LearnedClass(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
-        world.tell_list(upstreams(1, started_us=START_US - S))
+        world.deliver_list(upstreams(1, started_us=START_US - S))
         for _ in range(3_000):  # 3 s
-            world.arrive()
+            world.new_request()
             world.advance(1_000)
-            for ident, owed in world.owed.items():
-                for number in owed.out():
-                    if world.now_us - owed.tries[number].sent_us >= 20_000:
-                        world.end(ident, number, Outcome.OK)
-        sent = sorted(one.sent_us for owed in world.owed.values() for one in owed.tries)[:3]
+            for ident, owed in world.requests.items():
+                for number in owed.outstanding():
+                    if world.now_us - owed.attempts[number].sent_us >= 20_000:
+                        world.end_attempt(ident, number, Outcome.OK)
+        sent = sorted(one.sent_us for owed in world.requests.values() for one in owed.attempts)[:3]
         assert len(sent) == 3
         gaps.append([later - at for at, later in zip(sent, sent[1:], strict=False)])
     assert all(lied >= honest - 1_000 for honest, lied in zip(*gaps, strict=True)), gaps
@@ -246,21 +247,21 @@
 def test_a_lie_of_endless_times_makes_nothing_slower_than_a_cold_start() -> None:
     cold = taught().balancer.latency[0]
     lied = taught(classes=(LearnedClass("read", START_US, 1e12, 1e12),)).balancer.latency[0]
-    assert lied.mean_us <= cold.mean_us and lied.careful_us() == cold.careful_us()
+    assert lied.mean_us <= cold.mean_us and lied.conservative_us() == cold.conservative_us()
 
 
 def test_a_lie_about_times_is_outweighed_by_three_answers() -> None:
     world = taught(classes=(LearnedClass("read", START_US, 1.0, 1.0),))
     assert world.balancer.latency[0].mean_us < 2.0
     for _ in range(3):
-        answer(world, world.arrive(), after_us=80_000)
+        answer(world, world.new_request(), after_us=80_000)
     assert world.balancer.latency[0].mean_us > 50_000 and world.balancer.latency[0].base_us > 25_000
 
 
 def test_a_far_upstream_told_to_be_near_is_believed_to_a_quarter() -> None:
     world = taught(told(100, 1.0, min_latency_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
-    assert world.balancer.servers[100].least_us >= 20_000
+    assert world.balancer.upstreams[100].min_latency_us >= 20_000
 
 
 def test_pace_towards_a_cold_one_is_kept_over_a_restart() -> None:
@@ -268,14 +269,14 @@
     world = World(settings(hedging=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9)))
-    world.tell_list(entry)
-    until_us = world.balancer.servers[100].next_cold_us
+    world.deliver_list(entry)
+    until_us = world.balancer.upstreams[100].next_cold_send_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
     other = World(settings(hedging=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9, first_hand=False)))
-    other.tell_list(entry)
-    assert other.balancer.servers[100].next_cold_us < until_us
+    other.deliver_list(entry)
+    assert other.balancer.upstreams[100].next_cold_send_us < until_us
 
 
 def test_times_learned_of_a_fleet_that_was_replaced_are_not_taken() -> None:
@@ -283,30 +284,30 @@
     kinds = (LearnedClass("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
         world = taught(*(told(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
-        assert world.balancer.latency[0].seen is recalled
+        assert world.balancer.latency[0].has_samples is recalled
         assert (world.balancer.window.slots > 1.5 * taught().balancer.window.slots) is recalled
     world = taught(*(told(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
-    assert not world.balancer.latency[0].seen  # a list as last known may be of the former fleet
-    world.tell_list(upstreams(6))
-    assert world.balancer.latency[0].seen
+    assert not world.balancer.latency[0].has_samples  # a list as last known may be of the former fleet
+    world.deliver_list(upstreams(6))
+    assert world.balancer.latency[0].has_samples
 
 
 def test_distance_told_from_another_zone_is_not_taken() -> None:
     for zone, least_us in ((0, 19_000), (1, 20_000)):
         world = taught(told(100, 1.0, min_latency_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
-        assert world.balancer.servers[100].least_us == least_us
+        assert world.balancer.upstreams[100].min_latency_us == least_us
 
 
 def test_tenants_shares_count_for_a_few_arrivals_only() -> None:
     config = settings(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
     world = World(config)
     world.balancer.recall(START_US, lessons(tenants=(("a", 0.9), ("b", 0.1), ("unknown", 5.0)), confirmed_us=START_US))
-    world.tell_list(upstreams(6))
-    assert world.balancer.tenant_seen == pytest.approx([18.0, 2.0])
+    world.deliver_list(upstreams(6))
+    assert world.balancer.tenant_arrivals == pytest.approx([18.0, 2.0])
     for _ in range(100):
-        answer(world, world.arrive(tenant=1), after_us=1_000)
-    seen = world.balancer.tenant_seen
+        answer(world, world.new_request(tenant=1), after_us=1_000)
+    seen = world.balancer.tenant_arrivals
     assert seen[1] > 4 * seen[0]
 
 
@@ -328,7 +329,7 @@
     """A teaches B, B teaches A again and again: nothing gets younger, and nothing second-hand is taken at all."""
     world = World(settings())
     world.balancer.recall(START_US, lessons(told(100, 6.0, S)))
-    world.tell_list(upstreams(6))
+    world.deliver_list(upstreams(6))
     for _ in range(5):
         world.advance(2 * S)
         given = learned_state(world.balancer)
@@ -338,7 +339,7 @@
         other = World(settings())
         other.now_us = world.now_us
         other.balancer.recall(world.now_us, agreed)
-        other.tell_list(upstreams(6))
+        other.deliver_list(upstreams(6))
         back = learned_state(other.balancer)
         assert [one.first_hand for one in back.upstreams] == [False]
         assert confidence.agreed([confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
@@ -422,25 +423,25 @@
                                      for c in world.settings.classes if rng.random() < 0.5))
 
     world.balancer.recall(START_US, any_lessons())
-    world.tell_list(upstreams(6, started_us=rng.choice([0, START_US - S])))
+    world.deliver_list(upstreams(6, started_us=rng.choice([0, START_US - S])))
     for step in range(60):
         if step % 20 == 7:
             world.balancer.recall(world.now_us, any_lessons())
-        request = world.arrive(rng.randrange(3))
+        request = world.new_request(rng.randrange(3))
         world.advance(rng.randrange(60_000))
-        for number in list(world.owed[request].out()):
-            if number in world.owed[request].out() and rng.random() < 0.7:
-                world.end(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
+        for number in list(world.requests[request].outstanding()):
+            if number in world.requests[request].outstanding() and rng.random() < 0.7:
+                world.end_attempt(request, number, rng.choice([Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL]))
     world.advance(5 * S)
-    assert all(owed.answers == 1 for owed in world.owed.values())
+    assert all(owed.answers == 1 for owed in world.requests.values())
 
 
 def test_a_sidecar_taught_by_itself_is_as_it_was() -> None:
     """Given and taken back at once, after one try of each upstream, it is where it was."""
     world = World(settings(hedging=False, instances=1))
-    world.tell_list(upstreams(4))
+    world.deliver_list(upstreams(4))
     for _ in range(200):
-        answer(world, world.arrive(), after_us=5_000)
+        answer(world, world.new_request(), after_us=5_000)
     given = learned_state(world.balancer)
     again = Balancer(world.settings, 9, world.now_us)
     again.recall(world.now_us, given)
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironscale.balance import Balancer, Server
+from ironscale.balance import Balancer, TrackedUpstream
 from ironscale.fleet_estimates import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
@@ -35,20 +35,20 @@
 
 def end(world: World, request: int, number: int, outcome: Outcome, after_us: int) -> None:
     world.advance(after_us)
-    world.end(request, number, outcome)
+    world.end_attempt(request, number, outcome)
 
 
 def many(rate_per_s: float = 0.0, count: int = 60, **changes: object) -> World:
     """One of 40 sidecars before 60 upstreams in four zones, the fleet allowed 1,000 requests a second; after ten
     seconds in which it has sent so many."""
     world = World(settings(**{"instances": 40, "tenants": [Tenant("north", 1000.0, 1.0)], **changes}))
-    world.tell_list([Upstream(100 + i, zone=i % 4, kind=i % 3, cell=i % 4) for i in range(count)])
+    world.deliver_list([Upstream(100 + i, zone=i % 4, kind=i % 3, cell=i % 4) for i in range(count)])
     out: deque[tuple[int, int]] = deque()
     for _ in range(int(10 * rate_per_s)):
         world.advance(int(SECOND_US / rate_per_s))
         while out and out[0][0] <= world.now_us:
-            world.end(out.popleft()[1], 0, Outcome.OK)
-        out.append((world.now_us + 50_000, world.arrive(READ)))
+            world.end_attempt(out.popleft()[1], 0, Outcome.OK)
+        out.append((world.now_us + 50_000, world.new_request(READ)))
     for _, request in out:
         end(world, request, 0, Outcome.OK, 50_000 // len(out))
     return world
@@ -104,10 +104,10 @@
     lost: Counter[int] = Counter()
     for _ in range(60):
         world.advance(50_000)
-        request = world.arrive(READ)
+        request = world.new_request(READ)
         number = 0
         while number < len(world.sends(request)) and world.answer(request) is None:
-            zone = world.known[world.sends(request)[number].upstream].zone
+            zone = world.listed[world.sends(request)[number].upstream].zone
             lost[zone] += zone == 0
             end(world, request, number, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK, 50_000)
             number += 1
@@ -117,7 +117,7 @@
 def test_a_failed_connect_costs_nothing_of_the_retry_budget() -> None:
     world = many()
     for _ in range(30):
-        request = world.arrive(READ)
+        request = world.new_request(READ)
         end(world, request, 0, Outcome.CONNECT_FAILED, 1_000)
         end(world, request, 1, Outcome.OK, 1_000)
         assert len(world.sends(request)) == 2
@@ -127,7 +127,7 @@
     world = many()
     answers = []
     for _ in range(30):
-        request = world.arrive(READ)
+        request = world.new_request(READ)
         end(world, request, 0, Outcome.ERROR, 1_000)
         if len(world.sends(request)) == 2:
             end(world, request, 1, Outcome.OK, 1_000)
@@ -140,37 +140,37 @@
     bad, drawn = 104, Counter[int]()
     for number in range(300):
         world.advance(50_000)
-        request = world.arrive(READ)
+        request = world.new_request(READ)
         upstream = world.sends(request)[0].upstream
         drawn[upstream] += 1
         end(world, request, 0, Outcome.ERROR if upstream == bad and number % 2 else Outcome.OK, 5_000)
         if len(world.sends(request)) == 2:
             end(world, request, 1, Outcome.OK, 5_000)
-    near = [ident for ident, entry in world.known.items() if entry.zone == 0 and drawn[ident] and ident != bad]
+    near = [ident for ident, entry in world.listed.items() if entry.zone == 0 and drawn[ident] and ident != bad]
     assert drawn[bad] < sum(drawn[ident] for ident in near) / len(near) / 2
 
 
 def test_one_error_is_remembered_where_an_upstream_is_met_every_few_seconds() -> None:
     """A good one's errors are one in thousands; two in five of a bad one's, and the next try is seconds away."""
     world = many()
-    bad = world.balancer.servers[104]
-    before = world.balancer.favour(bad)
+    bad = world.balancer.upstreams[104]
+    before = world.balancer.compute_preference(bad)
     bad.faults.end(world.now_us, True, 1 / 2)
     world.advance(3 * SECOND_US)
     bad.faults.end(world.now_us, False, 1 / 4)
     world.advance(3 * SECOND_US)
-    assert world.balancer.favour(bad) < before / 2
+    assert world.balancer.compute_preference(bad) < before / 2
 
 
 def test_slow_answers_narrow_one_of_many_sidecars_and_it_is_back_soon() -> None:
     """Hazard: what each of 200 leaves at upstreams that answer late adds up to queues that nobody is served from."""
     world = many(20.0)
     for _ in range(40):
-        end(world, world.arrive(READ), 0, Outcome.OK, 600_000)
+        end(world, world.new_request(READ), 0, Outcome.OK, 600_000)
     narrow = world.balancer.window.slots
-    assert world.balancer.least <= narrow <= 1.0
+    assert world.balancer.min_window_slots <= narrow <= 1.0
     for _ in range(60):
-        end(world, world.arrive(READ), 0, Outcome.OK, 40_000)
+        end(world, world.new_request(READ), 0, Outcome.OK, 40_000)
     assert world.balancer.window.slots >= 2 * narrow
 
 
@@ -181,8 +181,8 @@
     for gap_us in gaps_us:
         world.advance(gap_us)
         while out and out[0][0] <= world.now_us:
-            world.end(out.popleft()[1], 0, Outcome.OK)
-        request = world.arrive(READ)
+            world.end_attempt(out.popleft()[1], 0, Outcome.OK)
+        request = world.new_request(READ)
         if world.sends(request):
             out.append((world.now_us + answer_us, request))
         count += isinstance(world.answer(request), Refuse)
@@ -195,34 +195,34 @@
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
     world = many(2.0)
-    world.balancer.window.slots, world.balancer.least = 1.0, 1.0
+    world.balancer.window.slots, world.balancer.min_window_slots = 1.0, 1.0
     assert refused(world, [10_000] * 300, 160_000) > 60  # at once, of a hundred a second for three seconds
-    assert world.balancer.load.at(world.now_us) <= world.balancer.window.slots + 1.0
+    assert world.balancer.outstanding.at(world.now_us) <= world.balancer.window.slots + 1.0
 
 
 def test_one_that_waits_for_the_mean_to_fall_is_sent_when_it_has(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ironscale.balance.GROWTH", 0.0)  # no answer opens a slot: time alone does
+    monkeypatch.setattr("ironscale.balance.WINDOW_STEP_GAIN", 0.0)  # no answer opens a slot: time alone does
     world = many(2.0)
     world.balancer.window.slots = 0.5
     world.advance(3 * SECOND_US)
-    sent = [world.arrive(READ)]
+    sent = [world.new_request(READ)]
     while world.sends(sent[-1]):  # as many at once as the mean lets
         world.advance(10_000)
-        sent.append(world.arrive(READ))
+        sent.append(world.new_request(READ))
     waits = sent.pop()
     for request in sent:
-        world.end(request, 0, Outcome.OK)
+        world.end_attempt(request, 0, Outcome.OK)
     assert not world.sends(waits)
-    opens_us = world.balancer.load.falls_us(0.5)
+    opens_us = world.balancer.outstanding.falls_us(0.5)
     world.advance(opens_us - world.now_us - 1)
     assert not world.sends(waits)
     world.advance(1)
-    assert world.sends(waits) and world.balancer.load.at(world.now_us) < 0.51
+    assert world.sends(waits) and world.balancer.outstanding.at(world.now_us) < 0.51
 
 
 def test_one_that_carries_much_keeps_more_slots_at_slow_upstreams() -> None:
     heavy, light = many(200.0), many(5.0)
-    assert heavy.balancer.least_each() > 4 * light.balancer.least_each() > 0.0
+    assert heavy.balancer.min_upstream_slots() > 4 * light.balancer.min_upstream_slots() > 0.0
 
 
 def test_one_that_carries_much_uses_more_upstreams() -> None:
@@ -234,11 +234,11 @@
     sidecars, one of them sends the next when the rest can have done 20: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at 4.2 s.
     Answers of 5 s would make it far longer."""
     world = many()
-    world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
-    server = world.balancer.servers[900]
-    gaps = [world.balancer.cold_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
+    world.deliver_list([*world.listed.values(), Upstream(900, started_us=world.now_us)])
+    server = world.balancer.upstreams[900]
+    gaps = [world.balancer.cold_send_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
     assert gaps[0] == gaps[1] == pytest.approx(4_200_000, rel=0.05)
-    assert world.balancer.cold_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
+    assert world.balancer.cold_send_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
 
 
 def test_copies_are_left_out_while_all_answer_slowly() -> None:
@@ -246,8 +246,8 @@
         world = many(20.0, instances=instances)
         for _ in range(40):
             world.advance(50_000)
-            end(world, world.arrive(READ), 0, Outcome.OK, answer_us)
-        request = world.arrive(READ)
+            end(world, world.new_request(READ), 0, Outcome.OK, answer_us)
+        request = world.new_request(READ)
         world.advance(160_000)
         return len(world.sends(request)) - 1
 
@@ -317,11 +317,11 @@
     for number in range(40):
         world = World(settings(instances=40, self_index=number, tenants=[Tenant("north", 1000.0, 1.0)]), number)
         cold = [Upstream(900 + i, started_us=world.now_us) for i in range(6)]
-        world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
-        server = world.balancer.servers[900]
-        waits += [server.next_cold_us - world.now_us] if server.warms else []
+        world.deliver_list([Upstream(100 + i) for i in range(54)] + cold)
+        server = world.balancer.upstreams[900]
+        waits += [server.next_cold_send_us - world.now_us] if server.sends_while_cold else []
     assert len(waits) == WARMING
-    gap_us = world.balancer.cold_gap_us(server, 150_000)
+    gap_us = world.balancer.cold_send_gap_us(server, 150_000)
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
 
 
@@ -330,8 +330,8 @@
     lessons = replace(learned_state(world.balancer), slots=1.0)
     newcomer = Balancer(world.settings, 8, world.now_us)
     newcomer.recall(world.now_us, lessons)
-    newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.known.values())))
-    assert newcomer.window.slots >= newcomer.usual_slots(60) == 12.0
+    newcomer.handle(world.now_us, UpstreamsUpdated(ListKind.FULL, list(world.listed.values())))
+    assert newcomer.window.slots >= newcomer.initial_slots(60) == 12.0
 
 
 def test_a_call_that_failed_is_made_again_in_a_turn_and_not_at_once() -> None:
@@ -339,7 +339,7 @@
     balancer.handle(START_US, UpstreamsUpdated(ListKind.CACHED, [Upstream(100)]))
     failed_us = START_US + 8 * SECOND_US
     balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED, []))
-    assert balancer.ask_list_us >= failed_us + 2 * SECOND_US  # half of the turn of 5 s, at least
+    assert balancer.next_list_call_us >= failed_us + 2 * SECOND_US  # half of the turn of 5 s, at least
 
 
 def test_after_a_watch_has_broken_many_open_it_anew_soon_and_not_at_once() -> None:
@@ -350,35 +350,37 @@
                                      ask_within_us=10 * SECOND_US), number, START_US)
         balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, [Upstream(100)]))
         balancer.handle(START_US + SECOND_US, UpstreamsUpdated(ListKind.FAILED))
-        waits.append(balancer.ask_list_us - START_US - SECOND_US)
-        balancer.handle(balancer.ask_list_us, TimerFired(0))
+        waits.append(balancer.next_list_call_us - START_US - SECOND_US)
+        balancer.handle(balancer.next_list_call_us, TimerFired(0))
         failed_us = balancer.now_us + SECOND_US
         balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED))  # that call too: now its turn is waited for
-        assert balancer.ask_list_us >= failed_us + 2 * SECOND_US
+        assert balancer.next_list_call_us >= failed_us + 2 * SECOND_US
     assert max(waits) <= 2_500_000
     assert all(sum(at <= wait < at + 250_000 for wait in waits) <= 36 for at in range(0, 2_500_000, 250_000))
 
 
-def zone_fails(world: World, zone: int, count: int) -> list[Server]:
+def zone_fails(world: World, zone: int, count: int) -> list[TrackedUpstream]:
     """So many attempts at upstreams of the zone fail, each at another one; those of it that were not tried."""
-    inside = [server for server in world.balancer.order if server.entry.zone == zone]
+    inside = [server for server in world.balancer.draw_order if server.entry.zone == zone]
     for server in inside[:count]:
-        request = world.arrive(READ)
+        request = world.new_request(READ)
         attempt = world.balancer.requests[request].attempts[0]
-        attempt.server.used, server.used, attempt.server = attempt.server.used - 1, server.used + 1, server
-        world.end(request, 0, Outcome.CONNECT_FAILED)
+        attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
+            attempt.upstream.used_slots - 1, server.used_slots + 1, server)
+        world.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     return inside[count:]
 
 
-def weight(world: World, server: Server) -> float:
-    world.balancer.look()
-    return world.balancer.places.weights[world.balancer.places.leaves + server.place]
+def weight(world: World, server: TrackedUpstream) -> float:
+    world.balancer.refresh_weights()
+    return world.balancer.draw_weights.weights[world.balancer.draw_weights.leaves + server.order_index]
 
 
 def test_the_faults_of_some_in_a_zone_are_told_to_the_others_of_it_and_to_no_other_zone() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
-    elsewhere = [server for server in world.balancer.order if server.entry.zone == 1]
-    before, beside = [weight(world, s) for s in world.balancer.order if s.entry.zone == 0], weight(world, elsewhere[0])
+    elsewhere = [server for server in world.balancer.draw_order if server.entry.zone == 1]
+    before, beside = ([weight(world, s) for s in world.balancer.draw_order if s.entry.zone == 0],
+                      weight(world, elsewhere[0]))
     untried = zone_fails(world, 0, 6)
     assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer near
     assert weight(world, elsewhere[0]) == beside
@@ -387,72 +389,73 @@
 def test_a_zone_whose_upstreams_start_anew_is_thought_better_of() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     zone_fails(world, 0, 10)
-    before = world.balancer.zones[0].share(world.now_us)
-    anew = [replace(entry, started_us=world.now_us) for entry in world.known.values() if entry.zone == 0][:3]
-    world.tell_list(anew, ListKind.DELTA)
-    assert world.balancer.zones[0].share(world.now_us) < before / 7
+    before = world.balancer.zone_faults[0].share(world.now_us)
+    anew = [replace(entry, started_us=world.now_us) for entry in world.listed.values() if entry.zone == 0][:3]
+    world.deliver_list(anew, ListKind.DELTA)
+    assert world.balancer.zone_faults[0].share(world.now_us) < before / 7
 
 
 def test_two_errors_in_a_row_take_most_of_an_upstreams_weight_and_not_all() -> None:
     world = many()
-    server, like = world.balancer.servers[104], world.balancer.servers[108]
+    server, like = world.balancer.upstreams[104], world.balancer.upstreams[108]
     for count, least, most in ((2, 0.01, 0.05), (10, 0.01, 0.05)):
         for _ in range(count):
-            request = world.arrive(READ)
+            request = world.new_request(READ)
             attempt = world.balancer.requests[request].attempts[0]
-            attempt.server.used, server.used, attempt.server = attempt.server.used - 1, server.used + 1, server
-            world.end(request, 0, Outcome.ERROR)
-        left = world.balancer.favour(server) / world.balancer.favour(like)
+            attempt.upstream.used_slots, server.used_slots, attempt.upstream = (
+                attempt.upstream.used_slots - 1, server.used_slots + 1, server)
+            world.end_attempt(request, 0, Outcome.ERROR)
+        left = world.balancer.compute_preference(server) / world.balancer.compute_preference(like)
         assert least < left < most, (count, left)
 
 
 def test_a_fault_costs_nearness_and_one_long_ago_does_not() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
-    server = next(server for server in world.balancer.order if server.entry.zone == 0)
-    near = world.balancer.favour(server)
+    server = next(server for server in world.balancer.draw_order if server.entry.zone == 0)
+    near = world.balancer.compute_preference(server)
     server.faults.end(world.now_us, True, 1 / 2)
-    assert world.balancer.favour(server) < near / 500
+    assert world.balancer.compute_preference(server) < near / 500
     world.advance(10 * SECOND_US)
-    world.tell_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
-    assert world.balancer.favour(server) > near / 2
+    world.deliver_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
+    assert world.balancer.compute_preference(server) > near / 2
 
 
 def test_the_draw_favours_kinds_that_answer_quickly() -> None:
     world = many(20.0)
     for _ in range(120):
-        request = world.arrive(READ)
-        kind = world.known[world.sends(request)[0].upstream].kind
+        request = world.new_request(READ)
+        kind = world.listed[world.sends(request)[0].upstream].kind
         end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
-    world.balancer.changed.update(dict.fromkeys(world.balancer.order))
-    slow, quick = (weight(world, next(server for server in world.balancer.order if server.entry.kind == kind
-                                      and server.window.slots == 1.0 and not server.used)) for kind in (0, 1))
+    world.balancer.needs_refresh.update(dict.fromkeys(world.balancer.draw_order))
+    slow, quick = (weight(world, next(server for server in world.balancer.draw_order if server.entry.kind == kind
+                                      and server.window.slots == 1.0 and not server.used_slots)) for kind in (0, 1))
     assert slow < quick / 3
 
 
 def test_a_failed_connect_is_tried_again_though_the_budget_is_spent() -> None:
     world = many()
     world.balancer.retry_tokens = 0.0
-    request = world.arrive(READ)
-    world.end(request, 0, Outcome.CONNECT_FAILED)
+    request = world.new_request(READ)
+    world.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     assert len(world.sends(request)) == 2 and world.balancer.retry_tokens >= 0.0
-    world.end(request, 1, Outcome.ERROR)
+    world.end_attempt(request, 1, Outcome.ERROR)
     assert len(world.sends(request)) == 2
 
 
 def test_one_that_carries_much_draws_among_more_upstreams() -> None:
     heavy, light = many(300.0).balancer, many(10.0).balancer
-    assert heavy.subset > 3 * light.subset == 3 * light.least_subset
+    assert heavy.subset_slots > 3 * light.subset_slots == 3 * light.min_subset_slots
 
 
 def test_no_zone_is_near_where_sidecars_outnumber_upstreams() -> None:
-    assert many(zone=0, cross_zone_fee=0.03).balancer.home == 0
-    assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.home == -1
+    assert many(zone=0, cross_zone_fee=0.03).balancer.preferred_zone == 0
+    assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.preferred_zone == -1
 
 
 def test_new_allowances_count_for_the_part() -> None:
     world = many(200.0)
     before = world.balancer.traffic.part()
-    world.tell(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
+    world.deliver(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
     assert world.balancer.traffic.part() < before / 2
 
 
@@ -464,7 +467,7 @@
     assert (slow.favour(quick), quick.favour(slow)) == (1 / 8, 8.0)
     world = many()
     zone_fails(world, 0, 15)
-    assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
+    assert all(world.balancer.compute_preference(server) >= 1e-4 * 1e-3 for server in world.balancer.draw_order)
     assert Slowness().exceeds(0.0) is False
 
 
@@ -477,15 +480,15 @@
     sent: list[int] = []
     ends: list[tuple[int, int, int, int]] = []
     for world in sidecars:
-        world.tell_list([Upstream(1), Upstream(2, started_us=START_US - age_s * SECOND_US)])
+        world.deliver_list([Upstream(1), Upstream(2, started_us=START_US - age_s * SECOND_US)])
     for now_us in range(START_US, START_US + 4 * SECOND_US, 20_000):
         while ends and ends[0][0] <= now_us:
             _, number, request, nth = heapq.heappop(ends)
-            sidecars[number].end(request, nth, Outcome.OK)
+            sidecars[number].end_attempt(request, nth, Outcome.OK)
         for number, world in enumerate(sidecars):
             world.advance(now_us - world.now_us)
             if (now_us // 20_000 + number) % 10 == 0:
-                request = world.arrive(READ)
+                request = world.new_request(READ)
                 for nth, send in enumerate(world.sends(request)):
                     heapq.heappush(ends, (now_us + (400_000 if send.upstream == 2 else 100_000), number, request, nth))
                     sent += [now_us] if send.upstream == 2 else []
@@ -521,15 +524,15 @@
     sent: dict[int, list[int]] = {900 + i: [] for i in range(30)}
     for number in range(instances):
         world = World(replace(config, self_index=number), seed=number)
-        world.tell_list(listed)
+        world.deliver_list(listed)
         world.balancer.slowness.exceeds = lambda limit: slowness >= limit  # type: ignore[method-assign]
         out: deque[tuple[int, int, int]] = deque()
         for _step in range(int(3 * rate_per_s)):
             world.advance(int(SECOND_US / rate_per_s))
             while out and out[0][0] <= world.now_us:
                 _, request, nth = out.popleft()
-                world.end(request, nth, Outcome.OK)
-            request = world.arrive(READ)
+                world.end_attempt(request, nth, Outcome.OK)
+            request = world.new_request(READ)
             for nth, send in enumerate(world.sends(request)):
                 out.append((world.now_us + 80_000, request, nth))
                 if send.upstream in sent:
@@ -573,34 +576,34 @@
     idents = [900 + i for i in range(40)]
     mine = [ident for ident in idents if warms(ident, 0, 200)]
     world = World(settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)]))
-    world.tell_list([Upstream(ident, started_us=START_US) for ident in idents])
+    world.deliver_list([Upstream(ident, started_us=START_US) for ident in idents])
     for _at_s in range(19):
         for _ in range(5):
             world.advance(200_000)
-            request = world.arrive(READ)
+            request = world.new_request(READ)
             if world.sends(request):
                 end(world, request, 0, Outcome.OK, 0)
     assert {send.upstream for send in world.sends()} <= set(mine) and mine
-    assert [server.entry.id for server in world.balancer.order][:len(mine)] == sorted(mine)
+    assert [server.entry.id for server in world.balancer.draw_order][:len(mine)] == sorted(mine)
     world.advance(SECOND_US + 10)
-    request = world.arrive(READ)
-    assert [server.entry.id for server in world.balancer.order] == sorted(idents)
+    request = world.new_request(READ)
+    assert [server.entry.id for server in world.balancer.draw_order] == sorted(idents)
     assert world.sends(request)
 
 
 def test_a_window_narrows_by_what_the_list_has_lost_and_not_by_a_list_that_only_grows() -> None:
     world = many(40.0)
     before = world.balancer.window.slots
-    world.tell_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
+    world.deliver_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
     assert world.balancer.window.slots == before
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:30]],
+    world.deliver_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:30]],
                     ListKind.DELTA)
-    assert world.balancer.least <= world.balancer.window.slots <= before * 0.55
+    assert world.balancer.min_window_slots <= world.balancer.window.slots <= before * 0.55
 
 
 def test_a_release_that_takes_upstreams_away_leaves_one_of_many_what_it_is() -> None:
     world = many(2.0, count=30)
-    world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:15]],
+    world.deliver_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.listed.values())[:15]],
                     ListKind.DELTA)
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
@@ -611,41 +614,41 @@
     config = settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)])
     mine = [ident for ident in range(900, 960) if warms(ident, 0, 200)][:3]
     world = World(config)
-    world.tell_list([Upstream(i) for i in range(100, 140)]
+    world.deliver_list([Upstream(i) for i in range(100, 140)]
                     + [Upstream(i, started_us=START_US - 10 * SECOND_US) for i in mine])
     balancer = world.balancer
-    balancer.window.slots = balancer.least = 0.1
-    balancer.load.mean = 5.0
-    for server in (balancer.servers[ident] for ident in mine):
-        server.next_cold_us = world.now_us
-    balancer.changed = dict.fromkeys(balancer.order)
-    requests = [world.arrive(READ) for _ in range(8)]
+    balancer.window.slots = balancer.min_window_slots = 0.1
+    balancer.outstanding.mean = 5.0
+    for server in (balancer.upstreams[ident] for ident in mine):
+        server.next_cold_send_us = world.now_us
+    balancer.needs_refresh = dict.fromkeys(balancer.draw_order)
+    requests = [world.new_request(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
-    assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
-    slots, out = balancer.window.slots, balancer.load.out
+    assert sorted(first) == mine and not balancer.window_has_room()  # each as its pace lets, and nothing else
+    slots, out = balancer.window.slots, balancer.outstanding.out
     for request in requests[:3]:
         end(world, request, 0, Outcome.OK, 20_000)
-    assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
-    again = world.arrive(READ)
+    assert (balancer.window.slots, balancer.outstanding.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
+    again = world.new_request(READ)
     assert not world.sends(again)  # nor do they come at once
-    assert sorted(server.next_cold_us > world.now_us for server in balancer.servers.values())[-3:] == [True] * 3
+    assert sorted(server.next_cold_send_us > world.now_us for server in balancer.upstreams.values())[-3:] == [True] * 3
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.OK, Outcome.TIMEOUT])
 def test_a_list_that_has_lost_all_leaves_a_window_that_opens_again(outcome: Outcome) -> None:
     """Hazard: a window of nothing at all would divide by zero when what is out ends."""
     world = many(20.0)
-    request = world.arrive(READ)
-    draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.known.values()]
-    world.tell_list(draining, ListKind.DELTA)
-    world.end(request, 0, outcome)
+    request = world.new_request(READ)
+    draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.listed.values()]
+    world.deliver_list(draining, ListKind.DELTA)
+    world.end_attempt(request, 0, outcome)
     assert world.balancer.window.slots > 0.0
-    world.tell_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
-    assert world.sends(world.arrive(READ))
+    world.deliver_list([replace(entry, state=UpstreamState.READY) for entry in draining], ListKind.DELTA)
+    assert world.sends(world.new_request(READ))
 
 
 def test_an_upstream_that_starts_after_now_is_cold_or_without_a_warm_up_warm() -> None:
     for warm_up_us, cold in ((20_000_000, True), (0, False)):
         world = World(settings(instances=40, warm_up_us=warm_up_us))
-        world.tell_list([Upstream(100, started_us=world.now_us + 5_000_000)])
-        assert (world.balancer.warmth(world.balancer.servers[100]) < 1.0) is cold
+        world.deliver_list([Upstream(100, started_us=world.now_us + 5_000_000)])
+        assert (world.balancer.warmth(world.balancer.upstreams[100]) < 1.0) is cold
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unusual but legal events do no harm; invalid settings raise an error that names what was expected."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 from tests.balancer_harness import START_US, World, settings, upstreams
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
+def test_events_about_unknown_requests_and_upstreams_change_nothing() -> None:
     world = World()
-    world.tell_list(upstreams(3))
+    world.deliver_list(upstreams(3))
     for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestAbandoned(77), TimerFired(123456),
                   StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
                   PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
-        assert world.tell(event) == []
-    assert world.sends(world.arrive(0))
+        assert world.deliver(event) == []
+    assert world.sends(world.new_request(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
+def test_outcomes_and_client_departures_after_the_answer_are_ignored() -> None:
     world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.quit(request)
-    assert world.end(request, 0, Outcome.ERROR) == []
-    assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestAbandoned(request)) == []
-    served = world.arrive(0)
-    world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestAbandoned(served)) == []
-
-
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+    world.deliver_list(upstreams(3))
+    request = world.new_request(0)
+    world.client_quits(request)
+    assert world.end_attempt(request, 0, Outcome.ERROR) == []
+    assert world.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
+    assert world.deliver(RequestAbandoned(request)) == []
+    served = world.new_request(0)
+    world.end_attempt(served, 0, Outcome.OK)
+    assert world.deliver(RequestAbandoned(served)) == []
+
+
+def test_an_outcome_of_an_attempt_never_sent_is_ignored() -> None:
     world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
+    world.deliver_list(upstreams(3))
+    request = world.new_request(0)
+    assert world.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_a_broken_stream_is_not_retried() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
+    world.deliver_list(upstreams(3))
+    request = world.new_request(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
-    world.end(request, 0, Outcome.RESET)
+    world.end_attempt(request, 0, Outcome.RESET)
     assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
 
 
@@ -87,21 +87,21 @@
     (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
     (lambda: settings(classes=[]), "at least one request class"),
 ])
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_invalid_settings_say_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
     assert words in str(caught.value)
 
 
-def test_odd_requests_and_lists_are_taken_without_an_exception() -> None:
+def test_unusual_requests_and_lists_raise_no_exception() -> None:
     world = World(settings(tenants=[Tenant("t", 5.0)], over_share_worth=0.2))
     twice = upstreams(2) + upstreams(2, weight=0.0)
-    world.tell_list(twice)
-    assert len(world.balancer.servers) == 2
-    assert world.sends(world.arrive(0, tenant=99))
-    late = world.arrive(0, patience_us=-5_000)
+    world.deliver_list(twice)
+    assert len(world.balancer.upstreams) == 2
+    assert world.sends(world.new_request(0, tenant=99))
+    late = world.new_request(0, patience_us=-5_000)
     assert not world.sends(late) and world.answer(late) is not None
-    world.tell_list([])
-    stranded = world.arrive(1)
+    world.deliver_list([])
+    stranded = world.new_request(1)
     world.advance(2_000_000)
     assert not world.sends(stranded) and world.answer(stranded) is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,6 @@
-"""The four rules under arbitrary legal event sequences; tests/balancer_harness.py checks every action."""
+"""The four rules of ironscale/balance.py under arbitrary legal event sequences.
+
+tests/balancer_harness.py checks every action."""
 
 from __future__ import annotations
 
@@ -45,94 +47,98 @@
 })
 
 
-def many_classes() -> list[RequestClass]:
+def classes_of_every_kind() -> list[RequestClass]:
     return [*classes(),
             RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", dedup_memory_us=400_000),
             RequestClass("feed", 200_000, 900_000, effect="deduplicated", dedup_memory_us=9_000_000, stream=True)]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:
+def apply_step(world: World, step: tuple[str, int, object]) -> None:
+    """Carries out one generated step, if it is possible in the world's present state."""
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    open_attempts = [(ident, n) for ident, request in world.requests.items() for n in request.outstanding()]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.arrive(number, patience_us=extra)
+        world.new_request(number, patience_us=extra)
     elif what == "advance":
         world.advance(number)
     elif what in ("list", "restart"):
         started = world.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
         entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
-        world.tell_list([entry], ListKind.DELTA)
+        world.deliver_list([entry], ListKind.DELTA)
     elif what == "full":
         assert isinstance(extra, ListKind)
-        world.tell_list(upstreams(number), extra)
+        world.deliver_list(upstreams(number), extra)
     elif what == "fail" and world.settings.list_on_request:
-        world.tell(UpstreamsUpdated(ListKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
-            world.quit(ident)
-    elif what == "end" and open_tries:
+        world.deliver(UpstreamsUpdated(ListKind.FAILED))
+    elif what == "quit" and world.requests:
+        ident = list(world.requests)[number % len(world.requests)]
+        if not world.requests[ident].closed:
+            world.client_quits(ident)
+    elif what == "end" and open_attempts:
         assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
+        world.end_attempt(*open_attempts[number % len(open_attempts)], extra)
     elif what == "stream":
-        streams = [(i, n) for i, n in open_tries
-                   if world.settings.classes[world.owed[i].event.class_index].stream
-                   and not world.owed[i].stream and not world.owed[i].closed]
+        streams = [(i, n) for i, n in open_attempts
+                   if world.settings.classes[world.requests[i].event.class_index].stream
+                   and not world.requests[i].stream and not world.requests[i].closed]
         if streams:
             world.begin_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(config: dict[str, object], seed: int,
+def test_no_rule_is_broken_by_any_legal_sequence_of_events(config: dict[str, object], seed: int,
                                             steps: list[tuple[str, int, object]]) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    world = World(settings(classes=classes_of_every_kind(), **config), seed)
+    world.deliver_list(upstreams(6), ListKind.CACHED)
     for step in steps:
-        play(world, step)
+        apply_step(world, step)
     world.advance(5_000_000)  # everything is answered by its due time
 
 
-def busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
-    dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
+    """Heavy load with every kind of failure, so that slots run out and requests wait and are retried. Returns all
+    actions."""
+    rng = random.Random(seed)
+    world = World(settings(classes=classes_of_every_kind(), **config), seed)
+    world.deliver_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
+        kind = rng.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
                             [50, 40, 10, 1, 1, 1, 1, 1])[0]
         extra: object = 0
-        number = dice.randrange(50)
+        number = rng.randrange(50)
         if kind == "arrive":
-            number, extra = dice.randrange(5), dice.randrange(1_000, 2_000_000)
+            number, extra = rng.randrange(5), rng.randrange(1_000, 2_000_000)
         elif kind == "end":
-            extra = dice.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
+            extra = rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
         elif kind == "advance":
-            number = dice.randrange(60_000)
+            number = rng.randrange(60_000)
         elif kind in ("list", "restart"):
-            number = dice.randrange(8)
-            extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
+            number = rng.randrange(8)
+            extra = rng.choice(list(UpstreamState)) if kind == "list" else rng.randrange(30_000_000)
+        apply_step(world, (kind, number, extra))
     world.advance(5_000_000)
     return list(world.log)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_heavy_load_breaks_no_rule_and_is_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3], "probes": seed % 4 == 0,
         }
-        assert busy_day(config, seed) == busy_day(config, seed)
+        assert run_heavy_load(config, seed) == run_heavy_load(config, seed)
 
 
-def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
+def worst_overload_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
+    """The most work that all sidecars together send one cold upstream within any `fall_us`, as a share of the overload
+    that it bears.
 
-    The upstream is new among nine, has one core and serves in turn; requests take 40 ms of it when warm. Each
-    sidecar gets `skew` requests a tick of 4 ms."""
+    The upstream joins nine others, has one core and serves one request after the other; when warm, a request takes
+    40 ms. Sidecar number n gets `skew[n]` requests in each tick of 4 ms. Attempts at the cold upstream end with
+    `outcome`."""
     config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
     listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
@@ -181,7 +187,7 @@
     return worst
 
 
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+def test_a_cold_upstream_is_not_overloaded_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -318,7 +318,7 @@
         scene = await Scene().start((await Peer(reply(data)).start()).entry("s-1"),
                                     report={"how": "answers", "names": ["busy"]})
         assert (await scene.call()).status == 200
-        await until(lambda: [s.busy for s in scene.sidecar.balancer.servers.values()] == [0.25])
+        await until(lambda: [s.utilization for s in scene.sidecar.balancer.upstreams.values()] == [0.25])
 
     run(test)
 
@@ -525,7 +525,7 @@
         await until(settled)
         objects, descriptors, tasks = counts()
         assert objects <= before[0] + 5 and descriptors <= before[1] + 3 and tasks <= before[2] + 3
-        assert len(sidecar.balancer.servers) == len(sidecar.upstreams.pools) == 1
+        assert len(sidecar.balancer.upstreams) == len(sidecar.upstreams.pools) == 1
         assert not sidecar.by_txn and not sidecar.balancer.requests
         assert not sidecar.server.silent and not sidecar.server.idle and not sidecar.server.connections
 
@@ -572,11 +572,12 @@
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         ident = next(iter(scene.sidecar.upstreams.pools))
-        scene.sidecar.execute_action(api.Log(f"upstream {ident} rests"))
-        scene.sidecar.execute_action(api.Log("upstream 12 is back"))
+        scene.sidecar.execute_action(api.Log(f"upstream {ident}: concurrency limit backed off"))
+        scene.sidecar.execute_action(api.Log("upstream 12: concurrency limit recovered"))
 
     run(test)
-    assert capsys.readouterr().err == "n0: upstream s-1 rests\nn0: upstream 12 is back\n"
+    assert capsys.readouterr().err == (
+        "n0: upstream s-1: concurrency limit backed off\nn0: upstream 12: concurrency limit recovered\n")
 
 
 def test_a_request_that_the_balancer_loses_is_answered_by_its_deadline() -> None:
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ironscale import interface as api
-from ironscale.balance import FULL_LOAD, Balancer, Request, Server
+from ironscale.balance import TARGET_SLOWNESS, Balancer, Request, TrackedUpstream
 from ironscale.introspection import learned_state
 from ironscale.sum_tree import Places
 
@@ -21,51 +21,52 @@
 class Scanning(Balancer):
     """The decisions as they were: every draw and every timer looks at all upstreams."""
 
-    def draw(self, request: Request) -> Server | None:
-        self.look()  # what is thought of an upstream holds as last looked at
-        tried = [attempt.server for attempt in request.attempts]
-        if tried and not self.is_bound(request) and self.has_room():
-            self.changed.update((server, None) for server in tried if server.place >= 0)
-        free: list[Server] = []
+    def draw(self, request: Request) -> TrackedUpstream | None:
+        self.refresh_weights()  # what is thought of an upstream holds as last looked at
+        tried = [attempt.upstream for attempt in request.attempts]
+        if tried and not self.is_bound_to_group(request) and self.window_has_room():
+            self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
+        free: list[TrackedUpstream] = []
         weights: list[float] = []
         room = 0.0
-        if self.has_room() and self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
-            for server in self.order:  # in a shortage the cold ones first, as far as their pace lets
-                slots = server.window.open(self.now_us) - server.used
-                if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_us
+        if self.window_has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
+            for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
+                slots = server.window.usable_slots(self.now_us) - server.used_slots
+                if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
                         and server not in tried and self.in_group(request, server)):
                     free.append(server)
-                    weights.append(min(float(slots), server.window.slots) * server.size * server.favour)
+                    weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference)
             if free:
                 return self.random.choices(free, weights)[0]
             free, weights = [], []
-        for server in self.order:
-            slots = server.window.open(self.now_us) - server.used
-            if not self.has_room() and not (self.is_one_of_many and self.warmth(server) < 1.0):
+        for server in self.draw_order:
+            slots = server.window.usable_slots(self.now_us) - server.used_slots
+            if not self.window_has_room() and not (self.in_large_fleet and self.warmth(server) < 1.0):
                 continue
             if slots <= 0 or (tried and (server in tried or not self.in_group(request, server))):
                 continue
             warmth = self.warmth(server)
-            if warmth == 1.0 or self.now_us >= server.next_cold_us:
+            if warmth == 1.0 or self.now_us >= server.next_cold_send_us:
                 free.append(server)
-                paced = warmth < 1.0 and self.is_one_of_many  # by its pace alone
-                weights.append(min(float(slots), server.window.slots) * server.size * server.favour
+                paced = warmth < 1.0 and self.in_large_fleet  # by its pace alone
+                weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
                                * (1.0 if paced else warmth))
-                room += 0.0 if paced else min(1.0, server.window.slots) * server.size
-                if room >= self.subset:
+                room += 0.0 if paced else min(1.0, server.window.slots) * server.relative_weight
+                if room >= self.subset_slots:
                     break
         return self.random.choices(free, weights)[0] if free else None
 
-    def arm(self) -> None:
+    def arm_timer(self) -> None:
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
-            self.look()
-            opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many else self.window.rest_until_us]
-            opens += [max(s.next_cold_us, s.window.rest_until_us) for s in self.order]
+            self.refresh_weights()
+            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+                     else self.window.paused_until_us]
+            opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
-        if times and (self.armed_us == 0 or min(times) < self.armed_us):
-            self.armed_us = min(times)
-            self.actions.append(api.SetTimer(self.armed_us, 0))
+        if times and (self.armed_timer_us == 0 or min(times) < self.armed_timer_us):
+            self.armed_timer_us = min(times)
+            self.actions.append(api.SetTimer(self.armed_timer_us, 0))
 
 
 def settings_of(random: Random) -> api.Settings:
@@ -231,7 +232,7 @@
         plain = [seen * (1.0 - 1.0 / 200) for seen in plain]
         plain[tenant] += 1.0
         if not step % 100:
-            assert balancer.tenant_seen == pytest.approx(plain, rel=1e-9)
-            assert balancer.tenant_weights[tenant] / balancer.tenant_weight == pytest.approx(
+            assert balancer.tenant_arrivals == pytest.approx(plain, rel=1e-9)
+            assert balancer.tenant_arrival_weights[tenant] / balancer.total_arrival_weight == pytest.approx(
                 plain[tenant] / sum(plain), rel=1e-9)
     assert balancer.arrival_weight < 1e13
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The sidecar's timers, all behind one of the loop's."""
+"""The sidecar's timers, which share a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.sockets import run, until
 
 
-def test_each_acts_once_and_never_before_its_time() -> None:
+def test_each_timer_fires_once_and_never_early() -> None:
     async def test() -> None:
         clock, random = Clock(), Random(1)
         timers = TimerQueue(clock)
@@ -31,7 +31,7 @@
     run(test)
 
 
-def test_they_act_in_the_order_of_time_and_of_asking() -> None:
+def test_timers_fire_in_order_of_time_and_then_of_creation() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = TimerQueue(clock), []
@@ -44,7 +44,7 @@
     run(test)
 
 
-def test_a_cancelled_one_does_not_act_also_if_another_of_its_moment_cancels_it() -> None:
+def test_a_timer_cancelled_by_another_of_the_same_moment_does_not_fire() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = TimerQueue(clock), []
@@ -55,7 +55,7 @@
             told.append("first")
             assert second is not None
             second.cancel()
-            second.cancel()  # again: no harm
+            second.cancel()  # cancelling it again does no harm
 
         timers.schedule(at_us, first)
         second = timers.schedule(at_us, lambda: told.append("second"))
@@ -66,7 +66,7 @@
     run(test)
 
 
-def test_one_that_fails_keeps_no_other_from_acting() -> None:
+def test_a_timer_that_raises_does_not_stop_others() -> None:
     async def test() -> None:
         said: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: said.append(context))
@@ -82,7 +82,7 @@
     run(test)
 
 
-def test_one_asked_for_while_another_acts_comes_too() -> None:
+def test_a_timer_created_by_a_firing_timer_fires() -> None:
     async def test() -> None:
         clock = Clock()
         timers, told = TimerQueue(clock), []
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_cancelled_ones_of_far_moments_do_not_pile_up() -> None:
+def test_cancelled_timers_of_the_far_future_do_not_pile_up() -> None:
     async def test() -> None:
         clock = Clock()
         timers = TimerQueue(clock)
@@ -112,7 +112,7 @@
     run(test)
 
 
-def test_the_loop_is_asked_for_few_timers() -> None:
+def test_many_timers_need_few_timers_of_the_event_loop() -> None:
     async def test() -> None:
         timers, clock = TimerQueue(Clock()), Clock()
         asked = 0
@@ -133,7 +133,7 @@
 
 
 @given(st.binary(max_size=20), st.sampled_from([b"?sid=", b"?x=1&sid=", b"?s%69d=", b"?", b"", b"?sid=a&sid="]))
-def test_what_a_request_is_about_is_read_as_the_library_reads_it(value: bytes, before: bytes) -> None:
+def test_the_subject_of_a_request_is_parsed_as_by_the_standard_library(value: bytes, before: bytes) -> None:
     target = b"/api" + before + value.replace(b"?", b"")
     query = target.partition(b"?")[2].decode("latin-1")
     assert subject(target) == parse_qs(query).get("sid", [""])[0]
