--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -35,7 +35,7 @@
     discovery_timeout_us: int  # discovery answers a call within so long, or it will not
     upstream_idle_timeout_us: int  # an upstream closes a connection that has been idle for this long
     directory: Directory  # reads discovery's lists with the settings' zone and kind names
-    known: Listing  # the list as last known; may be empty or old
+    last_known_list: Listing  # the list as last known; may be empty or old
     document: Mapping[str, Any]  # the JSON that all this was read from
     generation: int = 0  # of the overlay that it was started with; 0 = none
     overlay: Mapping[str, Any] = field(default_factory=dict)
@@ -78,7 +78,7 @@
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
-        last_known_list = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
+        known = directory.read(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
             name=told("GW_NAME", "name"),
             listen=parse_address(told("GW_LISTEN", "listen"), "listen"),
@@ -91,7 +91,7 @@
             discovery_timeout_us=_answer_us(options),
             upstream_idle_timeout_us=options.whole("bounds.conn-idle", "15000000"),
             directory=directory,
-            known=last_known_list,
+            last_known_list=known,
             document=data,
         )
     except settings.SettingsError as error:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -231,7 +231,7 @@
                                    half)
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, half, self.clock.now_us, self.ledger)
-        self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
+        self.discovery = Discovery(config.discovery, config.directory, config.last_known_list.generation, self.on_list,
                                    config.discovery_timeout_us / 1e6, self.log, self.balancer.list_turn_us() > 0,
                                    config.seed)
         self.requests: dict[int, Request] = {}
@@ -254,7 +254,7 @@
 
     async def start(self, reuse_port: bool = False) -> int:
         """Listen, with the list as last known; gives the port."""
-        self.on_list(api.ListKind.CACHED, self.config.known)
+        self.on_list(api.ListKind.CACHED, self.config.last_known_list)
         self.port = await self.server.listen(self.config.listen, reuse_port)
         return self.port
 
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -347,8 +347,8 @@
                                 "which other agents open too, got neither")
     if agent.standby and agent.services:
         raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] "
-                                f"beside it, got {len(agent.services)}: who leads changes, and local processes stay with their "
-                                "agent")
+                                f"beside it, got {len(agent.services)}: who leads changes, and local processes stay "
+                                "with their agent")
     for key in ("password_file", "synchronous_commit"):
         if key in table.values and not agent.postgresql:
             raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, "
--- a/tests/ends/test_starts.py
+++ b/tests/ends/test_starts.py
@@ -79,7 +79,7 @@
         for number in range(COUNT):
             made = config(discovery.port, ENTRY, **settings_of({}, instances=200))
             sidecar = Sidecar(replace(made, seed=1000 * seed + number))
-            sidecar.on_list(ListKind.CACHED, made.known)
+            sidecar.on_list(ListKind.CACHED, made.last_known_list)
             sidecars.append(sidecar)
         # nine in ten within 10 s: all at once, as they have the list as last known
         assert all(sidecar.is_ready() for sidecar in sidecars)
