--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -834,7 +834,7 @@
         server.failing, server.mute = lesson.failing, min(lesson.timeout_doublings, trust.MOST_MUTE)
         if lesson.first_hand:  # what we sent before a restart still warms it up
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
-            server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_send_us, self.now_us + gap_us))
+            server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_us, self.now_us + gap_us))
 
     def test(self, server: Server, outcome: api.Outcome | None, elapsed_us: int) -> None:
         """The first attempt of ours at an upstream that we were told of: its answer opens what was shut, and
--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -348,7 +348,7 @@
     min_latency_us: int = 0  # quickest answer; 0 = none
     failing: bool = False
     timeout_doublings: int = 1
-    next_cold_send_us: int = 0  # while it is cold, no send before this
+    next_cold_us: int = 0  # while it is cold, no send before this
     first_hand: bool = True  # seen by this sidecar, now or in its former process; else another's word
 
 
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -284,7 +284,7 @@
     return NamedLesson(
         name, lesson.started_us, ago(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
         lesson.failing, min(64, lesson.timeout_doublings),
-        max(0, min(3_600_000_000, lesson.next_cold_send_us - told_us)), lesson.first_hand)
+        max(0, min(3_600_000_000, lesson.next_cold_us - told_us)), lesson.first_hand)
 
 
 def lessons_of(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
