--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -554,7 +554,8 @@
     def may_send(self, request: Request) -> bool:
         """Rules 1 and 2 as far as they don't depend on the upstream."""
         s, sent = self.settings, len(request.attempts)
-        if request.done or request.streaming or self.now_us >= request.event.deadline_us or sent >= s.max_attempts:
+        if (request.done or request.streaming or self.now_us >= request.event.deadline_us
+                or sent >= s.max_attempts):
             return False
         if request.out > 0 and not s.hedging:
             return False
--- a/ironscale/trust.py
+++ b/ironscale/trust.py
@@ -121,16 +121,14 @@
         now_us, zone, median(windows) if windows else 0.0, int(median(confirmed)),
         tuple(_agreed_upstream(found) for found in by_process.values()),
         tuple(api.LearnedClass(name, int(median([(float(c.confirmed_us), w) for c, w in found])),
-                              median([(c.mean_us, w) for c, w in found]),
-                              median([(c.base_us, w) for c, w in found]))
+            median([(c.mean_us, w) for c, w in found]), median([(c.base_us, w) for c, w in found]))
               for name, found in by_class.items()),
         tuple((name, median(found)) for name, found in tenants.items()))
 
 
 def _agreed_upstream(found: Sequence[tuple[api.LearnedUpstream, float, bool]]) -> api.LearnedUpstream:
-    least = [(float(lesson.min_latency_us), worth) for lesson, worth, near in found
-             if near and lesson.min_latency_us > 0]
+    lows = [(float(one.min_latency_us), w) for one, w, near in found if near and one.min_latency_us > 0]
     slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
     # the median of lessons, not a mixture: silent with open slots would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if shown(lesson) == slots)
-    return replace(lesson, min_latency_us=int(median(least)) if least else 0, next_cold_send_us=0, first_hand=False)
+    return replace(lesson, min_latency_us=int(median(lows)) if lows else 0, next_cold_us=0, first_hand=False)
--- a/tests/learned/test_trust.py
+++ b/tests/learned/test_trust.py
@@ -266,13 +266,13 @@
     entry = upstreams(1, started_us=START_US - S)
     world = World(settings(hedging=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
-        told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9)))
+        told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
     world.tell_list(entry)
     until_us = world.balancer.servers[100].next_cold_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
     other = World(settings(hedging=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
-        told(100, 1.0, started_us=START_US - S, next_cold_send_us=START_US + 10**9, first_hand=False)))
+        told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
     other.tell_list(entry)
     assert other.balancer.servers[100].next_cold_us < until_us
 
@@ -412,7 +412,7 @@
         return told(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
                     started_us=rng.choice([0, START_US - S]), min_latency_us=rng.choice([0, 1, 10**9]),
                     failing=rng.random() < 0.5, timeout_doublings=rng.choice([1, 2, 64]),
-                    next_cold_send_us=rng.choice([0, 2 * START_US]),
+                    next_cold_us=rng.choice([0, 2 * START_US]),
                     first_hand=rng.random() < 0.5)
 
     def any_lessons() -> LearnedState:
