--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -1,6 +1,7 @@
-"""The bench's wire: frames to interface events, interface actions to frames, settings from text.
+"""The binary protocol between a simulator and the decision module.
 
-No decision is made here. `WireError` says in one line what is malformed and where.
+Decodes frames to the events of `ironscale.interface`, encodes its actions to frames, and parses settings from text.
+Makes no decisions. A `WireError` says in one line what is malformed and where.
 """
 
 from __future__ import annotations
@@ -40,12 +41,12 @@
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read."""
+    """A frame or a setting is malformed; the text is one line."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance comes up with no state."""
+    """An instance starts with no state."""
 
     seed: int
     options: str
@@ -53,12 +54,12 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """The instance was killed."""
 
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the decision code has failed; the text says how."""
+    """Action: the decision module raised an exception, which the text describes."""
 
     text: str
 
@@ -68,7 +69,7 @@
 
 
 class Decoder:
-    """Reads batches; remembers the numbered upstream lists, which events refer to."""
+    """Decodes batches. Keeps the numbered upstream lists, because later events refer to them by number."""
 
     def __init__(self) -> None:
         self.upstream_lists: dict[int, list[api.Upstream]] = {}
@@ -76,7 +77,7 @@
         self.offset = 0
 
     def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, WireEvent]]:
-        """The (instance, event) pairs of a batch's body, in order."""
+        """Yields the (instance, event) pairs of a batch's body, in order. Raises WireError."""
         self.data, self.offset = data, 0
         for index in range(count):
             start = self.offset
@@ -110,7 +111,7 @@
     def read_floats(self, count: int) -> list[float]:
         values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
-            raise WireError("a load report value that is not a finite number")
+            raise WireError("a load report value is not a finite number")
         return values
 
     def read_list(self) -> None:
@@ -220,18 +221,18 @@
 
 
 def encode_action(instance: int, action: WireAction) -> bytes:
-    """One action record."""
+    """One action as a record of a reply frame."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """A complete reply frame of encoded action records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
 
 
 def parse_settings(text: str) -> api.Settings:
-    """The settings of one instance, from the start-up record's path=value lines."""
+    """The settings of one instance, from the path=value lines of its start record. Raises WireError."""
     try:
         return settings.read(settings.from_text(text))
     except settings.SettingsError as error:
