--- a/ironscale/__init__.py
+++ b/ironscale/__init__.py
@@ -1,1 +1,1 @@
-"""ironscale: the decisions of a sidecar balancer for service-to-service calls."""
+"""ironscale: a load-balancing sidecar for calls between services."""
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -4,7 +4,8 @@
 
 import signal
 
-# Hazard: it would end the process, and the imports alone take a tenth of a second. The configuration is read later.
+# By default SIGHUP ends the process, and it may arrive during the imports, which take about 0.1 s. It asks for a
+# reload, and the configuration is read later anyway, so it can be ignored here.
 if __name__ == "__main__":
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
@@ -24,7 +25,7 @@
 from ironscale.net.errors import passes  # noqa: E402
 from ironscale.net.sidecar import Extension, Sidecar, StartFailed, serve  # noqa: E402
 
-START_PATIENCE_S = 20.0  # of 30 s that a start may take
+START_PATIENCE_S = 20.0  # a start may take 30 s in all
 START_AGAIN_S = 0.1
 
 
@@ -40,14 +41,14 @@
             error = failed.__cause__ or failed
             if not passes(error) or time.monotonic() >= give_up_s:
                 return said(error)
-            logs.line(f"ironscale: {error}; the start is tried again")
+            logs.line(f"ironscale: {error}; retrying the start")
             time.sleep(START_AGAIN_S)
         except (ConfigError, OSError) as error:
             return said(error)
 
 
 def run(environ: Mapping[str, str]) -> None:
-    """One sidecar, from its start to its end. Raises StartFailed as long as it has taken nothing."""
+    """Runs one sidecar from its start to its end. Raises StartFailed for an error before it accepts requests."""
     try:
         beside, reuse_port = operated(environ)
         loop = uvloop.new_event_loop()
@@ -59,14 +60,14 @@
     except OSError as error:
         if inspect.getcoroutinestate(serving) != inspect.CORO_CREATED:
             raise
-        raise StartFailed from error  # the loop could not run
+        raise StartFailed from error  # the event loop could not run
     finally:
         tear_down(loop)
         serving.close()
 
 
 def tear_down(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancels what is left. Nothing is owed any more: what fails here is said and changes nothing."""
+    """Cancels the remaining tasks and closes the loop. All requests are answered by now, so an error is only logged."""
     left = asyncio.all_tasks(loop)
     for task in left:
         task.cancel()
@@ -79,13 +80,14 @@
 
 
 def said(error: BaseException) -> int:
-    """The status of a process that ends by this error."""
+    """Logs the error that ends the process and returns the exit status: 2 for a wrong configuration, else 1."""
     logs.line(f"ironscale: {error}")
     return 2 if isinstance(error, ConfigError) else 1
 
 
 def operated(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
-    """What the operator file switches on. Nothing of it is loaded where no variable names one."""
+    """The extension for what the operator file enables, and whether the listener shares its port (SO_REUSEPORT). If no
+    environment variable names an operator file or an agent, none of these modules are imported."""
     if not environ.get("GW_OPERATOR") and not environ.get("GW_AGENT"):
         return None, False
     from ironscale import operator_file
@@ -94,7 +96,7 @@
         found = operator_file.from_environment(environ)
         subsystems: list[Extension] = []
         channel = None
-        if found.store is not None:  # the first: not one request may pass by it
+        if found.store is not None:  # started first, so that no request can bypass the stores
             from ironscale.record.beside import beside as store_beside
 
             subsystems.append(store_beside(found.store))
@@ -118,7 +120,7 @@
 
 
 def together(subsystems: list[Extension]) -> Extension | None:
-    """All of them beside one sidecar; the last to start is the first to end."""
+    """Combines extensions into one. They start in this order and end in the reverse order."""
     if len(subsystems) < 2:
         return subsystems[0] if subsystems else None
 
--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -1,4 +1,5 @@
-"""Hosts many instances of the decision module on the bench's wire: one reply for each batch."""
+"""Runs many instances of the decision module for a simulator: reads batches of events on standard input, writes one
+reply of actions for each batch on standard output."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer at the end of input."""
+    """Reads `size` bytes, or fewer if the input ends first."""
     data = source.read(size)
     while len(data) < size:
         more = source.read(size - len(data))
@@ -21,13 +22,14 @@
 
 
 class Host:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+    """The running instances. They share only the decoder's upstream lists."""
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
         self.instances: dict[int, Balancer] = {}
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+        """Handles the events of one batch; returns the reply frame. Raises WireError."""
         records: list[bytes] = []
         for instance, event in self.decoder.decode_batch(body, count):
             if isinstance(event, wire.InstanceStarted):
@@ -39,14 +41,14 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([wire.encode_action(instance, action) for action in actions])
-                except Exception as error:  # a bug in the decisions is told on the wire, not hidden
+                except Exception as error:  # a bug in the decision module is reported in the reply, not hidden
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode_action(instance, wire.InternalError(text)))
         return wire.encode_reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answers batches until the input ends. Raises WireError, with the number of the malformed batch."""
     host = Host()
     number = 0
     while True:
@@ -75,7 +77,7 @@
         print(f"ironscale: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("ironscale: the reader of our replies is gone", file=sys.stderr)
+        print("ironscale: standard output was closed by its reader", file=sys.stderr)
         return 3
     return 0
 
--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -1,5 +1,5 @@
-"""The process's log on standard error. Logging neither raises nor blocks: what cannot be written now is kept, within
-bounds, and written with a later line."""
+"""The log of the process on standard error. Logging neither raises nor blocks: lines that cannot be written at once are
+kept in a bounded buffer and written with a later line."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 import sys
 
 MOST_WAITING_BYTES = 64 << 10
-PIECE_BYTES = select.PIPE_BUF  # a pipe that is ready for writing takes so much without blocking
+PIECE_BYTES = select.PIPE_BUF  # a pipe that is ready for writing accepts this much without blocking
 
 
 class Log:
-    """Lines to a descriptor, or to `sys.stderr` where that has none (a test's capture)."""
+    """Writes lines to a file descriptor (default: that of `sys.stderr`), or to the `sys.stderr` object if it has no
+    descriptor, as when a test captures it."""
 
     def __init__(self, descriptor: int | None = None) -> None:
         self.descriptor = descriptor
-        self.waiting = bytearray()  # whole lines, but for the first, of which a part may have been written
-        self.dropped = 0  # lines, for want of room; told with the next line that finds some
-        self.failed = 0  # writes, since the start
+        self.waiting = bytearray()  # whole lines, except that a part of the first may already be written
+        self.dropped = 0  # lines dropped because the buffer was full; reported with the next line that fits
+        self.failed = 0  # failed writes since the start
 
     def write_line(self, text: str) -> None:
         data = f"{text}\n".encode(errors="backslashreplace")
@@ -35,20 +36,20 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes what waits, as far as it can be written at once."""
+        """Writes as much of the buffer as possible without blocking."""
         try:
             while self.waiting and self.is_ready():
                 del self.waiting[:self.write(bytes(self.waiting[:PIECE_BYTES]))]
-        except (OSError, ValueError):  # the latter: the stream has been closed
+        except (OSError, ValueError):  # ValueError: the stream is closed
             self.failed += 1
 
     def target(self) -> int:
-        """The descriptor; -1 where there is none."""
+        """The file descriptor; -1 if there is none."""
         if self.descriptor is not None:
             return self.descriptor
         try:
             return sys.stderr.fileno()
-        except (OSError, ValueError, AttributeError):  # a capture; closed; None as descriptor 2 was closed at the start
+        except (OSError, ValueError, AttributeError):  # captured; closed; None, as descriptor 2 was closed at start
             return -1
 
     def is_ready(self) -> bool:
@@ -69,7 +70,7 @@
 
 
 class Handler(logging.Handler):
-    """Brings the records of libraries, the event loop's among them, into the process's log."""
+    """Writes the log records of libraries, including those of the event loop, to the log of the process."""
 
     def emit(self, record: logging.LogRecord) -> None:
         line(self.format(record))
@@ -79,10 +80,10 @@
 
 
 def line(text: str) -> None:
-    """Adds a line to the process's log."""
+    """Adds a line to the log of the process."""
     _process_log.write_line(text)
 
 
 def flush() -> None:
-    """Writes what an earlier line left waiting."""
+    """Writes lines that are still in the buffer, as far as possible without blocking."""
     _process_log.flush()
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator file: one reader for everything that is off unless it is named there.
+"""Reads the operator file, a TOML file that enables optional parts: each is off unless the file has its table.
 
-One error style: file, key path, what was expected, what stood there, in one line.
+Every error is one line that names the file, the key path, the expected and the actual value.
 """
 
 from __future__ import annotations
@@ -24,117 +24,118 @@
 
 
 class OperatorFileError(TableError):
-    """An operator file that cannot be used; the text is one line."""
+    """The operator file, or a file that it names, cannot be used; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """`[control]`: the instance's side. It dials the agent and keeps one connection."""
+    """`[control]`: how an instance connects to its agent. It keeps one connection open."""
 
-    agents: tuple[Address, ...]  # one, or several of which one leads
+    agents: tuple[Address, ...]  # one agent, or several of which one is the leader
     token_file: Path
     zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Versions:
-    """`[versions]`: the instance follows published configuration, at any of these agents."""
+    """`[versions]`: the instance follows published configuration versions from any one of these agents."""
 
     agents: tuple[Place, ...]
     service: str = ""
-    zone: str = ""  # empty = that of [control]
+    zone: str = ""  # empty = the zone of [control]
     region: str = ""
-    token_file: Path | None = None  # else that of [control]
+    token_file: Path | None = None  # None = the token file of [control]
 
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """`[learned]`: what a sidecar has learned outlives it. At least one of its ways is named."""
+    """`[learned]`: what a sidecar has learned is kept over a restart or taken over from other sidecars. At least one of
+    `folder`, `teach`, `ask` and `from_agent` is set."""
 
-    folder: Path | None = None  # a file for each sidecar in it, by its name
-    every_s: float = 5.0
-    teach: Address | None = None  # newcomers ask here; loopback
-    ask: tuple[Address, ...] = ()  # where others teach
-    from_agent: bool = False  # the agent names some that teach
+    folder: Path | None = None  # holds one file for each sidecar, named after it
+    every_s: float = 5.0  # time between two writes of the file
+    teach: Address | None = None  # loopback address where new sidecars can fetch it
+    ask: tuple[Address, ...] = ()  # addresses of other sidecars to fetch it from at start
+    from_agent: bool = False  # the agent names sidecars to fetch it from
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """`[record]`: arrivals, as a trace to replay."""
+    """`[record]`: arriving requests are recorded as a trace that can be replayed."""
 
-    file: Path  # and the one before, with `.1` behind its name
-    most_mb: float = 64.0  # of both together
+    file: Path  # the previous file is kept under this name with `.1` appended
+    most_mb: float = 64.0  # limit on both files together
 
 
 @dataclass(frozen=True, slots=True)
 class StoreTarget:
-    """`[[store.to]]`: one store of record, either of both kinds."""
+    """`[[store.to]]`: one store of record, either SQLite or PostgreSQL."""
 
     name: str
     sqlite: Path | None = None
-    postgresql: str = ""  # a connection string of libpq's, several hosts and TLS among its settings; no password
+    postgresql: str = ""  # libpq connection string without a password; it may name several hosts and TLS settings
     password_file: Path | None = None
-    connections: int = 8  # PostgreSQL: open at most
-    synchronous_commit: str = "on"  # PostgreSQL: what a confirmed record has survived
-    queue: int = 4_096  # SQLite: writes that wait at most
+    connections: int = 8  # PostgreSQL: maximum number of open connections
+    synchronous_commit: str = "on"  # PostgreSQL: durability of a confirmed record
+    queue: int = 4_096  # SQLite: maximum number of waiting writes
 
 
 @dataclass(frozen=True, slots=True)
 class Stores:
-    """`[store]`: requests of these classes are written to a store of record in place of being sent to an upstream."""
+    """`[store]`: requests of these classes are written to a store of record instead of being sent to an upstream."""
 
-    file: str  # for errors that show only with the configuration at hand
+    file: str  # the operator file, for errors found only once the configuration is known
     classes: tuple[str, ...]
     to: tuple[StoreTarget, ...]
-    by: str = "tenant"  # what chooses among several
-    upstreams: str = "none"  # whether they are also sent to one, and when: none, first, last
-    journal: Path | None = None  # folder: outcomes that were left open, a file a process
+    by: str = "tenant"  # what chooses one of several stores: tenant or key
+    upstreams: str = "none"  # whether a request is also sent to an upstream: none, first (before the store), last
+    journal: Path | None = None  # folder with one file for each process, for writes whose outcome is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Sidecar:
     """`[sidecar]`: how the listener is opened."""
 
-    reuse_port: bool = False  # a successor may listen on the same port before this one has ended
+    reuse_port: bool = False  # SO_REUSEPORT: a successor may listen on the same port before this process has ended
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """`[[agent.service]]`: local instances that the agent starts and keeps running."""
+    """`[[agent.service]]`: local instances that the agent starts and restarts."""
 
-    name: str  # instances are called name-0, name-1 ...
+    name: str  # the instances are named name-0, name-1 ...
     count: int
     config: Path  # JSON; its `name`, `listen` and `settings.self-index` are set for each instance
     host: str = "127.0.0.1"
-    first_port: int = 0  # instance i listens on first_port + i; 0 = each on one from the kernel
+    first_port: int = 0  # instance i listens on first_port + i; 0 = on a port that the kernel chooses
     zone: str = ""
     environment: Mapping[str, str] = field(default_factory=dict)
-    stop_s: float = 8.0  # from SIGTERM to SIGKILL; no less than the longest deadline and 1.5 s
-    make_before_break: bool = False  # the successor starts on the same port before the old one is told to end
+    stop_s: float = 8.0  # time from SIGTERM to SIGKILL; should be at least the longest deadline plus 1.5 s
+    make_before_break: bool = False  # the successor starts on the same port before the old process is told to stop
 
 
 @dataclass(frozen=True, slots=True)
 class Agent:
     """`[agent]`: the agent itself."""
 
-    data: Path = Path(".ironscale")  # folder of the store and the tokens
-    control: Address = ("127.0.0.1", 7400)  # instances dial here
+    data: Path = Path(".ironscale")  # folder of the database and the tokens
+    control: Address = ("127.0.0.1", 7400)  # instances connect here
     api: Address = ("127.0.0.1", 7401)  # GraphQL over HTTP
     remote: bool = False  # addresses other than loopback are allowed
-    introspection: bool = True
+    introspection: bool = True  # of the GraphQL schema
     lease_s: float = 6.0
     heartbeat_s: float = 2.0
     most_instances: int = MOST_INSTANCES
     services: tuple[Service, ...] = ()
     budgets: tuple[Budget, ...] = ()
-    file: str = ""  # for errors that show only with the record at hand
-    postgresql: str = ""  # the record: a connection string without a password; empty = SQLite in `data`
-    record: Path | None = None  # SQLite elsewhere: a file that several agents of this machine open
-    standby: bool = False  # while another agent has the record: follow it, and lead after it
-    term_s: float = 10.0  # the lease on a record that several agents may open
+    file: str = ""  # the operator file, for errors found only once the database is open
+    postgresql: str = ""  # connection string of the database, without a password; empty = SQLite in `data`
+    record: Path | None = None  # an SQLite file elsewhere, which several agents on this machine may open
+    standby: bool = False  # while another agent leads, follow it, and take over when it ends
+    term_s: float = 10.0  # lease of the leader on a database that several agents may open
     password_file: Path | None = None
     synchronous_commit: str = "on"
-    token_file: Path | None = None  # of role instance: with it the agent that leads is told who runs what here
+    token_file: Path | None = None  # token of role instance, to report to the leader what its followers run
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +188,7 @@
 
 
 def _versions(table: Table) -> Versions:
-    from ironscale.versions.choice import Place  # a sidecar that follows nobody loads none of it
+    from ironscale.versions.choice import Place  # not loaded by a sidecar without [versions]
 
     places = []
     for entry in table.tables("agent"):
@@ -212,7 +213,7 @@
 
 
 def _learned(table: Table) -> Learned:
-    # anyone who reaches the address may ask, and what is told names upstreams: so it stays on the machine
+    # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
     teach = table.get("teach", "HOST:PORT on a loopback address", _loopback) if "teach" in table.values else None
     learned = Learned(
         folder=table.file_path("folder") if "folder" in table.values else None,
@@ -273,9 +274,10 @@
 
 
 def _budget(table: Table) -> Budget:
-    from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # a sidecar loads none of it
+    from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # not loaded by sidecars
 
-    patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}  # `name` is the budget's own
+    # the key `name` is the budget's own name, so the pattern for unit names has the key `names`
+    patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}
     where = tuple((name, table.string(key)) for key, name in patterns.items() if key in table.values)
     budget = Budget(
         name=table.string("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
@@ -369,7 +371,7 @@
 
 
 def parse(text: str, file: str, folder: Path) -> OperatorFile:
-    """Checks the whole file; relative paths in it start from `folder`."""
+    """Parses and checks the whole file; relative paths in it start from `folder`. Raises OperatorFileError."""
     root = read_toml(text, file, folder, OperatorFileError)
     control = root.table("control")
     sidecar = root.table("sidecar")
@@ -402,7 +404,7 @@
 
 
 def read_secret(path: Path) -> str:
-    """A token from a file that nobody else can read."""
+    """Reads a token from a file that only its owner can read. Raises OperatorFileError."""
     try:
         mode = path.stat().st_mode
         text = path.read_text(encoding="ascii").strip()
@@ -417,7 +419,8 @@
 
 
 def from_environment(environ: Mapping[str, str]) -> OperatorFile:
-    """GW_OPERATOR names the file; GW_AGENT, GW_AGENT_TOKEN_FILE and GW_ZONE go before its [control]."""
+    """Reads the file that GW_OPERATOR names, if it is set. GW_AGENT, GW_AGENT_TOKEN_FILE and GW_ZONE take precedence
+    over its [control]. Raises OperatorFileError."""
     path = environ.get("GW_OPERATOR")
     found = load(path) if path else OperatorFile()
     if not environ.get("GW_AGENT"):
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -1,4 +1,4 @@
-"""The operators' settings: from the simulator's text or the configuration's JSON to `Settings`."""
+"""Reads the operator's `Settings` from the simulator's path=value lines or from the JSON configuration."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 from ironscale import interface as api
 
-# Load report values: the settings' names and ours; a name not known here is kept as it is.
+# Values of load reports: the name in the settings, and the name used here. Other names are kept as they are.
 _REPORT_NAMES = {"rif": "in_flight", "q": "queued", "busy": "utilization", "lat_ms": "latency_ms",
                  "rate": "served_per_s", "fail_rate": "errors_per_s"}
 
 
 class SettingsError(Exception):
-    """A setting that cannot be read; the text is one line."""
+    """A setting cannot be read; the text is one line."""
 
 
 class Options:
-    """Settings as path=value pairs, read with checks."""
+    """Settings as pairs of a path and a text. The readers check and convert; they raise SettingsError. Without a
+    default a setting is required."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
@@ -54,7 +55,7 @@
 
 
 def from_text(text: str) -> Options:
-    """Settings as `path=value` lines."""
+    """Parses `path=value` lines. Raises SettingsError."""
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -67,7 +68,8 @@
 
 
 def from_object(value: object) -> Options:
-    """Settings as a JSON object: the same paths, with `.count` and numbers for lists of objects."""
+    """Flattens a JSON object to the same paths as in text: a list of objects becomes `PATH.count`, `PATH.0`,
+    `PATH.1` ..., any other list a text with commas. Raises SettingsError."""
     if not isinstance(value, dict):
         raise SettingsError(f"settings: expected an object, got {type(value).__name__}")
     pairs: dict[str, str] = {}
@@ -112,7 +114,7 @@
 
 
 def read(o: Options) -> api.Settings:
-    """The settings of one instance; keys that are not known are skipped."""
+    """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
             classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -1,4 +1,4 @@
-"""Tables of TOML files, read with one error style: file, key path, what was expected, what stood there."""
+"""Reads typed values from TOML tables. Every error names the file, the key path, the expected and the actual value."""
 
 from __future__ import annotations
 
@@ -12,11 +12,15 @@
 
 
 class TableError(Exception):
-    """A file that cannot be used; the text is one line."""
+    """A file cannot be used; the text is one line."""
 
 
 class Table:
-    """One table of the file; keys that nobody asked for are errors."""
+    """One table of a file. Its readers record the keys they ask for, so that `reject_unknown_keys` finds the others.
+
+    Readers raise `error_class` if a value has the wrong type, is out of range, or is missing and has no default.
+    Relative paths start from `folder`.
+    """
 
     def __init__(self, file: str, path: str, values: Any, folder: Path,
                  error_class: type[TableError] = TableError) -> None:
@@ -30,11 +34,13 @@
         return f"{self.path}.{key}" if self.path else key
 
     def error_for(self, key: str, expected: str) -> TableError:
+        """The error to raise for the value of `key`."""
         got = repr(self.values[key]) if key in self.values else "nothing"
         return self.error(f"{self.file}: {self.key_path(key)}: expected {expected}, got {got}")
 
     def get(self, key: str, expected: str, read: Callable[[Any], T | None], default: T | None = None) -> T:
-        """The value, checked by `read` (None = not what is expected); without a default it must be there."""
+        """The value as converted by `read`, which returns None for a value that is not as expected. Without a default
+        the key is required."""
         self.asked.add(key)
         if key not in self.values and default is not None:
             return default
@@ -65,7 +71,7 @@
 
     def numbers(self, key: str, least: float, most: float, count: tuple[int, int],
                 default: tuple[float, ...] | None = None) -> tuple[float, ...]:
-        """A list of so many to so many numbers."""
+        """A list of numbers; `count` is its smallest and greatest length."""
         def read(value: Any) -> tuple[float, ...] | None:
             if not isinstance(value, list) or not count[0] <= len(value) <= count[1]:
                 return None
@@ -77,7 +83,7 @@
 
     def interval(self, key: str, least: float, most: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
-        """[low, high]."""
+        """Two numbers, [low, high]."""
         found = self.numbers(key, least, most, (2, 2), default)
         if found[0] > found[1]:
             raise self.error_for(key, "[low, high] with low no greater than high")
@@ -107,6 +113,7 @@
                 for i, entry in enumerate(entries)]
 
     def reject_unknown_keys(self) -> None:
+        """Raises an error for a key that no reader has asked for. Call it after the last read."""
         for key in self.values:
             if key not in self.asked:
                 known = ", ".join(sorted(self.asked)) or "no key"
@@ -114,7 +121,7 @@
 
 
 def _number(value: Any, least: float, most: float) -> float | None:
-    # not-a-number compares false with everything
+    # NaN compares false with everything, so it is rejected here too
     right = isinstance(value, int | float) and not isinstance(value, bool) and least <= value <= most
     return float(value) if right else None
 
@@ -130,7 +137,7 @@
 
 
 def read_toml(text: str, file: str, folder: Path, error: type[TableError]) -> Table:
-    """The file's root; relative paths in it start from `folder`."""
+    """The root table of a TOML file; relative paths in it start from `folder`."""
     try:
         return Table(file, "", tomllib.loads(text), folder, error)
     except tomllib.TOMLDecodeError as reason:
@@ -138,10 +145,12 @@
 
 
 def text_or_none(value: Any) -> str | None:
+    """The value if it is a non-empty printable string, which has no line breaks."""
     return value if isinstance(value, str) and value and value.isprintable() else None
 
 
 def read_address(value: Any) -> Address | None:
+    """Parses HOST:PORT; None if the value is not of that form."""
     host, colon, port = str(value).rpartition(":")
     right = (isinstance(value, str) and colon and host and host.isprintable() and port.isascii()
              and port.isdecimal() and int(port) <= 65535)
--- a/ironscale/tasks.py
+++ b/ironscale/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that have an owner."""
+"""Background tasks whose lifetime is bound to a block of code."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 @contextlib.asynccontextmanager
 async def run_in_background(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Runs `work` beside the block; at its end the work is cancelled and has ended. Its failure is logged and ends
-    nothing else."""
+    """Runs `work` concurrently with the block. When the block ends, `work` is cancelled and awaited. An exception in
+    `work` is logged and does not affect the block."""
     task = asyncio.create_task(log_failure(work))
     try:
         yield
@@ -22,11 +22,12 @@
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
-        work.close()  # it may not have begun
+        work.close()  # it may not have started
 
 
 async def log_failure(work: Coroutine[Any, Any, None]) -> None:
+    """Awaits `work`; logs an exception in place of raising it."""
     try:
         await work
     except Exception:
-        logs.line(f"{getattr(work, '__qualname__', work)} has ended\n{traceback.format_exc()}")
+        logs.line(f"{getattr(work, '__qualname__', work)} failed\n{traceback.format_exc()}")
--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -1,4 +1,5 @@
-"""What the decisions can tell of themselves: to those who look, and to those who learn. Pure, and decides nothing."""
+"""Introspection of the decision module: the state of each upstream for monitoring, and everything learned, for
+storing or sharing it. Pure functions; they change no state."""
 
 from __future__ import annotations
 
@@ -9,15 +10,15 @@
 
 
 def upstream_views(balancer: Balancer) -> list[api.UpstreamView]:
-    """Each upstream as it stands now."""
+    """The current state of each upstream."""
     return [api.UpstreamView(i, s.entry.state, s.window.slots, s.used, s.window.open(balancer.now_us) == 0,
                              balancer.warmth(s), s.failing, s.mute > 1, s.least_us)
             for i, s in balancer.servers.items()]
 
 
 def learned_state(balancer: Balancer, idents: Iterable[int] | None = None) -> api.LearnedState:
-    """What has been learned, of the upstreams `idents` (None: of all). What was recalled and not tested since is told
-    as it was told to the balancer: with its time and whose it was."""
+    """Everything learned, about the upstreams `idents` (None: all). What the balancer was given and has not tested
+    since is returned unchanged, with its original time and source."""
     upstreams = []
     for ident in balancer.servers if idents is None else idents:
         server = balancer.servers.get(ident)
--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -1,4 +1,4 @@
-"""Blocking work beside an event loop."""
+"""Threads for blocking work next to an event loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def start_thread(thread: threading.Thread) -> None:
-    """Starts it, if need be once the system has a thread to give; waits for that. Raises OSError."""
+    """Starts the thread. While the system is out of threads, blocks and tries again for START_TIMEOUT_S, then raises
+    OSError."""
     give_up_s = time.monotonic() + BEGIN_PATIENCE_S
     while True:
         try:
@@ -30,8 +31,8 @@
 
 
 def run_in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
-    """Runs `act` in a thread that does not hold up the end of the process, as an executor's would.
-    Where no thread can be begun the result is an OSError."""
+    """Runs `act` in a daemon thread: unlike a thread of an executor, it does not delay the end of the process. If no
+    thread can be started, the future fails with an OSError."""
     loop = asyncio.get_running_loop()
     future: asyncio.Future[T] = loop.create_future()
 
@@ -49,12 +50,12 @@
             value = act()
         except Exception as error:
             failed = error
-        with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile: nobody waits
+        with contextlib.suppress(RuntimeError):  # the loop has been closed, so nobody waits for the result
             loop.call_soon_threadsafe(tell, value, failed)
 
     future.add_done_callback(lambda done: done.cancelled() or done.exception())
     try:
         threading.Thread(target=run, name="beside", daemon=True).start()
-    except RuntimeError as error:  # the system has no thread to give just now
+    except RuntimeError as error:  # the system is out of threads
         future.set_exception(OSError(errno.EAGAIN, str(error)))
     return future
