--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -41,7 +41,7 @@
             error = failed.__cause__ or failed
             if not passes(error) or time.monotonic() >= give_up_s:
                 return said(error)
-            logs.line(f"ironscale: {error}; retrying the start")
+            logs.write_line(f"ironscale: {error}; retrying the start")
             time.sleep(START_AGAIN_S)
         except (ConfigError, OSError) as error:
             return said(error)
@@ -76,12 +76,12 @@
             loop.run_until_complete(asyncio.wait(left))
         loop.close()
     except (OSError, RuntimeError) as error:
-        logs.line(f"ironscale: the event loop could not be closed: {error}")
+        logs.write_line(f"ironscale: the event loop could not be closed: {error}")
 
 
 def said(error: BaseException) -> int:
     """Logs the error that ends the process and returns the exit status: 2 for a wrong configuration, else 1."""
-    logs.line(f"ironscale: {error}")
+    logs.write_line(f"ironscale: {error}")
     return 2 if isinstance(error, ConfigError) else 1
 
 
--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -101,7 +101,7 @@
         self.authenticate = authenticate
         self.context = context
         self.rules = [*specified_rules, *([] if introspection else [NoSchemaIntrospectionCustomRule])]
-        self.log = log or logs.line
+        self.log = log or logs.write_line
         self.ending = asyncio.Event()
         self.app = Starlette(routes=[Route("/graphql", self.endpoint, methods=["GET", "POST", "HEAD", "OPTIONS", "PUT",
                                                                                "DELETE", "PATCH"])])
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -90,7 +90,7 @@
         return engine.leader.control if engine is not None and engine.leader is not None else ""
 
     def log(self, text: str) -> None:
-        logs.line(f"{time.strftime('%H:%M:%S')} agent: {text}")
+        logs.write_line(f"{time.strftime('%H:%M:%S')} agent: {text}")
 
     @contextlib.contextmanager
     def alone(self) -> Iterator[None]:
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -78,7 +78,7 @@
         self.commands = Commands(identity.boot)
         self.redial = Redial(rng)
         self.slice = Slice()
-        self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
+        self.log_line = log or (lambda text: logs.write_line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
         self.session: Session | None = None
         self.tried = 0  # agents that were dialled in vain since one was there
@@ -154,7 +154,7 @@
         except RestartNeeded as error:
             return CommandResult(command.id, "needs restart", str(error))
         except Exception as error:  # hazard: the agent would wait, and the next frame never be read
-            logs.line(traceback.format_exc())
+            logs.write_line(traceback.format_exc())
             return CommandResult(command.id, "failed", f"{type(error).__name__}: {error}")
         return CommandResult(command.id, "applied", detail, self.report())
 
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -65,7 +65,7 @@
         self.own: _Link | None = None
         self.spread_s = AGAIN_S
         self.rounds = 0  # of all agents, in vain
-        self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
+        self.log_line = log or (lambda text: logs.write_line(f"{who.labels.instance}: {text}"))
         self.next_log_s = 0.0
         self.changed: Callable[[], None] = lambda: None  # what it holds or runs has changed
         self.dialled = 0
@@ -202,7 +202,7 @@
         except RestartNeeded as error:
             state.refused("needs restart", str(error))
         except Exception as error:  # hazard: the connection would break, and the same version come again and again
-            logs.line(traceback.format_exc())
+            logs.write_line(traceback.format_exc())
             state.refused("failed", f"{type(error).__name__}: {error}")
         else:
             state.applied()
--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -140,7 +140,7 @@
         now_us = self.sidecar.clock.now_us()
         if now_us - self.said_us >= SAY_S * 1e6:
             self.said_us = now_us
-            logs.line(f"{self.sidecar.config.name}: record: {text}")
+            logs.write_line(f"{self.sidecar.config.name}: record: {text}")
 
 
 def beside(record: Record) -> Extension:
--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -73,13 +73,13 @@
     """Writes the log records of libraries, including those of the event loop, to the log of the process."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        line(self.format(record))
+        write_line(self.format(record))
 
 
 _process_log = Log()
 
 
-def line(text: str) -> None:
+def write_line(text: str) -> None:
     """Adds a line to the log of the process."""
     _process_log.write_line(text)
 
--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -218,7 +218,7 @@
         try:
             self.server.application.on_request(exchange)
         except Exception:  # hazard: it would look like a broken parse and leave the request unanswered
-            logs.line(traceback.format_exc())
+            logs.write_line(traceback.format_exc())
             exchange.answer(502)
 
     def answer(self, exchange: Exchange, status: int, headers: Iterable[tuple[bytes, bytes]],
--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -23,7 +23,7 @@
         try:
             self.act()
         except Exception:
-            logs.line(f"{getattr(self.act, '__qualname__', self.act)}: tried again\n{traceback.format_exc()}")
+            logs.write_line(f"{getattr(self.act, '__qualname__', self.act)}: tried again\n{traceback.format_exc()}")
 
     def cancel(self) -> None:
         self.handle.cancel()
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -50,7 +50,7 @@
     def __init__(self, application: Application, most: int, now_us: Callable[[], int],
                  ledger: Ledger | None = None) -> None:
         self.application = application
-        self.ledger = ledger or Ledger(now_us, logs.line)
+        self.ledger = ledger or Ledger(now_us, logs.write_line)
         self.most = most  # connections
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
@@ -234,7 +234,7 @@
         try:
             return self.closing.step()
         except OSError as error:
-            logs.line(f"closing the listener: {error}; tried again")
+            logs.write_line(f"closing the listener: {error}; tried again")
             return False
 
     def drop_listener(self) -> None:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -563,7 +563,7 @@
         return f"upstream {pool.member.name}" if pool else found[0]
 
     def log(self, text: str) -> None:
-        logs.line(f"{self.config.name}: {text}")
+        logs.write_line(f"{self.config.name}: {text}")
 
 
 # What a subsystem runs beside a started sidecar: given the sidecar and what ends the process.
--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -123,7 +123,7 @@
                 self.user.eof_received()
                 self.close()
         except Exception as error:
-            logs.line(f"a connection's user failed: {type(error).__name__}: {error}")
+            logs.write_line(f"a connection's user failed: {type(error).__name__}: {error}")
             self.end(error)
 
     def read_failed(self, error: OSError) -> None:
--- a/ironscale/tasks.py
+++ b/ironscale/tasks.py
@@ -30,4 +30,4 @@
     try:
         await work
     except Exception:
-        logs.line(f"{getattr(work, '__qualname__', work)} failed\n{traceback.format_exc()}")
+        logs.write_line(f"{getattr(work, '__qualname__', work)} failed\n{traceback.format_exc()}")
