--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -8,7 +8,7 @@
 import select
 import sys
 
-MOST_WAITING_BYTES = 64 << 10
+MAX_BUFFER_BYTES = 64 << 10
 PIECE_BYTES = select.PIPE_BUF  # a pipe that is ready for writing accepts this much without blocking
 
 
@@ -26,9 +26,9 @@
         data = f"{text}\n".encode(errors="backslashreplace")
         if self.dropped:
             data = b"log: %d lines were dropped\n%s" % (self.dropped, data)
-        if len(self.waiting) + len(data) > MOST_WAITING_BYTES:
+        if len(self.waiting) + len(data) > MAX_BUFFER_BYTES:
             self.flush()
-        if len(self.waiting) + len(data) > MOST_WAITING_BYTES:
+        if len(self.waiting) + len(data) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self.dropped = 0
