--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -9,7 +9,7 @@
 import sys
 
 MAX_BUFFER_BYTES = 64 << 10
-PIECE_BYTES = select.PIPE_BUF  # a pipe that is ready for writing accepts this much without blocking
+WRITE_CHUNK_BYTES = select.PIPE_BUF  # a pipe that is ready for writing accepts this much without blocking
 
 
 class Log:
@@ -39,7 +39,7 @@
         """Writes as much of the buffer as possible without blocking."""
         try:
             while self.waiting and self.is_ready():
-                del self.waiting[:self.write(bytes(self.waiting[:PIECE_BYTES]))]
+                del self.waiting[:self.write(bytes(self.waiting[:WRITE_CHUNK_BYTES]))]
         except (OSError, ValueError):  # ValueError: the stream is closed
             self.failed += 1
 
