--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -18,7 +18,7 @@
 
     def __init__(self, descriptor: int | None = None) -> None:
         self.descriptor = descriptor
-        self.waiting = bytearray()  # whole lines, except that a part of the first may already be written
+        self.buffer = bytearray()  # whole lines, except that a part of the first may already be written
         self.dropped = 0  # lines dropped because the buffer was full; reported with the next line that fits
         self.failed = 0  # failed writes since the start
 
@@ -26,20 +26,20 @@
         data = f"{text}\n".encode(errors="backslashreplace")
         if self.dropped:
             data = b"log: %d lines were dropped\n%s" % (self.dropped, data)
-        if len(self.waiting) + len(data) > MAX_BUFFER_BYTES:
+        if len(self.buffer) + len(data) > MAX_BUFFER_BYTES:
             self.flush()
-        if len(self.waiting) + len(data) > MAX_BUFFER_BYTES:
+        if len(self.buffer) + len(data) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self.dropped = 0
-        self.waiting += data
+        self.buffer += data
         self.flush()
 
     def flush(self) -> None:
         """Writes as much of the buffer as possible without blocking."""
         try:
-            while self.waiting and self.is_ready():
-                del self.waiting[:self.write(bytes(self.waiting[:WRITE_CHUNK_BYTES]))]
+            while self.buffer and self.is_ready():
+                del self.buffer[:self.write(bytes(self.buffer[:WRITE_CHUNK_BYTES]))]
         except (OSError, ValueError):  # ValueError: the stream is closed
             self.failed += 1
 
