--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -19,19 +19,19 @@
     def __init__(self, descriptor: int | None = None) -> None:
         self.descriptor = descriptor
         self.buffer = bytearray()  # whole lines, except that a part of the first may already be written
-        self.dropped = 0  # lines dropped because the buffer was full; reported with the next line that fits
+        self.dropped_lines = 0  # lines dropped because the buffer was full; reported with the next line that fits
         self.failed = 0  # failed writes since the start
 
     def write_line(self, text: str) -> None:
         data = f"{text}\n".encode(errors="backslashreplace")
-        if self.dropped:
-            data = b"log: %d lines were dropped\n%s" % (self.dropped, data)
+        if self.dropped_lines:
+            data = b"log: %d lines were dropped\n%s" % (self.dropped_lines, data)
         if len(self.buffer) + len(data) > MAX_BUFFER_BYTES:
             self.flush()
         if len(self.buffer) + len(data) > MAX_BUFFER_BYTES:
-            self.dropped += 1
+            self.dropped_lines += 1
             return
-        self.dropped = 0
+        self.dropped_lines = 0
         self.buffer += data
         self.flush()
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -49,7 +49,7 @@
     log = logs.Log(writing)
     for number in range(10_000):
         log.write_line(f"{number:05} {'x' * 100}")
-    assert log.dropped and len(log.buffer) <= logs.MAX_BUFFER_BYTES
+    assert log.dropped_lines and len(log.buffer) <= logs.MAX_BUFFER_BYTES
     found = b""
     for _ in range(200):
         try:
