--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -20,7 +20,7 @@
         self.descriptor = descriptor
         self.buffer = bytearray()  # whole lines, except that a part of the first may already be written
         self.dropped_lines = 0  # lines dropped because the buffer was full; reported with the next line that fits
-        self.failed = 0  # failed writes since the start
+        self.failed_writes = 0  # failed writes since the start
 
     def write_line(self, text: str) -> None:
         data = f"{text}\n".encode(errors="backslashreplace")
@@ -41,7 +41,7 @@
             while self.buffer and self.is_ready():
                 del self.buffer[:self.write(bytes(self.buffer[:WRITE_CHUNK_BYTES]))]
         except (OSError, ValueError):  # ValueError: the stream is closed
-            self.failed += 1
+            self.failed_writes += 1
 
     def target(self) -> int:
         """The file descriptor; -1 if there is none."""
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -86,6 +86,6 @@
     monkeypatch.setattr(os, "write", failing(2))
     for text in ("one", "two", "three"):
         log.write_line(text)
-    assert os.read(reading, 100) == b"one\ntwo\nthree\n" and log.failed == 2
+    assert os.read(reading, 100) == b"one\ntwo\nthree\n" and log.failed_writes == 2
     os.close(reading)
     os.close(writing)
