--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -43,7 +43,7 @@
         except (OSError, ValueError):  # ValueError: the stream is closed
             self.failed_writes += 1
 
-    def target(self) -> int:
+    def file_descriptor(self) -> int:
         """The file descriptor; -1 if there is none."""
         if self.descriptor is not None:
             return self.descriptor
@@ -53,7 +53,7 @@
             return -1
 
     def is_ready(self) -> bool:
-        target = self.target()
+        target = self.file_descriptor()
         if target < 0:
             return True
         poll = select.poll()
@@ -61,7 +61,7 @@
         return any(events & select.POLLOUT for _, events in poll.poll(0))
 
     def write(self, data: bytes) -> int:
-        target = self.target()
+        target = self.file_descriptor()
         if target >= 0:
             return os.write(target, data)
         if sys.stderr is not None:
