--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -31,7 +31,7 @@
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    logging.basicConfig(level=logging.WARNING, handlers=[logs.Handler()])
+    logging.basicConfig(level=logging.WARNING, handlers=[logs.LogHandler()])
     give_up_s = time.monotonic() + START_PATIENCE_S
     while True:
         try:
--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -69,7 +69,7 @@
         return len(data)
 
 
-class Handler(logging.Handler):
+class LogHandler(logging.Handler):
     """Writes the log records of libraries, including those of the event loop, to the log of the process."""
 
     def emit(self, record: logging.LogRecord) -> None:
