--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -13,13 +13,13 @@
 T = TypeVar("T")
 
 
-BEGIN_PATIENCE_S, BEGIN_AGAIN_S = 3.0, 0.01
+START_TIMEOUT_S, BEGIN_AGAIN_S = 3.0, 0.01
 
 
 def start_thread(thread: threading.Thread) -> None:
     """Starts the thread. While the system is out of threads, blocks and tries again for START_TIMEOUT_S, then raises
     OSError."""
-    give_up_s = time.monotonic() + BEGIN_PATIENCE_S
+    give_up_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             thread.start()
