--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 
-START_TIMEOUT_S, BEGIN_AGAIN_S = 3.0, 0.01
+START_TIMEOUT_S, START_RETRY_INTERVAL_S = 3.0, 0.01
 
 
 def start_thread(thread: threading.Thread) -> None:
@@ -27,7 +27,7 @@
         except RuntimeError as error:
             if time.monotonic() >= give_up_s:
                 raise OSError(errno.EAGAIN, str(error)) from error
-            time.sleep(BEGIN_AGAIN_S)
+            time.sleep(START_RETRY_INTERVAL_S)
 
 
 def run_in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
