--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -19,13 +19,13 @@
 def start_thread(thread: threading.Thread) -> None:
     """Starts the thread. While the system is out of threads, blocks and tries again for START_TIMEOUT_S, then raises
     OSError."""
-    give_up_s = time.monotonic() + START_TIMEOUT_S
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             thread.start()
             return
         except RuntimeError as error:
-            if time.monotonic() >= give_up_s:
+            if time.monotonic() >= deadline_s:
                 raise OSError(errno.EAGAIN, str(error)) from error
             time.sleep(START_RETRY_INTERVAL_S)
 
