--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -30,7 +30,7 @@
             time.sleep(START_RETRY_INTERVAL_S)
 
 
-def run_in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
+def run_in_thread(work: Callable[[], T]) -> asyncio.Future[T]:
     """Runs `act` in a daemon thread: unlike a thread of an executor, it does not delay the end of the process. If no
     thread can be started, the future fails with an OSError."""
     loop = asyncio.get_running_loop()
@@ -47,7 +47,7 @@
     def run() -> None:
         value, failed = None, None
         try:
-            value = act()
+            value = work()
         except Exception as error:
             failed = error
         with contextlib.suppress(RuntimeError):  # the loop has been closed, so nobody waits for the result
