--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -36,7 +36,7 @@
     loop = asyncio.get_running_loop()
     future: asyncio.Future[T] = loop.create_future()
 
-    def tell(value: T | None, error: Exception | None) -> None:
+    def set_outcome(value: T | None, error: Exception | None) -> None:
         if future.done():
             return
         if error is not None:
@@ -51,7 +51,7 @@
         except Exception as error:
             failed = error
         with contextlib.suppress(RuntimeError):  # the loop has been closed, so nobody waits for the result
-            loop.call_soon_threadsafe(tell, value, failed)
+            loop.call_soon_threadsafe(set_outcome, value, failed)
 
     future.add_done_callback(lambda done: done.cancelled() or done.exception())
     try:
