--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -45,13 +45,13 @@
             future.set_result(value)  # type: ignore[arg-type]
 
     def run() -> None:
-        value, failed = None, None
+        value, failure = None, None
         try:
             value = work()
         except Exception as error:
-            failed = error
+            failure = error
         with contextlib.suppress(RuntimeError):  # the loop has been closed, so nobody waits for the result
-            loop.call_soon_threadsafe(set_outcome, value, failed)
+            loop.call_soon_threadsafe(set_outcome, value, failure)
 
     future.add_done_callback(lambda done: done.cancelled() or done.exception())
     try:
