--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -207,7 +207,7 @@
     service, zone, region = (table.get(key, "a text", text_or_none, "") for key in ("service", "zone", "region"))
     found = Versions(tuple(places), service, zone, region,
                      token_file=table.file_path("token_file") if "token_file" in table.values else None)
-    table.asked.add("token_file")
+    table.known_keys.add("token_file")
     table.reject_unknown_keys()
     return found
 
@@ -220,7 +220,7 @@
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
         ask=table.get("ask", f"a list of {MOST_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
         from_agent=table.boolean("from_agent", False))
-    table.asked |= {"teach", "folder"}
+    table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
     if learned == Learned(every_s=learned.every_s):
         raise OperatorFileError(f"{table.file}: {table.path}: expected folder, teach, ask or from_agent = true, "
@@ -248,7 +248,7 @@
         connections=table.integer("connections", 1, 1_000, 8),
         synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
         queue=table.integer("queue", 1, 1_000_000, 4_096))
-    table.asked |= {"sqlite", "password_file"}
+    table.known_keys |= {"sqlite", "password_file"}
     table.reject_unknown_keys()
     if (target.sqlite is None) == (not target.postgresql):
         raise OperatorFileError(f"{table.file}: {table.path}: expected sqlite or postgresql, got "
@@ -285,7 +285,7 @@
         number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
         capacity=table.number("capacity", 0.0001, 1.0, None, "a share") if "capacity" in table.values else None)
-    table.asked |= {"number", "share", "capacity", *patterns}
+    table.known_keys |= {"number", "share", "capacity", *patterns}
     table.reject_unknown_keys()
     if (budget.number, budget.share, budget.capacity) == (None, None, None):
         raise OperatorFileError(f"{table.file}: {table.path}: expected number, share or capacity, got none of them")
@@ -341,7 +341,7 @@
         term_s=table.seconds("term_s", 0.5, 60, 10.0),
         token_file=table.file_path("token_file") if "token_file" in table.values else None,
     )
-    table.asked |= {"record", "token_file"}
+    table.known_keys |= {"record", "token_file"}
     if agent.record is not None and agent.postgresql:
         raise OperatorFileError(f"{table.file}: {table.key_path('record')}: expected record or postgresql, got both")
     if agent.standby and agent.record is None and not agent.postgresql:
@@ -355,7 +355,7 @@
         if key in table.values and not agent.postgresql:
             raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, "
                                     f"got {key} alone")
-    table.asked.add("password_file")
+    table.known_keys.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
             raise table.error_for(key, "a loopback address, or remote = true beside it")
--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -28,7 +28,7 @@
         if not isinstance(values, dict):
             raise self.error(f"{file}: {path}: expected a table, got {values!r}")
         self.values: dict[str, Any] = values
-        self.asked: set[str] = set()
+        self.known_keys: set[str] = set()
 
     def key_path(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
@@ -41,7 +41,7 @@
     def get(self, key: str, expected: str, read: Callable[[Any], T | None], default: T | None = None) -> T:
         """The value as converted by `read`, which returns None for a value that is not as expected. Without a default
         the key is required."""
-        self.asked.add(key)
+        self.known_keys.add(key)
         if key not in self.values and default is not None:
             return default
         value = read(self.values[key]) if key in self.values else None
@@ -100,12 +100,12 @@
         return self.folder / text
 
     def table(self, key: str) -> Table | None:
-        self.asked.add(key)
+        self.known_keys.add(key)
         found = self.values.get(key)
         return Table(self.file, self.key_path(key), found, self.folder, self.error) if key in self.values else None
 
     def tables(self, key: str) -> list[Table]:
-        self.asked.add(key)
+        self.known_keys.add(key)
         entries = self.values.get(key, [])
         if not isinstance(entries, list):
             raise self.error_for(key, f"tables [[{self.key_path(key)}]]")
@@ -115,8 +115,8 @@
     def reject_unknown_keys(self) -> None:
         """Raises an error for a key that no reader has asked for. Call it after the last read."""
         for key in self.values:
-            if key not in self.asked:
-                known = ", ".join(sorted(self.asked)) or "no key"
+            if key not in self.known_keys:
+                known = ", ".join(sorted(self.known_keys)) or "no key"
                 raise self.error(f"{self.file}: {self.key_path(key)}: expected one of {known}, got this key")
 
 
