--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -23,8 +23,8 @@
     """
 
     def __init__(self, file: str, path: str, values: Any, folder: Path,
-                 error_class: type[TableError] = TableError) -> None:
-        self.file, self.path, self.folder, self.error = file, path, folder, error_class
+                 error_type: type[TableError] = TableError) -> None:
+        self.file, self.path, self.folder, self.error = file, path, folder, error_type
         if not isinstance(values, dict):
             raise self.error(f"{file}: {path}: expected a table, got {values!r}")
         self.values: dict[str, Any] = values
