--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -54,7 +54,7 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def from_text(text: str) -> Options:
+def parse_text(text: str) -> Options:
     """Parses `path=value` lines. Raises SettingsError."""
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
