--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -71,7 +71,7 @@
 
     raw = data.get("settings")
     try:
-        options = settings.from_object(raw)
+        options = settings.flatten_object(raw)
         assert isinstance(raw, dict)
         directory = Directory(_names(raw.get("areas")), _names(raw.get("kinds")))
         in_file = data.get("discovery")
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -67,7 +67,7 @@
     return Options(pairs)
 
 
-def from_object(value: object) -> Options:
+def flatten_object(value: object) -> Options:
     """Flattens a JSON object to the same paths as in text: a list of objects becomes `PATH.count`, `PATH.0`,
     `PATH.1` ..., any other list a text with commas. Raises SettingsError."""
     if not isinstance(value, dict):
