--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -56,7 +56,7 @@
     """Hazard: what an agent on this machine has counts as told, also while it is silent and as soon as it is back."""
     if options.text("registry-mode") == "on_request":
         return CALL_US
-    grace_us = options.whole("invariants.drain-grace", "1000000")
+    grace_us = options.integer("invariants.drain-grace", "1000000")
     return min(max(grace_us // 2, LEAST_ANSWER_US), MOST_ANSWER_US)
 
 
@@ -89,7 +89,7 @@
             settings=replace(settings.read(options), list_by_watch=True),
             report_fields=[name for name in options.text("report.names", "").split(",") if name],
             discovery_timeout_us=_answer_us(options),
-            upstream_idle_timeout_us=options.whole("bounds.conn-idle", "15000000"),
+            upstream_idle_timeout_us=options.integer("bounds.conn-idle", "15000000"),
             directory=directory,
             last_known_list=known,
             document=data,
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -38,7 +38,7 @@
             raise SettingsError(f"setting {path}: expected a number, got {value!r}")
         return number
 
-    def whole(self, path: str, default: str | None = None) -> int:
+    def integer(self, path: str, default: str | None = None) -> int:
         number = self.number(path, default)
         if number != int(number):
             raise SettingsError(f"setting {path}: expected a whole number, got {self.text(path, default)!r}")
@@ -96,14 +96,14 @@
 def _class(options: Options, at: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.text(at + "name"),
-        aim_us=options.whole(at + "aim"),
-        deadline_us=options.whole(at + "deadline"),
+        aim_us=options.integer(at + "aim"),
+        deadline_us=options.integer(at + "deadline"),
         worth=options.number(at + "worth"),
         late_worth=options.number(at + "late-worth", "0"),
         aim_stretch=options.number(at + "aim-stretch", "0"),
         effect=options.choice(at + "effect", api.EFFECTS),
         group=options.choice(at + "group", api.GROUPS, "all"),
-        dedup_memory_us=options.whole(at + "memory-span", "0"),
+        dedup_memory_us=options.integer(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
@@ -117,27 +117,27 @@
     """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
-            classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
-            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
+            classes=[_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
+            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
             over_share_worth=o.number("over-share-worth", "1"),
             worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            instances=o.whole("instances"),
-            self_index=o.whole("self-index", "0"),
-            zone=o.whole("locality", "0"),
-            tick_us=o.whole("granularity"),
-            max_attempts=o.whole("bounds.most-tries"),
-            max_retry_after_us=o.whole("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.whole("bounds.dial-timeout", "0"),
+            instances=o.integer("instances"),
+            self_index=o.integer("self-index", "0"),
+            zone=o.integer("locality", "0"),
+            tick_us=o.integer("granularity"),
+            max_attempts=o.integer("bounds.most-tries"),
+            max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
             retry_after=o.flag("bounds.retry-after"),
             cancel=o.flag("bounds.cancel"),
             probes=o.flag("bounds.probes"),
             hedging=o.flag("bounds.second-copies"),
             list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            ask_within_us=o.whole("invariants.ask-within", "0"),
+            ask_within_us=o.integer("invariants.ask-within", "0"),
             cold_share=o.number("invariants.cold-share"),
-            warm_up_us=o.whole("invariants.warm-up"),
+            warm_up_us=o.integer("invariants.warm-up"),
             overload_factor=o.number("invariants.overload-factor"),
-            fall_us=o.whole("invariants.fall"),
+            fall_us=o.integer("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
             report_names=[_REPORT_NAMES.get(name, name)
                           for name in o.text("report.names", "").split(",") if name],
