--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -50,7 +50,7 @@
             raise SettingsError(f"setting {path}: expected one of {', '.join(choices)}, got {value!r}")
         return value
 
-    def flag(self, path: str, default: str | None = None) -> bool:
+    def boolean(self, path: str, default: str | None = None) -> bool:
         return self.choice(path, ("true", "false"), default) == "true"
 
 
@@ -104,7 +104,7 @@
         effect=options.choice(at + "effect", api.EFFECTS),
         group=options.choice(at + "group", api.GROUPS, "all"),
         dedup_memory_us=options.integer(at + "memory-span", "0"),
-        stream=options.flag(at + "stream", "false"),
+        stream=options.boolean(at + "stream", "false"),
     )
 
 
@@ -128,10 +128,10 @@
             max_attempts=o.integer("bounds.most-tries"),
             max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
             connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
-            retry_after=o.flag("bounds.retry-after"),
-            cancel=o.flag("bounds.cancel"),
-            probes=o.flag("bounds.probes"),
-            hedging=o.flag("bounds.second-copies"),
+            retry_after=o.boolean("bounds.retry-after"),
+            cancel=o.boolean("bounds.cancel"),
+            probes=o.boolean("bounds.probes"),
+            hedging=o.boolean("bounds.second-copies"),
             list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
             ask_within_us=o.integer("invariants.ask-within", "0"),
             cold_share=o.number("invariants.cold-share"),
