--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -54,7 +54,7 @@
 
 def _answer_us(options: settings.Options) -> int:
     """Hazard: what an agent on this machine has counts as told, also while it is silent and as soon as it is back."""
-    if options.text("registry-mode") == "on_request":
+    if options.string("registry-mode") == "on_request":
         return CALL_US
     grace_us = options.integer("invariants.drain-grace", "1000000")
     return min(max(grace_us // 2, LEAST_ANSWER_US), MOST_ANSWER_US)
@@ -87,7 +87,7 @@
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
             settings=replace(settings.read(options), list_by_watch=True),
-            report_fields=[name for name in options.text("report.names", "").split(",") if name],
+            report_fields=[name for name in options.string("report.names", "").split(",") if name],
             discovery_timeout_us=_answer_us(options),
             upstream_idle_timeout_us=options.integer("bounds.conn-idle", "15000000"),
             directory=directory,
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -22,14 +22,14 @@
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
 
-    def text(self, path: str, default: str | None = None) -> str:
+    def string(self, path: str, default: str | None = None) -> str:
         value = self.pairs.get(path, default)
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
-        value = self.text(path, default)
+        value = self.string(path, default)
         try:
             number = float(value)
         except ValueError:
@@ -41,11 +41,11 @@
     def integer(self, path: str, default: str | None = None) -> int:
         number = self.number(path, default)
         if number != int(number):
-            raise SettingsError(f"setting {path}: expected a whole number, got {self.text(path, default)!r}")
+            raise SettingsError(f"setting {path}: expected a whole number, got {self.string(path, default)!r}")
         return int(number)
 
     def choice(self, path: str, choices: tuple[str, ...], default: str | None = None) -> str:
-        value = self.text(path, default)
+        value = self.string(path, default)
         if value not in choices:
             raise SettingsError(f"setting {path}: expected one of {', '.join(choices)}, got {value!r}")
         return value
@@ -95,7 +95,7 @@
 
 def _class(options: Options, at: str) -> api.RequestClass:
     return api.RequestClass(
-        name=options.text(at + "name"),
+        name=options.string(at + "name"),
         aim_us=options.integer(at + "aim"),
         deadline_us=options.integer(at + "deadline"),
         worth=options.number(at + "worth"),
@@ -109,7 +109,7 @@
 
 
 def _tenant(options: Options, at: str) -> api.Tenant:
-    return api.Tenant(options.text(at + "name"), options.number(at + "allowance-per-s"),
+    return api.Tenant(options.string(at + "name"), options.number(at + "allowance-per-s"),
                       options.number(at + "share", "0"))
 
 
@@ -140,8 +140,8 @@
             fall_us=o.integer("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
             report_names=[_REPORT_NAMES.get(name, name)
-                          for name in o.text("report.names", "").split(",") if name],
-            weighted=o.text("weights", "none") != "none",
+                          for name in o.string("report.names", "").split(",") if name],
+            weighted=o.string("weights", "none") != "none",
         )
     except ValueError as error:
         raise SettingsError(f"settings: {error}") from error
