--- a/ironscale/cli/graphql.py
+++ b/ironscale/cli/graphql.py
@@ -26,7 +26,7 @@
 
 def classes_of(config: Path) -> list[RequestClass]:
     try:
-        return settings.read(settings.flatten_object(read_json_object(str(config)).get("settings"))).classes
+        return settings.read_settings(settings.flatten_object(read_json_object(str(config)).get("settings"))).classes
     except (ConfigError, settings.SettingsError) as error:
         fail(Exit.USAGE, f"{config}: {error}" if str(config) not in str(error) else str(error))
 
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -86,7 +86,7 @@
             file_discovery=parse_address(in_file, "discovery") if in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
-            settings=replace(settings.read(options), list_by_watch=True),
+            settings=replace(settings.read_settings(options), list_by_watch=True),
             report_fields=[name for name in options.string("report.names", "").split(",") if name],
             discovery_timeout_us=_answer_us(options),
             upstream_idle_timeout_us=options.integer("bounds.conn-idle", "15000000"),
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -133,7 +133,7 @@
         self.first_s = -1.0  # from its start to its first list
         self.client = CountedClient(herd.address, Directory([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = herd.counts
-        options = settings.read(settings.flatten_object(herd.settings))
+        options = settings.read_settings(settings.flatten_object(herd.settings))
         self.balancer = Balancer(options, random.Random(f"{herd.seed}/{number}").randrange(1 << 62), self.now_us())
         self.timer: asyncio.TimerHandle | None = None
         self.tell(UpstreamsUpdated(ListKind.CACHED, []))
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -113,7 +113,7 @@
                       options.number(at + "share", "0"))
 
 
-def read(o: Options) -> api.Settings:
+def read_settings(o: Options) -> api.Settings:
     """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -234,6 +234,6 @@
 def parse_settings(text: str) -> api.Settings:
     """The settings of one instance, from the path=value lines of its start record. Raises WireError."""
     try:
-        return settings.read(settings.parse_text(text))
+        return settings.read_settings(settings.parse_text(text))
     except settings.SettingsError as error:
         raise WireError(str(error)) from error
