--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -93,7 +93,7 @@
         pairs[path] = str(value)
 
 
-def _class(options: Options, at: str) -> api.RequestClass:
+def _read_class(options: Options, at: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.string(at + "name"),
         aim_us=options.integer(at + "aim"),
@@ -117,7 +117,7 @@
     """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
-            classes=[_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
+            classes=[_read_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
             tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
             over_share_worth=o.number("over-share-worth", "1"),
             worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
