--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -108,7 +108,7 @@
     )
 
 
-def _tenant(options: Options, at: str) -> api.Tenant:
+def _read_tenant(options: Options, at: str) -> api.Tenant:
     return api.Tenant(options.string(at + "name"), options.number(at + "allowance-per-s"),
                       options.number(at + "share", "0"))
 
@@ -118,7 +118,7 @@
     try:
         return api.Settings(
             classes=[_read_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
-            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
+            tenants=[_read_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
             over_share_worth=o.number("over-share-worth", "1"),
             worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
             instances=o.integer("instances"),
