--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -35,7 +35,7 @@
     give_up_s = time.monotonic() + START_PATIENCE_S
     while True:
         try:
-            run(environ)
+            run_sidecar(environ)
             return 0
         except StartFailed as failed:
             error = failed.__cause__ or failed
@@ -47,7 +47,7 @@
             return said(error)
 
 
-def run(environ: Mapping[str, str]) -> None:
+def run_sidecar(environ: Mapping[str, str]) -> None:
     """Runs one sidecar from its start to its end. Raises StartFailed for an error before it accepts requests."""
     try:
         beside, reuse_port = operated(environ)
