--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -62,11 +62,11 @@
             raise
         raise StartFailed from error  # the event loop could not run
     finally:
-        tear_down(loop)
+        close_loop(loop)
         serving.close()
 
 
-def tear_down(loop: asyncio.AbstractEventLoop) -> None:
+def close_loop(loop: asyncio.AbstractEventLoop) -> None:
     """Cancels the remaining tasks and closes the loop. All requests are answered by now, so an error is only logged."""
     left = asyncio.all_tasks(loop)
     for task in left:
