--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -40,11 +40,11 @@
         except StartFailed as failed:
             error = failed.__cause__ or failed
             if not passes(error) or time.monotonic() >= give_up_s:
-                return said(error)
+                return log_fatal_error(error)
             logs.write_line(f"ironscale: {error}; retrying the start")
             time.sleep(START_AGAIN_S)
         except (ConfigError, OSError) as error:
-            return said(error)
+            return log_fatal_error(error)
 
 
 def run_sidecar(environ: Mapping[str, str]) -> None:
@@ -79,7 +79,7 @@
         logs.write_line(f"ironscale: the event loop could not be closed: {error}")
 
 
-def said(error: BaseException) -> int:
+def log_fatal_error(error: BaseException) -> int:
     """Logs the error that ends the process and returns the exit status: 2 for a wrong configuration, else 1."""
     logs.write_line(f"ironscale: {error}")
     return 2 if isinstance(error, ConfigError) else 1
