--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -50,7 +50,7 @@
 def run_sidecar(environ: Mapping[str, str]) -> None:
     """Runs one sidecar from its start to its end. Raises StartFailed for an error before it accepts requests."""
     try:
-        beside, reuse_port = operated(environ)
+        beside, reuse_port = load_extension(environ)
         loop = uvloop.new_event_loop()
     except (ConfigError, OSError) as error:
         raise StartFailed from error
@@ -85,7 +85,7 @@
     return 2 if isinstance(error, ConfigError) else 1
 
 
-def operated(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
+def load_extension(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
     """The extension for what the operator file enables, and whether the listener shares its port (SO_REUSEPORT). If no
     environment variable names an operator file or an agent, none of these modules are imported."""
     if not environ.get("GW_OPERATOR") and not environ.get("GW_AGENT"):
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -14,7 +14,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from ironscale.__main__ import operated
+from ironscale.__main__ import load_extension
 from ironscale.cli.config import config
 from ironscale.cli.output import CliError, Exit
 from ironscale.cli.record import record
@@ -205,4 +205,4 @@
     monkeypatch.setitem(sys.modules, "ironscale.record.postgres", None)
     assert "expected the packages of ironscale[record]" in error_of(call("status", "-f", str(operator)), Exit.USAGE)
     with pytest.raises(ConfigError, match="pip install 'ironscale.record.'"):  # the sidecar says the same in one line
-        operated({"GW_OPERATOR": str(operator)})
+        load_extension({"GW_OPERATOR": str(operator)})
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironscale.__main__ import operated
+from ironscale.__main__ import load_extension
 from ironscale.net.config import ConfigError, load
 from ironscale.operator_file import OperatorFileError, from_environment, parse, read_secret
 from ironscale.standins.settings import SETTINGS
@@ -136,7 +136,7 @@
     beside = from_environment({"GW_OPERATOR": str(alone), "GW_AGENT": "h:2", "GW_AGENT_TOKEN_FILE": "t"})
     assert beside.control is not None and beside.versions is not None
     with pytest.raises(ConfigError, match="expected a file that can be read"):
-        operated({"GW_OPERATOR": str(tmp_path / "none.toml")})
+        load_extension({"GW_OPERATOR": str(tmp_path / "none.toml")})
 
 
 def test_a_token_file_that_others_can_read_is_refused(tmp_path: Path) -> None:
