--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -114,12 +114,12 @@
             from ironscale.control.beside import beside
 
             subsystems.append(beside(found.control, environ, channel, found.versions))
-        return together(subsystems), found.sidecar.reuse_port
+        return combine_extensions(subsystems), found.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
 
 
-def together(subsystems: list[Extension]) -> Extension | None:
+def combine_extensions(subsystems: list[Extension]) -> Extension | None:
     """Combines extensions into one. They start in this order and end in the reverse order."""
     if len(subsystems) < 2:
         return subsystems[0] if subsystems else None
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale import trust
-from ironscale.__main__ import together
+from ironscale.__main__ import combine_extensions
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.beside import beside as control_beside
@@ -483,7 +483,7 @@
             async def one(scene: Scene, name: str, learned: Learned) -> AsyncIterator[Channel]:
                 scene.sidecar.config.name = name
                 channel = Channel()
-                both = together([beside(learned, channel), control_beside(control, {}, channel)])
+                both = combine_extensions([beside(learned, channel), control_beside(control, {}, channel)])
                 assert both is not None
                 async with both(scene.sidecar, lambda: None):
                     yield channel
