--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -25,14 +25,14 @@
 from ironscale.net.errors import passes  # noqa: E402
 from ironscale.net.sidecar import Extension, Sidecar, StartFailed, serve  # noqa: E402
 
-START_PATIENCE_S = 20.0  # a start may take 30 s in all
+START_TIMEOUT_S = 20.0  # a start may take 30 s in all
 START_AGAIN_S = 0.1
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.WARNING, handlers=[logs.LogHandler()])
-    give_up_s = time.monotonic() + START_PATIENCE_S
+    give_up_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             run_sidecar(environ)
