--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -26,7 +26,7 @@
 from ironscale.net.sidecar import Extension, Sidecar, StartFailed, serve  # noqa: E402
 
 START_TIMEOUT_S = 20.0  # a start may take 30 s in all
-START_AGAIN_S = 0.1
+START_RETRY_INTERVAL_S = 0.1
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
@@ -42,7 +42,7 @@
             if not passes(error) or time.monotonic() >= give_up_s:
                 return log_fatal_error(error)
             logs.write_line(f"ironscale: {error}; retrying the start")
-            time.sleep(START_AGAIN_S)
+            time.sleep(START_RETRY_INTERVAL_S)
         except (ConfigError, OSError) as error:
             return log_fatal_error(error)
 
