--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -32,14 +32,14 @@
 def main(environ: Mapping[str, str] = os.environ) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.WARNING, handlers=[logs.LogHandler()])
-    give_up_s = time.monotonic() + START_TIMEOUT_S
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             run_sidecar(environ)
             return 0
         except StartFailed as failed:
             error = failed.__cause__ or failed
-            if not passes(error) or time.monotonic() >= give_up_s:
+            if not passes(error) or time.monotonic() >= deadline_s:
                 return log_fatal_error(error)
             logs.write_line(f"ironscale: {error}; retrying the start")
             time.sleep(START_RETRY_INTERVAL_S)
