--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -50,11 +50,11 @@
 def run_sidecar(environ: Mapping[str, str]) -> None:
     """Runs one sidecar from its start to its end. Raises StartFailed for an error before it accepts requests."""
     try:
-        beside, reuse_port = load_extension(environ)
+        extension, reuse_port = load_extension(environ)
         loop = uvloop.new_event_loop()
     except (ConfigError, OSError) as error:
         raise StartFailed from error
-    serving = serve(environ, beside, reuse_port)
+    serving = serve(environ, extension, reuse_port)
     try:
         loop.run_until_complete(serving)
     except OSError as error:
