--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -68,12 +68,12 @@
 
 def close_loop(loop: asyncio.AbstractEventLoop) -> None:
     """Cancels the remaining tasks and closes the loop. All requests are answered by now, so an error is only logged."""
-    left = asyncio.all_tasks(loop)
-    for task in left:
+    remaining_tasks = asyncio.all_tasks(loop)
+    for task in remaining_tasks:
         task.cancel()
     try:
-        if left:
-            loop.run_until_complete(asyncio.wait(left))
+        if remaining_tasks:
+            loop.run_until_complete(asyncio.wait(remaining_tasks))
         loop.close()
     except (OSError, RuntimeError) as error:
         logs.write_line(f"ironscale: the event loop could not be closed: {error}")
