--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -94,27 +94,27 @@
 
     try:
         found = operator_file.from_environment(environ)
-        subsystems: list[Extension] = []
+        extensions: list[Extension] = []
         channel = None
         if found.store is not None:  # started first, so that no request can bypass the stores
             from ironscale.record.beside import beside as store_beside
 
-            subsystems.append(store_beside(found.store))
+            extensions.append(store_beside(found.store))
         if found.learned is not None:
             from ironscale.learned.beside import Channel
             from ironscale.learned.beside import beside as learned_beside
 
             channel = Channel()
-            subsystems.append(learned_beside(found.learned, channel))
+            extensions.append(learned_beside(found.learned, channel))
         if found.record is not None:
             from ironscale.load.recording import beside as record_beside
 
-            subsystems.append(record_beside(found.record))
+            extensions.append(record_beside(found.record))
         if found.control is not None:
             from ironscale.control.beside import beside
 
-            subsystems.append(beside(found.control, environ, channel, found.versions))
-        return combine_extensions(subsystems), found.sidecar.reuse_port
+            extensions.append(beside(found.control, environ, channel, found.versions))
+        return combine_extensions(extensions), found.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
 
