--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -119,15 +119,15 @@
         raise ConfigError(str(error)) from error
 
 
-def combine_extensions(subsystems: list[Extension]) -> Extension | None:
+def combine_extensions(extensions: list[Extension]) -> Extension | None:
     """Combines extensions into one. They start in this order and end in the reverse order."""
-    if len(subsystems) < 2:
-        return subsystems[0] if subsystems else None
+    if len(extensions) < 2:
+        return extensions[0] if extensions else None
 
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         async with contextlib.AsyncExitStack() as stack:
-            for subsystem in subsystems:
+            for subsystem in extensions:
                 await stack.enter_async_context(subsystem(sidecar, end))
             yield
 
