--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -127,8 +127,8 @@
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         async with contextlib.AsyncExitStack() as stack:
-            for subsystem in extensions:
-                await stack.enter_async_context(subsystem(sidecar, end))
+            for extension in extensions:
+                await stack.enter_async_context(extension(sidecar, end))
             yield
 
     return running
