--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -16,7 +16,7 @@
     from ironscale.disruption.model import Budget
     from ironscale.versions.choice import Place
 
-MOST_INSTANCES = 5_000
+MAX_INSTANCES = 5_000
 MOST_BUDGETS = 200
 MOST_AGENTS = 9
 MOST_DONORS = 100
@@ -125,7 +125,7 @@
     introspection: bool = True  # of the GraphQL schema
     lease_s: float = 6.0
     heartbeat_s: float = 2.0
-    most_instances: int = MOST_INSTANCES
+    most_instances: int = MAX_INSTANCES
     services: tuple[Service, ...] = ()
     budgets: tuple[Budget, ...] = ()
     file: str = ""  # the operator file, for errors found only once the database is open
@@ -154,7 +154,7 @@
 
 
 def _service(table: Table) -> Service:
-    count = table.integer("count", 1, MOST_INSTANCES)
+    count = table.integer("count", 1, MAX_INSTANCES)
     first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
         raise table.error_for("first_port", f"a port with room for {count} instances")
@@ -329,7 +329,7 @@
         introspection=table.boolean("introspection", True),
         lease_s=table.seconds("lease_s", 0.2, 600, 6.0),
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
-        most_instances=table.integer("most_instances", 1, 100_000, MOST_INSTANCES),
+        most_instances=table.integer("most_instances", 1, 100_000, MAX_INSTANCES),
         services=tuple(_service(entry) for entry in table.tables("service")),
         budgets=_budgets(table),
         file=table.file,
