--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -17,7 +17,7 @@
     from ironscale.versions.choice import Place
 
 MAX_INSTANCES = 5_000
-MOST_BUDGETS = 200
+MAX_BUDGETS = 200
 MOST_AGENTS = 9
 MOST_DONORS = 100
 MOST_PLACES = 64
@@ -294,8 +294,8 @@
 
 def _budgets(table: Table) -> tuple[Budget, ...]:
     found = tuple(_budget(entry) for entry in table.tables("budget"))
-    if len(found) > MOST_BUDGETS:
-        raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MOST_BUDGETS} at most, got "
+    if len(found) > MAX_BUDGETS:
+        raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MAX_BUDGETS} at most, got "
                                 f"{len(found)}")
     names = [budget.name for budget in found]
     for budget in found:
