--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -18,7 +18,7 @@
 
 MAX_INSTANCES = 5_000
 MAX_BUDGETS = 200
-MOST_AGENTS = 9
+MAX_AGENTS = 9
 MOST_DONORS = 100
 MOST_PLACES = 64
 
@@ -315,7 +315,7 @@
 def _agents(value: Any) -> tuple[Address, ...] | None:
     entries = value if isinstance(value, list) else [value]
     found = [read_address(entry) for entry in entries]
-    if not 0 < len(found) <= MOST_AGENTS or None in found or len(set(found)) < len(found):
+    if not 0 < len(found) <= MAX_AGENTS or None in found or len(set(found)) < len(found):
         return None
     return tuple(address for address in found if address is not None)
 
@@ -381,7 +381,7 @@
     store = root.table("store")
     versions = root.table("versions")
     found = OperatorFile(
-        control=Control(control.get("agent", f"HOST:PORT, or a list of {MOST_AGENTS} at most that differ", _agents),
+        control=Control(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _agents),
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
