--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -19,7 +19,7 @@
 MAX_INSTANCES = 5_000
 MAX_BUDGETS = 200
 MAX_AGENTS = 9
-MOST_DONORS = 100
+MAX_DONORS = 100
 MOST_PLACES = 64
 
 
@@ -181,7 +181,7 @@
 
 
 def _donors(value: Any) -> tuple[Address, ...] | None:
-    if not isinstance(value, list) or len(value) > MOST_DONORS:
+    if not isinstance(value, list) or len(value) > MAX_DONORS:
         return None
     found = [_loopback(entry) for entry in value]
     return None if None in found else tuple(address for address in found if address is not None)
@@ -218,7 +218,7 @@
     learned = Learned(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
-        ask=table.get("ask", f"a list of {MOST_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
+        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
         from_agent=table.boolean("from_agent", False))
     table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
