--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -20,7 +20,7 @@
 MAX_BUDGETS = 200
 MAX_AGENTS = 9
 MAX_DONORS = 100
-MOST_PLACES = 64
+MAX_VERSION_AGENTS = 64
 
 
 class OperatorFileError(TableError):
@@ -196,8 +196,8 @@
         places.append(Place(host, port, entry.get("zone", "a text", text_or_none, ""),
                             entry.get("region", "a text", text_or_none, "")))
         entry.reject_unknown_keys()
-    if not 0 < len(places) <= MOST_PLACES:
-        raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected 1 to {MOST_PLACES} tables "
+    if not 0 < len(places) <= MAX_VERSION_AGENTS:
+        raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected 1 to {MAX_VERSION_AGENTS} tables "
                                 f"[[versions.agent]], got {len(places)}")
     addresses = [(place.host, place.port) for place in places]
     for host, port in addresses:
