--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -229,7 +229,7 @@
 
 
 SYNCHRONOUS = ("on", "off", "local", "remote_write", "remote_apply")
-MOST_STORES = 64
+MAX_STORES = 64
 
 
 def _names(value: Any) -> tuple[str, ...] | None:
@@ -258,8 +258,8 @@
 
 def _stores(table: Table) -> Stores:
     targets = [_target(entry) for entry in table.tables("to")]
-    if not 0 < len(targets) <= MOST_STORES:
-        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MOST_STORES} tables "
+    if not 0 < len(targets) <= MAX_STORES:
+        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MAX_STORES} tables "
                                 f"[[store.to]], got {len(targets)}")
     names = [target.name for target in targets]
     for name in names:
