--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -228,7 +228,7 @@
     return learned
 
 
-SYNCHRONOUS = ("on", "off", "local", "remote_write", "remote_apply")
+SYNCHRONOUS_COMMIT_VALUES = ("on", "off", "local", "remote_write", "remote_apply")
 MAX_STORES = 64
 
 
@@ -246,7 +246,7 @@
         postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
         connections=table.integer("connections", 1, 1_000, 8),
-        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
+        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS_COMMIT_VALUES, "on"),
         queue=table.integer("queue", 1, 1_000_000, 4_096))
     table.known_keys |= {"sqlite", "password_file"}
     table.reject_unknown_keys()
@@ -335,7 +335,7 @@
         file=table.file,
         postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
-        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
+        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS_COMMIT_VALUES, "on"),
         record=table.file_path("record") if "record" in table.values else None,
         standby=table.boolean("standby", False),
         term_s=table.seconds("term_s", 0.5, 60, 10.0),
