--- a/ironscale/control/beside.py
+++ b/ironscale/control/beside.py
@@ -17,7 +17,7 @@
 from ironscale.control.layers import Layered
 from ironscale.control.processes import machine, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import Control, Versions, read_secret
+from ironscale.operator_file import ControlConfig, Versions, read_secret
 from ironscale.tasks import log_failure
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
         return "0"
 
 
-def client_for(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
+def client_for(sidecar: Sidecar, control: ControlConfig, token: str, environ: Mapping[str, str],
                end: Callable[[], None]) -> tuple[Client, Layered]:
     host, port = sidecar.config.listen
     identity = Identity(
@@ -72,7 +72,7 @@
         """HOST:PORT of instances that teach."""
 
 
-def beside(control: Control, environ: Mapping[str, str], teaching: Teaching | None = None,
+def beside(control: ControlConfig, environ: Mapping[str, str], teaching: Teaching | None = None,
            versions: Versions | None = None) -> Extension:
     """Raises OperatorFileError where the token can't be read; later failures are the client's to outlive."""
     token = read_secret(control.token_file)
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
+class ControlConfig:
     """`[control]`: how an instance connects to its agent. It keeps one connection open."""
 
     agents: tuple[Address, ...]  # one agent, or several of which one is the leader
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    control: Control | None = None
+    control: ControlConfig | None = None
     sidecar: Sidecar = Sidecar()
     agent: Agent | None = None
     learned: Learned | None = None
@@ -381,7 +381,7 @@
     store = root.table("store")
     versions = root.table("versions")
     found = OperatorFile(
-        control=Control(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _agents),
+        control=ControlConfig(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _agents),
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
@@ -434,4 +434,4 @@
     if not token_file:
         raise OperatorFileError("GW_AGENT_TOKEN_FILE: expected a path, got nothing")
     zone = environ.get("GW_ZONE") or (found.control.zone if found.control else "")
-    return replace(found, control=Control(addresses, Path(token_file), zone))
+    return replace(found, control=ControlConfig(addresses, Path(token_file), zone))
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -27,7 +27,7 @@
 from ironscale.learned.store import OsFiles, Store, load, path_for
 from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
 from ironscale.net.discovery import upstream_id
-from ironscale.operator_file import Control, Learned
+from ironscale.operator_file import ControlConfig, Learned
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
 from ironscale.telling import learned_state, upstream_views
@@ -477,7 +477,7 @@
         peers = await peers_of(3)
         old, new = await scene_with(peers), await scene_with(peers)
         async with agent_running(section(tmp_path / "agent", heartbeat_s=0.05)) as agent:
-            control = Control((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
+            control = ControlConfig((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
 
             @contextlib.asynccontextmanager
             async def one(scene: Scene, name: str, learned: Learned) -> AsyncIterator[Channel]:
