--- a/ironscale/control/beside.py
+++ b/ironscale/control/beside.py
@@ -17,7 +17,7 @@
 from ironscale.control.layers import Layered
 from ironscale.control.processes import machine, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import ControlConfig, Versions, read_secret
+from ironscale.operator_file import ControlConfig, VersionsConfig, read_secret
 from ironscale.tasks import log_failure
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     return client, layered
 
 
-def follower_for(layered: Layered, identity: Identity, versions: Versions) -> Follower:
+def follower_for(layered: Layered, identity: Identity, versions: VersionsConfig) -> Follower:
     """Raises OperatorFileError where its token can't be read."""
     from ironscale.control.follower import Follower, Follows
     from ironscale.versions.model import Labels
@@ -73,7 +73,7 @@
 
 
 def beside(control: ControlConfig, environ: Mapping[str, str], teaching: Teaching | None = None,
-           versions: Versions | None = None) -> Extension:
+           versions: VersionsConfig | None = None) -> Extension:
     """Raises OperatorFileError where the token can't be read; later failures are the client's to outlive."""
     token = read_secret(control.token_file)
     if versions is not None and versions.token_file is not None:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Versions:
+class VersionsConfig:
     """`[versions]`: the instance follows published configuration versions from any one of these agents."""
 
     agents: tuple[Place, ...]
@@ -146,7 +146,7 @@
     learned: Learned | None = None
     record: Record | None = None
     store: Stores | None = None
-    versions: Versions | None = None
+    versions: VersionsConfig | None = None
 
 
 def is_loopback(address: Address) -> bool:
@@ -187,7 +187,7 @@
     return None if None in found else tuple(address for address in found if address is not None)
 
 
-def _versions(table: Table) -> Versions:
+def _versions(table: Table) -> VersionsConfig:
     from ironscale.versions.choice import Place  # not loaded by a sidecar without [versions]
 
     places = []
@@ -205,7 +205,7 @@
             raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected addresses that differ, got "
                                     f"{host}:{port} twice")
     service, zone, region = (table.get(key, "a text", text_or_none, "") for key in ("service", "zone", "region"))
-    found = Versions(tuple(places), service, zone, region,
+    found = VersionsConfig(tuple(places), service, zone, region,
                      token_file=table.file_path("token_file") if "token_file" in table.values else None)
     table.known_keys.add("token_file")
     table.reject_unknown_keys()
