--- a/ironscale/cli/processes.py
+++ b/ironscale/cli/processes.py
@@ -11,7 +11,7 @@
 
 from ironscale.cli.common import api_for, api_options, output_option
 from ironscale.cli.output import Exit, fail, out, print_json, table, word
-from ironscale.operator_file import Agent, Learned, OperatorFileError, load
+from ironscale.operator_file import Agent, LearnedConfig, OperatorFileError, load
 
 
 @click.command()
@@ -92,7 +92,7 @@
         out.print(table(("PART", "IS"), parts.items()))
 
 
-def learned_text(learned: Learned) -> str:
+def learned_text(learned: LearnedConfig) -> str:
     """What [learned] switches on."""
     ways = [f"files in {learned.folder}, every {learned.every_s:g} s" if learned.folder else "",
             f"teaches at {learned.teach[0]}:{learned.teach[1]}" if learned.teach else "",
--- a/ironscale/learned/beside.py
+++ b/ironscale/learned/beside.py
@@ -13,7 +13,7 @@
 from ironscale.learned.store import Store, path_for
 from ironscale.learned.teaching import Address, Pupil, Teacher
 from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import Learned, is_loopback
+from ironscale.operator_file import LearnedConfig, is_loopback
 from ironscale.tables import read_address
 from ironscale.tasks import run_in_background
 
@@ -24,7 +24,7 @@
 class Running:
     """What runs beside one sidecar."""
 
-    def __init__(self, sidecar: Sidecar, learned: Learned) -> None:
+    def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
         self.sidecar = sidecar
         self.collector = Collector(sidecar)
         self.keeper: Keeper | None = None
@@ -87,7 +87,7 @@
             self.running.offered.put_nowait(near)
 
 
-def beside(learned: Learned, channel: Channel | None = None) -> Extension:
+def beside(learned: LearnedConfig, channel: Channel | None = None) -> Extension:
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = Running(sidecar, learned)
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class LearnedConfig:
     """`[learned]`: what a sidecar has learned is kept over a restart or taken over from other sidecars. At least one of
     `folder`, `teach`, `ask` and `from_agent` is set."""
 
@@ -143,7 +143,7 @@
     control: ControlConfig | None = None
     sidecar: Sidecar = Sidecar()
     agent: Agent | None = None
-    learned: Learned | None = None
+    learned: LearnedConfig | None = None
     record: Record | None = None
     store: Stores | None = None
     versions: VersionsConfig | None = None
@@ -212,17 +212,17 @@
     return found
 
 
-def _learned(table: Table) -> Learned:
+def _learned(table: Table) -> LearnedConfig:
     # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
     teach = table.get("teach", "HOST:PORT on a loopback address", _loopback) if "teach" in table.values else None
-    learned = Learned(
+    learned = LearnedConfig(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
         ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
         from_agent=table.boolean("from_agent", False))
     table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
-    if learned == Learned(every_s=learned.every_s):
+    if learned == LearnedConfig(every_s=learned.every_s):
         raise OperatorFileError(f"{table.file}: {table.path}: expected folder, teach, ask or from_agent = true, "
                                 "got none of them")
     return learned
--- a/tests/learned/test_beside.py
+++ b/tests/learned/test_beside.py
@@ -27,7 +27,7 @@
 from ironscale.learned.store import OsFiles, Store, load, path_for
 from ironscale.learned.teaching import ASKED, Pupil, Teacher, ask
 from ironscale.net.discovery import upstream_id
-from ironscale.operator_file import ControlConfig, Learned
+from ironscale.operator_file import ControlConfig, LearnedConfig
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
 from ironscale.telling import learned_state, upstream_views
@@ -421,7 +421,7 @@
         donor = await liar(told(encode(snapshot(0, taken=now(machine_boot()),
                                                 upstreams=(lesson("up-0", started_us=0),)))))
         scene = await scene_with(peers)
-        learned = Learned(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
+        learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
         async with beside(learned)(scene.sidecar, lambda: None):
             await until(lambda: scene.sidecar.balancer.servers[upstream_id("up-0")].lesson)
             await scene.call()
@@ -441,7 +441,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        async with beside(Learned(tmp_path))(scene.sidecar, lambda: None):
+        async with beside(LearnedConfig(tmp_path))(scene.sidecar, lambda: None):
             await asyncio.sleep(0)
             assert (await scene.call()).status == 200
 
@@ -480,7 +480,7 @@
             control = ControlConfig((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
 
             @contextlib.asynccontextmanager
-            async def one(scene: Scene, name: str, learned: Learned) -> AsyncIterator[Channel]:
+            async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[Channel]:
                 scene.sidecar.config.name = name
                 channel = Channel()
                 both = combine_extensions([beside(learned, channel), control_beside(control, {}, channel)])
@@ -488,11 +488,11 @@
                 async with both(scene.sidecar, lambda: None):
                     yield channel
 
-            async with one(old, "old", Learned(teach=("127.0.0.1", 0))):
+            async with one(old, "old", LearnedConfig(teach=("127.0.0.1", 0))):
                 while len(learned_state(old.sidecar.balancer).upstreams) < 3:
                     await old.call()
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
-                async with one(new, "new", Learned(from_agent=True)) as channel:
+                async with one(new, "new", LearnedConfig(from_agent=True)) as channel:
                     await until(lambda: channel.running is not None and channel.running.pupil.learned)
                     assert all(server.lesson for server in new.sidecar.balancer.servers.values())
 
@@ -503,7 +503,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         channel = Channel()
-        async with beside(Learned(from_agent=True), channel)(scene.sidecar, lambda: None):
+        async with beside(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.running is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
             assert channel.running.offered.empty()
