--- a/ironscale/load/recording.py
+++ b/ironscale/load/recording.py
@@ -19,7 +19,7 @@
 from ironscale.interface import RequestArrived
 from ironscale.load.traces import header
 from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import Record
+from ironscale.operator_file import RecordingConfig
 from ironscale.tasks import run_in_background
 from ironscale.threads import run_in_thread
 
@@ -75,7 +75,7 @@
 
 
 class Recorder:
-    def __init__(self, sidecar: Sidecar, record: Record) -> None:
+    def __init__(self, sidecar: Sidecar, record: RecordingConfig) -> None:
         self.sidecar = sidecar
         self.file = File(record.file, int(record.most_mb * 1e6), header(source="sidecar"))
         self.start_us = sidecar.clock.now_us()
@@ -143,7 +143,7 @@
             logs.write_line(f"{self.sidecar.config.name}: record: {text}")
 
 
-def beside(record: Record) -> Extension:
+def beside(record: RecordingConfig) -> Extension:
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         recorder = Recorder(sidecar, record)
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class RecordingConfig:
     """`[record]`: arriving requests are recorded as a trace that can be replayed."""
 
     file: Path  # the previous file is kept under this name with `.1` appended
@@ -144,7 +144,7 @@
     sidecar: Sidecar = Sidecar()
     agent: Agent | None = None
     learned: LearnedConfig | None = None
-    record: Record | None = None
+    record: RecordingConfig | None = None
     store: Stores | None = None
     versions: VersionsConfig | None = None
 
@@ -387,7 +387,7 @@
         sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
         agent=_agent(agent) if agent is not None else None,
         learned=_learned(learned) if learned is not None else None,
-        record=Record(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
+        record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
         store=_stores(store) if store is not None else None,
         versions=_versions(versions) if versions is not None else None,
--- a/tests/load/test_recording.py
+++ b/tests/load/test_recording.py
@@ -15,7 +15,7 @@
 
 from ironscale.load import recording as r
 from ironscale.load.traces import read
-from ironscale.operator_file import Record
+from ironscale.operator_file import RecordingConfig
 from ironscale.standins.upstream import Peer
 from tests.deployed import ROOT
 from tests.sockets import Scene, run, until
@@ -32,7 +32,7 @@
     async def test() -> None:
         peer = await Peer().start()
         world = await scene(peer)
-        async with r.beside(Record(path))(world.sidecar, lambda: None):
+        async with r.beside(RecordingConfig(path))(world.sidecar, lambda: None):
             for lane, body in (("view", b""), ("pay", b"12345"), ("view", b"")):
                 assert (await world.call(lane, body)).status == 200
         assert world.sidecar.arrival_observer is None
@@ -59,7 +59,7 @@
 
     async def test() -> None:
         world = await scene(await Peer().start())
-        recorder = r.Recorder(world.sidecar, Record(path, 0.02))
+        recorder = r.Recorder(world.sidecar, RecordingConfig(path, 0.02))
         for n in range(60):
             filled(recorder, 50, n * 50)
             await recorder.flush()
@@ -77,7 +77,7 @@
 
     async def test() -> None:
         world = await scene(await Peer().start())
-        recorder = r.Recorder(world.sidecar, Record(path))
+        recorder = r.Recorder(world.sidecar, RecordingConfig(path))
         filled(recorder, 1)
         await recorder.flush()
 
@@ -104,7 +104,7 @@
     async def test() -> None:
         nonlocal room
         world = await scene(await Peer().start())
-        recorder = r.Recorder(world.sidecar, Record(path))
+        recorder = r.Recorder(world.sidecar, RecordingConfig(path))
         monkeypatch.setattr(os, "write", write)
         for n in range(20):
             filled(recorder, 3, n * 3)
@@ -134,7 +134,7 @@
 
     async def test() -> None:
         world = await scene(await Peer().start())
-        running = r.beside(Record(tmp_path / "a"))
+        running = r.beside(RecordingConfig(tmp_path / "a"))
         async with running(world.sidecar, lambda: None):
             await world.call()
             await asyncio.sleep(0.05)  # the one write hangs now
@@ -155,7 +155,7 @@
         from ironscale.interface import RequestArrived
 
         world = await scene(await Peer().start())
-        recorder = r.Recorder(world.sidecar, Record(Path("/nowhere/a")))
+        recorder = r.Recorder(world.sidecar, RecordingConfig(Path("/nowhere/a")))
         assert recorder.named(RequestArrived(1, 0, 0, 0)) == '"view","north"'
         assert recorder.named(RequestArrived(1, 0, 1, 99)) == '"pay",""'
         account = {"name": 'so"uth', "allowance-per-s": 1.0, "share": 0.5}
