--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -11,7 +11,7 @@
 from ironscale import operator_file
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
+from ironscale.operator_file import OperatorFileError, Stores, StoreConfig
 
 try:
     from ironscale.record import journal, looking, opening, sqlite
@@ -44,7 +44,7 @@
     return found
 
 
-def one_of(stores: Stores, name: str | None) -> list[StoreTarget]:
+def one_of(stores: Stores, name: str | None) -> list[StoreConfig]:
     found = [target for target in stores.to if name in (None, target.name)]
     if not found:
         fail(Exit.USAGE, f"--store: expected one of {', '.join(t.name for t in stores.to)}, got {name}")
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreTarget:
+class StoreConfig:
     """`[[store.to]]`: one store of record, either SQLite or PostgreSQL."""
 
     name: str
@@ -86,7 +86,7 @@
 
     file: str  # the operator file, for errors found only once the configuration is known
     classes: tuple[str, ...]
-    to: tuple[StoreTarget, ...]
+    to: tuple[StoreConfig, ...]
     by: str = "tenant"  # what chooses one of several stores: tenant or key
     upstreams: str = "none"  # whether a request is also sent to an upstream: none, first (before the store), last
     journal: Path | None = None  # folder with one file for each process, for writes whose outcome is unknown
@@ -239,8 +239,8 @@
     return None if None in found else tuple(name for name in found if name is not None)
 
 
-def _target(table: Table) -> StoreTarget:
-    target = StoreTarget(
+def _target(table: Table) -> StoreConfig:
+    target = StoreConfig(
         name=table.string("name"),
         sqlite=table.file_path("sqlite") if "sqlite" in table.values else None,
         postgresql=table.string("postgresql", ""),
--- a/ironscale/record/looking.py
+++ b/ironscale/record/looking.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, TypeVar
 
-from ironscale.operator_file import StoreTarget
+from ironscale.operator_file import StoreConfig
 from ironscale.record.journal import Open
 from ironscale.record.model import Row, Store, Trouble
 from ironscale.record.opening import make
@@ -16,7 +16,7 @@
 LIMIT_S = 10.0
 
 
-def in_store(target: StoreTarget, act: Callable[[Store], Awaitable[T]]) -> T:
+def in_store(target: StoreConfig, act: Callable[[Store], Awaitable[T]]) -> T:
     """Opens the store for one piece of work."""
     opened = make(target, "the operator file", busy_ms=int(LIMIT_S * 1000))
 
@@ -30,7 +30,7 @@
     return asyncio.run(whole())
 
 
-def select(target: StoreTarget, statement: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+def select(target: StoreConfig, statement: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
     """One of the statements of `Dialect`, by its name."""
     if target.sqlite is not None:
         from ironscale.record.sqlite import reader
@@ -53,16 +53,16 @@
     return in_store(target, ask)
 
 
-def records(target: StoreTarget, request: str) -> list[Row]:
+def records(target: StoreConfig, request: str) -> list[Row]:
     return [row(values) for values in select(target, "by_request", (request,))]
 
 
-def counts(target: StoreTarget) -> list[tuple[str, str, int]]:
+def counts(target: StoreConfig) -> list[tuple[str, str, int]]:
     """(state, class, how many)."""
     return [(str(state), str(kind), int(count)) for state, kind, count in select(target, "counts")]
 
 
-def find_out(target: StoreTarget, entries: Sequence[Open]) -> dict[str, str]:
+def find_out(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
     """Asks of each attempt, behind the fence: "ran", "never ran", or why that is still not known."""
     async def ask(store: Store) -> dict[str, str]:
         found = {}
@@ -77,7 +77,7 @@
     return in_store(target, ask)
 
 
-def prune(target: StoreTarget, older_ms: int) -> int:
+def prune(target: StoreConfig, older_ms: int) -> int:
     """Deletes marks that are older by the store's clock; gives how many there were."""
     async def work(store: Any) -> int:
         if target.sqlite is not None:
--- a/ironscale/record/opening.py
+++ b/ironscale/record/opening.py
@@ -5,7 +5,7 @@
 import contextlib
 from collections.abc import Callable, Iterator
 
-from ironscale.operator_file import OperatorFileError, Stores, StoreTarget, read_secret
+from ironscale.operator_file import OperatorFileError, Stores, StoreConfig, read_secret
 from ironscale.record.model import Store
 
 
@@ -24,7 +24,7 @@
                                 "pip install 'ironscale[record]'") from None
 
 
-def make(target: StoreTarget, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
+def make(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
     """What makes the store within a running loop. It connects to nothing yet: a store that is away keeps no sidecar
     from starting. `busy_ms`: how long SQLite waits for another process. Raises OperatorFileError."""
     place = f"store.to.{target.name}"
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -20,7 +20,7 @@
 from ironscale import interface as api
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
-from ironscale.operator_file import OperatorFileError, Stores, StoreTarget
+from ironscale.operator_file import OperatorFileError, Stores, StoreConfig
 from ironscale.record import beside as beside_module
 from ironscale.record import history
 from ironscale.record import journal as journal_module
@@ -44,11 +44,11 @@
 QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
 
 
-def to_postgres(*hosts: Host, name: str = "main", **changes: Any) -> StoreTarget:
-    return StoreTarget(name, postgresql=dsn(*hosts), **changes)
+def to_postgres(*hosts: Host, name: str = "main", **changes: Any) -> StoreConfig:
+    return StoreConfig(name, postgresql=dsn(*hosts), **changes)
 
 
-def stores(tmp_path: Path, *targets: StoreTarget, **changes: Any) -> Stores:
+def stores(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> Stores:
     return Stores("op.toml", **{"classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
 
 
@@ -95,7 +95,7 @@
 
 def test_what_writes_goes_to_the_store_and_what_reads_to_the_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, (peer,), front):
             paid = await scene.raw(asked(scene, "pay", b"homework" * 8000))
             assert paid.status == 200 and answered(paid) == {"recorded": "t1", "class": "pay"}
@@ -122,7 +122,7 @@
 def test_what_a_client_sent_before_it_left_is_not_written_if_its_end_has_come(tmp_path: Path) -> None:
     """Both have come before the loop reads either."""
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             with socket.create_connection(("127.0.0.1", scene.port)) as client:
                 client.sendall(asked(scene, "pay"))
@@ -140,7 +140,7 @@
     async def test() -> None:
         for classes, text in ((("pay", "nope"), "expected classes of the configuration (view, pay, mark), got 'nope'"),
                               (("view",), "expected classes whose requests write, got 'view', which is safe to re")):
-            section = Stores("op.toml", classes=classes, to=(StoreTarget("main", sqlite=Path("/nowhere/r.db")),))
+            section = Stores("op.toml", classes=classes, to=(StoreConfig("main", sqlite=Path("/nowhere/r.db")),))
             scene = await Scene().start()
             with pytest.raises(ConfigError) as found:
                 async with beside(section)(scene.sidecar, lambda: None):
@@ -149,14 +149,14 @@
             assert not scene.sidecar.request_handlers
             await scene.sidecar.stop()
         with pytest.raises(OperatorFileError, match="without a password"):
-            beside(Stores("op.toml", ("pay",), (StoreTarget("main", postgresql="host=h password=x"),)))
+            beside(Stores("op.toml", ("pay",), (StoreConfig("main", postgresql="host=h password=x"),)))
 
     run(test)
 
 
 def test_a_store_that_cannot_be_opened_refuses_and_says_when_to_return(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "no" / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "no" / "r.db"))
         async with running(section) as (scene, _, front):
             began = time.monotonic()
             paid = await scene.raw(asked(scene, "pay", b"x"))
@@ -309,7 +309,7 @@
     monkeypatch.setattr(beside_module, "TAKE_OVER_S", 0.02)
 
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             former = journal_module.Journal(tmp_path / "open", scene.sidecar.config.name, print)
             former.begin()
@@ -330,7 +330,7 @@
     classes = [{**kind, "memory-span": 0} if kind["name"] == "mark" else kind for kind in SETTINGS["request-classes"]]
 
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section, classes=classes) as (scene, _, front):
             assert (await scene.raw(asked(scene, "mark", b"A"))).status == 200
             deadline = time.monotonic() + 20
@@ -354,7 +354,7 @@
 
 def test_drained_and_reconfigured_the_front_follows(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreTarget("main", sqlite=tmp_path / "r.db"))
+        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             scene.sidecar.drain(True)
             assert (await scene.raw(asked(scene, "pay"))).status == 503
