--- a/bench/record.py
+++ b/bench/record.py
@@ -22,7 +22,7 @@
 import apsw
 import uvloop
 
-from ironscale.operator_file import Stores, StoreConfig
+from ironscale.operator_file import StoresConfig, StoreConfig
 from ironscale.record import sqlite
 from ironscale.record.beside import beside
 from ironscale.record.database import Opener
@@ -132,7 +132,7 @@
         host, peer = await Host().start(), await Peer().start()
         scene = await Scene().start(peer.entry("up-0"), **{"request-classes": QUICK})
         target = StoreConfig("main", postgresql=f"host=127.0.0.1 port={host.port} user=app")
-        section = Stores("bench", ("pay",), (target,))
+        section = StoresConfig("bench", ("pay",), (target,))
         loop, outcomes, views = asyncio.get_running_loop(), [], []
         stalled = asyncio.Event()
         stalled.set()
--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -11,7 +11,7 @@
 from ironscale import operator_file
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.operator_file import OperatorFileError, Stores, StoreConfig
+from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig
 
 try:
     from ironscale.record import journal, looking, opening, sqlite
@@ -34,7 +34,7 @@
                         envvar="GW_OPERATOR", show_default=True, help="The operator file with [store].")(function)
 
 
-def stores_of(path: Path) -> Stores:
+def stores_of(path: Path) -> StoresConfig:
     try:
         found = operator_file.load(path).store
     except OperatorFileError as error:
@@ -44,7 +44,7 @@
     return found
 
 
-def one_of(stores: Stores, name: str | None) -> list[StoreConfig]:
+def one_of(stores: StoresConfig, name: str | None) -> list[StoreConfig]:
     found = [target for target in stores.to if name in (None, target.name)]
     if not found:
         fail(Exit.USAGE, f"--store: expected one of {', '.join(t.name for t in stores.to)}, got {name}")
@@ -60,7 +60,7 @@
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(ms / 1000))
 
 
-def left_open(stores: Stores) -> list[Any]:
+def left_open(stores: StoresConfig) -> list[Any]:
     if stores.journal is None:
         fail(Exit.USAGE, f"{stores.file}: store.journal: expected a folder, got nothing")
     try:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stores:
+class StoresConfig:
     """`[store]`: requests of these classes are written to a store of record instead of being sent to an upstream."""
 
     file: str  # the operator file, for errors found only once the configuration is known
@@ -145,7 +145,7 @@
     agent: Agent | None = None
     learned: LearnedConfig | None = None
     record: RecordingConfig | None = None
-    store: Stores | None = None
+    store: StoresConfig | None = None
     versions: VersionsConfig | None = None
 
 
@@ -256,7 +256,7 @@
     return target
 
 
-def _stores(table: Table) -> Stores:
+def _stores(table: Table) -> StoresConfig:
     targets = [_target(entry) for entry in table.tables("to")]
     if not 0 < len(targets) <= MAX_STORES:
         raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MAX_STORES} tables "
@@ -266,7 +266,7 @@
         if names.count(name) > 1:
             raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, "
                                     f"got {name!r} twice")
-    stores = Stores(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
+    stores = StoresConfig(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
     table.reject_unknown_keys()
--- a/ironscale/record/beside.py
+++ b/ironscale/record/beside.py
@@ -9,7 +9,7 @@
 from ironscale.interface import Settings
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import Extension, Sidecar
-from ironscale.operator_file import OperatorFileError, Stores
+from ironscale.operator_file import OperatorFileError, StoresConfig
 from ironscale.record.journal import Journal, JournalError
 from ironscale.record.lane import Stores as Front
 from ironscale.record.opening import make
@@ -20,7 +20,7 @@
 TAKE_OVER_S = 5.0  # how often is looked for what a process of the same name has left
 
 
-def check_classes(stores: Stores, settings: Settings) -> dict[int, str]:
+def check_classes(stores: StoresConfig, settings: Settings) -> dict[int, str]:
     """The classes by their index. Raises OperatorFileError where one is not known, or is of requests that write
     nothing."""
     known = {kind.name: (index, kind) for index, kind in enumerate(settings.classes)}
@@ -37,7 +37,7 @@
     return found
 
 
-def beside(stores: Stores) -> Extension:
+def beside(stores: StoresConfig) -> Extension:
     """Raises OperatorFileError."""
     makers = [(target.name, make(target, stores.file)) for target in stores.to]
 
--- a/ironscale/record/opening.py
+++ b/ironscale/record/opening.py
@@ -5,11 +5,11 @@
 import contextlib
 from collections.abc import Callable, Iterator
 
-from ironscale.operator_file import OperatorFileError, Stores, StoreConfig, read_secret
+from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig, read_secret
 from ironscale.record.model import Store
 
 
-def check(stores: Stores) -> None:
+def check(stores: StoresConfig) -> None:
     """All that can be told without a sidecar or a store. Raises OperatorFileError."""
     for target in stores.to:
         make(target, stores.file)
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -20,7 +20,7 @@
 from ironscale import interface as api
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
-from ironscale.operator_file import OperatorFileError, Stores, StoreConfig
+from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig
 from ironscale.record import beside as beside_module
 from ironscale.record import history
 from ironscale.record import journal as journal_module
@@ -48,12 +48,12 @@
     return StoreConfig(name, postgresql=dsn(*hosts), **changes)
 
 
-def stores(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> Stores:
-    return Stores("op.toml", **{"classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
+def stores(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> StoresConfig:
+    return StoresConfig("op.toml", **{"classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
 
 
 @contextlib.asynccontextmanager
-async def running(section: Stores, peers: int = 1, classes: Any = SETTINGS["request-classes"]
+async def running(section: StoresConfig, peers: int = 1, classes: Any = SETTINGS["request-classes"]
                   ) -> AsyncIterator[tuple[Scene, list[Peer], Front]]:
     found = [await Peer().start() for _ in range(peers)]
     entries = [peer.entry(f"up-{i}") for i, peer in enumerate(found)]
@@ -70,7 +70,7 @@
 
 
 @contextlib.asynccontextmanager
-async def on_postgres(tmp_path: Path, **changes: Any) -> AsyncIterator[tuple[Host, Stores]]:
+async def on_postgres(tmp_path: Path, **changes: Any) -> AsyncIterator[tuple[Host, StoresConfig]]:
     """One host, and a section that writes to it."""
     host = await Host().start()
     try:
@@ -140,7 +140,7 @@
     async def test() -> None:
         for classes, text in ((("pay", "nope"), "expected classes of the configuration (view, pay, mark), got 'nope'"),
                               (("view",), "expected classes whose requests write, got 'view', which is safe to re")):
-            section = Stores("op.toml", classes=classes, to=(StoreConfig("main", sqlite=Path("/nowhere/r.db")),))
+            section = StoresConfig("op.toml", classes=classes, to=(StoreConfig("main", sqlite=Path("/nowhere/r.db")),))
             scene = await Scene().start()
             with pytest.raises(ConfigError) as found:
                 async with beside(section)(scene.sidecar, lambda: None):
@@ -149,7 +149,7 @@
             assert not scene.sidecar.request_handlers
             await scene.sidecar.stop()
         with pytest.raises(OperatorFileError, match="without a password"):
-            beside(Stores("op.toml", ("pay",), (StoreConfig("main", postgresql="host=h password=x"),)))
+            beside(StoresConfig("op.toml", ("pay",), (StoreConfig("main", postgresql="host=h password=x"),)))
 
     run(test)
 
