--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sidecar:
+class ListenerConfig:
     """`[sidecar]`: how the listener is opened."""
 
     reuse_port: bool = False  # SO_REUSEPORT: a successor may listen on the same port before this process has ended
@@ -141,7 +141,7 @@
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
     control: ControlConfig | None = None
-    sidecar: Sidecar = Sidecar()
+    sidecar: ListenerConfig = ListenerConfig()
     agent: Agent | None = None
     learned: LearnedConfig | None = None
     record: RecordingConfig | None = None
@@ -384,7 +384,7 @@
         control=ControlConfig(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _agents),
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
-        sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
+        sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
         agent=_agent(agent) if agent is not None else None,
         learned=_learned(learned) if learned is not None else None,
         record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
