--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -21,7 +21,7 @@
 from ironscale.agent.model import Send
 from ironscale.agent.restarts import Restarts
 from ironscale.control.processes import is_alive, start_ticks, with_variable
-from ironscale.operator_file import OperatorFileError, Service
+from ironscale.operator_file import OperatorFileError, ServiceConfig
 
 READY_S = 30.0  # a successor has so long to become ready before the old process is told to end
 MOST_LOG = 16 << 20
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Supervised:
-    service: Service
+    service: ServiceConfig
     index: int
     name: str
     base: dict[str, Any]
@@ -98,7 +98,7 @@
 
 
 class Supervisor:
-    def __init__(self, services: tuple[Service, ...], data: Path, agent: tuple[str, int], token_file: Path,
+    def __init__(self, services: tuple[ServiceConfig, ...], data: Path, agent: tuple[str, int], token_file: Path,
                  fleet: Fleet, overlay: Callable[[int], dict[str, Any] | None], log: Callable[[str], None]) -> None:
         self.folder, self.logs = data / "instances", data / "logs"
         self.agent, self.token_file, self.fleet = agent, token_file, fleet
@@ -118,7 +118,7 @@
         fleet.replacing = lambda name: name in self.members and self.members[name].replacing
 
     @staticmethod
-    def read_base(service: Service) -> dict[str, Any]:
+    def read_base(service: ServiceConfig) -> dict[str, Any]:
         try:
             base = json.loads(service.config.read_text(encoding="utf-8"))
         except OSError as error:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
+class ServiceConfig:
     """`[[agent.service]]`: local instances that the agent starts and restarts."""
 
     name: str  # the instances are named name-0, name-1 ...
@@ -126,7 +126,7 @@
     lease_s: float = 6.0
     heartbeat_s: float = 2.0
     most_instances: int = MAX_INSTANCES
-    services: tuple[Service, ...] = ()
+    services: tuple[ServiceConfig, ...] = ()
     budgets: tuple[Budget, ...] = ()
     file: str = ""  # the operator file, for errors found only once the database is open
     postgresql: str = ""  # connection string of the database, without a password; empty = SQLite in `data`
@@ -153,7 +153,7 @@
     return address[0] in ("localhost", "::1") or address[0].startswith("127.")
 
 
-def _service(table: Table) -> Service:
+def _service(table: Table) -> ServiceConfig:
     count = table.integer("count", 1, MAX_INSTANCES)
     first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
@@ -162,7 +162,7 @@
     variables = table.table("environment")
     if variables is not None:
         environment = {name: variables.string(name) for name in variables.values}
-    service = Service(
+    service = ServiceConfig(
         name=table.string("name"), count=count, config=table.file_path("config"),
         host=table.string("host", "127.0.0.1"), first_port=first_port,
         zone=table.get("zone", "a text", text_or_none, ""),
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -25,7 +25,7 @@
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
 from ironscale.agent.terms import holder_of
 from ironscale.cli.output import CODES, Exit
-from ironscale.operator_file import OperatorFileError, Service, parse
+from ironscale.operator_file import OperatorFileError, ServiceConfig, parse
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.scene import run, scene, section, until
@@ -831,7 +831,7 @@
                 assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the record knows" in text]) == 2
             with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the record knows"):
-                service = Service("app", 1, tmp_path / "app.json")
+                service = ServiceConfig("app", 1, tmp_path / "app.json")
                 async with running(section(tmp_path / "two", postgresql=dsn(host), services=(service,))):
                     pass
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -20,7 +20,7 @@
 from ironscale.agent.model import Kind, Phase, Policy, State
 from ironscale.agent.restarts import CRASHES, MOST_S, STEADY_S, Restarts
 from ironscale.control.processes import is_alive, start_ticks
-from ironscale.operator_file import Service, read_secret
+from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
@@ -65,7 +65,7 @@
 
 @contextlib.asynccontextmanager
 async def supervised(folder: Path, config: Path, count: int = 1, **changes: Any) -> AsyncIterator[AgentScene]:
-    service = Service("app", count, config, stop_s=4.0, **changes)
+    service = ServiceConfig("app", count, config, stop_s=4.0, **changes)
     async with scene(folder / "data", services=(service,), lease_s=1.0, heartbeat_s=0.1) as s:
         try:
             yield s
@@ -266,7 +266,7 @@
 
     async def found_again(ends: contextlib.ExitStack) -> None:
         async with world(tmp_path) as (_, config):
-            service = Service("app", 1, config, stop_s=4.0)
+            service = ServiceConfig("app", 1, config, stop_s=4.0)
             changes: dict[str, Any] = {"services": (service,), "lease_s": 1.0, "heartbeat_s": 0.1,
                                        "control": ("127.0.0.1", free_port())}
             async with scene(tmp_path / "data", **changes) as s:
