--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -26,7 +26,7 @@
 from ironscale.control.light import LightInstance, light, stop
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
-from ironscale.operator_file import Agent as Section
+from ironscale.operator_file import AgentConfig as Section
 from ironscale.operator_file import read_secret
 from ironscale.stage.history import History
 from ironscale.stage.run import Stage
--- a/bench/record.py
+++ b/bench/record.py
@@ -229,7 +229,7 @@
     from ironscale.agent.postgres import PostgresStore as AgentOnPostgres
     from ironscale.agent.sqlite import SqliteStore as AgentOnSqlite
     from ironscale.agent.store import Records, StoreError
-    from ironscale.operator_file import Agent
+    from ironscale.operator_file import AgentConfig
 
     def small(records: Records) -> None:
         records.audit(1, "bench", "act", str(records.next_fence()), "done")
@@ -300,7 +300,7 @@
         host = await Host().start()
         began = time.monotonic()
         dsn = f"host=127.0.0.1 port={host.port} user=app"
-        moved = await open_store(Agent(data=folder, postgresql=dsn), folder, print, print)
+        moved = await open_store(AgentConfig(data=folder, postgresql=dsn), folder, print, print)
         print(f"{'moved, into the stand-in':34} {time.monotonic() - began:9.2f} s")
         await asyncio.to_thread(moved.close)
         await host.stop()
--- a/ironscale/agent/opening.py
+++ b/ironscale/agent/opening.py
@@ -21,7 +21,7 @@
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import holder_of, place_of
-from ironscale.operator_file import Agent as AgentSection
+from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
 from ironscale.record.database import Transaction, trouble
 from ironscale.record.errors import Step
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -33,7 +33,7 @@
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import ENDING, Clock
 from ironscale.net.signals import Signals
-from ironscale.operator_file import Agent as AgentSection
+from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import read_secret
 from ironscale.versions.serving import Serving
 
--- a/ironscale/cli/processes.py
+++ b/ironscale/cli/processes.py
@@ -11,7 +11,7 @@
 
 from ironscale.cli.common import api_for, api_options, output_option
 from ironscale.cli.output import Exit, fail, out, print_json, table, word
-from ironscale.operator_file import Agent, LearnedConfig, OperatorFileError, load
+from ironscale.operator_file import AgentConfig, LearnedConfig, OperatorFileError, load
 
 
 @click.command()
@@ -25,7 +25,7 @@
     from ironscale.agent.store import StoreError
 
     try:
-        section = load(file).agent if file is not None else Agent(data=data or Path(".ironscale"))
+        section = load(file).agent if file is not None else AgentConfig(data=data or Path(".ironscale"))
         if section is None:
             fail(Exit.USAGE, f"{file}: expected a table [agent], got none")
         uvloop.run(serve(section, stop_instances))
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agent:
+class AgentConfig:
     """`[agent]`: the agent itself."""
 
     data: Path = Path(".ironscale")  # folder of the database and the tokens
@@ -142,7 +142,7 @@
 class OperatorFile:
     control: ControlConfig | None = None
     sidecar: ListenerConfig = ListenerConfig()
-    agent: Agent | None = None
+    agent: AgentConfig | None = None
     learned: LearnedConfig | None = None
     record: RecordingConfig | None = None
     store: StoresConfig | None = None
@@ -320,8 +320,8 @@
     return tuple(address for address in found if address is not None)
 
 
-def _agent(table: Table) -> Agent:
-    agent = Agent(
+def _agent(table: Table) -> AgentConfig:
+    agent = AgentConfig(
         data=table.file_path("data", Path(".ironscale")),
         control=table.address("control", ("127.0.0.1", 7400)),
         api=table.address("api", ("127.0.0.1", 7401)),
--- a/tests/agent/killed_agent.py
+++ b/tests/agent/killed_agent.py
@@ -18,7 +18,7 @@
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
 from ironscale.disruption.model import Budget, Of
-from ironscale.operator_file import Agent as Section
+from ironscale.operator_file import AgentConfig as Section
 
 
 async def main(data: Path, port: int, fatal: int, count: int, most: int, dsn: str) -> None:
--- a/tests/agent/scene.py
+++ b/tests/agent/scene.py
@@ -16,7 +16,7 @@
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import Client
 from ironscale.control.light import LightInstance, light, stop
-from ironscale.operator_file import Agent as Section
+from ironscale.operator_file import AgentConfig as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
 from tests.sockets import until as until
--- a/tests/agent/standing_agent.py
+++ b/tests/agent/standing_agent.py
@@ -15,7 +15,7 @@
 
 from ironscale.agent.serve import Agent
 from ironscale.disruption.model import Budget, Of
-from ironscale.operator_file import Agent as Section
+from ironscale.operator_file import AgentConfig as Section
 
 
 async def main(data: Path, record: str, control: int, term_s: float, most: int, fatal: int, how: str) -> None:
