--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -153,7 +153,7 @@
     return address[0] in ("localhost", "::1") or address[0].startswith("127.")
 
 
-def _service(table: Table) -> ServiceConfig:
+def _read_service(table: Table) -> ServiceConfig:
     count = table.integer("count", 1, MAX_INSTANCES)
     first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
@@ -330,7 +330,7 @@
         lease_s=table.seconds("lease_s", 0.2, 600, 6.0),
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
         most_instances=table.integer("most_instances", 1, 100_000, MAX_INSTANCES),
-        services=tuple(_service(entry) for entry in table.tables("service")),
+        services=tuple(_read_service(entry) for entry in table.tables("service")),
         budgets=_budgets(table),
         file=table.file,
         postgresql=table.string("postgresql", ""),
