--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -175,7 +175,7 @@
     return service
 
 
-def _loopback(value: Any) -> Address | None:
+def _read_loopback_address(value: Any) -> Address | None:
     address = read_address(value)
     return address if address is not None and is_loopback(address) else None
 
@@ -183,7 +183,7 @@
 def _donors(value: Any) -> tuple[Address, ...] | None:
     if not isinstance(value, list) or len(value) > MAX_DONORS:
         return None
-    found = [_loopback(entry) for entry in value]
+    found = [_read_loopback_address(entry) for entry in value]
     return None if None in found else tuple(address for address in found if address is not None)
 
 
@@ -214,7 +214,7 @@
 
 def _learned(table: Table) -> LearnedConfig:
     # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
-    teach = table.get("teach", "HOST:PORT on a loopback address", _loopback) if "teach" in table.values else None
+    teach = table.get("teach", "HOST:PORT on a loopback address", _read_loopback_address) if "teach" in table.values else None
     learned = LearnedConfig(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
