--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -180,7 +180,7 @@
     return address if address is not None and is_loopback(address) else None
 
 
-def _donors(value: Any) -> tuple[Address, ...] | None:
+def _read_loopback_addresses(value: Any) -> tuple[Address, ...] | None:
     if not isinstance(value, list) or len(value) > MAX_DONORS:
         return None
     found = [_read_loopback_address(entry) for entry in value]
@@ -218,7 +218,7 @@
     learned = LearnedConfig(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
-        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
+        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses", _read_loopback_addresses, ()),
         from_agent=table.boolean("from_agent", False))
     table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
