--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -187,7 +187,7 @@
     return None if None in found else tuple(address for address in found if address is not None)
 
 
-def _versions(table: Table) -> VersionsConfig:
+def _read_versions(table: Table) -> VersionsConfig:
     from ironscale.versions.choice import Place  # not loaded by a sidecar without [versions]
 
     places = []
@@ -390,7 +390,7 @@
         record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
         store=_stores(store) if store is not None else None,
-        versions=_versions(versions) if versions is not None else None,
+        versions=_read_versions(versions) if versions is not None else None,
     )
     for table in (control, sidecar, record, root):
         if table is not None:
