--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -212,7 +212,7 @@
     return found
 
 
-def _learned(table: Table) -> LearnedConfig:
+def _read_learned(table: Table) -> LearnedConfig:
     # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
     teach = table.get("teach", "HOST:PORT on a loopback address", _read_loopback_address) if "teach" in table.values else None
     learned = LearnedConfig(
@@ -386,7 +386,7 @@
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
         agent=_agent(agent) if agent is not None else None,
-        learned=_learned(learned) if learned is not None else None,
+        learned=_read_learned(learned) if learned is not None else None,
         record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
         store=_stores(store) if store is not None else None,
