--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -232,7 +232,7 @@
 MAX_STORES = 64
 
 
-def _names(value: Any) -> tuple[str, ...] | None:
+def _read_names(value: Any) -> tuple[str, ...] | None:
     if not isinstance(value, list) or not 0 < len(value) <= 100 or len({*map(str, value)}) < len(value):
         return None
     found = [text_or_none(entry) for entry in value]
@@ -266,7 +266,7 @@
         if names.count(name) > 1:
             raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, "
                                     f"got {name!r} twice")
-    stores = StoresConfig(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
+    stores = StoresConfig(table.file, table.get("classes", "a list of names that differ", _read_names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
     table.reject_unknown_keys()
