--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -239,7 +239,7 @@
     return None if None in found else tuple(name for name in found if name is not None)
 
 
-def _target(table: Table) -> StoreConfig:
+def _read_store(table: Table) -> StoreConfig:
     target = StoreConfig(
         name=table.string("name"),
         sqlite=table.file_path("sqlite") if "sqlite" in table.values else None,
@@ -257,7 +257,7 @@
 
 
 def _stores(table: Table) -> StoresConfig:
-    targets = [_target(entry) for entry in table.tables("to")]
+    targets = [_read_store(entry) for entry in table.tables("to")]
     if not 0 < len(targets) <= MAX_STORES:
         raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MAX_STORES} tables "
                                 f"[[store.to]], got {len(targets)}")
