--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -256,7 +256,7 @@
     return target
 
 
-def _stores(table: Table) -> StoresConfig:
+def _read_stores(table: Table) -> StoresConfig:
     targets = [_read_store(entry) for entry in table.tables("to")]
     if not 0 < len(targets) <= MAX_STORES:
         raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MAX_STORES} tables "
@@ -389,7 +389,7 @@
         learned=_read_learned(learned) if learned is not None else None,
         record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
-        store=_stores(store) if store is not None else None,
+        store=_read_stores(store) if store is not None else None,
         versions=_read_versions(versions) if versions is not None else None,
     )
     for table in (control, sidecar, record, root):
