--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -273,7 +273,7 @@
     return stores
 
 
-def _budget(table: Table) -> Budget:
+def _read_budget(table: Table) -> Budget:
     from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # not loaded by sidecars
 
     # the key `name` is the budget's own name, so the pattern for unit names has the key `names`
@@ -293,7 +293,7 @@
 
 
 def _budgets(table: Table) -> tuple[Budget, ...]:
-    found = tuple(_budget(entry) for entry in table.tables("budget"))
+    found = tuple(_read_budget(entry) for entry in table.tables("budget"))
     if len(found) > MAX_BUDGETS:
         raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MAX_BUDGETS} at most, got "
                                 f"{len(found)}")
