--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -292,7 +292,7 @@
     return budget
 
 
-def _budgets(table: Table) -> tuple[Budget, ...]:
+def _read_budgets(table: Table) -> tuple[Budget, ...]:
     found = tuple(_read_budget(entry) for entry in table.tables("budget"))
     if len(found) > MAX_BUDGETS:
         raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MAX_BUDGETS} at most, got "
@@ -331,7 +331,7 @@
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
         most_instances=table.integer("most_instances", 1, 100_000, MAX_INSTANCES),
         services=tuple(_read_service(entry) for entry in table.tables("service")),
-        budgets=_budgets(table),
+        budgets=_read_budgets(table),
         file=table.file,
         postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
