--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -312,7 +312,7 @@
     return found
 
 
-def _agents(value: Any) -> tuple[Address, ...] | None:
+def _read_agent_addresses(value: Any) -> tuple[Address, ...] | None:
     entries = value if isinstance(value, list) else [value]
     found = [read_address(entry) for entry in entries]
     if not 0 < len(found) <= MAX_AGENTS or None in found or len(set(found)) < len(found):
@@ -381,7 +381,7 @@
     store = root.table("store")
     versions = root.table("versions")
     found = OperatorFile(
-        control=ControlConfig(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _agents),
+        control=ControlConfig(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _read_agent_addresses),
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
@@ -427,7 +427,7 @@
         if found.versions is not None and found.control is None and found.agent is None:
             raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT beside it, got neither")
         return found
-    addresses = _agents(environ["GW_AGENT"].split(","))
+    addresses = _read_agent_addresses(environ["GW_AGENT"].split(","))
     if addresses is None:
         raise OperatorFileError(f"GW_AGENT: expected HOST:PORT, or several with commas, got {environ['GW_AGENT']!r}")
     token_file = environ.get("GW_AGENT_TOKEN_FILE") or (found.control.token_file if found.control else None)
