--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -320,7 +320,7 @@
     return tuple(address for address in found if address is not None)
 
 
-def _agent(table: Table) -> AgentConfig:
+def _read_agent(table: Table) -> AgentConfig:
     agent = AgentConfig(
         data=table.file_path("data", Path(".ironscale")),
         control=table.address("control", ("127.0.0.1", 7400)),
@@ -385,7 +385,7 @@
                         control.file_path("token_file"),
                         control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
-        agent=_agent(agent) if agent is not None else None,
+        agent=_read_agent(agent) if agent is not None else None,
         learned=_read_learned(learned) if learned is not None else None,
         record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
