--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -17,7 +17,7 @@
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
-_ENTRY = struct.Struct("<IBBHBfQ")
+_LIST_ENTRY = struct.Struct("<IBBHBfQ")
 _LIST_HEAD = struct.Struct("<II")
 _POWER_ON = struct.Struct("<QI")
 _MEMBERS = struct.Struct("<BII")
@@ -117,8 +117,8 @@
     def read_list(self) -> None:
         number, count = self.unpack(_LIST_HEAD)
         entries = []
-        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
-            self.read_bytes(_ENTRY.size * count)
+        for upstream, zone, kind, cell, state, weight, started in _LIST_ENTRY.iter_unpack(
+            self.read_bytes(_LIST_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
