--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -18,7 +18,7 @@
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
 _LIST_ENTRY = struct.Struct("<IBBHBfQ")
-_LIST_HEAD = struct.Struct("<II")
+_LIST_HEADER = struct.Struct("<II")
 _POWER_ON = struct.Struct("<QI")
 _MEMBERS = struct.Struct("<BII")
 _ACCEPT = struct.Struct("<IBIQIBQ")
@@ -115,7 +115,7 @@
         return values
 
     def read_list(self) -> None:
-        number, count = self.unpack(_LIST_HEAD)
+        number, count = self.unpack(_LIST_HEADER)
         entries = []
         for upstream, zone, kind, cell, state, weight, started in _LIST_ENTRY.iter_unpack(
             self.read_bytes(_LIST_ENTRY.size * count)
