--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -19,7 +19,7 @@
 REPLY_HEADER = struct.Struct("<II")
 _LIST_ENTRY = struct.Struct("<IBBHBfQ")
 _LIST_HEADER = struct.Struct("<II")
-_POWER_ON = struct.Struct("<QI")
+_INSTANCE_STARTED = struct.Struct("<QI")
 _MEMBERS = struct.Struct("<BII")
 _ACCEPT = struct.Struct("<IBIQIBQ")
 _COMPLETED = struct.Struct("<IBIHIBB")
@@ -135,7 +135,7 @@
 
 
 def _started(frame: Decoder) -> WireEvent:
-    seed, size = frame.unpack(_POWER_ON)
+    seed, size = frame.unpack(_INSTANCE_STARTED)
     return InstanceStarted(seed, frame.read_bytes(size).decode())
 
 
