--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -20,7 +20,7 @@
 _LIST_ENTRY = struct.Struct("<IBBHBfQ")
 _LIST_HEADER = struct.Struct("<II")
 _INSTANCE_STARTED = struct.Struct("<QI")
-_MEMBERS = struct.Struct("<BII")
+_LIST_UPDATED = struct.Struct("<BII")
 _ACCEPT = struct.Struct("<IBIQIBQ")
 _COMPLETED = struct.Struct("<IBIHIBB")
 _BEGUN = struct.Struct("<IBII")
@@ -144,7 +144,7 @@
 
 
 def _members(frame: Decoder) -> WireEvent:
-    how, version, number = frame.unpack(_MEMBERS)
+    how, version, number = frame.unpack(_LIST_UPDATED)
     kind = _known(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
