--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -21,7 +21,7 @@
 _LIST_HEADER = struct.Struct("<II")
 _INSTANCE_STARTED = struct.Struct("<QI")
 _LIST_UPDATED = struct.Struct("<BII")
-_ACCEPT = struct.Struct("<IBIQIBQ")
+_REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
 _COMPLETED = struct.Struct("<IBIHIBB")
 _BEGUN = struct.Struct("<IBII")
 _HEALTH = struct.Struct("<IHIB")
@@ -154,7 +154,7 @@
 
 
 def _accept(frame: Decoder) -> WireEvent:
-    request, class_index, tenant, key, cost, marks, due = frame.unpack(_ACCEPT)
+    request, class_index, tenant, key, cost, marks, due = frame.unpack(_REQUEST_ARRIVED)
     return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
                               bool(marks & 2), bool(marks & 4))
 
