--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -22,7 +22,7 @@
 _INSTANCE_STARTED = struct.Struct("<QI")
 _LIST_UPDATED = struct.Struct("<BII")
 _REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
-_COMPLETED = struct.Struct("<IBIHIBB")
+_ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
 _BEGUN = struct.Struct("<IBII")
 _HEALTH = struct.Struct("<IHIB")
 _DATAGRAM = struct.Struct("<HH")
@@ -160,7 +160,7 @@
 
 
 def _completed(frame: Decoder) -> WireEvent:
-    request, attempt, upstream, verdict, spent, last, count = frame.unpack(_COMPLETED)
+    request, attempt, upstream, verdict, spent, last, count = frame.unpack(_ATTEMPT_ENDED)
     return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
                             bool(last), frame.read_floats(count))
 
