--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -23,7 +23,7 @@
 _LIST_UPDATED = struct.Struct("<BII")
 _REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
 _ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
-_BEGUN = struct.Struct("<IBII")
+_STREAM_STARTED = struct.Struct("<IBII")
 _HEALTH = struct.Struct("<IHIB")
 _DATAGRAM = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
@@ -166,7 +166,7 @@
 
 
 def _begun(frame: Decoder) -> WireEvent:
-    request, attempt, spent, upstream = frame.unpack(_BEGUN)
+    request, attempt, spent, upstream = frame.unpack(_STREAM_STARTED)
     return api.StreamStarted(request, attempt, upstream, spent)
 
 
