--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -24,7 +24,7 @@
 _REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
 _ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
 _STREAM_STARTED = struct.Struct("<IBII")
-_HEALTH = struct.Struct("<IHIB")
+_PROBE_ENDED = struct.Struct("<IHIB")
 _DATAGRAM = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
@@ -171,7 +171,7 @@
 
 
 def _health(frame: Decoder) -> WireEvent:
-    upstream, verdict, spent, count = frame.unpack(_HEALTH)
+    upstream, verdict, spent, count = frame.unpack(_PROBE_ENDED)
     return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
 
