--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -25,7 +25,7 @@
 _ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
 _STREAM_STARTED = struct.Struct("<IBII")
 _PROBE_ENDED = struct.Struct("<IHIB")
-_DATAGRAM = struct.Struct("<HH")
+_PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 
@@ -176,7 +176,7 @@
 
 
 def _datagram(frame: Decoder) -> WireEvent:
-    sender, size = frame.unpack(_DATAGRAM)
+    sender, size = frame.unpack(_PEER_MESSAGE)
     return api.PeerMessage(sender, frame.read_bytes(size))
 
 
