--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -122,12 +122,12 @@
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
+            entries.append(api.Upstream(upstream, _lookup(_STATES, state, "upstream condition"), zone, kind,
                                         cell, weight, started))
         self.upstream_lists[number] = entries
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _lookup(table: dict[int, V], code: int, what: str) -> V:
     value = table.get(code)
     if value is None:
         raise WireError(f"unknown {what} {code}")
@@ -145,7 +145,7 @@
 
 def _members(frame: Decoder) -> WireEvent:
     how, version, number = frame.unpack(_LIST_UPDATED)
-    kind = _known(_LIST_KINDS, how, "list kind")
+    kind = _lookup(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
     if number not in frame.upstream_lists:
@@ -161,7 +161,7 @@
 
 def _completed(frame: Decoder) -> WireEvent:
     request, attempt, upstream, verdict, spent, last, count = frame.unpack(_ATTEMPT_ENDED)
-    return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
+    return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent,
                             bool(last), frame.read_floats(count))
 
 
@@ -172,7 +172,7 @@
 
 def _health(frame: Decoder) -> WireEvent:
     upstream, verdict, spent, count = frame.unpack(_PROBE_ENDED)
-    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
+    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
 
 def _datagram(frame: Decoder) -> WireEvent:
