--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -134,7 +134,7 @@
     return value
 
 
-def _started(frame: Decoder) -> WireEvent:
+def _read_instance_started(frame: Decoder) -> WireEvent:
     seed, size = frame.unpack(_INSTANCE_STARTED)
     return InstanceStarted(seed, frame.read_bytes(size).decode())
 
@@ -184,7 +184,7 @@
     10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _started,
+    70: _accept, 80: _members, 90: _health, 100: _read_instance_started,
 }
 
 
