--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -139,7 +139,7 @@
     return InstanceStarted(seed, frame.read_bytes(size).decode())
 
 
-def _stopped(frame: Decoder) -> WireEvent:
+def _read_instance_stopped(frame: Decoder) -> WireEvent:
     return InstanceStopped()
 
 
@@ -181,7 +181,7 @@
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
+    10: _completed, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
     70: _accept, 80: _members, 90: _health, 100: _read_instance_started,
