--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -143,7 +143,7 @@
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> WireEvent:
+def _read_list_updated(frame: Decoder) -> WireEvent:
     how, version, number = frame.unpack(_LIST_UPDATED)
     kind = _lookup(_LIST_KINDS, how, "list kind")
     if kind is api.ListKind.FAILED:
@@ -184,7 +184,7 @@
     10: _completed, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _read_instance_started,
+    70: _accept, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
 }
 
 
