--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -153,7 +153,7 @@
     return api.UpstreamsUpdated(kind, frame.upstream_lists[number], version)
 
 
-def _accept(frame: Decoder) -> WireEvent:
+def _read_request_arrived(frame: Decoder) -> WireEvent:
     request, class_index, tenant, key, cost, marks, due = frame.unpack(_REQUEST_ARRIVED)
     return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
                               bool(marks & 2), bool(marks & 4))
@@ -184,7 +184,7 @@
     10: _completed, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
-    70: _accept, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
+    70: _read_request_arrived, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
 }
 
 
