--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -159,7 +159,7 @@
                               bool(marks & 2), bool(marks & 4))
 
 
-def _completed(frame: Decoder) -> WireEvent:
+def _read_attempt_ended(frame: Decoder) -> WireEvent:
     request, attempt, upstream, verdict, spent, last, count = frame.unpack(_ATTEMPT_ENDED)
     return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent,
                             bool(last), frame.read_floats(count))
@@ -181,7 +181,7 @@
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
+    10: _read_attempt_ended, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
     70: _read_request_arrived, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
