--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -165,7 +165,7 @@
                             bool(last), frame.read_floats(count))
 
 
-def _begun(frame: Decoder) -> WireEvent:
+def _read_stream_started(frame: Decoder) -> WireEvent:
     request, attempt, spent, upstream = frame.unpack(_STREAM_STARTED)
     return api.StreamStarted(request, attempt, upstream, spent)
 
@@ -181,7 +181,7 @@
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
-    10: _read_attempt_ended, 20: _begun, 30: _datagram, 40: _read_instance_stopped,
+    10: _read_attempt_ended, 20: _read_stream_started, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
     70: _read_request_arrived, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
