--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -170,7 +170,7 @@
     return api.StreamStarted(request, attempt, upstream, spent)
 
 
-def _health(frame: Decoder) -> WireEvent:
+def _read_probe_ended(frame: Decoder) -> WireEvent:
     upstream, verdict, spent, count = frame.unpack(_PROBE_ENDED)
     return api.ProbeEnded(upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
@@ -184,7 +184,7 @@
     10: _read_attempt_ended, 20: _read_stream_started, 30: _datagram, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
-    70: _read_request_arrived, 80: _read_list_updated, 90: _health, 100: _read_instance_started,
+    70: _read_request_arrived, 80: _read_list_updated, 90: _read_probe_ended, 100: _read_instance_started,
 }
 
 
