--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -175,13 +175,13 @@
     return api.ProbeEnded(upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
 
 
-def _datagram(frame: Decoder) -> WireEvent:
+def _read_peer_message(frame: Decoder) -> WireEvent:
     sender, size = frame.unpack(_PEER_MESSAGE)
     return api.PeerMessage(sender, frame.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
-    10: _read_attempt_ended, 20: _read_stream_started, 30: _datagram, 40: _read_instance_stopped,
+    10: _read_attempt_ended, 20: _read_stream_started, 30: _read_peer_message, 40: _read_instance_stopped,
     50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
     60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
     70: _read_request_arrived, 80: _read_list_updated, 90: _read_probe_ended, 100: _read_instance_started,
