--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -188,15 +188,15 @@
 }
 
 
-def _pack(code: int, layout: str) -> Callable[..., bytes]:
+def _record_packer(code: int, layout: str) -> Callable[..., bytes]:
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
 
-_send, _refuse, _fail = _pack(20, "IIi"), _pack(40, "II"), _pack(90, "I")
-_cancel, _probe, _timer = _pack(100, "IB"), _pack(80, "I"), _pack(30, "QI")
-_subscribe, _fetch, _close = _pack(70, "B"), _pack(10, ""), _pack(110, "I")
-_tell, _text_log, _text_error = _pack(50, "IH"), _pack(120, "H"), _pack(60, "H")
+_send, _refuse, _fail = _record_packer(20, "IIi"), _record_packer(40, "II"), _record_packer(90, "I")
+_cancel, _probe, _timer = _record_packer(100, "IB"), _record_packer(80, "I"), _record_packer(30, "QI")
+_subscribe, _fetch, _close = _record_packer(70, "B"), _record_packer(10, ""), _record_packer(110, "I")
+_tell, _text_log, _text_error = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
 
 
 def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
