--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -199,7 +199,7 @@
 _send_to_peer, _text_log, _text_error = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
 
 
-def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _pack_text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
     return head(instance, len(raw)) + raw
 
@@ -215,8 +215,8 @@
     api.FetchList: lambda i, a: _fetch(i),
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
     api.SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    api.Log: lambda i, a: _text(_text_log, i, a.text),
-    InternalError: lambda i, a: _text(_text_error, i, a.text),
+    api.Log: lambda i, a: _pack_text(_text_log, i, a.text),
+    InternalError: lambda i, a: _pack_text(_text_error, i, a.text),
 }
 
 
