--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -196,7 +196,7 @@
 _send, _refuse, _fail = _record_packer(20, "IIi"), _record_packer(40, "II"), _record_packer(90, "I")
 _cancel, _probe, _timer = _record_packer(100, "IB"), _record_packer(80, "I"), _record_packer(30, "QI")
 _subscribe, _fetch, _close = _record_packer(70, "B"), _record_packer(10, ""), _record_packer(110, "I")
-_send_to_peer, _log_header, _text_error = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
+_send_to_peer, _log_header, _error_header = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
 
 
 def _pack_text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
@@ -216,7 +216,7 @@
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
     api.SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
     api.Log: lambda i, a: _pack_text(_log_header, i, a.text),
-    InternalError: lambda i, a: _pack_text(_text_error, i, a.text),
+    InternalError: lambda i, a: _pack_text(_error_header, i, a.text),
 }
 
 
