--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -199,9 +199,9 @@
 _send_to_peer, _log_header, _error_header = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
 
 
-def _pack_text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _pack_text(pack_header: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
-    return head(instance, len(raw)) + raw
+    return pack_header(instance, len(raw)) + raw
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
