--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -144,8 +144,8 @@
 
 
 def _read_list_updated(frame: Decoder) -> WireEvent:
-    how, version, number = frame.unpack(_LIST_UPDATED)
-    kind = _lookup(_LIST_KINDS, how, "list kind")
+    kind_code, version, number = frame.unpack(_LIST_UPDATED)
+    kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
     if number not in frame.upstream_lists:
