--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -144,13 +144,13 @@
 
 
 def _read_list_updated(frame: Decoder) -> WireEvent:
-    kind_code, version, number = frame.unpack(_LIST_UPDATED)
+    kind_code, version, list_number = frame.unpack(_LIST_UPDATED)
     kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
-    if number not in frame.upstream_lists:
-        raise WireError(f"upstream list {number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.upstream_lists[number], version)
+    if list_number not in frame.upstream_lists:
+        raise WireError(f"upstream list {list_number} was never sent")
+    return api.UpstreamsUpdated(kind, frame.upstream_lists[list_number], version)
 
 
 def _read_request_arrived(frame: Decoder) -> WireEvent:
