--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -154,9 +154,9 @@
 
 
 def _read_request_arrived(frame: Decoder) -> WireEvent:
-    request, class_index, tenant, key, cost, marks, due = frame.unpack(_REQUEST_ARRIVED)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
-                              bool(marks & 2), bool(marks & 4))
+    request, class_index, tenant, key, cost, flags, due = frame.unpack(_REQUEST_ARRIVED)
+    return api.RequestArrived(request, due, class_index, tenant, key, cost if flags & 1 else 0,
+                              bool(flags & 2), bool(flags & 4))
 
 
 def _read_attempt_ended(frame: Decoder) -> WireEvent:
