--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -154,8 +154,8 @@
 
 
 def _read_request_arrived(frame: Decoder) -> WireEvent:
-    request, class_index, tenant, key, cost_us, flags, due = frame.unpack(_REQUEST_ARRIVED)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost_us if flags & 1 else 0,
+    request, class_index, tenant, key, cost_us, flags, deadline_us = frame.unpack(_REQUEST_ARRIVED)
+    return api.RequestArrived(request, deadline_us, class_index, tenant, key, cost_us if flags & 1 else 0,
                               bool(flags & 2), bool(flags & 4))
 
 
