--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -160,8 +160,8 @@
 
 
 def _read_attempt_ended(frame: Decoder) -> WireEvent:
-    request, attempt, upstream, verdict, spent, last, count = frame.unpack(_ATTEMPT_ENDED)
-    return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, verdict, "outcome"), spent,
+    request, attempt, upstream, outcome_code, spent, last, count = frame.unpack(_ATTEMPT_ENDED)
+    return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), spent,
                             bool(last), frame.read_floats(count))
 
 
