--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -160,9 +160,9 @@
 
 
 def _read_attempt_ended(frame: Decoder) -> WireEvent:
-    request, attempt, upstream, outcome_code, elapsed_us, last, count = frame.unpack(_ATTEMPT_ENDED)
+    request, attempt, upstream, outcome_code, elapsed_us, request_ended, count = frame.unpack(_ATTEMPT_ENDED)
     return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us,
-                            bool(last), frame.read_floats(count))
+                            bool(request_ended), frame.read_floats(count))
 
 
 def _read_stream_started(frame: Decoder) -> WireEvent:
