--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -166,8 +166,8 @@
 
 
 def _read_stream_started(frame: Decoder) -> WireEvent:
-    request, attempt, spent, upstream = frame.unpack(_STREAM_STARTED)
-    return api.StreamStarted(request, attempt, upstream, spent)
+    request, attempt, elapsed_us, upstream = frame.unpack(_STREAM_STARTED)
+    return api.StreamStarted(request, attempt, upstream, elapsed_us)
 
 
 def _read_probe_ended(frame: Decoder) -> WireEvent:
