--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -171,8 +171,8 @@
 
 
 def _read_probe_ended(frame: Decoder) -> WireEvent:
-    upstream, outcome_code, spent, count = frame.unpack(_PROBE_ENDED)
-    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), spent, frame.read_floats(count))
+    upstream, outcome_code, elapsed_us, count = frame.unpack(_PROBE_ENDED)
+    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, frame.read_floats(count))
 
 
 def _read_peer_message(frame: Decoder) -> WireEvent:
