--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -28,7 +28,7 @@
         self.decoder = wire.Decoder()
         self.instances: dict[int, Balancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Handles the events of one batch; returns the reply frame. Raises WireError."""
         records: list[bytes] = []
         for instance, event in self.decoder.decode_batch(body, count):
@@ -62,7 +62,7 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.batch(now_us, count, body)
+            answer = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
             raise wire.WireError(f"batch {number}: {error}") from error
         sink.write(answer)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -174,11 +174,11 @@
         start = [bytes.fromhex(LIST)]
         for i in instances:
             start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
-        host.batch(1_000_000, len(start), b"".join(start))
+        host.handle_batch(1_000_000, len(start), b"".join(start))
         for n in range(50):
             for i in instances:
                 record = struct.pack("<BHIBIQIBQ", 70, i, 100 * n + i, n % 3, 0, 0, 0, 0, 1_600_000 + n)
-                seen[i].append(host.batch(1_000_000 + n, 1, record))
+                seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
         return seen
 
     together = day([1, 2, 3])
