--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -21,7 +21,7 @@
     return data
 
 
-class Host:
+class InstanceHost:
     """The running instances. They share only the decoder's upstream lists."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the input ends. Raises WireError, with the number of the malformed batch."""
-    host = Host()
+    host = InstanceHost()
     number = 0
     while True:
         header = read_exactly(source, wire.HEADER.size)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -169,7 +169,7 @@
 
 def test_instances_act_alike_in_one_process_and_in_several() -> None:
     def day(instances: list[int]) -> dict[int, list[bytes]]:
-        host = adapter.Host()
+        host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST)]
         for i in instances:
