--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -21,12 +21,12 @@
     since is returned unchanged, with its original time and source."""
     upstreams = []
     for ident in balancer.servers if idents is None else idents:
-        server = balancer.servers.get(ident)
-        if server is None or (server.lesson is None and server.confirmed_us == 0):
+        upstream = balancer.servers.get(ident)
+        if upstream is None or (upstream.lesson is None and upstream.confirmed_us == 0):
             continue
-        upstreams.append(server.lesson or api.LearnedUpstream(
-            ident, server.entry.started_us, server.confirmed_us, server.window.slots, server.least_us,
-            server.failing, server.mute, server.next_cold_us))
+        upstreams.append(upstream.lesson or api.LearnedUpstream(
+            ident, upstream.entry.started_us, upstream.confirmed_us, upstream.window.slots, upstream.least_us,
+            upstream.failing, upstream.mute, upstream.next_cold_us))
     settings = balancer.settings
     classes = [api.LearnedClass(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
