--- a/bench/record.py
+++ b/bench/record.py
@@ -22,7 +22,7 @@
 import apsw
 import uvloop
 
-from ironscale.operator_file import StoresConfig, StoreConfig
+from ironscale.operator_file import StoreConfig, StoresConfig
 from ironscale.record import sqlite
 from ironscale.record.beside import beside
 from ironscale.record.database import Opener
--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -11,7 +11,7 @@
 from ironscale import operator_file
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig
+from ironscale.operator_file import OperatorFileError, StoreConfig, StoresConfig
 
 try:
     from ironscale.record import journal, looking, opening, sqlite
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -214,11 +214,13 @@
 
 def _read_learned(table: Table) -> LearnedConfig:
     # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
-    teach = table.get("teach", "HOST:PORT on a loopback address", _read_loopback_address) if "teach" in table.values else None
+    teach = (table.get("teach", "HOST:PORT on a loopback address", _read_loopback_address)
+             if "teach" in table.values else None)
     learned = LearnedConfig(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
-        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses", _read_loopback_addresses, ()),
+        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses",
+                      _read_loopback_addresses, ()),
         from_agent=table.boolean("from_agent", False))
     table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
@@ -381,9 +383,10 @@
     store = root.table("store")
     versions = root.table("versions")
     found = OperatorFile(
-        control=ControlConfig(control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _read_agent_addresses),
-                        control.file_path("token_file"),
-                        control.get("zone", "a text", text_or_none, "")) if control is not None else None,
+        control=ControlConfig(
+            control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _read_agent_addresses),
+            control.file_path("token_file"),
+            control.get("zone", "a text", text_or_none, "")) if control is not None else None,
         sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
         agent=_read_agent(agent) if agent is not None else None,
         learned=_read_learned(learned) if learned is not None else None,
--- a/ironscale/record/opening.py
+++ b/ironscale/record/opening.py
@@ -5,7 +5,7 @@
 import contextlib
 from collections.abc import Callable, Iterator
 
-from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig, read_secret
+from ironscale.operator_file import OperatorFileError, StoreConfig, StoresConfig, read_secret
 from ironscale.record.model import Store
 
 
--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -31,7 +31,7 @@
 
 
 def run_in_thread(work: Callable[[], T]) -> asyncio.Future[T]:
-    """Runs `act` in a daemon thread: unlike a thread of an executor, it does not delay the end of the process. If no
+    """Runs `work` in a daemon thread: unlike a thread of an executor, it does not delay the end of the process. If no
     thread can be started, the future fails with an OSError."""
     loop = asyncio.get_running_loop()
     future: asyncio.Future[T] = loop.create_future()
--- a/tests/record/test_lane.py
+++ b/tests/record/test_lane.py
@@ -20,7 +20,7 @@
 from ironscale import interface as api
 from ironscale.net.config import ConfigError
 from ironscale.net.sidecar import MARGIN_US
-from ironscale.operator_file import OperatorFileError, StoresConfig, StoreConfig
+from ironscale.operator_file import OperatorFileError, StoreConfig, StoresConfig
 from ironscale.record import beside as beside_module
 from ironscale.record import history
 from ironscale.record import journal as journal_module
@@ -49,7 +49,8 @@
 
 
 def stores(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> StoresConfig:
-    return StoresConfig("op.toml", **{"classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
+    return StoresConfig("op.toml", **{
+        "classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
 
 
 @contextlib.asynccontextmanager
