--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -17,7 +17,7 @@
 
 
 def test_without_an_operator_file_nothing_beyond_the_data_path_is_loaded() -> None:
-    code = ("import sys, ironscale.__main__ as m; assert m.operated({}) == (None, False); "
+    code = ("import sys, ironscale.__main__ as m; assert m.load_extension({}) == (None, False); "
             "print(*sorted(n for n in sys.modules if n.startswith('ironscale')))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
