--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -18,7 +18,7 @@
 class Table:
     """One table of a file. Its readers record the keys they ask for, so that `reject_unknown_keys` finds the others.
 
-    Readers raise `error_class` if a value has the wrong type, is out of range, or is missing and has no default.
+    Readers raise `error_type` if a value has the wrong type, is out of range, or is missing and has no default.
     Relative paths start from `folder`.
     """
 
