--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -24,9 +24,9 @@
 
     def __init__(self, file: str, path: str, values: Any, folder: Path,
                  error_type: type[TableError] = TableError) -> None:
-        self.file, self.path, self.folder, self.error = file, path, folder, error_type
+        self.file, self.path, self.folder, self.error_type = file, path, folder, error_type
         if not isinstance(values, dict):
-            raise self.error(f"{file}: {path}: expected a table, got {values!r}")
+            raise self.error_type(f"{file}: {path}: expected a table, got {values!r}")
         self.values: dict[str, Any] = values
         self.known_keys: set[str] = set()
 
@@ -36,7 +36,7 @@
     def error_for(self, key: str, expected: str) -> TableError:
         """The error to raise for the value of `key`."""
         got = repr(self.values[key]) if key in self.values else "nothing"
-        return self.error(f"{self.file}: {self.key_path(key)}: expected {expected}, got {got}")
+        return self.error_type(f"{self.file}: {self.key_path(key)}: expected {expected}, got {got}")
 
     def get(self, key: str, expected: str, read: Callable[[Any], T | None], default: T | None = None) -> T:
         """The value as converted by `read`, which returns None for a value that is not as expected. Without a default
@@ -102,14 +102,14 @@
     def table(self, key: str) -> Table | None:
         self.known_keys.add(key)
         found = self.values.get(key)
-        return Table(self.file, self.key_path(key), found, self.folder, self.error) if key in self.values else None
+        return Table(self.file, self.key_path(key), found, self.folder, self.error_type) if key in self.values else None
 
     def tables(self, key: str) -> list[Table]:
         self.known_keys.add(key)
         entries = self.values.get(key, [])
         if not isinstance(entries, list):
             raise self.error_for(key, f"tables [[{self.key_path(key)}]]")
-        return [Table(self.file, f"{self.key_path(key)}[{i}]", entry, self.folder, self.error)
+        return [Table(self.file, f"{self.key_path(key)}[{i}]", entry, self.folder, self.error_type)
                 for i, entry in enumerate(entries)]
 
     def reject_unknown_keys(self) -> None:
@@ -117,7 +117,7 @@
         for key in self.values:
             if key not in self.known_keys:
                 known = ", ".join(sorted(self.known_keys)) or "no key"
-                raise self.error(f"{self.file}: {self.key_path(key)}: expected one of {known}, got this key")
+                raise self.error_type(f"{self.file}: {self.key_path(key)}: expected one of {known}, got this key")
 
 
 def _number(value: Any, least: float, most: float) -> float | None:
