--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -55,12 +55,12 @@
     def boolean(self, key: str, default: bool) -> bool:
         return self.get(key, "true or false", lambda v: v if isinstance(v, bool) else None, default)
 
-    def integer(self, key: str, minimum: int, most: int, default: int | None = None) -> int:
+    def integer(self, key: str, minimum: int, maximum: int, default: int | None = None) -> int:
         def read(value: Any) -> int | None:
-            right = isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= most
+            right = isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
             return value if right else None
 
-        return self.get(key, f"a whole number from {minimum} to {most}", read, default)
+        return self.get(key, f"a whole number from {minimum} to {maximum}", read, default)
 
     def seconds(self, key: str, least: float, most: float, default: float | None = None) -> float:
         return self.number(key, least, most, default, "seconds")
