--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -62,8 +62,8 @@
 
         return self.get(key, f"a whole number from {minimum} to {maximum}", read, default)
 
-    def seconds(self, key: str, minimum: float, most: float, default: float | None = None) -> float:
-        return self.number(key, minimum, most, default, "seconds")
+    def seconds(self, key: str, minimum: float, maximum: float, default: float | None = None) -> float:
+        return self.number(key, minimum, maximum, default, "seconds")
 
     def number(self, key: str, least: float, most: float, default: float | None = None,
                what: str = "a number") -> float:
