--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -65,9 +65,9 @@
     def seconds(self, key: str, minimum: float, maximum: float, default: float | None = None) -> float:
         return self.number(key, minimum, maximum, default, "seconds")
 
-    def number(self, key: str, minimum: float, most: float, default: float | None = None,
+    def number(self, key: str, minimum: float, maximum: float, default: float | None = None,
                what: str = "a number") -> float:
-        return self.get(key, f"{what} from {minimum:g} to {most:g}", lambda v: _number(v, minimum, most), default)
+        return self.get(key, f"{what} from {minimum:g} to {maximum:g}", lambda v: _number(v, minimum, maximum), default)
 
     def numbers(self, key: str, least: float, most: float, count: tuple[int, int],
                 default: tuple[float, ...] | None = None) -> tuple[float, ...]:
