--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -69,17 +69,17 @@
                what: str = "a number") -> float:
         return self.get(key, f"{what} from {minimum:g} to {maximum:g}", lambda v: _number(v, minimum, maximum), default)
 
-    def numbers(self, key: str, minimum: float, most: float, count: tuple[int, int],
+    def numbers(self, key: str, minimum: float, maximum: float, count: tuple[int, int],
                 default: tuple[float, ...] | None = None) -> tuple[float, ...]:
         """A list of numbers; `count` is its smallest and greatest length."""
         def read(value: Any) -> tuple[float, ...] | None:
             if not isinstance(value, list) or not count[0] <= len(value) <= count[1]:
                 return None
-            found = [_number(entry, minimum, most) for entry in value]
+            found = [_number(entry, minimum, maximum) for entry in value]
             return None if None in found else tuple(entry for entry in found if entry is not None)
 
         size = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
-        return self.get(key, f"a list of {size} numbers from {minimum:g} to {most:g}", read, default)
+        return self.get(key, f"a list of {size} numbers from {minimum:g} to {maximum:g}", read, default)
 
     def interval(self, key: str, least: float, most: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
