--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -81,10 +81,10 @@
         size = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
         return self.get(key, f"a list of {size} numbers from {minimum:g} to {maximum:g}", read, default)
 
-    def interval(self, key: str, minimum: float, most: float, default: tuple[float, float] | None = None
+    def interval(self, key: str, minimum: float, maximum: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
         """Two numbers, [low, high]."""
-        found = self.numbers(key, minimum, most, (2, 2), default)
+        found = self.numbers(key, minimum, maximum, (2, 2), default)
         if found[0] > found[1]:
             raise self.error_for(key, "[low, high] with low no greater than high")
         return found[0], found[1]
