--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -120,9 +120,9 @@
                 raise self.error_type(f"{self.file}: {self.key_path(key)}: expected one of {known}, got this key")
 
 
-def _number(value: Any, minimum: float, most: float) -> float | None:
+def _number(value: Any, minimum: float, maximum: float) -> float | None:
     # NaN compares false with everything, so it is rejected here too
-    right = isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= most
+    right = isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum
     return float(value) if right else None
 
 
