--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -57,8 +57,8 @@
 
     def integer(self, key: str, minimum: int, maximum: int, default: int | None = None) -> int:
         def read(value: Any) -> int | None:
-            right = isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
-            return value if right else None
+            is_valid = isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
+            return value if is_valid else None
 
         return self.get(key, f"a whole number from {minimum} to {maximum}", read, default)
 
