--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -122,8 +122,8 @@
 
 def _number(value: Any, minimum: float, maximum: float) -> float | None:
     # NaN compares false with everything, so it is rejected here too
-    right = isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum
-    return float(value) if right else None
+    is_valid = isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum
+    return float(value) if is_valid else None
 
 
 def read_text(path: Path, error: type[TableError]) -> str:
