--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -152,6 +152,6 @@
 def read_address(value: Any) -> Address | None:
     """Parses HOST:PORT; None if the value is not of that form."""
     host, colon, port = str(value).rpartition(":")
-    right = (isinstance(value, str) and colon and host and host.isprintable() and port.isascii()
+    is_valid = (isinstance(value, str) and colon and host and host.isprintable() and port.isascii()
              and port.isdecimal() and int(port) <= 65535)
-    return (host, int(port)) if right else None
+    return (host, int(port)) if is_valid else None
