--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -75,8 +75,8 @@
         def read(value: Any) -> tuple[float, ...] | None:
             if not isinstance(value, list) or not count[0] <= len(value) <= count[1]:
                 return None
-            found = [_number(entry, minimum, maximum) for entry in value]
-            return None if None in found else tuple(entry for entry in found if entry is not None)
+            numbers = [_number(entry, minimum, maximum) for entry in value]
+            return None if None in numbers else tuple(entry for entry in numbers if entry is not None)
 
         size = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
         return self.get(key, f"a list of {size} numbers from {minimum:g} to {maximum:g}", read, default)
