--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -84,10 +84,10 @@
     def interval(self, key: str, minimum: float, maximum: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
         """Two numbers, [low, high]."""
-        found = self.numbers(key, minimum, maximum, (2, 2), default)
-        if found[0] > found[1]:
+        bounds = self.numbers(key, minimum, maximum, (2, 2), default)
+        if bounds[0] > bounds[1]:
             raise self.error_for(key, "[low, high] with low no greater than high")
-        return found[0], found[1]
+        return bounds[0], bounds[1]
 
     def one_of(self, key: str, names: tuple[str, ...], default: str | None = None) -> str:
         return self.get(key, f"one of {', '.join(names)}", lambda v: v if v in names else None, default)
