--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -101,8 +101,8 @@
 
     def table(self, key: str) -> Table | None:
         self.known_keys.add(key)
-        found = self.values.get(key)
-        return Table(self.file, self.key_path(key), found, self.folder, self.error_type) if key in self.values else None
+        value = self.values.get(key)
+        return Table(self.file, self.key_path(key), value, self.folder, self.error_type) if key in self.values else None
 
     def tables(self, key: str) -> list[Table]:
         self.known_keys.add(key)
