--- a/ironscale/tables.py
+++ b/ironscale/tables.py
@@ -78,8 +78,8 @@
             numbers = [_number(entry, minimum, maximum) for entry in value]
             return None if None in numbers else tuple(entry for entry in numbers if entry is not None)
 
-        size = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
-        return self.get(key, f"a list of {size} numbers from {minimum:g} to {maximum:g}", read, default)
+        length = f"{count[0]}" if count[0] == count[1] else f"{count[0]} to {count[1]}"
+        return self.get(key, f"a list of {length} numbers from {minimum:g} to {maximum:g}", read, default)
 
     def interval(self, key: str, minimum: float, maximum: float, default: tuple[float, float] | None = None
              ) -> tuple[float, float]:
