--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -53,11 +53,11 @@
             return -1
 
     def is_ready(self) -> bool:
-        target = self.file_descriptor()
-        if target < 0:
+        descriptor = self.file_descriptor()
+        if descriptor < 0:
             return True
         poll = select.poll()
-        poll.register(target, select.POLLOUT)
+        poll.register(descriptor, select.POLLOUT)
         return any(events & select.POLLOUT for _, events in poll.poll(0))
 
     def write(self, data: bytes) -> int:
