--- a/ironscale/logs.py
+++ b/ironscale/logs.py
@@ -61,9 +61,9 @@
         return any(events & select.POLLOUT for _, events in poll.poll(0))
 
     def write(self, data: bytes) -> int:
-        target = self.file_descriptor()
-        if target >= 0:
-            return os.write(target, data)
+        descriptor = self.file_descriptor()
+        if descriptor >= 0:
+            return os.write(descriptor, data)
         if sys.stderr is not None:
             sys.stderr.write(data.decode(errors="replace"))
         return len(data)
