--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -50,7 +50,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the input ends. Raises WireError, with the number of the malformed batch."""
     host = InstanceHost()
-    number = 0
+    batch_number = 0
     while True:
         header = read_exactly(source, wire.HEADER.size)
         if not header:
@@ -64,10 +64,10 @@
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
             answer = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
-            raise wire.WireError(f"batch {number}: {error}") from error
+            raise wire.WireError(f"batch {batch_number}: {error}") from error
         sink.write(answer)
         sink.flush()
-        number += 1
+        batch_number += 1
 
 
 def main() -> int:
