--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -14,10 +14,10 @@
     """Reads `size` bytes, or fewer if the input ends first."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
