--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -62,10 +62,10 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.handle_batch(now_us, count, body)
+            reply = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
             raise wire.WireError(f"batch {batch_number}: {error}") from error
-        sink.write(answer)
+        sink.write(reply)
         sink.flush()
         batch_number += 1
 
