--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -113,35 +113,35 @@
                       options.number(at + "share", "0"))
 
 
-def read_settings(o: Options) -> api.Settings:
+def read_settings(options: Options) -> api.Settings:
     """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
-            classes=[_read_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
-            tenants=[_read_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
-            over_share_worth=o.number("over-share-worth", "1"),
-            worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            instances=o.integer("instances"),
-            self_index=o.integer("self-index", "0"),
-            zone=o.integer("locality", "0"),
-            tick_us=o.integer("granularity"),
-            max_attempts=o.integer("bounds.most-tries"),
-            max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
-            retry_after=o.boolean("bounds.retry-after"),
-            cancel=o.boolean("bounds.cancel"),
-            probes=o.boolean("bounds.probes"),
-            hedging=o.boolean("bounds.second-copies"),
-            list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            ask_within_us=o.integer("invariants.ask-within", "0"),
-            cold_share=o.number("invariants.cold-share"),
-            warm_up_us=o.integer("invariants.warm-up"),
-            overload_factor=o.number("invariants.overload-factor"),
-            fall_us=o.integer("invariants.fall"),
-            cross_zone_fee=o.number("fees.cross-zone", "0"),
+            classes=[_read_class(options, f"request-classes.{i}.") for i in range(options.integer("request-classes.count"))],
+            tenants=[_read_tenant(options, f"accounts.{i}.") for i in range(options.integer("accounts.count", "0"))],
+            over_share_worth=options.number("over-share-worth", "1"),
+            worth_by_work=options.choice("value-by", ("request", "work"), "request") == "work",
+            instances=options.integer("instances"),
+            self_index=options.integer("self-index", "0"),
+            zone=options.integer("locality", "0"),
+            tick_us=options.integer("granularity"),
+            max_attempts=options.integer("bounds.most-tries"),
+            max_retry_after_us=options.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=options.integer("bounds.dial-timeout", "0"),
+            retry_after=options.boolean("bounds.retry-after"),
+            cancel=options.boolean("bounds.cancel"),
+            probes=options.boolean("bounds.probes"),
+            hedging=options.boolean("bounds.second-copies"),
+            list_on_request=options.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            ask_within_us=options.integer("invariants.ask-within", "0"),
+            cold_share=options.number("invariants.cold-share"),
+            warm_up_us=options.integer("invariants.warm-up"),
+            overload_factor=options.number("invariants.overload-factor"),
+            fall_us=options.integer("invariants.fall"),
+            cross_zone_fee=options.number("fees.cross-zone", "0"),
             report_names=[_REPORT_NAMES.get(name, name)
-                          for name in o.string("report.names", "").split(",") if name],
-            weighted=o.string("weights", "none") != "none",
+                          for name in options.string("report.names", "").split(",") if name],
+            weighted=options.string("weights", "none") != "none",
         )
     except ValueError as error:
         raise SettingsError(f"settings: {error}") from error
