--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -93,18 +93,18 @@
         pairs[path] = str(value)
 
 
-def _read_class(options: Options, at: str) -> api.RequestClass:
+def _read_class(options: Options, prefix: str) -> api.RequestClass:
     return api.RequestClass(
-        name=options.string(at + "name"),
-        aim_us=options.integer(at + "aim"),
-        deadline_us=options.integer(at + "deadline"),
-        worth=options.number(at + "worth"),
-        late_worth=options.number(at + "late-worth", "0"),
-        aim_stretch=options.number(at + "aim-stretch", "0"),
-        effect=options.choice(at + "effect", api.EFFECTS),
-        group=options.choice(at + "group", api.GROUPS, "all"),
-        dedup_memory_us=options.integer(at + "memory-span", "0"),
-        stream=options.boolean(at + "stream", "false"),
+        name=options.string(prefix + "name"),
+        aim_us=options.integer(prefix + "aim"),
+        deadline_us=options.integer(prefix + "deadline"),
+        worth=options.number(prefix + "worth"),
+        late_worth=options.number(prefix + "late-worth", "0"),
+        aim_stretch=options.number(prefix + "aim-stretch", "0"),
+        effect=options.choice(prefix + "effect", api.EFFECTS),
+        group=options.choice(prefix + "group", api.GROUPS, "all"),
+        dedup_memory_us=options.integer(prefix + "memory-span", "0"),
+        stream=options.boolean(prefix + "stream", "false"),
     )
 
 
