--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -108,9 +108,9 @@
     )
 
 
-def _read_tenant(options: Options, at: str) -> api.Tenant:
-    return api.Tenant(options.string(at + "name"), options.number(at + "allowance-per-s"),
-                      options.number(at + "share", "0"))
+def _read_tenant(options: Options, prefix: str) -> api.Tenant:
+    return api.Tenant(options.string(prefix + "name"), options.number(prefix + "allowance-per-s"),
+                      options.number(prefix + "share", "0"))
 
 
 def read_settings(options: Options) -> api.Settings:
