--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -20,12 +20,12 @@
     """Everything learned, about the upstreams `idents` (None: all). What the balancer was given and has not tested
     since is returned unchanged, with its original time and source."""
     upstreams = []
-    for ident in balancer.servers if idents is None else idents:
-        upstream = balancer.servers.get(ident)
+    for upstream_id in balancer.servers if idents is None else idents:
+        upstream = balancer.servers.get(upstream_id)
         if upstream is None or (upstream.lesson is None and upstream.confirmed_us == 0):
             continue
         upstreams.append(upstream.lesson or api.LearnedUpstream(
-            ident, upstream.entry.started_us, upstream.confirmed_us, upstream.window.slots, upstream.least_us,
+            upstream_id, upstream.entry.started_us, upstream.confirmed_us, upstream.window.slots, upstream.least_us,
             upstream.failing, upstream.mute, upstream.next_cold_us))
     settings = balancer.settings
     classes = [api.LearnedClass(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
