--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -16,11 +16,11 @@
             for i, s in balancer.servers.items()]
 
 
-def learned_state(balancer: Balancer, idents: Iterable[int] | None = None) -> api.LearnedState:
+def learned_state(balancer: Balancer, upstream_ids: Iterable[int] | None = None) -> api.LearnedState:
     """Everything learned, about the upstreams `idents` (None: all). What the balancer was given and has not tested
     since is returned unchanged, with its original time and source."""
     upstreams = []
-    for upstream_id in balancer.servers if idents is None else idents:
+    for upstream_id in balancer.servers if upstream_ids is None else upstream_ids:
         upstream = balancer.servers.get(upstream_id)
         if upstream is None or (upstream.lesson is None and upstream.confirmed_us == 0):
             continue
