--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -30,8 +30,8 @@
     settings = balancer.settings
     classes = [api.LearnedClass(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
                for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
-    seen = sum(balancer.tenant_seen)
-    tenants = [(tenant.name, count / seen) for tenant, count in
+    total = sum(balancer.tenant_seen)
+    tenants = [(tenant.name, count / total) for tenant, count in
                zip(settings.tenants, balancer.tenant_seen, strict=True) if count > 0.0]
     return api.LearnedState(balancer.now_us, settings.zone, balancer.window.slots if balancer.confirmed_us else 0.0,
                        balancer.confirmed_us, tuple(upstreams), tuple(classes), tuple(tenants))
