--- a/ironscale/telling.py
+++ b/ironscale/telling.py
@@ -28,8 +28,8 @@
             upstream_id, upstream.entry.started_us, upstream.confirmed_us, upstream.window.slots, upstream.least_us,
             upstream.failing, upstream.mute, upstream.next_cold_us))
     settings = balancer.settings
-    classes = [api.LearnedClass(kind.name, latency.confirmed_us, latency.mean_us, latency.base_us)
-               for kind, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
+    classes = [api.LearnedClass(request_class.name, latency.confirmed_us, latency.mean_us, latency.base_us)
+               for request_class, latency in zip(settings.classes, balancer.latency, strict=True) if latency.seen]
     total = sum(balancer.tenant_seen)
     tenants = [(tenant.name, count / total) for tenant, count in
                zip(settings.tenants, balancer.tenant_seen, strict=True) if count > 0.0]
