--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -183,8 +183,8 @@
 def _read_loopback_addresses(value: Any) -> tuple[Address, ...] | None:
     if not isinstance(value, list) or len(value) > MAX_DONORS:
         return None
-    found = [_read_loopback_address(entry) for entry in value]
-    return None if None in found else tuple(address for address in found if address is not None)
+    addresses = [_read_loopback_address(entry) for entry in value]
+    return None if None in addresses else tuple(address for address in addresses if address is not None)
 
 
 def _read_versions(table: Table) -> VersionsConfig:
