--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -205,11 +205,11 @@
             raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected addresses that differ, got "
                                     f"{host}:{port} twice")
     service, zone, region = (table.get(key, "a text", text_or_none, "") for key in ("service", "zone", "region"))
-    found = VersionsConfig(tuple(places), service, zone, region,
+    versions = VersionsConfig(tuple(places), service, zone, region,
                      token_file=table.file_path("token_file") if "token_file" in table.values else None)
     table.known_keys.add("token_file")
     table.reject_unknown_keys()
-    return found
+    return versions
 
 
 def _read_learned(table: Table) -> LearnedConfig:
