--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -237,8 +237,8 @@
 def _read_names(value: Any) -> tuple[str, ...] | None:
     if not isinstance(value, list) or not 0 < len(value) <= 100 or len({*map(str, value)}) < len(value):
         return None
-    found = [text_or_none(entry) for entry in value]
-    return None if None in found else tuple(name for name in found if name is not None)
+    names = [text_or_none(entry) for entry in value]
+    return None if None in names else tuple(name for name in names if name is not None)
 
 
 def _read_store(table: Table) -> StoreConfig:
