--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -295,23 +295,23 @@
 
 
 def _read_budgets(table: Table) -> tuple[Budget, ...]:
-    found = tuple(_read_budget(entry) for entry in table.tables("budget"))
-    if len(found) > MAX_BUDGETS:
+    budgets = tuple(_read_budget(entry) for entry in table.tables("budget"))
+    if len(budgets) > MAX_BUDGETS:
         raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MAX_BUDGETS} at most, got "
-                                f"{len(found)}")
-    names = [budget.name for budget in found]
-    for budget in found:
+                                f"{len(budgets)}")
+    names = [budget.name for budget in budgets]
+    for budget in budgets:
         if names.count(budget.name) > 1:
             raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected names that differ, got "
                                     f"{budget.name!r} twice")
-        for other in found:
+        for other in budgets:
             same = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
             for limit in ("number", "share", "capacity"):
                 one, two = getattr(budget, limit), getattr(other, limit)
                 if same and None not in (one, two) and one != two:
                     raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
                                             f"same units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
-    return found
+    return budgets
 
 
 def _read_agent_addresses(value: Any) -> tuple[Address, ...] | None:
