--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -305,10 +305,10 @@
             raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected names that differ, got "
                                     f"{budget.name!r} twice")
         for other in budgets:
-            same = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
+            same_units = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
             for limit in ("number", "share", "capacity"):
                 one, two = getattr(budget, limit), getattr(other, limit)
-                if same and None not in (one, two) and one != two:
+                if same_units and None not in (one, two) and one != two:
                     raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
                                             f"same units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
     return budgets
