--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -307,10 +307,10 @@
         for other in budgets:
             same_units = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
             for limit in ("number", "share", "capacity"):
-                limit_value, two = getattr(budget, limit), getattr(other, limit)
-                if same_units and None not in (limit_value, two) and limit_value != two:
+                limit_value, other_value = getattr(budget, limit), getattr(other, limit)
+                if same_units and None not in (limit_value, other_value) and limit_value != other_value:
                     raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
-                                            f"same units, got {limit_value:g} of {budget.name!r} and {two:g} of {other.name!r}")
+                                            f"same units, got {limit_value:g} of {budget.name!r} and {other_value:g} of {other.name!r}")
     return budgets
 
 
