--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -382,7 +382,7 @@
     record = root.table("record")
     store = root.table("store")
     versions = root.table("versions")
-    found = OperatorFile(
+    operator_file = OperatorFile(
         control=ControlConfig(
             control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _read_agent_addresses),
             control.file_path("token_file"),
@@ -398,7 +398,7 @@
     for table in (control, sidecar, record, root):
         if table is not None:
             table.reject_unknown_keys()
-    return found
+    return operator_file
 
 
 def load(path: str | Path) -> OperatorFile:
