--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -425,16 +425,16 @@
     """Reads the file that GW_OPERATOR names, if it is set. GW_AGENT, GW_AGENT_TOKEN_FILE and GW_ZONE take precedence
     over its [control]. Raises OperatorFileError."""
     path = environ.get("GW_OPERATOR")
-    found = load(path) if path else OperatorFile()
+    operator_file = load(path) if path else OperatorFile()
     if not environ.get("GW_AGENT"):
-        if found.versions is not None and found.control is None and found.agent is None:
+        if operator_file.versions is not None and operator_file.control is None and operator_file.agent is None:
             raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT beside it, got neither")
-        return found
+        return operator_file
     addresses = _read_agent_addresses(environ["GW_AGENT"].split(","))
     if addresses is None:
         raise OperatorFileError(f"GW_AGENT: expected HOST:PORT, or several with commas, got {environ['GW_AGENT']!r}")
-    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (found.control.token_file if found.control else None)
+    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (operator_file.control.token_file if operator_file.control else None)
     if not token_file:
         raise OperatorFileError("GW_AGENT_TOKEN_FILE: expected a path, got nothing")
-    zone = environ.get("GW_ZONE") or (found.control.zone if found.control else "")
-    return replace(found, control=ControlConfig(addresses, Path(token_file), zone))
+    zone = environ.get("GW_ZONE") or (operator_file.control.zone if operator_file.control else "")
+    return replace(operator_file, control=ControlConfig(addresses, Path(token_file), zone))
