--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -316,10 +316,10 @@
 
 def _read_agent_addresses(value: Any) -> tuple[Address, ...] | None:
     entries = value if isinstance(value, list) else [value]
-    found = [read_address(entry) for entry in entries]
-    if not 0 < len(found) <= MAX_AGENTS or None in found or len(set(found)) < len(found):
+    addresses = [read_address(entry) for entry in entries]
+    if not 0 < len(addresses) <= MAX_AGENTS or None in addresses or len(set(addresses)) < len(addresses):
         return None
-    return tuple(address for address in found if address is not None)
+    return tuple(address for address in addresses if address is not None)
 
 
 def _read_agent(table: Table) -> AgentConfig:
