--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -93,28 +93,28 @@
     from ironscale import operator_file
 
     try:
-        found = operator_file.from_environment(environ)
+        options = operator_file.from_environment(environ)
         extensions: list[Extension] = []
         channel = None
-        if found.store is not None:  # started first, so that no request can bypass the stores
+        if options.store is not None:  # started first, so that no request can bypass the stores
             from ironscale.record.beside import beside as store_beside
 
-            extensions.append(store_beside(found.store))
-        if found.learned is not None:
+            extensions.append(store_beside(options.store))
+        if options.learned is not None:
             from ironscale.learned.beside import Channel
             from ironscale.learned.beside import beside as learned_beside
 
             channel = Channel()
-            extensions.append(learned_beside(found.learned, channel))
-        if found.record is not None:
+            extensions.append(learned_beside(options.learned, channel))
+        if options.record is not None:
             from ironscale.load.recording import beside as record_beside
 
-            extensions.append(record_beside(found.record))
-        if found.control is not None:
+            extensions.append(record_beside(options.record))
+        if options.control is not None:
             from ironscale.control.beside import beside
 
-            extensions.append(beside(found.control, environ, channel, found.versions))
-        return combine_extensions(extensions), found.sidecar.reuse_port
+            extensions.append(beside(options.control, environ, channel, options.versions))
+        return combine_extensions(extensions), options.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
 
