--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -125,13 +125,13 @@
         return extensions[0] if extensions else None
 
     @contextlib.asynccontextmanager
-    async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+    async def run_all(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         async with contextlib.AsyncExitStack() as stack:
             for extension in extensions:
                 await stack.enter_async_context(extension(sidecar, end))
             yield
 
-    return running
+    return run_all
 
 
 if __name__ == "__main__":
