--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -401,11 +401,11 @@
     def fixed_fields(c: RequestClass) -> tuple[object, ...]:
         return c.name, c.effect, c.group, c.stream
 
-    for index, before in enumerate(old.classes):
+    for index, old_class in enumerate(old.classes):
         if index >= len(new.classes):
-            return f"request class {before.name!r} is taken away"
-        if fixed_fields(before) != fixed_fields(new.classes[index]):
-            return f"name, effect, group or stream of request class {before.name!r}"
+            return f"request class {old_class.name!r} is taken away"
+        if fixed_fields(old_class) != fixed_fields(new.classes[index]):
+            return f"name, effect, group or stream of request class {old_class.name!r}"
     for name in ("list_on_request", "report_names", "zone"):
         if getattr(old, name) != getattr(new, name):
             return name.replace("_", " ")
