--- a/ironscale/interface.py
+++ b/ironscale/interface.py
@@ -398,8 +398,8 @@
 def restart_only_change(old: Settings, new: Settings) -> str:
     """The first difference between the settings that needs a restart, as a phrase; empty if a running instance can
     apply all of `new`."""
-    def fixed_fields(c: RequestClass) -> tuple[object, ...]:
-        return c.name, c.effect, c.group, c.stream
+    def fixed_fields(request_class: RequestClass) -> tuple[object, ...]:
+        return request_class.name, request_class.effect, request_class.group, request_class.stream
 
     for index, old_class in enumerate(old.classes):
         if index >= len(new.classes):
