--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -134,9 +134,9 @@
     return value
 
 
-def _read_instance_started(frame: Decoder) -> WireEvent:
-    seed, size = frame.unpack(_INSTANCE_STARTED)
-    return InstanceStarted(seed, frame.read_bytes(size).decode())
+def _read_instance_started(decoder: Decoder) -> WireEvent:
+    seed, size = decoder.unpack(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
 def _read_instance_stopped(frame: Decoder) -> WireEvent:
