--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -139,7 +139,7 @@
     return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _read_instance_stopped(frame: Decoder) -> WireEvent:
+def _read_instance_stopped(decoder: Decoder) -> WireEvent:
     return InstanceStopped()
 
 
