--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -143,14 +143,14 @@
     return InstanceStopped()
 
 
-def _read_list_updated(frame: Decoder) -> WireEvent:
-    kind_code, version, list_number = frame.unpack(_LIST_UPDATED)
+def _read_list_updated(decoder: Decoder) -> WireEvent:
+    kind_code, version, list_number = decoder.unpack(_LIST_UPDATED)
     kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
-    if list_number not in frame.upstream_lists:
+    if list_number not in decoder.upstream_lists:
         raise WireError(f"upstream list {list_number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.upstream_lists[list_number], version)
+    return api.UpstreamsUpdated(kind, decoder.upstream_lists[list_number], version)
 
 
 def _read_request_arrived(frame: Decoder) -> WireEvent:
