--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -153,8 +153,8 @@
     return api.UpstreamsUpdated(kind, decoder.upstream_lists[list_number], version)
 
 
-def _read_request_arrived(frame: Decoder) -> WireEvent:
-    request, class_index, tenant, key, cost_us, flags, deadline_us = frame.unpack(_REQUEST_ARRIVED)
+def _read_request_arrived(decoder: Decoder) -> WireEvent:
+    request, class_index, tenant, key, cost_us, flags, deadline_us = decoder.unpack(_REQUEST_ARRIVED)
     return api.RequestArrived(request, deadline_us, class_index, tenant, key, cost_us if flags & 1 else 0,
                               bool(flags & 2), bool(flags & 4))
 
