--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -159,10 +159,10 @@
                               bool(flags & 2), bool(flags & 4))
 
 
-def _read_attempt_ended(frame: Decoder) -> WireEvent:
-    request, attempt, upstream, outcome_code, elapsed_us, request_ended, count = frame.unpack(_ATTEMPT_ENDED)
+def _read_attempt_ended(decoder: Decoder) -> WireEvent:
+    request, attempt, upstream, outcome_code, elapsed_us, request_ended, count = decoder.unpack(_ATTEMPT_ENDED)
     return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us,
-                            bool(request_ended), frame.read_floats(count))
+                            bool(request_ended), decoder.read_floats(count))
 
 
 def _read_stream_started(frame: Decoder) -> WireEvent:
