--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -165,8 +165,8 @@
                             bool(request_ended), decoder.read_floats(count))
 
 
-def _read_stream_started(frame: Decoder) -> WireEvent:
-    request, attempt, elapsed_us, upstream = frame.unpack(_STREAM_STARTED)
+def _read_stream_started(decoder: Decoder) -> WireEvent:
+    request, attempt, elapsed_us, upstream = decoder.unpack(_STREAM_STARTED)
     return api.StreamStarted(request, attempt, upstream, elapsed_us)
 
 
