--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -170,9 +170,9 @@
     return api.StreamStarted(request, attempt, upstream, elapsed_us)
 
 
-def _read_probe_ended(frame: Decoder) -> WireEvent:
-    upstream, outcome_code, elapsed_us, count = frame.unpack(_PROBE_ENDED)
-    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, frame.read_floats(count))
+def _read_probe_ended(decoder: Decoder) -> WireEvent:
+    upstream, outcome_code, elapsed_us, count = decoder.unpack(_PROBE_ENDED)
+    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, decoder.read_floats(count))
 
 
 def _read_peer_message(frame: Decoder) -> WireEvent:
