--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -175,9 +175,9 @@
     return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, decoder.read_floats(count))
 
 
-def _read_peer_message(frame: Decoder) -> WireEvent:
-    sender, size = frame.unpack(_PEER_MESSAGE)
-    return api.PeerMessage(sender, frame.read_bytes(size))
+def _read_peer_message(decoder: Decoder) -> WireEvent:
+    sender, size = decoder.unpack(_PEER_MESSAGE)
+    return api.PeerMessage(sender, decoder.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
