--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -183,7 +183,7 @@
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
     10: _read_attempt_ended, 20: _read_stream_started, 30: _read_peer_message, 40: _read_instance_stopped,
     50: lambda decoder: api.TimerFired(decoder.unpack(_U32)[0]),
-    60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
+    60: lambda decoder: api.RequestAbandoned(decoder.unpack(_U32)[0]),
     70: _read_request_arrived, 80: _read_list_updated, 90: _read_probe_ended, 100: _read_instance_started,
 }
 
