--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,8 +32,8 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known_failures = {entry.test for entry in known_red.read()}
     # A test that is selected by its id is run even if it is a known failure.
-    named = {argument.partition(" ")[0] for argument in config.args}
-    left_out = [item for item in items if item.nodeid in known_failures and item.nodeid not in named]
+    selected_ids = {argument.partition(" ")[0] for argument in config.args}
+    left_out = [item for item in items if item.nodeid in known_failures and item.nodeid not in selected_ids]
     config.hook.pytest_deselected(items=left_out)
     items[:] = [item for item in items if item not in left_out]
     workers = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
