--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -33,9 +33,9 @@
     known_failures = {entry.test for entry in known_red.read()}
     # A test that is selected by its id is run even if it is a known failure.
     selected_ids = {argument.partition(" ")[0] for argument in config.args}
-    left_out = [item for item in items if item.nodeid in known_failures and item.nodeid not in selected_ids]
-    config.hook.pytest_deselected(items=left_out)
-    items[:] = [item for item in items if item not in left_out]
+    deselected = [item for item in items if item.nodeid in known_failures and item.nodeid not in selected_ids]
+    config.hook.pytest_deselected(items=deselected)
+    items[:] = [item for item in items if item not in deselected]
     workers = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
     long = [item for item in items if item.nodeid.endswith(LONG)]
     short = [item for item in items if not item.nodeid.endswith(LONG)]
