--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,12 +38,12 @@
     items[:] = [item for item in items if item not in deselected]
     workers = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
     long_tests = [item for item in items if item.nodeid.endswith(LONG)]
-    short = [item for item in items if not item.nodeid.endswith(LONG)]
+    short_tests = [item for item in items if not item.nodeid.endswith(LONG)]
     share = -(-len(items) // workers)
     ordered: list[pytest.Item] = []
     for worker in range(workers):
         heads = long_tests[worker::workers]
         ordered += heads
-        ordered += short[:max(0, share - len(heads))]
-        del short[:max(0, share - len(heads))]
-    items[:] = ordered + short
+        ordered += short_tests[:max(0, share - len(heads))]
+        del short_tests[:max(0, share - len(heads))]
+    items[:] = ordered + short_tests
