--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -42,8 +42,8 @@
     share = -(-len(items) // workers)
     ordered: list[pytest.Item] = []
     for worker in range(workers):
-        heads = long_tests[worker::workers]
-        ordered += heads
-        ordered += short_tests[:max(0, share - len(heads))]
-        del short_tests[:max(0, share - len(heads))]
+        first_tests = long_tests[worker::workers]
+        ordered += first_tests
+        ordered += short_tests[:max(0, share - len(first_tests))]
+        del short_tests[:max(0, share - len(first_tests))]
     items[:] = ordered + short_tests
