--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,25 +14,25 @@
 
 LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
-FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
+FIRST, SECOND, REQUEST, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, wire.WireEvent]] = [
     (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
         api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
     ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-     api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
+     api.RequestArrived(REQUEST, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
     ("3c 0300 192b6f0e", api.RequestAbandoned(OTHER)),
     ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-     api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True)),
+     api.AttemptEnded(REQUEST, 0, FIRST, api.Outcome.OK, 18500, True)),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
-    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
+    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(REQUEST, 0, FIRST, 9250)),
     ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
 ]
 
 ACTIONS: list[tuple[str, wire.WireAction]] = [
-    ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
+    ("14 0300 c4913a5d 074a1203 80380100", api.Send(REQUEST, FIRST, 80000)),
     ("5a 0300 192b6f0e", api.Fail(OTHER)),
     ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
     ("46 0300 01", api.Subscribe()),
@@ -41,7 +41,7 @@
     ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
     ("50 0300 f211902c", api.Probe(SECOND)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
-    ("64 0300 c4913a5d 00", api.Cancel(TICKET, 0)),
+    ("64 0300 c4913a5d 00", api.Cancel(REQUEST, 0)),
     ("3c 0300 1200 696e646578206f7574206f662072616e6765", wire.InternalError("index out of range")),
     ("0a 0300", api.FetchList()),
 ]
@@ -98,7 +98,7 @@
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
     code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
-    assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
+    assert (code, instance, ticket) == (20, 3, REQUEST) and upstream in (FIRST, SECOND)
 
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
