--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,7 @@
 
 LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
-FIRST, SECOND, REQUEST, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
+FIRST, SECOND, REQUEST, OTHER_REQUEST = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, wire.WireEvent]] = [
     (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
@@ -23,7 +23,7 @@
      api.RequestArrived(REQUEST, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.RequestAbandoned(OTHER)),
+    ("3c 0300 192b6f0e", api.RequestAbandoned(OTHER_REQUEST)),
     ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
      api.AttemptEnded(REQUEST, 0, FIRST, api.Outcome.OK, 18500, True)),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
@@ -33,11 +33,11 @@
 
 ACTIONS: list[tuple[str, wire.WireAction]] = [
     ("14 0300 c4913a5d 074a1203 80380100", api.Send(REQUEST, FIRST, 80000)),
-    ("5a 0300 192b6f0e", api.Fail(OTHER)),
+    ("5a 0300 192b6f0e", api.Fail(OTHER_REQUEST)),
     ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
     ("46 0300 01", api.Subscribe()),
     ("6e 0300 f211902c", api.CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER, 250000)),
+    ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER_REQUEST, 250000)),
     ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
     ("50 0300 f211902c", api.Probe(SECOND)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
