--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,12 +12,12 @@
 from ironscale.balance import Balancer
 from tests.options import OPTIONS
 
-LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
+LIST_RECORD = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
 FIRST, SECOND, REQUEST, OTHER_REQUEST = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, wire.WireEvent]] = [
-    (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
+    (LIST_RECORD + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
         api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
     ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
      api.RequestArrived(REQUEST, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
@@ -93,7 +93,7 @@
 
 
 def test_a_request_goes_through_the_adapter() -> None:
-    start = [power_on(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start = [power_on(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
@@ -103,7 +103,7 @@
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [power_on(), bytes.fromhex(LIST), members]
+    start = [power_on(), bytes.fromhex(LIST_RECORD), members]
     again = [bytes.fromhex("28 0300"), power_on(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
     told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
@@ -113,7 +113,7 @@
 def test_a_list_number_is_resolved_in_event_order() -> None:
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST) + members + short + members
+    data = bytes.fromhex(LIST_RECORD) + members + short + members
     first, second = wire.Decoder().decode_batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
@@ -171,7 +171,7 @@
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
-        start = [bytes.fromhex(LIST)]
+        start = [bytes.fromhex(LIST_RECORD)]
         for i in instances:
             start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
         host.handle_batch(1_000_000, len(start), b"".join(start))
