--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.deployed import DEPLOY, ROOT, build
-from tests.test_wire import EMPTY, LIST_RECORD, batch, power_on
+from tests.test_wire import EMPTY_BATCH, LIST_RECORD, batch, power_on
 
 
 @pytest.fixture(scope="module")
@@ -27,7 +27,7 @@
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY) + batch([power_on(), bytes.fromhex(LIST_RECORD), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch([power_on(), bytes.fromhex(LIST_RECORD), members])
     done = start(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
@@ -36,7 +36,7 @@
 
 
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
-    done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
+    done = start(sim, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
     assert done.stderr.decode().splitlines() == ["ironscale: batch 1: truncated header: 2 of 16 bytes"]
 
