--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -47,7 +47,7 @@
 ]
 
 EMPTY_BATCH = "00000000 00000000 5a5c800000000000"
-THREE = ("2f000000 03000000 5a5c800000000000"
+BATCH_OF_THREE = ("2f000000 03000000 5a5c800000000000"
          "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
          "32 0300 4d000000 3c 0500 192b6f0e")
 
@@ -82,7 +82,7 @@
 
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY_BATCH)) == bytes.fromhex("00000000 00000000")
-    events = list(wire.Decoder().decode_batch(bytes.fromhex(THREE)[16:], 3))
+    events = list(wire.Decoder().decode_batch(bytes.fromhex(BATCH_OF_THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestAbandoned")]
     records = [wire.encode_action(3, ACTIONS[0][1]), wire.encode_action(3, ACTIONS[6][1]), bytes.fromhex(
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize(("data", "words"), [
     (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-    (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
+    (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(BATCH_OF_THREE)[:30], "batch 1: truncated body"),
     (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
     (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
     (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
