--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.deployed import DEPLOY, ROOT, build
-from tests.test_wire import EMPTY_BATCH, LIST_RECORD, batch, power_on
+from tests.test_wire import EMPTY_BATCH, LIST_RECORD, batch, instance_started
 
 
 @pytest.fixture(scope="module")
@@ -27,7 +27,7 @@
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY_BATCH) + batch([power_on(), bytes.fromhex(LIST_RECORD), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch([instance_started(), bytes.fromhex(LIST_RECORD), members])
     done = start(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -52,7 +52,7 @@
          "32 0300 4d000000 3c 0500 192b6f0e")
 
 
-def power_on(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
+def instance_started(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
     raw = text.encode()
     return struct.pack("<BHQI", 100, instance, seed, len(raw)) + raw
 
@@ -93,7 +93,7 @@
 
 
 def test_a_request_goes_through_the_adapter() -> None:
-    start = [power_on(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start = [instance_started(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
@@ -103,8 +103,8 @@
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [power_on(), bytes.fromhex(LIST_RECORD), members]
-    again = [bytes.fromhex("28 0300"), power_on(seed=10), members]
+    start = [instance_started(), bytes.fromhex(LIST_RECORD), members]
+    again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
     told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
     assert told.endswith(bytes(8))  # an empty reply: the new instance does not know the attempt of the old one
@@ -130,13 +130,13 @@
     (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
     (batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
      "unknown upstream condition 9"),
-    (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
-    (batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]),
+    (batch([instance_started("instances=3\nnonsense")]), "settings line 2: expected path=value"),
+    (batch([instance_started(OPTIONS.replace("instances=3", "instances=many"))]),
      "setting instances: expected a number"),
-    (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-    (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-    (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-    (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+    (batch([instance_started(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
+    (batch([instance_started(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
+    (batch([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
+    (batch([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
 ])
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
     with pytest.raises(wire.WireError) as caught:
@@ -163,7 +163,7 @@
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    told = serve(batch([power_on()]) + batch([bytes.fromhex("32 0300 4d000000")]))
+    told = serve(batch([instance_started()]) + batch([bytes.fromhex("32 0300 4d000000")]))
     assert b"IndexError: index out of range" in told
 
 
@@ -173,7 +173,7 @@
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST_RECORD)]
         for i in instances:
-            start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
+            start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
         host.handle_batch(1_000_000, len(start), b"".join(start))
         for n in range(50):
             for i in instances:
