--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -95,9 +95,9 @@
 def test_a_request_goes_through_the_adapter() -> None:
     start = [instance_started(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
-    told = serve(batch(start) + batch([arrival]))
-    size, count = struct.unpack_from("<II", told)
-    code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
+    replies = serve(batch(start) + batch([arrival]))
+    size, count = struct.unpack_from("<II", replies)
+    code, instance, ticket, upstream = struct.unpack_from("<BHII", replies, 8 + size + 8)
     assert (code, instance, ticket) == (20, 3, REQUEST) and upstream in (FIRST, SECOND)
 
 
