--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -106,8 +106,8 @@
     start = [instance_started(), bytes.fromhex(LIST_RECORD), members]
     again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
-    told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
-    assert told.endswith(bytes(8))  # an empty reply: the new instance does not know the attempt of the old one
+    replies = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
+    assert replies.endswith(bytes(8))  # an empty reply: the new instance does not know the attempt of the old one
 
 
 def test_a_list_number_is_resolved_in_event_order() -> None:
