--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -163,8 +163,8 @@
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    told = serve(batch([instance_started()]) + batch([bytes.fromhex("32 0300 4d000000")]))
-    assert b"IndexError: index out of range" in told
+    replies = serve(batch([instance_started()]) + batch([bytes.fromhex("32 0300 4d000000")]))
+    assert b"IndexError: index out of range" in replies
 
 
 def test_instances_act_alike_in_one_process_and_in_several() -> None:
