--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -97,8 +97,8 @@
     arrival = bytes.fromhex(EVENTS[1][0])
     replies = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", replies)
-    code, instance, ticket, upstream = struct.unpack_from("<BHII", replies, 8 + size + 8)
-    assert (code, instance, ticket) == (20, 3, REQUEST) and upstream in (FIRST, SECOND)
+    code, instance, request, upstream = struct.unpack_from("<BHII", replies, 8 + size + 8)
+    assert (code, instance, request) == (20, 3, REQUEST) and upstream in (FIRST, SECOND)
 
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
