--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -138,10 +138,10 @@
     (batch([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
     (batch([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
 ])
-def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
+def test_what_is_malformed_is_told_in_one_line(data: bytes, message: str) -> None:
     with pytest.raises(wire.WireError) as caught:
         serve(data)
-    assert words in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
