--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -138,7 +138,7 @@
     (batch([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
     (batch([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
 ])
-def test_what_is_malformed_is_told_in_one_line(data: bytes, message: str) -> None:
+def test_malformed_input_raises_an_error_of_one_line(data: bytes, message: str) -> None:
     with pytest.raises(wire.WireError) as caught:
         serve(data)
     assert message in str(caught.value) and "\n" not in str(caught.value)
