--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -158,7 +158,7 @@
     assert settings.report_names == ["utilization", "queued", "moon"]
 
 
-def test_an_exception_in_the_decisions_is_told_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_decisions_is_reported_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> list[api.Action]:
         raise IndexError("index out of range")
 
