--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -101,7 +101,7 @@
     assert (code, instance, request) == (20, 3, REQUEST) and upstream in (FIRST, SECOND)
 
 
-def test_a_restart_in_one_batch_forgets_everything() -> None:
+def test_a_restart_within_a_batch_discards_all_state() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
     start = [instance_started(), bytes.fromhex(LIST_RECORD), members]
     again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
