--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -167,7 +167,7 @@
     assert b"IndexError: index out of range" in replies
 
 
-def test_instances_act_alike_in_one_process_and_in_several() -> None:
+def test_instances_act_the_same_in_one_process_and_in_several() -> None:
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
