--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -168,7 +168,7 @@
 
 
 def test_instances_act_the_same_in_one_process_and_in_several() -> None:
-    def day(instances: list[int]) -> dict[int, list[bytes]]:
+    def play(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST_RECORD)]
@@ -181,5 +181,5 @@
                 seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
         return seen
 
-    together = day([1, 2, 3])
-    assert together == {**day([1]), **day([2]), **day([3])}
+    together = play([1, 2, 3])
+    assert together == {**play([1]), **play([2]), **play([3])}
