--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -170,7 +170,7 @@
 def test_instances_act_the_same_in_one_process_and_in_several() -> None:
     def play(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
-        seen: dict[int, list[bytes]] = {i: [] for i in instances}
+        replies: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST_RECORD)]
         for i in instances:
             start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
@@ -178,8 +178,8 @@
         for n in range(50):
             for i in instances:
                 record = struct.pack("<BHIBIQIBQ", 70, i, 100 * n + i, n % 3, 0, 0, 0, 0, 1_600_000 + n)
-                seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
-        return seen
+                replies[i].append(host.handle_batch(1_000_000 + n, 1, record))
+        return replies
 
     together = play([1, 2, 3])
     assert together == {**play([1]), **play([2]), **play([3])}
