--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -181,5 +181,5 @@
                 replies[i].append(host.handle_batch(1_000_000 + n, 1, record))
         return replies
 
-    together = play([1, 2, 3])
-    assert together == {**play([1]), **play([2]), **play([3])}
+    in_one_process = play([1, 2, 3])
+    assert in_one_process == {**play([1]), **play([2]), **play([3])}
