--- a/tests/deployed.py
+++ b/tests/deployed.py
@@ -18,7 +18,7 @@
 def build() -> None:
     """Creates `.venv`. A lock serializes the test workers: two builds at once would clear each other's unfinished
     environment."""
-    name = blake2b(str(ROOT).encode(), digest_size=8).hexdigest()
-    with open(Path(tempfile.gettempdir()) / f"ironscale-build-{name}.lock", "w") as lock:
+    lock_name = blake2b(str(ROOT).encode(), digest_size=8).hexdigest()
+    with open(Path(tempfile.gettempdir()) / f"ironscale-build-{lock_name}.lock", "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=300)
