--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -19,7 +19,7 @@
     return str(DEPLOY["sim"])
 
 
-def start(sim: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_command(sim: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
     plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
     return subprocess.run(["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60,
                           env=plain)
@@ -28,7 +28,7 @@
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
     frames = bytes.fromhex(EMPTY_BATCH) + batch([instance_started(), bytes.fromhex(LIST_RECORD), members])
-    done = start(sim, frames)
+    done = run_command(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
     size, _ = struct.unpack_from("<II", done.stdout, 8)
@@ -36,7 +36,7 @@
 
 
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
-    done = start(sim, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
+    done = run_command(sim, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
     assert done.stderr.decode().splitlines() == ["ironscale: batch 1: truncated header: 2 of 16 bytes"]
 
