--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -20,9 +20,9 @@
 
 
 def run_command(sim: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
-    plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
+    environment = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
     return subprocess.run(["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60,
-                          env=plain)
+                          env=environment)
 
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
