--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -68,5 +68,5 @@
     example = text.split("```python\n")[1].split("```")[0]
     done = subprocess.run([sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True,
                           timeout=60, check=True)
-    shown = text.split("It prints:\n\n```\n")[1].split("```")[0]
-    assert done.stdout == shown
+    documented = text.split("It prints:\n\n```\n")[1].split("```")[0]
+    assert done.stdout == documented
