--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -310,7 +310,8 @@
                 limit_value, other_value = getattr(budget, limit), getattr(other, limit)
                 if same_units and None not in (limit_value, other_value) and limit_value != other_value:
                     raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
-                                            f"same units, got {limit_value:g} of {budget.name!r} and {other_value:g} of {other.name!r}")
+                                            f"same units, got {limit_value:g} of {budget.name!r} and "
+                                            f"{other_value:g} of {other.name!r}")
     return budgets
 
 
@@ -433,7 +434,8 @@
     addresses = _read_agent_addresses(environ["GW_AGENT"].split(","))
     if addresses is None:
         raise OperatorFileError(f"GW_AGENT: expected HOST:PORT, or several with commas, got {environ['GW_AGENT']!r}")
-    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (operator_file.control.token_file if operator_file.control else None)
+    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (
+        operator_file.control.token_file if operator_file.control else None)
     if not token_file:
         raise OperatorFileError("GW_AGENT_TOKEN_FILE: expected a path, got nothing")
     zone = environ.get("GW_ZONE") or (operator_file.control.zone if operator_file.control else "")
--- a/ironscale/settings.py
+++ b/ironscale/settings.py
@@ -117,7 +117,8 @@
     """The settings of one instance; unknown paths are ignored. Raises SettingsError."""
     try:
         return api.Settings(
-            classes=[_read_class(options, f"request-classes.{i}.") for i in range(options.integer("request-classes.count"))],
+            classes=[_read_class(options, f"request-classes.{i}.")
+                     for i in range(options.integer("request-classes.count"))],
             tenants=[_read_tenant(options, f"accounts.{i}.") for i in range(options.integer("accounts.count", "0"))],
             over_share_worth=options.number("over-share-worth", "1"),
             worth_by_work=options.choice("value-by", ("request", "work"), "request") == "work",
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -38,32 +38,32 @@
 
 
 def pipe() -> tuple[int, int]:
-    reading, writing = os.pipe()
-    os.set_blocking(reading, False)
-    return reading, writing
+    read_end, write_end = os.pipe()
+    os.set_blocking(read_end, False)
+    return read_end, write_end
 
 
 # Guards against a blocked process when the reader of the log pipe has stopped reading.
 def test_a_pipe_that_nobody_reads_neither_blocks_nor_grows() -> None:
-    reading, writing = pipe()
-    log = logs.Log(writing)
+    read_end, write_end = pipe()
+    log = logs.Log(write_end)
     for number in range(10_000):
         log.write_line(f"{number:05} {'x' * 100}")
     assert log.dropped_lines and len(log.buffer) <= logs.MAX_BUFFER_BYTES
     found = b""
     for _ in range(200):
         try:
-            found += os.read(reading, 1 << 16)
+            found += os.read(read_end, 1 << 16)
         except BlockingIOError:
             break
         log.flush()
     log.write_line("the last")
-    found += os.read(reading, 1 << 16)
+    found += os.read(read_end, 1 << 16)
     lines = found.decode().splitlines()
     assert lines[-1] == "the last" and lines[-2].endswith("lines were dropped")
     assert [int(line[:5]) for line in lines[:-2]] == list(range(len(lines) - 2)), "lines must be complete and in order"
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
 
 
 def failing(times: int, real: Callable[[int, bytes], int] = os.write) -> Callable[[int, bytes], int]:
@@ -81,11 +81,11 @@
 
 # Guards against truncated or lost lines when a write fails for a moment or writes only a part.
 def test_lines_that_could_not_be_written_follow_whole_and_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    reading, writing = pipe()
-    log = logs.Log(writing)
+    read_end, write_end = pipe()
+    log = logs.Log(write_end)
     monkeypatch.setattr(os, "write", failing(2))
     for text in ("one", "two", "three"):
         log.write_line(text)
-    assert os.read(reading, 100) == b"one\ntwo\nthree\n" and log.failed_writes == 2
-    os.close(reading)
-    os.close(writing)
+    assert os.read(read_end, 100) == b"one\ntwo\nthree\n" and log.failed_writes == 2
+    os.close(read_end)
+    os.close(write_end)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -119,7 +119,7 @@
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
 
-@pytest.mark.parametrize(("data", "words"), [
+@pytest.mark.parametrize(("data", "message"), [
     (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
     (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(BATCH_OF_THREE)[:30], "batch 1: truncated body"),
     (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
