--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -30,6 +30,8 @@
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
+    """Runs a sidecar and returns the exit status. A start that fails for a temporary reason is retried for
+    START_TIMEOUT_S."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.WARNING, handlers=[logs.LogHandler()])
     deadline_s = time.monotonic() + START_TIMEOUT_S
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -348,20 +348,20 @@
     if agent.record is not None and agent.postgresql:
         raise OperatorFileError(f"{table.file}: {table.key_path('record')}: expected record or postgresql, got both")
     if agent.standby and agent.record is None and not agent.postgresql:
-        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql beside it, "
-                                "which other agents open too, got neither")
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql to be set "
+                                "too, which other agents open as well, got neither")
     if agent.standby and agent.services:
         raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] "
-                                f"beside it, got {len(agent.services)}: who leads changes, and local processes stay "
+                                f"with it, got {len(agent.services)}: the leader may change, but local processes stay "
                                 "with their agent")
     for key in ("password_file", "synchronous_commit"):
         if key in table.values and not agent.postgresql:
-            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, "
+            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql to be set too, "
                                     f"got {key} alone")
     table.known_keys.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
-            raise table.error_for(key, "a loopback address, or remote = true beside it")
+            raise table.error_for(key, "a loopback address, or remote = true")
     if agent.lease_s < 2 * agent.heartbeat_s:
         raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * agent.heartbeat_s:g}) or more")
     names = [service.name for service in agent.services]
@@ -429,7 +429,7 @@
     operator_file = load(path) if path else OperatorFile()
     if not environ.get("GW_AGENT"):
         if operator_file.versions is not None and operator_file.control is None and operator_file.agent is None:
-            raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT beside it, got neither")
+            raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT to be set too, got neither")
         return operator_file
     addresses = _read_agent_addresses(environ["GW_AGENT"].split(","))
     if addresses is None:
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -36,7 +36,7 @@
 }
 _STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
 _LIST_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
-_U32_MAX = 0xFFFFFFFF
+_U32_MAX = 0xFFFFFFFF  # as a receiver of a peer message: every peer
 V = TypeVar("V")
 
 
@@ -83,7 +83,7 @@
             start = self.offset
             try:
                 code = self.read_bytes(1)[0]
-                if code == 110:
+                if code == 110:  # an upstream list for later events, not an event
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
@@ -98,6 +98,7 @@
             raise WireError(f"{len(data) - self.offset} bytes left over after {count} records")
 
     def read_bytes(self, size: int) -> bytes:
+        """The next `size` bytes of the batch. Raises WireError if fewer are left."""
         end = self.offset + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.offset} left")
@@ -115,6 +116,7 @@
         return values
 
     def read_list(self) -> None:
+        """Reads a numbered upstream list and stores it; a list of the same number is replaced."""
         number, count = self.unpack(_LIST_HEADER)
         entries = []
         for upstream, zone, kind, cell, state, weight, started in _LIST_ENTRY.iter_unpack(
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -954,7 +954,7 @@
 @pytest.mark.parametrize(("text", "expected"), [
     ('postgresql = "host=a password=x"', "F: agent.postgresql: expected a PostgreSQL connection string without a"),
     ('postgresql = "nonsense"', "F: agent.postgresql: expected a PostgreSQL connection string, got one that libpq"),
-    ('password_file = "p"', "F: agent.password_file: expected postgresql beside it, got password_file alone"),
+    ('password_file = "p"', "F: agent.password_file: expected postgresql to be set too, got password_file alone"),
     ('postgresql = "host=a"\nsynchronous_commit = "maybe"',
      "F: agent.synchronous_commit: expected one of on, off, local, remote_write, remote_apply, got 'maybe'"),
     ('postgresql = "host=a"\npassword_file = "none"', "none: expected a token, got No such file"),
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -131,7 +131,7 @@
         from_environment({"GW_AGENT": "h:1"})
     alone = tmp_path / "versions.toml"
     alone.write_text('[versions]\n[[versions.agent]]\naddress = "h:1"\n')
-    with pytest.raises(OperatorFileError, match="versions: expected .control. or GW_AGENT beside it, got neither"):
+    with pytest.raises(OperatorFileError, match="versions: expected .control. or GW_AGENT to be set too, got neither"):
         from_environment({"GW_OPERATOR": str(alone)})
     beside = from_environment({"GW_OPERATOR": str(alone), "GW_AGENT": "h:2", "GW_AGENT_TOKEN_FILE": "t"})
     assert beside.control is not None and beside.versions is not None
