--- a/bench/record.py
+++ b/bench/record.py
@@ -22,7 +22,7 @@
 import apsw
 import uvloop
 
-from ironscale.operator_file import Stores, StoreTarget
+from ironscale.operator_file import StoreConfig, StoresConfig
 from ironscale.record import sqlite
 from ironscale.record.database import Opener
 from ironscale.record.extension import beside
@@ -131,8 +131,8 @@
     async def main() -> None:
         host, peer = await Host().start(), await Peer().start()
         scene = await Scene().start(peer.entry("up-0"), **{"request-classes": QUICK})
-        target = StoreTarget("main", postgresql=f"host=127.0.0.1 port={host.port} user=app")
-        section = Stores("bench", ("pay",), (target,))
+        target = StoreConfig("main", postgresql=f"host=127.0.0.1 port={host.port} user=app")
+        section = StoresConfig("bench", ("pay",), (target,))
         loop, outcomes, views = asyncio.get_running_loop(), [], []
         stalled = asyncio.Event()
         stalled.set()
@@ -229,7 +229,7 @@
     from ironscale.agent.sqlite import SqliteStore as AgentOnSqlite
     from ironscale.agent.store import Records, StoreError
     from ironscale.agent.store_setup import open_store
-    from ironscale.operator_file import Agent
+    from ironscale.operator_file import AgentConfig
 
     def small(records: Records) -> None:
         records.audit(1, "bench", "act", str(records.next_fence()), "done")
@@ -300,7 +300,7 @@
         host = await Host().start()
         began = time.monotonic()
         dsn = f"host=127.0.0.1 port={host.port} user=app"
-        moved = await open_store(Agent(data=folder, postgresql=dsn), folder, print, print)
+        moved = await open_store(AgentConfig(data=folder, postgresql=dsn), folder, print, print)
         print(f"{'moved, into the stand-in':34} {time.monotonic() - began:9.2f} s")
         await asyncio.to_thread(moved.close)
         await host.stop()
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -4,7 +4,8 @@
 
 import signal
 
-# Hazard: it would end the process, and the imports alone take a tenth of a second. The configuration is read later.
+# By default SIGHUP ends the process, and it may arrive during the imports, which take about 0.1 s. It asks for a
+# reload, and the configuration is read later anyway, so it can be ignored here.
 if __name__ == "__main__":
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
@@ -24,112 +25,115 @@
 from ironscale.net.errors import is_transient  # noqa: E402
 from ironscale.net.sidecar import Extension, Sidecar, StartFailed, serve  # noqa: E402
 
-START_PATIENCE_S = 20.0  # of 30 s that a start may take
-START_AGAIN_S = 0.1
+START_TIMEOUT_S = 20.0  # a start may take 30 s in all
+START_RETRY_INTERVAL_S = 0.1
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
+    """Runs a sidecar and returns the exit status. A start that fails for a temporary reason is retried for
+    START_TIMEOUT_S."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    logging.basicConfig(level=logging.WARNING, handlers=[logs.Handler()])
-    give_up_s = time.monotonic() + START_PATIENCE_S
+    logging.basicConfig(level=logging.WARNING, handlers=[logs.LogHandler()])
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
-            run(environ)
+            run_sidecar(environ)
             return 0
         except StartFailed as failed:
             error = failed.__cause__ or failed
-            if not is_transient(error) or time.monotonic() >= give_up_s:
-                return said(error)
-            logs.line(f"ironscale: {error}; the start is tried again")
-            time.sleep(START_AGAIN_S)
+            if not is_transient(error) or time.monotonic() >= deadline_s:
+                return log_fatal_error(error)
+            logs.write_line(f"ironscale: {error}; retrying the start")
+            time.sleep(START_RETRY_INTERVAL_S)
         except (ConfigError, OSError) as error:
-            return said(error)
+            return log_fatal_error(error)
 
 
-def run(environ: Mapping[str, str]) -> None:
-    """One sidecar, from its start to its end. Raises StartFailed as long as it has taken nothing."""
+def run_sidecar(environ: Mapping[str, str]) -> None:
+    """Runs one sidecar from its start to its end. Raises StartFailed for an error before it accepts requests."""
     try:
-        beside, reuse_port = operated(environ)
+        extension, reuse_port = load_extension(environ)
         loop = uvloop.new_event_loop()
     except (ConfigError, OSError) as error:
         raise StartFailed from error
-    serving = serve(environ, beside, reuse_port)
+    serving = serve(environ, extension, reuse_port)
     try:
         loop.run_until_complete(serving)
     except OSError as error:
         if inspect.getcoroutinestate(serving) != inspect.CORO_CREATED:
             raise
-        raise StartFailed from error  # the loop could not run
+        raise StartFailed from error  # the event loop could not run
     finally:
-        tear_down(loop)
+        close_loop(loop)
         serving.close()
 
 
-def tear_down(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancels what is left. Nothing is owed any more: what fails here is said and changes nothing."""
-    left = asyncio.all_tasks(loop)
-    for task in left:
+def close_loop(loop: asyncio.AbstractEventLoop) -> None:
+    """Cancels the remaining tasks and closes the loop. All requests are answered by now, so an error is only logged."""
+    remaining_tasks = asyncio.all_tasks(loop)
+    for task in remaining_tasks:
         task.cancel()
     try:
-        if left:
-            loop.run_until_complete(asyncio.wait(left))
+        if remaining_tasks:
+            loop.run_until_complete(asyncio.wait(remaining_tasks))
         loop.close()
     except (OSError, RuntimeError) as error:
-        logs.line(f"ironscale: the event loop could not be closed: {error}")
+        logs.write_line(f"ironscale: the event loop could not be closed: {error}")
 
 
-def said(error: BaseException) -> int:
-    """The status of a process that ends by this error."""
-    logs.line(f"ironscale: {error}")
+def log_fatal_error(error: BaseException) -> int:
+    """Logs the error that ends the process and returns the exit status: 2 for a wrong configuration, else 1."""
+    logs.write_line(f"ironscale: {error}")
     return 2 if isinstance(error, ConfigError) else 1
 
 
-def operated(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
-    """What the operator file switches on. Nothing of it is loaded where no variable names one."""
+def load_extension(environ: Mapping[str, str]) -> tuple[Extension | None, bool]:
+    """The extension for what the operator file enables, and whether the listener shares its port (SO_REUSEPORT). If no
+    environment variable names an operator file or an agent, none of these modules are imported."""
     if not environ.get("GW_OPERATOR") and not environ.get("GW_AGENT"):
         return None, False
     from ironscale import operator_file
 
     try:
-        found = operator_file.from_environment(environ)
-        subsystems: list[Extension] = []
+        options = operator_file.from_environment(environ)
+        extensions: list[Extension] = []
         channel = None
-        if found.store is not None:  # the first: not one request may pass by it
+        if options.store is not None:  # started first, so that no request can bypass the stores
             from ironscale.record.extension import beside as store_beside
 
-            subsystems.append(store_beside(found.store))
-        if found.learned is not None:
+            extensions.append(store_beside(options.store))
+        if options.learned is not None:
             from ironscale.learned.extension import Channel
             from ironscale.learned.extension import beside as learned_beside
 
             channel = Channel()
-            subsystems.append(learned_beside(found.learned, channel))
-        if found.record is not None:
+            extensions.append(learned_beside(options.learned, channel))
+        if options.record is not None:
             from ironscale.load.recording import beside as record_beside
 
-            subsystems.append(record_beside(found.record))
-        if found.control is not None:
+            extensions.append(record_beside(options.record))
+        if options.control is not None:
             from ironscale.control.extension import beside
 
-            subsystems.append(beside(found.control, environ, channel, found.versions))
-        return together(subsystems), found.sidecar.reuse_port
+            extensions.append(beside(options.control, environ, channel, options.versions))
+        return combine_extensions(extensions), options.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
 
 
-def together(subsystems: list[Extension]) -> Extension | None:
-    """All of them beside one sidecar; the last to start is the first to end."""
-    if len(subsystems) < 2:
-        return subsystems[0] if subsystems else None
+def combine_extensions(extensions: list[Extension]) -> Extension | None:
+    """Combines extensions into one. They start in this order and end in the reverse order."""
+    if len(extensions) < 2:
+        return extensions[0] if extensions else None
 
     @contextlib.asynccontextmanager
-    async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+    async def run_all(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         async with contextlib.AsyncExitStack() as stack:
-            for subsystem in subsystems:
-                await stack.enter_async_context(subsystem(sidecar, end))
+            for extension in extensions:
+                await stack.enter_async_context(extension(sidecar, end))
             yield
 
-    return running
+    return run_all
 
 
 if __name__ == "__main__":
--- a/ironscale/adapter.py
+++ b/ironscale/adapter.py
@@ -1,4 +1,5 @@
-"""Hosts many instances of the decision module on the bench's wire: one reply for each batch."""
+"""Runs many instances of the decision module for a simulator: reads batches of events on standard input, writes one
+reply of actions for each batch on standard output."""
 
 from __future__ import annotations
 
@@ -10,24 +11,25 @@
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer at the end of input."""
+    """Reads `size` bytes, or fewer if the input ends first."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
-class Host:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+class InstanceHost:
+    """The running instances. They share only the decoder's upstream lists."""
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
         self.instances: dict[int, Balancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
+        """Handles the events of one batch; returns the reply frame. Raises WireError."""
         records: list[bytes] = []
         for instance, event in self.decoder.decode_batch(body, count):
             if isinstance(event, wire.InstanceStarted):
@@ -39,16 +41,16 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([wire.encode_action(instance, action) for action in actions])
-                except Exception as error:  # a bug in the decisions is told on the wire, not hidden
+                except Exception as error:  # a bug in the decision module is reported in the reply, not hidden
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode_action(instance, wire.InternalError(text)))
         return wire.encode_reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
-    number = 0
+    """Answers batches until the input ends. Raises WireError, with the number of the malformed batch."""
+    host = InstanceHost()
+    batch_number = 0
     while True:
         header = read_exactly(source, wire.HEADER.size)
         if not header:
@@ -60,12 +62,12 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.batch(now_us, count, body)
+            reply = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
-            raise wire.WireError(f"batch {number}: {error}") from error
-        sink.write(answer)
+            raise wire.WireError(f"batch {batch_number}: {error}") from error
+        sink.write(reply)
         sink.flush()
-        number += 1
+        batch_number += 1
 
 
 def main() -> int:
@@ -75,7 +77,7 @@
         print(f"ironscale: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("ironscale: the reader of our replies is gone", file=sys.stderr)
+        print("ironscale: standard output was closed by its reader", file=sys.stderr)
         return 3
     return 0
 
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -33,7 +33,7 @@
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import STOP_SIGNALS, Clock
 from ironscale.net.signals import Signals
-from ironscale.operator_file import Agent as AgentSection
+from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import read_secret
 from ironscale.versions.serving import Serving
 
@@ -90,7 +90,7 @@
         return engine.leader.control if engine is not None and engine.leader is not None else ""
 
     def log(self, text: str) -> None:
-        logs.line(f"{time.strftime('%H:%M:%S')} agent: {text}")
+        logs.write_line(f"{time.strftime('%H:%M:%S')} agent: {text}")
 
     @contextlib.contextmanager
     def alone(self) -> Iterator[None]:
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -678,7 +678,8 @@
     def may_send(self, request: Request) -> bool:
         """Whether the request may be sent now, as far as that doesn't depend on the upstream (rules 1 and 2)."""
         s, sent = self.settings, len(request.attempts)
-        if request.done or request.streaming or self.now_us >= request.event.deadline_us or sent >= s.max_attempts:
+        if (request.done or request.streaming or self.now_us >= request.event.deadline_us
+                or sent >= s.max_attempts):
             return False
         if request.open_attempts > 0 and not s.hedging:
             return False
@@ -996,7 +997,7 @@
         if faded.first_hand:
             gap_us = self.cold_send_gap_us(upstream, min(latency.conservative_us() for latency in self.latency))
             upstream.next_cold_send_us = max(
-                upstream.next_cold_send_us, min(faded.next_cold_send_us, self.now_us + gap_us)
+                upstream.next_cold_send_us, min(faded.next_cold_us, self.now_us + gap_us)
             )
 
     def confirm_lesson(self, upstream: TrackedUpstream, outcome: api.Outcome | None, elapsed_us: int) -> None:
--- a/ironscale/net/client.py
+++ b/ironscale/net/client.py
@@ -228,7 +228,7 @@
         try:
             self.server.application.on_request(exchange)
         except Exception:  # the parser would take it for a parse error, and the request would stay unanswered
-            logs.line(traceback.format_exc())
+            logs.write_line(traceback.format_exc())
             exchange.answer(502)
 
     def answer(self, exchange: Exchange, status: int, headers: Iterable[tuple[bytes, bytes]],
--- a/ironscale/net/config.py
+++ b/ironscale/net/config.py
@@ -36,7 +36,7 @@
     discovery_timeout_us: int  # a call that discovery has not answered by then counts as failed
     upstream_idle_timeout_us: int  # an upstream closes a connection that was idle for this long
     directory: ListParser  # parses the lists of discovery, with the zone and machine type names of the settings
-    known: Listing  # the last known list of upstreams; may be empty or outdated
+    last_known_list: Listing  # the last known list of upstreams; may be empty or outdated
     document: Mapping[str, Any]  # the JSON document that this was read from
     generation: int = 0  # generation of the overlay that the process started with; 0 if there is none
     overlay: Mapping[str, Any] = field(default_factory=dict)
@@ -56,9 +56,9 @@
 def _answer_timeout_us(options: settings.Options) -> int:
     """Returns how long a call to discovery may wait for its answer. For an agent on this machine it is short: what the
     agent knows counts as known to the sidecar, even while the agent is silent and as soon as it is back."""
-    if options.text("registry-mode") == "on_request":
+    if options.string("registry-mode") == "on_request":
         return CALL_US
-    grace_us = options.whole("invariants.drain-grace", "1000000")
+    grace_us = options.integer("invariants.drain-grace", "1000000")
     return min(max(grace_us // 2, LEAST_ANSWER_US), MOST_ANSWER_US)
 
 
@@ -73,14 +73,14 @@
 
     raw = data.get("settings")
     try:
-        options = settings.from_object(raw)
+        options = settings.flatten_object(raw)
         assert isinstance(raw, dict)
         directory = ListParser(_string_list(raw.get("areas")), _string_list(raw.get("kinds")))
         address_in_file = data.get("discovery")
         sockets = int((data.get("limits") or {}).get("sockets", 1024))
         if sockets < LEAST_SOCKETS:
             raise ConfigError(f"limits.sockets: expected {LEAST_SOCKETS} or more, got {sockets}")
-        last_known_list = directory.parse(data.get("known") or {"generation": 0, "reset": True, "instances": []})
+        known = directory.parse(data.get("known") or {"generation": 0, "reset": True, "instances": []})
         return Config(
             name=required("GW_NAME", "name"),
             listen=parse_address(required("GW_LISTEN", "listen"), "listen"),
@@ -88,12 +88,12 @@
             file_discovery=parse_address(address_in_file, "discovery") if address_in_file else None,
             seed=int(str(data.get("seed", "0")), 16),
             sockets=sockets,
-            settings=replace(settings.read(options), list_by_watch=True),
-            report_fields=[name for name in options.text("report.names", "").split(",") if name],
+            settings=replace(settings.read_settings(options), list_by_watch=True),
+            report_fields=[name for name in options.string("report.names", "").split(",") if name],
             discovery_timeout_us=_answer_timeout_us(options),
-            upstream_idle_timeout_us=options.whole("bounds.conn-idle", "15000000"),
+            upstream_idle_timeout_us=options.integer("bounds.conn-idle", "15000000"),
             directory=directory,
-            known=last_known_list,
+            last_known_list=known,
             document=data,
         )
     except settings.SettingsError as error:
--- a/ironscale/net/periodic.py
+++ b/ironscale/net/periodic.py
@@ -24,7 +24,7 @@
         try:
             self.callback()
         except Exception:
-            logs.line(f"{getattr(self.callback, '__qualname__', self.callback)} failed; it will be tried again\n"
+            logs.write_line(f"{getattr(self.callback, '__qualname__', self.callback)} failed; it will be tried again\n"
                       f"{traceback.format_exc()}")
 
     def cancel(self) -> None:
--- a/ironscale/net/server.py
+++ b/ironscale/net/server.py
@@ -51,7 +51,7 @@
     def __init__(self, application: Application, max_connections: int, now_us: Callable[[], int],
                  ledger: Ledger | None = None) -> None:
         self.application = application
-        self.ledger = ledger or Ledger(now_us, logs.line)
+        self.ledger = ledger or Ledger(now_us, logs.write_line)
         self.max_connections = max_connections
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
@@ -242,7 +242,7 @@
         try:
             return self.listener_shutdown.step()
         except OSError as error:
-            logs.line(f"closing the listener failed: {error}; it will be tried again")
+            logs.write_line(f"closing the listener failed: {error}; it will be tried again")
             return False
 
     def drop_listener(self) -> None:
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -238,7 +238,7 @@
                                    max_connections)
         self.ledger = Ledger(self.clock.now_us, self.log)
         self.server = Server(self, max_connections, self.clock.now_us, self.ledger)
-        self.discovery = Discovery(config.discovery, config.directory, config.known.generation, self.on_list,
+        self.discovery = Discovery(config.discovery, config.directory, config.last_known_list.generation, self.on_list,
                                    config.discovery_timeout_us / 1e6, self.log, self.balancer.list_call_spread_us() > 0,
                                    config.seed)
         self.requests: dict[int, Request] = {}
@@ -261,7 +261,7 @@
 
     async def start(self, reuse_port: bool = False) -> int:
         """Starts to listen, with the upstreams of the configuration until discovery answers; returns the port."""
-        self.on_list(api.ListKind.CACHED, self.config.known)
+        self.on_list(api.ListKind.CACHED, self.config.last_known_list)
         self.port = await self.server.listen(self.config.listen, reuse_port)
         return self.port
 
@@ -581,7 +581,7 @@
         return f"upstream {pool.member.name}" if pool else found[0]
 
     def log(self, text: str) -> None:
-        logs.line(f"{self.config.name}: {text}")
+        logs.write_line(f"{self.config.name}: {text}")
 
 
 # A subsystem that runs alongside a started sidecar: called with the sidecar and a function that ends the process.
--- a/ironscale/net/stream.py
+++ b/ironscale/net/stream.py
@@ -125,7 +125,7 @@
                 self.owner.eof_received()
                 self.close()
         except Exception as error:
-            logs.line(f"connection closed after an error in its handler: {type(error).__name__}: {error}")
+            logs.write_line(f"connection closed after an error in its handler: {type(error).__name__}: {error}")
             self.end(error)
 
     def read_failed(self, error: OSError) -> None:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator file: one reader for everything that is off unless it is named there.
+"""Reads the operator file, a TOML file that enables optional parts: each is off unless the file has its table.
 
-One error style: file, key path, what was expected, what stood there, in one line.
+Every error is one line that names the file, the key path, the expected and the actual value.
 """
 
 from __future__ import annotations
@@ -16,144 +16,145 @@
     from ironscale.disruption.model import Budget
     from ironscale.versions.agent_selection import Place
 
-MOST_INSTANCES = 5_000
-MOST_BUDGETS = 200
-MOST_AGENTS = 9
-MOST_DONORS = 100
-MOST_PLACES = 64
+MAX_INSTANCES = 5_000
+MAX_BUDGETS = 200
+MAX_AGENTS = 9
+MAX_DONORS = 100
+MAX_VERSION_AGENTS = 64
 
 
 class OperatorFileError(TableError):
-    """An operator file that cannot be used; the text is one line."""
+    """The operator file, or a file that it names, cannot be used; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
-    """`[control]`: the instance's side. It dials the agent and keeps one connection."""
+class ControlConfig:
+    """`[control]`: how an instance connects to its agent. It keeps one connection open."""
 
-    agents: tuple[Address, ...]  # one, or several of which one leads
+    agents: tuple[Address, ...]  # one agent, or several of which one is the leader
     token_file: Path
     zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Versions:
-    """`[versions]`: the instance follows published configuration, at any of these agents."""
+class VersionsConfig:
+    """`[versions]`: the instance follows published configuration versions from any one of these agents."""
 
     agents: tuple[Place, ...]
     service: str = ""
-    zone: str = ""  # empty = that of [control]
+    zone: str = ""  # empty = the zone of [control]
     region: str = ""
-    token_file: Path | None = None  # else that of [control]
+    token_file: Path | None = None  # None = the token file of [control]
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
-    """`[learned]`: what a sidecar has learned outlives it. At least one of its ways is named."""
+class LearnedConfig:
+    """`[learned]`: what a sidecar has learned is kept over a restart or taken over from other sidecars. At least one of
+    `folder`, `teach`, `ask` and `from_agent` is set."""
 
-    folder: Path | None = None  # a file for each sidecar in it, by its name
-    every_s: float = 5.0
-    teach: Address | None = None  # newcomers ask here; loopback
-    ask: tuple[Address, ...] = ()  # where others teach
-    from_agent: bool = False  # the agent names some that teach
+    folder: Path | None = None  # holds one file for each sidecar, named after it
+    every_s: float = 5.0  # time between two writes of the file
+    teach: Address | None = None  # loopback address where new sidecars can fetch it
+    ask: tuple[Address, ...] = ()  # addresses of other sidecars to fetch it from at start
+    from_agent: bool = False  # the agent names sidecars to fetch it from
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
-    """`[record]`: arrivals, as a trace to replay."""
+class RecordingConfig:
+    """`[record]`: arriving requests are recorded as a trace that can be replayed."""
 
-    file: Path  # and the one before, with `.1` behind its name
-    most_mb: float = 64.0  # of both together
+    file: Path  # the previous file is kept under this name with `.1` appended
+    most_mb: float = 64.0  # limit on both files together
 
 
 @dataclass(frozen=True, slots=True)
-class StoreTarget:
-    """`[[store.to]]`: one store of record, either of both kinds."""
+class StoreConfig:
+    """`[[store.to]]`: one store of record, either SQLite or PostgreSQL."""
 
     name: str
     sqlite: Path | None = None
-    postgresql: str = ""  # a connection string of libpq's, several hosts and TLS among its settings; no password
+    postgresql: str = ""  # libpq connection string without a password; it may name several hosts and TLS settings
     password_file: Path | None = None
-    connections: int = 8  # PostgreSQL: open at most
-    synchronous_commit: str = "on"  # PostgreSQL: what a confirmed record has survived
-    queue: int = 4_096  # SQLite: writes that wait at most
+    connections: int = 8  # PostgreSQL: maximum number of open connections
+    synchronous_commit: str = "on"  # PostgreSQL: durability of a confirmed record
+    queue: int = 4_096  # SQLite: maximum number of waiting writes
 
 
 @dataclass(frozen=True, slots=True)
-class Stores:
-    """`[store]`: requests of these classes are written to a store of record in place of being sent to an upstream."""
+class StoresConfig:
+    """`[store]`: requests of these classes are written to a store of record instead of being sent to an upstream."""
 
-    file: str  # for errors that show only with the configuration at hand
+    file: str  # the operator file, for errors found only once the configuration is known
     classes: tuple[str, ...]
-    to: tuple[StoreTarget, ...]
-    by: str = "tenant"  # what chooses among several
-    upstreams: str = "none"  # whether they are also sent to one, and when: none, first, last
-    journal: Path | None = None  # folder: outcomes that were left open, a file a process
+    to: tuple[StoreConfig, ...]
+    by: str = "tenant"  # what chooses one of several stores: tenant or key
+    upstreams: str = "none"  # whether a request is also sent to an upstream: none, first (before the store), last
+    journal: Path | None = None  # folder with one file for each process, for writes whose outcome is unknown
 
 
 @dataclass(frozen=True, slots=True)
-class Sidecar:
+class ListenerConfig:
     """`[sidecar]`: how the listener is opened."""
 
-    reuse_port: bool = False  # a successor may listen on the same port before this one has ended
+    reuse_port: bool = False  # SO_REUSEPORT: a successor may listen on the same port before this process has ended
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
-    """`[[agent.service]]`: local instances that the agent starts and keeps running."""
+class ServiceConfig:
+    """`[[agent.service]]`: local instances that the agent starts and restarts."""
 
-    name: str  # instances are called name-0, name-1 ...
+    name: str  # the instances are named name-0, name-1 ...
     count: int
     config: Path  # JSON; its `name`, `listen` and `settings.self-index` are set for each instance
     host: str = "127.0.0.1"
-    first_port: int = 0  # instance i listens on first_port + i; 0 = each on one from the kernel
+    first_port: int = 0  # instance i listens on first_port + i; 0 = on a port that the kernel chooses
     zone: str = ""
     environment: Mapping[str, str] = field(default_factory=dict)
-    stop_s: float = 8.0  # from SIGTERM to SIGKILL; no less than the longest deadline and 1.5 s
-    make_before_break: bool = False  # the successor starts on the same port before the old one is told to end
+    stop_s: float = 8.0  # time from SIGTERM to SIGKILL; should be at least the longest deadline plus 1.5 s
+    make_before_break: bool = False  # the successor starts on the same port before the old process is told to stop
 
 
 @dataclass(frozen=True, slots=True)
-class Agent:
+class AgentConfig:
     """`[agent]`: the agent itself."""
 
-    data: Path = Path(".ironscale")  # folder of the store and the tokens
-    control: Address = ("127.0.0.1", 7400)  # instances dial here
+    data: Path = Path(".ironscale")  # folder of the database and the tokens
+    control: Address = ("127.0.0.1", 7400)  # instances connect here
     api: Address = ("127.0.0.1", 7401)  # GraphQL over HTTP
     remote: bool = False  # addresses other than loopback are allowed
-    introspection: bool = True
+    introspection: bool = True  # of the GraphQL schema
     lease_s: float = 6.0
     heartbeat_s: float = 2.0
-    most_instances: int = MOST_INSTANCES
-    services: tuple[Service, ...] = ()
+    most_instances: int = MAX_INSTANCES
+    services: tuple[ServiceConfig, ...] = ()
     budgets: tuple[Budget, ...] = ()
-    file: str = ""  # for errors that show only with the record at hand
-    postgresql: str = ""  # the record: a connection string without a password; empty = SQLite in `data`
-    record: Path | None = None  # SQLite elsewhere: a file that several agents of this machine open
-    standby: bool = False  # while another agent has the record: follow it, and lead after it
-    term_s: float = 10.0  # the lease on a record that several agents may open
+    file: str = ""  # the operator file, for errors found only once the database is open
+    postgresql: str = ""  # connection string of the database, without a password; empty = SQLite in `data`
+    record: Path | None = None  # an SQLite file elsewhere, which several agents on this machine may open
+    standby: bool = False  # while another agent leads, follow it, and take over when it ends
+    term_s: float = 10.0  # lease of the leader on a database that several agents may open
     password_file: Path | None = None
     synchronous_commit: str = "on"
-    token_file: Path | None = None  # of role instance: with it the agent that leads is told who runs what here
+    token_file: Path | None = None  # token of role instance, to report to the leader what its followers run
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    control: Control | None = None
-    sidecar: Sidecar = Sidecar()
-    agent: Agent | None = None
-    learned: Learned | None = None
-    record: Record | None = None
-    store: Stores | None = None
-    versions: Versions | None = None
+    control: ControlConfig | None = None
+    sidecar: ListenerConfig = ListenerConfig()
+    agent: AgentConfig | None = None
+    learned: LearnedConfig | None = None
+    record: RecordingConfig | None = None
+    store: StoresConfig | None = None
+    versions: VersionsConfig | None = None
 
 
 def is_loopback(address: Address) -> bool:
     return address[0] in ("localhost", "::1") or address[0].startswith("127.")
 
 
-def _service(table: Table) -> Service:
-    count = table.integer("count", 1, MOST_INSTANCES)
+def _read_service(table: Table) -> ServiceConfig:
+    count = table.integer("count", 1, MAX_INSTANCES)
     first_port = table.integer("first_port", 0, 65535, 0)
     if first_port + count - 1 > 65535:
         raise table.error_for("first_port", f"a port with room for {count} instances")
@@ -161,7 +162,7 @@
     variables = table.table("environment")
     if variables is not None:
         environment = {name: variables.string(name) for name in variables.values}
-    service = Service(
+    service = ServiceConfig(
         name=table.string("name"), count=count, config=table.file_path("config"),
         host=table.string("host", "127.0.0.1"), first_port=first_port,
         zone=table.get("zone", "a text", text_or_none, ""),
@@ -174,20 +175,20 @@
     return service
 
 
-def _loopback(value: Any) -> Address | None:
+def _read_loopback_address(value: Any) -> Address | None:
     address = read_address(value)
     return address if address is not None and is_loopback(address) else None
 
 
-def _donors(value: Any) -> tuple[Address, ...] | None:
-    if not isinstance(value, list) or len(value) > MOST_DONORS:
+def _read_loopback_addresses(value: Any) -> tuple[Address, ...] | None:
+    if not isinstance(value, list) or len(value) > MAX_DONORS:
         return None
-    found = [_loopback(entry) for entry in value]
-    return None if None in found else tuple(address for address in found if address is not None)
+    addresses = [_read_loopback_address(entry) for entry in value]
+    return None if None in addresses else tuple(address for address in addresses if address is not None)
 
 
-def _versions(table: Table) -> Versions:
-    from ironscale.versions.agent_selection import Place  # a sidecar that follows nobody loads none of it
+def _read_versions(table: Table) -> VersionsConfig:
+    from ironscale.versions.agent_selection import Place  # not loaded by a sidecar without [versions]
 
     places = []
     for entry in table.tables("agent"):
@@ -195,8 +196,8 @@
         places.append(Place(host, port, entry.get("zone", "a text", text_or_none, ""),
                             entry.get("region", "a text", text_or_none, "")))
         entry.reject_unknown_keys()
-    if not 0 < len(places) <= MOST_PLACES:
-        raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected 1 to {MOST_PLACES} tables "
+    if not 0 < len(places) <= MAX_VERSION_AGENTS:
+        raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected 1 to {MAX_VERSION_AGENTS} tables "
                                 f"[[versions.agent]], got {len(places)}")
     addresses = [(place.host, place.port) for place in places]
     for host, port in addresses:
@@ -204,50 +205,52 @@
             raise OperatorFileError(f"{table.file}: {table.key_path('agent')}: expected addresses that differ, got "
                                     f"{host}:{port} twice")
     service, zone, region = (table.get(key, "a text", text_or_none, "") for key in ("service", "zone", "region"))
-    found = Versions(tuple(places), service, zone, region,
+    versions = VersionsConfig(tuple(places), service, zone, region,
                      token_file=table.file_path("token_file") if "token_file" in table.values else None)
-    table.asked.add("token_file")
+    table.known_keys.add("token_file")
     table.reject_unknown_keys()
-    return found
+    return versions
 
 
-def _learned(table: Table) -> Learned:
-    # anyone who reaches the address may ask, and what is told names upstreams: so it stays on the machine
-    teach = table.get("teach", "HOST:PORT on a loopback address", _loopback) if "teach" in table.values else None
-    learned = Learned(
+def _read_learned(table: Table) -> LearnedConfig:
+    # Anyone who can connect to the address gets the answer, which names upstreams. So only loopback is allowed.
+    teach = (table.get("teach", "HOST:PORT on a loopback address", _read_loopback_address)
+             if "teach" in table.values else None)
+    learned = LearnedConfig(
         folder=table.file_path("folder") if "folder" in table.values else None,
         every_s=table.seconds("every_s", 0.1, 3600, 5.0), teach=teach,
-        ask=table.get("ask", f"a list of {MOST_DONORS} HOST:PORT at most on loopback addresses", _donors, ()),
+        ask=table.get("ask", f"a list of {MAX_DONORS} HOST:PORT at most on loopback addresses",
+                      _read_loopback_addresses, ()),
         from_agent=table.boolean("from_agent", False))
-    table.asked |= {"teach", "folder"}
+    table.known_keys |= {"teach", "folder"}
     table.reject_unknown_keys()
-    if learned == Learned(every_s=learned.every_s):
+    if learned == LearnedConfig(every_s=learned.every_s):
         raise OperatorFileError(f"{table.file}: {table.path}: expected folder, teach, ask or from_agent = true, "
                                 "got none of them")
     return learned
 
 
-SYNCHRONOUS = ("on", "off", "local", "remote_write", "remote_apply")
-MOST_STORES = 64
+SYNCHRONOUS_COMMIT_VALUES = ("on", "off", "local", "remote_write", "remote_apply")
+MAX_STORES = 64
 
 
-def _names(value: Any) -> tuple[str, ...] | None:
+def _read_names(value: Any) -> tuple[str, ...] | None:
     if not isinstance(value, list) or not 0 < len(value) <= 100 or len({*map(str, value)}) < len(value):
         return None
-    found = [text_or_none(entry) for entry in value]
-    return None if None in found else tuple(name for name in found if name is not None)
+    names = [text_or_none(entry) for entry in value]
+    return None if None in names else tuple(name for name in names if name is not None)
 
 
-def _target(table: Table) -> StoreTarget:
-    target = StoreTarget(
+def _read_store(table: Table) -> StoreConfig:
+    target = StoreConfig(
         name=table.string("name"),
         sqlite=table.file_path("sqlite") if "sqlite" in table.values else None,
         postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
         connections=table.integer("connections", 1, 1_000, 8),
-        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
+        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS_COMMIT_VALUES, "on"),
         queue=table.integer("queue", 1, 1_000_000, 4_096))
-    table.asked |= {"sqlite", "password_file"}
+    table.known_keys |= {"sqlite", "password_file"}
     table.reject_unknown_keys()
     if (target.sqlite is None) == (not target.postgresql):
         raise OperatorFileError(f"{table.file}: {table.path}: expected sqlite or postgresql, got "
@@ -255,27 +258,28 @@
     return target
 
 
-def _stores(table: Table) -> Stores:
-    targets = [_target(entry) for entry in table.tables("to")]
-    if not 0 < len(targets) <= MOST_STORES:
-        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MOST_STORES} tables "
+def _read_stores(table: Table) -> StoresConfig:
+    targets = [_read_store(entry) for entry in table.tables("to")]
+    if not 0 < len(targets) <= MAX_STORES:
+        raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected 1 to {MAX_STORES} tables "
                                 f"[[store.to]], got {len(targets)}")
     names = [target.name for target in targets]
     for name in names:
         if names.count(name) > 1:
             raise OperatorFileError(f"{table.file}: {table.key_path('to')}: expected names that differ, "
                                     f"got {name!r} twice")
-    stores = Stores(table.file, table.get("classes", "a list of names that differ", _names), tuple(targets),
+    stores = StoresConfig(table.file, table.get("classes", "a list of names that differ", _read_names), tuple(targets),
                     table.one_of("by", ("tenant", "key"), "tenant"),
                     table.one_of("upstreams", ("none", "first", "last"), "none"), table.file_path("journal"))
     table.reject_unknown_keys()
     return stores
 
 
-def _budget(table: Table) -> Budget:
-    from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # a sidecar loads none of it
+def _read_budget(table: Table) -> Budget:
+    from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # not loaded by sidecars
 
-    patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}  # `name` is the budget's own
+    # the key `name` is the budget's own name, so the pattern for unit names has the key `names`
+    patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}
     where = tuple((name, table.string(key)) for key, name in patterns.items() if key in table.values)
     budget = Budget(
         name=table.string("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
@@ -283,43 +287,44 @@
         number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
         capacity=table.number("capacity", 0.0001, 1.0, None, "a share") if "capacity" in table.values else None)
-    table.asked |= {"number", "share", "capacity", *patterns}
+    table.known_keys |= {"number", "share", "capacity", *patterns}
     table.reject_unknown_keys()
     if (budget.number, budget.share, budget.capacity) == (None, None, None):
         raise OperatorFileError(f"{table.file}: {table.path}: expected number, share or capacity, got none of them")
     return budget
 
 
-def _budgets(table: Table) -> tuple[Budget, ...]:
-    found = tuple(_budget(entry) for entry in table.tables("budget"))
-    if len(found) > MOST_BUDGETS:
-        raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MOST_BUDGETS} at most, got "
-                                f"{len(found)}")
-    names = [budget.name for budget in found]
-    for budget in found:
+def _read_budgets(table: Table) -> tuple[Budget, ...]:
+    budgets = tuple(_read_budget(entry) for entry in table.tables("budget"))
+    if len(budgets) > MAX_BUDGETS:
+        raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected {MAX_BUDGETS} at most, got "
+                                f"{len(budgets)}")
+    names = [budget.name for budget in budgets]
+    for budget in budgets:
         if names.count(budget.name) > 1:
             raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected names that differ, got "
                                     f"{budget.name!r} twice")
-        for other in found:
-            same = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
+        for other in budgets:
+            same_units = (budget.of, budget.where, budget.each) == (other.of, other.where, other.each)
             for limit in ("number", "share", "capacity"):
-                one, two = getattr(budget, limit), getattr(other, limit)
-                if same and None not in (one, two) and one != two:
+                limit_value, other_value = getattr(budget, limit), getattr(other, limit)
+                if same_units and None not in (limit_value, other_value) and limit_value != other_value:
                     raise OperatorFileError(f"{table.file}: {table.key_path('budget')}: expected one {limit} for the "
-                                            f"same units, got {one:g} of {budget.name!r} and {two:g} of {other.name!r}")
-    return found
+                                            f"same units, got {limit_value:g} of {budget.name!r} and "
+                                            f"{other_value:g} of {other.name!r}")
+    return budgets
 
 
-def _agents(value: Any) -> tuple[Address, ...] | None:
+def _read_agent_addresses(value: Any) -> tuple[Address, ...] | None:
     entries = value if isinstance(value, list) else [value]
-    found = [read_address(entry) for entry in entries]
-    if not 0 < len(found) <= MOST_AGENTS or None in found or len(set(found)) < len(found):
+    addresses = [read_address(entry) for entry in entries]
+    if not 0 < len(addresses) <= MAX_AGENTS or None in addresses or len(set(addresses)) < len(addresses):
         return None
-    return tuple(address for address in found if address is not None)
+    return tuple(address for address in addresses if address is not None)
 
 
-def _agent(table: Table) -> Agent:
-    agent = Agent(
+def _read_agent(table: Table) -> AgentConfig:
+    agent = AgentConfig(
         data=table.file_path("data", Path(".ironscale")),
         control=table.address("control", ("127.0.0.1", 7400)),
         api=table.address("api", ("127.0.0.1", 7401)),
@@ -327,36 +332,36 @@
         introspection=table.boolean("introspection", True),
         lease_s=table.seconds("lease_s", 0.2, 600, 6.0),
         heartbeat_s=table.seconds("heartbeat_s", 0.05, 120, 2.0),
-        most_instances=table.integer("most_instances", 1, 100_000, MOST_INSTANCES),
-        services=tuple(_service(entry) for entry in table.tables("service")),
-        budgets=_budgets(table),
+        most_instances=table.integer("most_instances", 1, 100_000, MAX_INSTANCES),
+        services=tuple(_read_service(entry) for entry in table.tables("service")),
+        budgets=_read_budgets(table),
         file=table.file,
         postgresql=table.string("postgresql", ""),
         password_file=table.file_path("password_file") if "password_file" in table.values else None,
-        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS, "on"),
+        synchronous_commit=table.one_of("synchronous_commit", SYNCHRONOUS_COMMIT_VALUES, "on"),
         record=table.file_path("record") if "record" in table.values else None,
         standby=table.boolean("standby", False),
         term_s=table.seconds("term_s", 0.5, 60, 10.0),
         token_file=table.file_path("token_file") if "token_file" in table.values else None,
     )
-    table.asked |= {"record", "token_file"}
+    table.known_keys |= {"record", "token_file"}
     if agent.record is not None and agent.postgresql:
         raise OperatorFileError(f"{table.file}: {table.key_path('record')}: expected record or postgresql, got both")
     if agent.standby and agent.record is None and not agent.postgresql:
-        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql beside it, "
-                                "which other agents open too, got neither")
+        raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected record or postgresql to be set "
+                                "too, which other agents open as well, got neither")
     if agent.standby and agent.services:
         raise OperatorFileError(f"{table.file}: {table.key_path('standby')}: expected no [[agent.service]] "
-                                f"beside it, got {len(agent.services)}: who leads changes, and local processes stay "
+                                f"with it, got {len(agent.services)}: the leader may change, but local processes stay "
                                 "with their agent")
     for key in ("password_file", "synchronous_commit"):
         if key in table.values and not agent.postgresql:
-            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql beside it, "
+            raise OperatorFileError(f"{table.file}: {table.key_path(key)}: expected postgresql to be set too, "
                                     f"got {key} alone")
-    table.asked.add("password_file")
+    table.known_keys.add("password_file")
     for key, address in (("control", agent.control), ("api", agent.api)):
         if not agent.remote and not is_loopback(address):
-            raise table.error_for(key, "a loopback address, or remote = true beside it")
+            raise table.error_for(key, "a loopback address, or remote = true")
     if agent.lease_s < 2 * agent.heartbeat_s:
         raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * agent.heartbeat_s:g}) or more")
     names = [service.name for service in agent.services]
@@ -369,7 +374,7 @@
 
 
 def parse(text: str, file: str, folder: Path) -> OperatorFile:
-    """Checks the whole file; relative paths in it start from `folder`."""
+    """Parses and checks the whole file; relative paths in it start from `folder`. Raises OperatorFileError."""
     root = read_toml(text, file, folder, OperatorFileError)
     control = root.table("control")
     sidecar = root.table("sidecar")
@@ -378,22 +383,23 @@
     record = root.table("record")
     store = root.table("store")
     versions = root.table("versions")
-    found = OperatorFile(
-        control=Control(control.get("agent", f"HOST:PORT, or a list of {MOST_AGENTS} at most that differ", _agents),
-                        control.file_path("token_file"),
-                        control.get("zone", "a text", text_or_none, "")) if control is not None else None,
-        sidecar=Sidecar(sidecar.boolean("reuse_port", False)) if sidecar is not None else Sidecar(),
-        agent=_agent(agent) if agent is not None else None,
-        learned=_learned(learned) if learned is not None else None,
-        record=Record(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
+    operator_file = OperatorFile(
+        control=ControlConfig(
+            control.get("agent", f"HOST:PORT, or a list of {MAX_AGENTS} at most that differ", _read_agent_addresses),
+            control.file_path("token_file"),
+            control.get("zone", "a text", text_or_none, "")) if control is not None else None,
+        sidecar=ListenerConfig(sidecar.boolean("reuse_port", False)) if sidecar is not None else ListenerConfig(),
+        agent=_read_agent(agent) if agent is not None else None,
+        learned=_read_learned(learned) if learned is not None else None,
+        record=RecordingConfig(record.file_path("file"), record.number("most_mb", 0.01, 1_000_000, 64.0, "megabytes"))
         if record is not None else None,
-        store=_stores(store) if store is not None else None,
-        versions=_versions(versions) if versions is not None else None,
+        store=_read_stores(store) if store is not None else None,
+        versions=_read_versions(versions) if versions is not None else None,
     )
     for table in (control, sidecar, record, root):
         if table is not None:
             table.reject_unknown_keys()
-    return found
+    return operator_file
 
 
 def load(path: str | Path) -> OperatorFile:
@@ -402,7 +408,7 @@
 
 
 def read_secret(path: Path) -> str:
-    """A token from a file that nobody else can read."""
+    """Reads a token from a file that only its owner can read. Raises OperatorFileError."""
     try:
         mode = path.stat().st_mode
         text = path.read_text(encoding="ascii").strip()
@@ -417,18 +423,20 @@
 
 
 def from_environment(environ: Mapping[str, str]) -> OperatorFile:
-    """GW_OPERATOR names the file; GW_AGENT, GW_AGENT_TOKEN_FILE and GW_ZONE go before its [control]."""
+    """Reads the file that GW_OPERATOR names, if it is set. GW_AGENT, GW_AGENT_TOKEN_FILE and GW_ZONE take precedence
+    over its [control]. Raises OperatorFileError."""
     path = environ.get("GW_OPERATOR")
-    found = load(path) if path else OperatorFile()
+    operator_file = load(path) if path else OperatorFile()
     if not environ.get("GW_AGENT"):
-        if found.versions is not None and found.control is None and found.agent is None:
-            raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT beside it, got neither")
-        return found
-    addresses = _agents(environ["GW_AGENT"].split(","))
+        if operator_file.versions is not None and operator_file.control is None and operator_file.agent is None:
+            raise OperatorFileError(f"{path}: versions: expected [control] or GW_AGENT to be set too, got neither")
+        return operator_file
+    addresses = _read_agent_addresses(environ["GW_AGENT"].split(","))
     if addresses is None:
         raise OperatorFileError(f"GW_AGENT: expected HOST:PORT, or several with commas, got {environ['GW_AGENT']!r}")
-    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (found.control.token_file if found.control else None)
+    token_file = environ.get("GW_AGENT_TOKEN_FILE") or (
+        operator_file.control.token_file if operator_file.control else None)
     if not token_file:
         raise OperatorFileError("GW_AGENT_TOKEN_FILE: expected a path, got nothing")
-    zone = environ.get("GW_ZONE") or (found.control.zone if found.control else "")
-    return replace(found, control=Control(addresses, Path(token_file), zone))
+    zone = environ.get("GW_ZONE") or (operator_file.control.zone if operator_file.control else "")
+    return replace(operator_file, control=ControlConfig(addresses, Path(token_file), zone))
--- a/ironscale/threads.py
+++ b/ironscale/threads.py
@@ -1,4 +1,4 @@
-"""Blocking work beside an event loop."""
+"""Threads for blocking work next to an event loop."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 T = TypeVar("T")
 
 
-BEGIN_PATIENCE_S, BEGIN_AGAIN_S = 3.0, 0.01
+START_TIMEOUT_S, START_RETRY_INTERVAL_S = 3.0, 0.01
 
 
 def start_thread(thread: threading.Thread) -> None:
-    """Starts it, if need be once the system has a thread to give; waits for that. Raises OSError."""
-    give_up_s = time.monotonic() + BEGIN_PATIENCE_S
+    """Starts the thread. While the system is out of threads, blocks and tries again for START_TIMEOUT_S, then raises
+    OSError."""
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             thread.start()
             return
         except RuntimeError as error:
-            if time.monotonic() >= give_up_s:
+            if time.monotonic() >= deadline_s:
                 raise OSError(errno.EAGAIN, str(error)) from error
-            time.sleep(BEGIN_AGAIN_S)
+            time.sleep(START_RETRY_INTERVAL_S)
 
 
-def run_in_thread(act: Callable[[], T]) -> asyncio.Future[T]:
-    """Runs `act` in a thread that does not hold up the end of the process, as an executor's would.
-    Where no thread can be begun the result is an OSError."""
+def run_in_thread(work: Callable[[], T]) -> asyncio.Future[T]:
+    """Runs `work` in a daemon thread: unlike a thread of an executor, it does not delay the end of the process. If no
+    thread can be started, the future fails with an OSError."""
     loop = asyncio.get_running_loop()
     future: asyncio.Future[T] = loop.create_future()
 
-    def tell(value: T | None, error: Exception | None) -> None:
+    def set_outcome(value: T | None, error: Exception | None) -> None:
         if future.done():
             return
         if error is not None:
@@ -44,17 +45,17 @@
             future.set_result(value)  # type: ignore[arg-type]
 
     def run() -> None:
-        value, failed = None, None
+        value, failure = None, None
         try:
-            value = act()
+            value = work()
         except Exception as error:
-            failed = error
-        with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile: nobody waits
-            loop.call_soon_threadsafe(tell, value, failed)
+            failure = error
+        with contextlib.suppress(RuntimeError):  # the loop has been closed, so nobody waits for the result
+            loop.call_soon_threadsafe(set_outcome, value, failure)
 
     future.add_done_callback(lambda done: done.cancelled() or done.exception())
     try:
         threading.Thread(target=run, name="beside", daemon=True).start()
-    except RuntimeError as error:  # the system has no thread to give just now
+    except RuntimeError as error:  # the system is out of threads
         future.set_exception(OSError(errno.EAGAIN, str(error)))
     return future
--- a/ironscale/wire.py
+++ b/ironscale/wire.py
@@ -1,6 +1,7 @@
-"""The bench's wire: frames to interface events, interface actions to frames, settings from text.
+"""The binary protocol between a simulator and the decision module.
 
-No decision is made here. `WireError` says in one line what is malformed and where.
+Decodes frames to the events of `ironscale.interface`, encodes its actions to frames, and parses settings from text.
+Makes no decisions. A `WireError` says in one line what is malformed and where.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
-_ENTRY = struct.Struct("<IBBHBfQ")
-_LIST_HEAD = struct.Struct("<II")
-_POWER_ON = struct.Struct("<QI")
-_MEMBERS = struct.Struct("<BII")
-_ACCEPT = struct.Struct("<IBIQIBQ")
-_COMPLETED = struct.Struct("<IBIHIBB")
-_BEGUN = struct.Struct("<IBII")
-_HEALTH = struct.Struct("<IHIB")
-_DATAGRAM = struct.Struct("<HH")
+_LIST_ENTRY = struct.Struct("<IBBHBfQ")
+_LIST_HEADER = struct.Struct("<II")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_LIST_UPDATED = struct.Struct("<BII")
+_REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
+_ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
+_STREAM_STARTED = struct.Struct("<IBII")
+_PROBE_ENDED = struct.Struct("<IHIB")
+_PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 
@@ -35,17 +36,17 @@
 }
 _STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
 _LIST_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
-_U32_MAX = 0xFFFFFFFF
+_U32_MAX = 0xFFFFFFFF  # as a receiver of a peer message: every peer
 V = TypeVar("V")
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read."""
+    """A frame or a setting is malformed; the text is one line."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance comes up with no state."""
+    """An instance starts with no state."""
 
     seed: int
     options: str
@@ -53,12 +54,12 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """The instance was killed."""
 
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the decision code has failed; the text says how."""
+    """Action: the decision module raised an exception, which the text describes."""
 
     text: str
 
@@ -68,7 +69,7 @@
 
 
 class Decoder:
-    """Reads batches; remembers the numbered upstream lists, which events refer to."""
+    """Decodes batches. Keeps the numbered upstream lists, because later events refer to them by number."""
 
     def __init__(self) -> None:
         self.upstream_lists: dict[int, list[api.Upstream]] = {}
@@ -76,13 +77,13 @@
         self.offset = 0
 
     def decode_batch(self, data: bytes, count: int) -> Iterator[tuple[int, WireEvent]]:
-        """The (instance, event) pairs of a batch's body, in order."""
+        """Yields the (instance, event) pairs of a batch's body, in order. Raises WireError."""
         self.data, self.offset = data, 0
         for index in range(count):
             start = self.offset
             try:
                 code = self.read_bytes(1)[0]
-                if code == 110:
+                if code == 110:  # an upstream list for later events, not an event
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
@@ -97,6 +98,7 @@
             raise WireError(f"{len(data) - self.offset} bytes left over after {count} records")
 
     def read_bytes(self, size: int) -> bytes:
+        """The next `size` bytes of the batch. Raises WireError if fewer are left."""
         end = self.offset + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.offset} left")
@@ -110,97 +112,98 @@
     def read_floats(self, count: int) -> list[float]:
         values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
-            raise WireError("a load report value that is not a finite number")
+            raise WireError("a load report value is not a finite number")
         return values
 
     def read_list(self) -> None:
-        number, count = self.unpack(_LIST_HEAD)
+        """Reads a numbered upstream list and stores it; a list of the same number is replaced."""
+        number, count = self.unpack(_LIST_HEADER)
         entries = []
-        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
-            self.read_bytes(_ENTRY.size * count)
+        for upstream, zone, kind, cell, state, weight, started in _LIST_ENTRY.iter_unpack(
+            self.read_bytes(_LIST_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
+            entries.append(api.Upstream(upstream, _lookup(_STATES, state, "upstream condition"), zone, kind,
                                         cell, weight, started))
         self.upstream_lists[number] = entries
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _lookup(table: dict[int, V], code: int, what: str) -> V:
     value = table.get(code)
     if value is None:
         raise WireError(f"unknown {what} {code}")
     return value
 
 
-def _started(frame: Decoder) -> WireEvent:
-    seed, size = frame.unpack(_POWER_ON)
-    return InstanceStarted(seed, frame.read_bytes(size).decode())
+def _read_instance_started(decoder: Decoder) -> WireEvent:
+    seed, size = decoder.unpack(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _stopped(frame: Decoder) -> WireEvent:
+def _read_instance_stopped(decoder: Decoder) -> WireEvent:
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> WireEvent:
-    how, version, number = frame.unpack(_MEMBERS)
-    kind = _known(_LIST_KINDS, how, "list kind")
+def _read_list_updated(decoder: Decoder) -> WireEvent:
+    kind_code, version, list_number = decoder.unpack(_LIST_UPDATED)
+    kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
-    if number not in frame.upstream_lists:
-        raise WireError(f"upstream list {number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.upstream_lists[number], version)
+    if list_number not in decoder.upstream_lists:
+        raise WireError(f"upstream list {list_number} was never sent")
+    return api.UpstreamsUpdated(kind, decoder.upstream_lists[list_number], version)
 
 
-def _accept(frame: Decoder) -> WireEvent:
-    request, class_index, tenant, key, cost, marks, due = frame.unpack(_ACCEPT)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
-                              bool(marks & 2), bool(marks & 4))
+def _read_request_arrived(decoder: Decoder) -> WireEvent:
+    request, class_index, tenant, key, cost_us, flags, deadline_us = decoder.unpack(_REQUEST_ARRIVED)
+    return api.RequestArrived(request, deadline_us, class_index, tenant, key, cost_us if flags & 1 else 0,
+                              bool(flags & 2), bool(flags & 4))
 
 
-def _completed(frame: Decoder) -> WireEvent:
-    request, attempt, upstream, verdict, spent, last, count = frame.unpack(_COMPLETED)
-    return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
-                            bool(last), frame.read_floats(count))
+def _read_attempt_ended(decoder: Decoder) -> WireEvent:
+    request, attempt, upstream, outcome_code, elapsed_us, request_ended, count = decoder.unpack(_ATTEMPT_ENDED)
+    return api.AttemptEnded(request, attempt, upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us,
+                            bool(request_ended), decoder.read_floats(count))
 
 
-def _begun(frame: Decoder) -> WireEvent:
-    request, attempt, spent, upstream = frame.unpack(_BEGUN)
-    return api.StreamStarted(request, attempt, upstream, spent)
+def _read_stream_started(decoder: Decoder) -> WireEvent:
+    request, attempt, elapsed_us, upstream = decoder.unpack(_STREAM_STARTED)
+    return api.StreamStarted(request, attempt, upstream, elapsed_us)
 
 
-def _health(frame: Decoder) -> WireEvent:
-    upstream, verdict, spent, count = frame.unpack(_HEALTH)
-    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.read_floats(count))
+def _read_probe_ended(decoder: Decoder) -> WireEvent:
+    upstream, outcome_code, elapsed_us, count = decoder.unpack(_PROBE_ENDED)
+    return api.ProbeEnded(upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, decoder.read_floats(count))
 
 
-def _datagram(frame: Decoder) -> WireEvent:
-    sender, size = frame.unpack(_DATAGRAM)
-    return api.PeerMessage(sender, frame.read_bytes(size))
+def _read_peer_message(decoder: Decoder) -> WireEvent:
+    sender, size = decoder.unpack(_PEER_MESSAGE)
+    return api.PeerMessage(sender, decoder.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], WireEvent]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
-    50: lambda frame: api.TimerFired(frame.unpack(_U32)[0]),
-    60: lambda frame: api.RequestAbandoned(frame.unpack(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _started,
+    10: _read_attempt_ended, 20: _read_stream_started, 30: _read_peer_message, 40: _read_instance_stopped,
+    50: lambda decoder: api.TimerFired(decoder.unpack(_U32)[0]),
+    60: lambda decoder: api.RequestAbandoned(decoder.unpack(_U32)[0]),
+    70: _read_request_arrived, 80: _read_list_updated, 90: _read_probe_ended, 100: _read_instance_started,
 }
 
 
-def _pack(code: int, layout: str) -> Callable[..., bytes]:
+def _record_packer(code: int, layout: str) -> Callable[..., bytes]:
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
 
-_send, _refuse, _fail = _pack(20, "IIi"), _pack(40, "II"), _pack(90, "I")
-_cancel, _probe, _timer = _pack(100, "IB"), _pack(80, "I"), _pack(30, "QI")
-_subscribe, _fetch, _close = _pack(70, "B"), _pack(10, ""), _pack(110, "I")
-_tell, _text_log, _text_error = _pack(50, "IH"), _pack(120, "H"), _pack(60, "H")
+_send, _refuse, _fail = _record_packer(20, "IIi"), _record_packer(40, "II"), _record_packer(90, "I")
+_cancel, _probe, _timer = _record_packer(100, "IB"), _record_packer(80, "I"), _record_packer(30, "QI")
+_subscribe, _fetch, _close = _record_packer(70, "B"), _record_packer(10, ""), _record_packer(110, "I")
+_send_to_peer, _log_header, _error_header = _record_packer(50, "IH"), _record_packer(120, "H"), _record_packer(60, "H")
 
 
-def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _pack_text(pack_header: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
-    return head(instance, len(raw)) + raw
+    return pack_header(instance, len(raw)) + raw
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
@@ -213,26 +216,26 @@
     api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
     api.FetchList: lambda i, a: _fetch(i),
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.SendToPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    api.Log: lambda i, a: _text(_text_log, i, a.text),
-    InternalError: lambda i, a: _text(_text_error, i, a.text),
+    api.SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    api.Log: lambda i, a: _pack_text(_log_header, i, a.text),
+    InternalError: lambda i, a: _pack_text(_error_header, i, a.text),
 }
 
 
 def encode_action(instance: int, action: WireAction) -> bytes:
-    """One action record."""
+    """One action as a record of a reply frame."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """A complete reply frame of encoded action records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
 
 
 def parse_settings(text: str) -> api.Settings:
-    """The settings of one instance, from the start-up record's path=value lines."""
+    """The settings of one instance, from the path=value lines of its start record. Raises WireError."""
     try:
-        return settings.read(settings.from_text(text))
+        return settings.read_settings(settings.parse_text(text))
     except settings.SettingsError as error:
         raise WireError(str(error)) from error
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -25,7 +25,7 @@
 from ironscale.agent.store_setup import open_store
 from ironscale.agent.terms import holder_of
 from ironscale.cli.output import CODES, Exit
-from ironscale.operator_file import OperatorFileError, Service, parse
+from ironscale.operator_file import OperatorFileError, ServiceConfig, parse
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
@@ -831,7 +831,7 @@
                 assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the record knows" in text]) == 2
             with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the record knows"):
-                service = Service("app", 1, tmp_path / "app.json")
+                service = ServiceConfig("app", 1, tmp_path / "app.json")
                 async with running(section(tmp_path / "two", postgresql=dsn(host), services=(service,))):
                     pass
 
@@ -954,7 +954,7 @@
 @pytest.mark.parametrize(("text", "expected"), [
     ('postgresql = "host=a password=x"', "F: agent.postgresql: expected a PostgreSQL connection string without a"),
     ('postgresql = "nonsense"', "F: agent.postgresql: expected a PostgreSQL connection string, got one that libpq"),
-    ('password_file = "p"', "F: agent.password_file: expected postgresql beside it, got password_file alone"),
+    ('password_file = "p"', "F: agent.password_file: expected postgresql to be set too, got password_file alone"),
     ('postgresql = "host=a"\nsynchronous_commit = "maybe"',
      "F: agent.synchronous_commit: expected one of on, off, local, remote_write, remote_apply, got 'maybe'"),
     ('postgresql = "host=a"\npassword_file = "none"', "none: expected a token, got No such file"),
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironscale.__main__ import operated
+from ironscale.__main__ import load_extension
 from ironscale.net.config import ConfigError, load
 from ironscale.operator_file import OperatorFileError, from_environment, parse, read_secret
 from ironscale.standins.settings import SETTINGS
@@ -17,7 +17,7 @@
 
 
 def test_without_an_operator_file_nothing_beyond_the_data_path_is_loaded() -> None:
-    code = ("import sys, ironscale.__main__ as m; assert m.operated({}) == (None, False); "
+    code = ("import sys, ironscale.__main__ as m; assert m.load_extension({}) == (None, False); "
             "print(*sorted(n for n in sys.modules if n.startswith('ironscale')))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                           timeout=60)
@@ -130,12 +130,12 @@
         from_environment({"GW_AGENT": "h:1"})
     alone = tmp_path / "versions.toml"
     alone.write_text('[versions]\n[[versions.agent]]\naddress = "h:1"\n')
-    with pytest.raises(OperatorFileError, match="versions: expected .control. or GW_AGENT beside it, got neither"):
+    with pytest.raises(OperatorFileError, match="versions: expected .control. or GW_AGENT to be set too, got neither"):
         from_environment({"GW_OPERATOR": str(alone)})
     beside = from_environment({"GW_OPERATOR": str(alone), "GW_AGENT": "h:2", "GW_AGENT_TOKEN_FILE": "t"})
     assert beside.control is not None and beside.versions is not None
     with pytest.raises(ConfigError, match="expected a file that can be read"):
-        operated({"GW_OPERATOR": str(tmp_path / "none.toml")})
+        load_extension({"GW_OPERATOR": str(tmp_path / "none.toml")})
 
 
 def test_a_token_file_that_others_can_read_is_refused(tmp_path: Path) -> None:
--- a/tests/deployed.py
+++ b/tests/deployed.py
@@ -1,4 +1,4 @@
-"""The deploy file's commands, as tests start them."""
+"""Builds and starts the commands of deploy/balancer.toml for tests."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 
 @functools.cache
 def build() -> None:
-    """Makes `.venv`. Hazard: two test workers at once would clear each other's half-made environment."""
-    name = blake2b(str(ROOT).encode(), digest_size=8).hexdigest()
-    with open(Path(tempfile.gettempdir()) / f"ironscale-build-{name}.lock", "w") as lock:
+    """Creates `.venv`. A lock serializes the test workers: two builds at once would clear each other's unfinished
+    environment."""
+    lock_name = blake2b(str(ROOT).encode(), digest_size=8).hexdigest()
+    with open(Path(tempfile.gettempdir()) / f"ironscale-build-{lock_name}.lock", "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=300)
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale import confidence
-from ironscale.__main__ import together
+from ironscale.__main__ import combine_extensions
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
 from ironscale.control.extension import beside as control_beside
@@ -27,7 +27,7 @@
 from ironscale.learned.store import OsFiles, Store, load, path_for
 from ironscale.learned.timestamps import machine_boot, now
 from ironscale.net.discovery import upstream_id
-from ironscale.operator_file import Control, Learned
+from ironscale.operator_file import ControlConfig, LearnedConfig
 from ironscale.standins.discovery import listing
 from ironscale.standins.upstream import Peer, reset
 from ironscale.threads import run_in_thread
@@ -420,7 +420,7 @@
         donor = await liar(told(encode(snapshot(0, taken=now(machine_boot()),
                                                 upstreams=(lesson("up-0", started_us=0),)))))
         scene = await scene_with(peers)
-        learned = Learned(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
+        learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
         async with beside(learned)(scene.sidecar, lambda: None):
             await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
@@ -440,7 +440,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        async with beside(Learned(tmp_path))(scene.sidecar, lambda: None):
+        async with beside(LearnedConfig(tmp_path))(scene.sidecar, lambda: None):
             await asyncio.sleep(0)
             assert (await scene.call()).status == 200
 
@@ -476,22 +476,22 @@
         peers = await peers_of(3)
         old, new = await scene_with(peers), await scene_with(peers)
         async with agent_running(section(tmp_path / "agent", heartbeat_s=0.05)) as agent:
-            control = Control((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
+            control = ControlConfig((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
 
             @contextlib.asynccontextmanager
-            async def one(scene: Scene, name: str, learned: Learned) -> AsyncIterator[Channel]:
+            async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[Channel]:
                 scene.sidecar.config.name = name
                 channel = Channel()
-                both = together([beside(learned, channel), control_beside(control, {}, channel)])
+                both = combine_extensions([beside(learned, channel), control_beside(control, {}, channel)])
                 assert both is not None
                 async with both(scene.sidecar, lambda: None):
                     yield channel
 
-            async with one(old, "old", Learned(teach=("127.0.0.1", 0))):
+            async with one(old, "old", LearnedConfig(teach=("127.0.0.1", 0))):
                 while len(learned_state(old.sidecar.balancer).upstreams) < 3:
                     await old.call()
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
-                async with one(new, "new", Learned(from_agent=True)) as channel:
+                async with one(new, "new", LearnedConfig(from_agent=True)) as channel:
                     await until(lambda: channel.running is not None and channel.running.pupil.learned)
                     assert all(server.lesson for server in new.sidecar.balancer.upstreams.values())
 
@@ -502,7 +502,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         channel = Channel()
-        async with beside(Learned(from_agent=True), channel)(scene.sidecar, lambda: None):
+        async with beside(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.running is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
             assert channel.running.offered.empty()
