--- a/ironscale/introspection.py
+++ b/ironscale/introspection.py
@@ -18,8 +18,8 @@
 
 
 def learned_state(balancer: Balancer, upstream_ids: Iterable[int] | None = None) -> api.LearnedState:
-    """Everything learned, about the upstreams `upstream_ids` (None: all). What the balancer was given and has not tested
-    since is returned unchanged, with its original time and source."""
+    """Everything learned, about the upstreams `upstream_ids` (None: all). What the balancer was given and has not
+    tested since is returned unchanged, with its original time and source."""
     upstreams = []
     for upstream_id in balancer.upstreams if upstream_ids is None else upstream_ids:
         upstream = balancer.upstreams.get(upstream_id)
