--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -1,7 +1,7 @@
-"""How far to believe what was learned before or elsewhere: `Lessons` of ironscale/interface.py. Pure.
+"""How much to rely on `Lessons` (ironscale/interface.py) of an earlier process or another sidecar. Pure.
 
-Each value fades towards what a sidecar that knows nothing would take. Nothing here is certain: balance.py
-tests every upstream by one try of its own before it acts on more than a preference.
+With age each value decays to the default of a sidecar that has learned nothing. balance.py treats lessons as
+a preference only, until one attempt of its own at an upstream has confirmed them.
 """
 
 from collections.abc import Sequence
@@ -9,35 +9,35 @@
 
 from ironscale import interface as api
 
-WIDE_HALVES_US = 60_000_000  # open windows: load moves within minutes, and the first tries show it
-SHUT_HALVES_US = 10_000_000  # shut ones: stale, they would keep from the upstream what would show it well
+WIDE_HALVES_US = 60_000_000  # open windows: load shifts within minutes, and the first attempts show it
+SHUT_HALVES_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
 LATENCY_HALVES_US = 60_000_000
 SIDECAR_HALVES_US = 30_000_000
-MUTE_LASTS_US = 600_000_000  # silence does not fade: one try ends it
-LEAST_LASTS_US = 3_600_000_000  # how far a process is does not change while it runs
-NOTHING = 1 / 128  # a share of trust under which nothing is taken
-SHUT = 0.5  # slots under which an upstream counts as distrusted
-LEAST_SLOTS = 1 / 8  # no window is shut further by what was told
+MUTE_LASTS_US = 600_000_000  # silence does not decay: one answered attempt ends it
+LEAST_LASTS_US = 3_600_000_000  # the network distance of a process does not change while it runs
+NOTHING = 1 / 128  # lower confidence counts as 0
+SHUT = 0.5  # an upstream with fewer slots counts as closed
+LEAST_SLOTS = 1 / 8  # a lesson closes no window further than this
 MOST_MUTE = 3
-TENANT_WEIGHT = 20.0  # arrivals that the recalled shares of tenants count for
-SETTLED_US = 10_000_000  # a donor that has run for less knows little
-DONOR_HALVES_US = 30_000_000  # of its values, beside those of other donors
+TENANT_WEIGHT = 20.0  # number of arrivals that recalled tenant shares stand for
+SETTLED_US = 10_000_000  # a donor that has run for less time knows little
+DONOR_HALVES_US = 30_000_000  # of a donor's values, as weights against those of other donors
 
 
 def share(age_us: int, halves_us: int) -> float:
-    """Of 1, what a value of this age is still worth. One from the future is worth nothing."""
+    """Confidence from 0 to 1 in a value of this age; 0 for one from the future."""
     left: float = 0.5 ** (age_us / halves_us) if 0 <= age_us <= 8 * halves_us else 0.0
     return left if left >= NOTHING else 0.0
 
 
 def between(usual: float, told: float, trust: float) -> float:
-    """From `usual` to `told` by ratio, as windows and times move by ratios; both above 0."""
+    """Geometric interpolation from `usual` (trust 0) to `told` (1), as they vary by ratios; both above 0."""
     found: float = usual * (told / usual) ** trust
     return found
 
 
 def faded(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
-    """What is left of it now; None if nothing is."""
+    """The lesson with its values decayed to `now_us`; None if it is too old or from the future."""
     age_us = now_us - lesson.confirmed_us
     if not 0 <= age_us <= LEAST_LASTS_US:
         return None
@@ -49,7 +49,7 @@
 
 
 def shown(lesson: api.UpstreamLesson) -> float:
-    """Its slots. What answers nothing is tried so seldom that its window hardly closes: as good as shut."""
+    """Its slots. A silent upstream is tried so rarely that its window hardly closes: it counts as closed."""
     return min(lesson.slots, LEAST_SLOTS) if lesson.mute > 1 else lesson.slots
 
 
@@ -59,20 +59,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Donor:
-    """One running sidecar's lessons, its times on our clock, and its own state."""
+    """The lessons of another running sidecar, converted to our clock, and that sidecar's state."""
 
     lessons: api.Lessons
     up_us: int  # since its start
-    resting: bool  # its own window is shut: it judges all by its own trouble
+    resting: bool  # its own window is nearly closed: its view of upstreams may reflect its own trouble
     cut_off: bool  # from discovery
-    ages: tuple[float, ...] = ()  # at which kept connections fail (ironscale/net/upstream.py)
+    ages: tuple[float, ...] = ()  # at which idle connections fail (ironscale/net/upstream.py)
 
     def weight(self) -> float:
         return 0.0 if self.up_us < SETTLED_US else 0.5 if self.cut_off else 1.0
 
 
 def median(values: Sequence[tuple[float, float]]) -> float:
-    """The weighted median of (value, weight): no one of three can move it beyond the others."""
+    """Weighted median of (value, weight) pairs: one of three equal ones can't move it beyond the others."""
     half, passed = sum(weight for _, weight in values) / 2, 0.0
     ordered = sorted(values)
     for value, weight in ordered:
@@ -83,7 +83,7 @@
 
 
 def believed(donor: Donor) -> list[api.UpstreamLesson]:
-    """Its first-hand lessons. Hazard: one that is or was in a stall would teach that all are bad."""
+    """Its first-hand lessons; those of closed windows are left out if its own stall may have closed them."""
     own = [lesson for lesson in donor.lessons.upstreams if lesson.first_hand]
     if donor.resting or 2 * sum(map(is_shut, own)) > len(own):
         return [lesson for lesson in own if not is_shut(lesson)]
@@ -91,7 +91,7 @@
 
 
 def agreed(donors: Sequence[Donor], now_us: int, zone: int) -> api.Lessons | None:
-    """What several donors teach together, as another's word; None if none of them has anything to teach."""
+    """Combines the lessons of several donors by weighted medians, as second-hand; None if they have none."""
     donors = [donor for donor in donors if donor.weight() > 0.0]
     by_process: dict[tuple[int, int], list[tuple[api.UpstreamLesson, float, bool]]] = {}
     by_class: dict[str, list[tuple[api.ClassLesson, float]]] = {}
@@ -101,7 +101,7 @@
         weight = donor.weight()
         for lesson in believed(donor):
             worth = weight * share(now_us - lesson.confirmed_us, DONOR_HALVES_US)
-            if lesson.mute > 1:  # it is tried seldom, and so confirmed seldom
+            if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
                 worth = max(worth, weight / 2)
             if worth > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
@@ -130,6 +130,6 @@
 def _agreed_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
     least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
     slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
-    # the median of lessons, not a mixture: silent with open slots would be nobody's observation
+    # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if shown(lesson) == slots)
     return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -1,42 +1,42 @@
-"""What one of many sidecars can know of the rest: its part of all traffic, and what upstreams share. Pure.
+"""Estimates that one sidecar of many makes: its share of traffic, latency by kind, failures by zone. Pure.
 
-With 40 sidecars each meets most upstreams seldom. What holds for one of a kind or zone holds for its like;
-and what this sidecar sends, beside what the tenants are allowed, tells how much of the load is its own.
+With 40 sidecars each one rarely uses any given upstream. So upstreams of a kind or zone share observations,
+and the sidecar's send rate, relative to the tenants' allowances, estimates its share of the total load.
 """
 
 import math
 
 from ironscale import interface as api
 
-RATE_MEMORY_US = 5_000_000
-OUT_MEMORY_US = 1_000_000  # some answers' time, and short beside what moves load
-FAULT_HALVES_US = 5_000_000  # hazard: what is drawn no more shows no more, and would be left out for good
-FEW = 8  # answers of a kind that tell nothing yet
+RATE_MEMORY_US = 5_000_000  # time constant of the moving average
+OUT_MEMORY_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
+FAULT_HALVES_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
+FEW = 8  # with fewer answers the latency of a kind is not judged
 MOST_FAVOUR = 8.0
-STEP = 0.1  # of the share of faults
-WARMING = 20  # sidecars that send to a cold upstream: so many that their uneven traffic evens out
-SMALL = 1.5  # times as much as it can do, what a small upstream is paced to
-LEAST_TURN = 1 / 8  # of the rule's window: a shorter one would hardly meet a request
-MOST_PART = 2.0  # of a cold upstream's even parts, however much one of them sends
+STEP = 0.1  # change of a failure share that is reported
+WARMING = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
+SMALL = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
+LEAST_TURN = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
+MOST_PART = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
 
 def turn(upstream: int, index: int, instances: int, chance: float = 0.0) -> float:
-    """Of 1, where in a round of turns to send to a cold upstream this sidecar's is, by everyone's reckoning
-    alike; from 1 on it is none of those that warm it. Hazard: turns drawn at random bunch."""
+    """This sidecar's position from 0 to 1 in the round of sends to a cold upstream; 1 or more: it isn't among
+    those that send. All sidecars compute the same order, as random positions would cluster."""
     first = (upstream % 0xFFFFFFFB) * 2654435761 % 2**32 * instances >> 32
     return ((index - first) % instances + chance) / min(WARMING, instances)
 
 
 def warms(upstream: int, index: int, instances: int) -> bool:
-    """Hazard: if all may send to a cold upstream and few do, what all leave over is unused."""
+    """Whether this sidecar sends to it while it is cold. If all might, and few did, capacity is wasted."""
     return turn(upstream, index, instances) < 1.0
 
 
 def turn_us(settings: api.Settings, able: float, is_one_of_many: bool) -> int:
-    """Rule 4: how long a turn to send to a cold upstream stands unused; 0 = for good. In the rule's window
-    it does `able`; N = factor x able and 2 root N + 2 are borne. `paced` turns come in it; after a lull
-    those of all m warmers stand for a burst: no harm where paced + m are borne. Else turns end, so that what
-    stands (paced x turn / window) and what comes are N; the rest is chance's."""
+    """Rule 4: how long an unused turn to send to a cold upstream stays valid; 0 = forever. Within `fall_us`
+    it serves `able` requests and tolerates N + 2 sqrt(N) + 2, with N = overload_factor x able; `paced` turns
+    become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
+    turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
     borne, warmers = settings.overload_factor * able, min(WARMING, settings.instances)
     paced = SMALL * able * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     ends = paced + warmers > borne + 2.0 * math.sqrt(borne) + 2.0
@@ -44,35 +44,35 @@
 
 
 class Traffic:
-    """This sidecar's sends beside those of all."""
+    """Estimates which share of the fleet's sends is this sidecar's, from its own send rate."""
 
     def __init__(self, allowed_per_s: float, instances: int, now_us: int) -> None:
         self.settle(allowed_per_s, instances)
         self.sends_per_s, self.counted_us = allowed_per_s / instances, now_us
 
     def settle(self, allowed_per_s: float, instances: int) -> None:
-        self.allowed_per_s, self.instances = allowed_per_s, instances  # the whole fleet's; 0 = not told
+        self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
     def count(self, now_us: int) -> None:
         faded = math.exp((self.counted_us - now_us) / RATE_MEMORY_US)
         self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_MEMORY_US, now_us
 
     def part(self) -> float:
-        """Of 1, about this sidecar's. Half by number, half by what it sends. Hazard: by sends alone the parts
-        of all come to more than 1 in an overload, and a quiet one would have none if traffic comes."""
+        """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
+        would exceed 1 in an overload, and an idle sidecar would have none when its traffic begins."""
         by_number = 1.0 / self.instances
         if not self.allowed_per_s:
             return by_number
         return min(1.0, (by_number + self.sends_per_s / self.allowed_per_s) / 2)
 
     def part_of_cold(self) -> float:
-        """Of what a cold upstream gets: by its part of the traffic, among those that send there at all."""
+        """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
         return min(MOST_PART, self.part() * self.instances) / min(WARMING, self.instances)
 
 
 class Mean:
-    """How many are out, smoothed over some answers' time. The sum over many sidecars is what upstreams feel:
-    what one sends at once, others do not, and only its mean adds up."""
+    """Number of outstanding attempts as an exponential moving average. Upstreams see the sum over many
+    sidecars: a burst of one falls between bursts of others, so that only the means add up."""
 
     def __init__(self, now_us: int) -> None:
         self.mean, self.out, self.moved_us = 0.0, 0, now_us
@@ -85,14 +85,14 @@
         self.out += step
 
     def falls_us(self, limit: float) -> int:
-        """When it falls under the limit if nothing more ends; 0 = not by time alone."""
+        """When the average falls below `limit` if no attempt starts or ends; 0 = never, or it is below."""
         if self.mean < limit or self.out >= limit:
             return 0
         return self.moved_us + int(OUT_MEMORY_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
 
 
 class Slowness:
-    """How slowly the upstreams of one kind, or all, answer: smoothed, in slow times."""
+    """Moving average of answer times of one kind of upstreams, or of all, in slow thresholds."""
 
     def __init__(self) -> None:
         self.mean, self.count = 0.0, 0
@@ -105,20 +105,20 @@
         return self.count >= FEW and self.mean >= limit
 
     def favour(self, of_all: "Slowness") -> float:
-        """Of a kind, beside all: the square of how much quicker it answers."""
+        """Factor on a kind's weight in the random choice: the square of its speed relative to all."""
         if self.count < FEW or not self.mean:
             return 1.0
         return min(MOST_FAVOUR, max(1 / MOST_FAVOUR, (of_all.mean / self.mean) ** 2))
 
 
 class Faults:
-    """The share of attempts that fail, at one upstream or in one zone: smoothed, fading with time."""
+    """Share of attempts that fail at one upstream or in one zone: a moving average that decays with time."""
 
     def __init__(self) -> None:
         self.last, self.ended_us, self.told = 0.0, 0, 0.0  # as of `ended_us`
 
     def end(self, now_us: int, is_fault: bool, weight: float) -> bool:
-        """True where so much has changed that all that share it are to be looked at anew."""
+        """Records an attempt. True if the weights of all upstreams that share this have to be recomputed."""
         share = self.share(now_us)
         self.last, self.ended_us = share + (is_fault - share) * weight, now_us
         changed = abs(self.last - self.told) > STEP
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -1,14 +1,14 @@
-"""Free slots by weight in a fixed order, drawn among the first ones without a walk. Pure.
+"""Weighted random choice among the first free slots of an ordered list, in logarithmic time. Pure.
 
-A sum tree of Python lists: a change and a draw take a step for each doubling of the places. Sums are made
-anew on the way up, never added to and taken from: no error gathers, and a tree of nothing sums to exactly 0.
+A sum tree (segment tree) in Python lists: an update and a search take one step for each level. Sums are
+recomputed from the children, not incremented: rounding errors can't add up, and an empty tree sums to 0.
 """
 
 
 class Places:
     def __init__(self, count: int) -> None:
         self.leaves = 1 << max(0, count - 1).bit_length()
-        self.weights = [0.0] * (2 * self.leaves)  # node k sums 2k and 2k + 1; the leaves stand at the end
+        self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
         self.rooms = [0.0] * (2 * self.leaves)
 
     def put(self, place: int, weight: float, room: float) -> None:
@@ -24,7 +24,7 @@
             node >>= 1
 
     def weight_of_first(self, room: float) -> float:
-        """The weight of the first places whose room reaches so much; of all, if it is never reached."""
+        """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
         node, weights, rooms, before = 1, self.weights, self.rooms, 0.0
         if rooms[1] < room:
             return weights[1]
@@ -37,11 +37,11 @@
         return before + weights[node]
 
     def at(self, weight: float) -> int:
-        """The place in which the weights from the first on pass so much."""
+        """The leaf at which the cumulative weight exceeds `weight`."""
         node, weights = 1, self.weights
         while node < self.leaves:
             node *= 2
-            # hazard: rounding may lead past the last one that weighs anything
+            # never goes right where nothing has weight: rounding could lead past the last such leaf
             if weight >= weights[node] and weights[node + 1] > 0.0:
                 weight -= weights[node]
                 node += 1
