--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -8,7 +8,7 @@
 
 from ironscale import interface as api
 
-RATE_MEMORY_US = 5_000_000  # time constant of the moving average
+RATE_TIME_CONSTANT_US = 5_000_000  # time constant of the moving average
 OUTSTANDING_TIME_CONSTANT_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
 FAULT_HALVES_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 FEW = 8  # with fewer answers the latency of a kind is not judged
@@ -54,8 +54,8 @@
         self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
     def count(self, now_us: int) -> None:
-        faded = math.exp((self.counted_us - now_us) / RATE_MEMORY_US)
-        self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_MEMORY_US, now_us
+        faded = math.exp((self.counted_us - now_us) / RATE_TIME_CONSTANT_US)
+        self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TIME_CONSTANT_US, now_us
 
     def part(self) -> float:
         """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
