--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -536,7 +536,7 @@
             self.warming.pop(server, None)
         again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
         if server.favour < FAR / 2 and not again_us:  # hazard: what is never drawn is never thought better of
-            again_us = now_us + FAULT_HALVES_US // 8
+            again_us = now_us + FAILURE_HALF_LIFE_US // 8
         if is_cold and server.next_cold_us > now_us:
             cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
             again_us = min(again_us, cold_us) if again_us else cold_us
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -10,7 +10,7 @@
 
 RATE_TIME_CONSTANT_US = 5_000_000  # time constant of the moving average
 OUTSTANDING_TIME_CONSTANT_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
-FAULT_HALVES_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
+FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 FEW = 8  # with fewer answers the latency of a kind is not judged
 MOST_FAVOUR = 8.0
 STEP = 0.1  # change of a failure share that is reported
@@ -127,5 +127,5 @@
         return changed
 
     def share(self, now_us: int) -> float:
-        faded: float = 0.5 ** min(30.0, (now_us - self.ended_us) / FAULT_HALVES_US)
+        faded: float = 0.5 ** min(30.0, (now_us - self.ended_us) / FAILURE_HALF_LIFE_US)
         return self.last * faded
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAULT_HALVES_US, WARMING, Faults, Slowness, Traffic, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
     Event,
@@ -85,8 +85,8 @@
     for _ in range(40):
         faults.end(START_US, True, 1 / 8)
     assert faults.share(START_US) > 0.95
-    assert faults.share(START_US + FAULT_HALVES_US) == pytest.approx(0.5, rel=0.05)
-    assert faults.share(START_US + 100 * FAULT_HALVES_US) < 1e-6
+    assert faults.share(START_US + FAILURE_HALF_LIFE_US) == pytest.approx(0.5, rel=0.05)
+    assert faults.share(START_US + 100 * FAILURE_HALF_LIFE_US) < 1e-6
 
 
 def test_a_kind_that_answers_twice_as_slowly_has_a_quarter_of_the_favour() -> None:
