--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -11,7 +11,7 @@
 RATE_TIME_CONSTANT_US = 5_000_000  # time constant of the moving average
 OUTSTANDING_TIME_CONSTANT_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
-FEW = 8  # with fewer answers the latency of a kind is not judged
+MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
 MOST_FAVOUR = 8.0
 STEP = 0.1  # change of a failure share that is reported
 WARMING = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
@@ -102,11 +102,11 @@
         self.mean += (slowness - self.mean) * max(1 / 16, 1 / self.count)
 
     def exceeds(self, limit: float) -> bool:
-        return self.count >= FEW and self.mean >= limit
+        return self.count >= MIN_ANSWERS and self.mean >= limit
 
     def favour(self, of_all: "Slowness") -> float:
         """Factor on a kind's weight in the random choice: the square of its speed relative to all."""
-        if self.count < FEW or not self.mean:
+        if self.count < MIN_ANSWERS or not self.mean:
             return 1.0
         return min(MOST_FAVOUR, max(1 / MOST_FAVOUR, (of_all.mean / self.mean) ** 2))
 
