--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -12,7 +12,7 @@
 OUTSTANDING_TIME_CONSTANT_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
-MOST_FAVOUR = 8.0
+MAX_WEIGHT_FACTOR = 8.0
 STEP = 0.1  # change of a failure share that is reported
 WARMING = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
 SMALL = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
@@ -108,7 +108,7 @@
         """Factor on a kind's weight in the random choice: the square of its speed relative to all."""
         if self.count < MIN_ANSWERS or not self.mean:
             return 1.0
-        return min(MOST_FAVOUR, max(1 / MOST_FAVOUR, (of_all.mean / self.mean) ** 2))
+        return min(MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, (of_all.mean / self.mean) ** 2))
 
 
 class Faults:
