--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -13,7 +13,7 @@
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
 MAX_WEIGHT_FACTOR = 8.0
-STEP = 0.1  # change of a failure share that is reported
+FAILURE_SHARE_STEP = 0.1  # change of a failure share that is reported
 WARMING = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
 SMALL = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
 LEAST_TURN = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
@@ -121,7 +121,7 @@
         """Records an attempt. True if the weights of all upstreams that share this have to be recomputed."""
         share = self.share(now_us)
         self.last, self.ended_us = share + (is_fault - share) * weight, now_us
-        changed = abs(self.last - self.told) > STEP
+        changed = abs(self.last - self.told) > FAILURE_SHARE_STEP
         if changed:
             self.told = self.last
         return changed
