--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -14,7 +14,7 @@
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
 MAX_WEIGHT_FACTOR = 8.0
 FAILURE_SHARE_STEP = 0.1  # change of a failure share that is reported
-WARMING = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
+WARMING_SIDECARS = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
 SMALL = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
 LEAST_TURN = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
 MOST_PART = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
@@ -24,7 +24,7 @@
     """This sidecar's position from 0 to 1 in the round of sends to a cold upstream; 1 or more: it isn't among
     those that send. All sidecars compute the same order, as random positions would cluster."""
     first = (upstream % 0xFFFFFFFB) * 2654435761 % 2**32 * instances >> 32
-    return ((index - first) % instances + chance) / min(WARMING, instances)
+    return ((index - first) % instances + chance) / min(WARMING_SIDECARS, instances)
 
 
 def warms(upstream: int, index: int, instances: int) -> bool:
@@ -37,7 +37,7 @@
     it serves `able` requests and tolerates N + 2 sqrt(N) + 2, with N = overload_factor x able; `paced` turns
     become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
     turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
-    borne, warmers = settings.overload_factor * able, min(WARMING, settings.instances)
+    borne, warmers = settings.overload_factor * able, min(WARMING_SIDECARS, settings.instances)
     paced = SMALL * able * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     ends = paced + warmers > borne + 2.0 * math.sqrt(borne) + 2.0
     return int(settings.fall_us * max(LEAST_TURN, borne / paced - 1.0)) if ends else 0
@@ -67,7 +67,7 @@
 
     def part_of_cold(self) -> float:
         """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
-        return min(MOST_PART, self.part() * self.instances) / min(WARMING, self.instances)
+        return min(MOST_PART, self.part() * self.instances) / min(WARMING_SIDECARS, self.instances)
 
 
 class Mean:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING, Faults, Slowness, Traffic, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, Traffic, warms
 from ironscale.interface import (
     Action,
     Event,
@@ -320,7 +320,7 @@
         world.tell_list([Upstream(100 + i) for i in range(54)] + cold)
         server = world.balancer.servers[900]
         waits += [server.next_cold_us - world.now_us] if server.warms else []
-    assert len(waits) == WARMING
+    assert len(waits) == WARMING_SIDECARS
     gap_us = world.balancer.cold_gap_us(server, 150_000)
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
 
@@ -504,9 +504,9 @@
         for number in range(120):
             ident = int.from_bytes(f"s-{number * 7919:08x}".encode(), "big")
             chosen = [index for index in range(instances) if warms(ident, index, instances)]
-            assert len(chosen) == min(WARMING, instances)
+            assert len(chosen) == min(WARMING_SIDECARS, instances)
             by_sidecar.update(chosen)
-        even = 120 * min(WARMING, instances) / instances
+        even = 120 * min(WARMING_SIDECARS, instances) / instances
         assert all(even / 4 <= by_sidecar[index] <= 3 * even for index in range(instances)), (instances, by_sidecar)
 
 
