--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -16,7 +16,7 @@
 FAILURE_SHARE_STEP = 0.1  # change of a failure share that is reported
 WARMING_SIDECARS = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
 SMALL_UPSTREAM_FACTOR = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
-LEAST_TURN = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
+MIN_TURN_SHARE = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
 MOST_PART = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
 
@@ -40,7 +40,7 @@
     borne, warmers = settings.overload_factor * able, min(WARMING_SIDECARS, settings.instances)
     paced = SMALL_UPSTREAM_FACTOR * able * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     ends = paced + warmers > borne + 2.0 * math.sqrt(borne) + 2.0
-    return int(settings.fall_us * max(LEAST_TURN, borne / paced - 1.0)) if ends else 0
+    return int(settings.fall_us * max(MIN_TURN_SHARE, borne / paced - 1.0)) if ends else 0
 
 
 class Traffic:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironscale.fleet_estimates import LEAST_TURN, SMALL_UPSTREAM_FACTOR, WARMING_SIDECARS, turn_us
+from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_FACTOR, WARMING_SIDECARS, turn_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
 from tests.cold_fleet import SECOND_US, SIZES, drawn, play
@@ -36,7 +36,7 @@
             assert paced + warmers <= borne + 2 * math.sqrt(borne) + 2
         else:
             standing = paced * turn / config.fall_us
-            assert standing + paced <= max(borne, (1 + LEAST_TURN) * paced) + 1e-3 * paced
+            assert standing + paced <= max(borne, (1 + MIN_TURN_SHARE) * paced) + 1e-3 * paced
             assert turn_us(replace(config, fall_us=2 * config.fall_us), able, instances >= 20) == pytest.approx(
                 2 * turn, abs=2)
 
