--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -17,7 +17,7 @@
 WARMING_SIDECARS = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
 SMALL_UPSTREAM_FACTOR = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
 MIN_TURN_SHARE = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
-MOST_PART = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
+MAX_SHARE_FACTOR = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
 
 def turn(upstream: int, index: int, instances: int, chance: float = 0.0) -> float:
@@ -67,7 +67,7 @@
 
     def part_of_cold(self) -> float:
         """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
-        return min(MOST_PART, self.part() * self.instances) / min(WARMING_SIDECARS, self.instances)
+        return min(MAX_SHARE_FACTOR, self.part() * self.instances) / min(WARMING_SIDECARS, self.instances)
 
 
 class Mean:
