--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_us, warms
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -707,7 +707,7 @@
             # all sidecars hear of a start within moments: their first sends must not come as one burst
             if server.warms:
                 work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
-                share = turn(server.entry.id, s.self_index, s.instances, self.random.random())
+                share = turn_position(server.entry.id, s.self_index, s.instances, self.random.random())
                 server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us, share)
         self.apply_lessons()
 
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -20,7 +20,7 @@
 MAX_SHARE_FACTOR = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
 
-def turn(upstream: int, index: int, instances: int, chance: float = 0.0) -> float:
+def turn_position(upstream: int, index: int, instances: int, chance: float = 0.0) -> float:
     """This sidecar's position from 0 to 1 in the round of sends to a cold upstream; 1 or more: it isn't among
     those that send. All sidecars compute the same order, as random positions would cluster."""
     first = (upstream % 0xFFFFFFFB) * 2654435761 % 2**32 * instances >> 32
@@ -29,7 +29,7 @@
 
 def warms(upstream: int, index: int, instances: int) -> bool:
     """Whether this sidecar sends to it while it is cold. If all might, and few did, capacity is wasted."""
-    return turn(upstream, index, instances) < 1.0
+    return turn_position(upstream, index, instances) < 1.0
 
 
 def turn_us(settings: api.Settings, able: float, is_one_of_many: bool) -> int:
