--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_us, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -735,7 +735,7 @@
         early: dict[Server, None] = {}
         if self.is_one_of_many:
             for server in ready:
-                server.warms = warms(server.entry.id, self.settings.self_index, count)
+                server.warms = is_warming_sidecar(server.entry.id, self.settings.self_index, count)
                 if not server.warms and self.warmth(server) < 1.0:
                     server.next_cold_us = self.warm_at_us(server)
             early = dict.fromkeys(s for s in ready if s.warms and self.warmth(s) < 1.0)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -27,7 +27,7 @@
     return ((index - first) % instances + chance) / min(WARMING_SIDECARS, instances)
 
 
-def warms(upstream: int, index: int, instances: int) -> bool:
+def is_warming_sidecar(upstream: int, index: int, instances: int) -> bool:
     """Whether this sidecar sends to it while it is cold. If all might, and few did, capacity is wasted."""
     return turn_position(upstream, index, instances) < 1.0
 
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, Traffic, warms
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, Traffic, is_warming_sidecar
 from ironscale.interface import (
     Action,
     Event,
@@ -503,7 +503,7 @@
         by_sidecar: Counter[int] = Counter()
         for number in range(120):
             ident = int.from_bytes(f"s-{number * 7919:08x}".encode(), "big")
-            chosen = [index for index in range(instances) if warms(ident, index, instances)]
+            chosen = [index for index in range(instances) if is_warming_sidecar(ident, index, instances)]
             assert len(chosen) == min(WARMING_SIDECARS, instances)
             by_sidecar.update(chosen)
         even = 120 * min(WARMING_SIDECARS, instances) / instances
@@ -571,7 +571,7 @@
 
 def test_one_that_does_not_warm_an_upstream_sends_there_when_it_is_warm() -> None:
     idents = [900 + i for i in range(40)]
-    mine = [ident for ident in idents if warms(ident, 0, 200)]
+    mine = [ident for ident in idents if is_warming_sidecar(ident, 0, 200)]
     world = World(settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)]))
     world.tell_list([Upstream(ident, started_us=START_US) for ident in idents])
     for _at_s in range(19):
@@ -609,7 +609,7 @@
 def test_a_window_that_crowded_upstreams_have_closed_keeps_no_cold_one_idle() -> None:
     """Seen: of 8,000 refusals in a release half came while an upstream that the sidecar warms had nothing to do."""
     config = settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)])
-    mine = [ident for ident in range(900, 960) if warms(ident, 0, 200)][:3]
+    mine = [ident for ident in range(900, 960) if is_warming_sidecar(ident, 0, 200)][:3]
     world = World(config)
     world.tell_list([Upstream(i) for i in range(100, 140)]
                     + [Upstream(i, started_us=START_US - 10 * SECOND_US) for i in mine])
