--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_us, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -436,7 +436,7 @@
         # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
         part = (traffic.part_of_cold() if self.is_one_of_many else
                 traffic.part() * max(1.0, s.overload_factor / 2))
-        server.turn_us = turn_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
+        server.turn_us = turn_lifetime_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
         # hazard: at the first pace it would be warm before the next one comes
         growth = (1.0 - s.cold_share) / s.warm_up_us
         return int((math.sqrt(warmth**2 + 2.0 * growth * share * work_us / part) - warmth) / growth)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -32,7 +32,7 @@
     return turn_position(upstream, index, instances) < 1.0
 
 
-def turn_us(settings: api.Settings, able: float, is_one_of_many: bool) -> int:
+def turn_lifetime_us(settings: api.Settings, able: float, is_one_of_many: bool) -> int:
     """Rule 4: how long an unused turn to send to a cold upstream stays valid; 0 = forever. Within `fall_us`
     it serves `able` requests and tolerates N + 2 sqrt(N) + 2, with N = overload_factor x able; `paced` turns
     become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_FACTOR, WARMING_SIDECARS, turn_us
+from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_FACTOR, WARMING_SIDECARS, turn_lifetime_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
 from tests.cold_fleet import SECOND_US, SIZES, drawn, play
@@ -31,13 +31,13 @@
     pace, warmers = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for able in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
         borne, paced = factor * able, SMALL_UPSTREAM_FACTOR * pace * able
-        turn = turn_us(config, able, instances >= 20)
+        turn = turn_lifetime_us(config, able, instances >= 20)
         if turn == 0:
             assert paced + warmers <= borne + 2 * math.sqrt(borne) + 2
         else:
             standing = paced * turn / config.fall_us
             assert standing + paced <= max(borne, (1 + MIN_TURN_SHARE) * paced) + 1e-3 * paced
-            assert turn_us(replace(config, fall_us=2 * config.fall_us), able, instances >= 20) == pytest.approx(
+            assert turn_lifetime_us(replace(config, fall_us=2 * config.fall_us), able, instances >= 20) == pytest.approx(
                 2 * turn, abs=2)
 
 
