--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -767,7 +767,7 @@
         for request in self.requests.values():  # hazard: one that waits would be judged by another's share
             tenant = request.event.tenant
             request.event.tenant = moved[tenant] if tenant < len(moved) else len(places)
-        self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
+        self.traffic.configure(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.rank()
 
     def recall(self, now_us: int, lessons: api.Lessons) -> None:
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -47,10 +47,10 @@
     """Estimates which share of the fleet's sends is this sidecar's, from its own send rate."""
 
     def __init__(self, allowed_per_s: float, instances: int, now_us: int) -> None:
-        self.settle(allowed_per_s, instances)
+        self.configure(allowed_per_s, instances)
         self.sends_per_s, self.counted_us = allowed_per_s / instances, now_us
 
-    def settle(self, allowed_per_s: float, instances: int) -> None:
+    def configure(self, allowed_per_s: float, instances: int) -> None:
         self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
     def count(self, now_us: int) -> None:
