--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -597,7 +597,7 @@
         server.used += 1
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
-        self.traffic.count(self.now_us)
+        self.traffic.record_send(self.now_us)
         self.subset = max(self.least_subset, SPREAD * len(self.order) * self.traffic.part())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -53,7 +53,7 @@
     def configure(self, allowed_per_s: float, instances: int) -> None:
         self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
-    def count(self, now_us: int) -> None:
+    def record_send(self, now_us: int) -> None:
         faded = math.exp((self.counted_us - now_us) / RATE_TIME_CONSTANT_US)
         self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TIME_CONSTANT_US, now_us
 
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -58,9 +58,9 @@
     heavy, quiet = Traffic(1000.0, 40, START_US), Traffic(1000.0, 40, START_US)
     assert heavy.part() == pytest.approx(1 / 40)
     for number in range(10 * 200):
-        heavy.count(START_US + number * 5_000)
+        heavy.record_send(START_US + number * 5_000)
     assert heavy.part() == pytest.approx((1 / 40 + 0.2) / 2, rel=0.15)
-    quiet.count(START_US + 60 * SECOND_US)
+    quiet.record_send(START_US + 60 * SECOND_US)
     assert 1 / 80 <= quiet.part() < 1 / 70
 
 
@@ -69,14 +69,14 @@
     sidecars = [Traffic(1000.0, 40, START_US) for _ in range(40)]
     for at_us in range(0, 10 * SECOND_US, 1_000):  # the fleet sends twice what it is allowed, very unevenly
         for number in (0, 0 if at_us % 2_000 else at_us // 1_000 % 40):
-            sidecars[number].count(START_US + at_us)
+            sidecars[number].record_send(START_US + at_us)
     assert 1.0 < sum(traffic.part() for traffic in sidecars) < 2.0
 
 
 def test_without_allowances_the_part_goes_by_number() -> None:
     traffic = Traffic(0.0, 4, START_US)
     for number in range(1000):
-        traffic.count(START_US + number * 1_000)
+        traffic.record_send(START_US + number * 1_000)
     assert traffic.part() == 0.25
 
 
@@ -258,7 +258,7 @@
 def test_the_parts_grow_smoothly() -> None:
     traffic, parts = Traffic(1000.0, 40, START_US), []
     for number in range(1000):
-        traffic.count(START_US + number * 5_000)
+        traffic.record_send(START_US + number * 5_000)
         parts.append(traffic.part())
     assert all(abs(later - earlier) < 0.002 for earlier, later in pairwise(parts))
 
