--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -401,7 +401,7 @@
     def least_each(self) -> float:
         """Slots that slow answers leave at an upstream. Hazard: by number alone, the few of many sidecars
         that carry most of the traffic would hold back for all, and refuse what idle upstreams could serve."""
-        return min(1.0, KEPT_BY_MANY * self.traffic.part() if self.is_one_of_many else
+        return min(1.0, KEPT_BY_MANY * self.traffic.share() if self.is_one_of_many else
                    KEPT_IN_HAND / self.settings.instances)
 
     def warmth(self, server: Server) -> float:
@@ -435,7 +435,7 @@
             work_us = min(work_us, 1e6 * len(self.order) / traffic.allowed_per_s)
         # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
         part = (traffic.part_of_cold() if self.is_one_of_many else
-                traffic.part() * max(1.0, s.overload_factor / 2))
+                traffic.share() * max(1.0, s.overload_factor / 2))
         server.turn_us = turn_lifetime_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
         # hazard: at the first pace it would be warm before the next one comes
         growth = (1.0 - s.cold_share) / s.warm_up_us
@@ -598,7 +598,7 @@
         self.changed[server] = None
         self.retry_tokens -= 1.0 if self.retry_costs(request) else 0.0
         self.traffic.record_send(self.now_us)
-        self.subset = max(self.least_subset, SPREAD * len(self.order) * self.traffic.part())
+        self.subset = max(self.least_subset, SPREAD * len(self.order) * self.traffic.share())
         slow_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -57,7 +57,7 @@
         faded = math.exp((self.counted_us - now_us) / RATE_TIME_CONSTANT_US)
         self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TIME_CONSTANT_US, now_us
 
-    def part(self) -> float:
+    def share(self) -> float:
         """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
         would exceed 1 in an overload, and an idle sidecar would have none when its traffic begins."""
         by_number = 1.0 / self.instances
@@ -67,7 +67,7 @@
 
     def part_of_cold(self) -> float:
         """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
-        return min(MAX_SHARE_FACTOR, self.part() * self.instances) / min(WARMING_SIDECARS, self.instances)
+        return min(MAX_SHARE_FACTOR, self.share() * self.instances) / min(WARMING_SIDECARS, self.instances)
 
 
 class Mean:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -56,12 +56,12 @@
 
 def test_the_part_follows_what_is_sent_and_never_leaves_a_quiet_one_without() -> None:
     heavy, quiet = Traffic(1000.0, 40, START_US), Traffic(1000.0, 40, START_US)
-    assert heavy.part() == pytest.approx(1 / 40)
+    assert heavy.share() == pytest.approx(1 / 40)
     for number in range(10 * 200):
         heavy.record_send(START_US + number * 5_000)
-    assert heavy.part() == pytest.approx((1 / 40 + 0.2) / 2, rel=0.15)
+    assert heavy.share() == pytest.approx((1 / 40 + 0.2) / 2, rel=0.15)
     quiet.record_send(START_US + 60 * SECOND_US)
-    assert 1 / 80 <= quiet.part() < 1 / 70
+    assert 1 / 80 <= quiet.share() < 1 / 70
 
 
 def test_the_parts_of_all_come_to_no_more_than_twice_the_whole_in_an_overload() -> None:
@@ -70,14 +70,14 @@
     for at_us in range(0, 10 * SECOND_US, 1_000):  # the fleet sends twice what it is allowed, very unevenly
         for number in (0, 0 if at_us % 2_000 else at_us // 1_000 % 40):
             sidecars[number].record_send(START_US + at_us)
-    assert 1.0 < sum(traffic.part() for traffic in sidecars) < 2.0
+    assert 1.0 < sum(traffic.share() for traffic in sidecars) < 2.0
 
 
 def test_without_allowances_the_part_goes_by_number() -> None:
     traffic = Traffic(0.0, 4, START_US)
     for number in range(1000):
         traffic.record_send(START_US + number * 1_000)
-    assert traffic.part() == 0.25
+    assert traffic.share() == 0.25
 
 
 def test_faults_fade_with_time() -> None:
@@ -259,7 +259,7 @@
     traffic, parts = Traffic(1000.0, 40, START_US), []
     for number in range(1000):
         traffic.record_send(START_US + number * 5_000)
-        parts.append(traffic.part())
+        parts.append(traffic.share())
     assert all(abs(later - earlier) < 0.002 for earlier, later in pairwise(parts))
 
 
@@ -451,9 +451,9 @@
 
 def test_new_allowances_count_for_the_part() -> None:
     world = many(200.0)
-    before = world.balancer.traffic.part()
+    before = world.balancer.traffic.share()
     world.tell(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
-    assert world.balancer.traffic.part() < before / 2
+    assert world.balancer.traffic.share() < before / 2
 
 
 def test_a_favour_is_bounded_both_ways() -> None:
