--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -434,7 +434,7 @@
         if traffic.allowed_per_s:  # hazard: answers' times are mostly the way and the queue, also elsewhere
             work_us = min(work_us, 1e6 * len(self.order) / traffic.allowed_per_s)
         # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
-        part = (traffic.part_of_cold() if self.is_one_of_many else
+        part = (traffic.share_of_cold_sends() if self.is_one_of_many else
                 traffic.share() * max(1.0, s.overload_factor / 2))
         server.turn_us = turn_lifetime_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
         # hazard: at the first pace it would be warm before the next one comes
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -65,7 +65,7 @@
             return by_number
         return min(1.0, (by_number + self.sends_per_s / self.allowed_per_s) / 2)
 
-    def part_of_cold(self) -> float:
+    def share_of_cold_sends(self) -> float:
         """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
         return min(MAX_SHARE_FACTOR, self.share() * self.instances) / min(WARMING_SIDECARS, self.instances)
 
