--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, Traffic, turn_position, turn_lifetime_us, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -161,7 +161,7 @@
         self.warming: dict[Server, None] = {}  # cold and free: their weight changes by itself
         self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
         self.shut: list[tuple[int, int, Server]] = []  # until when a slot is shut by time alone; a heap
-        self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
+        self.traffic = TrafficShare(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = Slowness()  # of all answers
         self.kinds: dict[int, Slowness] = {}
         self.zones: dict[int, Faults] = {}
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -43,7 +43,7 @@
     return int(settings.fall_us * max(MIN_TURN_SHARE, borne / paced - 1.0)) if ends else 0
 
 
-class Traffic:
+class TrafficShare:
     """Estimates which share of the fleet's sends is this sidecar's, from its own send rate."""
 
     def __init__(self, allowed_per_s: float, instances: int, now_us: int) -> None:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, Traffic, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, TrafficShare, is_warming_sidecar
 from ironscale.interface import (
     Action,
     Event,
@@ -55,7 +55,7 @@
 
 
 def test_the_part_follows_what_is_sent_and_never_leaves_a_quiet_one_without() -> None:
-    heavy, quiet = Traffic(1000.0, 40, START_US), Traffic(1000.0, 40, START_US)
+    heavy, quiet = TrafficShare(1000.0, 40, START_US), TrafficShare(1000.0, 40, START_US)
     assert heavy.share() == pytest.approx(1 / 40)
     for number in range(10 * 200):
         heavy.record_send(START_US + number * 5_000)
@@ -66,7 +66,7 @@
 
 def test_the_parts_of_all_come_to_no_more_than_twice_the_whole_in_an_overload() -> None:
     """Rule 4 rests on it: cold upstreams get half the multiple that they bear, times the sum of the parts."""
-    sidecars = [Traffic(1000.0, 40, START_US) for _ in range(40)]
+    sidecars = [TrafficShare(1000.0, 40, START_US) for _ in range(40)]
     for at_us in range(0, 10 * SECOND_US, 1_000):  # the fleet sends twice what it is allowed, very unevenly
         for number in (0, 0 if at_us % 2_000 else at_us // 1_000 % 40):
             sidecars[number].record_send(START_US + at_us)
@@ -74,7 +74,7 @@
 
 
 def test_without_allowances_the_part_goes_by_number() -> None:
-    traffic = Traffic(0.0, 4, START_US)
+    traffic = TrafficShare(0.0, 4, START_US)
     for number in range(1000):
         traffic.record_send(START_US + number * 1_000)
     assert traffic.share() == 0.25
@@ -256,7 +256,7 @@
 
 
 def test_the_parts_grow_smoothly() -> None:
-    traffic, parts = Traffic(1000.0, 40, START_US), []
+    traffic, parts = TrafficShare(1000.0, 40, START_US), []
     for number in range(1000):
         traffic.record_send(START_US + number * 5_000)
         parts.append(traffic.share())
