--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -860,7 +860,7 @@
     def arm(self) -> None:
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a resting slot opens by time, not by an event
-            opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many
+            opens = [self.load.below_at_us(self.window.slots) if self.is_one_of_many
                      else self.window.rest_until_us]
             self.look()
             while self.shut and not (self.shut[0][0] > self.now_us and self.shut[0][2].place >= 0
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -84,7 +84,7 @@
         self.mean, self.moved_us = self.at(now_us), now_us
         self.out += step
 
-    def falls_us(self, limit: float) -> int:
+    def below_at_us(self, limit: float) -> int:
         """When the average falls below `limit` if no attempt starts or ends; 0 = never, or it is below."""
         if self.mean < limit or self.out >= limit:
             return 0
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -213,7 +213,7 @@
     for request in sent:
         world.end(request, 0, Outcome.OK)
     assert not world.sends(waits)
-    opens_us = world.balancer.load.falls_us(0.5)
+    opens_us = world.balancer.load.below_at_us(0.5)
     world.advance(opens_us - world.now_us - 1)
     assert not world.sends(waits)
     world.advance(1)
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -60,7 +60,7 @@
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
             self.look()
-            opens = [self.load.falls_us(self.window.slots) if self.is_one_of_many else self.window.rest_until_us]
+            opens = [self.load.below_at_us(self.window.slots) if self.is_one_of_many else self.window.rest_until_us]
             opens += [max(s.next_cold_us, s.window.rest_until_us) for s in self.order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
