--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -603,7 +603,7 @@
         attempt, until_us = Attempt(server, self.now_us, slow_us), self.until_us(request)
         attempt.paced = self.is_one_of_many and self.warmth(server) < 1.0
         if not attempt.paced:
-            self.load.move(self.now_us, 1)
+            self.load.change(self.now_us, 1)
         request.attempts.append(attempt)
         request.out += 1
         timeout_us = request.event.due_us - self.now_us
@@ -623,7 +623,7 @@
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
-                    self.load.move(self.now_us, -1)
+                    self.load.change(self.now_us, -1)
                 self.judge(attempt, attempt.slow_us, request.event.class_index)
             # hazard: answers that never come, of connections fallen silent, would hold the slots of an
             # upstream that answers all else. What was sent to it later is answered: it is not hung, and the
@@ -660,7 +660,7 @@
             attempt.server.mute = 1
             attempt.server.answered_us = max(attempt.server.answered_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
-            self.load.move(self.now_us, -1)
+            self.load.change(self.now_us, -1)
         if attempt.holds:  # else it has been judged: its end says nothing of what is sent now
             attempt.server.used -= 1
             self.judge(attempt, event.elapsed_us, request.event.class_index)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -80,7 +80,7 @@
     def at(self, now_us: int) -> float:
         return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / OUTSTANDING_TIME_CONSTANT_US)
 
-    def move(self, now_us: int, step: int) -> None:
+    def change(self, now_us: int, step: int) -> None:
         self.mean, self.moved_us = self.at(now_us), now_us
         self.out += step
 
