--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -388,14 +388,14 @@
     def need(self) -> float:
         """Slots of this sidecar that may be of use: twice those in use, and some."""
         if self.is_one_of_many:
-            return 1.0 + 2.0 * self.load.at(self.now_us)
+            return 1.0 + 2.0 * self.load.average_at(self.now_us)
         return 2.0 * (self.load.out + 1)
 
     def has_room(self) -> bool:
         """For one more send. Hazard: one that sends little, in waves of chance, would refuse their crests,
         though the sum of many is even: there the mean counts."""
         if self.is_one_of_many:
-            return self.load.at(self.now_us) < self.window.slots
+            return self.load.average_at(self.now_us) < self.window.slots
         return self.window.open(self.now_us) > self.load.out
 
     def least_each(self) -> float:
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -77,11 +77,11 @@
     def __init__(self, now_us: int) -> None:
         self.mean, self.out, self.moved_us = 0.0, 0, now_us
 
-    def at(self, now_us: int) -> float:
+    def average_at(self, now_us: int) -> float:
         return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / OUTSTANDING_TIME_CONSTANT_US)
 
     def change(self, now_us: int, step: int) -> None:
-        self.mean, self.moved_us = self.at(now_us), now_us
+        self.mean, self.moved_us = self.average_at(now_us), now_us
         self.out += step
 
     def below_at_us(self, limit: float) -> int:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -197,7 +197,7 @@
     world = many(2.0)
     world.balancer.window.slots, world.balancer.least = 1.0, 1.0
     assert refused(world, [10_000] * 300, 160_000) > 60  # at once, of a hundred a second for three seconds
-    assert world.balancer.load.at(world.now_us) <= world.balancer.window.slots + 1.0
+    assert world.balancer.load.average_at(world.now_us) <= world.balancer.window.slots + 1.0
 
 
 def test_one_that_waits_for_the_mean_to_fall_is_sent_when_it_has(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -217,7 +217,7 @@
     world.advance(opens_us - world.now_us - 1)
     assert not world.sends(waits)
     world.advance(1)
-    assert world.sends(waits) and world.balancer.load.at(world.now_us) < 0.51
+    assert world.sends(waits) and world.balancer.load.average_at(world.now_us) < 0.51
 
 
 def test_one_that_carries_much_keeps_more_slots_at_slow_upstreams() -> None:
