--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, Mean, Slowness, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, OutstandingAverage, Slowness, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -151,7 +151,7 @@
         self.latency = [Latency(c.aim_us) for c in settings.classes]
         self.window = Window("this sidecar", 1.0)  # for all sends of this sidecar together
         self.least = 1.0  # hazard: after an outage all would rest for long
-        self.load = Mean(now_us)  # those that count for it
+        self.load = OutstandingAverage(now_us)  # those that count for it
         self.order: list[Server] = []  # ready upstreams, from this sidecar's own starting point on
         self.early = 0  # the first of them, which are cold and which one of many warms
         self.able = 0.0  # what they can do, in warm ones of mean size
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -70,7 +70,7 @@
         return min(MAX_SHARE_FACTOR, self.share() * self.instances) / min(WARMING_SIDECARS, self.instances)
 
 
-class Mean:
+class OutstandingAverage:
     """Number of outstanding attempts as an exponential moving average. Upstreams see the sum over many
     sidecars: a burst of one falls between bursts of others, so that only the means add up."""
 
