--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -512,7 +512,7 @@
         own = min(MOST_FAULTS, server.faults.share(self.now_us))
         shared = zone.share(self.now_us) if zone is not None else 0.0
         favour = ((1.0 - own) * (1.0 - shared)) ** 3
-        favour *= kind.favour(self.slowness) if kind is not None else 1.0
+        favour *= kind.weight_factor(self.slowness) if kind is not None else 1.0
         return max(LEAST_FAVOUR, favour) * (1.0 if near and max(own, shared) < WELL else FAR)
 
     def look_at(self, server: Server) -> None:
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -104,7 +104,7 @@
     def exceeds(self, limit: float) -> bool:
         return self.count >= MIN_ANSWERS and self.mean >= limit
 
-    def favour(self, of_all: "Slowness") -> float:
+    def weight_factor(self, of_all: "Slowness") -> float:
         """Factor on a kind's weight in the random choice: the square of its speed relative to all."""
         if self.count < MIN_ANSWERS or not self.mean:
             return 1.0
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -95,8 +95,8 @@
         slow.add(1.0)
         usual.add(0.5)
     few.add(8.0)
-    assert slow.favour(usual) == pytest.approx(0.25)
-    assert few.favour(usual) == 1.0
+    assert slow.weight_factor(usual) == pytest.approx(0.25)
+    assert few.weight_factor(usual) == 1.0
 
 
 def test_a_zone_that_takes_no_connection_is_left_after_a_few_tries_and_not_after_one_for_each() -> None:
@@ -461,7 +461,7 @@
     for _ in range(20):
         slow.add(1.5)
         quick.add(0.01)
-    assert (slow.favour(quick), quick.favour(slow)) == (1 / 8, 8.0)
+    assert (slow.weight_factor(quick), quick.weight_factor(slow)) == (1 / 8, 8.0)
     world = many()
     zone_fails(world, 0, 15)
     assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
