--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, OutstandingAverage, Slowness, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, OutstandingAverage, LatencyAverage, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -162,8 +162,8 @@
         self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
         self.shut: list[tuple[int, int, Server]] = []  # until when a slot is shut by time alone; a heap
         self.traffic = TrafficShare(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
-        self.slowness = Slowness()  # of all answers
-        self.kinds: dict[int, Slowness] = {}
+        self.slowness = LatencyAverage()  # of all answers
+        self.kinds: dict[int, LatencyAverage] = {}
         self.zones: dict[int, Faults] = {}
         self.home = -1  # a zone, if what is not idle there counts less
         self.subset = self.least_subset = SUBSET
@@ -377,7 +377,7 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
                 self.window.move(GROWTH / 2 * step, self.least, need)
             attempt.slowness = slowness
-            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, Slowness())):
+            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, LatencyAverage())):
                 shared.add(slowness)
         # hazard: beside answers of seconds, short rests leave a choked upstream crowded
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_us)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -91,7 +91,7 @@
         return self.moved_us + int(OUTSTANDING_TIME_CONSTANT_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
 
 
-class Slowness:
+class LatencyAverage:
     """Moving average of answer times of one kind of upstreams, or of all, in slow thresholds."""
 
     def __init__(self) -> None:
@@ -104,7 +104,7 @@
     def exceeds(self, limit: float) -> bool:
         return self.count >= MIN_ANSWERS and self.mean >= limit
 
-    def weight_factor(self, of_all: "Slowness") -> float:
+    def weight_factor(self, of_all: "LatencyAverage") -> float:
         """Factor on a kind's weight in the random choice: the square of its speed relative to all."""
         if self.count < MIN_ANSWERS or not self.mean:
             return 1.0
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, Slowness, TrafficShare, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, LatencyAverage, TrafficShare, is_warming_sidecar
 from ironscale.interface import (
     Action,
     Event,
@@ -90,7 +90,7 @@
 
 
 def test_a_kind_that_answers_twice_as_slowly_has_a_quarter_of_the_favour() -> None:
-    slow, few, usual = Slowness(), Slowness(), Slowness()
+    slow, few, usual = LatencyAverage(), LatencyAverage(), LatencyAverage()
     for _ in range(40):
         slow.add(1.0)
         usual.add(0.5)
@@ -457,7 +457,7 @@
 
 
 def test_a_favour_is_bounded_both_ways() -> None:
-    slow, quick = Slowness(), Slowness()
+    slow, quick = LatencyAverage(), LatencyAverage()
     for _ in range(20):
         slow.add(1.5)
         quick.add(0.01)
@@ -465,7 +465,7 @@
     world = many()
     zone_fails(world, 0, 15)
     assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
-    assert Slowness().exceeds(0.0) is False
+    assert LatencyAverage().exceeds(0.0) is False
 
 
 @pytest.mark.parametrize("age_s", [2, 11, 19])
