--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -341,11 +341,11 @@
         if outcome is not None and outcome not in SHOWS_NOTHING:
             is_fault = outcome is not api.Outcome.OK
             # hazard: each of a lost zone's upstreams would be found out anew, at the price of a request each
-            if self.zones.setdefault(server.entry.zone, Faults()).end(self.now_us, is_fault, 1 / 8):
+            if self.zones.setdefault(server.entry.zone, Faults()).record(self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.order if other.entry.zone == server.entry.zone)
                 self.changed.update(dict.fromkeys(alike))
             # hazard: met every few seconds, an upstream that fails at random would never be found out
-            server.faults.end(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
+            server.faults.record(self.now_us, is_fault, 1 / 2 if is_fault else 1 / 4)
         if outcome in INSTANT_FAULTS:
             # hazard: what fails at once would draw ever more; but one in ten must not close them all, nor
             # those that turn away though they have room the sidecar: how full others are, their slots tell
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -117,7 +117,7 @@
     def __init__(self) -> None:
         self.last, self.ended_us, self.told = 0.0, 0, 0.0  # as of `ended_us`
 
-    def end(self, now_us: int, is_fault: bool, weight: float) -> bool:
+    def record(self, now_us: int, is_fault: bool, weight: float) -> bool:
         """Records an attempt. True if the weights of all upstreams that share this have to be recomputed."""
         share = self.share(now_us)
         self.last, self.ended_us = share + (is_fault - share) * weight, now_us
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -83,7 +83,7 @@
 def test_faults_fade_with_time() -> None:
     faults = Faults()
     for _ in range(40):
-        faults.end(START_US, True, 1 / 8)
+        faults.record(START_US, True, 1 / 8)
     assert faults.share(START_US) > 0.95
     assert faults.share(START_US + FAILURE_HALF_LIFE_US) == pytest.approx(0.5, rel=0.05)
     assert faults.share(START_US + 100 * FAILURE_HALF_LIFE_US) < 1e-6
@@ -155,9 +155,9 @@
     world = many()
     bad = world.balancer.servers[104]
     before = world.balancer.favour(bad)
-    bad.faults.end(world.now_us, True, 1 / 2)
+    bad.faults.record(world.now_us, True, 1 / 2)
     world.advance(3 * SECOND_US)
-    bad.faults.end(world.now_us, False, 1 / 4)
+    bad.faults.record(world.now_us, False, 1 / 4)
     world.advance(3 * SECOND_US)
     assert world.balancer.favour(bad) < before / 2
 
@@ -410,7 +410,7 @@
     world = many(zone=0, cross_zone_fee=0.03)
     server = next(server for server in world.balancer.order if server.entry.zone == 0)
     near = world.balancer.favour(server)
-    server.faults.end(world.now_us, True, 1 / 2)
+    server.faults.record(world.now_us, True, 1 / 2)
     assert world.balancer.favour(server) < near / 500
     world.advance(10 * SECOND_US)
     world.tell_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
