--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -11,7 +11,7 @@
 
 from ironscale import confidence
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, Faults, OutstandingAverage, LatencyAverage, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, FailureShare, OutstandingAverage, LatencyAverage, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import Places
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -76,7 +76,7 @@
         self.used = 0  # slots taken by this sidecar's sends
         self.window = Window(f"upstream {entry.id}", 1.0)  # one slot, as in the paper
         self.busy = 1.0  # as it last reported; not known counts as busy
-        self.faults = Faults()
+        self.faults = FailureShare()
         self.favour = 1.0  # as last looked at
         self.failing = False  # its last answer was a fault
         self.least_us = 0  # the quickest of its answers: how far it is; 0 = none yet
@@ -164,7 +164,7 @@
         self.traffic = TrafficShare(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
         self.slowness = LatencyAverage()  # of all answers
         self.kinds: dict[int, LatencyAverage] = {}
-        self.zones: dict[int, Faults] = {}
+        self.zones: dict[int, FailureShare] = {}
         self.home = -1  # a zone, if what is not idle there counts less
         self.subset = self.least_subset = SUBSET
         self.retry_tokens = RETRIES_KEPT
@@ -341,7 +341,7 @@
         if outcome is not None and outcome not in SHOWS_NOTHING:
             is_fault = outcome is not api.Outcome.OK
             # hazard: each of a lost zone's upstreams would be found out anew, at the price of a request each
-            if self.zones.setdefault(server.entry.zone, Faults()).record(self.now_us, is_fault, 1 / 8):
+            if self.zones.setdefault(server.entry.zone, FailureShare()).record(self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.order if other.entry.zone == server.entry.zone)
                 self.changed.update(dict.fromkeys(alike))
             # hazard: met every few seconds, an upstream that fails at random would never be found out
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -111,7 +111,7 @@
         return min(MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, (of_all.mean / self.mean) ** 2))
 
 
-class Faults:
+class FailureShare:
     """Share of attempts that fail at one upstream or in one zone: a moving average that decays with time."""
 
     def __init__(self) -> None:
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, Faults, LatencyAverage, TrafficShare, is_warming_sidecar
+from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, FailureShare, LatencyAverage, TrafficShare, is_warming_sidecar
 from ironscale.interface import (
     Action,
     Event,
@@ -81,7 +81,7 @@
 
 
 def test_faults_fade_with_time() -> None:
-    faults = Faults()
+    faults = FailureShare()
     for _ in range(40):
         faults.record(START_US, True, 1 / 8)
     assert faults.share(START_US) > 0.95
