--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -75,13 +75,13 @@
 
 def test_what_fades_and_which_way() -> None:
     now_us = START_US
-    for kind, halves_us in ((8.0, confidence.WIDE_HALVES_US), (1 / 8, confidence.SHUT_HALVES_US)):
+    for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.SHUT_HALVES_US)):
         found = [confidence.faded(told(1, kind, age_us), now_us)
                  for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
-    assert confidence.SHUT_HALVES_US < confidence.WIDE_HALVES_US  # stale, a shut one does the greater harm
+    assert confidence.SHUT_HALVES_US < confidence.OPEN_HALF_LIFE_US  # stale, a shut one does the greater harm
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
     assert confidence.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
-    assert confidence.share(age_us, confidence.WIDE_HALVES_US) == 0.0
+    assert confidence.share(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
