--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -10,7 +10,7 @@
 from ironscale import interface as api
 
 OPEN_HALF_LIFE_US = 60_000_000  # open windows: load shifts within minutes, and the first attempts show it
-SHUT_HALVES_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
+CLOSED_HALF_LIFE_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
 LATENCY_HALVES_US = 60_000_000
 SIDECAR_HALVES_US = 30_000_000
 MUTE_LASTS_US = 600_000_000  # silence does not decay: one answered attempt ends it
@@ -42,10 +42,10 @@
     if not 0 <= age_us <= LEAST_LASTS_US:
         return None
     silent = lesson.mute > 1 and age_us <= MUTE_LASTS_US
-    halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else SHUT_HALVES_US
+    halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
     slots = shown(lesson) if silent else between(1.0, lesson.slots, share(age_us, halves_us))
     return replace(lesson, slots=slots, mute=lesson.mute if silent else 1,
-                   failing=lesson.failing and share(age_us, SHUT_HALVES_US) >= 0.5)
+                   failing=lesson.failing and share(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
 
 
 def shown(lesson: api.UpstreamLesson) -> float:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -75,13 +75,13 @@
 
 def test_what_fades_and_which_way() -> None:
     now_us = START_US
-    for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.SHUT_HALVES_US)):
+    for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.CLOSED_HALF_LIFE_US)):
         found = [confidence.faded(told(1, kind, age_us), now_us)
                  for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
-    assert confidence.SHUT_HALVES_US < confidence.OPEN_HALF_LIFE_US  # stale, a shut one does the greater harm
+    assert confidence.CLOSED_HALF_LIFE_US < confidence.OPEN_HALF_LIFE_US  # stale, a shut one does the greater harm
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
