--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -821,7 +821,7 @@
                     latency.recall(told, share)
         if self.confirmed_us == 0 and lessons.slots > 0.0:
             # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
-            share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALVES_US)
+            share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALF_LIFE_US)
             usual = self.usual_slots(count)
             self.window.slots = confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -12,7 +12,7 @@
 OPEN_HALF_LIFE_US = 60_000_000  # open windows: load shifts within minutes, and the first attempts show it
 CLOSED_HALF_LIFE_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
 LATENCY_HALF_LIFE_US = 60_000_000
-SIDECAR_HALVES_US = 30_000_000
+SIDECAR_HALF_LIFE_US = 30_000_000
 MUTE_LASTS_US = 600_000_000  # silence does not decay: one answered attempt ends it
 LEAST_LASTS_US = 3_600_000_000  # the network distance of a process does not change while it runs
 NOTHING = 1 / 128  # lower confidence counts as 0
