--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -13,7 +13,7 @@
 CLOSED_HALF_LIFE_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
 LATENCY_HALF_LIFE_US = 60_000_000
 SIDECAR_HALF_LIFE_US = 30_000_000
-MUTE_LASTS_US = 600_000_000  # silence does not decay: one answered attempt ends it
+SILENCE_LIFETIME_US = 600_000_000  # silence does not decay: one answered attempt ends it
 LEAST_LASTS_US = 3_600_000_000  # the network distance of a process does not change while it runs
 NOTHING = 1 / 128  # lower confidence counts as 0
 SHUT = 0.5  # an upstream with fewer slots counts as closed
@@ -41,7 +41,7 @@
     age_us = now_us - lesson.confirmed_us
     if not 0 <= age_us <= LEAST_LASTS_US:
         return None
-    silent = lesson.mute > 1 and age_us <= MUTE_LASTS_US
+    silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
     halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
     slots = shown(lesson) if silent else between(1.0, lesson.slots, share(age_us, halves_us))
     return replace(lesson, slots=slots, mute=lesson.mute if silent else 1,
