--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -14,7 +14,7 @@
 LATENCY_HALF_LIFE_US = 60_000_000
 SIDECAR_HALF_LIFE_US = 30_000_000
 SILENCE_LIFETIME_US = 600_000_000  # silence does not decay: one answered attempt ends it
-LEAST_LASTS_US = 3_600_000_000  # the network distance of a process does not change while it runs
+DISTANCE_LIFETIME_US = 3_600_000_000  # the network distance of a process does not change while it runs
 NOTHING = 1 / 128  # lower confidence counts as 0
 SHUT = 0.5  # an upstream with fewer slots counts as closed
 LEAST_SLOTS = 1 / 8  # a lesson closes no window further than this
@@ -39,7 +39,7 @@
 def faded(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
     """The lesson with its values decayed to `now_us`; None if it is too old or from the future."""
     age_us = now_us - lesson.confirmed_us
-    if not 0 <= age_us <= LEAST_LASTS_US:
+    if not 0 <= age_us <= DISTANCE_LIFETIME_US:
         return None
     silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
     halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
