--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -15,7 +15,7 @@
 SIDECAR_HALF_LIFE_US = 30_000_000
 SILENCE_LIFETIME_US = 600_000_000  # silence does not decay: one answered attempt ends it
 DISTANCE_LIFETIME_US = 3_600_000_000  # the network distance of a process does not change while it runs
-NOTHING = 1 / 128  # lower confidence counts as 0
+MIN_CONFIDENCE = 1 / 128  # lower confidence counts as 0
 SHUT = 0.5  # an upstream with fewer slots counts as closed
 LEAST_SLOTS = 1 / 8  # a lesson closes no window further than this
 MOST_MUTE = 3
@@ -27,7 +27,7 @@
 def share(age_us: int, halves_us: int) -> float:
     """Confidence from 0 to 1 in a value of this age; 0 for one from the future."""
     left: float = 0.5 ** (age_us / halves_us) if 0 <= age_us <= 8 * halves_us else 0.0
-    return left if left >= NOTHING else 0.0
+    return left if left >= MIN_CONFIDENCE else 0.0
 
 
 def between(usual: float, told: float, trust: float) -> float:
