--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -80,7 +80,7 @@
 def word(one: dict[str, Any]) -> str:
     if one["mute"] > 1:
         return "silent"
-    return "failing" if one["failing"] else "shut" if one["slots"] < confidence.SHUT else "open"
+    return "failing" if one["failing"] else "shut" if one["slots"] < confidence.CLOSED_BELOW_SLOTS else "open"
 
 
 @learned.command()
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -16,7 +16,7 @@
 SILENCE_LIFETIME_US = 600_000_000  # silence does not decay: one answered attempt ends it
 DISTANCE_LIFETIME_US = 3_600_000_000  # the network distance of a process does not change while it runs
 MIN_CONFIDENCE = 1 / 128  # lower confidence counts as 0
-SHUT = 0.5  # an upstream with fewer slots counts as closed
+CLOSED_BELOW_SLOTS = 0.5  # an upstream with fewer slots counts as closed
 LEAST_SLOTS = 1 / 8  # a lesson closes no window further than this
 MOST_MUTE = 3
 TENANT_WEIGHT = 20.0  # number of arrivals that recalled tenant shares stand for
@@ -54,7 +54,7 @@
 
 
 def is_shut(lesson: api.UpstreamLesson | None) -> bool:
-    return lesson is not None and shown(lesson) < SHUT
+    return lesson is not None and shown(lesson) < CLOSED_BELOW_SLOTS
 
 
 @dataclass(slots=True, frozen=True)
