--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -830,7 +830,7 @@
         not shut so far that few tries would come: it is drawn rarely, and still before a refusal."""
         server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
         self.changed[server] = None
-        server.window.slots = min(1.0, max(confidence.LEAST_SLOTS, lesson.slots))
+        server.window.slots = min(1.0, max(confidence.MIN_SLOTS, lesson.slots))
         server.failing, server.mute = lesson.failing, min(lesson.mute, confidence.MOST_MUTE)
         if lesson.first_hand:  # what we sent before a restart still warms it up
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -17,7 +17,7 @@
 DISTANCE_LIFETIME_US = 3_600_000_000  # the network distance of a process does not change while it runs
 MIN_CONFIDENCE = 1 / 128  # lower confidence counts as 0
 CLOSED_BELOW_SLOTS = 0.5  # an upstream with fewer slots counts as closed
-LEAST_SLOTS = 1 / 8  # a lesson closes no window further than this
+MIN_SLOTS = 1 / 8  # a lesson closes no window further than this
 MOST_MUTE = 3
 TENANT_WEIGHT = 20.0  # number of arrivals that recalled tenant shares stand for
 SETTLED_US = 10_000_000  # a donor that has run for less time knows little
@@ -50,7 +50,7 @@
 
 def shown(lesson: api.UpstreamLesson) -> float:
     """Its slots. A silent upstream is tried so rarely that its window hardly closes: it counts as closed."""
-    return min(lesson.slots, LEAST_SLOTS) if lesson.mute > 1 else lesson.slots
+    return min(lesson.slots, MIN_SLOTS) if lesson.mute > 1 else lesson.slots
 
 
 def is_shut(lesson: api.UpstreamLesson | None) -> bool:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -94,7 +94,7 @@
 def test_one_that_answers_nothing_is_distrusted_though_its_window_is_open() -> None:
     """Its slot is held so long that few tries come to close the window."""
     world = taught(told(100, 1.4, mute=2), told(101, 1.4))
-    assert slots(world)[100] == confidence.LEAST_SLOTS and slots(world)[101] == 1.0
+    assert slots(world)[100] == confidence.MIN_SLOTS and slots(world)[101] == 1.0
     assert confidence.is_shut(told(100, 1.4, mute=2)) and not confidence.is_shut(told(100, 1.4))
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
@@ -130,7 +130,7 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert slots(world)[100] == confidence.LEAST_SLOTS and world.balancer.servers[100].mute == confidence.MOST_MUTE
+    assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MOST_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
     server = world.balancer.servers[100]
@@ -152,7 +152,7 @@
 def test_a_failed_try_leaves_it_distrusted() -> None:
     world = taught(told(100, 1 / 64, mute=4))
     answer(world, send_to(world, 100), Outcome.RESET)
-    assert slots(world)[100] < confidence.LEAST_SLOTS
+    assert slots(world)[100] < confidence.MIN_SLOTS
 
 
 def test_one_that_started_anew_is_new() -> None:
