--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -831,7 +831,7 @@
         server.lesson, server.confirmed_us = whole, whole.confirmed_us  # told on, it fades once and not twice
         self.changed[server] = None
         server.window.slots = min(1.0, max(confidence.MIN_SLOTS, lesson.slots))
-        server.failing, server.mute = lesson.failing, min(lesson.mute, confidence.MOST_MUTE)
+        server.failing, server.mute = lesson.failing, min(lesson.mute, confidence.MAX_MUTE)
         if lesson.first_hand:  # what we sent before a restart still warms it up
             gap_us = self.cold_gap_us(server, min(latency.careful_us() for latency in self.latency))
             server.next_cold_us = max(server.next_cold_us, min(lesson.next_cold_us, self.now_us + gap_us))
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -130,7 +130,7 @@
 
 def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
-    assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MOST_MUTE
+    assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MAX_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
     server = world.balancer.servers[100]
