--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -20,7 +20,7 @@
 MIN_SLOTS = 1 / 8  # a lesson closes no window further than this
 MAX_MUTE = 3
 TENANT_WEIGHT = 20.0  # number of arrivals that recalled tenant shares stand for
-SETTLED_US = 10_000_000  # a donor that has run for less time knows little
+MIN_DONOR_UPTIME_US = 10_000_000  # a donor that has run for less time knows little
 DONOR_HALVES_US = 30_000_000  # of a donor's values, as weights against those of other donors
 
 
@@ -68,7 +68,7 @@
     ages: tuple[float, ...] = ()  # at which idle connections fail (ironscale/net/upstream.py)
 
     def weight(self) -> float:
-        return 0.0 if self.up_us < SETTLED_US else 0.5 if self.cut_off else 1.0
+        return 0.0 if self.up_us < MIN_DONOR_UPTIME_US else 0.5 if self.cut_off else 1.0
 
 
 def median(values: Sequence[tuple[float, float]]) -> float:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -376,7 +376,7 @@
 
 
 def test_a_donor_that_has_just_started_teaches_nothing() -> None:
-    assert agreed(donor(told(100, 4.0), up_us=confidence.SETTLED_US - 1)) == {}
+    assert agreed(donor(told(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
     assert confidence.agreed([], START_US, 0) is None
 
 
