--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -21,7 +21,7 @@
 MAX_MUTE = 3
 TENANT_WEIGHT = 20.0  # number of arrivals that recalled tenant shares stand for
 MIN_DONOR_UPTIME_US = 10_000_000  # a donor that has run for less time knows little
-DONOR_HALVES_US = 30_000_000  # of a donor's values, as weights against those of other donors
+DONOR_HALF_LIFE_US = 30_000_000  # of a donor's values, as weights against those of other donors
 
 
 def share(age_us: int, halves_us: int) -> float:
@@ -100,14 +100,14 @@
     for donor in donors:
         weight = donor.weight()
         for lesson in believed(donor):
-            worth = weight * share(now_us - lesson.confirmed_us, DONOR_HALVES_US)
+            worth = weight * share(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
             if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
                 worth = max(worth, weight / 2)
             if worth > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
                     (lesson, worth, donor.lessons.zone == zone))
         for kind in donor.lessons.classes:
-            worth = weight * share(now_us - kind.confirmed_us, DONOR_HALVES_US)
+            worth = weight * share(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
             if worth > 0.0:
                 by_class.setdefault(kind.name, []).append((kind, worth))
         if donor.lessons.slots > 0.0:
