--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -776,7 +776,7 @@
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_seen) < confidence.TENANT_WEIGHT:
             told, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
-            share = confidence.TENANT_WEIGHT * confidence.share(age_us, confidence.LATENCY_HALF_LIFE_US)
+            share = confidence.TENANT_WEIGHT * confidence.decay(age_us, confidence.LATENCY_HALF_LIFE_US)
             self.tenant_seen = [seen + share * min(1.0, told.get(tenant.name, 0.0))
                                 for tenant, seen in zip(self.settings.tenants, self.tenant_seen, strict=True)]
         self.lessons.append(lessons)
@@ -816,12 +816,12 @@
             told = next((lesson for lesson in lessons.classes if lesson.name == kind.name), None)
             if told is not None and latency.confirmed_us < told.confirmed_us and (
                     not latency.seen or latency.doubt == 1 / 2):
-                share = confidence.share(self.now_us - told.confirmed_us, confidence.LATENCY_HALF_LIFE_US)
+                share = confidence.decay(self.now_us - told.confirmed_us, confidence.LATENCY_HALF_LIFE_US)
                 if share > 0.0:
                     latency.recall(told, share)
         if self.confirmed_us == 0 and lessons.slots > 0.0:
             # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
-            share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALF_LIFE_US)
+            share = confidence.decay(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALF_LIFE_US)
             usual = self.usual_slots(count)
             self.window.slots = confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -24,7 +24,7 @@
 DONOR_HALF_LIFE_US = 30_000_000  # of a donor's values, as weights against those of other donors
 
 
-def share(age_us: int, halves_us: int) -> float:
+def decay(age_us: int, halves_us: int) -> float:
     """Confidence from 0 to 1 in a value of this age; 0 for one from the future."""
     left: float = 0.5 ** (age_us / halves_us) if 0 <= age_us <= 8 * halves_us else 0.0
     return left if left >= MIN_CONFIDENCE else 0.0
@@ -43,9 +43,9 @@
         return None
     silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
     halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
-    slots = shown(lesson) if silent else between(1.0, lesson.slots, share(age_us, halves_us))
+    slots = shown(lesson) if silent else between(1.0, lesson.slots, decay(age_us, halves_us))
     return replace(lesson, slots=slots, mute=lesson.mute if silent else 1,
-                   failing=lesson.failing and share(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
+                   failing=lesson.failing and decay(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
 
 
 def shown(lesson: api.UpstreamLesson) -> float:
@@ -100,14 +100,14 @@
     for donor in donors:
         weight = donor.weight()
         for lesson in believed(donor):
-            worth = weight * share(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
+            worth = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
             if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
                 worth = max(worth, weight / 2)
             if worth > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
                     (lesson, worth, donor.lessons.zone == zone))
         for kind in donor.lessons.classes:
-            worth = weight * share(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
+            worth = weight * decay(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
             if worth > 0.0:
                 by_class.setdefault(kind.name, []).append((kind, worth))
         if donor.lessons.slots > 0.0:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
     assert confidence.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
-    assert confidence.share(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
+    assert confidence.decay(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
