--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -793,7 +793,7 @@
                 if (found is not None and found.started_us == server.entry.started_us
                         and found.confirmed_us > server.confirmed_us
                         and (server.lesson is not None or server.confirmed_us == 0)):
-                    faded = confidence.faded(found, self.now_us)
+                    faded = confidence.decayed_lesson(found, self.now_us)
                     if faded is not None:
                         if lessons.zone != self.settings.zone:  # how far it is holds from there only
                             found = replace(found, least_us=0)
@@ -840,7 +840,7 @@
         """The first attempt of ours at an upstream that we were told of: its answer opens what was shut, and
         what was open as far as it was; without one, what we were told is taken for so."""
         told, server.lesson = server.lesson, None
-        lesson = confidence.faded(told, self.now_us) if told is not None else None
+        lesson = confidence.decayed_lesson(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
             server.window.slots = max(1.0, server.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -59,7 +59,7 @@
     worth: dict[str, float | None] = {}
     if age_us is not None:
         for one in lessons_of(snapshot, now_us - age_us, now_us, 0, number).upstreams:
-            faded = confidence.faded(one, now_us)
+            faded = confidence.decayed_lesson(one, now_us)
             worth[names[one.id]] = round(faded.slots, 3) if faded is not None else None
     return {
         "file": str(path), "version": body_of(data)[0], "bytes": len(data), "sidecar": snapshot.name,
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -36,7 +36,7 @@
     return found
 
 
-def faded(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
+def decayed_lesson(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
     """The lesson with its values decayed to `now_us`; None if it is too old or from the future."""
     age_us = now_us - lesson.confirmed_us
     if not 0 <= age_us <= DISTANCE_LIFETIME_US:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -76,7 +76,7 @@
 def test_what_fades_and_which_way() -> None:
     now_us = START_US
     for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.CLOSED_HALF_LIFE_US)):
-        found = [confidence.faded(told(1, kind, age_us), now_us)
+        found = [confidence.decayed_lesson(told(1, kind, age_us), now_us)
                  for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
@@ -85,9 +85,9 @@
 
 
 def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
-    found = confidence.faded(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
+    found = confidence.decayed_lesson(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
     assert found is not None and found.slots == 1 / 64 and found.mute == 5
-    late = confidence.faded(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
+    late = confidence.decayed_lesson(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
     assert late is not None and late.slots == 1.0 and late.mute == 1
 
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
-    assert confidence.faded(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
+    assert confidence.decayed_lesson(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
     assert confidence.decay(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
         *(told(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
