--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -43,18 +43,18 @@
         return None
     silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
     halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
-    slots = shown(lesson) if silent else interpolate(1.0, lesson.slots, decay(age_us, halves_us))
+    slots = effective_slots(lesson) if silent else interpolate(1.0, lesson.slots, decay(age_us, halves_us))
     return replace(lesson, slots=slots, mute=lesson.mute if silent else 1,
                    failing=lesson.failing and decay(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
 
 
-def shown(lesson: api.UpstreamLesson) -> float:
+def effective_slots(lesson: api.UpstreamLesson) -> float:
     """Its slots. A silent upstream is tried so rarely that its window hardly closes: it counts as closed."""
     return min(lesson.slots, MIN_SLOTS) if lesson.mute > 1 else lesson.slots
 
 
 def is_shut(lesson: api.UpstreamLesson | None) -> bool:
-    return lesson is not None and shown(lesson) < CLOSED_BELOW_SLOTS
+    return lesson is not None and effective_slots(lesson) < CLOSED_BELOW_SLOTS
 
 
 @dataclass(slots=True, frozen=True)
@@ -129,7 +129,7 @@
 
 def _agreed_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
     least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
-    slots = median([(shown(lesson), worth) for lesson, worth, _ in found])
+    slots = median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
     # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
-    lesson = next(lesson for lesson, _, _ in found if shown(lesson) == slots)
+    lesson = next(lesson for lesson, _, _ in found if effective_slots(lesson) == slots)
     return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
