--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -802,10 +802,10 @@
                        for ident, server in self.servers.items())
             if self.has_list and 2 * here >= len(lessons.upstreams):
                 self.recall_times(lessons, count)
-            shut = sum(confidence.is_shut(told[server][1] if server in told else server.lesson)
+            shut = sum(confidence.is_closed(told[server][1] if server in told else server.lesson)
                        for server in self.order)
             for server, (lesson, faded) in told.items():
-                if 2 * shut <= count or not confidence.is_shut(faded):
+                if 2 * shut <= count or not confidence.is_closed(faded):
                     self.believe(server, lesson, faded)
         if self.has_list:
             self.lessons = []
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -53,7 +53,7 @@
     return min(lesson.slots, MIN_SLOTS) if lesson.mute > 1 else lesson.slots
 
 
-def is_shut(lesson: api.UpstreamLesson | None) -> bool:
+def is_closed(lesson: api.UpstreamLesson | None) -> bool:
     return lesson is not None and effective_slots(lesson) < CLOSED_BELOW_SLOTS
 
 
@@ -85,8 +85,8 @@
 def believed(donor: Donor) -> list[api.UpstreamLesson]:
     """Its first-hand lessons; those of closed windows are left out if its own stall may have closed them."""
     own = [lesson for lesson in donor.lessons.upstreams if lesson.first_hand]
-    if donor.resting or 2 * sum(map(is_shut, own)) > len(own):
-        return [lesson for lesson in own if not is_shut(lesson)]
+    if donor.resting or 2 * sum(map(is_closed, own)) > len(own):
+        return [lesson for lesson in own if not is_closed(lesson)]
     return own
 
 
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -95,7 +95,7 @@
     """Its slot is held so long that few tries come to close the window."""
     world = taught(told(100, 1.4, mute=2), told(101, 1.4))
     assert slots(world)[100] == confidence.MIN_SLOTS and slots(world)[101] == 1.0
-    assert confidence.is_shut(told(100, 1.4, mute=2)) and not confidence.is_shut(told(100, 1.4))
+    assert confidence.is_closed(told(100, 1.4, mute=2)) and not confidence.is_closed(told(100, 1.4))
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
 
