--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -62,13 +62,13 @@
     """The lessons of another running sidecar, converted to our clock, and that sidecar's state."""
 
     lessons: api.Lessons
-    up_us: int  # since its start
+    uptime_us: int  # since its start
     resting: bool  # its own window is nearly closed: its view of upstreams may reflect its own trouble
     cut_off: bool  # from discovery
     ages: tuple[float, ...] = ()  # at which idle connections fail (ironscale/net/upstream.py)
 
     def weight(self) -> float:
-        return 0.0 if self.up_us < MIN_DONOR_UPTIME_US else 0.5 if self.cut_off else 1.0
+        return 0.0 if self.uptime_us < MIN_DONOR_UPTIME_US else 0.5 if self.cut_off else 1.0
 
 
 def median(values: Sequence[tuple[float, float]]) -> float:
