--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -82,7 +82,7 @@
     return ordered[-1][0]
 
 
-def believed(donor: Donor) -> list[api.UpstreamLesson]:
+def usable_lessons(donor: Donor) -> list[api.UpstreamLesson]:
     """Its first-hand lessons; those of closed windows are left out if its own stall may have closed them."""
     own = [lesson for lesson in donor.lessons.upstreams if lesson.first_hand]
     if donor.resting or 2 * sum(map(is_closed, own)) > len(own):
@@ -99,7 +99,7 @@
     tenants: dict[str, list[tuple[float, float]]] = {}
     for donor in donors:
         weight = donor.weight()
-        for lesson in believed(donor):
+        for lesson in usable_lessons(donor):
             worth = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
             if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
                 worth = max(worth, weight / 2)
