--- a/bench/learned.py
+++ b/bench/learned.py
@@ -101,15 +101,15 @@
     lessons: dict[str, api.Lessons | None] = {"cold": None}
     if what == "starts":
         starts["warm"] = warm
-        lessons.update({"file": own, "one donor": confidence.agreed(donors[:1], now_us, 0),
-                        "three donors": confidence.agreed(donors, now_us, 0)})
+        lessons.update({"file": own, "one donor": confidence.combined_lessons(donors[:1], now_us, 0),
+                        "three donors": confidence.combined_lessons(donors, now_us, 0)})
     else:
         liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
         lessons.update({
-            "cold, other draws": None, "stale donors": confidence.agreed(early, now_us, 0),
+            "cold, other draws": None, "stale donors": confidence.combined_lessons(early, now_us, 0),
             "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
             "all open": lie(stage, lambda i: 1e5),
-            "one liar of three": confidence.agreed([*donors[:2], liar], now_us, 0)})
+            "one liar of three": confidence.combined_lessons([*donors[:2], liar], now_us, 0)})
     for name, taught in lessons.items():
         one = stage.copy()
         one.start(0, seed * 7 + (2 if name == "cold, other draws" else 1), taught)
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -90,7 +90,7 @@
     return own
 
 
-def agreed(donors: Sequence[Donor], now_us: int, zone: int) -> api.Lessons | None:
+def combined_lessons(donors: Sequence[Donor], now_us: int, zone: int) -> api.Lessons | None:
     """Combines the lessons of several donors by weighted medians, as second-hand; None if they have none."""
     donors = [donor for donor in donors if donor.weight() > 0.0]
     by_process: dict[tuple[int, int], list[tuple[api.UpstreamLesson, float, bool]]] = {}
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -193,7 +193,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         now_us = self.sidecar.clock.now_us()
-        lessons = confidence.agreed(donors, now_us, self.sidecar.config.settings.zone)
+        lessons = confidence.combined_lessons(donors, now_us, self.sidecar.config.settings.zone)
         if lessons is None:
             return False
         self.sidecar.upstreams.ages.recall(agreed_ages(donors), 0)
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -332,7 +332,7 @@
         world.advance(2 * S)
         given = learned(world.balancer)
         donor = confidence.Donor(given, 60 * S, False, False)
-        agreed = confidence.agreed([donor], world.now_us, 0)
+        agreed = confidence.combined_lessons([donor], world.now_us, 0)
         assert agreed is not None and agreed.upstreams[0].confirmed_us == START_US - S
         other = World(settings())
         other.now_us = world.now_us
@@ -340,7 +340,7 @@
         other.tell_list(upstreams(6))
         back = learned(other.balancer)
         assert [one.first_hand for one in back.upstreams] == [False]
-        assert confidence.agreed([confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
+        assert confidence.combined_lessons([confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
 
 
 # Donors
@@ -352,7 +352,7 @@
 
 
 def agreed(*donors: confidence.Donor) -> dict[int, UpstreamLesson]:
-    found = confidence.agreed(donors, START_US, 0)
+    found = confidence.combined_lessons(donors, START_US, 0)
     return {} if found is None else {one.id: one for one in found.upstreams}
 
 
@@ -377,7 +377,7 @@
 
 def test_a_donor_that_has_just_started_teaches_nothing() -> None:
     assert agreed(donor(told(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
-    assert confidence.agreed([], START_US, 0) is None
+    assert confidence.combined_lessons([], START_US, 0) is None
 
 
 def test_age_and_a_lost_list_weigh_a_donor_down() -> None:
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -203,11 +203,11 @@
     liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     taught: dict[str, api.Lessons | None] = {
         "cold": None, "file": own,
-        "donors": confidence.agreed(three, stage.now_us, 0),
+        "donors": confidence.combined_lessons(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
         "all open": lie(stage, lambda i: 1e5),
-        "stale donor": confidence.agreed(early, stage.now_us, 0),
-        "mixed donors": confidence.agreed([*three, liar], stage.now_us, 0),
+        "stale donor": confidence.combined_lessons(early, stage.now_us, 0),
+        "mixed donors": confidence.combined_lessons([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
     for name, lessons in taught.items():
