--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -119,7 +119,7 @@
     confirmed = [(float(donor.lessons.confirmed_us), donor.weight()) for donor in donors]
     return api.Lessons(
         now_us, zone, weighted_median(windows) if windows else 0.0, int(weighted_median(confirmed)),
-        tuple(_agreed_upstream(found) for found in by_process.values()),
+        tuple(_combined_upstream(found) for found in by_process.values()),
         tuple(api.ClassLesson(name, int(weighted_median([(float(c.confirmed_us), w) for c, w in found])),
                               weighted_median([(c.mean_us, w) for c, w in found]),
                               weighted_median([(c.base_us, w) for c, w in found]))
@@ -127,7 +127,7 @@
         tuple((name, weighted_median(found)) for name, found in tenants.items()))
 
 
-def _agreed_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
+def _combined_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
     least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
     slots = weighted_median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
     # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
