--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -459,7 +459,7 @@
         if self.is_bound(request):
             return self.pick_in_group(request, tried)
         for server in tried:
-            self.places.put(server.place, 0.0, 0.0)
+            self.places.set(server.place, 0.0, 0.0)
         self.changed.update(tried)
         return self.pick()
 
@@ -529,7 +529,7 @@
                 room = 0.0  # beside those that it would draw among else; its pace alone says how much
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * server.size
-        self.places.put(server.place, weight, room)
+        self.places.set(server.place, weight, room)
         if is_cold and weight > 0.0:
             self.warming[server] = None
         else:
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -11,7 +11,7 @@
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
         self.rooms = [0.0] * (2 * self.leaves)
 
-    def put(self, place: int, weight: float, room: float) -> None:
+    def set(self, place: int, weight: float, room: float) -> None:
         node, weights, rooms = place + self.leaves, self.weights, self.rooms
         if weights[node] == weight and rooms[node] == room:
             return
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -187,7 +187,7 @@
     places, plain = Places(41), [(0.0, 0.0)] * 41
     for place, weight, room in puts:
         plain[place] = (weight, room if weight else 0.0)
-        places.put(place, *plain[place])
+        places.set(place, *plain[place])
     total = room = 0.0
     for weight, more in plain:
         total, room = total + weight, room + more
@@ -205,7 +205,7 @@
     for last in range(8):
         places = Places(8)
         for place in range(last + 1):
-            places.put(place, 0.1 + place / 7, 1.0)
+            places.set(place, 0.1 + place / 7, 1.0)
         total = places.weight_of_first(100.0)
         for point in (total, total * (1 + 1e-15), total * (1 - 1e-16)):
             assert places.at(point) == last  # and not behind it, where nothing is free
@@ -215,10 +215,10 @@
     for count in (0, 1, 5):
         places = Places(count)
         assert places.weight_of_first(3.0) == 0.0
-    places.put(4, 0.3, 0.1)
-    places.put(2, 0.1, 0.1)
-    places.put(4, 0.0, 0.0)
-    places.put(2, 0.0, 0.0)
+    places.set(4, 0.3, 0.1)
+    places.set(2, 0.1, 0.1)
+    places.set(4, 0.0, 0.0)
+    places.set(2, 0.0, 0.0)
     assert places.weight_of_first(3.0) == 0.0  # exactly: a rest of rounding would draw what is not free
 
 
