--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -464,7 +464,7 @@
         return self.pick()
 
     def pick(self) -> Server | None:
-        weight = self.places.weight_of_first(self.subset)
+        weight = self.places.prefix_weight(self.subset)
         return self.order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_paced(self, request: Request) -> Server | None:
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -23,7 +23,7 @@
             rooms[node] = rooms[left] + rooms[left + 1]
             node >>= 1
 
-    def weight_of_first(self, room: float) -> float:
+    def prefix_weight(self, room: float) -> float:
         """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
         node, weights, rooms, before = 1, self.weights, self.rooms, 0.0
         if rooms[1] < room:
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -193,7 +193,7 @@
         total, room = total + weight, room + more
         if room >= enough:
             break
-    assert places.weight_of_first(enough) == pytest.approx(total)
+    assert places.prefix_weight(enough) == pytest.approx(total)
     if total > 0.0:
         point = share * total
         found = places.at(point)
@@ -206,7 +206,7 @@
         places = Places(8)
         for place in range(last + 1):
             places.set(place, 0.1 + place / 7, 1.0)
-        total = places.weight_of_first(100.0)
+        total = places.prefix_weight(100.0)
         for point in (total, total * (1 + 1e-15), total * (1 - 1e-16)):
             assert places.at(point) == last  # and not behind it, where nothing is free
 
@@ -214,12 +214,12 @@
 def test_an_empty_tree_weighs_nothing() -> None:
     for count in (0, 1, 5):
         places = Places(count)
-        assert places.weight_of_first(3.0) == 0.0
+        assert places.prefix_weight(3.0) == 0.0
     places.set(4, 0.3, 0.1)
     places.set(2, 0.1, 0.1)
     places.set(4, 0.0, 0.0)
     places.set(2, 0.0, 0.0)
-    assert places.weight_of_first(3.0) == 0.0  # exactly: a rest of rounding would draw what is not free
+    assert places.prefix_weight(3.0) == 0.0  # exactly: a rest of rounding would draw what is not free
 
 
 def test_shares_of_tenants_fade_as_if_each_arrival_faded_all() -> None:
