--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -465,7 +465,7 @@
 
     def pick(self) -> Server | None:
         weight = self.places.prefix_weight(self.subset)
-        return self.order[self.places.at(self.random.random() * weight)] if weight > 0.0 else None
+        return self.order[self.places.find(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_paced(self, request: Request) -> Server | None:
         """Hazard: a window that answers of crowded upstreams have narrowed would keep cold ones idle; what
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -36,7 +36,7 @@
                 node += 1
         return before + weights[node]
 
-    def at(self, weight: float) -> int:
+    def find(self, weight: float) -> int:
         """The leaf at which the cumulative weight exceeds `weight`."""
         node, weights = 1, self.weights
         while node < self.leaves:
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -196,7 +196,7 @@
     assert places.prefix_weight(enough) == pytest.approx(total)
     if total > 0.0:
         point = share * total
-        found = places.at(point)
+        found = places.find(point)
         before = sum(weight for weight, _ in plain[:found])
         assert plain[found][0] > 0.0 and before - 1e-9 <= point <= before + plain[found][0] + 1e-9
 
@@ -208,7 +208,7 @@
             places.set(place, 0.1 + place / 7, 1.0)
         total = places.prefix_weight(100.0)
         for point in (total, total * (1 + 1e-15), total * (1 - 1e-16)):
-            assert places.at(point) == last  # and not behind it, where nothing is free
+            assert places.find(point) == last  # and not behind it, where nothing is free
 
 
 def test_an_empty_tree_weighs_nothing() -> None:
