--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -12,7 +12,7 @@
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, FailureShare, OutstandingAverage, LatencyAverage, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
-from ironscale.sum_tree import Places
+from ironscale.sum_tree import SumTree
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
 RETRIES_KEPT = 5.0  # and so many saved up at most
@@ -156,7 +156,7 @@
         self.early = 0  # the first of them, which are cold and which one of many warms
         self.able = 0.0  # what they can do, in warm ones of mean size
         self.rank_us = 0  # when one that is cold will be warm, and goes by its usual place; 0 = none will
-        self.places = Places(0)  # those of `order` that are free, as far as they have been looked at
+        self.places = SumTree(0)  # those of `order` that are free, as far as they have been looked at
         self.changed: dict[Server, None] = {}  # to be looked at before the next draw
         self.warming: dict[Server, None] = {}  # cold and free: their weight changes by itself
         self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
@@ -742,7 +742,7 @@
         self.early = len(early)
         self.rank_us = min((self.warm_at_us(server) + 3 for server in early), default=0)
         self.order = [*early, *(server for server in ready[start:] + ready[:start] if server not in early)]
-        self.places, self.opening, self.shut, self.warming = Places(len(ready)), [], [], {}
+        self.places, self.opening, self.shut, self.warming = SumTree(len(ready)), [], [], {}
         self.changed = dict.fromkeys(self.order)
         for place, server in enumerate(self.order):
             server.place, server.look_us, server.shut_us = place, 0, 0
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -5,7 +5,7 @@
 """
 
 
-class Places:
+class SumTree:
     def __init__(self, count: int) -> None:
         self.leaves = 1 << max(0, count - 1).bit_length()
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -12,7 +12,7 @@
 from ironscale import interface as api
 from ironscale.balance import FULL_LOAD, Balancer, Request, Server
 from ironscale.introspection import learned
-from ironscale.sum_tree import Places
+from ironscale.sum_tree import SumTree
 
 S = 1_000_000
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
@@ -184,7 +184,7 @@
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
 def test_the_tree_finds_what_a_walk_finds(puts: list[tuple[int, float, float]], enough: float, share: float) -> None:
-    places, plain = Places(41), [(0.0, 0.0)] * 41
+    places, plain = SumTree(41), [(0.0, 0.0)] * 41
     for place, weight, room in puts:
         plain[place] = (weight, room if weight else 0.0)
         places.set(place, *plain[place])
@@ -203,7 +203,7 @@
 
 def test_rounding_never_leads_to_a_place_that_weighs_nothing() -> None:
     for last in range(8):
-        places = Places(8)
+        places = SumTree(8)
         for place in range(last + 1):
             places.set(place, 0.1 + place / 7, 1.0)
         total = places.prefix_weight(100.0)
@@ -213,7 +213,7 @@
 
 def test_an_empty_tree_weighs_nothing() -> None:
     for count in (0, 1, 5):
-        places = Places(count)
+        places = SumTree(count)
         assert places.prefix_weight(3.0) == 0.0
     places.set(4, 0.3, 0.1)
     places.set(2, 0.1, 0.1)
