--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -9,7 +9,7 @@
 from ironscale import interface as api
 
 RATE_TIME_CONSTANT_US = 5_000_000  # time constant of the moving average
-OUTSTANDING_TIME_CONSTANT_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
+LOAD_TAU_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
 MAX_WEIGHT_FACTOR = 8.0
@@ -78,7 +78,7 @@
         self.mean, self.out, self.moved_us = 0.0, 0, now_us
 
     def average_at(self, now_us: int) -> float:
-        return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / OUTSTANDING_TIME_CONSTANT_US)
+        return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / LOAD_TAU_US)
 
     def change(self, now_us: int, step: int) -> None:
         self.mean, self.moved_us = self.average_at(now_us), now_us
@@ -88,7 +88,7 @@
         """When the average falls below `limit` if no attempt starts or ends; 0 = never, or it is below."""
         if self.mean < limit or self.out >= limit:
             return 0
-        return self.moved_us + int(OUTSTANDING_TIME_CONSTANT_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
+        return self.moved_us + int(LOAD_TAU_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
 
 
 class LatencyAverage:
