--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -8,7 +8,7 @@
 
 from ironscale import interface as api
 
-RATE_TIME_CONSTANT_US = 5_000_000  # time constant of the moving average
+RATE_TAU_US = 5_000_000  # time constant of the moving average
 LOAD_TAU_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
@@ -54,8 +54,8 @@
         self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
     def record_send(self, now_us: int) -> None:
-        faded = math.exp((self.counted_us - now_us) / RATE_TIME_CONSTANT_US)
-        self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TIME_CONSTANT_US, now_us
+        faded = math.exp((self.counted_us - now_us) / RATE_TAU_US)
+        self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TAU_US, now_us
 
     def share(self) -> float:
         """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
