--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -136,7 +136,7 @@
 
     def recall(self, lesson: api.ClassLesson, share: float) -> None:
         # hazard: longer than without it, cold upstreams would warm up more slowly and requests be late sooner
-        self.mean_us = confidence.interpolate(self.first_us, min(lesson.mean_us, self.first_us), share)
+        self.mean_us = confidence.blend(self.first_us, min(lesson.mean_us, self.first_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
         self.seen, self.doubt, self.confirmed_us = True, 1 / 2, lesson.confirmed_us
 
@@ -823,7 +823,7 @@
             # hazard: a shut one is self-fulfilling, an open one a burst: the usual to twice that
             share = confidence.decay(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALF_LIFE_US)
             usual = self.usual_slots(count)
-            self.window.slots = confidence.interpolate(usual, min(max(lessons.slots, usual), 2 * usual), share)
+            self.window.slots = confidence.blend(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
     def believe(self, server: Server, whole: api.UpstreamLesson, lesson: api.UpstreamLesson) -> None:
         """Until a try of our own. Hazard: by mere word it gets no more than the one slot of a new one, and is
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -30,7 +30,7 @@
     return left if left >= MIN_CONFIDENCE else 0.0
 
 
-def interpolate(usual: float, told: float, trust: float) -> float:
+def blend(usual: float, told: float, trust: float) -> float:
     """Geometric interpolation from `usual` (trust 0) to `told` (1), as they vary by ratios; both above 0."""
     found: float = usual * (told / usual) ** trust
     return found
@@ -43,7 +43,7 @@
         return None
     silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
     halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
-    slots = effective_slots(lesson) if silent else interpolate(1.0, lesson.slots, decay(age_us, halves_us))
+    slots = effective_slots(lesson) if silent else blend(1.0, lesson.slots, decay(age_us, halves_us))
     return replace(lesson, slots=slots, mute=lesson.mute if silent else 1,
                    failing=lesson.failing and decay(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
 
