--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -71,7 +71,7 @@
         return 0.0 if self.uptime_us < MIN_DONOR_UPTIME_US else 0.5 if self.cut_off else 1.0
 
 
-def weighted_median(values: Sequence[tuple[float, float]]) -> float:
+def median(values: Sequence[tuple[float, float]]) -> float:
     """Weighted median of (value, weight) pairs: one of three equal ones can't move it beyond the others."""
     half, passed = sum(weight for _, weight in values) / 2, 0.0
     ordered = sorted(values)
@@ -118,18 +118,18 @@
         return None
     confirmed = [(float(donor.lessons.confirmed_us), donor.weight()) for donor in donors]
     return api.Lessons(
-        now_us, zone, weighted_median(windows) if windows else 0.0, int(weighted_median(confirmed)),
+        now_us, zone, median(windows) if windows else 0.0, int(median(confirmed)),
         tuple(_combined_upstream(found) for found in by_process.values()),
-        tuple(api.ClassLesson(name, int(weighted_median([(float(c.confirmed_us), w) for c, w in found])),
-                              weighted_median([(c.mean_us, w) for c, w in found]),
-                              weighted_median([(c.base_us, w) for c, w in found]))
+        tuple(api.ClassLesson(name, int(median([(float(c.confirmed_us), w) for c, w in found])),
+                              median([(c.mean_us, w) for c, w in found]),
+                              median([(c.base_us, w) for c, w in found]))
               for name, found in by_class.items()),
-        tuple((name, weighted_median(found)) for name, found in tenants.items()))
+        tuple((name, median(found)) for name, found in tenants.items()))
 
 
 def _combined_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
     least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
-    slots = weighted_median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
+    slots = median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
     # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if effective_slots(lesson) == slots)
-    return replace(lesson, least_us=int(weighted_median(least)) if least else 0, next_cold_us=0, first_hand=False)
+    return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -37,7 +37,7 @@
     """At which ages kept connections fail, by the donors' median."""
     weighed = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
     count = min((len(ages) for ages, _ in weighed), default=0)
-    return [confidence.weighted_median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
+    return [confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
 
 
 class Teacher:
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -396,7 +396,7 @@
 def test_the_median_lies_between_the_others_where_one_has_less_than_half(
         values: list[tuple[float, float]], lie: float) -> None:
     whole = sum(weight for _, weight in values)
-    found = confidence.weighted_median([*values, (lie, 0.99 * whole)])
+    found = confidence.median([*values, (lie, 0.99 * whole)])
     assert min(value for value, _ in values) <= found <= max(value for value, _ in values)
 
 
