--- a/bench/learned.py
+++ b/bench/learned.py
@@ -85,7 +85,7 @@
     stage = Stage(seed, sides=4, nodes=9, rate_per_s=20.0 if replaced else 70.0, faults=FAULTS[fault])
     stage.run(3 * S + 500_000 if fault != "over while it was down" else 10 * S)
     # from before the upstreams fell ill or recovered, as donors that had run for long
-    early = [replace(donor(stage, i), up_us=30 * S) for i in (1, 2, 3)]
+    early = [replace(donor(stage, i), uptime_us=30 * S) for i in (1, 2, 3)]
     stage.run(STOP_US)
     own = learned(stage.sides[0].balancer)
     starts: dict[str, Stage] = {}
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 
 from ironscale import confidence
+from ironscale import fleet_estimates as fleet
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, FailureShare, OutstandingAverage, LatencyAverage, TrafficShare, turn_position, turn_lifetime_us, is_warming_sidecar
 from ironscale.sum_tree import SumTree
 
 RETRY_SHARE = 0.2  # the retry budget: reissues and copies for each request that arrives
@@ -76,7 +76,7 @@
         self.used = 0  # slots taken by this sidecar's sends
         self.window = Window(f"upstream {entry.id}", 1.0)  # one slot, as in the paper
         self.busy = 1.0  # as it last reported; not known counts as busy
-        self.faults = FailureShare()
+        self.faults = fleet.FailureShare()
         self.favour = 1.0  # as last looked at
         self.failing = False  # its last answer was a fault
         self.least_us = 0  # the quickest of its answers: how far it is; 0 = none yet
@@ -151,7 +151,7 @@
         self.latency = [Latency(c.aim_us) for c in settings.classes]
         self.window = Window("this sidecar", 1.0)  # for all sends of this sidecar together
         self.least = 1.0  # hazard: after an outage all would rest for long
-        self.load = OutstandingAverage(now_us)  # those that count for it
+        self.load = fleet.OutstandingAverage(now_us)  # those that count for it
         self.order: list[Server] = []  # ready upstreams, from this sidecar's own starting point on
         self.early = 0  # the first of them, which are cold and which one of many warms
         self.able = 0.0  # what they can do, in warm ones of mean size
@@ -161,10 +161,11 @@
         self.warming: dict[Server, None] = {}  # cold and free: their weight changes by itself
         self.opening: list[tuple[int, int, Server]] = []  # when to look again, by time; a heap
         self.shut: list[tuple[int, int, Server]] = []  # until when a slot is shut by time alone; a heap
-        self.traffic = TrafficShare(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
-        self.slowness = LatencyAverage()  # of all answers
-        self.kinds: dict[int, LatencyAverage] = {}
-        self.zones: dict[int, FailureShare] = {}
+        self.traffic = fleet.TrafficShare(
+            sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
+        self.slowness = fleet.LatencyAverage()  # of all answers
+        self.kinds: dict[int, fleet.LatencyAverage] = {}
+        self.zones: dict[int, fleet.FailureShare] = {}
         self.home = -1  # a zone, if what is not idle there counts less
         self.subset = self.least_subset = SUBSET
         self.retry_tokens = RETRIES_KEPT
@@ -341,7 +342,8 @@
         if outcome is not None and outcome not in SHOWS_NOTHING:
             is_fault = outcome is not api.Outcome.OK
             # hazard: each of a lost zone's upstreams would be found out anew, at the price of a request each
-            if self.zones.setdefault(server.entry.zone, FailureShare()).record(self.now_us, is_fault, 1 / 8):
+            if self.zones.setdefault(server.entry.zone, fleet.FailureShare()).record(
+                    self.now_us, is_fault, 1 / 8):
                 alike = (other for other in self.order if other.entry.zone == server.entry.zone)
                 self.changed.update(dict.fromkeys(alike))
             # hazard: met every few seconds, an upstream that fails at random would never be found out
@@ -377,7 +379,7 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= need):
                 self.window.move(GROWTH / 2 * step, self.least, need)
             attempt.slowness = slowness
-            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, LatencyAverage())):
+            for shared in (self.slowness, self.kinds.setdefault(server.entry.kind, fleet.LatencyAverage())):
                 shared.add(slowness)
         # hazard: beside answers of seconds, short rests leave a choked upstream crowded
         busy_us = min(max(elapsed_us, latency.mean_us), attempt.slow_us)
@@ -436,7 +438,7 @@
         # hazard: what a small upstream does is two thirds of the mean, by which the work is taken
         part = (traffic.share_of_cold_sends() if self.is_one_of_many else
                 traffic.share() * max(1.0, s.overload_factor / 2))
-        server.turn_us = turn_lifetime_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
+        server.turn_us = fleet.turn_lifetime_us(s, warmth * s.fall_us / work_us, self.is_one_of_many)
         # hazard: at the first pace it would be warm before the next one comes
         growth = (1.0 - s.cold_share) / s.warm_up_us
         return int((math.sqrt(warmth**2 + 2.0 * growth * share * work_us / part) - warmth) / growth)
@@ -536,7 +538,7 @@
             self.warming.pop(server, None)
         again_us = window.rest_until_us if window.slots < 1.0 and window.rest_until_us > now_us else 0
         if server.favour < FAR / 2 and not again_us:  # hazard: what is never drawn is never thought better of
-            again_us = now_us + FAILURE_HALF_LIFE_US // 8
+            again_us = now_us + fleet.FAILURE_HALF_LIFE_US // 8
         if is_cold and server.next_cold_us > now_us:
             cold_us = min(server.next_cold_us, max(now_us + 1, self.warm_at_us(server)))
             again_us = min(again_us, cold_us) if again_us else cold_us
@@ -707,7 +709,7 @@
             # all sidecars hear of a start within moments: their first sends must not come as one burst
             if server.warms:
                 work_us, s = min(latency.careful_us() for latency in self.latency), self.settings
-                share = turn_position(server.entry.id, s.self_index, s.instances, self.random.random())
+                share = fleet.turn_position(server.entry.id, s.self_index, s.instances, self.random.random())
                 server.next_cold_us = self.now_us + self.cold_gap_us(server, work_us, share)
         self.apply_lessons()
 
@@ -735,7 +737,7 @@
         early: dict[Server, None] = {}
         if self.is_one_of_many:
             for server in ready:
-                server.warms = is_warming_sidecar(server.entry.id, self.settings.self_index, count)
+                server.warms = fleet.is_warming_sidecar(server.entry.id, self.settings.self_index, count)
                 if not server.warms and self.warmth(server) < 1.0:
                     server.next_cold_us = self.warm_at_us(server)
             early = dict.fromkeys(s for s in ready if s.warms and self.warmth(s) < 1.0)
--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -10,7 +10,7 @@
 from ironscale import interface as api
 
 OPEN_HALF_LIFE_US = 60_000_000  # open windows: load shifts within minutes, and the first attempts show it
-CLOSED_HALF_LIFE_US = 10_000_000  # closed windows: a stale one would prevent the attempts that show a recovery
+CLOSED_HALF_LIFE_US = 10_000_000  # closed ones: if stale, they prevent the attempts that show a recovery
 LATENCY_HALF_LIFE_US = 60_000_000
 SIDECAR_HALF_LIFE_US = 30_000_000
 SILENCE_LIFETIME_US = 600_000_000  # silence does not decay: one answered attempt ends it
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -1,15 +1,14 @@
 """Estimates that one sidecar of many makes: its share of traffic, latency by kind, failures by zone. Pure.
 
-With 40 sidecars each one rarely uses any given upstream. So upstreams of a kind or zone share observations,
-and the sidecar's send rate, relative to the tenants' allowances, estimates its share of the total load.
+With 40 sidecars each one rarely uses any given upstream. So upstreams of a kind or zone share observations.
 """
 
 import math
 
 from ironscale import interface as api
 
-RATE_TAU_US = 5_000_000  # time constant of the moving average
-LOAD_TAU_US = 1_000_000  # likewise; the time of several answers, yet shorter than changes of the load
+RATE_TAU_US = 5_000_000  # time constant of the moving average of the send rate
+LOAD_TAU_US = 1_000_000  # of outstanding attempts: several answer times, yet shorter than load changes
 FAILURE_HALF_LIFE_US = 5_000_000  # without decay an upstream that is no longer tried would be avoided forever
 MIN_ANSWERS = 8  # with fewer answers the latency of a kind is not judged
 MAX_WEIGHT_FACTOR = 8.0
@@ -44,7 +43,7 @@
 
 
 class TrafficShare:
-    """Estimates which share of the fleet's sends is this sidecar's, from its own send rate."""
+    """This sidecar's share of the fleet's sends, estimated from its send rate and the tenants' allowances."""
 
     def __init__(self, allowed_per_s: float, instances: int, now_us: int) -> None:
         self.configure(allowed_per_s, instances)
@@ -71,11 +70,10 @@
 
 
 class OutstandingAverage:
-    """Number of outstanding attempts as an exponential moving average. Upstreams see the sum over many
-    sidecars: a burst of one falls between bursts of others, so that only the means add up."""
+    """Moving average of outstanding attempts. Bursts of many sidecars alternate: only their means add up."""
 
     def __init__(self, now_us: int) -> None:
-        self.mean, self.out, self.moved_us = 0.0, 0, now_us
+        self.mean, self.out, self.moved_us = 0.0, 0, now_us  # `out`: outstanding now
 
     def average_at(self, now_us: int) -> float:
         return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / LOAD_TAU_US)
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -192,7 +192,7 @@
     stage = Stage(seed, sides=3, nodes=9, rate_per_s=90.0, faults=FAULTS[fault])
     stage.run(4 * S + 500_000)
     # as they were before they had seen much of the fault, and as if they had run for long
-    early = [replace(one, up_us=60 * S) for one in donors(stage)]
+    early = [replace(one, uptime_us=60 * S) for one in donors(stage)]
     stage.run(STOP_US)
     own = learned(stage.sides[0].balancer)
     warm = stage.copy()
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -10,7 +10,14 @@
 import pytest
 
 from ironscale.balance import Balancer, Server
-from ironscale.fleet_estimates import FAILURE_HALF_LIFE_US, WARMING_SIDECARS, FailureShare, LatencyAverage, TrafficShare, is_warming_sidecar
+from ironscale.fleet_estimates import (
+    FAILURE_HALF_LIFE_US,
+    WARMING_SIDECARS,
+    FailureShare,
+    LatencyAverage,
+    TrafficShare,
+    is_warming_sidecar,
+)
 from ironscale.interface import (
     Action,
     Event,
