--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,8 +1,8 @@
-"""A whole fleet of balancers before cold upstreams, in virtual time and without sockets: what all send together.
+"""Simulates a whole fleet of balancers and cold upstreams, in virtual time and without sockets.
 
-Nothing of the pacing is modelled here: each sidecar is a real `Balancer` with its own list, told at its own time. An
-upstream takes the work in turn at what its settings surely give it; each send to a cold one is held against
-rule 4 as the contract words it, at the instant in which it arrives.
+The pacing itself is not modelled: each sidecar is a real `Balancer` with its own upstream list, which it receives at
+its own time. An upstream processes work in order, at the speed that the settings guarantee. Each send to a cold
+upstream is checked against rule 4, as the contract words it, at the moment when it arrives.
 """
 
 from __future__ import annotations
@@ -36,30 +36,30 @@
 START_US = 1_000_000_000
 SECOND_US = 1_000_000
 SIZES = (1, 5, 19, 20, 21, 30, 200)
-KINDS = (1.76, 0.66, 0.95)  # of the mean of all upstreams, as the site's machines are
+KINDS = (1.76, 0.66, 0.95)  # machine types of the site: their capacity relative to the mean of all upstreams
 
 
 @dataclass(frozen=True)
 class Case:
-    """One drawn play; rates are of the whole fleet, a second."""
+    """One randomly generated simulation; rates are requests per second of the whole fleet."""
 
     seed: int
     instances: int
     settings: Settings
     seconds: float
-    sizes: list[float]  # of each upstream, requests of mean work a second when warm
-    cold: int  # so many of them start anew
-    shares: list[float]  # of the traffic, for each sidecar
-    load: float  # of what all warm ones can do
-    waves: list[tuple[float, float]]  # from so many seconds on, times the load
-    work: list[tuple[float, float]]  # for each class: share of the requests, mean work
-    told_s: list[float]  # for each sidecar, after a change
-    again_s: float  # the cold ones crash then and begin anew; 0 = they don't
-    down_s: float  # for so long
-    known: bool  # they were listed before, and their end is told as late as their start
-    restarts: list[tuple[float, int]]  # when, which sidecar
-    away: int  # upstreams that leave the list as the cold ones come
-    chance: float
+    sizes: list[float]  # capacity of each upstream when warm, in requests of mean work per second
+    cold: int  # how many of them restart
+    shares: list[float]  # of the traffic, by sidecar
+    load: float  # relative to the capacity of all upstreams when warm
+    waves: list[tuple[float, float]]  # start in seconds, and factor on the load from then on
+    work: list[tuple[float, float]]  # by class: share of the requests, mean work
+    told_s: list[float]  # by sidecar: when it receives the list after a change
+    again_s: float  # when the cold upstreams crash and restart once more; 0 = never
+    down_s: float  # time from that crash to the restart
+    known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
+    restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
+    away: int  # how many upstreams leave the list when the cold ones join it
+    chance: float  # variation of work within a class: standard deviation / mean
 
 
 def classes() -> list[RequestClass]:
@@ -70,8 +70,8 @@
 
 
 def drawn(seed: int, instances: int, chance: float = 0.0) -> Case:
-    """The site's settings, or on odd seeds anything that the pages allow. `chance` is how far requests of one class
-    differ: the standard deviation, in shares of their mean."""
+    """Draws a case: on even seeds with the site's settings, on odd seeds with any that the documentation allows.
+    `chance` is the variation of work within one request class: standard deviation / mean."""
     rng = random.Random(f"{seed}/{instances}")
     at_site = seed % 2 == 0
     cold_share, warm_s, factor, fall_s, quota = (
@@ -108,16 +108,16 @@
 
 @dataclass
 class Machine:
-    """One upstream: two cores that take the work in turn, a bounded queue, and the count of rule 4."""
+    """One upstream: two cores that process work in order, a bounded queue, and the accounting for rule 4."""
 
     entry: Upstream
     size: float
     cores: list[int] = field(default_factory=lambda: [0, 0])
-    queued: list[int] = field(default_factory=list)  # when each one in it is done
+    queued: list[int] = field(default_factory=list)  # when each request in the queue completes
     up: bool = True
     window: deque[tuple[int, float, bool]] = field(default_factory=deque)
-    got: float = 0.0  # while cold
-    worst: float = 0.0  # of what it bears, in any window
+    got: float = 0.0  # work received while cold
+    worst: float = 0.0  # highest load of any window, relative to what it tolerates
     fell_us: int = 0
 
 
@@ -126,17 +126,17 @@
     number: int
     balancer: Balancer
     life: int = 0
-    told: dict[int, int] = field(default_factory=dict)  # upstream: start that it was told of
+    told: dict[int, int] = field(default_factory=dict)  # by upstream: start time as it was listed
 
 
 @dataclass(frozen=True)
 class Verdict:
-    falls: int  # of which over two thirds came from sidecars that had been told
-    worst: float  # the most of any window, of what is borne in it
-    told_worst: float  # the same, of what those that had been told sent alone
-    used: float  # of what the cold ones could do, in all; they may be sent `overload_factor` times that
-    served: float  # of all requests, in time for their client
-    cold: int  # cold starts
+    falls: int  # overloads of a cold upstream, of which over two thirds came from sidecars that knew of its start
+    worst: float  # highest load of any window, relative to what is tolerated in it
+    told_worst: float  # the same, counting only the sends of sidecars that knew of the start
+    used: float  # work sent to cold upstreams / their capacity; up to `overload_factor` is allowed
+    served: float  # share of all requests that were answered in time
+    cold: int  # number of cold starts
 
 
 class Fleet:
@@ -148,7 +148,7 @@
                          cell=i % 4) for i, size in enumerate(case.sizes)]
         self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
         self.sidecars = [self.started(number) for number in range(case.instances)]
-        self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, due
+        self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
         self.served = self.asked = self.falls = self.starts = 0
@@ -168,7 +168,7 @@
             machine.up = False
         for sidecar in self.sidecars:
             self.on_list(sidecar.number)
-        calm_us = 2 * SECOND_US  # each sidecar has sent something by then
+        calm_us = 2 * SECOND_US  # by then each sidecar has sent requests
         self.draw_arrivals(calm_us)
         changed_us = START_US + calm_us
         self.at(changed_us, "start")
@@ -198,7 +198,7 @@
             if at_s < nxt:
                 self.at(START_US + int(at_s * SECOND_US), "arrival", rng.choices(numbers, case.shares)[0])
 
-    # What happens
+    # Handlers of simulated events, found by name
 
     def on_start(self) -> None:
         cold = list(self.machines.values())[:self.case.cold]
@@ -315,8 +315,9 @@
                 self.now_us)
 
     def count_cold(self, sidecar: Sidecar, machine: Machine, work: float) -> None:
-        """Rule 4 at this instant, for all the work that has come within the rule's time. N goes by what the upstream
-        could do at the beginning of that time, the least of it; a fall counts where those told sent two thirds."""
+        """Checks rule 4 now, for all work that has arrived within the last `fall_us`. N is computed from the upstream's
+        capacity at the start of that window, its lowest there. An overload counts as a violation if over two thirds
+        of the work came from sidecars that knew of the upstream's start."""
         s, window = self.case.settings, machine.window
         is_told = sidecar.told.get(machine.entry.id) == machine.entry.started_us
         window.append((self.now_us, work, is_told))
@@ -334,7 +335,7 @@
             self.worst = max(self.worst, sent / borne)
 
     def close_account(self, machine: Machine) -> None:
-        """What it could do, and what it got, since its start."""
+        """Adds the upstream's capacity and the work that it received since its start to the totals."""
         if machine.entry.started_us and machine.up:
             s, since_us = self.case.settings, machine.entry.started_us
             until_us = min(machine.fell_us or self.now_us, since_us + s.warm_up_us)
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -1,4 +1,4 @@
-"""What is made of what was told: pure, on the decisions alone."""
+"""How the decisions use recalled and taught lessons; without I/O."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def answer(world: World, request: int, outcome: Outcome = Outcome.OK, after_us: int = 20_000) -> int:
-    """Ends the request's one attempt; gives its upstream."""
+    """Ends the last attempt of the request and returns its upstream."""
     world.advance(after_us)
     upstream = world.sends(request)[-1].upstream
     world.end(request, len(world.owed[request].tries) - 1, outcome)
@@ -59,7 +59,7 @@
 
 
 def send_to(world: World, ident: int) -> int:
-    """A request whose first attempt is at `ident`; the others are answered at once."""
+    """Sends requests until one goes to `ident`, which is returned; the others are answered at once."""
     for _ in range(200):
         request = world.arrive()
         sent = world.sends(request)
@@ -70,10 +70,10 @@
     raise AssertionError(f"nothing was sent to {ident}")
 
 
-# Fading
+# Decay
 
 
-def test_what_fades_and_which_way() -> None:
+def test_slots_of_a_lesson_decay_towards_1() -> None:
     now_us = START_US
     for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.CLOSED_HALF_LIFE_US)):
         found = [confidence.decayed_lesson(told(1, kind, age_us), now_us)
@@ -81,18 +81,18 @@
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
         assert sorted(values, reverse=kind > 1) == values
-    assert confidence.CLOSED_HALF_LIFE_US < confidence.OPEN_HALF_LIFE_US  # stale, a shut one does the greater harm
+    assert confidence.CLOSED_HALF_LIFE_US < confidence.OPEN_HALF_LIFE_US  # a stale closed window does more harm
 
 
-def test_silence_does_not_fade_while_it_lasts_and_then_is_nothing() -> None:
+def test_silence_does_not_decay_until_its_lifetime_ends() -> None:
     found = confidence.decayed_lesson(told(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
     assert found is not None and found.slots == 1 / 64 and found.mute == 5
     late = confidence.decayed_lesson(told(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
     assert late is not None and late.slots == 1.0 and late.mute == 1
 
 
-def test_one_that_answers_nothing_is_distrusted_though_its_window_is_open() -> None:
-    """Its slot is held so long that few tries come to close the window."""
+def test_a_silent_upstream_counts_as_closed_though_its_window_is_open() -> None:
+    """Each attempt occupies its slot so long that few attempts are made, which hardly close the window."""
     world = taught(told(100, 1.4, mute=2), told(101, 1.4))
     assert slots(world)[100] == confidence.MIN_SLOTS and slots(world)[101] == 1.0
     assert confidence.is_closed(told(100, 1.4, mute=2)) and not confidence.is_closed(told(100, 1.4))
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
-def test_last_weeks_or_the_futures_is_nothing(age_us: int) -> None:
+def test_a_lesson_that_is_too_old_or_from_the_future_has_no_effect(age_us: int) -> None:
     assert confidence.decayed_lesson(told(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
     assert confidence.decay(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
     cold, world = World(settings(second_copies=False)), taught(
@@ -112,23 +112,23 @@
     assert [x.mean_us for x in world.balancer.latency] == [x.mean_us for x in cold.balancer.latency]
 
 
-# One upstream
+# Lessons about one upstream
 
 
-def test_an_open_one_is_open_after_one_answer_of_its_own_and_not_before() -> None:
+def test_a_lesson_of_an_open_window_applies_after_one_answer_and_not_before() -> None:
     world = taught(told(100, 6.0))
     assert slots(world)[100] == 1.0
     answer(world, send_to(world, 100))
     assert 4.0 < slots(world)[100] <= 6.5
 
 
-def test_an_open_one_that_does_not_answer_gets_no_more_than_a_new_one() -> None:
+def test_a_lesson_of_an_open_window_is_dropped_if_the_upstream_does_not_answer() -> None:
     world = taught(told(100, 50.0))
     answer(world, send_to(world, 100), Outcome.CONNECT_FAILED)
     assert slots(world)[100] <= 1.0
 
 
-def test_a_distrusted_one_is_cleared_by_a_single_try() -> None:
+def test_a_lesson_of_a_closed_window_is_dropped_after_one_answer() -> None:
     world = taught(told(100, 1 / 64, mute=6, failing=True))
     assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MAX_MUTE
     answer(world, send_to(world, 100))
@@ -137,43 +137,43 @@
     assert server.mute == 1 and not server.failing and server.lesson is None
 
 
-def test_a_distrusted_one_is_drawn_rarely_and_still_before_a_refusal() -> None:
+def test_a_closed_upstream_is_chosen_rarely_but_rather_than_refusing_a_request() -> None:
     first = 0
     for seed in range(300):
         world = World(settings(second_copies=False, instances=1), seed)
         world.balancer.recall(START_US, lessons(told(100, 1 / 64, mute=4), told(101, 1.0)))
         world.tell_list(upstreams(2))
         sent = [world.sends(world.arrive())[-1].upstream for _ in range(2)]
-        assert sorted(sent) == [100, 101]  # the second is not refused: the distrusted one has a slot
+        assert sorted(sent) == [100, 101]  # the second is not refused: the closed upstream still has a slot
         first += sent[0] == 100
-    assert first < 300 / 4  # by weight, one in nine
+    assert first < 300 / 4  # by weight it would be one in nine
 
 
-def test_a_failed_try_leaves_it_distrusted() -> None:
+def test_a_failed_attempt_leaves_it_closed() -> None:
     world = taught(told(100, 1 / 64, mute=4))
     answer(world, send_to(world, 100), Outcome.RESET)
     assert slots(world)[100] < confidence.MIN_SLOTS
 
 
-def test_one_that_started_anew_is_new() -> None:
+def test_lessons_do_not_apply_to_a_restarted_upstream() -> None:
     world = taught(told(100, 1 / 64, started_us=5), told(101, 9.0, started_us=5))
     assert slots(world)[100] == slots(world)[101] == 1.0
     assert world.balancer.servers[100].lesson is None
 
 
-def test_what_the_list_does_not_name_is_forgotten() -> None:
+def test_lessons_of_unlisted_upstreams_are_dropped() -> None:
     world = taught(told(999, 9.0))
     world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
     assert world.balancer.servers[999].lesson is None and world.balancer.lessons == []
 
 
-def test_a_list_as_last_known_is_not_the_last_word() -> None:
+def test_lessons_of_upstreams_missing_in_a_cached_list_are_kept() -> None:
     world = taught(told(100, 9.0), told(106, 9.0), count=6, listed=False)
     world.tell_list(upstreams(7))
     assert world.balancer.servers[106].lesson is not None
 
 
-def test_own_evidence_goes_first() -> None:
+def test_own_observations_take_precedence_over_lessons() -> None:
     world = World(settings(second_copies=False))
     world.tell_list(upstreams(6))
     seen = answer(world, world.arrive())
@@ -184,7 +184,7 @@
     assert slots(world)[seen] == before and world.balancer.servers[seen].lesson is None
 
 
-def test_the_fresher_of_two_lessons_counts_whatever_their_order() -> None:
+def test_the_more_recent_of_two_lessons_counts_whatever_their_order() -> None:
     for order in (0, 1):
         world = World(settings())
         both = [lessons(told(100, 5.0, 30 * S), confirmed_us=START_US - 30 * S), lessons(told(100, 0.25, S))]
@@ -194,10 +194,10 @@
         assert slots(world)[100] == pytest.approx(0.25 ** 0.5 ** 0.1)
 
 
-# All of them
+# Lessons about all upstreams
 
 
-def test_more_than_half_shut_is_no_news_of_the_upstreams() -> None:
+def test_lessons_that_close_more_than_half_of_the_upstreams_are_ignored() -> None:
     world = taught(*(told(100 + i, 1 / 64, mute=5) for i in range(4)), told(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
     assert world.balancer.servers[104].lesson is not None
@@ -205,7 +205,7 @@
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
 
-def test_two_teachers_do_not_shut_more_than_half_together() -> None:
+def test_two_donors_do_not_close_more_than_half_together() -> None:
     world = World(settings())
     world.tell_list(upstreams(6))
     world.balancer.recall(START_US, lessons(*(told(100 + i, 1 / 64, mute=5) for i in range(3))))
@@ -213,14 +213,15 @@
     assert sum(value < 1.0 for value in slots(world).values()) == 3
 
 
-def test_the_sidecars_own_window_is_the_usual_to_twice_that() -> None:
+def test_the_recalled_window_of_the_sidecar_is_limited_to_one_to_two_times_the_default() -> None:
     usual = taught().balancer.window.slots
     assert taught(slots=1e6).balancer.window.slots == pytest.approx(2 * usual, rel=0.05)
     assert taught(slots=1e-6).balancer.window.slots == pytest.approx(usual, rel=0.05)
 
 
-def test_a_lie_about_times_does_not_push_a_cold_upstream_over() -> None:
-    """Cold upstreams are paced by what requests usually take: told 1 us, they would get all at once."""
+def test_false_answer_times_do_not_overload_a_cold_upstream() -> None:
+    """Cold upstreams are paced by the usual answer time: if a lesson of 1 us were believed, they would get all requests
+    at once."""
     gaps = []
     for lie in (False, True):
         world = World(settings(second_copies=False), 3)
@@ -242,13 +243,13 @@
     assert all(lied >= honest - 1_000 for honest, lied in zip(*gaps, strict=True)), gaps
 
 
-def test_a_lie_of_endless_times_makes_nothing_slower_than_a_cold_start() -> None:
+def test_excessive_answer_times_have_no_effect_beyond_the_defaults() -> None:
     cold = taught().balancer.latency[0]
     lied = taught(classes=(ClassLesson("read", START_US, 1e12, 1e12),)).balancer.latency[0]
     assert lied.mean_us <= cold.mean_us and lied.careful_us() == cold.careful_us()
 
 
-def test_a_lie_about_times_is_outweighed_by_three_answers() -> None:
+def test_three_answers_outweigh_false_answer_times() -> None:
     world = taught(classes=(ClassLesson("read", START_US, 1.0, 1.0),))
     assert world.balancer.latency[0].mean_us < 2.0
     for _ in range(3):
@@ -256,20 +257,20 @@
     assert world.balancer.latency[0].mean_us > 50_000 and world.balancer.latency[0].base_us > 25_000
 
 
-def test_a_far_upstream_told_to_be_near_is_believed_to_a_quarter() -> None:
+def test_a_false_minimum_latency_is_limited_to_a_quarter_of_the_measured_one() -> None:
     world = taught(told(100, 1.0, least_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
     assert world.balancer.servers[100].least_us >= 20_000
 
 
-def test_pace_towards_a_cold_one_is_kept_over_a_restart() -> None:
+def test_pacing_of_a_cold_upstream_survives_a_restart() -> None:
     entry = upstreams(1, started_us=START_US - S)
     world = World(settings(second_copies=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
     world.tell_list(entry)
     until_us = world.balancer.servers[100].next_cold_us
-    assert START_US + 100_000 < until_us < START_US + 5 * S  # a gap's time, whatever was told
+    assert START_US + 100_000 < until_us < START_US + 5 * S  # one pacing interval, whatever the lesson says
     other = World(settings(second_copies=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
         told(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
@@ -277,27 +278,27 @@
     assert other.balancer.servers[100].next_cold_us < until_us
 
 
-def test_times_learned_of_a_fleet_that_was_replaced_are_not_taken() -> None:
-    """Quick answers of warm ones would shut the sidecar before cold ones, and pace those too fast."""
+def test_answer_times_of_a_replaced_fleet_are_ignored() -> None:
+    """Short answer times of warm upstreams would close the sidecar's window at cold ones, and pace these too fast."""
     kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
         world = taught(*(told(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
         assert world.balancer.latency[0].seen is recalled
         assert (world.balancer.window.slots > 1.5 * taught().balancer.window.slots) is recalled
     world = taught(*(told(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
-    assert not world.balancer.latency[0].seen  # a list as last known may be of the former fleet
+    assert not world.balancer.latency[0].seen  # a cached list may be that of the former fleet
     world.tell_list(upstreams(6))
     assert world.balancer.latency[0].seen
 
 
-def test_distance_told_from_another_zone_is_not_taken() -> None:
+def test_minimum_latency_from_another_zone_is_ignored() -> None:
     for zone, least_us in ((0, 19_000), (1, 20_000)):
         world = taught(told(100, 1.0, least_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
         assert world.balancer.servers[100].least_us == least_us
 
 
-def test_tenants_shares_count_for_a_few_arrivals_only() -> None:
+def test_recalled_tenant_shares_count_as_few_arrivals() -> None:
     config = settings(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
     world = World(config)
     world.balancer.recall(START_US, lessons(tenants=(("a", 0.9), ("b", 0.1), ("unknown", 5.0)), confirmed_us=START_US))
@@ -309,10 +310,10 @@
     assert seen[1] > 4 * seen[0]
 
 
-# Giving
+# Passing lessons on
 
 
-def test_what_was_only_told_is_told_on_as_it_was() -> None:
+def test_second_hand_lessons_are_passed_on_unchanged() -> None:
     first = told(100, 5.0, 3 * S, first_hand=False, least_us=9)
     world = taught(first)
     world.advance(S)
@@ -323,8 +324,8 @@
     assert own.first_hand and own.confirmed_us == world.now_us
 
 
-def test_a_loop_of_teachers_confirms_nothing() -> None:
-    """A teaches B, B teaches A again and again: nothing gets younger, and nothing second-hand is taken at all."""
+def test_sidecars_that_teach_each_other_do_not_renew_lessons() -> None:
+    """A teaches B, B teaches A, repeatedly: no lesson gets younger, and second-hand lessons are not accepted."""
     world = World(settings())
     world.balancer.recall(START_US, lessons(told(100, 6.0, S)))
     world.tell_list(upstreams(6))
@@ -343,7 +344,7 @@
         assert confidence.combined_lessons([confidence.Donor(back, 60 * S, False, False)], world.now_us, 0) is None
 
 
-# Donors
+# Combining the lessons of donors
 
 
 def donor(*found: UpstreamLesson, up_us: int = 60 * S, resting: bool = False, cut_off: bool = False,
@@ -356,7 +357,7 @@
     return {} if found is None else {one.id: one for one in found.upstreams}
 
 
-def test_one_wrong_donor_of_three_moves_nothing() -> None:
+def test_one_wrong_donor_of_three_has_no_effect() -> None:
     good = [told(100, 4.0), told(101, 1 / 32, mute=4), told(102, 4.0)]
     for lie in (
         [told(100, 1 / 64, 0, mute=9), told(101, 1e5, 0), told(102, 1e5, 0)],
@@ -369,31 +370,31 @@
         assert all(not one.first_hand for one in found.values())
 
 
-def test_a_donor_in_a_stall_does_not_teach_that_all_are_bad() -> None:
+def test_a_stalled_donor_does_not_teach_that_all_upstreams_are_closed() -> None:
     stalled = [told(100 + i, 1 / 64, mute=3) for i in range(5)]
     assert set(agreed(donor(*stalled, told(105, 3.0)))) == {105}
     assert set(agreed(donor(told(100, 1 / 64, mute=3), told(101, 2.0), told(102, 2.0), resting=True))) == {101, 102}
 
 
-def test_a_donor_that_has_just_started_teaches_nothing() -> None:
+def test_a_donor_that_has_just_started_is_ignored() -> None:
     assert agreed(donor(told(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
     assert confidence.combined_lessons([], START_US, 0) is None
 
 
-def test_age_and_a_lost_list_weigh_a_donor_down() -> None:
+def test_old_lessons_and_a_lost_discovery_reduce_the_weight_of_a_donor() -> None:
     old, fresh = donor(told(100, 8.0, 90 * S)), donor(told(100, 2.0, 0))
     assert agreed(old, fresh)[100].slots == 2.0 == agreed(old, old, fresh)[100].slots
     lost = donor(told(100, 8.0, 0), cut_off=True)
     assert agreed(lost, fresh)[100].slots == 2.0
 
 
-def test_distance_is_taken_from_donors_of_the_same_zone_only() -> None:
+def test_minimum_latency_is_taken_only_from_donors_of_the_same_zone() -> None:
     near, far = donor(told(100, 2.0, least_us=900)), donor(told(100, 2.0, least_us=9_000), zone=1)
     assert agreed(far, far, near)[100].least_us == 900 and agreed(far)[100].least_us == 0
 
 
 @given(st.lists(st.tuples(st.floats(-1e6, 1e6), st.floats(0.01, 10)), min_size=1, max_size=9), st.floats(-1e9, 1e9))
-def test_the_median_lies_between_the_others_where_one_has_less_than_half(
+def test_the_median_is_within_the_other_values_if_one_has_less_than_half_of_the_weight(
         values: list[tuple[float, float]], lie: float) -> None:
     whole = sum(weight for _, weight in values)
     found = confidence.median([*values, (lie, 0.99 * whole)])
@@ -401,8 +402,8 @@
 
 
 @given(st.integers(0, 2**32))
-def test_no_lesson_of_any_kind_breaks_a_rule_or_the_module(seed: int) -> None:
-    """Lessons drawn at random, checked by World against the rules while requests come and end."""
+def test_no_random_lesson_breaks_a_rule_or_raises(seed: int) -> None:
+    """Random lessons; World checks the rules while requests arrive and end."""
     rng = random.Random(seed)
     world = World(settings(), seed % 1000)
     extremes = [1e-6, 1 / 64, 0.5, 1.0, 8.0, 1e6]
@@ -432,8 +433,8 @@
     assert all(owed.answers == 1 for owed in world.owed.values())
 
 
-def test_a_sidecar_taught_by_itself_is_as_it_was() -> None:
-    """Given and taken back at once, after one try of each upstream, it is where it was."""
+def test_recalling_its_own_lessons_restores_a_balancer() -> None:
+    """A balancer that recalls the lessons of another gives the same lessons, and has similar windows and times."""
     world = World(settings(second_copies=False, instances=1))
     world.tell_list(upstreams(4))
     for _ in range(200):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Rule 4 as the sum of what all send: real balancers before cold upstreams, a few seeds of `bench/cold.py`'s many."""
+"""Rule 4 for a whole fleet: all sidecars together must not overload a cold upstream. A few seeds of bench/cold.py."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.cold_fleet import SECOND_US, SIZES, drawn, play
 
 
-# 115: seven and more of 30 sidecars had a turn saved, and a wave brought all of them within a second
+# seed 115: seven or more of 30 sidecars held an unused turn, and a burst of traffic used all of them within a second
 @pytest.mark.parametrize(("seed", "instances"), [
     *((7, size) for size in SIZES), (115, 30), (123, 30)])
-def test_no_cold_upstream_gets_more_from_all_sidecars_than_it_bears(seed: int, instances: int) -> None:
+def test_all_sidecars_together_do_not_overload_a_cold_upstream(seed: int, instances: int) -> None:
     verdict = play(drawn(seed, instances))
     assert verdict.cold and verdict.used > 0.0
     assert not verdict.falls and verdict.worst <= 1.0, verdict
@@ -24,9 +24,9 @@
 
 @pytest.mark.parametrize("factor", [1.2, 2.0, 2.5, 3.0])
 @pytest.mark.parametrize("instances", [1, 5, 19, 20, 21, 30, 200])
-def test_the_turns_that_stand_and_those_that_come_are_borne(instances: int, factor: float) -> None:
-    """All warmers may have saved a turn where that many are borne beside those that come in the window; else as many
-    stand as make N with these, where the factor leaves any room beside the pace of a small upstream."""
+def test_held_and_due_turns_together_are_tolerated(instances: int, factor: float) -> None:
+    """All warming sidecars may hold an unused turn if the upstream tolerates these in addition to the turns that become
+    due in the window. Otherwise held and due turns sum to N, as far as the factor exceeds a small upstream's pace."""
     config = settings(instances=instances, overload_factor=factor)
     pace, warmers = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for able in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
@@ -42,9 +42,9 @@
 
 
 @pytest.mark.parametrize("instances", [19, 20, 21, 30, 200])
-def test_a_burst_after_a_lull_does_not_find_the_turns_of_all(instances: int) -> None:
-    """Ten seconds of nothing, then ten requests from each within half a second, while all else answers slowly. Of 12
-    upstreams of 5 requests a second one has been cold for 10 s: N is 6.6 at a warmth of 0.53."""
+def test_a_burst_after_an_idle_time_does_not_use_turns_held_by_all_sidecars(instances: int) -> None:
+    """Ten idle seconds, then ten requests at each sidecar within half a second, while all other upstreams answer
+    slowly. One of 12 upstreams, of 5 requests/s each, started 10 s ago: N is 6.6 at a warmth of 0.53."""
     config = settings(instances=instances, tenants=[Tenant("north", 60.0, 1.0)], warm_up_us=24 * SECOND_US)
     sent = 0
     for number in range(instances):
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -1,4 +1,4 @@
-"""The draw without a scan: what it draws is what a scan of all upstreams drew, event by event, seed by seed."""
+"""The choice by sum tree gives the same actions as a linear scan of all upstreams, for the same events and seeds."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Scanning(Balancer):
-    """The decisions as they were: every draw and every timer looks at all upstreams."""
+    """Reference implementation: each choice and each timer scans all upstreams."""
 
     def draw(self, request: Request) -> Server | None:
-        self.look()  # what is thought of an upstream holds as last looked at
+        self.look()  # recomputes the upstreams' weight factors, as in the real choice
         tried = [attempt.server for attempt in request.attempts]
         if tried and not self.is_bound(request) and self.has_room():
             self.changed.update((server, None) for server in tried if server.place >= 0)
@@ -30,7 +30,7 @@
         weights: list[float] = []
         room = 0.0
         if self.has_room() and self.is_one_of_many and self.slowness.exceeds(FULL_LOAD):
-            for server in self.order:  # in a shortage the cold ones first, as far as their pace lets
+            for server in self.order:  # under high load cold upstreams come first, as far as their pacing allows
                 slots = server.window.open(self.now_us) - server.used
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_us
                         and server not in tried and self.in_group(request, server)):
@@ -48,7 +48,7 @@
             warmth = self.warmth(server)
             if warmth == 1.0 or self.now_us >= server.next_cold_us:
                 free.append(server)
-                paced = warmth < 1.0 and self.is_one_of_many  # by its pace alone
+                paced = warmth < 1.0 and self.is_one_of_many  # limited only by its pacing
                 weights.append(min(float(slots), server.window.slots) * server.size * server.favour
                                * (1.0 if paced else warmth))
                 room += 0.0 if paced else min(1.0, server.window.slots) * server.size
@@ -83,7 +83,7 @@
 
 
 class World:
-    """Upstreams that answer by chance, a list that changes, and two balancers that must say the same."""
+    """Upstreams with random answers, a changing list, and two balancers that must return the same actions."""
 
     def __init__(self, seed: int) -> None:
         self.random = random = Random(seed)
@@ -175,7 +175,7 @@
         world = World(seed)
         world.play(1_400, rate)
         sent, drawn = sent + world.sent, drawn | world.drawn
-    # some worlds are all cold or all broken; together they must show something
+    # in some worlds all upstreams are cold or failing, so only the totals are checked
     assert sent > 100 * len(SEEDS) and drawn.bit_count() > 30
 
 
@@ -183,7 +183,7 @@
 @given(st.lists(st.tuples(st.integers(0, 40), st.sampled_from([0.0, 0.001, 1.0, 2.5]),
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
-def test_the_tree_finds_what_a_walk_finds(puts: list[tuple[int, float, float]], enough: float, share: float) -> None:
+def test_the_tree_agrees_with_a_linear_scan(puts: list[tuple[int, float, float]], enough: float, share: float) -> None:
     places, plain = SumTree(41), [(0.0, 0.0)] * 41
     for place, weight, room in puts:
         plain[place] = (weight, room if weight else 0.0)
@@ -201,17 +201,17 @@
         assert plain[found][0] > 0.0 and before - 1e-9 <= point <= before + plain[found][0] + 1e-9
 
 
-def test_rounding_never_leads_to_a_place_that_weighs_nothing() -> None:
+def test_rounding_never_selects_a_leaf_without_weight() -> None:
     for last in range(8):
         places = SumTree(8)
         for place in range(last + 1):
             places.set(place, 0.1 + place / 7, 1.0)
         total = places.prefix_weight(100.0)
         for point in (total, total * (1 + 1e-15), total * (1 - 1e-16)):
-            assert places.find(point) == last  # and not behind it, where nothing is free
+            assert places.find(point) == last  # not a later leaf, which has no weight
 
 
-def test_an_empty_tree_weighs_nothing() -> None:
+def test_an_empty_tree_has_weight_0() -> None:
     for count in (0, 1, 5):
         places = SumTree(count)
         assert places.prefix_weight(3.0) == 0.0
@@ -219,13 +219,13 @@
     places.set(2, 0.1, 0.1)
     places.set(4, 0.0, 0.0)
     places.set(2, 0.0, 0.0)
-    assert places.prefix_weight(3.0) == 0.0  # exactly: a rest of rounding would draw what is not free
+    assert places.prefix_weight(3.0) == 0.0  # exactly: a rounding error would make a leaf without weight eligible
 
 
-def test_shares_of_tenants_fade_as_if_each_arrival_faded_all() -> None:
+def test_lazy_decay_of_tenant_shares_equals_decay_of_all_at_each_arrival() -> None:
     random, told = Random(5), settings_of(Random(5))
     balancer, plain = Balancer(told, 1, S), [0.0] * 3
-    for step in range(12_000):  # past the point where the weights are brought back to 1
+    for step in range(12_000):  # beyond the point where the weights are normalized
         tenant = random.choices(range(3), [5, 1, 1 + step // 4_000])[0]
         balancer.handle(S + step, api.RequestArrived(step + 1, 2 * S, 0, tenant))
         plain = [seen * (1.0 - 1.0 / 200) for seen in plain]
