--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -1,4 +1,4 @@
-"""What one of many sidecars makes of the little that it sees: its part of the traffic, and what upstreams share."""
+"""How one of many sidecars decides on few observations: its share of traffic, latency by kind, failures by zone."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 
 
 def many(rate_per_s: float = 0.0, count: int = 60, **changes: object) -> World:
-    """One of 40 sidecars before 60 upstreams in four zones, the fleet allowed 1,000 requests a second; after ten
-    seconds in which it has sent so many."""
+    """One of 40 sidecars with 60 upstreams in four zones, in a fleet with an allowance of 1,000 requests/s; after
+    it has sent `rate_per_s` for ten seconds."""
     world = World(settings(**{"instances": 40, "tenants": [Tenant("north", 1000.0, 1.0)], **changes}))
     world.tell_list([Upstream(100 + i, zone=i % 4, kind=i % 3, cell=i % 4) for i in range(count)])
     out: deque[tuple[int, int]] = deque()
@@ -61,7 +61,7 @@
     return world
 
 
-def test_the_part_follows_what_is_sent_and_never_leaves_a_quiet_one_without() -> None:
+def test_the_share_follows_the_send_rate_and_is_never_0_for_an_idle_sidecar() -> None:
     heavy, quiet = TrafficShare(1000.0, 40, START_US), TrafficShare(1000.0, 40, START_US)
     assert heavy.share() == pytest.approx(1 / 40)
     for number in range(10 * 200):
@@ -71,23 +71,23 @@
     assert 1 / 80 <= quiet.share() < 1 / 70
 
 
-def test_the_parts_of_all_come_to_no_more_than_twice_the_whole_in_an_overload() -> None:
-    """Rule 4 rests on it: cold upstreams get half the multiple that they bear, times the sum of the parts."""
+def test_the_shares_of_all_sidecars_sum_to_less_than_2_in_an_overload() -> None:
+    """Rule 4 depends on it: cold upstreams get half the multiple that they tolerate, times the sum of the shares."""
     sidecars = [TrafficShare(1000.0, 40, START_US) for _ in range(40)]
-    for at_us in range(0, 10 * SECOND_US, 1_000):  # the fleet sends twice what it is allowed, very unevenly
+    for at_us in range(0, 10 * SECOND_US, 1_000):  # the fleet sends twice its allowance, very unevenly
         for number in (0, 0 if at_us % 2_000 else at_us // 1_000 % 40):
             sidecars[number].record_send(START_US + at_us)
     assert 1.0 < sum(traffic.share() for traffic in sidecars) < 2.0
 
 
-def test_without_allowances_the_part_goes_by_number() -> None:
+def test_without_allowances_all_sidecars_have_an_even_share() -> None:
     traffic = TrafficShare(0.0, 4, START_US)
     for number in range(1000):
         traffic.record_send(START_US + number * 1_000)
     assert traffic.share() == 0.25
 
 
-def test_faults_fade_with_time() -> None:
+def test_the_failure_share_decays_with_time() -> None:
     faults = FailureShare()
     for _ in range(40):
         faults.record(START_US, True, 1 / 8)
@@ -96,7 +96,7 @@
     assert faults.share(START_US + 100 * FAILURE_HALF_LIFE_US) < 1e-6
 
 
-def test_a_kind_that_answers_twice_as_slowly_has_a_quarter_of_the_favour() -> None:
+def test_a_kind_that_answers_twice_as_slowly_has_a_quarter_of_the_weight() -> None:
     slow, few, usual = LatencyAverage(), LatencyAverage(), LatencyAverage()
     for _ in range(40):
         slow.add(1.0)
@@ -106,7 +106,7 @@
     assert few.weight_factor(usual) == 1.0
 
 
-def test_a_zone_that_takes_no_connection_is_left_after_a_few_tries_and_not_after_one_for_each() -> None:
+def test_a_zone_that_accepts_no_connection_is_avoided_before_each_upstream_was_tried() -> None:
     world = many(20.0, zone=0, cross_zone_fee=0.03)
     lost: Counter[int] = Counter()
     for _ in range(60):
@@ -118,10 +118,10 @@
             lost[zone] += zone == 0
             end(world, request, number, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK, 50_000)
             number += 1
-    assert lost[0] <= 14  # of the 15 there; all 60 requests would begin there by nearness
+    assert lost[0] <= 14  # of the 15 in the zone; by zone preference alone all 60 requests would go there first
 
 
-def test_a_failed_connect_costs_nothing_of_the_retry_budget() -> None:
+def test_a_failed_connect_does_not_use_the_retry_budget() -> None:
     world = many()
     for _ in range(30):
         request = world.arrive(READ)
@@ -130,7 +130,7 @@
         assert len(world.sends(request)) == 2
 
 
-def test_errors_still_cost_it() -> None:
+def test_an_error_uses_the_retry_budget() -> None:
     world = many()
     answers = []
     for _ in range(30):
@@ -142,7 +142,7 @@
     assert any(isinstance(answer, Refuse) for answer in answers)
 
 
-def test_an_upstream_that_fails_at_once_is_not_near_and_draws_less_than_its_like() -> None:
+def test_an_upstream_that_fails_fast_loses_its_zone_preference_and_is_chosen_less() -> None:
     world = many(20.0, zone=0, cross_zone_fee=0.03)
     bad, drawn = 104, Counter[int]()
     for number in range(300):
@@ -157,8 +157,8 @@
     assert drawn[bad] < sum(drawn[ident] for ident in near) / len(near) / 2
 
 
-def test_one_error_is_remembered_where_an_upstream_is_met_every_few_seconds() -> None:
-    """A good one's errors are one in thousands; two in five of a bad one's, and the next try is seconds away."""
+def test_an_error_still_counts_when_an_upstream_is_tried_every_few_seconds() -> None:
+    """A healthy upstream fails once in thousands of attempts, a bad one in two of five; attempts are seconds apart."""
     world = many()
     bad = world.balancer.servers[104]
     before = world.balancer.favour(bad)
@@ -169,8 +169,8 @@
     assert world.balancer.favour(bad) < before / 2
 
 
-def test_slow_answers_narrow_one_of_many_sidecars_and_it_is_back_soon() -> None:
-    """Hazard: what each of 200 leaves at upstreams that answer late adds up to queues that nobody is served from."""
+def test_slow_answers_narrow_the_window_of_one_of_many_and_quick_ones_reopen_it() -> None:
+    """What 200 sidecars each leave at slow upstreams would add up to queues in which every request times out."""
     world = many(20.0)
     for _ in range(40):
         end(world, world.arrive(READ), 0, Outcome.OK, 600_000)
@@ -182,7 +182,7 @@
 
 
 def refused(world: World, gaps_us: list[int], answer_us: int) -> int:
-    """Of requests that come after such gaps, each answered after so long, those refused at once."""
+    """Number of requests refused on arrival, of requests that arrive after `gaps_us`, answered after `answer_us`."""
     out: deque[tuple[int, int]] = deque()
     count = 0
     for gap_us in gaps_us:
@@ -196,24 +196,24 @@
     return count
 
 
-def test_a_wave_of_chance_is_sent_on_by_one_of_many_and_the_mean_is_kept() -> None:
-    """Eight at once after a pause, with one slot: the sum of many sidecars is even though each is not."""
+def test_one_of_many_sends_a_random_burst_and_limits_the_average() -> None:
+    """Eight requests at once after a pause, with one slot: the sum over many sidecars is even though each is not."""
     world = many(2.0)
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
     world = many(2.0)
     world.balancer.window.slots, world.balancer.least = 1.0, 1.0
-    assert refused(world, [10_000] * 300, 160_000) > 60  # at once, of a hundred a second for three seconds
+    assert refused(world, [10_000] * 300, 160_000) > 60  # of 100 requests/s for three seconds
     assert world.balancer.load.average_at(world.now_us) <= world.balancer.window.slots + 1.0
 
 
-def test_one_that_waits_for_the_mean_to_fall_is_sent_when_it_has(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ironscale.balance.GROWTH", 0.0)  # no answer opens a slot: time alone does
+def test_a_request_that_waits_for_the_average_is_sent_when_it_has_fallen(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("ironscale.balance.GROWTH", 0.0)  # answers open no slot, only time does
     world = many(2.0)
     world.balancer.window.slots = 0.5
     world.advance(3 * SECOND_US)
     sent = [world.arrive(READ)]
-    while world.sends(sent[-1]):  # as many at once as the mean lets
+    while world.sends(sent[-1]):  # as many at once as the average allows
         world.advance(10_000)
         sent.append(world.arrive(READ))
     waits = sent.pop()
@@ -227,19 +227,19 @@
     assert world.sends(waits) and world.balancer.load.average_at(world.now_us) < 0.51
 
 
-def test_one_that_carries_much_keeps_more_slots_at_slow_upstreams() -> None:
+def test_a_sidecar_with_much_traffic_keeps_more_slots_at_slow_upstreams() -> None:
     heavy, light = many(200.0), many(5.0)
     assert heavy.balancer.least_each() > 4 * light.balancer.least_each() > 0.0
 
 
-def test_one_that_carries_much_uses_more_upstreams() -> None:
+def test_a_sidecar_with_much_traffic_uses_more_upstreams() -> None:
     assert len({send.upstream for send in many(300.0).sends()}) > 2 * len({s.upstream for s in many(10.0).sends()})
 
 
-def test_cold_upstreams_get_by_the_fleets_allowance_and_not_by_how_slow_all_are() -> None:
-    """1,000 requests a second on 60 upstreams: 16.7 each, a fifth of it cold, four fifths more 20 s later; from 20
-    sidecars, one of them sends the next when the rest can have done 20: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at 4.2 s.
-    Answers of 5 s would make it far longer."""
+def test_pacing_of_cold_upstreams_follows_the_allowance_and_not_slow_answers() -> None:
+    """1,000 requests/s on 60 upstreams are 16.7 each; a cold one serves a fifth of that, and all of it 20 s later. One
+    of 20 sidecars sends again when the upstream can have served 20 requests: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at
+    4.2 s. If answer times of 5 s counted, it would wait far longer."""
     world = many()
     world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
     server = world.balancer.servers[900]
@@ -248,7 +248,7 @@
     assert world.balancer.cold_gap_us(server, 10_000) == pytest.approx(920_000, rel=0.05)
 
 
-def test_copies_are_left_out_while_all_answer_slowly() -> None:
+def test_no_hedged_requests_are_sent_while_all_upstreams_are_slow() -> None:
     def copies(answer_us: int, instances: int = 40) -> int:
         world = many(20.0, instances=instances)
         for _ in range(40):
@@ -262,7 +262,7 @@
     assert (copies(20_000, 5), copies(75_000, 5), copies(250_000, 5)) == (1, 1, 0)
 
 
-def test_the_parts_grow_smoothly() -> None:
+def test_the_share_grows_smoothly() -> None:
     traffic, parts = TrafficShare(1000.0, 40, START_US), []
     for number in range(1000):
         traffic.record_send(START_US + number * 5_000)
@@ -271,21 +271,21 @@
 
 
 class SharedDiscovery:
-    """One service for all: calls wait in turn, each takes `call_us`, also those that have ended by waiting too long."""
+    """One discovery for all: calls are queued and take `call_us` each, even those whose caller has given up."""
 
     def __init__(self, call_us: int, patience_us: int) -> None:
         self.call_us, self.patience_us, self.free_us, self.calls = call_us, patience_us, 0, 0
 
     def ask(self, now_us: int) -> tuple[int, bool]:
-        """When this call ends, and whether it brings the list."""
+        """When this call ends, and whether it returns the list."""
         self.calls += 1
         self.free_us = max(self.free_us, now_us) + self.call_us
         return min(self.free_us, now_us + self.patience_us), self.free_us <= now_us + self.patience_us
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
-def test_forty_that_start_together_all_have_the_list_within_the_time_that_they_may_go_without(seed: int) -> None:
-    discovery = SharedDiscovery(call_us=130_000, patience_us=2 * SECOND_US)  # all forty take it 5.2 s
+def test_forty_sidecars_that_start_together_all_get_the_list_in_time(seed: int) -> None:
+    discovery = SharedDiscovery(call_us=130_000, patience_us=2 * SECOND_US)  # 5.2 s for all forty
     balancers = [Balancer(settings(instances=40, self_index=number, list_on_request=True, ask_within_us=10 * SECOND_US),
                           100 * seed + number, START_US) for number in range(40)]
     events: list[tuple[int, int, Event]] = []
@@ -312,14 +312,14 @@
     assert len(had) == 40 and discovery.calls <= 60, (seed, len(had), discovery.calls)
 
 
-def test_one_of_few_asks_at_once() -> None:
+def test_one_of_few_sidecars_fetches_the_list_at_once() -> None:
     balancer = Balancer(settings(instances=5, list_on_request=True, ask_within_us=10 * SECOND_US), 7, START_US)
     actions = balancer.handle(START_US, UpstreamsUpdated(ListKind.CACHED, [Upstream(100)]))
     assert [action.at_us for action in actions if isinstance(action, SetTimer)] == [START_US + 1]
 
 
-def test_forty_that_start_beside_cold_upstreams_do_not_send_to_one_of_them_at_once() -> None:
-    """Rule 4: their first sends are spread over the gap by which each is paced, also in the first list of all."""
+def test_forty_sidecars_that_start_do_not_send_to_a_cold_upstream_simultaneously() -> None:
+    """Rule 4: first sends are spread over the pacing interval, also for upstreams of the very first list."""
     waits = []
     for number in range(40):
         world = World(settings(instances=40, self_index=number, tenants=[Tenant("north", 1000.0, 1.0)]), number)
@@ -332,7 +332,7 @@
     assert max(waits) <= gap_us and sum(wait < gap_us / 4 for wait in waits) < 10, (gap_us, sorted(waits))
 
 
-def test_what_was_learned_closes_one_of_many_no_further_than_slow_answers_do() -> None:
+def test_lessons_do_not_close_the_window_of_one_of_many_further_than_slow_answers() -> None:
     world = many(20.0)
     lessons = replace(learned(world.balancer), slots=1.0)
     newcomer = Balancer(world.settings, 8, world.now_us)
@@ -341,16 +341,16 @@
     assert newcomer.window.slots >= newcomer.usual_slots(60) == 12.0
 
 
-def test_a_call_that_failed_is_made_again_in_a_turn_and_not_at_once() -> None:
+def test_a_failed_list_call_is_retried_after_an_interval_and_not_at_once() -> None:
     balancer = Balancer(settings(instances=40, list_on_request=True, ask_within_us=10 * SECOND_US), 7, START_US)
     balancer.handle(START_US, UpstreamsUpdated(ListKind.CACHED, [Upstream(100)]))
     failed_us = START_US + 8 * SECOND_US
     balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED, []))
-    assert balancer.ask_list_us >= failed_us + 2 * SECOND_US  # half of the turn of 5 s, at least
+    assert balancer.ask_list_us >= failed_us + 2 * SECOND_US  # at least half of the interval of 5 s
 
 
-def test_after_a_watch_has_broken_many_open_it_anew_soon_and_not_at_once() -> None:
-    """What a silent watch misses counts as told 6 s after its last word, of which 3 s have passed by then."""
+def test_many_sidecars_reopen_a_broken_watch_soon_but_not_simultaneously() -> None:
+    """A change that a silent watch misses must be known 6 s after its last message; 3 s of these have passed."""
     waits = []
     for number in range(200):
         balancer = Balancer(settings(instances=200, self_index=number, list_on_request=True,
@@ -360,14 +360,14 @@
         waits.append(balancer.ask_list_us - START_US - SECOND_US)
         balancer.handle(balancer.ask_list_us, TimerFired(0))
         failed_us = balancer.now_us + SECOND_US
-        balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED))  # that call too: now its turn is waited for
+        balancer.handle(failed_us, UpstreamsUpdated(ListKind.FAILED))  # fails too: now it waits for its interval
         assert balancer.ask_list_us >= failed_us + 2 * SECOND_US
     assert max(waits) <= 2_500_000
     assert all(sum(at <= wait < at + 250_000 for wait in waits) <= 36 for at in range(0, 2_500_000, 250_000))
 
 
 def zone_fails(world: World, zone: int, count: int) -> list[Server]:
-    """So many attempts at upstreams of the zone fail, each at another one; those of it that were not tried."""
+    """Fails `count` attempts, each at another upstream of the zone; returns its upstreams that were not tried."""
     inside = [server for server in world.balancer.order if server.entry.zone == zone]
     for server in inside[:count]:
         request = world.arrive(READ)
@@ -382,16 +382,16 @@
     return world.balancer.places.weights[world.balancer.places.leaves + server.place]
 
 
-def test_the_faults_of_some_in_a_zone_are_told_to_the_others_of_it_and_to_no_other_zone() -> None:
+def test_failures_in_a_zone_lower_the_weight_of_its_other_upstreams_only() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     elsewhere = [server for server in world.balancer.order if server.entry.zone == 1]
     before, beside = [weight(world, s) for s in world.balancer.order if s.entry.zone == 0], weight(world, elsewhere[0])
     untried = zone_fails(world, 0, 6)
-    assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer near
+    assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer preferred by zone
     assert weight(world, elsewhere[0]) == beside
 
 
-def test_a_zone_whose_upstreams_start_anew_is_thought_better_of() -> None:
+def test_restarted_upstreams_lower_the_failure_share_of_their_zone() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     zone_fails(world, 0, 10)
     before = world.balancer.zones[0].share(world.now_us)
@@ -400,7 +400,7 @@
     assert world.balancer.zones[0].share(world.now_us) < before / 7
 
 
-def test_two_errors_in_a_row_take_most_of_an_upstreams_weight_and_not_all() -> None:
+def test_two_consecutive_errors_take_most_but_not_all_of_an_upstreams_weight() -> None:
     world = many()
     server, like = world.balancer.servers[104], world.balancer.servers[108]
     for count, least, most in ((2, 0.01, 0.05), (10, 0.01, 0.05)):
@@ -413,18 +413,18 @@
         assert least < left < most, (count, left)
 
 
-def test_a_fault_costs_nearness_and_one_long_ago_does_not() -> None:
+def test_a_recent_failure_cancels_the_zone_preference_and_an_old_one_does_not() -> None:
     world = many(zone=0, cross_zone_fee=0.03)
     server = next(server for server in world.balancer.order if server.entry.zone == 0)
     near = world.balancer.favour(server)
     server.faults.record(world.now_us, True, 1 / 2)
     assert world.balancer.favour(server) < near / 500
     world.advance(10 * SECOND_US)
-    world.tell_list([], ListKind.DELTA)  # any event: the decisions' clock moves with them
+    world.tell_list([], ListKind.DELTA)  # any event, as the balancer's clock only advances with events
     assert world.balancer.favour(server) > near / 2
 
 
-def test_the_draw_favours_kinds_that_answer_quickly() -> None:
+def test_kinds_that_answer_quickly_are_preferred() -> None:
     world = many(20.0)
     for _ in range(120):
         request = world.arrive(READ)
@@ -436,7 +436,7 @@
     assert slow < quick / 3
 
 
-def test_a_failed_connect_is_tried_again_though_the_budget_is_spent() -> None:
+def test_a_failed_connect_is_retried_though_the_retry_budget_is_spent() -> None:
     world = many()
     world.balancer.retry_tokens = 0.0
     request = world.arrive(READ)
@@ -446,24 +446,24 @@
     assert len(world.sends(request)) == 2
 
 
-def test_one_that_carries_much_draws_among_more_upstreams() -> None:
+def test_a_sidecar_with_much_traffic_chooses_among_more_upstreams() -> None:
     heavy, light = many(300.0).balancer, many(10.0).balancer
     assert heavy.subset > 3 * light.subset == 3 * light.least_subset
 
 
-def test_no_zone_is_near_where_sidecars_outnumber_upstreams() -> None:
+def test_no_zone_is_preferred_if_sidecars_outnumber_upstreams() -> None:
     assert many(zone=0, cross_zone_fee=0.03).balancer.home == 0
     assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.home == -1
 
 
-def test_new_allowances_count_for_the_part() -> None:
+def test_new_allowances_change_the_share() -> None:
     world = many(200.0)
     before = world.balancer.traffic.share()
     world.tell(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
     assert world.balancer.traffic.share() < before / 2
 
 
-def test_a_favour_is_bounded_both_ways() -> None:
+def test_the_weight_factor_is_bounded_in_both_directions() -> None:
     slow, quick = LatencyAverage(), LatencyAverage()
     for _ in range(20):
         slow.add(1.5)
@@ -476,9 +476,9 @@
 
 
 @pytest.mark.parametrize("age_s", [2, 11, 19])
-def test_two_hundred_in_an_overload_never_push_over_an_upstream_that_is_half_warm(age_s: int) -> None:
-    """Rule 4, also past the age from which one slot from each of a few could do no harm. Two upstreams that do 20
-    requests a second each, 200 sidecars with 5 a second each: what one second brings, in shares of what it may."""
+def test_two_hundred_sidecars_do_not_overload_a_half_warm_upstream(age_s: int) -> None:
+    """Rule 4, also beyond the age at which one slot of each of a few sidecars would be harmless. Two upstreams that
+    serve 20 requests/s each, 200 sidecars that send 5 requests/s each: checks the work of each `fall_us`."""
     config = settings(instances=200, tenants=[Tenant("north", 40.0, 1.0)])
     sidecars = [World(replace(config, self_index=number), seed=number) for number in range(200)]
     sent: list[int] = []
@@ -505,7 +505,7 @@
     assert sent
 
 
-def test_each_cold_upstream_has_as_many_that_warm_it_and_each_sidecar_its_share() -> None:
+def test_each_cold_upstream_has_the_same_number_of_warming_sidecars_spread_evenly() -> None:
     for instances in (20, 40, 200):
         by_sidecar: Counter[int] = Counter()
         for number in range(120):
@@ -519,9 +519,9 @@
 
 def cold_fleet(instances: int, age_s: float, rate_per_s: float, slowness: float = 0.0, **changes: object
                ) -> tuple[int, list[int]]:
-    """All sidecars beside 30 warm upstreams and 30 that started so long ago, which take 16.7 requests a second each
-    when warm; each sidecar sends so many a second for three seconds, and all else answers so slowly. What the cold
-    ones get, and can do, together; and for each the most of any window, in tenths of what it then bears."""
+    """All sidecars with 30 warm upstreams and 30 that started `age_s` ago, each of 16.7 requests/s when warm; each
+    sidecar sends `rate_per_s` for three seconds, while the latency average is `slowness`. Returns how many requests
+    the cold upstreams get together, and for each the most in any window, in tenths of what it then tolerates."""
     config = settings(instances=instances, tenants=[Tenant("north", 1000.0, 1.0)], **changes)
     started_us = START_US - int(age_s * SECOND_US)
     listed = [Upstream(100 + i) for i in range(30)] + [Upstream(900 + i, started_us=started_us) for i in range(30)]
@@ -551,9 +551,9 @@
 
 
 @pytest.mark.parametrize("age_s", [1, 5, 12])
-def test_what_cold_upstreams_can_do_is_used_and_none_is_pushed_over(age_s: int) -> None:
-    """200 sidecars of 5 requests a second each. Hazard: where all 200 may send there, each once in 20 s, and draw
-    among the first few of their order, the cold ones get a tenth of what they can do."""
+def test_cold_upstreams_are_used_to_capacity_and_not_overloaded(age_s: int) -> None:
+    """200 sidecars of 5 requests/s each. If all 200 were allowed to send there, each once in 20 s, and chose among the
+    first few upstreams of their order, the cold ones would get a tenth of their capacity."""
     got, worst = cold_fleet(200, age_s, 5.0)
     warmth = 0.2 + 0.8 * (age_s + 1.5) / 20
     able = 3 * 1000 / 60 * 30 * warmth
@@ -562,21 +562,22 @@
 
 
 @pytest.mark.parametrize("age_s", [1, 5, 12])
-def test_in_a_shortage_cold_upstreams_go_first_as_far_as_their_pace_lets(age_s: int) -> None:
-    """Seen: beside crowded warm ones they got 2 to 3 requests a second of the 4 to 7 that the settings would let."""
+def test_under_high_load_cold_upstreams_come_first_as_far_as_pacing_allows(age_s: int) -> None:
+    """Guards against: next to overloaded warm upstreams, cold ones got 2 to 3 requests/s of the 4 to 7 allowed."""
     calm, (got, worst) = (cold_fleet(200, age_s, 5.0, slowness, overload_factor=3.0) for slowness in (0.0, 2.0))
     able = 3 * 1000 / 60 * 30 * (0.2 + 0.8 * (age_s + 1.5) / 20)
     assert max(calm[0], 0.6 * able) < got <= 1.3 * able, (calm, got, able)
     assert max(worst) < 10, worst
 
 
-def test_no_cold_upstream_goes_first_whose_multiple_chance_alone_could_pass() -> None:
-    """Rule 4, at 1 s of age: 8 requests in the window are able, 16 are borne; 20 sidecars going there first sent 17."""
+def test_preferred_cold_upstreams_are_not_overloaded_by_random_variation() -> None:
+    """Rule 4, at an age of 1 s: capacity is 8 requests in the window, 16 are tolerated; 20 sidecars that preferred it
+    sent 17."""
     _, worst = cold_fleet(200, 1, 5.0, 2.0)
     assert max(worst) < 10, worst
 
 
-def test_one_that_does_not_warm_an_upstream_sends_there_when_it_is_warm() -> None:
+def test_a_sidecar_that_does_not_warm_an_upstream_uses_it_once_it_is_warm() -> None:
     idents = [900 + i for i in range(40)]
     mine = [ident for ident in idents if is_warming_sidecar(ident, 0, 200)]
     world = World(settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)]))
@@ -595,7 +596,7 @@
     assert world.sends(request)
 
 
-def test_a_window_narrows_by_what_the_list_has_lost_and_not_by_a_list_that_only_grows() -> None:
+def test_the_window_narrows_when_the_list_shrinks_and_not_when_it_grows() -> None:
     world = many(40.0)
     before = world.balancer.window.slots
     world.tell_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
@@ -605,7 +606,7 @@
     assert world.balancer.least <= world.balancer.window.slots <= before * 0.55
 
 
-def test_a_release_that_takes_upstreams_away_leaves_one_of_many_what_it_is() -> None:
+def test_a_release_that_removes_upstreams_does_not_change_the_mode_of_one_of_many() -> None:
     world = many(2.0, count=30)
     world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:15]],
                     ListKind.DELTA)
@@ -613,8 +614,8 @@
     assert refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
 
 
-def test_a_window_that_crowded_upstreams_have_closed_keeps_no_cold_one_idle() -> None:
-    """Seen: of 8,000 refusals in a release half came while an upstream that the sidecar warms had nothing to do."""
+def test_a_window_closed_by_overloaded_upstreams_does_not_keep_cold_ones_idle() -> None:
+    """Guards against: in a release, half of 8,000 refusals came while a cold upstream of that sidecar was idle."""
     config = settings(instances=200, tenants=[Tenant("north", 1000.0, 1.0)])
     mine = [ident for ident in range(900, 960) if is_warming_sidecar(ident, 0, 200)][:3]
     world = World(config)
@@ -628,19 +629,19 @@
     balancer.changed = dict.fromkeys(balancer.order)
     requests = [world.arrive(READ) for _ in range(8)]
     first = [world.sends(request)[0].upstream for request in requests if world.sends(request)]
-    assert sorted(first) == mine and not balancer.has_room()  # each as its pace lets, and nothing else
+    assert sorted(first) == mine and not balancer.has_room()  # one each, as the pacing allows, and nothing else
     slots, out = balancer.window.slots, balancer.load.out
     for request in requests[:3]:
         end(world, request, 0, Outcome.OK, 20_000)
-    assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they tell nothing of the crowd
+    assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they say nothing about the others
     again = world.arrive(READ)
-    assert not world.sends(again)  # nor do they come at once
+    assert not world.sends(again)  # and the pacing delays the next ones
     assert sorted(server.next_cold_us > world.now_us for server in balancer.servers.values())[-3:] == [True] * 3
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.OK, Outcome.TIMEOUT])
-def test_a_list_that_has_lost_all_leaves_a_window_that_opens_again(outcome: Outcome) -> None:
-    """Hazard: a window of nothing at all would divide by zero when what is out ends."""
+def test_the_window_reopens_after_the_list_was_empty(outcome: Outcome) -> None:
+    """With a window of 0 slots the end of an outstanding attempt would divide by zero."""
     world = many(20.0)
     request = world.arrive(READ)
     draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.known.values()]
@@ -651,7 +652,7 @@
     assert world.sends(world.arrive(READ))
 
 
-def test_an_upstream_that_starts_after_now_is_cold_or_without_a_warm_up_warm() -> None:
+def test_an_upstream_with_a_start_in_the_future_is_cold_if_there_is_a_warm_up() -> None:
     for warm_up_us, cold in ((20_000_000, True), (0, False)):
         world = World(settings(instances=40, warm_up_us=warm_up_us))
         world.tell_list([Upstream(100, started_us=world.now_us + 5_000_000)])
