--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -47,14 +47,14 @@
 
     def __init__(self, allowed_per_s: float, instances: int, now_us: int) -> None:
         self.configure(allowed_per_s, instances)
-        self.sends_per_s, self.counted_us = allowed_per_s / instances, now_us
+        self.sends_per_s, self.updated_us = allowed_per_s / instances, now_us
 
     def configure(self, allowed_per_s: float, instances: int) -> None:
         self.allowed_per_s, self.instances = allowed_per_s, instances  # of the whole fleet; 0 = unknown
 
     def record_send(self, now_us: int) -> None:
-        faded = math.exp((self.counted_us - now_us) / RATE_TAU_US)
-        self.sends_per_s, self.counted_us = self.sends_per_s * faded + 1e6 / RATE_TAU_US, now_us
+        faded = math.exp((self.updated_us - now_us) / RATE_TAU_US)
+        self.sends_per_s, self.updated_us = self.sends_per_s * faded + 1e6 / RATE_TAU_US, now_us
 
     def share(self) -> float:
         """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
