--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -73,20 +73,20 @@
     """Moving average of outstanding attempts. Bursts of many sidecars alternate: only their means add up."""
 
     def __init__(self, now_us: int) -> None:
-        self.mean, self.out, self.moved_us = 0.0, 0, now_us  # `out`: outstanding now
+        self.mean, self.out, self.updated_us = 0.0, 0, now_us  # `out`: outstanding now
 
     def average_at(self, now_us: int) -> float:
-        return self.out + (self.mean - self.out) * math.exp((self.moved_us - now_us) / LOAD_TAU_US)
+        return self.out + (self.mean - self.out) * math.exp((self.updated_us - now_us) / LOAD_TAU_US)
 
     def change(self, now_us: int, step: int) -> None:
-        self.mean, self.moved_us = self.average_at(now_us), now_us
+        self.mean, self.updated_us = self.average_at(now_us), now_us
         self.out += step
 
     def below_at_us(self, limit: float) -> int:
         """When the average falls below `limit` if no attempt starts or ends; 0 = never, or it is below."""
         if self.mean < limit or self.out >= limit:
             return 0
-        return self.moved_us + int(LOAD_TAU_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
+        return self.updated_us + int(LOAD_TAU_US * math.log((self.mean - self.out) / (limit - self.out))) + 1
 
 
 class LatencyAverage:
