--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -113,15 +113,15 @@
     """Share of attempts that fail at one upstream or in one zone: a moving average that decays with time."""
 
     def __init__(self) -> None:
-        self.last, self.updated_us, self.told = 0.0, 0, 0.0  # as of `ended_us`
+        self.last, self.updated_us, self.reported = 0.0, 0, 0.0  # as of `ended_us`
 
     def record(self, now_us: int, is_fault: bool, weight: float) -> bool:
         """Records an attempt. True if the weights of all upstreams that share this have to be recomputed."""
         share = self.share(now_us)
         self.last, self.updated_us = share + (is_fault - share) * weight, now_us
-        changed = abs(self.last - self.told) > FAILURE_SHARE_STEP
+        changed = abs(self.last - self.reported) > FAILURE_SHARE_STEP
         if changed:
-            self.told = self.last
+            self.reported = self.last
         return changed
 
     def share(self, now_us: int) -> float:
