--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -698,7 +698,7 @@
                 continue
             if server is None or server.entry.started_us != entry.started_us:
                 if entry.zone in self.zones:  # its past tells little of what starts anew
-                    self.zones[entry.zone].last /= 2
+                    self.zones[entry.zone].value /= 2
                 server = Server(entry)  # a new process: nothing the former one earned or lost is kept
                 new.append(server)
             server.entry = entry
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -113,17 +113,17 @@
     """Share of attempts that fail at one upstream or in one zone: a moving average that decays with time."""
 
     def __init__(self) -> None:
-        self.last, self.updated_us, self.reported = 0.0, 0, 0.0  # as of `ended_us`
+        self.value, self.updated_us, self.reported = 0.0, 0, 0.0  # as of `ended_us`
 
     def record(self, now_us: int, is_fault: bool, weight: float) -> bool:
         """Records an attempt. True if the weights of all upstreams that share this have to be recomputed."""
         share = self.share(now_us)
-        self.last, self.updated_us = share + (is_fault - share) * weight, now_us
-        changed = abs(self.last - self.reported) > FAILURE_SHARE_STEP
+        self.value, self.updated_us = share + (is_fault - share) * weight, now_us
+        changed = abs(self.value - self.reported) > FAILURE_SHARE_STEP
         if changed:
-            self.reported = self.last
+            self.reported = self.value
         return changed
 
     def share(self, now_us: int) -> float:
         faded: float = 0.5 ** min(30.0, (now_us - self.updated_us) / FAILURE_HALF_LIFE_US)
-        return self.last * faded
+        return self.value * faded
