--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -485,7 +485,7 @@
             if weight > 0.0 and server not in tried and self.in_group(request, server):
                 free.append(server)
                 weights.append(weight)
-                room += self.places.rooms[leaves + place]
+                room += self.places.capacities[leaves + place]
                 if room >= self.subset:
                     break
         return self.random.choices(free, weights)[0] if free else None
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -9,10 +9,10 @@
     def __init__(self, count: int) -> None:
         self.leaves = 1 << max(0, count - 1).bit_length()
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
-        self.rooms = [0.0] * (2 * self.leaves)
+        self.capacities = [0.0] * (2 * self.leaves)
 
     def set(self, place: int, weight: float, room: float) -> None:
-        node, weights, rooms = place + self.leaves, self.weights, self.rooms
+        node, weights, rooms = place + self.leaves, self.weights, self.capacities
         if weights[node] == weight and rooms[node] == room:
             return
         weights[node], rooms[node] = weight, room
@@ -25,7 +25,7 @@
 
     def prefix_weight(self, room: float) -> float:
         """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
-        node, weights, rooms, before = 1, self.weights, self.rooms, 0.0
+        node, weights, rooms, before = 1, self.weights, self.capacities, 0.0
         if rooms[1] < room:
             return weights[1]
         while node < self.leaves:
