--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -14,7 +14,7 @@
 MAX_WEIGHT_FACTOR = 8.0
 FAILURE_SHARE_STEP = 0.1  # change of a failure share that is reported
 WARMING_SIDECARS = 20  # sidecars that send to a cold upstream: enough for their uneven traffic to even out
-SMALL_UPSTREAM_FACTOR = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
+SMALL_UPSTREAM_PACE = 1.5  # pacing assumes mean capacity; a small upstream gets this multiple of its own
 MIN_TURN_SHARE = 1 / 8  # of `fall_us`: during a shorter turn hardly any request would arrive
 MAX_SHARE_FACTOR = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
@@ -37,7 +37,7 @@
     become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
     turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
     borne, warmers = settings.overload_factor * able, min(WARMING_SIDECARS, settings.instances)
-    paced = SMALL_UPSTREAM_FACTOR * able * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
+    paced = SMALL_UPSTREAM_PACE * able * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     ends = paced + warmers > borne + 2.0 * math.sqrt(borne) + 2.0
     return int(settings.fall_us * max(MIN_TURN_SHARE, borne / paced - 1.0)) if ends else 0
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_FACTOR, WARMING_SIDECARS, turn_lifetime_us
+from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_PACE, WARMING_SIDECARS, turn_lifetime_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
 from tests.cold_fleet import SECOND_US, SIZES, drawn, play
@@ -30,7 +30,7 @@
     config = settings(instances=instances, overload_factor=factor)
     pace, warmers = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for able in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
-        borne, paced = factor * able, SMALL_UPSTREAM_FACTOR * pace * able
+        borne, paced = factor * able, SMALL_UPSTREAM_PACE * pace * able
         turn = turn_lifetime_us(config, able, instances >= 20)
         if turn == 0:
             assert paced + warmers <= borne + 2 * math.sqrt(borne) + 2
