--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -19,11 +19,11 @@
 MAX_SHARE_FACTOR = 2.0  # times its even share: the most that one sidecar sends to a cold upstream
 
 
-def turn_position(upstream: int, index: int, instances: int, chance: float = 0.0) -> float:
+def turn_position(upstream: int, index: int, instances: int, offset: float = 0.0) -> float:
     """This sidecar's position from 0 to 1 in the round of sends to a cold upstream; 1 or more: it isn't among
     those that send. All sidecars compute the same order, as random positions would cluster."""
     first = (upstream % 0xFFFFFFFB) * 2654435761 % 2**32 * instances >> 32
-    return ((index - first) % instances + chance) / min(WARMING_SIDECARS, instances)
+    return ((index - first) % instances + offset) / min(WARMING_SIDECARS, instances)
 
 
 def is_warming_sidecar(upstream: int, index: int, instances: int) -> bool:
