--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -38,8 +38,8 @@
     turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
     tolerated, senders = settings.overload_factor * capacity, min(WARMING_SIDECARS, settings.instances)
     due = SMALL_UPSTREAM_PACE * capacity * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
-    ends = due + senders > tolerated + 2.0 * math.sqrt(tolerated) + 2.0
-    return int(settings.fall_us * max(MIN_TURN_SHARE, tolerated / due - 1.0)) if ends else 0
+    expires = due + senders > tolerated + 2.0 * math.sqrt(tolerated) + 2.0
+    return int(settings.fall_us * max(MIN_TURN_SHARE, tolerated / due - 1.0)) if expires else 0
 
 
 class TrafficShare:
