--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -125,5 +125,5 @@
         return changed
 
     def share(self, now_us: int) -> float:
-        faded: float = 0.5 ** min(30.0, (now_us - self.updated_us) / FAILURE_HALF_LIFE_US)
-        return self.value * faded
+        kept: float = 0.5 ** min(30.0, (now_us - self.updated_us) / FAILURE_HALF_LIFE_US)
+        return self.value * kept
