--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -59,10 +59,10 @@
     def share(self) -> float:
         """From 0 to 1: the mean of an even share and the share of sends. By sends alone the shares of all
         would exceed 1 in an overload, and an idle sidecar would have none when its traffic begins."""
-        by_number = 1.0 / self.instances
+        even_share = 1.0 / self.instances
         if not self.allowed_per_s:
-            return by_number
-        return min(1.0, (by_number + self.sends_per_s / self.allowed_per_s) / 2)
+            return even_share
+        return min(1.0, (even_share + self.sends_per_s / self.allowed_per_s) / 2)
 
     def share_of_cold_sends(self) -> float:
         """This sidecar's share of the sends to a cold upstream, among the sidecars that send there at all."""
