--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -24,9 +24,9 @@
 DONOR_HALF_LIFE_US = 30_000_000  # of a donor's values, as weights against those of other donors
 
 
-def decay(age_us: int, halves_us: int) -> float:
+def decay(age_us: int, half_life_us: int) -> float:
     """Confidence from 0 to 1 in a value of this age; 0 for one from the future."""
-    left: float = 0.5 ** (age_us / halves_us) if 0 <= age_us <= 8 * halves_us else 0.0
+    left: float = 0.5 ** (age_us / half_life_us) if 0 <= age_us <= 8 * half_life_us else 0.0
     return left if left >= MIN_CONFIDENCE else 0.0
 
 
