--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -26,8 +26,8 @@
 
 def decay(age_us: int, half_life_us: int) -> float:
     """Confidence from 0 to 1 in a value of this age; 0 for one from the future."""
-    left: float = 0.5 ** (age_us / half_life_us) if 0 <= age_us <= 8 * half_life_us else 0.0
-    return left if left >= MIN_CONFIDENCE else 0.0
+    confidence: float = 0.5 ** (age_us / half_life_us) if 0 <= age_us <= 8 * half_life_us else 0.0
+    return confidence if confidence >= MIN_CONFIDENCE else 0.0
 
 
 def blend(usual: float, told: float, trust: float) -> float:
