--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -30,9 +30,9 @@
     return confidence if confidence >= MIN_CONFIDENCE else 0.0
 
 
-def blend(default: float, taught: float, trust: float) -> float:
+def blend(default: float, taught: float, confidence: float) -> float:
     """Geometric interpolation from `usual` (trust 0) to `told` (1), as they vary by ratios; both above 0."""
-    found: float = default * (taught / default) ** trust
+    found: float = default * (taught / default) ** confidence
     return found
 
 
