--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -32,8 +32,8 @@
 
 def blend(default: float, taught: float, confidence: float) -> float:
     """Geometric interpolation from `usual` (trust 0) to `told` (1), as they vary by ratios; both above 0."""
-    found: float = default * (taught / default) ** confidence
-    return found
+    result: float = default * (taught / default) ** confidence
+    return result
 
 
 def decayed_lesson(lesson: api.UpstreamLesson, now_us: int) -> api.UpstreamLesson | None:
