--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -42,8 +42,8 @@
     if not 0 <= age_us <= DISTANCE_LIFETIME_US:
         return None
     is_silent = lesson.mute > 1 and age_us <= SILENCE_LIFETIME_US
-    halves_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
-    slots = effective_slots(lesson) if is_silent else blend(1.0, lesson.slots, decay(age_us, halves_us))
+    half_life_us = OPEN_HALF_LIFE_US if lesson.slots >= 1.0 else CLOSED_HALF_LIFE_US
+    slots = effective_slots(lesson) if is_silent else blend(1.0, lesson.slots, decay(age_us, half_life_us))
     return replace(lesson, slots=slots, mute=lesson.mute if is_silent else 1,
                    failing=lesson.failing and decay(age_us, CLOSED_HALF_LIFE_US) >= 0.5)
 
