--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -73,11 +73,11 @@
 
 def median(values: Sequence[tuple[float, float]]) -> float:
     """Weighted median of (value, weight) pairs: one of three equal ones can't move it beyond the others."""
-    half, passed = sum(weight for _, weight in values) / 2, 0.0
+    half, cumulative = sum(weight for _, weight in values) / 2, 0.0
     ordered = sorted(values)
     for value, weight in ordered:
-        passed += weight
-        if passed >= half:
+        cumulative += weight
+        if cumulative >= half:
             return value
     return ordered[-1][0]
 
