--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -100,16 +100,16 @@
     for donor in donors:
         weight = donor.weight()
         for lesson in usable_lessons(donor):
-            worth = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
+            share = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
             if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
-                worth = max(worth, weight / 2)
-            if worth > 0.0:
+                share = max(share, weight / 2)
+            if share > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
-                    (lesson, worth, donor.lessons.zone == zone))
+                    (lesson, share, donor.lessons.zone == zone))
         for kind in donor.lessons.classes:
-            worth = weight * decay(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
-            if worth > 0.0:
-                by_class.setdefault(kind.name, []).append((kind, worth))
+            share = weight * decay(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
+            if share > 0.0:
+                by_class.setdefault(kind.name, []).append((kind, share))
         if donor.lessons.slots > 0.0:
             windows.append((donor.lessons.slots, weight))
         for name, part in donor.lessons.tenants:
