--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -11,8 +11,8 @@
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
         self.capacities = [0.0] * (2 * self.leaves)
 
-    def set(self, place: int, weight: float, room: float) -> None:
-        node, weights, rooms = place + self.leaves, self.weights, self.capacities
+    def set(self, leaf: int, weight: float, room: float) -> None:
+        node, weights, rooms = leaf + self.leaves, self.weights, self.capacities
         if weights[node] == weight and rooms[node] == room:
             return
         weights[node], rooms[node] = weight, room
