--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -11,11 +11,11 @@
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
         self.capacities = [0.0] * (2 * self.leaves)
 
-    def set(self, leaf: int, weight: float, room: float) -> None:
+    def set(self, leaf: int, weight: float, capacity: float) -> None:
         node, weights, rooms = leaf + self.leaves, self.weights, self.capacities
-        if weights[node] == weight and rooms[node] == room:
+        if weights[node] == weight and rooms[node] == capacity:
             return
-        weights[node], rooms[node] = weight, room
+        weights[node], rooms[node] = weight, capacity
         node >>= 1
         while node:
             left = 2 * node
