--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -12,15 +12,15 @@
         self.capacities = [0.0] * (2 * self.leaves)
 
     def set(self, leaf: int, weight: float, capacity: float) -> None:
-        node, weights, rooms = leaf + self.leaves, self.weights, self.capacities
-        if weights[node] == weight and rooms[node] == capacity:
+        node, weights, capacities = leaf + self.leaves, self.weights, self.capacities
+        if weights[node] == weight and capacities[node] == capacity:
             return
-        weights[node], rooms[node] = weight, capacity
+        weights[node], capacities[node] = weight, capacity
         node >>= 1
         while node:
             left = 2 * node
             weights[node] = weights[left] + weights[left + 1]
-            rooms[node] = rooms[left] + rooms[left + 1]
+            capacities[node] = capacities[left] + capacities[left + 1]
             node >>= 1
 
     def prefix_weight(self, room: float) -> float:
