--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -23,15 +23,15 @@
             capacities[node] = capacities[left] + capacities[left + 1]
             node >>= 1
 
-    def prefix_weight(self, room: float) -> float:
+    def prefix_weight(self, capacity: float) -> float:
         """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
         node, weights, rooms, before = 1, self.weights, self.capacities, 0.0
-        if rooms[1] < room:
+        if rooms[1] < capacity:
             return weights[1]
         while node < self.leaves:
             node *= 2
-            if rooms[node] < room:
-                room -= rooms[node]
+            if rooms[node] < capacity:
+                capacity -= rooms[node]
                 before += weights[node]
                 node += 1
         return before + weights[node]
