--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -25,13 +25,13 @@
 
     def prefix_weight(self, capacity: float) -> float:
         """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
-        node, weights, rooms, before = 1, self.weights, self.capacities, 0.0
-        if rooms[1] < capacity:
+        node, weights, capacities, before = 1, self.weights, self.capacities, 0.0
+        if capacities[1] < capacity:
             return weights[1]
         while node < self.leaves:
             node *= 2
-            if rooms[node] < capacity:
-                capacity -= rooms[node]
+            if capacities[node] < capacity:
+                capacity -= capacities[node]
                 before += weights[node]
                 node += 1
         return before + weights[node]
