--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -36,10 +36,10 @@
     it serves `able` requests and tolerates N + 2 sqrt(N) + 2, with N = overload_factor x able; `paced` turns
     become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
     turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
-    tolerated, senders = settings.overload_factor * capacity, min(WARMING_SIDECARS, settings.instances)
+    allowed, senders = settings.overload_factor * capacity, min(WARMING_SIDECARS, settings.instances)
     due = SMALL_UPSTREAM_PACE * capacity * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
-    expires = due + senders > tolerated + 2.0 * math.sqrt(tolerated) + 2.0
-    return int(settings.fall_us * max(MIN_TURN_SHARE, tolerated / due - 1.0)) if expires else 0
+    expires = due + senders > allowed + 2.0 * math.sqrt(allowed) + 2.0
+    return int(settings.fall_us * max(MIN_TURN_SHARE, allowed / due - 1.0)) if expires else 0
 
 
 class TrafficShare:
