--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -100,16 +100,16 @@
     for donor in donors:
         weight = donor.weight()
         for lesson in usable_lessons(donor):
-            share = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
+            decayed_weight = weight * decay(now_us - lesson.confirmed_us, DONOR_HALF_LIFE_US)
             if lesson.mute > 1:  # silent upstreams are tried rarely, so confirmed rarely
-                share = max(share, weight / 2)
-            if share > 0.0:
+                decayed_weight = max(decayed_weight, weight / 2)
+            if decayed_weight > 0.0:
                 by_process.setdefault((lesson.id, lesson.started_us), []).append(
-                    (lesson, share, donor.lessons.zone == zone))
+                    (lesson, decayed_weight, donor.lessons.zone == zone))
         for kind in donor.lessons.classes:
-            share = weight * decay(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
-            if share > 0.0:
-                by_class.setdefault(kind.name, []).append((kind, share))
+            decayed_weight = weight * decay(now_us - kind.confirmed_us, DONOR_HALF_LIFE_US)
+            if decayed_weight > 0.0:
+                by_class.setdefault(kind.name, []).append((kind, decayed_weight))
         if donor.lessons.slots > 0.0:
             windows.append((donor.lessons.slots, weight))
         for name, part in donor.lessons.tenants:
