--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -128,8 +128,8 @@
 
 
 def _combined_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
-    latencies = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
+    least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
     slots = median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
     # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if effective_slots(lesson) == slots)
-    return replace(lesson, least_us=int(median(latencies)) if latencies else 0, next_cold_us=0, first_hand=False)
+    return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
