--- a/ironscale/confidence.py
+++ b/ironscale/confidence.py
@@ -31,7 +31,7 @@
 
 
 def blend(default: float, taught: float, confidence: float) -> float:
-    """Geometric interpolation from `usual` (trust 0) to `told` (1), as they vary by ratios; both above 0."""
+    """From `default` (confidence 0) to `taught` (1), geometrically, as they vary by ratios; both above 0."""
     result: float = default * (taught / default) ** confidence
     return result
 
@@ -128,8 +128,8 @@
 
 
 def _combined_upstream(found: Sequence[tuple[api.UpstreamLesson, float, bool]]) -> api.UpstreamLesson:
-    least = [(float(lesson.least_us), worth) for lesson, worth, near in found if near and lesson.least_us > 0]
-    slots = median([(effective_slots(lesson), worth) for lesson, worth, _ in found])
+    least = [(float(one.least_us), weight) for one, weight, near in found if near and one.least_us > 0]
+    slots = median([(effective_slots(lesson), weight) for lesson, weight, _ in found])
     # one whole lesson, as a mix of several (silent, but with open slots) would be nobody's observation
     lesson = next(lesson for lesson, _, _ in found if effective_slots(lesson) == slots)
     return replace(lesson, least_us=int(median(least)) if least else 0, next_cold_us=0, first_hand=False)
--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -33,9 +33,9 @@
 
 def turn_lifetime_us(settings: api.Settings, capacity: float, is_one_of_many: bool) -> int:
     """Rule 4: how long an unused turn to send to a cold upstream stays valid; 0 = forever. Within `fall_us`
-    it serves `able` requests and tolerates N + 2 sqrt(N) + 2, with N = overload_factor x able; `paced` turns
-    become due. After a lull all m senders may hold a turn: harmless if paced + m is tolerated. Otherwise
-    turns expire, so that held (paced x turn / fall_us) and new ones sum to N; the rest is for randomness."""
+    it serves `capacity` requests and tolerates N + 2 sqrt(N) + 2, N = overload_factor x capacity (`allowed`);
+    `due` new turns come up. After a lull all m senders may hold one: harmless if due + m is tolerated.
+    Else they expire, so that held (due x lifetime / fall_us) and new ones sum to N; the rest is for randomness."""
     allowed, senders = settings.overload_factor * capacity, min(WARMING_SIDECARS, settings.instances)
     due = SMALL_UPSTREAM_PACE * capacity * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     expires = due + senders > allowed + 2.0 * math.sqrt(allowed) + 2.0
--- a/ironscale/sum_tree.py
+++ b/ironscale/sum_tree.py
@@ -9,7 +9,7 @@
     def __init__(self, count: int) -> None:
         self.leaves = 1 << max(0, count - 1).bit_length()
         self.weights = [0.0] * (2 * self.leaves)  # node k = sum of 2k and 2k + 1; leaves last
-        self.capacities = [0.0] * (2 * self.leaves)
+        self.capacities = [0.0] * (2 * self.leaves)  # free slots, in upstreams of mean size
 
     def set(self, leaf: int, weight: float, capacity: float) -> None:
         node, weights, capacities = leaf + self.leaves, self.weights, self.capacities
@@ -24,7 +24,7 @@
             node >>= 1
 
     def prefix_weight(self, capacity: float) -> float:
-        """Total weight of the shortest prefix that has this much room; of all leaves if there is none."""
+        """Total weight of the shortest prefix that has this much capacity; of all leaves if there is none."""
         node, weights, capacities, before = 1, self.weights, self.capacities, 0.0
         if capacities[1] < capacity:
             return weights[1]
