--- a/ironscale/fleet_estimates.py
+++ b/ironscale/fleet_estimates.py
@@ -35,7 +35,7 @@
     """Rule 4: how long an unused turn to send to a cold upstream stays valid; 0 = forever. Within `fall_us`
     it serves `capacity` requests and tolerates N + 2 sqrt(N) + 2, N = overload_factor x capacity (`allowed`);
     `due` new turns come up. After a lull all m senders may hold one: harmless if due + m is tolerated.
-    Else they expire, so that held (due x lifetime / fall_us) and new ones sum to N; the rest is for randomness."""
+    Else they expire so that held (due x lifetime / fall_us) and new ones sum to N; the rest is randomness."""
     allowed, senders = settings.overload_factor * capacity, min(WARMING_SIDECARS, settings.instances)
     due = SMALL_UPSTREAM_PACE * capacity * (1.0 if is_one_of_many else max(1.0, settings.overload_factor / 2))
     expires = due + senders > allowed + 2.0 * math.sqrt(allowed) + 2.0
