--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -82,7 +82,7 @@
     mean = math.exp(rng.uniform(math.log(10.0), math.log(40.0)))
     kinds = [rng.choice(KINDS) if rng.random() < 0.8 else 1.0 for _ in range(count)]
     sizes = [mean * kind * count / sum(kinds) for kind in kinds]
-    cold = rng.randint(1, max(1, count // 3))
+    cold_count = rng.randint(1, max(1, count // 3))
     shares = [rng.uniform(3.0, 6.0) if rng.random() < 0.15 else rng.uniform(0.3, 1.2) for _ in range(instances)]
     waves, at_s = [(0.0, 1.0)], 0.0
     while at_s < 10.0:
@@ -95,7 +95,7 @@
         warm_up_us=int(warm_s * SECOND_US), overload_factor=factor, fall_us=int(fall_s * SECOND_US))
     late = rng.random() < 0.3
     return Case(
-        seed, instances, settings, min(10.0, warm_s), sizes, cold, [s / sum(shares) for s in shares],
+        seed, instances, settings, min(10.0, warm_s), sizes, cold_count, [s / sum(shares) for s in shares],
         rng.choice((0.3, 0.6, 0.8, 1.1, 1.3)), waves,
         [(0.59, 22.0), (0.23, 42.0), (0.18, 28.0)] if at_site else [(0.7, 5.0), (0.2, 10.0), (0.1, 20.0)],
         [rng.uniform(0.0, 1.0) + (rng.uniform(1.0, 5.0) if late and rng.random() < 0.3 else 0.0)
@@ -103,7 +103,7 @@
         rng.uniform(2.0, 6.0) if rng.random() < 0.3 else 0.0, rng.uniform(0.5, 3.0), rng.random() < 0.5,
         sorted((rng.uniform(1.0, 10.0), index) for index in range(instances) if rng.random() < 0.3)
         if rng.random() < 0.4 else [],
-        rng.randint(0, (count - cold) // 3) if rng.random() < 0.3 else 0, chance)
+        rng.randint(0, (count - cold_count) // 3) if rng.random() < 0.3 else 0, chance)
 
 
 @dataclass
