--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -59,7 +59,7 @@
     known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
     restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
     away: int  # how many upstreams leave the list when the cold ones join it
-    chance: float  # variation of work within a class: standard deviation / mean
+    variation: float  # variation of work within a class: standard deviation / mean
 
 
 def classes() -> list[RequestClass]:
@@ -242,8 +242,8 @@
         ident = self.count
         due_us = self.now_us + case.settings.classes[which].deadline_us
         work = case.work[which][1] / mean
-        if case.chance:
-            work *= rng.gammavariate(case.chance ** -2, case.chance ** 2)
+        if case.variation:
+            work *= rng.gammavariate(case.variation ** -2, case.variation ** 2)
         self.requests[ident] = sidecar, sidecar.life, which, work, due_us
         self.asked += 1
         self.tell(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
