--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -53,7 +53,7 @@
     load: float  # relative to the capacity of all upstreams when warm
     waves: list[tuple[float, float]]  # start in seconds, and factor on the load from then on
     work: list[tuple[float, float]]  # by class: share of the requests, mean work
-    told_s: list[float]  # by sidecar: when it receives the list after a change
+    list_delays_s: list[float]  # by sidecar: when it receives the list after a change
     again_s: float  # when the cold upstreams crash and restart once more; 0 = never
     down_s: float  # time from that crash to the restart
     known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
@@ -214,7 +214,7 @@
 
     def tell_all(self) -> None:
         for sidecar in self.sidecars:
-            self.at(self.now_us + int(self.case.told_s[sidecar.number] * SECOND_US), "list", sidecar.number)
+            self.at(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US), "list", sidecar.number)
 
     def on_crash(self) -> None:
         for machine in list(self.machines.values())[:self.case.cold]:
