--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -54,7 +54,7 @@
     waves: list[tuple[float, float]]  # start in seconds, and factor on the load from then on
     work: list[tuple[float, float]]  # by class: share of the requests, mean work
     list_delays_s: list[float]  # by sidecar: when it receives the list after a change
-    again_s: float  # when the cold upstreams crash and restart once more; 0 = never
+    crash_s: float  # when the cold upstreams crash and restart once more; 0 = never
     down_s: float  # time from that crash to the restart
     known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
     restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
@@ -172,9 +172,9 @@
         self.draw_arrivals(calm_us)
         changed_us = START_US + calm_us
         self.at(changed_us, "start")
-        if case.again_s:
-            self.at(changed_us + int(case.again_s * SECOND_US), "crash")
-            self.at(changed_us + int((case.again_s + case.down_s) * SECOND_US), "start")
+        if case.crash_s:
+            self.at(changed_us + int(case.crash_s * SECOND_US), "crash")
+            self.at(changed_us + int((case.crash_s + case.down_s) * SECOND_US), "start")
         for at_s, number in case.restarts:
             self.at(changed_us + int(at_s * SECOND_US), "restart", number)
         end_us = changed_us + int(case.seconds * SECOND_US)
