--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -58,7 +58,7 @@
     down_s: float  # time from that crash to the restart
     known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
     restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
-    away: int  # how many upstreams leave the list when the cold ones join it
+    removed_count: int  # how many upstreams leave the list when the cold ones join it
     variation: float  # variation of work within a class: standard deviation / mean
 
 
@@ -202,7 +202,7 @@
 
     def on_start(self) -> None:
         cold = list(self.machines.values())[:self.case.cold]
-        gone = list(self.machines.values())[-self.case.away:] if self.case.away else []
+        gone = list(self.machines.values())[-self.case.removed_count:] if self.case.removed_count else []
         for machine in cold:
             self.close_account(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
