--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -56,7 +56,7 @@
     list_delays_s: list[float]  # by sidecar: when it receives the list after a change
     crash_s: float  # when the cold upstreams crash and restart once more; 0 = never
     down_s: float  # time from that crash to the restart
-    known: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
+    listed_before: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
     restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
     removed_count: int  # how many upstreams leave the list when the cold ones join it
     variation: float  # variation of work within a class: standard deviation / mean
@@ -164,7 +164,7 @@
 
     def play(self) -> Verdict:
         case = self.case
-        for machine in list(self.machines.values())[:case.cold] if not case.known else []:
+        for machine in list(self.machines.values())[:case.cold] if not case.listed_before else []:
             machine.up = False
         for sidecar in self.sidecars:
             self.on_list(sidecar.number)
