--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -81,7 +81,7 @@
     count = rng.randint(5, 16)
     mean = math.exp(rng.uniform(math.log(10.0), math.log(40.0)))
     kinds = [rng.choice(KINDS) if rng.random() < 0.8 else 1.0 for _ in range(count)]
-    sizes = [mean * kind * count / sum(kinds) for kind in kinds]
+    capacities = [mean * kind * count / sum(kinds) for kind in kinds]
     cold_count = rng.randint(1, max(1, count // 3))
     shares = [rng.uniform(3.0, 6.0) if rng.random() < 0.15 else rng.uniform(0.3, 1.2) for _ in range(instances)]
     waves, at_s = [(0.0, 1.0)], 0.0
@@ -89,13 +89,13 @@
         at_s += rng.uniform(0.5, 3.0)
         waves.append((at_s, rng.choice((0.05, 0.3, 1.0, 1.0, 1.6, 2.5))))
     settings = Settings(
-        classes(), [Tenant("north", quota * sum(sizes) * 0.6, 0.6), Tenant("south", quota * sum(sizes) * 0.4, 0.4)],
+        classes(), [Tenant("north", quota * sum(capacities) * 0.6, 0.6), Tenant("south", quota * sum(capacities) * 0.4, 0.4)],
         over_share_worth=0.1, instances=instances, tick_us=4_000, max_attempts=4, max_retry_after_us=SECOND_US,
         connect_timeout_us=150_000, second_copies=rng.random() < 0.5, cold_share=cold_share,
         warm_up_us=int(warm_s * SECOND_US), overload_factor=factor, fall_us=int(fall_s * SECOND_US))
     late = rng.random() < 0.3
     return Case(
-        seed, instances, settings, min(10.0, warm_s), sizes, cold_count, [s / sum(shares) for s in shares],
+        seed, instances, settings, min(10.0, warm_s), capacities, cold_count, [s / sum(shares) for s in shares],
         rng.choice((0.3, 0.6, 0.8, 1.1, 1.3)), waves,
         [(0.59, 22.0), (0.23, 42.0), (0.18, 28.0)] if at_site else [(0.7, 5.0), (0.2, 10.0), (0.1, 20.0)],
         [rng.uniform(0.0, 1.0) + (rng.uniform(1.0, 5.0) if late and rng.random() < 0.3 else 0.0)
