--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -116,7 +116,7 @@
     queued: list[int] = field(default_factory=list)  # when each request in the queue completes
     up: bool = True
     window: deque[tuple[int, float, bool]] = field(default_factory=deque)
-    got: float = 0.0  # work received while cold
+    received: float = 0.0  # work received while cold
     worst: float = 0.0  # highest load of any window, relative to what it tolerates
     fell_us: int = 0
 
@@ -326,7 +326,7 @@
         allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.size * s.fall_us / SECOND_US
         borne = allowed + 2.0 * math.sqrt(allowed) + 2.0
         sent, told = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
-        machine.got += work
+        machine.received += work
         self.told_worst = max(self.told_worst, told / borne)
         if sent > borne:
             machine.fell_us = self.now_us
@@ -341,9 +341,9 @@
             until_us = min(machine.fell_us or self.now_us, since_us + s.warm_up_us)
             mean = (self.warmth(machine, since_us) + self.warmth(machine, until_us - 1)) / 2
             self.able += mean * machine.size * (until_us - since_us) / SECOND_US
-            self.got += machine.got
+            self.got += machine.received
         machine.window.clear()
-        machine.got, machine.fell_us = 0.0, 0
+        machine.received, machine.fell_us = 0.0, 0
 
 
 def play(case: Case) -> Verdict:
