--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -118,7 +118,7 @@
     window: deque[tuple[int, float, bool]] = field(default_factory=deque)
     received: float = 0.0  # work received while cold
     worst: float = 0.0  # highest load of any window, relative to what it tolerates
-    fell_us: int = 0
+    overloaded_us: int = 0
 
 
 @dataclass
@@ -293,7 +293,7 @@
         work = self.requests[send.request][3]
         self.open.add((send.request, nth))
         warmth = self.warmth(machine, now_us)
-        if not machine.up or machine.fell_us:
+        if not machine.up or machine.overloaded_us:
             self.ends(send, nth, 1_000, Outcome.CONNECT_FAILED)
             return
         if warmth < 1.0:
@@ -329,7 +329,7 @@
         machine.received += work
         self.told_worst = max(self.told_worst, told / borne)
         if sent > borne:
-            machine.fell_us = self.now_us
+            machine.overloaded_us = self.now_us
             self.falls += told > 2 / 3 * sent
         if told > 2 / 3 * sent:
             self.worst = max(self.worst, sent / borne)
@@ -338,12 +338,12 @@
         """Adds the upstream's capacity and the work that it received since its start to the totals."""
         if machine.entry.started_us and machine.up:
             s, since_us = self.case.settings, machine.entry.started_us
-            until_us = min(machine.fell_us or self.now_us, since_us + s.warm_up_us)
+            until_us = min(machine.overloaded_us or self.now_us, since_us + s.warm_up_us)
             mean = (self.warmth(machine, since_us) + self.warmth(machine, until_us - 1)) / 2
             self.able += mean * machine.size * (until_us - since_us) / SECOND_US
             self.got += machine.received
         machine.window.clear()
-        machine.received, machine.fell_us = 0.0, 0
+        machine.received, machine.overloaded_us = 0.0, 0
 
 
 def play(case: Case) -> Verdict:
