--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -111,7 +111,7 @@
     """One upstream: two cores that process work in order, a bounded queue, and the accounting for rule 4."""
 
     entry: Upstream
-    size: float
+    capacity: float
     cores: list[int] = field(default_factory=lambda: [0, 0])
     queued: list[int] = field(default_factory=list)  # when each request in the queue completes
     up: bool = True
@@ -304,7 +304,7 @@
             return
         core = min(range(2), key=machine.cores.__getitem__)
         machine.cores[core] = max(machine.cores[core], now_us) + int(
-            work * 2 / (machine.size * warmth) * SECOND_US)
+            work * 2 / (machine.capacity * warmth) * SECOND_US)
         machine.queued.append(machine.cores[core])
         self.ends(send, nth, machine.cores[core] + 2_000 - now_us, Outcome.OK)
 
@@ -323,7 +323,7 @@
         window.append((self.now_us, work, is_told))
         while window[0][0] <= self.now_us - s.fall_us:
             window.popleft()
-        allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.size * s.fall_us / SECOND_US
+        allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.capacity * s.fall_us / SECOND_US
         borne = allowed + 2.0 * math.sqrt(allowed) + 2.0
         sent, told = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
         machine.received += work
@@ -340,7 +340,7 @@
             s, since_us = self.case.settings, machine.entry.started_us
             until_us = min(machine.overloaded_us or self.now_us, since_us + s.warm_up_us)
             mean = (self.warmth(machine, since_us) + self.warmth(machine, until_us - 1)) / 2
-            self.able += mean * machine.size * (until_us - since_us) / SECOND_US
+            self.able += mean * machine.capacity * (until_us - since_us) / SECOND_US
             self.got += machine.received
         machine.window.clear()
         machine.received, machine.overloaded_us = 0.0, 0
