--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -113,7 +113,7 @@
     entry: Upstream
     capacity: float
     cores: list[int] = field(default_factory=lambda: [0, 0])
-    queued: list[int] = field(default_factory=list)  # when each request in the queue completes
+    queue: list[int] = field(default_factory=list)  # when each request in the queue completes
     up: bool = True
     window: deque[tuple[int, float, bool]] = field(default_factory=deque)
     received: float = 0.0  # work received while cold
@@ -206,7 +206,7 @@
         for machine in cold:
             self.close_account(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
-            machine.cores, machine.queued = [self.now_us] * 2, []
+            machine.cores, machine.queue = [self.now_us] * 2, []
             self.starts += 1
         for machine in gone:
             machine.entry = replace(machine.entry, state=UpstreamState.GONE)
@@ -298,14 +298,14 @@
             return
         if warmth < 1.0:
             self.count_cold(sidecar, machine, work)
-        machine.queued = [done_us for done_us in machine.queued if done_us > now_us]
-        if len(machine.queued) >= 30:
+        machine.queue = [done_us for done_us in machine.queue if done_us > now_us]
+        if len(machine.queue) >= 30:
             self.ends(send, nth, 1_000, Outcome.FULL)
             return
         core = min(range(2), key=machine.cores.__getitem__)
         machine.cores[core] = max(machine.cores[core], now_us) + int(
             work * 2 / (machine.capacity * warmth) * SECOND_US)
-        machine.queued.append(machine.cores[core])
+        machine.queue.append(machine.cores[core])
         self.ends(send, nth, machine.cores[core] + 2_000 - now_us, Outcome.OK)
 
     def ends(self, send: Send, nth: int, after_us: int, outcome: Outcome) -> None:
