--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -112,7 +112,7 @@
 
     entry: Upstream
     capacity: float
-    cores: list[int] = field(default_factory=lambda: [0, 0])
+    cores_free_us: list[int] = field(default_factory=lambda: [0, 0])
     queue: list[int] = field(default_factory=list)  # when each request in the queue completes
     up: bool = True
     window: deque[tuple[int, float, bool]] = field(default_factory=deque)
@@ -206,7 +206,7 @@
         for machine in cold:
             self.close_account(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
-            machine.cores, machine.queue = [self.now_us] * 2, []
+            machine.cores_free_us, machine.queue = [self.now_us] * 2, []
             self.starts += 1
         for machine in gone:
             machine.entry = replace(machine.entry, state=UpstreamState.GONE)
@@ -302,11 +302,11 @@
         if len(machine.queue) >= 30:
             self.ends(send, nth, 1_000, Outcome.FULL)
             return
-        core = min(range(2), key=machine.cores.__getitem__)
-        machine.cores[core] = max(machine.cores[core], now_us) + int(
+        core = min(range(2), key=machine.cores_free_us.__getitem__)
+        machine.cores_free_us[core] = max(machine.cores_free_us[core], now_us) + int(
             work * 2 / (machine.capacity * warmth) * SECOND_US)
-        machine.queue.append(machine.cores[core])
-        self.ends(send, nth, machine.cores[core] + 2_000 - now_us, Outcome.OK)
+        machine.queue.append(machine.cores_free_us[core])
+        self.ends(send, nth, machine.cores_free_us[core] + 2_000 - now_us, Outcome.OK)
 
     def ends(self, send: Send, nth: int, after_us: int, outcome: Outcome) -> None:
         if send.timeout_us and after_us > send.timeout_us:
