--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -126,7 +126,7 @@
     number: int
     balancer: Balancer
     life: int = 0
-    told: dict[int, int] = field(default_factory=dict)  # by upstream: start time as it was listed
+    listed_starts: dict[int, int] = field(default_factory=dict)  # by upstream: start time as it was listed
 
 
 @dataclass(frozen=True)
@@ -225,7 +225,7 @@
     def on_list(self, number: int) -> None:
         sidecar = self.sidecars[number]
         entries = [m.entry for m in self.machines.values() if m.up and m.entry.state is UpstreamState.READY]
-        sidecar.told = {entry.id: entry.started_us for entry in entries}
+        sidecar.listed_starts = {entry.id: entry.started_us for entry in entries}
         self.tell(sidecar, UpstreamsUpdated(ListKind.FULL, entries))
 
     def on_restart(self, number: int) -> None:
@@ -319,7 +319,7 @@
         capacity at the start of that window, its lowest there. An overload counts as a violation if over two thirds
         of the work came from sidecars that knew of the upstream's start."""
         s, window = self.case.settings, machine.window
-        is_told = sidecar.told.get(machine.entry.id) == machine.entry.started_us
+        is_told = sidecar.listed_starts.get(machine.entry.id) == machine.entry.started_us
         window.append((self.now_us, work, is_told))
         while window[0][0] <= self.now_us - s.fall_us:
             window.popleft()
