--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -125,7 +125,7 @@
 class Sidecar:
     number: int
     balancer: Balancer
-    life: int = 0
+    incarnation: int = 0
     listed_starts: dict[int, int] = field(default_factory=dict)  # by upstream: start time as it was listed
 
 
@@ -229,9 +229,9 @@
         self.tell(sidecar, UpstreamsUpdated(ListKind.FULL, entries))
 
     def on_restart(self, number: int) -> None:
-        life = self.sidecars[number].life + 1
+        life = self.sidecars[number].incarnation + 1
         self.sidecars[number] = self.started(number)
-        self.sidecars[number].life = life
+        self.sidecars[number].incarnation = life
         self.at(self.now_us + 300_000, "list", number)
 
     def on_arrival(self, number: int) -> None:
@@ -244,12 +244,12 @@
         work = case.work[which][1] / mean
         if case.variation:
             work *= rng.gammavariate(case.variation ** -2, case.variation ** 2)
-        self.requests[ident] = sidecar, sidecar.life, which, work, due_us
+        self.requests[ident] = sidecar, sidecar.incarnation, which, work, due_us
         self.asked += 1
         self.tell(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
 
     def on_timer(self, number: int, life: int) -> None:
-        if self.sidecars[number].life == life:
+        if self.sidecars[number].incarnation == life:
             self.tell(self.sidecars[number], TimerFired(0))
 
     def on_end(self, ident: int, nth: int, upstream: int, outcome: int, sent_us: int) -> None:
@@ -257,7 +257,7 @@
             return
         self.open.discard((ident, nth))
         sidecar, life, which, _, due_us = self.requests[ident]
-        if self.sidecars[sidecar.number].life != life:
+        if self.sidecars[sidecar.number].incarnation != life:
             return
         how = list(Outcome)[outcome]
         machine = self.machines[upstream]
@@ -275,7 +275,7 @@
             if isinstance(action, Send):
                 self.send(sidecar, action)
             elif isinstance(action, SetTimer):
-                self.at(action.at_us, "timer", sidecar.number, sidecar.life)
+                self.at(action.at_us, "timer", sidecar.number, sidecar.incarnation)
             elif isinstance(action, Refuse | Fail):
                 self.requests.pop(action.request, None)
 
