--- a/bench/cold.py
+++ b/bench/cold.py
@@ -47,13 +47,13 @@
     for size, all_of in found.items():
         verdicts = [verdict for _, verdict in all_of]
         worst, used = (sorted(v.worst for v in verdicts), sorted(v.used for v in verdicts))
-        broken = [[seed for seed, v in all_of if v.falls and seed % 2 == odd] for odd in (0, 1)]
+        broken = [[seed for seed, v in all_of if v.overloads and seed % 2 == odd] for odd in (0, 1)]
         shares = [share(worst, 0.5), share(worst, 0.99), worst[-1], *(share(used, part) for part in (0.1, 0.5, 0.9))]
         print(f"{size:8}  {len(broken[0]):12}  {len(broken[1]):4}  ", "  ".join(f"{one:6.2f}" for one in shares),
               f"  {statistics.mean(v.served for v in verdicts):6.4f}")
         if broken[0] or broken[1]:
             print(f"          seeds {' '.join(map(str, sorted(broken[0] + broken[1])[:20]))}")
-    return 1 if any(v.falls for all_of in found.values() for _, v in all_of) else 0
+    return 1 if any(v.overloads for all_of in found.values() for _, v in all_of) else 0
 
 
 if __name__ == "__main__":
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    falls: int  # overloads of a cold upstream, of which over two thirds came from sidecars that knew of its start
+    overloads: int  # overloads of a cold upstream, of which over two thirds came from sidecars that knew of its start
     worst: float  # highest load of any window, relative to what is tolerated in it
     told_worst: float  # the same, counting only the sends of sidecars that knew of the start
     used: float  # work sent to cold upstreams / their capacity; up to `overload_factor` is allowed
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -19,7 +19,7 @@
 def test_all_sidecars_together_do_not_overload_a_cold_upstream(seed: int, instances: int) -> None:
     verdict = play(drawn(seed, instances))
     assert verdict.cold and verdict.used > 0.0
-    assert not verdict.falls and verdict.worst <= 1.0, verdict
+    assert not verdict.overloads and verdict.worst <= 1.0, verdict
 
 
 @pytest.mark.parametrize("factor", [1.2, 2.0, 2.5, 3.0])
