--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -152,7 +152,7 @@
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
         self.served = self.asked = self.falls = self.starts = 0
-        self.able = self.got = self.worst = self.told_worst = 0.0
+        self.able = self.got = self.worst = self.informed_worst = 0.0
 
     def at(self, when_us: int, what: str, *about: int) -> None:
         self.count += 1
@@ -183,7 +183,7 @@
             getattr(self, "on_" + what)(*about)
         for machine in self.machines.values():
             self.close_account(machine)
-        return Verdict(self.falls, self.worst, self.told_worst, self.got / self.able if self.able else 0.0,
+        return Verdict(self.falls, self.worst, self.informed_worst, self.got / self.able if self.able else 0.0,
                        self.served / max(1, self.asked), self.starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
@@ -327,7 +327,7 @@
         borne = allowed + 2.0 * math.sqrt(allowed) + 2.0
         sent, told = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
         machine.received += work
-        self.told_worst = max(self.told_worst, told / borne)
+        self.informed_worst = max(self.informed_worst, told / borne)
         if sent > borne:
             machine.overloaded_us = self.now_us
             self.falls += told > 2 / 3 * sent
