--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -151,7 +151,7 @@
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
-        self.served = self.asked = self.falls = self.starts = 0
+        self.served = self.asked = self.overloads = self.starts = 0
         self.able = self.got = self.worst = self.informed_worst = 0.0
 
     def at(self, when_us: int, what: str, *about: int) -> None:
@@ -183,7 +183,7 @@
             getattr(self, "on_" + what)(*about)
         for machine in self.machines.values():
             self.close_account(machine)
-        return Verdict(self.falls, self.worst, self.informed_worst, self.got / self.able if self.able else 0.0,
+        return Verdict(self.overloads, self.worst, self.informed_worst, self.got / self.able if self.able else 0.0,
                        self.served / max(1, self.asked), self.starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
@@ -330,7 +330,7 @@
         self.informed_worst = max(self.informed_worst, told / borne)
         if sent > borne:
             machine.overloaded_us = self.now_us
-            self.falls += told > 2 / 3 * sent
+            self.overloads += told > 2 / 3 * sent
         if told > 2 / 3 * sent:
             self.worst = max(self.worst, sent / borne)
 
