--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -152,7 +152,7 @@
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
         self.served = self.asked = self.overloads = self.starts = 0
-        self.capacity = self.got = self.worst = self.informed_worst = 0.0
+        self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
     def at(self, when_us: int, what: str, *about: int) -> None:
         self.count += 1
@@ -183,7 +183,7 @@
             getattr(self, "on_" + what)(*about)
         for machine in self.machines.values():
             self.close_account(machine)
-        return Verdict(self.overloads, self.worst, self.informed_worst, self.got / self.capacity if self.capacity else 0.0,
+        return Verdict(self.overloads, self.worst, self.informed_worst, self.received / self.capacity if self.capacity else 0.0,
                        self.served / max(1, self.asked), self.starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
@@ -341,7 +341,7 @@
             until_us = min(machine.overloaded_us or self.now_us, since_us + s.warm_up_us)
             mean = (self.warmth(machine, since_us) + self.warmth(machine, until_us - 1)) / 2
             self.capacity += mean * machine.capacity * (until_us - since_us) / SECOND_US
-            self.got += machine.received
+            self.received += machine.received
         machine.window.clear()
         machine.received, machine.overloaded_us = 0.0, 0
 
