--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -151,7 +151,7 @@
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
-        self.served = self.asked = self.overloads = self.starts = 0
+        self.served = self.requested = self.overloads = self.starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
     def at(self, when_us: int, what: str, *about: int) -> None:
@@ -184,7 +184,7 @@
         for machine in self.machines.values():
             self.close_account(machine)
         return Verdict(self.overloads, self.worst, self.informed_worst, self.received / self.capacity if self.capacity else 0.0,
-                       self.served / max(1, self.asked), self.starts)
+                       self.served / max(1, self.requested), self.starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
         case, rng, at_s = self.case, self.rng, 0.0
@@ -245,7 +245,7 @@
         if case.variation:
             work *= rng.gammavariate(case.variation ** -2, case.variation ** 2)
         self.requests[ident] = sidecar, sidecar.incarnation, which, work, due_us
-        self.asked += 1
+        self.requested += 1
         self.tell(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
 
     def on_timer(self, number: int, life: int) -> None:
