--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -151,7 +151,7 @@
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.tries: dict[int, int] = {}
         self.open: set[tuple[int, int]] = set()
-        self.served = self.requested = self.overloads = self.starts = 0
+        self.served = self.requested = self.overloads = self.cold_starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
     def at(self, when_us: int, what: str, *about: int) -> None:
@@ -184,7 +184,7 @@
         for machine in self.machines.values():
             self.close_account(machine)
         return Verdict(self.overloads, self.worst, self.informed_worst, self.received / self.capacity if self.capacity else 0.0,
-                       self.served / max(1, self.requested), self.starts)
+                       self.served / max(1, self.requested), self.cold_starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
         case, rng, at_s = self.case, self.rng, 0.0
@@ -207,7 +207,7 @@
             self.close_account(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
             machine.cores_free_us, machine.queue = [self.now_us] * 2, []
-            self.starts += 1
+            self.cold_starts += 1
         for machine in gone:
             machine.entry = replace(machine.entry, state=UpstreamState.GONE)
         self.tell_all()
