--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -150,7 +150,7 @@
         self.sidecars = [self.started(number) for number in range(case.instances)]
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.tries: dict[int, int] = {}
-        self.open: set[tuple[int, int]] = set()
+        self.open_attempts: set[tuple[int, int]] = set()
         self.served = self.requested = self.overloads = self.cold_starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
@@ -253,9 +253,9 @@
             self.tell(self.sidecars[number], TimerFired(0))
 
     def on_end(self, ident: int, nth: int, upstream: int, outcome: int, sent_us: int) -> None:
-        if (ident, nth) not in self.open or ident not in self.requests:
+        if (ident, nth) not in self.open_attempts or ident not in self.requests:
             return
-        self.open.discard((ident, nth))
+        self.open_attempts.discard((ident, nth))
         sidecar, life, which, _, due_us = self.requests[ident]
         if self.sidecars[sidecar.number].incarnation != life:
             return
@@ -291,7 +291,7 @@
         machine, now_us = self.machines[send.upstream], self.now_us
         nth = self.tries[send.request] = self.tries.get(send.request, -1) + 1
         work = self.requests[send.request][3]
-        self.open.add((send.request, nth))
+        self.open_attempts.add((send.request, nth))
         warmth = self.warmth(machine, now_us)
         if not machine.up or machine.overloaded_us:
             self.ends(send, nth, 1_000, Outcome.CONNECT_FAILED)
