--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -149,7 +149,7 @@
         self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
         self.sidecars = [self.started(number) for number in range(case.instances)]
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
-        self.tries: dict[int, int] = {}
+        self.attempts: dict[int, int] = {}
         self.open_attempts: set[tuple[int, int]] = set()
         self.served = self.requested = self.overloads = self.cold_starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
@@ -289,7 +289,7 @@
 
     def send(self, sidecar: Sidecar, send: Send) -> None:
         machine, now_us = self.machines[send.upstream], self.now_us
-        nth = self.tries[send.request] = self.tries.get(send.request, -1) + 1
+        nth = self.attempts[send.request] = self.attempts.get(send.request, -1) + 1
         work = self.requests[send.request][3]
         self.open_attempts.add((send.request, nth))
         warmth = self.warmth(machine, now_us)
