--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -154,7 +154,7 @@
         self.served = self.requested = self.overloads = self.cold_starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
-    def at(self, when_us: int, what: str, *about: int) -> None:
+    def schedule(self, when_us: int, what: str, *about: int) -> None:
         self.count += 1
         heapq.heappush(self.events, (when_us, self.count, what, about))
 
@@ -171,12 +171,12 @@
         calm_us = 2 * SECOND_US  # by then each sidecar has sent requests
         self.draw_arrivals(calm_us)
         changed_us = START_US + calm_us
-        self.at(changed_us, "start")
+        self.schedule(changed_us, "start")
         if case.crash_s:
-            self.at(changed_us + int(case.crash_s * SECOND_US), "crash")
-            self.at(changed_us + int((case.crash_s + case.down_s) * SECOND_US), "start")
+            self.schedule(changed_us + int(case.crash_s * SECOND_US), "crash")
+            self.schedule(changed_us + int((case.crash_s + case.down_s) * SECOND_US), "start")
         for at_s, number in case.restarts:
-            self.at(changed_us + int(at_s * SECOND_US), "restart", number)
+            self.schedule(changed_us + int(at_s * SECOND_US), "restart", number)
         end_us = changed_us + int(case.seconds * SECOND_US)
         while self.events and self.events[0][0] < end_us:
             self.now_us, _, what, about = heapq.heappop(self.events)
@@ -196,7 +196,7 @@
             step_s = rng.expovariate(rate * now)
             at_s = min(at_s + step_s, nxt) if at_s + step_s > nxt else at_s + step_s
             if at_s < nxt:
-                self.at(START_US + int(at_s * SECOND_US), "arrival", rng.choices(numbers, case.shares)[0])
+                self.schedule(START_US + int(at_s * SECOND_US), "arrival", rng.choices(numbers, case.shares)[0])
 
     # Handlers of simulated events, found by name
 
@@ -214,7 +214,7 @@
 
     def tell_all(self) -> None:
         for sidecar in self.sidecars:
-            self.at(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US), "list", sidecar.number)
+            self.schedule(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US), "list", sidecar.number)
 
     def on_crash(self) -> None:
         for machine in list(self.machines.values())[:self.case.cold]:
@@ -232,7 +232,7 @@
         life = self.sidecars[number].incarnation + 1
         self.sidecars[number] = self.started(number)
         self.sidecars[number].incarnation = life
-        self.at(self.now_us + 300_000, "list", number)
+        self.schedule(self.now_us + 300_000, "list", number)
 
     def on_arrival(self, number: int) -> None:
         case, rng, sidecar = self.case, self.rng, self.sidecars[number]
@@ -275,7 +275,7 @@
             if isinstance(action, Send):
                 self.send(sidecar, action)
             elif isinstance(action, SetTimer):
-                self.at(action.at_us, "timer", sidecar.number, sidecar.incarnation)
+                self.schedule(action.at_us, "timer", sidecar.number, sidecar.incarnation)
             elif isinstance(action, Refuse | Fail):
                 self.requests.pop(action.request, None)
 
@@ -311,7 +311,7 @@
     def ends(self, send: Send, nth: int, after_us: int, outcome: Outcome) -> None:
         if send.timeout_us and after_us > send.timeout_us:
             after_us, outcome = send.timeout_us, Outcome.TIMEOUT
-        self.at(self.now_us + after_us, "end", send.request, nth, send.upstream, list(Outcome).index(outcome),
+        self.schedule(self.now_us + after_us, "end", send.request, nth, send.upstream, list(Outcome).index(outcome),
                 self.now_us)
 
     def count_cold(self, sidecar: Sidecar, machine: Machine, work: float) -> None:
