--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -147,7 +147,7 @@
         warm = [Upstream(100 + 7919 * i, zone=i % 4, kind=sum(size > 1.2 * mean * kind for kind in sorted(KINDS)),
                          cell=i % 4) for i, size in enumerate(case.sizes)]
         self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
-        self.sidecars = [self.started(number) for number in range(case.instances)]
+        self.sidecars = [self.new_sidecar(number) for number in range(case.instances)]
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.attempts: dict[int, int] = {}
         self.open_attempts: set[tuple[int, int]] = set()
@@ -158,7 +158,7 @@
         self.count += 1
         heapq.heappush(self.events, (when_us, self.count, what, about))
 
-    def started(self, number: int) -> Sidecar:
+    def new_sidecar(self, number: int) -> Sidecar:
         settings = replace(self.case.settings, self_index=number, zone=number % 4)
         return Sidecar(number, Balancer(settings, self.case.seed * 1000 + number + self.count, self.now_us))
 
@@ -230,7 +230,7 @@
 
     def on_restart(self, number: int) -> None:
         life = self.sidecars[number].incarnation + 1
-        self.sidecars[number] = self.started(number)
+        self.sidecars[number] = self.new_sidecar(number)
         self.sidecars[number].incarnation = life
         self.schedule(self.now_us + 300_000, "list", number)
 
