--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -210,9 +210,9 @@
             self.cold_starts += 1
         for machine in gone:
             machine.entry = replace(machine.entry, state=UpstreamState.GONE)
-        self.tell_all()
+        self.announce_lists()
 
-    def tell_all(self) -> None:
+    def announce_lists(self) -> None:
         for sidecar in self.sidecars:
             self.schedule(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US), "list", sidecar.number)
 
@@ -220,7 +220,7 @@
         for machine in list(self.machines.values())[:self.case.cold]:
             self.close_account(machine)
             machine.up = False
-        self.tell_all()
+        self.announce_lists()
 
     def on_list(self, number: int) -> None:
         sidecar = self.sidecars[number]
