--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -226,7 +226,7 @@
         sidecar = self.sidecars[number]
         entries = [m.entry for m in self.machines.values() if m.up and m.entry.state is UpstreamState.READY]
         sidecar.listed_starts = {entry.id: entry.started_us for entry in entries}
-        self.tell(sidecar, UpstreamsUpdated(ListKind.FULL, entries))
+        self.deliver(sidecar, UpstreamsUpdated(ListKind.FULL, entries))
 
     def on_restart(self, number: int) -> None:
         life = self.sidecars[number].incarnation + 1
@@ -246,11 +246,11 @@
             work *= rng.gammavariate(case.variation ** -2, case.variation ** 2)
         self.requests[ident] = sidecar, sidecar.incarnation, which, work, due_us
         self.requested += 1
-        self.tell(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
+        self.deliver(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
 
     def on_timer(self, number: int, life: int) -> None:
         if self.sidecars[number].incarnation == life:
-            self.tell(self.sidecars[number], TimerFired(0))
+            self.deliver(self.sidecars[number], TimerFired(0))
 
     def on_end(self, ident: int, nth: int, upstream: int, outcome: int, sent_us: int) -> None:
         if (ident, nth) not in self.open_attempts or ident not in self.requests:
@@ -268,9 +268,9 @@
             self.served += self.now_us <= due_us - self.case.settings.classes[which].deadline_us + (
                 self.case.settings.classes[which].aim_us)
             del self.requests[ident]
-        self.tell(sidecar, AttemptEnded(ident, nth, upstream, how, self.now_us - sent_us, final))
+        self.deliver(sidecar, AttemptEnded(ident, nth, upstream, how, self.now_us - sent_us, final))
 
-    def tell(self, sidecar: Sidecar, event: Event) -> None:
+    def deliver(self, sidecar: Sidecar, event: Event) -> None:
         for action in sidecar.balancer.handle(self.now_us, event):
             if isinstance(action, Send):
                 self.send(sidecar, action)
