--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -294,21 +294,21 @@
         self.open_attempts.add((send.request, nth))
         warmth = self.warmth(machine, now_us)
         if not machine.up or machine.overloaded_us:
-            self.ends(send, nth, 1_000, Outcome.CONNECT_FAILED)
+            self.schedule_end(send, nth, 1_000, Outcome.CONNECT_FAILED)
             return
         if warmth < 1.0:
             self.count_cold(sidecar, machine, work)
         machine.queue = [done_us for done_us in machine.queue if done_us > now_us]
         if len(machine.queue) >= 30:
-            self.ends(send, nth, 1_000, Outcome.FULL)
+            self.schedule_end(send, nth, 1_000, Outcome.FULL)
             return
         core = min(range(2), key=machine.cores_free_us.__getitem__)
         machine.cores_free_us[core] = max(machine.cores_free_us[core], now_us) + int(
             work * 2 / (machine.capacity * warmth) * SECOND_US)
         machine.queue.append(machine.cores_free_us[core])
-        self.ends(send, nth, machine.cores_free_us[core] + 2_000 - now_us, Outcome.OK)
+        self.schedule_end(send, nth, machine.cores_free_us[core] + 2_000 - now_us, Outcome.OK)
 
-    def ends(self, send: Send, nth: int, after_us: int, outcome: Outcome) -> None:
+    def schedule_end(self, send: Send, nth: int, after_us: int, outcome: Outcome) -> None:
         if send.timeout_us and after_us > send.timeout_us:
             after_us, outcome = send.timeout_us, Outcome.TIMEOUT
         self.schedule(self.now_us + after_us, "end", send.request, nth, send.upstream, list(Outcome).index(outcome),
