--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -297,7 +297,7 @@
             self.schedule_end(send, nth, 1_000, Outcome.CONNECT_FAILED)
             return
         if warmth < 1.0:
-            self.count_cold(sidecar, machine, work)
+            self.check_rule_4(sidecar, machine, work)
         machine.queue = [done_us for done_us in machine.queue if done_us > now_us]
         if len(machine.queue) >= 30:
             self.schedule_end(send, nth, 1_000, Outcome.FULL)
@@ -314,7 +314,7 @@
         self.schedule(self.now_us + after_us, "end", send.request, nth, send.upstream, list(Outcome).index(outcome),
                 self.now_us)
 
-    def count_cold(self, sidecar: Sidecar, machine: Machine, work: float) -> None:
+    def check_rule_4(self, sidecar: Sidecar, machine: Machine, work: float) -> None:
         """Checks rule 4 now, for all work that has arrived within the last `fall_us`. N is computed from the upstream's
         capacity at the start of that window, its lowest there. An overload counts as a violation if over two thirds
         of the work came from sidecars that knew of the upstream's start."""
