--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -182,7 +182,7 @@
             self.now_us, _, what, about = heapq.heappop(self.events)
             getattr(self, "on_" + what)(*about)
         for machine in self.machines.values():
-            self.close_account(machine)
+            self.add_to_totals(machine)
         return Verdict(self.overloads, self.worst, self.informed_worst, self.received / self.capacity if self.capacity else 0.0,
                        self.served / max(1, self.requested), self.cold_starts)
 
@@ -204,7 +204,7 @@
         cold_starts = list(self.machines.values())[:self.case.cold]
         gone = list(self.machines.values())[-self.case.removed_count:] if self.case.removed_count else []
         for machine in cold_starts:
-            self.close_account(machine)
+            self.add_to_totals(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
             machine.cores_free_us, machine.queue = [self.now_us] * 2, []
             self.cold_starts += 1
@@ -218,7 +218,7 @@
 
     def on_crash(self) -> None:
         for machine in list(self.machines.values())[:self.case.cold]:
-            self.close_account(machine)
+            self.add_to_totals(machine)
             machine.up = False
         self.announce_lists()
 
@@ -334,7 +334,7 @@
         if told > 2 / 3 * sent:
             self.worst = max(self.worst, sent / borne)
 
-    def close_account(self, machine: Machine) -> None:
+    def add_to_totals(self, machine: Machine) -> None:
         """Adds the upstream's capacity and the work that it received since its start to the totals."""
         if machine.entry.started_us and machine.up:
             s, since_us = self.case.settings, machine.entry.started_us
