--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -162,7 +162,7 @@
         settings = replace(self.case.settings, self_index=number, zone=number % 4)
         return Sidecar(number, Balancer(settings, self.case.seed * 1000 + number + self.count, self.now_us))
 
-    def play(self) -> Verdict:
+    def run(self) -> Verdict:
         case = self.case
         for machine in list(self.machines.values())[:case.cold] if not case.listed_before else []:
             machine.up = False
@@ -347,4 +347,4 @@
 
 
 def play(case: Case) -> Verdict:
-    return Fleet(case).play()
+    return Fleet(case).run()
