--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -141,7 +141,7 @@
 
 class Fleet:
     def __init__(self, case: Case) -> None:
-        self.case, self.rng, self.now_us, self.count = case, random.Random(case.seed), START_US, 0
+        self.case, self.rng, self.now_us, self.sequence = case, random.Random(case.seed), START_US, 0
         self.events: list[tuple[int, int, str, tuple[int, ...]]] = []
         mean = sum(case.sizes) / len(case.sizes)
         warm = [Upstream(100 + 7919 * i, zone=i % 4, kind=sum(size > 1.2 * mean * kind for kind in sorted(KINDS)),
@@ -155,12 +155,12 @@
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
     def schedule(self, when_us: int, what: str, *about: int) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (when_us, self.count, what, about))
+        self.sequence += 1
+        heapq.heappush(self.events, (when_us, self.sequence, what, about))
 
     def new_sidecar(self, number: int) -> Sidecar:
         settings = replace(self.case.settings, self_index=number, zone=number % 4)
-        return Sidecar(number, Balancer(settings, self.case.seed * 1000 + number + self.count, self.now_us))
+        return Sidecar(number, Balancer(settings, self.case.seed * 1000 + number + self.sequence, self.now_us))
 
     def run(self) -> Verdict:
         case = self.case
@@ -238,8 +238,8 @@
         case, rng, sidecar = self.case, self.rng, self.sidecars[number]
         which = rng.choices(range(len(case.work)), [share for share, _ in case.work])[0]
         mean = sum(share * work for share, work in case.work)
-        self.count += 1
-        ident = self.count
+        self.sequence += 1
+        ident = self.sequence
         due_us = self.now_us + case.settings.classes[which].deadline_us
         work = case.work[which][1] / mean
         if case.variation:
