--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -69,7 +69,7 @@
                          memory_us=1_200_000)]
 
 
-def drawn(seed: int, instances: int, chance: float = 0.0) -> Case:
+def random_case(seed: int, instances: int, chance: float = 0.0) -> Case:
     """Draws a case: on even seeds with the site's settings, on odd seeds with any that the documentation allows.
     `chance` is the variation of work within one request class: standard deviation / mean."""
     rng = random.Random(f"{seed}/{instances}")
