--- a/bench/cold.py
+++ b/bench/cold.py
@@ -14,12 +14,12 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.cold_fleet import SIZES, Verdict, random_case, play
+from tests.cold_fleet import SIZES, Verdict, random_case, simulate
 
 
 def played(about: tuple[int, int, float]) -> tuple[int, int, Verdict]:
     seed, instances, chance = about
-    return seed, instances, play(random_case(seed, instances, chance))
+    return seed, instances, simulate(random_case(seed, instances, chance))
 
 
 def share(ordered: list[float], part: float) -> float:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -346,5 +346,5 @@
         machine.received, machine.overloaded_us = 0.0, 0
 
 
-def play(case: Case) -> Verdict:
+def simulate(case: Case) -> Verdict:
     return Fleet(case).run()
