--- a/bench/cold.py
+++ b/bench/cold.py
@@ -14,7 +14,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.cold_fleet import SIZES, Verdict, random_case, simulate
+from tests.cold_fleet import FLEET_SIZES, Verdict, random_case, simulate
 
 
 def played(about: tuple[int, int, float]) -> tuple[int, int, Verdict]:
@@ -30,7 +30,7 @@
     parser = argparse.ArgumentParser(prog="bench.cold", description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--sizes", type=int, nargs="+", default=[*SIZES])
+    parser.add_argument("--sizes", type=int, nargs="+", default=[*FLEET_SIZES])
     parser.add_argument("--jobs", type=int, default=4, help="processes, 1 to 8")
     parser.add_argument("--chance", type=float, default=0.0, help="how far the work of one class's requests differs")
     options = parser.parse_args(argv)
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -35,7 +35,7 @@
 
 START_US = 1_000_000_000
 SECOND_US = 1_000_000
-SIZES = (1, 5, 19, 20, 21, 30, 200)
+FLEET_SIZES = (1, 5, 19, 20, 21, 30, 200)
 KINDS = (1.76, 0.66, 0.95)  # machine types of the site: their capacity relative to the mean of all upstreams
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -10,12 +10,12 @@
 from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_PACE, WARMING_SIDECARS, turn_lifetime_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
-from tests.cold_fleet import SECOND_US, SIZES, random_case, simulate
+from tests.cold_fleet import SECOND_US, FLEET_SIZES, random_case, simulate
 
 
 # seed 115: seven or more of 30 sidecars held an unused turn, and a burst of traffic used all of them within a second
 @pytest.mark.parametrize(("seed", "instances"), [
-    *((7, size) for size in SIZES), (115, 30), (123, 30)])
+    *((7, size) for size in FLEET_SIZES), (115, 30), (123, 30)])
 def test_all_sidecars_together_do_not_overload_a_cold_upstream(seed: int, instances: int) -> None:
     verdict = simulate(random_case(seed, instances))
     assert verdict.cold and verdict.used > 0.0
