--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -36,7 +36,7 @@
 START_US = 1_000_000_000
 SECOND_US = 1_000_000
 FLEET_SIZES = (1, 5, 19, 20, 21, 30, 200)
-KINDS = (1.76, 0.66, 0.95)  # machine types of the site: their capacity relative to the mean of all upstreams
+KIND_CAPACITIES = (1.76, 0.66, 0.95)  # machine types of the site: their capacity relative to the mean of all upstreams
 
 
 @dataclass(frozen=True)
@@ -80,7 +80,7 @@
          rng.uniform(0.55, 1.1)))
     count = rng.randint(5, 16)
     mean = math.exp(rng.uniform(math.log(10.0), math.log(40.0)))
-    kinds = [rng.choice(KINDS) if rng.random() < 0.8 else 1.0 for _ in range(count)]
+    kinds = [rng.choice(KIND_CAPACITIES) if rng.random() < 0.8 else 1.0 for _ in range(count)]
     capacities = [mean * kind * count / sum(kinds) for kind in kinds]
     cold_count = rng.randint(1, max(1, count // 3))
     shares = [rng.uniform(3.0, 6.0) if rng.random() < 0.15 else rng.uniform(0.3, 1.2) for _ in range(instances)]
@@ -144,7 +144,7 @@
         self.case, self.rng, self.now_us, self.sequence = case, random.Random(case.seed), START_US, 0
         self.events: list[tuple[int, int, str, tuple[int, ...]]] = []
         mean = sum(case.sizes) / len(case.sizes)
-        warm = [Upstream(100 + 7919 * i, zone=i % 4, kind=sum(size > 1.2 * mean * kind for kind in sorted(KINDS)),
+        warm = [Upstream(100 + 7919 * i, zone=i % 4, kind=sum(size > 1.2 * mean * kind for kind in sorted(KIND_CAPACITIES)),
                          cell=i % 4) for i, size in enumerate(case.sizes)]
         self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
         self.sidecars = [self.new_sidecar(number) for number in range(case.instances)]
