--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -18,7 +18,7 @@
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
 
 
-class Scanning(Balancer):
+class LinearScanBalancer(Balancer):
     """Reference implementation: each choice and each timer scans all upstreams."""
 
     def draw(self, request: Request) -> Server | None:
@@ -89,7 +89,7 @@
         self.random = random = Random(seed)
         self.settings = settings_of(random)
         self.now_us = 1_000 * S
-        self.both = [kind(self.settings, seed, self.now_us) for kind in (Balancer, Scanning)]
+        self.both = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
         self.turn = self.sent = self.drawn = 0
         self.attempts: dict[int, int] = {}
