--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -89,7 +89,7 @@
         self.random = random = Random(seed)
         self.settings = settings_of(random)
         self.now_us = 1_000 * S
-        self.both = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
+        self.balancers = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
         self.turn = self.sent = self.drawn = 0
         self.attempts: dict[int, int] = {}
@@ -101,7 +101,7 @@
         self.events.append((self.now_us + int(after_us), self.turn, event))
 
     def handle(self, event: api.Event) -> None:
-        ours, theirs = (balancer.handle(self.now_us, event) for balancer in self.both)
+        ours, theirs = (balancer.handle(self.now_us, event) for balancer in self.balancers)
         assert ours == theirs, (self.now_us, event)
         for action in ours:
             if isinstance(action, api.Send):
@@ -159,12 +159,12 @@
                 self.handle(api.RequestGone(random.randrange(request)))
             if random.random() < 0.004:
                 self.settings = settings_of(random)
-                self.settings.classes[2].group = self.both[0].settings.classes[2].group
-                self.settings.zone = self.both[0].settings.zone
+                self.settings.classes[2].group = self.balancers[0].settings.classes[2].group
+                self.settings.zone = self.balancers[0].settings.zone
                 self.handle(api.SettingsChanged(self.settings))
             if random.random() < 0.01:
-                lessons = learned(self.both[0])
-                for balancer in self.both:
+                lessons = learned(self.balancers[0])
+                for balancer in self.balancers:
                     balancer.recall(self.now_us, lessons)
 
 
