--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -94,7 +94,7 @@
         self.turn = self.sent = self.drawn = 0
         self.attempts: dict[int, int] = {}
         self.entries: dict[int, api.Upstream] = {}
-        self.quick = {i: random.uniform(0.01, 0.4) for i in range(200)}
+        self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
 
     def later(self, after_us: float, event: api.Event) -> None:
         self.turn += 1
@@ -114,7 +114,7 @@
     def send(self, action: api.Send) -> None:
         random, number = self.random, self.attempts.get(action.request, 0)
         self.attempts[action.request] = number + 1
-        took_us = self.quick[action.upstream] * S * random.expovariate(1.0)
+        took_us = self.mean_times_s[action.upstream] * S * random.expovariate(1.0)
         outcome = random.choices(list(api.Outcome), [30, 1, 1, 0, 1, 1, 0, 1])[0]
         if took_us >= action.timeout_us:
             took_us, outcome = action.timeout_us, api.Outcome.TIMEOUT
