--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -91,14 +91,14 @@
         self.now_us = 1_000 * S
         self.balancers = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
-        self.turn = self.sent = self.drawn = 0
+        self.sequence = self.sent = self.drawn = 0
         self.attempts: dict[int, int] = {}
         self.entries: dict[int, api.Upstream] = {}
         self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
 
     def later(self, after_us: float, event: api.Event) -> None:
-        self.turn += 1
-        self.events.append((self.now_us + int(after_us), self.turn, event))
+        self.sequence += 1
+        self.events.append((self.now_us + int(after_us), self.sequence, event))
 
     def handle(self, event: api.Event) -> None:
         ours, theirs = (balancer.handle(self.now_us, event) for balancer in self.balancers)
