--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -91,7 +91,7 @@
         self.now_us = 1_000 * S
         self.balancers = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
-        self.sequence = self.sent = self.drawn = 0
+        self.sequence = self.sent = self.used_upstreams = 0
         self.attempts: dict[int, int] = {}
         self.entries: dict[int, api.Upstream] = {}
         self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
@@ -106,7 +106,7 @@
         for action in ours:
             if isinstance(action, api.Send):
                 self.sent += 1
-                self.drawn |= 1 << action.upstream
+                self.used_upstreams |= 1 << action.upstream
                 self.send(action)
             elif isinstance(action, api.SetTimer):
                 self.later(max(0, action.at_us - self.now_us), api.TimerFired(action.token))
@@ -174,7 +174,7 @@
     for seed in SEEDS:
         world = World(seed)
         world.play(1_400, rate)
-        sent, drawn = sent + world.sent, drawn | world.drawn
+        sent, drawn = sent + world.sent, drawn | world.used_upstreams
     # in some worlds all upstreams are cold or failing, so only the totals are checked
     assert sent > 100 * len(SEEDS) and drawn.bit_count() > 30
 
