--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -96,7 +96,7 @@
         self.entries: dict[int, api.Upstream] = {}
         self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
 
-    def later(self, after_us: float, event: api.Event) -> None:
+    def schedule(self, after_us: float, event: api.Event) -> None:
         self.sequence += 1
         self.events.append((self.now_us + int(after_us), self.sequence, event))
 
@@ -109,7 +109,7 @@
                 self.used_upstreams |= 1 << action.upstream
                 self.send(action)
             elif isinstance(action, api.SetTimer):
-                self.later(max(0, action.at_us - self.now_us), api.TimerFired(action.token))
+                self.schedule(max(0, action.at_us - self.now_us), api.TimerFired(action.token))
 
     def send(self, action: api.Send) -> None:
         random, number = self.random, self.attempts.get(action.request, 0)
@@ -118,7 +118,7 @@
         outcome = random.choices(list(api.Outcome), [30, 1, 1, 0, 1, 1, 0, 1])[0]
         if took_us >= action.timeout_us:
             took_us, outcome = action.timeout_us, api.Outcome.TIMEOUT
-        self.later(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
+        self.schedule(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
                                              final=outcome is api.Outcome.OK))
 
     def change_list(self) -> None:
