--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -136,7 +136,7 @@
                 started_us=old.started_us if old is not None and random.random() < 0.7 else started_us)
         self.handle(api.UpstreamsUpdated(api.ListKind.FULL, list(self.entries.values())))
 
-    def play(self, steps: int, rate: float) -> None:
+    def run(self, steps: int, rate: float) -> None:
         random, request = self.random, 0
         for _ in range(10):
             self.change_list()
@@ -173,7 +173,7 @@
     sent = drawn = 0
     for seed in SEEDS:
         world = World(seed)
-        world.play(1_400, rate)
+        world.run(1_400, rate)
         sent, drawn = sent + world.sent, drawn | world.used_upstreams
     # in some worlds all upstreams are cold or failing, so only the totals are checked
     assert sent > 100 * len(SEEDS) and drawn.bit_count() > 30
