--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -93,7 +93,7 @@
         self.events: list[tuple[int, int, api.Event]] = []
         self.sequence = self.sent = self.used_upstreams = 0
         self.attempts: dict[int, int] = {}
-        self.entries: dict[int, api.Upstream] = {}
+        self.listed: dict[int, api.Upstream] = {}
         self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
 
     def schedule(self, after_us: float, event: api.Event) -> None:
@@ -125,16 +125,16 @@
         random = self.random
         for _ in range(random.randrange(1, 4)):
             ident = random.randrange(40)
-            old = self.entries.get(ident)
+            old = self.listed.get(ident)
             if old is not None and random.random() < 0.3:
-                self.entries.pop(ident)
+                self.listed.pop(ident)
                 continue
             started_us = random.choice([0, self.now_us, self.now_us - 5 * S, self.now_us + S])
-            self.entries[ident] = api.Upstream(
+            self.listed[ident] = api.Upstream(
                 ident, random.choices([api.UpstreamState.READY, api.UpstreamState.DRAINING], [5, 1])[0],
                 zone=ident % 3, cell=ident % 4, weight=random.choice([0.5, 1.0, 2.0]),
                 started_us=old.started_us if old is not None and random.random() < 0.7 else started_us)
-        self.handle(api.UpstreamsUpdated(api.ListKind.FULL, list(self.entries.values())))
+        self.handle(api.UpstreamsUpdated(api.ListKind.FULL, list(self.listed.values())))
 
     def run(self, steps: int, rate: float) -> None:
         random, request = self.random, 0
