--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -82,7 +82,7 @@
         list_on_request=True, ask_within_us=10 * S, weighted=True)
 
 
-class World:
+class RandomFleet:
     """Upstreams with random answers, a changing list, and two balancers that must return the same actions."""
 
     def __init__(self, seed: int) -> None:
@@ -172,7 +172,7 @@
 def test_the_same_events_give_the_same_actions_as_a_scan(rate: float) -> None:
     sent = drawn = 0
     for seed in SEEDS:
-        world = World(seed)
+        world = RandomFleet(seed)
         world.run(1_400, rate)
         sent, drawn = sent + world.sent, drawn | world.used_upstreams
     # in some worlds all upstreams are cold or failing, so only the totals are checked
