--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -68,7 +68,7 @@
             self.actions.append(api.SetTimer(self.armed_us, 0))
 
 
-def settings_of(random: Random) -> api.Settings:
+def random_settings(random: Random) -> api.Settings:
     return api.Settings(
         classes=[api.RequestClass("view", 300_000, 1_500_000),
                  api.RequestClass("pay", 300_000, 600_000, 5.0, effect="at_most_once"),
@@ -87,7 +87,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random = random = Random(seed)
-        self.settings = settings_of(random)
+        self.settings = random_settings(random)
         self.now_us = 1_000 * S
         self.balancers = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
@@ -158,7 +158,7 @@
             if random.random() < 0.01:
                 self.handle(api.RequestGone(random.randrange(request)))
             if random.random() < 0.004:
-                self.settings = settings_of(random)
+                self.settings = random_settings(random)
                 self.settings.classes[2].group = self.balancers[0].settings.classes[2].group
                 self.settings.zone = self.balancers[0].settings.zone
                 self.handle(api.SettingsChanged(self.settings))
@@ -223,7 +223,7 @@
 
 
 def test_lazy_decay_of_tenant_shares_equals_decay_of_all_at_each_arrival() -> None:
-    random, told = Random(5), settings_of(Random(5))
+    random, told = Random(5), random_settings(Random(5))
     balancer, plain = Balancer(told, 1, S), [0.0] * 3
     for step in range(12_000):  # beyond the point where the weights are normalized
         tenant = random.choices(range(3), [5, 1, 1 + step // 4_000])[0]
