--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -45,7 +45,7 @@
     world.end(request, number, outcome)
 
 
-def many(rate_per_s: float = 0.0, count: int = 60, **changes: object) -> World:
+def one_of_many(rate_per_s: float = 0.0, count: int = 60, **changes: object) -> World:
     """One of 40 sidecars with 60 upstreams in four zones, in a fleet with an allowance of 1,000 requests/s; after
     it has sent `rate_per_s` for ten seconds."""
     world = World(settings(**{"instances": 40, "tenants": [Tenant("north", 1000.0, 1.0)], **changes}))
@@ -107,7 +107,7 @@
 
 
 def test_a_zone_that_accepts_no_connection_is_avoided_before_each_upstream_was_tried() -> None:
-    world = many(20.0, zone=0, cross_zone_fee=0.03)
+    world = one_of_many(20.0, zone=0, cross_zone_fee=0.03)
     lost: Counter[int] = Counter()
     for _ in range(60):
         world.advance(50_000)
@@ -122,7 +122,7 @@
 
 
 def test_a_failed_connect_does_not_use_the_retry_budget() -> None:
-    world = many()
+    world = one_of_many()
     for _ in range(30):
         request = world.arrive(READ)
         end(world, request, 0, Outcome.CONNECT_FAILED, 1_000)
@@ -131,7 +131,7 @@
 
 
 def test_an_error_uses_the_retry_budget() -> None:
-    world = many()
+    world = one_of_many()
     answers = []
     for _ in range(30):
         request = world.arrive(READ)
@@ -143,7 +143,7 @@
 
 
 def test_an_upstream_that_fails_fast_loses_its_zone_preference_and_is_chosen_less() -> None:
-    world = many(20.0, zone=0, cross_zone_fee=0.03)
+    world = one_of_many(20.0, zone=0, cross_zone_fee=0.03)
     bad, drawn = 104, Counter[int]()
     for number in range(300):
         world.advance(50_000)
@@ -159,7 +159,7 @@
 
 def test_an_error_still_counts_when_an_upstream_is_tried_every_few_seconds() -> None:
     """A healthy upstream fails once in thousands of attempts, a bad one in two of five; attempts are seconds apart."""
-    world = many()
+    world = one_of_many()
     bad = world.balancer.servers[104]
     before = world.balancer.favour(bad)
     bad.faults.record(world.now_us, True, 1 / 2)
@@ -171,7 +171,7 @@
 
 def test_slow_answers_narrow_the_window_of_one_of_many_and_quick_ones_reopen_it() -> None:
     """What 200 sidecars each leave at slow upstreams would add up to queues in which every request times out."""
-    world = many(20.0)
+    world = one_of_many(20.0)
     for _ in range(40):
         end(world, world.arrive(READ), 0, Outcome.OK, 600_000)
     narrow = world.balancer.window.slots
@@ -198,10 +198,10 @@
 
 def test_one_of_many_sends_a_random_burst_and_limits_the_average() -> None:
     """Eight requests at once after a pause, with one slot: the sum over many sidecars is even though each is not."""
-    world = many(2.0)
+    world = one_of_many(2.0)
     world.balancer.window.slots = 1.0
     assert refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
-    world = many(2.0)
+    world = one_of_many(2.0)
     world.balancer.window.slots, world.balancer.least = 1.0, 1.0
     assert refused(world, [10_000] * 300, 160_000) > 60  # of 100 requests/s for three seconds
     assert world.balancer.load.average_at(world.now_us) <= world.balancer.window.slots + 1.0
@@ -209,7 +209,7 @@
 
 def test_a_request_that_waits_for_the_average_is_sent_when_it_has_fallen(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ironscale.balance.GROWTH", 0.0)  # answers open no slot, only time does
-    world = many(2.0)
+    world = one_of_many(2.0)
     world.balancer.window.slots = 0.5
     world.advance(3 * SECOND_US)
     sent = [world.arrive(READ)]
@@ -228,19 +228,19 @@
 
 
 def test_a_sidecar_with_much_traffic_keeps_more_slots_at_slow_upstreams() -> None:
-    heavy, light = many(200.0), many(5.0)
+    heavy, light = one_of_many(200.0), one_of_many(5.0)
     assert heavy.balancer.least_each() > 4 * light.balancer.least_each() > 0.0
 
 
 def test_a_sidecar_with_much_traffic_uses_more_upstreams() -> None:
-    assert len({send.upstream for send in many(300.0).sends()}) > 2 * len({s.upstream for s in many(10.0).sends()})
+    assert len({send.upstream for send in one_of_many(300.0).sends()}) > 2 * len({s.upstream for s in one_of_many(10.0).sends()})
 
 
 def test_pacing_of_cold_upstreams_follows_the_allowance_and_not_slow_answers() -> None:
     """1,000 requests/s on 60 upstreams are 16.7 each; a cold one serves a fifth of that, and all of it 20 s later. One
     of 20 sidecars sends again when the upstream can have served 20 requests: 0.2 t + 0.02 t ** 2 = 20 / 16.7 at
     4.2 s. If answer times of 5 s counted, it would wait far longer."""
-    world = many()
+    world = one_of_many()
     world.tell_list([*world.known.values(), Upstream(900, started_us=world.now_us)])
     server = world.balancer.servers[900]
     gaps = [world.balancer.cold_gap_us(server, work_us) for work_us in (500_000, 5_000_000)]
@@ -250,7 +250,7 @@
 
 def test_no_hedged_requests_are_sent_while_all_upstreams_are_slow() -> None:
     def copies(answer_us: int, instances: int = 40) -> int:
-        world = many(20.0, instances=instances)
+        world = one_of_many(20.0, instances=instances)
         for _ in range(40):
             world.advance(50_000)
             end(world, world.arrive(READ), 0, Outcome.OK, answer_us)
@@ -333,7 +333,7 @@
 
 
 def test_lessons_do_not_close_the_window_of_one_of_many_further_than_slow_answers() -> None:
-    world = many(20.0)
+    world = one_of_many(20.0)
     lessons = replace(learned(world.balancer), slots=1.0)
     newcomer = Balancer(world.settings, 8, world.now_us)
     newcomer.recall(world.now_us, lessons)
@@ -383,7 +383,7 @@
 
 
 def test_failures_in_a_zone_lower_the_weight_of_its_other_upstreams_only() -> None:
-    world = many(zone=0, cross_zone_fee=0.03)
+    world = one_of_many(zone=0, cross_zone_fee=0.03)
     elsewhere = [server for server in world.balancer.order if server.entry.zone == 1]
     before, beside = [weight(world, s) for s in world.balancer.order if s.entry.zone == 0], weight(world, elsewhere[0])
     untried = zone_fails(world, 0, 6)
@@ -392,7 +392,7 @@
 
 
 def test_restarted_upstreams_lower_the_failure_share_of_their_zone() -> None:
-    world = many(zone=0, cross_zone_fee=0.03)
+    world = one_of_many(zone=0, cross_zone_fee=0.03)
     zone_fails(world, 0, 10)
     before = world.balancer.zones[0].share(world.now_us)
     anew = [replace(entry, started_us=world.now_us) for entry in world.known.values() if entry.zone == 0][:3]
@@ -401,7 +401,7 @@
 
 
 def test_two_consecutive_errors_take_most_but_not_all_of_an_upstreams_weight() -> None:
-    world = many()
+    world = one_of_many()
     server, like = world.balancer.servers[104], world.balancer.servers[108]
     for count, least, most in ((2, 0.01, 0.05), (10, 0.01, 0.05)):
         for _ in range(count):
@@ -414,7 +414,7 @@
 
 
 def test_a_recent_failure_cancels_the_zone_preference_and_an_old_one_does_not() -> None:
-    world = many(zone=0, cross_zone_fee=0.03)
+    world = one_of_many(zone=0, cross_zone_fee=0.03)
     server = next(server for server in world.balancer.order if server.entry.zone == 0)
     near = world.balancer.favour(server)
     server.faults.record(world.now_us, True, 1 / 2)
@@ -425,7 +425,7 @@
 
 
 def test_kinds_that_answer_quickly_are_preferred() -> None:
-    world = many(20.0)
+    world = one_of_many(20.0)
     for _ in range(120):
         request = world.arrive(READ)
         kind = world.known[world.sends(request)[0].upstream].kind
@@ -437,7 +437,7 @@
 
 
 def test_a_failed_connect_is_retried_though_the_retry_budget_is_spent() -> None:
-    world = many()
+    world = one_of_many()
     world.balancer.retry_tokens = 0.0
     request = world.arrive(READ)
     world.end(request, 0, Outcome.CONNECT_FAILED)
@@ -447,17 +447,17 @@
 
 
 def test_a_sidecar_with_much_traffic_chooses_among_more_upstreams() -> None:
-    heavy, light = many(300.0).balancer, many(10.0).balancer
+    heavy, light = one_of_many(300.0).balancer, one_of_many(10.0).balancer
     assert heavy.subset > 3 * light.subset == 3 * light.least_subset
 
 
 def test_no_zone_is_preferred_if_sidecars_outnumber_upstreams() -> None:
-    assert many(zone=0, cross_zone_fee=0.03).balancer.home == 0
-    assert many(zone=0, cross_zone_fee=0.03, count=39).balancer.home == -1
+    assert one_of_many(zone=0, cross_zone_fee=0.03).balancer.home == 0
+    assert one_of_many(zone=0, cross_zone_fee=0.03, count=39).balancer.home == -1
 
 
 def test_new_allowances_change_the_share() -> None:
-    world = many(200.0)
+    world = one_of_many(200.0)
     before = world.balancer.traffic.share()
     world.tell(SettingsChanged(replace(world.settings, tenants=[Tenant("north", 4000.0, 1.0)])))
     assert world.balancer.traffic.share() < before / 2
@@ -469,7 +469,7 @@
         slow.add(1.5)
         quick.add(0.01)
     assert (slow.weight_factor(quick), quick.weight_factor(slow)) == (1 / 8, 8.0)
-    world = many()
+    world = one_of_many()
     zone_fails(world, 0, 15)
     assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
     assert LatencyAverage().exceeds(0.0) is False
@@ -597,7 +597,7 @@
 
 
 def test_the_window_narrows_when_the_list_shrinks_and_not_when_it_grows() -> None:
-    world = many(40.0)
+    world = one_of_many(40.0)
     before = world.balancer.window.slots
     world.tell_list([Upstream(500, started_us=world.now_us)], ListKind.DELTA)
     assert world.balancer.window.slots == before
@@ -607,7 +607,7 @@
 
 
 def test_a_release_that_removes_upstreams_does_not_change_the_mode_of_one_of_many() -> None:
-    world = many(2.0, count=30)
+    world = one_of_many(2.0, count=30)
     world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:15]],
                     ListKind.DELTA)
     world.balancer.window.slots = 1.0
@@ -642,7 +642,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.OK, Outcome.TIMEOUT])
 def test_the_window_reopens_after_the_list_was_empty(outcome: Outcome) -> None:
     """With a window of 0 slots the end of an outstanding attempt would divide by zero."""
-    world = many(20.0)
+    world = one_of_many(20.0)
     request = world.arrive(READ)
     draining = [replace(entry, state=UpstreamState.DRAINING) for entry in world.known.values()]
     world.tell_list(draining, ListKind.DELTA)
