--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -181,7 +181,7 @@
     assert world.balancer.window.slots >= 2 * narrow
 
 
-def refused(world: World, gaps_us: list[int], answer_us: int) -> int:
+def count_refused(world: World, gaps_us: list[int], answer_us: int) -> int:
     """Number of requests refused on arrival, of requests that arrive after `gaps_us`, answered after `answer_us`."""
     out: deque[tuple[int, int]] = deque()
     count = 0
@@ -200,10 +200,10 @@
     """Eight requests at once after a pause, with one slot: the sum over many sidecars is even though each is not."""
     world = one_of_many(2.0)
     world.balancer.window.slots = 1.0
-    assert refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
+    assert count_refused(world, [3 * SECOND_US] + [1_000] * 7, 100_000) == 0
     world = one_of_many(2.0)
     world.balancer.window.slots, world.balancer.least = 1.0, 1.0
-    assert refused(world, [10_000] * 300, 160_000) > 60  # of 100 requests/s for three seconds
+    assert count_refused(world, [10_000] * 300, 160_000) > 60  # of 100 requests/s for three seconds
     assert world.balancer.load.average_at(world.now_us) <= world.balancer.window.slots + 1.0
 
 
@@ -611,7 +611,7 @@
     world.tell_list([replace(entry, state=UpstreamState.DRAINING) for entry in list(world.known.values())[:15]],
                     ListKind.DELTA)
     world.balancer.window.slots = 1.0
-    assert refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
+    assert count_refused(world, [3 * SECOND_US] + [1_000] * 5, 100_000) == 0  # 15 upstreams, 40 sidecars
 
 
 def test_a_window_closed_by_overloaded_upstreams_does_not_keep_cold_ones_idle() -> None:
