--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -366,7 +366,7 @@
     assert all(sum(at <= wait < at + 250_000 for wait in waits) <= 36 for at in range(0, 2_500_000, 250_000))
 
 
-def zone_fails(world: World, zone: int, count: int) -> list[Server]:
+def fail_in_zone(world: World, zone: int, count: int) -> list[Server]:
     """Fails `count` attempts, each at another upstream of the zone; returns its upstreams that were not tried."""
     inside = [server for server in world.balancer.order if server.entry.zone == zone]
     for server in inside[:count]:
@@ -386,14 +386,14 @@
     world = one_of_many(zone=0, cross_zone_fee=0.03)
     elsewhere = [server for server in world.balancer.order if server.entry.zone == 1]
     before, beside = [weight(world, s) for s in world.balancer.order if s.entry.zone == 0], weight(world, elsewhere[0])
-    untried = zone_fails(world, 0, 6)
+    untried = fail_in_zone(world, 0, 6)
     assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer preferred by zone
     assert weight(world, elsewhere[0]) == beside
 
 
 def test_restarted_upstreams_lower_the_failure_share_of_their_zone() -> None:
     world = one_of_many(zone=0, cross_zone_fee=0.03)
-    zone_fails(world, 0, 10)
+    fail_in_zone(world, 0, 10)
     before = world.balancer.zones[0].share(world.now_us)
     anew = [replace(entry, started_us=world.now_us) for entry in world.known.values() if entry.zone == 0][:3]
     world.tell_list(anew, ListKind.DELTA)
@@ -470,7 +470,7 @@
         quick.add(0.01)
     assert (slow.weight_factor(quick), quick.weight_factor(slow)) == (1 / 8, 8.0)
     world = one_of_many()
-    zone_fails(world, 0, 15)
+    fail_in_zone(world, 0, 15)
     assert all(world.balancer.favour(server) >= 1e-4 * 1e-3 for server in world.balancer.order)
     assert LatencyAverage().exceeds(0.0) is False
 
