--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -517,7 +517,7 @@
         assert all(even / 4 <= by_sidecar[index] <= 3 * even for index in range(instances)), (instances, by_sidecar)
 
 
-def cold_fleet(instances: int, age_s: float, rate_per_s: float, slowness: float = 0.0, **changes: object
+def run_cold_fleet(instances: int, age_s: float, rate_per_s: float, slowness: float = 0.0, **changes: object
                ) -> tuple[int, list[int]]:
     """All sidecars with 30 warm upstreams and 30 that started `age_s` ago, each of 16.7 requests/s when warm; each
     sidecar sends `rate_per_s` for three seconds, while the latency average is `slowness`. Returns how many requests
@@ -554,7 +554,7 @@
 def test_cold_upstreams_are_used_to_capacity_and_not_overloaded(age_s: int) -> None:
     """200 sidecars of 5 requests/s each. If all 200 were allowed to send there, each once in 20 s, and chose among the
     first few upstreams of their order, the cold ones would get a tenth of their capacity."""
-    got, worst = cold_fleet(200, age_s, 5.0)
+    got, worst = run_cold_fleet(200, age_s, 5.0)
     warmth = 0.2 + 0.8 * (age_s + 1.5) / 20
     able = 3 * 1000 / 60 * 30 * warmth
     assert 0.35 * able <= got <= 1.3 * able, (got, able)
@@ -564,7 +564,7 @@
 @pytest.mark.parametrize("age_s", [1, 5, 12])
 def test_under_high_load_cold_upstreams_come_first_as_far_as_pacing_allows(age_s: int) -> None:
     """Guards against: next to overloaded warm upstreams, cold ones got 2 to 3 requests/s of the 4 to 7 allowed."""
-    calm, (got, worst) = (cold_fleet(200, age_s, 5.0, slowness, overload_factor=3.0) for slowness in (0.0, 2.0))
+    calm, (got, worst) = (run_cold_fleet(200, age_s, 5.0, slowness, overload_factor=3.0) for slowness in (0.0, 2.0))
     able = 3 * 1000 / 60 * 30 * (0.2 + 0.8 * (age_s + 1.5) / 20)
     assert max(calm[0], 0.6 * able) < got <= 1.3 * able, (calm, got, able)
     assert max(worst) < 10, worst
@@ -573,7 +573,7 @@
 def test_preferred_cold_upstreams_are_not_overloaded_by_random_variation() -> None:
     """Rule 4, at an age of 1 s: capacity is 8 requests in the window, 16 are tolerated; 20 sidecars that preferred it
     sent 17."""
-    _, worst = cold_fleet(200, 1, 5.0, 2.0)
+    _, worst = run_cold_fleet(200, 1, 5.0, 2.0)
     assert max(worst) < 10, worst
 
 
