--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -276,7 +276,7 @@
     def __init__(self, call_us: int, patience_us: int) -> None:
         self.call_us, self.patience_us, self.free_us, self.calls = call_us, patience_us, 0, 0
 
-    def ask(self, now_us: int) -> tuple[int, bool]:
+    def call(self, now_us: int) -> tuple[int, bool]:
         """When this call ends, and whether it returns the list."""
         self.calls += 1
         self.free_us = max(self.free_us, now_us) + self.call_us
@@ -296,7 +296,7 @@
             if isinstance(action, SetTimer):
                 heapq.heappush(events, (action.at_us, number, TimerFired(action.token)))
             elif isinstance(action, Subscribe):
-                at_us, comes = discovery.ask(now_us)
+                at_us, comes = discovery.call(now_us)
                 entries = [Upstream(100)] if comes else []
                 kind = ListKind.FULL if comes else ListKind.FAILED
                 heapq.heappush(events, (at_us, number, UpstreamsUpdated(kind, entries)))
