--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -40,7 +40,7 @@
 SECOND_US = 1_000_000
 
 
-def end(world: World, request: int, number: int, outcome: Outcome, after_us: int) -> None:
+def end_attempt(world: World, request: int, number: int, outcome: Outcome, after_us: int) -> None:
     world.advance(after_us)
     world.end(request, number, outcome)
 
@@ -57,7 +57,7 @@
             world.end(out.popleft()[1], 0, Outcome.OK)
         out.append((world.now_us + 50_000, world.arrive(READ)))
     for _, request in out:
-        end(world, request, 0, Outcome.OK, 50_000 // len(out))
+        end_attempt(world, request, 0, Outcome.OK, 50_000 // len(out))
     return world
 
 
@@ -116,7 +116,7 @@
         while number < len(world.sends(request)) and world.answer(request) is None:
             zone = world.known[world.sends(request)[number].upstream].zone
             lost[zone] += zone == 0
-            end(world, request, number, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK, 50_000)
+            end_attempt(world, request, number, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK, 50_000)
             number += 1
     assert lost[0] <= 14  # of the 15 in the zone; by zone preference alone all 60 requests would go there first
 
@@ -125,8 +125,8 @@
     world = one_of_many()
     for _ in range(30):
         request = world.arrive(READ)
-        end(world, request, 0, Outcome.CONNECT_FAILED, 1_000)
-        end(world, request, 1, Outcome.OK, 1_000)
+        end_attempt(world, request, 0, Outcome.CONNECT_FAILED, 1_000)
+        end_attempt(world, request, 1, Outcome.OK, 1_000)
         assert len(world.sends(request)) == 2
 
 
@@ -135,9 +135,9 @@
     answers = []
     for _ in range(30):
         request = world.arrive(READ)
-        end(world, request, 0, Outcome.ERROR, 1_000)
+        end_attempt(world, request, 0, Outcome.ERROR, 1_000)
         if len(world.sends(request)) == 2:
-            end(world, request, 1, Outcome.OK, 1_000)
+            end_attempt(world, request, 1, Outcome.OK, 1_000)
         answers.append(world.answer(request))
     assert any(isinstance(answer, Refuse) for answer in answers)
 
@@ -150,9 +150,9 @@
         request = world.arrive(READ)
         upstream = world.sends(request)[0].upstream
         drawn[upstream] += 1
-        end(world, request, 0, Outcome.ERROR if upstream == bad and number % 2 else Outcome.OK, 5_000)
+        end_attempt(world, request, 0, Outcome.ERROR if upstream == bad and number % 2 else Outcome.OK, 5_000)
         if len(world.sends(request)) == 2:
-            end(world, request, 1, Outcome.OK, 5_000)
+            end_attempt(world, request, 1, Outcome.OK, 5_000)
     near = [ident for ident, entry in world.known.items() if entry.zone == 0 and drawn[ident] and ident != bad]
     assert drawn[bad] < sum(drawn[ident] for ident in near) / len(near) / 2
 
@@ -173,11 +173,11 @@
     """What 200 sidecars each leave at slow upstreams would add up to queues in which every request times out."""
     world = one_of_many(20.0)
     for _ in range(40):
-        end(world, world.arrive(READ), 0, Outcome.OK, 600_000)
+        end_attempt(world, world.arrive(READ), 0, Outcome.OK, 600_000)
     narrow = world.balancer.window.slots
     assert world.balancer.least <= narrow <= 1.0
     for _ in range(60):
-        end(world, world.arrive(READ), 0, Outcome.OK, 40_000)
+        end_attempt(world, world.arrive(READ), 0, Outcome.OK, 40_000)
     assert world.balancer.window.slots >= 2 * narrow
 
 
@@ -253,7 +253,7 @@
         world = one_of_many(20.0, instances=instances)
         for _ in range(40):
             world.advance(50_000)
-            end(world, world.arrive(READ), 0, Outcome.OK, answer_us)
+            end_attempt(world, world.arrive(READ), 0, Outcome.OK, answer_us)
         request = world.arrive(READ)
         world.advance(160_000)
         return len(world.sends(request)) - 1
@@ -429,7 +429,7 @@
     for _ in range(120):
         request = world.arrive(READ)
         kind = world.known[world.sends(request)[0].upstream].kind
-        end(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
+        end_attempt(world, request, 0, Outcome.OK, 100_000 if kind == 0 else 25_000)
     world.balancer.changed.update(dict.fromkeys(world.balancer.order))
     slow, quick = (weight(world, next(server for server in world.balancer.order if server.entry.kind == kind
                                       and server.window.slots == 1.0 and not server.used)) for kind in (0, 1))
@@ -587,7 +587,7 @@
             world.advance(200_000)
             request = world.arrive(READ)
             if world.sends(request):
-                end(world, request, 0, Outcome.OK, 0)
+                end_attempt(world, request, 0, Outcome.OK, 0)
     assert {send.upstream for send in world.sends()} <= set(mine) and mine
     assert [server.entry.id for server in world.balancer.order][:len(mine)] == sorted(mine)
     world.advance(SECOND_US + 10)
@@ -632,7 +632,7 @@
     assert sorted(first) == mine and not balancer.has_room()  # one each, as the pacing allows, and nothing else
     slots, out = balancer.window.slots, balancer.load.out
     for request in requests[:3]:
-        end(world, request, 0, Outcome.OK, 20_000)
+        end_attempt(world, request, 0, Outcome.OK, 20_000)
     assert (balancer.window.slots, balancer.load.out, out) == (slots, 0, 0)  # they say nothing about the others
     again = world.arrive(READ)
     assert not world.sends(again)  # and the pacing delays the next ones
