--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -352,7 +352,7 @@
     return confidence.Donor(lessons(*found, **changes), up_us, resting, cut_off)
 
 
-def agreed(*donors: confidence.Donor) -> dict[int, UpstreamLesson]:
+def combined(*donors: confidence.Donor) -> dict[int, UpstreamLesson]:
     found = confidence.combined_lessons(donors, START_US, 0)
     return {} if found is None else {one.id: one for one in found.upstreams}
 
@@ -364,7 +364,7 @@
         [upstream_lesson(100 + i, 1e5, 0, least_us=1) for i in range(3)],
         [upstream_lesson(100 + i, 1 / 64, 0, mute=9) for i in range(3)],
     ):
-        found = agreed(donor(*good), donor(*lie), donor(*good))
+        found = combined(donor(*good), donor(*lie), donor(*good))
         assert [found[i].slots for i in (100, 101, 102)] == [4.0, 1 / 32, 4.0]
         assert [found[i].mute for i in (100, 101, 102)] == [1, 4, 1]
         assert all(not one.first_hand for one in found.values())
@@ -372,25 +372,25 @@
 
 def test_a_stalled_donor_does_not_teach_that_all_upstreams_are_closed() -> None:
     stalled = [upstream_lesson(100 + i, 1 / 64, mute=3) for i in range(5)]
-    assert set(agreed(donor(*stalled, upstream_lesson(105, 3.0)))) == {105}
-    assert set(agreed(donor(upstream_lesson(100, 1 / 64, mute=3), upstream_lesson(101, 2.0), upstream_lesson(102, 2.0), resting=True))) == {101, 102}
+    assert set(combined(donor(*stalled, upstream_lesson(105, 3.0)))) == {105}
+    assert set(combined(donor(upstream_lesson(100, 1 / 64, mute=3), upstream_lesson(101, 2.0), upstream_lesson(102, 2.0), resting=True))) == {101, 102}
 
 
 def test_a_donor_that_has_just_started_is_ignored() -> None:
-    assert agreed(donor(upstream_lesson(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
+    assert combined(donor(upstream_lesson(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
     assert confidence.combined_lessons([], START_US, 0) is None
 
 
 def test_old_lessons_and_a_lost_discovery_reduce_the_weight_of_a_donor() -> None:
     old, fresh = donor(upstream_lesson(100, 8.0, 90 * S)), donor(upstream_lesson(100, 2.0, 0))
-    assert agreed(old, fresh)[100].slots == 2.0 == agreed(old, old, fresh)[100].slots
+    assert combined(old, fresh)[100].slots == 2.0 == combined(old, old, fresh)[100].slots
     lost = donor(upstream_lesson(100, 8.0, 0), cut_off=True)
-    assert agreed(lost, fresh)[100].slots == 2.0
+    assert combined(lost, fresh)[100].slots == 2.0
 
 
 def test_minimum_latency_is_taken_only_from_donors_of_the_same_zone() -> None:
     near, far = donor(upstream_lesson(100, 2.0, least_us=900)), donor(upstream_lesson(100, 2.0, least_us=9_000), zone=1)
-    assert agreed(far, far, near)[100].least_us == 900 and agreed(far)[100].least_us == 0
+    assert combined(far, far, near)[100].least_us == 900 and combined(far)[100].least_us == 0
 
 
 @given(st.lists(st.tuples(st.floats(-1e6, 1e6), st.floats(0.01, 10)), min_size=1, max_size=9), st.floats(-1e9, 1e9))
