--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -408,14 +408,14 @@
     world = World(settings(), seed % 1000)
     extremes = [1e-6, 1 / 64, 0.5, 1.0, 8.0, 1e6]
 
-    def one(ident: int) -> UpstreamLesson:
+    def random_lesson(ident: int) -> UpstreamLesson:
         return upstream_lesson(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
                     started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
                     failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
                     first_hand=rng.random() < 0.5)
 
     def any_lessons() -> Lessons:
-        return lessons(*(one(100 + i) for i in range(8)), slots=rng.choice([0.0, *extremes]),
+        return lessons(*(random_lesson(100 + i) for i in range(8)), slots=rng.choice([0.0, *extremes]),
                        classes=tuple(ClassLesson(c.name, START_US, rng.choice([1.0, 1e12]), rng.choice([1.0, 1e12]))
                                      for c in world.settings.classes if rng.random() < 0.5))
 
