--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -27,7 +27,7 @@
 S = 1_000_000
 
 
-def upstream_lesson(ident: int, slots: float, age_us: int = S, **changes: object) -> UpstreamLesson:
+def lesson_of(ident: int, slots: float, age_us: int = S, **changes: object) -> UpstreamLesson:
     values: dict[str, object] = {"id": ident, "started_us": 0, "confirmed_us": START_US - age_us, "slots": slots,
                                  **changes}
     return UpstreamLesson(**values)  # type: ignore[arg-type]
@@ -76,7 +76,7 @@
 def test_slots_of_a_lesson_decay_towards_1() -> None:
     now_us = START_US
     for kind, halves_us in ((8.0, confidence.OPEN_HALF_LIFE_US), (1 / 8, confidence.CLOSED_HALF_LIFE_US)):
-        found = [confidence.decayed_lesson(upstream_lesson(1, kind, age_us), now_us)
+        found = [confidence.decayed_lesson(lesson_of(1, kind, age_us), now_us)
                  for age_us in (0, halves_us, 4 * halves_us, 9 * halves_us)]
         values = [one.slots for one in found if one is not None]
         assert values[0] == kind and values[1] == pytest.approx(kind ** 0.5) and values[3] == 1.0
@@ -85,27 +85,27 @@
 
 
 def test_silence_does_not_decay_until_its_lifetime_ends() -> None:
-    found = confidence.decayed_lesson(upstream_lesson(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
+    found = confidence.decayed_lesson(lesson_of(1, 1 / 64, 5 * 60 * S, mute=5), START_US)
     assert found is not None and found.slots == 1 / 64 and found.mute == 5
-    late = confidence.decayed_lesson(upstream_lesson(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
+    late = confidence.decayed_lesson(lesson_of(1, 1 / 64, 11 * 60 * S, mute=5), START_US)
     assert late is not None and late.slots == 1.0 and late.mute == 1
 
 
 def test_a_silent_upstream_counts_as_closed_though_its_window_is_open() -> None:
     """Each attempt occupies its slot so long that few attempts are made, which hardly close the window."""
-    world = world_with_lessons(upstream_lesson(100, 1.4, mute=2), upstream_lesson(101, 1.4))
+    world = world_with_lessons(lesson_of(100, 1.4, mute=2), lesson_of(101, 1.4))
     assert slots(world)[100] == confidence.MIN_SLOTS and slots(world)[101] == 1.0
-    assert confidence.is_closed(upstream_lesson(100, 1.4, mute=2)) and not confidence.is_closed(upstream_lesson(100, 1.4))
+    assert confidence.is_closed(lesson_of(100, 1.4, mute=2)) and not confidence.is_closed(lesson_of(100, 1.4))
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
 
 
 @pytest.mark.parametrize("age_us", [7 * 86_400 * S, -1, 3_600 * S + 1])
 def test_a_lesson_that_is_too_old_or_from_the_future_has_no_effect(age_us: int) -> None:
-    assert confidence.decayed_lesson(upstream_lesson(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
+    assert confidence.decayed_lesson(lesson_of(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
     assert confidence.decay(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
     cold, world = World(settings(second_copies=False)), world_with_lessons(
-        *(upstream_lesson(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
+        *(lesson_of(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
     cold.tell_list(upstreams(6))
     assert slots(world) == slots(cold) and world.balancer.window.slots == cold.balancer.window.slots
@@ -116,20 +116,20 @@
 
 
 def test_a_lesson_of_an_open_window_applies_after_one_answer_and_not_before() -> None:
-    world = world_with_lessons(upstream_lesson(100, 6.0))
+    world = world_with_lessons(lesson_of(100, 6.0))
     assert slots(world)[100] == 1.0
     answer(world, send_to(world, 100))
     assert 4.0 < slots(world)[100] <= 6.5
 
 
 def test_a_lesson_of_an_open_window_is_dropped_if_the_upstream_does_not_answer() -> None:
-    world = world_with_lessons(upstream_lesson(100, 50.0))
+    world = world_with_lessons(lesson_of(100, 50.0))
     answer(world, send_to(world, 100), Outcome.CONNECT_FAILED)
     assert slots(world)[100] <= 1.0
 
 
 def test_a_lesson_of_a_closed_window_is_dropped_after_one_answer() -> None:
-    world = world_with_lessons(upstream_lesson(100, 1 / 64, mute=6, failing=True))
+    world = world_with_lessons(lesson_of(100, 1 / 64, mute=6, failing=True))
     assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MAX_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
@@ -141,7 +141,7 @@
     first = 0
     for seed in range(300):
         world = World(settings(second_copies=False, instances=1), seed)
-        world.balancer.recall(START_US, lessons(upstream_lesson(100, 1 / 64, mute=4), upstream_lesson(101, 1.0)))
+        world.balancer.recall(START_US, lessons(lesson_of(100, 1 / 64, mute=4), lesson_of(101, 1.0)))
         world.tell_list(upstreams(2))
         sent = [world.sends(world.arrive())[-1].upstream for _ in range(2)]
         assert sorted(sent) == [100, 101]  # the second is not refused: the closed upstream still has a slot
@@ -150,25 +150,25 @@
 
 
 def test_a_failed_attempt_leaves_it_closed() -> None:
-    world = world_with_lessons(upstream_lesson(100, 1 / 64, mute=4))
+    world = world_with_lessons(lesson_of(100, 1 / 64, mute=4))
     answer(world, send_to(world, 100), Outcome.RESET)
     assert slots(world)[100] < confidence.MIN_SLOTS
 
 
 def test_lessons_do_not_apply_to_a_restarted_upstream() -> None:
-    world = world_with_lessons(upstream_lesson(100, 1 / 64, started_us=5), upstream_lesson(101, 9.0, started_us=5))
+    world = world_with_lessons(lesson_of(100, 1 / 64, started_us=5), lesson_of(101, 9.0, started_us=5))
     assert slots(world)[100] == slots(world)[101] == 1.0
     assert world.balancer.servers[100].lesson is None
 
 
 def test_lessons_of_unlisted_upstreams_are_dropped() -> None:
-    world = world_with_lessons(upstream_lesson(999, 9.0))
+    world = world_with_lessons(lesson_of(999, 9.0))
     world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
     assert world.balancer.servers[999].lesson is None and world.balancer.lessons == []
 
 
 def test_lessons_of_upstreams_missing_in_a_cached_list_are_kept() -> None:
-    world = world_with_lessons(upstream_lesson(100, 9.0), upstream_lesson(106, 9.0), count=6, listed=False)
+    world = world_with_lessons(lesson_of(100, 9.0), lesson_of(106, 9.0), count=6, listed=False)
     world.tell_list(upstreams(7))
     assert world.balancer.servers[106].lesson is not None
 
@@ -178,7 +178,7 @@
     world.tell_list(upstreams(6))
     seen = answer(world, world.arrive())
     before = slots(world)[seen]
-    fresh = lessons(*(upstream_lesson(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), upstream_lesson(seen, 1 / 64, -10 * S))
+    fresh = lessons(*(lesson_of(100 + i, 1 / 64, -10 * S, mute=3) for i in range(2)), lesson_of(seen, 1 / 64, -10 * S))
     world.advance(20 * S)
     world.balancer.recall(world.now_us, replace(fresh, confirmed_us=world.now_us))
     assert slots(world)[seen] == before and world.balancer.servers[seen].lesson is None
@@ -187,7 +187,7 @@
 def test_the_more_recent_of_two_lessons_counts_whatever_their_order() -> None:
     for order in (0, 1):
         world = World(settings())
-        both = [lessons(upstream_lesson(100, 5.0, 30 * S), confirmed_us=START_US - 30 * S), lessons(upstream_lesson(100, 0.25, S))]
+        both = [lessons(lesson_of(100, 5.0, 30 * S), confirmed_us=START_US - 30 * S), lessons(lesson_of(100, 0.25, S))]
         for one in both[::-1] if order else both:
             world.balancer.recall(START_US, one)
         world.tell_list(upstreams(6))
@@ -198,18 +198,18 @@
 
 
 def test_lessons_that_close_more_than_half_of_the_upstreams_are_ignored() -> None:
-    world = world_with_lessons(*(upstream_lesson(100 + i, 1 / 64, mute=5) for i in range(4)), upstream_lesson(104, 7.0))
+    world = world_with_lessons(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(4)), lesson_of(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
     assert world.balancer.servers[104].lesson is not None
-    half = world_with_lessons(*(upstream_lesson(100 + i, 1 / 64, mute=5) for i in range(3)))
+    half = world_with_lessons(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(3)))
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
 
 def test_two_donors_do_not_close_more_than_half_together() -> None:
     world = World(settings())
     world.tell_list(upstreams(6))
-    world.balancer.recall(START_US, lessons(*(upstream_lesson(100 + i, 1 / 64, mute=5) for i in range(3))))
-    world.balancer.recall(START_US, lessons(*(upstream_lesson(103 + i, 1 / 64, mute=5) for i in range(3))))
+    world.balancer.recall(START_US, lessons(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(3))))
+    world.balancer.recall(START_US, lessons(*(lesson_of(103 + i, 1 / 64, mute=5) for i in range(3))))
     assert sum(value < 1.0 for value in slots(world).values()) == 3
 
 
@@ -227,7 +227,7 @@
         world = World(settings(second_copies=False), 3)
         if lie:
             world.balancer.recall(START_US, lessons(
-                upstream_lesson(100, 1e6, started_us=START_US - S),
+                lesson_of(100, 1e6, started_us=START_US - S),
                 classes=tuple(ClassLesson(c.name, START_US, 1.0, 1.0) for c in world.settings.classes)))
         world.tell_list(upstreams(1, started_us=START_US - S))
         for _ in range(3_000):  # 3 s
@@ -258,7 +258,7 @@
 
 
 def test_a_false_minimum_latency_is_limited_to_a_quarter_of_the_measured_one() -> None:
-    world = world_with_lessons(upstream_lesson(100, 1.0, least_us=1))
+    world = world_with_lessons(lesson_of(100, 1.0, least_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
     assert world.balancer.servers[100].least_us >= 20_000
 
@@ -267,13 +267,13 @@
     entry = upstreams(1, started_us=START_US - S)
     world = World(settings(second_copies=False, instances=3), 3)
     world.balancer.recall(START_US, lessons(
-        upstream_lesson(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
+        lesson_of(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9)))
     world.tell_list(entry)
     until_us = world.balancer.servers[100].next_cold_us
     assert START_US + 100_000 < until_us < START_US + 5 * S  # one pacing interval, whatever the lesson says
     other = World(settings(second_copies=False, instances=3), 3)
     other.balancer.recall(START_US, lessons(
-        upstream_lesson(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
+        lesson_of(100, 1.0, started_us=START_US - S, next_cold_us=START_US + 10**9, first_hand=False)))
     other.tell_list(entry)
     assert other.balancer.servers[100].next_cold_us < until_us
 
@@ -282,10 +282,10 @@
     """Short answer times of warm upstreams would close the sidecar's window at cold ones, and pace these too fast."""
     kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
-        world = world_with_lessons(*(upstream_lesson(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
+        world = world_with_lessons(*(lesson_of(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
         assert world.balancer.latency[0].seen is recalled
         assert (world.balancer.window.slots > 1.5 * world_with_lessons().balancer.window.slots) is recalled
-    world = world_with_lessons(*(upstream_lesson(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
+    world = world_with_lessons(*(lesson_of(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
     assert not world.balancer.latency[0].seen  # a cached list may be that of the former fleet
     world.tell_list(upstreams(6))
     assert world.balancer.latency[0].seen
@@ -293,7 +293,7 @@
 
 def test_minimum_latency_from_another_zone_is_ignored() -> None:
     for zone, least_us in ((0, 19_000), (1, 20_000)):
-        world = world_with_lessons(upstream_lesson(100, 1.0, least_us=19_000), zone=zone)
+        world = world_with_lessons(lesson_of(100, 1.0, least_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
         assert world.balancer.servers[100].least_us == least_us
 
@@ -314,7 +314,7 @@
 
 
 def test_second_hand_lessons_are_passed_on_unchanged() -> None:
-    first = upstream_lesson(100, 5.0, 3 * S, first_hand=False, least_us=9)
+    first = lesson_of(100, 5.0, 3 * S, first_hand=False, least_us=9)
     world = world_with_lessons(first)
     world.advance(S)
     given = {one.id: one for one in learned(world.balancer).upstreams}
@@ -327,7 +327,7 @@
 def test_sidecars_that_teach_each_other_do_not_renew_lessons() -> None:
     """A teaches B, B teaches A, repeatedly: no lesson gets younger, and second-hand lessons are not accepted."""
     world = World(settings())
-    world.balancer.recall(START_US, lessons(upstream_lesson(100, 6.0, S)))
+    world.balancer.recall(START_US, lessons(lesson_of(100, 6.0, S)))
     world.tell_list(upstreams(6))
     for _ in range(5):
         world.advance(2 * S)
@@ -358,11 +358,11 @@
 
 
 def test_one_wrong_donor_of_three_has_no_effect() -> None:
-    good = [upstream_lesson(100, 4.0), upstream_lesson(101, 1 / 32, mute=4), upstream_lesson(102, 4.0)]
+    good = [lesson_of(100, 4.0), lesson_of(101, 1 / 32, mute=4), lesson_of(102, 4.0)]
     for lie in (
-        [upstream_lesson(100, 1 / 64, 0, mute=9), upstream_lesson(101, 1e5, 0), upstream_lesson(102, 1e5, 0)],
-        [upstream_lesson(100 + i, 1e5, 0, least_us=1) for i in range(3)],
-        [upstream_lesson(100 + i, 1 / 64, 0, mute=9) for i in range(3)],
+        [lesson_of(100, 1 / 64, 0, mute=9), lesson_of(101, 1e5, 0), lesson_of(102, 1e5, 0)],
+        [lesson_of(100 + i, 1e5, 0, least_us=1) for i in range(3)],
+        [lesson_of(100 + i, 1 / 64, 0, mute=9) for i in range(3)],
     ):
         found = combined(donor(*good), donor(*lie), donor(*good))
         assert [found[i].slots for i in (100, 101, 102)] == [4.0, 1 / 32, 4.0]
@@ -371,25 +371,25 @@
 
 
 def test_a_stalled_donor_does_not_teach_that_all_upstreams_are_closed() -> None:
-    stalled = [upstream_lesson(100 + i, 1 / 64, mute=3) for i in range(5)]
-    assert set(combined(donor(*stalled, upstream_lesson(105, 3.0)))) == {105}
-    assert set(combined(donor(upstream_lesson(100, 1 / 64, mute=3), upstream_lesson(101, 2.0), upstream_lesson(102, 2.0), resting=True))) == {101, 102}
+    stalled = [lesson_of(100 + i, 1 / 64, mute=3) for i in range(5)]
+    assert set(combined(donor(*stalled, lesson_of(105, 3.0)))) == {105}
+    assert set(combined(donor(lesson_of(100, 1 / 64, mute=3), lesson_of(101, 2.0), lesson_of(102, 2.0), resting=True))) == {101, 102}
 
 
 def test_a_donor_that_has_just_started_is_ignored() -> None:
-    assert combined(donor(upstream_lesson(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
+    assert combined(donor(lesson_of(100, 4.0), up_us=confidence.MIN_DONOR_UPTIME_US - 1)) == {}
     assert confidence.combined_lessons([], START_US, 0) is None
 
 
 def test_old_lessons_and_a_lost_discovery_reduce_the_weight_of_a_donor() -> None:
-    old, fresh = donor(upstream_lesson(100, 8.0, 90 * S)), donor(upstream_lesson(100, 2.0, 0))
+    old, fresh = donor(lesson_of(100, 8.0, 90 * S)), donor(lesson_of(100, 2.0, 0))
     assert combined(old, fresh)[100].slots == 2.0 == combined(old, old, fresh)[100].slots
-    lost = donor(upstream_lesson(100, 8.0, 0), cut_off=True)
+    lost = donor(lesson_of(100, 8.0, 0), cut_off=True)
     assert combined(lost, fresh)[100].slots == 2.0
 
 
 def test_minimum_latency_is_taken_only_from_donors_of_the_same_zone() -> None:
-    near, far = donor(upstream_lesson(100, 2.0, least_us=900)), donor(upstream_lesson(100, 2.0, least_us=9_000), zone=1)
+    near, far = donor(lesson_of(100, 2.0, least_us=900)), donor(lesson_of(100, 2.0, least_us=9_000), zone=1)
     assert combined(far, far, near)[100].least_us == 900 and combined(far)[100].least_us == 0
 
 
@@ -409,7 +409,7 @@
     extremes = [1e-6, 1 / 64, 0.5, 1.0, 8.0, 1e6]
 
     def random_lesson(ident: int) -> UpstreamLesson:
-        return upstream_lesson(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
+        return lesson_of(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
                     started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
                     failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
                     first_hand=rng.random() < 0.5)
