--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -39,7 +39,7 @@
     return Lessons(**values)  # type: ignore[arg-type]
 
 
-def world_with_lessons(*found: UpstreamLesson, count: int = 6, listed: bool = True, **changes: object) -> World:
+def taught_world(*found: UpstreamLesson, count: int = 6, listed: bool = True, **changes: object) -> World:
     world = World(settings(second_copies=False))
     world.balancer.recall(START_US, lessons(*found, **changes))
     world.tell_list(upstreams(count), ListKind.FULL if listed else ListKind.CACHED)
@@ -93,7 +93,7 @@
 
 def test_a_silent_upstream_counts_as_closed_though_its_window_is_open() -> None:
     """Each attempt occupies its slot so long that few attempts are made, which hardly close the window."""
-    world = world_with_lessons(lesson_of(100, 1.4, mute=2), lesson_of(101, 1.4))
+    world = taught_world(lesson_of(100, 1.4, mute=2), lesson_of(101, 1.4))
     assert slots(world)[100] == confidence.MIN_SLOTS and slots(world)[101] == 1.0
     assert confidence.is_closed(lesson_of(100, 1.4, mute=2)) and not confidence.is_closed(lesson_of(100, 1.4))
     answer(world, send_to(world, 100))
@@ -104,7 +104,7 @@
 def test_a_lesson_that_is_too_old_or_from_the_future_has_no_effect(age_us: int) -> None:
     assert confidence.decayed_lesson(lesson_of(1, 8.0, age_us, mute=9, least_us=5), START_US) is None
     assert confidence.decay(age_us, confidence.OPEN_HALF_LIFE_US) == 0.0
-    cold, world = World(settings(second_copies=False)), world_with_lessons(
+    cold, world = World(settings(second_copies=False)), taught_world(
         *(lesson_of(100 + i, 9.0 if i % 2 else 0.1, age_us) for i in range(6)), slots=1.0,
         confirmed_us=START_US - age_us, classes=(ClassLesson("read", START_US - age_us, 1.0, 1.0),))
     cold.tell_list(upstreams(6))
@@ -116,20 +116,20 @@
 
 
 def test_a_lesson_of_an_open_window_applies_after_one_answer_and_not_before() -> None:
-    world = world_with_lessons(lesson_of(100, 6.0))
+    world = taught_world(lesson_of(100, 6.0))
     assert slots(world)[100] == 1.0
     answer(world, send_to(world, 100))
     assert 4.0 < slots(world)[100] <= 6.5
 
 
 def test_a_lesson_of_an_open_window_is_dropped_if_the_upstream_does_not_answer() -> None:
-    world = world_with_lessons(lesson_of(100, 50.0))
+    world = taught_world(lesson_of(100, 50.0))
     answer(world, send_to(world, 100), Outcome.CONNECT_FAILED)
     assert slots(world)[100] <= 1.0
 
 
 def test_a_lesson_of_a_closed_window_is_dropped_after_one_answer() -> None:
-    world = world_with_lessons(lesson_of(100, 1 / 64, mute=6, failing=True))
+    world = taught_world(lesson_of(100, 1 / 64, mute=6, failing=True))
     assert slots(world)[100] == confidence.MIN_SLOTS and world.balancer.servers[100].mute == confidence.MAX_MUTE
     answer(world, send_to(world, 100))
     assert slots(world)[100] >= 1.0
@@ -150,25 +150,25 @@
 
 
 def test_a_failed_attempt_leaves_it_closed() -> None:
-    world = world_with_lessons(lesson_of(100, 1 / 64, mute=4))
+    world = taught_world(lesson_of(100, 1 / 64, mute=4))
     answer(world, send_to(world, 100), Outcome.RESET)
     assert slots(world)[100] < confidence.MIN_SLOTS
 
 
 def test_lessons_do_not_apply_to_a_restarted_upstream() -> None:
-    world = world_with_lessons(lesson_of(100, 1 / 64, started_us=5), lesson_of(101, 9.0, started_us=5))
+    world = taught_world(lesson_of(100, 1 / 64, started_us=5), lesson_of(101, 9.0, started_us=5))
     assert slots(world)[100] == slots(world)[101] == 1.0
     assert world.balancer.servers[100].lesson is None
 
 
 def test_lessons_of_unlisted_upstreams_are_dropped() -> None:
-    world = world_with_lessons(lesson_of(999, 9.0))
+    world = taught_world(lesson_of(999, 9.0))
     world.tell_list([*upstreams(6), replace(upstreams(1)[0], id=999)])
     assert world.balancer.servers[999].lesson is None and world.balancer.lessons == []
 
 
 def test_lessons_of_upstreams_missing_in_a_cached_list_are_kept() -> None:
-    world = world_with_lessons(lesson_of(100, 9.0), lesson_of(106, 9.0), count=6, listed=False)
+    world = taught_world(lesson_of(100, 9.0), lesson_of(106, 9.0), count=6, listed=False)
     world.tell_list(upstreams(7))
     assert world.balancer.servers[106].lesson is not None
 
@@ -198,10 +198,10 @@
 
 
 def test_lessons_that_close_more_than_half_of_the_upstreams_are_ignored() -> None:
-    world = world_with_lessons(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(4)), lesson_of(104, 7.0))
+    world = taught_world(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(4)), lesson_of(104, 7.0))
     assert all(value == 1.0 for value in slots(world).values())
     assert world.balancer.servers[104].lesson is not None
-    half = world_with_lessons(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(3)))
+    half = taught_world(*(lesson_of(100 + i, 1 / 64, mute=5) for i in range(3)))
     assert sum(value < 1.0 for value in slots(half).values()) == 3
 
 
@@ -214,9 +214,9 @@
 
 
 def test_the_recalled_window_of_the_sidecar_is_limited_to_one_to_two_times_the_default() -> None:
-    usual = world_with_lessons().balancer.window.slots
-    assert world_with_lessons(slots=1e6).balancer.window.slots == pytest.approx(2 * usual, rel=0.05)
-    assert world_with_lessons(slots=1e-6).balancer.window.slots == pytest.approx(usual, rel=0.05)
+    usual = taught_world().balancer.window.slots
+    assert taught_world(slots=1e6).balancer.window.slots == pytest.approx(2 * usual, rel=0.05)
+    assert taught_world(slots=1e-6).balancer.window.slots == pytest.approx(usual, rel=0.05)
 
 
 def test_false_answer_times_do_not_overload_a_cold_upstream() -> None:
@@ -244,13 +244,13 @@
 
 
 def test_excessive_answer_times_have_no_effect_beyond_the_defaults() -> None:
-    cold = world_with_lessons().balancer.latency[0]
-    lied = world_with_lessons(classes=(ClassLesson("read", START_US, 1e12, 1e12),)).balancer.latency[0]
+    cold = taught_world().balancer.latency[0]
+    lied = taught_world(classes=(ClassLesson("read", START_US, 1e12, 1e12),)).balancer.latency[0]
     assert lied.mean_us <= cold.mean_us and lied.careful_us() == cold.careful_us()
 
 
 def test_three_answers_outweigh_false_answer_times() -> None:
-    world = world_with_lessons(classes=(ClassLesson("read", START_US, 1.0, 1.0),))
+    world = taught_world(classes=(ClassLesson("read", START_US, 1.0, 1.0),))
     assert world.balancer.latency[0].mean_us < 2.0
     for _ in range(3):
         answer(world, world.arrive(), after_us=80_000)
@@ -258,7 +258,7 @@
 
 
 def test_a_false_minimum_latency_is_limited_to_a_quarter_of_the_measured_one() -> None:
-    world = world_with_lessons(lesson_of(100, 1.0, least_us=1))
+    world = taught_world(lesson_of(100, 1.0, least_us=1))
     answer(world, send_to(world, 100), after_us=80_000)
     assert world.balancer.servers[100].least_us >= 20_000
 
@@ -282,10 +282,10 @@
     """Short answer times of warm upstreams would close the sidecar's window at cold ones, and pace these too fast."""
     kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
-        world = world_with_lessons(*(lesson_of(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
+        world = taught_world(*(lesson_of(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
         assert world.balancer.latency[0].seen is recalled
-        assert (world.balancer.window.slots > 1.5 * world_with_lessons().balancer.window.slots) is recalled
-    world = world_with_lessons(*(lesson_of(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
+        assert (world.balancer.window.slots > 1.5 * taught_world().balancer.window.slots) is recalled
+    world = taught_world(*(lesson_of(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
     assert not world.balancer.latency[0].seen  # a cached list may be that of the former fleet
     world.tell_list(upstreams(6))
     assert world.balancer.latency[0].seen
@@ -293,7 +293,7 @@
 
 def test_minimum_latency_from_another_zone_is_ignored() -> None:
     for zone, least_us in ((0, 19_000), (1, 20_000)):
-        world = world_with_lessons(lesson_of(100, 1.0, least_us=19_000), zone=zone)
+        world = taught_world(lesson_of(100, 1.0, least_us=19_000), zone=zone)
         answer(world, send_to(world, 100))
         assert world.balancer.servers[100].least_us == least_us
 
@@ -315,7 +315,7 @@
 
 def test_second_hand_lessons_are_passed_on_unchanged() -> None:
     first = lesson_of(100, 5.0, 3 * S, first_hand=False, least_us=9)
-    world = world_with_lessons(first)
+    world = taught_world(first)
     world.advance(S)
     given = {one.id: one for one in learned(world.balancer).upstreams}
     assert given[100] == first and list(given) == [100]
