--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -56,7 +56,7 @@
     list_delays_s: list[float]  # by sidecar: when it receives the list after a change
     crash_s: float  # when the cold upstreams crash and restart once more; 0 = never
     down_s: float  # time from that crash to the restart
-    listed_before: bool  # cold ones were up and listed before; the end of the old process is told only with the new start
+    listed_before: bool  # cold ones ran and were listed before; sidecars learn of end and restart at once
     restarts: list[tuple[float, int]]  # time, number of the sidecar that restarts
     removed_count: int  # how many upstreams leave the list when the cold ones join it
     variation: float  # variation of work within a class: standard deviation / mean
@@ -89,7 +89,8 @@
         at_s += rng.uniform(0.5, 3.0)
         waves.append((at_s, rng.choice((0.05, 0.3, 1.0, 1.0, 1.6, 2.5))))
     settings = Settings(
-        classes(), [Tenant("north", quota * sum(capacities) * 0.6, 0.6), Tenant("south", quota * sum(capacities) * 0.4, 0.4)],
+        classes(), [Tenant("north", quota * sum(capacities) * 0.6, 0.6),
+                    Tenant("south", quota * sum(capacities) * 0.4, 0.4)],
         over_share_worth=0.1, instances=instances, tick_us=4_000, max_attempts=4, max_retry_after_us=SECOND_US,
         connect_timeout_us=150_000, second_copies=rng.random() < 0.5, cold_share=cold_share,
         warm_up_us=int(warm_s * SECOND_US), overload_factor=factor, fall_us=int(fall_s * SECOND_US))
@@ -144,7 +145,8 @@
         self.case, self.rng, self.now_us, self.sequence = case, random.Random(case.seed), START_US, 0
         self.events: list[tuple[int, int, str, tuple[int, ...]]] = []
         mean = sum(case.sizes) / len(case.sizes)
-        warm = [Upstream(100 + 7919 * i, zone=i % 4, kind=sum(size > 1.2 * mean * kind for kind in sorted(KIND_CAPACITIES)),
+        warm = [Upstream(100 + 7919 * i, zone=i % 4,
+                         kind=sum(size > 1.2 * mean * kind for kind in sorted(KIND_CAPACITIES)),
                          cell=i % 4) for i, size in enumerate(case.sizes)]
         self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
         self.sidecars = [self.new_sidecar(number) for number in range(case.instances)]
@@ -183,8 +185,8 @@
             getattr(self, "on_" + what)(*about)
         for machine in self.machines.values():
             self.add_to_totals(machine)
-        return Verdict(self.overloads, self.worst, self.informed_worst, self.received / self.capacity if self.capacity else 0.0,
-                       self.served / max(1, self.requested), self.cold_starts)
+        return Verdict(self.overloads, self.worst, self.informed_worst,
+                       self.received / self.capacity if self.capacity else 0.0, self.served / max(1, self.requested), self.cold_starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
         case, rng, at_s = self.case, self.rng, 0.0
@@ -214,7 +216,8 @@
 
     def announce_lists(self) -> None:
         for sidecar in self.sidecars:
-            self.schedule(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US), "list", sidecar.number)
+            self.schedule(self.now_us + int(self.case.list_delays_s[sidecar.number] * SECOND_US),
+                          "list", sidecar.number)
 
     def on_crash(self) -> None:
         for machine in list(self.machines.values())[:self.case.cold]:
@@ -312,7 +315,7 @@
         if send.timeout_us and after_us > send.timeout_us:
             after_us, outcome = send.timeout_us, Outcome.TIMEOUT
         self.schedule(self.now_us + after_us, "end", send.request, nth, send.upstream, list(Outcome).index(outcome),
-                self.now_us)
+                      self.now_us)
 
     def check_rule_4(self, sidecar: Sidecar, machine: Machine, work: float) -> None:
         """Checks rule 4 now, for all work that has arrived within the last `fall_us`. N is computed from the upstream's
--- a/tests/learned/test_confidence.py
+++ b/tests/learned/test_confidence.py
@@ -282,7 +282,8 @@
     """Short answer times of warm upstreams would close the sidecar's window at cold ones, and pace these too fast."""
     kinds = (ClassLesson("read", START_US, 5_000.0, 2_000.0),)
     for gone, recalled in ((2, True), (3, True), (4, False), (6, False)):
-        world = taught_world(*(lesson_of(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)), classes=kinds, slots=1e6)
+        world = taught_world(*(lesson_of(100 + i if i >= gone else 900 + i, 2.0) for i in range(6)),
+                             classes=kinds, slots=1e6)
         assert world.balancer.latency[0].seen is recalled
         assert (world.balancer.window.slots > 1.5 * taught_world().balancer.window.slots) is recalled
     world = taught_world(*(lesson_of(100 + i, 2.0) for i in range(6)), classes=kinds, listed=False)
@@ -373,7 +374,8 @@
 def test_a_stalled_donor_does_not_teach_that_all_upstreams_are_closed() -> None:
     stalled = [lesson_of(100 + i, 1 / 64, mute=3) for i in range(5)]
     assert set(combined(donor(*stalled, lesson_of(105, 3.0)))) == {105}
-    assert set(combined(donor(lesson_of(100, 1 / 64, mute=3), lesson_of(101, 2.0), lesson_of(102, 2.0), resting=True))) == {101, 102}
+    assert set(combined(donor(lesson_of(100, 1 / 64, mute=3), lesson_of(101, 2.0), lesson_of(102, 2.0),
+                              resting=True))) == {101, 102}
 
 
 def test_a_donor_that_has_just_started_is_ignored() -> None:
@@ -410,9 +412,9 @@
 
     def random_lesson(ident: int) -> UpstreamLesson:
         return lesson_of(ident, rng.choice(extremes), rng.choice([-S, 0, S, 30 * S, 4_000 * S]),
-                    started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
+                         started_us=rng.choice([0, START_US - S]), least_us=rng.choice([0, 1, 10**9]),
                     failing=rng.random() < 0.5, mute=rng.choice([1, 2, 64]), next_cold_us=rng.choice([0, 2 * START_US]),
-                    first_hand=rng.random() < 0.5)
+                         first_hand=rng.random() < 0.5)
 
     def any_lessons() -> Lessons:
         return lessons(*(random_lesson(100 + i) for i in range(8)), slots=rng.choice([0.0, *extremes]),
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -10,7 +10,7 @@
 from ironscale.fleet_estimates import MIN_TURN_SHARE, SMALL_UPSTREAM_PACE, WARMING_SIDECARS, turn_lifetime_us
 from ironscale.interface import Tenant, Upstream
 from tests.balancer_harness import START_US, World, settings
-from tests.cold_fleet import SECOND_US, FLEET_SIZES, random_case, simulate
+from tests.cold_fleet import FLEET_SIZES, SECOND_US, random_case, simulate
 
 
 # seed 115: seven or more of 30 sidecars held an unused turn, and a burst of traffic used all of them within a second
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -233,7 +233,8 @@
 
 
 def test_a_sidecar_with_much_traffic_uses_more_upstreams() -> None:
-    assert len({send.upstream for send in one_of_many(300.0).sends()}) > 2 * len({s.upstream for s in one_of_many(10.0).sends()})
+    heavy, light = one_of_many(300.0), one_of_many(10.0)
+    assert len({send.upstream for send in heavy.sends()}) > 2 * len({send.upstream for send in light.sends()})
 
 
 def test_pacing_of_cold_upstreams_follows_the_allowance_and_not_slow_answers() -> None:
@@ -518,7 +519,7 @@
 
 
 def run_cold_fleet(instances: int, age_s: float, rate_per_s: float, slowness: float = 0.0, **changes: object
-               ) -> tuple[int, list[int]]:
+                   ) -> tuple[int, list[int]]:
     """All sidecars with 30 warm upstreams and 30 that started `age_s` ago, each of 16.7 requests/s when warm; each
     sidecar sends `rate_per_s` for three seconds, while the latency average is `slowness`. Returns how many requests
     the cold upstreams get together, and for each the most in any window, in tenths of what it then tolerates."""
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -119,7 +119,7 @@
         if took_us >= action.timeout_us:
             took_us, outcome = action.timeout_us, api.Outcome.TIMEOUT
         self.schedule(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
-                                             final=outcome is api.Outcome.OK))
+                                                final=outcome is api.Outcome.OK))
 
     def change_list(self) -> None:
         random = self.random
