--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -186,7 +186,8 @@
         for machine in self.machines.values():
             self.add_to_totals(machine)
         return Verdict(self.overloads, self.worst, self.informed_worst,
-                       self.received / self.capacity if self.capacity else 0.0, self.served / max(1, self.requested), self.cold_starts)
+                       self.received / self.capacity if self.capacity else 0.0,
+                       self.served / max(1, self.requested), self.cold_starts)
 
     def draw_arrivals(self, calm_us: int) -> None:
         case, rng, at_s = self.case, self.rng, 0.0
