--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -204,9 +204,9 @@
     # Handlers of simulated events, found by name
 
     def on_start(self) -> None:
-        cold_starts = list(self.machines.values())[:self.case.cold]
+        cold_machines = list(self.machines.values())[:self.case.cold]
         gone = list(self.machines.values())[-self.case.removed_count:] if self.case.removed_count else []
-        for machine in cold_starts:
+        for machine in cold_machines:
             self.add_to_totals(machine)
             machine.up, machine.entry = True, replace(machine.entry, started_us=self.now_us)
             machine.cores_free_us, machine.queue = [self.now_us] * 2, []
