--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -47,7 +47,7 @@
     instances: int
     settings: Settings
     seconds: float
-    sizes: list[float]  # capacity of each upstream when warm, in requests of mean work per second
+    capacities: list[float]  # capacity of each upstream when warm, in requests of mean work per second
     cold: int  # how many of them restart
     shares: list[float]  # of the traffic, by sidecar
     load: float  # relative to the capacity of all upstreams when warm
@@ -144,11 +144,11 @@
     def __init__(self, case: Case) -> None:
         self.case, self.rng, self.now_us, self.sequence = case, random.Random(case.seed), START_US, 0
         self.events: list[tuple[int, int, str, tuple[int, ...]]] = []
-        mean = sum(case.sizes) / len(case.sizes)
+        mean = sum(case.capacities) / len(case.capacities)
         warm = [Upstream(100 + 7919 * i, zone=i % 4,
                          kind=sum(size > 1.2 * mean * kind for kind in sorted(KIND_CAPACITIES)),
-                         cell=i % 4) for i, size in enumerate(case.sizes)]
-        self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.sizes, strict=True)}
+                         cell=i % 4) for i, size in enumerate(case.capacities)]
+        self.machines = {entry.id: Machine(entry, size) for entry, size in zip(warm, case.capacities, strict=True)}
         self.sidecars = [self.new_sidecar(number) for number in range(case.instances)]
         self.requests: dict[int, tuple[Sidecar, int, int, float, int]] = {}  # sidecar, life, class, work, deadline
         self.attempts: dict[int, int] = {}
@@ -191,7 +191,7 @@
 
     def draw_arrivals(self, calm_us: int) -> None:
         case, rng, at_s = self.case, self.rng, 0.0
-        rate, end_s = case.load * sum(case.sizes), calm_us / SECOND_US + case.seconds
+        rate, end_s = case.load * sum(case.capacities), calm_us / SECOND_US + case.seconds
         numbers, waves = range(case.instances), [(0.0, 1.0), *((calm_us / SECOND_US + s, k) for s, k in case.waves)]
         while at_s < end_s:
             now = [k for s, k in waves if s <= at_s][-1]
