--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -48,7 +48,7 @@
     settings: Settings
     seconds: float
     capacities: list[float]  # capacity of each upstream when warm, in requests of mean work per second
-    cold: int  # how many of them restart
+    cold_count: int  # how many of them restart
     shares: list[float]  # of the traffic, by sidecar
     load: float  # relative to the capacity of all upstreams when warm
     waves: list[tuple[float, float]]  # start in seconds, and factor on the load from then on
@@ -166,7 +166,7 @@
 
     def run(self) -> Verdict:
         case = self.case
-        for machine in list(self.machines.values())[:case.cold] if not case.listed_before else []:
+        for machine in list(self.machines.values())[:case.cold_count] if not case.listed_before else []:
             machine.up = False
         for sidecar in self.sidecars:
             self.on_list(sidecar.number)
@@ -204,7 +204,7 @@
     # Handlers of simulated events, found by name
 
     def on_start(self) -> None:
-        cold_machines = list(self.machines.values())[:self.case.cold]
+        cold_machines = list(self.machines.values())[:self.case.cold_count]
         gone = list(self.machines.values())[-self.case.removed_count:] if self.case.removed_count else []
         for machine in cold_machines:
             self.add_to_totals(machine)
@@ -221,7 +221,7 @@
                           "list", sidecar.number)
 
     def on_crash(self) -> None:
-        for machine in list(self.machines.values())[:self.case.cold]:
+        for machine in list(self.machines.values())[:self.case.cold_count]:
             self.add_to_totals(machine)
             machine.up = False
         self.announce_lists()
