--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -134,7 +134,7 @@
 class Verdict:
     overloads: int  # overloads of a cold upstream, of which over two thirds came from sidecars that knew of its start
     worst: float  # highest load of any window, relative to what is tolerated in it
-    told_worst: float  # the same, counting only the sends of sidecars that knew of the start
+    informed_worst: float  # the same, counting only the sends of sidecars that knew of the start
     used: float  # work sent to cold upstreams / their capacity; up to `overload_factor` is allowed
     served: float  # share of all requests that were answered in time
     cold: int  # number of cold starts
