--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -137,7 +137,7 @@
     informed_worst: float  # the same, counting only the sends of sidecars that knew of the start
     used: float  # work sent to cold upstreams / their capacity; up to `overload_factor` is allowed
     served: float  # share of all requests that were answered in time
-    cold: int  # number of cold starts
+    cold_starts: int  # number of cold starts
 
 
 class Fleet:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -18,7 +18,7 @@
     *((7, size) for size in FLEET_SIZES), (115, 30), (123, 30)])
 def test_all_sidecars_together_do_not_overload_a_cold_upstream(seed: int, instances: int) -> None:
     verdict = simulate(random_case(seed, instances))
-    assert verdict.cold and verdict.used > 0.0
+    assert verdict.cold_starts and verdict.used > 0.0
     assert not verdict.overloads and verdict.worst <= 1.0, verdict
 
 
