--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -329,13 +329,13 @@
             window.popleft()
         allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.capacity * s.fall_us / SECOND_US
         borne = allowed + 2.0 * math.sqrt(allowed) + 2.0
-        sent, told = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
+        sent, informed = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
         machine.received += work
-        self.informed_worst = max(self.informed_worst, told / borne)
+        self.informed_worst = max(self.informed_worst, informed / borne)
         if sent > borne:
             machine.overloaded_us = self.now_us
-            self.overloads += told > 2 / 3 * sent
-        if told > 2 / 3 * sent:
+            self.overloads += informed > 2 / 3 * sent
+        if informed > 2 / 3 * sent:
             self.worst = max(self.worst, sent / borne)
 
     def add_to_totals(self, machine: Machine) -> None:
