--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -323,8 +323,8 @@
         capacity at the start of that window, its lowest there. An overload counts as a violation if over two thirds
         of the work came from sidecars that knew of the upstream's start."""
         s, window = self.case.settings, machine.window
-        is_told = sidecar.listed_starts.get(machine.entry.id) == machine.entry.started_us
-        window.append((self.now_us, work, is_told))
+        is_informed = sidecar.listed_starts.get(machine.entry.id) == machine.entry.started_us
+        window.append((self.now_us, work, is_informed))
         while window[0][0] <= self.now_us - s.fall_us:
             window.popleft()
         allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.capacity * s.fall_us / SECOND_US
