--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -328,15 +328,15 @@
         while window[0][0] <= self.now_us - s.fall_us:
             window.popleft()
         allowed = s.overload_factor * self.warmth(machine, window[0][0]) * machine.capacity * s.fall_us / SECOND_US
-        borne = allowed + 2.0 * math.sqrt(allowed) + 2.0
+        tolerated = allowed + 2.0 * math.sqrt(allowed) + 2.0
         sent, informed = sum(w for _, w, _ in window), sum(w for _, w, t in window if t)
         machine.received += work
-        self.informed_worst = max(self.informed_worst, informed / borne)
-        if sent > borne:
+        self.informed_worst = max(self.informed_worst, informed / tolerated)
+        if sent > tolerated:
             machine.overloaded_us = self.now_us
             self.overloads += informed > 2 / 3 * sent
         if informed > 2 / 3 * sent:
-            self.worst = max(self.worst, sent / borne)
+            self.worst = max(self.worst, sent / tolerated)
 
     def add_to_totals(self, machine: Machine) -> None:
         """Adds the upstream's capacity and the work that it received since its start to the totals."""
