--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -69,7 +69,7 @@
                          memory_us=1_200_000)]
 
 
-def random_case(seed: int, instances: int, chance: float = 0.0) -> Case:
+def random_case(seed: int, instances: int, variation: float = 0.0) -> Case:
     """Draws a case: on even seeds with the site's settings, on odd seeds with any that the documentation allows.
     `chance` is the variation of work within one request class: standard deviation / mean."""
     rng = random.Random(f"{seed}/{instances}")
@@ -104,7 +104,7 @@
         rng.uniform(2.0, 6.0) if rng.random() < 0.3 else 0.0, rng.uniform(0.5, 3.0), rng.random() < 0.5,
         sorted((rng.uniform(1.0, 10.0), index) for index in range(instances) if rng.random() < 0.3)
         if rng.random() < 0.4 else [],
-        rng.randint(0, (count - cold_count) // 3) if rng.random() < 0.3 else 0, chance)
+        rng.randint(0, (count - cold_count) // 3) if rng.random() < 0.3 else 0, variation)
 
 
 @dataclass
