--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -156,9 +156,9 @@
         self.served = self.requested = self.overloads = self.cold_starts = 0
         self.capacity = self.received = self.worst = self.informed_worst = 0.0
 
-    def schedule(self, when_us: int, kind: str, *about: int) -> None:
+    def schedule(self, when_us: int, kind: str, *arguments: int) -> None:
         self.sequence += 1
-        heapq.heappush(self.events, (when_us, self.sequence, kind, about))
+        heapq.heappush(self.events, (when_us, self.sequence, kind, arguments))
 
     def new_sidecar(self, number: int) -> Sidecar:
         settings = replace(self.case.settings, self_index=number, zone=number % 4)
