--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -181,8 +181,8 @@
             self.schedule(changed_us + int(at_s * SECOND_US), "restart", number)
         end_us = changed_us + int(case.seconds * SECOND_US)
         while self.events and self.events[0][0] < end_us:
-            self.now_us, _, kind, about = heapq.heappop(self.events)
-            getattr(self, "on_" + kind)(*about)
+            self.now_us, _, kind, arguments = heapq.heappop(self.events)
+            getattr(self, "on_" + kind)(*arguments)
         for machine in self.machines.values():
             self.add_to_totals(machine)
         return Verdict(self.overloads, self.worst, self.informed_worst,
