--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -194,9 +194,9 @@
         rate, end_s = case.load * sum(case.capacities), calm_us / SECOND_US + case.seconds
         numbers, waves = range(case.instances), [(0.0, 1.0), *((calm_us / SECOND_US + s, k) for s, k in case.waves)]
         while at_s < end_s:
-            now = [k for s, k in waves if s <= at_s][-1]
+            factor = [k for s, k in waves if s <= at_s][-1]
             next_wave_s = min((s for s, _ in waves if s > at_s), default=end_s)
-            step_s = rng.expovariate(rate * now)
+            step_s = rng.expovariate(rate * factor)
             at_s = min(at_s + step_s, next_wave_s) if at_s + step_s > next_wave_s else at_s + step_s
             if at_s < next_wave_s:
                 self.schedule(START_US + int(at_s * SECOND_US), "arrival", rng.choices(numbers, case.shares)[0])
