--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -240,17 +240,17 @@
 
     def on_arrival(self, number: int) -> None:
         case, rng, sidecar = self.case, self.rng, self.sidecars[number]
-        which = rng.choices(range(len(case.work)), [share for share, _ in case.work])[0]
+        class_index = rng.choices(range(len(case.work)), [share for share, _ in case.work])[0]
         mean = sum(share * work for share, work in case.work)
         self.sequence += 1
         ident = self.sequence
-        due_us = self.now_us + case.settings.classes[which].deadline_us
-        work = case.work[which][1] / mean
+        due_us = self.now_us + case.settings.classes[class_index].deadline_us
+        work = case.work[class_index][1] / mean
         if case.variation:
             work *= rng.gammavariate(case.variation ** -2, case.variation ** 2)
-        self.requests[ident] = sidecar, sidecar.incarnation, which, work, due_us
+        self.requests[ident] = sidecar, sidecar.incarnation, class_index, work, due_us
         self.requested += 1
-        self.deliver(sidecar, RequestArrived(ident, due_us, which, tenant=int(rng.random() < 0.4)))
+        self.deliver(sidecar, RequestArrived(ident, due_us, class_index, tenant=int(rng.random() < 0.4)))
 
     def on_timer(self, number: int, life: int) -> None:
         if self.sidecars[number].incarnation == life:
