--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -260,7 +260,7 @@
         if (ident, nth) not in self.open_attempts or ident not in self.requests:
             return
         self.open_attempts.discard((ident, nth))
-        sidecar, life, which, _, due_us = self.requests[ident]
+        sidecar, life, class_index, _, due_us = self.requests[ident]
         if self.sidecars[sidecar.number].incarnation != life:
             return
         how = list(Outcome)[outcome]
@@ -269,8 +269,8 @@
             how = Outcome.RESET
         final = how is Outcome.OK and self.now_us <= due_us
         if final:
-            self.served += self.now_us <= due_us - self.case.settings.classes[which].deadline_us + (
-                self.case.settings.classes[which].aim_us)
+            self.served += self.now_us <= due_us - self.case.settings.classes[class_index].deadline_us + (
+                self.case.settings.classes[class_index].aim_us)
             del self.requests[ident]
         self.deliver(sidecar, AttemptEnded(ident, nth, upstream, how, self.now_us - sent_us, final))
 
