--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -263,16 +263,16 @@
         sidecar, life, class_index, _, due_us = self.requests[ident]
         if self.sidecars[sidecar.number].incarnation != life:
             return
-        how = list(Outcome)[outcome]
+        actual = list(Outcome)[outcome]
         machine = self.machines[upstream]
-        if how is Outcome.OK and (not machine.up or machine.entry.started_us > sent_us):
-            how = Outcome.RESET
-        final = how is Outcome.OK and self.now_us <= due_us
+        if actual is Outcome.OK and (not machine.up or machine.entry.started_us > sent_us):
+            actual = Outcome.RESET
+        final = actual is Outcome.OK and self.now_us <= due_us
         if final:
             self.served += self.now_us <= due_us - self.case.settings.classes[class_index].deadline_us + (
                 self.case.settings.classes[class_index].aim_us)
             del self.requests[ident]
-        self.deliver(sidecar, AttemptEnded(ident, nth, upstream, how, self.now_us - sent_us, final))
+        self.deliver(sidecar, AttemptEnded(ident, nth, upstream, actual, self.now_us - sent_us, final))
 
     def deliver(self, sidecar: Sidecar, event: Event) -> None:
         for action in sidecar.balancer.handle(self.now_us, event):
