--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -101,9 +101,9 @@
         self.events.append((self.now_us + int(after_us), self.sequence, event))
 
     def handle(self, event: api.Event) -> None:
-        ours, theirs = (balancer.handle(self.now_us, event) for balancer in self.balancers)
-        assert ours == theirs, (self.now_us, event)
-        for action in ours:
+        actions, theirs = (balancer.handle(self.now_us, event) for balancer in self.balancers)
+        assert actions == theirs, (self.now_us, event)
+        for action in actions:
             if isinstance(action, api.Send):
                 self.sent += 1
                 self.used_upstreams |= 1 << action.upstream
