--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -101,8 +101,8 @@
         self.events.append((self.now_us + int(after_us), self.sequence, event))
 
     def handle(self, event: api.Event) -> None:
-        actions, theirs = (balancer.handle(self.now_us, event) for balancer in self.balancers)
-        assert actions == theirs, (self.now_us, event)
+        actions, expected = (balancer.handle(self.now_us, event) for balancer in self.balancers)
+        assert actions == expected, (self.now_us, event)
         for action in actions:
             if isinstance(action, api.Send):
                 self.sent += 1
