--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -71,7 +71,7 @@
 
 def random_case(seed: int, instances: int, variation: float = 0.0) -> Case:
     """Draws a case: on even seeds with the site's settings, on odd seeds with any that the documentation allows.
-    `chance` is the variation of work within one request class: standard deviation / mean."""
+    `variation` is that of the work within one request class: standard deviation / mean."""
     rng = random.Random(f"{seed}/{instances}")
     at_site = seed % 2 == 0
     cold_share, warm_s, factor, fall_s, quota = (
