--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -183,7 +183,7 @@
 @given(st.lists(st.tuples(st.integers(0, 40), st.sampled_from([0.0, 0.001, 1.0, 2.5]),
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
-def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], enough: float, share: float) -> None:
+def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float, share: float) -> None:
     places, plain = SumTree(41), [(0.0, 0.0)] * 41
     for place, weight, room in updates:
         plain[place] = (weight, room if weight else 0.0)
@@ -191,9 +191,9 @@
     total = room = 0.0
     for weight, more in plain:
         total, room = total + weight, room + more
-        if room >= enough:
+        if room >= capacity:
             break
-    assert places.prefix_weight(enough) == pytest.approx(total)
+    assert places.prefix_weight(capacity) == pytest.approx(total)
     if total > 0.0:
         point = share * total
         found = places.find(point)
