--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -184,19 +184,19 @@
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
 def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float, share: float) -> None:
-    places, plain = SumTree(41), [(0.0, 0.0)] * 41
+    tree, plain = SumTree(41), [(0.0, 0.0)] * 41
     for place, weight, room in updates:
         plain[place] = (weight, room if weight else 0.0)
-        places.set(place, *plain[place])
+        tree.set(place, *plain[place])
     total = room = 0.0
     for weight, more in plain:
         total, room = total + weight, room + more
         if room >= capacity:
             break
-    assert places.prefix_weight(capacity) == pytest.approx(total)
+    assert tree.prefix_weight(capacity) == pytest.approx(total)
     if total > 0.0:
         point = share * total
-        found = places.find(point)
+        found = tree.find(point)
         before = sum(weight for weight, _ in plain[:found])
         assert plain[found][0] > 0.0 and before - 1e-9 <= point <= before + plain[found][0] + 1e-9
 
