--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -185,9 +185,9 @@
        st.floats(0.1, 20), st.floats(0, 0.999))
 def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float, share: float) -> None:
     tree, leaves = SumTree(41), [(0.0, 0.0)] * 41
-    for place, weight, room in updates:
-        leaves[place] = (weight, room if weight else 0.0)
-        tree.set(place, *leaves[place])
+    for leaf, weight, room in updates:
+        leaves[leaf] = (weight, room if weight else 0.0)
+        tree.set(leaf, *leaves[leaf])
     total = room = 0.0
     for weight, more in leaves:
         total, room = total + weight, room + more
