--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -37,8 +37,8 @@
         else:
             standing = paced * turn / config.fall_us
             assert standing + paced <= max(borne, (1 + MIN_TURN_SHARE) * paced) + 1e-3 * paced
-            twice = turn_lifetime_us(replace(config, fall_us=2 * config.fall_us), able, instances >= 20)
-            assert twice == pytest.approx(2 * turn, abs=2)
+            assert turn_lifetime_us(
+                replace(config, fall_us=2 * config.fall_us), able, instances >= 20) == pytest.approx(2 * turn, abs=2)
 
 
 @pytest.mark.parametrize("instances", [19, 20, 21, 30, 200])
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -233,8 +233,8 @@
 
 
 def test_a_sidecar_with_much_traffic_uses_more_upstreams() -> None:
-    heavy, light = one_of_many(300.0), one_of_many(10.0)
-    assert len({send.upstream for send in heavy.sends()}) > 2 * len({send.upstream for send in light.sends()})
+    assert len({send.upstream for send in one_of_many(300.0).sends()}) > 2 * len(
+        {s.upstream for s in one_of_many(10.0).sends()})
 
 
 def test_pacing_of_cold_upstreams_follows_the_allowance_and_not_slow_answers() -> None:
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -183,7 +183,8 @@
 @given(st.lists(st.tuples(st.integers(0, 40), st.sampled_from([0.0, 0.001, 1.0, 2.5]),
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
-def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float, share: float) -> None:
+def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float,
+                                            share: float) -> None:
     tree, leaves = SumTree(41), [(0.0, 0.0)] * 41
     for leaf, weight, room in updates:
         leaves[leaf] = (weight, room if weight else 0.0)
