--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -28,12 +28,12 @@
     """All warming sidecars may hold an unused turn if the upstream tolerates these in addition to the turns that become
     due in the window. Otherwise held and due turns sum to N, as far as the factor exceeds a small upstream's pace."""
     config = settings(instances=instances, overload_factor=factor)
-    pace, warmers = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
+    pace, senders = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for capacity in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
         borne, paced = factor * capacity, SMALL_UPSTREAM_PACE * pace * capacity
         turn = turn_lifetime_us(config, capacity, instances >= 20)
         if turn == 0:
-            assert paced + warmers <= borne + 2 * math.sqrt(borne) + 2
+            assert paced + senders <= borne + 2 * math.sqrt(borne) + 2
         else:
             standing = paced * turn / config.fall_us
             assert standing + paced <= max(borne, (1 + MIN_TURN_SHARE) * paced) + 1e-3 * paced
