--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -30,13 +30,13 @@
     config = settings(instances=instances, overload_factor=factor)
     pace, senders = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for capacity in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
-        allowed, paced = factor * capacity, SMALL_UPSTREAM_PACE * pace * capacity
+        allowed, due = factor * capacity, SMALL_UPSTREAM_PACE * pace * capacity
         turn = turn_lifetime_us(config, capacity, instances >= 20)
         if turn == 0:
-            assert paced + senders <= allowed + 2 * math.sqrt(allowed) + 2
+            assert due + senders <= allowed + 2 * math.sqrt(allowed) + 2
         else:
-            standing = paced * turn / config.fall_us
-            assert standing + paced <= max(allowed, (1 + MIN_TURN_SHARE) * paced) + 1e-3 * paced
+            standing = due * turn / config.fall_us
+            assert standing + due <= max(allowed, (1 + MIN_TURN_SHARE) * due) + 1e-3 * due
             assert turn_lifetime_us(
                 replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(2 * turn, abs=2)
 
