--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -31,14 +31,14 @@
     pace, senders = 1.0 if instances >= 20 else max(1.0, factor / 2), min(WARMING_SIDECARS, instances)
     for capacity in (0.3, 1.0, 2.0, 5.0, 15.0, 50.0):
         allowed, due = factor * capacity, SMALL_UPSTREAM_PACE * pace * capacity
-        turn = turn_lifetime_us(config, capacity, instances >= 20)
-        if turn == 0:
+        lifetime_us = turn_lifetime_us(config, capacity, instances >= 20)
+        if lifetime_us == 0:
             assert due + senders <= allowed + 2 * math.sqrt(allowed) + 2
         else:
-            standing = due * turn / config.fall_us
+            standing = due * lifetime_us / config.fall_us
             assert standing + due <= max(allowed, (1 + MIN_TURN_SHARE) * due) + 1e-3 * due
             assert turn_lifetime_us(
-                replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(2 * turn, abs=2)
+                replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(2 * lifetime_us, abs=2)
 
 
 @pytest.mark.parametrize("instances", [19, 20, 21, 30, 200])
