--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -35,8 +35,8 @@
         if lifetime_us == 0:
             assert due + senders <= allowed + 2 * math.sqrt(allowed) + 2
         else:
-            standing = due * lifetime_us / config.fall_us
-            assert standing + due <= max(allowed, (1 + MIN_TURN_SHARE) * due) + 1e-3 * due
+            held = due * lifetime_us / config.fall_us
+            assert held + due <= max(allowed, (1 + MIN_TURN_SHARE) * due) + 1e-3 * due
             assert turn_lifetime_us(
                 replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(2 * lifetime_us, abs=2)
 
