--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -38,7 +38,8 @@
             held = due * lifetime_us / config.fall_us
             assert held + due <= max(allowed, (1 + MIN_TURN_SHARE) * due) + 1e-3 * due
             assert turn_lifetime_us(
-                replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(2 * lifetime_us, abs=2)
+                replace(config, fall_us=2 * config.fall_us), capacity, instances >= 20) == pytest.approx(
+                2 * lifetime_us, abs=2)
 
 
 @pytest.mark.parametrize("instances", [19, 20, 21, 30, 200])
