--- a/bench/cold.py
+++ b/bench/cold.py
@@ -14,12 +14,12 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.cold_fleet import SIZES, Verdict, drawn, play
+from tests.cold_fleet import FLEET_SIZES, Verdict, random_case, simulate
 
 
 def played(about: tuple[int, int, float]) -> tuple[int, int, Verdict]:
     seed, instances, chance = about
-    return seed, instances, play(drawn(seed, instances, chance))
+    return seed, instances, simulate(random_case(seed, instances, chance))
 
 
 def share(ordered: list[float], part: float) -> float:
@@ -30,7 +30,7 @@
     parser = argparse.ArgumentParser(prog="bench.cold", description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--sizes", type=int, nargs="+", default=[*SIZES])
+    parser.add_argument("--sizes", type=int, nargs="+", default=[*FLEET_SIZES])
     parser.add_argument("--jobs", type=int, default=4, help="processes, 1 to 8")
     parser.add_argument("--chance", type=float, default=0.0, help="how far the work of one class's requests differs")
     options = parser.parse_args(argv)
@@ -47,13 +47,13 @@
     for size, all_of in found.items():
         verdicts = [verdict for _, verdict in all_of]
         worst, used = (sorted(v.worst for v in verdicts), sorted(v.used for v in verdicts))
-        broken = [[seed for seed, v in all_of if v.falls and seed % 2 == odd] for odd in (0, 1)]
+        broken = [[seed for seed, v in all_of if v.overloads and seed % 2 == odd] for odd in (0, 1)]
         shares = [share(worst, 0.5), share(worst, 0.99), worst[-1], *(share(used, part) for part in (0.1, 0.5, 0.9))]
         print(f"{size:8}  {len(broken[0]):12}  {len(broken[1]):4}  ", "  ".join(f"{one:6.2f}" for one in shares),
               f"  {statistics.mean(v.served for v in verdicts):6.4f}")
         if broken[0] or broken[1]:
             print(f"          seeds {' '.join(map(str, sorted(broken[0] + broken[1])[:20]))}")
-    return 1 if any(v.falls for all_of in found.values() for _, v in all_of) else 0
+    return 1 if any(v.overloads for all_of in found.values() for _, v in all_of) else 0
 
 
 if __name__ == "__main__":
--- a/bench/learned.py
+++ b/bench/learned.py
@@ -86,7 +86,7 @@
     stage = Stage(seed, sides=4, nodes=9, rate_per_s=20.0 if replaced else 70.0, faults=FAULTS[fault])
     stage.run(3 * S + 500_000 if fault != "over while it was down" else 10 * S)
     # from before the upstreams fell ill or recovered, as donors that had run for long
-    early = [replace(donor(stage, i), up_us=30 * S) for i in (1, 2, 3)]
+    early = [replace(donor(stage, i), uptime_us=30 * S) for i in (1, 2, 3)]
     stage.run(STOP_US)
     own = learned_state(stage.sides[0].balancer)
     starts: dict[str, Stage] = {}
@@ -102,15 +102,15 @@
     lessons: dict[str, api.LearnedState | None] = {"cold": None}
     if what == "starts":
         starts["warm"] = warm
-        lessons.update({"file": own, "one donor": confidence.agreed(donors[:1], now_us, 0),
-                        "three donors": confidence.agreed(donors, now_us, 0)})
+        lessons.update({"file": own, "one donor": confidence.combined_lessons(donors[:1], now_us, 0),
+                        "three donors": confidence.combined_lessons(donors, now_us, 0)})
     else:
         liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
         lessons.update({
-            "cold, other draws": None, "stale donors": confidence.agreed(early, now_us, 0),
+            "cold, other draws": None, "stale donors": confidence.combined_lessons(early, now_us, 0),
             "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
             "all open": lie(stage, lambda i: 1e5),
-            "one liar of three": confidence.agreed([*donors[:2], liar], now_us, 0)})
+            "one liar of three": confidence.combined_lessons([*donors[:2], liar], now_us, 0)})
     for name, taught in lessons.items():
         one = stage.copy()
         one.start(0, seed * 7 + (2 if name == "cold, other draws" else 1), taught)
--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -23,9 +23,9 @@
 from dataclasses import replace
 
 from ironscale import confidence
+from ironscale import fleet_estimates as fleet
 from ironscale import interface as api
-from ironscale.fleet_estimates import FAULT_HALVES_US, Faults, Mean, Slowness, Traffic, turn, turn_us, warms
-from ironscale.sum_tree import Places
+from ironscale.sum_tree import SumTree
 
 # Retry budget: tokens that each arriving request adds; a retry or a hedged copy takes one.
 RETRY_TOKENS_PER_REQUEST = 0.2
@@ -120,7 +120,7 @@
         self.used_slots = 0  # slots taken by this sidecar's attempts
         self.window = Window(f"upstream {entry.id}", 1.0)  # starts with one slot
         self.utilization = 1.0  # utilization as last reported; unknown counts as busy
-        self.faults = Faults()
+        self.faults = fleet.FailureShare()
         self.preference = 1.0  # as last computed
         self.failing = False  # its last answer was a failure
         self.min_latency_us = 0  # its quickest answer, a measure of its distance; 0 = none yet
@@ -202,7 +202,7 @@
         """Adopts a class's latency that was learned in an earlier run or by other sidecars, trusted by `share` of 1."""
         # Never longer than the initial value: with a longer one, cold upstreams would warm up more slowly and
         # requests would count as too late sooner.
-        self.mean_us = confidence.between(self.initial_us, min(lesson.mean_us, self.initial_us), share)
+        self.mean_us = confidence.blend(self.initial_us, min(lesson.mean_us, self.initial_us), share)
         self.base_us = min(self.mean_us, max(lesson.base_us, self.mean_us / 4))
         self.has_samples, self.recall_doubt, self.last_observed_us = True, 1 / 2, lesson.confirmed_us
 
@@ -221,7 +221,7 @@
         self.window = Window("this sidecar", 1.0)  # limits all attempts of this sidecar together
         # lower bound of that window: without it all sidecars would pause for long after an outage
         self.min_window_slots = 1.0
-        self.outstanding = Mean(now_us)  # attempts that count against the sidecar's window
+        self.outstanding = fleet.OutstandingAverage(now_us)  # attempts that count against the sidecar's window
         # ready upstreams, rotated to this sidecar's own starting point
         self.draw_order: list[TrackedUpstream] = []
         # how many upstreams at the front of it are cold ones that this sidecar of a large fleet warms up
@@ -230,7 +230,7 @@
         # when the next upstream at the front will be warm and return to its usual place; 0 = none will
         self.reorder_at_us = 0
         # weights of the free upstreams in draw order, as of their last refresh
-        self.draw_weights = Places(0)
+        self.draw_weights = SumTree(0)
         # upstreams whose weight is refreshed before the next draw
         self.needs_refresh: dict[TrackedUpstream, None] = {}
         self.warming_up: dict[TrackedUpstream, None] = {}  # cold and free: their weight changes with time alone
@@ -238,10 +238,11 @@
         self.refresh_times: list[tuple[int, int, TrackedUpstream]] = []
         # heap: when a slot opens that only time keeps closed
         self.opening_times: list[tuple[int, int, TrackedUpstream]] = []
-        self.traffic = Traffic(sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
-        self.slowness = Slowness()  # of the answers of all upstreams
-        self.kind_slowness: dict[int, Slowness] = {}
-        self.zone_faults: dict[int, Faults] = {}
+        self.traffic = fleet.TrafficShare(
+            sum(t.allowance_per_s for t in settings.tenants), settings.instances, now_us)
+        self.slowness = fleet.LatencyAverage()  # of the answers of all upstreams
+        self.kind_slowness: dict[int, fleet.LatencyAverage] = {}
+        self.zone_faults: dict[int, fleet.FailureShare] = {}
         self.preferred_zone = -1  # this sidecar's zone, if idle upstreams there are preferred; else -1
         self.subset_slots = self.min_subset_slots = MIN_SUBSET_SLOTS
         self.retry_tokens = MAX_RETRY_TOKENS
@@ -435,12 +436,13 @@
         if outcome is not None and outcome not in UNINFORMATIVE_OUTCOMES:
             is_failure = outcome is not api.Outcome.OK
             # Shared by zone: otherwise a lost zone costs one failed request for each of its upstreams.
-            if self.zone_faults.setdefault(upstream.entry.zone, Faults()).end(self.now_us, is_failure, 1 / 8):
+            if self.zone_faults.setdefault(upstream.entry.zone, fleet.FailureShare()).record(
+                    self.now_us, is_failure, 1 / 8):
                 same_zone = (other for other in self.draw_order if other.entry.zone == upstream.entry.zone)
                 self.needs_refresh.update(dict.fromkeys(same_zone))
             # A failure weighs more than a success: an upstream that fails at random and is met only every few
             # seconds would otherwise not be found out.
-            upstream.faults.end(self.now_us, is_failure, 1 / 2 if is_failure else 1 / 4)
+            upstream.faults.record(self.now_us, is_failure, 1 / 2 if is_failure else 1 / 4)
         if outcome in FAST_FAILURES:
             # An upstream that fails at once is always idle and would draw ever more requests. A single failure
             # closes little, so that failures of one request in ten do not close all upstreams. The sidecar's window
@@ -480,7 +482,7 @@
             if not attempt.paced and (step > 0.0 or self.window.slots <= needed):
                 self.window.adjust(WINDOW_STEP_GAIN / 2 * step, self.min_window_slots, needed)
             attempt.slowness = slowness
-            for average in (self.slowness, self.kind_slowness.setdefault(upstream.entry.kind, Slowness())):
+            for average in (self.slowness, self.kind_slowness.setdefault(upstream.entry.kind, fleet.LatencyAverage())):
                 average.add(slowness)
         # The pause lasts in proportion to the usual answer where that is longer: where answers take seconds, short
         # pauses would leave an overloaded upstream crowded.
@@ -492,7 +494,7 @@
     def needed_slots(self) -> float:
         """Slots that this sidecar can make use of: about twice those in use."""
         if self.in_large_fleet:
-            return 1.0 + 2.0 * self.outstanding.at(self.now_us)
+            return 1.0 + 2.0 * self.outstanding.average_at(self.now_us)
         return 2.0 * (self.outstanding.out + 1)
 
     def window_has_room(self) -> bool:
@@ -500,14 +502,14 @@
         attempts counts: a sidecar with little traffic has random peaks, which it would refuse although the sum over
         all sidecars is even."""
         if self.in_large_fleet:
-            return self.outstanding.at(self.now_us) < self.window.slots
+            return self.outstanding.average_at(self.now_us) < self.window.slots
         return self.window.usable_slots(self.now_us) > self.outstanding.out
 
     def min_upstream_slots(self) -> float:
         """The slots that slow answers always leave at an upstream. In a large fleet they follow this sidecar's part
         of the traffic: split evenly, the few sidecars that carry most of the traffic would hold back for all, and
         refuse what idle upstreams could serve."""
-        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.part() if self.in_large_fleet else
+        return min(1.0, LARGE_FLEET_MIN_REQUESTS_PER_UPSTREAM * self.traffic.share() if self.in_large_fleet else
                    MIN_REQUESTS_PER_UPSTREAM / self.settings.instances)
 
     def warmth(self, upstream: TrackedUpstream) -> float:
@@ -545,9 +547,9 @@
             work_us = min(work_us, 1e6 * len(self.draw_order) / traffic.allowed_per_s)
         # The work estimate holds for an upstream of mean size. A small one does two thirds of that, so even without
         # a multiple it is paced to 1.5 times what it can do.
-        part = (traffic.part_of_cold() if self.in_large_fleet else
-                traffic.part() * max(1.0, s.overload_factor / 2))
-        upstream.cold_turn_us = turn_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
+        part = (traffic.share_of_cold_sends() if self.in_large_fleet else
+                traffic.share() * max(1.0, s.overload_factor / 2))
+        upstream.cold_turn_us = fleet.turn_lifetime_us(s, warmth * s.fall_us / work_us, self.in_large_fleet)
         # The capacity grows while the next send is awaited: at the initial pace the upstream would be warm before
         # that.
         capacity_growth = (1.0 - s.cold_share) / s.warm_up_us
@@ -572,14 +574,14 @@
         if self.is_bound_to_group(request):
             return self.pick_in_group(request, tried)
         for upstream in tried:
-            self.draw_weights.put(upstream.order_index, 0.0, 0.0)
+            self.draw_weights.set(upstream.order_index, 0.0, 0.0)
         self.needs_refresh.update(tried)
         return self.pick_from_subset()
 
     def pick_from_subset(self) -> TrackedUpstream | None:
         """Weighted random choice among the first free slots in draw order, up to the size of the subset."""
-        weight = self.draw_weights.weight_of_first(self.subset_slots)
-        return self.draw_order[self.draw_weights.at(self.random.random() * weight)] if weight > 0.0 else None
+        weight = self.draw_weights.prefix_weight(self.subset_slots)
+        return self.draw_order[self.draw_weights.find(self.random.random() * weight)] if weight > 0.0 else None
 
     def pick_cold(self, request: Request) -> TrackedUpstream | None:
         """Weighted random choice among the free cold upstreams that this sidecar warms up, past the sidecar's
@@ -600,7 +602,7 @@
             if weight > 0.0 and upstream not in tried and self.in_group(request, upstream):
                 free.append(upstream)
                 weights.append(weight)
-                room += self.draw_weights.rooms[leaves + index]
+                room += self.draw_weights.capacities[leaves + index]
                 if room >= self.subset_slots:
                     break
         return self.random.choices(free, weights)[0] if free else None
@@ -631,7 +633,7 @@
         own_fault_rate = min(MAX_COUNTED_FAULT_RATE, upstream.faults.share(self.now_us))
         zone_fault_rate = zone.share(self.now_us) if zone is not None else 0.0
         preference = ((1.0 - own_fault_rate) * (1.0 - zone_fault_rate)) ** 3
-        preference *= kind.favour(self.slowness) if kind is not None else 1.0
+        preference *= kind.weight_factor(self.slowness) if kind is not None else 1.0
         return max(MIN_PREFERENCE, preference) * (
             1.0 if is_idle_and_local and max(own_fault_rate, zone_fault_rate) < HEALTHY_FAULT_RATE
             else NON_LOCAL_WEIGHT)
@@ -651,7 +653,7 @@
                 room = 0.0  # not counted towards the subset; its pacing alone bounds it
             else:
                 weight, room = weight * warmth, min(1.0, window.slots) * upstream.relative_weight
-        self.draw_weights.put(upstream.order_index, weight, room)
+        self.draw_weights.set(upstream.order_index, weight, room)
         if is_cold and weight > 0.0:
             self.warming_up[upstream] = None
         else:
@@ -660,7 +662,7 @@
         # An upstream that is hardly drawn shows nothing new: its fault rate fades with time, so it is looked at
         # again.
         if upstream.preference < NON_LOCAL_WEIGHT / 2 and not refresh_us:
-            refresh_us = now_us + FAULT_HALVES_US // 8
+            refresh_us = now_us + fleet.FAILURE_HALF_LIFE_US // 8
         if is_cold and upstream.next_cold_send_us > now_us:
             cold_refresh_us = min(upstream.next_cold_send_us, max(now_us + 1, self.warm_at_us(upstream)))
             refresh_us = min(refresh_us, cold_refresh_us) if refresh_us else cold_refresh_us
@@ -727,14 +729,14 @@
         upstream.used_slots += 1
         self.needs_refresh[upstream] = None
         self.retry_tokens -= 1.0 if self.needs_retry_token(request) else 0.0
-        self.traffic.count(self.now_us)
+        self.traffic.record_send(self.now_us)
         self.subset_slots = max(self.min_subset_slots,
-                                MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.part())
+                                MIN_SIDECARS_PER_UPSTREAM * len(self.draw_order) * self.traffic.share())
         slow_after_us = max(self.half_aim_us(request.event.class_index), 2 * request.event.cost_us)
         attempt, until_us = Attempt(upstream, self.now_us, slow_after_us), self.resend_until_us(request)
         attempt.paced = self.in_large_fleet and self.warmth(upstream) < 1.0
         if not attempt.paced:
-            self.outstanding.move(self.now_us, 1)
+            self.outstanding.change(self.now_us, 1)
         request.attempts.append(attempt)
         request.open_attempts += 1
         timeout_us = request.event.deadline_us - self.now_us
@@ -755,7 +757,7 @@
                 continue
             if attempt.slowness == 0.0:
                 if not attempt.paced:
-                    self.outstanding.move(self.now_us, -1)
+                    self.outstanding.change(self.now_us, -1)
                 self.adjust_windows(attempt, attempt.slow_after_us, request.event.class_index)
             # An answer that never comes, on a connection that has gone silent, must not hold the slot of an upstream
             # that answers everything else. If the upstream has answered an attempt that was sent later, it is not
@@ -797,7 +799,7 @@
             attempt.upstream.patience_doublings = 1
             attempt.upstream.latest_answered_sent_us = max(attempt.upstream.latest_answered_sent_us, attempt.sent_us)
         if attempt.slowness == 0.0 and not attempt.paced:
-            self.outstanding.move(self.now_us, -1)
+            self.outstanding.change(self.now_us, -1)
         # otherwise already counted when its slot was freed: its end tells nothing about current attempts
         if attempt.holds_slot:
             attempt.upstream.used_slots -= 1
@@ -840,7 +842,7 @@
             if upstream is None or upstream.entry.started_us != entry.started_us:
                 # the zone's past tells little about a process that has just started
                 if entry.zone in self.zone_faults:
-                    self.zone_faults[entry.zone].last /= 2
+                    self.zone_faults[entry.zone].value /= 2
                 upstream = TrackedUpstream(entry)  # a new process: nothing is kept of the former one
                 new.append(upstream)
             upstream.entry = entry
@@ -852,7 +854,7 @@
             # come as one burst.
             if upstream.sends_while_cold:
                 work_us, s = min(latency.conservative_us() for latency in self.latency), self.settings
-                share = turn(upstream.entry.id, s.self_index, s.instances, self.random.random())
+                share = fleet.turn_position(upstream.entry.id, s.self_index, s.instances, self.random.random())
                 upstream.next_cold_send_us = self.now_us + self.cold_send_gap_us(upstream, work_us, share)
         self.apply_lessons()
 
@@ -883,7 +885,7 @@
         cold_first: dict[TrackedUpstream, None] = {}
         if self.in_large_fleet:
             for upstream in ready:
-                upstream.sends_while_cold = warms(upstream.entry.id, self.settings.self_index, count)
+                upstream.sends_while_cold = fleet.is_warming_sidecar(upstream.entry.id, self.settings.self_index, count)
                 if not upstream.sends_while_cold and self.warmth(upstream) < 1.0:
                     upstream.next_cold_send_us = self.warm_at_us(upstream)
             cold_first = dict.fromkeys(s for s in ready if s.sends_while_cold and self.warmth(s) < 1.0)
@@ -891,7 +893,7 @@
         self.reorder_at_us = min((self.warm_at_us(upstream) + 3 for upstream in cold_first), default=0)
         self.draw_order = [*cold_first, *(upstream for upstream in ready[start:] + ready[:start]
                                           if upstream not in cold_first)]
-        self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = Places(len(ready)), [], [], {}
+        self.draw_weights, self.refresh_times, self.opening_times, self.warming_up = SumTree(len(ready)), [], [], {}
         self.needs_refresh = dict.fromkeys(self.draw_order)
         for index, upstream in enumerate(self.draw_order):
             upstream.order_index, upstream.queued_refresh_us, upstream.queued_opens_us = index, 0, 0
@@ -916,7 +918,7 @@
         for request in self.requests.values():  # a waiting request must keep its tenant
             tenant = request.event.tenant
             request.event.tenant = moved_to[tenant] if tenant < len(moved_to) else len(new_indexes)
-        self.traffic.settle(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
+        self.traffic.configure(sum(t.allowance_per_s for t in settings.tenants), settings.instances)
         self.reorder()
 
     def recall(self, now_us: int, lessons: api.LearnedState) -> None:
@@ -926,7 +928,7 @@
         self.now_us = max(self.now_us, now_us)
         if sum(self.tenant_arrivals) < confidence.TENANT_WEIGHT:
             told_shares, age_us = dict(lessons.tenants), self.now_us - lessons.confirmed_us
-            share = confidence.TENANT_WEIGHT * confidence.share(age_us, confidence.LATENCY_HALVES_US)
+            share = confidence.TENANT_WEIGHT * confidence.decay(age_us, confidence.LATENCY_HALF_LIFE_US)
             self.tenant_arrivals = [seen + share * min(1.0, told_shares.get(tenant.name, 0.0))
                                     for tenant, seen in zip(self.settings.tenants, self.tenant_arrivals, strict=True)]
         self.lessons.append(lessons)
@@ -944,7 +946,7 @@
                 if (found is not None and found.started_us == upstream.entry.started_us
                         and found.confirmed_us > upstream.last_observed_us
                         and (upstream.lesson is not None or upstream.last_observed_us == 0)):
-                    faded = confidence.faded(found, self.now_us)
+                    faded = confidence.decayed_lesson(found, self.now_us)
                     if faded is not None:
                         # the distance holds only for the zone in which it was measured
                         if lessons.zone != self.settings.zone:
@@ -954,10 +956,10 @@
                                 for ident, upstream in self.upstreams.items())
             if self.has_discovery_list and 2 * still_running >= len(lessons.upstreams):
                 self.recall_fleet_values(lessons, count)
-            distrusted = sum(confidence.is_shut(accepted[upstream][1] if upstream in accepted else upstream.lesson)
+            distrusted = sum(confidence.is_closed(accepted[upstream][1] if upstream in accepted else upstream.lesson)
                              for upstream in self.draw_order)
             for upstream, (lesson, faded) in accepted.items():
-                if 2 * distrusted <= count or not confidence.is_shut(faded):
+                if 2 * distrusted <= count or not confidence.is_closed(faded):
                     self.apply_upstream_lesson(upstream, lesson, faded)
         if self.has_discovery_list:
             self.lessons = []
@@ -969,15 +971,15 @@
             told = next((lesson for lesson in lessons.classes if lesson.name == request_class.name), None)
             if told is not None and latency.last_observed_us < told.confirmed_us and (
                     not latency.has_samples or latency.recall_doubt == 1 / 2):
-                share = confidence.share(self.now_us - told.confirmed_us, confidence.LATENCY_HALVES_US)
+                share = confidence.decay(self.now_us - told.confirmed_us, confidence.LATENCY_HALF_LIFE_US)
                 if share > 0.0:
                     latency.recall(told, share)
         if self.last_observed_us == 0 and lessons.slots > 0.0:
             # From the usual window to twice that: a smaller one would be a self-fulfilling prophecy, a larger one
             # would allow a burst.
-            share = confidence.share(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALVES_US)
+            share = confidence.decay(self.now_us - lessons.confirmed_us, confidence.SIDECAR_HALF_LIFE_US)
             usual = self.initial_slots(count)
-            self.window.slots = confidence.between(usual, min(max(lessons.slots, usual), 2 * usual), share)
+            self.window.slots = confidence.blend(usual, min(max(lessons.slots, usual), 2 * usual), share)
 
     def apply_upstream_lesson(self, upstream: TrackedUpstream, unfaded: api.LearnedUpstream,
                               faded: api.LearnedUpstream) -> None:
@@ -988,10 +990,10 @@
         # passed on unfaded, so that it fades only once
         upstream.lesson, upstream.last_observed_us = unfaded, unfaded.confirmed_us
         self.needs_refresh[upstream] = None
-        upstream.window.slots = min(1.0, max(confidence.LEAST_SLOTS, faded.slots))
+        upstream.window.slots = min(1.0, max(confidence.MIN_SLOTS, faded.slots))
         upstream.failing, upstream.patience_doublings = (
             faded.failing,
-            min(faded.timeout_doublings, confidence.MOST_MUTE),
+            min(faded.timeout_doublings, confidence.MAX_MUTE),
         )
         # what this sidecar sent before its restart still occupies the upstream
         if faded.first_hand:
@@ -1005,7 +1007,7 @@
         window: to at least one slot, and as far as the lesson says. Any other outcome counts as confirming the
         lesson."""
         told, upstream.lesson = upstream.lesson, None
-        lesson = confidence.faded(told, self.now_us) if told is not None else None
+        lesson = confidence.decayed_lesson(told, self.now_us) if told is not None else None
         if outcome is api.Outcome.OK and lesson is None:
             upstream.window.slots = max(1.0, upstream.window.slots)
         elif outcome is api.Outcome.OK and lesson is not None:
@@ -1030,7 +1032,7 @@
         pending."""
         at_us = self.wakeups[0][0] if self.wakeups else 0
         if self.buffer is not None:  # a paused slot opens with time, not with an event
-            candidates_us = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+            candidates_us = [self.outstanding.below_at_us(self.window.slots) if self.in_large_fleet
                              else self.window.paused_until_us]
             self.refresh_weights()
             while self.opening_times and not (
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -192,7 +192,7 @@
     stage = Stage(seed, sides=3, nodes=9, rate_per_s=90.0, faults=FAULTS[fault])
     stage.run(4 * S + 500_000)
     # as they were before they had seen much of the fault, and as if they had run for long
-    early = [replace(one, up_us=60 * S) for one in donors(stage)]
+    early = [replace(one, uptime_us=60 * S) for one in donors(stage)]
     stage.run(STOP_US)
     own = learned_state(stage.sides[0].balancer)
     warm = stage.copy()
@@ -203,11 +203,11 @@
     liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     taught: dict[str, api.LearnedState | None] = {
         "cold": None, "file": own,
-        "donors": confidence.agreed(three, stage.now_us, 0),
+        "donors": confidence.combined_lessons(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
         "all open": lie(stage, lambda i: 1e5),
-        "stale donor": confidence.agreed(early, stage.now_us, 0),
-        "mixed donors": confidence.agreed([*three, liar], stage.now_us, 0),
+        "stale donor": confidence.combined_lessons(early, stage.now_us, 0),
+        "mixed donors": confidence.combined_lessons([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
     for name, lessons in taught.items():
--- a/tests/test_sum_tree.py
+++ b/tests/test_sum_tree.py
@@ -1,4 +1,4 @@
-"""The draw without a scan: what it draws is what a scan of all upstreams drew, event by event, seed by seed."""
+"""The choice by sum tree gives the same actions as a linear scan of all upstreams, for the same events and seeds."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from ironscale import interface as api
 from ironscale.balance import TARGET_SLOWNESS, Balancer, Request, TrackedUpstream
 from ironscale.introspection import learned_state
-from ironscale.sum_tree import Places
+from ironscale.sum_tree import SumTree
 
 S = 1_000_000
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2,3,4,5,6").split(",")]
 
 
-class Scanning(Balancer):
-    """The decisions as they were: every draw and every timer looks at all upstreams."""
+class LinearScanBalancer(Balancer):
+    """Reference implementation: each choice and each timer scans all upstreams."""
 
     def draw(self, request: Request) -> TrackedUpstream | None:
-        self.refresh_weights()  # what is thought of an upstream holds as last looked at
+        self.refresh_weights()  # recomputes the upstreams' weight factors, as in the real choice
         tried = [attempt.upstream for attempt in request.attempts]
         if tried and not self.is_bound_to_group(request) and self.window_has_room():
             self.needs_refresh.update((server, None) for server in tried if server.order_index >= 0)
@@ -30,7 +30,7 @@
         weights: list[float] = []
         room = 0.0
         if self.window_has_room() and self.in_large_fleet and self.slowness.exceeds(TARGET_SLOWNESS):
-            for server in self.draw_order:  # in a shortage the cold ones first, as far as their pace lets
+            for server in self.draw_order:  # under high load cold upstreams come first, as far as their pacing allows
                 slots = server.window.usable_slots(self.now_us) - server.used_slots
                 if (self.warmth(server) < 1.0 and slots > 0 and self.now_us >= server.next_cold_send_us
                         and server not in tried and self.in_group(request, server)):
@@ -48,7 +48,7 @@
             warmth = self.warmth(server)
             if warmth == 1.0 or self.now_us >= server.next_cold_send_us:
                 free.append(server)
-                paced = warmth < 1.0 and self.in_large_fleet  # by its pace alone
+                paced = warmth < 1.0 and self.in_large_fleet  # limited only by its pacing
                 weights.append(min(float(slots), server.window.slots) * server.relative_weight * server.preference
                                * (1.0 if paced else warmth))
                 room += 0.0 if paced else min(1.0, server.window.slots) * server.relative_weight
@@ -60,7 +60,7 @@
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:
             self.refresh_weights()
-            opens = [self.outstanding.falls_us(self.window.slots) if self.in_large_fleet
+            opens = [self.outstanding.below_at_us(self.window.slots) if self.in_large_fleet
                      else self.window.paused_until_us]
             opens += [max(s.next_cold_send_us, s.window.paused_until_us) for s in self.draw_order]
             times.extend([at_us for at_us in opens if at_us > self.now_us])
@@ -69,7 +69,7 @@
             self.actions.append(api.SetTimer(self.armed_timer_us, 0))
 
 
-def settings_of(random: Random) -> api.Settings:
+def random_settings(random: Random) -> api.Settings:
     return api.Settings(
         classes=[api.RequestClass("view", 300_000, 1_500_000),
                  api.RequestClass("pay", 300_000, 600_000, 5.0, effect="at_most_once"),
@@ -83,61 +83,61 @@
         list_on_request=True, ask_within_us=10 * S, weighted=True)
 
 
-class World:
-    """Upstreams that answer by chance, a list that changes, and two balancers that must say the same."""
+class RandomFleet:
+    """Upstreams with random answers, a changing list, and two balancers that must return the same actions."""
 
     def __init__(self, seed: int) -> None:
         self.random = random = Random(seed)
-        self.settings = settings_of(random)
+        self.settings = random_settings(random)
         self.now_us = 1_000 * S
-        self.both = [kind(self.settings, seed, self.now_us) for kind in (Balancer, Scanning)]
+        self.balancers = [kind(self.settings, seed, self.now_us) for kind in (Balancer, LinearScanBalancer)]
         self.events: list[tuple[int, int, api.Event]] = []
-        self.turn = self.sent = self.drawn = 0
+        self.sequence = self.sent = self.used_upstreams = 0
         self.attempts: dict[int, int] = {}
-        self.entries: dict[int, api.Upstream] = {}
-        self.quick = {i: random.uniform(0.01, 0.4) for i in range(200)}
+        self.listed: dict[int, api.Upstream] = {}
+        self.mean_times_s = {i: random.uniform(0.01, 0.4) for i in range(200)}
 
-    def later(self, after_us: float, event: api.Event) -> None:
-        self.turn += 1
-        self.events.append((self.now_us + int(after_us), self.turn, event))
+    def schedule(self, after_us: float, event: api.Event) -> None:
+        self.sequence += 1
+        self.events.append((self.now_us + int(after_us), self.sequence, event))
 
     def handle(self, event: api.Event) -> None:
-        ours, theirs = (balancer.handle(self.now_us, event) for balancer in self.both)
-        assert ours == theirs, (self.now_us, event)
-        for action in ours:
+        actions, expected = (balancer.handle(self.now_us, event) for balancer in self.balancers)
+        assert actions == expected, (self.now_us, event)
+        for action in actions:
             if isinstance(action, api.Send):
                 self.sent += 1
-                self.drawn |= 1 << action.upstream
+                self.used_upstreams |= 1 << action.upstream
                 self.send(action)
             elif isinstance(action, api.SetTimer):
-                self.later(max(0, action.at_us - self.now_us), api.TimerFired(action.token))
+                self.schedule(max(0, action.at_us - self.now_us), api.TimerFired(action.token))
 
     def send(self, action: api.Send) -> None:
         random, number = self.random, self.attempts.get(action.request, 0)
         self.attempts[action.request] = number + 1
-        took_us = self.quick[action.upstream] * S * random.expovariate(1.0)
+        took_us = self.mean_times_s[action.upstream] * S * random.expovariate(1.0)
         outcome = random.choices(list(api.Outcome), [30, 1, 1, 0, 1, 1, 0, 1])[0]
         if took_us >= action.timeout_us:
             took_us, outcome = action.timeout_us, api.Outcome.TIMEOUT
-        self.later(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
-                                             request_ended=outcome is api.Outcome.OK))
+        self.schedule(took_us, api.AttemptEnded(action.request, number, action.upstream, outcome, int(took_us),
+                                                request_ended=outcome is api.Outcome.OK))
 
     def change_list(self) -> None:
         random = self.random
         for _ in range(random.randrange(1, 4)):
             ident = random.randrange(40)
-            old = self.entries.get(ident)
+            old = self.listed.get(ident)
             if old is not None and random.random() < 0.3:
-                self.entries.pop(ident)
+                self.listed.pop(ident)
                 continue
             started_us = random.choice([0, self.now_us, self.now_us - 5 * S, self.now_us + S])
-            self.entries[ident] = api.Upstream(
+            self.listed[ident] = api.Upstream(
                 ident, random.choices([api.UpstreamState.READY, api.UpstreamState.DRAINING], [5, 1])[0],
                 zone=ident % 3, cell=ident % 4, weight=random.choice([0.5, 1.0, 2.0]),
                 started_us=old.started_us if old is not None and random.random() < 0.7 else started_us)
-        self.handle(api.UpstreamsUpdated(api.ListKind.FULL, list(self.entries.values())))
+        self.handle(api.UpstreamsUpdated(api.ListKind.FULL, list(self.listed.values())))
 
-    def play(self, steps: int, rate: float) -> None:
+    def run(self, steps: int, rate: float) -> None:
         random, request = self.random, 0
         for _ in range(10):
             self.change_list()
@@ -159,13 +159,13 @@
             if random.random() < 0.01:
                 self.handle(api.RequestAbandoned(random.randrange(request)))
             if random.random() < 0.004:
-                self.settings = settings_of(random)
-                self.settings.classes[2].group = self.both[0].settings.classes[2].group
-                self.settings.zone = self.both[0].settings.zone
+                self.settings = random_settings(random)
+                self.settings.classes[2].group = self.balancers[0].settings.classes[2].group
+                self.settings.zone = self.balancers[0].settings.zone
                 self.handle(api.SettingsChanged(self.settings))
             if random.random() < 0.01:
-                lessons = learned_state(self.both[0])
-                for balancer in self.both:
+                lessons = learned_state(self.balancers[0])
+                for balancer in self.balancers:
                     balancer.recall(self.now_us, lessons)
 
 
@@ -173,10 +173,10 @@
 def test_the_same_events_give_the_same_actions_as_a_scan(rate: float) -> None:
     sent = drawn = 0
     for seed in SEEDS:
-        world = World(seed)
-        world.play(1_400, rate)
-        sent, drawn = sent + world.sent, drawn | world.drawn
-    # some worlds are all cold or all broken; together they must show something
+        world = RandomFleet(seed)
+        world.run(1_400, rate)
+        sent, drawn = sent + world.sent, drawn | world.used_upstreams
+    # in some worlds all upstreams are cold or failing, so only the totals are checked
     assert sent > 100 * len(SEEDS) and drawn.bit_count() > 30
 
 
@@ -184,49 +184,50 @@
 @given(st.lists(st.tuples(st.integers(0, 40), st.sampled_from([0.0, 0.001, 1.0, 2.5]),
                           st.sampled_from([0.0, 0.25, 1.0])), min_size=1, max_size=80),
        st.floats(0.1, 20), st.floats(0, 0.999))
-def test_the_tree_finds_what_a_walk_finds(puts: list[tuple[int, float, float]], enough: float, share: float) -> None:
-    places, plain = Places(41), [(0.0, 0.0)] * 41
-    for place, weight, room in puts:
-        plain[place] = (weight, room if weight else 0.0)
-        places.put(place, *plain[place])
+def test_the_tree_agrees_with_a_linear_scan(updates: list[tuple[int, float, float]], capacity: float,
+                                            share: float) -> None:
+    tree, leaves = SumTree(41), [(0.0, 0.0)] * 41
+    for leaf, weight, room in updates:
+        leaves[leaf] = (weight, room if weight else 0.0)
+        tree.set(leaf, *leaves[leaf])
     total = room = 0.0
-    for weight, more in plain:
+    for weight, more in leaves:
         total, room = total + weight, room + more
-        if room >= enough:
+        if room >= capacity:
             break
-    assert places.weight_of_first(enough) == pytest.approx(total)
+    assert tree.prefix_weight(capacity) == pytest.approx(total)
     if total > 0.0:
         point = share * total
-        found = places.at(point)
-        before = sum(weight for weight, _ in plain[:found])
-        assert plain[found][0] > 0.0 and before - 1e-9 <= point <= before + plain[found][0] + 1e-9
+        found = tree.find(point)
+        before = sum(weight for weight, _ in leaves[:found])
+        assert leaves[found][0] > 0.0 and before - 1e-9 <= point <= before + leaves[found][0] + 1e-9
 
 
-def test_rounding_never_leads_to_a_place_that_weighs_nothing() -> None:
+def test_rounding_never_selects_a_leaf_without_weight() -> None:
     for last in range(8):
-        places = Places(8)
+        places = SumTree(8)
         for place in range(last + 1):
-            places.put(place, 0.1 + place / 7, 1.0)
-        total = places.weight_of_first(100.0)
+            places.set(place, 0.1 + place / 7, 1.0)
+        total = places.prefix_weight(100.0)
         for point in (total, total * (1 + 1e-15), total * (1 - 1e-16)):
-            assert places.at(point) == last  # and not behind it, where nothing is free
+            assert places.find(point) == last  # not a later leaf, which has no weight
 
 
-def test_an_empty_tree_weighs_nothing() -> None:
+def test_an_empty_tree_has_weight_0() -> None:
     for count in (0, 1, 5):
-        places = Places(count)
-        assert places.weight_of_first(3.0) == 0.0
-    places.put(4, 0.3, 0.1)
-    places.put(2, 0.1, 0.1)
-    places.put(4, 0.0, 0.0)
-    places.put(2, 0.0, 0.0)
-    assert places.weight_of_first(3.0) == 0.0  # exactly: a rest of rounding would draw what is not free
+        places = SumTree(count)
+        assert places.prefix_weight(3.0) == 0.0
+    places.set(4, 0.3, 0.1)
+    places.set(2, 0.1, 0.1)
+    places.set(4, 0.0, 0.0)
+    places.set(2, 0.0, 0.0)
+    assert places.prefix_weight(3.0) == 0.0  # exactly: a rounding error would make a leaf without weight eligible
 
 
-def test_shares_of_tenants_fade_as_if_each_arrival_faded_all() -> None:
-    random, told = Random(5), settings_of(Random(5))
+def test_lazy_decay_of_tenant_shares_equals_decay_of_all_at_each_arrival() -> None:
+    random, told = Random(5), random_settings(Random(5))
     balancer, plain = Balancer(told, 1, S), [0.0] * 3
-    for step in range(12_000):  # past the point where the weights are brought back to 1
+    for step in range(12_000):  # beyond the point where the weights are normalized
         tenant = random.choices(range(3), [5, 1, 1 + step // 4_000])[0]
         balancer.handle(S + step, api.RequestArrived(step + 1, 2 * S, 0, tenant))
         plain = [seen * (1.0 - 1.0 / 200) for seen in plain]
