--- a/tests/faults/site.py
+++ b/tests/faults/site.py
@@ -154,10 +154,10 @@
 
 
 class Upstream:
-    """An upstream that answers after `deunread_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
+    """An upstream that answers after `delay_s`, or misbehaves as `fault` says: hang, fail, reset, stray, halt."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self.ledger, self.deunread_s, self.fault = ledger, 0.02, ""
+        self.ledger, self.delay_s, self.fault = ledger, 0.02, ""
         self.connections: set[UpstreamConnection] = set()
         self.unreadable: list[str] = []
         self.server: asyncio.Server | None = None
@@ -172,7 +172,7 @@
     def serve(self, connection: UpstreamConnection, txn: str) -> None:
         if self.fault == "hang":
             return
-        asyncio.get_running_loop().call_later(self.deunread_s, self.answer, connection, txn)
+        asyncio.get_running_loop().call_later(self.delay_s, self.answer, connection, txn)
 
     def answer(self, connection: UpstreamConnection, txn: str) -> None:
         if connection.transport.is_closing():
