--- a/ironscale/control/__init__.py
+++ b/ironscale/control/__init__.py
@@ -1,1 +1,1 @@
-"""The instance's side of the agent: one connection that it dials, reports, and commands carried out once."""
+"""The control channel on the instance's side: it connects to an agent, sends reports and runs each command once."""
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -1,7 +1,7 @@
-"""The one connection that an instance dials to its agent.
+"""The connection from an instance to its agent: it sends heartbeats and runs the agent's commands.
 
-Whatever the agent does, the data path goes on: every frame is a step of its own on the loop, and the steps
-together take no more than `pacing.SHARE` of it.
+The data path keeps working whatever the agent does: each frame is handled in a separate step on the event loop, and all
+steps together use no more than `pacing.SHARE` of the loop's time.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
 from ironscale.control.pacing import Redial, Slice
 
 CONNECT_S, WELCOME_S = 2.0, 5.0
-OTHERS_WELCOME_S = 1.0  # where there are other agents to dial
-PART = 100  # upstreams in one part of an inspection: a step of about a millisecond
-MOST_UNSENT = 2 * MAX_FRAME  # bytes that an agent has not read; past that no more is produced
+OTHERS_WELCOME_S = 1.0  # shorter if there are other agents to try
+PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
+MOST_UNSENT = 2 * MAX_FRAME  # bytes that the agent has not read yet; above this nothing more is produced
 LOG_GAP_S = 5.0
 NOT_LEADING = "NOT_LEADING"
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who an instance is to its agent."""
+    """What an instance tells its agent about itself; the fields have the same meaning as in `Hello`."""
 
     name: str
     boot: str
@@ -65,29 +65,29 @@
 
 
 class Client:
-    """Keeps the instance connected to its agent for as long as `run` runs."""
+    """Keeps the instance connected to an agent, and reconnects, until `run` is cancelled."""
 
     def __init__(self, instance: Instance, identity: Identity, address: tuple[str, int], rng: random.Random,
                  log: Callable[[str], None] | None = None, others: tuple[tuple[str, int], ...] = ()) -> None:
-        """`others`: where to dial if no agent leads at `address`; one at a time, in turns."""
+        """`others`: agents to try in turn, one at a time, when no agent leads at `address`."""
         self.instance = instance
         self.identity = identity
         self.address = address
         self.agents = (address, *others)
-        self.term = 0  # the highest of an agent that has welcomed this process
+        self.term = 0  # the highest leadership term of an agent that has welcomed this process
         self.commands = Commands(identity.boot)
         self.redial = Redial(rng)
         self.slice = Slice()
         self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
         self.session: Session | None = None
-        self.tried = 0  # agents that were dialled in vain since one was there
+        self.tried = 0  # failed attempts since the last connection that was welcomed
         self.report_fence: Callable[[int], None] = lambda fence: None
         self.teaches: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
     def log(self, text: str) -> None:
-        """A line in LOG_GAP_S at most: an agent that talks nonsense must not fill the log."""
+        """Writes at most one line per LOG_GAP_S, so that a misbehaving agent can't flood the log."""
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
             self.next_log_s = now_s + LOG_GAP_S
@@ -98,14 +98,14 @@
             await asyncio.sleep(await self.connect_once())
 
     async def connect_once(self) -> float:
-        """One connection from dialling to its end; gives the seconds until the next."""
+        """Connects once and serves the connection until it ends; gives the seconds to wait before the next attempt."""
         session = Session(self)
         try:
             async with asyncio.timeout(CONNECT_S):
                 await asyncio.get_running_loop().create_connection(lambda: session, *self.address)
         except (OSError, TimeoutError, ValueError) as error:
             session.drop()
-            self.log(f"can't connect: {error or 'no answer'}")
+            self.log(f"can't connect: {error or 'timed out'}")
             return self.next_agent("") or self.redial.failed()
         self.session = session
         try:
@@ -122,14 +122,14 @@
             return self.redial.denied(session.denied.retry_ms / 1000)
         if session.welcome is not None:
             self.tried = 0
-            # hazard: an agent that was stopped still accepts, and says nothing
+            # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
             return self.next_agent("") or self.redial.lost() if session.was_silent else self.redial.lost()
         return self.next_agent("") or self.redial.failed()
 
     def next_agent(self, leader: str) -> float:
-        """Turns to another of the agents that the operator named: the one that is said to lead, else the next. Seconds
-        until it is dialled; 0 where all have had their turn. Hazard: an address by mere word could be anyone's, and
-        would be told this instance's token."""
+        """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
+        the seconds to wait before connecting to it; 0 if all agents have been tried. A leader address that is not in
+        the operator file is ignored, because this instance would send its token to an untrusted address."""
         self.tried += 1
         named = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
         place = self.agents.index(self.address)
@@ -139,6 +139,7 @@
         return self.redial.turn() if self.tried else 0.0
 
     def bye(self, reason: str) -> None:
+        """Tells the agent that the process is shutting down."""
         if self.session is not None and self.session.welcome is not None:
             self.session.send(Goodbye(reason))
 
@@ -146,19 +147,21 @@
         return self.instance.report(self.slice.spent_s)
 
     def carry_out(self, command: Command) -> CommandResult:
-        """The effect of an admitted command; whatever goes wrong is an answer."""
+        """Runs an admitted command; every failure becomes a result."""
         try:
             detail = self.effect(command)
         except Refused as error:
             return CommandResult(command.id, "refused", str(error))
         except RestartNeeded as error:
             return CommandResult(command.id, "needs restart", str(error))
-        except Exception as error:  # hazard: the agent would wait, and the next frame never be read
+        except Exception as error:  # otherwise the agent gets no result and no further frame is read
             logs.line(traceback.format_exc())
             return CommandResult(command.id, "failed", f"{type(error).__name__}: {error}")
         return CommandResult(command.id, "applied", detail, self.report())
 
     def effect(self, command: Command) -> str:
+        """Applies the command to the instance and gives the detail text of its result. Raises Refused or
+        RestartNeeded."""
         match command.kind:
             case "drain" | "undrain":
                 self.instance.drain(command.kind == "drain")
@@ -178,7 +181,7 @@
 
 
 class Session(asyncio.Protocol):
-    """One connection: bytes in, one step a frame, within the loop's slice."""
+    """One connection to an agent. Each frame is handled in its own step, within the loop's share for control work."""
 
     def __init__(self, client: Client) -> None:
         self.client = client
@@ -191,12 +194,12 @@
         self.denied: Denied | None = None
         self.seq = 0
         self.heard_s = self.loop.time()
-        self.jobs: deque[Callable[[], None]] = deque()  # steps that the agent's frames have led to
+        self.jobs: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.pump_handle: asyncio.TimerHandle | None = None
         self.beat_handle: asyncio.TimerHandle | None = None
         self.was_silent = False
         wait_s = WELCOME_S if len(client.agents) == 1 else OTHERS_WELCOME_S
-        self.silence = self.loop.call_later(wait_s, self.end, "no welcome")
+        self.silence = self.loop.call_later(wait_s, self.end, "no welcome in time")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -222,23 +225,23 @@
             self.pump_handle = self.loop.call_later(wait_s, self.pump)
 
     def pump(self) -> None:
-        """One step: a job, else one frame."""
+        """Runs one step: the next queued job, or else the next frame."""
         self.pump_handle = None
         if self.ended.is_set():
             return
         if self.transport is not None and self.transport.get_write_buffer_size() > MOST_UNSENT:
-            self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent doesn't read
+            self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
             return
         if self.step(self.jobs.popleft() if self.jobs else self.take_frame):
             self.schedule()
 
     def step(self, work: Callable[[], object]) -> bool:
-        """Runs and accounts for a piece of control work; False where there was none."""
+        """Runs one piece of control work and accounts for its CPU time; False if there was nothing to do."""
         start_s = time.thread_time()
         try:
             return work() is not False
         except (FrameError, MessageError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
             return False
         finally:
             self.client.slice.spend(self.loop.time(), time.thread_time() - start_s)
@@ -274,8 +277,8 @@
             raise MessageError(f"welcome: expected a lease over a heartbeat of 10 ms or more, got "
                                f"{welcome.lease_ms} and {welcome.beat_ms}")
         if welcome.term and welcome.term < self.client.term:
-            # hazard: an agent that was stopped, and does not know yet that another leads, would have commands for us
-            self.end(f"denied here: its term {welcome.term} is over, {self.client.term} has begun")
+            # An agent that was suspended may not know yet that another one leads, and would send outdated commands.
+            self.end(f"agent rejected: its term {welcome.term} is over, term {self.client.term} has begun")
             return
         self.client.term = max(self.client.term, welcome.term)
         self.welcome = welcome
@@ -283,18 +286,20 @@
         self.client.redial.spread_s = min(600.0, welcome.spread_ms / 1000)
         self.heard()
         self.client.on_donors(welcome.donors)
-        # the first at a random moment: thousands that came together must not beat together
+        # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
+        # don't send their heartbeats at the same moment.
         self.beat_handle = self.loop.call_later(
             self.client.redial.random.random() * welcome.beat_ms / 1000, self.beat)
 
     def heard(self) -> None:
+        """Starts the lease again, after a message from the agent."""
         assert self.welcome is not None
         self.silence.cancel()
         self.silence = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
 
     def on_silence(self) -> None:
         self.was_silent = True
-        self.end("silent past the lease")
+        self.end("no message from the agent within the lease")
 
     def beat(self) -> None:
         assert self.welcome is not None
@@ -317,12 +322,12 @@
             answer = self.client.carry_out(command)
             commands.finish(answer)
             self.send(answer)
-            self.send_beat()  # what it runs now is shown by a report, not by the answer
+            self.send_beat()  # the agent learns what the instance runs now from a report, not from the result
         elif answer is not None:
             self.send(answer)
 
     def inspect(self, ident: str, upstreams: list[dict[str, Any]] | None, start: int) -> None:
-        """A part a step: a long list must not hold up the loop."""
+        """Sends one part per step, so that a long list doesn't block the loop."""
         if upstreams is None:
             upstreams = self.client.instance.upstreams()
         more = start + PART < len(upstreams)
@@ -336,9 +341,10 @@
             self.transport.write(encode(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end("the connection ended")
+        self.end("the connection was closed")
 
     def end(self, why: str) -> None:
+        """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
             self.why = why
             self.drop()
@@ -349,4 +355,4 @@
             if handle is not None:
                 handle.cancel()
         if self.transport is not None:
-            self.transport.close()  # what is written still goes out
+            self.transport.close()  # data that was already written is still sent
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -1,4 +1,4 @@
-"""Which commands an instance carries out, and which it answers from memory or refuses. No I/O, no clock."""
+"""Decides whether an instance runs a command, repeats an earlier result or refuses it. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 
 from ironscale.control.messages import Command, CommandResult
 
-REMEMBERED = 256  # commands; an operation sends an instance a few, and the next one has a higher fence
+REMEMBERED = 256  # an operation sends an instance a few commands, and the next operation has a higher fence
 
 
 @dataclass(slots=True)
 class Commands:
-    """Every command once: delivered again it is answered from memory; from an operation that a newer one
-    has taken the place of, refused. A command's effect and its memory live and die with the process."""
+    """Makes every command run at most once. A command that is delivered again gets its stored result; a command of an
+    operation that a newer one has superseded is refused. Results are kept in memory only: the effect of a command also
+    ends with the process."""
 
     boot: str
     fence: int = 0
-    # By id: its fence, and its answer (None while it is under way).
+    # Command id -> (fence, result); the result is None while the command is running.
     answered: OrderedDict[str, tuple[int, CommandResult | None]] = field(default_factory=OrderedDict)
 
     def admit(self, command: Command) -> tuple[bool, CommandResult | None]:
-        """Whether to carry it out now; else the answer, None where the first delivery is under way.
+        """Whether to run the command now. If not, also the result to send, or None while the first delivery is still
+        running.
 
-        A question (`inspect`) has no effect, so it has no fence and is asked as often as it comes.
+        `inspect` only reads, so it has no fence and runs every time that it is delivered.
         """
         if command.boot != self.boot:
             return False, CommandResult(command.id, "refused", f"meant for another process ({command.boot})")
@@ -37,12 +39,13 @@
         self.fence = command.fence
         self.answered[command.id] = (command.fence, None)
         while len(self.answered) > REMEMBERED:
-            # hazard: forgotten at the present fence, a command delivered again would be done again
+            # A command of the current fence must be kept: if it were delivered again, it would run a second time.
             if next(iter(self.answered.values()))[0] >= self.fence:
                 break
             self.answered.popitem(last=False)
         return True, None
 
     def finish(self, result: CommandResult) -> None:
+        """Stores the result of an admitted command for later deliveries."""
         if result.id in self.answered:
             self.answered[result.id] = (self.answered[result.id][0], result)
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -1,4 +1,4 @@
-"""Runs the client beside a started sidecar, where the operator file names an agent."""
+"""Runs the agent client alongside a sidecar if the operator file names an agent."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 
 
 def version() -> str:
+    """The installed version of this package; "0" if it isn't installed."""
     try:
         return metadata.version("ironscale")
-    except metadata.PackageNotFoundError:  # started from a checkout
+    except metadata.PackageNotFoundError:  # runs from a source checkout
         return "0"
 
 
 def client_for(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
                end: Callable[[], None]) -> tuple[Client, Layered]:
+    """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
     identity = Identity(
         name=sidecar.config.name, boot=environ.get("GW_BOOT") or secrets.token_hex(8), pid=os.getpid(),
@@ -52,7 +54,7 @@
 
 
 def follower_for(layered: Layered, identity: Identity, versions: Versions) -> Follower:
-    """Raises OperatorFileError where its token can't be read."""
+    """The follower of published versions. Raises OperatorFileError if its token can't be read."""
     from ironscale.control.follower import Follower, Follows
     from ironscale.versions.model import Labels
 
@@ -63,18 +65,19 @@
 
 
 class Teaching(Protocol):
-    """What passes on what a sidecar has learned: an agent tells newcomers where others teach."""
+    """Exchange of learned state between sidecars: the agent tells new instances which others hand out theirs."""
 
     def teaches(self) -> str:
-        """HOST:PORT where newcomers ask this instance; empty if nowhere."""
+        """HOST:PORT where new instances can fetch this instance's learned state; empty if it is not served."""
 
     def offer(self, donors: list[str]) -> None:
-        """HOST:PORT of instances that teach."""
+        """Receives the HOST:PORT of instances that serve their learned state."""
 
 
 def beside(control: Control, environ: Mapping[str, str], teaching: Teaching | None = None,
            versions: Versions | None = None) -> Extension:
-    """Raises OperatorFileError where the token can't be read; later failures are the client's to outlive."""
+    """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
+    read now; the client retries after any later failure."""
     token = read_secret(control.token_file)
     if versions is not None and versions.token_file is not None:
         read_secret(versions.token_file)
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -1,5 +1,5 @@
-"""An instance's connections to the agents that serve published versions: one that it follows, and one more while it
-looks for a better. What it runs goes on whatever they do."""
+"""An instance's connections to the agents that serve published versions: one to the agent that it follows, and a second
+one while it looks for a better agent. The instance keeps its running configuration whatever the agents do."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
-AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
+AGAIN_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
 MOST_AGAIN_S = 2.0
-HOME_S = 30.0  # one that follows a farther agent looks for a nearer one so often
+HOME_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
 LOG_GAP_S = 5.0
 
 
 class Target(Protocol):
     def publish(self, overlay: Mapping[str, Any]) -> None:
-        """Runs with this published configuration from here on, or as before. Raises Refused or RestartNeeded."""
+        """Applies the published configuration, or changes nothing and raises Refused or RestartNeeded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Follows:
-    """Who follows whom."""
+    """The identity of the follower, and the agents that it may follow."""
 
     labels: Labels
     boot: str
@@ -55,7 +55,7 @@
 
 
 class Follower:
-    """Keeps the instance at the newest version that any agent it can reach has, for as long as `run` runs."""
+    """Keeps the instance at the newest version that a reachable agent has, until `run` is cancelled."""
 
     def __init__(self, target: Target, who: Follows, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
@@ -64,14 +64,14 @@
         self.order = agent_selection.order(who.labels, who.places)
         self.own: _Link | None = None
         self.spread_s = AGAIN_S
-        self.rounds = 0  # of all agents, in vain
+        self.rounds = 0  # consecutive rounds that found no agent to follow
         self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_s = 0.0
-        self.changed: Callable[[], None] = lambda: None  # what it holds or runs has changed
+        self.changed: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
         self.dialled = 0
 
     def log(self, text: str) -> None:
-        """A line in LOG_GAP_S at most."""
+        """Writes at most one line per LOG_GAP_S."""
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
             self.next_log_s = now_s + LOG_GAP_S
@@ -89,12 +89,12 @@
                 self.own.close()
 
     async def find(self) -> None:
-        """Nobody is followed: the agents in turn, the lost one last."""
+        """Tries the agents in turn while none is followed; the one that was just lost comes last."""
         lost = self.own.place if self.own is not None else None
         if self.own is not None:
             self.log(f"{lost.host}:{lost.port}: {self.own.why}" if lost else "")
             self.own = None
-            # hazard: all that followed the lost one dial the same others at the same moment
+            # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
         turns = [place for place in self.order if place != lost] + ([lost] if lost is not None else [])
         wait_s = 0.0
@@ -112,7 +112,7 @@
         await asyncio.sleep(min(wait_s, MOST_AGAIN_S) + self.random.random() * most_s)
 
     async def stay(self) -> None:
-        """Follows until the agent is lost, or is not worth following alone."""
+        """Follows the current agent until it is lost, or until it is time to look for a better one."""
         own = self.own
         assert own is not None
         home = self.order.index(own.place) > 0
@@ -133,7 +133,7 @@
                     await own.ended.wait()
 
     async def look(self, places: Sequence[Place], own: _Link) -> None:
-        """Others beside the one that is followed; it is kept until a better one has answered."""
+        """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for place in places:
             if place == own.place:
                 continue
@@ -150,7 +150,7 @@
             if own.ended.is_set():
                 return
         if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
-            own.end("silent")
+            own.end("no message from the agent in time")
             return
         self.rounds += 1
         await asyncio.sleep(self.random.random() * min(MOST_AGAIN_S, AGAIN_S * 2.0 ** min(self.rounds, 8)))
@@ -160,7 +160,7 @@
         link.take_over()
 
     async def dial(self, place: Place) -> _Link:
-        """Until it has told where it is, or CONNECT_S are over."""
+        """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
         link = _Link(self, place)
         self.dialled += 1
         try:
@@ -168,16 +168,16 @@
                 await asyncio.get_running_loop().create_connection(lambda: link, place.host, place.port)
                 await link.told.wait()
         except (OSError, TimeoutError, ValueError) as error:
-            link.end(f"{error or 'no answer'}")
+            link.end(f"{error or 'timed out'}")
         except BaseException:
             link.close()
             raise
         return link
 
-    # What an agent says
+    # Updates from an agent
 
     def take(self, update: VersionUpdate) -> RunningReport | None:
-        """One step; what there is to be told of it."""
+        """Processes one update; gives the report to send about it. Raises MessageError if it can't be used."""
         state = self.state
         was = state.view.position, state.running, state.status
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
@@ -186,7 +186,7 @@
         if word is Word.STRANGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
         if word is Word.REREAD:
-            raise MessageError(f"position {update.position}: what is held does not fit it; all is read again")
+            raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
         if word is Word.APPLY:
             self.apply()
         if (state.view.position, state.running, state.status) != was:
@@ -194,6 +194,7 @@
         return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
     def apply(self) -> None:
+        """Applies the wanted configuration to the instance and records the outcome."""
         state = self.state
         try:
             self.target.publish(state.overlay())
@@ -201,17 +202,17 @@
             state.refused("refused", str(error))
         except RestartNeeded as error:
             state.refused("needs restart", str(error))
-        except Exception as error:  # hazard: the connection would break, and the same version come again and again
+        except Exception as error:  # must not end the connection: the same version would be sent again and again
             logs.line(traceback.format_exc())
             state.refused("failed", f"{type(error).__name__}: {error}")
         else:
             state.applied()
         if state.status != "applied":
-            self.log(f"version {state.view.position} is not taken on: {state.status}: {state.detail}")
+            self.log(f"version {state.view.position} not applied: {state.status}: {state.detail}")
 
 
 class _Link(asyncio.Protocol):
-    """One connection to an agent. Before it is the one that is followed, only where the agent is counts."""
+    """One connection to an agent. Until the agent is followed, only its position is used and its updates are buffered."""
 
     def __init__(self, follower: Follower, place: Place) -> None:
         self.follower, self.place = follower, place
@@ -222,7 +223,8 @@
         self.heard: Heard | None = None
         self.heard_s = self.since_s = time.monotonic()
         self.denied: Denied | None = None
-        self.waiting: list[VersionUpdate] | None = []  # what came while the link was not followed
+        # Updates received before the agent is followed; None from then on.
+        self.waiting: list[VersionUpdate] | None = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -242,7 +244,7 @@
             while not self.ended.is_set() and (raw := self.decoder.next()) is not None:
                 self.on_message(parse_message(raw, TO_FOLLOWER))
         except (FrameError, MessageError, ScopeError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
 
     def on_message(self, message: Message) -> None:
         if isinstance(message, Denied):
@@ -258,7 +260,7 @@
         self.told.set()
 
     def take_over(self) -> None:
-        """It is followed from here on."""
+        """Follows this agent from now on, starting with the buffered updates."""
         waiting, self.waiting = self.waiting or [], None
         self.since_s = time.monotonic()
         try:
@@ -266,7 +268,7 @@
                 if not self.ended.is_set():
                     self.take(update)
         except (MessageError, ScopeError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
 
     def take(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
@@ -279,7 +281,7 @@
             self.transport.write(encode(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end("the connection ended")
+        self.end("the connection was closed")
 
     def end(self, why: str) -> None:
         if not self.ended.is_set():
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the control connection: a length (4 bytes, big-endian) and one JSON object. No I/O."""
+"""Framing of the control connection: each frame is a 4-byte big-endian length and one JSON object. No I/O."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from typing import Any
 
 HEADER = 4
-# A frame is decoded in one piece on the sidecar's loop: 128 KiB of JSON take it under 2 ms.
+# A frame is decoded in one step on the sidecar's event loop; 128 KiB of JSON take less than 2 ms.
 MAX_FRAME = 128 << 10
 MAX_DEPTH = 32
 
 
 class FrameError(Exception):
-    """Bytes that are no frame; the connection is of no further use."""
+    """The bytes are not a valid frame; the connection can't be used any further."""
 
 
 def _no_constant(name: str) -> Any:
@@ -20,6 +20,7 @@
 
 
 def encode(message: dict[str, Any]) -> bytes:
+    """The message as one frame. Raises FrameError if it exceeds the maximum size."""
     body = json.dumps(message, separators=(",", ":"), allow_nan=False).encode()
     if len(body) > MAX_FRAME:
         raise FrameError(f"expected a frame of {MAX_FRAME} bytes at most, got {len(body)}")
@@ -27,7 +28,7 @@
 
 
 class Decoder:
-    """Bytes in, whole messages out."""
+    """Reassembles messages from the bytes of a stream."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -36,11 +37,12 @@
         self.buffer += data
 
     def next(self) -> dict[str, Any] | None:
-        """The next message, None while it is not whole. Raises FrameError, and then for good."""
+        """The next message, or None until all its bytes have arrived. Raises FrameError, after which the stream can't
+        be used any further."""
         if len(self.buffer) < HEADER:
             return None
         size = int.from_bytes(self.buffer[:HEADER])
-        # hazard: judged only when all of it has come, a length of 4 GB would be read into memory
+        # Checked before the body arrives: otherwise a length of 4 GB would be buffered in memory.
         if not 2 <= size <= MAX_FRAME:
             raise FrameError(f"expected a length from 2 to {MAX_FRAME}, got {size}")
         if len(self.buffer) < HEADER + size:
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -1,4 +1,4 @@
-"""What control work needs of an instance, and the real sidecar behind that."""
+"""The interface through which an instance is controlled, and its implementation for a real sidecar."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ironscale.net.discovery import Directory
 from ironscale.net.sidecar import RestartRequired, Sidecar
 
-# What each instance has of its own: a patch for many can't set it.
+# Keys that differ for each instance, so an overlay for many instances can't set them.
 OWN_KEYS = ("name", "listen", "seed", "known")
 OWN_SETTINGS = ("self-index",)
 OUTCOMES = ("served", "refused", "failed")
@@ -22,31 +22,32 @@
 
 
 class Refused(Exception):
-    """An instance won't do it, and nothing has changed; the text is one line."""
+    """The instance refuses the change, and nothing has changed; the error text is a single line."""
 
 
 class RestartNeeded(Exception):
-    """Valid, but only a new process can take it on; nothing has changed."""
+    """The change is valid but needs a new process; nothing has changed."""
 
 
 class Instance(Protocol):
-    """What the client of the agent drives. Each call is short and done when it returns."""
+    """What the agent's commands act on. Each call is short, and has taken effect when it returns."""
 
-    def report(self, control_s: float) -> Report: ...
+    def report(self, control_s: float) -> Report:
+        """The current state. `control_s`: CPU seconds that control work has used."""
 
     def upstreams(self) -> list[dict[str, Any]]:
-        """Each upstream as the decisions see it, for `inspect`."""
+        """Each upstream as the load balancer sees it, for `inspect`."""
 
     def drain(self, draining: bool) -> None: ...
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        """All or nothing. Raises Refused or RestartNeeded."""
+        """Replaces the overlay, or changes nothing and raises Refused or RestartNeeded."""
 
     def stop(self) -> None: ...
 
 
 def listed(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
-    """What the list says of an upstream, by the names that the configuration has for numbers."""
+    """What discovery says about an upstream, with the configured names in place of numbers."""
     zones, kinds = list(directory.zones.listed), list(directory.kinds.listed)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
             "kind": kinds[entry.kind] if entry.kind < len(kinds) else "", "group": str(entry.cell),
@@ -54,7 +55,7 @@
 
 
 def check_overlay(overlay: Mapping[str, Any]) -> None:
-    """Raises Refused where a patch for many sets what each has of its own."""
+    """Raises Refused if the overlay sets a key that differs for each instance."""
     for key in OWN_KEYS:
         if key in overlay:
             raise Refused(f"{key}: expected no key that each instance has of its own, "
@@ -69,12 +70,13 @@
 
 
 def memory_kb() -> int:
+    """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE // 1024
 
 
 class SidecarInstance:
-    """A running sidecar."""
+    """Controls a running sidecar. `end` shuts it down."""
 
     def __init__(self, sidecar: Sidecar, end: Callable[[], None]) -> None:
         self.sidecar = sidecar
--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -1,4 +1,4 @@
-"""An instance under two hands: the published configuration, and over it what an operation has rolled out."""
+"""Combines two sources of an instance's overlay: the published configuration and the operation that was rolled out."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class Layered:
-    """Passes on to an instance what both come to. An operation's overlay is the narrower: it goes before."""
+    """Applies the merged overlays to an instance. The operation's overlay is the more specific one, so it takes
+    precedence over the published one."""
 
     def __init__(self, instance: Instance, generation: int = 0, overlay: Mapping[str, Any] | None = None) -> None:
-        """`generation` and `overlay`: of the operation that the instance was started with."""
+        """`generation` and `overlay` belong to the operation that the instance was started with."""
         self.instance = instance
         self.generation, self.operated = generation, overlay or {}
         self.published: Mapping[str, Any] = {}
@@ -29,11 +30,12 @@
         self.instance.drain(draining)
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
+        """Replaces the operation's overlay, or changes nothing and raises Refused or RestartNeeded."""
         self.instance.reconfigure(generation, over(self.published, overlay))
         self.generation, self.operated = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
-        """All or nothing. Raises Refused or RestartNeeded."""
+        """Replaces the published overlay, or changes nothing and raises Refused or RestartNeeded."""
         self.instance.reconfigure(self.generation, over(overlay, self.operated))
         self.published = overlay
 
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -1,9 +1,11 @@
-"""What instance and agent say to each other: typed, and checked field by field when read. No I/O.
+"""The messages of the control protocol: typed dataclasses whose fields are validated when a message is read. No I/O.
 
 Instance to agent: Hello, Heartbeat, CommandResult, Goodbye. Agent to instance: Welcome, Denied, LeaseRenewal, Command.
-On a connection of its own, to any agent, whether that leads or stands by, an instance follows published versions
-(`ironscale.versions`): FollowRequest, RunningReport; VersionUpdate, Denied.
-Agent that stands by to the one that leads: FollowerSummary; LeaseRenewal, Denied.
+An instance follows published versions (`ironscale.versions`) over a separate connection, to a leading or a standby
+agent. The instance sends FollowRequest and RunningReport; the agent sends VersionUpdate and Denied.
+A standby agent sends FollowerSummary to the leading agent, which replies with LeaseRenewal or Denied.
+
+Field names are part of the protocol: each dataclass is written out as a JSON object with its field names as keys.
 """
 
 from __future__ import annotations
@@ -19,21 +21,21 @@
 COMMAND_KINDS = ("inspect", "drain", "undrain", "reconfigure", "stop")
 RESULT_STATUSES = ("applied", "refused", "failed", "needs restart")
 MAX_NAME_LENGTH, MAX_TEXT_LENGTH = 128, 4096
-MAX_INTEGER = 2**53  # whole numbers past this are not the same in every JSON reader
+MAX_INTEGER = 2**53  # JSON readers that store numbers as doubles lose precision above this
 
 
 class MessageError(Exception):
-    """A message that can't be used; the text is one line."""
+    """A message is malformed or unexpected; the error text is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message: who is here, what it runs, and the proof that it may."""
+    """The first message on a control connection: the instance's identity, its configuration and its token."""
 
     type: ClassVar[str] = "hello"
     protocol: int
     name: str
-    boot: str  # new with every process
+    boot: str  # identifier of the process; every process has a new one
     pid: int
     version: str
     started_ms: int
@@ -41,15 +43,17 @@
     listen: str
     token: str
     generation: int
-    fence: int  # the highest that this process has seen
-    replaces: str = ""  # boot of the process that this one was started to replace
-    host: str = ""  # the machine's boot id; with pid and start ticks it names one process
-    ticks: int = 0
-    teaches: str = ""  # HOST:PORT where newcomers are taught what it has learned
+    fence: int  # the highest fence that this process has seen
+    replaces: str = ""  # `boot` of the process that this one was started to replace
+    host: str = ""  # the machine's boot id; together with `pid` and `ticks` it identifies one process
+    ticks: int = 0  # start time of the process, in clock ticks since the machine booted
+    teaches: str = ""  # HOST:PORT where new instances can fetch the state that this one has learned
 
 
 @dataclass(frozen=True, slots=True)
 class ClassCounts:
+    """How many requests of one request class ended with each outcome since the process started."""
+
     name: str
     served: int
     refused: int
@@ -58,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What an instance says of itself with each heartbeat: it runs this now."""
+    """The current state of an instance, sent with each heartbeat."""
 
     generation: int
     fence: int
     ready: bool
     draining: bool
-    open: int  # requests taken and not yet answered, and attempts still out
+    open: int  # accepted requests that are not answered yet, and attempts that are still in flight
     connections: int
     upstreams: int
     upstreams_ready: int
@@ -73,7 +77,7 @@
     classes: list[ClassCounts]
     refusals: dict[str, int]
     cpu_s: float
-    control_cpu_s: float  # of it, in control work on the loop
+    control_cpu_s: float  # the part of `cpu_s` that control work on the event loop used
     memory_kb: int
     descriptors: int
 
@@ -87,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """How one command ended. `more`: further parts of its data follow under the same id."""
+    """The outcome of one command. `more` means that further parts of its data follow under the same id."""
 
     type: ClassVar[str] = "result"
     id: str
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """The process is about to end by itself."""
+    """The process is shutting down on its own."""
 
     type: ClassVar[str] = "bye"
     reason: str
@@ -108,26 +112,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
+    """The agent accepts the instance. The instance sends a heartbeat every `beat_ms` and closes the connection after
+    `lease_ms` without a message from the agent."""
+
     type: ClassVar[str] = "welcome"
     lease_ms: int
     beat_ms: int
-    spread_ms: int  # should the connection be lost, come back at a random moment within this
-    donors: list[str] = field(default_factory=list)  # HOST:PORT of some that teach newcomers
-    term: int = 0  # of the agent on its record; 0 = it has none
+    spread_ms: int  # after losing the connection, wait a random time up to this before reconnecting
+    donors: list[str] = field(default_factory=list)  # HOST:PORT of some instances that hand out their learned state
+    term: int = 0  # the agent's leadership term; 0 = the agent has no terms
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
+    """The agent turns the connection away; `retry_ms` is the earliest time to try again."""
+
     type: ClassVar[str] = "denied"
     code: str
     text: str
     retry_ms: int
-    leader: str = ""  # HOST:PORT of the agent to dial in place of this one, where it knows
+    leader: str = ""  # HOST:PORT of the leading agent to connect to instead, if known
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewal:
-    """The agent has heard heartbeat `seq`."""
+    """The agent has received heartbeat `seq` and renews the lease."""
 
     type: ClassVar[str] = "lease"
     seq: int
@@ -135,17 +144,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
+    """An instruction from the agent; `kind` is one of COMMAND_KINDS."""
+
     type: ClassVar[str] = "command"
     id: str
-    fence: int  # of its operation; an instance refuses what is below the highest it has seen
-    boot: str  # for this process and no other of the same name
+    fence: int  # of its operation; an instance refuses a fence below the highest that it has seen
+    boot: str  # the only process that may run it, out of all with the same name
     kind: str
     args: dict[str, Any] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class FollowRequest:
-    """The first message of one that follows versions: who is here, whom it belongs to, and what it holds."""
+    """The first message of an instance that follows versions: its identity, its labels and the position it holds."""
 
     type: ClassVar[str] = "follow"
     protocol: int
@@ -155,50 +166,51 @@
     service: str
     zone: str
     region: str
-    lineage: str  # of the log that `position` is in; empty = it holds nothing
+    lineage: str  # of the version log that `position` refers to; empty = the instance holds nothing
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class RunningReport:
-    """What it came to: told after each update that brought entries."""
+    """What the instance runs, sent after each update that contained entries."""
 
     type: ClassVar[str] = "runs"
-    position: int  # that it holds
-    running: int  # the position whose configuration it runs: lower, where what it holds was refused
-    digest: str  # of what it runs
-    status: str  # applied, refused, failed, needs restart
+    position: int  # the newest position that the instance holds
+    running: int  # the position whose configuration it runs; lower than `position` if that one was refused
+    digest: str  # of the configuration that it runs
+    status: str  # one of RESULT_STATUSES
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class OverlayLayer:
-    """An entry of the log, for one that is in its scope."""
+    """An entry of the version log, as sent to an instance in its scope."""
 
     version: int
     scope: str
-    overlay: Any = None  # an object; null = the scope has none from here on
+    overlay: Any = None  # an object; null = the scope has no overlay from this version on
 
 
 @dataclass(frozen=True, slots=True)
 class VersionUpdate:
-    """From `since` to `position`, what concerns this instance; with no entries it only says where the agent is."""
+    """The log entries after `since`, up to `position`, whose scope includes this instance. Without entries it only
+    tells the agent's position."""
 
     type: ClassVar[str] = "update"
     lineage: str
     position: int
     since: int
-    snapshot: bool  # all that concerns it, in place of what it held
-    floor: int
+    snapshot: bool  # the entries replace everything that the instance held
+    floor: int  # an instance whose position is below this needs a snapshot
     entries: list[OverlayLayer]
-    digest: str  # of what the instance's entries come to at `position`
-    age_ms: int  # since this agent last reached the record
-    spread_ms: int  # should the connection be lost, dial another at a random moment within this
+    digest: str  # of the configuration that the instance's entries add up to at `position`
+    age_ms: int  # since this agent last reached its database
+    spread_ms: int  # after losing the connection, wait a random time up to this before trying another agent
 
 
 @dataclass(frozen=True, slots=True)
 class PositionCount:
-    """So many followers run what is at `position`."""
+    """How many followers run the configuration at `position`."""
 
     position: int
     number: int
@@ -206,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DifferingFollower:
-    """A follower that does not run what its agent's view says, and why."""
+    """A follower that doesn't run the configuration that its agent's view of the log asks for, and the reason."""
 
     name: str
     running: int
@@ -216,20 +228,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSummary:
-    """An agent's followers, in one message to the agent that leads; each is answered with a LeaseRenewal."""
+    """A standby agent's summary of its followers for the leading agent, which answers each with a LeaseRenewal."""
 
     type: ClassVar[str] = "sum"
     protocol: int
     token: str
     seq: int
-    agent: str  # HOST:PORT where it is followed
+    agent: str  # HOST:PORT where instances follow this agent
     lineage: str
-    position: int  # of its view
-    age_ms: int  # since it last reached the record
+    position: int  # of the agent's view of the log
+    age_ms: int  # since the agent last reached its database
     followers: int
-    counts: list[PositionCount]  # the highest positions
-    differing: list[DifferingFollower]  # some of them
-    more: int  # that differ beside those
+    counts: list[PositionCount]  # for the highest positions only
+    differing: list[DifferingFollower]  # a limited number of them
+    more: int  # how many more differ than are listed in `differing`
 
 
 Message = (Hello | Heartbeat | CommandResult | Goodbye | Welcome | Denied | LeaseRenewal | Command | FollowRequest
@@ -248,14 +260,15 @@
 
 
 def _read_int(value: Any, at: str) -> int:
-    # hazard: in JSON true is no number, in Python it is one; and a count can't be negative
+    # The exact type is compared because bool is a subclass of int: JSON true must not pass as 1. No integer field of
+    # the protocol can be negative.
     if type(value) is not int or not 0 <= value <= MAX_INTEGER:
         raise _wrong("int", value, at)
     return value
 
 
 def _read_float(value: Any, at: str) -> float:
-    if type(value) not in (int, float) or not 0 <= value < math.inf:  # NaN is not at least 0
+    if type(value) not in (int, float) or not 0 <= value < math.inf:  # the comparison also rejects NaN
         raise _wrong("float", value, at)
     return float(value)
 
@@ -280,7 +293,7 @@
 
 
 def _reader(hint: Any) -> Reader:
-    """The reader of a type, made once: thousands of heartbeats a second are read by it."""
+    """The reader function for a type hint, cached because an agent reads thousands of heartbeats a second."""
     if hint not in _READERS:
         _READERS[hint] = _make_reader(hint)
     return _READERS[hint]
@@ -320,14 +333,14 @@
             raise _wrong("an object", value, at)
         if not required <= value.keys():
             raise MessageError(f"{at}: expected {min(required - value.keys())!r}, got nothing")
-        # keys that are not known are skipped: a newer side may say more
+        # unknown keys are ignored, so that a newer peer may send additional fields
         return kind(**{name: reader(value[name], f"{at}.{name}") for name, reader in readers if name in value})
 
     return read_object
 
 
 def _plain(value: Any) -> Any:
-    """As `dataclasses.asdict`, without its copies of what is plain already."""
+    """Like `dataclasses.asdict`, but without copying values that are plain JSON already."""
     if dataclasses.is_dataclass(value):
         return {name: _plain(getattr(value, name)) for name in value.__slots__}  # type: ignore[union-attr]
     if type(value) is list and value and dataclasses.is_dataclass(value[0]):
@@ -336,7 +349,7 @@
 
 
 def parse_message(message: dict[str, Any], allowed: tuple[type[Message], ...]) -> Message:
-    """A decoded frame as one of `allowed`. Raises MessageError."""
+    """Validates a decoded frame as one of the `allowed` message types. Raises MessageError."""
     for kind in allowed:
         if kind.type == message.get("type"):
             found: Message = _reader(kind)(message, kind.type)
@@ -347,6 +360,7 @@
 
 
 def _check(message: Message) -> None:
+    """Checks that go beyond the types of single fields."""
     def one_of(what: str, value: str, choices: tuple[str, ...]) -> None:
         if value not in choices:
             raise MessageError(f"{message.type}.{what}: expected one of {', '.join(choices)}, "
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -1,4 +1,5 @@
-"""Instances without a data path, many in one process: the same protocol, for tests and measurements of the agent."""
+"""Simulated instances for tests and benchmarks of the agent: the real control protocol without a data path, so that
+many fit into one process."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 
 class LightInstance:
-    """Keeps what it was told and nothing else. `applied` counts effects by generation: each is due once."""
+    """Records the commands that it was given. `effects` lists their effects in order; each must occur exactly once."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -28,11 +29,11 @@
         self.draining = False
         self.open = 0
         self.ended = False
-        self.nodes: Callable[[], list[dict[str, Any]]] | None = None  # what a script has it see
+        self.nodes: Callable[[], list[dict[str, Any]]] | None = None  # replaces the default upstreams
         self.ready = True
         self.counts = ClassCounts("view", 0, 0, 0)
         self.effects: list[str] = []
-        self.before_effect: Callable[[str], None] = lambda what: None  # a script may refuse, or end the process
+        self.before_effect: Callable[[str], None] = lambda what: None  # may raise, or end the process
         self.client: Client | None = None
         self.layered = Layered(self)
         self.fence = 0
@@ -71,6 +72,7 @@
 def light(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
           rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None,
           others: tuple[tuple[str, int], ...] = ()) -> tuple[LightInstance, Client]:
+    """A simulated instance and the client that connects it to the agent at `address`, or to one of `others`."""
     instance = LightInstance(name)
     identity = Identity(name, boot or secrets.token_hex(8), 0, "light", time.time_ns() // 1_000_000, zone,
                         "127.0.0.1:0", token, replaces)
@@ -86,12 +88,12 @@
 
 def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
                    rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
-    """Has a light instance follow published versions."""
+    """Makes a simulated instance follow published versions."""
     return Follower(instance.layered, Follows(labels, boot or secrets.token_hex(8), token, places),
                     rng or random.Random(), log)
 
 
 async def stop(task: asyncio.Task[Any]) -> None:
-    """As a kill does: the connection ends with nothing said."""
+    """Ends a client as a kill would: the connection closes without a goodbye message."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
