--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -212,7 +212,8 @@
 
 
 class _Link(asyncio.Protocol):
-    """One connection to an agent. Until the agent is followed, only its position is used and its updates are buffered."""
+    """One connection to an agent. Until the agent is followed, its updates are buffered and only its position is
+    considered."""
 
     def __init__(self, follower: Follower, place: Place) -> None:
         self.follower, self.place = follower, place
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the agent on sockets: whatever the agent does, and a real sidecar's traffic beside it."""
+"""The agent client over real sockets: misbehaving agents, and commands to a real sidecar that serves traffic."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ScriptedAgent:
-    """Listens, keeps what it is told, says what the test says."""
+    """A fake agent: records the messages that it receives and sends what the test tells it to."""
 
     def __init__(self, greet: Message | bytes | None = WELCOME) -> None:
         self.greet = greet
@@ -204,7 +204,7 @@
         agent = await ScriptedAgent(greeting).start()
         async with connected(agent, lines.append) as (instance, _):
             await until(lambda: len(agent.writers) >= 3)
-            assert len(lines) == 1 and "\n" not in lines[0]  # one line in five seconds
+            assert len(lines) == 1 and "\n" not in lines[0]  # log lines are limited to one in five seconds
             assert instance.effects == []
             agent.greet = WELCOME
             await until(lambda: agent.beats())
@@ -213,12 +213,12 @@
 
 
 def test_an_agent_that_falls_silent_is_left_when_its_lease_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: a machine that vanished says nothing, and the connection stays open for ever."""
+    """When the agent's machine disappears, nothing closes the connection: it would stay open for ever."""
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(150, 20, 10)).start()
         async with connected(agent):
             await until(lambda: agent.beats())
-            agent.greet = None  # takes all and says nothing more
+            agent.greet = None  # still reads, but no longer answers
             await until(lambda: len(agent.writers) >= 2)
 
     run(test)
@@ -281,7 +281,7 @@
     run(test)
 
 
-# A real sidecar
+# With a real sidecar
 
 
 def client_of(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, Client]:
@@ -302,18 +302,18 @@
     return sum(statuses.values()) >= least
 
 
-@pytest.mark.parametrize("what", ["gone", "nonsense", "commands", "away from the start"])
+@pytest.mark.parametrize("what", ["connection lost", "invalid frames", "commands", "never reachable"])
 def test_traffic_goes_on_whatever_the_agent_does(what: str) -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(4)]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        agent = await ScriptedAgent(b"\x00\x00\x00\x05junk!" if what == "nonsense" else WELCOME).start()
-        if what == "away from the start":
+        agent = await ScriptedAgent(b"\x00\x00\x00\x05junk!" if what == "invalid frames" else WELCOME).start()
+        if what == "never reachable":
             agent.stop()
         _, client = client_of(scene, agent)
         control, stop, statuses = asyncio.create_task(client.run()), asyncio.Event(), Counter[int]()
         callers = [asyncio.create_task(traffic(scene, statuses, stop)) for _ in range(3)]
-        if what != "away from the start":
+        if what != "never reachable":
             await until(lambda: agent.got)
         for generation in range(1, 30):
             if what == "commands":
@@ -321,7 +321,7 @@
                 result = await agent.command(f"{generation}.0.1", generation, "reconfigure", generation=generation,
                                              overlay={"settings": {"request-classes": classes}})
                 assert (result.status, scene.sidecar.generation) == ("applied", generation)
-            elif what == "gone":
+            elif what == "connection lost":
                 for writer in agent.writers:
                     writer.transport.abort()
             done = sum(statuses.values())
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -1,4 +1,4 @@
-"""The instance's own decisions without I/O: commands once, when to dial again, the slice of the loop."""
+"""The instance's decisions without I/O: running commands once, reconnect backoff, the limit on control work."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def carry(commands: Commands, one: Command) -> str:
-    """done, or how it was answered instead."""
+    """Delivers a command: "done" if it ran, else the status of the result that was sent instead."""
     admitted, answer = commands.admit(one)
     if admitted:
         commands.finish(CommandResult(one.id, "applied", "first"))
@@ -58,7 +58,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 12)), max_size=1200))
 def test_no_command_is_ever_done_twice(deliveries: list[tuple[int, int]]) -> None:
-    """An id belongs to one fence, as in the agent; deliveries come in any order and as often as they like."""
+    """As in the agent, each id belongs to one fence. Deliveries come in any order and any number of times."""
     commands, done = Commands("b"), []
     for ident, _ in deliveries:
         one = command(str(ident), ident // 20)
@@ -73,13 +73,13 @@
         carry(commands, command(str(i), i))
     assert len(commands.answered) == REMEMBERED
     assert carry(commands, command("0", 0)) == "refused"
-    for i in range(2 * REMEMBERED):  # all at one fence: none may be forgotten
+    for i in range(2 * REMEMBERED):  # all with the same fence: none may be forgotten
         carry(commands, command(f"x{i}", 10_000))
     assert carry(commands, command("x0", 10_000)) == "applied"
 
 
 def test_five_thousand_that_lost_one_agent_do_not_come_back_in_one_second() -> None:
-    """The agent tells them the spread: 5,000 at 200 a second is 25 s."""
+    """The agent sends the spread: 5,000 instances at 200 a second take 25 s."""
     waits = [Redial(random.Random(seed), spread_s=25.0).lost() for seed in range(5_000)]
     busiest = max(sum(at <= wait < at + 1 for wait in waits) for at in range(26))
     assert 150 <= busiest <= 300 and max(waits) <= 25.0
@@ -111,7 +111,7 @@
 
 
 def test_one_long_step_does_not_shut_control_work_out() -> None:
-    """Hazard: 0.4 s for once would have been followed by 20 s in which no lease was renewed."""
+    """Without the limit on pauses, one step of 0.4 s would be followed by 20 s in which no lease is renewed."""
     work = Slice()
     work.spend(10.0, 0.4)
     assert work.wait_s(10.0) == MOST_REST_S
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -1,4 +1,4 @@
-"""The decisions under a drain and under new settings, without sockets."""
+"""The load balancer's decisions during a drain and after a settings change, without sockets."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     world.settings = new
     assert {i: s.window.slots for i, s in world.balancer.servers.items()} == before
     assert world.balancer.tenant_seen == [0.0, 3.0, 7.0]
-    assert world.balancer.requests[out].event.tenant == 2  # still big's
+    assert world.balancer.requests[out].event.tenant == 2  # still the tenant "big", whose index has changed
     world.end(out, 0, Outcome.OK)
     assert world.owed[out].answers == 1
     assert world.sends(world.arrive(3))  # the new class is served
@@ -104,7 +104,7 @@
     (lambda s: setattr(s, "list_on_request", not s.list_on_request), "list on request"),
 ])
 def test_what_open_requests_were_judged_by_can_not_change(change: object, words: str) -> None:
-    """Hazard: an unsafe request that is out would be sent again as if it were safe."""
+    """Open requests depend on these settings: a request that is not idempotent could be retried as if it were."""
     old, new = settings(), settings()
     change(new)  # type: ignore[operator]
     assert words in restart_only_change(old, new)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -1,4 +1,4 @@
-"""An instance that follows published versions, at agents that do what a test says; on sockets."""
+"""An instance that follows published versions over real sockets, with scripted agents."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Serving:
-    """An agent that holds a log and serves it; `fresh` = it reaches the record."""
+    """A fake agent that serves a version log. `fresh`: it reaches its database."""
 
     def __init__(self, log: list[Entry], lineage: str = "L") -> None:
         self.log, self.lineage = log, lineage
@@ -113,7 +113,7 @@
 
 @contextlib.asynccontextmanager
 async def following(*agents: Serving, zones: tuple[str, ...] = ()) -> AsyncIterator[tuple[LightInstance, Follower]]:
-    """The first agent is the nearest."""
+    """Runs a follower of these agents; the first is in its own zone."""
     instance = LightInstance("app-0")
     places = tuple(agent.place("a" if i == 0 else "") for i, agent in enumerate(agents))
     follower = light_follower(instance, LABELS, "token", places, rng=random.Random(1))
@@ -223,9 +223,9 @@
             own, near.fresh = follower.own, False
             assert own is not None
             near.tell()
-            await until(lambda: any(isinstance(m, FollowRequest) for m in far.got))  # it has looked
+            await until(lambda: any(isinstance(m, FollowRequest) for m in far.got))  # it has tried the other agent
             assert follower.own is own and not own.ended.is_set() and instance.overlay == {"a": 1}
-            near.publish({"a": 2})  # and takes what the cut-off one says
+            near.publish({"a": 2})  # and still applies the updates of its agent
             await until(lambda: instance.overlay == {"a": 2})
 
     run(test)
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames and messages: whole or refused, whatever the bytes are."""
+"""Frames and messages: any bytes give either valid messages or a clear error."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
         assert str(error).startswith(f"{message.type}.{field}") and "expected" in str(error)
         assert "\n" not in str(error)
     else:
-        assert type(found) is type(message)  # and every field has passed the check of its type
+        assert type(found) is type(message)  # every field has passed its type check
 
 
 @pytest.mark.parametrize(("message", "words"), [
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -1,4 +1,4 @@
-"""What is off costs nothing: the platform's sidecar loads none of it."""
+"""Optional subsystems that are switched off aren't loaded; the operator file that switches them on is validated."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_the_instances_side_needs_no_extra() -> None:
-    """A sidecar with an agent runs on requirements.txt alone."""
+    """A sidecar that connects to an agent needs no packages beyond requirements.txt."""
     code = ("import sys, ironscale.control.extension; "
             "print(*sorted({m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
@@ -49,7 +49,7 @@
     assert found.learned is None
     every = "\n".join(line.removeprefix("# ") for line in text.splitlines() if line.startswith("# ")
                       and ("=" in line or "[" in line) and not line.startswith(("# Check", "# The", "# A side")))
-    full = parse(every, "operator.toml", Path("/etc"))  # and what it shows is valid too
+    full = parse(every, "operator.toml", Path("/etc"))  # the commented examples are valid too
     assert full.agent is not None and full.agent.services[0].environment == {"LANG": "C"}
     assert full.learned is not None and full.learned.folder == Path("/etc/learned")
     assert full.learned.ask == (("127.0.0.1", 7601),)
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -1,4 +1,4 @@
-"""An instance with several agents to dial: it turns to who leads, and back to nobody whose term is over."""
+"""An instance with several agents: it connects to the one that leads, and rejects an agent whose term is over."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tries that come to nothing wait ever longer, up to this: not what is tested here."""
+    """Limits the backoff between failed attempts, which is not tested here."""
     monkeypatch.setattr(pacing, "MOST_S", 0.05)
 
 
 def test_a_welcome_of_a_term_below_one_that_it_had_is_not_taken() -> None:
-    """Hazard: a leader that was stopped, and does not know yet that another leads, would have commands for it."""
+    """A suspended leader may not know yet that another agent leads, and would send outdated commands."""
 
     async def test() -> None:
         new = await ScriptedAgent(Welcome(5_000, 50, 10, [], 3)).start()
-        # its command comes right behind its welcome
+        # The command arrives directly after the welcome.
         old = await ScriptedAgent(b"".join(encode(serialize_message(message)) for message in (
             Welcome(5_000, 50, 10, [], 2), Command("1.0.1", 9, "boot", "drain")))).start()
         client = client_of(new, old)
         task = asyncio.create_task(client.run())
         await until(lambda: client.term == 3 and new.beats())
         new.stop()
-        # it has left again, and come again: whatever it was told meanwhile had no effect
+        # The client has disconnected and reconnected several times; the commands sent meanwhile had no effect.
         await until(lambda: sum(isinstance(message, Hello) for message in old.got) >= 3 or old.results())
         assert not old.results() and not old.beats() and client.term == 3
         old.greet = Welcome(5_000, 50, 10, [], 4)
@@ -60,7 +60,7 @@
         client = client_of(follower, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.beats())
-        assert not stranger.got  # it would have been told the token
+        assert not stranger.got  # a connection would have sent it the token
         await stop(task)
         for agent in (leader, stranger, follower):
             agent.stop()
