--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -255,7 +255,7 @@
 Reader = Callable[[Any, str], Any]
 
 
-def _wrong(expected: str, value: Any, at: str) -> MessageError:
+def _unexpected_value(expected: str, value: Any, at: str) -> MessageError:
     return MessageError(f"{at}: expected {expected}, got {str(value)[:60]!r}")
 
 
@@ -263,25 +263,25 @@
     # The exact type is compared because bool is a subclass of int: JSON true must not pass as 1. No integer field of
     # the protocol can be negative.
     if type(value) is not int or not 0 <= value <= MAX_INTEGER:
-        raise _wrong("int", value, at)
+        raise _unexpected_value("int", value, at)
     return value
 
 
 def _read_float(value: Any, at: str) -> float:
     if type(value) not in (int, float) or not 0 <= value < math.inf:  # the comparison also rejects NaN
-        raise _wrong("float", value, at)
+        raise _unexpected_value("float", value, at)
     return float(value)
 
 
 def _read_bool(value: Any, at: str) -> bool:
     if type(value) is not bool:
-        raise _wrong("bool", value, at)
+        raise _unexpected_value("bool", value, at)
     return value
 
 
 def _read_str(value: Any, at: str) -> str:
     if type(value) is not str or len(value) > MAX_TEXT_LENGTH:
-        raise _wrong("str", value, at)
+        raise _unexpected_value("str", value, at)
     return value
 
 
@@ -310,12 +310,12 @@
 
     def read_list(value: Any, at: str) -> list[Any]:
         if type(value) is not list:
-            raise _wrong("a list", value, at)
+            raise _unexpected_value("a list", value, at)
         return [inner(item, f"{at}[{i}]") for i, item in enumerate(value)]
 
     def read_dict(value: Any, at: str) -> dict[str, Any]:
         if type(value) is not dict:
-            raise _wrong("an object", value, at)
+            raise _unexpected_value("an object", value, at)
         return {k: inner(v, f"{at}.{k[:60]}") for k, v in value.items()}
 
     return read_list if origin is list else read_dict if origin is dict else read_optional
@@ -330,7 +330,7 @@
 
     def read_object(value: Any, at: str) -> Any:
         if type(value) is not dict:
-            raise _wrong("an object", value, at)
+            raise _unexpected_value("an object", value, at)
         if not required <= value.keys():
             raise MessageError(f"{at}: expected {min(required - value.keys())!r}, got nothing")
         # unknown keys are ignored, so that a newer peer may send additional fields
