--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -339,12 +339,12 @@
     return read_object
 
 
-def _plain(value: Any) -> Any:
+def _to_json_value(value: Any) -> Any:
     """Like `dataclasses.asdict`, but without copying values that are plain JSON already."""
     if dataclasses.is_dataclass(value):
-        return {name: _plain(getattr(value, name)) for name in value.__slots__}  # type: ignore[union-attr]
+        return {name: _to_json_value(getattr(value, name)) for name in value.__slots__}  # type: ignore[union-attr]
     if type(value) is list and value and dataclasses.is_dataclass(value[0]):
-        return [_plain(item) for item in value]
+        return [_to_json_value(item) for item in value]
     return value
 
 
@@ -381,4 +381,4 @@
 
 def serialize_message(message: Message) -> dict[str, Any]:
     """The message as a JSON object."""
-    return {"type": message.type, **_plain(message)}
+    return {"type": message.type, **_to_json_value(message)}
