--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -353,13 +353,13 @@
     for kind in allowed:
         if kind.type == message.get("type"):
             found: Message = _reader(kind)(message, kind.type)
-            _check(found)
+            _check_values(found)
             return found
     expected = ", ".join(kind.type for kind in allowed)
     raise MessageError(f"type: expected one of {expected}, got {str(message.get('type'))[:60]!r}")
 
 
-def _check(message: Message) -> None:
+def _check_values(message: Message) -> None:
     """Checks that go beyond the types of single fields."""
     def one_of(what: str, value: str, choices: tuple[str, ...]) -> None:
         if value not in choices:
