--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -252,7 +252,7 @@
 TO_FOLLOWER: tuple[type[Message], ...] = (VersionUpdate, Denied)
 
 
-Reader = Callable[[Any, str], Any]
+FieldReader = Callable[[Any, str], Any]
 
 
 def _unexpected_value(expected: str, value: Any, at: str) -> MessageError:
@@ -289,17 +289,17 @@
     return value
 
 
-_READERS: dict[Any, Reader] = {int: _read_int, float: _read_float, bool: _read_bool, str: _read_str, Any: _read_any}
+_READERS: dict[Any, FieldReader] = {int: _read_int, float: _read_float, bool: _read_bool, str: _read_str, Any: _read_any}
 
 
-def _reader(hint: Any) -> Reader:
+def _reader(hint: Any) -> FieldReader:
     """The reader function for a type hint, cached because an agent reads thousands of heartbeats a second."""
     if hint not in _READERS:
         _READERS[hint] = _make_reader(hint)
     return _READERS[hint]
 
 
-def _make_reader(hint: Any) -> Reader:
+def _make_reader(hint: Any) -> FieldReader:
     if dataclasses.is_dataclass(hint):
         return _object_reader(hint)
     origin, args = typing.get_origin(hint), typing.get_args(hint)
@@ -321,7 +321,7 @@
     return read_list if origin is list else read_dict if origin is dict else read_optional
 
 
-def _object_reader(kind: Any) -> Reader:
+def _object_reader(kind: Any) -> FieldReader:
     hints = typing.get_type_hints(kind)
     fields = dataclasses.fields(kind)
     readers = [(f.name, _reader(hints[f.name])) for f in fields]
