--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -255,8 +255,8 @@
 FieldReader = Callable[[Any, str], Any]
 
 
-def _unexpected_value(expected: str, value: Any, at: str) -> MessageError:
-    return MessageError(f"{at}: expected {expected}, got {str(value)[:60]!r}")
+def _unexpected_value(expected: str, value: Any, path: str) -> MessageError:
+    return MessageError(f"{path}: expected {expected}, got {str(value)[:60]!r}")
 
 
 def _read_int(value: Any, at: str) -> int:
