--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -259,11 +259,11 @@
     return MessageError(f"{path}: expected {expected}, got {str(value)[:60]!r}")
 
 
-def _read_int(value: Any, at: str) -> int:
+def _read_int(value: Any, path: str) -> int:
     # The exact type is compared because bool is a subclass of int: JSON true must not pass as 1. No integer field of
     # the protocol can be negative.
     if type(value) is not int or not 0 <= value <= MAX_INTEGER:
-        raise _unexpected_value("int", value, at)
+        raise _unexpected_value("int", value, path)
     return value
 
 
