--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -267,9 +267,9 @@
     return value
 
 
-def _read_float(value: Any, at: str) -> float:
+def _read_float(value: Any, path: str) -> float:
     if type(value) not in (int, float) or not 0 <= value < math.inf:  # the comparison also rejects NaN
-        raise _unexpected_value("float", value, at)
+        raise _unexpected_value("float", value, path)
     return float(value)
 
 
