--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -273,9 +273,9 @@
     return float(value)
 
 
-def _read_bool(value: Any, at: str) -> bool:
+def _read_bool(value: Any, path: str) -> bool:
     if type(value) is not bool:
-        raise _unexpected_value("bool", value, at)
+        raise _unexpected_value("bool", value, path)
     return value
 
 
