--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -279,9 +279,9 @@
     return value
 
 
-def _read_str(value: Any, at: str) -> str:
+def _read_str(value: Any, path: str) -> str:
     if type(value) is not str or len(value) > MAX_TEXT_LENGTH:
-        raise _unexpected_value("str", value, at)
+        raise _unexpected_value("str", value, path)
     return value
 
 
