--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -285,7 +285,7 @@
     return value
 
 
-def _read_any(value: Any, at: str) -> Any:
+def _read_any(value: Any, path: str) -> Any:
     return value
 
 
