--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -305,8 +305,8 @@
     origin, args = typing.get_origin(hint), typing.get_args(hint)
     inner = _reader(args[-1] if origin is dict else args[0])
 
-    def read_optional(value: Any, at: str) -> Any:
-        return None if value is None else inner(value, at)
+    def read_optional(value: Any, path: str) -> Any:
+        return None if value is None else inner(value, path)
 
     def read_list(value: Any, at: str) -> list[Any]:
         if type(value) is not list:
