--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -308,10 +308,10 @@
     def read_optional(value: Any, path: str) -> Any:
         return None if value is None else inner(value, path)
 
-    def read_list(value: Any, at: str) -> list[Any]:
+    def read_list(value: Any, path: str) -> list[Any]:
         if type(value) is not list:
-            raise _unexpected_value("a list", value, at)
-        return [inner(item, f"{at}[{i}]") for i, item in enumerate(value)]
+            raise _unexpected_value("a list", value, path)
+        return [inner(item, f"{path}[{i}]") for i, item in enumerate(value)]
 
     def read_dict(value: Any, at: str) -> dict[str, Any]:
         if type(value) is not dict:
