--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -313,10 +313,10 @@
             raise _unexpected_value("a list", value, path)
         return [inner(item, f"{path}[{i}]") for i, item in enumerate(value)]
 
-    def read_dict(value: Any, at: str) -> dict[str, Any]:
+    def read_dict(value: Any, path: str) -> dict[str, Any]:
         if type(value) is not dict:
-            raise _unexpected_value("an object", value, at)
-        return {k: inner(v, f"{at}.{k[:60]}") for k, v in value.items()}
+            raise _unexpected_value("an object", value, path)
+        return {k: inner(v, f"{path}.{k[:60]}") for k, v in value.items()}
 
     return read_list if origin is list else read_dict if origin is dict else read_optional
 
