--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -328,13 +328,13 @@
     required = {f.name for f in fields
                 if f.default is dataclasses.MISSING and f.default_factory is dataclasses.MISSING}
 
-    def read_object(value: Any, at: str) -> Any:
+    def read_object(value: Any, path: str) -> Any:
         if type(value) is not dict:
-            raise _unexpected_value("an object", value, at)
+            raise _unexpected_value("an object", value, path)
         if not required <= value.keys():
-            raise MessageError(f"{at}: expected {min(required - value.keys())!r}, got nothing")
+            raise MessageError(f"{path}: expected {min(required - value.keys())!r}, got nothing")
         # unknown keys are ignored, so that a newer peer may send additional fields
-        return kind(**{name: reader(value[name], f"{at}.{name}") for name, reader in readers if name in value})
+        return kind(**{name: reader(value[name], f"{path}.{name}") for name, reader in readers if name in value})
 
     return read_object
 
