--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -361,9 +361,9 @@
 
 def _check_values(message: Message) -> None:
     """Checks that go beyond the types of single fields."""
-    def one_of(what: str, value: str, choices: tuple[str, ...]) -> None:
+    def one_of(field_name: str, value: str, choices: tuple[str, ...]) -> None:
         if value not in choices:
-            raise MessageError(f"{message.type}.{what}: expected one of {', '.join(choices)}, "
+            raise MessageError(f"{message.type}.{field_name}: expected one of {', '.join(choices)}, "
                                f"got {value[:60]!r}")
 
     match message:
