--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -368,10 +368,10 @@
 
     match message:
         case Hello() | FollowRequest():
-            for what in ("name", "boot"):
-                text = getattr(message, what)
+            for field_name in ("name", "boot"):
+                text = getattr(message, field_name)
                 if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
-                    raise MessageError(f"{message.type}.{what}: expected 1 to {MAX_NAME_LENGTH} printable characters, "
+                    raise MessageError(f"{message.type}.{field_name}: expected 1 to {MAX_NAME_LENGTH} printable characters, "
                                        f"got {text[:60]!r}")
         case Command():
             one_of("kind", message.kind, COMMAND_KINDS)
