--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from ironscale.agent.control_connections import NOT_LEADING
-from ironscale.control.frames import HEADER, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, Decoder, FrameError, encode
 from ironscale.control.messages import (
     FROM_FOLLOWER,
     PROTOCOL,
@@ -156,9 +156,9 @@
                 seq += 1
                 async with asyncio.timeout(SUM_ANSWER_S):
                     writer.write(encode(serialize_message(self.own_sum(token, seq))))
-                    size = int.from_bytes(await reader.readexactly(HEADER))
+                    size = int.from_bytes(await reader.readexactly(HEADER_BYTES))
                     decoder = Decoder()
-                    decoder.feed(size.to_bytes(HEADER) + await reader.readexactly(min(size, 1 << 16)))
+                    decoder.feed(size.to_bytes(HEADER_BYTES) + await reader.readexactly(min(size, 1 << 16)))
                     raw = decoder.next()
                 if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-HEADER = 4
+HEADER_BYTES = 4
 # A frame is decoded in one step on the sidecar's event loop; 128 KiB of JSON take less than 2 ms.
 MAX_FRAME = 128 << 10
 MAX_DEPTH = 32
@@ -24,7 +24,7 @@
     body = json.dumps(message, separators=(",", ":"), allow_nan=False).encode()
     if len(body) > MAX_FRAME:
         raise FrameError(f"expected a frame of {MAX_FRAME} bytes at most, got {len(body)}")
-    return len(body).to_bytes(HEADER) + body
+    return len(body).to_bytes(HEADER_BYTES) + body
 
 
 class Decoder:
@@ -39,16 +39,16 @@
     def next(self) -> dict[str, Any] | None:
         """The next message, or None until all its bytes have arrived. Raises FrameError, after which the stream can't
         be used any further."""
-        if len(self.buffer) < HEADER:
+        if len(self.buffer) < HEADER_BYTES:
             return None
-        size = int.from_bytes(self.buffer[:HEADER])
+        size = int.from_bytes(self.buffer[:HEADER_BYTES])
         # Checked before the body arrives: otherwise a length of 4 GB would be buffered in memory.
         if not 2 <= size <= MAX_FRAME:
             raise FrameError(f"expected a length from 2 to {MAX_FRAME}, got {size}")
-        if len(self.buffer) < HEADER + size:
+        if len(self.buffer) < HEADER_BYTES + size:
             return None
-        body = bytes(self.buffer[HEADER:HEADER + size])
-        del self.buffer[:HEADER + size]
+        body = bytes(self.buffer[HEADER_BYTES:HEADER_BYTES + size])
+        del self.buffer[:HEADER_BYTES + size]
         try:
             message = json.loads(body, parse_constant=_no_constant)
         except (ValueError, RecursionError) as error:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.frames import HEADER, MAX_FRAME, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, MAX_FRAME, Decoder, FrameError, encode
 from ironscale.control.messages import (
     FROM_AGENT,
     FROM_INSTANCE,
@@ -82,7 +82,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_give_messages_or_one_of_two_errors(raw: bytes) -> None:
     decoder = Decoder()
-    decoder.feed(len(raw).to_bytes(HEADER) + raw)
+    decoder.feed(len(raw).to_bytes(HEADER_BYTES) + raw)
     try:
         while (found := decoder.next()) is not None:
             parse_message(found, FROM_INSTANCE + FROM_AGENT)
