--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -18,7 +18,7 @@
 
 from ironscale import logs
 from ironscale.control.commands import Commands
-from ironscale.control.frames import MAX_FRAME, Decoder, FrameError, encode
+from ironscale.control.frames import MAX_FRAME_BYTES, Decoder, FrameError, encode
 from ironscale.control.instance import Instance, Refused, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
@@ -42,7 +42,7 @@
 CONNECT_S, WELCOME_S = 2.0, 5.0
 OTHERS_WELCOME_S = 1.0  # shorter if there are other agents to try
 PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
-MOST_UNSENT = 2 * MAX_FRAME  # bytes that the agent has not read yet; above this nothing more is produced
+MOST_UNSENT = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
 LOG_GAP_S = 5.0
 NOT_LEADING = "NOT_LEADING"
 
@@ -215,7 +215,7 @@
         if self.ended.is_set():
             return
         self.decoder.feed(data)
-        if len(self.decoder.buffer) > 2 * MAX_FRAME and self.transport is not None:
+        if len(self.decoder.buffer) > 2 * MAX_FRAME_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self.schedule()
 
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -7,7 +7,7 @@
 
 HEADER_BYTES = 4
 # A frame is decoded in one step on the sidecar's event loop; 128 KiB of JSON take less than 2 ms.
-MAX_FRAME = 128 << 10
+MAX_FRAME_BYTES = 128 << 10
 MAX_DEPTH = 32
 
 
@@ -22,8 +22,8 @@
 def encode(message: dict[str, Any]) -> bytes:
     """The message as one frame. Raises FrameError if it exceeds the maximum size."""
     body = json.dumps(message, separators=(",", ":"), allow_nan=False).encode()
-    if len(body) > MAX_FRAME:
-        raise FrameError(f"expected a frame of {MAX_FRAME} bytes at most, got {len(body)}")
+    if len(body) > MAX_FRAME_BYTES:
+        raise FrameError(f"expected a frame of {MAX_FRAME_BYTES} bytes at most, got {len(body)}")
     return len(body).to_bytes(HEADER_BYTES) + body
 
 
@@ -43,8 +43,8 @@
             return None
         size = int.from_bytes(self.buffer[:HEADER_BYTES])
         # Checked before the body arrives: otherwise a length of 4 GB would be buffered in memory.
-        if not 2 <= size <= MAX_FRAME:
-            raise FrameError(f"expected a length from 2 to {MAX_FRAME}, got {size}")
+        if not 2 <= size <= MAX_FRAME_BYTES:
+            raise FrameError(f"expected a length from 2 to {MAX_FRAME_BYTES}, got {size}")
         if len(self.buffer) < HEADER_BYTES + size:
             return None
         body = bytes(self.buffer[HEADER_BYTES:HEADER_BYTES + size])
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.frames import HEADER_BYTES, MAX_FRAME, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, Decoder, FrameError, encode
 from ironscale.control.messages import (
     FROM_AGENT,
     FROM_INSTANCE,
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize(("raw", "words"), [
     ((0).to_bytes(4), "expected a length from 2"), ((1).to_bytes(4) + b"1", "expected a length"),
-    ((MAX_FRAME + 1).to_bytes(4), f"got {MAX_FRAME + 1}"), (b"GET / HTTP/1.1\r\n", "expected a length"),
+    ((MAX_FRAME_BYTES + 1).to_bytes(4), f"got {MAX_FRAME_BYTES + 1}"), (b"GET / HTTP/1.1\r\n", "expected a length"),
     ((2).to_bytes(4) + b"[]", "an object with a type"), ((2).to_bytes(4) + b"{}", "an object with a type"),
     ((9).to_bytes(4) + b'{"type":1', "expected JSON"), ((12).to_bytes(4) + b'{"type":NaN}', "expected JSON"),
     ((4).to_bytes(4) + b"\xff\xfe\x00\x01", "expected JSON"), ((40_000).to_bytes(4) + b"[" * 40_000, "expected JSON"),
@@ -76,7 +76,7 @@
 
 def test_a_message_over_the_limit_is_not_encoded() -> None:
     with pytest.raises(FrameError, match="expected a frame"):
-        encode({"type": "result", "data": "x" * MAX_FRAME})
+        encode({"type": "result", "data": "x" * MAX_FRAME_BYTES})
 
 
 @given(st.binary(max_size=300))
