--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -15,7 +15,7 @@
     """The bytes are not a valid frame; the connection can't be used any further."""
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is no JSON")
 
 
@@ -50,7 +50,7 @@
         body = bytes(self.buffer[HEADER_BYTES:HEADER_BYTES + size])
         del self.buffer[:HEADER_BYTES + size]
         try:
-            message = json.loads(body, parse_constant=_no_constant)
+            message = json.loads(body, parse_constant=_reject_constant)
         except (ValueError, RecursionError) as error:
             self.buffer.clear()
             raise FrameError(f"expected JSON, got {body[:40]!r}: {error}") from error
