--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from ironscale.agent.fleet import Denial, Fleet
-from ironscale.control.frames import Decoder, FrameError, encode
+from ironscale.control.frames import Decoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_INSTANCE,
     PROTOCOL,
@@ -124,7 +124,7 @@
             self.closing = True
             self.transport.abort()
             return
-        self.transport.write(encode(serialize_message(message)))
+        self.transport.write(encode_frame(serialize_message(message)))
 
     def close(self, why: str) -> None:
         self.closing = True
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -23,7 +23,7 @@
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.agent.upstream_polling import Watching
-from ironscale.control.frames import FrameError, encode
+from ironscale.control.frames import FrameError, encode_frame
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, Of, Permit
 from ironscale.disruption.releases import Word
@@ -429,7 +429,7 @@
         args = {"generation": 2**53, "overlay": overlay}
         command = Command("0" * 40, 2**53, "0" * 64, Kind.RECONFIGURE, args)
         try:
-            encode(serialize_message(command))
+            encode_frame(serialize_message(command))
         except FrameError as error:
             raise Refusal("BAD_INPUT", f"overlay: {error}") from error
         except ValueError as error:
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from ironscale.agent.control_connections import NOT_LEADING
-from ironscale.control.frames import HEADER_BYTES, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, Decoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_FOLLOWER,
     PROTOCOL,
@@ -43,7 +43,7 @@
 
 def encoded(told: Told) -> bytes:
     """Raises FrameError where it does not fit a frame."""
-    return encode(serialize_message(VersionUpdate(
+    return encode_frame(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
         [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
          for entry in told.entries], told.digest, told.age_ms, told.spread_ms)))
@@ -155,7 +155,7 @@
             while self.leader() == address and not self.leads():
                 seq += 1
                 async with asyncio.timeout(SUM_ANSWER_S):
-                    writer.write(encode(serialize_message(self.own_sum(token, seq))))
+                    writer.write(encode_frame(serialize_message(self.own_sum(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER_BYTES))
                     decoder = Decoder()
                     decoder.feed(size.to_bytes(HEADER_BYTES) + await reader.readexactly(min(size, 1 << 16)))
@@ -208,7 +208,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(serialize_message(message)))
+            self.transport.write(encode_frame(serialize_message(message)))
 
     def close(self) -> None:
         self.closing = True
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -18,7 +18,7 @@
 
 from ironscale import logs
 from ironscale.control.commands import Commands
-from ironscale.control.frames import MAX_FRAME_BYTES, Decoder, FrameError, encode
+from ironscale.control.frames import MAX_FRAME_BYTES, Decoder, FrameError, encode_frame
 from ironscale.control.instance import Instance, Refused, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
@@ -338,7 +338,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(serialize_message(message)))
+            self.transport.write(encode_frame(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("the connection was closed")
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol, cast
 
 from ironscale import logs
-from ironscale.control.frames import Decoder, FrameError, encode
+from ironscale.control.frames import Decoder, FrameError, encode_frame
 from ironscale.control.instance import Refused, RestartNeeded
 from ironscale.control.messages import (
     PROTOCOL,
@@ -279,7 +279,7 @@
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(serialize_message(message)))
+            self.transport.write(encode_frame(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("the connection was closed")
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -19,7 +19,7 @@
     raise ValueError(f"{name} is no JSON")
 
 
-def encode(message: dict[str, Any]) -> bytes:
+def encode_frame(message: dict[str, Any]) -> bytes:
     """The message as one frame. Raises FrameError if it exceeds the maximum size."""
     body = json.dumps(message, separators=(",", ":"), allow_nan=False).encode()
     if len(body) > MAX_FRAME_BYTES:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -16,7 +16,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import StoreError
-from ironscale.control.frames import encode
+from ironscale.control.frames import encode_frame
 from ironscale.control.messages import PROTOCOL, CommandResult, Hello, serialize_message
 from tests.agent.agent_harness import run, scene, until
 from tests.sockets import free_port
@@ -239,10 +239,10 @@
 
 
 @pytest.mark.parametrize("raw", [
-    b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, encode({"type": "beat"}),
-    encode({**serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0)), "fence": "x"}),
-    encode(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
-    encode(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
+    b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, encode_frame({"type": "beat"}),
+    encode_frame({**serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0)), "fence": "x"}),
+    encode_frame(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
+    encode_frame(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
 ])
 def test_an_instance_that_talks_nonsense_is_told_and_harms_nobody(raw: bytes, tmp_path: Path) -> None:
     async def test() -> None:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -16,7 +16,7 @@
 from ironscale.agent import follower_connections
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
-from ironscale.control.frames import Decoder, encode
+from ironscale.control.frames import Decoder, encode_frame
 from ironscale.control.messages import (
     PROTOCOL,
     TO_FOLLOWER,
@@ -58,7 +58,7 @@
     async def run(self) -> None:
         reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 12)
         try:
-            self.writer.write(encode(serialize_message(FollowRequest(
+            self.writer.write(encode_frame(serialize_message(FollowRequest(
                 PROTOCOL, self.token, self.labels.instance, "b", "", self.labels.zone, "", self.lineage,
                 self.position))))
             decoder = Decoder()
@@ -95,7 +95,7 @@
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
         values = {"position": at, "running": at, "digest": digest(effective(self.view.layers(self.labels))), **changes}
-        self.writer.write(encode(serialize_message(RunningReport(status=status, **values))))
+        self.writer.write(encode_frame(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
         self.task.cancel()
@@ -491,7 +491,7 @@
                     ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "other", 3)], "LINEAGE"),
                     ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "", 0)] * 2, "NOT_UNDERSTOOD")):
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
-                writer.write(b"".join(encode(serialize_message(message)) for message in messages))
+                writer.write(b"".join(encode_frame(serialize_message(message)) for message in messages))
                 decoder = Decoder()
                 decoder.feed(await reader.read())  # to its end: the agent closes it
                 found = []
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -14,7 +14,7 @@
 
 from ironscale.control import client as module
 from ironscale.control.client import Client, Identity
-from ironscale.control.frames import Decoder, encode
+from ironscale.control.frames import Decoder, encode_frame
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.messages import (
     FROM_INSTANCE,
@@ -70,7 +70,7 @@
         writer.close()
 
     def say(self, message: Message | bytes) -> None:
-        self.writers[-1].write(message if isinstance(message, bytes) else encode(serialize_message(message)))
+        self.writers[-1].write(message if isinstance(message, bytes) else encode_frame(serialize_message(message)))
 
     def results(self) -> list[CommandResult]:
         return [m for m in self.got if isinstance(m, CommandResult)]
@@ -190,9 +190,9 @@
 
 
 NONSENSE: list[bytes | Message] = [
-    b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode({"type": "welcome"}),
-    encode(serialize_message(LeaseRenewal(1))), encode(serialize_message(Command("1", 1, "boot", "drain"))),
-    encode(serialize_message(Welcome(10, 1_000, 0))), encode(serialize_message(Welcome(5_000, 0, 0))),
+    b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode_frame({"type": "welcome"}),
+    encode_frame(serialize_message(LeaseRenewal(1))), encode_frame(serialize_message(Command("1", 1, "boot", "drain"))),
+    encode_frame(serialize_message(Welcome(10, 1_000, 0))), encode_frame(serialize_message(Welcome(5_000, 0, 0))),
     Denied("TOKEN", "no", 1),
 ]
 
@@ -240,9 +240,9 @@
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        writer.write(encode(serialize_message(Welcome(20_000, 10, 10))))
+        writer.write(encode_frame(serialize_message(Welcome(20_000, 10, 10))))
         for i in range(2_000):
-            writer.write(encode(serialize_message(Command(f"q{i}", 0, "boot", "inspect"))))
+            writer.write(encode_frame(serialize_message(Command(f"q{i}", 0, "boot", "inspect"))))
         await asyncio.sleep(20)
 
     async def test() -> None:
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -12,7 +12,7 @@
 
 from ironscale.control import follower as module
 from ironscale.control.follower import Follower
-from ironscale.control.frames import Decoder, encode
+from ironscale.control.frames import Decoder, encode_frame
 from ironscale.control.messages import (
     FROM_INSTANCE,
     Denied,
@@ -81,12 +81,12 @@
                     self.got.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
                         if self.denies is not None:
-                            writer.write(encode(serialize_message(self.denies)))
+                            writer.write(encode_frame(serialize_message(self.denies)))
                             continue
                         self.writers[writer] = message.position
                         update = self.update(message.position, message.lineage)
                         if update is not None:
-                            writer.write(encode(serialize_message(update)))
+                            writer.write(encode_frame(serialize_message(update)))
         self.writers.pop(writer, None)
         writer.close()
 
@@ -98,7 +98,7 @@
         for writer, since in list(self.writers.items()):
             update = self.update(since, self.lineage if since else "")
             if update is not None and not self.silent:
-                writer.write(encode(serialize_message(update)))
+                writer.write(encode_frame(serialize_message(update)))
                 self.writers[writer] = update.position
 
     def runs(self) -> list[RunningReport]:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, Decoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_AGENT,
     FROM_INSTANCE,
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: message.type)
 def test_every_message_comes_back_as_it_was_whatever_the_pieces(message: Message) -> None:
-    raw = encode(serialize_message(message))
+    raw = encode_frame(serialize_message(message))
     for cut in range(len(raw)):
         decoder = Decoder()
         decoder.feed(raw[:cut])
@@ -76,7 +76,7 @@
 
 def test_a_message_over_the_limit_is_not_encoded() -> None:
     with pytest.raises(FrameError, match="expected a frame"):
-        encode({"type": "result", "data": "x" * MAX_FRAME_BYTES})
+        encode_frame({"type": "result", "data": "x" * MAX_FRAME_BYTES})
 
 
 @given(st.binary(max_size=300))
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -9,7 +9,7 @@
 
 from ironscale.control import pacing
 from ironscale.control.client import NOT_LEADING, Client
-from ironscale.control.frames import encode
+from ironscale.control.frames import encode_frame
 from ironscale.control.messages import Command, Denied, Hello, Welcome, serialize_message
 from ironscale.control.simulated_instance import light, stop
 from tests.control.test_client import ScriptedAgent
@@ -35,7 +35,7 @@
     async def test() -> None:
         new = await ScriptedAgent(Welcome(5_000, 50, 10, [], 3)).start()
         # The command arrives directly after the welcome.
-        old = await ScriptedAgent(b"".join(encode(serialize_message(message)) for message in (
+        old = await ScriptedAgent(b"".join(encode_frame(serialize_message(message)) for message in (
             Welcome(5_000, 50, 10, [], 2), Command("1.0.1", 9, "boot", "drain")))).start()
         client = client_of(new, old)
         task = asyncio.create_task(client.run())
