--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from ironscale.agent.fleet import Denial, Fleet
-from ironscale.control.frames import Decoder, FrameError, encode_frame
+from ironscale.control.frames import FrameDecoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_INSTANCE,
     PROTOCOL,
@@ -43,7 +43,7 @@
         self.name = ""
         self.bye = ""
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.closing = False
         self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close, "no hello")
 
@@ -161,7 +161,7 @@
         self.data += data
         if self.waits:
             return
-        first = Decoder()
+        first = FrameDecoder()
         first.feed(bytes(self.data))
         try:
             message = first.next()
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from ironscale.agent.control_connections import NOT_LEADING
-from ironscale.control.frames import HEADER_BYTES, Decoder, FrameError, encode_frame
+from ironscale.control.frames import HEADER_BYTES, FrameDecoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_FOLLOWER,
     PROTOCOL,
@@ -157,7 +157,7 @@
                 async with asyncio.timeout(SUM_ANSWER_S):
                     writer.write(encode_frame(serialize_message(self.own_sum(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER_BYTES))
-                    decoder = Decoder()
+                    decoder = FrameDecoder()
                     decoder.feed(size.to_bytes(HEADER_BYTES) + await reader.readexactly(min(size, 1 << 16)))
                     raw = decoder.next()
                 if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
@@ -180,7 +180,7 @@
     def __init__(self, followers: Followers) -> None:
         self.followers = followers
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.closing = False
         self.name = ""
 
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -18,7 +18,7 @@
 
 from ironscale import logs
 from ironscale.control.commands import Commands
-from ironscale.control.frames import MAX_FRAME_BYTES, Decoder, FrameError, encode_frame
+from ironscale.control.frames import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from ironscale.control.instance import Instance, Refused, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
@@ -187,7 +187,7 @@
         self.client = client
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.ended = asyncio.Event()
         self.why = ""
         self.welcome: Welcome | None = None
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol, cast
 
 from ironscale import logs
-from ironscale.control.frames import Decoder, FrameError, encode_frame
+from ironscale.control.frames import FrameDecoder, FrameError, encode_frame
 from ironscale.control.instance import Refused, RestartNeeded
 from ironscale.control.messages import (
     PROTOCOL,
@@ -218,7 +218,7 @@
     def __init__(self, follower: Follower, place: Place) -> None:
         self.follower, self.place = follower, place
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.ended, self.told = asyncio.Event(), asyncio.Event()
         self.why = ""
         self.heard: Heard | None = None
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -27,7 +27,7 @@
     return len(body).to_bytes(HEADER_BYTES) + body
 
 
-class Decoder:
+class FrameDecoder:
     """Reassembles messages from the bytes of a stream."""
 
     def __init__(self) -> None:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -16,7 +16,7 @@
 from ironscale.agent import follower_connections
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
-from ironscale.control.frames import Decoder, encode_frame
+from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.messages import (
     PROTOCOL,
     TO_FOLLOWER,
@@ -61,7 +61,7 @@
             self.writer.write(encode_frame(serialize_message(FollowRequest(
                 PROTOCOL, self.token, self.labels.instance, "b", "", self.labels.zone, "", self.lineage,
                 self.position))))
-            decoder = Decoder()
+            decoder = FrameDecoder()
             while True:
                 await self.reads.wait()
                 data = await reader.read(1 << 16)
@@ -492,7 +492,7 @@
                     ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "", 0)] * 2, "NOT_UNDERSTOOD")):
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
                 writer.write(b"".join(encode_frame(serialize_message(message)) for message in messages))
-                decoder = Decoder()
+                decoder = FrameDecoder()
                 decoder.feed(await reader.read())  # to its end: the agent closes it
                 found = []
                 while (raw := decoder.next()) is not None:
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -14,7 +14,7 @@
 
 from ironscale.control import client as module
 from ironscale.control.client import Client, Identity
-from ironscale.control.frames import Decoder, encode_frame
+from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.messages import (
     FROM_INSTANCE,
@@ -56,7 +56,7 @@
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        decoder = Decoder()
+        decoder = FrameDecoder()
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 decoder.feed(data)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -12,7 +12,7 @@
 
 from ironscale.control import follower as module
 from ironscale.control.follower import Follower
-from ironscale.control.frames import Decoder, encode_frame
+from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.messages import (
     FROM_INSTANCE,
     Denied,
@@ -72,7 +72,7 @@
         return 0 if self.fresh else 60_000
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        decoder = Decoder()
+        decoder = FrameDecoder()
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 decoder.feed(data)
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, Decoder, FrameError, encode_frame
+from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_AGENT,
     FROM_INSTANCE,
@@ -44,7 +44,7 @@
 def test_every_message_comes_back_as_it_was_whatever_the_pieces(message: Message) -> None:
     raw = encode_frame(serialize_message(message))
     for cut in range(len(raw)):
-        decoder = Decoder()
+        decoder = FrameDecoder()
         decoder.feed(raw[:cut])
         assert decoder.next() is None
         decoder.feed(raw[cut:] + raw[:5])
@@ -61,14 +61,14 @@
     ((4).to_bytes(4) + b"\xff\xfe\x00\x01", "expected JSON"), ((40_000).to_bytes(4) + b"[" * 40_000, "expected JSON"),
 ])
 def test_what_is_no_frame_is_refused_with_what_was_expected(raw: bytes, words: str) -> None:
-    decoder = Decoder()
+    decoder = FrameDecoder()
     decoder.feed(raw)
     with pytest.raises(FrameError, match=words.replace("[", r"\[")):
         decoder.next()
 
 
 def test_a_length_of_four_gigabytes_is_refused_before_anything_of_it_is_kept() -> None:
-    decoder = Decoder()
+    decoder = FrameDecoder()
     decoder.feed(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError):
         decoder.next()
@@ -81,7 +81,7 @@
 
 @given(st.binary(max_size=300))
 def test_any_bytes_give_messages_or_one_of_two_errors(raw: bytes) -> None:
-    decoder = Decoder()
+    decoder = FrameDecoder()
     decoder.feed(len(raw).to_bytes(HEADER_BYTES) + raw)
     try:
         while (found := decoder.next()) is not None:
