--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -59,7 +59,7 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.closing and (raw := self.decoder.next()) is not None:
+            while not self.closing and (raw := self.decoder.next_message()) is not None:
                 self.on_message(parse_message(raw, FROM_INSTANCE))
         except (FrameError, MessageError) as error:
             self.links.log(f"{self.name or self.peer()}: not understood: {error}")
@@ -164,7 +164,7 @@
         first = FrameDecoder()
         first.feed(bytes(self.data))
         try:
-            message = first.next()
+            message = first.next_message()
         except FrameError:
             message = {}
         if message is None:
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -159,7 +159,7 @@
                     size = int.from_bytes(await reader.readexactly(HEADER_BYTES))
                     decoder = FrameDecoder()
                     decoder.feed(size.to_bytes(HEADER_BYTES) + await reader.readexactly(min(size, 1 << 16)))
-                    raw = decoder.next()
+                    raw = decoder.next_message()
                 if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
                 await asyncio.sleep(SUM_S)
@@ -192,7 +192,7 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.closing and (raw := self.decoder.next()) is not None:
+            while not self.closing and (raw := self.decoder.next_message()) is not None:
                 self.on_message(raw)
         except (FrameError, MessageError) as error:
             self.followers.log(f"{self.name or 'a follower'}: not understood: {error}")
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -247,7 +247,7 @@
             self.client.slice.spend(self.loop.time(), time.thread_time() - start_s)
 
     def take_frame(self) -> bool:
-        raw = self.decoder.next()
+        raw = self.decoder.next_message()
         if raw is None:
             return False
         if self.transport is not None:
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -242,7 +242,7 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.ended.is_set() and (raw := self.decoder.next()) is not None:
+            while not self.ended.is_set() and (raw := self.decoder.next_message()) is not None:
                 self.on_message(parse_message(raw, TO_FOLLOWER))
         except (FrameError, MessageError, ScopeError) as error:
             self.end(f"invalid message from the agent: {error}")
--- a/ironscale/control/frames.py
+++ b/ironscale/control/frames.py
@@ -36,7 +36,7 @@
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def next(self) -> dict[str, Any] | None:
+    def next_message(self) -> dict[str, Any] | None:
         """The next message, or None until all its bytes have arrived. Raises FrameError, after which the stream can't
         be used any further."""
         if len(self.buffer) < HEADER_BYTES:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -390,7 +390,7 @@
             await s.start_many(2)
             found = await s.engine.inspect("i0000")
             assert len(found.upstreams) == 10 and found.report.ready
-            s.clients["i0001"].session.decoder.next = lambda: None  # type: ignore[union-attr,method-assign]
+            s.clients["i0001"].session.decoder.next_message = lambda: None  # type: ignore[union-attr,method-assign]
             with pytest.raises(Refusal, match="gave no answer in 0.2 s") as silent:
                 await s.engine.inspect("i0001", 0.2)
             assert silent.value.details["sinceMs"] > 0
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -68,7 +68,7 @@
                 if not data:
                     break
                 decoder.feed(data)
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, TO_FOLLOWER)
                     if isinstance(message, Denied):
                         self.denied = message
@@ -495,7 +495,7 @@
                 decoder = FrameDecoder()
                 decoder.feed(await reader.read())  # to its end: the agent closes it
                 found = []
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     found.append(parse_message(raw, TO_FOLLOWER))
                 assert isinstance(found[-1], Denied) and found[-1].code == code
                 writer.close()
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -76,7 +76,7 @@
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 decoder.feed(data)
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, FROM_INSTANCE)
                     self.got.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -46,11 +46,11 @@
     for cut in range(len(raw)):
         decoder = FrameDecoder()
         decoder.feed(raw[:cut])
-        assert decoder.next() is None
+        assert decoder.next_message() is None
         decoder.feed(raw[cut:] + raw[:5])
-        found = decoder.next()
+        found = decoder.next_message()
         assert found is not None and parse_message(found, FROM_INSTANCE + FROM_AGENT) == message
-        assert decoder.next() is None and len(decoder.buffer) == 5
+        assert decoder.next_message() is None and len(decoder.buffer) == 5
 
 
 @pytest.mark.parametrize(("raw", "words"), [
@@ -64,14 +64,14 @@
     decoder = FrameDecoder()
     decoder.feed(raw)
     with pytest.raises(FrameError, match=words.replace("[", r"\[")):
-        decoder.next()
+        decoder.next_message()
 
 
 def test_a_length_of_four_gigabytes_is_refused_before_anything_of_it_is_kept() -> None:
     decoder = FrameDecoder()
     decoder.feed(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError):
-        decoder.next()
+        decoder.next_message()
 
 
 def test_a_message_over_the_limit_is_not_encoded() -> None:
@@ -84,7 +84,7 @@
     decoder = FrameDecoder()
     decoder.feed(len(raw).to_bytes(HEADER_BYTES) + raw)
     try:
-        while (found := decoder.next()) is not None:
+        while (found := decoder.next_message()) is not None:
             parse_message(found, FROM_INSTANCE + FROM_AGENT)
     except (FrameError, MessageError) as error:
         assert "\n" not in str(error)
