--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -7,7 +7,7 @@
 
 from ironscale.control.messages import Command, CommandResult
 
-REMEMBERED = 256  # an operation sends an instance a few commands, and the next operation has a higher fence
+MAX_REMEMBERED_COMMANDS = 256  # an operation sends an instance a few commands, and the next operation has a higher fence
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
                                  f"superseded: fence {command.fence} is below {self.fence}")
         self.fence = command.fence
         self.answered[command.id] = (command.fence, None)
-        while len(self.answered) > REMEMBERED:
+        while len(self.answered) > MAX_REMEMBERED_COMMANDS:
             # A command of the current fence must be kept: if it were delivered again, it would run a second time.
             if next(iter(self.answered.values()))[0] >= self.fence:
                 break
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.commands import REMEMBERED, Commands
+from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, Commands
 from ironscale.control.messages import Command, CommandResult
 from ironscale.control.pacing import MOST_REST_S, MOST_S, SHARE, Redial, Slice
 
@@ -69,11 +69,11 @@
 
 def test_memory_is_bounded_and_forgets_only_what_the_fence_refuses() -> None:
     commands = Commands("b")
-    for i in range(3 * REMEMBERED):
+    for i in range(3 * MAX_REMEMBERED_COMMANDS):
         carry(commands, command(str(i), i))
-    assert len(commands.answered) == REMEMBERED
+    assert len(commands.answered) == MAX_REMEMBERED_COMMANDS
     assert carry(commands, command("0", 0)) == "refused"
-    for i in range(2 * REMEMBERED):  # all with the same fence: none may be forgotten
+    for i in range(2 * MAX_REMEMBERED_COMMANDS):  # all with the same fence: none may be forgotten
         carry(commands, command(f"x{i}", 10_000))
     assert carry(commands, command("x0", 10_000)) == "applied"
 
