--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -17,7 +17,7 @@
 from typing import Any, cast
 
 from ironscale import logs
-from ironscale.control.commands import Commands
+from ironscale.control.commands import CommandDeduplicator
 from ironscale.control.frames import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from ironscale.control.instance import Instance, Refused, RestartNeeded
 from ironscale.control.messages import (
@@ -75,7 +75,7 @@
         self.address = address
         self.agents = (address, *others)
         self.term = 0  # the highest leadership term of an agent that has welcomed this process
-        self.commands = Commands(identity.boot)
+        self.commands = CommandDeduplicator(identity.boot)
         self.redial = Redial(rng)
         self.slice = Slice()
         self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Commands:
+class CommandDeduplicator:
     """Makes every command run at most once. A command that is delivered again gets its stored result; a command of an
     operation that a newer one has superseded is refused. Results are kept in memory only: the effect of a command also
     ends with the process."""
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -11,7 +11,7 @@
 
 from ironscale.agent import planner
 from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Seen, Send, State, Target
-from ironscale.control.commands import Commands
+from ironscale.control.commands import CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
 
 T0 = 1_000_000
@@ -373,7 +373,7 @@
     alive: bool = True
     reachable: bool = True
     generation: int = 4
-    commands: Commands = field(default_factory=lambda: Commands("1"))
+    commands: CommandDeduplicator = field(default_factory=lambda: CommandDeduplicator("1"))
     done: list[str] = field(default_factory=list)
 
 
@@ -455,7 +455,7 @@
     def restart(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(self.names))
         boot = self.processes[name].boot + 1
-        self.processes[name] = Process(boot, commands=Commands(str(boot)))
+        self.processes[name] = Process(boot, commands=CommandDeduplicator(str(boot)))
         self.look()
 
     @rule(data=st.data(), back=st.booleans())
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, Commands
+from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
 from ironscale.control.pacing import MOST_REST_S, MOST_S, SHARE, Redial, Slice
 
@@ -16,7 +16,7 @@
     return Command(ident, fence, boot, kind)
 
 
-def carry(commands: Commands, one: Command) -> str:
+def carry(commands: CommandDeduplicator, one: Command) -> str:
     """Delivers a command: "done" if it ran, else the status of the result that was sent instead."""
     admitted, answer = commands.admit(one)
     if admitted:
@@ -26,20 +26,20 @@
 
 
 def test_a_command_delivered_again_is_answered_from_memory() -> None:
-    commands = Commands("b")
+    commands = CommandDeduplicator("b")
     assert carry(commands, command("1", 5)) == "done"
     admitted, answer = commands.admit(command("1", 5))
     assert not admitted and answer == CommandResult("1", "applied", "first")
 
 
 def test_one_that_is_under_way_is_neither_done_nor_answered_twice() -> None:
-    commands = Commands("b")
+    commands = CommandDeduplicator("b")
     assert commands.admit(command("1", 5)) == (True, None)
     assert commands.admit(command("1", 5)) == (False, None)
 
 
 def test_a_superseded_operation_is_refused_and_changes_nothing() -> None:
-    commands = Commands("b")
+    commands = CommandDeduplicator("b")
     assert carry(commands, command("2", 7)) == "done"
     admitted, answer = commands.admit(command("1", 6))
     assert not admitted and answer is not None and "superseded: fence 6 is below 7" in answer.detail
@@ -47,19 +47,19 @@
 
 
 def test_a_command_for_the_process_before_is_refused() -> None:
-    admitted, answer = Commands("b").admit(command("1", 5, boot="a"))
+    admitted, answer = CommandDeduplicator("b").admit(command("1", 5, boot="a"))
     assert not admitted and answer is not None and answer.status == "refused"
 
 
 def test_questions_have_no_fence_and_are_asked_again() -> None:
-    commands = Commands("b", fence=9)
+    commands = CommandDeduplicator("b", fence=9)
     assert commands.admit(command("q", 0, "inspect")) == commands.admit(command("q", 0, "inspect")) == (True, None)
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 12)), max_size=1200))
 def test_no_command_is_ever_done_twice(deliveries: list[tuple[int, int]]) -> None:
     """As in the agent, each id belongs to one fence. Deliveries come in any order and any number of times."""
-    commands, done = Commands("b"), []
+    commands, done = CommandDeduplicator("b"), []
     for ident, _ in deliveries:
         one = command(str(ident), ident // 20)
         if carry(commands, one) == "done":
@@ -68,7 +68,7 @@
 
 
 def test_memory_is_bounded_and_forgets_only_what_the_fence_refuses() -> None:
-    commands = Commands("b")
+    commands = CommandDeduplicator("b")
     for i in range(3 * MAX_REMEMBERED_COMMANDS):
         carry(commands, command(str(i), i))
     assert len(commands.answered) == MAX_REMEMBERED_COMMANDS
