--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -19,7 +19,7 @@
     boot: str
     fence: int = 0
     # Command id -> (fence, result); the result is None while the command is running.
-    answered: OrderedDict[str, tuple[int, CommandResult | None]] = field(default_factory=OrderedDict)
+    results_by_id: OrderedDict[str, tuple[int, CommandResult | None]] = field(default_factory=OrderedDict)
 
     def admit(self, command: Command) -> tuple[bool, CommandResult | None]:
         """Whether to run the command now. If not, also the result to send, or None while the first delivery is still
@@ -31,21 +31,21 @@
             return False, CommandResult(command.id, "refused", f"meant for another process ({command.boot})")
         if command.kind == "inspect":
             return True, None
-        if command.id in self.answered:
-            return False, self.answered[command.id][1]
+        if command.id in self.results_by_id:
+            return False, self.results_by_id[command.id][1]
         if command.fence < self.fence:
             return False, CommandResult(command.id, "refused",
                                  f"superseded: fence {command.fence} is below {self.fence}")
         self.fence = command.fence
-        self.answered[command.id] = (command.fence, None)
-        while len(self.answered) > MAX_REMEMBERED_COMMANDS:
+        self.results_by_id[command.id] = (command.fence, None)
+        while len(self.results_by_id) > MAX_REMEMBERED_COMMANDS:
             # A command of the current fence must be kept: if it were delivered again, it would run a second time.
-            if next(iter(self.answered.values()))[0] >= self.fence:
+            if next(iter(self.results_by_id.values()))[0] >= self.fence:
                 break
-            self.answered.popitem(last=False)
+            self.results_by_id.popitem(last=False)
         return True, None
 
     def finish(self, result: CommandResult) -> None:
         """Stores the result of an admitted command for later deliveries."""
-        if result.id in self.answered:
-            self.answered[result.id] = (self.answered[result.id][0], result)
+        if result.id in self.results_by_id:
+            self.results_by_id[result.id] = (self.results_by_id[result.id][0], result)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -71,7 +71,7 @@
     commands = CommandDeduplicator("b")
     for i in range(3 * MAX_REMEMBERED_COMMANDS):
         carry(commands, command(str(i), i))
-    assert len(commands.answered) == MAX_REMEMBERED_COMMANDS
+    assert len(commands.results_by_id) == MAX_REMEMBERED_COMMANDS
     assert carry(commands, command("0", 0)) == "refused"
     for i in range(2 * MAX_REMEMBERED_COMMANDS):  # all with the same fence: none may be forgotten
         carry(commands, command(f"x{i}", 10_000))
