--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -320,7 +320,7 @@
         elif admitted:
             self.client.report_fence(commands.fence)
             answer = self.client.carry_out(command)
-            commands.finish(answer)
+            commands.record_result(answer)
             self.send(answer)
             self.send_beat()  # the agent learns what the instance runs now from a report, not from the result
         elif answer is not None:
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -45,7 +45,7 @@
             self.results_by_id.popitem(last=False)
         return True, None
 
-    def finish(self, result: CommandResult) -> None:
+    def record_result(self, result: CommandResult) -> None:
         """Stores the result of an admitted command for later deliveries."""
         if result.id in self.results_by_id:
             self.results_by_id[result.id] = (self.results_by_id[result.id][0], result)
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -426,7 +426,7 @@
             process.generation = send.generation
             self.everything_done.append((send.name, process.boot, send.id))
             answer = CommandResult(send.id, "applied", "")
-            process.commands.finish(answer)
+            process.commands.record_result(answer)
         if answer is not None:
             self.answers.append((send, answer))
 
@@ -554,7 +554,7 @@
                     if admitted:
                         process.generation = send.generation
                         answer = CommandResult(send.id, "applied", "")
-                        process.commands.finish(answer)
+                        process.commands.record_result(answer)
                     if answer is not None:
                         self.run_.answer(send, answer.status, answer.detail)
             self.run_.now_ms += 1_000
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -20,7 +20,7 @@
     """Delivers a command: "done" if it ran, else the status of the result that was sent instead."""
     admitted, answer = commands.admit(one)
     if admitted:
-        commands.finish(CommandResult(one.id, "applied", "first"))
+        commands.record_result(CommandResult(one.id, "applied", "first"))
         return "done"
     return answer.status if answer is not None else "under way"
 
