--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-FIRST_S, MOST_S = 0.5, 30.0
+INITIAL_BACKOFF_S, MOST_S = 0.5, 30.0
 # Control work uses at most this share of the loop's time: a step of t seconds is followed by a pause of t/SHARE.
 SHARE = 0.02
 # Without this limit a single slow step would block control work for fifty times as long, until the lease expires.
@@ -20,27 +20,27 @@
     Every method gives the seconds until the next connection attempt."""
 
     random: random.Random
-    spread_s: float = FIRST_S
+    spread_s: float = INITIAL_BACKOFF_S
     failures: int = 0
 
     def lost(self) -> float:
         """After the loss of a connection that the agent had welcomed."""
         self.failures = 0
-        return self.random.random() * max(FIRST_S, self.spread_s)
+        return self.random.random() * max(INITIAL_BACKOFF_S, self.spread_s)
 
     def failed(self) -> float:
         """After an attempt that the agent didn't answer."""
         self.failures += 1
-        most_s = min(MOST_S, FIRST_S * 2.0 ** min(self.failures, 16))
+        most_s = min(MOST_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
         return self.random.random() * max(most_s, self.spread_s)
 
     def turn(self) -> float:
         """Before trying the next of several agents."""
-        return 0.01 + self.random.random() * max(0.1, min(FIRST_S, self.spread_s / 2))
+        return 0.01 + self.random.random() * max(0.1, min(INITIAL_BACKOFF_S, self.spread_s / 2))
 
     def unled(self) -> float:
         """After every agent answered that it doesn't lead: a new leader is expected soon."""
-        return self.random.random() * max(2 * FIRST_S, self.spread_s)
+        return self.random.random() * max(2 * INITIAL_BACKOFF_S, self.spread_s)
 
     def denied(self, retry_s: float) -> float:
         """After a denial; `retry_s` is the earliest time at which the agent wants to be asked again."""
