--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-INITIAL_BACKOFF_S, MOST_S = 0.5, 30.0
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.5, 30.0
 # Control work uses at most this share of the loop's time: a step of t seconds is followed by a pause of t/SHARE.
 SHARE = 0.02
 # Without this limit a single slow step would block control work for fifty times as long, until the lease expires.
@@ -31,7 +31,7 @@
     def failed(self) -> float:
         """After an attempt that the agent didn't answer."""
         self.failures += 1
-        most_s = min(MOST_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
+        most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
         return self.random.random() * max(most_s, self.spread_s)
 
     def turn(self) -> float:
@@ -44,7 +44,7 @@
 
     def denied(self, retry_s: float) -> float:
         """After a denial; `retry_s` is the earliest time at which the agent wants to be asked again."""
-        return min(MOST_S, max(0.0, retry_s)) + self.failed()
+        return min(MAX_BACKOFF_S, max(0.0, retry_s)) + self.failed()
 
 
 @dataclass(slots=True)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
-from ironscale.control.pacing import MOST_REST_S, MOST_S, SHARE, Redial, Slice
+from ironscale.control.pacing import MOST_REST_S, MAX_BACKOFF_S, SHARE, Redial, Slice
 
 
 def command(ident: str, fence: int, kind: str = "drain", boot: str = "b") -> Command:
@@ -88,15 +88,15 @@
 def test_tries_that_come_to_nothing_back_off_and_stay_spread() -> None:
     redial = Redial(random.Random(3))
     longest = [max(Redial(random.Random(s), failures=n).failed() for s in range(200)) for n in range(8)]
-    assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MOST_S
+    assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
-        assert 0.0 <= redial.failed() <= MOST_S
+        assert 0.0 <= redial.failed() <= MAX_BACKOFF_S
     assert redial.lost() <= 1.0 and redial.failures == 0
 
 
 def test_denied_waits_as_long_as_it_was_told_but_not_for_ever() -> None:
     assert 5.0 <= Redial(random.Random(1)).denied(5.0) <= 6.0
-    assert Redial(random.Random(1)).denied(1e9) <= 2 * MOST_S
+    assert Redial(random.Random(1)).denied(1e9) <= 2 * MAX_BACKOFF_S
 
 
 @given(st.lists(st.floats(0.0, SHARE * MOST_REST_S), min_size=1, max_size=200))
