--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -9,7 +9,7 @@
 # Control work uses at most this share of the loop's time: a step of t seconds is followed by a pause of t/SHARE.
 MAX_LOOP_SHARE = 0.02
 # Without this limit a single slow step would block control work for fifty times as long, until the lease expires.
-MOST_REST_S = 1.0
+MAX_PAUSE_S = 1.0
 
 
 @dataclass(slots=True)
@@ -65,4 +65,4 @@
         took_s = max(0.0, took_s)
         self.spent_s += took_s
         self.longest_s = max(self.longest_s, took_s)
-        self.free_at_s = min(max(now_s, self.free_at_s) + took_s / MAX_LOOP_SHARE, now_s + MOST_REST_S)
+        self.free_at_s = min(max(now_s, self.free_at_s) + took_s / MAX_LOOP_SHARE, now_s + MAX_PAUSE_S)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
-from ironscale.control.pacing import MOST_REST_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, Redial, Slice
+from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, Redial, Slice
 
 
 def command(ident: str, fence: int, kind: str = "drain", boot: str = "b") -> Command:
@@ -99,7 +99,7 @@
     assert Redial(random.Random(1)).denied(1e9) <= 2 * MAX_BACKOFF_S
 
 
-@given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MOST_REST_S), min_size=1, max_size=200))
+@given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MAX_PAUSE_S), min_size=1, max_size=200))
 def test_control_work_stays_within_its_slice(steps: list[float]) -> None:
     work, now_s = Slice(), 100.0
     for took_s in steps:
@@ -114,6 +114,6 @@
     """Without the limit on pauses, one step of 0.4 s would be followed by 20 s in which no lease is renewed."""
     work = Slice()
     work.spend(10.0, 0.4)
-    assert work.wait_s(10.0) == MOST_REST_S
+    assert work.wait_s(10.0) == MAX_PAUSE_S
     work.spend(10.0, 5.0)
-    assert work.wait_s(10.0) == MOST_REST_S
+    assert work.wait_s(10.0) == MAX_PAUSE_S
