--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Redial:
+class ReconnectBackoff:
     """Reconnect delays: exponential backoff with full jitter (AWS architecture blog, 2015), spread over a longer time
     when a whole fleet has lost its agent. The agent sends that spread because it knows the size of the fleet.
 
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
-from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, Redial, Slice
+from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, ReconnectBackoff, Slice
 
 
 def command(ident: str, fence: int, kind: str = "drain", boot: str = "b") -> Command:
@@ -80,14 +80,14 @@
 
 def test_five_thousand_that_lost_one_agent_do_not_come_back_in_one_second() -> None:
     """The agent sends the spread: 5,000 instances at 200 a second take 25 s."""
-    waits = [Redial(random.Random(seed), spread_s=25.0).lost() for seed in range(5_000)]
+    waits = [ReconnectBackoff(random.Random(seed), spread_s=25.0).lost() for seed in range(5_000)]
     busiest = max(sum(at <= wait < at + 1 for wait in waits) for at in range(26))
     assert 150 <= busiest <= 300 and max(waits) <= 25.0
 
 
 def test_tries_that_come_to_nothing_back_off_and_stay_spread() -> None:
-    redial = Redial(random.Random(3))
-    longest = [max(Redial(random.Random(s), failures=n).failed() for s in range(200)) for n in range(8)]
+    redial = ReconnectBackoff(random.Random(3))
+    longest = [max(ReconnectBackoff(random.Random(s), failures=n).failed() for s in range(200)) for n in range(8)]
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
         assert 0.0 <= redial.failed() <= MAX_BACKOFF_S
@@ -95,8 +95,8 @@
 
 
 def test_denied_waits_as_long_as_it_was_told_but_not_for_ever() -> None:
-    assert 5.0 <= Redial(random.Random(1)).denied(5.0) <= 6.0
-    assert Redial(random.Random(1)).denied(1e9) <= 2 * MAX_BACKOFF_S
+    assert 5.0 <= ReconnectBackoff(random.Random(1)).denied(5.0) <= 6.0
+    assert ReconnectBackoff(random.Random(1)).denied(1e9) <= 2 * MAX_BACKOFF_S
 
 
 @given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MAX_PAUSE_S), min_size=1, max_size=200))
