--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -123,7 +123,7 @@
         if session.welcome is not None:
             self.tried = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
-            return self.next_agent("") or self.redial.lost() if session.was_silent else self.redial.lost()
+            return self.next_agent("") or self.redial.after_lost_connection() if session.was_silent else self.redial.after_lost_connection()
         return self.next_agent("") or self.redial.failed()
 
     def next_agent(self, leader: str) -> float:
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -23,7 +23,7 @@
     spread_s: float = INITIAL_BACKOFF_S
     failures: int = 0
 
-    def lost(self) -> float:
+    def after_lost_connection(self) -> float:
         """After the loss of a connection that the agent had welcomed."""
         self.failures = 0
         return self.random.random() * max(INITIAL_BACKOFF_S, self.spread_s)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -80,7 +80,7 @@
 
 def test_five_thousand_that_lost_one_agent_do_not_come_back_in_one_second() -> None:
     """The agent sends the spread: 5,000 instances at 200 a second take 25 s."""
-    waits = [ReconnectBackoff(random.Random(seed), spread_s=25.0).lost() for seed in range(5_000)]
+    waits = [ReconnectBackoff(random.Random(seed), spread_s=25.0).after_lost_connection() for seed in range(5_000)]
     busiest = max(sum(at <= wait < at + 1 for wait in waits) for at in range(26))
     assert 150 <= busiest <= 300 and max(waits) <= 25.0
 
@@ -91,7 +91,7 @@
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
         assert 0.0 <= redial.failed() <= MAX_BACKOFF_S
-    assert redial.lost() <= 1.0 and redial.failures == 0
+    assert redial.after_lost_connection() <= 1.0 and redial.failures == 0
 
 
 def test_denied_waits_as_long_as_it_was_told_but_not_for_ever() -> None:
