--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -106,7 +106,7 @@
         except (OSError, TimeoutError, ValueError) as error:
             session.drop()
             self.log(f"can't connect: {error or 'timed out'}")
-            return self.next_agent("") or self.redial.failed()
+            return self.next_agent("") or self.redial.after_failed_attempt()
         self.session = session
         try:
             await session.ended.wait()
@@ -124,7 +124,7 @@
             self.tried = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
             return self.next_agent("") or self.redial.after_lost_connection() if session.was_silent else self.redial.after_lost_connection()
-        return self.next_agent("") or self.redial.failed()
+        return self.next_agent("") or self.redial.after_failed_attempt()
 
     def next_agent(self, leader: str) -> float:
         """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -28,7 +28,7 @@
         self.failures = 0
         return self.random.random() * max(INITIAL_BACKOFF_S, self.spread_s)
 
-    def failed(self) -> float:
+    def after_failed_attempt(self) -> float:
         """After an attempt that the agent didn't answer."""
         self.failures += 1
         most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
@@ -44,7 +44,7 @@
 
     def denied(self, retry_s: float) -> float:
         """After a denial; `retry_s` is the earliest time at which the agent wants to be asked again."""
-        return min(MAX_BACKOFF_S, max(0.0, retry_s)) + self.failed()
+        return min(MAX_BACKOFF_S, max(0.0, retry_s)) + self.after_failed_attempt()
 
 
 @dataclass(slots=True)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -87,10 +87,10 @@
 
 def test_tries_that_come_to_nothing_back_off_and_stay_spread() -> None:
     redial = ReconnectBackoff(random.Random(3))
-    longest = [max(ReconnectBackoff(random.Random(s), failures=n).failed() for s in range(200)) for n in range(8)]
+    longest = [max(ReconnectBackoff(random.Random(s), failures=n).after_failed_attempt() for s in range(200)) for n in range(8)]
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
-        assert 0.0 <= redial.failed() <= MAX_BACKOFF_S
+        assert 0.0 <= redial.after_failed_attempt() <= MAX_BACKOFF_S
     assert redial.after_lost_connection() <= 1.0 and redial.failures == 0
 
 
