--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -136,7 +136,7 @@
         self.address = named if named is not None else self.agents[(place + 1) % len(self.agents)]
         if self.tried >= 2 * len(self.agents):
             self.tried = 0
-        return self.redial.turn() if self.tried else 0.0
+        return self.redial.before_next_agent() if self.tried else 0.0
 
     def bye(self, reason: str) -> None:
         """Tells the agent that the process is shutting down."""
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -34,7 +34,7 @@
         most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
         return self.random.random() * max(most_s, self.spread_s)
 
-    def turn(self) -> float:
+    def before_next_agent(self) -> float:
         """Before trying the next of several agents."""
         return 0.01 + self.random.random() * max(0.1, min(INITIAL_BACKOFF_S, self.spread_s / 2))
 
