--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -117,7 +117,7 @@
             self.log(session.why)
         if session.denied is not None and session.denied.code == NOT_LEADING:
             self.redial.failures = 0
-            return self.next_agent(session.denied.leader) or self.redial.unled()
+            return self.next_agent(session.denied.leader) or self.redial.after_no_leader()
         if session.denied is not None:
             return self.redial.denied(session.denied.retry_ms / 1000)
         if session.welcome is not None:
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -38,7 +38,7 @@
         """Before trying the next of several agents."""
         return 0.01 + self.random.random() * max(0.1, min(INITIAL_BACKOFF_S, self.spread_s / 2))
 
-    def unled(self) -> float:
+    def after_no_leader(self) -> float:
         """After every agent answered that it doesn't lead: a new leader is expected soon."""
         return self.random.random() * max(2 * INITIAL_BACKOFF_S, self.spread_s)
 
