--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -119,7 +119,7 @@
             self.redial.failures = 0
             return self.next_agent(session.denied.leader) or self.redial.after_no_leader()
         if session.denied is not None:
-            return self.redial.denied(session.denied.retry_ms / 1000)
+            return self.redial.after_denial(session.denied.retry_ms / 1000)
         if session.welcome is not None:
             self.tried = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -42,7 +42,7 @@
         """After every agent answered that it doesn't lead: a new leader is expected soon."""
         return self.random.random() * max(2 * INITIAL_BACKOFF_S, self.spread_s)
 
-    def denied(self, retry_s: float) -> float:
+    def after_denial(self, retry_s: float) -> float:
         """After a denial; `retry_s` is the earliest time at which the agent wants to be asked again."""
         return min(MAX_BACKOFF_S, max(0.0, retry_s)) + self.after_failed_attempt()
 
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -95,8 +95,8 @@
 
 
 def test_denied_waits_as_long_as_it_was_told_but_not_for_ever() -> None:
-    assert 5.0 <= ReconnectBackoff(random.Random(1)).denied(5.0) <= 6.0
-    assert ReconnectBackoff(random.Random(1)).denied(1e9) <= 2 * MAX_BACKOFF_S
+    assert 5.0 <= ReconnectBackoff(random.Random(1)).after_denial(5.0) <= 6.0
+    assert ReconnectBackoff(random.Random(1)).after_denial(1e9) <= 2 * MAX_BACKOFF_S
 
 
 @given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MAX_PAUSE_S), min_size=1, max_size=200))
