--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -37,7 +37,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.pacing import ReconnectBackoff, Slice
+from ironscale.control.pacing import ReconnectBackoff, ControlWorkLimiter
 
 CONNECT_S, WELCOME_S = 2.0, 5.0
 OTHERS_WELCOME_S = 1.0  # shorter if there are other agents to try
@@ -77,7 +77,7 @@
         self.term = 0  # the highest leadership term of an agent that has welcomed this process
         self.commands = CommandDeduplicator(identity.boot)
         self.redial = ReconnectBackoff(rng)
-        self.slice = Slice()
+        self.slice = ControlWorkLimiter()
         self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
         self.session: Session | None = None
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Slice:
+class ControlWorkLimiter:
     """Limits the share of the event loop's time that control work uses. It counts the CPU time of the steps, not their
     duration: while the process is stopped or waits for a CPU, control work takes no time from other work."""
 
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
-from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, ReconnectBackoff, Slice
+from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, ReconnectBackoff, ControlWorkLimiter
 
 
 def command(ident: str, fence: int, kind: str = "drain", boot: str = "b") -> Command:
@@ -101,7 +101,7 @@
 
 @given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MAX_PAUSE_S), min_size=1, max_size=200))
 def test_control_work_stays_within_its_slice(steps: list[float]) -> None:
-    work, now_s = Slice(), 100.0
+    work, now_s = ControlWorkLimiter(), 100.0
     for took_s in steps:
         now_s += work.wait_s(now_s) + took_s
         work.spend(now_s, took_s)
@@ -112,7 +112,7 @@
 
 def test_one_long_step_does_not_shut_control_work_out() -> None:
     """Without the limit on pauses, one step of 0.4 s would be followed by 20 s in which no lease is renewed."""
-    work = Slice()
+    work = ControlWorkLimiter()
     work.spend(10.0, 0.4)
     assert work.wait_s(10.0) == MAX_PAUSE_S
     work.spend(10.0, 5.0)
