--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -52,17 +52,17 @@
     """Limits the share of the event loop's time that control work uses. It counts the CPU time of the steps, not their
     duration: while the process is stopped or waits for a CPU, control work takes no time from other work."""
 
-    free_at_s: float = 0.0
+    next_step_at_s: float = 0.0
     spent_s: float = 0.0
     longest_s: float = 0.0
 
     def wait_s(self, now_s: float) -> float:
         """Seconds until the next step may run."""
-        return max(0.0, self.free_at_s - now_s)
+        return max(0.0, self.next_step_at_s - now_s)
 
     def spend(self, now_s: float, took_s: float) -> None:
         """Accounts for a step that has used `took_s` seconds of CPU time."""
         took_s = max(0.0, took_s)
         self.spent_s += took_s
         self.longest_s = max(self.longest_s, took_s)
-        self.free_at_s = min(max(now_s, self.free_at_s) + took_s / MAX_LOOP_SHARE, now_s + MAX_PAUSE_S)
+        self.next_step_at_s = min(max(now_s, self.next_step_at_s) + took_s / MAX_LOOP_SHARE, now_s + MAX_PAUSE_S)
