--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -144,7 +144,7 @@
             self.session.send(Goodbye(reason))
 
     def report(self) -> Report:
-        return self.instance.report(self.slice.spent_s)
+        return self.instance.report(self.slice.total_cpu_s)
 
     def carry_out(self, command: Command) -> CommandResult:
         """Runs an admitted command; every failure becomes a result."""
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -53,7 +53,7 @@
     duration: while the process is stopped or waits for a CPU, control work takes no time from other work."""
 
     next_step_at_s: float = 0.0
-    spent_s: float = 0.0
+    total_cpu_s: float = 0.0
     longest_s: float = 0.0
 
     def wait_s(self, now_s: float) -> float:
@@ -63,6 +63,6 @@
     def spend(self, now_s: float, took_s: float) -> None:
         """Accounts for a step that has used `took_s` seconds of CPU time."""
         took_s = max(0.0, took_s)
-        self.spent_s += took_s
+        self.total_cpu_s += took_s
         self.longest_s = max(self.longest_s, took_s)
         self.next_step_at_s = min(max(now_s, self.next_step_at_s) + took_s / MAX_LOOP_SHARE, now_s + MAX_PAUSE_S)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -106,7 +106,7 @@
         now_s += work.wait_s(now_s) + took_s
         work.spend(now_s, took_s)
     whole_s = now_s + work.wait_s(now_s) - 100.0
-    assert work.spent_s <= MAX_LOOP_SHARE * whole_s * 1.000001 + 1e-9
+    assert work.total_cpu_s <= MAX_LOOP_SHARE * whole_s * 1.000001 + 1e-9
     assert work.longest_s == max(steps)
 
 
