--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -54,7 +54,7 @@
 
     next_step_at_s: float = 0.0
     total_cpu_s: float = 0.0
-    longest_s: float = 0.0
+    longest_step_s: float = 0.0
 
     def wait_s(self, now_s: float) -> float:
         """Seconds until the next step may run."""
@@ -64,5 +64,5 @@
         """Accounts for a step that has used `took_s` seconds of CPU time."""
         took_s = max(0.0, took_s)
         self.total_cpu_s += took_s
-        self.longest_s = max(self.longest_s, took_s)
+        self.longest_step_s = max(self.longest_step_s, took_s)
         self.next_step_at_s = min(max(now_s, self.next_step_at_s) + took_s / MAX_LOOP_SHARE, now_s + MAX_PAUSE_S)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -107,7 +107,7 @@
         work.spend(now_s, took_s)
     whole_s = now_s + work.wait_s(now_s) - 100.0
     assert work.total_cpu_s <= MAX_LOOP_SHARE * whole_s * 1.000001 + 1e-9
-    assert work.longest_s == max(steps)
+    assert work.longest_step_s == max(steps)
 
 
 def test_one_long_step_does_not_shut_control_work_out() -> None:
