--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -244,7 +244,7 @@
             self.end(f"invalid message from the agent: {error}")
             return False
         finally:
-            self.client.slice.spend(self.loop.time(), time.thread_time() - start_s)
+            self.client.slice.record_step(self.loop.time(), time.thread_time() - start_s)
 
     def take_frame(self) -> bool:
         raw = self.decoder.next_message()
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -60,7 +60,7 @@
         """Seconds until the next step may run."""
         return max(0.0, self.next_step_at_s - now_s)
 
-    def spend(self, now_s: float, took_s: float) -> None:
+    def record_step(self, now_s: float, took_s: float) -> None:
         """Accounts for a step that has used `took_s` seconds of CPU time."""
         took_s = max(0.0, took_s)
         self.total_cpu_s += took_s
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -104,7 +104,7 @@
     work, now_s = ControlWorkLimiter(), 100.0
     for took_s in steps:
         now_s += work.wait_s(now_s) + took_s
-        work.spend(now_s, took_s)
+        work.record_step(now_s, took_s)
     whole_s = now_s + work.wait_s(now_s) - 100.0
     assert work.total_cpu_s <= MAX_LOOP_SHARE * whole_s * 1.000001 + 1e-9
     assert work.longest_step_s == max(steps)
@@ -113,7 +113,7 @@
 def test_one_long_step_does_not_shut_control_work_out() -> None:
     """Without the limit on pauses, one step of 0.4 s would be followed by 20 s in which no lease is renewed."""
     work = ControlWorkLimiter()
-    work.spend(10.0, 0.4)
+    work.record_step(10.0, 0.4)
     assert work.wait_s(10.0) == MAX_PAUSE_S
-    work.spend(10.0, 5.0)
+    work.record_step(10.0, 5.0)
     assert work.wait_s(10.0) == MAX_PAUSE_S
