--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -10,7 +10,7 @@
 from ironscale.agent.model import Seen
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import Command, Hello, Report
-from ironscale.control.processes import is_alive, machine
+from ironscale.control.processes import is_alive, machine_boot_id
 
 # So many instances a second come back after they have lost their agent.
 RETURNS_PER_S = 200.0
@@ -79,7 +79,7 @@
         self.replacing: Callable[[str], bool] = lambda name: False  # its process is being replaced
         self.ordered: list[str] = []
         self.dirty: set[str] = set()  # to be written to the record
-        self.here = machine()
+        self.here = machine_boot_id()
         self.registrations = self.beats = 0
         self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it teaches newcomers
         self.teachers: list[str] = []  # those names, to draw from
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -13,7 +13,7 @@
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
-from ironscale.control.processes import machine
+from ironscale.control.processes import machine_boot_id
 from ironscale.record import database
 from ironscale.record.database import Opener, Transaction, Writer, trouble
 from ironscale.record.errors import Step
@@ -146,7 +146,7 @@
         (epoch, holder, place, on, until_ms), = transaction.execute(
             "SELECT epoch, holder, place, machine, until_ms FROM owner WHERE one = 1")
         # a lease of before the machine's last start: its holder is no more, and the clock has begun anew
-        return Owner(epoch, holder, place, max(0, until_ms - clock_ms()) if on == machine() else 0)
+        return Owner(epoch, holder, place, max(0, until_ms - clock_ms()) if on == machine_boot_id() else 0)
 
     async def claim(self) -> None:
         claim = self.claim_as
@@ -158,7 +158,7 @@
                 raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
                               f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
-                                " WHERE one = 1", (claim.holder, claim.place, machine(), now_ms + claim.lease_ms))
+                                " WHERE one = 1", (claim.holder, claim.place, machine_boot_id(), now_ms + claim.lease_ms))
             return Term(owner.epoch + 1, now_ms + claim.lease_ms, claim.lease_ms)
 
         try:
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -15,7 +15,7 @@
 from ironscale.control.client import Client, Identity
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.layers import Layered
-from ironscale.control.processes import machine, start_ticks
+from ironscale.control.processes import machine_boot_id, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Control, Versions, read_secret
 from ironscale.tasks import log_failure
@@ -40,7 +40,7 @@
         name=sidecar.config.name, boot=environ.get("GW_BOOT") or secrets.token_hex(8), pid=os.getpid(),
         version=version(), started_ms=time.time_ns() // 1_000_000, zone=control.zone,
         listen=f"{host}:{sidecar.port or port}", token=token, replaces=environ.get("GW_REPLACES", ""),
-        host=machine(), ticks=start_ticks(os.getpid()) or 0)
+        host=machine_boot_id(), ticks=start_ticks(os.getpid()) or 0)
     instance = SidecarInstance(sidecar, end)
     layered = Layered(instance, sidecar.generation, sidecar.overlay)
     client = Client(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
--- a/ironscale/control/processes.py
+++ b/ironscale/control/processes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 
-def machine() -> str:
+def machine_boot_id() -> str:
     """The kernel's boot id of this machine; empty if it can't be read."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text(encoding="ascii").strip()
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -11,7 +11,7 @@
 from ironscale.agent.fleet import BEATS_A_LEASE, BEATS_PER_S, Denial, Fleet, state_of
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import PROTOCOL, Command, Hello
-from ironscale.control.processes import machine, start_ticks
+from ironscale.control.processes import machine_boot_id, start_ticks
 from tests.control.test_frames import REPORT
 
 
@@ -120,7 +120,7 @@
     s = Scene()
     s.fleet.unlink("a", s.come(), "")
     assert s.state() == "not ready"  # its lease runs
-    here = s.come("b", host=machine(), ticks=77)  # pid 1 with another start time: that process is no more
+    here = s.come("b", host=machine_boot_id(), ticks=77)  # pid 1 with another start time: that process is no more
     s.fleet.unlink("b", here, "")
     assert s.state("b") == "gone"
 
@@ -146,7 +146,7 @@
     ticks = start_ticks(os.getpid())
     assert ticks is not None
     s.fleet.load([row("back"), row("gone", ended="exit 1", connected=False),
-                  row("dead", host=machine(), ticks=ticks + 1), row("here", host=machine(), ticks=ticks),
+                  row("dead", host=machine_boot_id(), ticks=ticks + 1), row("here", host=machine_boot_id(), ticks=ticks),
                   row("future", heard_ms=2**50)], alive_ms=950_000)
     assert {name: s.state(name) for name in s.fleet.members} == {
         "back": "not ready", "gone": "gone", "dead": "gone", "here": "not ready", "future": "not ready"}
