--- a/bench/cost.py
+++ b/bench/cost.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.load.client import KindSpec, closed_loop
 from ironscale.load.outcome import End
 from ironscale.load.run import check_limits, started_sidecars, started_site
@@ -55,9 +55,9 @@
 async def cost_us(pid: int, address: Address, callers: int, seconds: float) -> float:
     """CPU a request, after as long a warm-up as half of the measurement. A request that is not served spoils it."""
     await closed_loop(address, VIEW, callers, seconds / 2, "w", "t0")
-    before_s = cpu_s(pid)
+    before_s = process_cpu_s(pid)
     samples = await closed_loop(address, VIEW, callers, seconds, "m", "t0")
-    used_s = cpu_s(pid) - before_s
+    used_s = process_cpu_s(pid) - before_s
     other = [s for s in samples if s.end != End.SERVED]
     if len(other) > len(samples) / 100:
         raise RuntimeError(f"{len(other)} of {len(samples)} were not served, the first as {End(other[0].end).name}")
--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from bench.fleet import size_of
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import Agents
 from ironscale.scale.bounds import Bounds, Crew
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -79,14 +79,14 @@
                     raise RuntimeError("the sidecar did not start") from None
                 await asyncio.sleep(0.02)
         await load(port, 1.0)
-        start_s = cpu_s(process.pid)
+        start_s = process_cpu_s(process.pid)
         done = await load(port, seconds)
         if agents is not None:
             report = await agents.call('{ instance(name: "app-0") { report { controlCpuSeconds } } }')
             control_s = report["instance"]["report"]["controlCpuSeconds"]
             print(f"  control work by its own account: {control_s / (seconds + 1) * 100:.3f} % of a core, "
                   f"{control_s / (done * (seconds + 1) / seconds) * 1e6:.1f} us a request", flush=True)
-        return (cpu_s(process.pid) - start_s) / done * 1e6
+        return (process_cpu_s(process.pid) - start_s) / done * 1e6
     finally:
         process.terminate()
         await asyncio.to_thread(process.wait)
--- a/ironscale/control/processes.py
+++ b/ironscale/control/processes.py
@@ -23,7 +23,7 @@
     return None if fields[0] in "ZX" else int(fields[19])
 
 
-def cpu_s(pid: int) -> float:
+def process_cpu_s(pid: int) -> float:
     """CPU time of all threads of the process so far, from the scheduler's nanosecond counters (/proc/PID/stat has only
     ticks of 10 ms). Raises OSError if there is no such process."""
     return sum(int((task / "schedstat").read_text().split()[0]) for task in Path(f"/proc/{pid}/task").iterdir()) / 1e9
--- a/ironscale/load/run.py
+++ b/ironscale/load/run.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.load import parent_death
 from ironscale.load.outcome import RECORD, Sample
 from ironscale.load.result import Result, Truth, summarize, truth_of
@@ -181,7 +181,7 @@
             for process in self.sidecars:
                 if process.returncode is not None:
                     raise RunError(f"a sidecar ended during the run, with status {process.returncode}")
-            self.sidecar_cpu_s = [cpu_s(process.pid) for process in self.sidecars]
+            self.sidecar_cpu_s = [process_cpu_s(process.pid) for process in self.sidecars]
             truth = await site.end() if site is not None else None
         return summarize(
             self.scenario,
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -18,7 +18,7 @@
 
 import httpx
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.scale.bounds import Crew, memory_mb
 from ironscale.scale.simulated_instances import Hollows
 from ironscale.scale.size import Play
@@ -49,7 +49,7 @@
     @classmethod
     def of(cls, pid: int) -> Spent:
         found = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text(encoding="ascii").splitlines())
-        return cls(time.monotonic(), cpu_s(pid), int(found["rchar"]), int(found["write_bytes"]))
+        return cls(time.monotonic(), process_cpu_s(pid), int(found["rchar"]), int(found["write_bytes"]))
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -6,7 +6,7 @@
 import subprocess
 from collections.abc import Sequence
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import Agents, at_rest
 from ironscale.scale.bounds import memory_mb
 from ironscale.scale.real_sidecars import Reals
@@ -76,13 +76,13 @@
     async def cost(times: int, pause_s: float, work: object) -> list[float]:
         """CPU seconds each of the sidecars without an agent took for one, less what it takes at rest."""
         assert callable(work)
-        before, began_s = [cpu_s(p.pid) for p in without], asyncio.get_running_loop().time()
+        before, began_s = [process_cpu_s(p.pid) for p in without], asyncio.get_running_loop().time()
         for _ in range(times):
             work()
             await asyncio.sleep(pause_s)
         await asyncio.sleep(QUIET_S)
         took_s = asyncio.get_running_loop().time() - began_s
-        return [max(0.0, cpu_s(p.pid) - was - rest / 100 * took_s) / times
+        return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / times
                 for p, was, rest in zip(without, before, percent[EACH:], strict=True)]
 
     def whole() -> None:
@@ -111,11 +111,11 @@
 
 async def of_changes(agents: Agents, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
                      ) -> list[float]:
-    before, began_s = [cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
+    before, began_s = [process_cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
     for _ in range(CHANGES):
         _, operation, _, _ = await agents.apply()
         await agents.closed(operation)
     await asyncio.sleep(QUIET_S)
     took_s = asyncio.get_running_loop().time() - began_s
-    return [max(0.0, cpu_s(p.pid) - was - rest / 100 * took_s) / CHANGES * 1e6
+    return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / CHANGES * 1e6
             for p, was, rest in zip(with_agent, before, rests, strict=True)]
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -24,7 +24,7 @@
 
 from ironscale import settings
 from ironscale.balance import Balancer
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.interface import ListKind, SetTimer, Subscribe, TimerFired, UpstreamsUpdated
 from ironscale.load.run import RunError as ChildError
 from ironscale.load.run import child, sidecar_settings
@@ -251,7 +251,7 @@
 
     def cpu_s(self) -> float:
         """Of the hollow watches' processes."""
-        return sum(cpu_s(herd.process.pid) for herd, _ in self.herds)
+        return sum(process_cpu_s(herd.process.pid) for herd, _ in self.herds)
 
 
 @contextlib.asynccontextmanager
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -24,7 +24,7 @@
 
 import uvloop
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.load import arrivals
 from ironscale.load.client import Client, KindSpec, Spec
 from ironscale.load.outcome import End, Sample
@@ -214,7 +214,7 @@
     told = await marks.get()
     return Look(
         (time.monotonic_ns() - start_ns) // 1000,
-        {name: cpu_s(pid) for name, pid in pids.items()},
+        {name: process_cpu_s(pid) for name, pid in pids.items()},
         told["upstreams"],
         len(os.listdir(f"/proc/{pids['sidecar']}/fd")),
         rss_mb(pids["sidecar"]),
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from ironscale.control.processes import cpu_s
+from ironscale.control.processes import process_cpu_s
 from ironscale.scale.bounds import Crew
 from ironscale.stage.relay import Port
 from ironscale.stage.run import Stage
@@ -90,7 +90,7 @@
         return process
 
     def cpu_s(self) -> list[float]:
-        return [cpu_s(process.pid) for process in self.processes]
+        return [process_cpu_s(process.pid) for process in self.processes]
 
     def end(self) -> None:
         if self.processes:
