--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -20,7 +20,7 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.model import Send
 from ironscale.agent.restarts import Restarts
-from ironscale.control.processes import is_alive, start_ticks, with_variable
+from ironscale.control.processes import is_alive, start_ticks, find_process_with_variable
 from ironscale.operator_file import OperatorFileError, Service
 
 READY_S = 30.0  # a successor has so long to become ready before the old process is told to end
@@ -162,7 +162,7 @@
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
             member.held = bool(state.get("held", False))
             boot = str(state["boot"])
-            pid = int(state["pid"]) if "pid" in state else with_variable("GW_BOOT", boot)
+            pid = int(state["pid"]) if "pid" in state else find_process_with_variable("GW_BOOT", boot)
             if pid is None:
                 return None
             ticks = int(state["ticks"]) if "ticks" in state else start_ticks(pid) or 0
--- a/ironscale/control/processes.py
+++ b/ironscale/control/processes.py
@@ -34,7 +34,7 @@
     return start_ticks(pid) == ticks
 
 
-def with_variable(name: str, value: str) -> int | None:
+def find_process_with_variable(name: str, value: str) -> int | None:
     """The pid of a process of this user that was started with NAME=VALUE in its environment; None if there is none."""
     wanted = f"{name}={value}".encode()
     for entry in Path("/proc").iterdir():
--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -161,7 +161,7 @@
 
 
 def test_ctrl_c_ends_everything_and_leaves_no_result(tmp_path: Path) -> None:
-    from ironscale.control.processes import with_variable
+    from ironscale.control.processes import find_process_with_variable
 
     (tmp_path / "s.toml").write_text(SCENARIO.replace("duration_s = 1", "duration_s = 60"))
     mark = f"{tmp_path.name}-{os.getpid()}"
@@ -190,7 +190,7 @@
     process.send_signal(signal.SIGINT)
     _, said = process.communicate(timeout=60)
     assert process.returncode == Exit.STOPPED and "stopped" in said and "Traceback" not in said
-    assert with_variable("LOAD_TEST", mark) is None and not (tmp_path / "a.json").exists()
+    assert find_process_with_variable("LOAD_TEST", mark) is None and not (tmp_path / "a.json").exists()
 
 
 def test_sigint_ends_a_run_that_was_started_with_sigint_ignored(tmp_path: Path) -> None:
@@ -207,7 +207,7 @@
 
 
 def stopped(folder: Path, moment: str, number: int, times: int, ignored: bool, seconds: int = 1) -> None:
-    from ironscale.control.processes import with_variable
+    from ironscale.control.processes import find_process_with_variable
 
     (folder / "s.toml").write_text(SCENARIO.replace("duration_s = 1", f"duration_s = {seconds}"))
     files = str(folder / "s.toml"), "--json", str(folder / "a.json"), "--html", str(folder / "a.html")
@@ -231,4 +231,4 @@
     else:
         assert done.returncode == Exit.STOPPED and "stopped; what was sent" in done.stderr, told
         assert left == ["s.toml"], told
-    assert with_variable("LOAD_TEST", mark) is None, told
+    assert find_process_with_variable("LOAD_TEST", mark) is None, told
