--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -14,7 +14,7 @@
 
 from ironscale.control.client import Client, Identity
 from ironscale.control.instance import SidecarInstance
-from ironscale.control.layers import Layered
+from ironscale.control.layers import LayeredInstance
 from ironscale.control.processes import machine_boot_id, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import Control, Versions, read_secret
@@ -33,7 +33,7 @@
 
 
 def client_for(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
-               end: Callable[[], None]) -> tuple[Client, Layered]:
+               end: Callable[[], None]) -> tuple[Client, LayeredInstance]:
     """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
     identity = Identity(
@@ -42,7 +42,7 @@
         listen=f"{host}:{sidecar.port or port}", token=token, replaces=environ.get("GW_REPLACES", ""),
         host=machine_boot_id(), ticks=start_ticks(os.getpid()) or 0)
     instance = SidecarInstance(sidecar, end)
-    layered = Layered(instance, sidecar.generation, sidecar.overlay)
+    layered = LayeredInstance(instance, sidecar.generation, sidecar.overlay)
     client = Client(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
                     others=control.agents[1:])
 
@@ -53,7 +53,7 @@
     return client, layered
 
 
-def follower_for(layered: Layered, identity: Identity, versions: Versions) -> Follower:
+def follower_for(layered: LayeredInstance, identity: Identity, versions: Versions) -> Follower:
     """The follower of published versions. Raises OperatorFileError if its token can't be read."""
     from ironscale.control.follower import Follower, Follows
     from ironscale.versions.model import Labels
--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -10,7 +10,7 @@
 from ironscale.versions.model import over
 
 
-class Layered:
+class LayeredInstance:
     """Applies the merged overlays to an instance. The operation's overlay is the more specific one, so it takes
     precedence over the published one."""
 
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -13,7 +13,7 @@
 from ironscale.control.client import Client, Identity
 from ironscale.control.follower import Follower, Follows
 from ironscale.control.instance import Refused, RestartNeeded, check_overlay
-from ironscale.control.layers import Layered
+from ironscale.control.layers import LayeredInstance
 from ironscale.control.messages import ClassCounts, Report
 from ironscale.versions.agent_selection import Place
 from ironscale.versions.model import Labels
@@ -35,7 +35,7 @@
         self.effects: list[str] = []
         self.before_effect: Callable[[str], None] = lambda what: None  # may raise, or end the process
         self.client: Client | None = None
-        self.layered = Layered(self)
+        self.layered = LayeredInstance(self)
         self.fence = 0
 
     def report(self, control_s: float) -> Report:
