--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -17,7 +17,7 @@
     def __init__(self, instance: Instance, generation: int = 0, overlay: Mapping[str, Any] | None = None) -> None:
         """`generation` and `overlay` belong to the operation that the instance was started with."""
         self.instance = instance
-        self.generation, self.operated = generation, overlay or {}
+        self.generation, self.operation_overlay = generation, overlay or {}
         self.published: Mapping[str, Any] = {}
 
     def report(self, control_s: float) -> Report:
@@ -32,11 +32,11 @@
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         """Replaces the operation's overlay, or changes nothing and raises Refused or RestartNeeded."""
         self.instance.reconfigure(generation, over(self.published, overlay))
-        self.generation, self.operated = generation, overlay
+        self.generation, self.operation_overlay = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
         """Replaces the published overlay, or changes nothing and raises Refused or RestartNeeded."""
-        self.instance.reconfigure(self.generation, over(overlay, self.operated))
+        self.instance.reconfigure(self.generation, over(overlay, self.operation_overlay))
         self.published = overlay
 
     def stop(self) -> None:
