--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -18,7 +18,7 @@
         """`generation` and `overlay` belong to the operation that the instance was started with."""
         self.instance = instance
         self.generation, self.operation_overlay = generation, overlay or {}
-        self.published: Mapping[str, Any] = {}
+        self.published_overlay: Mapping[str, Any] = {}
 
     def report(self, control_s: float) -> Report:
         return self.instance.report(control_s)
@@ -31,13 +31,13 @@
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         """Replaces the operation's overlay, or changes nothing and raises Refused or RestartNeeded."""
-        self.instance.reconfigure(generation, over(self.published, overlay))
+        self.instance.reconfigure(generation, over(self.published_overlay, overlay))
         self.generation, self.operation_overlay = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
         """Replaces the published overlay, or changes nothing and raises Refused or RestartNeeded."""
         self.instance.reconfigure(self.generation, over(overlay, self.operation_overlay))
-        self.published = overlay
+        self.published_overlay = overlay
 
     def stop(self) -> None:
         self.instance.stop()
