--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -15,7 +15,7 @@
 from ironscale.net.sidecar import RestartRequired, Sidecar
 
 # Keys that differ for each instance, so an overlay for many instances can't set them.
-OWN_KEYS = ("name", "listen", "seed", "known")
+PER_INSTANCE_KEYS = ("name", "listen", "seed", "known")
 OWN_SETTINGS = ("self-index",)
 OUTCOMES = ("served", "refused", "failed")
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -56,7 +56,7 @@
 
 def check_overlay(overlay: Mapping[str, Any]) -> None:
     """Raises Refused if the overlay sets a key that differs for each instance."""
-    for key in OWN_KEYS:
+    for key in PER_INSTANCE_KEYS:
         if key in overlay:
             raise Refused(f"{key}: expected no key that each instance has of its own, "
                           f"got {overlay[key]!r:.60}")
