--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -16,7 +16,7 @@
 
 # Keys that differ for each instance, so an overlay for many instances can't set them.
 PER_INSTANCE_KEYS = ("name", "listen", "seed", "known")
-OWN_SETTINGS = ("self-index",)
+PER_INSTANCE_SETTINGS = ("self-index",)
 OUTCOMES = ("served", "refused", "failed")
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
@@ -63,7 +63,7 @@
     settings = overlay.get("settings", {})
     if not isinstance(settings, Mapping):
         raise Refused(f"settings: expected an object, got {settings!r:.60}")
-    for key in OWN_SETTINGS:
+    for key in PER_INSTANCE_SETTINGS:
         if key in settings:
             raise Refused(f"settings.{key}: expected no key that each instance has of its own, "
                           f"got {settings[key]!r:.60}")
