--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -18,7 +18,7 @@
 PER_INSTANCE_KEYS = ("name", "listen", "seed", "known")
 PER_INSTANCE_SETTINGS = ("self-index",)
 OUTCOMES = ("served", "refused", "failed")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Refused(Exception):
@@ -72,7 +72,7 @@
 def memory_kb() -> int:
     """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * PAGE // 1024
+        return int(file.read().split()[1]) * PAGE_BYTES // 1024
 
 
 class SidecarInstance:
