--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -11,7 +11,7 @@
 
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Published, Records, Store, StoreError
-from ironscale.control.instance import Refused, check_overlay
+from ironscale.control.instance import ChangeRefused, check_overlay
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, digest, effective
 from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
@@ -131,7 +131,7 @@
         if draft.overlay is not None:
             try:
                 check_overlay(draft.overlay)
-            except Refused as problem:
+            except ChangeRefused as problem:
                 raise Refusal("BAD_INPUT", f"overlay: {problem}") from problem
         return await self.write(actor, key, self.fingerprint("publish", str(draft.scope), draft.overlay, draft.base),
                                 lambda records: draft)
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -19,7 +19,7 @@
 from ironscale import logs
 from ironscale.control.commands import CommandDeduplicator
 from ironscale.control.frames import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
-from ironscale.control.instance import Instance, Refused, RestartNeeded
+from ironscale.control.instance import Instance, ChangeRefused, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
     PROTOCOL,
@@ -150,7 +150,7 @@
         """Runs an admitted command; every failure becomes a result."""
         try:
             detail = self.effect(command)
-        except Refused as error:
+        except ChangeRefused as error:
             return CommandResult(command.id, "refused", str(error))
         except RestartNeeded as error:
             return CommandResult(command.id, "needs restart", str(error))
@@ -169,15 +169,15 @@
             case "reconfigure":
                 generation, overlay = command.args.get("generation"), command.args.get("overlay")
                 if not isinstance(generation, int) or isinstance(generation, bool) or generation < 0:
-                    raise Refused(f"generation: expected a whole number of 0 or more, got {generation!r:.60}")
+                    raise ChangeRefused(f"generation: expected a whole number of 0 or more, got {generation!r:.60}")
                 if not isinstance(overlay, Mapping):
-                    raise Refused(f"overlay: expected an object, got {overlay!r:.60}")
+                    raise ChangeRefused(f"overlay: expected an object, got {overlay!r:.60}")
                 self.instance.reconfigure(generation, overlay)
                 return ""
             case "stop":
                 self.instance.stop()
                 return "ending"
-        raise Refused(f"{command.kind}: not known here")
+        raise ChangeRefused(f"{command.kind}: not known here")
 
 
 class Session(asyncio.Protocol):
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -14,7 +14,7 @@
 
 from ironscale import logs
 from ironscale.control.frames import FrameDecoder, FrameError, encode_frame
-from ironscale.control.instance import Refused, RestartNeeded
+from ironscale.control.instance import ChangeRefused, RestartNeeded
 from ironscale.control.messages import (
     PROTOCOL,
     TO_FOLLOWER,
@@ -198,7 +198,7 @@
         state = self.state
         try:
             self.target.publish(state.overlay())
-        except Refused as error:
+        except ChangeRefused as error:
             state.refused("refused", str(error))
         except RestartNeeded as error:
             state.refused("needs restart", str(error))
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -21,7 +21,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Refused(Exception):
+class ChangeRefused(Exception):
     """The instance refuses the change, and nothing has changed; the error text is a single line."""
 
 
@@ -58,14 +58,14 @@
     """Raises Refused if the overlay sets a key that differs for each instance."""
     for key in PER_INSTANCE_KEYS:
         if key in overlay:
-            raise Refused(f"{key}: expected no key that each instance has of its own, "
+            raise ChangeRefused(f"{key}: expected no key that each instance has of its own, "
                           f"got {overlay[key]!r:.60}")
     settings = overlay.get("settings", {})
     if not isinstance(settings, Mapping):
-        raise Refused(f"settings: expected an object, got {settings!r:.60}")
+        raise ChangeRefused(f"settings: expected an object, got {settings!r:.60}")
     for key in PER_INSTANCE_SETTINGS:
         if key in settings:
-            raise Refused(f"settings.{key}: expected no key that each instance has of its own, "
+            raise ChangeRefused(f"settings.{key}: expected no key that each instance has of its own, "
                           f"got {settings[key]!r:.60}")
 
 
@@ -115,17 +115,17 @@
 
     def drain(self, draining: bool) -> None:
         if self.sidecar.server.stopping:
-            raise Refused("the process is ending")
+            raise ChangeRefused("the process is ending")
         self.sidecar.drain(draining)
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         if self.sidecar.server.stopping:
-            raise Refused("the process is ending")
+            raise ChangeRefused("the process is ending")
         check_overlay(overlay)
         try:
             self.sidecar.reconfigure(generation, overlay)
         except ConfigError as error:
-            raise Refused(str(error)) from error
+            raise ChangeRefused(str(error)) from error
         except RestartRequired as error:
             raise RestartNeeded(str(error)) from error
 
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -12,7 +12,7 @@
 
 from ironscale.control.client import Client, Identity
 from ironscale.control.follower import Follower, Follows
-from ironscale.control.instance import Refused, RestartNeeded, check_overlay
+from ironscale.control.instance import ChangeRefused, RestartNeeded, check_overlay
 from ironscale.control.layers import LayeredInstance
 from ironscale.control.messages import ClassCounts, Report
 from ironscale.versions.agent_selection import Place
@@ -56,7 +56,7 @@
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         check_overlay(overlay)
         if "refused" in overlay:
-            raise Refused(f"refused: {overlay['refused']}")
+            raise ChangeRefused(f"refused: {overlay['refused']}")
         if "restart" in overlay:
             raise RestartNeeded("listen")
         self.before_effect(f"generation {generation}")
