--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -46,7 +46,7 @@
     def stop(self) -> None: ...
 
 
-def listed(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
+def describe_registration(entry: api.Upstream, directory: Directory) -> dict[str, Any]:
     """What discovery says about an upstream, with the configured names in place of numbers."""
     zones, kinds = list(directory.zones.listed), list(directory.kinds.listed)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
@@ -107,7 +107,7 @@
         servers = self.sidecar.balancer.servers
         return [{
             "name": pools[view.id].member.name if view.id in pools else str(view.id),
-            **listed(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
+            **describe_registration(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
             "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.unresponsive,
             "leastMs": round(view.min_latency_us / 1000, 3),
