--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -69,7 +69,7 @@
                           f"got {settings[key]!r:.60}")
 
 
-def memory_kb() -> int:
+def resident_memory_kb() -> int:
     """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE_BYTES // 1024
@@ -98,7 +98,7 @@
             classes=[ClassCounts(c.name, *(sidecar.answers[i, what] for what in OUTCOMES))
                      for i, c in enumerate(sidecar.config.settings.classes)],
             refusals={reason or "not told": count for reason, count in sidecar.refusals.items()},
-            cpu_s=time.process_time(), control_cpu_s=control_s, memory_kb=memory_kb(),
+            cpu_s=time.process_time(), control_cpu_s=control_s, memory_kb=resident_memory_kb(),
             descriptors=len(os.listdir("/proc/self/fd")),
         )
 
