--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -80,7 +80,7 @@
 
     def __init__(self, sidecar: Sidecar, end: Callable[[], None]) -> None:
         self.sidecar = sidecar
-        self.end = end
+        self.shut_down = end
         self.fence = 0
 
     def report(self, control_s: float) -> Report:
@@ -130,4 +130,4 @@
             raise RestartNeeded(str(error)) from error
 
     def stop(self) -> None:
-        self.end()
+        self.shut_down()
