--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -39,7 +39,7 @@
 )
 from ironscale.control.pacing import ReconnectBackoff, ControlWorkLimiter
 
-CONNECT_S, WELCOME_S = 2.0, 5.0
+CONNECT_TIMEOUT_S, WELCOME_S = 2.0, 5.0
 OTHERS_WELCOME_S = 1.0  # shorter if there are other agents to try
 PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
 MOST_UNSENT = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
@@ -101,7 +101,7 @@
         """Connects once and serves the connection until it ends; gives the seconds to wait before the next attempt."""
         session = Session(self)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: session, *self.address)
         except (OSError, TimeoutError, ValueError) as error:
             session.drop()
