--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -40,7 +40,7 @@
 from ironscale.control.pacing import ReconnectBackoff, ControlWorkLimiter
 
 CONNECT_TIMEOUT_S, WELCOME_TIMEOUT_S = 2.0, 5.0
-OTHERS_WELCOME_S = 1.0  # shorter if there are other agents to try
+FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
 PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
 MOST_UNSENT = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
 LOG_GAP_S = 5.0
@@ -198,7 +198,7 @@
         self.pump_handle: asyncio.TimerHandle | None = None
         self.beat_handle: asyncio.TimerHandle | None = None
         self.was_silent = False
-        wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else OTHERS_WELCOME_S
+        wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
         self.silence = self.loop.call_later(wait_s, self.end, "no welcome in time")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
