--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -41,7 +41,7 @@
 
 CONNECT_TIMEOUT_S, WELCOME_TIMEOUT_S = 2.0, 5.0
 FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
-PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
+UPSTREAMS_PER_PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
 MOST_UNSENT = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
 LOG_GAP_S = 5.0
 NOT_LEADING = "NOT_LEADING"
@@ -330,11 +330,11 @@
         """Sends one part per step, so that a long list doesn't block the loop."""
         if upstreams is None:
             upstreams = self.client.instance.upstreams()
-        more = start + PART < len(upstreams)
+        more = start + UPSTREAMS_PER_PART < len(upstreams)
         self.send(CommandResult(ident, "applied", "", None if more else self.client.report(),
-                         upstreams[start:start + PART], more))
+                         upstreams[start:start + UPSTREAMS_PER_PART], more))
         if more:
-            self.jobs.append(partial(self.inspect, ident, upstreams, start + PART))
+            self.jobs.append(partial(self.inspect, ident, upstreams, start + UPSTREAMS_PER_PART))
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -274,7 +274,7 @@
             agent.say(Command("q1", 0, "boot", "inspect"))
             await until(lambda: agent.results() and not agent.results()[-1].more)
             parts = agent.results()
-            assert len(parts) == 13 and max(len(part.data) for part in parts) == module.PART
+            assert len(parts) == 13 and max(len(part.data) for part in parts) == module.UPSTREAMS_PER_PART
             assert [u["name"] for part in parts for u in part.data] == [f"node-{i}" for i in range(1_234)]
             assert [part.report is None for part in parts] == [True] * 12 + [False]
 
