--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -42,7 +42,7 @@
 CONNECT_TIMEOUT_S, WELCOME_TIMEOUT_S = 2.0, 5.0
 FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
 UPSTREAMS_PER_PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
-MOST_UNSENT = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
+MAX_UNSENT_BYTES = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
 LOG_GAP_S = 5.0
 NOT_LEADING = "NOT_LEADING"
 
@@ -229,7 +229,7 @@
         self.pump_handle = None
         if self.ended.is_set():
             return
-        if self.transport is not None and self.transport.get_write_buffer_size() > MOST_UNSENT:
+        if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
             return
         if self.step(self.jobs.popleft() if self.jobs else self.take_frame):
@@ -305,7 +305,7 @@
         assert self.welcome is not None
         if not self.ended.is_set():
             self.beat_handle = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
-            if self.transport is None or self.transport.get_write_buffer_size() <= MOST_UNSENT:
+            if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
                 self.step(self.send_beat)
 
     def send_beat(self) -> None:
