--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -43,7 +43,7 @@
 FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
 UPSTREAMS_PER_PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
 MAX_UNSENT_BYTES = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
-LOG_GAP_S = 5.0
+MIN_LOG_INTERVAL_S = 5.0
 NOT_LEADING = "NOT_LEADING"
 
 
@@ -90,7 +90,7 @@
         """Writes at most one line per LOG_GAP_S, so that a misbehaving agent can't flood the log."""
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
-            self.next_log_s = now_s + LOG_GAP_S
+            self.next_log_s = now_s + MIN_LOG_INTERVAL_S
             self.log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
 
     async def run(self) -> None:
