--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -64,7 +64,7 @@
     ticks: int = 0
 
 
-class Client:
+class AgentClient:
     """Keeps the instance connected to an agent, and reconnects, until `run` is cancelled."""
 
     def __init__(self, instance: Instance, identity: Identity, address: tuple[str, int], rng: random.Random,
@@ -183,7 +183,7 @@
 class Session(asyncio.Protocol):
     """One connection to an agent. Each frame is handled in its own step, within the loop's share for control work."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: AgentClient) -> None:
         self.client = client
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -12,7 +12,7 @@
 from importlib import metadata
 from typing import TYPE_CHECKING, Protocol
 
-from ironscale.control.client import Client, Identity
+from ironscale.control.client import AgentClient, Identity
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.layers import LayeredInstance
 from ironscale.control.processes import machine_boot_id, start_ticks
@@ -33,7 +33,7 @@
 
 
 def client_for(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
-               end: Callable[[], None]) -> tuple[Client, LayeredInstance]:
+               end: Callable[[], None]) -> tuple[AgentClient, LayeredInstance]:
     """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
     identity = Identity(
@@ -43,7 +43,7 @@
         host=machine_boot_id(), ticks=start_ticks(os.getpid()) or 0)
     instance = SidecarInstance(sidecar, end)
     layered = LayeredInstance(instance, sidecar.generation, sidecar.overlay)
-    client = Client(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
+    client = AgentClient(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
                     others=control.agents[1:])
 
     def report_fence(fence: int) -> None:
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ironscale.control.client import Client, Identity
+from ironscale.control.client import AgentClient, Identity
 from ironscale.control.follower import Follower, Follows
 from ironscale.control.instance import ChangeRefused, RestartNeeded, check_overlay
 from ironscale.control.layers import LayeredInstance
@@ -34,7 +34,7 @@
         self.counts = ClassCounts("view", 0, 0, 0)
         self.effects: list[str] = []
         self.before_effect: Callable[[str], None] = lambda what: None  # may raise, or end the process
-        self.client: Client | None = None
+        self.client: AgentClient | None = None
         self.layered = LayeredInstance(self)
         self.fence = 0
 
@@ -71,12 +71,12 @@
 
 def light(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
           rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None,
-          others: tuple[tuple[str, int], ...] = ()) -> tuple[LightInstance, Client]:
+          others: tuple[tuple[str, int], ...] = ()) -> tuple[LightInstance, AgentClient]:
     """A simulated instance and the client that connects it to the agent at `address`, or to one of `others`."""
     instance = LightInstance(name)
     identity = Identity(name, boot or secrets.token_hex(8), 0, "light", time.time_ns() // 1_000_000, zone,
                         "127.0.0.1:0", token, replaces)
-    client = Client(instance.layered, identity, address, rng or random.Random(), log, others)
+    client = AgentClient(instance.layered, identity, address, rng or random.Random(), log, others)
 
     def report_fence(fence: int) -> None:
         instance.fence = fence
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -14,7 +14,7 @@
 from ironscale.agent.engine import Engine
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
-from ironscale.control.client import Client
+from ironscale.control.client import AgentClient
 from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
@@ -41,7 +41,7 @@
         self.agent = agent
         self.random = random.Random(seed)
         self.instances: dict[str, LightInstance] = {}
-        self.clients: dict[str, Client] = {}
+        self.clients: dict[str, AgentClient] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.token = read_secret(agent.data / "instance.token")
         self.admin = read_secret(agent.data / "admin.token")
--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -18,19 +18,19 @@
 
 def go_wrong(how: str) -> None:
     """What an instance does with a reconfigure, other than it should."""
-    carry_out = client.Client.carry_out
+    carry_out = client.AgentClient.carry_out
 
-    def dies(self: client.Client, command: Any) -> Any:
+    def dies(self: client.AgentClient, command: Any) -> Any:
         carry_out(self, command)
         os.kill(os.getpid(), signal.SIGKILL)
 
-    def garbles(self: client.Client, command: Any) -> Any:
+    def garbles(self: client.AgentClient, command: Any) -> Any:
         result = carry_out(self, command)
         if self.session is not None and self.session.transport is not None:
             self.session.transport.write(b"\x00\x00\x00\x09not JSON!")
         return result
 
-    def slow(self: client.Client, command: Any) -> Any:
+    def slow(self: client.AgentClient, command: Any) -> Any:
         import time
 
         time.sleep(0.4)
@@ -38,7 +38,7 @@
 
     wrong: Any = {"dies": dies, "garbles": garbles, "slow": slow}.get(how)
     if wrong is not None:
-        client.Client.carry_out = wrong  # type: ignore[method-assign]
+        client.AgentClient.carry_out = wrong  # type: ignore[method-assign]
 
 
 def child(order: dict[str, Any]) -> None:
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironscale.control import client as module
-from ironscale.control.client import Client, Identity
+from ironscale.control.client import AgentClient, Identity
 from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.messages import (
@@ -284,10 +284,10 @@
 # With a real sidecar
 
 
-def client_of(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, Client]:
+def client_of(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, AgentClient]:
     instance = SidecarInstance(scene.sidecar, lambda: None)
     identity = Identity("n0", "boot", 1, "0", 1, "", f"127.0.0.1:{scene.port}", "token")
-    return instance, Client(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
+    return instance, AgentClient(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
 
 
 async def traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
