--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -76,7 +76,7 @@
         self.agents = (address, *others)
         self.term = 0  # the highest leadership term of an agent that has welcomed this process
         self.commands = CommandDeduplicator(identity.boot)
-        self.redial = ReconnectBackoff(rng)
+        self.backoff = ReconnectBackoff(rng)
         self.slice = ControlWorkLimiter()
         self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
@@ -106,7 +106,7 @@
         except (OSError, TimeoutError, ValueError) as error:
             session.drop()
             self.log(f"can't connect: {error or 'timed out'}")
-            return self.next_agent("") or self.redial.after_failed_attempt()
+            return self.next_agent("") or self.backoff.after_failed_attempt()
         self.session = session
         try:
             await session.ended.wait()
@@ -116,15 +116,15 @@
         if session.why:
             self.log(session.why)
         if session.denied is not None and session.denied.code == NOT_LEADING:
-            self.redial.failures = 0
-            return self.next_agent(session.denied.leader) or self.redial.after_no_leader()
+            self.backoff.failures = 0
+            return self.next_agent(session.denied.leader) or self.backoff.after_no_leader()
         if session.denied is not None:
-            return self.redial.after_denial(session.denied.retry_ms / 1000)
+            return self.backoff.after_denial(session.denied.retry_ms / 1000)
         if session.welcome is not None:
             self.tried = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
-            return self.next_agent("") or self.redial.after_lost_connection() if session.was_silent else self.redial.after_lost_connection()
-        return self.next_agent("") or self.redial.after_failed_attempt()
+            return self.next_agent("") or self.backoff.after_lost_connection() if session.was_silent else self.backoff.after_lost_connection()
+        return self.next_agent("") or self.backoff.after_failed_attempt()
 
     def next_agent(self, leader: str) -> float:
         """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
@@ -136,7 +136,7 @@
         self.address = named if named is not None else self.agents[(place + 1) % len(self.agents)]
         if self.tried >= 2 * len(self.agents):
             self.tried = 0
-        return self.redial.before_next_agent() if self.tried else 0.0
+        return self.backoff.before_next_agent() if self.tried else 0.0
 
     def bye(self, reason: str) -> None:
         """Tells the agent that the process is shutting down."""
@@ -282,14 +282,14 @@
             return
         self.client.term = max(self.client.term, welcome.term)
         self.welcome = welcome
-        self.client.redial.failures = self.client.tried = 0
-        self.client.redial.spread_s = min(600.0, welcome.spread_ms / 1000)
+        self.client.backoff.failures = self.client.tried = 0
+        self.client.backoff.spread_s = min(600.0, welcome.spread_ms / 1000)
         self.heard()
         self.client.on_donors(welcome.donors)
         # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
         # don't send their heartbeats at the same moment.
         self.beat_handle = self.loop.call_later(
-            self.client.redial.random.random() * welcome.beat_ms / 1000, self.beat)
+            self.client.backoff.random.random() * welcome.beat_ms / 1000, self.beat)
 
     def heard(self) -> None:
         """Starts the lease again, after a message from the agent."""
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -42,7 +42,7 @@
     token = read_secret(data / "instance.token")
     made = [light(f"i{n}", ("127.0.0.1", port), token, rng=random.Random(n)) for n in range(COUNT)]
     for _, client in made:
-        client.redial.spread_s = 0.05
+        client.backoff.spread_s = 0.05
     tasks = [asyncio.create_task(client.run()) for _, client in made]
     with contextlib.ExitStack() as ends:
         for task in tasks:
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -63,7 +63,7 @@
         for n in range(count):
             addresses = [("127.0.0.1", port) for port in self.ports]
             instance, client = light(f"i{n:02}", addresses[0], token, rng=random.Random(n), others=tuple(addresses[1:]))
-            client.redial.spread_s = 0.1
+            client.backoff.spread_s = 0.1
             self.instances[instance.name] = instance
             instance.before_effect = lambda what, instance=instance: self.effect(instance)  # type: ignore[misc]
             self.tasks.append(asyncio.create_task(client.run()))
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -19,7 +19,7 @@
 def client_of(*agents: ScriptedAgent) -> AgentClient:
     addresses = [("127.0.0.1", agent.port) for agent in agents]
     _, client = light("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
-    client.redial.spread_s = 0.01
+    client.backoff.spread_s = 0.01
     return client
 
 
