--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -77,7 +77,7 @@
         self.term = 0  # the highest leadership term of an agent that has welcomed this process
         self.commands = CommandDeduplicator(identity.boot)
         self.backoff = ReconnectBackoff(rng)
-        self.slice = ControlWorkLimiter()
+        self.work_limiter = ControlWorkLimiter()
         self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
         self.session: Session | None = None
@@ -144,7 +144,7 @@
             self.session.send(Goodbye(reason))
 
     def report(self) -> Report:
-        return self.instance.report(self.slice.total_cpu_s)
+        return self.instance.report(self.work_limiter.total_cpu_s)
 
     def carry_out(self, command: Command) -> CommandResult:
         """Runs an admitted command; every failure becomes a result."""
@@ -221,7 +221,7 @@
 
     def schedule(self) -> None:
         if self.pump_handle is None and not self.ended.is_set():
-            wait_s = self.client.slice.wait_s(self.loop.time())
+            wait_s = self.client.work_limiter.wait_s(self.loop.time())
             self.pump_handle = self.loop.call_later(wait_s, self.pump)
 
     def pump(self) -> None:
@@ -244,7 +244,7 @@
             self.end(f"invalid message from the agent: {error}")
             return False
         finally:
-            self.client.slice.record_step(self.loop.time(), time.thread_time() - start_s)
+            self.client.work_limiter.record_step(self.loop.time(), time.thread_time() - start_s)
 
     def take_frame(self) -> bool:
         raw = self.decoder.next_message()
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -333,7 +333,7 @@
         assert set(statuses) == {200}
         runs = Counter(message.headers["x-txn"] for peer in peers for message in peer.got)
         assert len(runs) == sum(statuses.values()) and set(runs.values()) == {1}
-        assert client.slice.longest_step_s < 0.5
+        assert client.work_limiter.longest_step_s < 0.5
         agent.stop()
 
     run(test)
