--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -78,7 +78,7 @@
         self.commands = CommandDeduplicator(identity.boot)
         self.backoff = ReconnectBackoff(rng)
         self.work_limiter = ControlWorkLimiter()
-        self.log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
+        self.write_log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_s = 0.0
         self.session: Session | None = None
         self.tried = 0  # failed attempts since the last connection that was welcomed
@@ -91,7 +91,7 @@
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
             self.next_log_s = now_s + MIN_LOG_INTERVAL_S
-            self.log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
+            self.write_log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
 
     async def run(self) -> None:
         while True:
