--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -79,7 +79,7 @@
         self.backoff = ReconnectBackoff(rng)
         self.work_limiter = ControlWorkLimiter()
         self.write_log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
-        self.next_log_s = 0.0
+        self.next_log_at_s = 0.0
         self.session: Session | None = None
         self.tried = 0  # failed attempts since the last connection that was welcomed
         self.report_fence: Callable[[int], None] = lambda fence: None
@@ -89,8 +89,8 @@
     def log(self, text: str) -> None:
         """Writes at most one line per LOG_GAP_S, so that a misbehaving agent can't flood the log."""
         now_s = time.monotonic()
-        if now_s >= self.next_log_s:
-            self.next_log_s = now_s + MIN_LOG_INTERVAL_S
+        if now_s >= self.next_log_at_s:
+            self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
             self.write_log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
 
     async def run(self) -> None:
