--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -81,7 +81,7 @@
         self.write_log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_at_s = 0.0
         self.session: Session | None = None
-        self.tried = 0  # failed attempts since the last connection that was welcomed
+        self.failed_attempts = 0  # failed attempts since the last connection that was welcomed
         self.report_fence: Callable[[int], None] = lambda fence: None
         self.teaches: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
@@ -121,7 +121,7 @@
         if session.denied is not None:
             return self.backoff.after_denial(session.denied.retry_ms / 1000)
         if session.welcome is not None:
-            self.tried = 0
+            self.failed_attempts = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
             return self.next_agent("") or self.backoff.after_lost_connection() if session.was_silent else self.backoff.after_lost_connection()
         return self.next_agent("") or self.backoff.after_failed_attempt()
@@ -130,13 +130,13 @@
         """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
         the seconds to wait before connecting to it; 0 if all agents have been tried. A leader address that is not in
         the operator file is ignored, because this instance would send its token to an untrusted address."""
-        self.tried += 1
+        self.failed_attempts += 1
         named = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
         place = self.agents.index(self.address)
         self.address = named if named is not None else self.agents[(place + 1) % len(self.agents)]
-        if self.tried >= 2 * len(self.agents):
-            self.tried = 0
-        return self.backoff.before_next_agent() if self.tried else 0.0
+        if self.failed_attempts >= 2 * len(self.agents):
+            self.failed_attempts = 0
+        return self.backoff.before_next_agent() if self.failed_attempts else 0.0
 
     def bye(self, reason: str) -> None:
         """Tells the agent that the process is shutting down."""
@@ -282,7 +282,7 @@
             return
         self.client.term = max(self.client.term, welcome.term)
         self.welcome = welcome
-        self.client.backoff.failures = self.client.tried = 0
+        self.client.backoff.failures = self.client.failed_attempts = 0
         self.client.backoff.spread_s = min(600.0, welcome.spread_ms / 1000)
         self.heard()
         self.client.on_donors(welcome.donors)
