--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -82,7 +82,7 @@
         self.next_log_at_s = 0.0
         self.session: Session | None = None
         self.failed_attempts = 0  # failed attempts since the last connection that was welcomed
-        self.report_fence: Callable[[int], None] = lambda fence: None
+        self.on_fence_raised: Callable[[int], None] = lambda fence: None
         self.teaches: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
@@ -318,7 +318,7 @@
         if admitted and command.kind == "inspect":
             self.jobs.append(partial(self.inspect, command.id, None, 0))
         elif admitted:
-            self.client.report_fence(commands.fence)
+            self.client.on_fence_raised(commands.fence)
             answer = self.client.carry_out(command)
             commands.record_result(answer)
             self.send(answer)
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -49,7 +49,7 @@
     def report_fence(fence: int) -> None:
         instance.fence = fence
 
-    client.report_fence = report_fence
+    client.on_fence_raised = report_fence
     return client, layered
 
 
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -81,7 +81,7 @@
     def report_fence(fence: int) -> None:
         instance.fence = fence
 
-    client.report_fence = report_fence
+    client.on_fence_raised = report_fence
     instance.client = client
     return instance, client
 
