--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -83,7 +83,7 @@
         self.session: Session | None = None
         self.failed_attempts = 0  # failed attempts since the last connection that was welcomed
         self.on_fence_raised: Callable[[int], None] = lambda fence: None
-        self.teaches: Callable[[], str] = lambda: ""
+        self.learned_state_address: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
     def log(self, text: str) -> None:
@@ -209,7 +209,7 @@
         who, report = self.client.identity, self.client.report()
         self.send(Hello(
             PROTOCOL, who.name, who.boot, who.pid, who.version, who.started_ms, who.zone, who.listen, who.token,
-            report.generation, self.client.commands.fence, who.replaces, who.host, who.ticks, self.client.teaches()))
+            report.generation, self.client.commands.fence, who.replaces, who.host, who.ticks, self.client.learned_state_address()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -86,7 +86,7 @@
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         client, layered = client_for(sidecar, control, token, environ, end)
         if teaching is not None:
-            client.teaches, client.on_donors = teaching.teaches, teaching.offer
+            client.learned_state_address, client.on_donors = teaching.teaches, teaching.offer
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
             tasks.append(asyncio.create_task(log_failure(follower_for(layered, client.identity, versions).run())))
