--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -138,7 +138,7 @@
             self.failed_attempts = 0
         return self.backoff.before_next_agent() if self.failed_attempts else 0.0
 
-    def bye(self, reason: str) -> None:
+    def send_goodbye(self, reason: str) -> None:
         """Tells the agent that the process is shutting down."""
         if self.session is not None and self.session.welcome is not None:
             self.session.send(Goodbye(reason))
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -93,7 +93,7 @@
         try:
             yield
         finally:
-            client.bye("ended")
+            client.send_goodbye("ended")
             for task in tasks:
                 task.cancel()
             for task in tasks:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -54,7 +54,7 @@
             ident = await s.begin(Kind.STOP, ["i0000"])
             await until(lambda: s.instances["i0000"].ended)
             client = s.clients["i0000"]
-            client.bye("ended")
+            client.send_goodbye("ended")
             await asyncio.sleep(0.05)
             s.kill("i0000")
             assert await s.states(ident) == {"i0000": State.APPLIED}
