--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -146,7 +146,7 @@
     def report(self) -> Report:
         return self.instance.report(self.work_limiter.total_cpu_s)
 
-    def carry_out(self, command: Command) -> CommandResult:
+    def run_command(self, command: Command) -> CommandResult:
         """Runs an admitted command; every failure becomes a result."""
         try:
             detail = self.effect(command)
@@ -319,7 +319,7 @@
             self.jobs.append(partial(self.inspect, command.id, None, 0))
         elif admitted:
             self.client.on_fence_raised(commands.fence)
-            answer = self.client.carry_out(command)
+            answer = self.client.run_command(command)
             commands.record_result(answer)
             self.send(answer)
             self.send_beat()  # the agent learns what the instance runs now from a report, not from the result
--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -18,7 +18,7 @@
 
 def go_wrong(how: str) -> None:
     """What an instance does with a reconfigure, other than it should."""
-    carry_out = client.AgentClient.carry_out
+    carry_out = client.AgentClient.run_command
 
     def dies(self: client.AgentClient, command: Any) -> Any:
         carry_out(self, command)
@@ -38,7 +38,7 @@
 
     wrong: Any = {"dies": dies, "garbles": garbles, "slow": slow}.get(how)
     if wrong is not None:
-        client.AgentClient.carry_out = wrong  # type: ignore[method-assign]
+        client.AgentClient.run_command = wrong  # type: ignore[method-assign]
 
 
 def child(order: dict[str, Any]) -> None:
