--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -149,7 +149,7 @@
     def run_command(self, command: Command) -> CommandResult:
         """Runs an admitted command; every failure becomes a result."""
         try:
-            detail = self.effect(command)
+            detail = self.apply_command(command)
         except ChangeRefused as error:
             return CommandResult(command.id, "refused", str(error))
         except RestartNeeded as error:
@@ -159,7 +159,7 @@
             return CommandResult(command.id, "failed", f"{type(error).__name__}: {error}")
         return CommandResult(command.id, "applied", detail, self.report())
 
-    def effect(self, command: Command) -> str:
+    def apply_command(self, command: Command) -> str:
         """Applies the command to the instance and gives the detail text of its result. Raises Refused or
         RestartNeeded."""
         match command.kind:
