--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -106,7 +106,7 @@
         except (OSError, TimeoutError, ValueError) as error:
             session.drop()
             self.log(f"can't connect: {error or 'timed out'}")
-            return self.next_agent("") or self.backoff.after_failed_attempt()
+            return self.switch_agent("") or self.backoff.after_failed_attempt()
         self.session = session
         try:
             await session.ended.wait()
@@ -117,16 +117,16 @@
             self.log(session.why)
         if session.denied is not None and session.denied.code == NOT_LEADING:
             self.backoff.failures = 0
-            return self.next_agent(session.denied.leader) or self.backoff.after_no_leader()
+            return self.switch_agent(session.denied.leader) or self.backoff.after_no_leader()
         if session.denied is not None:
             return self.backoff.after_denial(session.denied.retry_ms / 1000)
         if session.welcome is not None:
             self.failed_attempts = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
-            return self.next_agent("") or self.backoff.after_lost_connection() if session.was_silent else self.backoff.after_lost_connection()
-        return self.next_agent("") or self.backoff.after_failed_attempt()
+            return self.switch_agent("") or self.backoff.after_lost_connection() if session.was_silent else self.backoff.after_lost_connection()
+        return self.switch_agent("") or self.backoff.after_failed_attempt()
 
-    def next_agent(self, leader: str) -> float:
+    def switch_agent(self, leader: str) -> float:
         """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
         the seconds to wait before connecting to it; 0 if all agents have been tried. A leader address that is not in
         the operator file is ignored, because this instance would send its token to an untrusted address."""
