--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -131,9 +131,9 @@
         the seconds to wait before connecting to it; 0 if all agents have been tried. A leader address that is not in
         the operator file is ignored, because this instance would send its token to an untrusted address."""
         self.failed_attempts += 1
-        named = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
+        leader_agent = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
         place = self.agents.index(self.address)
-        self.address = named if named is not None else self.agents[(place + 1) % len(self.agents)]
+        self.address = leader_agent if leader_agent is not None else self.agents[(place + 1) % len(self.agents)]
         if self.failed_attempts >= 2 * len(self.agents):
             self.failed_attempts = 0
         return self.backoff.before_next_agent() if self.failed_attempts else 0.0
