--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -132,8 +132,8 @@
         the operator file is ignored, because this instance would send its token to an untrusted address."""
         self.failed_attempts += 1
         leader_agent = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
-        place = self.agents.index(self.address)
-        self.address = leader_agent if leader_agent is not None else self.agents[(place + 1) % len(self.agents)]
+        current_index = self.agents.index(self.address)
+        self.address = leader_agent if leader_agent is not None else self.agents[(current_index + 1) % len(self.agents)]
         if self.failed_attempts >= 2 * len(self.agents):
             self.failed_attempts = 0
         return self.backoff.before_next_agent() if self.failed_attempts else 0.0
