--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -206,10 +206,10 @@
         if self.ended.is_set():
             self.transport.abort()
             return
-        who, report = self.client.identity, self.client.report()
+        identity, report = self.client.identity, self.client.report()
         self.send(Hello(
-            PROTOCOL, who.name, who.boot, who.pid, who.version, who.started_ms, who.zone, who.listen, who.token,
-            report.generation, self.client.commands.fence, who.replaces, who.host, who.ticks, self.client.learned_state_address()))
+            PROTOCOL, identity.name, identity.boot, identity.pid, identity.version, identity.started_ms, identity.zone, identity.listen, identity.token,
+            report.generation, self.client.commands.fence, identity.replaces, identity.host, identity.ticks, self.client.learned_state_address()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
