--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -247,12 +247,12 @@
             self.client.work_limiter.record_step(self.loop.time(), time.thread_time() - start_s)
 
     def take_frame(self) -> bool:
-        raw = self.decoder.next_message()
-        if raw is None:
+        frame = self.decoder.next_message()
+        if frame is None:
             return False
         if self.transport is not None:
             self.transport.resume_reading()
-        self.on_message(parse_message(raw, FROM_AGENT))
+        self.on_message(parse_message(frame, FROM_AGENT))
         return True
 
     def on_message(self, message: Message) -> None:
