--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -326,15 +326,15 @@
         elif answer is not None:
             self.send(answer)
 
-    def inspect(self, ident: str, upstreams: list[dict[str, Any]] | None, start: int) -> None:
+    def inspect(self, command_id: str, upstreams: list[dict[str, Any]] | None, start: int) -> None:
         """Sends one part per step, so that a long list doesn't block the loop."""
         if upstreams is None:
             upstreams = self.client.instance.upstreams()
         more = start + UPSTREAMS_PER_PART < len(upstreams)
-        self.send(CommandResult(ident, "applied", "", None if more else self.client.report(),
+        self.send(CommandResult(command_id, "applied", "", None if more else self.client.report(),
                          upstreams[start:start + UPSTREAMS_PER_PART], more))
         if more:
-            self.jobs.append(partial(self.inspect, ident, upstreams, start + UPSTREAMS_PER_PART))
+            self.jobs.append(partial(self.inspect, command_id, upstreams, start + UPSTREAMS_PER_PART))
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
