--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -113,8 +113,8 @@
         finally:
             self.session = None
             session.drop()
-        if session.why:
-            self.log(session.why)
+        if session.end_reason:
+            self.log(session.end_reason)
         if session.denied is not None and session.denied.code == NOT_LEADING:
             self.backoff.failures = 0
             return self.switch_agent(session.denied.leader) or self.backoff.after_no_leader()
@@ -189,7 +189,7 @@
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.ended = asyncio.Event()
-        self.why = ""
+        self.end_reason = ""
         self.welcome: Welcome | None = None
         self.denied: Denied | None = None
         self.seq = 0
@@ -346,7 +346,7 @@
     def end(self, why: str) -> None:
         """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
-            self.why = why
+            self.end_reason = why
             self.drop()
 
     def drop(self) -> None:
