--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -192,7 +192,7 @@
         self.end_reason = ""
         self.welcome: Welcome | None = None
         self.denied: Denied | None = None
-        self.seq = 0
+        self.heartbeat_seq = 0
         self.heard_s = self.loop.time()
         self.jobs: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.pump_handle: asyncio.TimerHandle | None = None
@@ -309,8 +309,8 @@
                 self.step(self.send_beat)
 
     def send_beat(self) -> None:
-        self.seq += 1
-        self.send(Heartbeat(self.seq, self.client.report()))
+        self.heartbeat_seq += 1
+        self.send(Heartbeat(self.heartbeat_seq, self.client.report()))
 
     def on_command(self, command: Command) -> None:
         commands = self.client.commands
