--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -193,7 +193,7 @@
         self.welcome: Welcome | None = None
         self.denied: Denied | None = None
         self.heartbeat_seq = 0
-        self.heard_s = self.loop.time()
+        self.opened_at_s = self.loop.time()
         self.jobs: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.pump_handle: asyncio.TimerHandle | None = None
         self.beat_handle: asyncio.TimerHandle | None = None
