--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -194,7 +194,7 @@
         self.denied: Denied | None = None
         self.heartbeat_seq = 0
         self.opened_at_s = self.loop.time()
-        self.jobs: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
+        self.pending_steps: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.pump_handle: asyncio.TimerHandle | None = None
         self.beat_handle: asyncio.TimerHandle | None = None
         self.was_silent = False
@@ -232,7 +232,7 @@
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
             return
-        if self.step(self.jobs.popleft() if self.jobs else self.take_frame):
+        if self.step(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
             self.schedule()
 
     def step(self, work: Callable[[], object]) -> bool:
@@ -316,7 +316,7 @@
         commands = self.client.commands
         admitted, answer = commands.admit(command)
         if admitted and command.kind == "inspect":
-            self.jobs.append(partial(self.inspect, command.id, None, 0))
+            self.pending_steps.append(partial(self.inspect, command.id, None, 0))
         elif admitted:
             self.client.on_fence_raised(commands.fence)
             answer = self.client.run_command(command)
@@ -334,7 +334,7 @@
         self.send(CommandResult(command_id, "applied", "", None if more else self.client.report(),
                          upstreams[start:start + UPSTREAMS_PER_PART], more))
         if more:
-            self.jobs.append(partial(self.inspect, command_id, upstreams, start + UPSTREAMS_PER_PART))
+            self.pending_steps.append(partial(self.inspect, command_id, upstreams, start + UPSTREAMS_PER_PART))
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
