--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -195,7 +195,7 @@
         self.heartbeat_seq = 0
         self.opened_at_s = self.loop.time()
         self.pending_steps: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
-        self.pump_handle: asyncio.TimerHandle | None = None
+        self.step_timer: asyncio.TimerHandle | None = None
         self.beat_handle: asyncio.TimerHandle | None = None
         self.was_silent = False
         wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
@@ -220,17 +220,17 @@
         self.schedule()
 
     def schedule(self) -> None:
-        if self.pump_handle is None and not self.ended.is_set():
+        if self.step_timer is None and not self.ended.is_set():
             wait_s = self.client.work_limiter.wait_s(self.loop.time())
-            self.pump_handle = self.loop.call_later(wait_s, self.pump)
+            self.step_timer = self.loop.call_later(wait_s, self.pump)
 
     def pump(self) -> None:
         """Runs one step: the next queued job, or else the next frame."""
-        self.pump_handle = None
+        self.step_timer = None
         if self.ended.is_set():
             return
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
+            self.step_timer = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
             return
         if self.step(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
             self.schedule()
@@ -351,7 +351,7 @@
 
     def drop(self) -> None:
         self.ended.set()
-        for handle in (self.silence, self.pump_handle, self.beat_handle):
+        for handle in (self.silence, self.step_timer, self.beat_handle):
             if handle is not None:
                 handle.cancel()
         if self.transport is not None:
