--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -196,7 +196,7 @@
         self.opened_at_s = self.loop.time()
         self.pending_steps: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.step_timer: asyncio.TimerHandle | None = None
-        self.beat_handle: asyncio.TimerHandle | None = None
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
         self.was_silent = False
         wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
         self.silence = self.loop.call_later(wait_s, self.end, "no welcome in time")
@@ -288,7 +288,7 @@
         self.client.on_donors(welcome.donors)
         # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
         # don't send their heartbeats at the same moment.
-        self.beat_handle = self.loop.call_later(
+        self.heartbeat_timer = self.loop.call_later(
             self.client.backoff.random.random() * welcome.beat_ms / 1000, self.beat)
 
     def heard(self) -> None:
@@ -304,7 +304,7 @@
     def beat(self) -> None:
         assert self.welcome is not None
         if not self.ended.is_set():
-            self.beat_handle = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
+            self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
             if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
                 self.step(self.send_beat)
 
@@ -351,7 +351,7 @@
 
     def drop(self) -> None:
         self.ended.set()
-        for handle in (self.silence, self.step_timer, self.beat_handle):
+        for handle in (self.silence, self.step_timer, self.heartbeat_timer):
             if handle is not None:
                 handle.cancel()
         if self.transport is not None:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -505,9 +505,9 @@
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(2)
             session = s.clients["i0001"].session
-            assert session is not None and session.transport is not None and session.beat_handle is not None
+            assert session is not None and session.transport is not None and session.heartbeat_timer is not None
             session.transport.pause_reading()
-            session.beat_handle.cancel()
+            session.heartbeat_timer.cancel()
             session.silence.cancel()
             ident = await s.begin()
             states = await s.states(ident)
