--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -123,7 +123,7 @@
         if session.welcome is not None:
             self.failed_attempts = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
-            return self.switch_agent("") or self.backoff.after_lost_connection() if session.was_silent else self.backoff.after_lost_connection()
+            return self.switch_agent("") or self.backoff.after_lost_connection() if session.lease_expired else self.backoff.after_lost_connection()
         return self.switch_agent("") or self.backoff.after_failed_attempt()
 
     def switch_agent(self, leader: str) -> float:
@@ -197,7 +197,7 @@
         self.pending_steps: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
         self.step_timer: asyncio.TimerHandle | None = None
         self.heartbeat_timer: asyncio.TimerHandle | None = None
-        self.was_silent = False
+        self.lease_expired = False
         wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
         self.silence = self.loop.call_later(wait_s, self.end, "no welcome in time")
 
@@ -298,7 +298,7 @@
         self.silence = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
 
     def on_silence(self) -> None:
-        self.was_silent = True
+        self.lease_expired = True
         self.end("no message from the agent within the lease")
 
     def beat(self) -> None:
