--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -199,7 +199,7 @@
         self.heartbeat_timer: asyncio.TimerHandle | None = None
         self.lease_expired = False
         wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
-        self.silence = self.loop.call_later(wait_s, self.end, "no welcome in time")
+        self.silence_timer = self.loop.call_later(wait_s, self.end, "no welcome in time")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -294,8 +294,8 @@
     def heard(self) -> None:
         """Starts the lease again, after a message from the agent."""
         assert self.welcome is not None
-        self.silence.cancel()
-        self.silence = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
+        self.silence_timer.cancel()
+        self.silence_timer = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
 
     def on_silence(self) -> None:
         self.lease_expired = True
@@ -351,7 +351,7 @@
 
     def drop(self) -> None:
         self.ended.set()
-        for handle in (self.silence, self.step_timer, self.heartbeat_timer):
+        for handle in (self.silence_timer, self.step_timer, self.heartbeat_timer):
             if handle is not None:
                 handle.cancel()
         if self.transport is not None:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -508,7 +508,7 @@
             assert session is not None and session.transport is not None and session.heartbeat_timer is not None
             session.transport.pause_reading()
             session.heartbeat_timer.cancel()
-            session.silence.cancel()
+            session.silence_timer.cancel()
             ident = await s.begin()
             states = await s.states(ident)
             assert states == {"i0000": State.APPLIED, "i0001": State.NO_ANSWER}
