--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -217,9 +217,9 @@
         self.decoder.feed(data)
         if len(self.decoder.buffer) > 2 * MAX_FRAME_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self.schedule()
+        self.schedule_step()
 
-    def schedule(self) -> None:
+    def schedule_step(self) -> None:
         if self.step_timer is None and not self.ended.is_set():
             wait_s = self.client.work_limiter.wait_s(self.loop.time())
             self.step_timer = self.loop.call_later(wait_s, self.pump)
@@ -233,7 +233,7 @@
             self.step_timer = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
             return
         if self.step(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
-            self.schedule()
+            self.schedule_step()
 
     def step(self, work: Callable[[], object]) -> bool:
         """Runs one piece of control work and accounts for its CPU time; False if there was nothing to do."""
