--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -222,15 +222,15 @@
     def schedule_step(self) -> None:
         if self.step_timer is None and not self.ended.is_set():
             wait_s = self.client.work_limiter.wait_s(self.loop.time())
-            self.step_timer = self.loop.call_later(wait_s, self.pump)
+            self.step_timer = self.loop.call_later(wait_s, self.run_next_step)
 
-    def pump(self) -> None:
+    def run_next_step(self) -> None:
         """Runs one step: the next queued job, or else the next frame."""
         self.step_timer = None
         if self.ended.is_set():
             return
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.step_timer = self.loop.call_later(0.1, self.pump)  # the agent isn't reading; check again later
+            self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading; check again later
             return
         if self.step(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
             self.schedule_step()
