--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -232,10 +232,10 @@
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading; check again later
             return
-        if self.step(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
+        if self.run_accounted(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
             self.schedule_step()
 
-    def step(self, work: Callable[[], object]) -> bool:
+    def run_accounted(self, work: Callable[[], object]) -> bool:
         """Runs one piece of control work and accounts for its CPU time; False if there was nothing to do."""
         start_s = time.thread_time()
         try:
@@ -306,7 +306,7 @@
         if not self.ended.is_set():
             self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
             if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
-                self.step(self.send_beat)
+                self.run_accounted(self.send_beat)
 
     def send_beat(self) -> None:
         self.heartbeat_seq += 1
