--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -232,7 +232,7 @@
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading; check again later
             return
-        if self.run_accounted(self.pending_steps.popleft() if self.pending_steps else self.take_frame):
+        if self.run_accounted(self.pending_steps.popleft() if self.pending_steps else self.process_frame):
             self.schedule_step()
 
     def run_accounted(self, work: Callable[[], object]) -> bool:
@@ -246,7 +246,7 @@
         finally:
             self.client.work_limiter.record_step(self.loop.time(), time.thread_time() - start_s)
 
-    def take_frame(self) -> bool:
+    def process_frame(self) -> bool:
         frame = self.decoder.next_message()
         if frame is None:
             return False
