--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -265,9 +265,9 @@
             else:
                 raise MessageError(f"expected welcome or denied, got {message.type}")
         elif isinstance(message, LeaseRenewal):
-            self.heard()
+            self.renew_lease()
         elif isinstance(message, Command):
-            self.heard()
+            self.renew_lease()
             self.on_command(message)
         else:
             raise MessageError(f"expected lease or command, got {message.type}")
@@ -284,14 +284,14 @@
         self.welcome = welcome
         self.client.backoff.failures = self.client.failed_attempts = 0
         self.client.backoff.spread_s = min(600.0, welcome.spread_ms / 1000)
-        self.heard()
+        self.renew_lease()
         self.client.on_donors(welcome.donors)
         # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
         # don't send their heartbeats at the same moment.
         self.heartbeat_timer = self.loop.call_later(
             self.client.backoff.random.random() * welcome.beat_ms / 1000, self.beat)
 
-    def heard(self) -> None:
+    def renew_lease(self) -> None:
         """Starts the lease again, after a message from the agent."""
         assert self.welcome is not None
         self.silence_timer.cancel()
