--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -295,9 +295,9 @@
         """Starts the lease again, after a message from the agent."""
         assert self.welcome is not None
         self.silence_timer.cancel()
-        self.silence_timer = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
+        self.silence_timer = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_lease_expired)
 
-    def on_silence(self) -> None:
+    def on_lease_expired(self) -> None:
         self.lease_expired = True
         self.end("no message from the agent within the lease")
 
