--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -289,7 +289,7 @@
         # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
         # don't send their heartbeats at the same moment.
         self.heartbeat_timer = self.loop.call_later(
-            self.client.backoff.random.random() * welcome.beat_ms / 1000, self.beat)
+            self.client.backoff.random.random() * welcome.beat_ms / 1000, self.on_heartbeat_due)
 
     def renew_lease(self) -> None:
         """Starts the lease again, after a message from the agent."""
@@ -301,10 +301,10 @@
         self.lease_expired = True
         self.end("no message from the agent within the lease")
 
-    def beat(self) -> None:
+    def on_heartbeat_due(self) -> None:
         assert self.welcome is not None
         if not self.ended.is_set():
-            self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
+            self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.on_heartbeat_due)
             if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
                 self.run_accounted(self.send_beat)
 
