--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -306,9 +306,9 @@
         if not self.ended.is_set():
             self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.on_heartbeat_due)
             if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
-                self.run_accounted(self.send_beat)
+                self.run_accounted(self.send_heartbeat)
 
-    def send_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.heartbeat_seq += 1
         self.send(Heartbeat(self.heartbeat_seq, self.client.report()))
 
@@ -322,7 +322,7 @@
             answer = self.client.run_command(command)
             commands.record_result(answer)
             self.send(answer)
-            self.send_beat()  # the agent learns what the instance runs now from a report, not from the result
+            self.send_heartbeat()  # the agent learns what the instance runs now from a report, not from the result
         elif answer is not None:
             self.send(answer)
 
