--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -104,7 +104,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: session, *self.address)
         except (OSError, TimeoutError, ValueError) as error:
-            session.drop()
+            session.close()
             self.log(f"can't connect: {error or 'timed out'}")
             return self.switch_agent("") or self.backoff.after_failed_attempt()
         self.session = session
@@ -112,7 +112,7 @@
             await session.ended.wait()
         finally:
             self.session = None
-            session.drop()
+            session.close()
         if session.end_reason:
             self.log(session.end_reason)
         if session.denied is not None and session.denied.code == NOT_LEADING:
@@ -347,9 +347,9 @@
         """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
             self.end_reason = why
-            self.drop()
+            self.close()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         self.ended.set()
         for handle in (self.silence_timer, self.step_timer, self.heartbeat_timer):
             if handle is not None:
