--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -29,7 +29,7 @@
 from ironscale.agent.supervisor import Supervisor
 from ironscale.agent.terms import Owner, clock_ms
 from ironscale.agent.versions_replica import Following, for_good
-from ironscale.control.extension import version
+from ironscale.control.extension import package_version
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import ENDING, Clock
 from ironscale.net.signals import Signals
@@ -356,7 +356,7 @@
                 engine.tasks.create_task(again())
 
         def context(caller: Caller) -> Context:
-            return Context(caller, engine, started_ms, version(), lambda: self.reload_tokens(engine.store),
+            return Context(caller, engine, started_ms, package_version(), lambda: self.reload_tokens(engine.store),
                            tokens_changed)
 
         api = Api(make_schema(), self.authenticate, context, self.section.introspection, self.log)
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -24,7 +24,7 @@
     from ironscale.control.follower import Follower
 
 
-def version() -> str:
+def package_version() -> str:
     """The installed version of this package; "0" if it isn't installed."""
     try:
         return metadata.version("ironscale")
@@ -38,7 +38,7 @@
     host, port = sidecar.config.listen
     identity = Identity(
         name=sidecar.config.name, boot=environ.get("GW_BOOT") or secrets.token_hex(8), pid=os.getpid(),
-        version=version(), started_ms=time.time_ns() // 1_000_000, zone=control.zone,
+        version=package_version(), started_ms=time.time_ns() // 1_000_000, zone=control.zone,
         listen=f"{host}:{sidecar.port or port}", token=token, replaces=environ.get("GW_REPLACES", ""),
         host=machine_boot_id(), ticks=start_ticks(os.getpid()) or 0)
     instance = SidecarInstance(sidecar, end)
