--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -32,7 +32,7 @@
         return "0"
 
 
-def client_for(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
+def create_client(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
                end: Callable[[], None]) -> tuple[AgentClient, LayeredInstance]:
     """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
@@ -84,7 +84,7 @@
 
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
-        client, layered = client_for(sidecar, control, token, environ, end)
+        client, layered = create_client(sidecar, control, token, environ, end)
         if teaching is not None:
             client.learned_state_address, client.on_donors = teaching.teaches, teaching.offer
         tasks = [asyncio.create_task(log_failure(client.run()))]
