--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -53,7 +53,7 @@
     return client, layered
 
 
-def follower_for(layered: LayeredInstance, identity: Identity, versions: Versions) -> Follower:
+def create_follower(layered: LayeredInstance, identity: Identity, versions: Versions) -> Follower:
     """The follower of published versions. Raises OperatorFileError if its token can't be read."""
     from ironscale.control.follower import Follower, Follows
     from ironscale.versions.model import Labels
@@ -89,7 +89,7 @@
             client.learned_state_address, client.on_donors = teaching.teaches, teaching.offer
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
-            tasks.append(asyncio.create_task(log_failure(follower_for(layered, client.identity, versions).run())))
+            tasks.append(asyncio.create_task(log_failure(create_follower(layered, client.identity, versions).run())))
         try:
             yield
         finally:
