--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -64,7 +64,7 @@
                     random.Random(secrets.randbits(64)))
 
 
-class Teaching(Protocol):
+class LearnedStateExchange(Protocol):
     """Exchange of learned state between sidecars: the agent tells new instances which others hand out theirs."""
 
     def teaches(self) -> str:
@@ -74,7 +74,7 @@
         """Receives the HOST:PORT of instances that serve their learned state."""
 
 
-def beside(control: Control, environ: Mapping[str, str], teaching: Teaching | None = None,
+def beside(control: Control, environ: Mapping[str, str], teaching: LearnedStateExchange | None = None,
            versions: Versions | None = None) -> Extension:
     """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
     read now; the client retries after any later failure."""
