--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -109,9 +109,9 @@
 
             subsystems.append(record_beside(found.record))
         if found.control is not None:
-            from ironscale.control.extension import beside
+            from ironscale.control.extension import control_extension
 
-            subsystems.append(beside(found.control, environ, channel, found.versions))
+            subsystems.append(control_extension(found.control, environ, channel, found.versions))
         return together(subsystems), found.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -74,7 +74,7 @@
         """Receives the HOST:PORT of instances that serve their learned state."""
 
 
-def beside(control: Control, environ: Mapping[str, str], teaching: LearnedStateExchange | None = None,
+def control_extension(control: Control, environ: Mapping[str, str], teaching: LearnedStateExchange | None = None,
            versions: Versions | None = None) -> Extension:
     """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
     read now; the client retries after any later failure."""
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -17,7 +17,7 @@
 from ironscale.__main__ import together
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
-from ironscale.control.extension import beside as control_beside
+from ironscale.control.extension import control_extension as control_beside
 from ironscale.introspection import learned_state, upstream_views
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
