--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -83,7 +83,7 @@
         read_secret(versions.token_file)
 
     @contextlib.asynccontextmanager
-    async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+    async def run_client(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         client, layered = create_client(sidecar, control, token, environ, end)
         if teaching is not None:
             client.learned_state_address, client.on_donors = teaching.teaches, teaching.offer
@@ -100,4 +100,4 @@
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
 
-    return running
+    return run_client
