--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -33,7 +33,7 @@
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
-AGAIN_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
+INITIAL_BACKOFF_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
 MOST_AGAIN_S = 2.0
 HOME_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
 LOG_GAP_S = 5.0
@@ -63,7 +63,7 @@
         self.state = Following(who.labels)
         self.order = agent_selection.order(who.labels, who.places)
         self.own: _Link | None = None
-        self.spread_s = AGAIN_S
+        self.spread_s = INITIAL_BACKOFF_S
         self.rounds = 0  # consecutive rounds that found no agent to follow
         self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_s = 0.0
@@ -108,7 +108,7 @@
             self.log(f"{place.host}:{place.port}: {link.why}")
             link.close()
         self.rounds += 1
-        most_s = min(MOST_AGAIN_S, AGAIN_S * 2.0 ** min(self.rounds - 1, 8))
+        most_s = min(MOST_AGAIN_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
         await asyncio.sleep(min(wait_s, MOST_AGAIN_S) + self.random.random() * most_s)
 
     async def stay(self) -> None:
@@ -153,7 +153,7 @@
             own.end("no message from the agent in time")
             return
         self.rounds += 1
-        await asyncio.sleep(self.random.random() * min(MOST_AGAIN_S, AGAIN_S * 2.0 ** min(self.rounds, 8)))
+        await asyncio.sleep(self.random.random() * min(MOST_AGAIN_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
 
     def settle(self, link: _Link) -> None:
         self.own, self.rounds = link, 0
