--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -34,7 +34,7 @@
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
 INITIAL_BACKOFF_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
-MOST_AGAIN_S = 2.0
+MAX_BACKOFF_S = 2.0
 HOME_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
 LOG_GAP_S = 5.0
 
@@ -108,8 +108,8 @@
             self.log(f"{place.host}:{place.port}: {link.why}")
             link.close()
         self.rounds += 1
-        most_s = min(MOST_AGAIN_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
-        await asyncio.sleep(min(wait_s, MOST_AGAIN_S) + self.random.random() * most_s)
+        most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
+        await asyncio.sleep(min(wait_s, MAX_BACKOFF_S) + self.random.random() * most_s)
 
     async def stay(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
@@ -153,7 +153,7 @@
             own.end("no message from the agent in time")
             return
         self.rounds += 1
-        await asyncio.sleep(self.random.random() * min(MOST_AGAIN_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
+        await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
 
     def settle(self, link: _Link) -> None:
         self.own, self.rounds = link, 0
