--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -35,7 +35,7 @@
 
 INITIAL_BACKOFF_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
 MAX_BACKOFF_S = 2.0
-HOME_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
+CLOSER_AGENT_INTERVAL_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
 LOG_GAP_S = 5.0
 
 
@@ -116,7 +116,7 @@
         own = self.own
         assert own is not None
         home = self.order.index(own.place) > 0
-        home_s = own.since_s + HOME_S * (1 + self.random.random())
+        home_s = own.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not own.ended.is_set():
             now_s = time.monotonic()
             if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
