--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -36,7 +36,7 @@
 INITIAL_BACKOFF_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
 MAX_BACKOFF_S = 2.0
 CLOSER_AGENT_INTERVAL_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
-LOG_GAP_S = 5.0
+MIN_LOG_INTERVAL_S = 5.0
 
 
 class Target(Protocol):
@@ -74,7 +74,7 @@
         """Writes at most one line per LOG_GAP_S."""
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
-            self.next_log_s = now_s + LOG_GAP_S
+            self.next_log_s = now_s + MIN_LOG_INTERVAL_S
             self.log_line(f"versions: {text}")
 
     async def run(self) -> None:
