--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -39,7 +39,7 @@
 MIN_LOG_INTERVAL_S = 5.0
 
 
-class Target(Protocol):
+class PublishTarget(Protocol):
     def publish(self, overlay: Mapping[str, Any]) -> None:
         """Applies the published configuration, or changes nothing and raises Refused or RestartNeeded."""
 
@@ -57,7 +57,7 @@
 class Follower:
     """Keeps the instance at the newest version that a reachable agent has, until `run` is cancelled."""
 
-    def __init__(self, target: Target, who: Follows, rng: random.Random,
+    def __init__(self, target: PublishTarget, who: Follows, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
         self.state = Following(who.labels)
