--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -55,12 +55,12 @@
 
 def create_follower(layered: LayeredInstance, identity: Identity, versions: Versions) -> Follower:
     """The follower of published versions. Raises OperatorFileError if its token can't be read."""
-    from ironscale.control.follower import Follower, Follows
+    from ironscale.control.follower import Follower, FollowerIdentity
     from ironscale.versions.model import Labels
 
     labels = Labels(identity.name, versions.service, versions.zone or identity.zone, versions.region)
     token = read_secret(versions.token_file) if versions.token_file is not None else identity.token
-    return Follower(layered, Follows(labels, identity.boot, token, versions.agents),
+    return Follower(layered, FollowerIdentity(labels, identity.boot, token, versions.agents),
                     random.Random(secrets.randbits(64)))
 
 
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Follows:
+class FollowerIdentity:
     """The identity of the follower, and the agents that it may follow."""
 
     labels: Labels
@@ -57,7 +57,7 @@
 class Follower:
     """Keeps the instance at the newest version that a reachable agent has, until `run` is cancelled."""
 
-    def __init__(self, target: PublishTarget, who: Follows, rng: random.Random,
+    def __init__(self, target: PublishTarget, who: FollowerIdentity, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
         self.state = Following(who.labels)
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ironscale.control.client import AgentClient, Identity
-from ironscale.control.follower import Follower, Follows
+from ironscale.control.follower import Follower, FollowerIdentity
 from ironscale.control.instance import ChangeRefused, RestartNeeded, check_overlay
 from ironscale.control.layers import LayeredInstance
 from ironscale.control.messages import ClassCounts, Report
@@ -89,7 +89,7 @@
 def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
                    rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
     """Makes a simulated instance follow published versions."""
-    return Follower(instance.layered, Follows(labels, boot or secrets.token_hex(8), token, places),
+    return Follower(instance.layered, FollowerIdentity(labels, boot or secrets.token_hex(8), token, places),
                     rng or random.Random(), log)
 
 
