--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -51,7 +51,7 @@
     labels: Labels
     boot: str
     token: str
-    places: tuple[Place, ...]
+    agents: tuple[Place, ...]
 
 
 class Follower:
@@ -61,7 +61,7 @@
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
         self.state = Following(who.labels)
-        self.order = agent_selection.order(who.labels, who.places)
+        self.order = agent_selection.order(who.labels, who.agents)
         self.own: _Link | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.rounds = 0  # consecutive rounds that found no agent to follow
