--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -90,13 +90,13 @@
 
     async def find(self) -> None:
         """Tries the agents in turn while none is followed; the one that was just lost comes last."""
-        lost = self.own.place if self.own is not None else None
+        lost_agent = self.own.place if self.own is not None else None
         if self.own is not None:
-            self.log(f"{lost.host}:{lost.port}: {self.own.why}" if lost else "")
+            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.own.why}" if lost_agent else "")
             self.own = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
-        turns = [place for place in self.order if place != lost] + ([lost] if lost is not None else [])
+        turns = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         wait_s = 0.0
         for place in turns:
             link = await self.dial(place)
