--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -96,9 +96,9 @@
             self.own = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
-        turns = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
+        candidates = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         wait_s = 0.0
-        for place in turns:
+        for place in candidates:
             link = await self.dial(place)
             if link.heard is not None and not link.ended.is_set():
                 self.settle(link)
