--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -97,19 +97,19 @@
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
         candidates = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
-        wait_s = 0.0
+        retry_after_s = 0.0
         for place in candidates:
             link = await self.dial(place)
             if link.heard is not None and not link.ended.is_set():
                 self.settle(link)
                 return
             if link.denied is not None:
-                wait_s = max(wait_s, link.denied.retry_ms / 1000)
+                retry_after_s = max(retry_after_s, link.denied.retry_ms / 1000)
             self.log(f"{place.host}:{place.port}: {link.why}")
             link.close()
         self.rounds += 1
         most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
-        await asyncio.sleep(min(wait_s, MAX_BACKOFF_S) + self.random.random() * most_s)
+        await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * most_s)
 
     async def stay(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
