--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -108,8 +108,8 @@
             self.log(f"{place.host}:{place.port}: {link.why}")
             link.close()
         self.rounds += 1
-        most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
-        await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * most_s)
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
+        await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * max_backoff_s)
 
     async def stay(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
