--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -116,18 +116,18 @@
         own = self.own
         assert own is not None
         has_closer = self.order.index(own.place) > 0
-        home_s = own.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
+        next_closer_look_s = own.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not own.ended.is_set():
             now_s = time.monotonic()
             if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
                 await self.look(self.order, own)
                 return
-            if has_closer and now_s >= home_s:
+            if has_closer and now_s >= next_closer_look_s:
                 own.since_s = now_s
                 await self.look(self.order[:self.order.index(own.place)], own)
                 return
             until_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
-            wait_s = max(0.05, min(until_s, home_s if has_closer else until_s) - now_s)
+            wait_s = max(0.05, min(until_s, next_closer_look_s if has_closer else until_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await own.ended.wait()
