--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -126,8 +126,8 @@
                 own.since_s = now_s
                 await self.look(self.order[:self.order.index(own.place)], own)
                 return
-            until_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
-            wait_s = max(0.05, min(until_s, next_closer_look_s if has_closer else until_s) - now_s)
+            stale_at_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
+            wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await own.ended.wait()
