--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -139,10 +139,10 @@
                 continue
             link = await self.dial(place)
             silent_s = time.monotonic() - own.heard_s
-            mine = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
+            own_status = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
             if link.heard is not None and not link.ended.is_set() and (
-                    agent_selection.is_better(link.heard, mine)
-                    or agent_selection.is_home(link.heard, mine, place, own.place, self.order)):
+                    agent_selection.is_better(link.heard, own_status)
+                    or agent_selection.is_home(link.heard, own_status, place, own.place, self.order)):
                 own.close()
                 self.settle(link)
                 return
