--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -179,7 +179,7 @@
     def take(self, update: VersionUpdate) -> RunningReport | None:
         """Processes one update; gives the report to send about it. Raises MessageError if it can't be used."""
         state = self.state
-        was = state.view.position, state.running, state.status
+        before = state.view.position, state.running, state.status
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
         word = state.take(change, update.digest)
@@ -189,7 +189,7 @@
             raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
         if word is Word.APPLY:
             self.apply()
-        if (state.view.position, state.running, state.status) != was:
+        if (state.view.position, state.running, state.status) != before:
             self.changed()
         return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
