--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -182,12 +182,12 @@
         before = state.view.position, state.running, state.status
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
-        word = state.take(change, update.digest)
-        if word is Word.STRANGE:
+        outcome = state.take(change, update.digest)
+        if outcome is Word.STRANGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
-        if word is Word.REREAD:
+        if outcome is Word.REREAD:
             raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
-        if word is Word.APPLY:
+        if outcome is Word.APPLY:
             self.apply()
         if (state.view.position, state.running, state.status) != before:
             self.changed()
