--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -99,14 +99,14 @@
         candidates = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         retry_after_s = 0.0
         for place in candidates:
-            link = await self.dial(place)
-            if link.heard is not None and not link.ended.is_set():
-                self.settle(link)
+            connection = await self.dial(place)
+            if connection.heard is not None and not connection.ended.is_set():
+                self.settle(connection)
                 return
-            if link.denied is not None:
-                retry_after_s = max(retry_after_s, link.denied.retry_ms / 1000)
-            self.log(f"{place.host}:{place.port}: {link.why}")
-            link.close()
+            if connection.denied is not None:
+                retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
+            self.log(f"{place.host}:{place.port}: {connection.why}")
+            connection.close()
         self.rounds += 1
         max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
         await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * max_backoff_s)
