--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -137,16 +137,16 @@
         for place in places:
             if place == own.place:
                 continue
-            link = await self.dial(place)
+            connection = await self.dial(place)
             silent_s = time.monotonic() - own.heard_s
             own_status = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
-            if link.heard is not None and not link.ended.is_set() and (
-                    agent_selection.is_better(link.heard, own_status)
-                    or agent_selection.is_home(link.heard, own_status, place, own.place, self.order)):
+            if connection.heard is not None and not connection.ended.is_set() and (
+                    agent_selection.is_better(connection.heard, own_status)
+                    or agent_selection.is_home(connection.heard, own_status, place, own.place, self.order)):
                 own.close()
-                self.settle(link)
+                self.settle(connection)
                 return
-            link.close()
+            connection.close()
             if own.ended.is_set():
                 return
         if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
