--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -155,9 +155,9 @@
         self.rounds += 1
         await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
 
-    def settle(self, link: _Link) -> None:
-        self.own, self.rounds = link, 0
-        link.take_over()
+    def settle(self, connection: _Link) -> None:
+        self.own, self.rounds = connection, 0
+        connection.take_over()
 
     async def dial(self, place: Place) -> _Link:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
