--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -161,18 +161,18 @@
 
     async def dial(self, place: Place) -> _Link:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
-        link = _Link(self, place)
+        connection = _Link(self, place)
         self.dialled += 1
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
-                await asyncio.get_running_loop().create_connection(lambda: link, place.host, place.port)
-                await link.told.wait()
+                await asyncio.get_running_loop().create_connection(lambda: connection, place.host, place.port)
+                await connection.told.wait()
         except (OSError, TimeoutError, ValueError) as error:
-            link.end(f"{error or 'timed out'}")
+            connection.end(f"{error or 'timed out'}")
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
     # Updates from an agent
 
