--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -98,14 +98,14 @@
             await asyncio.sleep(self.random.random() * self.spread_s)
         candidates = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         retry_after_s = 0.0
-        for place in candidates:
-            connection = await self.dial(place)
+        for agent in candidates:
+            connection = await self.dial(agent)
             if connection.heard is not None and not connection.ended.is_set():
                 self.settle(connection)
                 return
             if connection.denied is not None:
                 retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
-            self.log(f"{place.host}:{place.port}: {connection.why}")
+            self.log(f"{agent.host}:{agent.port}: {connection.why}")
             connection.close()
         self.rounds += 1
         max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
