--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -134,15 +134,15 @@
 
     async def look(self, places: Sequence[Place], own: _Link) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
-        for place in places:
-            if place == own.place:
+        for agent in places:
+            if agent == own.place:
                 continue
-            connection = await self.dial(place)
+            connection = await self.dial(agent)
             silent_s = time.monotonic() - own.heard_s
             own_status = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
             if connection.heard is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.heard, own_status)
-                    or agent_selection.is_home(connection.heard, own_status, place, own.place, self.order)):
+                    or agent_selection.is_home(connection.heard, own_status, agent, own.place, self.order)):
                 own.close()
                 self.settle(connection)
                 return
