--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -159,13 +159,13 @@
         self.own, self.rounds = connection, 0
         connection.take_over()
 
-    async def dial(self, place: Place) -> _Link:
+    async def dial(self, agent: Place) -> _Link:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
-        connection = _Link(self, place)
+        connection = _Link(self, agent)
         self.dialled += 1
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
-                await asyncio.get_running_loop().create_connection(lambda: connection, place.host, place.port)
+                await asyncio.get_running_loop().create_connection(lambda: connection, agent.host, agent.port)
                 await connection.told.wait()
         except (OSError, TimeoutError, ValueError) as error:
             connection.end(f"{error or 'timed out'}")
