--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -132,9 +132,9 @@
                 async with asyncio.timeout(wait_s):
                     await own.ended.wait()
 
-    async def look(self, places: Sequence[Place], own: _Link) -> None:
+    async def look(self, candidates: Sequence[Place], own: _Link) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
-        for agent in places:
+        for agent in candidates:
             if agent == own.place:
                 continue
             connection = await self.dial(agent)
