--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -113,24 +113,24 @@
 
     async def stay(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
-        own = self.own
-        assert own is not None
-        has_closer = self.order.index(own.place) > 0
-        next_closer_look_s = own.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
-        while not own.ended.is_set():
+        current = self.own
+        assert current is not None
+        has_closer = self.order.index(current.place) > 0
+        next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
+        while not current.ended.is_set():
             now_s = time.monotonic()
-            if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
-                await self.look(self.order, own)
+            if agent_selection.looks_elsewhere(current.heard, now_s - current.heard_s):
+                await self.look(self.order, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
-                own.since_s = now_s
-                await self.look(self.order[:self.order.index(own.place)], own)
+                current.since_s = now_s
+                await self.look(self.order[:self.order.index(current.place)], current)
                 return
-            stale_at_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
+            stale_at_s = current.heard_s + agent_selection.STALE_S - (current.heard.age_s if current.heard is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
-                    await own.ended.wait()
+                    await current.ended.wait()
 
     async def look(self, candidates: Sequence[Place], own: _Link) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
