--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -132,25 +132,25 @@
                 async with asyncio.timeout(wait_s):
                     await current.ended.wait()
 
-    async def look(self, candidates: Sequence[Place], own: _Link) -> None:
+    async def look(self, candidates: Sequence[Place], current: _Link) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for agent in candidates:
-            if agent == own.place:
+            if agent == current.place:
                 continue
             connection = await self.dial(agent)
-            silent_s = time.monotonic() - own.heard_s
-            own_status = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
+            silent_s = time.monotonic() - current.heard_s
+            own_status = Heard(current.heard.position, current.heard.age_s + silent_s) if current.heard is not None else None
             if connection.heard is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.heard, own_status)
-                    or agent_selection.is_home(connection.heard, own_status, agent, own.place, self.order)):
-                own.close()
+                    or agent_selection.is_home(connection.heard, own_status, agent, current.place, self.order)):
+                current.close()
                 self.settle(connection)
                 return
             connection.close()
-            if own.ended.is_set():
+            if current.ended.is_set():
                 return
-        if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
-            own.end("no message from the agent in time")
+        if current.heard is not None and time.monotonic() - current.heard_s >= agent_selection.SILENT_S:
+            current.end("no message from the agent in time")
             return
         self.rounds += 1
         await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
