--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -59,7 +59,7 @@
 
     def __init__(self, target: PublishTarget, who: FollowerIdentity, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
-        self.target, self.who, self.random = target, who, rng
+        self.target, self.identity, self.random = target, who, rng
         self.state = Following(who.labels)
         self.order = agent_selection.order(who.labels, who.agents)
         self.own: _Link | None = None
@@ -232,7 +232,7 @@
         if self.ended.is_set():
             self.transport.abort()
             return
-        who, state = self.follower.who, self.follower.state
+        who, state = self.follower.identity, self.follower.state
         labels = who.labels
         self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone,
                                 labels.region, state.view.lineage, state.since()))
