--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -61,7 +61,7 @@
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.identity, self.random = target, who, rng
         self.state = Following(who.labels)
-        self.order = agent_selection.order(who.labels, who.agents)
+        self.agents_by_preference = agent_selection.order(who.labels, who.agents)
         self.own: _Link | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.rounds = 0  # consecutive rounds that found no agent to follow
@@ -96,7 +96,7 @@
             self.own = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
-        candidates = [place for place in self.order if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
+        candidates = [place for place in self.agents_by_preference if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         retry_after_s = 0.0
         for agent in candidates:
             connection = await self.dial(agent)
@@ -115,16 +115,16 @@
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
         current = self.own
         assert current is not None
-        has_closer = self.order.index(current.place) > 0
+        has_closer = self.agents_by_preference.index(current.place) > 0
         next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not current.ended.is_set():
             now_s = time.monotonic()
             if agent_selection.looks_elsewhere(current.heard, now_s - current.heard_s):
-                await self.look(self.order, current)
+                await self.look(self.agents_by_preference, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
                 current.since_s = now_s
-                await self.look(self.order[:self.order.index(current.place)], current)
+                await self.look(self.agents_by_preference[:self.agents_by_preference.index(current.place)], current)
                 return
             stale_at_s = current.heard_s + agent_selection.STALE_S - (current.heard.age_s if current.heard is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
@@ -142,7 +142,7 @@
             own_status = Heard(current.heard.position, current.heard.age_s + silent_s) if current.heard is not None else None
             if connection.heard is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.heard, own_status)
-                    or agent_selection.is_home(connection.heard, own_status, agent, current.place, self.order)):
+                    or agent_selection.is_home(connection.heard, own_status, agent, current.place, self.agents_by_preference)):
                 current.close()
                 self.settle(connection)
                 return
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -261,7 +261,7 @@
             assert follower.own is not None and follower.own.place.port == far.port
             strange.lineage = "M"
             strange.log = [Entry(n, ALL, {"a": 9}) for n in range(1, 6)]
-            follower.order = (strange.place(),)
+            follower.agents_by_preference = (strange.place(),)
             lines: list[str] = []
             follower.log_line = lines.append
             far.stop()
