--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -62,7 +62,7 @@
         self.target, self.identity, self.random = target, who, rng
         self.state = Following(who.labels)
         self.agents_by_preference = agent_selection.order(who.labels, who.agents)
-        self.own: _Link | None = None
+        self.current: _Link | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.rounds = 0  # consecutive rounds that found no agent to follow
         self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
@@ -80,20 +80,20 @@
     async def run(self) -> None:
         try:
             while True:
-                if self.own is None or self.own.ended.is_set():
+                if self.current is None or self.current.ended.is_set():
                     await self.find()
                 else:
                     await self.stay()
         finally:
-            if self.own is not None:
-                self.own.close()
+            if self.current is not None:
+                self.current.close()
 
     async def find(self) -> None:
         """Tries the agents in turn while none is followed; the one that was just lost comes last."""
-        lost_agent = self.own.place if self.own is not None else None
-        if self.own is not None:
-            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.own.why}" if lost_agent else "")
-            self.own = None
+        lost_agent = self.current.place if self.current is not None else None
+        if self.current is not None:
+            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.current.why}" if lost_agent else "")
+            self.current = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
         candidates = [place for place in self.agents_by_preference if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
@@ -113,7 +113,7 @@
 
     async def stay(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
-        current = self.own
+        current = self.current
         assert current is not None
         has_closer = self.agents_by_preference.index(current.place) > 0
         next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
@@ -156,7 +156,7 @@
         await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
 
     def settle(self, connection: _Link) -> None:
-        self.own, self.rounds = connection, 0
+        self.current, self.rounds = connection, 0
         connection.take_over()
 
     async def dial(self, agent: Place) -> _Link:
