--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -64,7 +64,7 @@
         self.agents_by_preference = agent_selection.order(who.labels, who.agents)
         self.current: _Link | None = None
         self.spread_s = INITIAL_BACKOFF_S
-        self.rounds = 0  # consecutive rounds that found no agent to follow
+        self.failed_rounds = 0  # consecutive rounds that found no agent to follow
         self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_s = 0.0
         self.changed: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
@@ -107,8 +107,8 @@
                 retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
             self.log(f"{agent.host}:{agent.port}: {connection.why}")
             connection.close()
-        self.rounds += 1
-        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds - 1, 8))
+        self.failed_rounds += 1
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds - 1, 8))
         await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * max_backoff_s)
 
     async def stay(self) -> None:
@@ -152,11 +152,11 @@
         if current.heard is not None and time.monotonic() - current.heard_s >= agent_selection.SILENT_S:
             current.end("no message from the agent in time")
             return
-        self.rounds += 1
-        await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.rounds, 8)))
+        self.failed_rounds += 1
+        await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
 
     def settle(self, connection: _Link) -> None:
-        self.current, self.rounds = connection, 0
+        self.current, self.failed_rounds = connection, 0
         connection.take_over()
 
     async def dial(self, agent: Place) -> _Link:
