--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -65,7 +65,7 @@
         self.current: _Link | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
-        self.log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
+        self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_s = 0.0
         self.changed: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
         self.dialled = 0
@@ -75,7 +75,7 @@
         now_s = time.monotonic()
         if now_s >= self.next_log_s:
             self.next_log_s = now_s + MIN_LOG_INTERVAL_S
-            self.log_line(f"versions: {text}")
+            self.write_log_line(f"versions: {text}")
 
     async def run(self) -> None:
         try:
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -263,7 +263,7 @@
             strange.log = [Entry(n, ALL, {"a": 9}) for n in range(1, 6)]
             follower.agents_by_preference = (strange.place(),)
             lines: list[str] = []
-            follower.log_line = lines.append
+            follower.write_log_line = lines.append
             far.stop()
             await until(lambda: any("lineage: expected L, got M" in line for line in lines))
             assert instance.overlay == {"a": 1}
