--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -66,15 +66,15 @@
         self.spread_s = INITIAL_BACKOFF_S
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
         self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
-        self.next_log_s = 0.0
+        self.next_log_at_s = 0.0
         self.changed: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
         self.dialled = 0
 
     def log(self, text: str) -> None:
         """Writes at most one line per LOG_GAP_S."""
         now_s = time.monotonic()
-        if now_s >= self.next_log_s:
-            self.next_log_s = now_s + MIN_LOG_INTERVAL_S
+        if now_s >= self.next_log_at_s:
+            self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
             self.write_log_line(f"versions: {text}")
 
     async def run(self) -> None:
