--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -67,7 +67,7 @@
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
         self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_at_s = 0.0
-        self.changed: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
+        self.on_change: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
         self.dialled = 0
 
     def log(self, text: str) -> None:
@@ -190,7 +190,7 @@
         if outcome is Word.APPLY:
             self.apply()
         if (state.view.position, state.running, state.status) != before:
-            self.changed()
+            self.on_change()
         return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
     def apply(self) -> None:
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -83,7 +83,7 @@
             if not held or held[-1][0] < position:
                 held.append((position, time.monotonic()))
 
-        follower.changed = changed
+        follower.on_change = changed
         return follower
 
     def had(self, what: str) -> None:
--- a/ironscale/stage/published_processes.py
+++ b/ironscale/stage/published_processes.py
@@ -64,7 +64,7 @@
                        for at in range(self.stage.size.agents))
         self.follower = light_follower(LightInstance(self.name), self.labels, self.stage.token, places,
                                        boot=str(self.boot), rng=random.Random(f"{self.name} {self.boot}"))
-        self.follower.changed = self.changed
+        self.follower.on_change = self.changed
         self.task = asyncio.get_running_loop().create_task(self.follower.run())
         self.stage.history.add("up", who=self.name, up=True)
 
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -167,7 +167,7 @@
         follower = self.follower = light_follower(
             LightInstance(self.name), self.labels, "token", world.places, boot=str(self.boot),
             rng=random.Random(world.random.random()))
-        follower.changed = self.changed
+        follower.on_change = self.changed
         context = copy_context()
         context.run(WHO.set, self.name)
         self.task = asyncio.get_running_loop().create_task(follower.run(), context=context)
