--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -68,7 +68,7 @@
         self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
         self.next_log_at_s = 0.0
         self.on_change: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
-        self.dialled = 0
+        self.connection_attempts = 0
 
     def log(self, text: str) -> None:
         """Writes at most one line per LOG_GAP_S."""
@@ -162,7 +162,7 @@
     async def dial(self, agent: Place) -> _Link:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
         connection = _Link(self, agent)
-        self.dialled += 1
+        self.connection_attempts += 1
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, agent.host, agent.port)
