--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -81,14 +81,14 @@
         try:
             while True:
                 if self.current is None or self.current.ended.is_set():
-                    await self.find()
+                    await self.find_agent()
                 else:
                     await self.stay()
         finally:
             if self.current is not None:
                 self.current.close()
 
-    async def find(self) -> None:
+    async def find_agent(self) -> None:
         """Tries the agents in turn while none is followed; the one that was just lost comes last."""
         lost_agent = self.current.place if self.current is not None else None
         if self.current is not None:
