--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -83,7 +83,7 @@
                 if self.current is None or self.current.ended.is_set():
                     await self.find_agent()
                 else:
-                    await self.stay()
+                    await self.follow_current()
         finally:
             if self.current is not None:
                 self.current.close()
@@ -111,7 +111,7 @@
         max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds - 1, 8))
         await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * max_backoff_s)
 
-    async def stay(self) -> None:
+    async def follow_current(self) -> None:
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
         current = self.current
         assert current is not None
