--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -120,11 +120,11 @@
         while not current.ended.is_set():
             now_s = time.monotonic()
             if agent_selection.looks_elsewhere(current.heard, now_s - current.heard_s):
-                await self.look(self.agents_by_preference, current)
+                await self.try_alternatives(self.agents_by_preference, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
                 current.since_s = now_s
-                await self.look(self.agents_by_preference[:self.agents_by_preference.index(current.place)], current)
+                await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.place)], current)
                 return
             stale_at_s = current.heard_s + agent_selection.STALE_S - (current.heard.age_s if current.heard is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
@@ -132,7 +132,7 @@
                 async with asyncio.timeout(wait_s):
                     await current.ended.wait()
 
-    async def look(self, candidates: Sequence[Place], current: _Link) -> None:
+    async def try_alternatives(self, candidates: Sequence[Place], current: _Link) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for agent in candidates:
             if agent == current.place:
