--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -101,7 +101,7 @@
         for agent in candidates:
             connection = await self.dial(agent)
             if connection.heard is not None and not connection.ended.is_set():
-                self.settle(connection)
+                self.switch_to(connection)
                 return
             if connection.denied is not None:
                 retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
@@ -144,7 +144,7 @@
                     agent_selection.is_better(connection.heard, own_status)
                     or agent_selection.is_home(connection.heard, own_status, agent, current.place, self.agents_by_preference)):
                 current.close()
-                self.settle(connection)
+                self.switch_to(connection)
                 return
             connection.close()
             if current.ended.is_set():
@@ -155,7 +155,7 @@
         self.failed_rounds += 1
         await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
 
-    def settle(self, connection: _Link) -> None:
+    def switch_to(self, connection: _Link) -> None:
         self.current, self.failed_rounds = connection, 0
         connection.take_over()
 
