--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -99,7 +99,7 @@
         candidates = [place for place in self.agents_by_preference if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
         retry_after_s = 0.0
         for agent in candidates:
-            connection = await self.dial(agent)
+            connection = await self.connect(agent)
             if connection.heard is not None and not connection.ended.is_set():
                 self.switch_to(connection)
                 return
@@ -137,7 +137,7 @@
         for agent in candidates:
             if agent == current.place:
                 continue
-            connection = await self.dial(agent)
+            connection = await self.connect(agent)
             silent_s = time.monotonic() - current.heard_s
             own_status = Heard(current.heard.position, current.heard.age_s + silent_s) if current.heard is not None else None
             if connection.heard is not None and not connection.ended.is_set() and (
@@ -159,7 +159,7 @@
         self.current, self.failed_rounds = connection, 0
         connection.take_over()
 
-    async def dial(self, agent: Place) -> _Link:
+    async def connect(self, agent: Place) -> _Link:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
         connection = _Link(self, agent)
         self.connection_attempts += 1
