--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -176,7 +176,7 @@
 
     # Updates from an agent
 
-    def take(self, update: VersionUpdate) -> RunningReport | None:
+    def process_update(self, update: VersionUpdate) -> RunningReport | None:
         """Processes one update; gives the report to send about it. Raises MessageError if it can't be used."""
         state = self.state
         before = state.view.position, state.running, state.status
@@ -273,7 +273,7 @@
 
     def take(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
-        runs = self.follower.take(update)
+        runs = self.follower.process_update(update)
         if runs is not None and (update.entries or update.snapshot or runs.status != "applied"):
             self.send(runs)
 
