--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -188,12 +188,12 @@
         if outcome is Word.REREAD:
             raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
         if outcome is Word.APPLY:
-            self.apply()
+            self.apply_configuration()
         if (state.view.position, state.running, state.status) != before:
             self.on_change()
         return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
-    def apply(self) -> None:
+    def apply_configuration(self) -> None:
         """Applies the wanted configuration to the instance and records the outcome."""
         state = self.state
         try:
