--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -62,7 +62,7 @@
         self.target, self.identity, self.random = target, who, rng
         self.state = Following(who.labels)
         self.agents_by_preference = agent_selection.order(who.labels, who.agents)
-        self.current: _Link | None = None
+        self.current: _AgentConnection | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
         self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
@@ -132,7 +132,7 @@
                 async with asyncio.timeout(wait_s):
                     await current.ended.wait()
 
-    async def try_alternatives(self, candidates: Sequence[Place], current: _Link) -> None:
+    async def try_alternatives(self, candidates: Sequence[Place], current: _AgentConnection) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for agent in candidates:
             if agent == current.place:
@@ -155,13 +155,13 @@
         self.failed_rounds += 1
         await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
 
-    def switch_to(self, connection: _Link) -> None:
+    def switch_to(self, connection: _AgentConnection) -> None:
         self.current, self.failed_rounds = connection, 0
         connection.take_over()
 
-    async def connect(self, agent: Place) -> _Link:
+    async def connect(self, agent: Place) -> _AgentConnection:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
-        connection = _Link(self, agent)
+        connection = _AgentConnection(self, agent)
         self.connection_attempts += 1
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
@@ -211,7 +211,7 @@
             self.log(f"version {state.view.position} not applied: {state.status}: {state.detail}")
 
 
-class _Link(asyncio.Protocol):
+class _AgentConnection(asyncio.Protocol):
     """One connection to an agent. Until the agent is followed, its updates are buffered and only its position is
     considered."""
 
