--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -90,7 +90,7 @@
 
     async def find_agent(self) -> None:
         """Tries the agents in turn while none is followed; the one that was just lost comes last."""
-        lost_agent = self.current.place if self.current is not None else None
+        lost_agent = self.current.agent if self.current is not None else None
         if self.current is not None:
             self.log(f"{lost_agent.host}:{lost_agent.port}: {self.current.why}" if lost_agent else "")
             self.current = None
@@ -115,7 +115,7 @@
         """Follows the current agent until it is lost, or until it is time to look for a better one."""
         current = self.current
         assert current is not None
-        has_closer = self.agents_by_preference.index(current.place) > 0
+        has_closer = self.agents_by_preference.index(current.agent) > 0
         next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not current.ended.is_set():
             now_s = time.monotonic()
@@ -124,7 +124,7 @@
                 return
             if has_closer and now_s >= next_closer_look_s:
                 current.since_s = now_s
-                await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.place)], current)
+                await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
             stale_at_s = current.heard_s + agent_selection.STALE_S - (current.heard.age_s if current.heard is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
@@ -135,14 +135,14 @@
     async def try_alternatives(self, candidates: Sequence[Place], current: _AgentConnection) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for agent in candidates:
-            if agent == current.place:
+            if agent == current.agent:
                 continue
             connection = await self.connect(agent)
             silent_s = time.monotonic() - current.heard_s
             own_status = Heard(current.heard.position, current.heard.age_s + silent_s) if current.heard is not None else None
             if connection.heard is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.heard, own_status)
-                    or agent_selection.is_home(connection.heard, own_status, agent, current.place, self.agents_by_preference)):
+                    or agent_selection.is_home(connection.heard, own_status, agent, current.agent, self.agents_by_preference)):
                 current.close()
                 self.switch_to(connection)
                 return
@@ -216,7 +216,7 @@
     considered."""
 
     def __init__(self, follower: Follower, place: Place) -> None:
-        self.follower, self.place = follower, place
+        self.follower, self.agent = follower, place
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.ended, self.told = asyncio.Event(), asyncio.Event()
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -182,7 +182,7 @@
         async with following(near, far) as (instance, follower):
             await until(lambda: instance.overlay == {"a": 2})
             near.stop()
-            await until(lambda: follower.current is not None and follower.current.place.port == far.port)
+            await until(lambda: follower.current is not None and follower.current.agent.port == far.port)
             assert instance.overlay == {"a": 2} and follower.state.view.position == 2
             far.log.append(newest[1])
             far.publish({"a": 3})
@@ -198,7 +198,7 @@
         log = [Entry(1, ALL, {"a": 1})]
         near, far = await Serving(list(log)).start(), await Serving(list(log)).start()
         async with following(near, far) as (instance, follower):
-            await until(lambda: follower.current is not None and follower.current.place.port == near.port)
+            await until(lambda: follower.current is not None and follower.current.agent.port == near.port)
             if how == "stopped":
                 near.silent = True
             else:
@@ -208,7 +208,7 @@
             start_s = asyncio.get_running_loop().time()
             await until(lambda: instance.overlay == {"a": 2})
             assert asyncio.get_running_loop().time() - start_s < agent_selection.LIMIT_S
-            assert follower.current is not None and follower.current.place.port == far.port
+            assert follower.current is not None and follower.current.agent.port == far.port
 
     run(test)
 
@@ -219,7 +219,7 @@
         near, far = await Serving(list(log)).start(), await Serving(list(log)).start()
         far.fresh = False
         async with following(near, far) as (instance, follower):
-            await until(lambda: follower.current is not None and follower.current.place.port == near.port)
+            await until(lambda: follower.current is not None and follower.current.agent.port == near.port)
             own, near.fresh = follower.current, False
             assert own is not None
             near.tell()
@@ -258,7 +258,7 @@
         busy.denies = Denied("BUSY", "too many at once", 200)
         async with following(busy, far) as (instance, follower):
             await until(lambda: instance.overlay == {"a": 1})
-            assert follower.current is not None and follower.current.place.port == far.port
+            assert follower.current is not None and follower.current.agent.port == far.port
             strange.lineage = "M"
             strange.log = [Entry(n, ALL, {"a": 9}) for n in range(1, 6)]
             follower.agents_by_preference = (strange.place(),)
