--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -166,7 +166,7 @@
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, agent.host, agent.port)
-                await connection.told.wait()
+                await connection.position_known.wait()
         except (OSError, TimeoutError, ValueError) as error:
             connection.end(f"{error or 'timed out'}")
         except BaseException:
@@ -219,7 +219,7 @@
         self.follower, self.agent = follower, place
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
-        self.ended, self.told = asyncio.Event(), asyncio.Event()
+        self.ended, self.position_known = asyncio.Event(), asyncio.Event()
         self.why = ""
         self.heard: Heard | None = None
         self.heard_s = self.since_s = time.monotonic()
@@ -258,7 +258,7 @@
             self.waiting.append(message)
         else:
             self.take(message)
-        self.told.set()
+        self.position_known.set()
 
     def take_over(self) -> None:
         """Follows this agent from now on, starting with the buffered updates."""
@@ -291,6 +291,6 @@
 
     def close(self) -> None:
         self.ended.set()
-        self.told.set()
+        self.position_known.set()
         if self.transport is not None:
             self.transport.close()
