--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -92,7 +92,7 @@
         """Tries the agents in turn while none is followed; the one that was just lost comes last."""
         lost_agent = self.current.agent if self.current is not None else None
         if self.current is not None:
-            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.current.why}" if lost_agent else "")
+            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.current.end_reason}" if lost_agent else "")
             self.current = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
@@ -105,7 +105,7 @@
                 return
             if connection.denied is not None:
                 retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
-            self.log(f"{agent.host}:{agent.port}: {connection.why}")
+            self.log(f"{agent.host}:{agent.port}: {connection.end_reason}")
             connection.close()
         self.failed_rounds += 1
         max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds - 1, 8))
@@ -220,7 +220,7 @@
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.ended, self.position_known = asyncio.Event(), asyncio.Event()
-        self.why = ""
+        self.end_reason = ""
         self.heard: Heard | None = None
         self.heard_s = self.since_s = time.monotonic()
         self.denied: Denied | None = None
@@ -286,7 +286,7 @@
 
     def end(self, why: str) -> None:
         if not self.ended.is_set():
-            self.why = why
+            self.end_reason = why
             self.close()
 
     def close(self) -> None:
