--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -119,14 +119,14 @@
         next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not current.ended.is_set():
             now_s = time.monotonic()
-            if agent_selection.looks_elsewhere(current.agent_status, now_s - current.heard_s):
+            if agent_selection.looks_elsewhere(current.agent_status, now_s - current.heard_at_s):
                 await self.try_alternatives(self.agents_by_preference, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
                 current.since_s = now_s
                 await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
-            stale_at_s = current.heard_s + agent_selection.STALE_S - (current.agent_status.age_s if current.agent_status is not None else 0.0)
+            stale_at_s = current.heard_at_s + agent_selection.STALE_S - (current.agent_status.age_s if current.agent_status is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -138,7 +138,7 @@
             if agent == current.agent:
                 continue
             connection = await self.connect(agent)
-            silent_s = time.monotonic() - current.heard_s
+            silent_s = time.monotonic() - current.heard_at_s
             own_status = Heard(current.agent_status.position, current.agent_status.age_s + silent_s) if current.agent_status is not None else None
             if connection.agent_status is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.agent_status, own_status)
@@ -149,7 +149,7 @@
             connection.close()
             if current.ended.is_set():
                 return
-        if current.agent_status is not None and time.monotonic() - current.heard_s >= agent_selection.SILENT_S:
+        if current.agent_status is not None and time.monotonic() - current.heard_at_s >= agent_selection.SILENT_S:
             current.end("no message from the agent in time")
             return
         self.failed_rounds += 1
@@ -222,7 +222,7 @@
         self.ended, self.position_known = asyncio.Event(), asyncio.Event()
         self.end_reason = ""
         self.agent_status: Heard | None = None
-        self.heard_s = self.since_s = time.monotonic()
+        self.heard_at_s = self.since_s = time.monotonic()
         self.denied: Denied | None = None
         # Updates received before the agent is followed; None from then on.
         self.waiting: list[VersionUpdate] | None = []
@@ -253,7 +253,7 @@
             self.end(f"denied ({message.code}): {message.text}")
             return
         assert isinstance(message, VersionUpdate)
-        self.agent_status, self.heard_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
+        self.agent_status, self.heard_at_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
         if self.waiting is not None:
             self.waiting.append(message)
         else:
