--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -116,14 +116,14 @@
         current = self.current
         assert current is not None
         has_closer = self.agents_by_preference.index(current.agent) > 0
-        next_closer_look_s = current.since_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
+        next_closer_look_s = current.last_closer_look_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not current.ended.is_set():
             now_s = time.monotonic()
             if agent_selection.looks_elsewhere(current.agent_status, now_s - current.heard_at_s):
                 await self.try_alternatives(self.agents_by_preference, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
-                current.since_s = now_s
+                current.last_closer_look_s = now_s
                 await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
             stale_at_s = current.heard_at_s + agent_selection.STALE_S - (current.agent_status.age_s if current.agent_status is not None else 0.0)
@@ -222,7 +222,7 @@
         self.ended, self.position_known = asyncio.Event(), asyncio.Event()
         self.end_reason = ""
         self.agent_status: Heard | None = None
-        self.heard_at_s = self.since_s = time.monotonic()
+        self.heard_at_s = self.last_closer_look_s = time.monotonic()
         self.denied: Denied | None = None
         # Updates received before the agent is followed; None from then on.
         self.waiting: list[VersionUpdate] | None = []
@@ -263,7 +263,7 @@
     def take_over(self) -> None:
         """Follows this agent from now on, starting with the buffered updates."""
         waiting, self.waiting = self.waiting or [], None
-        self.since_s = time.monotonic()
+        self.last_closer_look_s = time.monotonic()
         try:
             for update in waiting:
                 if not self.ended.is_set():
