--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -225,7 +225,7 @@
         self.heard_at_s = self.last_closer_look_s = time.monotonic()
         self.denied: Denied | None = None
         # Updates received before the agent is followed; None from then on.
-        self.waiting: list[VersionUpdate] | None = []
+        self.buffered_updates: list[VersionUpdate] | None = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -254,15 +254,15 @@
             return
         assert isinstance(message, VersionUpdate)
         self.agent_status, self.heard_at_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
-        if self.waiting is not None:
-            self.waiting.append(message)
+        if self.buffered_updates is not None:
+            self.buffered_updates.append(message)
         else:
             self.take(message)
         self.position_known.set()
 
     def take_over(self) -> None:
         """Follows this agent from now on, starting with the buffered updates."""
-        waiting, self.waiting = self.waiting or [], None
+        waiting, self.buffered_updates = self.buffered_updates or [], None
         self.last_closer_look_s = time.monotonic()
         try:
             for update in waiting:
