--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -157,7 +157,7 @@
 
     def switch_to(self, connection: _AgentConnection) -> None:
         self.current, self.failed_rounds = connection, 0
-        connection.take_over()
+        connection.start_following()
 
     async def connect(self, agent: Place) -> _AgentConnection:
         """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
@@ -260,7 +260,7 @@
             self.take(message)
         self.position_known.set()
 
-    def take_over(self) -> None:
+    def start_following(self) -> None:
         """Follows this agent from now on, starting with the buffered updates."""
         waiting, self.buffered_updates = self.buffered_updates or [], None
         self.last_closer_look_s = time.monotonic()
