--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -257,7 +257,7 @@
         if self.buffered_updates is not None:
             self.buffered_updates.append(message)
         else:
-            self.take(message)
+            self.process_update(message)
         self.position_known.set()
 
     def start_following(self) -> None:
@@ -267,11 +267,11 @@
         try:
             for update in waiting:
                 if not self.ended.is_set():
-                    self.take(update)
+                    self.process_update(update)
         except (MessageError, ScopeError) as error:
             self.end(f"invalid message from the agent: {error}")
 
-    def take(self, update: VersionUpdate) -> None:
+    def process_update(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
         runs = self.follower.process_update(update)
         if runs is not None and (update.entries or update.snapshot or runs.status != "applied"):
