--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,7 +23,7 @@
 
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
-from ironscale.control.simulated_instance import LightInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, light, stop
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
 from ironscale.operator_file import Agent as Section
@@ -136,7 +136,7 @@
             tasks = [asyncio.create_task(client.run()) for _, client in made]
             loop, out = asyncio.get_running_loop(), [0, 0]
 
-            def away(instance: LightInstance) -> None:
+            def away(instance: SimulatedInstance) -> None:
                 instance.ready, out[0] = False, out[0] + 1
                 out[1] = max(out)
 
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -19,7 +19,7 @@
 from ironscale.versions.model import Labels
 
 
-class LightInstance:
+class SimulatedInstance:
     """Records the commands that it was given. `effects` lists their effects in order; each must occur exactly once."""
 
     def __init__(self, name: str) -> None:
@@ -71,9 +71,9 @@
 
 def light(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
           rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None,
-          others: tuple[tuple[str, int], ...] = ()) -> tuple[LightInstance, AgentClient]:
+          others: tuple[tuple[str, int], ...] = ()) -> tuple[SimulatedInstance, AgentClient]:
     """A simulated instance and the client that connects it to the agent at `address`, or to one of `others`."""
-    instance = LightInstance(name)
+    instance = SimulatedInstance(name)
     identity = Identity(name, boot or secrets.token_hex(8), 0, "light", time.time_ns() // 1_000_000, zone,
                         "127.0.0.1:0", token, replaces)
     client = AgentClient(instance.layered, identity, address, rng or random.Random(), log, others)
@@ -86,7 +86,7 @@
     return instance, client
 
 
-def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
+def light_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
                    rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
     """Makes a simulated instance follow published versions."""
     return Follower(instance.layered, FollowerIdentity(labels, boot or secrets.token_hex(8), token, places),
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import LightInstance, light, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, light, light_follower
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
@@ -62,14 +62,14 @@
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.order = order
-        self.instances: list[LightInstance] = []
+        self.instances: list[SimulatedInstance] = []
         self.discoveries: list[Discovery] = []
         self.in_force: dict[int, list[float]] = {}  # by generation: when each instance had it
         self.lists: dict[int, list[float]] = {}  # by generation of discovery's list: when each watch was told
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # of each follower: positions of the log, and since when
 
-    def follow(self, instance: LightInstance, n: int, token: str, rng: random.Random) -> Follower:
+    def follow(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
         """Has it follow published versions."""
         zones = self.order["zones"]
         places = tuple(Place(host, int(port)) for host, port in self.order["versions"])
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -15,7 +15,7 @@
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import AgentClient
-from ironscale.control.simulated_instance import LightInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, light, stop
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
@@ -40,7 +40,7 @@
     def __init__(self, agent: Agent, seed: int) -> None:
         self.agent = agent
         self.random = random.Random(seed)
-        self.instances: dict[str, LightInstance] = {}
+        self.instances: dict[str, SimulatedInstance] = {}
         self.clients: dict[str, AgentClient] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.token = read_secret(agent.data / "instance.token")
@@ -50,7 +50,7 @@
     def engine(self) -> Engine:
         return self.agent.engine
 
-    def start(self, name: str, **changes: Any) -> LightInstance:
+    def start(self, name: str, **changes: Any) -> SimulatedInstance:
         """A process of this name; a former one is gone without a word."""
         if name in self.tasks:
             self.tasks[name].cancel()
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -12,13 +12,13 @@
 from ironscale.agent.model import Phase, Policy, State
 from ironscale.agent.planner import _waves
 from ironscale.control.messages import ClassCounts
-from ironscale.control.simulated_instance import LightInstance
+from ironscale.control.simulated_instance import SimulatedInstance
 from tests.agent.agent_harness import AgentScene, run, scene, until
 
 GATED = Policy(wave=2, canary=1, gate=True, on_failure="rollback", soak_most_ms=20_000)
 
 
-async def traffic(found: AgentScene, failing: Callable[[LightInstance], float], rate: int = 200) -> None:
+async def traffic(found: AgentScene, failing: Callable[[SimulatedInstance], float], rate: int = 200) -> None:
     """So many answers to each instance every 20 ms."""
     rng = random.Random(1)
     while True:
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -20,7 +20,7 @@
 from ironscale.agent.sqlite import Claim, SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Term, clock_ms
-from ironscale.control.simulated_instance import LightInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, light, stop
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
 from tests.agent.agent_harness import run
@@ -43,7 +43,7 @@
         self.folder, self.record, self.most = folder, record, most
         self.ports = [free_port() for _ in range(3)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.instances: dict[str, LightInstance] = {}
+        self.instances: dict[str, SimulatedInstance] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.out = self.worst = 0
         self.client = httpx.AsyncClient(timeout=1.0, trust_env=False)
@@ -68,7 +68,7 @@
             instance.before_effect = lambda what, instance=instance: self.effect(instance)  # type: ignore[misc]
             self.tasks.append(asyncio.create_task(client.run()))
 
-    def effect(self, instance: LightInstance) -> None:
+    def effect(self, instance: SimulatedInstance) -> None:
         """A new configuration keeps an instance out for a moment: the truth that the budget is held against."""
         instance.ready = False
         self.out += 1
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -30,7 +30,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.simulated_instance import LightInstance, light
+from ironscale.control.simulated_instance import SimulatedInstance, light
 from ironscale.standins.http import ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang, reply
@@ -408,7 +408,7 @@
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, client):
-            assert isinstance(instance, LightInstance)
+            assert isinstance(instance, SimulatedInstance)
             await until(lambda: agent.got)
             assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.ended
             client.bye("ended")
