--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -29,7 +29,7 @@
         self.draining = False
         self.open = 0
         self.ended = False
-        self.nodes: Callable[[], list[dict[str, Any]]] | None = None  # replaces the default upstreams
+        self.custom_upstreams: Callable[[], list[dict[str, Any]]] | None = None  # replaces the default upstreams
         self.ready = True
         self.counts = ClassCounts("view", 0, 0, 0)
         self.effects: list[str] = []
@@ -43,8 +43,8 @@
                       10, 0, 0, [self.counts], {}, 0.0, control_s, 0, 0)
 
     def upstreams(self) -> list[dict[str, Any]]:
-        if self.nodes is not None:
-            return self.nodes()
+        if self.custom_upstreams is not None:
+            return self.custom_upstreams()
         return [{"name": f"node-{i}", "state": "ready", "slots": 1.0, "used": 0, "resting": False, "cold": False,
                  "failing": False, "mute": False, "leastMs": 1.0} for i in range(10)]
 
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -25,7 +25,7 @@
         self.states: dict[str, str] = {f"n{i}": "ready" for i in range(count)}
         self.warmth: dict[str, float] = {}
         for instance in found.instances.values():
-            instance.nodes = self.entries
+            instance.custom_upstreams = self.entries
 
     def entries(self) -> list[dict[str, Any]]:
         return [{"name": name, "state": state, "slots": 1.0, "used": 0, "resting": False, "cold": False,
