--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -28,7 +28,7 @@
         self.overlay: Mapping[str, Any] = {}
         self.draining = False
         self.open = 0
-        self.ended = False
+        self.stopped = False
         self.custom_upstreams: Callable[[], list[dict[str, Any]]] | None = None  # replaces the default upstreams
         self.ready = True
         self.counts = ClassCounts("view", 0, 0, 0)
@@ -65,7 +65,7 @@
 
     def stop(self) -> None:
         self.before_effect("stop")
-        self.ended = True
+        self.stopped = True
         self.effects.append("stop")
 
 
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -52,7 +52,7 @@
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert set((await s.states(await s.begin(Kind.UNDRAIN))).values()) == {State.APPLIED}
             ident = await s.begin(Kind.STOP, ["i0000"])
-            await until(lambda: s.instances["i0000"].ended)
+            await until(lambda: s.instances["i0000"].stopped)
             client = s.clients["i0000"]
             client.send_goodbye("ended")
             await asyncio.sleep(0.05)
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -410,7 +410,7 @@
         async with connected(agent) as (instance, client):
             assert isinstance(instance, SimulatedInstance)
             await until(lambda: agent.got)
-            assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.ended
+            assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.stopped
             client.bye("ended")
             await until(lambda: isinstance(agent.got[-1], Goodbye))
 
