--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -31,7 +31,7 @@
         self.stopped = False
         self.custom_upstreams: Callable[[], list[dict[str, Any]]] | None = None  # replaces the default upstreams
         self.ready = True
-        self.counts = ClassCounts("view", 0, 0, 0)
+        self.class_counts = ClassCounts("view", 0, 0, 0)
         self.effects: list[str] = []
         self.before_effect: Callable[[str], None] = lambda what: None  # may raise, or end the process
         self.client: AgentClient | None = None
@@ -40,7 +40,7 @@
 
     def report(self, control_s: float) -> Report:
         return Report(self.generation, self.fence, self.ready and not self.draining, self.draining, self.open, 0, 10,
-                      10, 0, 0, [self.counts], {}, 0.0, control_s, 0, 0)
+                      10, 0, 0, [self.class_counts], {}, 0.0, control_s, 0, 0)
 
     def upstreams(self) -> list[dict[str, Any]]:
         if self.custom_upstreams is not None:
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -24,8 +24,8 @@
     while True:
         for instance in found.instances.values():
             failed = sum(rng.random() < failing(instance) for _ in range(rate))
-            old = instance.counts
-            instance.counts = ClassCounts("view", old.served + rate - failed, 0, old.failed + failed)
+            old = instance.class_counts
+            instance.class_counts = ClassCounts("view", old.served + rate - failed, 0, old.failed + failed)
         await asyncio.sleep(0.02)
 
 
