--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -69,7 +69,7 @@
         self.effects.append("stop")
 
 
-def light(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
+def create_simulated_instance(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
           rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None,
           others: tuple[tuple[str, int], ...] = ()) -> tuple[SimulatedInstance, AgentClient]:
     """A simulated instance and the client that connects it to the agent at `address`, or to one of `others`."""
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import SimulatedInstance, light, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, light_follower
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
@@ -107,7 +107,7 @@
             for n in range(order["first"], order["first"] + order["count"]):
                 if agents:
                     rng = random.Random(f"{order['seed']} {n}")
-                    instance, client = light(f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
+                    instance, client = create_simulated_instance(f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
                                              zone=f"zone-{n % order['zones']:02}")
                     instance.before_effect = self.had
                     self.instances.append(instance)
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -15,7 +15,7 @@
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import AgentClient
-from ironscale.control.simulated_instance import SimulatedInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, stop
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
@@ -56,7 +56,7 @@
             self.tasks[name].cancel()
         address = ("127.0.0.1", self.agent.control_port)
         rng = random.Random(self.random.random())
-        instance, client = light(name, address, changes.pop("token", self.token), rng=rng, **changes)
+        instance, client = create_simulated_instance(name, address, changes.pop("token", self.token), rng=rng, **changes)
         self.instances[name], self.clients[name] = instance, client
         self.tasks[name] = asyncio.create_task(client.run())
         return instance
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ironscale.control.simulated_instance import light, stop
+from ironscale.control.simulated_instance import create_simulated_instance, stop
 from ironscale.operator_file import read_secret
 from tests.agent.agent_harness import run
 from tests.deployed import ROOT
@@ -40,7 +40,7 @@
     while not (data / "instance.token").exists():
         await asyncio.sleep(0.01)
     token = read_secret(data / "instance.token")
-    made = [light(f"i{n}", ("127.0.0.1", port), token, rng=random.Random(n)) for n in range(COUNT)]
+    made = [create_simulated_instance(f"i{n}", ("127.0.0.1", port), token, rng=random.Random(n)) for n in range(COUNT)]
     for _, client in made:
         client.backoff.spread_s = 0.05
     tasks = [asyncio.create_task(client.run()) for _, client in made]
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -20,7 +20,7 @@
 from ironscale.agent.sqlite import Claim, SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Term, clock_ms
-from ironscale.control.simulated_instance import SimulatedInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, stop
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
 from tests.agent.agent_harness import run
@@ -62,7 +62,7 @@
         token = next(read_secret(path) for path in self.folder.glob("a*/instance.token"))
         for n in range(count):
             addresses = [("127.0.0.1", port) for port in self.ports]
-            instance, client = light(f"i{n:02}", addresses[0], token, rng=random.Random(n), others=tuple(addresses[1:]))
+            instance, client = create_simulated_instance(f"i{n:02}", addresses[0], token, rng=random.Random(n), others=tuple(addresses[1:]))
             client.backoff.spread_s = 0.1
             self.instances[instance.name] = instance
             instance.before_effect = lambda what, instance=instance: self.effect(instance)  # type: ignore[misc]
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -30,7 +30,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.simulated_instance import SimulatedInstance, light
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance
 from ironscale.standins.http import ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang, reply
@@ -93,7 +93,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(agent: ScriptedAgent, log: Callable[[str], None] = lambda text: None) -> Any:
-    instance, client = light("app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
+    instance, client = create_simulated_instance("app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
     task = asyncio.create_task(client.run())
     try:
         yield instance, client
@@ -247,7 +247,7 @@
 
     async def test() -> None:
         server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
-        instance, client = light("app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
+        instance, client = create_simulated_instance("app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
         many = instance.upstreams() * 200
         instance.upstreams = lambda: many  # type: ignore[method-assign]
         monkeypatch.setattr("ironscale.control.pacing.SHARE", 1.0)
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -11,14 +11,14 @@
 from ironscale.control.client import NOT_LEADING, AgentClient
 from ironscale.control.frames import encode_frame
 from ironscale.control.messages import Command, Denied, Hello, Welcome, serialize_message
-from ironscale.control.simulated_instance import light, stop
+from ironscale.control.simulated_instance import create_simulated_instance, stop
 from tests.control.test_client import ScriptedAgent
 from tests.sockets import run, until
 
 
 def client_of(*agents: ScriptedAgent) -> AgentClient:
     addresses = [("127.0.0.1", agent.port) for agent in agents]
-    _, client = light("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
+    _, client = create_simulated_instance("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
     client.backoff.spread_s = 0.01
     return client
 
