--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -86,7 +86,7 @@
     return instance, client
 
 
-def light_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
+def create_simulated_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
                    rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
     """Makes a simulated instance follow published versions."""
     return Follower(instance.layered, FollowerIdentity(labels, boot or secrets.token_hex(8), token, places),
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, create_simulated_follower
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
@@ -73,7 +73,7 @@
         """Has it follow published versions."""
         zones = self.order["zones"]
         places = tuple(Place(host, int(port)) for host, port in self.order["versions"])
-        follower = light_follower(instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token,
+        follower = create_simulated_follower(instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token,
                                   places, rng=rng)
         held: list[tuple[int, float]] = []
         self.held.append(held)
--- a/ironscale/stage/published_processes.py
+++ b/ironscale/stage/published_processes.py
@@ -20,7 +20,7 @@
 
 from ironscale.agent import tokens
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import SimulatedInstance, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower
 from ironscale.stage.history import History
 from ironscale.stage.relay import Port, Relay
 from ironscale.stage.run import AGENT, LOOK_S, START_S, Process, StageError, apart
@@ -62,7 +62,7 @@
         self.boot += 1
         places = tuple(Place("127.0.0.1", self.stage.links[self.region, at].port, "", region_of(at))
                        for at in range(self.stage.size.agents))
-        self.follower = light_follower(SimulatedInstance(self.name), self.labels, self.stage.token, places,
+        self.follower = create_simulated_follower(SimulatedInstance(self.name), self.labels, self.stage.token, places,
                                        boot=str(self.boot), rng=random.Random(f"{self.name} {self.boot}"))
         self.follower.on_change = self.changed
         self.task = asyncio.get_running_loop().create_task(self.follower.run())
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -21,7 +21,7 @@
 from ironscale.agent.versions_replica import Following
 from ironscale.control import follower as follower_module
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import SimulatedInstance, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower
 from ironscale.stage.history import Entry as Line
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import follower_state as state_module
@@ -164,7 +164,7 @@
     def start(self) -> None:
         world = self.world
         self.boot += 1
-        follower = self.follower = light_follower(
+        follower = self.follower = create_simulated_follower(
             SimulatedInstance(self.name), self.labels, "token", world.places, boot=str(self.boot),
             rng=random.Random(world.random.random()))
         follower.on_change = self.changed
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -24,7 +24,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.simulated_instance import SimulatedInstance, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import Place
 from ironscale.versions.compacted_log import Change, View, narrowed
@@ -116,7 +116,7 @@
     """Runs a follower of these agents; the first is in its own zone."""
     instance = SimulatedInstance("app-0")
     places = tuple(agent.place("a" if i == 0 else "") for i, agent in enumerate(agents))
-    follower = light_follower(instance, LABELS, "token", places, rng=random.Random(1))
+    follower = create_simulated_follower(instance, LABELS, "token", places, rng=random.Random(1))
     task = asyncio.create_task(follower.run())
     try:
         yield instance, follower
