--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -43,7 +43,7 @@
     """A fake agent: records the messages that it receives and sends what the test tells it to."""
 
     def __init__(self, greet: Message | bytes | None = WELCOME) -> None:
-        self.greet = greet
+        self.greeting = greet
         self.got: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
@@ -63,9 +63,9 @@
                 while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, FROM_INSTANCE)
                     self.got.append(message)
-                    if isinstance(message, Hello) and self.greet is not None:
-                        self.say(self.greet)
-                    if isinstance(message, Heartbeat) and isinstance(self.greet, Welcome):
+                    if isinstance(message, Hello) and self.greeting is not None:
+                        self.say(self.greeting)
+                    if isinstance(message, Heartbeat) and isinstance(self.greeting, Welcome):
                         self.say(LeaseRenewal(message.seq))
         writer.close()
 
@@ -206,7 +206,7 @@
             await until(lambda: len(agent.writers) >= 3)
             assert len(lines) == 1 and "\n" not in lines[0]  # log lines are limited to one in five seconds
             assert instance.effects == []
-            agent.greet = WELCOME
+            agent.greeting = WELCOME
             await until(lambda: agent.beats())
 
     run(test)
@@ -218,7 +218,7 @@
         agent = await ScriptedAgent(Welcome(150, 20, 10)).start()
         async with connected(agent):
             await until(lambda: agent.beats())
-            agent.greet = None  # still reads, but no longer answers
+            agent.greeting = None  # still reads, but no longer answers
             await until(lambda: len(agent.writers) >= 2)
 
     run(test)
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -44,7 +44,7 @@
         # The client has disconnected and reconnected several times; the commands sent meanwhile had no effect.
         await until(lambda: sum(isinstance(message, Hello) for message in old.got) >= 3 or old.results())
         assert not old.results() and not old.beats() and client.term == 3
-        old.greet = Welcome(5_000, 50, 10, [], 4)
+        old.greeting = Welcome(5_000, 50, 10, [], 4)
         await until(lambda: client.term == 4 and old.beats())
         await stop(task)
         old.stop()
@@ -56,7 +56,7 @@
     async def test() -> None:
         leader, stranger = await ScriptedAgent().start(), await ScriptedAgent().start()
         follower = await ScriptedAgent().start()
-        follower.greet = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
+        follower.greeting = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
         client = client_of(follower, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.beats())
