--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -44,7 +44,7 @@
 
     def __init__(self, greet: Message | bytes | None = WELCOME) -> None:
         self.greeting = greet
-        self.got: list[Message] = []
+        self.received: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -62,7 +62,7 @@
                 decoder.feed(data)
                 while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, FROM_INSTANCE)
-                    self.got.append(message)
+                    self.received.append(message)
                     if isinstance(message, Hello) and self.greeting is not None:
                         self.say(self.greeting)
                     if isinstance(message, Heartbeat) and isinstance(self.greeting, Welcome):
@@ -73,10 +73,10 @@
         self.writers[-1].write(message if isinstance(message, bytes) else encode_frame(serialize_message(message)))
 
     def results(self) -> list[CommandResult]:
-        return [m for m in self.got if isinstance(m, CommandResult)]
+        return [m for m in self.received if isinstance(m, CommandResult)]
 
     def beats(self) -> list[Heartbeat]:
-        return [m for m in self.got if isinstance(m, Heartbeat)]
+        return [m for m in self.received if isinstance(m, Heartbeat)]
 
     async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> CommandResult:
         before = len(self.results())
@@ -108,7 +108,7 @@
         agent = await ScriptedAgent(Welcome(5_000, 20, 10)).start()
         async with connected(agent) as (instance, _):
             await until(lambda: len(agent.beats()) >= 3)
-            hello = agent.got[0]
+            hello = agent.received[0]
             assert isinstance(hello, Hello) and (hello.name, hello.boot, hello.token) == ("app-0", "boot", "token")
             assert [beat.seq for beat in agent.beats()[:3]] == [1, 2, 3]
             assert (await agent.command("1.0.1", 4, "drain")).status == "applied" and instance.draining
@@ -121,7 +121,7 @@
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             for _ in range(3):
                 result = await agent.command("1.0.1", 4, "reconfigure", generation=2, overlay={"settings": {}})
                 assert result.status == "applied"
@@ -137,12 +137,12 @@
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             agent.say(Command("1.0.1", 4, "boot", "drain"))
             await until(lambda: instance.effects)
             agent.writers[-1].transport.abort()
-            await until(lambda: len(agent.writers) == 2 and isinstance(agent.got[-1], Hello))
-            assert [m.fence for m in agent.got if isinstance(m, Hello)] == [0, 4]
+            await until(lambda: len(agent.writers) == 2 and isinstance(agent.received[-1], Hello))
+            assert [m.fence for m in agent.received if isinstance(m, Hello)] == [0, 4]
             assert (await agent.command("1.0.1", 4, "drain")).status == "applied"
             assert instance.effects == ["drain"]
 
@@ -163,7 +163,7 @@
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             result = await agent.command("1.0.1", 4, "reconfigure", **args)
             assert result.status == status and words in result.detail
             assert instance.effects == [] and instance.generation == 0
@@ -179,7 +179,7 @@
                 raise RuntimeError("a bug")
 
             instance.before_effect = broken
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             result = await agent.command("1.0.1", 4, "drain")
             assert (result.status, result.detail) == ("failed", "RuntimeError: a bug")
             instance.before_effect = lambda what: None
@@ -270,7 +270,7 @@
         async with connected(agent) as (instance, _):
             many = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
             instance.upstreams = lambda: many
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             agent.say(Command("q1", 0, "boot", "inspect"))
             await until(lambda: agent.results() and not agent.results()[-1].more)
             parts = agent.results()
@@ -314,7 +314,7 @@
         control, stop, statuses = asyncio.create_task(client.run()), asyncio.Event(), Counter[int]()
         callers = [asyncio.create_task(traffic(scene, statuses, stop)) for _ in range(3)]
         if what != "never reachable":
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
         for generation in range(1, 30):
             if what == "commands":
                 classes = [{**c, "aim": 4_000_000 - generation} for c in SETTINGS["request-classes"]]
@@ -347,7 +347,7 @@
         instance, client = client_of(scene, agent)
         control = asyncio.create_task(client.run())
         held = asyncio.create_task(scene.call("pay"))
-        await until(lambda: peer.got and agent.got)
+        await until(lambda: peer.got and agent.received)
         probe = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
         assert (await scene.raw(probe)).status == 200
         assert (await agent.command("1.0.1", 1, "drain")).status == "applied"
@@ -385,7 +385,7 @@
         agent = await ScriptedAgent().start()
         instance, client = client_of(scene, agent)
         control = asyncio.create_task(client.run())
-        await until(lambda: agent.got)
+        await until(lambda: agent.received)
         good = {"settings": {"bounds": {"max-retry-after": 7_000}}, "limits": {"sockets": 100}}
         assert (await agent.command("1.0.1", 1, "reconfigure", generation=1, overlay=good)).status == "applied"
         sidecar = scene.sidecar
@@ -409,9 +409,9 @@
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, client):
             assert isinstance(instance, SimulatedInstance)
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.stopped
             client.bye("ended")
-            await until(lambda: isinstance(agent.got[-1], Goodbye))
+            await until(lambda: isinstance(agent.received[-1], Goodbye))
 
     run(test)
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -42,7 +42,7 @@
         await until(lambda: client.term == 3 and new.beats())
         new.stop()
         # The client has disconnected and reconnected several times; the commands sent meanwhile had no effect.
-        await until(lambda: sum(isinstance(message, Hello) for message in old.got) >= 3 or old.results())
+        await until(lambda: sum(isinstance(message, Hello) for message in old.received) >= 3 or old.results())
         assert not old.results() and not old.beats() and client.term == 3
         old.greeting = Welcome(5_000, 50, 10, [], 4)
         await until(lambda: client.term == 4 and old.beats())
@@ -60,7 +60,7 @@
         client = client_of(follower, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.beats())
-        assert not stranger.got  # a connection would have sent it the token
+        assert not stranger.received  # a connection would have sent it the token
         await stop(task)
         for agent in (leader, stranger, follower):
             agent.stop()
