--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -64,12 +64,12 @@
                     message = parse_message(raw, FROM_INSTANCE)
                     self.received.append(message)
                     if isinstance(message, Hello) and self.greeting is not None:
-                        self.say(self.greeting)
+                        self.send(self.greeting)
                     if isinstance(message, Heartbeat) and isinstance(self.greeting, Welcome):
-                        self.say(LeaseRenewal(message.seq))
+                        self.send(LeaseRenewal(message.seq))
         writer.close()
 
-    def say(self, message: Message | bytes) -> None:
+    def send(self, message: Message | bytes) -> None:
         self.writers[-1].write(message if isinstance(message, bytes) else encode_frame(serialize_message(message)))
 
     def results(self) -> list[CommandResult]:
@@ -80,7 +80,7 @@
 
     async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> CommandResult:
         before = len(self.results())
-        self.say(Command(ident, fence, boot, kind, args))
+        self.send(Command(ident, fence, boot, kind, args))
         await until(lambda: len(self.results()) > before)
         return self.results()[-1]
 
@@ -138,7 +138,7 @@
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
             await until(lambda: agent.received)
-            agent.say(Command("1.0.1", 4, "boot", "drain"))
+            agent.send(Command("1.0.1", 4, "boot", "drain"))
             await until(lambda: instance.effects)
             agent.writers[-1].transport.abort()
             await until(lambda: len(agent.writers) == 2 and isinstance(agent.received[-1], Hello))
@@ -271,7 +271,7 @@
             many = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
             instance.upstreams = lambda: many
             await until(lambda: agent.received)
-            agent.say(Command("q1", 0, "boot", "inspect"))
+            agent.send(Command("q1", 0, "boot", "inspect"))
             await until(lambda: agent.results() and not agent.results()[-1].more)
             parts = agent.results()
             assert len(parts) == 13 and max(len(part.data) for part in parts) == module.UPSTREAMS_PER_PART
