--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -75,7 +75,7 @@
     def results(self) -> list[CommandResult]:
         return [m for m in self.received if isinstance(m, CommandResult)]
 
-    def beats(self) -> list[Heartbeat]:
+    def heartbeats(self) -> list[Heartbeat]:
         return [m for m in self.received if isinstance(m, Heartbeat)]
 
     async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> CommandResult:
@@ -107,12 +107,12 @@
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(5_000, 20, 10)).start()
         async with connected(agent) as (instance, _):
-            await until(lambda: len(agent.beats()) >= 3)
+            await until(lambda: len(agent.heartbeats()) >= 3)
             hello = agent.received[0]
             assert isinstance(hello, Hello) and (hello.name, hello.boot, hello.token) == ("app-0", "boot", "token")
-            assert [beat.seq for beat in agent.beats()[:3]] == [1, 2, 3]
+            assert [beat.seq for beat in agent.heartbeats()[:3]] == [1, 2, 3]
             assert (await agent.command("1.0.1", 4, "drain")).status == "applied" and instance.draining
-            await until(lambda: agent.beats()[-1].report.draining and agent.beats()[-1].report.fence == 4)
+            await until(lambda: agent.heartbeats()[-1].report.draining and agent.heartbeats()[-1].report.fence == 4)
 
     run(test)
 
@@ -207,7 +207,7 @@
             assert len(lines) == 1 and "\n" not in lines[0]  # log lines are limited to one in five seconds
             assert instance.effects == []
             agent.greeting = WELCOME
-            await until(lambda: agent.beats())
+            await until(lambda: agent.heartbeats())
 
     run(test)
 
@@ -217,7 +217,7 @@
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(150, 20, 10)).start()
         async with connected(agent):
-            await until(lambda: agent.beats())
+            await until(lambda: agent.heartbeats())
             agent.greeting = None  # still reads, but no longer answers
             await until(lambda: len(agent.writers) >= 2)
 
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -39,13 +39,13 @@
             Welcome(5_000, 50, 10, [], 2), Command("1.0.1", 9, "boot", "drain")))).start()
         client = client_of(new, old)
         task = asyncio.create_task(client.run())
-        await until(lambda: client.term == 3 and new.beats())
+        await until(lambda: client.term == 3 and new.heartbeats())
         new.stop()
         # The client has disconnected and reconnected several times; the commands sent meanwhile had no effect.
         await until(lambda: sum(isinstance(message, Hello) for message in old.received) >= 3 or old.results())
-        assert not old.results() and not old.beats() and client.term == 3
+        assert not old.results() and not old.heartbeats() and client.term == 3
         old.greeting = Welcome(5_000, 50, 10, [], 4)
-        await until(lambda: client.term == 4 and old.beats())
+        await until(lambda: client.term == 4 and old.heartbeats())
         await stop(task)
         old.stop()
 
@@ -59,7 +59,7 @@
         follower.greeting = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
         client = client_of(follower, leader)
         task = asyncio.create_task(client.run())
-        await until(lambda: leader.beats())
+        await until(lambda: leader.heartbeats())
         assert not stranger.received  # a connection would have sent it the token
         await stop(task)
         for agent in (leader, stranger, follower):
@@ -73,7 +73,7 @@
         silent, leader = await ScriptedAgent(None).start(), await ScriptedAgent().start()
         client = client_of(silent, leader)
         task = asyncio.create_task(client.run())
-        await until(lambda: leader.beats())
+        await until(lambda: leader.heartbeats())
         await stop(task)
         for agent in (silent, leader):
             agent.stop()
