--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -189,7 +189,7 @@
     assert "a bug" in capsys.readouterr().err
 
 
-NONSENSE: list[bytes | Message] = [
+INVALID_GREETINGS: list[bytes | Message] = [
     b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode_frame({"type": "welcome"}),
     encode_frame(serialize_message(LeaseRenewal(1))), encode_frame(serialize_message(Command("1", 1, "boot", "drain"))),
     encode_frame(serialize_message(Welcome(10, 1_000, 0))), encode_frame(serialize_message(Welcome(5_000, 0, 0))),
@@ -197,7 +197,7 @@
 ]
 
 
-@pytest.mark.parametrize("greeting", NONSENSE)
+@pytest.mark.parametrize("greeting", INVALID_GREETINGS)
 def test_an_agent_that_talks_nonsense_is_left_and_asked_again(greeting: bytes | Message) -> None:
     async def test() -> None:
         lines: list[str] = []
