--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -284,7 +284,7 @@
 # With a real sidecar
 
 
-def client_of(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, AgentClient]:
+def client_of_sidecar(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, AgentClient]:
     instance = SidecarInstance(scene.sidecar, lambda: None)
     identity = Identity("n0", "boot", 1, "0", 1, "", f"127.0.0.1:{scene.port}", "token")
     return instance, AgentClient(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
@@ -310,7 +310,7 @@
         agent = await ScriptedAgent(b"\x00\x00\x00\x05junk!" if what == "invalid frames" else WELCOME).start()
         if what == "never reachable":
             agent.stop()
-        _, client = client_of(scene, agent)
+        _, client = client_of_sidecar(scene, agent)
         control, stop, statuses = asyncio.create_task(client.run()), asyncio.Event(), Counter[int]()
         callers = [asyncio.create_task(traffic(scene, statuses, stop)) for _ in range(3)]
         if what != "never reachable":
@@ -344,7 +344,7 @@
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
         agent = await ScriptedAgent().start()
-        instance, client = client_of(scene, agent)
+        instance, client = client_of_sidecar(scene, agent)
         control = asyncio.create_task(client.run())
         held = asyncio.create_task(scene.call("pay"))
         await until(lambda: peer.got and agent.received)
@@ -383,7 +383,7 @@
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         agent = await ScriptedAgent().start()
-        instance, client = client_of(scene, agent)
+        instance, client = client_of_sidecar(scene, agent)
         control = asyncio.create_task(client.run())
         await until(lambda: agent.received)
         good = {"settings": {"bounds": {"max-retry-after": 7_000}}, "limits": {"sockets": 100}}
