--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -290,7 +290,7 @@
     return instance, AgentClient(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
 
 
-async def traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
+async def send_traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
     lanes = ("view", "mark", "pay")
     turn = 0
     while not stop.is_set():
@@ -312,7 +312,7 @@
             agent.stop()
         _, client = client_of_sidecar(scene, agent)
         control, stop, statuses = asyncio.create_task(client.run()), asyncio.Event(), Counter[int]()
-        callers = [asyncio.create_task(traffic(scene, statuses, stop)) for _ in range(3)]
+        callers = [asyncio.create_task(send_traffic(scene, statuses, stop)) for _ in range(3)]
         if what != "never reachable":
             await until(lambda: agent.received)
         for generation in range(1, 30):
