--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -298,7 +298,7 @@
         statuses[(await scene.call(lanes[turn % 3])).status] += 1
 
 
-def served_since(statuses: Counter[int], least: int) -> bool:
+def has_answered(statuses: Counter[int], least: int) -> bool:
     return sum(statuses.values()) >= least
 
 
@@ -325,7 +325,7 @@
                 for writer in agent.writers:
                     writer.transport.abort()
             done = sum(statuses.values())
-            await until(partial(served_since, statuses, done + 10))
+            await until(partial(has_answered, statuses, done + 10))
         stop.set()
         await asyncio.gather(*callers)
         control.cancel()
