--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -103,7 +103,7 @@
         agent.stop()
 
 
-def test_it_says_who_it_is_beats_and_answers() -> None:
+def test_it_sends_hello_heartbeats_and_results() -> None:
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(5_000, 20, 10)).start()
         async with connected(agent) as (instance, _):
