--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -117,7 +117,7 @@
     run(test)
 
 
-def test_a_command_delivered_again_is_answered_and_not_done_again() -> None:
+def test_a_redelivered_command_is_answered_without_running_again() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
