--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -133,7 +133,7 @@
     run(test)
 
 
-def test_also_after_the_connection_was_lost_in_between() -> None:
+def test_a_command_redelivered_on_a_new_connection_does_not_run_again() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
