--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -159,7 +159,7 @@
     ({"generation": 1, "overlay": {"settings": 3}}, "refused", "settings: expected an object"),
     ({"generation": 1, "overlay": {"restart": 1}}, "needs restart", "listen"),
 ])
-def test_a_reconfigure_that_can_not_be_carried_out_says_why(args: dict[str, Any], status: str, words: str) -> None:
+def test_an_impossible_reconfigure_reports_the_reason(args: dict[str, Any], status: str, words: str) -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
