--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_an_instance_that_breaks_on_a_command_says_failed_and_goes_on(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_a_command_is_reported_as_failed_and_the_session_continues(capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
