--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("greeting", INVALID_GREETINGS)
-def test_an_agent_that_talks_nonsense_is_left_and_asked_again(greeting: bytes | Message) -> None:
+def test_an_agent_that_sends_invalid_messages_is_disconnected_and_retried(greeting: bytes | Message) -> None:
     async def test() -> None:
         lines: list[str] = []
         agent = await ScriptedAgent(greeting).start()
