--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -212,7 +212,7 @@
     run(test)
 
 
-def test_an_agent_that_falls_silent_is_left_when_its_lease_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_agent_is_disconnected_when_the_lease_expires(monkeypatch: pytest.MonkeyPatch) -> None:
     """When the agent's machine disappears, nothing closes the connection: it would stay open for ever."""
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(150, 20, 10)).start()
