--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -224,7 +224,7 @@
     run(test)
 
 
-def test_an_agent_that_never_says_welcome_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_agent_that_sends_no_welcome_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "WELCOME_S", 0.05)
 
     async def test() -> None:
