--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -235,7 +235,7 @@
     run(test)
 
 
-def test_an_agent_that_reads_nothing_does_not_fill_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_agent_that_does_not_read_does_not_fill_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MOST_UNSENT", 64 << 10)
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
