--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -264,7 +264,7 @@
     run(test)
 
 
-def test_a_long_inspection_comes_in_parts() -> None:
+def test_a_long_inspection_is_sent_in_parts() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
