--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("what", ["connection lost", "invalid frames", "commands", "never reachable"])
-def test_traffic_goes_on_whatever_the_agent_does(what: str) -> None:
+def test_traffic_continues_whatever_the_agent_does(what: str) -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(4)]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
