--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -339,7 +339,7 @@
     run(test)
 
 
-def test_a_drain_refuses_what_is_new_and_answers_what_was_taken() -> None:
+def test_a_drain_refuses_new_requests_and_answers_accepted_ones() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
