--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -404,7 +404,7 @@
     run(test)
 
 
-def test_a_stop_says_so_and_ends_the_process_gently() -> None:
+def test_a_stop_command_is_acknowledged_before_a_graceful_shutdown() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, client):
