--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -16,7 +16,7 @@
     return Command(ident, fence, boot, kind)
 
 
-def carry(commands: CommandDeduplicator, one: Command) -> str:
+def deliver(commands: CommandDeduplicator, one: Command) -> str:
     """Delivers a command: "done" if it ran, else the status of the result that was sent instead."""
     admitted, answer = commands.admit(one)
     if admitted:
@@ -27,7 +27,7 @@
 
 def test_a_command_delivered_again_is_answered_from_memory() -> None:
     commands = CommandDeduplicator("b")
-    assert carry(commands, command("1", 5)) == "done"
+    assert deliver(commands, command("1", 5)) == "done"
     admitted, answer = commands.admit(command("1", 5))
     assert not admitted and answer == CommandResult("1", "applied", "first")
 
@@ -40,10 +40,10 @@
 
 def test_a_superseded_operation_is_refused_and_changes_nothing() -> None:
     commands = CommandDeduplicator("b")
-    assert carry(commands, command("2", 7)) == "done"
+    assert deliver(commands, command("2", 7)) == "done"
     admitted, answer = commands.admit(command("1", 6))
     assert not admitted and answer is not None and "superseded: fence 6 is below 7" in answer.detail
-    assert carry(commands, command("3", 7)) == "done"
+    assert deliver(commands, command("3", 7)) == "done"
 
 
 def test_a_command_for_the_process_before_is_refused() -> None:
@@ -62,7 +62,7 @@
     commands, done = CommandDeduplicator("b"), []
     for ident, _ in deliveries:
         one = command(str(ident), ident // 20)
-        if carry(commands, one) == "done":
+        if deliver(commands, one) == "done":
             done.append(one.id)
     assert len(done) == len(set(done))
 
@@ -70,12 +70,12 @@
 def test_memory_is_bounded_and_forgets_only_what_the_fence_refuses() -> None:
     commands = CommandDeduplicator("b")
     for i in range(3 * MAX_REMEMBERED_COMMANDS):
-        carry(commands, command(str(i), i))
+        deliver(commands, command(str(i), i))
     assert len(commands.results_by_id) == MAX_REMEMBERED_COMMANDS
-    assert carry(commands, command("0", 0)) == "refused"
+    assert deliver(commands, command("0", 0)) == "refused"
     for i in range(2 * MAX_REMEMBERED_COMMANDS):  # all with the same fence: none may be forgotten
-        carry(commands, command(f"x{i}", 10_000))
-    assert carry(commands, command("x0", 10_000)) == "applied"
+        deliver(commands, command(f"x{i}", 10_000))
+    assert deliver(commands, command("x0", 10_000)) == "applied"
 
 
 def test_five_thousand_that_lost_one_agent_do_not_come_back_in_one_second() -> None:
