--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -25,7 +25,7 @@
     return answer.status if answer is not None else "under way"
 
 
-def test_a_command_delivered_again_is_answered_from_memory() -> None:
+def test_a_redelivered_command_gets_its_stored_result() -> None:
     commands = CommandDeduplicator("b")
     assert deliver(commands, command("1", 5)) == "done"
     admitted, answer = commands.admit(command("1", 5))
