--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -32,7 +32,7 @@
     assert not admitted and answer == CommandResult("1", "applied", "first")
 
 
-def test_one_that_is_under_way_is_neither_done_nor_answered_twice() -> None:
+def test_a_redelivered_command_that_is_still_running_is_neither_run_nor_answered() -> None:
     commands = CommandDeduplicator("b")
     assert commands.admit(command("1", 5)) == (True, None)
     assert commands.admit(command("1", 5)) == (False, None)
