--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -38,7 +38,7 @@
     assert commands.admit(command("1", 5)) == (False, None)
 
 
-def test_a_superseded_operation_is_refused_and_changes_nothing() -> None:
+def test_a_command_of_a_superseded_operation_is_refused() -> None:
     commands = CommandDeduplicator("b")
     assert deliver(commands, command("2", 7)) == "done"
     admitted, answer = commands.admit(command("1", 6))
