--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -46,7 +46,7 @@
     assert deliver(commands, command("3", 7)) == "done"
 
 
-def test_a_command_for_the_process_before_is_refused() -> None:
+def test_a_command_for_a_previous_process_is_refused() -> None:
     admitted, answer = CommandDeduplicator("b").admit(command("1", 5, boot="a"))
     assert not admitted and answer is not None and answer.status == "refused"
 
