--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -51,7 +51,7 @@
     assert not admitted and answer is not None and answer.status == "refused"
 
 
-def test_questions_have_no_fence_and_are_asked_again() -> None:
+def test_inspect_has_no_fence_and_runs_every_time() -> None:
     commands = CommandDeduplicator("b", fence=9)
     assert commands.admit(command("q", 0, "inspect")) == commands.admit(command("q", 0, "inspect")) == (True, None)
 
