--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -57,7 +57,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 12)), max_size=1200))
-def test_no_command_is_ever_done_twice(deliveries: list[tuple[int, int]]) -> None:
+def test_no_command_runs_twice(deliveries: list[tuple[int, int]]) -> None:
     """As in the agent, each id belongs to one fence. Deliveries come in any order and any number of times."""
     commands, done = CommandDeduplicator("b"), []
     for ident, _ in deliveries:
