--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -67,7 +67,7 @@
     assert len(done) == len(set(done))
 
 
-def test_memory_is_bounded_and_forgets_only_what_the_fence_refuses() -> None:
+def test_stored_results_are_bounded_and_only_fenced_off_commands_are_forgotten() -> None:
     commands = CommandDeduplicator("b")
     for i in range(3 * MAX_REMEMBERED_COMMANDS):
         deliver(commands, command(str(i), i))
