--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -78,7 +78,7 @@
     assert deliver(commands, command("x0", 10_000)) == "applied"
 
 
-def test_five_thousand_that_lost_one_agent_do_not_come_back_in_one_second() -> None:
+def test_five_thousand_instances_that_lost_an_agent_reconnect_spread_out() -> None:
     """The agent sends the spread: 5,000 instances at 200 a second take 25 s."""
     waits = [ReconnectBackoff(random.Random(seed), spread_s=25.0).after_lost_connection() for seed in range(5_000)]
     busiest = max(sum(at <= wait < at + 1 for wait in waits) for at in range(26))
