--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -85,7 +85,7 @@
     assert 150 <= busiest <= 300 and max(waits) <= 25.0
 
 
-def test_tries_that_come_to_nothing_back_off_and_stay_spread() -> None:
+def test_failed_attempts_back_off_with_jitter() -> None:
     redial = ReconnectBackoff(random.Random(3))
     longest = [max(ReconnectBackoff(random.Random(s), failures=n).after_failed_attempt() for s in range(200)) for n in range(8)]
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
