--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -94,7 +94,7 @@
     assert redial.after_lost_connection() <= 1.0 and redial.failures == 0
 
 
-def test_denied_waits_as_long_as_it_was_told_but_not_for_ever() -> None:
+def test_a_denial_waits_as_requested_up_to_a_limit() -> None:
     assert 5.0 <= ReconnectBackoff(random.Random(1)).after_denial(5.0) <= 6.0
     assert ReconnectBackoff(random.Random(1)).after_denial(1e9) <= 2 * MAX_BACKOFF_S
 
