--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -100,7 +100,7 @@
 
 
 @given(st.lists(st.floats(0.0, MAX_LOOP_SHARE * MAX_PAUSE_S), min_size=1, max_size=200))
-def test_control_work_stays_within_its_slice(steps: list[float]) -> None:
+def test_control_work_stays_within_its_share_of_the_loop(steps: list[float]) -> None:
     work, now_s = ControlWorkLimiter(), 100.0
     for took_s in steps:
         now_s += work.wait_s(now_s) + took_s
