--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -110,7 +110,7 @@
     assert work.longest_step_s == max(steps)
 
 
-def test_one_long_step_does_not_shut_control_work_out() -> None:
+def test_one_long_step_does_not_block_control_work_for_long() -> None:
     """Without the limit on pauses, one step of 0.4 s would be followed by 20 s in which no lease is renewed."""
     work = ControlWorkLimiter()
     work.record_step(10.0, 0.4)
