--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -21,7 +21,7 @@
 from tests.test_slots import MARK, PAY, READ, fill, ready_world
 
 
-def test_a_drained_sidecar_refuses_what_is_new_and_answers_what_it_took() -> None:
+def test_a_drained_sidecar_refuses_new_requests_and_answers_accepted_ones() -> None:
     world = ready_world(4)
     taken = world.arrive(PAY)
     world.tell(DrainChanged(True))
