--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -35,7 +35,7 @@
     assert world.sends(world.arrive(READ))
 
 
-def test_what_waited_in_the_buffer_when_the_drain_began_is_sent() -> None:
+def test_requests_buffered_when_the_drain_began_are_sent() -> None:
     world = ready_world(2)
     waiting = fill(world)[-1]
     world.tell(DrainChanged(True))
