--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -43,7 +43,7 @@
     assert world.sends(waiting)
 
 
-def test_what_was_taken_is_tried_again_during_a_drain() -> None:
+def test_accepted_requests_are_retried_during_a_drain() -> None:
     world = ready_world(4)
     taken = world.arrive(READ)
     world.tell(DrainChanged(True))
