--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "kind"), [(PAY, Fail), (READ, Refuse)])
-def test_a_drain_promises_no_more_than_before(class_index: int, kind: type[object]) -> None:
+def test_a_drain_does_not_change_how_a_reset_is_answered(class_index: int, kind: type[object]) -> None:
     world = ready_world(1)
     taken = world.arrive(class_index)
     world.tell(DrainChanged(True))
