--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -61,7 +61,7 @@
     assert isinstance(world.answer(taken), kind)
 
 
-def test_new_settings_keep_what_was_learned_and_what_is_out() -> None:
+def test_new_settings_keep_learned_state_and_open_requests() -> None:
     world = ready_world(2, tenants=[Tenant("big", 100.0), Tenant("small", 10.0)])
     out = world.arrive(PAY, tenant=0)
     before = {ident: server.window.slots for ident, server in world.balancer.servers.items()}
