--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -78,7 +78,7 @@
     assert world.sends(world.arrive(3))  # the new class is served
 
 
-def test_a_request_whose_tenant_is_taken_away_counts_as_nobodys() -> None:
+def test_a_request_of_a_removed_tenant_counts_for_no_tenant() -> None:
     world = ready_world(2, tenants=[Tenant("a", 1.0)])
     out = world.arrive(READ, tenant=0)
     world.tell(SettingsChanged(settings(tenants=[])))
