--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -86,7 +86,7 @@
     assert world.sends(world.arrive(READ, tenant=0))
 
 
-def test_a_new_aim_counts_from_the_next_request() -> None:
+def test_a_new_latency_target_applies_from_the_next_request() -> None:
     world = ready_world(2, hedging=False)
     changed = settings(hedging=False)
     changed.classes[READ] = RequestClass("read", 30_000, 1_000_000)
