--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -103,7 +103,7 @@
     (lambda s: setattr(s, "report_names", ["x"]), "report names"),
     (lambda s: setattr(s, "list_on_request", not s.list_on_request), "list on request"),
 ])
-def test_what_open_requests_were_judged_by_can_not_change(change: object, words: str) -> None:
+def test_settings_that_open_requests_depend_on_can_not_change(change: object, words: str) -> None:
     """Open requests depend on these settings: a request that is not idempotent could be retried as if it were."""
     old, new = settings(), settings()
     change(new)  # type: ignore[operator]
