--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -119,7 +119,7 @@
     assert restart_only_change(old, new) == ""
 
 
-def test_the_view_shows_each_upstream() -> None:
+def test_upstream_views_show_each_upstream() -> None:
     world = ready_world(1)
     world.tell_list([Upstream(100), Upstream(101, started_us=world.now_us)])
     request = world.arrive(PAY)
