--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -34,7 +34,7 @@
 LABELS = Labels("app-0", "app", "a", "north")
 
 
-class Serving:
+class ScriptedVersionAgent:
     """A fake agent that serves a version log. `fresh`: it reaches its database."""
 
     def __init__(self, log: list[Entry], lineage: str = "L") -> None:
@@ -48,7 +48,7 @@
         self.server: asyncio.Server | None = None
         self.port = 0
 
-    async def start(self) -> Serving:
+    async def start(self) -> ScriptedVersionAgent:
         self.server = await asyncio.start_server(self.on_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -112,7 +112,7 @@
 
 
 @contextlib.asynccontextmanager
-async def following(*agents: Serving, zones: tuple[str, ...] = ()) -> AsyncIterator[tuple[SimulatedInstance, Follower]]:
+async def following(*agents: ScriptedVersionAgent, zones: tuple[str, ...] = ()) -> AsyncIterator[tuple[SimulatedInstance, Follower]]:
     """Runs a follower of these agents; the first is in its own zone."""
     instance = SimulatedInstance("app-0")
     places = tuple(agent.place("a" if i == 0 else "") for i, agent in enumerate(agents))
@@ -129,7 +129,7 @@
 
 def test_it_runs_what_is_published_and_says_so() -> None:
     async def test() -> None:
-        agent = await Serving([Entry(1, ALL, {"settings": {"x": 1}})]).start()
+        agent = await ScriptedVersionAgent([Entry(1, ALL, {"settings": {"x": 1}})]).start()
         async with following(agent) as (instance, follower):
             await until(lambda: instance.overlay == {"settings": {"x": 1}})
             agent.publish({"settings": {"x": 2}})
@@ -144,7 +144,7 @@
 
 def test_an_operations_overlay_lies_over_the_published_one_whichever_came_first() -> None:
     async def test() -> None:
-        agent = await Serving([Entry(1, ALL, {"a": 1, "b": 1})]).start()
+        agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1, "b": 1})]).start()
         async with following(agent) as (instance, _):
             await until(lambda: instance.overlay == {"a": 1, "b": 1})
             instance.layered.reconfigure(7, {"b": 2})
@@ -160,7 +160,7 @@
 
 def test_what_an_instance_refuses_stops_there_and_is_told_and_the_next_is_taken_on() -> None:
     async def test() -> None:
-        agent = await Serving([Entry(1, ALL, {"a": 1})]).start()
+        agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
             await until(lambda: agent.runs())
             agent.publish({"refused": "no"})
@@ -178,7 +178,7 @@
 def test_a_lost_agents_place_is_taken_by_another_and_nothing_older_is_taken_from_it() -> None:
     async def test() -> None:
         newest = [Entry(1, ALL, {"a": 1}), Entry(2, ALL, {"a": 2})]
-        near, far = await Serving(list(newest)).start(), await Serving(newest[:1]).start()
+        near, far = await ScriptedVersionAgent(list(newest)).start(), await ScriptedVersionAgent(newest[:1]).start()
         async with following(near, far) as (instance, follower):
             await until(lambda: instance.overlay == {"a": 2})
             near.stop()
@@ -196,7 +196,7 @@
 def test_beside_an_agent_that_is_stopped_or_cut_off_from_the_record_it_finds_one_that_is_not(how: str) -> None:
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
-        near, far = await Serving(list(log)).start(), await Serving(list(log)).start()
+        near, far = await ScriptedVersionAgent(list(log)).start(), await ScriptedVersionAgent(list(log)).start()
         async with following(near, far) as (instance, follower):
             await until(lambda: follower.current is not None and follower.current.agent.port == near.port)
             if how == "stopped":
@@ -216,7 +216,7 @@
 def test_with_all_cut_off_it_keeps_to_the_one_it_has_and_runs_on() -> None:
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
-        near, far = await Serving(list(log)).start(), await Serving(list(log)).start()
+        near, far = await ScriptedVersionAgent(list(log)).start(), await ScriptedVersionAgent(list(log)).start()
         far.fresh = False
         async with following(near, far) as (instance, follower):
             await until(lambda: follower.current is not None and follower.current.agent.port == near.port)
@@ -233,7 +233,7 @@
 
 def test_a_change_that_does_not_fit_what_is_held_is_read_again_whole() -> None:
     async def test() -> None:
-        agent = await Serving([Entry(1, ALL, {"a": 1})]).start()
+        agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
             await until(lambda: agent.runs())
             agent.lies = True
@@ -254,7 +254,7 @@
 
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
-        busy, strange, far = [await Serving(list(log)).start() for _ in range(3)]
+        busy, strange, far = [await ScriptedVersionAgent(list(log)).start() for _ in range(3)]
         busy.denies = Denied("BUSY", "too many at once", 200)
         async with following(busy, far) as (instance, follower):
             await until(lambda: instance.overlay == {"a": 1})
