--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -41,7 +41,7 @@
         self.log, self.lineage = log, lineage
         self.fresh = True
         self.silent = False
-        self.denies: Denied | None = None
+        self.denial: Denied | None = None
         self.lies = False
         self.got: list[Message] = []
         self.writers: dict[asyncio.StreamWriter, int] = {}
@@ -80,8 +80,8 @@
                     message = parse_message(raw, FROM_INSTANCE)
                     self.got.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
-                        if self.denies is not None:
-                            writer.write(encode_frame(serialize_message(self.denies)))
+                        if self.denial is not None:
+                            writer.write(encode_frame(serialize_message(self.denial)))
                             continue
                         self.writers[writer] = message.position
                         update = self.update(message.position, message.lineage)
@@ -255,7 +255,7 @@
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
         busy, strange, far = [await ScriptedVersionAgent(list(log)).start() for _ in range(3)]
-        busy.denies = Denied("BUSY", "too many at once", 200)
+        busy.denial = Denied("BUSY", "too many at once", 200)
         async with following(busy, far) as (instance, follower):
             await until(lambda: instance.overlay == {"a": 1})
             assert follower.current is not None and follower.current.agent.port == far.port
