--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -42,7 +42,7 @@
         self.fresh = True
         self.silent = False
         self.denial: Denied | None = None
-        self.lies = False
+        self.sends_wrong_digest = False
         self.got: list[Message] = []
         self.writers: dict[asyncio.StreamWriter, int] = {}
         self.server: asyncio.Server | None = None
@@ -63,7 +63,7 @@
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = narrowed(change, LABELS)
-        mark = "wrong" if self.lies else digest(effective(view.layers(LABELS)))
+        mark = "wrong" if self.sends_wrong_digest else digest(effective(view.layers(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                       [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
                       self.age_ms(), 10)
@@ -236,11 +236,11 @@
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
             await until(lambda: agent.runs())
-            agent.lies = True
+            agent.sends_wrong_digest = True
             agent.publish({"a": 2})
             await until(lambda: sum(isinstance(m, FollowRequest) for m in agent.got) > 1)
             assert instance.overlay == {"a": 1}
-            agent.lies = False
+            agent.sends_wrong_digest = False
             await until(lambda: instance.overlay == {"a": 2})
             asked = [m.position for m in agent.got if isinstance(m, FollowRequest)]
             assert asked[0] == 0 and 0 in asked[1:]
