--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -43,7 +43,7 @@
         self.silent = False
         self.denial: Denied | None = None
         self.sends_wrong_digest = False
-        self.got: list[Message] = []
+        self.received: list[Message] = []
         self.writers: dict[asyncio.StreamWriter, int] = {}
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -78,7 +78,7 @@
                 decoder.feed(data)
                 while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, FROM_INSTANCE)
-                    self.got.append(message)
+                    self.received.append(message)
                     if isinstance(message, FollowRequest) and not self.silent:
                         if self.denial is not None:
                             writer.write(encode_frame(serialize_message(self.denial)))
@@ -102,7 +102,7 @@
                 self.writers[writer] = update.position
 
     def runs(self) -> list[RunningReport]:
-        return [message for message in self.got if isinstance(message, RunningReport)]
+        return [message for message in self.received if isinstance(message, RunningReport)]
 
     def stop(self) -> None:
         if self.server is not None:
@@ -223,7 +223,7 @@
             own, near.fresh = follower.current, False
             assert own is not None
             near.tell()
-            await until(lambda: any(isinstance(m, FollowRequest) for m in far.got))  # it has tried the other agent
+            await until(lambda: any(isinstance(m, FollowRequest) for m in far.received))  # it has tried the other agent
             assert follower.current is own and not own.ended.is_set() and instance.overlay == {"a": 1}
             near.publish({"a": 2})  # and still applies the updates of its agent
             await until(lambda: instance.overlay == {"a": 2})
@@ -238,11 +238,11 @@
             await until(lambda: agent.runs())
             agent.sends_wrong_digest = True
             agent.publish({"a": 2})
-            await until(lambda: sum(isinstance(m, FollowRequest) for m in agent.got) > 1)
+            await until(lambda: sum(isinstance(m, FollowRequest) for m in agent.received) > 1)
             assert instance.overlay == {"a": 1}
             agent.sends_wrong_digest = False
             await until(lambda: instance.overlay == {"a": 2})
-            asked = [m.position for m in agent.got if isinstance(m, FollowRequest)]
+            asked = [m.position for m in agent.received if isinstance(m, FollowRequest)]
             assert asked[0] == 0 and 0 in asked[1:]
 
     run(test)
