--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -92,9 +92,9 @@
 
     def publish(self, overlay: Any) -> None:
         self.log.append(Entry(len(self.log) + 1, ALL, overlay))
-        self.tell()
+        self.send_updates()
 
-    def tell(self) -> None:
+    def send_updates(self) -> None:
         for writer, since in list(self.writers.items()):
             update = self.update(since, self.lineage if since else "")
             if update is not None and not self.silent:
@@ -203,7 +203,7 @@
                 near.silent = True
             else:
                 near.fresh = False
-                near.tell()
+                near.send_updates()
             far.publish({"a": 2})
             start_s = asyncio.get_running_loop().time()
             await until(lambda: instance.overlay == {"a": 2})
@@ -222,7 +222,7 @@
             await until(lambda: follower.current is not None and follower.current.agent.port == near.port)
             own, near.fresh = follower.current, False
             assert own is not None
-            near.tell()
+            near.send_updates()
             await until(lambda: any(isinstance(m, FollowRequest) for m in far.received))  # it has tried the other agent
             assert follower.current is own and not own.ended.is_set() and instance.overlay == {"a": 1}
             near.publish({"a": 2})  # and still applies the updates of its agent
