--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -101,7 +101,7 @@
                 writer.write(encode_frame(serialize_message(update)))
                 self.writers[writer] = update.position
 
-    def runs(self) -> list[RunningReport]:
+    def running_reports(self) -> list[RunningReport]:
         return [message for message in self.received if isinstance(message, RunningReport)]
 
     def stop(self) -> None:
@@ -133,9 +133,9 @@
         async with following(agent) as (instance, follower):
             await until(lambda: instance.overlay == {"settings": {"x": 1}})
             agent.publish({"settings": {"x": 2}})
-            await until(lambda: len(agent.runs()) == 2)
+            await until(lambda: len(agent.running_reports()) == 2)
             assert instance.overlay == {"settings": {"x": 2}}
-            last = agent.runs()[-1]
+            last = agent.running_reports()[-1]
             assert (last.position, last.running, last.status) == (2, 2, "applied")
             assert last.digest == digest({"settings": {"x": 2}})
 
@@ -162,15 +162,15 @@
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
-            await until(lambda: agent.runs())
+            await until(lambda: agent.running_reports())
             agent.publish({"refused": "no"})
-            await until(lambda: len(agent.runs()) == 2)
-            told = agent.runs()[-1]
+            await until(lambda: len(agent.running_reports()) == 2)
+            told = agent.running_reports()[-1]
             assert (told.position, told.running, told.status) == (2, 1, "refused") and "no" in told.detail
             assert told.digest == digest({"a": 1}) and instance.overlay == {"a": 1}
             agent.publish({"a": 2})
-            await until(lambda: len(agent.runs()) == 3)
-            assert agent.runs()[-1].running == 3 and instance.overlay == {"a": 2}
+            await until(lambda: len(agent.running_reports()) == 3)
+            assert agent.running_reports()[-1].running == 3 and instance.overlay == {"a": 2}
 
     run(test)
 
@@ -235,7 +235,7 @@
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
-            await until(lambda: agent.runs())
+            await until(lambda: agent.running_reports())
             agent.sends_wrong_digest = True
             agent.publish({"a": 2})
             await until(lambda: sum(isinstance(m, FollowRequest) for m in agent.received) > 1)
