--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -127,7 +127,7 @@
             agent.stop()
 
 
-def test_it_runs_what_is_published_and_says_so() -> None:
+def test_it_runs_and_reports_published_versions() -> None:
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"settings": {"x": 1}})]).start()
         async with following(agent) as (instance, follower):
