--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -142,7 +142,7 @@
     run(test)
 
 
-def test_an_operations_overlay_lies_over_the_published_one_whichever_came_first() -> None:
+def test_an_operations_overlay_takes_precedence_over_the_published_one() -> None:
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1, "b": 1})]).start()
         async with following(agent) as (instance, _):
