--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -158,7 +158,7 @@
     run(test)
 
 
-def test_what_an_instance_refuses_stops_there_and_is_told_and_the_next_is_taken_on() -> None:
+def test_a_refused_version_is_reported_and_the_next_one_is_applied() -> None:
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
