--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -175,7 +175,7 @@
     run(test)
 
 
-def test_a_lost_agents_place_is_taken_by_another_and_nothing_older_is_taken_from_it() -> None:
+def test_it_switches_from_a_lost_agent_and_never_goes_back_to_an_older_version() -> None:
     async def test() -> None:
         newest = [Entry(1, ALL, {"a": 1}), Entry(2, ALL, {"a": 2})]
         near, far = await ScriptedVersionAgent(list(newest)).start(), await ScriptedVersionAgent(newest[:1]).start()
