--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("how", ["stopped", "cut off"])
-def test_beside_an_agent_that_is_stopped_or_cut_off_from_the_record_it_finds_one_that_is_not(how: str) -> None:
+def test_it_leaves_an_agent_that_is_suspended_or_cut_off_from_its_database(how: str) -> None:
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
         near, far = await ScriptedVersionAgent(list(log)).start(), await ScriptedVersionAgent(list(log)).start()
