--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -213,7 +213,7 @@
     run(test)
 
 
-def test_with_all_cut_off_it_keeps_to_the_one_it_has_and_runs_on() -> None:
+def test_it_keeps_its_agent_when_all_agents_are_cut_off() -> None:
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
         near, far = await ScriptedVersionAgent(list(log)).start(), await ScriptedVersionAgent(list(log)).start()
