--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -231,7 +231,7 @@
     run(test)
 
 
-def test_a_change_that_does_not_fit_what_is_held_is_read_again_whole() -> None:
+def test_a_change_with_a_wrong_digest_is_replaced_by_a_snapshot() -> None:
     async def test() -> None:
         agent = await ScriptedVersionAgent([Entry(1, ALL, {"a": 1})]).start()
         async with following(agent) as (instance, _):
