--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -248,7 +248,7 @@
     run(test)
 
 
-def test_an_agent_that_has_no_room_is_passed_over_and_another_log_is_not_followed(
+def test_a_busy_agent_is_skipped_and_a_different_log_is_not_followed(
         monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "LOG_GAP_S", 0.0)
 
