--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: message.type)
-def test_every_message_comes_back_as_it_was_whatever_the_pieces(message: Message) -> None:
+def test_every_message_survives_encoding_and_decoding_in_any_pieces(message: Message) -> None:
     raw = encode_frame(serialize_message(message))
     for cut in range(len(raw)):
         decoder = FrameDecoder()
