--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -60,7 +60,7 @@
     ((9).to_bytes(4) + b'{"type":1', "expected JSON"), ((12).to_bytes(4) + b'{"type":NaN}', "expected JSON"),
     ((4).to_bytes(4) + b"\xff\xfe\x00\x01", "expected JSON"), ((40_000).to_bytes(4) + b"[" * 40_000, "expected JSON"),
 ])
-def test_what_is_no_frame_is_refused_with_what_was_expected(raw: bytes, words: str) -> None:
+def test_an_invalid_frame_error_says_what_was_expected(raw: bytes, words: str) -> None:
     decoder = FrameDecoder()
     decoder.feed(raw)
     with pytest.raises(FrameError, match=words.replace("[", r"\[")):
