--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -67,7 +67,7 @@
         decoder.next_message()
 
 
-def test_a_length_of_four_gigabytes_is_refused_before_anything_of_it_is_kept() -> None:
+def test_a_length_of_four_gigabytes_is_refused_before_the_body_arrives() -> None:
     decoder = FrameDecoder()
     decoder.feed(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError):
