--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -80,7 +80,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_give_messages_or_one_of_two_errors(raw: bytes) -> None:
+def test_any_bytes_give_messages_or_a_frame_or_message_error(raw: bytes) -> None:
     decoder = FrameDecoder()
     decoder.feed(len(raw).to_bytes(HEADER_BYTES) + raw)
     try:
