--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -96,7 +96,7 @@
 
 
 @given(st.sampled_from(MESSAGES), st.data())
-def test_a_field_that_is_not_what_it_should_be_is_named(message: Message, data: st.DataObject) -> None:
+def test_an_invalid_field_is_named_in_the_error(message: Message, data: st.DataObject) -> None:
     whole: dict[str, Any] = json.loads(json.dumps(serialize_message(message)))
     field = data.draw(st.sampled_from([name for name in whole if name != "type"]))
     whole[field] = data.draw(JSON)
