--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -115,7 +115,7 @@
     ({"type": "order"}, "expected one of"), ({"type": "command", "id": "1", "fence": 1, "boot": "b", "kind": "rm"},
                                             "expected one of inspect, drain"),
 ])
-def test_messages_that_can_not_be_used(message: dict[str, Any], words: str) -> None:
+def test_invalid_messages_are_rejected(message: dict[str, Any], words: str) -> None:
     with pytest.raises(MessageError, match=words):
         parse_message(message, FROM_INSTANCE + FROM_AGENT)
 
