--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -120,7 +120,7 @@
         parse_message(message, FROM_INSTANCE + FROM_AGENT)
 
 
-def test_a_newer_side_may_say_more() -> None:
+def test_unknown_fields_from_a_newer_peer_are_ignored() -> None:
     assert parse_message({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
 
 
