--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -124,6 +124,6 @@
     assert parse_message({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
 
 
-def test_an_instance_is_not_told_what_only_instances_say() -> None:
+def test_an_instance_rejects_messages_that_only_instances_send() -> None:
     with pytest.raises(MessageError, match="expected one of welcome"):
         parse_message(serialize_message(Goodbye("x")), FROM_AGENT)
