--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -32,7 +32,7 @@
         "ironscale.net.upstream", "ironscale.settings", "ironscale.sum_tree"]
 
 
-def test_the_instances_side_needs_no_extra() -> None:
+def test_the_control_extension_needs_no_extra_packages() -> None:
     """A sidecar that connects to an agent needs no packages beyond requirements.txt."""
     code = ("import sys, ironscale.control.extension; "
             "print(*sorted({m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)))")
