--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -42,7 +42,7 @@
     assert loaded <= {"ironscale", "httptools", "uvloop"}
 
 
-def test_the_shipped_operator_file_is_valid_and_switches_nothing_on() -> None:
+def test_the_shipped_operator_file_is_valid_and_enables_nothing() -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
     found = parse(text, "operator.toml", Path("."))
     assert found.control is None and found.agent is None and not found.sidecar.reuse_port
