--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -111,7 +111,7 @@
      "expected names that differ, got 'a' twice"),
     ("[agent]\nservice = 3", "agent.service: expected tables [[agent.service]], got 3"),
 ])
-def test_a_bad_operator_file_is_told_in_one_line_with_its_place(text: str, words: str) -> None:
+def test_an_operator_file_error_is_one_line_that_names_the_key(text: str, words: str) -> None:
     with pytest.raises(OperatorFileError) as found:
         parse(text, "F", Path("."))
     assert words in str(found.value) and "\n" not in str(found.value)
