--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -117,7 +117,7 @@
     assert words in str(found.value) and "\n" not in str(found.value)
 
 
-def test_the_environment_names_the_agent_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_takes_precedence_over_the_operator_file(tmp_path: Path) -> None:
     (tmp_path / "o.toml").write_text('[control]\nagent = "127.0.0.1:1"\ntoken_file = "t"\nzone = "b"\n')
     file = {"GW_OPERATOR": str(tmp_path / "o.toml")}
     found = from_environment(file).control
