--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -16,7 +16,7 @@
 from tests.sockets import run, until
 
 
-def client_of(*agents: ScriptedAgent) -> AgentClient:
+def client_of_agents(*agents: ScriptedAgent) -> AgentClient:
     addresses = [("127.0.0.1", agent.port) for agent in agents]
     _, client = create_simulated_instance("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
     client.backoff.spread_s = 0.01
@@ -37,7 +37,7 @@
         # The command arrives directly after the welcome.
         old = await ScriptedAgent(b"".join(encode_frame(serialize_message(message)) for message in (
             Welcome(5_000, 50, 10, [], 2), Command("1.0.1", 9, "boot", "drain")))).start()
-        client = client_of(new, old)
+        client = client_of_agents(new, old)
         task = asyncio.create_task(client.run())
         await until(lambda: client.term == 3 and new.heartbeats())
         new.stop()
@@ -57,7 +57,7 @@
         leader, stranger = await ScriptedAgent().start(), await ScriptedAgent().start()
         follower = await ScriptedAgent().start()
         follower.greeting = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
-        client = client_of(follower, leader)
+        client = client_of_agents(follower, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.heartbeats())
         assert not stranger.received  # a connection would have sent it the token
@@ -71,7 +71,7 @@
 def test_an_agent_that_accepts_and_says_nothing_is_left_for_the_next() -> None:
     async def test() -> None:
         silent, leader = await ScriptedAgent(None).start(), await ScriptedAgent().start()
-        client = client_of(silent, leader)
+        client = client_of_agents(silent, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.heartbeats())
         await stop(task)
