--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     """Limits the backoff between failed attempts, which is not tested here."""
     monkeypatch.setattr(pacing, "MOST_S", 0.05)
 
