--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -29,7 +29,7 @@
     monkeypatch.setattr(pacing, "MOST_S", 0.05)
 
 
-def test_a_welcome_of_a_term_below_one_that_it_had_is_not_taken() -> None:
+def test_a_welcome_with_an_older_term_is_rejected() -> None:
     """A suspended leader may not know yet that another agent leads, and would send outdated commands."""
 
     async def test() -> None:
