--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -52,7 +52,7 @@
     run(test)
 
 
-def test_it_goes_to_the_agent_that_is_named_only_where_its_own_file_names_that_too() -> None:
+def test_it_follows_a_leader_hint_only_to_a_configured_agent() -> None:
     async def test() -> None:
         leader, stranger = await ScriptedAgent().start(), await ScriptedAgent().start()
         follower = await ScriptedAgent().start()
