--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -68,7 +68,7 @@
     run(test)
 
 
-def test_an_agent_that_accepts_and_says_nothing_is_left_for_the_next() -> None:
+def test_an_agent_that_accepts_but_stays_silent_is_left_for_the_next() -> None:
     async def test() -> None:
         silent, leader = await ScriptedAgent(None).start(), await ScriptedAgent().start()
         client = client_of_agents(silent, leader)
