--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -63,7 +63,7 @@
         self.generation, self.overlay = generation, overlay
         self.effects.append(f"generation {generation}")
 
-    def kill_client(self) -> None:
+    def stop(self) -> None:
         self.before_effect("stop")
         self.stopped = True
         self.effects.append("stop")
