--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,7 +23,7 @@
 
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
-from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
 from ironscale.operator_file import Agent as Section
@@ -164,7 +164,7 @@
                   f"{took_s:.1f} s, least {least_s:.1f} s, ratio {took_s / least_s:.2f}; most out {out[1]}; "
                   f"{1000 * cpu_s / instances:.1f} ms CPU a target, instances among it")
             for task in tasks:
-                await stop(task)
+                await kill_client(task)
 
 
 def main() -> None:
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -93,7 +93,7 @@
                     rng or random.Random(), log)
 
 
-async def stop(task: asyncio.Task[Any]) -> None:
+async def kill_client(task: asyncio.Task[Any]) -> None:
     """Ends a client as a kill would: the connection closes without a goodbye message."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -15,7 +15,7 @@
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import AgentClient
-from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
@@ -109,7 +109,7 @@
 
     async def close(self) -> None:
         for task in self.tasks.values():
-            await stop(task)
+            await kill_client(task)
 
 
 @contextlib.asynccontextmanager
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ironscale.control.simulated_instance import create_simulated_instance, stop
+from ironscale.control.simulated_instance import create_simulated_instance, kill_client
 from ironscale.operator_file import read_secret
 from tests.agent.agent_harness import run
 from tests.deployed import ROOT
@@ -53,7 +53,7 @@
             assert code == 0
             code = -signal.SIGKILL
     for task in tasks:
-        await stop(task)
+        await kill_client(task)
     return code, told, [instance.effects for instance, _ in made]
 
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -20,7 +20,7 @@
 from ironscale.agent.sqlite import Claim, SqliteStore
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Term, clock_ms
-from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.operator_file import read_secret
 from ironscale.standins.postgres import Data, Host, Session
 from tests.agent.agent_harness import run
@@ -125,7 +125,7 @@
 
     async def close(self) -> None:
         for task in self.tasks:
-            await stop(task)
+            await kill_client(task)
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGCONT)
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -11,7 +11,7 @@
 from ironscale.control.client import NOT_LEADING, AgentClient
 from ironscale.control.frames import encode_frame
 from ironscale.control.messages import Command, Denied, Hello, Welcome, serialize_message
-from ironscale.control.simulated_instance import create_simulated_instance, stop
+from ironscale.control.simulated_instance import create_simulated_instance, kill_client
 from tests.control.test_client import ScriptedAgent
 from tests.sockets import run, until
 
@@ -46,7 +46,7 @@
         assert not old.results() and not old.heartbeats() and client.term == 3
         old.greeting = Welcome(5_000, 50, 10, [], 4)
         await until(lambda: client.term == 4 and old.heartbeats())
-        await stop(task)
+        await kill_client(task)
         old.stop()
 
     run(test)
@@ -61,7 +61,7 @@
         task = asyncio.create_task(client.run())
         await until(lambda: leader.heartbeats())
         assert not stranger.received  # a connection would have sent it the token
-        await stop(task)
+        await kill_client(task)
         for agent in (leader, stranger, follower):
             agent.stop()
 
@@ -74,7 +74,7 @@
         client = client_of_agents(silent, leader)
         task = asyncio.create_task(client.run())
         await until(lambda: leader.heartbeats())
-        await stop(task)
+        await kill_client(task)
         for agent in (silent, leader):
             agent.stop()
 
