--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -86,12 +86,12 @@
 
 
 def test_failed_attempts_back_off_with_jitter() -> None:
-    redial = ReconnectBackoff(random.Random(3))
+    backoff = ReconnectBackoff(random.Random(3))
     longest = [max(ReconnectBackoff(random.Random(s), failures=n).after_failed_attempt() for s in range(200)) for n in range(8)]
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
-        assert 0.0 <= redial.after_failed_attempt() <= MAX_BACKOFF_S
-    assert redial.after_lost_connection() <= 1.0 and redial.failures == 0
+        assert 0.0 <= backoff.after_failed_attempt() <= MAX_BACKOFF_S
+    assert backoff.after_lost_connection() <= 1.0 and backoff.failures == 0
 
 
 def test_a_denial_waits_as_requested_up_to_a_limit() -> None:
