--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -132,7 +132,8 @@
                           heartbeat_s=0.2, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else ())
         async with running(section) as agent:
             token = read_secret(agent.data / "instance.token")
-            made = [create_simulated_instance(f"i{n:03}", ("127.0.0.1", agent.control_port), token) for n in range(instances)]
+            made = [create_simulated_instance(f"i{n:03}", ("127.0.0.1", agent.control_port), token)
+                    for n in range(instances)]
             tasks = [asyncio.create_task(client.run()) for _, client in made]
             loop, out = asyncio.get_running_loop(), [0, 0]
 
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -158,7 +158,8 @@
                 raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
                               f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
-                                " WHERE one = 1", (claim.holder, claim.place, machine_boot_id(), now_ms + claim.lease_ms))
+                                " WHERE one = 1",
+                                 (claim.holder, claim.place, machine_boot_id(), now_ms + claim.lease_ms))
             return Term(owner.epoch + 1, now_ms + claim.lease_ms, claim.lease_ms)
 
         try:
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -20,7 +20,7 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.model import Send
 from ironscale.agent.restarts import Restarts
-from ironscale.control.processes import is_alive, start_ticks, find_process_with_variable
+from ironscale.control.processes import find_process_with_variable, is_alive, start_ticks
 from ironscale.operator_file import OperatorFileError, Service
 
 READY_S = 30.0  # a successor has so long to become ready before the old process is told to end
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -1,7 +1,7 @@
 """The connection from an instance to its agent: it sends heartbeats and runs the agent's commands.
 
 The data path keeps working whatever the agent does: each frame is handled in a separate step on the event loop, and all
-steps together use no more than `pacing.SHARE` of the loop's time.
+steps together use no more than `pacing.MAX_LOOP_SHARE` of the loop's time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ironscale import logs
 from ironscale.control.commands import CommandDeduplicator
 from ironscale.control.frames import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
-from ironscale.control.instance import Instance, ChangeRefused, RestartNeeded
+from ironscale.control.instance import ChangeRefused, Instance, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
     PROTOCOL,
@@ -37,7 +37,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.pacing import ReconnectBackoff, ControlWorkLimiter
+from ironscale.control.pacing import ControlWorkLimiter, ReconnectBackoff
 
 CONNECT_TIMEOUT_S, WELCOME_TIMEOUT_S = 2.0, 5.0
 FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
@@ -87,7 +87,7 @@
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
     def log(self, text: str) -> None:
-        """Writes at most one line per LOG_GAP_S, so that a misbehaving agent can't flood the log."""
+        """Writes at most one line per MIN_LOG_INTERVAL_S, so that a misbehaving agent can't flood the log."""
         now_s = time.monotonic()
         if now_s >= self.next_log_at_s:
             self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
@@ -123,7 +123,8 @@
         if session.welcome is not None:
             self.failed_attempts = 0
             # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
-            return self.switch_agent("") or self.backoff.after_lost_connection() if session.lease_expired else self.backoff.after_lost_connection()
+            return (self.switch_agent("") or self.backoff.after_lost_connection() if session.lease_expired
+                    else self.backoff.after_lost_connection())
         return self.switch_agent("") or self.backoff.after_failed_attempt()
 
     def switch_agent(self, leader: str) -> float:
@@ -160,8 +161,8 @@
         return CommandResult(command.id, "applied", detail, self.report())
 
     def apply_command(self, command: Command) -> str:
-        """Applies the command to the instance and gives the detail text of its result. Raises Refused or
-        RestartNeeded."""
+        """Applies the command to the instance and gives the detail text of its result. Raises ChangeRefused
+        or RestartNeeded."""
         match command.kind:
             case "drain" | "undrain":
                 self.instance.drain(command.kind == "drain")
@@ -208,8 +209,9 @@
             return
         identity, report = self.client.identity, self.client.report()
         self.send(Hello(
-            PROTOCOL, identity.name, identity.boot, identity.pid, identity.version, identity.started_ms, identity.zone, identity.listen, identity.token,
-            report.generation, self.client.commands.fence, identity.replaces, identity.host, identity.ticks, self.client.learned_state_address()))
+            PROTOCOL, identity.name, identity.boot, identity.pid, identity.version, identity.started_ms, identity.zone,
+            identity.listen, identity.token, report.generation, self.client.commands.fence, identity.replaces,
+            identity.host, identity.ticks, self.client.learned_state_address()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
@@ -230,7 +232,7 @@
         if self.ended.is_set():
             return
         if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading; check again later
+            self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading
             return
         if self.run_accounted(self.pending_steps.popleft() if self.pending_steps else self.process_frame):
             self.schedule_step()
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -7,7 +7,8 @@
 
 from ironscale.control.messages import Command, CommandResult
 
-MAX_REMEMBERED_COMMANDS = 256  # an operation sends an instance a few commands, and the next operation has a higher fence
+# An operation sends an instance a few commands, and the next operation has a higher fence.
+MAX_REMEMBERED_COMMANDS = 256
 
 
 @dataclass(slots=True)
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -33,7 +33,7 @@
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
-INITIAL_BACKOFF_S = 0.5  # initial backoff after a round in which no agent could be followed; doubles per round, with full jitter
+INITIAL_BACKOFF_S = 0.5  # after a round in which no agent could be followed; doubles per round, with full jitter
 MAX_BACKOFF_S = 2.0
 CLOSER_AGENT_INTERVAL_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
 MIN_LOG_INTERVAL_S = 5.0
@@ -41,7 +41,7 @@
 
 class PublishTarget(Protocol):
     def publish(self, overlay: Mapping[str, Any]) -> None:
-        """Applies the published configuration, or changes nothing and raises Refused or RestartNeeded."""
+        """Applies the published configuration, or changes nothing and raises ChangeRefused or RestartNeeded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         self.connection_attempts = 0
 
     def log(self, text: str) -> None:
-        """Writes at most one line per LOG_GAP_S."""
+        """Writes at most one line per MIN_LOG_INTERVAL_S."""
         now_s = time.monotonic()
         if now_s >= self.next_log_at_s:
             self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
@@ -96,7 +96,8 @@
             self.current = None
             # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
-        candidates = [place for place in self.agents_by_preference if place != lost_agent] + ([lost_agent] if lost_agent is not None else [])
+        candidates = ([agent for agent in self.agents_by_preference if agent != lost_agent]
+                      + ([lost_agent] if lost_agent is not None else []))
         retry_after_s = 0.0
         for agent in candidates:
             connection = await self.connect(agent)
@@ -124,9 +125,11 @@
                 return
             if has_closer and now_s >= next_closer_look_s:
                 current.last_closer_look_s = now_s
-                await self.try_alternatives(self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
+                await self.try_alternatives(
+                    self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
-            stale_at_s = current.heard_at_s + agent_selection.STALE_S - (current.agent_status.age_s if current.agent_status is not None else 0.0)
+            stale_at_s = current.heard_at_s + agent_selection.STALE_S - (
+                current.agent_status.age_s if current.agent_status is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -139,10 +142,12 @@
                 continue
             connection = await self.connect(agent)
             silent_s = time.monotonic() - current.heard_at_s
-            own_status = Heard(current.agent_status.position, current.agent_status.age_s + silent_s) if current.agent_status is not None else None
+            own_status = (Heard(current.agent_status.position, current.agent_status.age_s + silent_s)
+                          if current.agent_status is not None else None)
             if connection.agent_status is not None and not connection.ended.is_set() and (
                     agent_selection.is_better(connection.agent_status, own_status)
-                    or agent_selection.is_home(connection.agent_status, own_status, agent, current.agent, self.agents_by_preference)):
+                    or agent_selection.is_home(connection.agent_status, own_status, agent, current.agent,
+                                               self.agents_by_preference)):
                 current.close()
                 self.switch_to(connection)
                 return
@@ -153,7 +158,8 @@
             current.end("no message from the agent in time")
             return
         self.failed_rounds += 1
-        await asyncio.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
+        await asyncio.sleep(
+            self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
 
     def switch_to(self, connection: _AgentConnection) -> None:
         self.current, self.failed_rounds = connection, 0
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -41,7 +41,7 @@
     def drain(self, draining: bool) -> None: ...
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        """Replaces the overlay, or changes nothing and raises Refused or RestartNeeded."""
+        """Replaces the overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
 
     def stop(self) -> None: ...
 
@@ -55,7 +55,7 @@
 
 
 def check_overlay(overlay: Mapping[str, Any]) -> None:
-    """Raises Refused if the overlay sets a key that differs for each instance."""
+    """Raises ChangeRefused if the overlay sets a key that differs for each instance."""
     for key in PER_INSTANCE_KEYS:
         if key in overlay:
             raise ChangeRefused(f"{key}: expected no key that each instance has of its own, "
--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -30,12 +30,12 @@
         self.instance.drain(draining)
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        """Replaces the operation's overlay, or changes nothing and raises Refused or RestartNeeded."""
+        """Replaces the operation's overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
         self.instance.reconfigure(generation, over(self.published_overlay, overlay))
         self.generation, self.operation_overlay = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
-        """Replaces the published overlay, or changes nothing and raises Refused or RestartNeeded."""
+        """Replaces the published overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
         self.instance.reconfigure(self.generation, over(overlay, self.operation_overlay))
         self.published_overlay = overlay
 
--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -289,7 +289,8 @@
     return value
 
 
-_READERS: dict[Any, FieldReader] = {int: _read_int, float: _read_float, bool: _read_bool, str: _read_str, Any: _read_any}
+_READERS: dict[Any, FieldReader] = {int: _read_int, float: _read_float, bool: _read_bool, str: _read_str,
+                                    Any: _read_any}
 
 
 def _reader(hint: Any) -> FieldReader:
@@ -371,8 +372,8 @@
             for field_name in ("name", "boot"):
                 text = getattr(message, field_name)
                 if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
-                    raise MessageError(f"{message.type}.{field_name}: expected 1 to {MAX_NAME_LENGTH} printable characters, "
-                                       f"got {text[:60]!r}")
+                    raise MessageError(f"{message.type}.{field_name}: expected 1 to {MAX_NAME_LENGTH} printable "
+                                       f"characters, got {text[:60]!r}")
         case Command():
             one_of("kind", message.kind, COMMAND_KINDS)
         case CommandResult() | RunningReport():
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.5, 30.0
-# Control work uses at most this share of the loop's time: a step of t seconds is followed by a pause of t/SHARE.
+# Control work uses at most this share of the loop's time: after a step of t seconds it pauses for t/MAX_LOOP_SHARE.
 MAX_LOOP_SHARE = 0.02
 # Without this limit a single slow step would block control work for fifty times as long, until the lease expires.
 MAX_PAUSE_S = 1.0
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -69,9 +69,10 @@
         self.effects.append("stop")
 
 
-def create_simulated_instance(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "", replaces: str = "",
-          rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None,
-          others: tuple[tuple[str, int], ...] = ()) -> tuple[SimulatedInstance, AgentClient]:
+def create_simulated_instance(name: str, address: tuple[str, int], token: str, *, zone: str = "", boot: str = "",
+                              replaces: str = "", rng: random.Random | None = None,
+                              log: Callable[[str], None] = lambda text: None,
+                              others: tuple[tuple[str, int], ...] = ()) -> tuple[SimulatedInstance, AgentClient]:
     """A simulated instance and the client that connects it to the agent at `address`, or to one of `others`."""
     instance = SimulatedInstance(name)
     identity = Identity(name, boot or secrets.token_hex(8), 0, "light", time.time_ns() // 1_000_000, zone,
@@ -86,8 +87,9 @@
     return instance, client
 
 
-def create_simulated_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
-                   rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
+def create_simulated_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *,
+                              boot: str = "", rng: random.Random | None = None,
+                              log: Callable[[str], None] = lambda text: None) -> Follower:
     """Makes a simulated instance follow published versions."""
     return Follower(instance.layered, FollowerIdentity(labels, boot or secrets.token_hex(8), token, places),
                     rng or random.Random(), log)
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -70,7 +70,7 @@
 
 
 class Channel:
-    """What an agent's client needs of the subsystem (ironscale.control.extension.Teaching)."""
+    """What an agent's client needs of the subsystem (ironscale.control.extension.LearnedStateExchange)."""
 
     def __init__(self) -> None:
         self.running: Running | None = None
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, create_simulated_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower, create_simulated_instance
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
@@ -73,8 +73,8 @@
         """Has it follow published versions."""
         zones = self.order["zones"]
         places = tuple(Place(host, int(port)) for host, port in self.order["versions"])
-        follower = create_simulated_follower(instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token,
-                                  places, rng=rng)
+        follower = create_simulated_follower(
+            instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token, places, rng=rng)
         held: list[tuple[int, float]] = []
         self.held.append(held)
 
@@ -107,8 +107,9 @@
             for n in range(order["first"], order["first"] + order["count"]):
                 if agents:
                     rng = random.Random(f"{order['seed']} {n}")
-                    instance, client = create_simulated_instance(f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
-                                             zone=f"zone-{n % order['zones']:02}")
+                    instance, client = create_simulated_instance(
+                        f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
+                        zone=f"zone-{n % order['zones']:02}")
                     instance.before_effect = self.had
                     self.instances.append(instance)
                     group.create_task(client.run())
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -56,7 +56,8 @@
             self.tasks[name].cancel()
         address = ("127.0.0.1", self.agent.control_port)
         rng = random.Random(self.random.random())
-        instance, client = create_simulated_instance(name, address, changes.pop("token", self.token), rng=rng, **changes)
+        instance, client = create_simulated_instance(
+            name, address, changes.pop("token", self.token), rng=rng, **changes)
         self.instances[name], self.clients[name] = instance, client
         self.tasks[name] = asyncio.create_task(client.run())
         return instance
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -146,7 +146,8 @@
     ticks = start_ticks(os.getpid())
     assert ticks is not None
     s.fleet.load([row("back"), row("gone", ended="exit 1", connected=False),
-                  row("dead", host=machine_boot_id(), ticks=ticks + 1), row("here", host=machine_boot_id(), ticks=ticks),
+                  row("dead", host=machine_boot_id(), ticks=ticks + 1),
+                   row("here", host=machine_boot_id(), ticks=ticks),
                   row("future", heard_ms=2**50)], alive_ms=950_000)
     assert {name: s.state(name) for name in s.fleet.members} == {
         "back": "not ready", "gone": "gone", "dead": "gone", "here": "not ready", "future": "not ready"}
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -62,7 +62,8 @@
         token = next(read_secret(path) for path in self.folder.glob("a*/instance.token"))
         for n in range(count):
             addresses = [("127.0.0.1", port) for port in self.ports]
-            instance, client = create_simulated_instance(f"i{n:02}", addresses[0], token, rng=random.Random(n), others=tuple(addresses[1:]))
+            instance, client = create_simulated_instance(
+                f"i{n:02}", addresses[0], token, rng=random.Random(n), others=tuple(addresses[1:]))
             client.backoff.spread_s = 0.1
             self.instances[instance.name] = instance
             instance.before_effect = lambda what, instance=instance: self.effect(instance)  # type: ignore[misc]
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -93,7 +93,8 @@
 
 @contextlib.asynccontextmanager
 async def connected(agent: ScriptedAgent, log: Callable[[str], None] = lambda text: None) -> Any:
-    instance, client = create_simulated_instance("app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
+    instance, client = create_simulated_instance(
+        "app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
     task = asyncio.create_task(client.run())
     try:
         yield instance, client
@@ -171,7 +172,8 @@
     run(test)
 
 
-def test_an_exception_in_a_command_is_reported_as_failed_and_the_session_continues(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_a_command_is_reported_as_failed_and_the_session_continues(
+        capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
@@ -225,7 +227,7 @@
 
 
 def test_an_agent_that_sends_no_welcome_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "WELCOME_S", 0.05)
+    monkeypatch.setattr(module, "WELCOME_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         agent = await ScriptedAgent(None).start()
@@ -236,7 +238,7 @@
 
 
 def test_an_agent_that_does_not_read_does_not_fill_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_UNSENT", 64 << 10)
+    monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 64 << 10)
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -247,10 +249,11 @@
 
     async def test() -> None:
         server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
-        instance, client = create_simulated_instance("app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
+        instance, client = create_simulated_instance(
+            "app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
         many = instance.upstreams() * 200
         instance.upstreams = lambda: many  # type: ignore[method-assign]
-        monkeypatch.setattr("ironscale.control.pacing.SHARE", 1.0)
+        monkeypatch.setattr("ironscale.control.pacing.MAX_LOOP_SHARE", 1.0)
         task = asyncio.create_task(client.run())
         await until(lambda: client.session is not None and client.session.transport is not None
                     and client.session.transport.get_write_buffer_size() > 64 << 10)
@@ -411,7 +414,7 @@
             assert isinstance(instance, SimulatedInstance)
             await until(lambda: agent.received)
             assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.stopped
-            client.bye("ended")
+            client.send_goodbye("ended")
             await until(lambda: isinstance(agent.received[-1], Goodbye))
 
     run(test)
--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.commands import MAX_REMEMBERED_COMMANDS, CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
-from ironscale.control.pacing import MAX_PAUSE_S, MAX_BACKOFF_S, MAX_LOOP_SHARE, ReconnectBackoff, ControlWorkLimiter
+from ironscale.control.pacing import MAX_BACKOFF_S, MAX_LOOP_SHARE, MAX_PAUSE_S, ControlWorkLimiter, ReconnectBackoff
 
 
 def command(ident: str, fence: int, kind: str = "drain", boot: str = "b") -> Command:
@@ -87,7 +87,8 @@
 
 def test_failed_attempts_back_off_with_jitter() -> None:
     backoff = ReconnectBackoff(random.Random(3))
-    longest = [max(ReconnectBackoff(random.Random(s), failures=n).after_failed_attempt() for s in range(200)) for n in range(8)]
+    longest = [max(ReconnectBackoff(random.Random(s), failures=n).after_failed_attempt() for s in range(200))
+               for n in range(8)]
     assert longest == sorted(longest) and longest[0] < 1.1 and 25 < longest[-1] <= MAX_BACKOFF_S
     for _ in range(100):
         assert 0.0 <= backoff.after_failed_attempt() <= MAX_BACKOFF_S
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -112,7 +112,8 @@
 
 
 @contextlib.asynccontextmanager
-async def following(*agents: ScriptedVersionAgent, zones: tuple[str, ...] = ()) -> AsyncIterator[tuple[SimulatedInstance, Follower]]:
+async def following(*agents: ScriptedVersionAgent,
+                    zones: tuple[str, ...] = ()) -> AsyncIterator[tuple[SimulatedInstance, Follower]]:
     """Runs a follower of these agents; the first is in its own zone."""
     instance = SimulatedInstance("app-0")
     places = tuple(agent.place("a" if i == 0 else "") for i, agent in enumerate(agents))
@@ -250,7 +251,7 @@
 
 def test_a_busy_agent_is_skipped_and_a_different_log_is_not_followed(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "LOG_GAP_S", 0.0)
+    monkeypatch.setattr(module, "MIN_LOG_INTERVAL_S", 0.0)
 
     async def test() -> None:
         log = [Entry(1, ALL, {"a": 1})]
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -18,7 +18,8 @@
 
 def client_of_agents(*agents: ScriptedAgent) -> AgentClient:
     addresses = [("127.0.0.1", agent.port) for agent in agents]
-    _, client = create_simulated_instance("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
+    _, client = create_simulated_instance(
+        "i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
     client.backoff.spread_s = 0.01
     return client
 
@@ -26,7 +27,7 @@
 @pytest.fixture(autouse=True)
 def short_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     """Limits the backoff between failed attempts, which is not tested here."""
-    monkeypatch.setattr(pacing, "MOST_S", 0.05)
+    monkeypatch.setattr(pacing, "MAX_BACKOFF_S", 0.05)
 
 
 def test_a_welcome_with_an_older_term_is_rejected() -> None:
