--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -81,8 +81,10 @@
         self.write_log_line = log or (lambda text: logs.line(f"{identity.name}: {text}"))
         self.next_log_at_s = 0.0
         self.session: Session | None = None
-        self.failed_attempts = 0  # failed attempts since the last connection that was welcomed
+        self.failed_attempts = 0  # attempts without a welcome in the current two rounds through `agents`
+        # Called with the fence of each command that is run.
         self.on_fence_raised: Callable[[int], None] = lambda fence: None
+        # HOST:PORT where this instance serves its learned state, and a callback for the addresses of others that do.
         self.learned_state_address: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
@@ -129,8 +131,9 @@
 
     def switch_agent(self, leader: str) -> float:
         """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
-        the seconds to wait before connecting to it; 0 if all agents have been tried. A leader address that is not in
-        the operator file is ignored, because this instance would send its token to an untrusted address."""
+        the seconds to wait before connecting to it; 0 after two rounds through all agents, when the caller has to back
+        off. A leader address that is not in the operator file is ignored, because this instance would send its token
+        to an untrusted address."""
         self.failed_attempts += 1
         leader_agent = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
         current_index = self.agents.index(self.address)
@@ -334,7 +337,7 @@
             upstreams = self.client.instance.upstreams()
         more = start + UPSTREAMS_PER_PART < len(upstreams)
         self.send(CommandResult(command_id, "applied", "", None if more else self.client.report(),
-                         upstreams[start:start + UPSTREAMS_PER_PART], more))
+                                upstreams[start:start + UPSTREAMS_PER_PART], more))
         if more:
             self.pending_steps.append(partial(self.inspect, command_id, upstreams, start + UPSTREAMS_PER_PART))
 
--- a/ironscale/control/commands.py
+++ b/ironscale/control/commands.py
@@ -36,7 +36,7 @@
             return False, self.results_by_id[command.id][1]
         if command.fence < self.fence:
             return False, CommandResult(command.id, "refused",
-                                 f"superseded: fence {command.fence} is below {self.fence}")
+                                        f"superseded: fence {command.fence} is below {self.fence}")
         self.fence = command.fence
         self.results_by_id[command.id] = (command.fence, None)
         while len(self.results_by_id) > MAX_REMEMBERED_COMMANDS:
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -33,7 +33,7 @@
 
 
 def create_client(sidecar: Sidecar, control: Control, token: str, environ: Mapping[str, str],
-               end: Callable[[], None]) -> tuple[AgentClient, LayeredInstance]:
+                  end: Callable[[], None]) -> tuple[AgentClient, LayeredInstance]:
     """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
     identity = Identity(
@@ -44,7 +44,7 @@
     instance = SidecarInstance(sidecar, end)
     layered = LayeredInstance(instance, sidecar.generation, sidecar.overlay)
     client = AgentClient(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
-                    others=control.agents[1:])
+                         others=control.agents[1:])
 
     def report_fence(fence: int) -> None:
         instance.fence = fence
@@ -75,7 +75,7 @@
 
 
 def control_extension(control: Control, environ: Mapping[str, str], teaching: LearnedStateExchange | None = None,
-           versions: Versions | None = None) -> Extension:
+                      versions: Versions | None = None) -> Extension:
     """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
     read now; the client retries after any later failure."""
     token = read_secret(control.token_file)
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -291,6 +291,7 @@
         self.end("the connection was closed")
 
     def end(self, why: str) -> None:
+        """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
             self.end_reason = why
             self.close()
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -34,6 +34,7 @@
 
     def report(self, control_s: float) -> Report:
         """The current state. `control_s`: CPU seconds that control work has used."""
+        ...
 
     def upstreams(self) -> list[dict[str, Any]]:
         """Each upstream as the load balancer sees it, for `inspect`."""
@@ -59,14 +60,14 @@
     for key in PER_INSTANCE_KEYS:
         if key in overlay:
             raise ChangeRefused(f"{key}: expected no key that each instance has of its own, "
-                          f"got {overlay[key]!r:.60}")
+                                f"got {overlay[key]!r:.60}")
     settings = overlay.get("settings", {})
     if not isinstance(settings, Mapping):
         raise ChangeRefused(f"settings: expected an object, got {settings!r:.60}")
     for key in PER_INSTANCE_SETTINGS:
         if key in settings:
             raise ChangeRefused(f"settings.{key}: expected no key that each instance has of its own, "
-                          f"got {settings[key]!r:.60}")
+                                f"got {settings[key]!r:.60}")
 
 
 def resident_memory_kb() -> int:
--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -20,8 +20,8 @@
     Every method gives the seconds until the next connection attempt."""
 
     random: random.Random
-    spread_s: float = INITIAL_BACKOFF_S
-    failures: int = 0
+    spread_s: float = INITIAL_BACKOFF_S  # as sent by the agent
+    failures: int = 0  # consecutive failed attempts
 
     def after_lost_connection(self) -> float:
         """After the loss of a connection that the agent had welcomed."""
@@ -29,7 +29,7 @@
         return self.random.random() * max(INITIAL_BACKOFF_S, self.spread_s)
 
     def after_failed_attempt(self) -> float:
-        """After an attempt that the agent didn't answer."""
+        """After a connection attempt that failed or ended before a welcome."""
         self.failures += 1
         most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
         return self.random.random() * max(most_s, self.spread_s)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -65,8 +65,8 @@
         change = narrowed(change, LABELS)
         mark = "wrong" if self.sends_wrong_digest else digest(effective(view.layers(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
-                      [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
-                      self.age_ms(), 10)
+                             [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
+                             self.age_ms(), 10)
 
     def age_ms(self) -> int:
         return 0 if self.fresh else 60_000
