--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -57,15 +57,15 @@
 class Follower:
     """Keeps the instance at the newest version that a reachable agent has, until `run` is cancelled."""
 
-    def __init__(self, target: PublishTarget, who: FollowerIdentity, rng: random.Random,
+    def __init__(self, target: PublishTarget, identity: FollowerIdentity, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
-        self.target, self.identity, self.random = target, who, rng
-        self.state = Following(who.labels)
-        self.agents_by_preference = agent_selection.order(who.labels, who.agents)
+        self.target, self.identity, self.random = target, identity, rng
+        self.state = Following(identity.labels)
+        self.agents_by_preference = agent_selection.order(identity.labels, identity.agents)
         self.current: _AgentConnection | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
-        self.write_log_line = log or (lambda text: logs.line(f"{who.labels.instance}: {text}"))
+        self.write_log_line = log or (lambda text: logs.line(f"{identity.labels.instance}: {text}"))
         self.next_log_at_s = 0.0
         self.on_change: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
         self.connection_attempts = 0
