--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -221,8 +221,8 @@
     """One connection to an agent. Until the agent is followed, its updates are buffered and only its position is
     considered."""
 
-    def __init__(self, follower: Follower, place: Place) -> None:
-        self.follower, self.agent = follower, place
+    def __init__(self, follower: Follower, agent: Place) -> None:
+        self.follower, self.agent = follower, agent
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.ended, self.position_known = asyncio.Event(), asyncio.Event()
