--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -238,9 +238,9 @@
         if self.ended.is_set():
             self.transport.abort()
             return
-        who, state = self.follower.identity, self.follower.state
-        labels = who.labels
-        self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone,
+        identity, state = self.follower.identity, self.follower.state
+        labels = identity.labels
+        self.send(FollowRequest(PROTOCOL, identity.token, labels.instance, identity.boot, labels.service, labels.zone,
                                 labels.region, state.view.lineage, state.since()))
 
     def data_received(self, data: bytes) -> None:
