--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -248,8 +248,8 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.ended.is_set() and (raw := self.decoder.next_message()) is not None:
-                self.on_message(parse_message(raw, TO_FOLLOWER))
+            while not self.ended.is_set() and (frame := self.decoder.next_message()) is not None:
+                self.on_message(parse_message(frame, TO_FOLLOWER))
         except (FrameError, MessageError, ScopeError) as error:
             self.end(f"invalid message from the agent: {error}")
 
