--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -268,10 +268,10 @@
 
     def start_following(self) -> None:
         """Follows this agent from now on, starting with the buffered updates."""
-        waiting, self.buffered_updates = self.buffered_updates or [], None
+        updates, self.buffered_updates = self.buffered_updates or [], None
         self.last_closer_look_s = time.monotonic()
         try:
-            for update in waiting:
+            for update in updates:
                 if not self.ended.is_set():
                     self.process_update(update)
         except (MessageError, ScopeError) as error:
