--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -279,9 +279,9 @@
 
     def process_update(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
-        runs = self.follower.process_update(update)
-        if runs is not None and (update.entries or update.snapshot or runs.status != "applied"):
-            self.send(runs)
+        report = self.follower.process_update(update)
+        if report is not None and (update.entries or update.snapshot or report.status != "applied"):
+            self.send(report)
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
