--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -348,10 +348,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("the connection was closed")
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
         """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
-            self.end_reason = why
+            self.end_reason = reason
             self.close()
 
     def close(self) -> None:
