--- a/ironscale/control/pacing.py
+++ b/ironscale/control/pacing.py
@@ -31,8 +31,8 @@
     def after_failed_attempt(self) -> float:
         """After a connection attempt that failed or ended before a welcome."""
         self.failures += 1
-        most_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
-        return self.random.random() * max(most_s, self.spread_s)
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 16))
+        return self.random.random() * max(max_backoff_s, self.spread_s)
 
     def before_next_agent(self) -> float:
         """Before trying the next of several agents."""
