--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -74,7 +74,7 @@
         """Receives the HOST:PORT of instances that serve their learned state."""
 
 
-def control_extension(control: Control, environ: Mapping[str, str], teaching: LearnedStateExchange | None = None,
+def control_extension(control: Control, environ: Mapping[str, str], learned_state: LearnedStateExchange | None = None,
                       versions: Versions | None = None) -> Extension:
     """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
     read now; the client retries after any later failure."""
@@ -85,8 +85,8 @@
     @contextlib.asynccontextmanager
     async def run_client(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         client, layered = create_client(sidecar, control, token, environ, end)
-        if teaching is not None:
-            client.learned_state_address, client.on_donors = teaching.teaches, teaching.offer
+        if learned_state is not None:
+            client.learned_state_address, client.on_donors = learned_state.teaches, learned_state.offer
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
             tasks.append(asyncio.create_task(log_failure(create_follower(layered, client.identity, versions).run())))
