--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -240,7 +240,7 @@
 def test_an_agent_that_does_not_read_does_not_fill_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 64 << 10)
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def never_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(encode_frame(serialize_message(Welcome(20_000, 10, 10))))
         for i in range(2_000):
@@ -248,7 +248,7 @@
         await asyncio.sleep(20)
 
     async def test() -> None:
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(never_read, "127.0.0.1", 0, limit=1024)
         instance, client = create_simulated_instance(
             "app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
         many = instance.upstreams() * 200
