--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -295,10 +295,10 @@
 
 async def send_traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
     class_names = ("view", "mark", "pay")
-    turn = 0
+    call_number = 0
     while not stop.is_set():
-        turn += 1
-        statuses[(await scene.call(class_names[turn % 3])).status] += 1
+        call_number += 1
+        statuses[(await scene.call(class_names[call_number % 3])).status] += 1
 
 
 def has_answered(statuses: Counter[int], least: int) -> bool:
