--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -251,8 +251,8 @@
         server = await asyncio.start_server(never_read, "127.0.0.1", 0, limit=1024)
         instance, client = create_simulated_instance(
             "app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
-        many = instance.upstreams() * 200
-        instance.upstreams = lambda: many  # type: ignore[method-assign]
+        upstreams = instance.upstreams() * 200
+        instance.upstreams = lambda: upstreams  # type: ignore[method-assign]
         monkeypatch.setattr("ironscale.control.pacing.MAX_LOOP_SHARE", 1.0)
         task = asyncio.create_task(client.run())
         await until(lambda: client.session is not None and client.session.transport is not None
