--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -271,8 +271,8 @@
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            many = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
-            instance.upstreams = lambda: many
+            upstreams = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
+            instance.upstreams = lambda: upstreams
             await until(lambda: agent.received)
             agent.send(Command("q1", 0, "boot", "inspect"))
             await until(lambda: agent.results() and not agent.results()[-1].more)
