--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -301,8 +301,8 @@
         statuses[(await scene.call(class_names[call_number % 3])).status] += 1
 
 
-def has_answered(statuses: Counter[int], least: int) -> bool:
-    return sum(statuses.values()) >= least
+def has_answered(statuses: Counter[int], minimum: int) -> bool:
+    return sum(statuses.values()) >= minimum
 
 
 @pytest.mark.parametrize("what", ["connection lost", "invalid frames", "commands", "never reachable"])
