--- a/tests/control/test_decisions.py
+++ b/tests/control/test_decisions.py
@@ -16,11 +16,11 @@
     return Command(ident, fence, boot, kind)
 
 
-def deliver(commands: CommandDeduplicator, one: Command) -> str:
+def deliver(commands: CommandDeduplicator, delivery: Command) -> str:
     """Delivers a command: "done" if it ran, else the status of the result that was sent instead."""
-    admitted, answer = commands.admit(one)
+    admitted, answer = commands.admit(delivery)
     if admitted:
-        commands.record_result(CommandResult(one.id, "applied", "first"))
+        commands.record_result(CommandResult(delivery.id, "applied", "first"))
         return "done"
     return answer.status if answer is not None else "under way"
 
