--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -63,9 +63,9 @@
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = narrowed(change, LABELS)
-        known_digest = "wrong" if self.sends_wrong_digest else digest(effective(view.layers(LABELS)))
+        update_digest = "wrong" if self.sends_wrong_digest else digest(effective(view.layers(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
-                             [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], known_digest,
+                             [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], update_digest,
                              self.age_ms(), 10)
 
     def age_ms(self) -> int:
