--- a/ironscale/control/messages.py
+++ b/ironscale/control/messages.py
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningReport:
-    """What the instance runs, sent after each update that contained entries."""
+    """What the instance runs, sent after an update with entries or a snapshot, and while a version is not applied."""
 
     type: ClassVar[str] = "runs"
     position: int  # the newest position that the instance holds
