--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,7 +23,7 @@
 
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
-from ironscale.control.simulated_instance import LightInstance, light, stop
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
 from ironscale.operator_file import AgentConfig as Section
@@ -132,11 +132,12 @@
                           heartbeat_s=0.2, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else ())
         async with running(section) as agent:
             token = read_secret(agent.data / "instance.token")
-            made = [light(f"i{n:03}", ("127.0.0.1", agent.control_port), token) for n in range(instances)]
+            made = [create_simulated_instance(f"i{n:03}", ("127.0.0.1", agent.control_port), token)
+                    for n in range(instances)]
             tasks = [asyncio.create_task(client.run()) for _, client in made]
             loop, out = asyncio.get_running_loop(), [0, 0]
 
-            def away(instance: LightInstance) -> None:
+            def away(instance: SimulatedInstance) -> None:
                 instance.ready, out[0] = False, out[0] + 1
                 out[1] = max(out)
 
@@ -164,7 +165,7 @@
                   f"{took_s:.1f} s, least {least_s:.1f} s, ratio {took_s / least_s:.2f}; most out {out[1]}; "
                   f"{1000 * cpu_s / instances:.1f} ms CPU a target, instances among it")
             for task in tasks:
-                await stop(task)
+                await kill_client(task)
 
 
 def main() -> None:
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -113,9 +113,9 @@
 
             extensions.append(record_beside(options.record))
         if options.control is not None:
-            from ironscale.control.extension import beside
+            from ironscale.control.extension import control_extension
 
-            extensions.append(beside(options.control, environ, channel, options.versions))
+            extensions.append(control_extension(options.control, environ, channel, options.versions))
         return combine_extensions(extensions), options.sidecar.reuse_port
     except operator_file.OperatorFileError as error:
         raise ConfigError(str(error)) from error
--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from ironscale.agent.fleet import Denial, Fleet
-from ironscale.control.frames import Decoder, FrameError, encode
+from ironscale.control.frames import FrameDecoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_INSTANCE,
     PROTOCOL,
@@ -43,7 +43,7 @@
         self.name = ""
         self.bye = ""
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.closing = False
         self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close, "no hello")
 
@@ -59,7 +59,7 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.closing and (raw := self.decoder.next()) is not None:
+            while not self.closing and (raw := self.decoder.next_message()) is not None:
                 self.on_message(parse_message(raw, FROM_INSTANCE))
         except (FrameError, MessageError) as error:
             self.links.log(f"{self.name or self.peer()}: not understood: {error}")
@@ -124,7 +124,7 @@
             self.closing = True
             self.transport.abort()
             return
-        self.transport.write(encode(serialize_message(message)))
+        self.transport.write(encode_frame(serialize_message(message)))
 
     def close(self, why: str) -> None:
         self.closing = True
@@ -161,10 +161,10 @@
         self.data += data
         if self.waits:
             return
-        first = Decoder()
+        first = FrameDecoder()
         first.feed(bytes(self.data))
         try:
-            message = first.next()
+            message = first.next_message()
         except FrameError:
             message = {}
         if message is None:
--- a/ironscale/control/client.py
+++ b/ironscale/control/client.py
@@ -1,7 +1,7 @@
-"""The one connection that an instance dials to its agent.
+"""The connection from an instance to its agent: it sends heartbeats and runs the agent's commands.
 
-Whatever the agent does, the data path goes on: every frame is a step of its own on the loop, and the steps
-together take no more than `pacing.SHARE` of it.
+The data path keeps working whatever the agent does: each frame is handled in a separate step on the event loop, and all
+steps together use no more than `pacing.MAX_LOOP_SHARE` of the loop's time.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from typing import Any, cast
 
 from ironscale import logs
-from ironscale.control.commands import Commands
-from ironscale.control.frames import MAX_FRAME, Decoder, FrameError, encode
-from ironscale.control.instance import Instance, Refused, RestartNeeded
+from ironscale.control.commands import CommandDeduplicator
+from ironscale.control.frames import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
+from ironscale.control.instance import ChangeRefused, Instance, RestartNeeded
 from ironscale.control.messages import (
     FROM_AGENT,
     PROTOCOL,
@@ -37,19 +37,19 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.pacing import Redial, Slice
+from ironscale.control.pacing import ControlWorkLimiter, ReconnectBackoff
 
-CONNECT_S, WELCOME_S = 2.0, 5.0
-OTHERS_WELCOME_S = 1.0  # where there are other agents to dial
-PART = 100  # upstreams in one part of an inspection: a step of about a millisecond
-MOST_UNSENT = 2 * MAX_FRAME  # bytes that an agent has not read; past that no more is produced
-LOG_GAP_S = 5.0
+CONNECT_TIMEOUT_S, WELCOME_TIMEOUT_S = 2.0, 5.0
+FALLBACK_WELCOME_TIMEOUT_S = 1.0  # shorter if there are other agents to try
+UPSTREAMS_PER_PART = 100  # upstreams in one part of an `inspect` result; sending a part takes about a millisecond
+MAX_UNSENT_BYTES = 2 * MAX_FRAME_BYTES  # bytes that the agent has not read yet; above this nothing more is produced
+MIN_LOG_INTERVAL_S = 5.0
 NOT_LEADING = "NOT_LEADING"
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who an instance is to its agent."""
+    """What an instance tells its agent about itself; the fields have the same meaning as in `Hello`."""
 
     name: str
     boot: str
@@ -64,101 +64,108 @@
     ticks: int = 0
 
 
-class Client:
-    """Keeps the instance connected to its agent for as long as `run` runs."""
+class AgentClient:
+    """Keeps the instance connected to an agent, and reconnects, until `run` is cancelled."""
 
     def __init__(self, instance: Instance, identity: Identity, address: tuple[str, int], rng: random.Random,
                  log: Callable[[str], None] | None = None, others: tuple[tuple[str, int], ...] = ()) -> None:
-        """`others`: where to dial if no agent leads at `address`; one at a time, in turns."""
+        """`others`: agents to try in turn, one at a time, when no agent leads at `address`."""
         self.instance = instance
         self.identity = identity
         self.address = address
         self.agents = (address, *others)
-        self.term = 0  # the highest of an agent that has welcomed this process
-        self.commands = Commands(identity.boot)
-        self.redial = Redial(rng)
-        self.slice = Slice()
-        self.log_line = log or (lambda text: logs.write_line(f"{identity.name}: {text}"))
-        self.next_log_s = 0.0
+        self.term = 0  # the highest leadership term of an agent that has welcomed this process
+        self.commands = CommandDeduplicator(identity.boot)
+        self.backoff = ReconnectBackoff(rng)
+        self.work_limiter = ControlWorkLimiter()
+        self.write_log_line = log or (lambda text: logs.write_line(f"{identity.name}: {text}"))
+        self.next_log_at_s = 0.0
         self.session: Session | None = None
-        self.tried = 0  # agents that were dialled in vain since one was there
-        self.report_fence: Callable[[int], None] = lambda fence: None
-        self.teaches: Callable[[], str] = lambda: ""
+        self.failed_attempts = 0  # attempts without a welcome in the current two rounds through `agents`
+        # Called with the fence of each command that is run.
+        self.on_fence_raised: Callable[[int], None] = lambda fence: None
+        # HOST:PORT where this instance serves its learned state, and a callback for the addresses of others that do.
+        self.learned_state_address: Callable[[], str] = lambda: ""
         self.on_donors: Callable[[list[str]], None] = lambda donors: None
 
     def log(self, text: str) -> None:
-        """A line in LOG_GAP_S at most: an agent that talks nonsense must not fill the log."""
+        """Writes at most one line per MIN_LOG_INTERVAL_S, so that a misbehaving agent can't flood the log."""
         now_s = time.monotonic()
-        if now_s >= self.next_log_s:
-            self.next_log_s = now_s + LOG_GAP_S
-            self.log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
+        if now_s >= self.next_log_at_s:
+            self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
+            self.write_log_line(f"agent {self.address[0]}:{self.address[1]}: {text}")
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(await self.connect_once())
 
     async def connect_once(self) -> float:
-        """One connection from dialling to its end; gives the seconds until the next."""
+        """Connects once and serves the connection until it ends; gives the seconds to wait before the next attempt."""
         session = Session(self)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: session, *self.address)
         except (OSError, TimeoutError, ValueError) as error:
-            session.drop()
-            self.log(f"can't connect: {error or 'no answer'}")
-            return self.next_agent("") or self.redial.failed()
+            session.close()
+            self.log(f"can't connect: {error or 'timed out'}")
+            return self.switch_agent("") or self.backoff.after_failed_attempt()
         self.session = session
         try:
             await session.ended.wait()
         finally:
             self.session = None
-            session.drop()
-        if session.why:
-            self.log(session.why)
+            session.close()
+        if session.end_reason:
+            self.log(session.end_reason)
         if session.denied is not None and session.denied.code == NOT_LEADING:
-            self.redial.failures = 0
-            return self.next_agent(session.denied.leader) or self.redial.unled()
+            self.backoff.failures = 0
+            return self.switch_agent(session.denied.leader) or self.backoff.after_no_leader()
         if session.denied is not None:
-            return self.redial.denied(session.denied.retry_ms / 1000)
+            return self.backoff.after_denial(session.denied.retry_ms / 1000)
         if session.welcome is not None:
-            self.tried = 0
-            # hazard: an agent that was stopped still accepts, and says nothing
-            return self.next_agent("") or self.redial.lost() if session.was_silent else self.redial.lost()
-        return self.next_agent("") or self.redial.failed()
-
-    def next_agent(self, leader: str) -> float:
-        """Turns to another of the agents that the operator named: the one that is said to lead, else the next. Seconds
-        until it is dialled; 0 where all have had their turn. Hazard: an address by mere word could be anyone's, and
-        would be told this instance's token."""
-        self.tried += 1
-        named = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
-        place = self.agents.index(self.address)
-        self.address = named if named is not None else self.agents[(place + 1) % len(self.agents)]
-        if self.tried >= 2 * len(self.agents):
-            self.tried = 0
-        return self.redial.turn() if self.tried else 0.0
-
-    def bye(self, reason: str) -> None:
+            self.failed_attempts = 0
+            # Another agent is tried after silence: a suspended agent process accepts connections but never answers.
+            return (self.switch_agent("") or self.backoff.after_lost_connection() if session.lease_expired
+                    else self.backoff.after_lost_connection())
+        return self.switch_agent("") or self.backoff.after_failed_attempt()
+
+    def switch_agent(self, leader: str) -> float:
+        """Switches to another of the agents in the operator file: the one named as `leader`, or else the next. Gives
+        the seconds to wait before connecting to it; 0 after two rounds through all agents, when the caller has to back
+        off. A leader address that is not in the operator file is ignored, because this instance would send its token
+        to an untrusted address."""
+        self.failed_attempts += 1
+        leader_agent = next((agent for agent in self.agents if f"{agent[0]}:{agent[1]}" == leader), None)
+        current_index = self.agents.index(self.address)
+        self.address = leader_agent if leader_agent is not None else self.agents[(current_index + 1) % len(self.agents)]
+        if self.failed_attempts >= 2 * len(self.agents):
+            self.failed_attempts = 0
+        return self.backoff.before_next_agent() if self.failed_attempts else 0.0
+
+    def send_goodbye(self, reason: str) -> None:
+        """Tells the agent that the process is shutting down."""
         if self.session is not None and self.session.welcome is not None:
             self.session.send(Goodbye(reason))
 
     def report(self) -> Report:
-        return self.instance.report(self.slice.spent_s)
+        return self.instance.report(self.work_limiter.total_cpu_s)
 
-    def carry_out(self, command: Command) -> CommandResult:
-        """The effect of an admitted command; whatever goes wrong is an answer."""
+    def run_command(self, command: Command) -> CommandResult:
+        """Runs an admitted command; every failure becomes a result."""
         try:
-            detail = self.effect(command)
-        except Refused as error:
+            detail = self.apply_command(command)
+        except ChangeRefused as error:
             return CommandResult(command.id, "refused", str(error))
         except RestartNeeded as error:
             return CommandResult(command.id, "needs restart", str(error))
-        except Exception as error:  # hazard: the agent would wait, and the next frame never be read
+        except Exception as error:  # otherwise the agent gets no result and no further frame is read
             logs.write_line(traceback.format_exc())
             return CommandResult(command.id, "failed", f"{type(error).__name__}: {error}")
         return CommandResult(command.id, "applied", detail, self.report())
 
-    def effect(self, command: Command) -> str:
+    def apply_command(self, command: Command) -> str:
+        """Applies the command to the instance and gives the detail text of its result. Raises ChangeRefused
+        or RestartNeeded."""
         match command.kind:
             case "drain" | "undrain":
                 self.instance.drain(command.kind == "drain")
@@ -166,90 +173,91 @@
             case "reconfigure":
                 generation, overlay = command.args.get("generation"), command.args.get("overlay")
                 if not isinstance(generation, int) or isinstance(generation, bool) or generation < 0:
-                    raise Refused(f"generation: expected a whole number of 0 or more, got {generation!r:.60}")
+                    raise ChangeRefused(f"generation: expected a whole number of 0 or more, got {generation!r:.60}")
                 if not isinstance(overlay, Mapping):
-                    raise Refused(f"overlay: expected an object, got {overlay!r:.60}")
+                    raise ChangeRefused(f"overlay: expected an object, got {overlay!r:.60}")
                 self.instance.reconfigure(generation, overlay)
                 return ""
             case "stop":
                 self.instance.stop()
                 return "ending"
-        raise Refused(f"{command.kind}: not known here")
+        raise ChangeRefused(f"{command.kind}: not known here")
 
 
 class Session(asyncio.Protocol):
-    """One connection: bytes in, one step a frame, within the loop's slice."""
+    """One connection to an agent. Each frame is handled in its own step, within the loop's share for control work."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: AgentClient) -> None:
         self.client = client
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
+        self.decoder = FrameDecoder()
         self.ended = asyncio.Event()
-        self.why = ""
+        self.end_reason = ""
         self.welcome: Welcome | None = None
         self.denied: Denied | None = None
-        self.seq = 0
-        self.heard_s = self.loop.time()
-        self.jobs: deque[Callable[[], None]] = deque()  # steps that the agent's frames have led to
-        self.pump_handle: asyncio.TimerHandle | None = None
-        self.beat_handle: asyncio.TimerHandle | None = None
-        self.was_silent = False
-        wait_s = WELCOME_S if len(client.agents) == 1 else OTHERS_WELCOME_S
-        self.silence = self.loop.call_later(wait_s, self.end, "no welcome")
+        self.heartbeat_seq = 0
+        self.opened_at_s = self.loop.time()
+        self.pending_steps: deque[Callable[[], None]] = deque()  # queued steps: the remaining parts of inspections
+        self.step_timer: asyncio.TimerHandle | None = None
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
+        self.lease_expired = False
+        wait_s = WELCOME_TIMEOUT_S if len(client.agents) == 1 else FALLBACK_WELCOME_TIMEOUT_S
+        self.silence_timer = self.loop.call_later(wait_s, self.end, "no welcome in time")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         if self.ended.is_set():
             self.transport.abort()
             return
-        who, report = self.client.identity, self.client.report()
+        identity, report = self.client.identity, self.client.report()
         self.send(Hello(
-            PROTOCOL, who.name, who.boot, who.pid, who.version, who.started_ms, who.zone, who.listen, who.token,
-            report.generation, self.client.commands.fence, who.replaces, who.host, who.ticks, self.client.teaches()))
+            PROTOCOL, identity.name, identity.boot, identity.pid, identity.version, identity.started_ms, identity.zone,
+            identity.listen, identity.token, report.generation, self.client.commands.fence, identity.replaces,
+            identity.host, identity.ticks, self.client.learned_state_address()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
             return
         self.decoder.feed(data)
-        if len(self.decoder.buffer) > 2 * MAX_FRAME and self.transport is not None:
+        if len(self.decoder.buffer) > 2 * MAX_FRAME_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self.schedule()
+        self.schedule_step()
 
-    def schedule(self) -> None:
-        if self.pump_handle is None and not self.ended.is_set():
-            wait_s = self.client.slice.wait_s(self.loop.time())
-            self.pump_handle = self.loop.call_later(wait_s, self.pump)
+    def schedule_step(self) -> None:
+        if self.step_timer is None and not self.ended.is_set():
+            wait_s = self.client.work_limiter.wait_s(self.loop.time())
+            self.step_timer = self.loop.call_later(wait_s, self.run_next_step)
 
-    def pump(self) -> None:
-        """One step: a job, else one frame."""
-        self.pump_handle = None
+    def run_next_step(self) -> None:
+        """Runs one step: the next queued job, or else the next frame."""
+        self.step_timer = None
         if self.ended.is_set():
             return
-        if self.transport is not None and self.transport.get_write_buffer_size() > MOST_UNSENT:
-            self.pump_handle = self.loop.call_later(0.1, self.pump)  # the agent doesn't read
+        if self.transport is not None and self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.step_timer = self.loop.call_later(0.1, self.run_next_step)  # the agent isn't reading
             return
-        if self.step(self.jobs.popleft() if self.jobs else self.take_frame):
-            self.schedule()
+        if self.run_accounted(self.pending_steps.popleft() if self.pending_steps else self.process_frame):
+            self.schedule_step()
 
-    def step(self, work: Callable[[], object]) -> bool:
-        """Runs and accounts for a piece of control work; False where there was none."""
+    def run_accounted(self, work: Callable[[], object]) -> bool:
+        """Runs one piece of control work and accounts for its CPU time; False if there was nothing to do."""
         start_s = time.thread_time()
         try:
             return work() is not False
         except (FrameError, MessageError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
             return False
         finally:
-            self.client.slice.spend(self.loop.time(), time.thread_time() - start_s)
+            self.client.work_limiter.record_step(self.loop.time(), time.thread_time() - start_s)
 
-    def take_frame(self) -> bool:
-        raw = self.decoder.next()
-        if raw is None:
+    def process_frame(self) -> bool:
+        frame = self.decoder.next_message()
+        if frame is None:
             return False
         if self.transport is not None:
             self.transport.resume_reading()
-        self.on_message(parse_message(raw, FROM_AGENT))
+        self.on_message(parse_message(frame, FROM_AGENT))
         return True
 
     def on_message(self, message: Message) -> None:
@@ -262,9 +270,9 @@
             else:
                 raise MessageError(f"expected welcome or denied, got {message.type}")
         elif isinstance(message, LeaseRenewal):
-            self.heard()
+            self.renew_lease()
         elif isinstance(message, Command):
-            self.heard()
+            self.renew_lease()
             self.on_command(message)
         else:
             raise MessageError(f"expected lease or command, got {message.type}")
@@ -274,79 +282,82 @@
             raise MessageError(f"welcome: expected a lease over a heartbeat of 10 ms or more, got "
                                f"{welcome.lease_ms} and {welcome.beat_ms}")
         if welcome.term and welcome.term < self.client.term:
-            # hazard: an agent that was stopped, and does not know yet that another leads, would have commands for us
-            self.end(f"denied here: its term {welcome.term} is over, {self.client.term} has begun")
+            # An agent that was suspended may not know yet that another one leads, and would send outdated commands.
+            self.end(f"agent rejected: its term {welcome.term} is over, term {self.client.term} has begun")
             return
         self.client.term = max(self.client.term, welcome.term)
         self.welcome = welcome
-        self.client.redial.failures = self.client.tried = 0
-        self.client.redial.spread_s = min(600.0, welcome.spread_ms / 1000)
-        self.heard()
+        self.client.backoff.failures = self.client.failed_attempts = 0
+        self.client.backoff.spread_s = min(600.0, welcome.spread_ms / 1000)
+        self.renew_lease()
         self.client.on_donors(welcome.donors)
-        # the first at a random moment: thousands that came together must not beat together
-        self.beat_handle = self.loop.call_later(
-            self.client.redial.random.random() * welcome.beat_ms / 1000, self.beat)
+        # The first heartbeat is sent at a random time, so that thousands of instances that connected at the same moment
+        # don't send their heartbeats at the same moment.
+        self.heartbeat_timer = self.loop.call_later(
+            self.client.backoff.random.random() * welcome.beat_ms / 1000, self.on_heartbeat_due)
 
-    def heard(self) -> None:
+    def renew_lease(self) -> None:
+        """Starts the lease again, after a message from the agent."""
         assert self.welcome is not None
-        self.silence.cancel()
-        self.silence = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_silence)
+        self.silence_timer.cancel()
+        self.silence_timer = self.loop.call_later(self.welcome.lease_ms / 1000, self.on_lease_expired)
 
-    def on_silence(self) -> None:
-        self.was_silent = True
-        self.end("silent past the lease")
+    def on_lease_expired(self) -> None:
+        self.lease_expired = True
+        self.end("no message from the agent within the lease")
 
-    def beat(self) -> None:
+    def on_heartbeat_due(self) -> None:
         assert self.welcome is not None
         if not self.ended.is_set():
-            self.beat_handle = self.loop.call_later(self.welcome.beat_ms / 1000, self.beat)
-            if self.transport is None or self.transport.get_write_buffer_size() <= MOST_UNSENT:
-                self.step(self.send_beat)
+            self.heartbeat_timer = self.loop.call_later(self.welcome.beat_ms / 1000, self.on_heartbeat_due)
+            if self.transport is None or self.transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
+                self.run_accounted(self.send_heartbeat)
 
-    def send_beat(self) -> None:
-        self.seq += 1
-        self.send(Heartbeat(self.seq, self.client.report()))
+    def send_heartbeat(self) -> None:
+        self.heartbeat_seq += 1
+        self.send(Heartbeat(self.heartbeat_seq, self.client.report()))
 
     def on_command(self, command: Command) -> None:
         commands = self.client.commands
         admitted, answer = commands.admit(command)
         if admitted and command.kind == "inspect":
-            self.jobs.append(partial(self.inspect, command.id, None, 0))
+            self.pending_steps.append(partial(self.inspect, command.id, None, 0))
         elif admitted:
-            self.client.report_fence(commands.fence)
-            answer = self.client.carry_out(command)
-            commands.finish(answer)
+            self.client.on_fence_raised(commands.fence)
+            answer = self.client.run_command(command)
+            commands.record_result(answer)
             self.send(answer)
-            self.send_beat()  # what it runs now is shown by a report, not by the answer
+            self.send_heartbeat()  # the agent learns what the instance runs now from a report, not from the result
         elif answer is not None:
             self.send(answer)
 
-    def inspect(self, ident: str, upstreams: list[dict[str, Any]] | None, start: int) -> None:
-        """A part a step: a long list must not hold up the loop."""
+    def inspect(self, command_id: str, upstreams: list[dict[str, Any]] | None, start: int) -> None:
+        """Sends one part per step, so that a long list doesn't block the loop."""
         if upstreams is None:
             upstreams = self.client.instance.upstreams()
-        more = start + PART < len(upstreams)
-        self.send(CommandResult(ident, "applied", "", None if more else self.client.report(),
-                         upstreams[start:start + PART], more))
+        more = start + UPSTREAMS_PER_PART < len(upstreams)
+        self.send(CommandResult(command_id, "applied", "", None if more else self.client.report(),
+                                upstreams[start:start + UPSTREAMS_PER_PART], more))
         if more:
-            self.jobs.append(partial(self.inspect, ident, upstreams, start + PART))
+            self.pending_steps.append(partial(self.inspect, command_id, upstreams, start + UPSTREAMS_PER_PART))
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(serialize_message(message)))
+            self.transport.write(encode_frame(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end("the connection ended")
+        self.end("the connection was closed")
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
+        """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
-            self.why = why
-            self.drop()
+            self.end_reason = reason
+            self.close()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         self.ended.set()
-        for handle in (self.silence, self.pump_handle, self.beat_handle):
+        for handle in (self.silence_timer, self.step_timer, self.heartbeat_timer):
             if handle is not None:
                 handle.cancel()
         if self.transport is not None:
-            self.transport.close()  # what is written still goes out
+            self.transport.close()  # data that was already written is still sent
--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -1,4 +1,4 @@
-"""Runs the client beside a started sidecar, where the operator file names an agent."""
+"""Runs the agent client alongside a sidecar if the operator file names an agent."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from importlib import metadata
 from typing import TYPE_CHECKING, Protocol
 
-from ironscale.control.client import Client, Identity
+from ironscale.control.client import AgentClient, Identity
 from ironscale.control.instance import SidecarInstance
-from ironscale.control.layers import Layered
-from ironscale.control.processes import machine, start_ticks
+from ironscale.control.layers import LayeredInstance
+from ironscale.control.processes import machine_boot_id, start_ticks
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import ControlConfig, VersionsConfig, read_secret
 from ironscale.tasks import log_failure
@@ -24,77 +24,80 @@
     from ironscale.control.follower import Follower
 
 
-def version() -> str:
+def package_version() -> str:
+    """The installed version of this package; "0" if it isn't installed."""
     try:
         return metadata.version("ironscale")
-    except metadata.PackageNotFoundError:  # started from a checkout
+    except metadata.PackageNotFoundError:  # runs from a source checkout
         return "0"
 
 
-def client_for(sidecar: Sidecar, control: ControlConfig, token: str, environ: Mapping[str, str],
-               end: Callable[[], None]) -> tuple[Client, Layered]:
+def create_client(sidecar: Sidecar, control: ControlConfig, token: str, environ: Mapping[str, str],
+                  end: Callable[[], None]) -> tuple[AgentClient, LayeredInstance]:
+    """The client for a running sidecar, and the layered instance that it controls. `end` shuts the sidecar down."""
     host, port = sidecar.config.listen
     identity = Identity(
         name=sidecar.config.name, boot=environ.get("GW_BOOT") or secrets.token_hex(8), pid=os.getpid(),
-        version=version(), started_ms=time.time_ns() // 1_000_000, zone=control.zone,
+        version=package_version(), started_ms=time.time_ns() // 1_000_000, zone=control.zone,
         listen=f"{host}:{sidecar.port or port}", token=token, replaces=environ.get("GW_REPLACES", ""),
-        host=machine(), ticks=start_ticks(os.getpid()) or 0)
+        host=machine_boot_id(), ticks=start_ticks(os.getpid()) or 0)
     instance = SidecarInstance(sidecar, end)
-    layered = Layered(instance, sidecar.generation, sidecar.overlay)
-    client = Client(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
-                    others=control.agents[1:])
+    layered = LayeredInstance(instance, sidecar.generation, sidecar.overlay)
+    client = AgentClient(layered, identity, control.agents[0], random.Random(secrets.randbits(64)),
+                         others=control.agents[1:])
 
     def report_fence(fence: int) -> None:
         instance.fence = fence
 
-    client.report_fence = report_fence
+    client.on_fence_raised = report_fence
     return client, layered
 
 
-def follower_for(layered: Layered, identity: Identity, versions: VersionsConfig) -> Follower:
-    """Raises OperatorFileError where its token can't be read."""
-    from ironscale.control.follower import Follower, Follows
+def create_follower(layered: LayeredInstance, identity: Identity, versions: VersionsConfig) -> Follower:
+    """The follower of published versions. Raises OperatorFileError if its token can't be read."""
+    from ironscale.control.follower import Follower, FollowerIdentity
     from ironscale.versions.model import Labels
 
     labels = Labels(identity.name, versions.service, versions.zone or identity.zone, versions.region)
     token = read_secret(versions.token_file) if versions.token_file is not None else identity.token
-    return Follower(layered, Follows(labels, identity.boot, token, versions.agents),
+    return Follower(layered, FollowerIdentity(labels, identity.boot, token, versions.agents),
                     random.Random(secrets.randbits(64)))
 
 
-class Teaching(Protocol):
-    """What passes on what a sidecar has learned: an agent tells newcomers where others teach."""
+class LearnedStateExchange(Protocol):
+    """Exchange of learned state between sidecars: the agent tells new instances which others hand out theirs."""
 
     def teaches(self) -> str:
-        """HOST:PORT where newcomers ask this instance; empty if nowhere."""
+        """HOST:PORT where new instances can fetch this instance's learned state; empty if it is not served."""
 
     def offer(self, donors: list[str]) -> None:
-        """HOST:PORT of instances that teach."""
+        """Receives the HOST:PORT of instances that serve their learned state."""
 
 
-def beside(control: ControlConfig, environ: Mapping[str, str], teaching: Teaching | None = None,
-           versions: VersionsConfig | None = None) -> Extension:
-    """Raises OperatorFileError where the token can't be read; later failures are the client's to outlive."""
+def control_extension(control: ControlConfig, environ: Mapping[str, str], learned_state: LearnedStateExchange | None = None,
+                      versions: VersionsConfig | None = None) -> Extension:
+    """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
+    read now; the client retries after any later failure."""
     token = read_secret(control.token_file)
     if versions is not None and versions.token_file is not None:
         read_secret(versions.token_file)
 
     @contextlib.asynccontextmanager
-    async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
-        client, layered = client_for(sidecar, control, token, environ, end)
-        if teaching is not None:
-            client.teaches, client.on_donors = teaching.teaches, teaching.offer
+    async def run_client(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+        client, layered = create_client(sidecar, control, token, environ, end)
+        if learned_state is not None:
+            client.learned_state_address, client.on_donors = learned_state.teaches, learned_state.offer
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
-            tasks.append(asyncio.create_task(log_failure(follower_for(layered, client.identity, versions).run())))
+            tasks.append(asyncio.create_task(log_failure(create_follower(layered, client.identity, versions).run())))
         try:
             yield
         finally:
-            client.bye("ended")
+            client.send_goodbye("ended")
             for task in tasks:
                 task.cancel()
             for task in tasks:
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
 
-    return running
+    return run_client
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -1,5 +1,5 @@
-"""An instance's connections to the agents that serve published versions: one that it follows, and one more while it
-looks for a better. What it runs goes on whatever they do."""
+"""An instance's connections to the agents that serve published versions: one to the agent that it follows, and a second
+one while it looks for a better agent. The instance keeps its running configuration whatever the agents do."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from typing import Any, Protocol, cast
 
 from ironscale import logs
-from ironscale.control.frames import Decoder, FrameError, encode
-from ironscale.control.instance import Refused, RestartNeeded
+from ironscale.control.frames import FrameDecoder, FrameError, encode_frame
+from ironscale.control.instance import ChangeRefused, RestartNeeded
 from ironscale.control.messages import (
     PROTOCOL,
     TO_FOLLOWER,
@@ -33,205 +33,214 @@
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
-AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
-MOST_AGAIN_S = 2.0
-HOME_S = 30.0  # one that follows a farther agent looks for a nearer one so often
-LOG_GAP_S = 5.0
+INITIAL_BACKOFF_S = 0.5  # after a round in which no agent could be followed; doubles per round, with full jitter
+MAX_BACKOFF_S = 2.0
+CLOSER_AGENT_INTERVAL_S = 30.0  # how often an instance that follows a more distant agent looks for a closer one
+MIN_LOG_INTERVAL_S = 5.0
 
 
-class Target(Protocol):
+class PublishTarget(Protocol):
     def publish(self, overlay: Mapping[str, Any]) -> None:
-        """Runs with this published configuration from here on, or as before. Raises Refused or RestartNeeded."""
+        """Applies the published configuration, or changes nothing and raises ChangeRefused or RestartNeeded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Follows:
-    """Who follows whom."""
+class FollowerIdentity:
+    """The identity of the follower, and the agents that it may follow."""
 
     labels: Labels
     boot: str
     token: str
-    places: tuple[Place, ...]
+    agents: tuple[Place, ...]
 
 
 class Follower:
-    """Keeps the instance at the newest version that any agent it can reach has, for as long as `run` runs."""
+    """Keeps the instance at the newest version that a reachable agent has, until `run` is cancelled."""
 
-    def __init__(self, target: Target, who: Follows, rng: random.Random,
+    def __init__(self, target: PublishTarget, identity: FollowerIdentity, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
-        self.target, self.who, self.random = target, who, rng
-        self.state = Following(who.labels)
-        self.order = agent_selection.order(who.labels, who.places)
-        self.own: _Link | None = None
-        self.spread_s = AGAIN_S
-        self.rounds = 0  # of all agents, in vain
-        self.log_line = log or (lambda text: logs.write_line(f"{who.labels.instance}: {text}"))
-        self.next_log_s = 0.0
-        self.changed: Callable[[], None] = lambda: None  # what it holds or runs has changed
-        self.dialled = 0
+        self.target, self.identity, self.random = target, identity, rng
+        self.state = Following(identity.labels)
+        self.agents_by_preference = agent_selection.order(identity.labels, identity.agents)
+        self.current: _AgentConnection | None = None
+        self.spread_s = INITIAL_BACKOFF_S
+        self.failed_rounds = 0  # consecutive rounds that found no agent to follow
+        self.write_log_line = log or (lambda text: logs.write_line(f"{identity.labels.instance}: {text}"))
+        self.next_log_at_s = 0.0
+        self.on_change: Callable[[], None] = lambda: None  # called when what is held or what runs has changed
+        self.connection_attempts = 0
 
     def log(self, text: str) -> None:
-        """A line in LOG_GAP_S at most."""
+        """Writes at most one line per MIN_LOG_INTERVAL_S."""
         now_s = time.monotonic()
-        if now_s >= self.next_log_s:
-            self.next_log_s = now_s + LOG_GAP_S
-            self.log_line(f"versions: {text}")
+        if now_s >= self.next_log_at_s:
+            self.next_log_at_s = now_s + MIN_LOG_INTERVAL_S
+            self.write_log_line(f"versions: {text}")
 
     async def run(self) -> None:
         try:
             while True:
-                if self.own is None or self.own.ended.is_set():
-                    await self.find()
+                if self.current is None or self.current.ended.is_set():
+                    await self.find_agent()
                 else:
-                    await self.stay()
+                    await self.follow_current()
         finally:
-            if self.own is not None:
-                self.own.close()
-
-    async def find(self) -> None:
-        """Nobody is followed: the agents in turn, the lost one last."""
-        lost = self.own.place if self.own is not None else None
-        if self.own is not None:
-            self.log(f"{lost.host}:{lost.port}: {self.own.why}" if lost else "")
-            self.own = None
-            # hazard: all that followed the lost one dial the same others at the same moment
+            if self.current is not None:
+                self.current.close()
+
+    async def find_agent(self) -> None:
+        """Tries the agents in turn while none is followed; the one that was just lost comes last."""
+        lost_agent = self.current.agent if self.current is not None else None
+        if self.current is not None:
+            self.log(f"{lost_agent.host}:{lost_agent.port}: {self.current.end_reason}" if lost_agent else "")
+            self.current = None
+            # All followers of the lost agent look for another; the random delay spreads their connection attempts.
             await asyncio.sleep(self.random.random() * self.spread_s)
-        turns = [place for place in self.order if place != lost] + ([lost] if lost is not None else [])
-        wait_s = 0.0
-        for place in turns:
-            link = await self.dial(place)
-            if link.heard is not None and not link.ended.is_set():
-                self.settle(link)
+        candidates = ([agent for agent in self.agents_by_preference if agent != lost_agent]
+                      + ([lost_agent] if lost_agent is not None else []))
+        retry_after_s = 0.0
+        for agent in candidates:
+            connection = await self.connect(agent)
+            if connection.agent_status is not None and not connection.ended.is_set():
+                self.switch_to(connection)
                 return
-            if link.denied is not None:
-                wait_s = max(wait_s, link.denied.retry_ms / 1000)
-            self.log(f"{place.host}:{place.port}: {link.why}")
-            link.close()
-        self.rounds += 1
-        most_s = min(MOST_AGAIN_S, AGAIN_S * 2.0 ** min(self.rounds - 1, 8))
-        await asyncio.sleep(min(wait_s, MOST_AGAIN_S) + self.random.random() * most_s)
-
-    async def stay(self) -> None:
-        """Follows until the agent is lost, or is not worth following alone."""
-        own = self.own
-        assert own is not None
-        home = self.order.index(own.place) > 0
-        home_s = own.since_s + HOME_S * (1 + self.random.random())
-        while not own.ended.is_set():
+            if connection.denied is not None:
+                retry_after_s = max(retry_after_s, connection.denied.retry_ms / 1000)
+            self.log(f"{agent.host}:{agent.port}: {connection.end_reason}")
+            connection.close()
+        self.failed_rounds += 1
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds - 1, 8))
+        await asyncio.sleep(min(retry_after_s, MAX_BACKOFF_S) + self.random.random() * max_backoff_s)
+
+    async def follow_current(self) -> None:
+        """Follows the current agent until it is lost, or until it is time to look for a better one."""
+        current = self.current
+        assert current is not None
+        has_closer = self.agents_by_preference.index(current.agent) > 0
+        next_closer_look_s = current.last_closer_look_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
+        while not current.ended.is_set():
             now_s = time.monotonic()
-            if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
-                await self.look(self.order, own)
+            if agent_selection.looks_elsewhere(current.agent_status, now_s - current.heard_at_s):
+                await self.try_alternatives(self.agents_by_preference, current)
                 return
-            if home and now_s >= home_s:
-                own.since_s = now_s
-                await self.look(self.order[:self.order.index(own.place)], own)
+            if has_closer and now_s >= next_closer_look_s:
+                current.last_closer_look_s = now_s
+                await self.try_alternatives(
+                    self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
-            until_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
-            wait_s = max(0.05, min(until_s, home_s if home else until_s) - now_s)
+            stale_at_s = current.heard_at_s + agent_selection.STALE_S - (
+                current.agent_status.age_s if current.agent_status is not None else 0.0)
+            wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
-                    await own.ended.wait()
+                    await current.ended.wait()
 
-    async def look(self, places: Sequence[Place], own: _Link) -> None:
-        """Others beside the one that is followed; it is kept until a better one has answered."""
-        for place in places:
-            if place == own.place:
+    async def try_alternatives(self, candidates: Sequence[Place], current: _AgentConnection) -> None:
+        """Tries other agents while the current one is still followed; switches only after a better one has answered."""
+        for agent in candidates:
+            if agent == current.agent:
                 continue
-            link = await self.dial(place)
-            silent_s = time.monotonic() - own.heard_s
-            mine = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
-            if link.heard is not None and not link.ended.is_set() and (
-                    agent_selection.is_better(link.heard, mine)
-                    or agent_selection.is_home(link.heard, mine, place, own.place, self.order)):
-                own.close()
-                self.settle(link)
+            connection = await self.connect(agent)
+            silent_s = time.monotonic() - current.heard_at_s
+            own_status = (Heard(current.agent_status.position, current.agent_status.age_s + silent_s)
+                          if current.agent_status is not None else None)
+            if connection.agent_status is not None and not connection.ended.is_set() and (
+                    agent_selection.is_better(connection.agent_status, own_status)
+                    or agent_selection.is_home(connection.agent_status, own_status, agent, current.agent,
+                                               self.agents_by_preference)):
+                current.close()
+                self.switch_to(connection)
                 return
-            link.close()
-            if own.ended.is_set():
+            connection.close()
+            if current.ended.is_set():
                 return
-        if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
-            own.end("silent")
+        if current.agent_status is not None and time.monotonic() - current.heard_at_s >= agent_selection.SILENT_S:
+            current.end("no message from the agent in time")
             return
-        self.rounds += 1
-        await asyncio.sleep(self.random.random() * min(MOST_AGAIN_S, AGAIN_S * 2.0 ** min(self.rounds, 8)))
-
-    def settle(self, link: _Link) -> None:
-        self.own, self.rounds = link, 0
-        link.take_over()
-
-    async def dial(self, place: Place) -> _Link:
-        """Until it has told where it is, or CONNECT_S are over."""
-        link = _Link(self, place)
-        self.dialled += 1
+        self.failed_rounds += 1
+        await asyncio.sleep(
+            self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failed_rounds, 8)))
+
+    def switch_to(self, connection: _AgentConnection) -> None:
+        self.current, self.failed_rounds = connection, 0
+        connection.start_following()
+
+    async def connect(self, agent: Place) -> _AgentConnection:
+        """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
+        connection = _AgentConnection(self, agent)
+        self.connection_attempts += 1
         try:
             async with asyncio.timeout(agent_selection.CONNECT_S):
-                await asyncio.get_running_loop().create_connection(lambda: link, place.host, place.port)
-                await link.told.wait()
+                await asyncio.get_running_loop().create_connection(lambda: connection, agent.host, agent.port)
+                await connection.position_known.wait()
         except (OSError, TimeoutError, ValueError) as error:
-            link.end(f"{error or 'no answer'}")
+            connection.end(f"{error or 'timed out'}")
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
-    # What an agent says
+    # Updates from an agent
 
-    def take(self, update: VersionUpdate) -> RunningReport | None:
-        """One step; what there is to be told of it."""
+    def process_update(self, update: VersionUpdate) -> RunningReport | None:
+        """Processes one update; gives the report to send about it. Raises MessageError if it can't be used."""
         state = self.state
-        was = state.view.position, state.running, state.status
+        before = state.view.position, state.running, state.status
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
-        word = state.take(change, update.digest)
-        if word is Word.STRANGE:
+        outcome = state.take(change, update.digest)
+        if outcome is Word.STRANGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
-        if word is Word.REREAD:
-            raise MessageError(f"position {update.position}: what is held does not fit it; all is read again")
-        if word is Word.APPLY:
-            self.apply()
-        if (state.view.position, state.running, state.status) != was:
-            self.changed()
+        if outcome is Word.REREAD:
+            raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
+        if outcome is Word.APPLY:
+            self.apply_configuration()
+        if (state.view.position, state.running, state.status) != before:
+            self.on_change()
         return RunningReport(state.view.position, state.running, state.running_digest, state.status, state.detail)
 
-    def apply(self) -> None:
+    def apply_configuration(self) -> None:
+        """Applies the wanted configuration to the instance and records the outcome."""
         state = self.state
         try:
             self.target.publish(state.overlay())
-        except Refused as error:
+        except ChangeRefused as error:
             state.refused("refused", str(error))
         except RestartNeeded as error:
             state.refused("needs restart", str(error))
-        except Exception as error:  # hazard: the connection would break, and the same version come again and again
+        except Exception as error:  # must not end the connection: the same version would be sent again and again
             logs.write_line(traceback.format_exc())
             state.refused("failed", f"{type(error).__name__}: {error}")
         else:
             state.applied()
         if state.status != "applied":
-            self.log(f"version {state.view.position} is not taken on: {state.status}: {state.detail}")
+            self.log(f"version {state.view.position} not applied: {state.status}: {state.detail}")
 
 
-class _Link(asyncio.Protocol):
-    """One connection to an agent. Before it is the one that is followed, only where the agent is counts."""
+class _AgentConnection(asyncio.Protocol):
+    """One connection to an agent. Until the agent is followed, its updates are buffered and only its position is
+    considered."""
 
-    def __init__(self, follower: Follower, place: Place) -> None:
-        self.follower, self.place = follower, place
+    def __init__(self, follower: Follower, agent: Place) -> None:
+        self.follower, self.agent = follower, agent
         self.transport: asyncio.Transport | None = None
-        self.decoder = Decoder()
-        self.ended, self.told = asyncio.Event(), asyncio.Event()
-        self.why = ""
-        self.heard: Heard | None = None
-        self.heard_s = self.since_s = time.monotonic()
+        self.decoder = FrameDecoder()
+        self.ended, self.position_known = asyncio.Event(), asyncio.Event()
+        self.end_reason = ""
+        self.agent_status: Heard | None = None
+        self.heard_at_s = self.last_closer_look_s = time.monotonic()
         self.denied: Denied | None = None
-        self.waiting: list[VersionUpdate] | None = []  # what came while the link was not followed
+        # Updates received before the agent is followed; None from then on.
+        self.buffered_updates: list[VersionUpdate] | None = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         if self.ended.is_set():
             self.transport.abort()
             return
-        who, state = self.follower.who, self.follower.state
-        labels = who.labels
-        self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone,
+        identity, state = self.follower.identity, self.follower.state
+        labels = identity.labels
+        self.send(FollowRequest(PROTOCOL, identity.token, labels.instance, identity.boot, labels.service, labels.zone,
                                 labels.region, state.view.lineage, state.since()))
 
     def data_received(self, data: bytes) -> None:
@@ -239,10 +248,10 @@
             return
         self.decoder.feed(data)
         try:
-            while not self.ended.is_set() and (raw := self.decoder.next()) is not None:
-                self.on_message(parse_message(raw, TO_FOLLOWER))
+            while not self.ended.is_set() and (frame := self.decoder.next_message()) is not None:
+                self.on_message(parse_message(frame, TO_FOLLOWER))
         except (FrameError, MessageError, ScopeError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
 
     def on_message(self, message: Message) -> None:
         if isinstance(message, Denied):
@@ -250,44 +259,45 @@
             self.end(f"denied ({message.code}): {message.text}")
             return
         assert isinstance(message, VersionUpdate)
-        self.heard, self.heard_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
-        if self.waiting is not None:
-            self.waiting.append(message)
+        self.agent_status, self.heard_at_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
+        if self.buffered_updates is not None:
+            self.buffered_updates.append(message)
         else:
-            self.take(message)
-        self.told.set()
+            self.process_update(message)
+        self.position_known.set()
 
-    def take_over(self) -> None:
-        """It is followed from here on."""
-        waiting, self.waiting = self.waiting or [], None
-        self.since_s = time.monotonic()
+    def start_following(self) -> None:
+        """Follows this agent from now on, starting with the buffered updates."""
+        updates, self.buffered_updates = self.buffered_updates or [], None
+        self.last_closer_look_s = time.monotonic()
         try:
-            for update in waiting:
+            for update in updates:
                 if not self.ended.is_set():
-                    self.take(update)
+                    self.process_update(update)
         except (MessageError, ScopeError) as error:
-            self.end(f"not understood: {error}")
+            self.end(f"invalid message from the agent: {error}")
 
-    def take(self, update: VersionUpdate) -> None:
+    def process_update(self, update: VersionUpdate) -> None:
         self.follower.spread_s = min(60.0, update.spread_ms / 1000)
-        runs = self.follower.take(update)
-        if runs is not None and (update.entries or update.snapshot or runs.status != "applied"):
-            self.send(runs)
+        report = self.follower.process_update(update)
+        if report is not None and (update.entries or update.snapshot or report.status != "applied"):
+            self.send(report)
 
     def send(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(serialize_message(message)))
+            self.transport.write(encode_frame(serialize_message(message)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end("the connection ended")
+        self.end("the connection was closed")
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
+        """Closes the connection and keeps the reason for the log."""
         if not self.ended.is_set():
-            self.why = why
+            self.end_reason = reason
             self.close()
 
     def close(self) -> None:
         self.ended.set()
-        self.told.set()
+        self.position_known.set()
         if self.transport is not None:
             self.transport.close()
--- a/ironscale/control/instance.py
+++ b/ironscale/control/instance.py
@@ -1,4 +1,4 @@
-"""What control work needs of an instance, and the real sidecar behind that."""
+"""The interface through which an instance is controlled, and its implementation for a real sidecar."""
 
 from __future__ import annotations
 
@@ -14,39 +14,41 @@
 from ironscale.net.discovery import ListParser
 from ironscale.net.sidecar import RestartRequired, Sidecar
 
-# What each instance has of its own: a patch for many can't set it.
-OWN_KEYS = ("name", "listen", "seed", "known")
-OWN_SETTINGS = ("self-index",)
+# Keys that differ for each instance, so an overlay for many instances can't set them.
+PER_INSTANCE_KEYS = ("name", "listen", "seed", "known")
+PER_INSTANCE_SETTINGS = ("self-index",)
 OUTCOMES = ("served", "refused", "failed")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Refused(Exception):
-    """An instance won't do it, and nothing has changed; the text is one line."""
+class ChangeRefused(Exception):
+    """The instance refuses the change, and nothing has changed; the error text is a single line."""
 
 
 class RestartNeeded(Exception):
-    """Valid, but only a new process can take it on; nothing has changed."""
+    """The change is valid but needs a new process; nothing has changed."""
 
 
 class Instance(Protocol):
-    """What the client of the agent drives. Each call is short and done when it returns."""
+    """What the agent's commands act on. Each call is short, and has taken effect when it returns."""
 
-    def report(self, control_s: float) -> Report: ...
+    def report(self, control_s: float) -> Report:
+        """The current state. `control_s`: CPU seconds that control work has used."""
+        ...
 
     def upstreams(self) -> list[dict[str, Any]]:
-        """Each upstream as the decisions see it, for `inspect`."""
+        """Each upstream as the load balancer sees it, for `inspect`."""
 
     def drain(self, draining: bool) -> None: ...
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        """All or nothing. Raises Refused or RestartNeeded."""
+        """Replaces the overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
 
     def stop(self) -> None: ...
 
 
-def listed(entry: api.Upstream, directory: ListParser) -> dict[str, Any]:
-    """What the list says of an upstream, by the names that the configuration has for numbers."""
+def describe_registration(entry: api.Upstream, directory: ListParser) -> dict[str, Any]:
+    """What discovery says about an upstream, with the configured names in place of numbers."""
     zones, kinds = list(directory.zones.configured), list(directory.kinds.configured)
     return {"zone": zones[entry.zone] if entry.zone < len(zones) else "",
             "kind": kinds[entry.kind] if entry.kind < len(kinds) else "", "group": str(entry.cell),
@@ -54,31 +56,32 @@
 
 
 def check_overlay(overlay: Mapping[str, Any]) -> None:
-    """Raises Refused where a patch for many sets what each has of its own."""
-    for key in OWN_KEYS:
+    """Raises ChangeRefused if the overlay sets a key that differs for each instance."""
+    for key in PER_INSTANCE_KEYS:
         if key in overlay:
-            raise Refused(f"{key}: expected no key that each instance has of its own, "
-                          f"got {overlay[key]!r:.60}")
+            raise ChangeRefused(f"{key}: expected no key that each instance has of its own, "
+                                f"got {overlay[key]!r:.60}")
     settings = overlay.get("settings", {})
     if not isinstance(settings, Mapping):
-        raise Refused(f"settings: expected an object, got {settings!r:.60}")
-    for key in OWN_SETTINGS:
+        raise ChangeRefused(f"settings: expected an object, got {settings!r:.60}")
+    for key in PER_INSTANCE_SETTINGS:
         if key in settings:
-            raise Refused(f"settings.{key}: expected no key that each instance has of its own, "
-                          f"got {settings[key]!r:.60}")
+            raise ChangeRefused(f"settings.{key}: expected no key that each instance has of its own, "
+                                f"got {settings[key]!r:.60}")
 
 
-def memory_kb() -> int:
+def resident_memory_kb() -> int:
+    """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * PAGE // 1024
+        return int(file.read().split()[1]) * PAGE_BYTES // 1024
 
 
 class SidecarInstance:
-    """A running sidecar."""
+    """Controls a running sidecar. `end` shuts it down."""
 
     def __init__(self, sidecar: Sidecar, end: Callable[[], None]) -> None:
         self.sidecar = sidecar
-        self.end = end
+        self.shut_down = end
         self.fence = 0
 
     def report(self, control_s: float) -> Report:
@@ -96,7 +99,7 @@
             classes=[ClassCounts(c.name, *(sidecar.answers[i, what] for what in OUTCOMES))
                      for i, c in enumerate(sidecar.config.settings.classes)],
             refusals={reason or "not told": count for reason, count in sidecar.refusals.items()},
-            cpu_s=time.process_time(), control_cpu_s=control_s, memory_kb=memory_kb(),
+            cpu_s=time.process_time(), control_cpu_s=control_s, memory_kb=resident_memory_kb(),
             descriptors=len(os.listdir("/proc/self/fd")),
         )
 
@@ -105,7 +108,7 @@
         servers = self.sidecar.balancer.upstreams
         return [{
             "name": pools[view.id].member.name if view.id in pools else str(view.id),
-            **listed(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
+            **describe_registration(servers[view.id].entry, directory), "warmth": round(view.warm_fraction, 4),
             "state": view.state.value, "slots": round(view.slots, 3), "used": view.used,
             "resting": view.resting, "cold": view.cold, "failing": view.failing, "mute": view.unresponsive,
             "leastMs": round(view.min_latency_us / 1000, 3),
@@ -113,19 +116,19 @@
 
     def drain(self, draining: bool) -> None:
         if self.sidecar.server.stopping:
-            raise Refused("the process is ending")
+            raise ChangeRefused("the process is ending")
         self.sidecar.drain(draining)
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         if self.sidecar.server.stopping:
-            raise Refused("the process is ending")
+            raise ChangeRefused("the process is ending")
         check_overlay(overlay)
         try:
             self.sidecar.reconfigure(generation, overlay)
         except ConfigError as error:
-            raise Refused(str(error)) from error
+            raise ChangeRefused(str(error)) from error
         except RestartRequired as error:
             raise RestartNeeded(str(error)) from error
 
     def stop(self) -> None:
-        self.end()
+        self.shut_down()
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ironscale.control.follower import Follower
-from ironscale.control.simulated_instance import LightInstance, light, light_follower
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower, create_simulated_instance
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Discovery, Listing, ListParser
 from ironscale.operator_file import read_secret
@@ -62,19 +62,19 @@
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.order = order
-        self.instances: list[LightInstance] = []
+        self.instances: list[SimulatedInstance] = []
         self.discoveries: list[Discovery] = []
         self.in_force: dict[int, list[float]] = {}  # by generation: when each instance had it
         self.lists: dict[int, list[float]] = {}  # by generation of discovery's list: when each watch was told
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # of each follower: positions of the log, and since when
 
-    def follow(self, instance: LightInstance, n: int, token: str, rng: random.Random) -> Follower:
+    def follow(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
         """Has it follow published versions."""
         zones = self.order["zones"]
         places = tuple(Place(host, int(port)) for host, port in self.order["versions"])
-        follower = light_follower(instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token,
-                                  places, rng=rng)
+        follower = create_simulated_follower(
+            instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token, places, rng=rng)
         held: list[tuple[int, float]] = []
         self.held.append(held)
 
@@ -83,7 +83,7 @@
             if not held or held[-1][0] < position:
                 held.append((position, time.monotonic()))
 
-        follower.changed = changed
+        follower.on_change = changed
         return follower
 
     def had(self, what: str) -> None:
@@ -107,8 +107,9 @@
             for n in range(order["first"], order["first"] + order["count"]):
                 if agents:
                     rng = random.Random(f"{order['seed']} {n}")
-                    instance, client = light(f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
-                                             zone=f"zone-{n % order['zones']:02}")
+                    instance, client = create_simulated_instance(
+                        f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
+                        zone=f"zone-{n % order['zones']:02}")
                     instance.before_effect = self.had
                     self.instances.append(instance)
                     group.create_task(client.run())
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -14,8 +14,8 @@
 from ironscale.agent.engine import Engine
 from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
-from ironscale.control.client import Client
-from ironscale.control.simulated_instance import LightInstance, light, stop
+from ironscale.control.client import AgentClient
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.operator_file import AgentConfig as Section
 from ironscale.operator_file import read_secret
 from tests.sockets import run as limited_run
@@ -40,8 +40,8 @@
     def __init__(self, agent: Agent, seed: int) -> None:
         self.agent = agent
         self.random = random.Random(seed)
-        self.instances: dict[str, LightInstance] = {}
-        self.clients: dict[str, Client] = {}
+        self.instances: dict[str, SimulatedInstance] = {}
+        self.clients: dict[str, AgentClient] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.token = read_secret(agent.data / "instance.token")
         self.admin = read_secret(agent.data / "admin.token")
@@ -50,13 +50,14 @@
     def engine(self) -> Engine:
         return self.agent.engine
 
-    def start(self, name: str, **changes: Any) -> LightInstance:
+    def start(self, name: str, **changes: Any) -> SimulatedInstance:
         """A process of this name; a former one is gone without a word."""
         if name in self.tasks:
             self.tasks[name].cancel()
         address = ("127.0.0.1", self.agent.control_port)
         rng = random.Random(self.random.random())
-        instance, client = light(name, address, changes.pop("token", self.token), rng=rng, **changes)
+        instance, client = create_simulated_instance(
+            name, address, changes.pop("token", self.token), rng=rng, **changes)
         self.instances[name], self.clients[name] = instance, client
         self.tasks[name] = asyncio.create_task(client.run())
         return instance
@@ -109,7 +110,7 @@
 
     async def close(self) -> None:
         for task in self.tasks.values():
-            await stop(task)
+            await kill_client(task)
 
 
 @contextlib.asynccontextmanager
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -16,7 +16,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import StoreError
-from ironscale.control.frames import encode
+from ironscale.control.frames import encode_frame
 from ironscale.control.messages import PROTOCOL, CommandResult, Hello, serialize_message
 from tests.agent.agent_harness import run, scene, until
 from tests.sockets import free_port
@@ -52,9 +52,9 @@
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert set((await s.states(await s.begin(Kind.UNDRAIN))).values()) == {State.APPLIED}
             ident = await s.begin(Kind.STOP, ["i0000"])
-            await until(lambda: s.instances["i0000"].ended)
+            await until(lambda: s.instances["i0000"].stopped)
             client = s.clients["i0000"]
-            client.bye("ended")
+            client.send_goodbye("ended")
             await asyncio.sleep(0.05)
             s.kill("i0000")
             assert await s.states(ident) == {"i0000": State.APPLIED}
@@ -239,10 +239,10 @@
 
 
 @pytest.mark.parametrize("raw", [
-    b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, encode({"type": "beat"}),
-    encode({**serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0)), "fence": "x"}),
-    encode(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
-    encode(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
+    b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, encode_frame({"type": "beat"}),
+    encode_frame({**serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0)), "fence": "x"}),
+    encode_frame(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
+    encode_frame(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
 ])
 def test_an_instance_that_talks_nonsense_is_told_and_harms_nobody(raw: bytes, tmp_path: Path) -> None:
     async def test() -> None:
@@ -390,7 +390,7 @@
             await s.start_many(2)
             found = await s.engine.inspect("i0000")
             assert len(found.upstreams) == 10 and found.report.ready
-            s.clients["i0001"].session.decoder.next = lambda: None  # type: ignore[union-attr,method-assign]
+            s.clients["i0001"].session.decoder.next_message = lambda: None  # type: ignore[union-attr,method-assign]
             with pytest.raises(Refusal, match="gave no answer in 0.2 s") as silent:
                 await s.engine.inspect("i0001", 0.2)
             assert silent.value.details["sinceMs"] > 0
@@ -505,10 +505,10 @@
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(2)
             session = s.clients["i0001"].session
-            assert session is not None and session.transport is not None and session.beat_handle is not None
+            assert session is not None and session.transport is not None and session.heartbeat_timer is not None
             session.transport.pause_reading()
-            session.beat_handle.cancel()
-            session.silence.cancel()
+            session.heartbeat_timer.cancel()
+            session.silence_timer.cancel()
             ident = await s.begin()
             states = await s.states(ident)
             assert states == {"i0000": State.APPLIED, "i0001": State.NO_ANSWER}
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -16,7 +16,7 @@
 from ironscale.agent import follower_connections
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.store import StoreError
-from ironscale.control.frames import Decoder, encode
+from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.messages import (
     PROTOCOL,
     TO_FOLLOWER,
@@ -58,17 +58,17 @@
     async def run(self) -> None:
         reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 12)
         try:
-            self.writer.write(encode(serialize_message(FollowRequest(
+            self.writer.write(encode_frame(serialize_message(FollowRequest(
                 PROTOCOL, self.token, self.labels.instance, "b", "", self.labels.zone, "", self.lineage,
                 self.position))))
-            decoder = Decoder()
+            decoder = FrameDecoder()
             while True:
                 await self.reads.wait()
                 data = await reader.read(1 << 16)
                 if not data:
                     break
                 decoder.feed(data)
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, TO_FOLLOWER)
                     if isinstance(message, Denied):
                         self.denied = message
@@ -95,7 +95,7 @@
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
         values = {"position": at, "running": at, "digest": digest(effective(self.view.layers(self.labels))), **changes}
-        self.writer.write(encode(serialize_message(RunningReport(status=status, **values))))
+        self.writer.write(encode_frame(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
         self.task.cancel()
@@ -491,11 +491,11 @@
                     ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "other", 3)], "LINEAGE"),
                     ([FollowRequest(PROTOCOL, token, "i", "b", "", "", "", "", 0)] * 2, "NOT_UNDERSTOOD")):
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
-                writer.write(b"".join(encode(serialize_message(message)) for message in messages))
-                decoder = Decoder()
+                writer.write(b"".join(encode_frame(serialize_message(message)) for message in messages))
+                decoder = FrameDecoder()
                 decoder.feed(await reader.read())  # to its end: the agent closes it
                 found = []
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     found.append(parse_message(raw, TO_FOLLOWER))
                 assert isinstance(found[-1], Denied) and found[-1].code == code
                 writer.close()
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the agent on sockets: whatever the agent does, and a real sidecar's traffic beside it."""
+"""The agent client over real sockets: misbehaving agents, and commands to a real sidecar that serves traffic."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 import pytest
 
 from ironscale.control import client as module
-from ironscale.control.client import Client, Identity
-from ironscale.control.frames import Decoder, encode
+from ironscale.control.client import AgentClient, Identity
+from ironscale.control.frames import FrameDecoder, encode_frame
 from ironscale.control.instance import SidecarInstance
 from ironscale.control.messages import (
     FROM_INSTANCE,
@@ -30,7 +30,7 @@
     parse_message,
     serialize_message,
 )
-from ironscale.control.simulated_instance import LightInstance, light
+from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance
 from ironscale.standins.http import ok
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, hang, reply
@@ -40,11 +40,11 @@
 
 
 class ScriptedAgent:
-    """Listens, keeps what it is told, says what the test says."""
+    """A fake agent: records the messages that it receives and sends what the test tells it to."""
 
     def __init__(self, greet: Message | bytes | None = WELCOME) -> None:
-        self.greet = greet
-        self.got: list[Message] = []
+        self.greeting = greet
+        self.received: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -56,31 +56,31 @@
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        decoder = Decoder()
+        decoder = FrameDecoder()
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 decoder.feed(data)
-                while (raw := decoder.next()) is not None:
+                while (raw := decoder.next_message()) is not None:
                     message = parse_message(raw, FROM_INSTANCE)
-                    self.got.append(message)
-                    if isinstance(message, Hello) and self.greet is not None:
-                        self.say(self.greet)
-                    if isinstance(message, Heartbeat) and isinstance(self.greet, Welcome):
-                        self.say(LeaseRenewal(message.seq))
+                    self.received.append(message)
+                    if isinstance(message, Hello) and self.greeting is not None:
+                        self.send(self.greeting)
+                    if isinstance(message, Heartbeat) and isinstance(self.greeting, Welcome):
+                        self.send(LeaseRenewal(message.seq))
         writer.close()
 
-    def say(self, message: Message | bytes) -> None:
-        self.writers[-1].write(message if isinstance(message, bytes) else encode(serialize_message(message)))
+    def send(self, message: Message | bytes) -> None:
+        self.writers[-1].write(message if isinstance(message, bytes) else encode_frame(serialize_message(message)))
 
     def results(self) -> list[CommandResult]:
-        return [m for m in self.got if isinstance(m, CommandResult)]
+        return [m for m in self.received if isinstance(m, CommandResult)]
 
-    def beats(self) -> list[Heartbeat]:
-        return [m for m in self.got if isinstance(m, Heartbeat)]
+    def heartbeats(self) -> list[Heartbeat]:
+        return [m for m in self.received if isinstance(m, Heartbeat)]
 
     async def command(self, ident: str, fence: int, kind: str, boot: str = "boot", **args: Any) -> CommandResult:
         before = len(self.results())
-        self.say(Command(ident, fence, boot, kind, args))
+        self.send(Command(ident, fence, boot, kind, args))
         await until(lambda: len(self.results()) > before)
         return self.results()[-1]
 
@@ -93,7 +93,8 @@
 
 @contextlib.asynccontextmanager
 async def connected(agent: ScriptedAgent, log: Callable[[str], None] = lambda text: None) -> Any:
-    instance, client = light("app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
+    instance, client = create_simulated_instance(
+        "app-0", ("127.0.0.1", agent.port), "token", boot="boot", rng=random.Random(1), log=log)
     task = asyncio.create_task(client.run())
     try:
         yield instance, client
@@ -103,25 +104,25 @@
         agent.stop()
 
 
-def test_it_says_who_it_is_beats_and_answers() -> None:
+def test_it_sends_hello_heartbeats_and_results() -> None:
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(5_000, 20, 10)).start()
         async with connected(agent) as (instance, _):
-            await until(lambda: len(agent.beats()) >= 3)
-            hello = agent.got[0]
+            await until(lambda: len(agent.heartbeats()) >= 3)
+            hello = agent.received[0]
             assert isinstance(hello, Hello) and (hello.name, hello.boot, hello.token) == ("app-0", "boot", "token")
-            assert [beat.seq for beat in agent.beats()[:3]] == [1, 2, 3]
+            assert [beat.seq for beat in agent.heartbeats()[:3]] == [1, 2, 3]
             assert (await agent.command("1.0.1", 4, "drain")).status == "applied" and instance.draining
-            await until(lambda: agent.beats()[-1].report.draining and agent.beats()[-1].report.fence == 4)
+            await until(lambda: agent.heartbeats()[-1].report.draining and agent.heartbeats()[-1].report.fence == 4)
 
     run(test)
 
 
-def test_a_command_delivered_again_is_answered_and_not_done_again() -> None:
+def test_a_redelivered_command_is_answered_without_running_again() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             for _ in range(3):
                 result = await agent.command("1.0.1", 4, "reconfigure", generation=2, overlay={"settings": {}})
                 assert result.status == "applied"
@@ -133,16 +134,16 @@
     run(test)
 
 
-def test_also_after_the_connection_was_lost_in_between() -> None:
+def test_a_command_redelivered_on_a_new_connection_does_not_run_again() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
-            agent.say(Command("1.0.1", 4, "boot", "drain"))
+            await until(lambda: agent.received)
+            agent.send(Command("1.0.1", 4, "boot", "drain"))
             await until(lambda: instance.effects)
             agent.writers[-1].transport.abort()
-            await until(lambda: len(agent.writers) == 2 and isinstance(agent.got[-1], Hello))
-            assert [m.fence for m in agent.got if isinstance(m, Hello)] == [0, 4]
+            await until(lambda: len(agent.writers) == 2 and isinstance(agent.received[-1], Hello))
+            assert [m.fence for m in agent.received if isinstance(m, Hello)] == [0, 4]
             assert (await agent.command("1.0.1", 4, "drain")).status == "applied"
             assert instance.effects == ["drain"]
 
@@ -159,11 +160,11 @@
     ({"generation": 1, "overlay": {"settings": 3}}, "refused", "settings: expected an object"),
     ({"generation": 1, "overlay": {"restart": 1}}, "needs restart", "listen"),
 ])
-def test_a_reconfigure_that_can_not_be_carried_out_says_why(args: dict[str, Any], status: str, words: str) -> None:
+def test_an_impossible_reconfigure_reports_the_reason(args: dict[str, Any], status: str, words: str) -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             result = await agent.command("1.0.1", 4, "reconfigure", **args)
             assert result.status == status and words in result.detail
             assert instance.effects == [] and instance.generation == 0
@@ -171,7 +172,8 @@
     run(test)
 
 
-def test_an_instance_that_breaks_on_a_command_says_failed_and_goes_on(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_a_command_is_reported_as_failed_and_the_session_continues(
+        capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
@@ -179,7 +181,7 @@
                 raise RuntimeError("a bug")
 
             instance.before_effect = broken
-            await until(lambda: agent.got)
+            await until(lambda: agent.received)
             result = await agent.command("1.0.1", 4, "drain")
             assert (result.status, result.detail) == ("failed", "RuntimeError: a bug")
             instance.before_effect = lambda what: None
@@ -189,43 +191,43 @@
     assert "a bug" in capsys.readouterr().err
 
 
-NONSENSE: list[bytes | Message] = [
-    b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode({"type": "welcome"}),
-    encode(serialize_message(LeaseRenewal(1))), encode(serialize_message(Command("1", 1, "boot", "drain"))),
-    encode(serialize_message(Welcome(10, 1_000, 0))), encode(serialize_message(Welcome(5_000, 0, 0))),
+INVALID_GREETINGS: list[bytes | Message] = [
+    b"HTTP/1.1 400 Bad Request\r\n\r\n", b"\xff" * 4000, encode_frame({"type": "welcome"}),
+    encode_frame(serialize_message(LeaseRenewal(1))), encode_frame(serialize_message(Command("1", 1, "boot", "drain"))),
+    encode_frame(serialize_message(Welcome(10, 1_000, 0))), encode_frame(serialize_message(Welcome(5_000, 0, 0))),
     Denied("TOKEN", "no", 1),
 ]
 
 
-@pytest.mark.parametrize("greeting", NONSENSE)
-def test_an_agent_that_talks_nonsense_is_left_and_asked_again(greeting: bytes | Message) -> None:
+@pytest.mark.parametrize("greeting", INVALID_GREETINGS)
+def test_an_agent_that_sends_invalid_messages_is_disconnected_and_retried(greeting: bytes | Message) -> None:
     async def test() -> None:
         lines: list[str] = []
         agent = await ScriptedAgent(greeting).start()
         async with connected(agent, lines.append) as (instance, _):
             await until(lambda: len(agent.writers) >= 3)
-            assert len(lines) == 1 and "\n" not in lines[0]  # one line in five seconds
+            assert len(lines) == 1 and "\n" not in lines[0]  # log lines are limited to one in five seconds
             assert instance.effects == []
-            agent.greet = WELCOME
-            await until(lambda: agent.beats())
+            agent.greeting = WELCOME
+            await until(lambda: agent.heartbeats())
 
     run(test)
 
 
-def test_an_agent_that_falls_silent_is_left_when_its_lease_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hazard: a machine that vanished says nothing, and the connection stays open for ever."""
+def test_a_silent_agent_is_disconnected_when_the_lease_expires(monkeypatch: pytest.MonkeyPatch) -> None:
+    """When the agent's machine disappears, nothing closes the connection: it would stay open for ever."""
     async def test() -> None:
         agent = await ScriptedAgent(Welcome(150, 20, 10)).start()
         async with connected(agent):
-            await until(lambda: agent.beats())
-            agent.greet = None  # takes all and says nothing more
+            await until(lambda: agent.heartbeats())
+            agent.greeting = None  # still reads, but no longer answers
             await until(lambda: len(agent.writers) >= 2)
 
     run(test)
 
 
-def test_an_agent_that_never_says_welcome_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "WELCOME_S", 0.05)
+def test_an_agent_that_sends_no_welcome_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(module, "WELCOME_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         agent = await ScriptedAgent(None).start()
@@ -235,22 +237,23 @@
     run(test)
 
 
-def test_an_agent_that_reads_nothing_does_not_fill_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_UNSENT", 64 << 10)
+def test_an_agent_that_does_not_read_does_not_fill_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(module, "MAX_UNSENT_BYTES", 64 << 10)
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def never_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        writer.write(encode(serialize_message(Welcome(20_000, 10, 10))))
+        writer.write(encode_frame(serialize_message(Welcome(20_000, 10, 10))))
         for i in range(2_000):
-            writer.write(encode(serialize_message(Command(f"q{i}", 0, "boot", "inspect"))))
+            writer.write(encode_frame(serialize_message(Command(f"q{i}", 0, "boot", "inspect"))))
         await asyncio.sleep(20)
 
     async def test() -> None:
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
-        instance, client = light("app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
-        many = instance.upstreams() * 200
-        instance.upstreams = lambda: many  # type: ignore[method-assign]
-        monkeypatch.setattr("ironscale.control.pacing.SHARE", 1.0)
+        server = await asyncio.start_server(never_read, "127.0.0.1", 0, limit=1024)
+        instance, client = create_simulated_instance(
+            "app-0", ("127.0.0.1", server.sockets[0].getsockname()[1]), "t", boot="boot")
+        upstreams = instance.upstreams() * 200
+        instance.upstreams = lambda: upstreams  # type: ignore[method-assign]
+        monkeypatch.setattr("ironscale.control.pacing.MAX_LOOP_SHARE", 1.0)
         task = asyncio.create_task(client.run())
         await until(lambda: client.session is not None and client.session.transport is not None
                     and client.session.transport.get_write_buffer_size() > 64 << 10)
@@ -264,68 +267,68 @@
     run(test)
 
 
-def test_a_long_inspection_comes_in_parts() -> None:
+def test_a_long_inspection_is_sent_in_parts() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, _):
-            many = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
-            instance.upstreams = lambda: many
-            await until(lambda: agent.got)
-            agent.say(Command("q1", 0, "boot", "inspect"))
+            upstreams = [{**instance.upstreams()[0], "name": f"node-{i}"} for i in range(1_234)]
+            instance.upstreams = lambda: upstreams
+            await until(lambda: agent.received)
+            agent.send(Command("q1", 0, "boot", "inspect"))
             await until(lambda: agent.results() and not agent.results()[-1].more)
             parts = agent.results()
-            assert len(parts) == 13 and max(len(part.data) for part in parts) == module.PART
+            assert len(parts) == 13 and max(len(part.data) for part in parts) == module.UPSTREAMS_PER_PART
             assert [u["name"] for part in parts for u in part.data] == [f"node-{i}" for i in range(1_234)]
             assert [part.report is None for part in parts] == [True] * 12 + [False]
 
     run(test)
 
 
-# A real sidecar
+# With a real sidecar
 
 
-def client_of(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, Client]:
+def client_of_sidecar(scene: Scene, agent: ScriptedAgent) -> tuple[SidecarInstance, AgentClient]:
     instance = SidecarInstance(scene.sidecar, lambda: None)
     identity = Identity("n0", "boot", 1, "0", 1, "", f"127.0.0.1:{scene.port}", "token")
-    return instance, Client(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
+    return instance, AgentClient(instance, identity, ("127.0.0.1", agent.port), random.Random(2), lambda text: None)
 
 
-async def traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
-    lanes = ("view", "mark", "pay")
-    turn = 0
+async def send_traffic(scene: Scene, statuses: Counter[int], stop: asyncio.Event) -> None:
+    class_names = ("view", "mark", "pay")
+    call_number = 0
     while not stop.is_set():
-        turn += 1
-        statuses[(await scene.call(lanes[turn % 3])).status] += 1
+        call_number += 1
+        statuses[(await scene.call(class_names[call_number % 3])).status] += 1
 
 
-def served_since(statuses: Counter[int], least: int) -> bool:
-    return sum(statuses.values()) >= least
+def has_answered(statuses: Counter[int], minimum: int) -> bool:
+    return sum(statuses.values()) >= minimum
 
 
-@pytest.mark.parametrize("what", ["gone", "nonsense", "commands", "away from the start"])
-def test_traffic_goes_on_whatever_the_agent_does(what: str) -> None:
+@pytest.mark.parametrize("what", ["connection lost", "invalid frames", "commands", "never reachable"])
+def test_traffic_continues_whatever_the_agent_does(what: str) -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(4)]
         scene = await Scene().start(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        agent = await ScriptedAgent(b"\x00\x00\x00\x05junk!" if what == "nonsense" else WELCOME).start()
-        if what == "away from the start":
+        agent = await ScriptedAgent(b"\x00\x00\x00\x05junk!" if what == "invalid frames" else WELCOME).start()
+        if what == "never reachable":
             agent.stop()
-        _, client = client_of(scene, agent)
+        _, client = client_of_sidecar(scene, agent)
         control, stop, statuses = asyncio.create_task(client.run()), asyncio.Event(), Counter[int]()
-        callers = [asyncio.create_task(traffic(scene, statuses, stop)) for _ in range(3)]
-        if what != "away from the start":
-            await until(lambda: agent.got)
+        callers = [asyncio.create_task(send_traffic(scene, statuses, stop)) for _ in range(3)]
+        if what != "never reachable":
+            await until(lambda: agent.received)
         for generation in range(1, 30):
             if what == "commands":
                 classes = [{**c, "aim": 4_000_000 - generation} for c in SETTINGS["request-classes"]]
                 result = await agent.command(f"{generation}.0.1", generation, "reconfigure", generation=generation,
                                              overlay={"settings": {"request-classes": classes}})
                 assert (result.status, scene.sidecar.generation) == ("applied", generation)
-            elif what == "gone":
+            elif what == "connection lost":
                 for writer in agent.writers:
                     writer.transport.abort()
             done = sum(statuses.values())
-            await until(partial(served_since, statuses, done + 10))
+            await until(partial(has_answered, statuses, done + 10))
         stop.set()
         await asyncio.gather(*callers)
         control.cancel()
@@ -333,21 +336,21 @@
         assert set(statuses) == {200}
         runs = Counter(message.headers["x-txn"] for peer in peers for message in peer.got)
         assert len(runs) == sum(statuses.values()) and set(runs.values()) == {1}
-        assert client.slice.longest_s < 0.5
+        assert client.work_limiter.longest_step_s < 0.5
         agent.stop()
 
     run(test)
 
 
-def test_a_drain_refuses_what_is_new_and_answers_what_was_taken() -> None:
+def test_a_drain_refuses_new_requests_and_answers_accepted_ones() -> None:
     async def test() -> None:
         peer = await Peer(hang).start()
         scene = await Scene().start(peer.entry("s-1"))
         agent = await ScriptedAgent().start()
-        instance, client = client_of(scene, agent)
+        instance, client = client_of_sidecar(scene, agent)
         control = asyncio.create_task(client.run())
         held = asyncio.create_task(scene.call("pay"))
-        await until(lambda: peer.got and agent.got)
+        await until(lambda: peer.got and agent.received)
         probe = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
         assert (await scene.send(probe)).status == 200
         assert (await agent.command("1.0.1", 1, "drain")).status == "applied"
@@ -383,9 +386,9 @@
     async def test() -> None:
         scene = await Scene().start((await Peer().start()).entry("s-1"))
         agent = await ScriptedAgent().start()
-        instance, client = client_of(scene, agent)
+        instance, client = client_of_sidecar(scene, agent)
         control = asyncio.create_task(client.run())
-        await until(lambda: agent.got)
+        await until(lambda: agent.received)
         good = {"settings": {"bounds": {"max-retry-after": 7_000}}, "limits": {"sockets": 100}}
         assert (await agent.command("1.0.1", 1, "reconfigure", generation=1, overlay=good)).status == "applied"
         sidecar = scene.sidecar
@@ -404,14 +407,14 @@
     run(test)
 
 
-def test_a_stop_says_so_and_ends_the_process_gently() -> None:
+def test_a_stop_command_is_acknowledged_before_a_graceful_shutdown() -> None:
     async def test() -> None:
         agent = await ScriptedAgent().start()
         async with connected(agent) as (instance, client):
-            assert isinstance(instance, LightInstance)
-            await until(lambda: agent.got)
-            assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.ended
-            client.bye("ended")
-            await until(lambda: isinstance(agent.got[-1], Goodbye))
+            assert isinstance(instance, SimulatedInstance)
+            await until(lambda: agent.received)
+            assert (await agent.command("1.0.1", 1, "stop")).detail == "ending" and instance.stopped
+            client.send_goodbye("ended")
+            await until(lambda: isinstance(agent.received[-1], Goodbye))
 
     run(test)
--- a/tests/control/test_drain_and_settings.py
+++ b/tests/control/test_drain_and_settings.py
@@ -1,4 +1,4 @@
-"""The decisions under a drain and under new settings, without sockets."""
+"""The load balancer's decisions during a drain and after a settings change, without sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.test_slots import MARK, PAY, READ, fill_slots, ready_world
 
 
-def test_a_drained_sidecar_refuses_what_is_new_and_answers_what_it_took() -> None:
+def test_a_drained_sidecar_refuses_new_requests_and_answers_accepted_ones() -> None:
     world = ready_world(4)
     taken = world.new_request(PAY)
     world.deliver(DrainChanged(True))
@@ -35,7 +35,7 @@
     assert world.sends(world.new_request(READ))
 
 
-def test_what_waited_in_the_buffer_when_the_drain_began_is_sent() -> None:
+def test_requests_buffered_when_the_drain_began_are_sent() -> None:
     world = ready_world(2)
     waiting = fill_slots(world)[-1]
     world.deliver(DrainChanged(True))
@@ -43,7 +43,7 @@
     assert world.sends(waiting)
 
 
-def test_what_was_taken_is_tried_again_during_a_drain() -> None:
+def test_accepted_requests_are_retried_during_a_drain() -> None:
     world = ready_world(4)
     taken = world.new_request(READ)
     world.deliver(DrainChanged(True))
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "kind"), [(PAY, Fail), (READ, Refuse)])
-def test_a_drain_promises_no_more_than_before(class_index: int, kind: type[object]) -> None:
+def test_a_drain_does_not_change_how_a_reset_is_answered(class_index: int, kind: type[object]) -> None:
     world = ready_world(1)
     taken = world.new_request(class_index)
     world.deliver(DrainChanged(True))
@@ -61,7 +61,7 @@
     assert isinstance(world.answer(taken), kind)
 
 
-def test_new_settings_keep_what_was_learned_and_what_is_out() -> None:
+def test_new_settings_keep_learned_state_and_open_requests() -> None:
     world = ready_world(2, tenants=[Tenant("big", 100.0), Tenant("small", 10.0)])
     out = world.new_request(PAY, tenant=0)
     before = {ident: server.window.slots for ident, server in world.balancer.upstreams.items()}
@@ -72,13 +72,13 @@
     world.settings = new
     assert {i: s.window.slots for i, s in world.balancer.upstreams.items()} == before
     assert world.balancer.tenant_arrivals == [0.0, 3.0, 7.0]
-    assert world.balancer.requests[out].event.tenant == 2  # still big's
+    assert world.balancer.requests[out].event.tenant == 2  # still the tenant "big", whose index has changed
     world.end_attempt(out, 0, Outcome.OK)
     assert world.requests[out].answers == 1
     assert world.sends(world.new_request(3))  # the new class is served
 
 
-def test_a_request_whose_tenant_is_taken_away_counts_as_nobodys() -> None:
+def test_a_request_of_a_removed_tenant_counts_for_no_tenant() -> None:
     world = ready_world(2, tenants=[Tenant("a", 1.0)])
     out = world.new_request(READ, tenant=0)
     world.deliver(SettingsChanged(settings(tenants=[])))
@@ -86,7 +86,7 @@
     assert world.sends(world.new_request(READ, tenant=0))
 
 
-def test_a_new_aim_counts_from_the_next_request() -> None:
+def test_a_new_latency_target_applies_from_the_next_request() -> None:
     world = ready_world(2, hedging=False)
     changed = settings(hedging=False)
     changed.classes[READ] = RequestClass("read", 30_000, 1_000_000)
@@ -103,8 +103,8 @@
     (lambda s: setattr(s, "report_names", ["x"]), "report names"),
     (lambda s: setattr(s, "list_on_request", not s.list_on_request), "list on request"),
 ])
-def test_what_open_requests_were_judged_by_can_not_change(change: object, words: str) -> None:
-    """Hazard: an unsafe request that is out would be sent again as if it were safe."""
+def test_settings_that_open_requests_depend_on_can_not_change(change: object, words: str) -> None:
+    """Open requests depend on these settings: a request that is not idempotent could be retried as if it were."""
     old, new = settings(), settings()
     change(new)  # type: ignore[operator]
     assert words in restart_only_change(old, new)
@@ -119,7 +119,7 @@
     assert restart_only_change(old, new) == ""
 
 
-def test_the_view_shows_each_upstream() -> None:
+def test_upstream_views_show_each_upstream() -> None:
     world = ready_world(1)
     world.deliver_list([Upstream(100), Upstream(101, started_us=world.now_us)])
     request = world.new_request(PAY)
--- a/tests/control/test_frames.py
+++ b/tests/control/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames and messages: whole or refused, whatever the bytes are."""
+"""Frames and messages: any bytes give either valid messages or a clear error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.control.frames import HEADER, MAX_FRAME, Decoder, FrameError, encode
+from ironscale.control.frames import HEADER_BYTES, MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from ironscale.control.messages import (
     FROM_AGENT,
     FROM_INSTANCE,
@@ -41,50 +41,50 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: message.type)
-def test_every_message_comes_back_as_it_was_whatever_the_pieces(message: Message) -> None:
-    raw = encode(serialize_message(message))
+def test_every_message_survives_encoding_and_decoding_in_any_pieces(message: Message) -> None:
+    raw = encode_frame(serialize_message(message))
     for cut in range(len(raw)):
-        decoder = Decoder()
+        decoder = FrameDecoder()
         decoder.feed(raw[:cut])
-        assert decoder.next() is None
+        assert decoder.next_message() is None
         decoder.feed(raw[cut:] + raw[:5])
-        found = decoder.next()
+        found = decoder.next_message()
         assert found is not None and parse_message(found, FROM_INSTANCE + FROM_AGENT) == message
-        assert decoder.next() is None and len(decoder.buffer) == 5
+        assert decoder.next_message() is None and len(decoder.buffer) == 5
 
 
 @pytest.mark.parametrize(("raw", "words"), [
     ((0).to_bytes(4), "expected a length from 2"), ((1).to_bytes(4) + b"1", "expected a length"),
-    ((MAX_FRAME + 1).to_bytes(4), f"got {MAX_FRAME + 1}"), (b"GET / HTTP/1.1\r\n", "expected a length"),
+    ((MAX_FRAME_BYTES + 1).to_bytes(4), f"got {MAX_FRAME_BYTES + 1}"), (b"GET / HTTP/1.1\r\n", "expected a length"),
     ((2).to_bytes(4) + b"[]", "an object with a type"), ((2).to_bytes(4) + b"{}", "an object with a type"),
     ((9).to_bytes(4) + b'{"type":1', "expected JSON"), ((12).to_bytes(4) + b'{"type":NaN}', "expected JSON"),
     ((4).to_bytes(4) + b"\xff\xfe\x00\x01", "expected JSON"), ((40_000).to_bytes(4) + b"[" * 40_000, "expected JSON"),
 ])
-def test_what_is_no_frame_is_refused_with_what_was_expected(raw: bytes, words: str) -> None:
-    decoder = Decoder()
+def test_an_invalid_frame_error_says_what_was_expected(raw: bytes, words: str) -> None:
+    decoder = FrameDecoder()
     decoder.feed(raw)
     with pytest.raises(FrameError, match=words.replace("[", r"\[")):
-        decoder.next()
+        decoder.next_message()
 
 
-def test_a_length_of_four_gigabytes_is_refused_before_anything_of_it_is_kept() -> None:
-    decoder = Decoder()
+def test_a_length_of_four_gigabytes_is_refused_before_the_body_arrives() -> None:
+    decoder = FrameDecoder()
     decoder.feed(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError):
-        decoder.next()
+        decoder.next_message()
 
 
 def test_a_message_over_the_limit_is_not_encoded() -> None:
     with pytest.raises(FrameError, match="expected a frame"):
-        encode({"type": "result", "data": "x" * MAX_FRAME})
+        encode_frame({"type": "result", "data": "x" * MAX_FRAME_BYTES})
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_give_messages_or_one_of_two_errors(raw: bytes) -> None:
-    decoder = Decoder()
-    decoder.feed(len(raw).to_bytes(HEADER) + raw)
+def test_any_bytes_give_messages_or_a_frame_or_message_error(raw: bytes) -> None:
+    decoder = FrameDecoder()
+    decoder.feed(len(raw).to_bytes(HEADER_BYTES) + raw)
     try:
-        while (found := decoder.next()) is not None:
+        while (found := decoder.next_message()) is not None:
             parse_message(found, FROM_INSTANCE + FROM_AGENT)
     except (FrameError, MessageError) as error:
         assert "\n" not in str(error)
@@ -96,7 +96,7 @@
 
 
 @given(st.sampled_from(MESSAGES), st.data())
-def test_a_field_that_is_not_what_it_should_be_is_named(message: Message, data: st.DataObject) -> None:
+def test_an_invalid_field_is_named_in_the_error(message: Message, data: st.DataObject) -> None:
     whole: dict[str, Any] = json.loads(json.dumps(serialize_message(message)))
     field = data.draw(st.sampled_from([name for name in whole if name != "type"]))
     whole[field] = data.draw(JSON)
@@ -106,7 +106,7 @@
         assert str(error).startswith(f"{message.type}.{field}") and "expected" in str(error)
         assert "\n" not in str(error)
     else:
-        assert type(found) is type(message)  # and every field has passed the check of its type
+        assert type(found) is type(message)  # every field has passed its type check
 
 
 @pytest.mark.parametrize(("message", "words"), [
@@ -115,15 +115,15 @@
     ({"type": "order"}, "expected one of"), ({"type": "command", "id": "1", "fence": 1, "boot": "b", "kind": "rm"},
                                             "expected one of inspect, drain"),
 ])
-def test_messages_that_can_not_be_used(message: dict[str, Any], words: str) -> None:
+def test_invalid_messages_are_rejected(message: dict[str, Any], words: str) -> None:
     with pytest.raises(MessageError, match=words):
         parse_message(message, FROM_INSTANCE + FROM_AGENT)
 
 
-def test_a_newer_side_may_say_more() -> None:
+def test_unknown_fields_from_a_newer_peer_are_ignored() -> None:
     assert parse_message({"type": "lease", "seq": 3, "colour": "red"}, FROM_AGENT) == LeaseRenewal(3)
 
 
-def test_an_instance_is_not_told_what_only_instances_say() -> None:
+def test_an_instance_rejects_messages_that_only_instances_send() -> None:
     with pytest.raises(MessageError, match="expected one of welcome"):
         parse_message(serialize_message(Goodbye("x")), FROM_AGENT)
--- a/tests/control/test_off.py
+++ b/tests/control/test_off.py
@@ -1,4 +1,4 @@
-"""What is off costs nothing: the platform's sidecar loads none of it."""
+"""Optional subsystems that are switched off aren't loaded; the operator file that switches them on is validated."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         "ironscale.net.upstream", "ironscale.settings", "ironscale.sum_tree"]
 
 
-def test_the_instances_side_needs_no_extra() -> None:
-    """A sidecar with an agent runs on requirements.txt alone."""
+def test_the_control_extension_needs_no_extra_packages() -> None:
+    """A sidecar that connects to an agent needs no packages beyond requirements.txt."""
     code = ("import sys, ironscale.control.extension; "
             "print(*sorted({m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)))")
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
@@ -42,14 +42,14 @@
     assert loaded <= {"ironscale", "httptools", "uvloop"}
 
 
-def test_the_shipped_operator_file_is_valid_and_switches_nothing_on() -> None:
+def test_the_shipped_operator_file_is_valid_and_enables_nothing() -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
     found = parse(text, "operator.toml", Path("."))
     assert found.control is None and found.agent is None and not found.sidecar.reuse_port
     assert found.learned is None
     every = "\n".join(line.removeprefix("# ") for line in text.splitlines() if line.startswith("# ")
                       and ("=" in line or "[" in line) and not line.startswith(("# Check", "# The", "# A side")))
-    full = parse(every, "operator.toml", Path("/etc"))  # and what it shows is valid too
+    full = parse(every, "operator.toml", Path("/etc"))  # the commented examples are valid too
     assert full.agent is not None and full.agent.services[0].environment == {"LANG": "C"}
     assert full.learned is not None and full.learned.folder == Path("/etc/learned")
     assert full.learned.ask == (("127.0.0.1", 7601),)
@@ -111,13 +111,13 @@
      "expected names that differ, got 'a' twice"),
     ("[agent]\nservice = 3", "agent.service: expected tables [[agent.service]], got 3"),
 ])
-def test_a_bad_operator_file_is_told_in_one_line_with_its_place(text: str, words: str) -> None:
+def test_an_operator_file_error_is_one_line_that_names_the_key(text: str, words: str) -> None:
     with pytest.raises(OperatorFileError) as found:
         parse(text, "F", Path("."))
     assert words in str(found.value) and "\n" not in str(found.value)
 
 
-def test_the_environment_names_the_agent_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_takes_precedence_over_the_operator_file(tmp_path: Path) -> None:
     (tmp_path / "o.toml").write_text('[control]\nagent = "127.0.0.1:1"\ntoken_file = "t"\nzone = "b"\n')
     file = {"GW_OPERATOR": str(tmp_path / "o.toml")}
     found = from_environment(file).control
--- a/tests/control/test_several_agents.py
+++ b/tests/control/test_several_agents.py
@@ -1,4 +1,4 @@
-"""An instance with several agents to dial: it turns to who leads, and back to nobody whose term is over."""
+"""An instance with several agents: it connects to the one that leads, and rejects an agent whose term is over."""
 
 from __future__ import annotations
 
@@ -8,73 +8,74 @@
 import pytest
 
 from ironscale.control import pacing
-from ironscale.control.client import NOT_LEADING, Client
-from ironscale.control.frames import encode
+from ironscale.control.client import NOT_LEADING, AgentClient
+from ironscale.control.frames import encode_frame
 from ironscale.control.messages import Command, Denied, Hello, Welcome, serialize_message
-from ironscale.control.simulated_instance import light, stop
+from ironscale.control.simulated_instance import create_simulated_instance, kill_client
 from tests.control.test_client import ScriptedAgent
 from tests.sockets import run, until
 
 
-def client_of(*agents: ScriptedAgent) -> Client:
+def client_of_agents(*agents: ScriptedAgent) -> AgentClient:
     addresses = [("127.0.0.1", agent.port) for agent in agents]
-    _, client = light("i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
-    client.redial.spread_s = 0.01
+    _, client = create_simulated_instance(
+        "i0", addresses[0], "t", boot="boot", rng=random.Random(1), others=tuple(addresses[1:]))
+    client.backoff.spread_s = 0.01
     return client
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tries that come to nothing wait ever longer, up to this: not what is tested here."""
-    monkeypatch.setattr(pacing, "MOST_S", 0.05)
+def short_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Limits the backoff between failed attempts, which is not tested here."""
+    monkeypatch.setattr(pacing, "MAX_BACKOFF_S", 0.05)
 
 
-def test_a_welcome_of_a_term_below_one_that_it_had_is_not_taken() -> None:
-    """Hazard: a leader that was stopped, and does not know yet that another leads, would have commands for it."""
+def test_a_welcome_with_an_older_term_is_rejected() -> None:
+    """A suspended leader may not know yet that another agent leads, and would send outdated commands."""
 
     async def test() -> None:
         new = await ScriptedAgent(Welcome(5_000, 50, 10, [], 3)).start()
-        # its command comes right behind its welcome
-        old = await ScriptedAgent(b"".join(encode(serialize_message(message)) for message in (
+        # The command arrives directly after the welcome.
+        old = await ScriptedAgent(b"".join(encode_frame(serialize_message(message)) for message in (
             Welcome(5_000, 50, 10, [], 2), Command("1.0.1", 9, "boot", "drain")))).start()
-        client = client_of(new, old)
+        client = client_of_agents(new, old)
         task = asyncio.create_task(client.run())
-        await until(lambda: client.term == 3 and new.beats())
+        await until(lambda: client.term == 3 and new.heartbeats())
         new.stop()
-        # it has left again, and come again: whatever it was told meanwhile had no effect
-        await until(lambda: sum(isinstance(message, Hello) for message in old.got) >= 3 or old.results())
-        assert not old.results() and not old.beats() and client.term == 3
-        old.greet = Welcome(5_000, 50, 10, [], 4)
-        await until(lambda: client.term == 4 and old.beats())
-        await stop(task)
+        # The client has disconnected and reconnected several times; the commands sent meanwhile had no effect.
+        await until(lambda: sum(isinstance(message, Hello) for message in old.received) >= 3 or old.results())
+        assert not old.results() and not old.heartbeats() and client.term == 3
+        old.greeting = Welcome(5_000, 50, 10, [], 4)
+        await until(lambda: client.term == 4 and old.heartbeats())
+        await kill_client(task)
         old.stop()
 
     run(test)
 
 
-def test_it_goes_to_the_agent_that_is_named_only_where_its_own_file_names_that_too() -> None:
+def test_it_follows_a_leader_hint_only_to_a_configured_agent() -> None:
     async def test() -> None:
         leader, stranger = await ScriptedAgent().start(), await ScriptedAgent().start()
         follower = await ScriptedAgent().start()
-        follower.greet = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
-        client = client_of(follower, leader)
+        follower.greeting = Denied(NOT_LEADING, "another agent leads", 0, f"127.0.0.1:{stranger.port}")
+        client = client_of_agents(follower, leader)
         task = asyncio.create_task(client.run())
-        await until(lambda: leader.beats())
-        assert not stranger.got  # it would have been told the token
-        await stop(task)
+        await until(lambda: leader.heartbeats())
+        assert not stranger.received  # a connection would have sent it the token
+        await kill_client(task)
         for agent in (leader, stranger, follower):
             agent.stop()
 
     run(test)
 
 
-def test_an_agent_that_accepts_and_says_nothing_is_left_for_the_next() -> None:
+def test_an_agent_that_accepts_but_stays_silent_is_left_for_the_next() -> None:
     async def test() -> None:
         silent, leader = await ScriptedAgent(None).start(), await ScriptedAgent().start()
-        client = client_of(silent, leader)
+        client = client_of_agents(silent, leader)
         task = asyncio.create_task(client.run())
-        await until(lambda: leader.beats())
-        await stop(task)
+        await until(lambda: leader.heartbeats())
+        await kill_client(task)
         for agent in (silent, leader):
             agent.stop()
 
