--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -74,8 +74,12 @@
         """Receives the HOST:PORT of instances that serve their learned state."""
 
 
-def control_extension(control: ControlConfig, environ: Mapping[str, str], learned_state: LearnedStateExchange | None = None,
-                      versions: VersionsConfig | None = None) -> Extension:
+def control_extension(
+    control: ControlConfig,
+    environ: Mapping[str, str],
+    learned_state: LearnedStateExchange | None = None,
+    versions: VersionsConfig | None = None,
+) -> Extension:
     """The extension that runs the control channel while the sidecar runs. Raises OperatorFileError if a token can't be
     read now; the client retries after any later failure."""
     token = read_secret(control.token_file)
