--- a/ironscale/disruption/__init__.py
+++ b/ironscale/disruption/__init__.py
@@ -1,5 +1,5 @@
-"""What may be out of service at once in a fleet: budgets that all share, permits to use them, and what ends those.
+"""Limits how much of a fleet may be out of service at once: shared budgets, permits to use them, and how permits end.
 
-Its decisions are pure (`ledger`): what is seen of units goes in, grants and ends come out. The agent records them
-before anybody is told, and asks the instances for the evidence.
+The decisions do no I/O (`ledger`): observations of units go in, granted and ended permits come out. The agent records
+each decision before it tells anybody, and asks the instances for the evidence.
 """
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -1,8 +1,8 @@
-"""What is out among upstreams, by what several sidecars see of the list and of their own windows. No I/O, no clock.
+"""Decides which upstreams are out, from what several sidecars see in discovery and in their windows. No I/O, no clock.
 
-One that sees most ill where others don't is ill itself, and is left out; one that many see ill is ill. Where they
-disagree a unit counts as out and is not known to be: nobody is taken for well against a quarter of those who look, and
-where more than three look nobody's word alone takes one for ill.
+A sidecar that sees most upstreams as out while the others don't is faulty itself and is ignored. An upstream that most
+sidecars see as out is out. Where they disagree it counts as out without being known to be out: no upstream counts as in
+service if a quarter of the sidecars disagree, and with more than three a single one can't make it count as out.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 from ironscale.disruption.model import Of, Sight, Unit
 
-QUORUM = 3  # that have answered; fewer where there are no more
-DISSENT = 4  # one of so many that says out is enough for it to count
+QUORUM = 3  # sidecars that must have answered; fewer if fewer are connected
+DISSENT = 4  # an upstream counts as out if one sidecar in this many sees it so
 
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """One upstream, as one sidecar has it."""
+    """One upstream as one sidecar sees it."""
 
     unit: Unit
-    why: str  # empty = in service, as far as this sidecar can tell
+    why: str  # why it is out; empty = in service, as far as this sidecar can tell
     warmth: float = 1.0
-    started: str = ""  # which process
+    started: str = ""  # start time of the upstream's process, to tell processes apart
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """All that one sidecar has on its list, at one moment."""
+    """All upstreams that one sidecar knows at one moment."""
 
     who: str
-    asked_ms: int  # when the question was put whose answer this is
-    looks: Mapping[str, Look]  # by the upstream's name
+    asked_ms: int  # when the request was sent that this answers
+    looks: Mapping[str, Look]  # by name
 
 
 def merged(views: Sequence[View], connected: int, known: Iterable[Unit]) -> list[Sight]:
-    """Of every upstream that a fresh view lists, or that is `known` from before. `connected`: sidecars that could have
-    answered."""
+    """Combines the sidecars' views into one observation of each upstream that a view lists or that is `known` from
+    before. `connected` is the number of sidecars that could have answered."""
     units = {unit.name: unit for unit in known}
     for view in sorted(views, key=lambda view: view.asked_ms):
         units |= {name: look.unit for name, look in view.looks.items()}
@@ -49,7 +49,7 @@
 
 
 def _sound(views: Sequence[View], count: int) -> list[View]:
-    """Without those that see most ill while most of the others see few so."""
+    """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
     ill = {view.who: count - sum(not look.why for look in view.looks.values()) for view in views}
     if len(views) < QUORUM or median(ill.values()) * DISSENT >= count:
         return list(views)
@@ -67,11 +67,12 @@
     if ill >= enough:
         reasons = Counter("not listed" if look is None else look.why for _, look in looks if look is None or look.why)
         why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
-        # by most it is out for certain; by some it counts, and can't be taken out as if it were
+        # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
+        # not treat it as already out.
         return Sight(unit, 1.0, f"{why} by {count} of {total}", known=2 * ill > total)
     processes = {look.started for _, look in well}
     warmth = median(look.warmth for _, look in well)
-    # the answer to the latest question that most of all have answered so
+    # the latest request time by which a majority of all sidecars confirm that it serves
     asked = sorted((view.asked_ms for view, _ in well), reverse=True)
     why = f"cold, {warmth:.0%}" if warmth < 1.0 else ""
     return Sight(unit, round(1.0 - warmth, 4), why, boot=max(processes), asked_ms=asked[total // 2]
@@ -79,7 +80,7 @@
 
 
 def ought(name: str, entry: Mapping[str, object]) -> Look:
-    """A sidecar's own entry, as `inspect` gives it. Raises KeyError, TypeError or ValueError."""
+    """Converts one upstream of a sidecar's `inspect` answer. Raises KeyError, TypeError or ValueError."""
     state = str(entry["state"])
     unit = Unit(Of.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
                 weight=float(str(entry["weight"])) or 1.0)
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -1,11 +1,11 @@
-"""Who may take what out of service, and when that is over. No I/O, no clock, no randomness.
+"""Decides who may take which units out of service, and when a permit has ended. No I/O, no clock, no randomness.
 
-A unit counts as out once, by the worst of what is known: as it was seen, or because a permit covers it. A permit counts
-from the moment it is reserved, which is before it is recorded, which is before anybody is told. It stops counting by
-evidence alone: its holder can act no more, and afterwards its units were asked and serve.
+A unit counts as out once, whether because of an observation or because a permit covers it. A permit counts from the
+moment it is reserved, which is before it is recorded, which is before anybody is told. It stops counting only on
+evidence: its holder can't act any more, and after that its units were asked and serve.
 
-Times are milliseconds of the leader's monotonic clock: steps of the wall clock end no lease. Another leader starts all
-leases anew, which costs time and no safety.
+Times are milliseconds of the leader's monotonic clock, so that steps of the wall clock end no lease. A new leader
+starts all leases anew, which costs time but is safe.
 """
 
 from __future__ import annotations
@@ -17,27 +17,28 @@
 
 from ironscale.disruption.model import COUNTS, Budget, Impossible, Of, Permit, Phase, Sight, Unit
 
-AGES_MS = 60_000  # so much waiting is worth one step of priority: nothing waits for ever behind what is dearer
-# Sidecars hear from discovery late that an upstream has gone: up to 6 s by the protocol, and one more for the call.
+AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
+# Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
+# answer to a request sent within this time of a permit's return is no evidence that the unit serves.
 SETTLES_MS = {Of.SIDECAR: 0, Of.UPSTREAM: 7_000}
-NAMED = 5  # units that an explanation names
-SLACK = 1e-9  # of sums of fractions
+NAMED = 5  # units that an explanation lists
+SLACK = 1e-9  # for rounding errors in sums of fractions
 
 
 @dataclass(slots=True, eq=False)
 class Cell:
-    """One budget, or its part for one value of `each`."""
+    """The counts of one budget, or of its part for one value of `each`."""
 
     budget: Budget
     value: str
     units: set[str] = field(default_factory=set)
     weight: float = 0.0
-    out: float = 0.0  # units
+    out: float = 0.0  # units that count as out, with fractions
     weight_out: float = 0.0
-    which: dict[str, None] = field(default_factory=dict)  # of its units, those that are out, in part at least
+    which: dict[str, None] = field(default_factory=dict)  # its units that are out, at least in part
 
     def most(self) -> float:
-        """Units that may be out at once."""
+        """Number of units that may be out at once."""
         most = math.inf if self.budget.number is None else float(self.budget.number)
         if self.budget.share is not None:
             most = min(most, max(1.0, math.floor(self.budget.share * len(self.units) + SLACK)))
@@ -51,7 +52,7 @@
                 and self.weight_out + weight <= self.most_weight() + SLACK * max(1.0, self.weight))
 
     def could_have(self, units: float, weight: float) -> bool:
-        """With nothing else out."""
+        """Whether this would be within the limits if nothing else were out."""
         return units <= self.most() + SLACK and weight <= self.most_weight() + SLACK * max(1.0, self.weight)
 
     @property
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """Who waits for room, a permit or an operation, and for what."""
+    """A permit or an operation that waits for room in some cells of budgets."""
 
     name: str
     priority: int
@@ -70,38 +71,42 @@
     cells: frozenset[Cell]
 
     def place(self, now_ms: int) -> tuple[int, int]:
+        """Sort key: the lowest is served first."""
         return -(self.priority + max(0, now_ms - self.since_ms) // AGES_MS), self.order
 
 
 class Ledger:
+    """Keeps observations, permits and the order of those that wait; decides which permits are granted and ended."""
+
     def __init__(self, budgets: Sequence[Budget]) -> None:
         self.budgets = tuple(budgets)
         self.sights: dict[str, Sight] = {}
         self.cells: dict[tuple[str, str], Cell] = {}
         self.cells_of: dict[str, tuple[Cell, ...]] = {}
-        self.permits: dict[int, Permit] = {}  # that wait or count
-        self.covers: dict[str, set[int]] = {}  # unit -> permits that count
+        self.permits: dict[int, Permit] = {}  # those that wait or count
+        self.covers: dict[str, set[int]] = {}  # key of a unit -> ids of the permits that cover it
         self.renewed_ms: dict[int, int] = {}
         self.returned_ms: dict[int, int] = {}
         self.waiters: dict[str, Waiter] = {}
         self.order = 0
-        self.halted = ""  # by whom and why: nothing is granted that would take more out
+        self.halted = ""  # who halted the fleet and why; while set, no more units are taken out
 
-    # What is seen
+    # Observations
 
     def out(self, key: str) -> float:
-        """Of 1, how much of a unit counts as out."""
+        """How much of a unit counts as out, from 0.0 to 1.0."""
         if self.covers.get(key):
             return 1.0
         sight = self.sights.get(key)
         return sight.out if sight is not None else 1.0
 
     def see(self, sight: Sight) -> bool:
-        """Takes in what was seen last; True where it may make room, or end a permit."""
+        """Stores the latest observation of a unit. Returns whether it may make room or end a permit."""
         key, unit = sight.unit.key, sight.unit
         old = self.sights.get(key)
         if old is not None and old.asked_ms > sight.asked_ms and old.boot == sight.boot and old.out == sight.out:
-            sight = replace(sight, asked_ms=old.asked_ms)  # a heartbeat that says the same
+            # a heartbeat with the same state keeps the request time of the last answer
+            sight = replace(sight, asked_ms=old.asked_ms)
         if old is None or old.unit != unit:
             self.forget(key)
             self.cells_of[key] = tuple(self._cell(budget, unit) for budget in self.budgets if budget.matches(unit))
@@ -117,7 +122,7 @@
         return self.out(key) < before or bool(self.covers.get(key))
 
     def forget(self, key: str) -> None:
-        """A unit that is there no more, by a hand: it is not out, it is none."""
+        """Removes a unit that an operator has declared gone for good; it no longer counts at all."""
         sight = self.sights.get(key)
         if sight is None:
             return
@@ -148,25 +153,26 @@
     # Room
 
     def is_bound(self, key: str) -> bool:
-        """Whether any budget counts this unit."""
+        """Whether any budget covers this unit."""
         return bool(self.cells_of.get(key))
 
     def waits_for(self, permit: Permit, now_ms: int) -> str:
+        """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(name_of(permit))
         place = waiter.place(now_ms) if waiter is not None else (0, self.order + 1)
         return self.stands_in_the_way(permit.units, name_of(permit), place, now_ms)
 
     def all_cells(self) -> list[Cell]:
-        """Also of budgets that match nothing."""
+        """All cells in order, including an empty one for each budget that matches no unit."""
         empty = [Cell(budget, "") for budget in self.budgets
                  if not any(cell.budget is budget for cell in self.cells.values())]
         return sorted([*self.cells.values(), *empty], key=lambda cell: (cell.budget.name, cell.value))
 
     def _adds(self, units: Iterable[str]) -> dict[Cell, tuple[float, float]]:
-        """What each cell would count more. A unit that is known to be out adds nothing: it can be mended at any time.
-        One that is silent, or that a permit covers already, counts, and is not known to be out: it adds nothing, and
-        still needs its cells to be within their limits. Hazard: where half of a fleet falls silent, and serves, each
-        of it could be taken out as if that changed nothing."""
+        """The additional units and weight of each cell, were these units taken out. A unit that is known to be out is
+        skipped, so that it can be repaired at any time. One that is silent or already covered by a permit counts as out
+        without being known to be out: it adds nothing, but its cells must be within their limits. Otherwise, if half
+        of a fleet fell silent while still serving, every one of those units could be taken out."""
         found: dict[Cell, tuple[float, float]] = {}
         for key in units:
             sight = self.sights.get(key)
@@ -179,7 +185,7 @@
         return found
 
     def check(self, units: Iterable[str]) -> None:
-        """Raises Impossible where these could not be out together even with all else in service."""
+        """Raises ImpossibleRequest if these units could not be out together even with all others in service."""
         whole: dict[Cell, tuple[float, float]] = {}
         for key in units:
             for cell in self.cells_of.get(key, ()):
@@ -192,7 +198,7 @@
 
     def stands_in_the_way(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
                           is_way_back: bool = False) -> str:
-        """Why these can't go out now; empty = they can."""
+        """Why these units can't be taken out now; empty = they can. Halts don't block a rollback."""
         adds = self._adds(units)
         if not adds:
             return ""
@@ -200,13 +206,14 @@
             return f"halted by {self.halted}"
         if not self._fit(adds):
             return next(self.explain(cell) for cell, more in adds.items() if not cell.has_room(*more))
-        # hazard: small requests would keep passing a large one, which never finds all its room at once
+        # without this, small requests would keep overtaking a large one, which would never find enough room at once
         for other in self.waiters.values():
             if other.name != waiter and other.place(now_ms) < place and not other.cells.isdisjoint(adds):
                 return f"{other.name} waits before it"
         return ""
 
     def explain(self, cell: Cell) -> str:
+        """How much of a cell is out, and which units."""
         named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(NAMED, cell.which)]
         more = f" and {len(cell.which) - NAMED} more" if len(cell.which) > NAMED else ""
         listed = f" ({', '.join(named)}{more})" if named else ""
@@ -220,6 +227,7 @@
         return " and ".join(parts)
 
     def why(self, key: str) -> str:
+        """Why a unit counts as out."""
         sight = self.sights.get(key)
         if sight is not None and sight.out > 0.0:
             return sight.why
@@ -229,12 +237,12 @@
     # Permits
 
     def load(self, permits: Iterable[Permit], now_ms: int) -> None:
-        """As the record has them, under a new leader: every lease starts anew, every end has yet to be seen."""
+        """Loads the recorded permits in a new leader: leases start anew, and each return needs new evidence."""
         for permit in permits:
             self.put(permit, now_ms)
 
     def put(self, permit: Permit, now_ms: int) -> None:
-        """Takes over what was decided, or recorded."""
+        """Stores the new state of a permit and updates the counts and the waiters."""
         old = self.permits.get(permit.id)
         before = {key: self.out(key) for key in permit.units}
         if permit.phase in COUNTS or permit.phase is Phase.WAITING:
@@ -258,7 +266,7 @@
             self.waiters.pop(name_of(permit), None)
 
     def wait(self, name: str, priority: int, units: Iterable[str], now_ms: int) -> Waiter:
-        """A place in the order, kept until it has what it waits for."""
+        """Adds or updates a waiter; it keeps its place until `dequeue` or until its permit no longer waits."""
         cells = frozenset(cell for key in units for cell in self.cells_of.get(key, ()))
         old = self.waiters.get(name)
         if old is None:
@@ -271,8 +279,8 @@
         self.waiters.pop(name, None)
 
     def reserve(self, permit: Permit, now_ms: int, is_way_back: bool = False) -> str:
-        """Counts a permit as held if there is room; else says what stands in the way, and it waits in its turn. A halt
-        stops no way back."""
+        """Counts a permit as held if there is room, and returns an empty text; otherwise it waits in its turn, and the
+        reason is returned. Halts don't block a rollback."""
         waiter = name_of(permit)
         mine = self.wait(waiter, permit.priority, permit.units, now_ms)
         problem = self.stands_in_the_way(permit.units, waiter, mine.place(now_ms), now_ms, is_way_back)
@@ -281,14 +289,14 @@
         return problem
 
     def release(self, ident: int, now_ms: int) -> None:
-        """A reservation that was not recorded: nobody has been told of it."""
+        """Drops a reservation that could not be recorded; nobody has been told of it."""
         permit = self.permits.get(ident)
         if permit is not None:
             self.put(permit.to(Phase.WITHDRAWN), now_ms)
 
     def grants(self, now_ms: int) -> list[Permit]:
-        """Those that waited and have room now, reserved, in their order. One look at each that waits: whoever finds no
-        room holds back, in all its cells, those behind it."""
+        """Reserves and returns the waiting permits for which there is room now, in their order. Each is looked at once;
+        one without room holds back all those behind it that need one of its cells."""
         for permit in self.permits.values():
             if permit.phase is Phase.WAITING:
                 self.wait(name_of(permit), permit.priority, permit.units, now_ms)
@@ -296,7 +304,7 @@
         taken: set[Cell] = set()
         granted = []
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.place(now_ms)):
-            found = waiting.get(waiter.name)  # None: an operation, which asks by itself
+            found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
             adds = self._adds(found.units) if found is not None else {}
             if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._fit(adds))):
                 taken |= waiter.cells
@@ -311,36 +319,37 @@
         return all(cell.has_room(number, weight) for cell, (number, weight) in adds.items())
 
     def renew(self, ident: int, now_ms: int) -> Permit:
-        """Its holder is there. One whose lease had run out is held again: its units have counted all the time."""
+        """Renews a lease. An expired permit becomes held again; its units have counted as out all the time."""
         self.renewed_ms[ident] = now_ms
         permit = self.permits[ident]
         return permit.to(Phase.HELD) if permit.phase is Phase.UNKNOWN else permit
 
     def lapses(self, now_ms: int) -> list[Permit]:
-        """Leases that have run out: not known any more, and not free."""
+        """Held permits whose lease has expired, in phase UNKNOWN; their units still count as out."""
         return [p.to(Phase.UNKNOWN, "its lease ran out; whether its holder goes on is not known")
                 for p in self.permits.values()
                 if p.phase is Phase.HELD and p.lease_ms and now_ms - self.renewed_ms[p.id] >= p.lease_ms]
 
     def asks(self) -> list[str]:
-        """Units whose permits are returned, and that have to be asked whether they serve."""
+        """Keys of units with a returned permit that still have to be asked whether they serve."""
         return sorted({key for p in self.permits.values() if p.phase is Phase.RETURNED for key in p.units
                        if key in self.sights and not self._is_shown(p, key)})
 
     def _is_shown(self, permit: Permit, key: str) -> bool:
-        """Whether the unit serves by an answer to what was asked after the return. Hazard: a heartbeat that was on its
-        way tells of the time before the holder acted."""
+        """Whether the unit serves, by an answer to a request that was sent after the permit's return. A heartbeat is no
+        evidence: it may have been on its way since before the holder acted."""
         sight = self.sights.get(key)
         if sight is None:
-            return True  # forgotten by a hand: it is none any more
+            return True  # an operator has removed it
         after_ms = self.returned_ms[permit.id] + SETTLES_MS[sight.unit.of]
         return sight.out <= 0.0 and sight.asked_ms > 0 and sight.asked_ms >= after_ms
 
     def ends(self) -> list[Permit]:
-        """Returned ones whose units all serve again."""
+        """Returned permits whose units all serve again, in phase ENDED."""
         return [p.to(Phase.ENDED) for p in self.permits.values()
                 if p.phase is Phase.RETURNED and all(self._is_shown(p, key) for key in p.units)]
 
 
 def name_of(permit: Permit) -> str:
+    """Name under which a permit, or its operation, waits."""
     return f"operation {permit.operation}" if permit.operation else f"permit {permit.id}"
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -1,4 +1,4 @@
-"""Units that can be out, what is seen of them, budgets over them, and permits. No I/O."""
+"""Units that can be out of service, observations of them, budgets over them, and permits. No I/O."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 
 
 class Of(enum.StrEnum):
+    """The kind of a unit."""
+
     SIDECAR = "sidecar"
     UPSTREAM = "upstream"
 
 
 @dataclass(frozen=True, slots=True)
 class Unit:
-    """One thing that serves, or is out."""
+    """A sidecar or an upstream, which is either in service or out."""
 
     of: Of
     name: str
     service: str = ""
     zone: str = ""
-    kind: str = ""  # of machine
+    kind: str = ""  # kind of machine
     group: str = ""  # units that fail together
-    weight: float = 1.0  # of its capacity, beside others of its sort
+    weight: float = 1.0  # its capacity, relative to other units of the same kind
 
     @property
     def key(self) -> str:
@@ -37,28 +39,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Sight:
-    """A unit as it was last seen. What is not known counts as out."""
+    """The last known state of a unit. A unit whose state is not known counts as out."""
 
     unit: Unit
-    out: float  # of 1, the share of it that does not serve
-    why: str = ""  # in a word; empty = it serves
-    known: bool = True  # hazard: what is silent may be serving, and can't be taken out as if it were not
-    boot: str = ""  # the process that was seen
-    # when the question was put whose answer this is, on the leader's monotonic clock; 0 = nobody asked (a heartbeat)
+    out: float  # the part of it that does not serve, from 0.0 to 1.0
+    why: str = ""  # why it is out, in a few words; empty = it serves
+    # False = not sure: a silent unit may still serve, so a permit for it must not treat it as already out
+    known: bool = True
+    boot: str = ""  # identifies the process that was observed
+    # when the request was sent that this answers, by the leader's monotonic clock; 0 = unsolicited (a heartbeat)
     asked_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How much of what it matches may be out at once. Of several limits, and of several budgets, the tightest rules."""
+    """How many of the units that it matches may be out at once. Of several limits or budgets all must hold."""
 
     name: str
     of: Of
-    where: tuple[tuple[str, str], ...] = ()  # attribute and pattern (`*`, `?`), all of which hold
-    each: str = ""  # counted apart for each value of this attribute; empty = all together
+    where: tuple[tuple[str, str], ...] = ()  # attributes and patterns (`*`, `?`); a unit must match all of them
+    each: str = ""  # attribute whose values are counted separately; empty = all units together
     number: int | None = None
-    share: float | None = None  # of the units, rounded down, and one at least: else few could never be worked on
-    capacity: float | None = None  # share of the summed weights
+    # of the units, rounded down but at least one; otherwise a small group of units could never be worked on
+    share: float | None = None
+    capacity: float | None = None  # share of the sum of the weights
 
     def matches(self, unit: Unit) -> bool:
         return unit.of is self.of and all(
@@ -69,12 +73,12 @@
 
 
 class Phase(enum.StrEnum):
-    """Of a permit. While it is held, unknown or returned its units count as out, whatever they show."""
+    """Phase of a permit. While it is held, unknown or returned its units count as out, whatever is observed."""
 
     WAITING = "waiting"
     HELD = "held"
-    UNKNOWN = "unknown"  # its lease has run out: what its holder does is not known
-    RETURNED = "returned"  # its holder is through; that its units serve again is still to be seen
+    UNKNOWN = "unknown"  # its lease has expired; whether its holder goes on is not known
+    RETURNED = "returned"  # its holder has finished; that the units serve again is not confirmed yet
     ENDED = "ended"
     WITHDRAWN = "withdrawn"  # before it was granted
 
@@ -84,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave to take units out of service."""
+    """Permission to take units out of service."""
 
     id: int
-    key: str  # its holder's word for it: asked for again, it is this one
+    key: str  # chosen by the holder; another request with the same key gets the same permit
     holder: str
-    units: tuple[str, ...]  # keys
+    units: tuple[str, ...]  # their `Unit.key`
     reason: str = ""
     priority: int = 0
     phase: Phase = Phase.WAITING
-    created_ms: int = 0  # Unix time, for people
-    lease_ms: int = 0  # it has to be renewed so often; 0 = it is an operation's, which the record itself holds
+    created_ms: int = 0  # Unix time, for display only
+    lease_ms: int = 0  # must be renewed within this time; 0 = it belongs to an operation, which the record holds
     operation: int = 0
     note: str = ""
     ended_ms: int = 0  # Unix time
@@ -103,7 +107,7 @@
         return replace(self, phase=phase, note=note)
 
     def packed(self) -> dict[str, Any]:
-        """For the record; `id`, `holder` and `key` have columns of their own."""
+        """The stored form; `id`, `holder` and `key` have columns of their own."""
         return {"units": list(self.units), "reason": self.reason, "priority": self.priority, "phase": str(self.phase),
                 "created_ms": self.created_ms, "lease_ms": self.lease_ms, "operation": self.operation,
                 "note": self.note, "ended_ms": self.ended_ms}
@@ -116,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """Nothing more is taken out, in the whole fleet, until it is lifted."""
+    """Stops all further disruption in the whole fleet until it is lifted."""
 
     id: int
     actor: str
@@ -131,4 +135,4 @@
 
 
 class Impossible(Exception):
-    """No room will ever be enough; the text is one line."""
+    """A request that exceeds a budget even with nothing else out; the text is one line."""
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -1,8 +1,9 @@
-"""Whether a release may go on: what the changed part of a fleet serves, beside the untouched part at the same moment.
+"""Decides whether a release may continue, by comparing the changed part of a fleet with the untouched part.
 
-No I/O, no clock. Not against yesterday, and not against a fixed share: a busy hour makes both parts worse alike.
-Intervals are Clopper's and Pearson's (Biometrika 1934), exact for any count, by scipy's beta distribution; scipy is
-loaded where the first release is judged, and nowhere before.
+No I/O, no clock. Both parts are compared over the same time, not with yesterday or with a fixed error rate, because a
+busy hour makes both parts worse alike. The confidence intervals are those of Clopper and Pearson (Biometrika 1934),
+which are exact for any count, computed with scipy's beta distribution. scipy is imported only when the first release is
+judged.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-CONFIDENCE = 0.999  # of each look, as many looks are made while a wave soaks
+CONFIDENCE = 0.999  # of each single comparison; this high because many are made while a wave soaks
 BAD = ("refused", "failed")
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Answers of one class since the wave had settled."""
+    """Numbers of answers of one request class since the wave was applied."""
 
     served: int = 0
     refused: int = 0
@@ -37,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """When a wave has soaked."""
+    """How long a wave is observed, and how much worse than the untouched part it may be."""
 
-    soak_ms: int = 0  # no sooner than this
-    margin: float = 0.02  # of all answers, by which the changed part may be worse
-    most_ms: int = 60_000  # after so long without enough to see, the rule below
-    unsure: str = "halt"  # or "go": a fleet with hardly any traffic never shows enough
+    soak_ms: int = 0  # minimum time of observation
+    margin: float = 0.02  # by how much the share of bad answers may be higher in the changed part
+    most_ms: int = 60_000  # if there are too few answers to decide after this time, `unsure` decides
+    unsure: str = "halt"  # or "go", for a fleet with so little traffic that there are never enough answers
 
 
 class Word(enum.StrEnum):
@@ -58,7 +59,7 @@
 
 
 def bounds(bad: int, count: int) -> tuple[float, float]:
-    """The share of bad answers lies between these, with CONFIDENCE on each side."""
+    """Confidence interval of the share of bad answers; each bound holds with probability CONFIDENCE."""
     from scipy.stats import beta
 
     if count == 0:
@@ -69,7 +70,7 @@
 
 
 def judge(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: Rule, soaked_ms: int) -> Verdict:
-    """By class and by what is bad: one class, or refusals beside failures, may hide in the sum."""
+    """Compares each class, and refusals and failures separately, because a sum over all could hide a change in one."""
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
         one, other = changed.get(name, Counts()), untouched.get(name, Counts())
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -1,4 +1,7 @@
-"""Which agent an instance follows, when it looks for another, and how the many that look are spread. Pure."""
+"""Decides which agent an instance follows, when it tries another one, and how many followers reconnect at a time.
+
+Nothing here does I/O or reads a clock.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,21 @@
 
 from ironscale.versions.model import Labels
 
-# An instance has to have a version within 12 s of its commit, whichever agent is lost. The worst sum: an agent that was
-# stopped is found out (SILENT_S), or one that is cut off from the record (STALE_S and a bookmark's gap), then the next
-# is dialled within the spread that the size asks for, and answers or is given up on (CONNECT_S each).
-BOOKMARK_S = 1.0  # an agent says so often what position it has, and how old that is
-SILENT_S = 3.0
-STALE_S = 2.5  # of an agent's word that it has reached the record
+# An instance must receive a version within DELIVERY_LIMIT_S of its commit, whichever agent is lost. The worst case is
+# the sum of these: the time to detect an agent that was stopped (SILENT_AFTER_S) or that is cut off from the record
+# (STALE_AFTER_S plus the interval between two bookmarks), the time over which followers spread their reconnects (it
+# depends on their number), and for each agent that is dialled an answer or a timeout (CONNECT_TIMEOUT_S).
+BOOKMARK_S = 1.0  # how often an agent sends its position and how long ago it last reached the record
+SILENT_S = 3.0  # an agent that has sent nothing for this long counts as lost
+STALE_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
 CONNECT_S = 1.0
 LIMIT_S = 12.0
-FOLD_S = 0.1  # what is committed within it is told at once
+FOLD_S = 0.1  # commits within this interval are sent to a follower as one update
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """An agent that serves versions."""
+    """Address and location of an agent that serves versions."""
 
     host: str
     port: int
@@ -30,13 +34,13 @@
 
 
 def weight(instance: str, place: Place) -> int:
-    """Rendezvous hashing: an agent that is lost leaves its instances to all others alike."""
+    """Rendezvous hashing: the instances of an agent that is lost spread evenly over the other agents."""
     text = f"{instance}\0{place.host}:{place.port}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
 def order(labels: Labels, places: Sequence[Place]) -> tuple[Place, ...]:
-    """All of them: the own zone's first, then the region's, then any."""
+    """All agents in order of preference: first those in the instance's zone, then in its region, then the others."""
     def far(place: Place) -> int:
         if labels.zone and place.zone == labels.zone:
             return 0
@@ -46,32 +50,32 @@
 
 
 def spread_s(followers: int, a_second: float, agents: int) -> float:
-    """Over how long those of a lost agent dial the others: each of these takes `a_second`."""
+    """Time over which the followers of a lost agent reconnect, as each other agent admits `admitted_per_s` of them."""
     return followers / (a_second * max(1, agents - 1))
 
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """What an agent said last of itself."""
+    """What an agent last reported about itself."""
 
     position: int
-    age_s: float  # since it last reached the record
+    age_s: float  # time since the agent last reached the record
 
 
 def looks_elsewhere(heard: Heard | None, silent_s: float) -> bool:
-    """Whether an instance that follows an agent tries others beside it."""
+    """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
     return heard is None or silent_s >= SILENT_S or heard.age_s + silent_s >= STALE_S
 
 
 def is_better(other: Heard, own: Heard | None) -> bool:
-    """Whether the other's view is worth going there: fresh where ours is not, or further. Hazard: two that are both cut
-    off would be changed for one another again and again."""
+    """Whether to switch to the other agent: only where the own one is unknown or stale, and the other is fresh or has a
+    higher position. Otherwise an instance would switch back and forth between two agents that are both cut off."""
     if own is None or own.age_s < STALE_S:
         return own is None
     return other.age_s < STALE_S or other.position > own.position
 
 
 def is_home(other: Heard, own: Heard | None, there: Place, here: Place, order: Sequence[Place]) -> bool:
-    """Whether the other is nearer, and as good."""
+    """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
     nearer = order.index(there) < order.index(here)
     return nearer and other.age_s < STALE_S and (own is None or other.position >= own.position)
--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -1,8 +1,9 @@
-"""What an agent or an instance holds of the log: the newest entry of each scope, up to a position. Pure.
+"""The compacted log that an agent or an instance holds: the newest entry of each scope, up to a position. No I/O.
 
-As a compacted topic of Kafka's: an entry goes once a newer one of its scope is there, so what came after any position
-can be told from the newest entries alone. Only entries without an overlay are ever dropped whole; who is behind the
-last that was (`floor`) needs a snapshot, since a change could not tell it that a scope is gone.
+It works like a compacted Kafka topic: an entry is dropped once a newer one of its scope exists, so everything that
+changed after any position can be derived from the newest entries alone. Only removals (entries without an overlay, the
+tombstones) are ever dropped without a successor. A follower that is behind the last dropped removal (`floor`) needs a
+snapshot, because an incremental change could not tell it that the scope was removed.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 
 class ViewError(ValueError):
-    """Entries that can't follow what is held; nothing was taken. The text is one line."""
+    """A change that does not continue this view; the view was left as it was. The text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """From `since` to `position`: the newest entries after `since`; as a snapshot, all of them."""
+    """The step from `since` to `position`: the newest entries after `since`, or all of them if it is a snapshot."""
 
-    lineage: str  # of the log: positions of another can't be compared
+    lineage: str  # identifies the log; positions of different lineages can't be compared
     position: int
     since: int
     is_snapshot: bool
@@ -31,13 +32,16 @@
 
 @dataclass(slots=True)
 class View:
+    """The newest entry of each scope at one position of a log."""
+
     lineage: str = ""  # empty = nothing is known yet
     position: int = 0
     floor: int = 0
     entries: dict[Scope, Entry] = field(default_factory=dict)
 
     def change(self, since: int, lineage: str) -> Change | None:
-        """What one at `since` of `lineage` lacks; None where it is ahead of this view, and must be told nothing."""
+        """What a reader at position `since` of `lineage` lacks; None if it follows another lineage or is ahead of this
+        view, and must be sent nothing."""
         if lineage and lineage != self.lineage:
             return None
         if since > self.position:
@@ -48,7 +52,7 @@
                       tuple(sorted(found, key=lambda entry: entry.version)))
 
     def take(self, change: Change) -> set[Scope]:
-        """Follows; gives the scopes that changed. What is held already changes nothing, so a change may come twice.
+        """Applies a change and returns the scopes that changed. Applying the same change twice is harmless.
         Raises ViewError."""
         if self.lineage and change.lineage != self.lineage:
             raise ViewError(f"lineage: expected {self.lineage}, got {change.lineage}")
@@ -70,24 +74,24 @@
         return changed
 
     def layers(self, labels: Labels) -> tuple[Entry, ...]:
-        """Of one instance, from wide to narrow."""
+        """The entries that apply to one instance, from the widest scope to the narrowest."""
         return tuple(self.entries[scope] for scope in labels.scopes() if scope in self.entries)
 
     def dropped(self, before: int) -> View:
-        """Without the entries at or before `before` that say no more than that their scope has none."""
+        """A copy without the removals (entries without an overlay) at or before version `before`."""
         gone = [entry.version for entry in self.entries.values() if entry.overlay is None and entry.version <= before]
         kept = {scope: entry for scope, entry in self.entries.items() if entry.version not in set(gone)}
         return replace(self, entries=kept, floor=max([self.floor, *gone]))
 
 
 def narrowed(change: Change, labels: Labels) -> Change:
-    """What of it concerns one instance."""
+    """The change with only the entries whose scope includes the instance."""
     scopes = set(labels.scopes())
     return replace(change, entries=tuple(entry for entry in change.entries if entry.scope in scopes))
 
 
 def folded(changes: Iterable[Change]) -> Change | None:
-    """One change in place of several that follow one another. Raises ViewError where they don't."""
+    """Merges consecutive changes into one; None if there are none. Raises ViewError if they have a gap between them."""
     found: Change | None = None
     for change in changes:
         if found is None or change.is_snapshot:
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -1,4 +1,4 @@
-"""One instance that follows: what it holds, what it runs, and what it makes of an update. Pure."""
+"""The state of one following instance: the log it holds, the configuration it runs, and its updates. No I/O."""
 
 from __future__ import annotations
 
@@ -12,32 +12,34 @@
 
 
 class Word(Enum):
-    """What an update asks for."""
+    """What the instance has to do after an update."""
 
-    NOTHING = "nothing"  # it says where the agent is, or what is held already
-    APPLY = "apply"  # `wanted` differs from what runs
-    REREAD = "reread"  # what is held can't be what the agent holds: all of it is asked for again
-    STRANGE = "strange"  # of another log; it is not followed
+    NOTHING = "nothing"  # the update brought nothing new, or only the agent's position
+    APPLY = "apply"  # `desired` differs from what runs
+    REREAD = "reread"  # this state does not match the agent's: a snapshot has to be requested
+    STRANGE = "strange"  # the update belongs to another log; it is not followed
 
 
 @dataclass(slots=True)
 class Following:
+    """What one instance knows of the log, which configuration follows from it, and which one runs."""
+
     labels: Labels
     view: View = field(default_factory=View)
-    wanted: dict[str, Any] = field(default_factory=dict)  # what is held comes to
+    wanted: dict[str, Any] = field(default_factory=dict)  # the overlay that results from `view`
     wanted_digest: str = field(default_factory=lambda: digest({}))
-    running: int = 0  # the position whose configuration runs
+    running: int = 0  # position of the configuration that runs
     running_digest: str = field(default_factory=lambda: digest({}))
     status: str = "applied"
     detail: str = ""
     reread: bool = False
 
     def since(self) -> int:
-        """What an agent is told that this instance holds; 0 asks for a snapshot."""
+        """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
         return 0 if self.reread else self.view.position
 
     def take(self, change: Change, told_digest: str) -> Word:
-        """Nothing older is ever taken: an agent that is behind is heard, and not followed back."""
+        """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
         if self.view.lineage and change.lineage != self.view.lineage:
             return Word.STRANGE
         if change.position < self.view.position:
@@ -54,7 +56,7 @@
         wanted = effective(self.view.layers(self.labels))
         found = digest(wanted)
         if found != told_digest:
-            # hazard: a change that was lost on the way would be missing for good
+            # a change was lost on the way; without a snapshot it would be missing for good
             self.view, self.reread = before, True
             return Word.REREAD
         self.reread = False
@@ -63,15 +65,16 @@
             self.running, self.status, self.detail = self.view.position, "applied", ""
             return Word.NOTHING
         if self.status != "applied" and before.position and not change.entries:
-            return Word.NOTHING  # refused already, and nothing new came: it is not tried again and again
+            return Word.NOTHING  # already refused, and there is nothing new: don't retry the same configuration
         return Word.APPLY
 
     def applied(self) -> None:
+        """Notes that the desired configuration now runs."""
         self.running, self.running_digest = self.view.position, self.wanted_digest
         self.status, self.detail = "applied", ""
 
     def refused(self, status: str, detail: str) -> None:
-        """What ran before goes on; the next version is tried."""
+        """Notes that the desired configuration was not applied: the former one keeps running until the next version."""
         self.status, self.detail = status, detail
 
     def overlay(self) -> Mapping[str, Any]:
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -1,7 +1,8 @@
-"""A published version, whom it concerns, and what comes of several of them. Pure.
+"""A published version, the instances in its scope, and how several versions combine. No I/O.
 
-A version is one committed entry of one log: a JSON merge patch (RFC 7396) for a scope. An instance runs the newest
-entry of each scope that it is in, the narrower over the wider: all, region, zone, service, instance.
+A version is one committed entry of the log: a JSON merge patch (RFC 7396) for a scope. An instance combines the newest
+entry of each scope that it is in; narrower scopes override wider ones, in the order all, region, zone, service,
+instance.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from hashlib import blake2b
 from typing import Any
 
-# Bytes of one entry's patch as JSON. Hazard: what all five scopes of an instance say has to fit one frame of the
-# control connection (128 KB) beside its envelope, or that instance could be told nothing more.
+# Size of one entry's patch as JSON. The patches of all five scopes of an instance must fit into one frame of the
+# control connection (128 KB) together with the envelope; otherwise no update could be sent to that instance any more.
 MOST_OVERLAY = 24 << 10
-MOST_DEPTH = 24  # objects and lists in one another
+MOST_DEPTH = 24  # levels of nested objects and lists
 MAX_NAME = 128
 
 
 class ScopeError(ValueError):
-    """A scope that can't be; the text is one line."""
+    """A text that is not a valid scope; the message is one line."""
 
 
 class Reach(IntEnum):
-    """From wide to narrow: the later goes before."""
+    """Kinds of scopes from wide to narrow; narrower ones take precedence."""
 
     ALL = 0
     REGION = 1
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Scope:
-    """Written `all` or `zone=a`."""
+    """A set of instances; its text form is `all` or for instance `zone=a`."""
 
     reach: Reach
     name: str = ""
@@ -49,7 +50,7 @@
 
 
 def read_scope(text: str) -> Scope:
-    """Raises ScopeError."""
+    """Parses the text form of a scope. Raises ScopeError."""
     if text == "all":
         return ALL
     reach, mark, name = text.partition("=")
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Labels:
-    """Where an instance belongs; an empty label is in no scope of that reach."""
+    """Names and location of an instance; with an empty label it is in no scope of that kind."""
 
     instance: str
     service: str = ""
@@ -70,7 +71,7 @@
     region: str = ""
 
     def scopes(self) -> tuple[Scope, ...]:
-        """From wide to narrow."""
+        """The scopes that include the instance, from the widest to the narrowest."""
         named = ((Reach.REGION, self.region), (Reach.ZONE, self.zone), (Reach.SERVICE, self.service),
                  (Reach.INSTANCE, self.instance))
         return (ALL, *(Scope(reach, name) for reach, name in named if name))
@@ -78,21 +79,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One version of the log. Without an overlay the scope has none from here on."""
+    """One version in the log. An entry without an overlay removes the overlay of its scope."""
 
-    version: int  # its position in the log, from 1 on
+    version: int  # its position in the log, starting at 1
     scope: Scope
     overlay: Mapping[str, Any] | None
-    base: int = 0  # the scope's version that it was made upon; 0 = it had none
-    restores: int = 0  # the version whose overlay it brings back; 0 = it is new
+    base: int = 0  # the scope's version that it replaces; 0 = the scope had none
+    restores: int = 0  # the version whose overlay it restores; 0 = the overlay is new
     actor: str = ""
     at_ms: int = 0
 
 
 def over(below: Any, patch: Any) -> Any:
-    """One merge patch for both, `patch` before `below`: unlike a merge, it keeps what is to be removed. Where `patch`
-    has an object and `below` a removal or a value, that is lost: one after the other they would have emptied the object
-    of the file first, which no merge patch can say."""
+    """Combines two merge patches into one; `patch` takes precedence over `lower`. Unlike applying a patch, this keeps
+    removals (null). Where `patch` has an object and `lower` a removal or a plain value, the latter is lost: applied one
+    after the other they would first empty the object in the file, which a single merge patch can't express."""
     if not isinstance(patch, Mapping):
         return patch
     result = dict(below) if isinstance(below, Mapping) else {}
@@ -102,7 +103,7 @@
 
 
 def effective(layers: Iterable[Entry]) -> dict[str, Any]:
-    """What the newest entries of an instance's scopes come to, the narrower over the wider."""
+    """Combines the newest entries of an instance's scopes into one overlay; narrower scopes override wider ones."""
     result: dict[str, Any] = {}
     for entry in sorted(layers, key=lambda entry: entry.scope.reach):
         if entry.overlay is not None:
@@ -111,9 +112,10 @@
 
 
 def canonical(overlay: Any) -> bytes:
+    """JSON with sorted keys and without spaces, so that equal overlays give equal bytes."""
     return json.dumps(overlay, sort_keys=True, separators=(",", ":"), allow_nan=False).encode("ascii")
 
 
 def digest(overlay: Any) -> str:
-    """Of what an instance runs: two that run the same bytes have the same."""
+    """Digest of an overlay; equal overlays have equal digests."""
     return blake2b(canonical(overlay), digest_size=12).hexdigest()
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -1,4 +1,4 @@
-"""Whether a version may be published, and how much of the log is kept. Pure."""
+"""Decides whether a version may be published, and how much history of the log is kept. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ironscale.versions.model import MOST_DEPTH, MOST_OVERLAY, Entry, Scope, canonical
 
-# The history: so many versions and days, and what was in force when it begins.
+# The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 KEEP = 1_000
 KEEP_MS = 30 * 24 * 3_600_000
 MOST_SCOPES = 10_000
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """What is to become a version. Without an overlay: the scope has none from then on."""
+    """A version to be published. Without an overlay it removes the overlay of its scope."""
 
     scope: Scope
     overlay: Mapping[str, Any] | None
@@ -29,30 +29,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """What the record says at the moment of publishing."""
+    """The recorded state at the moment of publishing."""
 
     position: int
-    newest: Entry | None  # of the scope
-    before: Entry | None  # what that was made upon, where the record still has it; looked up while a halt stands
-    scopes: int  # that have a version, where this one has none
-    halt: str = ""  # who halted the fleet, and why
+    newest: Entry | None  # entry of the scope
+    before: Entry | None  # the entry that `newest` replaced, if the record still has it; only looked up during a halt
+    scopes: int  # number of scopes that have a version; only needed if this one has none
+    halt: str = ""  # who halted the fleet and why; empty = no halt
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
+    """Why a draft can't be published, as it is answered to its author."""
+
     code: str
     text: str
     details: dict[str, Any] = field(default_factory=dict)
 
 
 def depth(value: Any) -> int:
+    """Levels of nested objects and lists in a JSON value; 0 for a plain value."""
     if isinstance(value, Mapping):
         return 1 + max(map(depth, value.values()), default=0)
     return 1 + max(map(depth, value), default=0) if isinstance(value, list) else 0
 
 
 def misfit(draft: Draft) -> Problem | None:
-    """What can be told without the record."""
+    """Checks a draft by itself, without the recorded state; None if it is valid."""
     if not 0 <= draft.base <= MOST_BASE:
         return Problem("BAD_INPUT", f"base: expected a version, or 0 where the scope has none, got {draft.base}")
     if len(draft.note) > MOST_NOTE or not draft.note.isprintable():
@@ -71,7 +74,7 @@
 
 
 def is_way_back(draft: Draft, standing: Standing) -> bool:
-    """To what the scope had before: an earlier version again, or none where it had none."""
+    """Whether the draft returns to what the scope had before: an earlier version, or no overlay if it had none."""
     newest = standing.newest
     if draft.restores:
         return True
@@ -81,8 +84,9 @@
 
 
 def refused(draft: Draft, standing: Standing) -> Problem | None:
-    """Compare and set: of two that were made upon the same base the first becomes a version. A halt leaves ways back
-    open: a bad version is halted first, and then taken back."""
+    """Checks a draft against the recorded state; None if it may be published. This is a compare-and-set: of two drafts
+    with the same base only the first becomes a version. A halt still allows rollbacks, because an operator halts a bad
+    version first and then rolls it back."""
     newest = standing.newest
     number = newest.version if newest is not None else 0
     if draft.base > standing.position:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -1,8 +1,9 @@
-"""What an agent tells those that follow it, and when: their positions, what each lacks, folding, admission, the sum.
-Pure: the clock is handed in, in seconds that only go on.
+"""Decides what an agent sends to each follower and when: admission, coalescing of updates, summary of followers.
 
-A follower is known by its position alone. What it lacks is worked out from the view when it is told, never kept for it:
-one that reads nothing costs no memory, and what several versions came to in the meantime is told as one.
+No I/O; callers pass the current time in seconds of a monotonic clock.
+
+Of each follower only its position is kept. The update that it needs is computed from the view when it is sent and
+never queued, so a follower that reads nothing costs no memory, and several versions in the meantime become one update.
 """
 
 from __future__ import annotations
@@ -18,20 +19,21 @@
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
 
 MOST_FOLLOWERS = 10_000
-# New followers a second, and how many at once: 2,300 that lost all agents but one are back within 5 s of the 12.
+# New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
+# 5 s of the 12 s in which a version must be delivered.
 ADMITS, ADMITS_AT_ONCE = 500.0, 100.0
 MOST_RETRY_S = 10.0
-AGAIN_S = 1.0  # one that was turned away for another reason comes back a while after this
-SLOW_S = 10.0  # one that has read nothing for so long is let go
-MOST_CACHED = 8 << 20  # bytes of encoded updates
+AGAIN_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
+SLOW_S = 10.0  # a follower that has read nothing for this long is disconnected
+MOST_CACHED = 8 << 20  # of encoded updates
 MOST_DIGESTS = 10_000
-AGE_S = 0.1  # ages are told in steps of it, upwards, so that one frame does for all of a moment
+AGE_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
 MOST_DIFFERING, MOST_COUNTS = 100, 50
-DETAIL = 200  # characters of a detail in the sum
+DETAIL = 200  # of a follower's detail in the summary
 
 
 class Turned(Exception):
-    """One that may not follow at present; the text is one line."""
+    """A follower that is not admitted at present; the text is one line."""
 
     def __init__(self, code: str, text: str, retry_ms: int) -> None:
         super().__init__(text)
@@ -40,7 +42,7 @@
 
 
 class Bucket:
-    """A token bucket; who finds it empty is given a moment of its own at which it will not be."""
+    """A token bucket; a caller that finds it empty is given its own time at which to try again."""
 
     def __init__(self, a_second: float, at_once: float) -> None:
         self.a_second, self.at_once = a_second, at_once
@@ -48,13 +50,13 @@
         self.promised_s = 0.0
 
     def take(self, now_s: float, rng: random.Random) -> float:
-        """0.0 = one was there and is taken; else in how many seconds to come back."""
+        """Takes a token and returns 0.0; if there is none, returns after how many seconds to try again."""
         self.tokens = min(self.at_once, self.tokens + (now_s - self.at_s) * self.a_second)
         self.at_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
-        # hazard: all told the same moment would be the same herd a moment later
+        # each gets a time of its own: if all got the same one, they would all come back at once
         self.promised_s = max(self.promised_s, now_s + (1.0 - self.tokens) / self.a_second) + 1.0 / self.a_second
         wait_s = self.promised_s - now_s
         return wait_s if wait_s < MOST_RETRY_S else MOST_RETRY_S * (0.5 + 0.5 * rng.random())
@@ -62,7 +64,7 @@
 
 @dataclass(slots=True, eq=False)
 class Subscriber:
-    """One that follows. `position` is what it has been told; a broken connection makes a new one of it."""
+    """One connected follower. `position` is what it has been sent; after a reconnect it is a new subscriber."""
 
     ident: int
     labels: Labels
@@ -71,17 +73,17 @@
     position: int
     sent_s: float
     due_s: float
-    slow_s: float = -1.0  # since when it reads too slowly; below 0 = it does not
-    # what it said last of itself
+    slow_s: float = -1.0  # since when it has not read what was sent; negative = it keeps up
+    # what it last reported about itself
     running: int = 0
     digest: str = ""
-    status: str = ""  # empty = not heard yet
+    status: str = ""  # empty = nothing reported yet
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What one follower is told. Two alike in `key` are told the same bytes."""
+    """An update for one follower. Updates with the same `key` are encoded to the same bytes."""
 
     lineage: str
     position: int
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Differs:
-    """One that does not run what it should by the view, and why."""
+    """A follower that does not run what the view demands, and why."""
 
     name: str
     running: int
@@ -111,18 +113,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Who runs what, of one agent's followers."""
+    """Which positions the followers of one agent run."""
 
     lineage: str
     position: int
     followers: int
-    counts: tuple[tuple[int, int], ...]  # position and number, the highest first, MOST_COUNTS at most
-    differing: tuple[Differs, ...]  # MOST_DIFFERING at most
-    more: int  # that differ beside those
+    counts: tuple[tuple[int, int], ...]  # position and number of followers, highest first, at most MAX_COUNTS
+    differing: tuple[Differs, ...]  # at most MAX_DIFFERING
+    more: int  # number of differing followers that are not listed
 
 
 class Encoded:
-    """Encoded updates, so many bytes at most; the oldest go first."""
+    """A cache of encoded updates, limited in bytes; the oldest are evicted first."""
 
     def __init__(self, most: int = MOST_CACHED) -> None:
         self.most, self.size, self.made = most, 0, 0
@@ -144,22 +146,24 @@
 
 @dataclass(slots=True)
 class Serving:
+    """The view that an agent serves, its followers, and the schedule of their updates."""
+
     rng: random.Random
     view: View = field(default_factory=View)
-    reached: bool = False  # the record, in this process or before the snapshot that it began with
+    reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
     most: int = MOST_FOLLOWERS
-    agents: int = 2  # that serve, as far as it is known: those of one that is lost go to the others
+    agents: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: Bucket = field(default_factory=lambda: Bucket(ADMITS, ADMITS_AT_ONCE))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
-    queue: list[tuple[float, int]] = field(default_factory=list)  # a heap; entries that no longer hold are skipped
+    queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due time and ident; outdated items are skipped
     digests: dict[tuple[int, ...], str] = field(default_factory=dict)
     last: int = 0
 
     # The view
 
     def advance(self, change: Change, now_s: float) -> set[Scope]:
-        """Takes it in; who is concerned by it is told within FOLD_S. Raises ViewError."""
+        """Applies a change and returns the changed scopes; their followers are due in COALESCE_S. Raises ViewError."""
         changed = self.view.take(change)
         self.reached = True
         for scope in changed:
@@ -173,7 +177,7 @@
         return changed
 
     def begin_anew(self, view: View) -> list[Subscriber]:
-        """Another log in place of the one that was held; gives the followers that can't follow it."""
+        """Replaces the view by one of another log; removes and returns the followers of the former log."""
         self.view = view
         self.digests.clear()
         strange = [one for one in self.subscribers.values() if one.lineage and one.lineage != view.lineage]
@@ -184,7 +188,7 @@
     # Followers
 
     def check(self, lineage: str, now_s: float) -> None:
-        """Whether one may follow now. Raises Turned."""
+        """Raises AdmissionRefused if a follower of this lineage may not join now."""
         def spread_ms() -> int:
             return int(1000 * AGAIN_S * (1.0 + self.rng.random()))
 
@@ -199,7 +203,7 @@
             raise Turned("BUSY", f"{self.bucket.a_second:g} a second are taken on", max(1, int(wait_s * 1000)))
 
     def join(self, labels: Labels, lineage: str, position: int, now_s: float) -> Subscriber:
-        """One that was checked; it is told at once what it lacks."""
+        """Adds a follower that passed `check_admission`; it is due for an update at once."""
         self.last += 1
         found = Subscriber(self.last, labels, labels.scopes(), lineage, position, now_s, now_s, running=position)
         self.subscribers[found.ident] = found
@@ -222,7 +226,7 @@
         subscriber.status, subscriber.detail = status, detail[:DETAIL]
 
     def slow(self, subscriber: Subscriber, now_s: float) -> None:
-        """It gets nothing more until it has read what was sent."""
+        """Sends the follower nothing more until it has read what was sent."""
         if subscriber.slow_s < 0:
             subscriber.slow_s = now_s
 
@@ -232,17 +236,17 @@
             self._due(subscriber, max(now_s, subscriber.sent_s + FOLD_S))
 
     def stuck(self, now_s: float) -> list[Subscriber]:
-        """Those that have been slow for too long."""
+        """Followers that have not read for SLOW_READER_TIMEOUT_S."""
         return [one for one in self.subscribers.values() if 0 <= one.slow_s <= now_s - SLOW_S]
 
-    # Telling
+    # Updates
 
     def _due(self, subscriber: Subscriber, at_s: float) -> None:
         subscriber.due_s = at_s
         heapq.heappush(self.queue, (at_s, subscriber.ident))
 
     def next_s(self) -> float | None:
-        """When somebody is to be told something."""
+        """When the next follower is due for an update; None if nobody is."""
         while self.queue:
             at_s, ident = self.queue[0]
             found = self.subscribers.get(ident)
@@ -252,10 +256,10 @@
         return None
 
     def due(self, now_s: float, age_s: float, most: int = 200) -> Iterator[tuple[Subscriber, Told]]:
-        """Who is to be told what by now, `most` of them; each counts as told once it is given. `age_s` is since the
-        record was reached."""
+        """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
+        `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_S) * (int(max(0.0, age_s) / AGE_S) + 1)
-        # in steps too: it changes with each that comes or goes
+        # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
         spread_ms = 100 * (int(10 * spread_s(len(self.subscribers), self.bucket.a_second, self.agents)) + 1)
         for _ in range(most):
             at_s = self.next_s()
@@ -271,8 +275,8 @@
             yield found, told
 
     def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> Told:
-        """As `compacted_log.View.change`, narrowed to its scopes, without going over all entries. One that is ahead
-        hears where this agent is, and nothing that is older than what it has."""
+        """What `compacted_log.View.change_since` gives, limited to the follower's scopes, without a pass over all
+        entries. A follower that is ahead only gets this agent's position, and nothing older than what it has."""
         view, since = self.view, subscriber.position
         layers = self.layers(subscriber)
         if since > view.position:
@@ -297,10 +301,10 @@
             found = self.digests[key] = digest(effective(layers))
         return found
 
-    # The sum
+    # Summary
 
     def differs(self, subscriber: Subscriber) -> Differs | None:
-        """Nothing where it runs what the view says: with nothing newer in its scopes, that is the newest position."""
+        """Why a follower does not run what the view demands; None if it does. Entries of other scopes don't matter."""
         def because(status: str, detail: str) -> Differs:
             return Differs(subscriber.labels.instance, subscriber.running, status, detail)
 
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -1,13 +1,13 @@
-"""What an agent holds of the published versions, as the bytes of one file: versioned, with length and checksum. No I/O.
+"""Encodes an agent's copy of the published versions as one file, with format version, length and checksum. No I/O.
 
     8 bytes   b"ISVERSN\n"
-    2 bytes   version, big-endian, as all numbers here
+    2 bytes   format version; all numbers are big-endian
     4 bytes   length of the body
-    body      lines of JSON, ASCII, without spaces: one header, then one line an entry, by version
+    body      lines of JSON, ASCII, without spaces: a header, then one line for each entry, ordered by version
     16 bytes  BLAKE2b of everything before it
 
-There is one encoding of a snapshot and no other is read. The position is in the header, and no entry is beyond it: a
-snapshot without its position can't be written.
+Each snapshot has exactly one encoding, and no other is accepted. The header holds the position, and no entry may be
+beyond it; a snapshot without its position can't be written.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 VERSION = 1
 HEAD, DIGEST = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
-MOST = 2**53  # whole numbers past this are not the same in every JSON reader
+MOST = 2**53  # larger integers are not read exactly by every JSON parser
 MOST_TOKENS, MAX_TEXT = 10_000, 4_096
 
 
 class SnapshotError(Exception):
-    """Bytes that are no snapshot; the text is one line: where, what was expected, what stood there."""
+    """Bytes that are not a valid snapshot; the text is one line: where, what was expected, what was found."""
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """Who may follow while the record is away; the token itself is kept nowhere."""
+    """A token whose holder may follow while the record is unavailable. Only its digest is stored, never the token."""
 
     name: str
     role: str
@@ -45,20 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What an agent held at one moment."""
+    """The published versions and tokens that an agent held at one moment."""
 
     lineage: str
     position: int
     floor: int
-    entries: tuple[Entry, ...]  # by version
+    entries: tuple[Entry, ...]  # ordered by version
     tokens: tuple[Token, ...]
-    reached_ms: int  # by the wall clock, when the record was last reached
+    reached_ms: int  # Unix time at which the record was last reached
 
     def view(self) -> View:
         return View(self.lineage, self.position, self.floor, {entry.scope: entry for entry in self.entries})
 
     def age_s(self, wall_ms: int) -> float:
-        """Since the record was reached. Hazard: a wall clock that was set back must not make it less than nothing."""
+        """Time since the record was last reached; 0 if the wall clock was set back to before that."""
         return max(0, wall_ms - self.reached_ms) / 1000
 
 
@@ -104,18 +104,18 @@
 
 def _text(value: Any, where: str) -> str:
     if type(value) is not str or len(value) > MAX_TEXT:
-        _wrong(where, f"a text of {MAX_TEXT} characters at most", value)
+        _wrong(where, f"a text of at most {MAX_TEXT} characters", value)
     return str(value)
 
 
 def _json(raw: bytes, where: str) -> Any:
     def no_constant(name: str) -> Any:
-        raise ValueError(f"{name} is no number")
+        raise ValueError(f"{name} is not a JSON number")
 
     try:
         value = json.loads(raw, parse_constant=no_constant)
         if line(value) != raw:
-            raise ValueError("another encoding of the same")
+            raise ValueError("not the canonical encoding of this value")
     except (ValueError, RecursionError) as error:
         raise SnapshotError(f"{where}: expected one line of canonical JSON, got {raw[:40]!r}: {error}") from error
     return value
@@ -128,7 +128,7 @@
 
 
 def body_of(data: bytes) -> bytes:
-    """Of whole bytes; everything about the frame round it is checked here."""
+    """The body of an encoded snapshot, once magic, format version, length and checksum are checked."""
     if len(data) > MAX_BYTES:
         raise SnapshotError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
     if len(data) < len(MAGIC) or not data.startswith(MAGIC):
@@ -142,7 +142,7 @@
     if len(data) != HEAD + size + DIGEST:
         raise SnapshotError(f"expected {HEAD + size + DIGEST} bytes, as its length says, got {len(data)}")
     if blake2b(data[:-DIGEST], digest_size=DIGEST).digest() != data[-DIGEST:]:
-        raise SnapshotError("expected its checksum to fit, got another: it is damaged")
+        raise SnapshotError("expected a matching checksum, got another: the snapshot is damaged")
     return data[HEAD:-DIGEST]
 
 
@@ -163,7 +163,7 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """The whole snapshot or nothing. Raises SnapshotError."""
+    """Decodes and checks a whole snapshot. Raises SnapshotError if any part of it is invalid."""
     first, *rows = body_of(data).split(b"\n")
     header = _json(first, "header")
     if type(header) is not dict or header.keys() != KEYS:
@@ -172,16 +172,16 @@
     position = _whole(header["position"], "header.position")
     floor = _whole(header["floor"], "header.floor", position)
     if position and not lineage:
-        _wrong("header.lineage", "the lineage of the log that the position is in", lineage)
+        _wrong("header.lineage", "the lineage of the log to which the position belongs", lineage)
     if _whole(header["entries"], "header.entries") != len(rows):
-        _wrong("header.entries", f"{len(rows)}, as there are lines", header["entries"])
+        _wrong("header.entries", f"{len(rows)}, the number of lines", header["entries"])
     entries = [_entry(raw, f"entry {i}", position) for i, raw in enumerate(rows)]
     if any(a.version >= b.version for a, b in zip(entries, entries[1:], strict=False)):
-        raise SnapshotError("expected entries in the order of their versions, each once, got another order")
+        raise SnapshotError("expected entries in ascending order of distinct versions, got another order")
     if len({entry.scope for entry in entries}) < len(entries):
-        raise SnapshotError("expected one entry a scope, got a scope twice")
+        raise SnapshotError("expected one entry for each scope, got a scope twice")
     if type(header["tokens"]) is not list or len(header["tokens"]) > MOST_TOKENS:
-        _wrong("header.tokens", f"a list of {MOST_TOKENS} at most", header["tokens"])
+        _wrong("header.tokens", f"a list of at most {MOST_TOKENS}", header["tokens"])
     tokens = []
     for i, row in enumerate(header["tokens"]):
         name, role, digest, created_ms, revoked_ms = _row(row, f"header.tokens[{i}]", 5)
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -1,4 +1,5 @@
-"""What several sidecars see of the upstreams, made one: liars, the cut off and the few are told from what is out."""
+"""Combining the views of several sidecars: faulty, disconnected or too few sidecars are told apart from upstreams that
+are out."""
 
 from __future__ import annotations
 
@@ -39,7 +40,7 @@
     cut = dict.fromkeys(NAMES, "no answer")
     found = seen([view(0, why=cut), view(1, why=cut), *(view(n) for n in range(2, 8))])
     assert all(sight.out == 0.0 for sight in found.values())
-    found = seen([view(n, why=cut) for n in range(5)])  # all see so: so it is
+    found = seen([view(n, why=cut) for n in range(5)])  # all sidecars agree
     assert all(sight.out == 1.0 and sight.known for sight in found.values())
 
 
@@ -63,7 +64,7 @@
 
 def test_evidence_is_as_old_as_the_question_that_most_have_answered() -> None:
     views = [view(n, asked_ms) for n, asked_ms in enumerate((900, 800, 700, 300, 200))]
-    assert seen(views)["n0"].asked_ms == 700  # three of five were asked then or later
+    assert seen(views)["n0"].asked_ms == 700  # three of five requests were sent then or later
     assert seen([view(0, 900), view(1, 800, why={"n0": "x"}), view(2, 700), view(3, 300), view(4, 200)])[
         "n0"].asked_ms == 300
 
@@ -78,7 +79,7 @@
     def word(number: int, name: str) -> str:
         return ("ill" if rng.random() < 0.5 else "") if number in liars else "draining" if name in out else ""
 
-    # liars agree on nothing; each name is lied about by fewer than a quarter
+    # faulty sidecars answer at random; they are fewer than a quarter
     views = [view(n, rng.randrange(1_000), {name: word(n, name) for name in NAMES}) for n in range(count)]
     found = seen(views, count)
     assert {name for name, sight in found.items() if sight.out} >= out
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -1,4 +1,4 @@
-"""Budgets and permits: the invariant holds over random schedules, and faults put in on purpose are found by it."""
+"""Budgets and permits: the invariant holds over random schedules, and the check detects faults injected on purpose."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
 
 class CountsOnlyWhatIsSeen(Ledger):
-    """Grants count once their units are seen out: after they were told."""
+    """A granted permit counts only once its units are observed to be out, which is after its holder was told."""
 
     def out(self, key: str) -> float:
         return self.sights[key].out if key in self.sights else 1.0
 
 
 class UnseenServes(Ledger):
-    """A new leader takes for well what it has not heard of."""
+    """A new leader assumes that units it has not heard from serve."""
 
     def see(self, sight: Sight) -> bool:
         return super().see(replace(sight, out=0.0) if not sight.known else sight)
@@ -65,7 +65,7 @@
     assert any(play(seed, fault, 60_000) for seed in FOUND_WITHIN)
 
 
-# What the schedules don't show
+# Cases that the random schedules don't cover
 
 
 def ledger(*budgets: Budget, count: int = 6) -> Ledger:
@@ -91,7 +91,7 @@
 def test_a_large_request_is_not_passed_by_small_ones_for_ever() -> None:
     found = ledger(ALL)
     assert ask(found, 0, permit(1, "i0")) == [1]
-    assert ask(found, 1, permit(2, "i1", "i2"), permit(3, "i3")) == []  # 3 would fit, and has its turn behind 2
+    assert ask(found, 1, permit(2, "i1", "i2"), permit(3, "i3")) == []  # permit 3 would fit, but its turn is after 2
     found.put(found.permits[1].to(Phase.ENDED), 2)
     assert ask(found, 3) == [2]
     found.put(found.permits[2].to(Phase.ENDED), 4)
@@ -105,7 +105,8 @@
     found.put(found.permits[1].to(Phase.ENDED), 2)
     assert ask(found, 3) == [3]
     found.put(found.permits[3].to(Phase.ENDED), 4)
-    assert ask(found, 150_000, permit(4, "i0", "i1", priority=1)) == [2]  # two steps of waiting are worth more than one
+    # permit 2 has waited long enough to gain two steps of priority, which is more than one
+    assert ask(found, 150_000, permit(4, "i0", "i1", priority=1)) == [2]
 
 
 def test_what_can_never_be_granted_is_refused_at_once() -> None:
@@ -145,7 +146,7 @@
 
 
 def test_counts_are_those_of_a_count_from_the_beginning() -> None:
-    """The sums that are carried on do not drift: after a schedule they are what a new ledger makes of the same."""
+    """The incremental sums don't drift: after a schedule they equal those of a new ledger with the same input."""
     from bench.permits import World
 
     world = World(7)
--- a/tests/disruption/test_releases.py
+++ b/tests/disruption/test_releases.py
@@ -1,4 +1,4 @@
-"""What speaks against a release is found, what does not is let through, and too little is told as such."""
+"""A bad release is detected, a good one passes, and too few answers are reported as such."""
 
 from __future__ import annotations
 
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -1,4 +1,4 @@
-"""A view fed by changes and snapshots in any split, doubled and out of turn, ends as the whole log does. Pure."""
+"""A view that gets changes and snapshots, split, repeated and out of order, ends with the state of the whole log."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def whole(log: Sequence[Entry], position: int) -> dict[Scope, Entry]:
-    """What a reader of every entry would have."""
+    """What a reader of all entries up to `position` would have."""
     return {entry.scope: entry for entry in log[:position]}
 
 
@@ -44,8 +44,8 @@
 
 @given(LINES, SEEDS)
 def test_any_way_through_the_log_ends_as_the_whole_does(lines: list[tuple[Scope, bool]], seed: int) -> None:
-    """Changes since positions at or before the follower's, snapshots between, what it had already told again, sources
-    that have dropped the ends of scopes; after each the follower is what the log is at that position."""
+    """Changes from positions at or before the follower's, snapshots in between, repeated entries, and sources that have
+    dropped removals: after each of them the follower has the state of the log at that position."""
     log, view, chance = log_of(lines), View(), Random(seed)
     while view.position < len(log):
         position = chance.randint(view.position, len(log))
@@ -54,7 +54,7 @@
         since = chance.choice((0, view.position, chance.randint(0, view.position)))
         change = at.change(since, view.lineage)
         assert change is not None
-        if chance.random() < 0.3 and not change.is_snapshot:  # all of the log since then, in whatever order
+        if chance.random() < 0.3 and not change.is_snapshot:  # all entries since then, in any order
             change = replace(change, entries=tuple(chance.sample(log[since:position], position - since)))
         for _ in range(chance.choice((1, 1, 2))):
             changed = view.take(change)
@@ -98,7 +98,7 @@
 
 @given(LINES, SEEDS)
 def test_what_was_dropped_is_never_missed(lines: list[tuple[Scope, bool]], seed: int) -> None:
-    """Whoever is behind an end of a scope that was dropped gets a snapshot, and so loses the scope too."""
+    """A follower that is behind a dropped removal gets a snapshot, and so removes the scope too."""
     log, chance = log_of(lines), Random(seed)
     position, behind = len(log), chance.randint(0, len(log))
     kept = source(log, position).dropped(chance.randint(0, position))
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -1,4 +1,4 @@
-"""What one that follows makes of updates: never backwards, the same bytes at the same position, nothing lost."""
+"""A follower never goes back, runs the same configuration at the same position, and loses no update."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def drawn(rng: random.Random, count: int) -> list[Entry]:
-    """A log."""
+    """A random log."""
     return [Entry(n, rng.choice(SCOPES), None if rng.random() < 0.15 else
                   {rng.choice("abc"): rng.choice((1, None, {"x": rng.randrange(9)}))}) for n in range(1, count + 1)]
 
@@ -41,7 +41,7 @@
             agent = view_at(log, rng.randrange(1, len(log) + 1))
             if rng.random() < 0.3:
                 agent = agent.dropped(rng.randrange(agent.position + 1))
-            # an agent tells from where it believes that this one is: sometimes from elsewhere
+            # an agent may be wrong about the position of this follower
             since = state.since() if rng.random() < 0.7 else rng.randrange(agent.position + 1)
             found = told(agent, since)
             if found is None:
@@ -49,7 +49,7 @@
             change, mark = found
             if rng.random() < 0.1 and change.entries:
                 change = Change(change.lineage, change.position, change.since, change.is_snapshot, change.floor,
-                                change.entries[1:])  # lost on the way
+                                change.entries[1:])  # the first entry was lost on the way
             before = state.view.position, state.running
             if state.take(change, mark) is Word.APPLY:
                 if rng.random() < 0.2:
@@ -63,7 +63,7 @@
             if state.running:
                 assert ran == effective(view_at(log, state.running).layers(LABELS)) or not ran, seed
                 assert state.running_digest == digest(ran), seed
-        for _ in range(3):  # and at the end it comes to the newest, whatever was lost before
+        for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.since())
             assert found is not None
             if state.take(*found) is Word.APPLY:
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -1,4 +1,4 @@
-"""Scopes, what several entries come to, and what may be published. Pure."""
+"""Scopes, how several entries combine, and what may be published."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def merged(value: Any, patch: Any) -> Any:
-    """RFC 7396, section 2, to the letter."""
+    """The algorithm of RFC 7396, section 2."""
     if not isinstance(patch, dict):
         return patch
     result = dict(value) if isinstance(value, dict) else {}
@@ -64,7 +64,7 @@
 def test_an_instance_is_in_the_scopes_of_its_labels_from_wide_to_narrow() -> None:
     assert [str(s) for s in Labels("i", "s", "z", "r").scopes()] == [
         "all", "region=r", "zone=z", "service=s", "instance=i"]
-    assert [str(s) for s in Labels("i").scopes()] == ["all", "instance=i"]  # no label, no scope
+    assert [str(s) for s in Labels("i").scopes()] == ["all", "instance=i"]  # an empty label gives no scope
 
 
 def test_the_narrower_goes_before_in_whatever_order_they_come() -> None:
@@ -78,13 +78,13 @@
 
 def test_an_entry_without_an_overlay_leaves_what_the_wider_say() -> None:
     assert effective([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), None)]) == {"a": 1}
-    # null is a word of its own: what the file has is taken away
+    # null is kept: it removes the value that the file has
     assert effective([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), {"a": None})]) == {"a": None}
 
 
 def outvoted(wide: Any, narrow: Any) -> Any:
-    """What of the wide patch is left: its removal or replacement of a value goes where the narrow has an object there,
-    as no merge patch can say of an object that it is to be emptied first."""
+    """The part of the wide patch that takes effect: a removal or plain value is lost where the narrow patch has an
+    object, because a merge patch can't express that the object is to be emptied first."""
     if not isinstance(wide, dict) or not isinstance(narrow, dict):
         return wide
     return {name: outvoted(value, narrow.get(name)) for name, value in wide.items()
@@ -98,7 +98,7 @@
 
 
 def test_a_removal_by_the_wider_does_not_empty_what_the_narrower_gives_as_an_object() -> None:
-    assert over({"b": None}, {"b": {"x": 1}}) == {"b": {"x": 1}}  # and so the file's other keys of b stay
+    assert over({"b": None}, {"b": {"x": 1}}) == {"b": {"x": 1}}  # so the other keys of b in the file stay
     assert over({"b": {"x": 1}}, {"b": None}) == {"b": None}
 
 
@@ -132,9 +132,9 @@
 @pytest.mark.parametrize(("newest", "before", "overlay", "restores", "back"), [
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), {"a": 1}, 0, False),
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), {"a": 1}, 2, True),
-    (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), None, 0, False),  # before, it had one
+    (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), None, 0, False),  # it had an overlay before
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, None), None, 0, True),
-    (Entry(3, ALL, {}, base=2), None, None, 0, False),  # what it had is not known any more
+    (Entry(3, ALL, {}, base=2), None, None, 0, False),  # what it had before is no longer recorded
     (Entry(3, ALL, {}, base=0), None, None, 0, True),
     (None, None, None, 0, False),
 ])
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -1,4 +1,4 @@
-"""Who is told what, and when: thousands of drawn histories against a small model, and each bound by itself."""
+"""Which follower gets which update and when: random histories against a small model, and each limit by itself."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Log:
-    """The record, as far as followers are concerned."""
+    """The recorded log, as far as followers need it."""
 
     def __init__(self) -> None:
         self.view = View("aa")
@@ -44,7 +44,7 @@
 
 
 class Follower:
-    """What an instance makes of what it is told: it holds a view of its own, and never goes back."""
+    """An instance with a view of its own, which never goes back."""
 
     def __init__(self, subscriber: Subscriber, view: View) -> None:
         self.subscriber, self.view = subscriber, view
@@ -53,7 +53,7 @@
     def take(self, told: Told, now_s: float) -> None:
         self.told_s.append(now_s)
         if told.position < self.view.position:
-            assert told.entries == (), "told what is older than what it has"
+            assert told.entries == (), "got entries older than what it has"
             return
         if told.is_snapshot:
             assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
@@ -78,8 +78,8 @@
     def tell(age_s: float = 0.0) -> None:
         by = {one.subscriber.ident: one for one in followers}
         for subscriber, told in serving.due(now_s, age_s, rng.randint(1, 20)):
-            assert subscriber.slow_s < 0, "a slow reader was told something"
-            # the short way comes to the same as the view's own
+            assert subscriber.slow_s < 0, "a slow reader got an update"
+            # `take` checks the digest of the result
             by[subscriber.ident].take(told, now_s)
 
     for _ in range(rng.randint(5, 40)):
@@ -98,7 +98,7 @@
         elif what < 0.8 and followers:
             one = followers.pop(rng.randrange(len(followers)))
             serving.leave(one.subscriber)
-            if one.view.lineage and rng.random() < 0.7:  # the same instance is back with what it holds
+            if one.view.lineage and rng.random() < 0.7:  # the same instance reconnects with what it has
                 since = one.view.position if rng.random() < 0.9 else 0
                 back = serving.join(one.subscriber.labels, one.view.lineage, since, now_s)
                 followers.append(Follower(back, one.view))
@@ -112,7 +112,7 @@
             if whole is not None and whole.since != serving.view.position:
                 assert told.entries == narrowed(whole, subscriber.labels).entries
         tell()
-    # all drain and the record is reached once more: within a bookmark everyone is where it is
+    # all followers read again and the record is reached: within one bookmark interval all have its position
     found = log.view.change(serving.view.position, serving.view.lineage)
     assert found is not None
     serving.advance(found, now_s)
@@ -147,17 +147,17 @@
     serving = served()
     one = serving.join(Labels("i0"), "", 0, 0.0)
     told: list[Told] = []
-    for version in range(2, 52):  # 50 in a second
+    for version in range(2, 52):  # 50 a second
         now_s = version / 50
         serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
         told += [told for _, told in all_due(serving, now_s)]
     told += [told for _, told in all_due(serving, 1.3)]
     assert len(told) <= 1.3 / FOLD_S + 1
     assert told[-1].position == 51 == one.position
-    assert [t.since for t in told[1:]] == [t.position for t in told[:-1]]  # each goes on where the one before ended
+    assert [t.since for t in told[1:]] == [t.position for t in told[:-1]]  # each continues where the one before ended
     for version in range(52, 200):
         serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), 1.35)
-    assert len(serving.queue) < 20  # and no memory goes by the number of changes
+    assert len(serving.queue) < 20  # memory does not grow with the number of changes
 
 
 def test_who_is_not_concerned_is_told_with_its_next_bookmark() -> None:
@@ -178,7 +178,7 @@
     assert sum(steps) == 400 and max(steps) < 100
     _, told = all_due(serving, 2.1, age_s=4.25)[0]
     assert told.entries == () and not told.is_snapshot
-    assert told.age_ms == 4_300  # told as no younger than it is
+    assert told.age_ms == 4_300  # rounded up, never down
 
 
 def test_one_that_is_ahead_is_told_nothing_older() -> None:
@@ -227,7 +227,7 @@
         assert all(b - a >= 0.99 for a, b in zip(taken, taken[20 + 100:], strict=False)), f"seed {seed}"
         assert taken[-1] < 8.0, f"seed {seed}: the last after {taken[-1]:.1f} s"
         assert tries < 400 * 4, f"seed {seed}: {tries} tries"
-    impatient = Bucket(100.0, 20.0)  # those that don't wait gain nothing by it
+    impatient = Bucket(100.0, 20.0)  # callers that don't wait gain nothing
     assert 215 <= sum(impatient.take(step / 1000, rng) == 0.0 for step in range(2_000)) <= 221
     assert sum(impatient.take(100.0, rng) == 0.0 for _ in range(500)) == 20
 
@@ -271,7 +271,7 @@
     assert [(one.name, one.status) for one in found.differing] == [
         ("i1", "refused"), ("i2", "other"), ("i3", "ahead"), ("i4", "behind")]
     assert len(found.differing[0].detail) == 200
-    # what does not concern it makes nobody differ
+    # an entry of another scope makes no follower differ
     serving.advance(Change("aa", 4, 3, False, 0, (Entry(4, Scope(Reach.ZONE, "z9"), {}),)), 1.0)
     assert "i0" not in [one.name for one in serving.summary().differing]
     for i in range(300):
@@ -288,7 +288,8 @@
     assert serving.begin_anew(View()) == [old]
     serving.digest_of((Entry(3, ALL, {"n": 3}),))
     serving.begin_anew(View())
-    assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == digest({"n": 4})  # and not what the former had as 3
+    # not the cached digest of the former log's version 3
+    assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == digest({"n": 4})
     serving.advance(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
     (subscriber, told), = all_due(serving, 1.0)
     assert subscriber is new and told.lineage == "bb" and told.is_snapshot
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -1,4 +1,4 @@
-"""An agent's snapshot of the published versions: taken whole or refused in one line."""
+"""An agent's snapshot of the published versions is either read whole or refused with a one-line error."""
 
 from __future__ import annotations
 
@@ -78,16 +78,17 @@
 
 def test_a_wrong_checksum_is_told_as_damage() -> None:
     data = encode(KEPT)
-    assert refusal(data[:-1] + bytes([data[-1] ^ 1])) == "expected its checksum to fit, got another: it is damaged"
+    assert refusal(data[:-1] + bytes([data[-1] ^ 1])) == (
+        "expected a matching checksum, got another: the snapshot is damaged")
     assert refusal(b"something else, long enough for it all").startswith(f"expected it to begin with {MAGIC!r}")
 
 
 @pytest.mark.parametrize(("changes", "told"), [
     ({"position": 6}, "entry 2.version: expected a whole number from 1 to 6, got '7'"),
     ({"floor": 10}, "header.floor: expected a whole number from 0 to 9, got '10'"),
-    ({"lineage": ""}, "header.lineage: expected the lineage of the log that the position is in, got ''"),
-    ({"entries": ENTRIES[::-1]}, "expected entries in the order of their versions, each once, got another order"),
-    ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry a scope, got a scope twice"),
+    ({"lineage": ""}, "header.lineage: expected the lineage of the log to which the position belongs, got ''"),
+    ({"entries": ENTRIES[::-1]}, "expected entries in ascending order of distinct versions, got another order"),
+    ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry for each scope, got a scope twice"),
 ])
 def test_a_whole_file_that_says_what_can_t_be_is_refused(changes: dict[str, object], told: str) -> None:
     assert refusal(encode(replace(KEPT, **changes))) == told  # type: ignore[arg-type]
