--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -156,7 +156,7 @@
     bucket: Bucket = field(default_factory=lambda: Bucket(ADMITS, ADMITS_AT_ONCE))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
-    queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due time and ident; outdated items are skipped
+    queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due times; outdated items are skipped
     digests: dict[tuple[int, ...], str] = field(default_factory=dict)
     last: int = 0
 
