--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -15,7 +15,7 @@
 # the sum of these: the time to detect an agent that was stopped (SILENT_AFTER_S) or that is cut off from the record
 # (STALE_AFTER_S plus the interval between two bookmarks), the time over which followers spread their reconnects (it
 # depends on their number), and for each agent that is dialled an answer or a timeout (CONNECT_TIMEOUT_S).
-BOOKMARK_S = 1.0  # how often an agent sends its position and how long ago it last reached the record
+BOOKMARK_INTERVAL_S = 1.0  # how often an agent sends its position and how long ago it last reached the record
 SILENT_S = 3.0  # an agent that has sent nothing for this long counts as lost
 STALE_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
 CONNECT_S = 1.0
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S, spread_s
+from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, FOLD_S, spread_s
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
 
@@ -271,7 +271,7 @@
             if found.position <= told.position:
                 found.lineage, found.position = told.lineage, told.position
             found.sent_s = now_s
-            self._due(found, now_s + BOOKMARK_S * (0.75 + 0.25 * self.rng.random()))
+            self._due(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
             yield found, told
 
     def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> Told:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.versions.agent_selection import BOOKMARK_S, FOLD_S
+from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, FOLD_S
 from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 from ironscale.versions.serving import (
@@ -118,7 +118,7 @@
     serving.advance(found, now_s)
     for one in followers:
         serving.drained(one.subscriber, now_s)
-    ends_s = now_s + BOOKMARK_S + FOLD_S
+    ends_s = now_s + BOOKMARK_INTERVAL_S + FOLD_S
     while now_s < ends_s:
         now_s += 0.02
         for _ in range(20):
@@ -166,7 +166,7 @@
     all_due(serving, 0.0)
     serving.advance(Change("aa", 2, 1, False, 0, (Entry(2, Scope(Reach.ZONE, "z0"), {}),)), 0.2)
     assert [subscriber for subscriber, _ in all_due(serving, 0.2)] == [here]
-    assert there in [subscriber for subscriber, told in all_due(serving, BOOKMARK_S) if told.position == 2]
+    assert there in [subscriber for subscriber, told in all_due(serving, BOOKMARK_INTERVAL_S) if told.position == 2]
 
 
 def test_bookmarks_come_in_time_and_not_all_at_once() -> None:
