--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -149,7 +149,7 @@
             link.close()
             if own.ended.is_set():
                 return
-        if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_S:
+        if own.heard is not None and time.monotonic() - own.heard_s >= agent_selection.SILENT_AFTER_S:
             own.end("silent")
             return
         self.rounds += 1
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -16,7 +16,7 @@
 # (STALE_AFTER_S plus the interval between two bookmarks), the time over which followers spread their reconnects (it
 # depends on their number), and for each agent that is dialled an answer or a timeout (CONNECT_TIMEOUT_S).
 BOOKMARK_INTERVAL_S = 1.0  # how often an agent sends its position and how long ago it last reached the record
-SILENT_S = 3.0  # an agent that has sent nothing for this long counts as lost
+SILENT_AFTER_S = 3.0  # an agent that has sent nothing for this long counts as lost
 STALE_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
 CONNECT_S = 1.0
 LIMIT_S = 12.0
@@ -64,7 +64,7 @@
 
 def looks_elsewhere(heard: Heard | None, silent_s: float) -> bool:
     """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
-    return heard is None or silent_s >= SILENT_S or heard.age_s + silent_s >= STALE_S
+    return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_S
 
 
 def is_better(other: Heard, own: Heard | None) -> bool:
