--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -126,7 +126,7 @@
                 own.since_s = now_s
                 await self.look(self.order[:self.order.index(own.place)], own)
                 return
-            until_s = own.heard_s + agent_selection.STALE_S - (own.heard.age_s if own.heard is not None else 0.0)
+            until_s = own.heard_s + agent_selection.STALE_AFTER_S - (own.heard.age_s if own.heard is not None else 0.0)
             wait_s = max(0.05, min(until_s, home_s if home else until_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -17,7 +17,7 @@
 # depends on their number), and for each agent that is dialled an answer or a timeout (CONNECT_TIMEOUT_S).
 BOOKMARK_INTERVAL_S = 1.0  # how often an agent sends its position and how long ago it last reached the record
 SILENT_AFTER_S = 3.0  # an agent that has sent nothing for this long counts as lost
-STALE_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
+STALE_AFTER_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
 CONNECT_S = 1.0
 LIMIT_S = 12.0
 FOLD_S = 0.1  # commits within this interval are sent to a follower as one update
@@ -64,18 +64,18 @@
 
 def looks_elsewhere(heard: Heard | None, silent_s: float) -> bool:
     """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
-    return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_S
+    return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_AFTER_S
 
 
 def is_better(other: Heard, own: Heard | None) -> bool:
     """Whether to switch to the other agent: only where the own one is unknown or stale, and the other is fresh or has a
     higher position. Otherwise an instance would switch back and forth between two agents that are both cut off."""
-    if own is None or own.age_s < STALE_S:
+    if own is None or own.age_s < STALE_AFTER_S:
         return own is None
-    return other.age_s < STALE_S or other.position > own.position
+    return other.age_s < STALE_AFTER_S or other.position > own.position
 
 
 def is_home(other: Heard, own: Heard | None, there: Place, here: Place, order: Sequence[Place]) -> bool:
     """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
     nearer = order.index(there) < order.index(here)
-    return nearer and other.age_s < STALE_S and (own is None or other.position >= own.position)
+    return nearer and other.age_s < STALE_AFTER_S and (own is None or other.position >= own.position)
