--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -164,7 +164,7 @@
         link = _Link(self, place)
         self.dialled += 1
         try:
-            async with asyncio.timeout(agent_selection.CONNECT_S):
+            async with asyncio.timeout(agent_selection.CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: link, place.host, place.port)
                 await link.told.wait()
         except (OSError, TimeoutError, ValueError) as error:
