--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -207,7 +207,7 @@
             far.publish({"a": 2})
             start_s = asyncio.get_running_loop().time()
             await until(lambda: instance.overlay == {"a": 2})
-            assert asyncio.get_running_loop().time() - start_s < agent_selection.LIMIT_S
+            assert asyncio.get_running_loop().time() - start_s < agent_selection.DELIVERY_LIMIT_S
             assert follower.own is not None and follower.own.place.port == far.port
 
     run(test)
