--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -20,7 +20,7 @@
 STALE_AFTER_S = 2.5  # an agent that last reached the record this long ago counts as cut off from it
 CONNECT_TIMEOUT_S = 1.0
 DELIVERY_LIMIT_S = 12.0
-FOLD_S = 0.1  # commits within this interval are sent to a follower as one update
+COALESCE_S = 0.1  # commits within this interval are sent to a follower as one update
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, FOLD_S, spread_s
+from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S, spread_s
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
 
@@ -169,7 +169,7 @@
         for scope in changed:
             for ident in self.by_scope.get(scope, ()):
                 subscriber = self.subscribers[ident]
-                at_s = max(now_s, subscriber.sent_s + FOLD_S)
+                at_s = max(now_s, subscriber.sent_s + COALESCE_S)
                 if at_s < subscriber.due_s:
                     self._due(subscriber, at_s)
         if changed:
@@ -233,7 +233,7 @@
     def drained(self, subscriber: Subscriber, now_s: float) -> None:
         if subscriber.slow_s >= 0:
             subscriber.slow_s = -1.0
-            self._due(subscriber, max(now_s, subscriber.sent_s + FOLD_S))
+            self._due(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
 
     def stuck(self, now_s: float) -> list[Subscriber]:
         """Followers that have not read for SLOW_READER_TIMEOUT_S."""
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, FOLD_S
+from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S
 from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 from ironscale.versions.serving import (
@@ -118,7 +118,7 @@
     serving.advance(found, now_s)
     for one in followers:
         serving.drained(one.subscriber, now_s)
-    ends_s = now_s + BOOKMARK_INTERVAL_S + FOLD_S
+    ends_s = now_s + BOOKMARK_INTERVAL_S + COALESCE_S
     while now_s < ends_s:
         now_s += 0.02
         for _ in range(20):
@@ -126,7 +126,7 @@
     for one in followers:
         assert one.view.position == log.view.position
         assert effective(one.view.layers(one.subscriber.labels)) == effective(log.view.layers(one.subscriber.labels))
-        assert not any(0 < b - a < FOLD_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
+        assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
     assert len(serving.subscribers) == len(followers)
 
 
@@ -152,7 +152,7 @@
         serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
         told += [told for _, told in all_due(serving, now_s)]
     told += [told for _, told in all_due(serving, 1.3)]
-    assert len(told) <= 1.3 / FOLD_S + 1
+    assert len(told) <= 1.3 / COALESCE_S + 1
     assert told[-1].position == 51 == one.position
     assert [t.since for t in told[1:]] == [t.position for t in told[:-1]]  # each continues where the one before ended
     for version in range(52, 200):
