--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -28,7 +28,7 @@
     serialize_message,
 )
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import Heard, Place
+from ironscale.versions.agent_selection import Heard, AgentEndpoint
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
@@ -51,7 +51,7 @@
     labels: Labels
     boot: str
     token: str
-    places: tuple[Place, ...]
+    places: tuple[AgentEndpoint, ...]
 
 
 class Follower:
@@ -132,7 +132,7 @@
                 async with asyncio.timeout(wait_s):
                     await own.ended.wait()
 
-    async def look(self, places: Sequence[Place], own: _Link) -> None:
+    async def look(self, places: Sequence[AgentEndpoint], own: _Link) -> None:
         """Others beside the one that is followed; it is kept until a better one has answered."""
         for place in places:
             if place == own.place:
@@ -159,7 +159,7 @@
         self.own, self.rounds = link, 0
         link.take_over()
 
-    async def dial(self, place: Place) -> _Link:
+    async def dial(self, place: AgentEndpoint) -> _Link:
         """Until it has told where it is, or CONNECT_S are over."""
         link = _Link(self, place)
         self.dialled += 1
@@ -213,7 +213,7 @@
 class _Link(asyncio.Protocol):
     """One connection to an agent. Before it is the one that is followed, only where the agent is counts."""
 
-    def __init__(self, follower: Follower, place: Place) -> None:
+    def __init__(self, follower: Follower, place: AgentEndpoint) -> None:
         self.follower, self.place = follower, place
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, RestartNeeded, check_overlay
 from ironscale.control.layers import Layered
 from ironscale.control.messages import ClassCounts, Report
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
 
@@ -84,7 +84,7 @@
     return instance, client
 
 
-def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[Place, ...], *, boot: str = "",
+def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[AgentEndpoint, ...], *, boot: str = "",
                    rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
     """Has a light instance follow published versions."""
     return Follower(instance.layered, Follows(labels, boot or secrets.token_hex(8), token, places),
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ironscale.disruption.model import Budget
-    from ironscale.versions.agent_selection import Place
+    from ironscale.versions.agent_selection import AgentEndpoint
 
 MOST_INSTANCES = 5_000
 MOST_BUDGETS = 200
@@ -40,7 +40,7 @@
 class Versions:
     """`[versions]`: the instance follows published configuration, at any of these agents."""
 
-    agents: tuple[Place, ...]
+    agents: tuple[AgentEndpoint, ...]
     service: str = ""
     zone: str = ""  # empty = that of [control]
     region: str = ""
@@ -187,12 +187,12 @@
 
 
 def _versions(table: Table) -> Versions:
-    from ironscale.versions.agent_selection import Place  # a sidecar that follows nobody loads none of it
+    from ironscale.versions.agent_selection import AgentEndpoint  # a sidecar that follows nobody loads none of it
 
     places = []
     for entry in table.tables("agent"):
         host, port = entry.address("address")
-        places.append(Place(host, port, entry.get("zone", "a text", text_or_none, ""),
+        places.append(AgentEndpoint(host, port, entry.get("zone", "a text", text_or_none, ""),
                             entry.get("region", "a text", text_or_none, "")))
         entry.reject_unknown_keys()
     if not 0 < len(places) <= MOST_PLACES:
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -30,7 +30,7 @@
 from ironscale.net.discovery import Directory, Discovery, Listing
 from ironscale.operator_file import read_secret
 from ironscale.scale.bounds import Crew, memory_mb
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
 Address = tuple[str, int]
@@ -72,7 +72,7 @@
     def follow(self, instance: LightInstance, n: int, token: str, rng: random.Random) -> Follower:
         """Has it follow published versions."""
         zones = self.order["zones"]
-        places = tuple(Place(host, int(port)) for host, port in self.order["versions"])
+        places = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = light_follower(instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token,
                                   places, rng=rng)
         held: list[tuple[int, float]] = []
--- a/ironscale/stage/published_processes.py
+++ b/ironscale/stage/published_processes.py
@@ -28,7 +28,7 @@
 from ironscale.standins.postgres import Data, Host
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
 PUBLISH = """mutation($i: PublishInput!) { publish(input: $i) { number } }"""
@@ -60,7 +60,7 @@
 
     def start(self) -> None:
         self.boot += 1
-        places = tuple(Place("127.0.0.1", self.stage.links[self.region, at].port, "", region_of(at))
+        places = tuple(AgentEndpoint("127.0.0.1", self.stage.links[self.region, at].port, "", region_of(at))
                        for at in range(self.stage.size.agents))
         self.follower = light_follower(LightInstance(self.name), self.labels, self.stage.token, places,
                                        boot=str(self.boot), rng=random.Random(f"{self.name} {self.boot}"))
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -26,7 +26,7 @@
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import follower_state as state_module
 from ironscale.versions import serving as told_module
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, over
 from ironscale.versions.serving import Serving
@@ -197,7 +197,7 @@
         self.lost_record: dict[str, int] = {}  # agents that are cut off from it, by how many faults
         self.lost_links: dict[frozenset[str], int] = {}
         self.agents = [Agent(self, number) for number in range(self.random.randrange(3, 7))]
-        self.places = tuple(Place("agent", agent.port, agent.zone, REGIONS[agent.zone]) for agent in self.agents)
+        self.places = tuple(AgentEndpoint("agent", agent.port, agent.zone, REGIONS[agent.zone]) for agent in self.agents)
         self.net.names.update({agent.port: agent.name for agent in self.agents})
         self.instances = [Instance(self, number) for number in range(self.random.randrange(4, 17))]
 
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class AgentEndpoint:
     """Address and location of an agent that serves versions."""
 
     host: str
@@ -33,15 +33,15 @@
     region: str = ""
 
 
-def weight(instance: str, place: Place) -> int:
+def weight(instance: str, place: AgentEndpoint) -> int:
     """Rendezvous hashing: the instances of an agent that is lost spread evenly over the other agents."""
     text = f"{instance}\0{place.host}:{place.port}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
-def order(labels: Labels, places: Sequence[Place]) -> tuple[Place, ...]:
+def order(labels: Labels, places: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
     """All agents in order of preference: first those in the instance's zone, then in its region, then the others."""
-    def far(place: Place) -> int:
+    def far(place: AgentEndpoint) -> int:
         if labels.zone and place.zone == labels.zone:
             return 0
         return 1 if labels.region and place.region == labels.region else 2
@@ -75,7 +75,7 @@
     return other.age_s < STALE_AFTER_S or other.position > own.position
 
 
-def is_home(other: Heard, own: Heard | None, there: Place, here: Place, order: Sequence[Place]) -> bool:
+def is_home(other: Heard, own: Heard | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
     """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
     nearer = order.index(there) < order.index(here)
     return nearer and other.age_s < STALE_AFTER_S and (own is None or other.position >= own.position)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -26,7 +26,7 @@
 )
 from ironscale.control.simulated_instance import LightInstance, light_follower
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View, narrowed
 from ironscale.versions.model import ALL, Entry, Labels, digest, effective
 from tests.sockets import run, until
@@ -53,8 +53,8 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def place(self, zone: str = "") -> Place:
-        return Place("127.0.0.1", self.port, zone)
+    def place(self, zone: str = "") -> AgentEndpoint:
+        return AgentEndpoint("127.0.0.1", self.port, zone)
 
     def update(self, since: int, known: str) -> VersionUpdate | None:
         view = View()
