--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -33,7 +33,7 @@
     region: str = ""
 
 
-def weight(instance: str, place: AgentEndpoint) -> int:
+def rendezvous_weight(instance: str, place: AgentEndpoint) -> int:
     """Rendezvous hashing: the instances of an agent that is lost spread evenly over the other agents."""
     text = f"{instance}\0{place.host}:{place.port}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
@@ -46,7 +46,7 @@
             return 0
         return 1 if labels.region and place.region == labels.region else 2
 
-    return tuple(sorted(places, key=lambda place: (far(place), -weight(labels.instance, place))))
+    return tuple(sorted(places, key=lambda place: (far(place), -rendezvous_weight(labels.instance, place))))
 
 
 def spread_s(followers: int, a_second: float, agents: int) -> float:
