--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -61,7 +61,7 @@
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
         self.state = Following(who.labels)
-        self.order = agent_selection.order(who.labels, who.places)
+        self.order = agent_selection.preference_order(who.labels, who.places)
         self.own: _Link | None = None
         self.spread_s = AGAIN_S
         self.rounds = 0  # of all agents, in vain
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -39,7 +39,7 @@
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
-def order(labels: Labels, places: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
+def preference_order(labels: Labels, places: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
     """All agents in order of preference: first those in the instance's zone, then in its region, then the others."""
     def far(place: AgentEndpoint) -> int:
         if labels.zone and place.zone == labels.zone:
