--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -41,12 +41,12 @@
 
 def preference_order(labels: Labels, places: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
     """All agents in order of preference: first those in the instance's zone, then in its region, then the others."""
-    def far(place: AgentEndpoint) -> int:
+    def distance(place: AgentEndpoint) -> int:
         if labels.zone and place.zone == labels.zone:
             return 0
         return 1 if labels.region and place.region == labels.region else 2
 
-    return tuple(sorted(places, key=lambda place: (far(place), -rendezvous_weight(labels.instance, place))))
+    return tuple(sorted(places, key=lambda place: (distance(place), -rendezvous_weight(labels.instance, place))))
 
 
 def spread_s(followers: int, a_second: float, agents: int) -> float:
