--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -49,7 +49,7 @@
     return tuple(sorted(places, key=lambda place: (distance(place), -rendezvous_weight(labels.instance, place))))
 
 
-def spread_s(followers: int, a_second: float, agents: int) -> float:
+def reconnect_spread_s(followers: int, a_second: float, agents: int) -> float:
     """Time over which the followers of a lost agent reconnect, as each other agent admits `admitted_per_s` of them."""
     return followers / (a_second * max(1, agents - 1))
 
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S, spread_s
+from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S, reconnect_spread_s
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, digest, effective
 
@@ -260,7 +260,7 @@
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_S) * (int(max(0.0, age_s) / AGE_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
-        spread_ms = 100 * (int(10 * spread_s(len(self.subscribers), self.bucket.a_second, self.agents)) + 1)
+        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.a_second, self.agents)) + 1)
         for _ in range(most):
             at_s = self.next_s()
             if at_s is None or at_s > now_s:
