--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -49,9 +49,9 @@
     return tuple(sorted(places, key=lambda place: (distance(place), -rendezvous_weight(labels.instance, place))))
 
 
-def reconnect_spread_s(followers: int, a_second: float, agents: int) -> float:
+def reconnect_spread_s(followers: int, admitted_per_s: float, agents: int) -> float:
     """Time over which the followers of a lost agent reconnect, as each other agent admits `admitted_per_s` of them."""
-    return followers / (a_second * max(1, agents - 1))
+    return followers / (admitted_per_s * max(1, agents - 1))
 
 
 @dataclass(frozen=True, slots=True)
