--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -28,7 +28,7 @@
     serialize_message,
 )
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import Heard, AgentEndpoint
+from ironscale.versions.agent_selection import AgentStatus, AgentEndpoint
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
@@ -139,7 +139,7 @@
                 continue
             link = await self.dial(place)
             silent_s = time.monotonic() - own.heard_s
-            mine = Heard(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
+            mine = AgentStatus(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
             if link.heard is not None and not link.ended.is_set() and (
                     agent_selection.is_better(link.heard, mine)
                     or agent_selection.is_home(link.heard, mine, place, own.place, self.order)):
@@ -219,7 +219,7 @@
         self.decoder = Decoder()
         self.ended, self.told = asyncio.Event(), asyncio.Event()
         self.why = ""
-        self.heard: Heard | None = None
+        self.heard: AgentStatus | None = None
         self.heard_s = self.since_s = time.monotonic()
         self.denied: Denied | None = None
         self.waiting: list[VersionUpdate] | None = []  # what came while the link was not followed
@@ -250,7 +250,7 @@
             self.end(f"denied ({message.code}): {message.text}")
             return
         assert isinstance(message, VersionUpdate)
-        self.heard, self.heard_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
+        self.heard, self.heard_s = AgentStatus(message.position, message.age_ms / 1000), time.monotonic()
         if self.waiting is not None:
             self.waiting.append(message)
         else:
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -55,19 +55,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class AgentStatus:
     """What an agent last reported about itself."""
 
     position: int
     age_s: float  # time since the agent last reached the record
 
 
-def looks_elsewhere(heard: Heard | None, silent_s: float) -> bool:
+def looks_elsewhere(heard: AgentStatus | None, silent_s: float) -> bool:
     """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
     return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_AFTER_S
 
 
-def is_better(other: Heard, own: Heard | None) -> bool:
+def is_better(other: AgentStatus, own: AgentStatus | None) -> bool:
     """Whether to switch to the other agent: only where the own one is unknown or stale, and the other is fresh or has a
     higher position. Otherwise an instance would switch back and forth between two agents that are both cut off."""
     if own is None or own.age_s < STALE_AFTER_S:
@@ -75,7 +75,7 @@
     return other.age_s < STALE_AFTER_S or other.position > own.position
 
 
-def is_home(other: Heard, own: Heard | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
+def is_home(other: AgentStatus, own: AgentStatus | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
     """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
     nearer = order.index(there) < order.index(here)
     return nearer and other.age_s < STALE_AFTER_S and (own is None or other.position >= own.position)
