--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -119,7 +119,7 @@
         home_s = own.since_s + HOME_S * (1 + self.random.random())
         while not own.ended.is_set():
             now_s = time.monotonic()
-            if agent_selection.looks_elsewhere(own.heard, now_s - own.heard_s):
+            if agent_selection.should_try_others(own.heard, now_s - own.heard_s):
                 await self.look(self.order, own)
                 return
             if home and now_s >= home_s:
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -62,7 +62,7 @@
     age_s: float  # time since the agent last reached the record
 
 
-def looks_elsewhere(heard: AgentStatus | None, silent_s: float) -> bool:
+def should_try_others(heard: AgentStatus | None, silent_s: float) -> bool:
     """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
     return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_AFTER_S
 
