--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -67,7 +67,7 @@
     return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_AFTER_S
 
 
-def is_better(other: AgentStatus, own: AgentStatus | None) -> bool:
+def should_switch(other: AgentStatus, own: AgentStatus | None) -> bool:
     """Whether to switch to the other agent: only where the own one is unknown or stale, and the other is fresh or has a
     higher position. Otherwise an instance would switch back and forth between two agents that are both cut off."""
     if own is None or own.age_s < STALE_AFTER_S:
