--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -142,7 +142,7 @@
             mine = AgentStatus(own.heard.position, own.heard.age_s + silent_s) if own.heard is not None else None
             if link.heard is not None and not link.ended.is_set() and (
                     agent_selection.should_switch(link.heard, mine)
-                    or agent_selection.is_home(link.heard, mine, place, own.place, self.order)):
+                    or agent_selection.is_preferred(link.heard, mine, place, own.place, self.order)):
                 own.close()
                 self.settle(link)
                 return
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -75,7 +75,7 @@
     return other.age_s < STALE_AFTER_S or other.position > own.position
 
 
-def is_home(other: AgentStatus, own: AgentStatus | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
+def is_preferred(other: AgentStatus, own: AgentStatus | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
     """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
     nearer = order.index(there) < order.index(here)
     return nearer and other.age_s < STALE_AFTER_S and (own is None or other.position >= own.position)
