--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -50,7 +50,7 @@
         view = View()
         view.take(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
         view = view.dropped(self.floor)
-        found = view.change(since, lineage) or Change("log", view.position, since, True, view.floor,
+        found = view.change_since(since, lineage) or Change("log", view.position, since, True, view.floor,
                                                       tuple(view.entries.values()))
         if self.lose_folded and len(found.entries) > 1 and not found.is_snapshot:
             return Change(found.lineage, found.position, found.since, False, found.floor, found.entries[1:])
--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -39,7 +39,7 @@
     floor: int = 0
     entries: dict[Scope, Entry] = field(default_factory=dict)
 
-    def change(self, since: int, lineage: str) -> Change | None:
+    def change_since(self, since: int, lineage: str) -> Change | None:
         """What a reader at position `since` of `lineage` lacks; None if it follows another lineage or is ahead of this
         view, and must be sent nothing."""
         if lineage and lineage != self.lineage:
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -52,7 +52,7 @@
         at = source(log, position).dropped(chance.randint(0, position)) if chance.random() < 0.3 else source(
             log, position)
         since = chance.choice((0, view.position, chance.randint(0, view.position)))
-        change = at.change(since, view.lineage)
+        change = at.change_since(since, view.lineage)
         assert change is not None
         if chance.random() < 0.3 and not change.is_snapshot:  # all entries since then, in any order
             change = replace(change, entries=tuple(chance.sample(log[since:position], position - since)))
@@ -71,7 +71,7 @@
     labels = chance.choice(LABELS)
     while view.position < len(log):
         position = chance.randint(view.position, len(log))
-        change = source(log, position).change(view.position, view.lineage)
+        change = source(log, position).change_since(view.position, view.lineage)
         assert change is not None
         told = narrowed(change, labels)
         assert {entry.scope for entry in told.entries} <= set(labels.scopes())
@@ -85,7 +85,7 @@
     cuts = sorted({0, *(chance.randint(0, len(log)) for _ in range(4)), len(log)})
     first = chance.choice(cuts[:-1])
     changes = [change for since, position in zip(cuts, cuts[1:], strict=False) if since >= first
-               for change in (source(log, position).change(since, "l"),) if change is not None]
+               for change in (source(log, position).change_since(since, "l"),) if change is not None]
     start = source(log, first)
     one, each = replace(start, entries=dict(start.entries)), replace(start, entries=dict(start.entries))
     together = folded(changes)
@@ -103,7 +103,7 @@
     position, behind = len(log), chance.randint(0, len(log))
     kept = source(log, position).dropped(chance.randint(0, position))
     follower = source(log, behind)
-    change = kept.change(behind, "l")
+    change = kept.change_since(behind, "l")
     assert change is not None and change.is_snapshot == (behind == 0 or behind < kept.floor)
     follower.take(change)
     assert in_force(follower.entries) == in_force(whole(log, position))
@@ -126,15 +126,15 @@
 
 def test_a_gap_between_changes_can_not_be_folded_away() -> None:
     log = log_of([(ALL, False)] * 5)
-    some: list[Any] = [source(log, 2).change(1, "l"), source(log, 5).change(4, "l")]
+    some: list[Any] = [source(log, 2).change_since(1, "l"), source(log, 5).change_since(4, "l")]
     with pytest.raises(ViewError, match="since: expected 2 or less, got 4"):
         folded(some)
 
 
 def test_nobody_is_told_what_is_behind_him_or_of_another_log() -> None:
     view = source(log_of([(ALL, False)] * 3), 3)
-    assert view.change(4, "l") is None and view.change(2, "other") is None
-    same = view.change(3, "l")
+    assert view.change_since(4, "l") is None and view.change_since(2, "other") is None
+    same = view.change_since(3, "l")
     assert same is not None and same.entries == () and not same.is_snapshot
-    first = view.change(0, "")
+    first = view.change_since(0, "")
     assert first is not None and first.is_snapshot and len(first.entries) == 1
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -26,7 +26,7 @@
 
 
 def told(view: View, since: int, labels: Labels = LABELS) -> tuple[Change, str] | None:
-    change = view.change(since, "L" if since else "")
+    change = view.change_since(since, "L" if since else "")
     if change is None:
         return None
     return narrowed(change, labels), digest(effective(view.layers(labels)))
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -89,7 +89,7 @@
             log.publish(rng)
         if what < 0.6:
             view = serving.view
-            found = log.view.change(view.position, view.lineage)
+            found = log.view.change_since(view.position, view.lineage)
             assert found is not None
             serving.advance(found, now_s)
         elif what < 0.75 and serving.reached:
@@ -108,12 +108,12 @@
             serving.drained(rng.choice(followers).subscriber, now_s)
         for subscriber in serving.subscribers.values():
             told = serving.lacks(subscriber, 100, 100)
-            whole = serving.view.change(subscriber.position, subscriber.lineage)
+            whole = serving.view.change_since(subscriber.position, subscriber.lineage)
             if whole is not None and whole.since != serving.view.position:
                 assert told.entries == narrowed(whole, subscriber.labels).entries
         tell()
     # all followers read again and the record is reached: within one bookmark interval all have its position
-    found = log.view.change(serving.view.position, serving.view.lineage)
+    found = log.view.change_since(serving.view.position, serving.view.lineage)
     assert found is not None
     serving.advance(found, now_s)
     for one in followers:
