--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -48,7 +48,7 @@
 
     def version_change(self, since: int, lineage: str) -> Change:
         view = View()
-        view.take(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
+        view.apply(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
         view = view.dropped(self.floor)
         found = view.change_since(since, lineage) or Change("log", view.position, since, True, view.floor,
                                                       tuple(view.entries.values()))
--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -51,7 +51,7 @@
         return Change(self.lineage, self.position, since, snapshot, self.floor,
                       tuple(sorted(found, key=lambda entry: entry.version)))
 
-    def take(self, change: Change) -> set[Scope]:
+    def apply(self, change: Change) -> set[Scope]:
         """Applies a change and returns the scopes that changed. Applying the same change twice is harmless.
         Raises ViewError."""
         if self.lineage and change.lineage != self.lineage:
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -49,7 +49,7 @@
             return Word.REREAD
         before = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
         try:
-            self.view.take(change)
+            self.view.apply(change)
         except ViewError:
             self.reread = True
             return Word.REREAD
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -164,7 +164,7 @@
 
     def advance(self, change: Change, now_s: float) -> set[Scope]:
         """Applies a change and returns the changed scopes; their followers are due in COALESCE_S. Raises ViewError."""
-        changed = self.view.take(change)
+        changed = self.view.apply(change)
         self.reached = True
         for scope in changed:
             for ident in self.by_scope.get(scope, ()):
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -87,7 +87,7 @@
             assert not update.entries, "told what is older"
             return
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
-        self.view.take(Change(update.lineage, update.position, update.since if self.view.position else 0,
+        self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
                               update.snapshot, update.floor, entries))
         if not self.position:
             assert update.digest == digest(effective(self.view.layers(self.labels)))
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -107,7 +107,7 @@
                     if chance.random() < (0.7, 0.3, 0.1, 0.03)[number] or step == 59:
                         change = await store.read(lambda r, v=view: r.version_change(  # type: ignore[misc]
                             v.position, v.lineage))
-                        view.take(change)
+                        view.apply(change)
                         assert view.position == step + 1
                         told = {s: e for s, e in view.entries.items() if e.overlay is not None}
                         meant = {s: e for s, e in whole.entries.items() if e.overlay is not None}
@@ -228,7 +228,7 @@
         self.view, self.positions = View(), list[int]()
 
     def __call__(self, change: Change) -> None:
-        self.view.take(change)
+        self.view.apply(change)
         self.positions.append(change.position)
 
 
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -58,7 +58,7 @@
 
     def update(self, since: int, known: str) -> VersionUpdate | None:
         view = View()
-        view.take(Change(self.lineage, len(self.log), 0, True, 0, tuple(self.log)))
+        view.apply(Change(self.lineage, len(self.log), 0, True, 0, tuple(self.log)))
         change = view.change_since(since, known)
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -57,7 +57,7 @@
         if chance.random() < 0.3 and not change.is_snapshot:  # all entries since then, in any order
             change = replace(change, entries=tuple(chance.sample(log[since:position], position - since)))
         for _ in range(chance.choice((1, 1, 2))):
-            changed = view.take(change)
+            changed = view.apply(change)
         assert view.position == position and in_force(view.entries) == in_force(whole(log, position))
         assert not changed or change.position == position
     for labels in LABELS:
@@ -75,7 +75,7 @@
         assert change is not None
         told = narrowed(change, labels)
         assert {entry.scope for entry in told.entries} <= set(labels.scopes())
-        view.take(told)
+        view.apply(told)
         assert effective(view.layers(labels)) == effective(source(log, position).layers(labels))
 
 
@@ -90,9 +90,9 @@
     one, each = replace(start, entries=dict(start.entries)), replace(start, entries=dict(start.entries))
     together = folded(changes)
     assert together is not None
-    one.take(together)
+    one.apply(together)
     for change in changes:
-        each.take(change)
+        each.apply(change)
     assert one.entries == each.entries == whole(log, len(log)) and one.position == each.position == len(log)
 
 
@@ -105,7 +105,7 @@
     follower = source(log, behind)
     change = kept.change_since(behind, "l")
     assert change is not None and change.is_snapshot == (behind == 0 or behind < kept.floor)
-    follower.take(change)
+    follower.apply(change)
     assert in_force(follower.entries) == in_force(whole(log, position))
 
 
@@ -120,7 +120,7 @@
     log = log_of([(ALL, False)] * 5)
     view = source(log, 5)
     with pytest.raises(ViewError, match=text):
-        view.take(change)
+        view.apply(change)
     assert (view.lineage, view.position, view.entries) == ("l", 5, whole(log, 5))
 
 
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -21,7 +21,7 @@
 
 def view_at(log: list[Entry], position: int) -> View:
     view = View()
-    view.take(Change("L", position, 0, True, 0, tuple(log[:position])))
+    view.apply(Change("L", position, 0, True, 0, tuple(log[:position])))
     return view
 
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -38,7 +38,7 @@
         at = self.view.position + 1
         overlay = None if rng.random() < 0.2 else {"n": at}
         entry = Entry(at, rng.choice(SCOPES), overlay)
-        self.view.take(Change("aa", at, at - 1, False, 0, (entry,)))
+        self.view.apply(Change("aa", at, at - 1, False, 0, (entry,)))
         if rng.random() < 0.1:
             self.view = self.view.dropped(rng.randint(0, at))
 
@@ -57,7 +57,7 @@
             return
         if told.is_snapshot:
             assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
-        self.view.take(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
+        self.view.apply(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
         assert digest(effective(self.view.layers(self.subscriber.labels))) == told.digest
 
 
