--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -73,7 +73,7 @@
         self.floor = max(self.floor, change.floor)
         return changed
 
-    def layers(self, labels: Labels) -> tuple[Entry, ...]:
+    def layers_for(self, labels: Labels) -> tuple[Entry, ...]:
         """The entries that apply to one instance, from the widest scope to the narrowest."""
         return tuple(self.entries[scope] for scope in labels.scopes() if scope in self.entries)
 
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -53,7 +53,7 @@
         except ViewError:
             self.reread = True
             return Word.REREAD
-        wanted = effective(self.view.layers(self.labels))
+        wanted = effective(self.view.layers_for(self.labels))
         found = digest(wanted)
         if found != told_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -90,11 +90,11 @@
         self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
                               update.snapshot, update.floor, entries))
         if not self.position:
-            assert update.digest == digest(effective(self.view.layers(self.labels)))
+            assert update.digest == digest(effective(self.view.layers_for(self.labels)))
 
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
-        values = {"position": at, "running": at, "digest": digest(effective(self.view.layers(self.labels))), **changes}
+        values = {"position": at, "running": at, "digest": digest(effective(self.view.layers_for(self.labels))), **changes}
         self.writer.write(encode(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -377,7 +377,7 @@
             found = await publisher.compose(labels)
             assert [str(layer.entry.scope) for layer in found.layers] == ["all", "zone=z", "service=s", "instance=i"]
             assert found.overlay == {"a": 3, "b": {"x": None, "y": 1}, "e": 5} and found.position == 5
-            assert found.digest == digest(effective(heard.view.layers(labels)))
+            assert found.digest == digest(effective(heard.view.layers_for(labels)))
             assert (await publisher.compose(Labels("other"))).overlay == {"a": 1, "b": {"x": 1, "y": 1}}
 
     run(test)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -63,7 +63,7 @@
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = narrowed(change, LABELS)
-        mark = "wrong" if self.lies else digest(effective(view.layers(LABELS)))
+        mark = "wrong" if self.lies else digest(effective(view.layers_for(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                       [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
                       self.age_ms(), 10)
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -61,7 +61,7 @@
         assert view.position == position and in_force(view.entries) == in_force(whole(log, position))
         assert not changed or change.position == position
     for labels in LABELS:
-        assert effective(view.layers(labels)) == effective(
+        assert effective(view.layers_for(labels)) == effective(
             entry for scope, entry in whole(log, len(log)).items() if scope in labels.scopes())
 
 
@@ -76,7 +76,7 @@
         told = narrowed(change, labels)
         assert {entry.scope for entry in told.entries} <= set(labels.scopes())
         view.apply(told)
-        assert effective(view.layers(labels)) == effective(source(log, position).layers(labels))
+        assert effective(view.layers_for(labels)) == effective(source(log, position).layers_for(labels))
 
 
 @given(LINES, SEEDS)
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -29,7 +29,7 @@
     change = view.change_since(since, "L" if since else "")
     if change is None:
         return None
-    return narrowed(change, labels), digest(effective(view.layers(labels)))
+    return narrowed(change, labels), digest(effective(view.layers_for(labels)))
 
 
 def test_whatever_agents_say_in_whatever_order_it_never_goes_back_and_runs_what_its_position_says() -> None:
@@ -58,10 +58,10 @@
                     ran = dict(state.overlay())
                     state.applied()
             assert state.view.position >= before[0] and state.running >= before[1], seed
-            held = effective(view_at(log, state.view.position).layers(LABELS)) if state.view.position else {}
+            held = effective(view_at(log, state.view.position).layers_for(LABELS)) if state.view.position else {}
             assert state.wanted == held, seed
             if state.running:
-                assert ran == effective(view_at(log, state.running).layers(LABELS)) or not ran, seed
+                assert ran == effective(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
                 assert state.running_digest == digest(ran), seed
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.since())
@@ -69,7 +69,7 @@
             if state.take(*found) is Word.APPLY:
                 state.applied()
         assert state.view.position == len(log) and not state.reread, seed
-        assert state.wanted == effective(view_at(log, len(log)).layers(LABELS)), seed
+        assert state.wanted == effective(view_at(log, len(log)).layers_for(LABELS)), seed
 
 
 def test_another_log_is_not_followed() -> None:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -58,7 +58,7 @@
         if told.is_snapshot:
             assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
         self.view.apply(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
-        assert digest(effective(self.view.layers(self.subscriber.labels))) == told.digest
+        assert digest(effective(self.view.layers_for(self.subscriber.labels))) == told.digest
 
 
 def test_drawn_histories_leave_every_follower_where_the_record_is() -> None:
@@ -125,7 +125,7 @@
             tell()
     for one in followers:
         assert one.view.position == log.view.position
-        assert effective(one.view.layers(one.subscriber.labels)) == effective(log.view.layers(one.subscriber.labels))
+        assert effective(one.view.layers_for(one.subscriber.labels)) == effective(log.view.layers_for(one.subscriber.labels))
         assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
     assert len(serving.subscribers) == len(followers)
 
@@ -260,7 +260,7 @@
 
 def test_the_sum_says_who_runs_what_and_is_bounded() -> None:
     serving = served(3)
-    right = serving.digest_of(serving.view.layers(Labels("i")))
+    right = serving.digest_of(serving.view.layers_for(Labels("i")))
     ones = [serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(5)]
     serving.runs(ones[0], 3, right, "applied", "")
     serving.runs(ones[1], 2, "old", "refused", "x" * 5_000)
