--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -49,7 +49,7 @@
     def version_change(self, since: int, lineage: str) -> Change:
         view = View()
         view.apply(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
-        view = view.dropped(self.floor)
+        view = view.without_removals(self.floor)
         found = view.change_since(since, lineage) or Change("log", view.position, since, True, view.floor,
                                                       tuple(view.entries.values()))
         if self.lose_folded and len(found.entries) > 1 and not found.is_snapshot:
--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -77,7 +77,7 @@
         """The entries that apply to one instance, from the widest scope to the narrowest."""
         return tuple(self.entries[scope] for scope in labels.scopes() if scope in self.entries)
 
-    def dropped(self, before: int) -> View:
+    def without_removals(self, before: int) -> View:
         """A copy without the removals (entries without an overlay) at or before version `before`."""
         gone = [entry.version for entry in self.entries.values() if entry.overlay is None and entry.version <= before]
         kept = {scope: entry for scope, entry in self.entries.items() if entry.version not in set(gone)}
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -49,7 +49,7 @@
     log, view, chance = log_of(lines), View(), Random(seed)
     while view.position < len(log):
         position = chance.randint(view.position, len(log))
-        at = source(log, position).dropped(chance.randint(0, position)) if chance.random() < 0.3 else source(
+        at = source(log, position).without_removals(chance.randint(0, position)) if chance.random() < 0.3 else source(
             log, position)
         since = chance.choice((0, view.position, chance.randint(0, view.position)))
         change = at.change_since(since, view.lineage)
@@ -101,7 +101,7 @@
     """A follower that is behind a dropped removal gets a snapshot, and so removes the scope too."""
     log, chance = log_of(lines), Random(seed)
     position, behind = len(log), chance.randint(0, len(log))
-    kept = source(log, position).dropped(chance.randint(0, position))
+    kept = source(log, position).without_removals(chance.randint(0, position))
     follower = source(log, behind)
     change = kept.change_since(behind, "l")
     assert change is not None and change.is_snapshot == (behind == 0 or behind < kept.floor)
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -40,7 +40,7 @@
         for _ in range(rng.randrange(1, 30)):
             agent = view_at(log, rng.randrange(1, len(log) + 1))
             if rng.random() < 0.3:
-                agent = agent.dropped(rng.randrange(agent.position + 1))
+                agent = agent.without_removals(rng.randrange(agent.position + 1))
             # an agent may be wrong about the position of this follower
             since = state.since() if rng.random() < 0.7 else rng.randrange(agent.position + 1)
             found = told(agent, since)
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -40,7 +40,7 @@
         entry = Entry(at, rng.choice(SCOPES), overlay)
         self.view.apply(Change("aa", at, at - 1, False, 0, (entry,)))
         if rng.random() < 0.1:
-            self.view = self.view.dropped(rng.randint(0, at))
+            self.view = self.view.without_removals(rng.randint(0, at))
 
 
 class Follower:
