--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -84,7 +84,7 @@
         return replace(self, entries=kept, floor=max([self.floor, *gone]))
 
 
-def narrowed(change: Change, labels: Labels) -> Change:
+def limited_to(change: Change, labels: Labels) -> Change:
     """The change with only the entries whose scope includes the instance."""
     scopes = set(labels.scopes())
     return replace(change, entries=tuple(entry for entry in change.entries if entry.scope in scopes))
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.versions.compacted_log import Change, View, ViewError, folded, narrowed
+from ironscale.versions.compacted_log import Change, View, ViewError, folded, limited_to
 from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, read_scope
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
@@ -73,7 +73,7 @@
         position = chance.randint(view.position, len(log))
         change = source(log, position).change_since(view.position, view.lineage)
         assert change is not None
-        told = narrowed(change, labels)
+        told = limited_to(change, labels)
         assert {entry.scope for entry in told.entries} <= set(labels.scopes())
         view.apply(told)
         assert effective(view.layers_for(labels)) == effective(source(log, position).layers_for(labels))
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ironscale.versions.compacted_log import Change, View, narrowed
+from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.follower_state import Following, Word
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 
@@ -29,7 +29,7 @@
     change = view.change_since(since, "L" if since else "")
     if change is None:
         return None
-    return narrowed(change, labels), digest(effective(view.layers_for(labels)))
+    return limited_to(change, labels), digest(effective(view.layers_for(labels)))
 
 
 def test_whatever_agents_say_in_whatever_order_it_never_goes_back_and_runs_what_its_position_says() -> None:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S
-from ironscale.versions.compacted_log import Change, View, narrowed
+from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 from ironscale.versions.serving import (
     MOST_DIFFERING,
@@ -110,7 +110,7 @@
             told = serving.lacks(subscriber, 100, 100)
             whole = serving.view.change_since(subscriber.position, subscriber.lineage)
             if whole is not None and whole.since != serving.view.position:
-                assert told.entries == narrowed(whole, subscriber.labels).entries
+                assert told.entries == limited_to(whole, subscriber.labels).entries
         tell()
     # all followers read again and the record is reached: within one bookmark interval all have its position
     found = log.view.change_since(serving.view.position, serving.view.lineage)
