--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -90,7 +90,7 @@
     return replace(change, entries=tuple(entry for entry in change.entries if entry.scope in scopes))
 
 
-def folded(changes: Iterable[Change]) -> Change | None:
+def merge_changes(changes: Iterable[Change]) -> Change | None:
     """Merges consecutive changes into one; None if there are none. Raises ViewError if they have a gap between them."""
     found: Change | None = None
     for change in changes:
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.versions.compacted_log import Change, View, ViewError, folded, limited_to
+from ironscale.versions.compacted_log import Change, View, ViewError, merge_changes, limited_to
 from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, read_scope
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
@@ -88,7 +88,7 @@
                for change in (source(log, position).change_since(since, "l"),) if change is not None]
     start = source(log, first)
     one, each = replace(start, entries=dict(start.entries)), replace(start, entries=dict(start.entries))
-    together = folded(changes)
+    together = merge_changes(changes)
     assert together is not None
     one.apply(together)
     for change in changes:
@@ -128,7 +128,7 @@
     log = log_of([(ALL, False)] * 5)
     some: list[Any] = [source(log, 2).change_since(1, "l"), source(log, 5).change_since(4, "l")]
     with pytest.raises(ViewError, match="since: expected 2 or less, got 4"):
-        folded(some)
+        merge_changes(some)
 
 
 def test_nobody_is_told_what_is_behind_him_or_of_another_log() -> None:
