--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -185,7 +185,7 @@
         word = state.take(change, update.digest)
         if word is Word.STRANGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
-        if word is Word.REREAD:
+        if word is Word.NEEDS_SNAPSHOT:
             raise MessageError(f"position {update.position}: what is held does not fit it; all is read again")
         if word is Word.APPLY:
             self.apply()
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -16,7 +16,7 @@
 
     NOTHING = "nothing"  # the update brought nothing new, or only the agent's position
     APPLY = "apply"  # `desired` differs from what runs
-    REREAD = "reread"  # this state does not match the agent's: a snapshot has to be requested
+    NEEDS_SNAPSHOT = "reread"  # this state does not match the agent's: a snapshot has to be requested
     STRANGE = "strange"  # the update belongs to another log; it is not followed
 
 
@@ -46,19 +46,19 @@
             return Word.NOTHING
         if change.since > self.view.position and not change.is_snapshot:
             self.reread = True
-            return Word.REREAD
+            return Word.NEEDS_SNAPSHOT
         before = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
         try:
             self.view.apply(change)
         except ViewError:
             self.reread = True
-            return Word.REREAD
+            return Word.NEEDS_SNAPSHOT
         wanted = effective(self.view.layers_for(self.labels))
         found = digest(wanted)
         if found != told_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
             self.view, self.reread = before, True
-            return Word.REREAD
+            return Word.NEEDS_SNAPSHOT
         self.reread = False
         self.wanted, self.wanted_digest = wanted, found
         if found == self.running_digest:
