--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -183,7 +183,7 @@
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
         word = state.take(change, update.digest)
-        if word is Word.STRANGE:
+        if word is Word.OTHER_LINEAGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
         if word is Word.NEEDS_SNAPSHOT:
             raise MessageError(f"position {update.position}: what is held does not fit it; all is read again")
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -17,7 +17,7 @@
     NOTHING = "nothing"  # the update brought nothing new, or only the agent's position
     APPLY = "apply"  # `desired` differs from what runs
     NEEDS_SNAPSHOT = "reread"  # this state does not match the agent's: a snapshot has to be requested
-    STRANGE = "strange"  # the update belongs to another log; it is not followed
+    OTHER_LINEAGE = "strange"  # the update belongs to another log; it is not followed
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     def take(self, change: Change, told_digest: str) -> Word:
         """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
         if self.view.lineage and change.lineage != self.view.lineage:
-            return Word.STRANGE
+            return Word.OTHER_LINEAGE
         if change.position < self.view.position:
             return Word.NOTHING
         if change.since > self.view.position and not change.is_snapshot:
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -78,7 +78,7 @@
     assert state.take(*told(view_at(log, 1), 0) or ()) is Word.APPLY
     state.applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.take(other, digest({"a": 2})) is Word.STRANGE and state.wanted == {"a": 1}
+    assert state.take(other, digest({"a": 2})) is Word.OTHER_LINEAGE and state.wanted == {"a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
