--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -30,7 +30,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import AgentStatus, AgentEndpoint
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.follower_state import Following, Word
+from ironscale.versions.follower_state import Following, UpdateOutcome
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
 AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
@@ -183,11 +183,11 @@
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
         word = state.take(change, update.digest)
-        if word is Word.OTHER_LINEAGE:
+        if word is UpdateOutcome.OTHER_LINEAGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
-        if word is Word.NEEDS_SNAPSHOT:
+        if word is UpdateOutcome.NEEDS_SNAPSHOT:
             raise MessageError(f"position {update.position}: what is held does not fit it; all is read again")
-        if word is Word.APPLY:
+        if word is UpdateOutcome.APPLY:
             self.apply()
         if (state.view.position, state.running, state.status) != was:
             self.changed()
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -11,7 +11,7 @@
 from ironscale.versions.model import Labels, digest, effective
 
 
-class Word(Enum):
+class UpdateOutcome(Enum):
     """What the instance has to do after an update."""
 
     NOTHING = "nothing"  # the update brought nothing new, or only the agent's position
@@ -38,35 +38,35 @@
         """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
         return 0 if self.reread else self.view.position
 
-    def take(self, change: Change, told_digest: str) -> Word:
+    def take(self, change: Change, told_digest: str) -> UpdateOutcome:
         """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
         if self.view.lineage and change.lineage != self.view.lineage:
-            return Word.OTHER_LINEAGE
+            return UpdateOutcome.OTHER_LINEAGE
         if change.position < self.view.position:
-            return Word.NOTHING
+            return UpdateOutcome.NOTHING
         if change.since > self.view.position and not change.is_snapshot:
             self.reread = True
-            return Word.NEEDS_SNAPSHOT
+            return UpdateOutcome.NEEDS_SNAPSHOT
         before = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
         try:
             self.view.apply(change)
         except ViewError:
             self.reread = True
-            return Word.NEEDS_SNAPSHOT
+            return UpdateOutcome.NEEDS_SNAPSHOT
         wanted = effective(self.view.layers_for(self.labels))
         found = digest(wanted)
         if found != told_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
             self.view, self.reread = before, True
-            return Word.NEEDS_SNAPSHOT
+            return UpdateOutcome.NEEDS_SNAPSHOT
         self.reread = False
         self.wanted, self.wanted_digest = wanted, found
         if found == self.running_digest:
             self.running, self.status, self.detail = self.view.position, "applied", ""
-            return Word.NOTHING
+            return UpdateOutcome.NOTHING
         if self.status != "applied" and before.position and not change.entries:
-            return Word.NOTHING  # already refused, and there is nothing new: don't retry the same configuration
-        return Word.APPLY
+            return UpdateOutcome.NOTHING  # already refused, and there is nothing new: don't retry the same configuration
+        return UpdateOutcome.APPLY
 
     def applied(self) -> None:
         """Notes that the desired configuration now runs."""
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -5,7 +5,7 @@
 import random
 
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.follower_state import Following, Word
+from ironscale.versions.follower_state import Following, UpdateOutcome
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 
 LABELS = Labels("app-1", "app", "a", "north")
@@ -51,7 +51,7 @@
                 change = Change(change.lineage, change.position, change.since, change.is_snapshot, change.floor,
                                 change.entries[1:])  # the first entry was lost on the way
             before = state.view.position, state.running
-            if state.take(change, mark) is Word.APPLY:
+            if state.take(change, mark) is UpdateOutcome.APPLY:
                 if rng.random() < 0.2:
                     state.refused("refused", "no")
                 else:
@@ -66,7 +66,7 @@
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.since())
             assert found is not None
-            if state.take(*found) is Word.APPLY:
+            if state.take(*found) is UpdateOutcome.APPLY:
                 state.applied()
         assert state.view.position == len(log) and not state.reread, seed
         assert state.wanted == effective(view_at(log, len(log)).layers_for(LABELS)), seed
@@ -75,10 +75,10 @@
 def test_another_log_is_not_followed() -> None:
     log = [Entry(1, ALL, {"a": 1})]
     state = Following(LABELS)
-    assert state.take(*told(view_at(log, 1), 0) or ()) is Word.APPLY
+    assert state.take(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.take(other, digest({"a": 2})) is Word.OTHER_LINEAGE and state.wanted == {"a": 1}
+    assert state.take(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.wanted == {"a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
@@ -90,11 +90,11 @@
         found = told(view_at(log, position), state.since())
         assert found is not None
         words.append(state.take(*found))
-        if words[-1] is Word.APPLY and position == 2:
+        if words[-1] is UpdateOutcome.APPLY and position == 2:
             state.refused("refused", "a: expected a number")
-        elif words[-1] is Word.APPLY:
+        elif words[-1] is UpdateOutcome.APPLY:
             state.applied()
         if position == 3:
             assert (state.view.position, state.running, state.status) == (3, 1, "refused")
-    assert words == [Word.APPLY, Word.APPLY, Word.NOTHING, Word.APPLY]
+    assert words == [UpdateOutcome.APPLY, UpdateOutcome.APPLY, UpdateOutcome.NOTHING, UpdateOutcome.APPLY]
     assert (state.running, state.status) == (4, "applied")
