--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -26,7 +26,7 @@
 
     labels: Labels
     view: View = field(default_factory=View)
-    wanted: dict[str, Any] = field(default_factory=dict)  # the overlay that results from `view`
+    desired: dict[str, Any] = field(default_factory=dict)  # the overlay that results from `view`
     wanted_digest: str = field(default_factory=lambda: digest({}))
     running: int = 0  # position of the configuration that runs
     running_digest: str = field(default_factory=lambda: digest({}))
@@ -60,7 +60,7 @@
             self.view, self.reread = before, True
             return UpdateOutcome.NEEDS_SNAPSHOT
         self.reread = False
-        self.wanted, self.wanted_digest = wanted, found
+        self.desired, self.wanted_digest = wanted, found
         if found == self.running_digest:
             self.running, self.status, self.detail = self.view.position, "applied", ""
             return UpdateOutcome.NOTHING
@@ -78,4 +78,4 @@
         self.status, self.detail = status, detail
 
     def overlay(self) -> Mapping[str, Any]:
-        return self.wanted
+        return self.desired
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -59,7 +59,7 @@
                     state.applied()
             assert state.view.position >= before[0] and state.running >= before[1], seed
             held = effective(view_at(log, state.view.position).layers_for(LABELS)) if state.view.position else {}
-            assert state.wanted == held, seed
+            assert state.desired == held, seed
             if state.running:
                 assert ran == effective(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
                 assert state.running_digest == digest(ran), seed
@@ -69,7 +69,7 @@
             if state.take(*found) is UpdateOutcome.APPLY:
                 state.applied()
         assert state.view.position == len(log) and not state.reread, seed
-        assert state.wanted == effective(view_at(log, len(log)).layers_for(LABELS)), seed
+        assert state.desired == effective(view_at(log, len(log)).layers_for(LABELS)), seed
 
 
 def test_another_log_is_not_followed() -> None:
@@ -78,7 +78,7 @@
     assert state.take(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.take(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.wanted == {"a": 1}
+    assert state.take(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
