--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -27,7 +27,7 @@
     labels: Labels
     view: View = field(default_factory=View)
     desired: dict[str, Any] = field(default_factory=dict)  # the overlay that results from `view`
-    wanted_digest: str = field(default_factory=lambda: digest({}))
+    desired_digest: str = field(default_factory=lambda: digest({}))
     running: int = 0  # position of the configuration that runs
     running_digest: str = field(default_factory=lambda: digest({}))
     status: str = "applied"
@@ -60,7 +60,7 @@
             self.view, self.reread = before, True
             return UpdateOutcome.NEEDS_SNAPSHOT
         self.reread = False
-        self.desired, self.wanted_digest = wanted, found
+        self.desired, self.desired_digest = wanted, found
         if found == self.running_digest:
             self.running, self.status, self.detail = self.view.position, "applied", ""
             return UpdateOutcome.NOTHING
@@ -70,7 +70,7 @@
 
     def applied(self) -> None:
         """Notes that the desired configuration now runs."""
-        self.running, self.running_digest = self.view.position, self.wanted_digest
+        self.running, self.running_digest = self.view.position, self.desired_digest
         self.status, self.detail = "applied", ""
 
     def refused(self, status: str, detail: str) -> None:
