--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -32,11 +32,11 @@
     running_digest: str = field(default_factory=lambda: digest({}))
     status: str = "applied"
     detail: str = ""
-    reread: bool = False
+    needs_snapshot: bool = False
 
     def since(self) -> int:
         """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
-        return 0 if self.reread else self.view.position
+        return 0 if self.needs_snapshot else self.view.position
 
     def take(self, change: Change, told_digest: str) -> UpdateOutcome:
         """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
@@ -45,21 +45,21 @@
         if change.position < self.view.position:
             return UpdateOutcome.NOTHING
         if change.since > self.view.position and not change.is_snapshot:
-            self.reread = True
+            self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
         before = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
         try:
             self.view.apply(change)
         except ViewError:
-            self.reread = True
+            self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
         wanted = effective(self.view.layers_for(self.labels))
         found = digest(wanted)
         if found != told_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
-            self.view, self.reread = before, True
+            self.view, self.needs_snapshot = before, True
             return UpdateOutcome.NEEDS_SNAPSHOT
-        self.reread = False
+        self.needs_snapshot = False
         self.desired, self.desired_digest = wanted, found
         if found == self.running_digest:
             self.running, self.status, self.detail = self.view.position, "applied", ""
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -68,7 +68,7 @@
             assert found is not None
             if state.take(*found) is UpdateOutcome.APPLY:
                 state.applied()
-        assert state.view.position == len(log) and not state.reread, seed
+        assert state.view.position == len(log) and not state.needs_snapshot, seed
         assert state.desired == effective(view_at(log, len(log)).layers_for(LABELS)), seed
 
 
