--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -232,7 +232,7 @@
         who, state = self.follower.who, self.follower.state
         labels = who.labels
         self.send(FollowRequest(PROTOCOL, who.token, labels.instance, who.boot, labels.service, labels.zone,
-                                labels.region, state.view.lineage, state.since()))
+                                labels.region, state.view.lineage, state.resume_position()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -34,7 +34,7 @@
     detail: str = ""
     needs_snapshot: bool = False
 
-    def since(self) -> int:
+    def resume_position(self) -> int:
         """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
         return 0 if self.needs_snapshot else self.view.position
 
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -42,7 +42,7 @@
             if rng.random() < 0.3:
                 agent = agent.without_removals(rng.randrange(agent.position + 1))
             # an agent may be wrong about the position of this follower
-            since = state.since() if rng.random() < 0.7 else rng.randrange(agent.position + 1)
+            since = state.resume_position() if rng.random() < 0.7 else rng.randrange(agent.position + 1)
             found = told(agent, since)
             if found is None:
                 continue
@@ -64,7 +64,7 @@
                 assert ran == effective(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
                 assert state.running_digest == digest(ran), seed
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
-            found = told(view_at(log, len(log)), state.since())
+            found = told(view_at(log, len(log)), state.resume_position())
             assert found is not None
             if state.take(*found) is UpdateOutcome.APPLY:
                 state.applied()
@@ -87,7 +87,7 @@
     state = Following(LABELS)
     words = []
     for position in (1, 2, 3, 4):
-        found = told(view_at(log, position), state.since())
+        found = told(view_at(log, position), state.resume_position())
         assert found is not None
         words.append(state.take(*found))
         if words[-1] is UpdateOutcome.APPLY and position == 2:
