--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -182,7 +182,7 @@
         was = state.view.position, state.running, state.status
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
-        word = state.take(change, update.digest)
+        word = state.handle_update(change, update.digest)
         if word is UpdateOutcome.OTHER_LINEAGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
         if word is UpdateOutcome.NEEDS_SNAPSHOT:
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -38,7 +38,7 @@
         """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
         return 0 if self.needs_snapshot else self.view.position
 
-    def take(self, change: Change, told_digest: str) -> UpdateOutcome:
+    def handle_update(self, change: Change, told_digest: str) -> UpdateOutcome:
         """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
         if self.view.lineage and change.lineage != self.view.lineage:
             return UpdateOutcome.OTHER_LINEAGE
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -51,7 +51,7 @@
                 change = Change(change.lineage, change.position, change.since, change.is_snapshot, change.floor,
                                 change.entries[1:])  # the first entry was lost on the way
             before = state.view.position, state.running
-            if state.take(change, mark) is UpdateOutcome.APPLY:
+            if state.handle_update(change, mark) is UpdateOutcome.APPLY:
                 if rng.random() < 0.2:
                     state.refused("refused", "no")
                 else:
@@ -66,7 +66,7 @@
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.resume_position())
             assert found is not None
-            if state.take(*found) is UpdateOutcome.APPLY:
+            if state.handle_update(*found) is UpdateOutcome.APPLY:
                 state.applied()
         assert state.view.position == len(log) and not state.needs_snapshot, seed
         assert state.desired == effective(view_at(log, len(log)).layers_for(LABELS)), seed
@@ -75,10 +75,10 @@
 def test_another_log_is_not_followed() -> None:
     log = [Entry(1, ALL, {"a": 1})]
     state = Following(LABELS)
-    assert state.take(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
+    assert state.handle_update(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.take(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
+    assert state.handle_update(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
@@ -89,7 +89,7 @@
     for position in (1, 2, 3, 4):
         found = told(view_at(log, position), state.resume_position())
         assert found is not None
-        words.append(state.take(*found))
+        words.append(state.handle_update(*found))
         if words[-1] is UpdateOutcome.APPLY and position == 2:
             state.refused("refused", "a: expected a number")
         elif words[-1] is UpdateOutcome.APPLY:
