--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -38,7 +38,7 @@
         """The position that is sent to an agent to continue from; 0 asks for a snapshot."""
         return 0 if self.needs_snapshot else self.view.position
 
-    def handle_update(self, change: Change, told_digest: str) -> UpdateOutcome:
+    def handle_update(self, change: Change, agent_digest: str) -> UpdateOutcome:
         """Handles an update. Never goes back: updates of an agent that is behind this state are ignored."""
         if self.view.lineage and change.lineage != self.view.lineage:
             return UpdateOutcome.OTHER_LINEAGE
@@ -55,7 +55,7 @@
             return UpdateOutcome.NEEDS_SNAPSHOT
         wanted = effective(self.view.layers_for(self.labels))
         found = digest(wanted)
-        if found != told_digest:
+        if found != agent_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
             self.view, self.needs_snapshot = before, True
             return UpdateOutcome.NEEDS_SNAPSHOT
