--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -205,7 +205,7 @@
             logs.line(traceback.format_exc())
             state.refused("failed", f"{type(error).__name__}: {error}")
         else:
-            state.applied()
+            state.mark_applied()
         if state.status != "applied":
             self.log(f"version {state.view.position} is not taken on: {state.status}: {state.detail}")
 
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -68,7 +68,7 @@
             return UpdateOutcome.NOTHING  # already refused, and there is nothing new: don't retry the same configuration
         return UpdateOutcome.APPLY
 
-    def applied(self) -> None:
+    def mark_applied(self) -> None:
         """Notes that the desired configuration now runs."""
         self.running, self.running_digest = self.view.position, self.desired_digest
         self.status, self.detail = "applied", ""
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -56,7 +56,7 @@
                     state.refused("refused", "no")
                 else:
                     ran = dict(state.overlay())
-                    state.applied()
+                    state.mark_applied()
             assert state.view.position >= before[0] and state.running >= before[1], seed
             held = effective(view_at(log, state.view.position).layers_for(LABELS)) if state.view.position else {}
             assert state.desired == held, seed
@@ -67,7 +67,7 @@
             found = told(view_at(log, len(log)), state.resume_position())
             assert found is not None
             if state.handle_update(*found) is UpdateOutcome.APPLY:
-                state.applied()
+                state.mark_applied()
         assert state.view.position == len(log) and not state.needs_snapshot, seed
         assert state.desired == effective(view_at(log, len(log)).layers_for(LABELS)), seed
 
@@ -76,7 +76,7 @@
     log = [Entry(1, ALL, {"a": 1})]
     state = Following(LABELS)
     assert state.handle_update(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
-    state.applied()
+    state.mark_applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
     assert state.handle_update(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
 
@@ -93,7 +93,7 @@
         if words[-1] is UpdateOutcome.APPLY and position == 2:
             state.refused("refused", "a: expected a number")
         elif words[-1] is UpdateOutcome.APPLY:
-            state.applied()
+            state.mark_applied()
         if position == 3:
             assert (state.view.position, state.running, state.status) == (3, 1, "refused")
     assert words == [UpdateOutcome.APPLY, UpdateOutcome.APPLY, UpdateOutcome.NOTHING, UpdateOutcome.APPLY]
