--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -198,12 +198,12 @@
         try:
             self.target.publish(state.overlay())
         except Refused as error:
-            state.refused("refused", str(error))
+            state.mark_refused("refused", str(error))
         except RestartNeeded as error:
-            state.refused("needs restart", str(error))
+            state.mark_refused("needs restart", str(error))
         except Exception as error:  # hazard: the connection would break, and the same version come again and again
             logs.line(traceback.format_exc())
-            state.refused("failed", f"{type(error).__name__}: {error}")
+            state.mark_refused("failed", f"{type(error).__name__}: {error}")
         else:
             state.mark_applied()
         if state.status != "applied":
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -73,7 +73,7 @@
         self.running, self.running_digest = self.view.position, self.desired_digest
         self.status, self.detail = "applied", ""
 
-    def refused(self, status: str, detail: str) -> None:
+    def mark_refused(self, status: str, detail: str) -> None:
         """Notes that the desired configuration was not applied: the former one keeps running until the next version."""
         self.status, self.detail = status, detail
 
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -53,7 +53,7 @@
             before = state.view.position, state.running
             if state.handle_update(change, mark) is UpdateOutcome.APPLY:
                 if rng.random() < 0.2:
-                    state.refused("refused", "no")
+                    state.mark_refused("refused", "no")
                 else:
                     ran = dict(state.overlay())
                     state.mark_applied()
@@ -91,7 +91,7 @@
         assert found is not None
         words.append(state.handle_update(*found))
         if words[-1] is UpdateOutcome.APPLY and position == 2:
-            state.refused("refused", "a: expected a number")
+            state.mark_refused("refused", "a: expected a number")
         elif words[-1] is UpdateOutcome.APPLY:
             state.mark_applied()
         if position == 3:
