--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -30,7 +30,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import AgentStatus, AgentEndpoint
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.follower_state import Following, UpdateOutcome
+from ironscale.versions.follower_state import FollowerState, UpdateOutcome
 from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
 
 AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
@@ -60,7 +60,7 @@
     def __init__(self, target: Target, who: Follows, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.who, self.random = target, who, rng
-        self.state = Following(who.labels)
+        self.state = FollowerState(who.labels)
         self.order = agent_selection.preference_order(who.labels, who.places)
         self.own: _Link | None = None
         self.spread_s = AGAIN_S
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Following:
+class FollowerState:
     """What one instance knows of the log, which configuration follows from it, and which one runs."""
 
     labels: Labels
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -5,7 +5,7 @@
 import random
 
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.follower_state import Following, UpdateOutcome
+from ironscale.versions.follower_state import FollowerState, UpdateOutcome
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
 
 LABELS = Labels("app-1", "app", "a", "north")
@@ -36,7 +36,7 @@
     for seed in range(3_000):
         rng = random.Random(seed)
         log = drawn(rng, rng.randrange(1, 20))
-        state, ran = Following(LABELS), dict[str, object]()
+        state, ran = FollowerState(LABELS), dict[str, object]()
         for _ in range(rng.randrange(1, 30)):
             agent = view_at(log, rng.randrange(1, len(log) + 1))
             if rng.random() < 0.3:
@@ -74,7 +74,7 @@
 
 def test_another_log_is_not_followed() -> None:
     log = [Entry(1, ALL, {"a": 1})]
-    state = Following(LABELS)
+    state = FollowerState(LABELS)
     assert state.handle_update(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.mark_applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
@@ -84,7 +84,7 @@
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
     log = [Entry(1, ALL, {"a": 1}), Entry(2, ALL, {"a": "bad"}), Entry(3, Scope(Reach.ZONE, "b"), {"b": 1}),
            Entry(4, ALL, {"a": 3})]
-    state = Following(LABELS)
+    state = FollowerState(LABELS)
     words = []
     for position in (1, 2, 3, 4):
         found = told(view_at(log, position), state.resume_position())
