--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironscale.versions.model import MOST_DEPTH, MOST_OVERLAY, Entry, Scope, canonical
+from ironscale.versions.model import MOST_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 KEEP = 1_000
@@ -66,8 +66,8 @@
         size = len(canonical(draft.overlay))
     except (TypeError, ValueError, RecursionError) as error:
         return Problem("BAD_INPUT", f"overlay: expected what JSON has, got {error}")
-    if size > MOST_OVERLAY:
-        return Problem("BAD_INPUT", f"overlay: expected {MOST_OVERLAY} bytes at most, got {size}")
+    if size > MAX_OVERLAY_BYTES:
+        return Problem("BAD_INPUT", f"overlay: expected {MAX_OVERLAY_BYTES} bytes at most, got {size}")
     if depth(draft.overlay) > MOST_DEPTH:
         return Problem("BAD_INPUT", f"overlay: expected {MOST_DEPTH} objects in one another at most, got more")
     return None
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -24,7 +24,7 @@
 from ironscale.standins.postgres import Data, Session
 from ironscale.versions import publishing as decisions
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, MOST_OVERLAY, Entry, Labels, Scope, digest, effective, read_scope
+from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
@@ -325,7 +325,7 @@
                 (draft("all", {"name": "x"}, 0), "BAD_INPUT", "overlay: name: expected no key that each instance has"),
                 (draft("all", {"settings": {"self-index": 1}}, 0), "BAD_INPUT", "settings.self-index"),
                 (draft("all", {"a": float("nan")}, 0), "BAD_INPUT", "overlay: expected what JSON has"),
-                (draft("all", {"a": "x" * MOST_OVERLAY}, 0), "BAD_INPUT", f"expected {MOST_OVERLAY} bytes at most"),
+                (draft("all", {"a": "x" * MAX_OVERLAY_BYTES}, 0), "BAD_INPUT", f"expected {MAX_OVERLAY_BYTES} bytes at most"),
                 (draft("all", deep, 0), "BAD_INPUT", "objects in one another"),
                 (draft("all", {}, 0, note="a\nb"), "BAD_INPUT", "note: expected a line"),
             ):
