--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -17,7 +17,7 @@
 # Size of one entry's patch as JSON. The patches of all five scopes of an instance must fit into one frame of the
 # control connection (128 KB) together with the envelope; otherwise no update could be sent to that instance any more.
 MAX_OVERLAY_BYTES = 24 << 10
-MOST_DEPTH = 24  # levels of nested objects and lists
+MAX_OVERLAY_DEPTH = 24  # levels of nested objects and lists
 MAX_NAME = 128
 
 
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironscale.versions.model import MOST_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical
+from ironscale.versions.model import MAX_OVERLAY_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 KEEP = 1_000
@@ -68,8 +68,8 @@
         return Problem("BAD_INPUT", f"overlay: expected what JSON has, got {error}")
     if size > MAX_OVERLAY_BYTES:
         return Problem("BAD_INPUT", f"overlay: expected {MAX_OVERLAY_BYTES} bytes at most, got {size}")
-    if depth(draft.overlay) > MOST_DEPTH:
-        return Problem("BAD_INPUT", f"overlay: expected {MOST_DEPTH} objects in one another at most, got more")
+    if depth(draft.overlay) > MAX_OVERLAY_DEPTH:
+        return Problem("BAD_INPUT", f"overlay: expected {MAX_OVERLAY_DEPTH} objects in one another at most, got more")
     return None
 
 
