--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -29,7 +29,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
 from ironscale.disruption.model import MOST_PRIORITY, Halt, Permit, Phase
-from ironscale.versions.model import MAX_NAME, Labels, Scope, ScopeError, read_scope
+from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, read_scope
 from ironscale.versions.publishing import Draft
 
 MOST_KEY = 200
@@ -387,8 +387,8 @@
                              ) -> dict[str, Any]:
     engine = need(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
-        if len(value) > MAX_NAME or not value.isprintable():
-            raise error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
+        if len(value) > MAX_SCOPE_NAME_CHARS or not value.isprintable():
+            raise error("BAD_INPUT", f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}")
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -18,7 +18,7 @@
 # control connection (128 KB) together with the envelope; otherwise no update could be sent to that instance any more.
 MAX_OVERLAY_BYTES = 24 << 10
 MAX_OVERLAY_DEPTH = 24  # levels of nested objects and lists
-MAX_NAME = 128
+MAX_SCOPE_NAME_CHARS = 128
 
 
 class ScopeError(ValueError):
@@ -55,7 +55,7 @@
         return ALL
     reach, mark, name = text.partition("=")
     known = {r.name.lower(): r for r in Reach if r is not Reach.ALL}
-    fits = 0 < len(name) <= MAX_NAME and name.isprintable() and name == name.strip()
+    fits = 0 < len(name) <= MAX_SCOPE_NAME_CHARS and name.isprintable() and name == name.strip()
     if not mark or reach not in known or not fits:
         raise ScopeError(f"scope: expected all, or one of {', '.join(known)} with =NAME, got {text[:60]!r}")
     return Scope(known[reach], name)
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -12,7 +12,7 @@
 
 from ironscale.versions.model import (
     ALL,
-    MAX_NAME,
+    MAX_SCOPE_NAME_CHARS,
     Entry,
     Labels,
     Reach,
@@ -25,7 +25,7 @@
 )
 from ironscale.versions.publishing import Draft, Standing, is_way_back, refused
 
-NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_NAME)
+NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_SCOPE_NAME_CHARS)
 SCOPES = st.one_of(st.just(ALL), st.builds(Scope, st.sampled_from([r for r in Reach if r is not Reach.ALL]), NAMES))
 KEYS = st.sampled_from("abc")
 PATCHES: st.SearchStrategy[Any] = st.recursive(
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "ALL", "all=x", "zone", "zone=", "zone= a", "zone=a\n", "zones=a", "=a",
-                                  "zone=" + "a" * (MAX_NAME + 1)])
+                                  "zone=" + "a" * (MAX_SCOPE_NAME_CHARS + 1)])
 def test_what_is_no_scope_is_told_in_one_line(text: str) -> None:
     with pytest.raises(ScopeError, match="scope: expected all, or one of region, zone, service, instance with =NAME"
                        ) as found:
