--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -29,7 +29,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
 from ironscale.disruption.model import MOST_PRIORITY, Halt, Permit, Phase
-from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, read_scope
+from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, parse_scope
 from ironscale.versions.publishing import Draft
 
 MOST_KEY = 200
@@ -362,7 +362,7 @@
 
 def scope_of(text: str) -> Scope:
     try:
-        return read_scope(text)
+        return parse_scope(text)
     except ScopeError as problem:
         raise error("BAD_INPUT", str(problem)) from problem
 
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -20,7 +20,7 @@
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.record.sql import typed
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Scope, canonical, read_scope
+from ironscale.versions.model import Entry, Scope, canonical, parse_scope
 
 ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
 SCOPES_AT_ONCE = 500  # compacted in one transaction
@@ -305,7 +305,7 @@
     @staticmethod
     def _entry(row: tuple[Any, ...]) -> Entry:
         version, scope, overlay, base, restores, actor, at_ms = row[:7]
-        return Entry(version, read_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor, at_ms)
+        return Entry(version, parse_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor, at_ms)
 
     def version_change(self, since: int, lineage: str) -> Change:
         own, position, floor = self._log()
--- a/ironscale/cli/config.py
+++ b/ironscale/cli/config.py
@@ -18,7 +18,7 @@
 from ironscale.cli.common import api_for, api_options, output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.cli.rollout import read_overlay
-from ironscale.versions.model import ScopeError, read_scope
+from ironscale.versions.model import ScopeError, parse_scope
 
 VERSION = "number scope overlay base restores actor at note inForce"
 LOG = ("query($scope: String!, $first: Int!, $after: String) { versions(scope: $scope, first: $first, after: $after) { "
@@ -44,7 +44,7 @@
 
 def checked_scope(context: click.Context, parameter: click.Parameter, value: str) -> str:
     try:
-        return str(read_scope(value)) if value else value
+        return str(parse_scope(value)) if value else value
     except ScopeError as problem:
         fail(Exit.USAGE, str(problem))
 
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -31,7 +31,7 @@
 from ironscale.versions.agent_selection import AgentStatus, AgentEndpoint
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.follower_state import FollowerState, UpdateOutcome
-from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
+from ironscale.versions.model import Entry, Labels, ScopeError, parse_scope
 
 AGAIN_S = 0.5  # between two rounds of all agents, at a random moment of it and more after each round in vain
 MOST_AGAIN_S = 2.0
@@ -180,7 +180,7 @@
         """One step; what there is to be told of it."""
         state = self.state
         was = state.view.position, state.running, state.status
-        entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
+        entries = tuple(Entry(layer.version, parse_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
         word = state.handle_update(change, update.digest)
         if word is UpdateOutcome.OTHER_LINEAGE:
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -49,7 +49,7 @@
 ALL = Scope(Reach.ALL)
 
 
-def read_scope(text: str) -> Scope:
+def parse_scope(text: str) -> Scope:
     """Parses the text form of a scope. Raises ScopeError."""
     if text == "all":
         return ALL
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -18,7 +18,7 @@
 from typing import Any, NoReturn
 
 from ironscale.versions.compacted_log import View
-from ironscale.versions.model import Entry, Scope, ScopeError, read_scope
+from ironscale.versions.model import Entry, Scope, ScopeError, parse_scope
 
 MAGIC = b"ISVERSN\n"
 VERSION = 1
@@ -154,7 +154,7 @@
     if overlay is not None and type(overlay) is not dict:
         _wrong(f"{where}.overlay", "an object or null", overlay)
     try:
-        found: Scope = read_scope(_text(scope, f"{where}.scope"))
+        found: Scope = parse_scope(_text(scope, f"{where}.scope"))
     except ScopeError as error:
         raise SnapshotError(f"{where}.{error}") from error
     return Entry(_whole(version, f"{where}.version", position, 1), found, overlay, _whole(base, f"{where}.base"),
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -29,7 +29,7 @@
 )
 from ironscale.operator_file import read_secret
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, parse_scope
 from ironscale.versions.publishing import Draft
 from ironscale.versions.serving import Bucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
@@ -86,7 +86,7 @@
         if update.position < max(self.position, self.view.position):
             assert not update.entries, "told what is older"
             return
-        entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
+        entries = tuple(Entry(layer.version, parse_scope(layer.scope), layer.overlay) for layer in update.entries)
         self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
                               update.snapshot, update.floor, entries))
         if not self.position:
@@ -135,7 +135,7 @@
             at_s = time.monotonic()
             await until(lambda: near.view.position == 1 and far.view.position == 1)
             assert time.monotonic() - at_s < 5.0
-            await publish(first, {"settings": {"instances": 3}}, read_scope("zone=a"))
+            await publish(first, {"settings": {"instances": 3}}, parse_scope("zone=a"))
             await until(lambda: near.view.position == 2 and far.view.position == 2)
             assert near.view.entries.keys() == {ALL} and len(far.view.entries) == 2
             assert not second.leading.is_set() and far.updates[-1].age_ms < 2_500
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -24,7 +24,7 @@
 from ironscale.agent.sqlite import MIGRATIONS, SCHEMA, SqliteStore, connect
 from ironscale.agent.store import Configuration, InstanceRow, Published, Records, StoreError, TokenRow
 from ironscale.record.database import Opener, Transaction
-from ironscale.versions.model import Entry, read_scope
+from ironscale.versions.model import Entry, parse_scope
 from tests.deployed import ROOT
 from tests.record.disk import Disk, Vfs
 from tests.sockets import until
@@ -54,13 +54,13 @@
     r.add_mutation("ann", "k", "f", 1, 6)
     r.audit(1, "ann", "drain", "i0", "applied", {"x": 1})
     r.put_token(TokenRow("t", "read", "d", 1))
-    r.add_version(read_scope("zone=a"), {"settings": {"x": 1}}, 0, "ann", 7, note="first")
-    r.add_version(read_scope("zone=a"), None, 1, "ann", 8)
-    r.add_version(read_scope("zone=a"), {"settings": {"x": 1}}, 2, "bob", 9, restores=1)
+    r.add_version(parse_scope("zone=a"), {"settings": {"x": 1}}, 0, "ann", 7, note="first")
+    r.add_version(parse_scope("zone=a"), None, 1, "ann", 8)
+    r.add_version(parse_scope("zone=a"), {"settings": {"x": 1}}, 2, "bob", 9, restores=1)
     r.set_alive(77)
 
 
-ZONE_A = read_scope("zone=a")
+ZONE_A = parse_scope("zone=a")
 PUBLISHED = [Published(Entry(3, ZONE_A, {"settings": {"x": 1}}, 2, 1, "bob", 9), "", True),
              Published(Entry(2, ZONE_A, None, 1, 0, "ann", 8), "", False),
              Published(Entry(1, ZONE_A, {"settings": {"x": 1}}, 0, 0, "ann", 7), "first", False)]
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -24,13 +24,13 @@
 from ironscale.standins.postgres import Data, Session
 from ironscale.versions import publishing as decisions
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, digest, effective, read_scope
+from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, digest, effective, parse_scope
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
 from tests.deployed import ROOT
 
-SCOPES = [ALL, *map(read_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
+SCOPES = [ALL, *map(parse_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
 
 
 @contextlib.asynccontextmanager
@@ -77,7 +77,7 @@
             assert (await store.read(lambda r: r.newest(ALL))) == made[-1]
             kept = await store.read(lambda r: r.versions(9, 3))
             assert [(p.entry, p.in_force) for p in kept] == [(made[7], True), (made[6], False), (made[5], False)]
-            assert await store.read(lambda r: r.versions(99, 9, read_scope("zone=a"))) == []
+            assert await store.read(lambda r: r.versions(99, 9, parse_scope("zone=a"))) == []
             assert await store.read(lambda r: r.version(9)) is None
 
     run(test)
@@ -120,7 +120,7 @@
 def test_what_is_compacted_is_what_nothing_in_the_kept_history_needs(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
-            zone, service = read_scope("zone=a"), read_scope("service=s")
+            zone, service = parse_scope("zone=a"), parse_scope("service=s")
             for at_ms, scope, overlay in ((1, zone, {"n": 1}), (2, ALL, {"n": 2}), (3, zone, {"n": 3}),
                                           (4, service, {"n": 4}), (5, service, None), (6, ALL, {"n": 6}),
                                           (7, ALL, {"n": 7}), (8, ALL, {"n": 8})):
@@ -195,7 +195,7 @@
 
 def test_an_end_that_is_compacted_between_two_looks_of_a_follower_is_told_by_a_snapshot() -> None:
     async def test() -> None:
-        data, zone = Data(), read_scope("zone=a")
+        data, zone = Data(), parse_scope("zone=a")
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
             reader.holder.follows = True
             for scope, overlay in ((ALL, {"n": 1}), (zone, {"n": 2}), (zone, None)):
@@ -245,7 +245,7 @@
 
 
 def draft(scope: str, overlay: Any, base: int, **more: Any) -> Draft:
-    return Draft(read_scope(scope), overlay, base, **more)
+    return Draft(parse_scope(scope), overlay, base, **more)
 
 
 def refusal_of(found: Any) -> str:
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from ironscale.versions.compacted_log import Change, View, ViewError, merge_changes, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, read_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, parse_scope
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
-SCOPES = [ALL, *map(read_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i", "instance=k"))]
+SCOPES = [ALL, *map(parse_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i", "instance=k"))]
 LINES = st.lists(st.tuples(st.sampled_from(SCOPES), st.booleans()), min_size=1, max_size=30)
 SEEDS = st.integers(0, 2**32)
 
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -21,7 +21,7 @@
     digest,
     effective,
     over,
-    read_scope,
+    parse_scope,
 )
 from ironscale.versions.publishing import Draft, Standing, is_way_back, refused
 
@@ -49,7 +49,7 @@
 
 @given(SCOPES)
 def test_a_scope_is_read_as_it_is_written(scope: Scope) -> None:
-    assert read_scope(str(scope)) == scope
+    assert parse_scope(str(scope)) == scope
 
 
 @pytest.mark.parametrize("text", ["", "ALL", "all=x", "zone", "zone=", "zone= a", "zone=a\n", "zones=a", "=a",
@@ -57,7 +57,7 @@
 def test_what_is_no_scope_is_told_in_one_line(text: str) -> None:
     with pytest.raises(ScopeError, match="scope: expected all, or one of region, zone, service, instance with =NAME"
                        ) as found:
-        read_scope(text)
+        parse_scope(text)
     assert "\n" not in str(found.value)
 
 
