--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -90,13 +90,13 @@
     at_ms: int = 0
 
 
-def over(below: Any, patch: Any) -> Any:
+def over(lower: Any, patch: Any) -> Any:
     """Combines two merge patches into one; `patch` takes precedence over `lower`. Unlike applying a patch, this keeps
     removals (null). Where `patch` has an object and `lower` a removal or a plain value, the latter is lost: applied one
     after the other they would first empty the object in the file, which a single merge patch can't express."""
     if not isinstance(patch, Mapping):
         return patch
-    result = dict(below) if isinstance(below, Mapping) else {}
+    result = dict(lower) if isinstance(lower, Mapping) else {}
     for name, value in patch.items():
         result[name] = over(result[name], value) if name in result else value
     return result
