--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -7,7 +7,7 @@
 
 from ironscale.control.instance import Instance
 from ironscale.control.messages import Report
-from ironscale.versions.model import over
+from ironscale.versions.model import combine_patches
 
 
 class Layered:
@@ -29,12 +29,12 @@
         self.instance.drain(draining)
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
-        self.instance.reconfigure(generation, over(self.published, overlay))
+        self.instance.reconfigure(generation, combine_patches(self.published, overlay))
         self.generation, self.operated = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
         """All or nothing. Raises Refused or RestartNeeded."""
-        self.instance.reconfigure(self.generation, over(overlay, self.operated))
+        self.instance.reconfigure(self.generation, combine_patches(overlay, self.operated))
         self.published = overlay
 
     def stop(self) -> None:
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -28,7 +28,7 @@
 from ironscale.versions import serving as told_module
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, over
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_patches
 from ironscale.versions.serving import Serving
 from ironscale.versions.snapshot import snapshot_of
 
@@ -371,7 +371,7 @@
         result: dict[str, Any] = {}
         for entry in sorted(layers, key=lambda entry: -entry.scope.reach):
             if entry.overlay is not None:
-                result = over(result, entry.overlay)
+                result = combine_patches(result, entry.overlay)
         return result
 
     if plant == "scope rule turned round":
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -90,7 +90,7 @@
     at_ms: int = 0
 
 
-def over(lower: Any, patch: Any) -> Any:
+def combine_patches(lower: Any, patch: Any) -> Any:
     """Combines two merge patches into one; `patch` takes precedence over `lower`. Unlike applying a patch, this keeps
     removals (null). Where `patch` has an object and `lower` a removal or a plain value, the latter is lost: applied one
     after the other they would first empty the object in the file, which a single merge patch can't express."""
@@ -98,7 +98,7 @@
         return patch
     result = dict(lower) if isinstance(lower, Mapping) else {}
     for name, value in patch.items():
-        result[name] = over(result[name], value) if name in result else value
+        result[name] = combine_patches(result[name], value) if name in result else value
     return result
 
 
@@ -107,7 +107,7 @@
     result: dict[str, Any] = {}
     for entry in sorted(layers, key=lambda entry: entry.scope.reach):
         if entry.overlay is not None:
-            result = over(result, entry.overlay)
+            result = combine_patches(result, entry.overlay)
     return result
 
 
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -20,7 +20,7 @@
     ScopeError,
     digest,
     effective,
-    over,
+    combine_patches,
     parse_scope,
 )
 from ironscale.versions.publishing import Draft, Standing, is_way_back, refused
@@ -94,12 +94,12 @@
 @given(OBJECTS, OBJECTS, OBJECTS)
 def test_two_patches_made_one_do_what_both_did(file: dict[str, Any], wide: dict[str, Any], narrow: dict[str, Any]
                                                ) -> None:
-    assert merged(file, over(wide, narrow)) == merged(merged(file, outvoted(wide, narrow)), narrow)
+    assert merged(file, combine_patches(wide, narrow)) == merged(merged(file, outvoted(wide, narrow)), narrow)
 
 
 def test_a_removal_by_the_wider_does_not_empty_what_the_narrower_gives_as_an_object() -> None:
-    assert over({"b": None}, {"b": {"x": 1}}) == {"b": {"x": 1}}  # so the other keys of b in the file stay
-    assert over({"b": {"x": 1}}, {"b": None}) == {"b": None}
+    assert combine_patches({"b": None}, {"b": {"x": 1}}) == {"b": {"x": 1}}  # so the other keys of b in the file stay
+    assert combine_patches({"b": {"x": 1}}, {"b": None}) == {"b": None}
 
 
 @given(OBJECTS)
