--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.model import Labels, digest, effective
+from ironscale.versions.model import Labels, digest, combine_layers
 
 
 class UpdateOutcome(Enum):
@@ -53,7 +53,7 @@
         except ViewError:
             self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
-        wanted = effective(self.view.layers_for(self.labels))
+        wanted = combine_layers(self.view.layers_for(self.labels))
         found = digest(wanted)
         if found != agent_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -102,7 +102,7 @@
     return result
 
 
-def effective(layers: Iterable[Entry]) -> dict[str, Any]:
+def combine_layers(layers: Iterable[Entry]) -> dict[str, Any]:
     """Combines the newest entries of an instance's scopes into one overlay; narrower scopes override wider ones."""
     result: dict[str, Any] = {}
     for entry in sorted(layers, key=lambda entry: entry.scope.reach):
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -28,7 +28,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, digest, effective
+from ironscale.versions.model import ALL, Entry, Labels, digest, combine_layers
 from tests.sockets import run, until
 
 LABELS = Labels("app-0", "app", "a", "north")
@@ -63,7 +63,7 @@
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = limited_to(change, LABELS)
-        mark = "wrong" if self.lies else digest(effective(view.layers_for(LABELS)))
+        mark = "wrong" if self.lies else digest(combine_layers(view.layers_for(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                       [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
                       self.age_ms(), 10)
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from ironscale.versions.compacted_log import Change, View, ViewError, merge_changes, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, Scope, effective, parse_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, combine_layers, parse_scope
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
 SCOPES = [ALL, *map(parse_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i", "instance=k"))]
@@ -61,7 +61,7 @@
         assert view.position == position and in_force(view.entries) == in_force(whole(log, position))
         assert not changed or change.position == position
     for labels in LABELS:
-        assert effective(view.layers_for(labels)) == effective(
+        assert combine_layers(view.layers_for(labels)) == combine_layers(
             entry for scope, entry in whole(log, len(log)).items() if scope in labels.scopes())
 
 
@@ -76,7 +76,7 @@
         told = limited_to(change, labels)
         assert {entry.scope for entry in told.entries} <= set(labels.scopes())
         view.apply(told)
-        assert effective(view.layers_for(labels)) == effective(source(log, position).layers_for(labels))
+        assert combine_layers(view.layers_for(labels)) == combine_layers(source(log, position).layers_for(labels))
 
 
 @given(LINES, SEEDS)
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -6,7 +6,7 @@
 
 from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.follower_state import FollowerState, UpdateOutcome
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, combine_layers
 
 LABELS = Labels("app-1", "app", "a", "north")
 SCOPES = (ALL, Scope(Reach.REGION, "north"), Scope(Reach.ZONE, "a"), Scope(Reach.ZONE, "b"),
@@ -29,7 +29,7 @@
     change = view.change_since(since, "L" if since else "")
     if change is None:
         return None
-    return limited_to(change, labels), digest(effective(view.layers_for(labels)))
+    return limited_to(change, labels), digest(combine_layers(view.layers_for(labels)))
 
 
 def test_whatever_agents_say_in_whatever_order_it_never_goes_back_and_runs_what_its_position_says() -> None:
@@ -58,10 +58,10 @@
                     ran = dict(state.overlay())
                     state.mark_applied()
             assert state.view.position >= before[0] and state.running >= before[1], seed
-            held = effective(view_at(log, state.view.position).layers_for(LABELS)) if state.view.position else {}
+            held = combine_layers(view_at(log, state.view.position).layers_for(LABELS)) if state.view.position else {}
             assert state.desired == held, seed
             if state.running:
-                assert ran == effective(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
+                assert ran == combine_layers(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
                 assert state.running_digest == digest(ran), seed
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.resume_position())
@@ -69,7 +69,7 @@
             if state.handle_update(*found) is UpdateOutcome.APPLY:
                 state.mark_applied()
         assert state.view.position == len(log) and not state.needs_snapshot, seed
-        assert state.desired == effective(view_at(log, len(log)).layers_for(LABELS)), seed
+        assert state.desired == combine_layers(view_at(log, len(log)).layers_for(LABELS)), seed
 
 
 def test_another_log_is_not_followed() -> None:
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -19,7 +19,7 @@
     Scope,
     ScopeError,
     digest,
-    effective,
+    combine_layers,
     combine_patches,
     parse_scope,
 )
@@ -71,15 +71,15 @@
     entries = [Entry(9 - n, scope, {"who": str(scope), str(scope): n})
                for n, scope in enumerate(Labels("i", "s", "z", "r").scopes())]
     for some in permutations(entries):
-        found = effective(some)
+        found = combine_layers(some)
         assert found["who"] == "instance=i" and len(found) == 6
-    assert effective(entries[:3])["who"] == "zone=z"
+    assert combine_layers(entries[:3])["who"] == "zone=z"
 
 
 def test_an_entry_without_an_overlay_leaves_what_the_wider_say() -> None:
-    assert effective([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), None)]) == {"a": 1}
+    assert combine_layers([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), None)]) == {"a": 1}
     # null is kept: it removes the value that the file has
-    assert effective([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), {"a": None})]) == {"a": None}
+    assert combine_layers([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), {"a": None})]) == {"a": None}
 
 
 def outvoted(wide: Any, narrow: Any) -> Any:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -8,7 +8,7 @@
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, effective
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, combine_layers
 from ironscale.versions.serving import (
     MOST_DIFFERING,
     SLOW_S,
@@ -58,7 +58,7 @@
         if told.is_snapshot:
             assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
         self.view.apply(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
-        assert digest(effective(self.view.layers_for(self.subscriber.labels))) == told.digest
+        assert digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == told.digest
 
 
 def test_drawn_histories_leave_every_follower_where_the_record_is() -> None:
@@ -125,7 +125,7 @@
             tell()
     for one in followers:
         assert one.view.position == log.view.position
-        assert effective(one.view.layers_for(one.subscriber.labels)) == effective(log.view.layers_for(one.subscriber.labels))
+        assert combine_layers(one.view.layers_for(one.subscriber.labels)) == combine_layers(log.view.layers_for(one.subscriber.labels))
         assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
     assert len(serving.subscribers) == len(followers)
 
