--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -20,7 +20,7 @@
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.record.sql import typed
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Scope, canonical, parse_scope
+from ironscale.versions.model import Entry, Scope, canonical_json, parse_scope
 
 ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
 SCOPES_AT_ONCE = 500  # compacted in one transaction
@@ -374,7 +374,7 @@
             self.make_lineage()
             found = self.sql(one_more)
         (number,), = found
-        text = canonical(overlay).decode("ascii") if overlay is not None else ""
+        text = canonical_json(overlay).decode("ascii") if overlay is not None else ""
         row = (number, str(scope), text, base, restores, actor, at_ms, note)
         self.insert("versions", VERSION, [row])
         self.insert("newest", NEWEST, [(str(scope), number)], PUT_NEWEST)
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -111,11 +111,11 @@
     return result
 
 
-def canonical(overlay: Any) -> bytes:
+def canonical_json(overlay: Any) -> bytes:
     """JSON with sorted keys and without spaces, so that equal overlays give equal bytes."""
     return json.dumps(overlay, sort_keys=True, separators=(",", ":"), allow_nan=False).encode("ascii")
 
 
 def digest(overlay: Any) -> str:
     """Digest of an overlay; equal overlays have equal digests."""
-    return blake2b(canonical(overlay), digest_size=12).hexdigest()
+    return blake2b(canonical_json(overlay), digest_size=12).hexdigest()
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironscale.versions.model import MAX_OVERLAY_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical
+from ironscale.versions.model import MAX_OVERLAY_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical_json
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 KEEP = 1_000
@@ -63,7 +63,7 @@
     if draft.overlay is None:
         return None
     try:
-        size = len(canonical(draft.overlay))
+        size = len(canonical_json(draft.overlay))
     except (TypeError, ValueError, RecursionError) as error:
         return Problem("BAD_INPUT", f"overlay: expected what JSON has, got {error}")
     if size > MAX_OVERLAY_BYTES:
