--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -13,7 +13,7 @@
 from ironscale.agent.store import Published, Records, Store, StoreError
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Labels, digest, combine_layers
+from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
 from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
 
 COMPACT_S = 60.0
@@ -217,7 +217,7 @@
             overlay = combine_layers(published.entry for published in layers)
             # a commit between the two looks: what came of it is as of then, and nothing else of it concerns these
             position = max([position, *(published.entry.version for published in layers)])
-            return Composed(position, overlay, digest(overlay), layers)
+            return Composed(position, overlay, overlay_digest(overlay), layers)
 
         return await self.store.read(work)
 
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.model import Labels, digest, combine_layers
+from ironscale.versions.model import Labels, overlay_digest, combine_layers
 
 
 class UpdateOutcome(Enum):
@@ -27,9 +27,9 @@
     labels: Labels
     view: View = field(default_factory=View)
     desired: dict[str, Any] = field(default_factory=dict)  # the overlay that results from `view`
-    desired_digest: str = field(default_factory=lambda: digest({}))
+    desired_digest: str = field(default_factory=lambda: overlay_digest({}))
     running: int = 0  # position of the configuration that runs
-    running_digest: str = field(default_factory=lambda: digest({}))
+    running_digest: str = field(default_factory=lambda: overlay_digest({}))
     status: str = "applied"
     detail: str = ""
     needs_snapshot: bool = False
@@ -54,7 +54,7 @@
             self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
         wanted = combine_layers(self.view.layers_for(self.labels))
-        found = digest(wanted)
+        found = overlay_digest(wanted)
         if found != agent_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
             self.view, self.needs_snapshot = before, True
--- a/ironscale/versions/model.py
+++ b/ironscale/versions/model.py
@@ -116,6 +116,6 @@
     return json.dumps(overlay, sort_keys=True, separators=(",", ":"), allow_nan=False).encode("ascii")
 
 
-def digest(overlay: Any) -> str:
+def overlay_digest(overlay: Any) -> str:
     """Digest of an overlay; equal overlays have equal digests."""
     return blake2b(canonical_json(overlay), digest_size=12).hexdigest()
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -16,7 +16,7 @@
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S, reconnect_spread_s
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import Entry, Labels, Scope, digest, combine_layers
+from ironscale.versions.model import Entry, Labels, Scope, overlay_digest, combine_layers
 
 MOST_FOLLOWERS = 10_000
 # New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
@@ -298,7 +298,7 @@
         if found is None:
             if len(self.digests) >= MOST_DIGESTS:
                 self.digests.clear()
-            found = self.digests[key] = digest(combine_layers(layers))
+            found = self.digests[key] = overlay_digest(combine_layers(layers))
         return found
 
     # Summary
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -29,7 +29,7 @@
 )
 from ironscale.operator_file import read_secret
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, combine_layers, parse_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, overlay_digest, combine_layers, parse_scope
 from ironscale.versions.publishing import Draft
 from ironscale.versions.serving import Bucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
@@ -90,11 +90,11 @@
         self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
                               update.snapshot, update.floor, entries))
         if not self.position:
-            assert update.digest == digest(combine_layers(self.view.layers_for(self.labels)))
+            assert update.digest == overlay_digest(combine_layers(self.view.layers_for(self.labels)))
 
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
-        values = {"position": at, "running": at, "digest": digest(combine_layers(self.view.layers_for(self.labels))), **changes}
+        values = {"position": at, "running": at, "digest": overlay_digest(combine_layers(self.view.layers_for(self.labels))), **changes}
         self.writer.write(encode(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -24,7 +24,7 @@
 from ironscale.standins.postgres import Data, Session
 from ironscale.versions import publishing as decisions
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, digest, combine_layers, parse_scope
+from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, overlay_digest, combine_layers, parse_scope
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
@@ -377,7 +377,7 @@
             found = await publisher.compose(labels)
             assert [str(layer.entry.scope) for layer in found.layers] == ["all", "zone=z", "service=s", "instance=i"]
             assert found.overlay == {"a": 3, "b": {"x": None, "y": 1}, "e": 5} and found.position == 5
-            assert found.digest == digest(combine_layers(heard.view.layers_for(labels)))
+            assert found.digest == overlay_digest(combine_layers(heard.view.layers_for(labels)))
             assert (await publisher.compose(Labels("other"))).overlay == {"a": 1, "b": {"x": 1, "y": 1}}
 
     run(test)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -28,7 +28,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, overlay_digest, combine_layers
 from tests.sockets import run, until
 
 LABELS = Labels("app-0", "app", "a", "north")
@@ -63,7 +63,7 @@
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
         change = limited_to(change, LABELS)
-        mark = "wrong" if self.lies else digest(combine_layers(view.layers_for(LABELS)))
+        mark = "wrong" if self.lies else overlay_digest(combine_layers(view.layers_for(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                       [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], mark,
                       self.age_ms(), 10)
@@ -137,7 +137,7 @@
             assert instance.overlay == {"settings": {"x": 2}}
             last = agent.runs()[-1]
             assert (last.position, last.running, last.status) == (2, 2, "applied")
-            assert last.digest == digest({"settings": {"x": 2}})
+            assert last.digest == overlay_digest({"settings": {"x": 2}})
 
     run(test)
 
@@ -167,7 +167,7 @@
             await until(lambda: len(agent.runs()) == 2)
             told = agent.runs()[-1]
             assert (told.position, told.running, told.status) == (2, 1, "refused") and "no" in told.detail
-            assert told.digest == digest({"a": 1}) and instance.overlay == {"a": 1}
+            assert told.digest == overlay_digest({"a": 1}) and instance.overlay == {"a": 1}
             agent.publish({"a": 2})
             await until(lambda: len(agent.runs()) == 3)
             assert agent.runs()[-1].running == 3 and instance.overlay == {"a": 2}
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -6,7 +6,7 @@
 
 from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.follower_state import FollowerState, UpdateOutcome
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, overlay_digest, combine_layers
 
 LABELS = Labels("app-1", "app", "a", "north")
 SCOPES = (ALL, Scope(Reach.REGION, "north"), Scope(Reach.ZONE, "a"), Scope(Reach.ZONE, "b"),
@@ -29,7 +29,7 @@
     change = view.change_since(since, "L" if since else "")
     if change is None:
         return None
-    return limited_to(change, labels), digest(combine_layers(view.layers_for(labels)))
+    return limited_to(change, labels), overlay_digest(combine_layers(view.layers_for(labels)))
 
 
 def test_whatever_agents_say_in_whatever_order_it_never_goes_back_and_runs_what_its_position_says() -> None:
@@ -62,7 +62,7 @@
             assert state.desired == held, seed
             if state.running:
                 assert ran == combine_layers(view_at(log, state.running).layers_for(LABELS)) or not ran, seed
-                assert state.running_digest == digest(ran), seed
+                assert state.running_digest == overlay_digest(ran), seed
         for _ in range(3):  # in the end it reaches the newest position, whatever was lost before
             found = told(view_at(log, len(log)), state.resume_position())
             assert found is not None
@@ -78,7 +78,7 @@
     assert state.handle_update(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.mark_applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.handle_update(other, digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
+    assert state.handle_update(other, overlay_digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -18,7 +18,7 @@
     Reach,
     Scope,
     ScopeError,
-    digest,
+    overlay_digest,
     combine_layers,
     combine_patches,
     parse_scope,
@@ -105,8 +105,8 @@
 @given(OBJECTS)
 def test_the_digest_is_of_what_is_said_and_not_of_how(overlay: dict[str, Any]) -> None:
     turned = dict(reversed(overlay.items()))
-    assert digest(turned) == digest(overlay) == digest(json.loads(json.dumps(overlay)))
-    assert digest({**overlay, "d": 1}) != digest(overlay)
+    assert overlay_digest(turned) == overlay_digest(overlay) == overlay_digest(json.loads(json.dumps(overlay)))
+    assert overlay_digest({**overlay, "d": 1}) != overlay_digest(overlay)
 
 
 # What may be published
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -8,7 +8,7 @@
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, overlay_digest, combine_layers
 from ironscale.versions.serving import (
     MOST_DIFFERING,
     SLOW_S,
@@ -58,7 +58,7 @@
         if told.is_snapshot:
             assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
         self.view.apply(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
-        assert digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == told.digest
+        assert overlay_digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == told.digest
 
 
 def test_drawn_histories_leave_every_follower_where_the_record_is() -> None:
@@ -289,7 +289,7 @@
     serving.digest_of((Entry(3, ALL, {"n": 3}),))
     serving.begin_anew(View())
     # not the cached digest of the former log's version 3
-    assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == digest({"n": 4})
+    assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
     serving.advance(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
     (subscriber, told), = all_due(serving, 1.0)
     assert subscriber is new and told.lineage == "bb" and told.is_snapshot
