--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -9,7 +9,7 @@
 from ironscale.versions.model import MAX_OVERLAY_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical_json
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
-KEEP = 1_000
+HISTORY_VERSIONS = 1_000
 KEEP_MS = 30 * 24 * 3_600_000
 MOST_SCOPES = 10_000
 MOST_NOTE = 200
