--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
-from ironscale.versions.publishing import HISTORY_VERSIONS, KEEP_MS, Draft, Problem, Standing, misfit, refused
+from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, Standing, misfit, refused
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
@@ -113,7 +113,7 @@
         self.step: Callable[[str], None] = lambda where: None  # tests end the process here
         self.room = asyncio.Semaphore(AT_ONCE)
         self.position = 0  # of the log, as far as it is confirmed
-        self.keep, self.keep_ms = HISTORY_VERSIONS, KEEP_MS
+        self.keep, self.keep_ms = HISTORY_VERSIONS, HISTORY_MS
 
     async def load(self) -> None:
         """Makes the log where there is none. Raises StoreError."""
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -10,7 +10,7 @@
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 HISTORY_VERSIONS = 1_000
-KEEP_MS = 30 * 24 * 3_600_000
+HISTORY_MS = 30 * 24 * 3_600_000
 MOST_SCOPES = 10_000
 MOST_NOTE = 200
 MOST_BASE = 2**53
