--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -11,7 +11,7 @@
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 HISTORY_VERSIONS = 1_000
 HISTORY_MS = 30 * 24 * 3_600_000
-MOST_SCOPES = 10_000
+MAX_SCOPES = 10_000
 MOST_NOTE = 200
 MOST_BASE = 2**53
 
@@ -106,7 +106,7 @@
     if draft.restores and draft.restores == number:
         return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {number}, which is in "
                                     "force")
-    if newest is None and standing.scopes >= MOST_SCOPES:
-        return Problem("FULL", f"expected {MOST_SCOPES} scopes at most; take some away, they go once they are out of "
+    if newest is None and standing.scopes >= MAX_SCOPES:
+        return Problem("FULL", f"expected {MAX_SCOPES} scopes at most; take some away, they go once they are out of "
                                "the history")
     return None
