--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -12,7 +12,7 @@
 HISTORY_VERSIONS = 1_000
 HISTORY_MS = 30 * 24 * 3_600_000
 MAX_SCOPES = 10_000
-MOST_NOTE = 200
+MAX_NOTE_CHARS = 200
 MOST_BASE = 2**53
 
 
@@ -58,8 +58,8 @@
     """Checks a draft by itself, without the recorded state; None if it is valid."""
     if not 0 <= draft.base <= MOST_BASE:
         return Problem("BAD_INPUT", f"base: expected a version, or 0 where the scope has none, got {draft.base}")
-    if len(draft.note) > MOST_NOTE or not draft.note.isprintable():
-        return Problem("BAD_INPUT", f"note: expected a line of {MOST_NOTE} characters at most, got {draft.note!r:.60}")
+    if len(draft.note) > MAX_NOTE_CHARS or not draft.note.isprintable():
+        return Problem("BAD_INPUT", f"note: expected a line of {MAX_NOTE_CHARS} characters at most, got {draft.note!r:.60}")
     if draft.overlay is None:
         return None
     try:
