--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -13,7 +13,7 @@
 HISTORY_MS = 30 * 24 * 3_600_000
 MAX_SCOPES = 10_000
 MAX_NOTE_CHARS = 200
-MOST_BASE = 2**53
+MAX_VERSION = 2**53
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 def misfit(draft: Draft) -> Problem | None:
     """Checks a draft by itself, without the recorded state; None if it is valid."""
-    if not 0 <= draft.base <= MOST_BASE:
+    if not 0 <= draft.base <= MAX_VERSION:
         return Problem("BAD_INPUT", f"base: expected a version, or 0 where the scope has none, got {draft.base}")
     if len(draft.note) > MAX_NOTE_CHARS or not draft.note.isprintable():
         return Problem("BAD_INPUT", f"note: expected a line of {MAX_NOTE_CHARS} characters at most, got {draft.note!r:.60}")
