--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -33,7 +33,7 @@
 
     position: int
     newest: Entry | None  # entry of the scope
-    before: Entry | None  # the entry that `newest` replaced, if the record still has it; only looked up during a halt
+    replaced: Entry | None  # the entry that `newest` replaced, if the record still has it; only looked up during a halt
     scopes: int  # number of scopes that have a version; only needed if this one has none
     halt: str = ""  # who halted the fleet and why; empty = no halt
 
@@ -78,8 +78,8 @@
     newest = standing.newest
     if draft.restores:
         return True
-    had_none = newest is not None and (newest.base == 0 or standing.before is not None
-                                       and standing.before.overlay is None)
+    had_none = newest is not None and (newest.base == 0 or standing.replaced is not None
+                                       and standing.replaced.overlay is None)
     return draft.overlay is None and had_none
 
 
