--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -34,7 +34,7 @@
     position: int
     newest: Entry | None  # entry of the scope
     replaced: Entry | None  # the entry that `newest` replaced, if the record still has it; only looked up during a halt
-    scopes: int  # number of scopes that have a version; only needed if this one has none
+    scope_count: int  # number of scopes that have a version; only needed if this one has none
     halt: str = ""  # who halted the fleet and why; empty = no halt
 
 
@@ -106,7 +106,7 @@
     if draft.restores and draft.restores == number:
         return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {number}, which is in "
                                     "force")
-    if newest is None and standing.scopes >= MAX_SCOPES:
+    if newest is None and standing.scope_count >= MAX_SCOPES:
         return Problem("FULL", f"expected {MAX_SCOPES} scopes at most; take some away, they go once they are out of "
                                "the history")
     return None
