--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
-from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, Standing, misfit, refused
+from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, misfit, refused
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
@@ -201,10 +201,10 @@
         return found
 
     @staticmethod
-    def standing(records: Records, position: int, newest: Entry | None) -> Standing:
+    def standing(records: Records, position: int, newest: Entry | None) -> RecordedState:
         halt = records.halt()
         before = records.version(newest.base) if halt is not None and newest is not None and newest.base else None
-        return Standing(position, newest, before.entry if before is not None else None,
+        return RecordedState(position, newest, before.entry if before is not None else None,
                         records.count_scopes() if newest is None else 0, halt.text if halt is not None else "")
 
     # Looking
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class RecordedState:
     """The recorded state at the moment of publishing."""
 
     position: int
@@ -73,7 +73,7 @@
     return None
 
 
-def is_way_back(draft: Draft, standing: Standing) -> bool:
+def is_way_back(draft: Draft, standing: RecordedState) -> bool:
     """Whether the draft returns to what the scope had before: an earlier version, or no overlay if it had none."""
     newest = standing.newest
     if draft.restores:
@@ -83,7 +83,7 @@
     return draft.overlay is None and had_none
 
 
-def refused(draft: Draft, standing: Standing) -> Problem | None:
+def refused(draft: Draft, standing: RecordedState) -> Problem | None:
     """Checks a draft against the recorded state; None if it may be published. This is a compare-and-set: of two drafts
     with the same base only the first becomes a version. A halt still allows rollbacks, because an operator halts a bad
     version first and then rolls it back."""
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -23,7 +23,7 @@
     combine_patches,
     parse_scope,
 )
-from ironscale.versions.publishing import Draft, Standing, is_way_back, refused
+from ironscale.versions.publishing import Draft, RecordedState, is_way_back, refused
 
 NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_SCOPE_NAME_CHARS)
 SCOPES = st.one_of(st.just(ALL), st.builds(Scope, st.sampled_from([r for r in Reach if r is not Reach.ALL]), NAMES))
@@ -112,9 +112,9 @@
 # What may be published
 
 
-def standing(newest: Entry | None = None, before: Entry | None = None, **more: Any) -> Standing:
+def standing(newest: Entry | None = None, before: Entry | None = None, **more: Any) -> RecordedState:
     values: dict[str, Any] = {"position": 9, "scopes": 1, **more}
-    return Standing(values["position"], newest, before, values["scopes"], values.get("halt", ""))
+    return RecordedState(values["position"], newest, before, values["scopes"], values.get("halt", ""))
 
 
 @given(st.integers(0, 12), st.one_of(st.none(), st.integers(1, 9)), st.booleans())
