--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -47,11 +47,11 @@
     details: dict[str, Any] = field(default_factory=dict)
 
 
-def depth(value: Any) -> int:
+def nesting_depth(value: Any) -> int:
     """Levels of nested objects and lists in a JSON value; 0 for a plain value."""
     if isinstance(value, Mapping):
-        return 1 + max(map(depth, value.values()), default=0)
-    return 1 + max(map(depth, value), default=0) if isinstance(value, list) else 0
+        return 1 + max(map(nesting_depth, value.values()), default=0)
+    return 1 + max(map(nesting_depth, value), default=0) if isinstance(value, list) else 0
 
 
 def misfit(draft: Draft) -> Problem | None:
@@ -68,7 +68,7 @@
         return Problem("BAD_INPUT", f"overlay: expected what JSON has, got {error}")
     if size > MAX_OVERLAY_BYTES:
         return Problem("BAD_INPUT", f"overlay: expected {MAX_OVERLAY_BYTES} bytes at most, got {size}")
-    if depth(draft.overlay) > MAX_OVERLAY_DEPTH:
+    if nesting_depth(draft.overlay) > MAX_OVERLAY_DEPTH:
         return Problem("BAD_INPUT", f"overlay: expected {MAX_OVERLAY_DEPTH} objects in one another at most, got more")
     return None
 
