--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
-from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, misfit, refused
+from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, check_draft, refused
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
@@ -127,7 +127,7 @@
     async def publish(self, actor: str, draft: Draft, key: str = "") -> tuple[Published, bool]:
         """The version, and False beside it where an earlier call with this key made it. Raises Refusal or StoreError,
         with nothing done; but a StoreError UNKNOWN may have published it: the same key tells."""
-        told(misfit(draft))
+        told(check_draft(draft))
         if draft.overlay is not None:
             try:
                 check_overlay(draft.overlay)
@@ -162,7 +162,7 @@
             if earlier is not None:
                 return self.again(records, key, fingerprint, *earlier), None
             draft = made(records)
-            told(misfit(draft))
+            told(check_draft(draft))
             lineage, position, floor, newest = records.standing(draft.scope)
             told(refused(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -54,7 +54,7 @@
     return 1 + max(map(nesting_depth, value), default=0) if isinstance(value, list) else 0
 
 
-def misfit(draft: Draft) -> Problem | None:
+def check_draft(draft: Draft) -> Problem | None:
     """Checks a draft by itself, without the recorded state; None if it is valid."""
     if not 0 <= draft.base <= MAX_VERSION:
         return Problem("BAD_INPUT", f"base: expected a version, or 0 where the scope has none, got {draft.base}")
