--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -73,7 +73,7 @@
     return None
 
 
-def is_way_back(draft: Draft, standing: RecordedState) -> bool:
+def is_rollback(draft: Draft, standing: RecordedState) -> bool:
     """Whether the draft returns to what the scope had before: an earlier version, or no overlay if it had none."""
     newest = standing.newest
     if draft.restores:
@@ -98,7 +98,7 @@
                                    f"{draft.base}; look at it, then publish again",
                        {"newest": number, "actor": newest.actor if newest is not None else "",
                         "atMs": newest.at_ms if newest is not None else 0})
-    if standing.halt and not is_way_back(draft, standing):
+    if standing.halt and not is_rollback(draft, standing):
         return Problem("HALTED", f"halted by {standing.halt}; a way back goes on, `ironscale halt --lift` ends the "
                                  "halt")
     if draft.overlay is None and (newest is None or newest.overlay is None):
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -23,7 +23,7 @@
     combine_patches,
     parse_scope,
 )
-from ironscale.versions.publishing import Draft, RecordedState, is_way_back, refused
+from ironscale.versions.publishing import Draft, RecordedState, is_rollback, refused
 
 NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_SCOPE_NAME_CHARS)
 SCOPES = st.one_of(st.just(ALL), st.builds(Scope, st.sampled_from([r for r in Reach if r is not Reach.ALL]), NAMES))
@@ -141,7 +141,7 @@
 def test_a_way_back_is_to_what_was_there_before(newest: Entry | None, before: Entry | None, overlay: Any,
                                                 restores: int, back: bool) -> None:
     draft = Draft(ALL, overlay, newest.version if newest else 0, restores=restores)
-    assert is_way_back(draft, standing(newest, before)) is back
+    assert is_rollback(draft, standing(newest, before)) is back
     if newest is not None:
         found = refused(draft, standing(newest, before, halt="bob"))
         assert (found is None) is back
