--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -14,7 +14,7 @@
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
-from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, check_draft, refused
+from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, check_draft, check_publish
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
@@ -164,7 +164,7 @@
             draft = made(records)
             told(check_draft(draft))
             lineage, position, floor, newest = records.standing(draft.scope)
-            told(refused(draft, self.standing(records, position, newest)))
+            told(check_publish(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
                                         draft.note)
             if key:
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -83,7 +83,7 @@
     return draft.overlay is None and had_none
 
 
-def refused(draft: Draft, standing: RecordedState) -> Problem | None:
+def check_publish(draft: Draft, standing: RecordedState) -> Problem | None:
     """Checks a draft against the recorded state; None if it may be published. This is a compare-and-set: of two drafts
     with the same base only the first becomes a version. A halt still allows rollbacks, because an operator halts a bad
     version first and then rolls it back."""
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -23,7 +23,7 @@
     combine_patches,
     parse_scope,
 )
-from ironscale.versions.publishing import Draft, RecordedState, is_rollback, refused
+from ironscale.versions.publishing import Draft, RecordedState, is_rollback, check_publish
 
 NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_SCOPE_NAME_CHARS)
 SCOPES = st.one_of(st.just(ALL), st.builds(Scope, st.sampled_from([r for r in Reach if r is not Reach.ALL]), NAMES))
@@ -120,7 +120,7 @@
 @given(st.integers(0, 12), st.one_of(st.none(), st.integers(1, 9)), st.booleans())
 def test_only_upon_the_newest_and_told_what_it_is(base: int, newest: int | None, halted: bool) -> None:
     entry = Entry(newest, ALL, {}) if newest else None
-    found = refused(Draft(ALL, {"a": 1}, base), standing(entry, halt="bob" if halted else ""))
+    found = check_publish(Draft(ALL, {"a": 1}, base), standing(entry, halt="bob" if halted else ""))
     if base > 9:
         assert found is not None and found.code == "BAD_INPUT"
     elif base != (newest or 0):
@@ -143,5 +143,5 @@
     draft = Draft(ALL, overlay, newest.version if newest else 0, restores=restores)
     assert is_rollback(draft, standing(newest, before)) is back
     if newest is not None:
-        found = refused(draft, standing(newest, before, halt="bob"))
+        found = check_publish(draft, standing(newest, before, halt="bob"))
         assert (found is None) is back
