--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -18,7 +18,7 @@
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import Entry, Labels, Scope, overlay_digest, combine_layers
 
-MOST_FOLLOWERS = 10_000
+MAX_FOLLOWERS = 10_000
 # New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
 # 5 s of the 12 s in which a version must be delivered.
 ADMITS, ADMITS_AT_ONCE = 500.0, 100.0
@@ -151,7 +151,7 @@
     rng: random.Random
     view: View = field(default_factory=View)
     reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
-    most: int = MOST_FOLLOWERS
+    most: int = MAX_FOLLOWERS
     agents: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: Bucket = field(default_factory=lambda: Bucket(ADMITS, ADMITS_AT_ONCE))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
