--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -21,7 +21,7 @@
 MAX_FOLLOWERS = 10_000
 # New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
 # 5 s of the 12 s in which a version must be delivered.
-ADMISSION_RATE_PER_S, ADMITS_AT_ONCE = 500.0, 100.0
+ADMISSION_RATE_PER_S, ADMISSION_BURST = 500.0, 100.0
 MOST_RETRY_S = 10.0
 AGAIN_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
 SLOW_S = 10.0  # a follower that has read nothing for this long is disconnected
@@ -153,7 +153,7 @@
     reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
     most: int = MAX_FOLLOWERS
     agents: int = 2  # known agents that serve; they share the followers of one that is lost
-    bucket: Bucket = field(default_factory=lambda: Bucket(ADMISSION_RATE_PER_S, ADMITS_AT_ONCE))
+    bucket: Bucket = field(default_factory=lambda: Bucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
     queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due times; outdated items are skipped
