--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -22,7 +22,7 @@
 # New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
 # 5 s of the 12 s in which a version must be delivered.
 ADMISSION_RATE_PER_S, ADMISSION_BURST = 500.0, 100.0
-MOST_RETRY_S = 10.0
+MAX_RETRY_S = 10.0
 AGAIN_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
 SLOW_S = 10.0  # a follower that has read nothing for this long is disconnected
 MOST_CACHED = 8 << 20  # of encoded updates
@@ -59,7 +59,7 @@
         # each gets a time of its own: if all got the same one, they would all come back at once
         self.promised_s = max(self.promised_s, now_s + (1.0 - self.tokens) / self.a_second) + 1.0 / self.a_second
         wait_s = self.promised_s - now_s
-        return wait_s if wait_s < MOST_RETRY_S else MOST_RETRY_S * (0.5 + 0.5 * rng.random())
+        return wait_s if wait_s < MAX_RETRY_S else MAX_RETRY_S * (0.5 + 0.5 * rng.random())
 
 
 @dataclass(slots=True, eq=False)
@@ -197,7 +197,7 @@
         if lineage and lineage != self.view.lineage:
             raise Turned("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
         if len(self.subscribers) >= self.most:
-            raise Turned("BUSY", f"{self.most} follow already", int(1000 * MOST_RETRY_S * self.rng.random()))
+            raise Turned("BUSY", f"{self.most} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
         wait_s = self.bucket.take(now_s, self.rng)
         if wait_s > 0.0:
             raise Turned("BUSY", f"{self.bucket.a_second:g} a second are taken on", max(1, int(wait_s * 1000)))
