--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -23,7 +23,7 @@
 # 5 s of the 12 s in which a version must be delivered.
 ADMISSION_RATE_PER_S, ADMISSION_BURST = 500.0, 100.0
 MAX_RETRY_S = 10.0
-AGAIN_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
+RETRY_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
 SLOW_S = 10.0  # a follower that has read nothing for this long is disconnected
 MOST_CACHED = 8 << 20  # of encoded updates
 MOST_DIGESTS = 10_000
@@ -190,7 +190,7 @@
     def check(self, lineage: str, now_s: float) -> None:
         """Raises AdmissionRefused if a follower of this lineage may not join now."""
         def spread_ms() -> int:
-            return int(1000 * AGAIN_S * (1.0 + self.rng.random()))
+            return int(1000 * RETRY_S * (1.0 + self.rng.random()))
 
         if not self.reached:
             raise Turned("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
