--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -91,7 +91,7 @@
             told_any = True
             self.links[subscriber.ident].tell(told)
         for subscriber in self.serving.stuck(now_s):
-            self.links[subscriber.ident].abort(f"has read nothing for {SLOW_S:g} s")
+            self.links[subscriber.ident].abort(f"has read nothing for {SLOW_READER_TIMEOUT_S:g} s")
         if told_any:
             await asyncio.sleep(0)
             return
@@ -233,7 +233,7 @@
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BYTES)
                 # a machine that is gone says nothing: what was sent to it is not waited for
-                sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_S * 1000))
+                sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_READER_TIMEOUT_S * 1000))
 
     def on_message(self, raw: dict[str, object]) -> None:
         message = parse_message(raw, FROM_FOLLOWER)
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -24,7 +24,7 @@
 ADMISSION_RATE_PER_S, ADMISSION_BURST = 500.0, 100.0
 MAX_RETRY_S = 10.0
 RETRY_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
-SLOW_S = 10.0  # a follower that has read nothing for this long is disconnected
+SLOW_READER_TIMEOUT_S = 10.0  # a follower that has read nothing for this long is disconnected
 MOST_CACHED = 8 << 20  # of encoded updates
 MOST_DIGESTS = 10_000
 AGE_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
@@ -237,7 +237,7 @@
 
     def stuck(self, now_s: float) -> list[Subscriber]:
         """Followers that have not read for SLOW_READER_TIMEOUT_S."""
-        return [one for one in self.subscribers.values() if 0 <= one.slow_s <= now_s - SLOW_S]
+        return [one for one in self.subscribers.values() if 0 <= one.slow_s <= now_s - SLOW_READER_TIMEOUT_S]
 
     # Updates
 
