--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -25,7 +25,7 @@
 MAX_RETRY_S = 10.0
 RETRY_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
 SLOW_READER_TIMEOUT_S = 10.0  # a follower that has read nothing for this long is disconnected
-MOST_CACHED = 8 << 20  # of encoded updates
+MAX_CACHED_BYTES = 8 << 20  # of encoded updates
 MOST_DIGESTS = 10_000
 AGE_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
 MOST_DIFFERING, MOST_COUNTS = 100, 50
@@ -126,7 +126,7 @@
 class Encoded:
     """A cache of encoded updates, limited in bytes; the oldest are evicted first."""
 
-    def __init__(self, most: int = MOST_CACHED) -> None:
+    def __init__(self, most: int = MAX_CACHED_BYTES) -> None:
         self.most, self.size, self.made = most, 0, 0
         self.found: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
