--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -26,7 +26,7 @@
 RETRY_S = 1.0  # least delay before the retry of a follower that was refused for another reason than load
 SLOW_READER_TIMEOUT_S = 10.0  # a follower that has read nothing for this long is disconnected
 MAX_CACHED_BYTES = 8 << 20  # of encoded updates
-MOST_DIGESTS = 10_000
+MAX_CACHED_DIGESTS = 10_000
 AGE_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
 MOST_DIFFERING, MOST_COUNTS = 100, 50
 DETAIL = 200  # of a follower's detail in the summary
@@ -296,7 +296,7 @@
         key = tuple(entry.version for entry in layers)
         found = self.digests.get(key)
         if found is None:
-            if len(self.digests) >= MOST_DIGESTS:
+            if len(self.digests) >= MAX_CACHED_DIGESTS:
                 self.digests.clear()
             found = self.digests[key] = overlay_digest(combine_layers(layers))
         return found
