--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -27,7 +27,7 @@
 SLOW_READER_TIMEOUT_S = 10.0  # a follower that has read nothing for this long is disconnected
 MAX_CACHED_BYTES = 8 << 20  # of encoded updates
 MAX_CACHED_DIGESTS = 10_000
-AGE_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
+AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
 MOST_DIFFERING, MOST_COUNTS = 100, 50
 DETAIL = 200  # of a follower's detail in the summary
 
@@ -258,7 +258,7 @@
     def due(self, now_s: float, age_s: float, most: int = 200) -> Iterator[tuple[Subscriber, Told]]:
         """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
         `age_s` is the time since the record was last reached."""
-        age_ms = int(1000 * AGE_S) * (int(max(0.0, age_s) / AGE_S) + 1)
+        age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
         spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.a_second, self.agents)) + 1)
         for _ in range(most):
