--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -28,7 +28,7 @@
 MAX_CACHED_BYTES = 8 << 20  # of encoded updates
 MAX_CACHED_DIGESTS = 10_000
 AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
-MOST_DIFFERING, MOST_COUNTS = 100, 50
+MAX_DIFFERING, MOST_COUNTS = 100, 50
 DETAIL = 200  # of a follower's detail in the summary
 
 
@@ -329,7 +329,7 @@
             found = self.differs(one)
             counts[self.view.position if found is None else one.running] += 1
             if found is not None:
-                if len(differing) < MOST_DIFFERING:
+                if len(differing) < MAX_DIFFERING:
                     differing.append(found)
                 else:
                     more += 1
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -10,7 +10,7 @@
 from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, overlay_digest, combine_layers
 from ironscale.versions.serving import (
-    MOST_DIFFERING,
+    MAX_DIFFERING,
     SLOW_READER_TIMEOUT_S,
     Bucket,
     Encoded,
@@ -277,7 +277,7 @@
     for i in range(300):
         serving.join(Labels(f"j{i}"), "", 0, 0.0)
     found = serving.summary()
-    assert len(found.differing) == MOST_DIFFERING and found.more == 304 - MOST_DIFFERING
+    assert len(found.differing) == MAX_DIFFERING and found.more == 304 - MAX_DIFFERING
 
 
 def test_another_log_lets_those_of_the_former_go() -> None:
