--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -28,7 +28,7 @@
 MAX_CACHED_BYTES = 8 << 20  # of encoded updates
 MAX_CACHED_DIGESTS = 10_000
 AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
-MAX_DIFFERING, MOST_COUNTS = 100, 50
+MAX_DIFFERING, MAX_COUNTS = 100, 50
 DETAIL = 200  # of a follower's detail in the summary
 
 
@@ -333,6 +333,6 @@
                     differing.append(found)
                 else:
                     more += 1
-        highest = sorted(counts.items(), reverse=True)[:MOST_COUNTS]
+        highest = sorted(counts.items(), reverse=True)[:MAX_COUNTS]
         return Summary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
                        tuple(differing), more)
