--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -29,7 +29,7 @@
 MAX_CACHED_DIGESTS = 10_000
 AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
 MAX_DIFFERING, MAX_COUNTS = 100, 50
-DETAIL = 200  # of a follower's detail in the summary
+MAX_DETAIL_CHARS = 200  # of a follower's detail in the summary
 
 
 class Turned(Exception):
@@ -223,7 +223,7 @@
 
     def runs(self, subscriber: Subscriber, running: int, digest: str, status: str, detail: str) -> None:
         subscriber.running, subscriber.digest = running, digest
-        subscriber.status, subscriber.detail = status, detail[:DETAIL]
+        subscriber.status, subscriber.detail = status, detail[:MAX_DETAIL_CHARS]
 
     def slow(self, subscriber: Subscriber, now_s: float) -> None:
         """Sends the follower nothing more until it has read what was sent."""
