--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, Told, AdmissionRefused
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -257,7 +257,7 @@
         now_s = time.monotonic()
         try:
             followers.serving.check(follow.lineage, now_s)
-        except Turned as turned:
+        except AdmissionRefused as turned:
             return self.deny(turned.code, str(turned), turned.retry_ms)
         labels = Labels(follow.name, follow.service, follow.zone, follow.region)
         self.subscriber = followers.serving.join(labels, follow.lineage, follow.position, now_s)
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -32,7 +32,7 @@
 MAX_DETAIL_CHARS = 200  # of a follower's detail in the summary
 
 
-class Turned(Exception):
+class AdmissionRefused(Exception):
     """A follower that is not admitted at present; the text is one line."""
 
     def __init__(self, code: str, text: str, retry_ms: int) -> None:
@@ -193,14 +193,14 @@
             return int(1000 * RETRY_S * (1.0 + self.rng.random()))
 
         if not self.reached:
-            raise Turned("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
+            raise AdmissionRefused("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
         if lineage and lineage != self.view.lineage:
-            raise Turned("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
+            raise AdmissionRefused("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
         if len(self.subscribers) >= self.most:
-            raise Turned("BUSY", f"{self.most} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
+            raise AdmissionRefused("BUSY", f"{self.most} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
         wait_s = self.bucket.take(now_s, self.rng)
         if wait_s > 0.0:
-            raise Turned("BUSY", f"{self.bucket.a_second:g} a second are taken on", max(1, int(wait_s * 1000)))
+            raise AdmissionRefused("BUSY", f"{self.bucket.a_second:g} a second are taken on", max(1, int(wait_s * 1000)))
 
     def join(self, labels: Labels, lineage: str, position: int, now_s: float) -> Subscriber:
         """Adds a follower that passed `check_admission`; it is due for an update at once."""
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -17,7 +17,7 @@
     Serving,
     Subscriber,
     Told,
-    Turned,
+    AdmissionRefused,
 )
 
 SCOPES = [ALL, Scope(Reach.REGION, "r0"), Scope(Reach.ZONE, "z0"), Scope(Reach.ZONE, "z1"),
@@ -238,7 +238,7 @@
     full.join(Labels("i0"), "", 0, 0.0)
     for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
                                    (served(bucket=Bucket(1.0, 0.0)), "", "BUSY")):
-        with pytest.raises(Turned) as found:
+        with pytest.raises(AdmissionRefused) as found:
             serving.check(lineage, 0.0)
         assert found.value.code == code and found.value.retry_ms > 0
 
