--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -45,19 +45,19 @@
     """A token bucket; a caller that finds it empty is given its own time at which to try again."""
 
     def __init__(self, a_second: float, at_once: float) -> None:
-        self.a_second, self.at_once = a_second, at_once
+        self.rate_per_s, self.at_once = a_second, at_once
         self.tokens, self.at_s = at_once, 0.0
         self.promised_s = 0.0
 
     def take(self, now_s: float, rng: random.Random) -> float:
         """Takes a token and returns 0.0; if there is none, returns after how many seconds to try again."""
-        self.tokens = min(self.at_once, self.tokens + (now_s - self.at_s) * self.a_second)
+        self.tokens = min(self.at_once, self.tokens + (now_s - self.at_s) * self.rate_per_s)
         self.at_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
         # each gets a time of its own: if all got the same one, they would all come back at once
-        self.promised_s = max(self.promised_s, now_s + (1.0 - self.tokens) / self.a_second) + 1.0 / self.a_second
+        self.promised_s = max(self.promised_s, now_s + (1.0 - self.tokens) / self.rate_per_s) + 1.0 / self.rate_per_s
         wait_s = self.promised_s - now_s
         return wait_s if wait_s < MAX_RETRY_S else MAX_RETRY_S * (0.5 + 0.5 * rng.random())
 
@@ -200,7 +200,7 @@
             raise AdmissionRefused("BUSY", f"{self.most} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
         wait_s = self.bucket.take(now_s, self.rng)
         if wait_s > 0.0:
-            raise AdmissionRefused("BUSY", f"{self.bucket.a_second:g} a second are taken on", max(1, int(wait_s * 1000)))
+            raise AdmissionRefused("BUSY", f"{self.bucket.rate_per_s:g} a second are taken on", max(1, int(wait_s * 1000)))
 
     def join(self, labels: Labels, lineage: str, position: int, now_s: float) -> Subscriber:
         """Adds a follower that passed `check_admission`; it is due for an update at once."""
@@ -260,7 +260,7 @@
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
-        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.a_second, self.agents)) + 1)
+        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agents)) + 1)
         for _ in range(most):
             at_s = self.next_s()
             if at_s is None or at_s > now_s:
