--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -46,13 +46,13 @@
 
     def __init__(self, a_second: float, at_once: float) -> None:
         self.rate_per_s, self.burst = a_second, at_once
-        self.tokens, self.at_s = at_once, 0.0
+        self.tokens, self.refilled_s = at_once, 0.0
         self.promised_s = 0.0
 
     def take(self, now_s: float, rng: random.Random) -> float:
         """Takes a token and returns 0.0; if there is none, returns after how many seconds to try again."""
-        self.tokens = min(self.burst, self.tokens + (now_s - self.at_s) * self.rate_per_s)
-        self.at_s = now_s
+        self.tokens = min(self.burst, self.tokens + (now_s - self.refilled_s) * self.rate_per_s)
+        self.refilled_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
