--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -47,7 +47,7 @@
     def __init__(self, a_second: float, at_once: float) -> None:
         self.rate_per_s, self.burst = a_second, at_once
         self.tokens, self.refilled_s = at_once, 0.0
-        self.promised_s = 0.0
+        self.last_retry_s = 0.0
 
     def take(self, now_s: float, rng: random.Random) -> float:
         """Takes a token and returns 0.0; if there is none, returns after how many seconds to try again."""
@@ -57,8 +57,8 @@
             self.tokens -= 1.0
             return 0.0
         # each gets a time of its own: if all got the same one, they would all come back at once
-        self.promised_s = max(self.promised_s, now_s + (1.0 - self.tokens) / self.rate_per_s) + 1.0 / self.rate_per_s
-        wait_s = self.promised_s - now_s
+        self.last_retry_s = max(self.last_retry_s, now_s + (1.0 - self.tokens) / self.rate_per_s) + 1.0 / self.rate_per_s
+        wait_s = self.last_retry_s - now_s
         return wait_s if wait_s < MAX_RETRY_S else MAX_RETRY_S * (0.5 + 0.5 * rng.random())
 
 
