--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -44,8 +44,8 @@
 class Bucket:
     """A token bucket; a caller that finds it empty is given its own time at which to try again."""
 
-    def __init__(self, a_second: float, at_once: float) -> None:
-        self.rate_per_s, self.burst = a_second, at_once
+    def __init__(self, rate_per_s: float, at_once: float) -> None:
+        self.rate_per_s, self.burst = rate_per_s, at_once
         self.tokens, self.refilled_s = at_once, 0.0
         self.last_retry_s = 0.0
 
