--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -41,7 +41,7 @@
         self.retry_ms = retry_ms
 
 
-class Bucket:
+class AdmissionBucket:
     """A token bucket; a caller that finds it empty is given its own time at which to try again."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
@@ -153,7 +153,7 @@
     reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
     most: int = MAX_FOLLOWERS
     agents: int = 2  # known agents that serve; they share the followers of one that is lost
-    bucket: Bucket = field(default_factory=lambda: Bucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
+    bucket: AdmissionBucket = field(default_factory=lambda: AdmissionBucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
     queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due times; outdated items are skipped
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -31,7 +31,7 @@
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Scope, overlay_digest, combine_layers, parse_scope
 from ironscale.versions.publishing import Draft
-from ironscale.versions.serving import Bucket
+from ironscale.versions.serving import AdmissionBucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
 from ironscale.versions.snapshot import encode as to_bytes
 from tests.agent.agent_harness import run, section, until
@@ -394,7 +394,7 @@
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
             await publish(agent)
-            agent.following.serving.bucket = Bucket(100.0, 20.0)
+            agent.following.serving.bucket = AdmissionBucket(100.0, 20.0)
             began_s, joined, tries = time.monotonic(), list[float](), 0
 
             async def one(number: int) -> Raw:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -12,7 +12,7 @@
 from ironscale.versions.serving import (
     MAX_DIFFERING,
     SLOW_READER_TIMEOUT_S,
-    Bucket,
+    AdmissionBucket,
     Encoded,
     Serving,
     Subscriber,
@@ -72,7 +72,7 @@
 
 def play(rng: random.Random) -> None:
     log, now_s = Log(), 100.0
-    serving = Serving(rng, bucket=Bucket(1e6, 1e6))
+    serving = Serving(rng, bucket=AdmissionBucket(1e6, 1e6))
     followers: list[Follower] = []
 
     def tell(age_s: float = 0.0) -> None:
@@ -211,7 +211,7 @@
 def test_new_followers_are_taken_on_at_a_rate_and_the_rest_spread_over_the_time_it_needs() -> None:
     for seed in range(20):
         rng = random.Random(seed)
-        bucket = Bucket(100.0, 20.0)
+        bucket = AdmissionBucket(100.0, 20.0)
         waiting = [(0.0, i) for i in range(400)]
         taken: list[float] = []
         tries = 0
@@ -227,7 +227,7 @@
         assert all(b - a >= 0.99 for a, b in zip(taken, taken[20 + 100:], strict=False)), f"seed {seed}"
         assert taken[-1] < 8.0, f"seed {seed}: the last after {taken[-1]:.1f} s"
         assert tries < 400 * 4, f"seed {seed}: {tries} tries"
-    impatient = Bucket(100.0, 20.0)  # callers that don't wait gain nothing
+    impatient = AdmissionBucket(100.0, 20.0)  # callers that don't wait gain nothing
     assert 215 <= sum(impatient.take(step / 1000, rng) == 0.0 for step in range(2_000)) <= 221
     assert sum(impatient.take(100.0, rng) == 0.0 for _ in range(500)) == 20
 
@@ -237,7 +237,7 @@
     full = served(most=1)
     full.join(Labels("i0"), "", 0, 0.0)
     for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
-                                   (served(bucket=Bucket(1.0, 0.0)), "", "BUSY")):
+                                   (served(bucket=AdmissionBucket(1.0, 0.0)), "", "BUSY")):
         with pytest.raises(AdmissionRefused) as found:
             serving.check(lineage, 0.0)
         assert found.value.code == code and found.value.retry_ms > 0
