--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -73,7 +73,7 @@
     position: int
     sent_s: float
     due_s: float
-    slow_s: float = -1.0  # since when it has not read what was sent; negative = it keeps up
+    slow_since_s: float = -1.0  # since when it has not read what was sent; negative = it keeps up
     # what it last reported about itself
     running: int = 0
     digest: str = ""
@@ -227,17 +227,17 @@
 
     def slow(self, subscriber: Subscriber, now_s: float) -> None:
         """Sends the follower nothing more until it has read what was sent."""
-        if subscriber.slow_s < 0:
-            subscriber.slow_s = now_s
+        if subscriber.slow_since_s < 0:
+            subscriber.slow_since_s = now_s
 
     def drained(self, subscriber: Subscriber, now_s: float) -> None:
-        if subscriber.slow_s >= 0:
-            subscriber.slow_s = -1.0
+        if subscriber.slow_since_s >= 0:
+            subscriber.slow_since_s = -1.0
             self._due(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
 
     def stuck(self, now_s: float) -> list[Subscriber]:
         """Followers that have not read for SLOW_READER_TIMEOUT_S."""
-        return [one for one in self.subscribers.values() if 0 <= one.slow_s <= now_s - SLOW_READER_TIMEOUT_S]
+        return [one for one in self.subscribers.values() if 0 <= one.slow_since_s <= now_s - SLOW_READER_TIMEOUT_S]
 
     # Updates
 
@@ -250,7 +250,7 @@
         while self.queue:
             at_s, ident = self.queue[0]
             found = self.subscribers.get(ident)
-            if found is not None and found.slow_s < 0 and found.due_s == at_s:
+            if found is not None and found.slow_since_s < 0 and found.due_s == at_s:
                 return at_s
             heapq.heappop(self.queue)
         return None
@@ -315,7 +315,7 @@
         if subscriber.running > self.view.position:
             return because("ahead", f"this agent is at {self.view.position}")
         if subscriber.running < newest:
-            slow = "it reads too slowly" if subscriber.slow_s >= 0 else "it has not answered yet"
+            slow = "it reads too slowly" if subscriber.slow_since_s >= 0 else "it has not answered yet"
             return because("behind", f"{newest} is its newest: {slow}")
         if subscriber.status and subscriber.digest != self.digest_of(layers):
             return because("other", "what it runs is not what the versions come to")
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -368,12 +368,12 @@
             assert link.subscriber is not None and link.transport is not None
             most = 0
             for n in range(10_000):
-                if link.subscriber.slow_s >= 0:
+                if link.subscriber.slow_since_s >= 0:
                     break
                 version = await publish(agent, {"settings": {"x": [f"{random.Random(n).random()}"] * 900}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert link.subscriber.slow_s >= 0, "it was never seen to be slow"
+            assert link.subscriber.slow_since_s >= 0, "it was never seen to be slow"
             for n in range(5):
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -78,7 +78,7 @@
     def tell(age_s: float = 0.0) -> None:
         by = {one.subscriber.ident: one for one in followers}
         for subscriber, told in serving.due(now_s, age_s, rng.randint(1, 20)):
-            assert subscriber.slow_s < 0, "a slow reader got an update"
+            assert subscriber.slow_since_s < 0, "a slow reader got an update"
             # `take` checks the digest of the result
             by[subscriber.ident].take(told, now_s)
 
