--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, Told, AdmissionRefused
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, FollowerUpdate, AdmissionRefused
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -41,7 +41,7 @@
 MOST_SUMS = 100
 
 
-def encoded(told: Told) -> bytes:
+def encoded(told: FollowerUpdate) -> bytes:
     """Raises FrameError where it does not fit a frame."""
     return encode(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
@@ -264,7 +264,7 @@
         followers.links[self.subscriber.ident] = self
         followers.changed()
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: FollowerUpdate) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         try:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class FollowerUpdate:
     """An update for one follower. Updates with the same `key` are encoded to the same bytes."""
 
     lineage: str
@@ -130,7 +130,7 @@
         self.most, self.size, self.made = most, 0, 0
         self.found: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
-    def get(self, told: Told, encode: Callable[[Told], bytes]) -> bytes:
+    def get(self, told: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
         key = told.key
         data = self.found.get(key)
         if data is None:
@@ -255,7 +255,7 @@
             heapq.heappop(self.queue)
         return None
 
-    def due(self, now_s: float, age_s: float, most: int = 200) -> Iterator[tuple[Subscriber, Told]]:
+    def due(self, now_s: float, age_s: float, most: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
         """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
@@ -274,17 +274,17 @@
             self._due(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
             yield found, told
 
-    def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> Told:
+    def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> FollowerUpdate:
         """What `compacted_log.View.change_since` gives, limited to the follower's scopes, without a pass over all
         entries. A follower that is ahead only gets this agent's position, and nothing older than what it has."""
         view, since = self.view, subscriber.position
         layers = self.layers(subscriber)
         if since > view.position:
-            return Told(view.lineage, view.position, view.position, False, view.floor, (), "", age_ms, spread_ms)
+            return FollowerUpdate(view.lineage, view.position, view.position, False, view.floor, (), "", age_ms, spread_ms)
         whole = not subscriber.lineage or since == 0 or since < view.floor
         snapshot = whole and not (since == view.position and subscriber.lineage == view.lineage)
         entries = layers if snapshot else tuple(entry for entry in layers if entry.version > since)
-        return Told(view.lineage, view.position, since, snapshot, view.floor,
+        return FollowerUpdate(view.lineage, view.position, since, snapshot, view.floor,
                     tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_of(layers), age_ms, spread_ms)
 
     def layers(self, subscriber: Subscriber) -> tuple[Entry, ...]:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -16,7 +16,7 @@
     Encoded,
     Serving,
     Subscriber,
-    Told,
+    FollowerUpdate,
     AdmissionRefused,
 )
 
@@ -50,7 +50,7 @@
         self.subscriber, self.view = subscriber, view
         self.told_s: list[float] = []
 
-    def take(self, told: Told, now_s: float) -> None:
+    def take(self, told: FollowerUpdate, now_s: float) -> None:
         self.told_s.append(now_s)
         if told.position < self.view.position:
             assert told.entries == (), "got entries older than what it has"
@@ -136,7 +136,7 @@
     return serving
 
 
-def all_due(serving: Serving, now_s: float, age_s: float = 0.0) -> list[tuple[Subscriber, Told]]:
+def all_due(serving: Serving, now_s: float, age_s: float = 0.0) -> list[tuple[Subscriber, FollowerUpdate]]:
     found = []
     while some := list(serving.due(now_s, age_s)):
         found += some
@@ -146,7 +146,7 @@
 def test_a_burst_is_folded_into_few_updates_and_none_is_lost() -> None:
     serving = served()
     one = serving.join(Labels("i0"), "", 0, 0.0)
-    told: list[Told] = []
+    told: list[FollowerUpdate] = []
     for version in range(2, 52):  # 50 a second
         now_s = version / 50
         serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
@@ -252,9 +252,9 @@
         kept.get(told, lambda told: b"x" * 100)
     assert kept.made == 1
     for i in range(1_000):
-        kept.get(Told("aa", i, 0, False, 0, (), "", 0, 0), lambda told: b"x" * 100)
+        kept.get(FollowerUpdate("aa", i, 0, False, 0, (), "", 0, 0), lambda told: b"x" * 100)
         assert kept.size <= 2_000 and len(kept.found) <= 20
-    kept.get(Told("aa", 0, 0, True, 0, (), "", 0, 0), lambda told: b"x" * 3_000)
+    kept.get(FollowerUpdate("aa", 0, 0, True, 0, (), "", 0, 0), lambda told: b"x" * 3_000)
     assert kept.size <= 2_000
 
 
