--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, Differs, Encoded, Serving, Subscriber, Summary, FollowerUpdate, AdmissionRefused
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, Encoded, Serving, Subscriber, Summary, FollowerUpdate, AdmissionRefused
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -170,8 +170,8 @@
         await asyncio.sleep(SUM_S)
 
 
-def sum_differing(found: FollowerSummary) -> list[Differs]:
-    return [Differs(one.name, one.running, one.status, one.detail) for one in found.differing]
+def sum_differing(found: FollowerSummary) -> list[DifferingFollower]:
+    return [DifferingFollower(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
 class _Link(asyncio.Protocol):
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Differs:
+class DifferingFollower:
     """A follower that does not run what the view demands, and why."""
 
     name: str
@@ -119,7 +119,7 @@
     position: int
     followers: int
     counts: tuple[tuple[int, int], ...]  # position and number of followers, highest first, at most MAX_COUNTS
-    differing: tuple[Differs, ...]  # at most MAX_DIFFERING
+    differing: tuple[DifferingFollower, ...]  # at most MAX_DIFFERING
     more: int  # number of differing followers that are not listed
 
 
@@ -303,10 +303,10 @@
 
     # Summary
 
-    def differs(self, subscriber: Subscriber) -> Differs | None:
+    def differs(self, subscriber: Subscriber) -> DifferingFollower | None:
         """Why a follower does not run what the view demands; None if it does. Entries of other scopes don't matter."""
-        def because(status: str, detail: str) -> Differs:
-            return Differs(subscriber.labels.instance, subscriber.running, status, detail)
+        def because(status: str, detail: str) -> DifferingFollower:
+            return DifferingFollower(subscriber.labels.instance, subscriber.running, status, detail)
 
         layers = self.layers(subscriber)
         newest = max((entry.version for entry in layers), default=0)
@@ -323,7 +323,7 @@
 
     def summary(self) -> Summary:
         counts: Counter[int] = Counter()
-        differing: list[Differs] = []
+        differing: list[DifferingFollower] = []
         more = 0
         for one in self.subscribers.values():
             found = self.differs(one)
