--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Summary:
+class FollowerSummary:
     """Which positions the followers of one agent run."""
 
     lineage: str
@@ -321,7 +321,7 @@
             return because("other", "what it runs is not what the versions come to")
         return None
 
-    def summary(self) -> Summary:
+    def summary(self) -> FollowerSummary:
         counts: Counter[int] = Counter()
         differing: list[DifferingFollower] = []
         more = 0
@@ -334,5 +334,5 @@
                 else:
                     more += 1
         highest = sorted(counts.items(), reverse=True)[:MAX_COUNTS]
-        return Summary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
+        return FollowerSummary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
                        tuple(differing), more)
