--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -151,7 +151,7 @@
     rng: random.Random
     view: View = field(default_factory=View)
     reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
-    most: int = MAX_FOLLOWERS
+    max_bytes: int = MAX_FOLLOWERS
     agents: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: AdmissionBucket = field(default_factory=lambda: AdmissionBucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
@@ -196,8 +196,8 @@
             raise AdmissionRefused("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
         if lineage and lineage != self.view.lineage:
             raise AdmissionRefused("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
-        if len(self.subscribers) >= self.most:
-            raise AdmissionRefused("BUSY", f"{self.most} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
+        if len(self.subscribers) >= self.max_bytes:
+            raise AdmissionRefused("BUSY", f"{self.max_bytes} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
         wait_s = self.bucket.take(now_s, self.rng)
         if wait_s > 0.0:
             raise AdmissionRefused("BUSY", f"{self.bucket.rate_per_s:g} a second are taken on", max(1, int(wait_s * 1000)))
