--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -127,7 +127,7 @@
     """A cache of encoded updates, limited in bytes; the oldest are evicted first."""
 
     def __init__(self, most: int = MAX_CACHED_BYTES) -> None:
-        self.most, self.size, self.made = most, 0, 0
+        self.most, self.size, self.encoded_count = most, 0, 0
         self.found: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
     def get(self, told: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
@@ -135,7 +135,7 @@
         data = self.found.get(key)
         if data is None:
             data = encode(told)
-            self.made += 1
+            self.encoded_count += 1
             if len(data) <= self.most:
                 self.found[key] = data
                 self.size += len(data)
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -415,10 +415,10 @@
             assert len(agent.followers.links) == 200
             assert joined[-1] >= 1.7  # 180 at 100 a second
             assert tries < 800
-            sent, made = agent.followers.sent, agent.followers.encoded.made
+            sent, made = agent.followers.sent, agent.followers.encoded.encoded_count
             await publish(agent, {"settings": {"instances": 3}})
             await until(lambda: all(raw.view.position == 2 for raw in found))
-            sent, made = agent.followers.sent - sent, agent.followers.encoded.made - made
+            sent, made = agent.followers.sent - sent, agent.followers.encoded.encoded_count - made
             assert sent >= 200 and made <= sent / 4  # one frame for many
             for raw in found:
                 await raw.close()
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -250,7 +250,7 @@
     kept = Encoded(2_000)
     for _, told in all_due(serving, 0.0):
         kept.get(told, lambda told: b"x" * 100)
-    assert kept.made == 1
+    assert kept.encoded_count == 1
     for i in range(1_000):
         kept.get(FollowerUpdate("aa", i, 0, False, 0, (), "", 0, 0), lambda told: b"x" * 100)
         assert kept.size <= 2_000 and len(kept.found) <= 20
