--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -128,19 +128,19 @@
 
     def __init__(self, most: int = MAX_CACHED_BYTES) -> None:
         self.most, self.size, self.encoded_count = most, 0, 0
-        self.found: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
+        self.cached: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
     def get(self, told: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
         key = told.key
-        data = self.found.get(key)
+        data = self.cached.get(key)
         if data is None:
             data = encode(told)
             self.encoded_count += 1
             if len(data) <= self.most:
-                self.found[key] = data
+                self.cached[key] = data
                 self.size += len(data)
             while self.size > self.most:
-                self.size -= len(self.found.popitem(last=False)[1])
+                self.size -= len(self.cached.popitem(last=False)[1])
         return data
 
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -253,7 +253,7 @@
     assert kept.encoded_count == 1
     for i in range(1_000):
         kept.get(FollowerUpdate("aa", i, 0, False, 0, (), "", 0, 0), lambda told: b"x" * 100)
-        assert kept.size <= 2_000 and len(kept.found) <= 20
+        assert kept.size <= 2_000 and len(kept.cached) <= 20
     kept.get(FollowerUpdate("aa", 0, 0, True, 0, (), "", 0, 0), lambda told: b"x" * 3_000)
     assert kept.size <= 2_000
 
