--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, Encoded, Serving, Subscriber, FollowerSummary, FollowerUpdate, AdmissionRefused
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, EncodedUpdateCache, Serving, Subscriber, FollowerSummary, FollowerUpdate, AdmissionRefused
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -68,7 +68,7 @@
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerLink] = {}
         self.open: set[FollowerLink | SumLink] = set()
-        self.encoded = Encoded()
+        self.encoded = EncodedUpdateCache()
         self.wake = asyncio.Event()
         self.leads: Callable[[], bool] = lambda: False
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -123,7 +123,7 @@
     more: int  # number of differing followers that are not listed
 
 
-class Encoded:
+class EncodedUpdateCache:
     """A cache of encoded updates, limited in bytes; the oldest are evicted first."""
 
     def __init__(self, most: int = MAX_CACHED_BYTES) -> None:
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -13,7 +13,7 @@
     MAX_DIFFERING,
     SLOW_READER_TIMEOUT_S,
     AdmissionBucket,
-    Encoded,
+    EncodedUpdateCache,
     Serving,
     Subscriber,
     FollowerUpdate,
@@ -247,7 +247,7 @@
     serving = served(most=1_000)
     for i in range(300):
         serving.join(Labels(f"i{i}", zone="z0"), "", 0, 0.0)
-    kept = Encoded(2_000)
+    kept = EncodedUpdateCache(2_000)
     for _, told in all_due(serving, 0.0):
         kept.get(told, lambda told: b"x" * 100)
     assert kept.encoded_count == 1
