--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -185,7 +185,7 @@
             self.log(f"{self.path}: {error}; not used")
             return False
         age_s = snapshot.age_s(time.time_ns() // 1_000_000)
-        self.serving.view, self.serving.reached = snapshot.view(), True
+        self.serving.view, self.serving.has_reached_record = snapshot.view(), True
         self.tokens = snapshot.tokens
         self.reached_ms = clock_ms() - age_s * 1000
         self.saved, self.saved_s = self.mark(), time.monotonic()
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -150,7 +150,7 @@
 
     rng: random.Random
     view: View = field(default_factory=View)
-    reached: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
+    has_reached_record: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
     max_bytes: int = MAX_FOLLOWERS
     agents: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: AdmissionBucket = field(default_factory=lambda: AdmissionBucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
@@ -165,7 +165,7 @@
     def advance(self, change: Change, now_s: float) -> set[Scope]:
         """Applies a change and returns the changed scopes; their followers are due in COALESCE_S. Raises ViewError."""
         changed = self.view.apply(change)
-        self.reached = True
+        self.has_reached_record = True
         for scope in changed:
             for ident in self.by_scope.get(scope, ()):
                 subscriber = self.subscribers[ident]
@@ -192,7 +192,7 @@
         def spread_ms() -> int:
             return int(1000 * RETRY_S * (1.0 + self.rng.random()))
 
-        if not self.reached:
+        if not self.has_reached_record:
             raise AdmissionRefused("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
         if lineage and lineage != self.view.lineage:
             raise AdmissionRefused("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -92,7 +92,7 @@
             found = log.view.change_since(view.position, view.lineage)
             assert found is not None
             serving.advance(found, now_s)
-        elif what < 0.75 and serving.reached:
+        elif what < 0.75 and serving.has_reached_record:
             serving.check("", now_s)
             followers.append(Follower(serving.join(some_labels(rng), "", 0, now_s), View()))
         elif what < 0.8 and followers:
