--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -255,13 +255,13 @@
             heapq.heappop(self.queue)
         return None
 
-    def due(self, now_s: float, age_s: float, most: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
+    def due(self, now_s: float, age_s: float, max_followers: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
         """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
         spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agents)) + 1)
-        for _ in range(most):
+        for _ in range(max_followers):
             at_s = self.next_s()
             if at_s is None or at_s > now_s:
                 return
