--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -152,7 +152,7 @@
     view: View = field(default_factory=View)
     has_reached_record: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
     max_bytes: int = MAX_FOLLOWERS
-    agents: int = 2  # known agents that serve; they share the followers of one that is lost
+    agent_count: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: AdmissionBucket = field(default_factory=lambda: AdmissionBucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
@@ -260,7 +260,7 @@
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
-        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agents)) + 1)
+        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agent_count)) + 1)
         for _ in range(max_followers):
             at_s = self.next_s()
             if at_s is None or at_s > now_s:
