--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -158,7 +158,7 @@
     by_scope: dict[Scope, set[int]] = field(default_factory=dict)
     queue: list[tuple[float, int]] = field(default_factory=list)  # heap of due times; outdated items are skipped
     digests: dict[tuple[int, ...], str] = field(default_factory=dict)
-    last: int = 0
+    last_ident: int = 0
 
     # The view
 
@@ -204,8 +204,8 @@
 
     def join(self, labels: Labels, lineage: str, position: int, now_s: float) -> Subscriber:
         """Adds a follower that passed `check_admission`; it is due for an update at once."""
-        self.last += 1
-        found = Subscriber(self.last, labels, labels.scopes(), lineage, position, now_s, now_s, running=position)
+        self.last_ident += 1
+        found = Subscriber(self.last_ident, labels, labels.scopes(), lineage, position, now_s, now_s, running=position)
         self.subscribers[found.ident] = found
         for scope in found.scopes:
             self.by_scope.setdefault(scope, set()).add(found.ident)
