--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -155,7 +155,7 @@
                          "served: this is kept, with its age")
             return
         try:
-            changed = self.serving.advance(change, time.monotonic())
+            changed = self.serving.apply_change(change, time.monotonic())
         except ViewError as error:
             self.say(f"versions: what the record gives does not fit what is served, which is kept: {error}")
             return
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -162,7 +162,7 @@
 
     # The view
 
-    def advance(self, change: Change, now_s: float) -> set[Scope]:
+    def apply_change(self, change: Change, now_s: float) -> set[Scope]:
         """Applies a change and returns the changed scopes; their followers are due in COALESCE_S. Raises ViewError."""
         changed = self.view.apply(change)
         self.has_reached_record = True
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -91,7 +91,7 @@
             view = serving.view
             found = log.view.change_since(view.position, view.lineage)
             assert found is not None
-            serving.advance(found, now_s)
+            serving.apply_change(found, now_s)
         elif what < 0.75 and serving.has_reached_record:
             serving.check("", now_s)
             followers.append(Follower(serving.join(some_labels(rng), "", 0, now_s), View()))
@@ -115,7 +115,7 @@
     # all followers read again and the record is reached: within one bookmark interval all have its position
     found = log.view.change_since(serving.view.position, serving.view.lineage)
     assert found is not None
-    serving.advance(found, now_s)
+    serving.apply_change(found, now_s)
     for one in followers:
         serving.drained(one.subscriber, now_s)
     ends_s = now_s + BOOKMARK_INTERVAL_S + COALESCE_S
@@ -132,7 +132,7 @@
 
 def served(position: int = 1, **changes: object) -> Serving:
     serving = Serving(random.Random(1), **changes)  # type: ignore[arg-type]
-    serving.advance(Change("aa", position, 0, True, 0, (Entry(position, ALL, {"n": position}),)), 0.0)
+    serving.apply_change(Change("aa", position, 0, True, 0, (Entry(position, ALL, {"n": position}),)), 0.0)
     return serving
 
 
@@ -149,14 +149,14 @@
     told: list[FollowerUpdate] = []
     for version in range(2, 52):  # 50 a second
         now_s = version / 50
-        serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
+        serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
         told += [told for _, told in all_due(serving, now_s)]
     told += [told for _, told in all_due(serving, 1.3)]
     assert len(told) <= 1.3 / COALESCE_S + 1
     assert told[-1].position == 51 == one.position
     assert [t.since for t in told[1:]] == [t.position for t in told[:-1]]  # each continues where the one before ended
     for version in range(52, 200):
-        serving.advance(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), 1.35)
+        serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), 1.35)
     assert len(serving.queue) < 20  # memory does not grow with the number of changes
 
 
@@ -164,7 +164,7 @@
     serving = served()
     here, there = (serving.join(Labels(f"i{i}", zone=f"z{i}"), "", 0, 0.0) for i in range(2))
     all_due(serving, 0.0)
-    serving.advance(Change("aa", 2, 1, False, 0, (Entry(2, Scope(Reach.ZONE, "z0"), {}),)), 0.2)
+    serving.apply_change(Change("aa", 2, 1, False, 0, (Entry(2, Scope(Reach.ZONE, "z0"), {}),)), 0.2)
     assert [subscriber for subscriber, _ in all_due(serving, 0.2)] == [here]
     assert there in [subscriber for subscriber, told in all_due(serving, BOOKMARK_INTERVAL_S) if told.position == 2]
 
@@ -186,9 +186,9 @@
     serving.join(Labels("i0"), "aa", 7, 0.0)
     (_, told), = all_due(serving, 0.0)
     assert (told.position, told.since, told.entries, told.is_snapshot) == (5, 5, (), False)
-    serving.advance(Change("aa", 6, 5, False, 0, (Entry(6, ALL, {"n": 6}),)), 1.0)
+    serving.apply_change(Change("aa", 6, 5, False, 0, (Entry(6, ALL, {"n": 6}),)), 1.0)
     assert all(told.entries == () for _, told in all_due(serving, 1.0))
-    serving.advance(Change("aa", 8, 6, False, 0, (Entry(8, ALL, {"n": 8}),)), 2.0)
+    serving.apply_change(Change("aa", 8, 6, False, 0, (Entry(8, ALL, {"n": 8}),)), 2.0)
     (_, told), = all_due(serving, 2.0)
     assert [entry.version for entry in told.entries] == [8] and told.since == 7
 
@@ -200,7 +200,7 @@
     serving.slow(slow, 0.1)
     for version in range(2, 22):
         change = Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),))
-        serving.advance(change, version * 0.2)
+        serving.apply_change(change, version * 0.2)
         assert [subscriber for subscriber, _ in all_due(serving, version * 0.2)] == [other]
     assert serving.stuck(SLOW_READER_TIMEOUT_S) == [] and serving.stuck(SLOW_READER_TIMEOUT_S + 0.2) == [slow]
     serving.drained(slow, 5.0)
@@ -272,7 +272,7 @@
         ("i1", "refused"), ("i2", "other"), ("i3", "ahead"), ("i4", "behind")]
     assert len(found.differing[0].detail) == 200
     # an entry of another scope makes no follower differ
-    serving.advance(Change("aa", 4, 3, False, 0, (Entry(4, Scope(Reach.ZONE, "z9"), {}),)), 1.0)
+    serving.apply_change(Change("aa", 4, 3, False, 0, (Entry(4, Scope(Reach.ZONE, "z9"), {}),)), 1.0)
     assert "i0" not in [one.name for one in serving.summary().differing]
     for i in range(300):
         serving.join(Labels(f"j{i}"), "", 0, 0.0)
@@ -290,6 +290,6 @@
     serving.begin_anew(View())
     # not the cached digest of the former log's version 3
     assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
-    serving.advance(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
+    serving.apply_change(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
     (subscriber, told), = all_due(serving, 1.0)
     assert subscriber is new and told.lineage == "bb" and told.is_snapshot
