--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -146,7 +146,7 @@
                 return
             self.log(f"{self.path}: it is of lineage {view.lineage}, the record of {change.lineage or 'none'}; not "
                      "used any more")
-            strange = self.serving.begin_anew(View())
+            strange = self.serving.replace_view(View())
             if self.tells is not None:
                 self.tells.dismiss(strange)
         elif change.position < view.position:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -176,7 +176,7 @@
             self.digests.clear()
         return changed
 
-    def begin_anew(self, view: View) -> list[Subscriber]:
+    def replace_view(self, view: View) -> list[Subscriber]:
         """Replaces the view by one of another log; removes and returns the followers of the former log."""
         self.view = view
         self.digests.clear()
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -285,9 +285,9 @@
     old = serving.join(Labels("i0"), "", 0, 0.0)
     all_due(serving, 0.0)
     new = serving.join(Labels("i1"), "", 0, 0.0)
-    assert serving.begin_anew(View()) == [old]
+    assert serving.replace_view(View()) == [old]
     serving.digest_of((Entry(3, ALL, {"n": 3}),))
-    serving.begin_anew(View())
+    serving.replace_view(View())
     # not the cached digest of the former log's version 3
     assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
     serving.apply_change(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
