--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -256,7 +256,7 @@
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         now_s = time.monotonic()
         try:
-            followers.serving.check(follow.lineage, now_s)
+            followers.serving.check_admission(follow.lineage, now_s)
         except AdmissionRefused as turned:
             return self.deny(turned.code, str(turned), turned.retry_ms)
         labels = Labels(follow.name, follow.service, follow.zone, follow.region)
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -187,7 +187,7 @@
 
     # Followers
 
-    def check(self, lineage: str, now_s: float) -> None:
+    def check_admission(self, lineage: str, now_s: float) -> None:
         """Raises AdmissionRefused if a follower of this lineage may not join now."""
         def spread_ms() -> int:
             return int(1000 * RETRY_S * (1.0 + self.rng.random()))
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -93,7 +93,7 @@
             assert found is not None
             serving.apply_change(found, now_s)
         elif what < 0.75 and serving.has_reached_record:
-            serving.check("", now_s)
+            serving.check_admission("", now_s)
             followers.append(Follower(serving.join(some_labels(rng), "", 0, now_s), View()))
         elif what < 0.8 and followers:
             one = followers.pop(rng.randrange(len(followers)))
@@ -239,7 +239,7 @@
     for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
                                    (served(bucket=AdmissionBucket(1.0, 0.0)), "", "BUSY")):
         with pytest.raises(AdmissionRefused) as found:
-            serving.check(lineage, 0.0)
+            serving.check_admission(lineage, 0.0)
         assert found.value.code == code and found.value.retry_ms > 0
 
 
