--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -241,7 +241,7 @@
         if isinstance(message, RunningReport):
             if self.subscriber is None:
                 raise MessageError("expected follow, got runs")
-            serving.runs(self.subscriber, message.running, message.digest, message.status, message.detail)
+            serving.record_status(self.subscriber, message.running, message.digest, message.status, message.detail)
         elif isinstance(message, FollowRequest):
             self.on_follow(message)
 
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -221,7 +221,7 @@
             if not among:
                 del self.by_scope[scope]
 
-    def runs(self, subscriber: Subscriber, running: int, digest: str, status: str, detail: str) -> None:
+    def record_status(self, subscriber: Subscriber, running: int, digest: str, status: str, detail: str) -> None:
         subscriber.running, subscriber.digest = running, digest
         subscriber.status, subscriber.detail = status, detail[:MAX_DETAIL_CHARS]
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -262,10 +262,10 @@
     serving = served(3)
     right = serving.digest_of(serving.view.layers_for(Labels("i")))
     ones = [serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(5)]
-    serving.runs(ones[0], 3, right, "applied", "")
-    serving.runs(ones[1], 2, "old", "refused", "x" * 5_000)
-    serving.runs(ones[2], 3, "bad", "applied", "")
-    serving.runs(ones[3], 9, right, "applied", "")
+    serving.record_status(ones[0], 3, right, "applied", "")
+    serving.record_status(ones[1], 2, "old", "refused", "x" * 5_000)
+    serving.record_status(ones[2], 3, "bad", "applied", "")
+    serving.record_status(ones[3], 9, right, "applied", "")
     found = serving.summary()
     assert found.counts == ((9, 1), (3, 2), (2, 1), (0, 1))
     assert [(one.name, one.status) for one in found.differing] == [
