--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -278,7 +278,7 @@
 
     def pause_writing(self) -> None:
         if self.subscriber is not None:
-            self.followers.serving.slow(self.subscriber, time.monotonic())
+            self.followers.serving.mark_slow(self.subscriber, time.monotonic())
 
     def resume_writing(self) -> None:
         if self.subscriber is not None:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -225,7 +225,7 @@
         subscriber.running, subscriber.digest = running, digest
         subscriber.status, subscriber.detail = status, detail[:MAX_DETAIL_CHARS]
 
-    def slow(self, subscriber: Subscriber, now_s: float) -> None:
+    def mark_slow(self, subscriber: Subscriber, now_s: float) -> None:
         """Sends the follower nothing more until it has read what was sent."""
         if subscriber.slow_since_s < 0:
             subscriber.slow_since_s = now_s
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -103,7 +103,7 @@
                 back = serving.join(one.subscriber.labels, one.view.lineage, since, now_s)
                 followers.append(Follower(back, one.view))
         elif what < 0.85 and followers:
-            serving.slow(rng.choice(followers).subscriber, now_s)
+            serving.mark_slow(rng.choice(followers).subscriber, now_s)
         elif what < 0.9 and followers:
             serving.drained(rng.choice(followers).subscriber, now_s)
         for subscriber in serving.subscribers.values():
@@ -197,7 +197,7 @@
     serving = served()
     slow, other = (serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(2))
     all_due(serving, 0.0)
-    serving.slow(slow, 0.1)
+    serving.mark_slow(slow, 0.1)
     for version in range(2, 22):
         change = Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),))
         serving.apply_change(change, version * 0.2)
