--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -282,7 +282,7 @@
 
     def resume_writing(self) -> None:
         if self.subscriber is not None:
-            self.followers.serving.drained(self.subscriber, time.monotonic())
+            self.followers.serving.mark_caught_up(self.subscriber, time.monotonic())
             self.followers.changed()
 
     def abort(self, why: str) -> None:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -230,7 +230,7 @@
         if subscriber.slow_since_s < 0:
             subscriber.slow_since_s = now_s
 
-    def drained(self, subscriber: Subscriber, now_s: float) -> None:
+    def mark_caught_up(self, subscriber: Subscriber, now_s: float) -> None:
         if subscriber.slow_since_s >= 0:
             subscriber.slow_since_s = -1.0
             self._due(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -105,7 +105,7 @@
         elif what < 0.85 and followers:
             serving.mark_slow(rng.choice(followers).subscriber, now_s)
         elif what < 0.9 and followers:
-            serving.drained(rng.choice(followers).subscriber, now_s)
+            serving.mark_caught_up(rng.choice(followers).subscriber, now_s)
         for subscriber in serving.subscribers.values():
             told = serving.lacks(subscriber, 100, 100)
             whole = serving.view.change_since(subscriber.position, subscriber.lineage)
@@ -117,7 +117,7 @@
     assert found is not None
     serving.apply_change(found, now_s)
     for one in followers:
-        serving.drained(one.subscriber, now_s)
+        serving.mark_caught_up(one.subscriber, now_s)
     ends_s = now_s + BOOKMARK_INTERVAL_S + COALESCE_S
     while now_s < ends_s:
         now_s += 0.02
@@ -203,7 +203,7 @@
         serving.apply_change(change, version * 0.2)
         assert [subscriber for subscriber, _ in all_due(serving, version * 0.2)] == [other]
     assert serving.stuck(SLOW_READER_TIMEOUT_S) == [] and serving.stuck(SLOW_READER_TIMEOUT_S + 0.2) == [slow]
-    serving.drained(slow, 5.0)
+    serving.mark_caught_up(slow, 5.0)
     (_, told), = [found for found in all_due(serving, 5.0) if found[0] is slow]
     assert (told.since, told.position, len(told.entries)) == (1, 21, 1)
 
