--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -90,7 +90,7 @@
         for subscriber, told in self.serving.due(now_s, self.age_s()):
             told_any = True
             self.links[subscriber.ident].tell(told)
-        for subscriber in self.serving.stuck(now_s):
+        for subscriber in self.serving.stalled_readers(now_s):
             self.links[subscriber.ident].abort(f"has read nothing for {SLOW_READER_TIMEOUT_S:g} s")
         if told_any:
             await asyncio.sleep(0)
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -235,7 +235,7 @@
             subscriber.slow_since_s = -1.0
             self._due(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
 
-    def stuck(self, now_s: float) -> list[Subscriber]:
+    def stalled_readers(self, now_s: float) -> list[Subscriber]:
         """Followers that have not read for SLOW_READER_TIMEOUT_S."""
         return [one for one in self.subscribers.values() if 0 <= one.slow_since_s <= now_s - SLOW_READER_TIMEOUT_S]
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -202,7 +202,7 @@
         change = Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),))
         serving.apply_change(change, version * 0.2)
         assert [subscriber for subscriber, _ in all_due(serving, version * 0.2)] == [other]
-    assert serving.stuck(SLOW_READER_TIMEOUT_S) == [] and serving.stuck(SLOW_READER_TIMEOUT_S + 0.2) == [slow]
+    assert serving.stalled_readers(SLOW_READER_TIMEOUT_S) == [] and serving.stalled_readers(SLOW_READER_TIMEOUT_S + 0.2) == [slow]
     serving.mark_caught_up(slow, 5.0)
     (_, told), = [found for found in all_due(serving, 5.0) if found[0] is slow]
     assert (told.since, told.position, len(told.entries)) == (1, 21, 1)
