--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -171,7 +171,7 @@
                 subscriber = self.subscribers[ident]
                 at_s = max(now_s, subscriber.sent_s + COALESCE_S)
                 if at_s < subscriber.due_s:
-                    self._due(subscriber, at_s)
+                    self._schedule(subscriber, at_s)
         if changed:
             self.digests.clear()
         return changed
@@ -233,7 +233,7 @@
     def mark_caught_up(self, subscriber: Subscriber, now_s: float) -> None:
         if subscriber.slow_since_s >= 0:
             subscriber.slow_since_s = -1.0
-            self._due(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
+            self._schedule(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
 
     def stalled_readers(self, now_s: float) -> list[Subscriber]:
         """Followers that have not read for SLOW_READER_TIMEOUT_S."""
@@ -241,7 +241,7 @@
 
     # Updates
 
-    def _due(self, subscriber: Subscriber, at_s: float) -> None:
+    def _schedule(self, subscriber: Subscriber, at_s: float) -> None:
         subscriber.due_s = at_s
         heapq.heappush(self.queue, (at_s, subscriber.ident))
 
@@ -271,7 +271,7 @@
             if found.position <= told.position:
                 found.lineage, found.position = told.lineage, told.position
             found.sent_s = now_s
-            self._due(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
+            self._schedule(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
             yield found, told
 
     def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> FollowerUpdate:
