--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -95,7 +95,7 @@
         if told_any:
             await asyncio.sleep(0)
             return
-        at_s = self.serving.next_s()
+        at_s = self.serving.next_due_s()
         wait_s = min(1.0, max(0.0, at_s - now_s)) if at_s is not None else 1.0
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -245,7 +245,7 @@
         subscriber.due_s = at_s
         heapq.heappush(self.queue, (at_s, subscriber.ident))
 
-    def next_s(self) -> float | None:
+    def next_due_s(self) -> float | None:
         """When the next follower is due for an update; None if nobody is."""
         while self.queue:
             at_s, ident = self.queue[0]
@@ -262,7 +262,7 @@
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
         spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agent_count)) + 1)
         for _ in range(max_followers):
-            at_s = self.next_s()
+            at_s = self.next_due_s()
             if at_s is None or at_s > now_s:
                 return
             _, ident = heapq.heappop(self.queue)
