--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -87,7 +87,7 @@
         self.wake.clear()
         now_s = time.monotonic()
         told_any = False
-        for subscriber, told in self.serving.due(now_s, self.age_s()):
+        for subscriber, told in self.serving.due_updates(now_s, self.age_s()):
             told_any = True
             self.links[subscriber.ident].tell(told)
         for subscriber in self.serving.stalled_readers(now_s):
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -255,7 +255,7 @@
             heapq.heappop(self.queue)
         return None
 
-    def due(self, now_s: float, age_s: float, max_followers: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
+    def due_updates(self, now_s: float, age_s: float, max_followers: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
         """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -77,7 +77,7 @@
 
     def tell(age_s: float = 0.0) -> None:
         by = {one.subscriber.ident: one for one in followers}
-        for subscriber, told in serving.due(now_s, age_s, rng.randint(1, 20)):
+        for subscriber, told in serving.due_updates(now_s, age_s, rng.randint(1, 20)):
             assert subscriber.slow_since_s < 0, "a slow reader got an update"
             # `take` checks the digest of the result
             by[subscriber.ident].take(told, now_s)
@@ -138,7 +138,7 @@
 
 def all_due(serving: Serving, now_s: float, age_s: float = 0.0) -> list[tuple[Subscriber, FollowerUpdate]]:
     found = []
-    while some := list(serving.due(now_s, age_s)):
+    while some := list(serving.due_updates(now_s, age_s)):
         found += some
     return found
 
