--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -267,14 +267,14 @@
                 return
             _, ident = heapq.heappop(self.queue)
             found = self.subscribers[ident]
-            told = self.lacks(found, age_ms, spread_ms)
+            told = self.update_for(found, age_ms, spread_ms)
             if found.position <= told.position:
                 found.lineage, found.position = told.lineage, told.position
             found.sent_s = now_s
             self._schedule(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
             yield found, told
 
-    def lacks(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> FollowerUpdate:
+    def update_for(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> FollowerUpdate:
         """What `compacted_log.View.change_since` gives, limited to the follower's scopes, without a pass over all
         entries. A follower that is ahead only gets this agent's position, and nothing older than what it has."""
         view, since = self.view, subscriber.position
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -107,7 +107,7 @@
         elif what < 0.9 and followers:
             serving.mark_caught_up(rng.choice(followers).subscriber, now_s)
         for subscriber in serving.subscribers.values():
-            told = serving.lacks(subscriber, 100, 100)
+            told = serving.update_for(subscriber, 100, 100)
             whole = serving.view.change_since(subscriber.position, subscriber.lineage)
             if whole is not None and whole.since != serving.view.position:
                 assert told.entries == limited_to(whole, subscriber.labels).entries
