--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -278,7 +278,7 @@
         """What `compacted_log.View.change_since` gives, limited to the follower's scopes, without a pass over all
         entries. A follower that is ahead only gets this agent's position, and nothing older than what it has."""
         view, since = self.view, subscriber.position
-        layers = self.layers(subscriber)
+        layers = self.layers_for(subscriber)
         if since > view.position:
             return FollowerUpdate(view.lineage, view.position, view.position, False, view.floor, (), "", age_ms, spread_ms)
         whole = not subscriber.lineage or since == 0 or since < view.floor
@@ -287,7 +287,7 @@
         return FollowerUpdate(view.lineage, view.position, since, snapshot, view.floor,
                     tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_of(layers), age_ms, spread_ms)
 
-    def layers(self, subscriber: Subscriber) -> tuple[Entry, ...]:
+    def layers_for(self, subscriber: Subscriber) -> tuple[Entry, ...]:
         entries = self.view.entries
         return tuple(entries[scope] for scope in subscriber.scopes if scope in entries)
 
@@ -308,7 +308,7 @@
         def because(status: str, detail: str) -> DifferingFollower:
             return DifferingFollower(subscriber.labels.instance, subscriber.running, status, detail)
 
-        layers = self.layers(subscriber)
+        layers = self.layers_for(subscriber)
         newest = max((entry.version for entry in layers), default=0)
         if subscriber.status not in ("", "applied"):
             return because(subscriber.status, subscriber.detail)
