--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -285,13 +285,13 @@
         snapshot = whole and not (since == view.position and subscriber.lineage == view.lineage)
         entries = layers if snapshot else tuple(entry for entry in layers if entry.version > since)
         return FollowerUpdate(view.lineage, view.position, since, snapshot, view.floor,
-                    tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_of(layers), age_ms, spread_ms)
+                    tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_for(layers), age_ms, spread_ms)
 
     def layers_for(self, subscriber: Subscriber) -> tuple[Entry, ...]:
         entries = self.view.entries
         return tuple(entries[scope] for scope in subscriber.scopes if scope in entries)
 
-    def digest_of(self, layers: Iterable[Entry]) -> str:
+    def digest_for(self, layers: Iterable[Entry]) -> str:
         layers = tuple(layers)
         key = tuple(entry.version for entry in layers)
         found = self.digests.get(key)
@@ -317,7 +317,7 @@
         if subscriber.running < newest:
             slow = "it reads too slowly" if subscriber.slow_since_s >= 0 else "it has not answered yet"
             return because("behind", f"{newest} is its newest: {slow}")
-        if subscriber.status and subscriber.digest != self.digest_of(layers):
+        if subscriber.status and subscriber.digest != self.digest_for(layers):
             return because("other", "what it runs is not what the versions come to")
         return None
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -260,7 +260,7 @@
 
 def test_the_sum_says_who_runs_what_and_is_bounded() -> None:
     serving = served(3)
-    right = serving.digest_of(serving.view.layers_for(Labels("i")))
+    right = serving.digest_for(serving.view.layers_for(Labels("i")))
     ones = [serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(5)]
     serving.record_status(ones[0], 3, right, "applied", "")
     serving.record_status(ones[1], 2, "old", "refused", "x" * 5_000)
@@ -286,10 +286,10 @@
     all_due(serving, 0.0)
     new = serving.join(Labels("i1"), "", 0, 0.0)
     assert serving.replace_view(View()) == [old]
-    serving.digest_of((Entry(3, ALL, {"n": 3}),))
+    serving.digest_for((Entry(3, ALL, {"n": 3}),))
     serving.replace_view(View())
     # not the cached digest of the former log's version 3
-    assert serving.digest_of((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
+    assert serving.digest_for((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
     serving.apply_change(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
     (subscriber, told), = all_due(serving, 1.0)
     assert subscriber is new and told.lineage == "bb" and told.is_snapshot
