--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -303,7 +303,7 @@
 
     # Summary
 
-    def differs(self, subscriber: Subscriber) -> DifferingFollower | None:
+    def difference(self, subscriber: Subscriber) -> DifferingFollower | None:
         """Why a follower does not run what the view demands; None if it does. Entries of other scopes don't matter."""
         def because(status: str, detail: str) -> DifferingFollower:
             return DifferingFollower(subscriber.labels.instance, subscriber.running, status, detail)
@@ -326,7 +326,7 @@
         differing: list[DifferingFollower] = []
         more = 0
         for one in self.subscribers.values():
-            found = self.differs(one)
+            found = self.difference(one)
             counts[self.view.position if found is None else one.running] += 1
             if found is not None:
                 if len(differing) < MAX_DIFFERING:
