--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,7 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, EncodedUpdateCache, Serving, Subscriber, FollowerSummary, FollowerUpdate, AdmissionRefused
+from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, EncodedUpdateCache, VersionDistributor, Subscriber, FollowerSummary, FollowerUpdate, AdmissionRefused
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -63,7 +63,7 @@
 class Followers:
     """All that follow this agent, for as long as it lives."""
 
-    def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
+    def __init__(self, serving: VersionDistributor, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerLink] = {}
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -35,7 +35,7 @@
 from ironscale.net.signals import Signals
 from ironscale.operator_file import Agent as AgentSection
 from ironscale.operator_file import read_secret
-from ironscale.versions.serving import Serving
+from ironscale.versions.serving import VersionDistributor
 
 ADMIN, INSTANCE = "admin", "instance"  # tokens of the first start, and their files NAME.token
 DENIALS_KEPT = 1_000
@@ -70,7 +70,7 @@
         self.supervisor: Supervisor
         self.failed: StoreError | None = None  # the record is another's, or less than it was
         # published versions: followed and served for as long as this agent lives, whoever leads
-        self.following = Following(Serving(random.Random()), self.data, self.log)
+        self.following = Following(VersionDistributor(random.Random()), self.data, self.log)
         self.followers = Followers(self.following.serving, self.admits, self.following.age_s, self.log)
         self.door = Door({"follow": lambda: FollowerLink(self.followers), "sum": lambda: SumLink(self.followers)})
         self.can_serve = False  # what it had kept, while the record was never reached
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -16,7 +16,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.learned.store import OsFiles
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.serving import Serving, Subscriber
+from ironscale.versions.serving import VersionDistributor, Subscriber
 from ironscale.versions.snapshot import (
     MAX_BYTES,
     Snapshot,
@@ -50,7 +50,7 @@
 
 
 class Following:
-    def __init__(self, serving: Serving, data: Path, log: Callable[[str], None],
+    def __init__(self, serving: VersionDistributor, data: Path, log: Callable[[str], None],
                  rng: random.Random | None = None) -> None:
         self.serving, self.path, self.log = serving, data / FILE, log
         self.random = rng or random.Random()
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -29,7 +29,7 @@
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_patches
-from ironscale.versions.serving import Serving
+from ironscale.versions.serving import VersionDistributor
 from ironscale.versions.snapshot import snapshot_of
 
 REGIONS = {"a": "north", "b": "north", "c": "south", "d": "south"}
@@ -100,7 +100,7 @@
 
     def start(self) -> None:
         world, net = self.world, self.world.net
-        serving = Serving(random.Random(world.random.random()))
+        serving = VersionDistributor(random.Random(world.random.random()))
         following = Following(serving, self.folder, lambda text: None, random.Random(world.random.random()))
         following.files = cast(Any, _Files())
         following.load()
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -145,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class Serving:
+class VersionDistributor:
     """The view that an agent serves, its followers, and the schedule of their updates."""
 
     rng: random.Random
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -14,7 +14,7 @@
     SLOW_READER_TIMEOUT_S,
     AdmissionBucket,
     EncodedUpdateCache,
-    Serving,
+    VersionDistributor,
     Subscriber,
     FollowerUpdate,
     AdmissionRefused,
@@ -72,7 +72,7 @@
 
 def play(rng: random.Random) -> None:
     log, now_s = Log(), 100.0
-    serving = Serving(rng, bucket=AdmissionBucket(1e6, 1e6))
+    serving = VersionDistributor(rng, bucket=AdmissionBucket(1e6, 1e6))
     followers: list[Follower] = []
 
     def tell(age_s: float = 0.0) -> None:
@@ -130,13 +130,13 @@
     assert len(serving.subscribers) == len(followers)
 
 
-def served(position: int = 1, **changes: object) -> Serving:
-    serving = Serving(random.Random(1), **changes)  # type: ignore[arg-type]
+def served(position: int = 1, **changes: object) -> VersionDistributor:
+    serving = VersionDistributor(random.Random(1), **changes)  # type: ignore[arg-type]
     serving.apply_change(Change("aa", position, 0, True, 0, (Entry(position, ALL, {"n": position}),)), 0.0)
     return serving
 
 
-def all_due(serving: Serving, now_s: float, age_s: float = 0.0) -> list[tuple[Subscriber, FollowerUpdate]]:
+def all_due(serving: VersionDistributor, now_s: float, age_s: float = 0.0) -> list[tuple[Subscriber, FollowerUpdate]]:
     found = []
     while some := list(serving.due_updates(now_s, age_s)):
         found += some
@@ -233,7 +233,7 @@
 
 
 def test_whom_it_turns_away() -> None:
-    empty = Serving(random.Random(1))
+    empty = VersionDistributor(random.Random(1))
     full = served(most=1)
     full.join(Labels("i0"), "", 0, 0.0)
     for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
