--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -22,7 +22,7 @@
 
 MAGIC = b"ISVERSN\n"
 VERSION = 1
-HEAD, DIGEST = len(MAGIC) + 2 + 4, 16
+HEADER_BYTES, DIGEST = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
 MOST = 2**53  # larger integers are not read exactly by every JSON parser
 MOST_TOKENS, MAX_TEXT = 10_000, 4_096
@@ -133,17 +133,17 @@
         raise SnapshotError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
     if len(data) < len(MAGIC) or not data.startswith(MAGIC):
         raise SnapshotError(f"expected it to begin with {MAGIC!r}, got {data[:len(MAGIC)]!r}")
-    if len(data) < HEAD + DIGEST:
-        raise SnapshotError(f"expected {HEAD + DIGEST} bytes or more, got {len(data)}")
+    if len(data) < HEADER_BYTES + DIGEST:
+        raise SnapshotError(f"expected {HEADER_BYTES + DIGEST} bytes or more, got {len(data)}")
     version = int.from_bytes(data[len(MAGIC):len(MAGIC) + 2])
     if not 1 <= version <= VERSION:
         raise SnapshotError(f"expected version 1 to {VERSION}, got {version}: written by a newer program")
-    size = int.from_bytes(data[HEAD - 4:HEAD])
-    if len(data) != HEAD + size + DIGEST:
-        raise SnapshotError(f"expected {HEAD + size + DIGEST} bytes, as its length says, got {len(data)}")
+    size = int.from_bytes(data[HEADER_BYTES - 4:HEADER_BYTES])
+    if len(data) != HEADER_BYTES + size + DIGEST:
+        raise SnapshotError(f"expected {HEADER_BYTES + size + DIGEST} bytes, as its length says, got {len(data)}")
     if blake2b(data[:-DIGEST], digest_size=DIGEST).digest() != data[-DIGEST:]:
         raise SnapshotError("expected a matching checksum, got another: the snapshot is damaged")
-    return data[HEAD:-DIGEST]
+    return data[HEADER_BYTES:-DIGEST]
 
 
 KEYS = {"lineage", "position", "floor", "reached_ms", "entries", "tokens"}
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -11,7 +11,7 @@
 from ironscale.versions.model import ALL, Entry, Reach, Scope
 from ironscale.versions.snapshot import (
     DIGEST,
-    HEAD,
+    HEADER_BYTES,
     MAGIC,
     Snapshot,
     SnapshotError,
@@ -71,7 +71,7 @@
 
 
 def test_of_a_newer_program_it_is_refused_as_such() -> None:
-    body = encode(KEPT)[HEAD:-DIGEST].split(b"\n")
+    body = encode(KEPT)[HEADER_BYTES:-DIGEST].split(b"\n")
     assert refusal(assemble(body, 2)) == "expected version 1 to 1, got 2: written by a newer program"
     assert refusal(assemble(body, 0)).startswith("expected version 1 to 1, got 0")
 
