--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -22,7 +22,7 @@
 
 MAGIC = b"ISVERSN\n"
 VERSION = 1
-HEADER_BYTES, DIGEST = len(MAGIC) + 2 + 4, 16
+HEADER_BYTES, CHECKSUM_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
 MOST = 2**53  # larger integers are not read exactly by every JSON parser
 MOST_TOKENS, MAX_TEXT = 10_000, 4_096
@@ -77,7 +77,7 @@
 def assemble(lines: list[bytes], version: int = VERSION) -> bytes:
     body = b"\n".join(lines)
     head = MAGIC + version.to_bytes(2) + len(body).to_bytes(4) + body
-    return head + blake2b(head, digest_size=DIGEST).digest()
+    return head + blake2b(head, digest_size=CHECKSUM_BYTES).digest()
 
 
 def encode(snapshot: Snapshot) -> bytes:
@@ -133,17 +133,17 @@
         raise SnapshotError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
     if len(data) < len(MAGIC) or not data.startswith(MAGIC):
         raise SnapshotError(f"expected it to begin with {MAGIC!r}, got {data[:len(MAGIC)]!r}")
-    if len(data) < HEADER_BYTES + DIGEST:
-        raise SnapshotError(f"expected {HEADER_BYTES + DIGEST} bytes or more, got {len(data)}")
+    if len(data) < HEADER_BYTES + CHECKSUM_BYTES:
+        raise SnapshotError(f"expected {HEADER_BYTES + CHECKSUM_BYTES} bytes or more, got {len(data)}")
     version = int.from_bytes(data[len(MAGIC):len(MAGIC) + 2])
     if not 1 <= version <= VERSION:
         raise SnapshotError(f"expected version 1 to {VERSION}, got {version}: written by a newer program")
     size = int.from_bytes(data[HEADER_BYTES - 4:HEADER_BYTES])
-    if len(data) != HEADER_BYTES + size + DIGEST:
-        raise SnapshotError(f"expected {HEADER_BYTES + size + DIGEST} bytes, as its length says, got {len(data)}")
-    if blake2b(data[:-DIGEST], digest_size=DIGEST).digest() != data[-DIGEST:]:
+    if len(data) != HEADER_BYTES + size + CHECKSUM_BYTES:
+        raise SnapshotError(f"expected {HEADER_BYTES + size + CHECKSUM_BYTES} bytes, as its length says, got {len(data)}")
+    if blake2b(data[:-CHECKSUM_BYTES], digest_size=CHECKSUM_BYTES).digest() != data[-CHECKSUM_BYTES:]:
         raise SnapshotError("expected a matching checksum, got another: the snapshot is damaged")
-    return data[HEADER_BYTES:-DIGEST]
+    return data[HEADER_BYTES:-CHECKSUM_BYTES]
 
 
 KEYS = {"lineage", "position", "floor", "reached_ms", "entries", "tokens"}
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -10,7 +10,7 @@
 from ironscale.versions.compacted_log import View
 from ironscale.versions.model import ALL, Entry, Reach, Scope
 from ironscale.versions.snapshot import (
-    DIGEST,
+    CHECKSUM_BYTES,
     HEADER_BYTES,
     MAGIC,
     Snapshot,
@@ -71,7 +71,7 @@
 
 
 def test_of_a_newer_program_it_is_refused_as_such() -> None:
-    body = encode(KEPT)[HEADER_BYTES:-DIGEST].split(b"\n")
+    body = encode(KEPT)[HEADER_BYTES:-CHECKSUM_BYTES].split(b"\n")
     assert refusal(assemble(body, 2)) == "expected version 1 to 1, got 2: written by a newer program"
     assert refusal(assemble(body, 0)).startswith("expected version 1 to 1, got 0")
 
