--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -21,7 +21,7 @@
 from ironscale.versions.model import Entry, Scope, ScopeError, parse_scope
 
 MAGIC = b"ISVERSN\n"
-VERSION = 1
+FORMAT_VERSION = 1
 HEADER_BYTES, CHECKSUM_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
 MOST = 2**53  # larger integers are not read exactly by every JSON parser
@@ -74,7 +74,7 @@
     return json.dumps(value, separators=(",", ":"), sort_keys=True, ensure_ascii=True, allow_nan=False).encode()
 
 
-def assemble(lines: list[bytes], version: int = VERSION) -> bytes:
+def assemble(lines: list[bytes], version: int = FORMAT_VERSION) -> bytes:
     body = b"\n".join(lines)
     head = MAGIC + version.to_bytes(2) + len(body).to_bytes(4) + body
     return head + blake2b(head, digest_size=CHECKSUM_BYTES).digest()
@@ -136,8 +136,8 @@
     if len(data) < HEADER_BYTES + CHECKSUM_BYTES:
         raise SnapshotError(f"expected {HEADER_BYTES + CHECKSUM_BYTES} bytes or more, got {len(data)}")
     version = int.from_bytes(data[len(MAGIC):len(MAGIC) + 2])
-    if not 1 <= version <= VERSION:
-        raise SnapshotError(f"expected version 1 to {VERSION}, got {version}: written by a newer program")
+    if not 1 <= version <= FORMAT_VERSION:
+        raise SnapshotError(f"expected version 1 to {FORMAT_VERSION}, got {version}: written by a newer program")
     size = int.from_bytes(data[HEADER_BYTES - 4:HEADER_BYTES])
     if len(data) != HEADER_BYTES + size + CHECKSUM_BYTES:
         raise SnapshotError(f"expected {HEADER_BYTES + size + CHECKSUM_BYTES} bytes, as its length says, got {len(data)}")
