--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -24,7 +24,7 @@
 FORMAT_VERSION = 1
 HEADER_BYTES, CHECKSUM_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
-MOST = 2**53  # larger integers are not read exactly by every JSON parser
+MAX_INTEGER = 2**53  # larger integers are not read exactly by every JSON parser
 MOST_TOKENS, MAX_TEXT = 10_000, 4_096
 
 
@@ -96,7 +96,7 @@
     raise SnapshotError(f"{where}: expected {expected}, got {str(got)[:60]!r}")
 
 
-def _whole(value: Any, where: str, most: int = MOST, least: int = 0) -> int:
+def _whole(value: Any, where: str, most: int = MAX_INTEGER, least: int = 0) -> int:
     if type(value) is not int or not least <= value <= most:
         _wrong(where, f"a whole number from {least} to {most}", value)
     return int(value)
