--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -25,7 +25,7 @@
 HEADER_BYTES, CHECKSUM_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
 MAX_INTEGER = 2**53  # larger integers are not read exactly by every JSON parser
-MOST_TOKENS, MAX_TEXT = 10_000, 4_096
+MAX_TOKENS, MAX_TEXT = 10_000, 4_096
 
 
 class SnapshotError(Exception):
@@ -180,8 +180,8 @@
         raise SnapshotError("expected entries in ascending order of distinct versions, got another order")
     if len({entry.scope for entry in entries}) < len(entries):
         raise SnapshotError("expected one entry for each scope, got a scope twice")
-    if type(header["tokens"]) is not list or len(header["tokens"]) > MOST_TOKENS:
-        _wrong("header.tokens", f"a list of at most {MOST_TOKENS}", header["tokens"])
+    if type(header["tokens"]) is not list or len(header["tokens"]) > MAX_TOKENS:
+        _wrong("header.tokens", f"a list of at most {MAX_TOKENS}", header["tokens"])
     tokens = []
     for i, row in enumerate(header["tokens"]):
         name, role, digest, created_ms, revoked_ms = _row(row, f"header.tokens[{i}]", 5)
