--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -25,7 +25,7 @@
 HEADER_BYTES, CHECKSUM_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 256 << 20
 MAX_INTEGER = 2**53  # larger integers are not read exactly by every JSON parser
-MAX_TOKENS, MAX_TEXT = 10_000, 4_096
+MAX_TOKENS, MAX_TEXT_CHARS = 10_000, 4_096
 
 
 class SnapshotError(Exception):
@@ -103,8 +103,8 @@
 
 
 def _text(value: Any, where: str) -> str:
-    if type(value) is not str or len(value) > MAX_TEXT:
-        _wrong(where, f"a text of at most {MAX_TEXT} characters", value)
+    if type(value) is not str or len(value) > MAX_TEXT_CHARS:
+        _wrong(where, f"a text of at most {MAX_TEXT_CHARS} characters", value)
     return str(value)
 
 
