--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -146,7 +146,7 @@
     return data[HEADER_BYTES:-CHECKSUM_BYTES]
 
 
-KEYS = {"lineage", "position", "floor", "reached_ms", "entries", "tokens"}
+HEADER_KEYS = {"lineage", "position", "floor", "reached_ms", "entries", "tokens"}
 
 
 def _entry(raw: bytes, where: str, position: int) -> Entry:
@@ -166,8 +166,8 @@
     """Decodes and checks a whole snapshot. Raises SnapshotError if any part of it is invalid."""
     first, *rows = body_of(data).split(b"\n")
     header = _json(first, "header")
-    if type(header) is not dict or header.keys() != KEYS:
-        _wrong("header", f"the keys {', '.join(sorted(KEYS))}", header)
+    if type(header) is not dict or header.keys() != HEADER_KEYS:
+        _wrong("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", header)
     lineage = _text(header["lineage"], "header.lineage")
     position = _whole(header["position"], "header.position")
     floor = _whole(header["floor"], "header.floor", position)
