--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -24,7 +24,7 @@
     Token,
     decode,
     encode,
-    snapshot_of,
+    make_snapshot,
 )
 
 POLL_S = 0.3  # between two looks at the record
@@ -205,7 +205,7 @@
     async def save(self) -> None:
         mark = self.mark()
         wall_ms = time.time_ns() // 1_000_000 - int(self.age_s() * 1000)
-        snapshot = snapshot_of(self.serving.view, self.tokens, max(0, wall_ms))
+        snapshot = make_snapshot(self.serving.view, self.tokens, max(0, wall_ms))
         try:
             await asyncio.to_thread(self.write, snapshot)
         except OSError as error:
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -30,7 +30,7 @@
 from ironscale.versions.compacted_log import Change, View
 from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_patches
 from ironscale.versions.serving import VersionDistributor
-from ironscale.versions.snapshot import snapshot_of
+from ironscale.versions.snapshot import make_snapshot
 
 REGIONS = {"a": "north", "b": "north", "c": "south", "d": "south"}
 FAULTS = ("kill", "kill", "kill disk", "stop", "record", "region", "zone", "link", "restart", "restart all")
@@ -136,7 +136,7 @@
             await self.while_running()
             if self.following.is_sure:
                 wall_ms = int(VirtualTime(self.world.loop).time() * 1000 - self.following.age_s() * 1000)
-                self.following.write(snapshot_of(self.following.serving.view, (), wall_ms))
+                self.following.write(make_snapshot(self.following.serving.view, (), wall_ms))
 
     def kill(self, with_disk: bool) -> None:
         self.up = False
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -62,7 +62,7 @@
         return max(0, wall_ms - self.reached_ms) / 1000
 
 
-def snapshot_of(view: View, tokens: tuple[Token, ...], reached_ms: int) -> Snapshot:
+def make_snapshot(view: View, tokens: tuple[Token, ...], reached_ms: int) -> Snapshot:
     return Snapshot(view.lineage, view.position, view.floor,
                     tuple(sorted(view.entries.values(), key=lambda entry: entry.version)), tokens, reached_ms)
 
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -20,7 +20,7 @@
     decode,
     encode,
     line,
-    snapshot_of,
+    make_snapshot,
 )
 
 ENTRIES = (Entry(2, ALL, {"settings": {"instances": 2, "ü\n": [1.5, None]}}, 1, 0, "ann", 1_000),
@@ -38,8 +38,8 @@
 
 def test_what_was_written_is_read() -> None:
     assert decode(encode(KEPT)) == KEPT
-    assert snapshot_of(KEPT.view(), KEPT.tokens, KEPT.reached_ms) == KEPT
-    empty = snapshot_of(View(), (), 0)
+    assert make_snapshot(KEPT.view(), KEPT.tokens, KEPT.reached_ms) == KEPT
+    empty = make_snapshot(View(), (), 0)
     assert decode(encode(empty)) == empty
 
 
