--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -70,7 +70,7 @@
 # Writing
 
 
-def line(value: Any) -> bytes:
+def encode_line(value: Any) -> bytes:
     return json.dumps(value, separators=(",", ":"), sort_keys=True, ensure_ascii=True, allow_nan=False).encode()
 
 
@@ -85,7 +85,7 @@
               "reached_ms": snapshot.reached_ms, "entries": len(snapshot.entries),
               "tokens": [[token.name, token.role, token.digest, token.created_ms, token.revoked_ms]
                          for token in snapshot.tokens]}
-    return assemble([line(header), *(line([entry.version, str(entry.scope), entry.overlay, entry.base, entry.restores,
+    return assemble([encode_line(header), *(encode_line([entry.version, str(entry.scope), entry.overlay, entry.base, entry.restores,
                                            entry.actor, entry.at_ms]) for entry in snapshot.entries)])
 
 
@@ -114,7 +114,7 @@
 
     try:
         value = json.loads(raw, parse_constant=no_constant)
-        if line(value) != raw:
+        if encode_line(value) != raw:
             raise ValueError("not the canonical encoding of this value")
     except (ValueError, RecursionError) as error:
         raise SnapshotError(f"{where}: expected one line of canonical JSON, got {raw[:40]!r}: {error}") from error
