--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -92,19 +92,19 @@
 # Reading
 
 
-def _wrong(where: str, expected: str, got: object) -> NoReturn:
+def _fail(where: str, expected: str, got: object) -> NoReturn:
     raise SnapshotError(f"{where}: expected {expected}, got {str(got)[:60]!r}")
 
 
 def _whole(value: Any, where: str, most: int = MAX_INTEGER, least: int = 0) -> int:
     if type(value) is not int or not least <= value <= most:
-        _wrong(where, f"a whole number from {least} to {most}", value)
+        _fail(where, f"a whole number from {least} to {most}", value)
     return int(value)
 
 
 def _text(value: Any, where: str) -> str:
     if type(value) is not str or len(value) > MAX_TEXT_CHARS:
-        _wrong(where, f"a text of at most {MAX_TEXT_CHARS} characters", value)
+        _fail(where, f"a text of at most {MAX_TEXT_CHARS} characters", value)
     return str(value)
 
 
@@ -123,7 +123,7 @@
 
 def _row(value: Any, where: str, width: int) -> list[Any]:
     if type(value) is not list or len(value) != width:
-        _wrong(where, f"{width} values", value)
+        _fail(where, f"{width} values", value)
     return list(value)
 
 
@@ -152,7 +152,7 @@
 def _entry(raw: bytes, where: str, position: int) -> Entry:
     version, scope, overlay, base, restores, actor, at_ms = _row(_json(raw, where), where, 7)
     if overlay is not None and type(overlay) is not dict:
-        _wrong(f"{where}.overlay", "an object or null", overlay)
+        _fail(f"{where}.overlay", "an object or null", overlay)
     try:
         found: Scope = parse_scope(_text(scope, f"{where}.scope"))
     except ScopeError as error:
@@ -167,21 +167,21 @@
     first, *rows = body_of(data).split(b"\n")
     header = _json(first, "header")
     if type(header) is not dict or header.keys() != HEADER_KEYS:
-        _wrong("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", header)
+        _fail("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", header)
     lineage = _text(header["lineage"], "header.lineage")
     position = _whole(header["position"], "header.position")
     floor = _whole(header["floor"], "header.floor", position)
     if position and not lineage:
-        _wrong("header.lineage", "the lineage of the log to which the position belongs", lineage)
+        _fail("header.lineage", "the lineage of the log to which the position belongs", lineage)
     if _whole(header["entries"], "header.entries") != len(rows):
-        _wrong("header.entries", f"{len(rows)}, the number of lines", header["entries"])
+        _fail("header.entries", f"{len(rows)}, the number of lines", header["entries"])
     entries = [_entry(raw, f"entry {i}", position) for i, raw in enumerate(rows)]
     if any(a.version >= b.version for a, b in zip(entries, entries[1:], strict=False)):
         raise SnapshotError("expected entries in ascending order of distinct versions, got another order")
     if len({entry.scope for entry in entries}) < len(entries):
         raise SnapshotError("expected one entry for each scope, got a scope twice")
     if type(header["tokens"]) is not list or len(header["tokens"]) > MAX_TOKENS:
-        _wrong("header.tokens", f"a list of at most {MAX_TOKENS}", header["tokens"])
+        _fail("header.tokens", f"a list of at most {MAX_TOKENS}", header["tokens"])
     tokens = []
     for i, row in enumerate(header["tokens"]):
         name, role, digest, created_ms, revoked_ms = _row(row, f"header.tokens[{i}]", 5)
