--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -96,7 +96,7 @@
     raise SnapshotError(f"{where}: expected {expected}, got {str(got)[:60]!r}")
 
 
-def _whole(value: Any, where: str, most: int = MAX_INTEGER, least: int = 0) -> int:
+def _integer(value: Any, where: str, most: int = MAX_INTEGER, least: int = 0) -> int:
     if type(value) is not int or not least <= value <= most:
         _fail(where, f"a whole number from {least} to {most}", value)
     return int(value)
@@ -157,9 +157,9 @@
         found: Scope = parse_scope(_text(scope, f"{where}.scope"))
     except ScopeError as error:
         raise SnapshotError(f"{where}.{error}") from error
-    return Entry(_whole(version, f"{where}.version", position, 1), found, overlay, _whole(base, f"{where}.base"),
-                 _whole(restores, f"{where}.restores"), _text(actor, f"{where}.actor"),
-                 _whole(at_ms, f"{where}.at_ms"))
+    return Entry(_integer(version, f"{where}.version", position, 1), found, overlay, _integer(base, f"{where}.base"),
+                 _integer(restores, f"{where}.restores"), _text(actor, f"{where}.actor"),
+                 _integer(at_ms, f"{where}.at_ms"))
 
 
 def decode(data: bytes) -> Snapshot:
@@ -169,11 +169,11 @@
     if type(header) is not dict or header.keys() != HEADER_KEYS:
         _fail("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", header)
     lineage = _text(header["lineage"], "header.lineage")
-    position = _whole(header["position"], "header.position")
-    floor = _whole(header["floor"], "header.floor", position)
+    position = _integer(header["position"], "header.position")
+    floor = _integer(header["floor"], "header.floor", position)
     if position and not lineage:
         _fail("header.lineage", "the lineage of the log to which the position belongs", lineage)
-    if _whole(header["entries"], "header.entries") != len(rows):
+    if _integer(header["entries"], "header.entries") != len(rows):
         _fail("header.entries", f"{len(rows)}, the number of lines", header["entries"])
     entries = [_entry(raw, f"entry {i}", position) for i, raw in enumerate(rows)]
     if any(a.version >= b.version for a, b in zip(entries, entries[1:], strict=False)):
@@ -186,7 +186,7 @@
     for i, row in enumerate(header["tokens"]):
         name, role, digest, created_ms, revoked_ms = _row(row, f"header.tokens[{i}]", 5)
         where = f"header.tokens[{i}]"
-        tokens.append(Token(_text(name, where), _text(role, where), _text(digest, where), _whole(created_ms, where),
-                            _whole(revoked_ms, where)))
+        tokens.append(Token(_text(name, where), _text(role, where), _text(digest, where), _integer(created_ms, where),
+                            _integer(revoked_ms, where)))
     return Snapshot(lineage, position, floor, tuple(entries), tuple(tokens),
-                    _whole(header["reached_ms"], "header.reached_ms"))
+                    _integer(header["reached_ms"], "header.reached_ms"))
