--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -121,7 +121,7 @@
     return value
 
 
-def _row(value: Any, where: str, width: int) -> list[Any]:
+def _list(value: Any, where: str, width: int) -> list[Any]:
     if type(value) is not list or len(value) != width:
         _fail(where, f"{width} values", value)
     return list(value)
@@ -150,7 +150,7 @@
 
 
 def _entry(raw: bytes, where: str, position: int) -> Entry:
-    version, scope, overlay, base, restores, actor, at_ms = _row(_json(raw, where), where, 7)
+    version, scope, overlay, base, restores, actor, at_ms = _list(_json(raw, where), where, 7)
     if overlay is not None and type(overlay) is not dict:
         _fail(f"{where}.overlay", "an object or null", overlay)
     try:
@@ -184,7 +184,7 @@
         _fail("header.tokens", f"a list of at most {MAX_TOKENS}", header["tokens"])
     tokens = []
     for i, row in enumerate(header["tokens"]):
-        name, role, digest, created_ms, revoked_ms = _row(row, f"header.tokens[{i}]", 5)
+        name, role, digest, created_ms, revoked_ms = _list(row, f"header.tokens[{i}]", 5)
         where = f"header.tokens[{i}]"
         tokens.append(Token(_text(name, where), _text(role, where), _text(digest, where), _integer(created_ms, where),
                             _integer(revoked_ms, where)))
