--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -127,7 +127,7 @@
     return list(value)
 
 
-def body_of(data: bytes) -> bytes:
+def checked_body(data: bytes) -> bytes:
     """The body of an encoded snapshot, once magic, format version, length and checksum are checked."""
     if len(data) > MAX_BYTES:
         raise SnapshotError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
@@ -164,7 +164,7 @@
 
 def decode(data: bytes) -> Snapshot:
     """Decodes and checks a whole snapshot. Raises SnapshotError if any part of it is invalid."""
-    first, *rows = body_of(data).split(b"\n")
+    first, *rows = checked_body(data).split(b"\n")
     header = _json(first, "header")
     if type(header) is not dict or header.keys() != HEADER_KEYS:
         _fail("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", header)
