--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -15,7 +15,7 @@
 from ironscale.disruption.model import Of, Sight, Unit
 
 QUORUM = 3  # sidecars that must have answered; fewer if fewer are connected
-DISSENT = 4  # an upstream counts as out if one sidecar in this many sees it so
+DISSENT_DIVISOR = 4  # an upstream counts as out if one sidecar in this many sees it so
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 def _sound(views: Sequence[View], count: int) -> list[View]:
     """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
     ill = {view.who: count - sum(not look.why for look in view.looks.values()) for view in views}
-    if len(views) < QUORUM or median(ill.values()) * DISSENT >= count:
+    if len(views) < QUORUM or median(ill.values()) * DISSENT_DIVISOR >= count:
         return list(views)
     return [view for view in views if 2 * ill[view.who] <= count]
 
@@ -63,7 +63,7 @@
     looks = [(view, view.looks.get(unit.name)) for view in views]
     well = [(view, look) for view, look in looks if look is not None and not look.why]
     ill = total - len(well)
-    enough = 1 if total <= QUORUM else max(2, -(-total // DISSENT))
+    enough = 1 if total <= QUORUM else max(2, -(-total // DISSENT_DIVISOR))
     if ill >= enough:
         reasons = Counter("not listed" if look is None else look.why for _, look in looks if look is None or look.why)
         why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
