--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -23,7 +23,7 @@
     """One upstream as one sidecar sees it."""
 
     unit: Unit
-    why: str  # why it is out; empty = in service, as far as this sidecar can tell
+    reason: str  # why it is out; empty = in service, as far as this sidecar can tell
     warmth: float = 1.0
     started: str = ""  # start time of the upstream's process, to tell processes apart
 
@@ -50,7 +50,7 @@
 
 def _sound(views: Sequence[View], count: int) -> list[View]:
     """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
-    ill = {view.who: count - sum(not look.why for look in view.looks.values()) for view in views}
+    ill = {view.who: count - sum(not look.reason for look in view.looks.values()) for view in views}
     if len(views) < QUORUM or median(ill.values()) * DISSENT_DIVISOR >= count:
         return list(views)
     return [view for view in views if 2 * ill[view.who] <= count]
@@ -61,11 +61,11 @@
     if total < quorum:
         return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
     looks = [(view, view.looks.get(unit.name)) for view in views]
-    well = [(view, look) for view, look in looks if look is not None and not look.why]
+    well = [(view, look) for view, look in looks if look is not None and not look.reason]
     ill = total - len(well)
     enough = 1 if total <= QUORUM else max(2, -(-total // DISSENT_DIVISOR))
     if ill >= enough:
-        reasons = Counter("not listed" if look is None else look.why for _, look in looks if look is None or look.why)
+        reasons = Counter("not listed" if look is None else look.reason for _, look in looks if look is None or look.reason)
         why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
         # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
         # not treat it as already out.
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -100,7 +100,7 @@
         made = await Scene().start(*entries)
         instance = SidecarInstance(made.sidecar, lambda: None)
         found = {str(e["name"]): ought(str(e["name"]), e) for e in instance.upstreams()}
-        assert {name: (look.why, look.unit.zone, look.unit.kind, look.unit.group, look.unit.weight)
+        assert {name: (look.reason, look.unit.zone, look.unit.kind, look.unit.group, look.unit.weight)
                 for name, look in found.items()} == {"s-1": ("", "a", "large", "1", 2.0),
                                                      "s-2": ("draining", "b", "large", "1", 1.0)}
 
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -91,9 +91,9 @@
     good: dict[str, Any] = {"state": "ready", "zone": "a", "kind": "k", "group": "1", "weight": 1.0, "warmth": 0.5,
                             "mute": False, "failing": True, "resting": False, "startedUs": 7}
     assert ought("n", good) == Look(Unit(Of.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
-    assert ought("n", {**good, "resting": True}).why == "failing"
-    assert ought("n", {**good, "mute": True}).why == "no answer"
-    assert ought("n", {**good, "state": "draining"}).why == "draining"
+    assert ought("n", {**good, "resting": True}).reason == "failing"
+    assert ought("n", {**good, "mute": True}).reason == "no answer"
+    assert ought("n", {**good, "state": "draining"}).reason == "draining"
     for key in good:
         with pytest.raises(KeyError):
             ought("n", {name: value for name, value in good.items() if name != key})
