--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -25,7 +25,7 @@
     unit: Unit
     reason: str  # why it is out; empty = in service, as far as this sidecar can tell
     warmth: float = 1.0
-    started: str = ""  # start time of the upstream's process, to tell processes apart
+    process_start: str = ""  # start time of the upstream's process, to tell processes apart
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
         # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
         # not treat it as already out.
         return Sight(unit, 1.0, f"{why} by {count} of {total}", known=2 * ill > total)
-    processes = {look.started for _, look in well}
+    processes = {look.process_start for _, look in well}
     warmth = median(look.warmth for _, look in well)
     # the latest request time by which a majority of all sidecars confirm that it serves
     asked = sorted((view.asked_ms for view, _ in well), reverse=True)
