--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class UpstreamView:
     """One upstream as one sidecar sees it."""
 
     unit: Unit
@@ -34,7 +34,7 @@
 
     who: str
     asked_ms: int  # when the request was sent that this answers
-    looks: Mapping[str, Look]  # by name
+    looks: Mapping[str, UpstreamView]  # by name
 
 
 def merged(views: Sequence[View], connected: int, known: Iterable[Unit]) -> list[Sight]:
@@ -79,11 +79,11 @@
                  if len(asked) > total // 2 else 0)
 
 
-def ought(name: str, entry: Mapping[str, object]) -> Look:
+def ought(name: str, entry: Mapping[str, object]) -> UpstreamView:
     """Converts one upstream of a sidecar's `inspect` answer. Raises KeyError, TypeError or ValueError."""
     state = str(entry["state"])
     unit = Unit(Of.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
                 weight=float(str(entry["weight"])) or 1.0)
     why = state if state != "ready" else "no answer" if entry["mute"] else (
         "failing" if entry["failing"] and entry["resting"] else "")
-    return Look(unit, why, float(str(entry["warmth"])), str(entry["startedUs"]))
+    return UpstreamView(unit, why, float(str(entry["warmth"])), str(entry["startedUs"]))
