--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -32,7 +32,7 @@
 class View:
     """All upstreams that one sidecar knows at one moment."""
 
-    who: str
+    sidecar: str
     asked_ms: int  # when the request was sent that this answers
     looks: Mapping[str, UpstreamView]  # by name
 
@@ -50,10 +50,10 @@
 
 def _sound(views: Sequence[View], count: int) -> list[View]:
     """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
-    ill = {view.who: count - sum(not look.reason for look in view.looks.values()) for view in views}
+    ill = {view.sidecar: count - sum(not look.reason for look in view.looks.values()) for view in views}
     if len(views) < QUORUM or median(ill.values()) * DISSENT_DIVISOR >= count:
         return list(views)
-    return [view for view in views if 2 * ill[view.who] <= count]
+    return [view for view in views if 2 * ill[view.sidecar] <= count]
 
 
 def _one(unit: Unit, views: Sequence[View], quorum: int) -> Sight:
