--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -60,12 +60,12 @@
     total = len(views)
     if total < quorum:
         return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
-    looks = [(view, view.looks.get(unit.name)) for view in views]
-    well = [(view, look) for view, look in looks if look is not None and not look.reason]
+    upstreams = [(view, view.looks.get(unit.name)) for view in views]
+    well = [(view, look) for view, look in upstreams if look is not None and not look.reason]
     ill = total - len(well)
     enough = 1 if total <= QUORUM else max(2, -(-total // DISSENT_DIVISOR))
     if ill >= enough:
-        reasons = Counter("not listed" if look is None else look.reason for _, look in looks if look is None or look.reason)
+        reasons = Counter("not listed" if look is None else look.reason for _, look in upstreams if look is None or look.reason)
         why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
         # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
         # not treat it as already out.
