--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -9,7 +9,7 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.terms import clock_ms
-from ironscale.disruption.evidence import View, merged, ought
+from ironscale.disruption.evidence import SidecarView, merged, ought
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Of
 
@@ -22,7 +22,7 @@
     def __init__(self, ledger: Ledger, fleet: Fleet, ask: Callable[[str, float], Awaitable[list[dict[str, object]]]],
                  log: Callable[[str], None], changed: Callable[[], None]) -> None:
         self.ledger, self.fleet, self.ask, self.log, self.changed = ledger, fleet, ask, log, changed
-        self.views: dict[str, View] = {}
+        self.views: dict[str, SidecarView] = {}
         self.random = random.Random()
         self.garbled: set[str] = set()
 
@@ -47,7 +47,7 @@
         asked_ms = clock_ms()
         try:
             entries = await self.ask(name, ANSWER_S)
-            self.views[name] = View(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
+            self.views[name] = SidecarView(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
         except Refusal:
             pass  # it gave no answer: its view grows old
         except (KeyError, TypeError, ValueError) as error:
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class SidecarView:
     """All upstreams that one sidecar knows at one moment."""
 
     sidecar: str
@@ -37,7 +37,7 @@
     looks: Mapping[str, UpstreamView]  # by name
 
 
-def merged(views: Sequence[View], connected: int, known: Iterable[Unit]) -> list[Sight]:
+def merged(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Sight]:
     """Combines the sidecars' views into one observation of each upstream that a view lists or that is `known` from
     before. `connected` is the number of sidecars that could have answered."""
     units = {unit.name: unit for unit in known}
@@ -48,7 +48,7 @@
     return [_one(units[name], views, quorum) for name in sorted(units)]
 
 
-def _sound(views: Sequence[View], count: int) -> list[View]:
+def _sound(views: Sequence[SidecarView], count: int) -> list[SidecarView]:
     """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
     ill = {view.sidecar: count - sum(not look.reason for look in view.looks.values()) for view in views}
     if len(views) < QUORUM or median(ill.values()) * DISSENT_DIVISOR >= count:
@@ -56,7 +56,7 @@
     return [view for view in views if 2 * ill[view.sidecar] <= count]
 
 
-def _one(unit: Unit, views: Sequence[View], quorum: int) -> Sight:
+def _one(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Sight:
     total = len(views)
     if total < quorum:
         return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -8,20 +8,20 @@
 
 import pytest
 
-from ironscale.disruption.evidence import UpstreamView, View, merged, ought
+from ironscale.disruption.evidence import UpstreamView, SidecarView, merged, ought
 from ironscale.disruption.model import Of, Sight, Unit
 
 NAMES = [f"n{i}" for i in range(12)]
 
 
 def view(who: int, asked_ms: int = 100, why: dict[str, str] | None = None, warmth: dict[str, float] | None = None,
-         without: tuple[str, ...] = ()) -> View:
-    return View(f"s{who}", asked_ms, {
+         without: tuple[str, ...] = ()) -> SidecarView:
+    return SidecarView(f"s{who}", asked_ms, {
         name: UpstreamView(Unit(Of.UPSTREAM, name, zone="a"), (why or {}).get(name, ""), (warmth or {}).get(name, 1.0), "1")
         for name in NAMES if name not in without})
 
 
-def seen(views: list[View], connected: int = 9, known: tuple[Unit, ...] = ()) -> dict[str, Sight]:
+def seen(views: list[SidecarView], connected: int = 9, known: tuple[Unit, ...] = ()) -> dict[str, Sight]:
     return {sight.unit.name: sight for sight in merged(views, connected, known)}
 
 
