--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -9,7 +9,7 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.terms import clock_ms
-from ironscale.disruption.evidence import SidecarView, merged, ought
+from ironscale.disruption.evidence import SidecarView, merge_views, ought
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Of
 
@@ -69,7 +69,7 @@
         connected = sum(member.link is not None for member in self.fleet.members.values())
         known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is Of.UPSTREAM]
         room = False
-        for sight in merged(list(self.views.values()), connected, known):
+        for sight in merge_views(list(self.views.values()), connected, known):
             before = self.ledger.sights.get(sight.unit.key)
             if (before is not None and before.why.startswith("draining") and sight.known
                     and sight.why.startswith("not listed")):
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -37,7 +37,7 @@
     looks: Mapping[str, UpstreamView]  # by name
 
 
-def merged(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Sight]:
+def merge_views(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Sight]:
     """Combines the sidecars' views into one observation of each upstream that a view lists or that is `known` from
     before. `connected` is the number of sidecars that could have answered."""
     units = {unit.name: unit for unit in known}
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ironscale.disruption.evidence import UpstreamView, SidecarView, merged, ought
+from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, ought
 from ironscale.disruption.model import Of, Sight, Unit
 
 NAMES = [f"n{i}" for i in range(12)]
@@ -22,7 +22,7 @@
 
 
 def seen(views: list[SidecarView], connected: int = 9, known: tuple[Unit, ...] = ()) -> dict[str, Sight]:
-    return {sight.unit.name: sight for sight in merged(views, connected, known)}
+    return {sight.unit.name: sight for sight in merge_views(views, connected, known)}
 
 
 def test_one_liar_takes_nobody_out_and_a_quarter_does_to_the_safe_side() -> None:
