--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -44,11 +44,11 @@
     for view in sorted(views, key=lambda view: view.asked_ms):
         units |= {name: look.unit for name, look in view.looks.items()}
     quorum = max(1, min(QUORUM, connected))
-    views = _sound(views, len(units))
+    views = _trusted_views(views, len(units))
     return [_one(units[name], views, quorum) for name in sorted(units)]
 
 
-def _sound(views: Sequence[SidecarView], count: int) -> list[SidecarView]:
+def _trusted_views(views: Sequence[SidecarView], count: int) -> list[SidecarView]:
     """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
     ill = {view.sidecar: count - sum(not look.reason for look in view.looks.values()) for view in views}
     if len(views) < QUORUM or median(ill.values()) * DISSENT_DIVISOR >= count:
