--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -45,7 +45,7 @@
         units |= {name: look.unit for name, look in view.looks.items()}
     quorum = max(1, min(QUORUM, connected))
     views = _trusted_views(views, len(units))
-    return [_one(units[name], views, quorum) for name in sorted(units)]
+    return [_observe_unit(units[name], views, quorum) for name in sorted(units)]
 
 
 def _trusted_views(views: Sequence[SidecarView], count: int) -> list[SidecarView]:
@@ -56,7 +56,7 @@
     return [view for view in views if 2 * ill[view.sidecar] <= count]
 
 
-def _one(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Sight:
+def _observe_unit(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Sight:
     total = len(views)
     if total < quorum:
         return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
