--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -9,7 +9,7 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.terms import clock_ms
-from ironscale.disruption.evidence import SidecarView, merge_views, ought
+from ironscale.disruption.evidence import SidecarView, merge_views, upstream_view
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Of
 
@@ -47,7 +47,7 @@
         asked_ms = clock_ms()
         try:
             entries = await self.ask(name, ANSWER_S)
-            self.views[name] = SidecarView(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
+            self.views[name] = SidecarView(name, asked_ms, {str(e["name"]): upstream_view(str(e["name"]), e) for e in entries})
         except Refusal:
             pass  # it gave no answer: its view grows old
         except (KeyError, TypeError, ValueError) as error:
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -79,7 +79,7 @@
                  if len(asked) > total // 2 else 0)
 
 
-def ought(name: str, entry: Mapping[str, object]) -> UpstreamView:
+def upstream_view(name: str, entry: Mapping[str, object]) -> UpstreamView:
     """Converts one upstream of a sidecar's `inspect` answer. Raises KeyError, TypeError or ValueError."""
     state = str(entry["state"])
     unit = Unit(Of.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -90,7 +90,7 @@
 
 def test_a_real_sidecar_tells_what_an_agent_needs_of_each_upstream() -> None:
     from ironscale.control.instance import SidecarInstance
-    from ironscale.disruption.evidence import ought
+    from ironscale.disruption.evidence import upstream_view
     from ironscale.standins.upstream import Peer
 
     async def test() -> None:
@@ -99,7 +99,7 @@
                    peer.entry("s-2", lifecycle="draining", zone="b", hostPort="127.0.0.1:9")]
         made = await Scene().start(*entries)
         instance = SidecarInstance(made.sidecar, lambda: None)
-        found = {str(e["name"]): ought(str(e["name"]), e) for e in instance.upstreams()}
+        found = {str(e["name"]): upstream_view(str(e["name"]), e) for e in instance.upstreams()}
         assert {name: (look.reason, look.unit.zone, look.unit.kind, look.unit.group, look.unit.weight)
                 for name, look in found.items()} == {"s-1": ("", "a", "large", "1", 2.0),
                                                      "s-2": ("draining", "b", "large", "1", 1.0)}
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, ought
+from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, upstream_view
 from ironscale.disruption.model import Of, Sight, Unit
 
 NAMES = [f"n{i}" for i in range(12)]
@@ -90,12 +90,12 @@
 def test_an_entry_that_cannot_be_used_is_an_error_and_not_a_guess() -> None:
     good: dict[str, Any] = {"state": "ready", "zone": "a", "kind": "k", "group": "1", "weight": 1.0, "warmth": 0.5,
                             "mute": False, "failing": True, "resting": False, "startedUs": 7}
-    assert ought("n", good) == UpstreamView(Unit(Of.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
-    assert ought("n", {**good, "resting": True}).reason == "failing"
-    assert ought("n", {**good, "mute": True}).reason == "no answer"
-    assert ought("n", {**good, "state": "draining"}).reason == "draining"
+    assert upstream_view("n", good) == UpstreamView(Unit(Of.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
+    assert upstream_view("n", {**good, "resting": True}).reason == "failing"
+    assert upstream_view("n", {**good, "mute": True}).reason == "no answer"
+    assert upstream_view("n", {**good, "state": "draining"}).reason == "draining"
     for key in good:
         with pytest.raises(KeyError):
-            ought("n", {name: value for name, value in good.items() if name != key})
+            upstream_view("n", {name: value for name, value in good.items() if name != key})
     with pytest.raises(ValueError):
-        ought("n", {**good, "warmth": "much"})
+        upstream_view("n", {**good, "warmth": "much"})
