--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -21,7 +21,7 @@
 from ironscale.disruption.model import (
     COUNTS,
     MOST_PRIORITY,
-    MOST_UNITS,
+    MAX_PERMIT_UNITS,
     MOST_WAITING,
     Budget,
     Halt,
@@ -207,8 +207,8 @@
         return self.ledger.permits.get(made.id, made)
 
     def check(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
-        if not 0 < len(units) <= MOST_UNITS:
-            raise Refusal("BAD_INPUT", f"units: expected 1 to {MOST_UNITS}, got {len(units)}")
+        if not 0 < len(units) <= MAX_PERMIT_UNITS:
+            raise Refusal("BAD_INPUT", f"units: expected 1 to {MAX_PERMIT_UNITS}, got {len(units)}")
         if not 0 < len(key) <= 200 or not key.isprintable():
             raise Refusal("BAD_INPUT", f"key: expected 1 to 200 printable characters, got {key!r:.60}")
         if not 0 <= priority <= MOST_PRIORITY:
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 ATTRIBUTES = ("name", "service", "zone", "kind", "group")
-MOST_UNITS = 500  # in one permit
+MAX_PERMIT_UNITS = 500  # in one permit
 MOST_WAITING = 1_000
 MOST_PRIORITY = 9
 
