--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -22,7 +22,7 @@
     COUNTS,
     MOST_PRIORITY,
     MAX_PERMIT_UNITS,
-    MOST_WAITING,
+    MAX_WAITING_PERMITS,
     Budget,
     Halt,
     Impossible,
@@ -187,8 +187,8 @@
                 raise Refusal("KEY_REUSED", f"key {key!r} was used for other units, by permit {earlier.id}")
             if earlier is not None and earlier.phase is not Phase.WITHDRAWN:
                 return earlier
-            if sum(p.phase is Phase.WAITING for p in self.ledger.permits.values()) >= MOST_WAITING:
-                raise Refusal("FULL", f"expected {MOST_WAITING} waiting permits at most; ask again later")
+            if sum(p.phase is Phase.WAITING for p in self.ledger.permits.values()) >= MAX_WAITING_PERMITS:
+                raise Refusal("FULL", f"expected {MAX_WAITING_PERMITS} waiting permits at most; ask again later")
             ident = earlier.id if earlier is not None else records.next_permit()
             made = Permit(ident, key, holder, names, reason, priority, Phase.WAITING, now_ms, lease_ms)
             records.put_permits([made])
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -9,7 +9,7 @@
 
 ATTRIBUTES = ("name", "service", "zone", "kind", "group")
 MAX_PERMIT_UNITS = 500  # in one permit
-MOST_WAITING = 1_000
+MAX_WAITING_PERMITS = 1_000
 MOST_PRIORITY = 9
 
 
