--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -20,7 +20,7 @@
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import (
     COUNTS,
-    MOST_PRIORITY,
+    MAX_PRIORITY,
     MAX_PERMIT_UNITS,
     MAX_WAITING_PERMITS,
     Budget,
@@ -211,8 +211,8 @@
             raise Refusal("BAD_INPUT", f"units: expected 1 to {MAX_PERMIT_UNITS}, got {len(units)}")
         if not 0 < len(key) <= 200 or not key.isprintable():
             raise Refusal("BAD_INPUT", f"key: expected 1 to 200 printable characters, got {key!r:.60}")
-        if not 0 <= priority <= MOST_PRIORITY:
-            raise Refusal("BAD_INPUT", f"priority: expected 0 to {MOST_PRIORITY}, got {priority}")
+        if not 0 <= priority <= MAX_PRIORITY:
+            raise Refusal("BAD_INPUT", f"priority: expected 0 to {MAX_PRIORITY}, got {priority}")
         if not LEASE_MS[0] <= lease_ms <= LEASE_MS[1]:
             raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_MS[0]} to {LEASE_MS[1]}, got {lease_ms}")
         for unit in units:
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -28,7 +28,7 @@
 from ironscale.agent.store import Event, Published, Records, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
-from ironscale.disruption.model import MOST_PRIORITY, Halt, Permit, Phase
+from ironscale.disruption.model import MAX_PRIORITY, Halt, Permit, Phase
 from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, parse_scope
 from ironscale.versions.publishing import Draft
 
@@ -428,7 +428,7 @@
     for name, value, least, most in (
         ("wave", policy.wave, 0, 1_000_000), ("maxUnavailable", policy.max_unavailable, 0, 1_000_000),
         ("maxFailures", policy.max_failures, 0, 1_000_000), ("answerMs", policy.answer_ms, 100, 3_600_000),
-        ("priority", policy.priority, 0, MOST_PRIORITY), ("canary", policy.canary, 0, 1_000_000),
+        ("priority", policy.priority, 0, MAX_PRIORITY), ("canary", policy.canary, 0, 1_000_000),
         ("soakMs", policy.soak_ms, 0, 3_600_000), ("soakMostMs", policy.soak_most_ms, policy.soak_ms, 86_400_000),
         ("margin", policy.margin, 0.0, 1.0),
     ):
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -10,7 +10,7 @@
 ATTRIBUTES = ("name", "service", "zone", "kind", "group")
 MAX_PERMIT_UNITS = 500  # in one permit
 MAX_WAITING_PERMITS = 1_000
-MOST_PRIORITY = 9
+MAX_PRIORITY = 9
 
 
 class Of(enum.StrEnum):
