--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -25,7 +25,7 @@
 from ironscale.agent.serve import running
 from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import Budget, UnitKind, Permit, Phase, Sight, Unit
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from ironscale.stage.fault_scenario import World
@@ -88,15 +88,15 @@
 
 def decision() -> None:
     """5,000 instances and 500 upstreams under ten budgets, 1,000 waiting permits: a report, a grant, a pass."""
-    budgets = [Budget("number", Of.SIDECAR, number=50), Budget("share", Of.SIDECAR, share=0.02),
-               Budget("zones", Of.SIDECAR, each="zone", share=0.03),
-               Budget("groups", Of.SIDECAR, each="group", number=3), Budget("weight", Of.SIDECAR, capacity=0.03),
-               Budget("services", Of.SIDECAR, each="service", number=20),
-               Budget("up", Of.UPSTREAM, number=10), Budget("up zones", Of.UPSTREAM, each="zone", share=0.1),
-               Budget("up kinds", Of.UPSTREAM, each="kind", share=0.2), Budget("up weight", Of.UPSTREAM, capacity=0.1)]
+    budgets = [Budget("number", UnitKind.SIDECAR, number=50), Budget("share", UnitKind.SIDECAR, share=0.02),
+               Budget("zones", UnitKind.SIDECAR, each="zone", share=0.03),
+               Budget("groups", UnitKind.SIDECAR, each="group", number=3), Budget("weight", UnitKind.SIDECAR, capacity=0.03),
+               Budget("services", UnitKind.SIDECAR, each="service", number=20),
+               Budget("up", UnitKind.UPSTREAM, number=10), Budget("up zones", UnitKind.UPSTREAM, each="zone", share=0.1),
+               Budget("up kinds", UnitKind.UPSTREAM, each="kind", share=0.2), Budget("up weight", UnitKind.UPSTREAM, capacity=0.1)]
     ledger, rng = Ledger(budgets), random.Random(1)
     units = [Unit(of, f"u{n}", f"s{n % 40}", "abcd"[n % 4], f"k{n % 5}", f"g{n % 100}", 1.0 + n % 3)
-             for of, count in ((Of.SIDECAR, 5_000), (Of.UPSTREAM, 500)) for n in range(count)]
+             for of, count in ((UnitKind.SIDECAR, 5_000), (UnitKind.UPSTREAM, 500)) for n in range(count)]
     for unit in units:
         ledger.see(Sight(unit, 0.0))
     for ident in range(1, 1_001):
@@ -129,7 +129,7 @@
     """Each takes `out_s` to serve again; the least is what the budget allows with no time lost between."""
     with tempfile.TemporaryDirectory() as folder:
         section = Section(data=Path(folder), control=("127.0.0.1", 0), api=("127.0.0.1", 0), lease_s=6.0,
-                          heartbeat_s=0.2, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else ())
+                          heartbeat_s=0.2, budgets=(Budget("all", UnitKind.SIDECAR, number=most),) if most else ())
         async with running(section) as agent:
             token = read_secret(agent.data / "instance.token")
             made = [light(f"i{n:03}", ("127.0.0.1", agent.control_port), token) for n in range(instances)]
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,15 +16,15 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTS, Budget, Impossible, Of, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Sight, Unit
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
 BLIND_MS = SILENT_MS + LATEST_MS + BEAT_MS
 BUDGETS = (
-    Budget("all", Of.SIDECAR, number=4),
-    Budget("zone", Of.SIDECAR, each="zone", share=0.34),
-    Budget("capacity", Of.SIDECAR, capacity=0.4),
+    Budget("all", UnitKind.SIDECAR, number=4),
+    Budget("zone", UnitKind.SIDECAR, each="zone", share=0.34),
+    Budget("capacity", UnitKind.SIDECAR, capacity=0.4),
 )
 
 
@@ -47,7 +47,7 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.count = self.grants = self.ended = self.worst = 0
         self.units = {u.key: Truth(u) for u in (
-            Unit(Of.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2) for n in range(self.rng.randint(6, 15)))}
+            Unit(UnitKind.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2) for n in range(self.rng.randint(6, 15)))}
         self.record: dict[int, Permit] = {}
         self.last_grant_ms: dict[str, int] = {}  # of a unit
         self.heard_ms: dict[str, int] = {}
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -25,7 +25,7 @@
 from ironscale.agent.upstream_polling import Watching
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
-from ironscale.disruption.model import Budget, Halt, Of, Permit
+from ironscale.disruption.model import Budget, Halt, UnitKind, Permit
 from ironscale.disruption.releases import Word
 
 RETRY_S = 1.0  # after the record could not be written
@@ -604,7 +604,7 @@
     async def forget(self, actor: str, name: str, ended: bool) -> None:
         """Takes an instance that is no more off the record, and out of all counts. `ended`: the operator's word where
         its end is not known here. Raises Refusal or StoreError."""
-        if name in self.permits.ledger.sights and name.startswith(f"{Of.UPSTREAM}/"):
+        if name in self.permits.ledger.sights and name.startswith(f"{UnitKind.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
         seen = self.fleet.seen(name)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -26,7 +26,7 @@
     Budget,
     Halt,
     Impossible,
-    Of,
+    UnitKind,
     Permit,
     Phase,
     Sight,
@@ -88,7 +88,7 @@
     def sight(self, name: str) -> Sight:
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
-        unit = Unit(Of.SIDECAR, name, service_of(name), member.row.zone)
+        unit = Unit(UnitKind.SIDECAR, name, service_of(name), member.row.zone)
         asked_ms = self.asked_ms.get(name, 0)
         if seen.ended:
             return Sight(unit, 1.0, "gone", boot=seen.boot)
@@ -104,14 +104,14 @@
             self.wake.set()
 
     def forget(self, name: str) -> None:
-        self.ledger.forget(f"{Of.SIDECAR}/{name}")
+        self.ledger.forget(f"{UnitKind.SIDECAR}/{name}")
         self.wake.set()
 
     # Operations
 
     def may(self, op: Operation, target: Target, is_way_back: bool) -> str:
         """Reserves what telling this target needs; empty, or what stands in the way."""
-        key = f"{Of.SIDECAR}/{target.name}"
+        key = f"{UnitKind.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
         known = self.ledger.permits.get(ident)
         if ident in self.ending:
@@ -148,7 +148,7 @@
     def adopt(self, op: Operation, targets: Iterable[Target]) -> None:
         """What an agent without budgets had begun counts all the same."""
         for target in targets:
-            key = f"{Of.SIDECAR}/{target.name}"
+            key = f"{UnitKind.SIDECAR}/{target.name}"
             if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.is_bound(key)
                     and permit_id(op, target) not in self.ledger.permits):
                 self.put([Permit(permit_id(op, target), str(target.position), f"operation {op.id}", (key,),
@@ -377,7 +377,7 @@
             self.room()
             for key in self.ledger.asks():
                 sort, _, name = key.partition("/")
-                if sort == Of.SIDECAR:  # what sidecars see of upstreams is asked for all the time
+                if sort == UnitKind.SIDECAR:  # what sidecars see of upstreams is asked for all the time
                     self.ask(tasks, name)
             await asyncio.sleep(0.01)  # thousands of reports at once are one decision
 
@@ -432,7 +432,7 @@
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """For the evidence that it serves: once a second at most, and only where it has said so by itself."""
-        now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
+        now_s, sight = time.monotonic(), self.ledger.sights.get(f"{UnitKind.SIDECAR}/{name}")
         if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
                 or name in self.asking):
             return
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -11,7 +11,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.disruption.evidence import SidecarView, merge_views, upstream_view
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import Of
+from ironscale.disruption.model import UnitKind
 
 ASKED = 9  # at a time: more would say no more, and each answer is a list
 EVERY_S, ANSWER_S = 1.0, 2.0
@@ -28,7 +28,7 @@
 
     @property
     def is_wanted(self) -> bool:
-        return any(budget.of is Of.UPSTREAM for budget in self.ledger.budgets)
+        return any(budget.of is UnitKind.UPSTREAM for budget in self.ledger.budgets)
 
     def chosen(self) -> list[str]:
         """Some that are there, of every zone in turn: a zone that is cut off must not be all that is asked."""
@@ -67,7 +67,7 @@
         oldest_ms = clock_ms() - FRESH_MS
         self.views = {name: view for name, view in self.views.items() if view.asked_ms >= oldest_ms}
         connected = sum(member.link is not None for member in self.fleet.members.values())
-        known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is Of.UPSTREAM]
+        known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is UnitKind.UPSTREAM]
         room = False
         for sight in merge_views(list(self.views.values()), connected, known):
             before = self.ledger.sights.get(sight.unit.key)
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from ironscale.disruption.model import Of, Sight, Unit
+from ironscale.disruption.model import UnitKind, Sight, Unit
 
 QUORUM = 3  # sidecars that must have answered; fewer if fewer are connected
 DISSENT_DIVISOR = 4  # an upstream counts as out if one sidecar in this many sees it so
@@ -82,7 +82,7 @@
 def upstream_view(name: str, entry: Mapping[str, object]) -> UpstreamView:
     """Converts one upstream of a sidecar's `inspect` answer. Raises KeyError, TypeError or ValueError."""
     state = str(entry["state"])
-    unit = Unit(Of.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
+    unit = Unit(UnitKind.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
                 weight=float(str(entry["weight"])) or 1.0)
     why = state if state != "ready" else "no answer" if entry["mute"] else (
         "failing" if entry["failing"] and entry["resting"] else "")
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -15,12 +15,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from ironscale.disruption.model import COUNTS, Budget, Impossible, Of, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Sight, Unit
 
 AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
 # answer to a request sent within this time of a permit's return is no evidence that the unit serves.
-SETTLES_MS = {Of.SIDECAR: 0, Of.UPSTREAM: 7_000}
+SETTLES_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
 NAMED = 5  # units that an explanation lists
 SLACK = 1e-9  # for rounding errors in sums of fractions
 
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -13,7 +13,7 @@
 MAX_PRIORITY = 9
 
 
-class Of(enum.StrEnum):
+class UnitKind(enum.StrEnum):
     """The kind of a unit."""
 
     SIDECAR = "sidecar"
@@ -24,7 +24,7 @@
 class Unit:
     """A sidecar or an upstream, which is either in service or out."""
 
-    of: Of
+    of: UnitKind
     name: str
     service: str = ""
     zone: str = ""
@@ -56,7 +56,7 @@
     """How many of the units that it matches may be out at once. Of several limits or budgets all must hold."""
 
     name: str
-    of: Of
+    of: UnitKind
     where: tuple[tuple[str, str], ...] = ()  # attributes and patterns (`*`, `?`); a unit must match all of them
     each: str = ""  # attribute whose values are counted separately; empty = all units together
     number: int | None = None
--- a/tests/agent/killed_agent.py
+++ b/tests/agent/killed_agent.py
@@ -17,13 +17,13 @@
 
 from ironscale.agent.model import OPEN, Kind, Policy
 from ironscale.agent.serve import running
-from ironscale.disruption.model import Budget, Of
+from ironscale.disruption.model import Budget, UnitKind
 from ironscale.operator_file import Agent as Section
 
 
 async def main(data: Path, port: int, fatal: int, count: int, most: int, dsn: str) -> None:
     section = Section(data=data, control=("127.0.0.1", port), api=("127.0.0.1", 0), lease_s=10.0, heartbeat_s=0.1,
-                      postgresql=dsn, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else ())
+                      postgresql=dsn, budgets=(Budget("all", UnitKind.SIDECAR, number=most),) if most else ())
     async with running(section) as agent:
         steps = 0
 
--- a/tests/agent/replica_agent.py
+++ b/tests/agent/replica_agent.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from ironscale.agent.serve import Agent
-from ironscale.disruption.model import Budget, Of
+from ironscale.disruption.model import Budget, UnitKind
 from ironscale.operator_file import Agent as Section
 
 
@@ -22,7 +22,7 @@
     changes = {"postgresql": record} if "=" in record else {"record": Path(record)}
     agent = Agent(Section(
         data=data, control=("127.0.0.1", control), api=("127.0.0.1", 0), lease_s=2.0, heartbeat_s=0.1,
-        standby=True, term_s=term_s, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else (),
+        standby=True, term_s=term_s, budgets=(Budget("all", UnitKind.SIDECAR, number=most),) if most else (),
         **changes))
     stop, steps = asyncio.Event(), 0
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -16,12 +16,12 @@
 from ironscale.agent.permits import permit_id
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import StoreError
-from ironscale.disruption.model import Budget, Of
+from ironscale.disruption.model import Budget, UnitKind
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.operator_file import OperatorFileError, parse
 from tests.agent.agent_harness import AgentScene, run, scene, until
 
-TWO = Budget("all", Of.SIDECAR, number=2)
+TWO = Budget("all", UnitKind.SIDECAR, number=2)
 
 
 class Watched(AgentScene):
@@ -94,7 +94,7 @@
 
 def test_a_permit_ends_by_what_is_seen_after_its_return_and_not_by_a_word(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, name = found.engine.permits, "i0000"
             held = await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
             assert held.phase is PermitPhase.HELD
@@ -120,7 +120,7 @@
 
 def test_a_lapsed_lease_is_not_known_and_not_free(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
             waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
@@ -202,7 +202,7 @@
 def test_a_word_that_comes_while_a_decision_is_being_written_is_not_undone_by_it(tmp_path: Path) -> None:
     """Seen on the stage: a permit was given back, then unknown for good, as its lease had lapsed a moment before."""
     async def test() -> None:
-        async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 2, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
             gate = Gated(found)
@@ -218,7 +218,7 @@
 
 def test_what_an_operation_reserved_counts_on_while_its_commit_is_not_known(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, store, write = found.engine.permits, found.engine.store, found.engine.store.write
             rounds: list[str] = []
             known = asyncio.Event()
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("stands", [True, False])
 def test_a_reservation_whose_commit_is_not_known_counts_until_the_record_says(tmp_path: Path, stands: bool) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, write = found.engine.permits, found.engine.store.write
             waiting = await permits.take("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
             other = await permits.take("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
@@ -345,7 +345,7 @@
 
 def test_what_is_no_more_is_forgotten_by_a_hand_and_counts_no_longer(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             engine = found.engine
             with pytest.raises(Refusal, match="is running"):
                 await engine.forget("ann", "i0000", False)
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -10,12 +10,12 @@
 from ironscale.agent import upstream_polling
 from ironscale.agent.refusal import Refusal
 from ironscale.disruption import ledger
-from ironscale.disruption.model import Budget, Of, Phase
+from ironscale.disruption.model import Budget, UnitKind, Phase
 from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.sockets import Scene
 from tests.sockets import run as run_sockets
 
-ONE = Budget("nodes", Of.UPSTREAM, number=1)
+ONE = Budget("nodes", UnitKind.UPSTREAM, number=1)
 
 
 class Nodes:
@@ -36,7 +36,7 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_polling, "EVERY_S", 0.02)
-    monkeypatch.setitem(ledger.SETTLES_MS, Of.UPSTREAM, 100)
+    monkeypatch.setitem(ledger.SETTLES_MS, UnitKind.UPSTREAM, 100)
 
 
 @pytest.mark.usefixtures("soon")
@@ -83,7 +83,7 @@
             await until(lambda: any(p.phase is Phase.HELD for p in engine.permits.ledger.permits.values()))
             for name in list(found.instances):
                 found.kill(name)
-            await until(lambda: all(s.out == 1.0 and not s.known for s in sights.values() if s.unit.of is Of.UPSTREAM))
+            await until(lambda: all(s.out == 1.0 and not s.known for s in sights.values() if s.unit.of is UnitKind.UPSTREAM))
 
     run(test)
 
--- a/tests/cli/test_permit.py
+++ b/tests/cli/test_permit.py
@@ -10,12 +10,12 @@
 
 from ironscale.agent.model import Kind
 from ironscale.cli.output import Exit
-from ironscale.disruption.model import Budget, Of, Phase
+from ironscale.disruption.model import Budget, UnitKind, Phase
 from tests.agent.agent_harness import run, scene, until
 from tests.cli.test_commands import tool
 from tests.deployed import ROOT
 
-ONE = (Budget("all", Of.SIDECAR, number=1),)
+ONE = (Budget("all", UnitKind.SIDECAR, number=1),)
 
 
 async def permit_run(data: Path, *more: str) -> asyncio.subprocess.Process:
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, upstream_view
-from ironscale.disruption.model import Of, Sight, Unit
+from ironscale.disruption.model import UnitKind, Sight, Unit
 
 NAMES = [f"n{i}" for i in range(12)]
 
@@ -17,7 +17,7 @@
 def view(who: int, asked_ms: int = 100, why: dict[str, str] | None = None, warmth: dict[str, float] | None = None,
          without: tuple[str, ...] = ()) -> SidecarView:
     return SidecarView(f"s{who}", asked_ms, {
-        name: UpstreamView(Unit(Of.UPSTREAM, name, zone="a"), (why or {}).get(name, ""), (warmth or {}).get(name, 1.0), "1")
+        name: UpstreamView(Unit(UnitKind.UPSTREAM, name, zone="a"), (why or {}).get(name, ""), (warmth or {}).get(name, 1.0), "1")
         for name in NAMES if name not in without})
 
 
@@ -45,7 +45,7 @@
 
 
 def test_too_few_that_answer_make_everything_unknown_and_nothing_well() -> None:
-    units = tuple(Unit(Of.UPSTREAM, name) for name in NAMES)
+    units = tuple(Unit(UnitKind.UPSTREAM, name) for name in NAMES)
     for views in ([], [view(0)], [view(0), view(1)]):
         found = seen(views, 9, units)
         assert all((sight.out, sight.known) == (1.0, False) for sight in found.values()) and len(found) == 12
@@ -58,7 +58,7 @@
 
 
 def test_what_no_list_names_is_out_for_certain() -> None:
-    found = seen([view(n, without=("n1",)) for n in range(4)], known=(Unit(Of.UPSTREAM, "n1"),))
+    found = seen([view(n, without=("n1",)) for n in range(4)], known=(Unit(UnitKind.UPSTREAM, "n1"),))
     assert (found["n1"].out, found["n1"].known, found["n1"].why) == (1.0, True, "not listed by 4 of 4")
 
 
@@ -90,7 +90,7 @@
 def test_an_entry_that_cannot_be_used_is_an_error_and_not_a_guess() -> None:
     good: dict[str, Any] = {"state": "ready", "zone": "a", "kind": "k", "group": "1", "weight": 1.0, "warmth": 0.5,
                             "mute": False, "failing": True, "resting": False, "startedUs": 7}
-    assert upstream_view("n", good) == UpstreamView(Unit(Of.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
+    assert upstream_view("n", good) == UpstreamView(Unit(UnitKind.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
     assert upstream_view("n", {**good, "resting": True}).reason == "failing"
     assert upstream_view("n", {**good, "mute": True}).reason == "no answer"
     assert upstream_view("n", {**good, "state": "draining"}).reason == "draining"
