--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -630,7 +630,7 @@
         done(None)
 
     async def forget_upstream(self, actor: str, key: str) -> None:
-        if not self.permits.ledger.sights[key].why.startswith("not listed"):
+        if not self.permits.ledger.sights[key].reason.startswith("not listed"):
             raise Refusal("CONFLICT", f"{key} is on sidecars' lists; it can be forgotten once it is gone there")
         await self.store.write(lambda records: records.audit(self.now_ms(), actor, "forget", key, "forgotten"))
         self.permits.ledger.forget(key)
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -71,8 +71,8 @@
         room = False
         for sight in merge_views(list(self.views.values()), connected, known):
             before = self.ledger.sights.get(sight.unit.key)
-            if (before is not None and before.why.startswith("draining") and sight.known
-                    and sight.why.startswith("not listed")):
+            if (before is not None and before.reason.startswith("draining") and sight.known
+                    and sight.reason.startswith("not listed")):
                 self.ledger.forget(sight.unit.key)  # told to go, and gone: it is no unit any more
                 room = True
             else:
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -230,7 +230,7 @@
         """Why a unit counts as out."""
         sight = self.sights.get(key)
         if sight is not None and sight.out > 0.0:
-            return sight.why
+            return sight.reason
         covers = [self.permits[ident] for ident in sorted(self.covers.get(key, ()))]
         return f"{covers[0].phase} by {covers[0].holder}" if covers else "not seen" if sight is None else "serves"
 
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -43,7 +43,7 @@
 
     unit: Unit
     out: float  # the part of it that does not serve, from 0.0 to 1.0
-    why: str = ""  # why it is out, in a few words; empty = it serves
+    reason: str = ""  # why it is out, in a few words; empty = it serves
     # False = not sure: a silent unit may still serve, so a permit for it must not treat it as already out
     known: bool = True
     boot: str = ""  # identifies the process that was observed
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -109,7 +109,7 @@
             assert await permits.give_back("ann", held.id, False) == returned
             with pytest.raises(Refusal, match="take a new one"):
                 await permits.renew("ann", held.id)
-            await until(lambda: permits.ledger.sights[f"sidecar/{name}"].why == "drained")
+            await until(lambda: permits.ledger.sights[f"sidecar/{name}"].reason == "drained")
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
             found.instances[name].draining = False
             await until(lambda: permits.ledger.permits[waiting.id].phase is PermitPhase.HELD)
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -50,10 +50,10 @@
             second = await permits.take("bob", "b", ["upstream/n1"], "", 0, 60_000)
             assert (first.phase, second.phase) == (Phase.HELD, Phase.WAITING)
             nodes.states["n0"] = "draining"
-            await until(lambda: permits.ledger.sights["upstream/n0"].why == "draining by 5 of 5")
+            await until(lambda: permits.ledger.sights["upstream/n0"].reason == "draining by 5 of 5")
             await permits.give_back("ann", first.id, False)
             nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back, and cold: so much of it is still out
-            await until(lambda: permits.ledger.sights["upstream/n0"].why == "cold, 40%")
+            await until(lambda: permits.ledger.sights["upstream/n0"].reason == "cold, 40%")
             assert permits.ledger.permits[second.id].phase is Phase.WAITING
             nodes.warmth.clear()
             await until(lambda: permits.ledger.permits[second.id].phase is Phase.HELD)
@@ -75,7 +75,7 @@
             del nodes.states["n0"]
             await until(lambda: "upstream/n0" not in sights)
             del nodes.states["n1"]  # gone without being told
-            await until(lambda: sights["upstream/n1"].why == "not listed by 4 of 4")
+            await until(lambda: sights["upstream/n1"].reason == "not listed by 4 of 4")
             assert (await engine.permits.take("ann", "k", ["upstream/n2"], "", 0, 60_000)).phase is Phase.WAITING
             with pytest.raises(Refusal, match="it can be forgotten once it is gone there"):
                 await engine.forget("ann", "upstream/n3", False)
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -30,7 +30,7 @@
     found = seen([view(0, why=lies), *(view(n) for n in range(1, 8))])
     assert found["n0"].out == 0.0
     found = seen([view(n, why=lies if n < 2 else None) for n in range(8)])
-    assert (found["n0"].out, found["n0"].known, found["n0"].why) == (1.0, False, "failing by 2 of 8")
+    assert (found["n0"].out, found["n0"].known, found["n0"].reason) == (1.0, False, "failing by 2 of 8")
     found = seen([view(n, why=lies if n < 5 else None) for n in range(8)])
     assert (found["n0"].out, found["n0"].known) == (1.0, True)
     assert all(sight.out == 0.0 for name, sight in found.items() if name != "n0")
@@ -54,12 +54,12 @@
 
 def test_cold_ones_are_out_by_what_they_cannot_do_yet() -> None:
     found = seen([view(n, warmth={"n3": share}) for n, share in enumerate((0.2, 0.3, 0.9))])
-    assert found["n3"].out == pytest.approx(0.7) and found["n3"].why == "cold, 30%" and found["n3"].known
+    assert found["n3"].out == pytest.approx(0.7) and found["n3"].reason == "cold, 30%" and found["n3"].known
 
 
 def test_what_no_list_names_is_out_for_certain() -> None:
     found = seen([view(n, without=("n1",)) for n in range(4)], known=(Unit(UnitKind.UPSTREAM, "n1"),))
-    assert (found["n1"].out, found["n1"].known, found["n1"].why) == (1.0, True, "not listed by 4 of 4")
+    assert (found["n1"].out, found["n1"].known, found["n1"].reason) == (1.0, True, "not listed by 4 of 4")
 
 
 def test_evidence_is_as_old_as_the_question_that_most_have_answered() -> None:
