--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
@@ -79,7 +79,7 @@
         """A new one: it knows the record, and nothing of what is out now."""
         self.ledger = self.make(BUDGETS)
         for truth in self.units.values():
-            self.ledger.see(Sight(truth.unit, 1.0, "not seen", known=False))
+            self.ledger.see(Observation(truth.unit, 1.0, "not seen", known=False))
         self.heard_ms = dict.fromkeys(self.units, self.now_ms)
         self.told_out = dict.fromkeys(self.units, False)
         self.ledger.load(self.record.values(), self.now_ms)
@@ -98,7 +98,7 @@
         ledger, now_ms = self.ledger, self.now_ms
         for key, heard_ms in self.heard_ms.items():
             if now_ms - heard_ms >= SILENT_MS:
-                ledger.see(Sight(self.units[key].unit, 1.0, "silent", known=False))
+                ledger.see(Observation(self.units[key].unit, 1.0, "silent", known=False))
                 self.told_out[key] = False
         for permit in (*ledger.lapses(now_ms), *ledger.ends()):
             self.keep(permit)
@@ -123,9 +123,9 @@
 
     # Units
 
-    def sight(self, key: str, asked_ms: int = 0) -> Sight:
+    def sight(self, key: str, asked_ms: int = 0) -> Observation:
         truth = self.units[key]
-        return Sight(truth.unit, float(bool(truth.out)), "out" if truth.out else "", boot="b", asked_ms=asked_ms)
+        return Observation(truth.unit, float(bool(truth.out)), "out" if truth.out else "", boot="b", asked_ms=asked_ms)
 
     def beat(self, key: str) -> None:
         if not self.units[key].is_mute:
@@ -136,13 +136,13 @@
         if not self.units[key].is_mute:
             self.send(self.sight(key, asked_ms), back_ms, leader)
 
-    def send(self, sight: Sight, late_ms: int, leader: Ledger) -> None:
+    def send(self, sight: Observation, late_ms: int, leader: Ledger) -> None:
         """On one connection: what is said first is heard first."""
         key = sight.unit.key
         self.heard_by_ms[key] = max(self.heard_by_ms.get(key, 0), self.now_ms + late_ms)
         self.at(self.heard_by_ms[key] - self.now_ms, lambda: self.hear(sight, leader))
 
-    def hear(self, sight: Sight, leader: Ledger) -> None:
+    def hear(self, sight: Observation, leader: Ledger) -> None:
         if leader is self.ledger:  # what was sent to a former one is lost
             self.heard_ms[sight.unit.key] = self.now_ms
             self.told_out[sight.unit.key] = sight.out > 0.0
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -29,7 +29,7 @@
     UnitKind,
     Permit,
     Phase,
-    Sight,
+    Observation,
     Unit,
 )
 
@@ -85,19 +85,19 @@
 
     # What is seen
 
-    def sight(self, name: str) -> Sight:
+    def sight(self, name: str) -> Observation:
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
         unit = Unit(UnitKind.SIDECAR, name, service_of(name), member.row.zone)
         asked_ms = self.asked_ms.get(name, 0)
         if seen.ended:
-            return Sight(unit, 1.0, "gone", boot=seen.boot)
+            return Observation(unit, 1.0, "gone", boot=seen.boot)
         if not (seen.leased and seen.connected and seen.shown):
-            return Sight(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
+            return Observation(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
         if seen.replacing:
-            return Sight(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
+            return Observation(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
         state = state_of(seen)
-        return Sight(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
+        return Observation(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
     def see(self, name: str) -> None:
         if self.ledger.see(self.sight(name)):
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from ironscale.disruption.model import UnitKind, Sight, Unit
+from ironscale.disruption.model import UnitKind, Observation, Unit
 
 QUORUM = 3  # sidecars that must have answered; fewer if fewer are connected
 DISSENT_DIVISOR = 4  # an upstream counts as out if one sidecar in this many sees it so
@@ -37,7 +37,7 @@
     looks: Mapping[str, UpstreamView]  # by name
 
 
-def merge_views(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Sight]:
+def merge_views(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Observation]:
     """Combines the sidecars' views into one observation of each upstream that a view lists or that is `known` from
     before. `connected` is the number of sidecars that could have answered."""
     units = {unit.name: unit for unit in known}
@@ -56,10 +56,10 @@
     return [view for view in views if 2 * ill[view.sidecar] <= count]
 
 
-def _observe_unit(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Sight:
+def _observe_unit(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Observation:
     total = len(views)
     if total < quorum:
-        return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
+        return Observation(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
     upstreams = [(view, view.looks.get(unit.name)) for view in views]
     well = [(view, look) for view, look in upstreams if look is not None and not look.reason]
     ill = total - len(well)
@@ -69,13 +69,13 @@
         why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
         # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
         # not treat it as already out.
-        return Sight(unit, 1.0, f"{why} by {count} of {total}", known=2 * ill > total)
+        return Observation(unit, 1.0, f"{why} by {count} of {total}", known=2 * ill > total)
     processes = {look.process_start for _, look in well}
     warmth = median(look.warmth for _, look in well)
     # the latest request time by which a majority of all sidecars confirm that it serves
     asked = sorted((view.asked_ms for view, _ in well), reverse=True)
     why = f"cold, {warmth:.0%}" if warmth < 1.0 else ""
-    return Sight(unit, round(1.0 - warmth, 4), why, boot=max(processes), asked_ms=asked[total // 2]
+    return Observation(unit, round(1.0 - warmth, 4), why, boot=max(processes), asked_ms=asked[total // 2]
                  if len(asked) > total // 2 else 0)
 
 
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
 
 AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
@@ -80,7 +80,7 @@
 
     def __init__(self, budgets: Sequence[Budget]) -> None:
         self.budgets = tuple(budgets)
-        self.sights: dict[str, Sight] = {}
+        self.sights: dict[str, Observation] = {}
         self.cells: dict[tuple[str, str], Cell] = {}
         self.cells_of: dict[str, tuple[Cell, ...]] = {}
         self.permits: dict[int, Permit] = {}  # those that wait or count
@@ -100,7 +100,7 @@
         sight = self.sights.get(key)
         return sight.out if sight is not None else 1.0
 
-    def see(self, sight: Sight) -> bool:
+    def see(self, sight: Observation) -> bool:
         """Stores the latest observation of a unit. Returns whether it may make room or end a permit."""
         key, unit = sight.unit.key, sight.unit
         old = self.sights.get(key)
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class Observation:
     """The last known state of a unit. A unit whose state is not known counts as out."""
 
     unit: Unit
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, upstream_view
-from ironscale.disruption.model import UnitKind, Sight, Unit
+from ironscale.disruption.model import UnitKind, Observation, Unit
 
 NAMES = [f"n{i}" for i in range(12)]
 
@@ -21,7 +21,7 @@
         for name in NAMES if name not in without})
 
 
-def seen(views: list[SidecarView], connected: int = 9, known: tuple[Unit, ...] = ()) -> dict[str, Sight]:
+def seen(views: list[SidecarView], connected: int = 9, known: tuple[Unit, ...] = ()) -> dict[str, Observation]:
     return {sight.unit.name: sight for sight in merge_views(views, connected, known)}
 
 
