--- a/bench/permits.py
+++ b/bench/permits.py
@@ -231,7 +231,7 @@
         for budget in BUDGETS:
             parts: dict[str, list[Truth]] = {}
             for truth in self.units.values():
-                parts.setdefault(budget.value(truth.unit), []).append(truth)
+                parts.setdefault(budget.group_of(truth.unit), []).append(truth)
             for value, members in parts.items():
                 granted_ms = max(self.last_grant_ms.get(t.unit.key, -10**9) for t in members)
                 counted = [t for t in members if t.out and not self.is_loss(t, granted_ms)]
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -133,7 +133,7 @@
             cell.weight -= sight.unit.weight
 
     def _cell(self, budget: Budget, unit: Unit) -> Cell:
-        at = (budget.name, budget.value(unit))
+        at = (budget.name, budget.group_of(unit))
         if at not in self.cells:
             self.cells[at] = Cell(budget, at[1])
         return self.cells[at]
