--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import COUNTED_PHASES, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
@@ -89,7 +89,7 @@
         self.at(self.rng.randrange(6_000, 40_000), self.replaced)
 
     def keep(self, permit: Permit) -> None:
-        if permit.phase in COUNTS or permit.phase is Phase.WAITING:
+        if permit.phase in COUNTED_PHASES or permit.phase is Phase.WAITING:
             self.record[permit.id] = permit
         else:
             self.record.pop(permit.id, None)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -19,7 +19,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import (
-    COUNTS,
+    COUNTED_PHASES,
     MAX_PRIORITY,
     MAX_PERMIT_UNITS,
     MAX_WAITING_PERMITS,
@@ -454,4 +454,4 @@
             self.wake.set()
 
     def counted(self) -> list[Permit]:
-        return [p for p in self.ledger.permits.values() if p.phase in COUNTS]
+        return [p for p in self.ledger.permits.values() if p.phase in COUNTED_PHASES]
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from ironscale.disruption.model import COUNTS, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import COUNTED_PHASES, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
 
 AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
@@ -245,7 +245,7 @@
         """Stores the new state of a permit and updates the counts and the waiters."""
         old = self.permits.get(permit.id)
         before = {key: self.out(key) for key in permit.units}
-        if permit.phase in COUNTS or permit.phase is Phase.WAITING:
+        if permit.phase in COUNTED_PHASES or permit.phase is Phase.WAITING:
             self.permits[permit.id] = permit
             if old is None or (old.phase, permit.phase) == (Phase.WAITING, Phase.HELD):
                 self.renewed_ms[permit.id] = now_ms
@@ -256,7 +256,7 @@
                 known.pop(permit.id, None)
         for key in permit.units:
             covers = self.covers.setdefault(key, set())
-            covers.add(permit.id) if permit.phase in COUNTS else covers.discard(permit.id)
+            covers.add(permit.id) if permit.phase in COUNTED_PHASES else covers.discard(permit.id)
             if not covers:
                 del self.covers[key]
         for key, share in before.items():
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -83,7 +83,7 @@
     WITHDRAWN = "withdrawn"  # before it was granted
 
 
-COUNTS = (Phase.HELD, Phase.UNKNOWN, Phase.RETURNED)
+COUNTED_PHASES = (Phase.HELD, Phase.UNKNOWN, Phase.RETURNED)
 
 
 @dataclass(frozen=True, slots=True)
