--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -108,7 +108,7 @@
         granted = ledger.grants(turn * 100)
         passes.append(time.perf_counter() - start_s)
         for permit in granted:
-            ledger.put(permit.to(Phase.ENDED), turn * 100)
+            ledger.put(permit.with_phase(Phase.ENDED), turn * 100)
         for unit in rng.sample(units, 200):
             start_s = time.perf_counter()
             ledger.see(Observation(unit, float(rng.random() < 0.01), "not ready"))
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -215,7 +215,7 @@
 
     def give_back(self, ident: int) -> None:
         if self.phase(ident) in (Phase.HELD, Phase.UNKNOWN):
-            returned = self.record[ident].to(Phase.RETURNED)
+            returned = self.record[ident].with_phase(Phase.RETURNED)
             self.keep(returned)
             self.ledger.put(returned, self.now_ms)
 
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -124,7 +124,7 @@
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
         if is_way_back and op.policy.urgent:
-            self.ledger.put(permit.to(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
+            self.ledger.put(permit.with_phase(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
         else:
             try:
                 self.ledger.check((key,))
@@ -142,7 +142,7 @@
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
             if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in TAKEN_OUT):
-                found.append(permit.to(Phase.RETURNED, str(target.state)))
+                found.append(permit.with_phase(Phase.RETURNED, str(target.state)))
         return found
 
     def adopt(self, op: Operation, targets: Iterable[Target]) -> None:
@@ -271,7 +271,7 @@
         if permit.phase in (Phase.RETURNED, Phase.ENDED, Phase.WITHDRAWN):
             return permit
         phase = Phase.WITHDRAWN if permit.phase is Phase.WAITING else Phase.RETURNED
-        after = replace(permit.to(phase, f"given back by {holder}"),
+        after = replace(permit.with_phase(phase, f"given back by {holder}"),
                         ended_ms=self.now_ms() if phase is Phase.WITHDRAWN else 0)
         await self.record([after], holder, str(phase))
         return after
@@ -405,7 +405,7 @@
             except StoreError as error:
                 if error.code != "UNKNOWN":
                     for permit in granted:
-                        self.ledger.put(permit.to(Phase.WAITING), clock_ms())
+                        self.ledger.put(permit.with_phase(Phase.WAITING), clock_ms())
                 raise
 
     async def resolve(self) -> None:
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -285,14 +285,14 @@
         mine = self.wait(waiter, permit.priority, permit.units, now_ms)
         problem = self.stands_in_the_way(permit.units, waiter, mine.place(now_ms), now_ms, is_way_back)
         if not problem:
-            self.put(permit.to(Phase.HELD), now_ms)
+            self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
 
     def release(self, ident: int, now_ms: int) -> None:
         """Drops a reservation that could not be recorded; nobody has been told of it."""
         permit = self.permits.get(ident)
         if permit is not None:
-            self.put(permit.to(Phase.WITHDRAWN), now_ms)
+            self.put(permit.with_phase(Phase.WITHDRAWN), now_ms)
 
     def grants(self, now_ms: int) -> list[Permit]:
         """Reserves and returns the waiting permits for which there is room now, in their order. Each is looked at once;
@@ -309,7 +309,7 @@
             if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._fit(adds))):
                 taken |= waiter.cells
                 continue
-            held = found.to(Phase.HELD)
+            held = found.with_phase(Phase.HELD)
             self.put(held, now_ms)
             granted.append(held)
         return granted
@@ -322,11 +322,11 @@
         """Renews a lease. An expired permit becomes held again; its units have counted as out all the time."""
         self.renewed_ms[ident] = now_ms
         permit = self.permits[ident]
-        return permit.to(Phase.HELD) if permit.phase is Phase.UNKNOWN else permit
+        return permit.with_phase(Phase.HELD) if permit.phase is Phase.UNKNOWN else permit
 
     def lapses(self, now_ms: int) -> list[Permit]:
         """Held permits whose lease has expired, in phase UNKNOWN; their units still count as out."""
-        return [p.to(Phase.UNKNOWN, "its lease ran out; whether its holder goes on is not known")
+        return [p.with_phase(Phase.UNKNOWN, "its lease ran out; whether its holder goes on is not known")
                 for p in self.permits.values()
                 if p.phase is Phase.HELD and p.lease_ms and now_ms - self.renewed_ms[p.id] >= p.lease_ms]
 
@@ -346,7 +346,7 @@
 
     def ends(self) -> list[Permit]:
         """Returned permits whose units all serve again, in phase ENDED."""
-        return [p.to(Phase.ENDED) for p in self.permits.values()
+        return [p.with_phase(Phase.ENDED) for p in self.permits.values()
                 if p.phase is Phase.RETURNED and all(self._is_shown(p, key) for key in p.units)]
 
 
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -103,7 +103,7 @@
     note: str = ""
     ended_ms: int = 0  # Unix time
 
-    def to(self, phase: Phase, note: str = "") -> Permit:
+    def with_phase(self, phase: Phase, note: str = "") -> Permit:
         return replace(self, phase=phase, note=note)
 
     def packed(self) -> dict[str, Any]:
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -264,7 +264,7 @@
                 raise StoreError("UNKNOWN", "it broke off at COMMIT")
 
             known: list[int] = []
-            returned = waiting.to(PermitPhase.ENDED)
+            returned = waiting.with_phase(PermitPhase.ENDED)
             permits.put([returned])  # room for the other; whether its grant stands is not known
             found.engine.store.write = broken  # type: ignore[method-assign]
             # the agent's own pass may meet the break in place of this one, which then finds nothing to decide
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -22,7 +22,7 @@
 
 class LeaseIsEvidence(Ledger):
     def lapses(self, now_ms: int) -> list[Permit]:
-        return [permit.to(Phase.ENDED) for permit in super().lapses(now_ms)]
+        return [permit.with_phase(Phase.ENDED) for permit in super().lapses(now_ms)]
 
 
 class HeartbeatIsEvidence(Ledger):
@@ -92,9 +92,9 @@
     found = ledger(ALL)
     assert ask(found, 0, permit(1, "i0")) == [1]
     assert ask(found, 1, permit(2, "i1", "i2"), permit(3, "i3")) == []  # permit 3 would fit, but its turn is after 2
-    found.put(found.permits[1].to(Phase.ENDED), 2)
+    found.put(found.permits[1].with_phase(Phase.ENDED), 2)
     assert ask(found, 3) == [2]
-    found.put(found.permits[2].to(Phase.ENDED), 4)
+    found.put(found.permits[2].with_phase(Phase.ENDED), 4)
     assert ask(found, 5) == [3]
 
 
@@ -102,9 +102,9 @@
     found = ledger(ALL)
     assert ask(found, 0, permit(1, "i0", "i1"), permit(2, "i2", "i3")) == [1]
     assert ask(found, 1, permit(3, "i4", "i5", priority=1)) == []
-    found.put(found.permits[1].to(Phase.ENDED), 2)
+    found.put(found.permits[1].with_phase(Phase.ENDED), 2)
     assert ask(found, 3) == [3]
-    found.put(found.permits[3].to(Phase.ENDED), 4)
+    found.put(found.permits[3].with_phase(Phase.ENDED), 4)
     # permit 2 has waited long enough to gain two steps of priority, which is more than one
     assert ask(found, 150_000, permit(4, "i0", "i1", priority=1)) == [2]
 
