--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -265,7 +265,7 @@
                 over.append(permit.id)
             else:
                 kept.append((permit.id, permit.holder, permit.key, is_open, permit.ended_ms,
-                             json.dumps(permit.packed())))
+                             json.dumps(permit.to_record())))
         self.insert("permits", PERMIT, kept, PUT_PERMIT)
         for start in range(0, len(over), ROWS_AT_ONCE):
             part = over[start:start + ROWS_AT_ONCE]
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -106,7 +106,7 @@
     def with_phase(self, phase: Phase, note: str = "") -> Permit:
         return replace(self, phase=phase, note=note)
 
-    def packed(self) -> dict[str, Any]:
+    def to_record(self) -> dict[str, Any]:
         """The stored form; `id`, `holder` and `key` have columns of their own."""
         return {"units": list(self.units), "reason": self.reason, "priority": self.priority, "phase": str(self.phase),
                 "created_ms": self.created_ms, "lease_ms": self.lease_ms, "operation": self.operation,
