--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -247,7 +247,7 @@
 
     @staticmethod
     def _permit(row: tuple[Any, ...]) -> Permit:
-        return Permit.unpacked(row[0], row[1], row[2], json.loads(row[5]))
+        return Permit.from_record(row[0], row[1], row[2], json.loads(row[5]))
 
     def permits(self, open_only: bool = False) -> list[Permit]:
         rows = self._columns("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -113,7 +113,7 @@
                 "note": self.note, "ended_ms": self.ended_ms}
 
     @classmethod
-    def unpacked(cls, ident: int, holder: str, key: str, body: dict[str, Any]) -> Permit:
+    def from_record(cls, ident: int, holder: str, key: str, body: dict[str, Any]) -> Permit:
         return cls(ident, key, holder, tuple(body["units"]), body["reason"], body["priority"], Phase(body["phase"]),
                    body["created_ms"], body["lease_ms"], body["operation"], body["note"], body["ended_ms"])
 
