--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTED_PHASES, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import COUNTED_PHASES, Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
@@ -169,7 +169,7 @@
         self.at(rng.randrange(500, 4_000), self.holder)
         try:
             self.ledger.check(keys)
-        except Impossible:
+        except ImpossibleRequest:
             return
         self.keep(permit)
         self.ledger.put(permit, self.now_ms)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -25,7 +25,7 @@
     MAX_WAITING_PERMITS,
     Budget,
     Halt,
-    Impossible,
+    ImpossibleRequest,
     UnitKind,
     Permit,
     Phase,
@@ -129,7 +129,7 @@
             try:
                 self.ledger.check((key,))
                 problem = self.ledger.reserve(permit, now_ms, is_way_back)
-            except Impossible as impossible:
+            except ImpossibleRequest as impossible:
                 problem = str(impossible)
         if not problem:
             self.doubt.discard(ident)
@@ -221,7 +221,7 @@
                                            f"got {unit!r:.80}")
         try:
             self.ledger.check(units)
-        except Impossible as impossible:
+        except ImpossibleRequest as impossible:
             raise Refusal("BAD_INPUT", str(impossible)) from impossible
 
     async def find(self, ident: int) -> Permit:
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from ironscale.disruption.model import COUNTED_PHASES, Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import COUNTED_PHASES, Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
 
 AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
@@ -193,7 +193,7 @@
                 whole[cell] = number + 1.0, weight + self.sights[key].unit.weight
         for cell, (number, weight) in whole.items():
             if not cell.could_have(number, weight):
-                raise Impossible(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
+                raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
                                  f"at once; ask for them one after the other")
 
     def stands_in_the_way(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -134,5 +134,5 @@
         return f"{self.actor}: {self.reason}" if self.reason else self.actor
 
 
-class Impossible(Exception):
+class ImpossibleRequest(Exception):
     """A request that exceeds a budget even with nothing else out; the text is one line."""
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -9,7 +9,7 @@
 
 from bench.permits import play
 from ironscale.disruption.ledger import Cell, Ledger
-from ironscale.disruption.model import Budget, Impossible, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
 
 SEEDS = range(100, 106)
 FOUND_WITHIN = range(40)
@@ -112,7 +112,7 @@
 def test_what_can_never_be_granted_is_refused_at_once() -> None:
     found = ledger(ALL, Budget("zone", UnitKind.SIDECAR, each="zone", capacity=0.4))
     for names in (("i0", "i1", "i3"), ("i0", "i2")):
-        with pytest.raises(Impossible, match="expected 2 at most|expected 40% of capacity at most"):
+        with pytest.raises(ImpossibleRequest, match="expected 2 at most|expected 40% of capacity at most"):
             found.check([f"sidecar/{name}" for name in names])
     found.check(["sidecar/i0", "sidecar/i1"])
 
