--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 CONFIDENCE = 0.999  # of each single comparison; this high because many are made while a wave soaks
-BAD = ("refused", "failed")
+BAD_OUTCOMES = ("refused", "failed")
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
         one, other = changed.get(name, Counts()), untouched.get(name, Counts())
-        for what in BAD:
+        for what in BAD_OUTCOMES:
             bad, usual = getattr(one, what), getattr(other, what)
             low, high = bounds(bad, one.all)
             usual_low, usual_high = bounds(usual, other.all)
