--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -32,7 +32,7 @@
                       max(0, self.failed - before.failed))
 
     @property
-    def all(self) -> int:
+    def total(self) -> int:
         return self.served + self.refused + self.failed
 
 
@@ -76,13 +76,13 @@
         one, other = changed.get(name, Counts()), untouched.get(name, Counts())
         for what in BAD_OUTCOMES:
             bad, usual = getattr(one, what), getattr(other, what)
-            low, high = bounds(bad, one.all)
-            usual_low, usual_high = bounds(usual, other.all)
+            low, high = bounds(bad, one.total)
+            usual_low, usual_high = bounds(usual, other.total)
             if low > usual_high + rule.margin:
-                return Verdict(Word.BREACH, f"class {name}: {bad} of {one.all} {what} where it is changed, {usual} of "
-                                            f"{other.all} where it is not")
+                return Verdict(Word.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, {usual} of "
+                                            f"{other.total} where it is not")
             if high > usual_low + rule.margin:
-                unsure[f"class {name} ({one.all} answers where it is changed, {other.all} where it is not)"] = None
+                unsure[f"class {name} ({one.total} answers where it is changed, {other.total} where it is not)"] = None
     if soaked_ms < rule.soak_ms:
         return Verdict(Word.WAIT, f"soaks for {(rule.soak_ms - soaked_ms) / 1000:.1f} s more")
     if not changed and not untouched:
