--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -42,7 +42,7 @@
 
     soak_ms: int = 0  # minimum time of observation
     margin: float = 0.02  # by how much the share of bad answers may be higher in the changed part
-    most_ms: int = 60_000  # if there are too few answers to decide after this time, `unsure` decides
+    max_ms: int = 60_000  # if there are too few answers to decide after this time, `unsure` decides
     unsure: str = "halt"  # or "go", for a fleet with so little traffic that there are never enough answers
 
 
@@ -90,6 +90,6 @@
     if not unsure:
         return Verdict(Word.GO)
     text = f"not enough seen of {', '.join(unsure)} to tell {rule.margin:.1%}"
-    if soaked_ms < rule.most_ms:
+    if soaked_ms < rule.max_ms:
         return Verdict(Word.WAIT, text)
     return Verdict(Word.GO, text) if rule.unsure == "go" else Verdict(Word.BREACH, text)
--- a/tests/disruption/test_releases.py
+++ b/tests/disruption/test_releases.py
@@ -8,7 +8,7 @@
 
 from ironscale.disruption.releases import Counts, Rule, Word, bounds, judge
 
-RULE = Rule(soak_ms=0, margin=0.02, most_ms=10_000)
+RULE = Rule(soak_ms=0, margin=0.02, max_ms=10_000)
 
 
 def drawn(rng: random.Random, count: int, failing: float) -> Counts:
@@ -52,7 +52,7 @@
                                ({"view": Counts(9_500, 0, 500)}, nothing)):
         assert judge(changed, untouched, RULE, 0).word is Word.WAIT
         assert judge(changed, untouched, RULE, 10_000).word is Word.BREACH
-        assert judge(changed, untouched, Rule(most_ms=10_000, unsure="go"), 10_000).word is Word.GO
+        assert judge(changed, untouched, Rule(max_ms=10_000, unsure="go"), 10_000).word is Word.GO
 
 
 def test_a_wave_soaks_its_time_and_a_breach_does_not_wait_for_it() -> None:
