--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -7,7 +7,7 @@
 
 from ironscale.agent.fleet import Fleet, state_of
 from ironscale.agent.model import Policy, State, Target
-from ironscale.disruption.releases import Counts, Rule, Verdict, Word, judge
+from ironscale.disruption.releases import Counts, SoakRule, Verdict, Word, judge
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
         touched = {target.name for target in targets if target.command}
         changed = self.total(fleet, settled)
         untouched = self.total(fleet, fleet.members.keys() - touched)
-        rule = Rule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
+        rule = SoakRule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
         found = judge(changed, untouched, rule, now_ms - self.since_ms)
         if found.word is Word.GO:
             self.note = found.text
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class SoakRule:
     """How long a wave is observed, and how much worse than the untouched part it may be."""
 
     soak_ms: int = 0  # minimum time of observation
@@ -69,7 +69,7 @@
     return low, high
 
 
-def judge(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: Rule, soaked_ms: int) -> Verdict:
+def judge(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: SoakRule, soaked_ms: int) -> Verdict:
     """Compares each class, and refusals and failures separately, because a sum over all could hide a change in one."""
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
--- a/tests/disruption/test_releases.py
+++ b/tests/disruption/test_releases.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ironscale.disruption.releases import Counts, Rule, Word, bounds, judge
+from ironscale.disruption.releases import Counts, SoakRule, Word, bounds, judge
 
-RULE = Rule(soak_ms=0, margin=0.02, max_ms=10_000)
+RULE = SoakRule(soak_ms=0, margin=0.02, max_ms=10_000)
 
 
 def drawn(rng: random.Random, count: int, failing: float) -> Counts:
@@ -52,11 +52,11 @@
                                ({"view": Counts(9_500, 0, 500)}, nothing)):
         assert judge(changed, untouched, RULE, 0).word is Word.WAIT
         assert judge(changed, untouched, RULE, 10_000).word is Word.BREACH
-        assert judge(changed, untouched, Rule(max_ms=10_000, unsure="go"), 10_000).word is Word.GO
+        assert judge(changed, untouched, SoakRule(max_ms=10_000, unsure="go"), 10_000).word is Word.GO
 
 
 def test_a_wave_soaks_its_time_and_a_breach_does_not_wait_for_it() -> None:
-    rule = Rule(soak_ms=5_000)
+    rule = SoakRule(soak_ms=5_000)
     well = Counts(50_000)
     assert judge({"view": well}, {"view": well}, rule, 4_000).text == "soaks for 1.0 s more"
     assert judge({"view": well}, {"view": well}, rule, 5_000).word is Word.GO
