--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -248,7 +248,7 @@
 
         def passes(targets: Sequence[Target], first: int) -> tuple[str, bool]:
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
-            return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
+            return ("", False) if found.decision is Word.GO else (found.text, found.decision is Word.BREACH)
 
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
         live.waits = plan.waits
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -30,7 +30,7 @@
         untouched = self.total(fleet, fleet.members.keys() - touched)
         rule = SoakRule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
         found = judge(changed, untouched, rule, now_ms - self.since_ms)
-        if found.word is Word.GO:
+        if found.decision is Word.GO:
             self.note = found.text
         return found
 
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    word: Word
+    decision: Word
     text: str = ""
 
 
