--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -26,7 +26,7 @@
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, UnitKind, Permit
-from ironscale.disruption.releases import Word
+from ironscale.disruption.releases import Decision
 
 RETRY_S = 1.0  # after the record could not be written
 REST_SHARE = 1  # an operation rests for so many times what its last round took: thousands report at once
@@ -248,7 +248,7 @@
 
         def passes(targets: Sequence[Target], first: int) -> tuple[str, bool]:
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
-            return ("", False) if found.decision is Word.GO else (found.text, found.decision is Word.BREACH)
+            return ("", False) if found.decision is Decision.GO else (found.text, found.decision is Decision.BREACH)
 
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
         live.waits = plan.waits
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -7,7 +7,7 @@
 
 from ironscale.agent.fleet import Fleet, state_of
 from ironscale.agent.model import Policy, State, Target
-from ironscale.disruption.releases import Counts, SoakRule, Verdict, Word, judge
+from ironscale.disruption.releases import Counts, SoakRule, Verdict, Decision, judge
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
         untouched = self.total(fleet, fleet.members.keys() - touched)
         rule = SoakRule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
         found = judge(changed, untouched, rule, now_ms - self.since_ms)
-        if found.decision is Word.GO:
+        if found.decision is Decision.GO:
             self.note = found.text
         return found
 
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -46,7 +46,7 @@
     unsure: str = "halt"  # or "go", for a fleet with so little traffic that there are never enough answers
 
 
-class Word(enum.StrEnum):
+class Decision(enum.StrEnum):
     GO = "go"
     WAIT = "wait"
     BREACH = "breach"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    decision: Word
+    decision: Decision
     text: str = ""
 
 
@@ -79,17 +79,17 @@
             low, high = bounds(bad, one.total)
             usual_low, usual_high = bounds(usual, other.total)
             if low > usual_high + rule.margin:
-                return Verdict(Word.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, {usual} of "
+                return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, {usual} of "
                                             f"{other.total} where it is not")
             if high > usual_low + rule.margin:
                 unsure[f"class {name} ({one.total} answers where it is changed, {other.total} where it is not)"] = None
     if soaked_ms < rule.soak_ms:
-        return Verdict(Word.WAIT, f"soaks for {(rule.soak_ms - soaked_ms) / 1000:.1f} s more")
+        return Verdict(Decision.WAIT, f"soaks for {(rule.soak_ms - soaked_ms) / 1000:.1f} s more")
     if not changed and not untouched:
         unsure["any class"] = None
     if not unsure:
-        return Verdict(Word.GO)
+        return Verdict(Decision.GO)
     text = f"not enough seen of {', '.join(unsure)} to tell {rule.margin:.1%}"
     if soaked_ms < rule.max_ms:
-        return Verdict(Word.WAIT, text)
-    return Verdict(Word.GO, text) if rule.unsure == "go" else Verdict(Word.BREACH, text)
+        return Verdict(Decision.WAIT, text)
+    return Verdict(Decision.GO, text) if rule.unsure == "go" else Verdict(Decision.BREACH, text)
