--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -58,7 +58,7 @@
     text: str = ""
 
 
-def bounds(bad: int, count: int) -> tuple[float, float]:
+def confidence_interval(bad: int, count: int) -> tuple[float, float]:
     """Confidence interval of the share of bad answers; each bound holds with probability CONFIDENCE."""
     from scipy.stats import beta
 
@@ -76,8 +76,8 @@
         one, other = changed.get(name, Counts()), untouched.get(name, Counts())
         for what in BAD_OUTCOMES:
             bad, usual = getattr(one, what), getattr(other, what)
-            low, high = bounds(bad, one.total)
-            usual_low, usual_high = bounds(usual, other.total)
+            low, high = confidence_interval(bad, one.total)
+            usual_low, usual_high = confidence_interval(usual, other.total)
             if low > usual_high + rule.margin:
                 return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, {usual} of "
                                             f"{other.total} where it is not")
--- a/tests/disruption/test_releases.py
+++ b/tests/disruption/test_releases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.disruption.releases import Counts, SoakRule, Decision, bounds, judge
+from ironscale.disruption.releases import Counts, SoakRule, Decision, confidence_interval, judge
 
 RULE = SoakRule(soak_ms=0, margin=0.02, max_ms=10_000)
 
@@ -65,5 +65,5 @@
 
 @pytest.mark.parametrize(("bad", "count"), [(0, 0), (0, 1), (1, 1), (3, 1_000), (1_000, 1_000), (0, 10**6)])
 def test_bounds_hold_the_share_and_stay_within_one(bad: int, count: int) -> None:
-    low, high = bounds(bad, count)
+    low, high = confidence_interval(bad, count)
     assert 0.0 <= low <= (bad / count if count else 0.0) <= high <= 1.0
