--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -7,7 +7,7 @@
 
 from ironscale.agent.fleet import Fleet, state_of
 from ironscale.agent.model import Policy, State, Target
-from ironscale.disruption.releases import Counts, SoakRule, Verdict, Decision, judge
+from ironscale.disruption.releases import Counts, SoakRule, Verdict, Decision, judge_release
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
         changed = self.total(fleet, settled)
         untouched = self.total(fleet, fleet.members.keys() - touched)
         rule = SoakRule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
-        found = judge(changed, untouched, rule, now_ms - self.since_ms)
+        found = judge_release(changed, untouched, rule, now_ms - self.since_ms)
         if found.decision is Decision.GO:
             self.note = found.text
         return found
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -69,7 +69,7 @@
     return low, high
 
 
-def judge(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: SoakRule, soaked_ms: int) -> Verdict:
+def judge_release(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: SoakRule, soaked_ms: int) -> Verdict:
     """Compares each class, and refusals and failures separately, because a sum over all could hide a change in one."""
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
