--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -17,7 +17,7 @@
 
 from ironscale.disruption.model import COUNTED_PHASES, Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
 
-AGES_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
+PRIORITY_STEP_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
 # answer to a request sent within this time of a permit's return is no evidence that the unit serves.
 SETTLES_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
@@ -72,7 +72,7 @@
 
     def place(self, now_ms: int) -> tuple[int, int]:
         """Sort key: the lowest is served first."""
-        return -(self.priority + max(0, now_ms - self.since_ms) // AGES_MS), self.order
+        return -(self.priority + max(0, now_ms - self.since_ms) // PRIORITY_STEP_MS), self.order
 
 
 class Ledger:
