--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -20,7 +20,7 @@
 PRIORITY_STEP_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
 # answer to a request sent within this time of a permit's return is no evidence that the unit serves.
-SETTLES_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
+SETTLE_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
 NAMED = 5  # units that an explanation lists
 SLACK = 1e-9  # for rounding errors in sums of fractions
 
@@ -341,7 +341,7 @@
         sight = self.sights.get(key)
         if sight is None:
             return True  # an operator has removed it
-        after_ms = self.returned_ms[permit.id] + SETTLES_MS[sight.unit.of]
+        after_ms = self.returned_ms[permit.id] + SETTLE_MS[sight.unit.of]
         return sight.out <= 0.0 and sight.asked_ms > 0 and sight.asked_ms >= after_ms
 
     def ends(self) -> list[Permit]:
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -36,7 +36,7 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_polling, "EVERY_S", 0.02)
-    monkeypatch.setitem(ledger.SETTLES_MS, UnitKind.UPSTREAM, 100)
+    monkeypatch.setitem(ledger.SETTLE_MS, UnitKind.UPSTREAM, 100)
 
 
 @pytest.mark.usefixtures("soon")
