--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -21,7 +21,7 @@
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
 # answer to a request sent within this time of a permit's return is no evidence that the unit serves.
 SETTLE_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
-NAMED = 5  # units that an explanation lists
+MAX_LISTED_UNITS = 5  # units that an explanation lists
 SLACK = 1e-9  # for rounding errors in sums of fractions
 
 
@@ -214,8 +214,8 @@
 
     def explain(self, cell: Cell) -> str:
         """How much of a cell is out, and which units."""
-        named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(NAMED, cell.which)]
-        more = f" and {len(cell.which) - NAMED} more" if len(cell.which) > NAMED else ""
+        named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.which)]
+        more = f" and {len(cell.which) - MAX_LISTED_UNITS} more" if len(cell.which) > MAX_LISTED_UNITS else ""
         listed = f" ({', '.join(named)}{more})" if named else ""
         return f"budget {cell.title}: {cell.out:.4g} out of {self._limit(cell)} at most{listed}"
 
