--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -22,7 +22,7 @@
 # answer to a request sent within this time of a permit's return is no evidence that the unit serves.
 SETTLE_MS = {UnitKind.SIDECAR: 0, UnitKind.UPSTREAM: 7_000}
 MAX_LISTED_UNITS = 5  # units that an explanation lists
-SLACK = 1e-9  # for rounding errors in sums of fractions
+ROUNDING_TOLERANCE = 1e-9  # for rounding errors in sums of fractions
 
 
 @dataclass(slots=True, eq=False)
@@ -41,19 +41,19 @@
         """Number of units that may be out at once."""
         most = math.inf if self.budget.number is None else float(self.budget.number)
         if self.budget.share is not None:
-            most = min(most, max(1.0, math.floor(self.budget.share * len(self.units) + SLACK)))
+            most = min(most, max(1.0, math.floor(self.budget.share * len(self.units) + ROUNDING_TOLERANCE)))
         return most
 
     def most_weight(self) -> float:
         return math.inf if self.budget.capacity is None else self.budget.capacity * self.weight
 
     def has_room(self, units: float, weight: float) -> bool:
-        return (self.out + units <= self.most() + SLACK
-                and self.weight_out + weight <= self.most_weight() + SLACK * max(1.0, self.weight))
+        return (self.out + units <= self.most() + ROUNDING_TOLERANCE
+                and self.weight_out + weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
 
     def could_have(self, units: float, weight: float) -> bool:
         """Whether this would be within the limits if nothing else were out."""
-        return units <= self.most() + SLACK and weight <= self.most_weight() + SLACK * max(1.0, self.weight)
+        return units <= self.most() + ROUNDING_TOLERANCE and weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
 
     @property
     def title(self) -> str:
