--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -35,7 +35,7 @@
     weight: float = 0.0
     out: float = 0.0  # units that count as out, with fractions
     weight_out: float = 0.0
-    which: dict[str, None] = field(default_factory=dict)  # its units that are out, at least in part
+    out_units: dict[str, None] = field(default_factory=dict)  # its units that are out, at least in part
 
     def most(self) -> float:
         """Number of units that may be out at once."""
@@ -146,9 +146,9 @@
             cell.out += after - before
             cell.weight_out += (after - before) * weight
             if after > 0.0:
-                cell.which[key] = None
+                cell.out_units[key] = None
             else:
-                cell.which.pop(key, None)
+                cell.out_units.pop(key, None)
 
     # Room
 
@@ -214,8 +214,8 @@
 
     def explain(self, cell: Cell) -> str:
         """How much of a cell is out, and which units."""
-        named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.which)]
-        more = f" and {len(cell.which) - MAX_LISTED_UNITS} more" if len(cell.which) > MAX_LISTED_UNITS else ""
+        named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
+        more = f" and {len(cell.out_units) - MAX_LISTED_UNITS} more" if len(cell.out_units) > MAX_LISTED_UNITS else ""
         listed = f" ({', '.join(named)}{more})" if named else ""
         return f"budget {cell.title}: {cell.out:.4g} out of {self._limit(cell)} at most{listed}"
 
