--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -331,7 +331,7 @@
     ledger = need(info, "read").engine.permits.ledger
     found = []
     for cell in ledger.all_cells():
-        number, weight = cell.most(), cell.budget.capacity
+        number, weight = cell.max_units(), cell.budget.capacity
         found.append({
             "name": cell.budget.name, "part": cell.value, "of": str(cell.budget.of), "units": len(cell.units),
             "most": -1.0 if number == math.inf else number, "mostCapacity": -1.0 if weight is None else weight,
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -37,7 +37,7 @@
     weight_out: float = 0.0
     out_units: dict[str, None] = field(default_factory=dict)  # its units that are out, at least in part
 
-    def most(self) -> float:
+    def max_units(self) -> float:
         """Number of units that may be out at once."""
         most = math.inf if self.budget.number is None else float(self.budget.number)
         if self.budget.share is not None:
@@ -48,12 +48,12 @@
         return math.inf if self.budget.capacity is None else self.budget.capacity * self.weight
 
     def has_room(self, units: float, weight: float) -> bool:
-        return (self.out + units <= self.most() + ROUNDING_TOLERANCE
+        return (self.out + units <= self.max_units() + ROUNDING_TOLERANCE
                 and self.weight_out + weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
 
     def could_have(self, units: float, weight: float) -> bool:
         """Whether this would be within the limits if nothing else were out."""
-        return units <= self.most() + ROUNDING_TOLERANCE and weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
+        return units <= self.max_units() + ROUNDING_TOLERANCE and weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
 
     @property
     def title(self) -> str:
@@ -221,7 +221,7 @@
 
     @staticmethod
     def _limit(cell: Cell) -> str:
-        parts = [] if cell.most() == math.inf else [f"{cell.most():g}"]
+        parts = [] if cell.max_units() == math.inf else [f"{cell.max_units():g}"]
         if cell.budget.capacity is not None:
             parts.append(f"{cell.budget.capacity:.0%} of capacity")
         return " and ".join(parts)
