--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -44,16 +44,16 @@
             most = min(most, max(1.0, math.floor(self.budget.share * len(self.units) + ROUNDING_TOLERANCE)))
         return most
 
-    def most_weight(self) -> float:
+    def max_weight(self) -> float:
         return math.inf if self.budget.capacity is None else self.budget.capacity * self.weight
 
     def has_room(self, units: float, weight: float) -> bool:
         return (self.out + units <= self.max_units() + ROUNDING_TOLERANCE
-                and self.weight_out + weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
+                and self.weight_out + weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
 
     def could_have(self, units: float, weight: float) -> bool:
         """Whether this would be within the limits if nothing else were out."""
-        return units <= self.max_units() + ROUNDING_TOLERANCE and weight <= self.most_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
+        return units <= self.max_units() + ROUNDING_TOLERANCE and weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
 
     @property
     def title(self) -> str:
