--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -51,7 +51,7 @@
         return (self.out + units <= self.max_units() + ROUNDING_TOLERANCE
                 and self.weight_out + weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
 
-    def could_have(self, units: float, weight: float) -> bool:
+    def could_ever_fit(self, units: float, weight: float) -> bool:
         """Whether this would be within the limits if nothing else were out."""
         return units <= self.max_units() + ROUNDING_TOLERANCE and weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
 
@@ -192,7 +192,7 @@
                 number, weight = whole.get(cell, (0.0, 0.0))
                 whole[cell] = number + 1.0, weight + self.sights[key].unit.weight
         for cell, (number, weight) in whole.items():
-            if not cell.could_have(number, weight):
+            if not cell.could_ever_fit(number, weight):
                 raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
                                  f"at once; ask for them one after the other")
 
