--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Cell:
+class BudgetCell:
     """The counts of one budget, or of its part for one value of `each`."""
 
     budget: Budget
@@ -68,7 +68,7 @@
     priority: int
     since_ms: int
     order: int
-    cells: frozenset[Cell]
+    cells: frozenset[BudgetCell]
 
     def place(self, now_ms: int) -> tuple[int, int]:
         """Sort key: the lowest is served first."""
@@ -81,8 +81,8 @@
     def __init__(self, budgets: Sequence[Budget]) -> None:
         self.budgets = tuple(budgets)
         self.sights: dict[str, Observation] = {}
-        self.cells: dict[tuple[str, str], Cell] = {}
-        self.cells_of: dict[str, tuple[Cell, ...]] = {}
+        self.cells: dict[tuple[str, str], BudgetCell] = {}
+        self.cells_of: dict[str, tuple[BudgetCell, ...]] = {}
         self.permits: dict[int, Permit] = {}  # those that wait or count
         self.covers: dict[str, set[int]] = {}  # key of a unit -> ids of the permits that cover it
         self.renewed_ms: dict[int, int] = {}
@@ -132,10 +132,10 @@
             cell.units.discard(key)
             cell.weight -= sight.unit.weight
 
-    def _cell(self, budget: Budget, unit: Unit) -> Cell:
+    def _cell(self, budget: Budget, unit: Unit) -> BudgetCell:
         at = (budget.name, budget.group_of(unit))
         if at not in self.cells:
-            self.cells[at] = Cell(budget, at[1])
+            self.cells[at] = BudgetCell(budget, at[1])
         return self.cells[at]
 
     def _count(self, key: str, before: float, after: float) -> None:
@@ -162,18 +162,18 @@
         place = waiter.place(now_ms) if waiter is not None else (0, self.order + 1)
         return self.stands_in_the_way(permit.units, name_of(permit), place, now_ms)
 
-    def all_cells(self) -> list[Cell]:
+    def all_cells(self) -> list[BudgetCell]:
         """All cells in order, including an empty one for each budget that matches no unit."""
-        empty = [Cell(budget, "") for budget in self.budgets
+        empty = [BudgetCell(budget, "") for budget in self.budgets
                  if not any(cell.budget is budget for cell in self.cells.values())]
         return sorted([*self.cells.values(), *empty], key=lambda cell: (cell.budget.name, cell.value))
 
-    def _adds(self, units: Iterable[str]) -> dict[Cell, tuple[float, float]]:
+    def _adds(self, units: Iterable[str]) -> dict[BudgetCell, tuple[float, float]]:
         """The additional units and weight of each cell, were these units taken out. A unit that is known to be out is
         skipped, so that it can be repaired at any time. One that is silent or already covered by a permit counts as out
         without being known to be out: it adds nothing, but its cells must be within their limits. Otherwise, if half
         of a fleet fell silent while still serving, every one of those units could be taken out."""
-        found: dict[Cell, tuple[float, float]] = {}
+        found: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
             sight = self.sights.get(key)
             if sight is None or (sight.known and sight.out >= 1.0):
@@ -186,7 +186,7 @@
 
     def check(self, units: Iterable[str]) -> None:
         """Raises ImpossibleRequest if these units could not be out together even with all others in service."""
-        whole: dict[Cell, tuple[float, float]] = {}
+        whole: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
             for cell in self.cells_of.get(key, ()):
                 number, weight = whole.get(cell, (0.0, 0.0))
@@ -212,7 +212,7 @@
                 return f"{other.name} waits before it"
         return ""
 
-    def explain(self, cell: Cell) -> str:
+    def explain(self, cell: BudgetCell) -> str:
         """How much of a cell is out, and which units."""
         named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
         more = f" and {len(cell.out_units) - MAX_LISTED_UNITS} more" if len(cell.out_units) > MAX_LISTED_UNITS else ""
@@ -220,7 +220,7 @@
         return f"budget {cell.title}: {cell.out:.4g} out of {self._limit(cell)} at most{listed}"
 
     @staticmethod
-    def _limit(cell: Cell) -> str:
+    def _limit(cell: BudgetCell) -> str:
         parts = [] if cell.max_units() == math.inf else [f"{cell.max_units():g}"]
         if cell.budget.capacity is not None:
             parts.append(f"{cell.budget.capacity:.0%} of capacity")
@@ -301,7 +301,7 @@
             if permit.phase is Phase.WAITING:
                 self.wait(name_of(permit), permit.priority, permit.units, now_ms)
         waiting = {name_of(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
-        taken: set[Cell] = set()
+        taken: set[BudgetCell] = set()
         granted = []
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.place(now_ms)):
             found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
@@ -315,7 +315,7 @@
         return granted
 
     @staticmethod
-    def _fit(adds: dict[Cell, tuple[float, float]]) -> bool:
+    def _fit(adds: dict[BudgetCell, tuple[float, float]]) -> bool:
         return all(cell.has_room(number, weight) for cell, (number, weight) in adds.items())
 
     def renew(self, ident: int, now_ms: int) -> Permit:
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.permits import play
-from ironscale.disruption.ledger import Cell, Ledger
+from ironscale.disruption.ledger import BudgetCell, Ledger
 from ironscale.disruption.model import Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
 
 SEEDS = range(100, 106)
@@ -156,7 +156,7 @@
         again.see(sight)
     again.load(world.ledger.permits.values(), 0)
 
-    def sums(cells: Iterable[Cell]) -> dict[str, tuple[float, float, float, int]]:
+    def sums(cells: Iterable[BudgetCell]) -> dict[str, tuple[float, float, float, int]]:
         return {c.title: (round(c.out, 6), round(c.weight_out, 6), c.weight, len(c.units)) for c in cells}
 
     assert sums(world.ledger.cells.values()) == sums(again.cells.values())
