--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -70,7 +70,7 @@
     order: int
     cells: frozenset[BudgetCell]
 
-    def place(self, now_ms: int) -> tuple[int, int]:
+    def rank(self, now_ms: int) -> tuple[int, int]:
         """Sort key: the lowest is served first."""
         return -(self.priority + max(0, now_ms - self.since_ms) // PRIORITY_STEP_MS), self.order
 
@@ -159,7 +159,7 @@
     def waits_for(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(name_of(permit))
-        place = waiter.place(now_ms) if waiter is not None else (0, self.order + 1)
+        place = waiter.rank(now_ms) if waiter is not None else (0, self.order + 1)
         return self.stands_in_the_way(permit.units, name_of(permit), place, now_ms)
 
     def all_cells(self) -> list[BudgetCell]:
@@ -208,7 +208,7 @@
             return next(self.explain(cell) for cell, more in adds.items() if not cell.has_room(*more))
         # without this, small requests would keep overtaking a large one, which would never find enough room at once
         for other in self.waiters.values():
-            if other.name != waiter and other.place(now_ms) < place and not other.cells.isdisjoint(adds):
+            if other.name != waiter and other.rank(now_ms) < place and not other.cells.isdisjoint(adds):
                 return f"{other.name} waits before it"
         return ""
 
@@ -283,7 +283,7 @@
         reason is returned. Halts don't block a rollback."""
         waiter = name_of(permit)
         mine = self.wait(waiter, permit.priority, permit.units, now_ms)
-        problem = self.stands_in_the_way(permit.units, waiter, mine.place(now_ms), now_ms, is_way_back)
+        problem = self.stands_in_the_way(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
         if not problem:
             self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
@@ -303,7 +303,7 @@
         waiting = {name_of(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
         taken: set[BudgetCell] = set()
         granted = []
-        for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.place(now_ms)):
+        for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.rank(now_ms)):
             found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
             adds = self._adds(found.units) if found is not None else {}
             if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._fit(adds))):
