--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -88,7 +88,7 @@
         self.renewed_ms: dict[int, int] = {}
         self.returned_ms: dict[int, int] = {}
         self.waiters: dict[str, Waiter] = {}
-        self.order = 0
+        self.sequence = 0
         self.halted = ""  # who halted the fleet and why; while set, no more units are taken out
 
     # Observations
@@ -159,7 +159,7 @@
     def waits_for(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(name_of(permit))
-        place = waiter.rank(now_ms) if waiter is not None else (0, self.order + 1)
+        place = waiter.rank(now_ms) if waiter is not None else (0, self.sequence + 1)
         return self.stands_in_the_way(permit.units, name_of(permit), place, now_ms)
 
     def all_cells(self) -> list[BudgetCell]:
@@ -270,8 +270,8 @@
         cells = frozenset(cell for key in units for cell in self.cells_of.get(key, ()))
         old = self.waiters.get(name)
         if old is None:
-            self.order += 1
-        since_ms, order = (old.since_ms, old.order) if old is not None else (now_ms, self.order)
+            self.sequence += 1
+        since_ms, order = (old.since_ms, old.order) if old is not None else (now_ms, self.sequence)
         found = self.waiters[name] = Waiter(name, priority, since_ms, order, cells)
         return found
 
