--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -147,7 +147,7 @@
 
             for instance, _ in made:
                 instance.before_effect = lambda what, instance=instance: away(instance)  # type: ignore[misc]
-            while sum(sight.out == 0.0 for sight in agent.engine.permits.ledger.sights.values()) < instances:
+            while sum(sight.out == 0.0 for sight in agent.engine.permits.ledger.observations.values()) < instances:
                 await asyncio.sleep(0.05)
             start_s, cpu_s = time.monotonic(), time.process_time()
             op, _ = await agent.engine.begin("ann", Kind.RECONFIGURE, [f"i{n:03}" for n in range(instances)], Policy(),
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -604,7 +604,7 @@
     async def forget(self, actor: str, name: str, ended: bool) -> None:
         """Takes an instance that is no more off the record, and out of all counts. `ended`: the operator's word where
         its end is not known here. Raises Refusal or StoreError."""
-        if name in self.permits.ledger.sights and name.startswith(f"{UnitKind.UPSTREAM}/"):
+        if name in self.permits.ledger.observations and name.startswith(f"{UnitKind.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
         seen = self.fleet.seen(name)
@@ -630,7 +630,7 @@
         done(None)
 
     async def forget_upstream(self, actor: str, key: str) -> None:
-        if not self.permits.ledger.sights[key].reason.startswith("not listed"):
+        if not self.permits.ledger.observations[key].reason.startswith("not listed"):
             raise Refusal("CONFLICT", f"{key} is on sidecars' lists; it can be forgotten once it is gone there")
         await self.store.write(lambda records: records.audit(self.now_ms(), actor, "forget", key, "forgotten"))
         self.permits.ledger.forget(key)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -216,7 +216,7 @@
         if not LEASE_MS[0] <= lease_ms <= LEASE_MS[1]:
             raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_MS[0]} to {LEASE_MS[1]}, got {lease_ms}")
         for unit in units:
-            if unit not in self.ledger.sights:
+            if unit not in self.ledger.observations:
                 raise Refusal("NOT_FOUND", f"units: expected units that are known (sidecar/NAME, see `ironscale ls`), "
                                            f"got {unit!r:.80}")
         try:
@@ -432,7 +432,7 @@
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """For the evidence that it serves: once a second at most, and only where it has said so by itself."""
-        now_s, sight = time.monotonic(), self.ledger.sights.get(f"{UnitKind.SIDECAR}/{name}")
+        now_s, sight = time.monotonic(), self.ledger.observations.get(f"{UnitKind.SIDECAR}/{name}")
         if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
                 or name in self.asking):
             return
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -320,8 +320,8 @@
     if permit.phase is Phase.WAITING:
         waits = ledger.waits_for(permit, clock_ms())
     elif permit.phase is Phase.RETURNED:
-        waits = ", ".join(f"{key} {ledger.sights[key].reason or 'has still to be asked'}" for key in permit.units
-                          if key in ledger.sights)
+        waits = ", ".join(f"{key} {ledger.observations[key].reason or 'has still to be asked'}" for key in permit.units
+                          if key in ledger.observations)
     return {"id": permit.id, "key": permit.key, "holder": permit.holder, "units": permit.units,
             "reason": permit.reason, "priority": permit.priority, "phase": permit.phase.name, "note": permit.note,
             "createdAt": iso(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -67,10 +67,10 @@
         oldest_ms = clock_ms() - FRESH_MS
         self.views = {name: view for name, view in self.views.items() if view.asked_ms >= oldest_ms}
         connected = sum(member.link is not None for member in self.fleet.members.values())
-        known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is UnitKind.UPSTREAM]
+        known = [sight.unit for sight in self.ledger.observations.values() if sight.unit.of is UnitKind.UPSTREAM]
         room = False
         for sight in merge_views(list(self.views.values()), connected, known):
-            before = self.ledger.sights.get(sight.unit.key)
+            before = self.ledger.observations.get(sight.unit.key)
             if (before is not None and before.reason.startswith("draining") and sight.known
                     and sight.reason.startswith("not listed")):
                 self.ledger.forget(sight.unit.key)  # told to go, and gone: it is no unit any more
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -80,7 +80,7 @@
 
     def __init__(self, budgets: Sequence[Budget]) -> None:
         self.budgets = tuple(budgets)
-        self.sights: dict[str, Observation] = {}
+        self.observations: dict[str, Observation] = {}
         self.cells: dict[tuple[str, str], BudgetCell] = {}
         self.cells_of: dict[str, tuple[BudgetCell, ...]] = {}
         self.permits: dict[int, Permit] = {}  # those that wait or count
@@ -97,37 +97,37 @@
         """How much of a unit counts as out, from 0.0 to 1.0."""
         if self.covers.get(key):
             return 1.0
-        sight = self.sights.get(key)
+        sight = self.observations.get(key)
         return sight.out if sight is not None else 1.0
 
     def see(self, sight: Observation) -> bool:
         """Stores the latest observation of a unit. Returns whether it may make room or end a permit."""
         key, unit = sight.unit.key, sight.unit
-        old = self.sights.get(key)
+        old = self.observations.get(key)
         if old is not None and old.asked_ms > sight.asked_ms and old.boot == sight.boot and old.out == sight.out:
             # a heartbeat with the same state keeps the request time of the last answer
             sight = replace(sight, asked_ms=old.asked_ms)
         if old is None or old.unit != unit:
             self.forget(key)
             self.cells_of[key] = tuple(self._cell(budget, unit) for budget in self.budgets if budget.matches(unit))
-            self.sights[key] = sight
+            self.observations[key] = sight
             for cell in self.cells_of[key]:
                 cell.units.add(key)
                 cell.weight += unit.weight
             self._count(key, 0.0, self.out(key))
             return True
         before = self.out(key)
-        self.sights[key] = sight
+        self.observations[key] = sight
         self._count(key, before, self.out(key))
         return self.out(key) < before or bool(self.covers.get(key))
 
     def forget(self, key: str) -> None:
         """Removes a unit that an operator has declared gone for good; it no longer counts at all."""
-        sight = self.sights.get(key)
+        sight = self.observations.get(key)
         if sight is None:
             return
         self._count(key, self.out(key), 0.0)
-        del self.sights[key]
+        del self.observations[key]
         for cell in self.cells_of.pop(key):
             cell.units.discard(key)
             cell.weight -= sight.unit.weight
@@ -141,7 +141,7 @@
     def _count(self, key: str, before: float, after: float) -> None:
         if before == after:
             return
-        weight = self.sights[key].unit.weight
+        weight = self.observations[key].unit.weight
         for cell in self.cells_of[key]:
             cell.out += after - before
             cell.weight_out += (after - before) * weight
@@ -175,7 +175,7 @@
         of a fleet fell silent while still serving, every one of those units could be taken out."""
         found: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
-            sight = self.sights.get(key)
+            sight = self.observations.get(key)
             if sight is None or (sight.known and sight.out >= 1.0):
                 continue
             more = 1.0 - self.out(key)
@@ -190,7 +190,7 @@
         for key in units:
             for cell in self.cells_of.get(key, ()):
                 number, weight = whole.get(cell, (0.0, 0.0))
-                whole[cell] = number + 1.0, weight + self.sights[key].unit.weight
+                whole[cell] = number + 1.0, weight + self.observations[key].unit.weight
         for cell, (number, weight) in whole.items():
             if not cell.could_ever_fit(number, weight):
                 raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
@@ -228,7 +228,7 @@
 
     def why(self, key: str) -> str:
         """Why a unit counts as out."""
-        sight = self.sights.get(key)
+        sight = self.observations.get(key)
         if sight is not None and sight.out > 0.0:
             return sight.reason
         covers = [self.permits[ident] for ident in sorted(self.covers.get(key, ()))]
@@ -260,7 +260,7 @@
             if not covers:
                 del self.covers[key]
         for key, share in before.items():
-            if key in self.sights:
+            if key in self.observations:
                 self._count(key, share, self.out(key))
         if permit.phase is not Phase.WAITING and not permit.operation:  # an operation waits on for its next target
             self.waiters.pop(name_of(permit), None)
@@ -333,12 +333,12 @@
     def asks(self) -> list[str]:
         """Keys of units with a returned permit that still have to be asked whether they serve."""
         return sorted({key for p in self.permits.values() if p.phase is Phase.RETURNED for key in p.units
-                       if key in self.sights and not self._is_shown(p, key)})
+                       if key in self.observations and not self._is_shown(p, key)})
 
     def _is_shown(self, permit: Permit, key: str) -> bool:
         """Whether the unit serves, by an answer to a request that was sent after the permit's return. A heartbeat is no
         evidence: it may have been on its way since before the holder acted."""
-        sight = self.sights.get(key)
+        sight = self.observations.get(key)
         if sight is None:
             return True  # an operator has removed it
         after_ms = self.returned_ms[permit.id] + SETTLE_MS[sight.unit.of]
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -45,7 +45,7 @@
         assert isinstance(found, Watched)
         await found.start_many(count)
         found.watch()
-        await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.sights.values()))
+        await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.observations.values()))
         yield found
 
 
@@ -109,7 +109,7 @@
             assert await permits.give_back("ann", held.id, False) == returned
             with pytest.raises(Refusal, match="take a new one"):
                 await permits.renew("ann", held.id)
-            await until(lambda: permits.ledger.sights[f"sidecar/{name}"].reason == "drained")
+            await until(lambda: permits.ledger.observations[f"sidecar/{name}"].reason == "drained")
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
             found.instances[name].draining = False
             await until(lambda: permits.ledger.permits[waiting.id].phase is PermitPhase.HELD)
@@ -350,7 +350,7 @@
             with pytest.raises(Refusal, match="is running"):
                 await engine.forget("ann", "i0000", False)
             found.kill("i0000")
-            await until(lambda: engine.permits.ledger.sights["sidecar/i0000"].out == 1.0)
+            await until(lambda: engine.permits.ledger.observations["sidecar/i0000"].out == 1.0)
             with pytest.raises(Refusal, match="--ended says it for you"):
                 await engine.forget("ann", "i0000", False)
             await engine.forget("ann", "i0000", True)
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -45,15 +45,15 @@
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(5)
             nodes, permits = Nodes(found), found.engine.permits
-            await until(lambda: [s.out for s in permits.ledger.sights.values()].count(0.0) == 9)
+            await until(lambda: [s.out for s in permits.ledger.observations.values()].count(0.0) == 9)
             first = await permits.take("ann", "a", ["upstream/n0"], "disk", 0, 60_000)
             second = await permits.take("bob", "b", ["upstream/n1"], "", 0, 60_000)
             assert (first.phase, second.phase) == (Phase.HELD, Phase.WAITING)
             nodes.states["n0"] = "draining"
-            await until(lambda: permits.ledger.sights["upstream/n0"].reason == "draining by 5 of 5")
+            await until(lambda: permits.ledger.observations["upstream/n0"].reason == "draining by 5 of 5")
             await permits.give_back("ann", first.id, False)
             nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back, and cold: so much of it is still out
-            await until(lambda: permits.ledger.sights["upstream/n0"].reason == "cold, 40%")
+            await until(lambda: permits.ledger.observations["upstream/n0"].reason == "cold, 40%")
             assert permits.ledger.permits[second.id].phase is Phase.WAITING
             nodes.warmth.clear()
             await until(lambda: permits.ledger.permits[second.id].phase is Phase.HELD)
@@ -68,7 +68,7 @@
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(4)
             nodes, engine = Nodes(found), found.engine
-            sights = engine.permits.ledger.sights
+            sights = engine.permits.ledger.observations
             await until(lambda: "upstream/n3" in sights and sights["upstream/n3"].out == 0.0)
             nodes.states["n0"] = "draining"  # told to go, then gone: none any more
             await until(lambda: sights["upstream/n0"].out == 1.0)
--- a/tests/cli/test_permit.py
+++ b/tests/cli/test_permit.py
@@ -29,7 +29,7 @@
         async with scene(tmp_path / "data", budgets=ONE) as s:
             await s.start_many(3)
             permits, gate = s.engine.permits, tmp_path / "go"
-            await until(lambda: all(sight.out == 0.0 for sight in permits.ledger.sights.values()))
+            await until(lambda: all(sight.out == 0.0 for sight in permits.ledger.observations.values()))
             wait = f"until [ -e {gate} ]; do sleep 0.02; done; exit 7"
             first = await permit_run(s.agent.data, "--unit", "i0000", "--lease", "0.6", "--", "sh", "-c", wait)
             await until(lambda: [p.phase for p in permits.ledger.permits.values()] == [Phase.HELD])
@@ -55,7 +55,7 @@
         async with scene(tmp_path / "data", budgets=ONE) as s:
             await s.start_many(2)
             permits = s.engine.permits
-            await until(lambda: all(sight.out == 0.0 for sight in permits.ledger.sights.values()))
+            await until(lambda: all(sight.out == 0.0 for sight in permits.ledger.observations.values()))
             holder = await permit_run(s.agent.data, "--unit", "i0000", "--lease", "0.5", "--", "sleep", "0.2")
             await until(lambda: [p.phase for p in permits.ledger.permits.values()] == [Phase.HELD])
             holder.send_signal(signal.SIGKILL)
@@ -75,7 +75,7 @@
         gate, data = tmp_path / "go", tmp_path / "data"
         async with scene(data, budgets=ONE) as s:
             await s.start_many(1)
-            await until(lambda: all(sight.out == 0.0 for sight in s.engine.permits.ledger.sights.values()))
+            await until(lambda: all(sight.out == 0.0 for sight in s.engine.permits.ledger.observations.values()))
             holder = await permit_run(data, "--unit", "i0000", "--lease", "0.9", "--", "sh", "-c",
                                       f"until [ -e {gate} ]; do sleep 0.02; done")
             await until(lambda: any(p.phase is Phase.HELD for p in s.engine.permits.ledger.permits.values()))
@@ -95,7 +95,7 @@
     async def test() -> None:
         async with scene(tmp_path, budgets=ONE) as s:
             await s.start_many(2)
-            await until(lambda: all(sight.out == 0.0 for sight in s.engine.permits.ledger.sights.values()))
+            await until(lambda: all(sight.out == 0.0 for sight in s.engine.permits.ledger.observations.values()))
             code, out, _ = await tool(s, "halt", "errors rise")
             assert code == 0 and out.startswith("halted by admin at ") and out.strip().endswith(": errors rise")
             code, _, err = await tool(s, "drain", "i0000")
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -27,7 +27,7 @@
 
 class HeartbeatIsEvidence(Ledger):
     def _is_shown(self, permit: Permit, key: str) -> bool:
-        return self.sights[key].out <= 0.0
+        return self.observations[key].out <= 0.0
 
 
 class WordIsEvidence(Ledger):
@@ -49,7 +49,7 @@
     """A granted permit counts only once its units are observed to be out, which is after its holder was told."""
 
     def out(self, key: str) -> float:
-        return self.sights[key].out if key in self.sights else 1.0
+        return self.observations[key].out if key in self.observations else 1.0
 
 
 class UnseenServes(Ledger):
@@ -152,7 +152,7 @@
     world = World(7)
     world.run(30_000)
     again = Ledger(world.ledger.budgets)
-    for sight in world.ledger.sights.values():
+    for sight in world.ledger.observations.values():
         again.see(sight)
     again.load(world.ledger.permits.values(), 0)
 
