--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -82,7 +82,7 @@
         self.budgets = tuple(budgets)
         self.observations: dict[str, Observation] = {}
         self.cells: dict[tuple[str, str], BudgetCell] = {}
-        self.cells_of: dict[str, tuple[BudgetCell, ...]] = {}
+        self.cells_by_unit: dict[str, tuple[BudgetCell, ...]] = {}
         self.permits: dict[int, Permit] = {}  # those that wait or count
         self.covers: dict[str, set[int]] = {}  # key of a unit -> ids of the permits that cover it
         self.renewed_ms: dict[int, int] = {}
@@ -109,9 +109,9 @@
             sight = replace(sight, asked_ms=old.asked_ms)
         if old is None or old.unit != unit:
             self.forget(key)
-            self.cells_of[key] = tuple(self._cell(budget, unit) for budget in self.budgets if budget.matches(unit))
+            self.cells_by_unit[key] = tuple(self._cell(budget, unit) for budget in self.budgets if budget.matches(unit))
             self.observations[key] = sight
-            for cell in self.cells_of[key]:
+            for cell in self.cells_by_unit[key]:
                 cell.units.add(key)
                 cell.weight += unit.weight
             self._count(key, 0.0, self.out(key))
@@ -128,7 +128,7 @@
             return
         self._count(key, self.out(key), 0.0)
         del self.observations[key]
-        for cell in self.cells_of.pop(key):
+        for cell in self.cells_by_unit.pop(key):
             cell.units.discard(key)
             cell.weight -= sight.unit.weight
 
@@ -142,7 +142,7 @@
         if before == after:
             return
         weight = self.observations[key].unit.weight
-        for cell in self.cells_of[key]:
+        for cell in self.cells_by_unit[key]:
             cell.out += after - before
             cell.weight_out += (after - before) * weight
             if after > 0.0:
@@ -154,7 +154,7 @@
 
     def is_bound(self, key: str) -> bool:
         """Whether any budget covers this unit."""
-        return bool(self.cells_of.get(key))
+        return bool(self.cells_by_unit.get(key))
 
     def waits_for(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
@@ -179,7 +179,7 @@
             if sight is None or (sight.known and sight.out >= 1.0):
                 continue
             more = 1.0 - self.out(key)
-            for cell in self.cells_of[key]:
+            for cell in self.cells_by_unit[key]:
                 number, weight = found.get(cell, (0.0, 0.0))
                 found[cell] = number + more, weight + more * sight.unit.weight
         return found
@@ -188,7 +188,7 @@
         """Raises ImpossibleRequest if these units could not be out together even with all others in service."""
         whole: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
-            for cell in self.cells_of.get(key, ()):
+            for cell in self.cells_by_unit.get(key, ()):
                 number, weight = whole.get(cell, (0.0, 0.0))
                 whole[cell] = number + 1.0, weight + self.observations[key].unit.weight
         for cell, (number, weight) in whole.items():
@@ -267,7 +267,7 @@
 
     def wait(self, name: str, priority: int, units: Iterable[str], now_ms: int) -> Waiter:
         """Adds or updates a waiter; it keeps its place until `dequeue` or until its permit no longer waits."""
-        cells = frozenset(cell for key in units for cell in self.cells_of.get(key, ()))
+        cells = frozenset(cell for key in units for cell in self.cells_by_unit.get(key, ()))
         old = self.waiters.get(name)
         if old is None:
             self.sequence += 1
