--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -84,7 +84,7 @@
         self.cells: dict[tuple[str, str], BudgetCell] = {}
         self.cells_by_unit: dict[str, tuple[BudgetCell, ...]] = {}
         self.permits: dict[int, Permit] = {}  # those that wait or count
-        self.covers: dict[str, set[int]] = {}  # key of a unit -> ids of the permits that cover it
+        self.permits_by_unit: dict[str, set[int]] = {}  # key of a unit -> ids of the permits that cover it
         self.renewed_ms: dict[int, int] = {}
         self.returned_ms: dict[int, int] = {}
         self.waiters: dict[str, Waiter] = {}
@@ -95,7 +95,7 @@
 
     def out(self, key: str) -> float:
         """How much of a unit counts as out, from 0.0 to 1.0."""
-        if self.covers.get(key):
+        if self.permits_by_unit.get(key):
             return 1.0
         sight = self.observations.get(key)
         return sight.out if sight is not None else 1.0
@@ -119,7 +119,7 @@
         before = self.out(key)
         self.observations[key] = sight
         self._count(key, before, self.out(key))
-        return self.out(key) < before or bool(self.covers.get(key))
+        return self.out(key) < before or bool(self.permits_by_unit.get(key))
 
     def forget(self, key: str) -> None:
         """Removes a unit that an operator has declared gone for good; it no longer counts at all."""
@@ -231,7 +231,7 @@
         sight = self.observations.get(key)
         if sight is not None and sight.out > 0.0:
             return sight.reason
-        covers = [self.permits[ident] for ident in sorted(self.covers.get(key, ()))]
+        covers = [self.permits[ident] for ident in sorted(self.permits_by_unit.get(key, ()))]
         return f"{covers[0].phase} by {covers[0].holder}" if covers else "not seen" if sight is None else "serves"
 
     # Permits
@@ -255,10 +255,10 @@
             for known in (self.permits, self.renewed_ms, self.returned_ms):
                 known.pop(permit.id, None)
         for key in permit.units:
-            covers = self.covers.setdefault(key, set())
+            covers = self.permits_by_unit.setdefault(key, set())
             covers.add(permit.id) if permit.phase in COUNTED_PHASES else covers.discard(permit.id)
             if not covers:
-                del self.covers[key]
+                del self.permits_by_unit[key]
         for key, share in before.items():
             if key in self.observations:
                 self._count(key, share, self.out(key))
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -43,7 +43,7 @@
         put(self, permit, now_ms)
         if str(permit.phase) == "returned":
             for key in permit.units:
-                self.covers.pop(key, None)
+                self.permits_by_unit.pop(key, None)
 
     Ledger.put = forgetful  # type: ignore[method-assign]
 
