--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -271,8 +271,8 @@
         old = self.waiters.get(name)
         if old is None:
             self.sequence += 1
-        since_ms, order = (old.since_ms, old.order) if old is not None else (now_ms, self.sequence)
-        found = self.waiters[name] = Waiter(name, priority, since_ms, order, cells)
+        since_ms, last_sequence = (old.since_ms, old.order) if old is not None else (now_ms, self.sequence)
+        found = self.waiters[name] = Waiter(name, priority, since_ms, last_sequence, cells)
         return found
 
     def leave(self, name: str) -> None:
