--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -93,7 +93,7 @@
 
     # Observations
 
-    def out(self, key: str) -> float:
+    def out_fraction(self, key: str) -> float:
         """How much of a unit counts as out, from 0.0 to 1.0."""
         if self.permits_by_unit.get(key):
             return 1.0
@@ -114,19 +114,19 @@
             for cell in self.cells_by_unit[key]:
                 cell.units.add(key)
                 cell.weight += unit.weight
-            self._count(key, 0.0, self.out(key))
+            self._count(key, 0.0, self.out_fraction(key))
             return True
-        before = self.out(key)
+        before = self.out_fraction(key)
         self.observations[key] = sight
-        self._count(key, before, self.out(key))
-        return self.out(key) < before or bool(self.permits_by_unit.get(key))
+        self._count(key, before, self.out_fraction(key))
+        return self.out_fraction(key) < before or bool(self.permits_by_unit.get(key))
 
     def forget(self, key: str) -> None:
         """Removes a unit that an operator has declared gone for good; it no longer counts at all."""
         sight = self.observations.get(key)
         if sight is None:
             return
-        self._count(key, self.out(key), 0.0)
+        self._count(key, self.out_fraction(key), 0.0)
         del self.observations[key]
         for cell in self.cells_by_unit.pop(key):
             cell.units.discard(key)
@@ -178,7 +178,7 @@
             sight = self.observations.get(key)
             if sight is None or (sight.known and sight.out >= 1.0):
                 continue
-            more = 1.0 - self.out(key)
+            more = 1.0 - self.out_fraction(key)
             for cell in self.cells_by_unit[key]:
                 number, weight = found.get(cell, (0.0, 0.0))
                 found[cell] = number + more, weight + more * sight.unit.weight
@@ -244,7 +244,7 @@
     def put(self, permit: Permit, now_ms: int) -> None:
         """Stores the new state of a permit and updates the counts and the waiters."""
         old = self.permits.get(permit.id)
-        before = {key: self.out(key) for key in permit.units}
+        before = {key: self.out_fraction(key) for key in permit.units}
         if permit.phase in COUNTED_PHASES or permit.phase is Phase.WAITING:
             self.permits[permit.id] = permit
             if old is None or (old.phase, permit.phase) == (Phase.WAITING, Phase.HELD):
@@ -261,7 +261,7 @@
                 del self.permits_by_unit[key]
         for key, share in before.items():
             if key in self.observations:
-                self._count(key, share, self.out(key))
+                self._count(key, share, self.out_fraction(key))
         if permit.phase is not Phase.WAITING and not permit.operation:  # an operation waits on for its next target
             self.waiters.pop(name_of(permit), None)
 
