--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -98,7 +98,7 @@
     units = [Unit(of, f"u{n}", f"s{n % 40}", "abcd"[n % 4], f"k{n % 5}", f"g{n % 100}", 1.0 + n % 3)
              for of, count in ((UnitKind.SIDECAR, 5_000), (UnitKind.UPSTREAM, 500)) for n in range(count)]
     for unit in units:
-        ledger.see(Observation(unit, 0.0))
+        ledger.observe(Observation(unit, 0.0))
     for ident in range(1, 1_001):
         keys = tuple(unit.key for unit in rng.sample(units, rng.choice((1, 1, 2, 5))))
         ledger.put(Permit(ident, str(ident), "h", keys, priority=rng.randrange(3), lease_ms=9_000), 0)
@@ -111,7 +111,7 @@
             ledger.put(permit.with_phase(Phase.ENDED), turn * 100)
         for unit in rng.sample(units, 200):
             start_s = time.perf_counter()
-            ledger.see(Observation(unit, float(rng.random() < 0.01), "not ready"))
+            ledger.observe(Observation(unit, float(rng.random() < 0.01), "not ready"))
             reports.append(time.perf_counter() - start_s)
         permit = Permit(10_000 + turn, "x", "h", (rng.choice(units).key,))
         start_s = time.perf_counter()
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -79,7 +79,7 @@
         """A new one: it knows the record, and nothing of what is out now."""
         self.ledger = self.make(BUDGETS)
         for truth in self.units.values():
-            self.ledger.see(Observation(truth.unit, 1.0, "not seen", known=False))
+            self.ledger.observe(Observation(truth.unit, 1.0, "not seen", known=False))
         self.heard_ms = dict.fromkeys(self.units, self.now_ms)
         self.told_out = dict.fromkeys(self.units, False)
         self.ledger.load(self.record.values(), self.now_ms)
@@ -98,7 +98,7 @@
         ledger, now_ms = self.ledger, self.now_ms
         for key, heard_ms in self.heard_ms.items():
             if now_ms - heard_ms >= SILENT_MS:
-                ledger.see(Observation(self.units[key].unit, 1.0, "silent", known=False))
+                ledger.observe(Observation(self.units[key].unit, 1.0, "silent", known=False))
                 self.told_out[key] = False
         for permit in (*ledger.lapses(now_ms), *ledger.ends()):
             self.keep(permit)
@@ -146,7 +146,7 @@
         if leader is self.ledger:  # what was sent to a former one is lost
             self.heard_ms[sight.unit.key] = self.now_ms
             self.told_out[sight.unit.key] = sight.out > 0.0
-            leader.see(sight)
+            leader.observe(sight)
 
     def fail(self) -> None:
         truth = self.rng.choice(list(self.units.values()))
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -100,7 +100,7 @@
         return Observation(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
     def see(self, name: str) -> None:
-        if self.ledger.see(self.sight(name)):
+        if self.ledger.observe(self.sight(name)):
             self.wake.set()
 
     def forget(self, name: str) -> None:
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -76,6 +76,6 @@
                 self.ledger.forget(sight.unit.key)  # told to go, and gone: it is no unit any more
                 room = True
             else:
-                room |= self.ledger.see(sight)
+                room |= self.ledger.observe(sight)
         if room:
             self.changed()
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -100,7 +100,7 @@
         sight = self.observations.get(key)
         return sight.out if sight is not None else 1.0
 
-    def see(self, sight: Observation) -> bool:
+    def observe(self, sight: Observation) -> bool:
         """Stores the latest observation of a unit. Returns whether it may make room or end a permit."""
         key, unit = sight.unit.key, sight.unit
         old = self.observations.get(key)
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -42,7 +42,7 @@
 
 class SilentIsOut(Ledger):
     def see(self, sight: Observation) -> bool:
-        return super().see(replace(sight, known=True))
+        return super().observe(replace(sight, known=True))
 
 
 class CountsOnlyWhatIsSeen(Ledger):
@@ -56,7 +56,7 @@
     """A new leader assumes that units it has not heard from serve."""
 
     def see(self, sight: Observation) -> bool:
-        return super().see(replace(sight, out=0.0) if not sight.known else sight)
+        return super().observe(replace(sight, out=0.0) if not sight.known else sight)
 
 
 @pytest.mark.parametrize("fault", [LeaseIsEvidence, HeartbeatIsEvidence, WordIsEvidence, OneBudgetOfThree, SilentIsOut,
@@ -71,7 +71,7 @@
 def ledger(*budgets: Budget, count: int = 6) -> Ledger:
     found = Ledger(budgets)
     for n in range(count):
-        found.see(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n % 2]), 0.0))
+        found.observe(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n % 2]), 0.0))
     return found
 
 
@@ -120,7 +120,7 @@
 def test_what_is_out_may_be_mended_with_the_budget_spent_and_under_a_halt() -> None:
     found = ledger(ALL)
     for n in range(3):
-        found.see(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n % 2]), 1.0, "gone"))
+        found.observe(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n % 2]), 1.0, "gone"))
     assert ask(found, 0, permit(1, "i4")) == [] and ask(found, 0, permit(2, "i0")) == [2]
     found.halted = "ann: a bad release"
     assert ask(found, 1, permit(3, "i1")) == [3]
@@ -129,7 +129,7 @@
 
 def test_an_explanation_names_who_is_out_and_why() -> None:
     found = ledger(ALL)
-    found.see(Observation(Unit(UnitKind.SIDECAR, "i0", zone="a"), 1.0, "silent", known=False))
+    found.observe(Observation(Unit(UnitKind.SIDECAR, "i0", zone="a"), 1.0, "silent", known=False))
     assert ask(found, 0, permit(1, "i1"), permit(2, "i2")) == [1]
     text = found.reserve(found.permits[2], 1)
     assert text == "budget all: 2 out of 2 at most (i0 silent, i1 held by ann)"
@@ -138,10 +138,10 @@
 def test_cold_units_count_by_what_they_cannot_do_yet() -> None:
     found = ledger(Budget("all", UnitKind.SIDECAR, capacity=0.5), count=4)
     for n in range(2):
-        found.see(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n]), 0.75, "cold"))
+        found.observe(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n]), 0.75, "cold"))
     assert ask(found, 0, permit(1, "i2")) == []
     for n in range(2):
-        found.see(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n]), 0.5, "cold"))
+        found.observe(Observation(Unit(UnitKind.SIDECAR, f"i{n}", zone="ab"[n]), 0.5, "cold"))
     assert ask(found, 1) == [1]
 
 
@@ -153,7 +153,7 @@
     world.run(30_000)
     again = Ledger(world.ledger.budgets)
     for sight in world.ledger.observations.values():
-        again.see(sight)
+        again.observe(sight)
     again.load(world.ledger.permits.values(), 0)
 
     def sums(cells: Iterable[BudgetCell]) -> dict[str, tuple[float, float, float, int]]:
