--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -109,7 +109,7 @@
             sight = replace(sight, asked_ms=old.asked_ms)
         if old is None or old.unit != unit:
             self.forget(key)
-            self.cells_by_unit[key] = tuple(self._cell(budget, unit) for budget in self.budgets if budget.matches(unit))
+            self.cells_by_unit[key] = tuple(self._cell_for(budget, unit) for budget in self.budgets if budget.matches(unit))
             self.observations[key] = sight
             for cell in self.cells_by_unit[key]:
                 cell.units.add(key)
@@ -132,7 +132,7 @@
             cell.units.discard(key)
             cell.weight -= sight.unit.weight
 
-    def _cell(self, budget: Budget, unit: Unit) -> BudgetCell:
+    def _cell_for(self, budget: Budget, unit: Unit) -> BudgetCell:
         at = (budget.name, budget.group_of(unit))
         if at not in self.cells:
             self.cells[at] = BudgetCell(budget, at[1])
