--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -114,11 +114,11 @@
             for cell in self.cells_by_unit[key]:
                 cell.units.add(key)
                 cell.weight += unit.weight
-            self._count(key, 0.0, self.out_fraction(key))
+            self._update_counts(key, 0.0, self.out_fraction(key))
             return True
         before = self.out_fraction(key)
         self.observations[key] = sight
-        self._count(key, before, self.out_fraction(key))
+        self._update_counts(key, before, self.out_fraction(key))
         return self.out_fraction(key) < before or bool(self.permits_by_unit.get(key))
 
     def forget(self, key: str) -> None:
@@ -126,7 +126,7 @@
         sight = self.observations.get(key)
         if sight is None:
             return
-        self._count(key, self.out_fraction(key), 0.0)
+        self._update_counts(key, self.out_fraction(key), 0.0)
         del self.observations[key]
         for cell in self.cells_by_unit.pop(key):
             cell.units.discard(key)
@@ -138,7 +138,7 @@
             self.cells[at] = BudgetCell(budget, at[1])
         return self.cells[at]
 
-    def _count(self, key: str, before: float, after: float) -> None:
+    def _update_counts(self, key: str, before: float, after: float) -> None:
         if before == after:
             return
         weight = self.observations[key].unit.weight
@@ -261,7 +261,7 @@
                 del self.permits_by_unit[key]
         for key, share in before.items():
             if key in self.observations:
-                self._count(key, share, self.out_fraction(key))
+                self._update_counts(key, share, self.out_fraction(key))
         if permit.phase is not Phase.WAITING and not permit.operation:  # an operation waits on for its next target
             self.waiters.pop(name_of(permit), None)
 
