--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -118,7 +118,7 @@
             return f"the end of its former permit for {target.name} is being recorded"
         if known is not None and known.phase is Phase.HELD and (is_way_back or not self.ledger.halted):
             return ""
-        if not self.ledger.is_bound(key):
+        if not self.ledger.has_budget(key):
             return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_way_back else ""
         permit = known or Permit(ident, str(target.position), f"operation {op.id}", (key,), str(op.kind),
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
@@ -149,7 +149,7 @@
         """What an agent without budgets had begun counts all the same."""
         for target in targets:
             key = f"{UnitKind.SIDECAR}/{target.name}"
-            if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.is_bound(key)
+            if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.has_budget(key)
                     and permit_id(op, target) not in self.ledger.permits):
                 self.put([Permit(permit_id(op, target), str(target.position), f"operation {op.id}", (key,),
                                  str(op.kind), phase=Phase.HELD, created_ms=op.created_ms, operation=op.id)])
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -152,7 +152,7 @@
 
     # Room
 
-    def is_bound(self, key: str) -> bool:
+    def has_budget(self, key: str) -> bool:
         """Whether any budget covers this unit."""
         return bool(self.cells_by_unit.get(key))
 
