--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -318,7 +318,7 @@
     ledger = engine.permits.ledger
     waits = ""
     if permit.phase is Phase.WAITING:
-        waits = ledger.waits_for(permit, clock_ms())
+        waits = ledger.waiting_reason(permit, clock_ms())
     elif permit.phase is Phase.RETURNED:
         waits = ", ".join(f"{key} {ledger.observations[key].reason or 'has still to be asked'}" for key in permit.units
                           if key in ledger.observations)
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -156,7 +156,7 @@
         """Whether any budget covers this unit."""
         return bool(self.cells_by_unit.get(key))
 
-    def waits_for(self, permit: Permit, now_ms: int) -> str:
+    def waiting_reason(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(name_of(permit))
         place = waiter.rank(now_ms) if waiter is not None else (0, self.sequence + 1)
