--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -168,7 +168,7 @@
                  if not any(cell.budget is budget for cell in self.cells.values())]
         return sorted([*self.cells.values(), *empty], key=lambda cell: (cell.budget.name, cell.value))
 
-    def _adds(self, units: Iterable[str]) -> dict[BudgetCell, tuple[float, float]]:
+    def _additional_out(self, units: Iterable[str]) -> dict[BudgetCell, tuple[float, float]]:
         """The additional units and weight of each cell, were these units taken out. A unit that is known to be out is
         skipped, so that it can be repaired at any time. One that is silent or already covered by a permit counts as out
         without being known to be out: it adds nothing, but its cells must be within their limits. Otherwise, if half
@@ -199,7 +199,7 @@
     def stands_in_the_way(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
                           is_way_back: bool = False) -> str:
         """Why these units can't be taken out now; empty = they can. Halts don't block a rollback."""
-        adds = self._adds(units)
+        adds = self._additional_out(units)
         if not adds:
             return ""
         if self.halted and not is_way_back:
@@ -305,7 +305,7 @@
         granted = []
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.rank(now_ms)):
             found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
-            adds = self._adds(found.units) if found is not None else {}
+            adds = self._additional_out(found.units) if found is not None else {}
             if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._fit(adds))):
                 taken |= waiter.cells
                 continue
