--- a/bench/permits.py
+++ b/bench/permits.py
@@ -168,7 +168,7 @@
         permit = Permit(number, f"k{number}", f"h{number}", keys, priority=rng.randrange(3), lease_ms=LEASE_MS)
         self.at(rng.randrange(500, 4_000), self.holder)
         try:
-            self.ledger.check(keys)
+            self.ledger.check_possible(keys)
         except ImpossibleRequest:
             return
         self.keep(permit)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -127,7 +127,7 @@
             self.ledger.put(permit.with_phase(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
         else:
             try:
-                self.ledger.check((key,))
+                self.ledger.check_possible((key,))
                 problem = self.ledger.reserve(permit, now_ms, is_way_back)
             except ImpossibleRequest as impossible:
                 problem = str(impossible)
@@ -220,7 +220,7 @@
                 raise Refusal("NOT_FOUND", f"units: expected units that are known (sidecar/NAME, see `ironscale ls`), "
                                            f"got {unit!r:.80}")
         try:
-            self.ledger.check(units)
+            self.ledger.check_possible(units)
         except ImpossibleRequest as impossible:
             raise Refusal("BAD_INPUT", str(impossible)) from impossible
 
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -184,7 +184,7 @@
                 found[cell] = number + more, weight + more * sight.unit.weight
         return found
 
-    def check(self, units: Iterable[str]) -> None:
+    def check_possible(self, units: Iterable[str]) -> None:
         """Raises ImpossibleRequest if these units could not be out together even with all others in service."""
         whole: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -113,8 +113,8 @@
     found = ledger(ALL, Budget("zone", UnitKind.SIDECAR, each="zone", capacity=0.4))
     for names in (("i0", "i1", "i3"), ("i0", "i2")):
         with pytest.raises(ImpossibleRequest, match="expected 2 at most|expected 40% of capacity at most"):
-            found.check([f"sidecar/{name}" for name in names])
-    found.check(["sidecar/i0", "sidecar/i1"])
+            found.check_possible([f"sidecar/{name}" for name in names])
+    found.check_possible(["sidecar/i0", "sidecar/i1"])
 
 
 def test_what_is_out_may_be_mended_with_the_budget_spent_and_under_a_halt() -> None:
