--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -160,7 +160,7 @@
         """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(name_of(permit))
         place = waiter.rank(now_ms) if waiter is not None else (0, self.sequence + 1)
-        return self.stands_in_the_way(permit.units, name_of(permit), place, now_ms)
+        return self.blocking_reason(permit.units, name_of(permit), place, now_ms)
 
     def all_cells(self) -> list[BudgetCell]:
         """All cells in order, including an empty one for each budget that matches no unit."""
@@ -196,7 +196,7 @@
                 raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
                                  f"at once; ask for them one after the other")
 
-    def stands_in_the_way(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
+    def blocking_reason(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
                           is_way_back: bool = False) -> str:
         """Why these units can't be taken out now; empty = they can. Halts don't block a rollback."""
         adds = self._additional_out(units)
@@ -283,7 +283,7 @@
         reason is returned. Halts don't block a rollback."""
         waiter = name_of(permit)
         mine = self.wait(waiter, permit.priority, permit.units, now_ms)
-        problem = self.stands_in_the_way(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
+        problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
         if not problem:
             self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -171,7 +171,7 @@
             await asyncio.sleep(0)  # it has been asked for, and its commit is under way
             assert permits.halt is None
             # hazard: an operation's round would reserve now, and its command be recorded behind the halt
-            assert permits.ledger.stands_in_the_way(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
+            assert permits.ledger.blocking_reason(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
             permit = await permits.take("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
             assert permit.phase is PermitPhase.WAITING
             assert (await halting).text == "ann: now"
@@ -237,7 +237,7 @@
             await asyncio.sleep(0)
             assert found.engine.permits.doubt and not found.instances["i0000"].effects
             # it may stand: nothing else goes out meanwhile
-            assert permits.ledger.stands_in_the_way(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
+            assert permits.ledger.blocking_reason(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
             known.set()
             assert (await found.end(op))[0].phase is Phase.SUCCEEDED
             await until(lambda: not permits.doubt and not permits.counted())
@@ -274,7 +274,7 @@
                 assert "broke off" in str(error)
             assert known, "no pass has met it"
             assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.doubt
-            assert permits.ledger.stands_in_the_way(("sidecar/i0002",), "x", (0, 99), 0)
+            assert permits.ledger.blocking_reason(("sidecar/i0002",), "x", (0, 99), 0)
             away[0] = False
             await until(lambda: other.id not in permits.doubt)
             if not stands:  # as the record has it, it waits; and is granted again
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -124,7 +124,7 @@
     assert ask(found, 0, permit(1, "i4")) == [] and ask(found, 0, permit(2, "i0")) == [2]
     found.halted = "ann: a bad release"
     assert ask(found, 1, permit(3, "i1")) == [3]
-    assert found.stands_in_the_way(("sidecar/i5",), "", (0, 0), 1) == "halted by ann: a bad release"
+    assert found.blocking_reason(("sidecar/i5",), "", (0, 0), 1) == "halted by ann: a bad release"
 
 
 def test_an_explanation_names_who_is_out_and_why() -> None:
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -31,7 +31,7 @@
 
 
 def grants_all_that_wait() -> None:
-    Ledger.stands_in_the_way = lambda self, *args, **more: ""  # type: ignore[method-assign]
+    Ledger.blocking_reason = lambda self, *args, **more: ""  # type: ignore[method-assign]
     Ledger._fit = staticmethod(lambda adds: True)  # type: ignore[method-assign]
 
 
