--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -214,7 +214,7 @@
 
     def explain(self, cell: BudgetCell) -> str:
         """How much of a cell is out, and which units."""
-        named = [f"{key.partition('/')[2]} {self.why(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
+        named = [f"{key.partition('/')[2]} {self.out_reason(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
         more = f" and {len(cell.out_units) - MAX_LISTED_UNITS} more" if len(cell.out_units) > MAX_LISTED_UNITS else ""
         listed = f" ({', '.join(named)}{more})" if named else ""
         return f"budget {cell.title}: {cell.out:.4g} out of {self._limit(cell)} at most{listed}"
@@ -226,7 +226,7 @@
             parts.append(f"{cell.budget.capacity:.0%} of capacity")
         return " and ".join(parts)
 
-    def why(self, key: str) -> str:
+    def out_reason(self, key: str) -> str:
         """Why a unit counts as out."""
         sight = self.observations.get(key)
         if sight is not None and sight.out > 0.0:
