--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -265,7 +265,7 @@
         if permit.phase is not Phase.WAITING and not permit.operation:  # an operation waits on for its next target
             self.waiters.pop(name_of(permit), None)
 
-    def wait(self, name: str, priority: int, units: Iterable[str], now_ms: int) -> Waiter:
+    def enqueue(self, name: str, priority: int, units: Iterable[str], now_ms: int) -> Waiter:
         """Adds or updates a waiter; it keeps its place until `dequeue` or until its permit no longer waits."""
         cells = frozenset(cell for key in units for cell in self.cells_by_unit.get(key, ()))
         old = self.waiters.get(name)
@@ -282,7 +282,7 @@
         """Counts a permit as held if there is room, and returns an empty text; otherwise it waits in its turn, and the
         reason is returned. Halts don't block a rollback."""
         waiter = name_of(permit)
-        mine = self.wait(waiter, permit.priority, permit.units, now_ms)
+        mine = self.enqueue(waiter, permit.priority, permit.units, now_ms)
         problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
         if not problem:
             self.put(permit.with_phase(Phase.HELD), now_ms)
@@ -299,7 +299,7 @@
         one without room holds back all those behind it that need one of its cells."""
         for permit in self.permits.values():
             if permit.phase is Phase.WAITING:
-                self.wait(name_of(permit), permit.priority, permit.units, now_ms)
+                self.enqueue(name_of(permit), permit.priority, permit.units, now_ms)
         waiting = {name_of(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
         taken: set[BudgetCell] = set()
         granted = []
