--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -117,7 +117,7 @@
         start_s = time.perf_counter()
         if not ledger.reserve(permit, turn * 100):
             ledger.release(permit.id, turn * 100)
-        ledger.leave(f"permit {permit.id}")
+        ledger.dequeue(f"permit {permit.id}")
         single.append(time.perf_counter() - start_s)
     waiting = sum(permit.phase is Phase.WAITING for permit in ledger.permits.values())
     print(f"5,500 units, 1,000 waiting at first, {waiting} at last, in ms:")
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -223,7 +223,7 @@
             except TimeoutError:
                 pass
         self.live.pop(live.op.id, None)
-        self.permits.ledger.leave(f"operation {live.op.id}")
+        self.permits.ledger.dequeue(f"operation {live.op.id}")
         self.notify()
 
     async def round(self, live: Live) -> tuple[bool, int | None]:
@@ -253,7 +253,7 @@
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
         live.waits = plan.waits
         if not plan.waits:
-            self.permits.ledger.leave(f"operation {op.id}")
+            self.permits.ledger.dequeue(f"operation {op.id}")
         for target in plan.targets:
             answered[target.position] = target
         changed = {after.name: after for before, after in zip(live.targets, answered, strict=True)
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -275,7 +275,7 @@
         found = self.waiters[name] = Waiter(name, priority, since_ms, last_sequence, cells)
         return found
 
-    def leave(self, name: str) -> None:
+    def dequeue(self, name: str) -> None:
         self.waiters.pop(name, None)
 
     def reserve(self, permit: Permit, now_ms: int, is_way_back: bool = False) -> str:
