--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -116,7 +116,7 @@
         permit = Permit(10_000 + turn, "x", "h", (rng.choice(units).key,))
         start_s = time.perf_counter()
         if not ledger.reserve(permit, turn * 100):
-            ledger.release(permit.id, turn * 100)
+            ledger.cancel_reservation(permit.id, turn * 100)
         ledger.dequeue(f"permit {permit.id}")
         single.append(time.perf_counter() - start_s)
     waiting = sum(permit.phase is Phase.WAITING for permit in ledger.permits.values())
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -168,7 +168,7 @@
             return
         for ident, permit in before.items():
             if permit is None:
-                self.ledger.release(ident, clock_ms())
+                self.ledger.cancel_reservation(ident, clock_ms())
             else:
                 self.ledger.put(permit, clock_ms())
 
@@ -427,7 +427,7 @@
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
-                    self.ledger.release(ident, clock_ms())
+                    self.ledger.cancel_reservation(ident, clock_ms())
                     self.doubt.discard(ident)
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -288,7 +288,7 @@
             self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
 
-    def release(self, ident: int, now_ms: int) -> None:
+    def cancel_reservation(self, ident: int, now_ms: int) -> None:
         """Drops a reservation that could not be recorded; nobody has been told of it."""
         permit = self.permits.get(ident)
         if permit is not None:
