--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -105,7 +105,7 @@
     passes, reports, single = [], [], []
     for turn in range(60):
         start_s = time.perf_counter()
-        granted = ledger.grants(turn * 100)
+        granted = ledger.grant_waiting(turn * 100)
         passes.append(time.perf_counter() - start_s)
         for permit in granted:
             ledger.put(permit.with_phase(Phase.ENDED), turn * 100)
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -104,7 +104,7 @@
             self.keep(permit)
             ledger.put(permit, now_ms)
             self.ended += permit.phase is Phase.ENDED
-        for permit in ledger.grants(now_ms):
+        for permit in ledger.grant_waiting(now_ms):
             self.granted(permit)
         for key in ledger.asks():
             there_ms, back_ms = self.rng.randrange(LATEST_MS), self.rng.randrange(LATEST_MS)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -398,7 +398,7 @@
         lapsed = self.ledger.lapses(clock_ms())
         if lapsed:
             await self.record(lapsed, "agent", str(Phase.UNKNOWN))
-        granted = self.ledger.grants(clock_ms())
+        granted = self.ledger.grant_waiting(clock_ms())
         if granted:
             try:
                 await self.record(granted, "agent", str(Phase.HELD))
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -294,7 +294,7 @@
         if permit is not None:
             self.put(permit.with_phase(Phase.WITHDRAWN), now_ms)
 
-    def grants(self, now_ms: int) -> list[Permit]:
+    def grant_waiting(self, now_ms: int) -> list[Permit]:
         """Reserves and returns the waiting permits for which there is room now, in their order. Each is looked at once;
         one without room holds back all those behind it that need one of its cells."""
         for permit in self.permits.values():
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -82,7 +82,7 @@
 def ask(found: Ledger, now_ms: int, *permits: Permit) -> list[int]:
     for one in permits:
         found.put(one, now_ms)
-    return [one.id for one in found.grants(now_ms)]
+    return [one.id for one in found.grant_waiting(now_ms)]
 
 
 ALL = Budget("all", UnitKind.SIDECAR, number=2)
