--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -204,7 +204,7 @@
             return ""
         if self.halted and not is_way_back:
             return f"halted by {self.halted}"
-        if not self._fit(adds):
+        if not self._have_room(adds):
             return next(self.explain(cell) for cell, more in adds.items() if not cell.has_room(*more))
         # without this, small requests would keep overtaking a large one, which would never find enough room at once
         for other in self.waiters.values():
@@ -306,7 +306,7 @@
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.rank(now_ms)):
             found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
             adds = self._additional_out(found.units) if found is not None else {}
-            if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._fit(adds))):
+            if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._have_room(adds))):
                 taken |= waiter.cells
                 continue
             held = found.with_phase(Phase.HELD)
@@ -315,7 +315,7 @@
         return granted
 
     @staticmethod
-    def _fit(adds: dict[BudgetCell, tuple[float, float]]) -> bool:
+    def _have_room(adds: dict[BudgetCell, tuple[float, float]]) -> bool:
         return all(cell.has_room(number, weight) for cell, (number, weight) in adds.items())
 
     def renew(self, ident: int, now_ms: int) -> Permit:
