--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -395,7 +395,7 @@
                 await self.record(over, "agent", str(Phase.ENDED))
             finally:
                 self.ending = set()
-        lapsed = self.ledger.lapses(clock_ms())
+        lapsed = self.ledger.expired_leases(clock_ms())
         if lapsed:
             await self.record(lapsed, "agent", str(Phase.UNKNOWN))
         granted = self.ledger.grant_waiting(clock_ms())
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -324,7 +324,7 @@
         permit = self.permits[ident]
         return permit.with_phase(Phase.HELD) if permit.phase is Phase.UNKNOWN else permit
 
-    def lapses(self, now_ms: int) -> list[Permit]:
+    def expired_leases(self, now_ms: int) -> list[Permit]:
         """Held permits whose lease has expired, in phase UNKNOWN; their units still count as out."""
         return [p.with_phase(Phase.UNKNOWN, "its lease ran out; whether its holder goes on is not known")
                 for p in self.permits.values()
