--- a/bench/permits.py
+++ b/bench/permits.py
@@ -106,7 +106,7 @@
             self.ended += permit.phase is Phase.ENDED
         for permit in ledger.grant_waiting(now_ms):
             self.granted(permit)
-        for key in ledger.asks():
+        for key in ledger.units_to_ask():
             there_ms, back_ms = self.rng.randrange(LATEST_MS), self.rng.randrange(LATEST_MS)
             self.at(there_ms, partial(self.answer, key, now_ms, back_ms, ledger))
         self.at(100, self.tick)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -375,7 +375,7 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             self.room()
-            for key in self.ledger.asks():
+            for key in self.ledger.units_to_ask():
                 sort, _, name = key.partition("/")
                 if sort == UnitKind.SIDECAR:  # what sidecars see of upstreams is asked for all the time
                     self.ask(tasks, name)
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -330,7 +330,7 @@
                 for p in self.permits.values()
                 if p.phase is Phase.HELD and p.lease_ms and now_ms - self.renewed_ms[p.id] >= p.lease_ms]
 
-    def asks(self) -> list[str]:
+    def units_to_ask(self) -> list[str]:
         """Keys of units with a returned permit that still have to be asked whether they serve."""
         return sorted({key for p in self.permits.values() if p.phase is Phase.RETURNED for key in p.units
                        if key in self.observations and not self._is_shown(p, key)})
