--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -333,9 +333,9 @@
     def units_to_ask(self) -> list[str]:
         """Keys of units with a returned permit that still have to be asked whether they serve."""
         return sorted({key for p in self.permits.values() if p.phase is Phase.RETURNED for key in p.units
-                       if key in self.observations and not self._is_shown(p, key)})
+                       if key in self.observations and not self._serves_again(p, key)})
 
-    def _is_shown(self, permit: Permit, key: str) -> bool:
+    def _serves_again(self, permit: Permit, key: str) -> bool:
         """Whether the unit serves, by an answer to a request that was sent after the permit's return. A heartbeat is no
         evidence: it may have been on its way since before the holder acted."""
         sight = self.observations.get(key)
@@ -347,7 +347,7 @@
     def ends(self) -> list[Permit]:
         """Returned permits whose units all serve again, in phase ENDED."""
         return [p.with_phase(Phase.ENDED) for p in self.permits.values()
-                if p.phase is Phase.RETURNED and all(self._is_shown(p, key) for key in p.units)]
+                if p.phase is Phase.RETURNED and all(self._serves_again(p, key) for key in p.units)]
 
 
 def name_of(permit: Permit) -> str:
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -27,7 +27,7 @@
 
 
 def word_is_evidence() -> None:
-    Ledger._is_shown = lambda self, permit, key: True  # type: ignore[method-assign]
+    Ledger._serves_again = lambda self, permit, key: True  # type: ignore[method-assign]
 
 
 def grants_all_that_wait() -> None:
