--- a/bench/permits.py
+++ b/bench/permits.py
@@ -100,7 +100,7 @@
             if now_ms - heard_ms >= SILENT_MS:
                 ledger.observe(Observation(self.units[key].unit, 1.0, "silent", known=False))
                 self.told_out[key] = False
-        for permit in (*ledger.expired_leases(now_ms), *ledger.ends()):
+        for permit in (*ledger.expired_leases(now_ms), *ledger.ended_permits()):
             self.keep(permit)
             ledger.put(permit, now_ms)
             self.ended += permit.phase is Phase.ENDED
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -388,7 +388,7 @@
 
     async def _decide(self) -> None:
         wall_ms = self.now_ms()
-        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ends()]
+        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ended_permits()]
         if over:
             self.ending = {permit.id for permit in over}
             try:
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -344,7 +344,7 @@
         after_ms = self.returned_ms[permit.id] + SETTLE_MS[sight.unit.of]
         return sight.out <= 0.0 and sight.asked_ms > 0 and sight.asked_ms >= after_ms
 
-    def ends(self) -> list[Permit]:
+    def ended_permits(self) -> list[Permit]:
         """Returned permits whose units all serve again, in phase ENDED."""
         return [p.with_phase(Phase.ENDED) for p in self.permits.values()
                 if p.phase is Phase.RETURNED and all(self._serves_again(p, key) for key in p.units)]
