--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -158,9 +158,9 @@
 
     def waiting_reason(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
-        waiter = self.waiters.get(name_of(permit))
+        waiter = self.waiters.get(waiter_name(permit))
         place = waiter.rank(now_ms) if waiter is not None else (0, self.sequence + 1)
-        return self.blocking_reason(permit.units, name_of(permit), place, now_ms)
+        return self.blocking_reason(permit.units, waiter_name(permit), place, now_ms)
 
     def all_cells(self) -> list[BudgetCell]:
         """All cells in order, including an empty one for each budget that matches no unit."""
@@ -263,7 +263,7 @@
             if key in self.observations:
                 self._update_counts(key, share, self.out_fraction(key))
         if permit.phase is not Phase.WAITING and not permit.operation:  # an operation waits on for its next target
-            self.waiters.pop(name_of(permit), None)
+            self.waiters.pop(waiter_name(permit), None)
 
     def enqueue(self, name: str, priority: int, units: Iterable[str], now_ms: int) -> Waiter:
         """Adds or updates a waiter; it keeps its place until `dequeue` or until its permit no longer waits."""
@@ -281,7 +281,7 @@
     def reserve(self, permit: Permit, now_ms: int, is_way_back: bool = False) -> str:
         """Counts a permit as held if there is room, and returns an empty text; otherwise it waits in its turn, and the
         reason is returned. Halts don't block a rollback."""
-        waiter = name_of(permit)
+        waiter = waiter_name(permit)
         mine = self.enqueue(waiter, permit.priority, permit.units, now_ms)
         problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
         if not problem:
@@ -299,8 +299,8 @@
         one without room holds back all those behind it that need one of its cells."""
         for permit in self.permits.values():
             if permit.phase is Phase.WAITING:
-                self.enqueue(name_of(permit), permit.priority, permit.units, now_ms)
-        waiting = {name_of(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
+                self.enqueue(waiter_name(permit), permit.priority, permit.units, now_ms)
+        waiting = {waiter_name(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
         taken: set[BudgetCell] = set()
         granted = []
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.rank(now_ms)):
@@ -350,6 +350,6 @@
                 if p.phase is Phase.RETURNED and all(self._serves_again(p, key) for key in p.units)]
 
 
-def name_of(permit: Permit) -> str:
+def waiter_name(permit: Permit) -> str:
     """Name under which a permit, or its operation, waits."""
     return f"operation {permit.operation}" if permit.operation else f"permit {permit.id}"
