--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -25,7 +25,7 @@
 from ironscale.agent.serve import running
 from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import Budget, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import Budget, Observation, Permit, Phase, Unit, UnitKind
 from ironscale.operator_file import Agent as Section
 from ironscale.operator_file import read_secret
 from ironscale.stage.fault_scenario import World
@@ -90,10 +90,13 @@
     """5,000 instances and 500 upstreams under ten budgets, 1,000 waiting permits: a report, a grant, a pass."""
     budgets = [Budget("number", UnitKind.SIDECAR, number=50), Budget("share", UnitKind.SIDECAR, share=0.02),
                Budget("zones", UnitKind.SIDECAR, each="zone", share=0.03),
-               Budget("groups", UnitKind.SIDECAR, each="group", number=3), Budget("weight", UnitKind.SIDECAR, capacity=0.03),
+               Budget("groups", UnitKind.SIDECAR, each="group", number=3),
+               Budget("weight", UnitKind.SIDECAR, capacity=0.03),
                Budget("services", UnitKind.SIDECAR, each="service", number=20),
-               Budget("up", UnitKind.UPSTREAM, number=10), Budget("up zones", UnitKind.UPSTREAM, each="zone", share=0.1),
-               Budget("up kinds", UnitKind.UPSTREAM, each="kind", share=0.2), Budget("up weight", UnitKind.UPSTREAM, capacity=0.1)]
+               Budget("up", UnitKind.UPSTREAM, number=10),
+               Budget("up zones", UnitKind.UPSTREAM, each="zone", share=0.1),
+               Budget("up kinds", UnitKind.UPSTREAM, each="kind", share=0.2),
+               Budget("up weight", UnitKind.UPSTREAM, capacity=0.1)]
     ledger, rng = Ledger(budgets), random.Random(1)
     units = [Unit(of, f"u{n}", f"s{n % 40}", "abcd"[n % 4], f"k{n % 5}", f"g{n % 100}", 1.0 + n % 3)
              for of, count in ((UnitKind.SIDECAR, 5_000), (UnitKind.UPSTREAM, 500)) for n in range(count)]
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,7 +16,16 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTED_PHASES, Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import (
+    COUNTED_PHASES,
+    Budget,
+    ImpossibleRequest,
+    Observation,
+    Permit,
+    Phase,
+    Unit,
+    UnitKind,
+)
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
@@ -47,7 +56,8 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.count = self.grants = self.ended = self.worst = 0
         self.units = {u.key: Truth(u) for u in (
-            Unit(UnitKind.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2) for n in range(self.rng.randint(6, 15)))}
+            Unit(UnitKind.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2)
+            for n in range(self.rng.randint(6, 15)))}
         self.record: dict[int, Permit] = {}
         self.last_grant_ms: dict[str, int] = {}  # of a unit
         self.heard_ms: dict[str, int] = {}
@@ -231,7 +241,7 @@
         for budget in BUDGETS:
             parts: dict[str, list[Truth]] = {}
             for truth in self.units.values():
-                parts.setdefault(budget.group_of(truth.unit), []).append(truth)
+                parts.setdefault(budget.cell_value(truth.unit), []).append(truth)
             for value, members in parts.items():
                 granted_ms = max(self.last_grant_ms.get(t.unit.key, -10**9) for t in members)
                 counted = [t for t in members if t.out and not self.is_loss(t, granted_ms)]
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -25,7 +25,7 @@
 from ironscale.agent.upstream_polling import Watching
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
-from ironscale.disruption.model import Budget, Halt, UnitKind, Permit
+from ironscale.disruption.model import Budget, Halt, Permit, UnitKind
 from ironscale.disruption.releases import Decision
 
 RETRY_S = 1.0  # after the record could not be written
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,16 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_READER_TIMEOUT_S, DifferingFollower, EncodedUpdateCache, VersionDistributor, Subscriber, FollowerSummary, FollowerUpdate, AdmissionRefused
+from ironscale.versions.serving import (
+    SLOW_READER_TIMEOUT_S,
+    AdmissionRefused,
+    EncodedUpdateCache,
+    FollowerDifference,
+    FollowerUpdate,
+    Subscriber,
+    VersionDistributor,
+    VersionsSummary,
+)
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -57,7 +66,7 @@
     known: bool  # False: not heard of lately, and what it said then is not what is now
     heard_ms: int  # ago
     age_ms: int  # of its view, as it said
-    summary: FollowerSummary
+    summary: VersionsSummary
 
 
 class Followers:
@@ -120,7 +129,7 @@
         for sum_, heard_s in self.sums.values():
             found.append(AgentSum(
                 sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
-                FollowerSummary(sum_.lineage, sum_.position, sum_.followers,
+                VersionsSummary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
                         tuple(sum_differing(sum_)), sum_.more)))
         return found
@@ -170,8 +179,8 @@
         await asyncio.sleep(SUM_S)
 
 
-def sum_differing(found: FollowerSummary) -> list[DifferingFollower]:
-    return [DifferingFollower(one.name, one.running, one.status, one.detail) for one in found.differing]
+def sum_differing(found: FollowerSummary) -> list[FollowerDifference]:
+    return [FollowerDifference(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
 class _Link(asyncio.Protocol):
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -7,7 +7,7 @@
 
 from ironscale.agent.fleet import Fleet, state_of
 from ironscale.agent.model import Policy, State, Target
-from ironscale.disruption.releases import Counts, SoakRule, Verdict, Decision, judge_release
+from ironscale.disruption.releases import Counts, Decision, SoakRule, Verdict, judge_release
 
 
 @dataclass(slots=True)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -20,17 +20,17 @@
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import (
     COUNTED_PHASES,
-    MAX_PRIORITY,
     MAX_PERMIT_UNITS,
+    MAX_PRIORITY,
     MAX_WAITING_PERMITS,
     Budget,
     Halt,
     ImpossibleRequest,
-    UnitKind,
+    Observation,
     Permit,
     Phase,
-    Observation,
     Unit,
+    UnitKind,
 )
 
 TICK_S = 0.25
@@ -124,7 +124,8 @@
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
         if is_way_back and op.policy.urgent:
-            self.ledger.put(permit.with_phase(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
+            # an operator's word: it counts, and asks for no room
+            self.ledger.put(permit.with_phase(Phase.HELD), now_ms)
         else:
             try:
                 self.ledger.check_possible((key,))
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -13,8 +13,16 @@
 from ironscale.agent.store import Published, Records, Store, StoreError
 from ironscale.control.instance import Refused, check_overlay
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Labels, overlay_digest, combine_layers
-from ironscale.versions.publishing import HISTORY_VERSIONS, HISTORY_MS, Draft, Problem, RecordedState, check_draft, check_publish
+from ironscale.versions.model import Entry, Labels, combine_layers, overlay_digest
+from ironscale.versions.publishing import (
+    HISTORY_MS,
+    HISTORY_VERSIONS,
+    Draft,
+    Problem,
+    RecordedState,
+    check_draft,
+    check_publish,
+)
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -388,7 +388,8 @@
     engine = need(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
         if len(value) > MAX_SCOPE_NAME_CHARS or not value.isprintable():
-            raise error("BAD_INPUT", f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}")
+            raise error("BAD_INPUT",
+                        f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}")
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -305,7 +305,8 @@
     @staticmethod
     def _entry(row: tuple[Any, ...]) -> Entry:
         version, scope, overlay, base, restores, actor, at_ms = row[:7]
-        return Entry(version, parse_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor, at_ms)
+        return Entry(version, parse_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor,
+                     at_ms)
 
     def version_change(self, since: int, lineage: str) -> Change:
         own, position, floor = self._log()
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -47,7 +47,8 @@
         asked_ms = clock_ms()
         try:
             entries = await self.ask(name, ANSWER_S)
-            self.views[name] = SidecarView(name, asked_ms, {str(e["name"]): upstream_view(str(e["name"]), e) for e in entries})
+            self.views[name] = SidecarView(name, asked_ms,
+                                           {str(e["name"]): upstream_view(str(e["name"]), e) for e in entries})
         except Refusal:
             pass  # it gave no answer: its view grows old
         except (KeyError, TypeError, ValueError) as error:
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -16,7 +16,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.learned.store import OsFiles
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.serving import VersionDistributor, Subscriber
+from ironscale.versions.serving import Subscriber, VersionDistributor
 from ironscale.versions.snapshot import (
     MAX_BYTES,
     Snapshot,
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -28,7 +28,7 @@
     serialize_message,
 )
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import AgentStatus, AgentEndpoint
+from ironscale.versions.agent_selection import AgentEndpoint, AgentStatus
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.follower_state import FollowerState, UpdateOutcome
 from ironscale.versions.model import Entry, Labels, ScopeError, parse_scope
@@ -160,7 +160,7 @@
         link.take_over()
 
     async def dial(self, place: AgentEndpoint) -> _Link:
-        """Until it has told where it is, or CONNECT_S are over."""
+        """Until it has told where it is, or CONNECT_TIMEOUT_S are over."""
         link = _Link(self, place)
         self.dialled += 1
         try:
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -84,8 +84,9 @@
     return instance, client
 
 
-def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[AgentEndpoint, ...], *, boot: str = "",
-                   rng: random.Random | None = None, log: Callable[[str], None] = lambda text: None) -> Follower:
+def light_follower(instance: LightInstance, labels: Labels, token: str, places: tuple[AgentEndpoint, ...], *,
+                   boot: str = "", rng: random.Random | None = None,
+                   log: Callable[[str], None] = lambda text: None) -> Follower:
     """Has a light instance follow published versions."""
     return Follower(instance.layered, Follows(labels, boot or secrets.token_hex(8), token, places),
                     rng or random.Random(), log)
--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -15,7 +15,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from ironscale.disruption.model import COUNTED_PHASES, Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import (
+    COUNTED_PHASES,
+    Budget,
+    ImpossibleRequest,
+    Observation,
+    Permit,
+    Phase,
+    Unit,
+    UnitKind,
+)
 
 PRIORITY_STEP_MS = 60_000  # each such time of waiting raises the priority by one, so that nothing waits for ever
 # Sidecars learn late from discovery that an upstream has gone: up to 6 s by the protocol, plus 1 s for the call. An
@@ -53,7 +62,8 @@
 
     def could_ever_fit(self, units: float, weight: float) -> bool:
         """Whether this would be within the limits if nothing else were out."""
-        return units <= self.max_units() + ROUNDING_TOLERANCE and weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight)
+        return (units <= self.max_units() + ROUNDING_TOLERANCE
+                and weight <= self.max_weight() + ROUNDING_TOLERANCE * max(1.0, self.weight))
 
     @property
     def title(self) -> str:
@@ -67,12 +77,12 @@
     name: str
     priority: int
     since_ms: int
-    order: int
+    sequence: int
     cells: frozenset[BudgetCell]
 
     def rank(self, now_ms: int) -> tuple[int, int]:
         """Sort key: the lowest is served first."""
-        return -(self.priority + max(0, now_ms - self.since_ms) // PRIORITY_STEP_MS), self.order
+        return -(self.priority + max(0, now_ms - self.since_ms) // PRIORITY_STEP_MS), self.sequence
 
 
 class Ledger:
@@ -88,7 +98,7 @@
         self.renewed_ms: dict[int, int] = {}
         self.returned_ms: dict[int, int] = {}
         self.waiters: dict[str, Waiter] = {}
-        self.sequence = 0
+        self.last_sequence = 0
         self.halted = ""  # who halted the fleet and why; while set, no more units are taken out
 
     # Observations
@@ -97,43 +107,45 @@
         """How much of a unit counts as out, from 0.0 to 1.0."""
         if self.permits_by_unit.get(key):
             return 1.0
-        sight = self.observations.get(key)
-        return sight.out if sight is not None else 1.0
+        observation = self.observations.get(key)
+        return observation.out if observation is not None else 1.0
 
-    def observe(self, sight: Observation) -> bool:
+    def observe(self, observation: Observation) -> bool:
         """Stores the latest observation of a unit. Returns whether it may make room or end a permit."""
-        key, unit = sight.unit.key, sight.unit
+        key, unit = observation.unit.key, observation.unit
         old = self.observations.get(key)
-        if old is not None and old.asked_ms > sight.asked_ms and old.boot == sight.boot and old.out == sight.out:
+        if (old is not None and old.asked_ms > observation.asked_ms and old.boot == observation.boot
+                and old.out == observation.out):
             # a heartbeat with the same state keeps the request time of the last answer
-            sight = replace(sight, asked_ms=old.asked_ms)
+            observation = replace(observation, asked_ms=old.asked_ms)
         if old is None or old.unit != unit:
             self.forget(key)
-            self.cells_by_unit[key] = tuple(self._cell_for(budget, unit) for budget in self.budgets if budget.matches(unit))
-            self.observations[key] = sight
+            self.cells_by_unit[key] = tuple(self._cell_for(budget, unit) for budget in self.budgets
+                                            if budget.matches(unit))
+            self.observations[key] = observation
             for cell in self.cells_by_unit[key]:
                 cell.units.add(key)
                 cell.weight += unit.weight
             self._update_counts(key, 0.0, self.out_fraction(key))
             return True
         before = self.out_fraction(key)
-        self.observations[key] = sight
+        self.observations[key] = observation
         self._update_counts(key, before, self.out_fraction(key))
         return self.out_fraction(key) < before or bool(self.permits_by_unit.get(key))
 
     def forget(self, key: str) -> None:
         """Removes a unit that an operator has declared gone for good; it no longer counts at all."""
-        sight = self.observations.get(key)
-        if sight is None:
+        observation = self.observations.get(key)
+        if observation is None:
             return
         self._update_counts(key, self.out_fraction(key), 0.0)
         del self.observations[key]
         for cell in self.cells_by_unit.pop(key):
             cell.units.discard(key)
-            cell.weight -= sight.unit.weight
+            cell.weight -= observation.unit.weight
 
     def _cell_for(self, budget: Budget, unit: Unit) -> BudgetCell:
-        at = (budget.name, budget.group_of(unit))
+        at = (budget.name, budget.cell_value(unit))
         if at not in self.cells:
             self.cells[at] = BudgetCell(budget, at[1])
         return self.cells[at]
@@ -159,8 +171,8 @@
     def waiting_reason(self, permit: Permit, now_ms: int) -> str:
         """Why a waiting permit is not granted; empty = it can be."""
         waiter = self.waiters.get(waiter_name(permit))
-        place = waiter.rank(now_ms) if waiter is not None else (0, self.sequence + 1)
-        return self.blocking_reason(permit.units, waiter_name(permit), place, now_ms)
+        rank = waiter.rank(now_ms) if waiter is not None else (0, self.last_sequence + 1)
+        return self.blocking_reason(permit.units, waiter_name(permit), rank, now_ms)
 
     def all_cells(self) -> list[BudgetCell]:
         """All cells in order, including an empty one for each budget that matches no unit."""
@@ -175,13 +187,13 @@
         of a fleet fell silent while still serving, every one of those units could be taken out."""
         found: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
-            sight = self.observations.get(key)
-            if sight is None or (sight.known and sight.out >= 1.0):
+            observation = self.observations.get(key)
+            if observation is None or (observation.known and observation.out >= 1.0):
                 continue
             more = 1.0 - self.out_fraction(key)
             for cell in self.cells_by_unit[key]:
                 number, weight = found.get(cell, (0.0, 0.0))
-                found[cell] = number + more, weight + more * sight.unit.weight
+                found[cell] = number + more, weight + more * observation.unit.weight
         return found
 
     def check_possible(self, units: Iterable[str]) -> None:
@@ -193,28 +205,29 @@
                 whole[cell] = number + 1.0, weight + self.observations[key].unit.weight
         for cell, (number, weight) in whole.items():
             if not cell.could_ever_fit(number, weight):
-                raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} units "
-                                 f"at once; ask for them one after the other")
+                raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} "
+                                        f"units at once; ask for them one after the other")
 
-    def blocking_reason(self, units: Iterable[str], waiter: str, place: tuple[int, int], now_ms: int,
-                          is_way_back: bool = False) -> str:
+    def blocking_reason(self, units: Iterable[str], waiter: str, rank: tuple[int, int], now_ms: int,
+                        is_rollback: bool = False) -> str:
         """Why these units can't be taken out now; empty = they can. Halts don't block a rollback."""
         adds = self._additional_out(units)
         if not adds:
             return ""
-        if self.halted and not is_way_back:
+        if self.halted and not is_rollback:
             return f"halted by {self.halted}"
         if not self._have_room(adds):
             return next(self.explain(cell) for cell, more in adds.items() if not cell.has_room(*more))
         # without this, small requests would keep overtaking a large one, which would never find enough room at once
         for other in self.waiters.values():
-            if other.name != waiter and other.rank(now_ms) < place and not other.cells.isdisjoint(adds):
+            if other.name != waiter and other.rank(now_ms) < rank and not other.cells.isdisjoint(adds):
                 return f"{other.name} waits before it"
         return ""
 
     def explain(self, cell: BudgetCell) -> str:
         """How much of a cell is out, and which units."""
-        named = [f"{key.partition('/')[2]} {self.out_reason(key)}" for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
+        named = [f"{key.partition('/')[2]} {self.out_reason(key)}"
+                 for key in heapq.nsmallest(MAX_LISTED_UNITS, cell.out_units)]
         more = f" and {len(cell.out_units) - MAX_LISTED_UNITS} more" if len(cell.out_units) > MAX_LISTED_UNITS else ""
         listed = f" ({', '.join(named)}{more})" if named else ""
         return f"budget {cell.title}: {cell.out:.4g} out of {self._limit(cell)} at most{listed}"
@@ -228,11 +241,12 @@
 
     def out_reason(self, key: str) -> str:
         """Why a unit counts as out."""
-        sight = self.observations.get(key)
-        if sight is not None and sight.out > 0.0:
-            return sight.reason
-        covers = [self.permits[ident] for ident in sorted(self.permits_by_unit.get(key, ()))]
-        return f"{covers[0].phase} by {covers[0].holder}" if covers else "not seen" if sight is None else "serves"
+        observation = self.observations.get(key)
+        if observation is not None and observation.out > 0.0:
+            return observation.reason
+        covering = [self.permits[ident] for ident in sorted(self.permits_by_unit.get(key, ()))]
+        return (f"{covering[0].phase} by {covering[0].holder}" if covering
+                else "not seen" if observation is None else "serves")
 
     # Permits
 
@@ -255,9 +269,9 @@
             for known in (self.permits, self.renewed_ms, self.returned_ms):
                 known.pop(permit.id, None)
         for key in permit.units:
-            covers = self.permits_by_unit.setdefault(key, set())
-            covers.add(permit.id) if permit.phase in COUNTED_PHASES else covers.discard(permit.id)
-            if not covers:
+            covering = self.permits_by_unit.setdefault(key, set())
+            covering.add(permit.id) if permit.phase in COUNTED_PHASES else covering.discard(permit.id)
+            if not covering:
                 del self.permits_by_unit[key]
         for key, share in before.items():
             if key in self.observations:
@@ -270,20 +284,20 @@
         cells = frozenset(cell for key in units for cell in self.cells_by_unit.get(key, ()))
         old = self.waiters.get(name)
         if old is None:
-            self.sequence += 1
-        since_ms, last_sequence = (old.since_ms, old.order) if old is not None else (now_ms, self.sequence)
-        found = self.waiters[name] = Waiter(name, priority, since_ms, last_sequence, cells)
+            self.last_sequence += 1
+        since_ms, sequence = (old.since_ms, old.sequence) if old is not None else (now_ms, self.last_sequence)
+        found = self.waiters[name] = Waiter(name, priority, since_ms, sequence, cells)
         return found
 
     def dequeue(self, name: str) -> None:
         self.waiters.pop(name, None)
 
-    def reserve(self, permit: Permit, now_ms: int, is_way_back: bool = False) -> str:
+    def reserve(self, permit: Permit, now_ms: int, is_rollback: bool = False) -> str:
         """Counts a permit as held if there is room, and returns an empty text; otherwise it waits in its turn, and the
         reason is returned. Halts don't block a rollback."""
         waiter = waiter_name(permit)
         mine = self.enqueue(waiter, permit.priority, permit.units, now_ms)
-        problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_way_back)
+        problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_rollback)
         if not problem:
             self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
@@ -338,11 +352,11 @@
     def _serves_again(self, permit: Permit, key: str) -> bool:
         """Whether the unit serves, by an answer to a request that was sent after the permit's return. A heartbeat is no
         evidence: it may have been on its way since before the holder acted."""
-        sight = self.observations.get(key)
-        if sight is None:
+        observation = self.observations.get(key)
+        if observation is None:
             return True  # an operator has removed it
-        after_ms = self.returned_ms[permit.id] + SETTLE_MS[sight.unit.of]
-        return sight.out <= 0.0 and sight.asked_ms > 0 and sight.asked_ms >= after_ms
+        after_ms = self.returned_ms[permit.id] + SETTLE_MS[observation.unit.of]
+        return observation.out <= 0.0 and observation.asked_ms > 0 and observation.asked_ms >= after_ms
 
     def ended_permits(self) -> list[Permit]:
         """Returned permits whose units all serve again, in phase ENDED."""
--- a/ironscale/disruption/model.py
+++ b/ironscale/disruption/model.py
@@ -68,7 +68,7 @@
         return unit.of is self.of and all(
             fnmatchcase(getattr(unit, attribute), pattern) for attribute, pattern in self.where)
 
-    def group_of(self, unit: Unit) -> str:
+    def cell_value(self, unit: Unit) -> str:
         return str(getattr(unit, self.each)) if self.each else ""
 
 
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -69,7 +69,8 @@
     return low, high
 
 
-def judge_release(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: SoakRule, soaked_ms: int) -> Verdict:
+def judge_release(changed: Mapping[str, Counts], untouched: Mapping[str, Counts], rule: SoakRule,
+                  soaked_ms: int) -> Verdict:
     """Compares each class, and refusals and failures separately, because a sum over all could hide a change in one."""
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
@@ -79,8 +80,8 @@
             low, high = confidence_interval(bad, one.total)
             usual_low, usual_high = confidence_interval(usual, other.total)
             if low > usual_high + rule.margin:
-                return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, {usual} of "
-                                            f"{other.total} where it is not")
+                return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, "
+                                                f"{usual} of {other.total} where it is not")
             if high > usual_low + rule.margin:
                 unsure[f"class {name} ({one.total} answers where it is changed, {other.total} where it is not)"] = None
     if soaked_ms < rule.soak_ms:
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -278,7 +278,8 @@
     patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}  # `name` is the budget's own
     where = tuple((name, table.string(key)) for key, name in patterns.items() if key in table.values)
     budget = Budget(
-        name=table.string("name"), of=UnitKind(table.one_of("of", tuple(str(of) + "s" for of in UnitKind), "sidecars")[:-1]),
+        name=table.string("name"),
+        of=UnitKind(table.one_of("of", tuple(str(of) + "s" for of in UnitKind), "sidecars")[:-1]),
         where=where, each=table.one_of("each", ("", *ATTRIBUTES[1:]), ""),
         number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -197,7 +197,8 @@
         self.lost_record: dict[str, int] = {}  # agents that are cut off from it, by how many faults
         self.lost_links: dict[frozenset[str], int] = {}
         self.agents = [Agent(self, number) for number in range(self.random.randrange(3, 7))]
-        self.places = tuple(AgentEndpoint("agent", agent.port, agent.zone, REGIONS[agent.zone]) for agent in self.agents)
+        self.places = tuple(AgentEndpoint("agent", agent.port, agent.zone, REGIONS[agent.zone])
+                            for agent in self.agents)
         self.net.names.update({agent.port: agent.name for agent in self.agents})
         self.instances = [Instance(self, number) for number in range(self.random.randrange(4, 17))]
 
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -75,7 +75,8 @@
     return other.age_s < STALE_AFTER_S or other.position > own.position
 
 
-def is_preferred(other: AgentStatus, own: AgentStatus | None, there: AgentEndpoint, here: AgentEndpoint, order: Sequence[AgentEndpoint]) -> bool:
+def is_preferred(other: AgentStatus, own: AgentStatus | None, other_agent: AgentEndpoint, own_agent: AgentEndpoint,
+                 order: Sequence[AgentEndpoint]) -> bool:
     """Whether the other agent comes earlier in the order of preference and is at least as up to date."""
-    nearer = order.index(there) < order.index(here)
+    nearer = order.index(other_agent) < order.index(own_agent)
     return nearer and other.age_s < STALE_AFTER_S and (own is None or other.position >= own.position)
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.model import Labels, overlay_digest, combine_layers
+from ironscale.versions.model import Labels, combine_layers, overlay_digest
 
 
 class UpdateOutcome(Enum):
@@ -65,7 +65,7 @@
             self.running, self.status, self.detail = self.view.position, "applied", ""
             return UpdateOutcome.NOTHING
         if self.status != "applied" and before.position and not change.entries:
-            return UpdateOutcome.NOTHING  # already refused, and there is nothing new: don't retry the same configuration
+            return UpdateOutcome.NOTHING  # refused before, and there is nothing new: don't retry the same
         return UpdateOutcome.APPLY
 
     def mark_applied(self) -> None:
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironscale.versions.model import MAX_OVERLAY_DEPTH, MAX_OVERLAY_BYTES, Entry, Scope, canonical_json
+from ironscale.versions.model import MAX_OVERLAY_BYTES, MAX_OVERLAY_DEPTH, Entry, Scope, canonical_json
 
 # The history that is kept: this many versions and days, plus the entries that were in force when it begins.
 HISTORY_VERSIONS = 1_000
@@ -59,7 +59,8 @@
     if not 0 <= draft.base <= MAX_VERSION:
         return Problem("BAD_INPUT", f"base: expected a version, or 0 where the scope has none, got {draft.base}")
     if len(draft.note) > MAX_NOTE_CHARS or not draft.note.isprintable():
-        return Problem("BAD_INPUT", f"note: expected a line of {MAX_NOTE_CHARS} characters at most, got {draft.note!r:.60}")
+        return Problem("BAD_INPUT",
+                       f"note: expected a line of {MAX_NOTE_CHARS} characters at most, got {draft.note!r:.60}")
     if draft.overlay is None:
         return None
     try:
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -16,7 +16,7 @@
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S, reconnect_spread_s
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import Entry, Labels, Scope, overlay_digest, combine_layers
+from ironscale.versions.model import Entry, Labels, Scope, combine_layers, overlay_digest
 
 MAX_FOLLOWERS = 10_000
 # New followers per second, and the burst. At this rate 2,300 followers that lost all agents but one are admitted within
@@ -27,7 +27,7 @@
 SLOW_READER_TIMEOUT_S = 10.0  # a follower that has read nothing for this long is disconnected
 MAX_CACHED_BYTES = 8 << 20  # of encoded updates
 MAX_CACHED_DIGESTS = 10_000
-AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share one encoded frame
+AGE_STEP_S = 0.1  # ages are rounded up to a multiple, so that updates sent at about the same time share a frame
 MAX_DIFFERING, MAX_COUNTS = 100, 50
 MAX_DETAIL_CHARS = 200  # of a follower's detail in the summary
 
@@ -57,7 +57,8 @@
             self.tokens -= 1.0
             return 0.0
         # each gets a time of its own: if all got the same one, they would all come back at once
-        self.last_retry_s = max(self.last_retry_s, now_s + (1.0 - self.tokens) / self.rate_per_s) + 1.0 / self.rate_per_s
+        self.last_retry_s = (max(self.last_retry_s, now_s + (1.0 - self.tokens) / self.rate_per_s)
+                             + 1.0 / self.rate_per_s)
         wait_s = self.last_retry_s - now_s
         return wait_s if wait_s < MAX_RETRY_S else MAX_RETRY_S * (0.5 + 0.5 * rng.random())
 
@@ -102,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DifferingFollower:
+class FollowerDifference:
     """A follower that does not run what the view demands, and why."""
 
     name: str
@@ -112,22 +113,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowerSummary:
+class VersionsSummary:
     """Which positions the followers of one agent run."""
 
     lineage: str
     position: int
     followers: int
     counts: tuple[tuple[int, int], ...]  # position and number of followers, highest first, at most MAX_COUNTS
-    differing: tuple[DifferingFollower, ...]  # at most MAX_DIFFERING
+    differing: tuple[FollowerDifference, ...]  # at most MAX_DIFFERING
     more: int  # number of differing followers that are not listed
 
 
 class EncodedUpdateCache:
     """A cache of encoded updates, limited in bytes; the oldest are evicted first."""
 
-    def __init__(self, most: int = MAX_CACHED_BYTES) -> None:
-        self.most, self.size, self.encoded_count = most, 0, 0
+    def __init__(self, max_bytes: int = MAX_CACHED_BYTES) -> None:
+        self.max_bytes, self.size, self.encoded_count = max_bytes, 0, 0
         self.cached: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
     def get(self, told: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
@@ -136,10 +137,10 @@
         if data is None:
             data = encode(told)
             self.encoded_count += 1
-            if len(data) <= self.most:
+            if len(data) <= self.max_bytes:
                 self.cached[key] = data
                 self.size += len(data)
-            while self.size > self.most:
+            while self.size > self.max_bytes:
                 self.size -= len(self.cached.popitem(last=False)[1])
         return data
 
@@ -150,8 +151,8 @@
 
     rng: random.Random
     view: View = field(default_factory=View)
-    has_reached_record: bool = False  # the record has been reached, by this process or before the snapshot that it loaded
-    max_bytes: int = MAX_FOLLOWERS
+    has_reached_record: bool = False  # by this process, or before the snapshot that it loaded
+    max_followers: int = MAX_FOLLOWERS
     agent_count: int = 2  # known agents that serve; they share the followers of one that is lost
     bucket: AdmissionBucket = field(default_factory=lambda: AdmissionBucket(ADMISSION_RATE_PER_S, ADMISSION_BURST))
     subscribers: dict[int, Subscriber] = field(default_factory=dict)
@@ -193,14 +194,18 @@
             return int(1000 * RETRY_S * (1.0 + self.rng.random()))
 
         if not self.has_reached_record:
-            raise AdmissionRefused("NOTHING", "this agent has never reached the record, and holds no version", spread_ms())
+            raise AdmissionRefused("NOTHING", "this agent has never reached the record, and holds no version",
+                                   spread_ms())
         if lineage and lineage != self.view.lineage:
-            raise AdmissionRefused("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}", spread_ms())
-        if len(self.subscribers) >= self.max_bytes:
-            raise AdmissionRefused("BUSY", f"{self.max_bytes} follow already", int(1000 * MAX_RETRY_S * self.rng.random()))
+            raise AdmissionRefused("LINEAGE", f"expected lineage {self.view.lineage or 'none'}, got {lineage[:60]}",
+                                   spread_ms())
+        if len(self.subscribers) >= self.max_followers:
+            raise AdmissionRefused("BUSY", f"{self.max_followers} follow already",
+                                   int(1000 * MAX_RETRY_S * self.rng.random()))
         wait_s = self.bucket.take(now_s, self.rng)
         if wait_s > 0.0:
-            raise AdmissionRefused("BUSY", f"{self.bucket.rate_per_s:g} a second are taken on", max(1, int(wait_s * 1000)))
+            raise AdmissionRefused("BUSY", f"{self.bucket.rate_per_s:g} a second are taken on",
+                                   max(1, int(wait_s * 1000)))
 
     def join(self, labels: Labels, lineage: str, position: int, now_s: float) -> Subscriber:
         """Adds a follower that passed `check_admission`; it is due for an update at once."""
@@ -255,13 +260,15 @@
             heapq.heappop(self.queue)
         return None
 
-    def due_updates(self, now_s: float, age_s: float, max_followers: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
+    def due_updates(self, now_s: float, age_s: float,
+                    limit: int = 200) -> Iterator[tuple[Subscriber, FollowerUpdate]]:
         """Yields at most `limit` followers that are due and their updates; each counts as sent once it is yielded.
         `age_s` is the time since the record was last reached."""
         age_ms = int(1000 * AGE_STEP_S) * (int(max(0.0, age_s) / AGE_STEP_S) + 1)
         # rounded up to 0.1 s too, since it changes with every follower that joins or leaves
-        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s, self.agent_count)) + 1)
-        for _ in range(max_followers):
+        spread_ms = 100 * (int(10 * reconnect_spread_s(len(self.subscribers), self.bucket.rate_per_s,
+                                                       self.agent_count)) + 1)
+        for _ in range(limit):
             at_s = self.next_due_s()
             if at_s is None or at_s > now_s:
                 return
@@ -280,7 +287,8 @@
         view, since = self.view, subscriber.position
         layers = self.layers_for(subscriber)
         if since > view.position:
-            return FollowerUpdate(view.lineage, view.position, view.position, False, view.floor, (), "", age_ms, spread_ms)
+            return FollowerUpdate(view.lineage, view.position, view.position, False, view.floor, (), "", age_ms,
+                                  spread_ms)
         whole = not subscriber.lineage or since == 0 or since < view.floor
         snapshot = whole and not (since == view.position and subscriber.lineage == view.lineage)
         entries = layers if snapshot else tuple(entry for entry in layers if entry.version > since)
@@ -303,10 +311,10 @@
 
     # Summary
 
-    def difference(self, subscriber: Subscriber) -> DifferingFollower | None:
+    def difference(self, subscriber: Subscriber) -> FollowerDifference | None:
         """Why a follower does not run what the view demands; None if it does. Entries of other scopes don't matter."""
-        def because(status: str, detail: str) -> DifferingFollower:
-            return DifferingFollower(subscriber.labels.instance, subscriber.running, status, detail)
+        def because(status: str, detail: str) -> FollowerDifference:
+            return FollowerDifference(subscriber.labels.instance, subscriber.running, status, detail)
 
         layers = self.layers_for(subscriber)
         newest = max((entry.version for entry in layers), default=0)
@@ -321,9 +329,9 @@
             return because("other", "what it runs is not what the versions come to")
         return None
 
-    def summary(self) -> FollowerSummary:
+    def summary(self) -> VersionsSummary:
         counts: Counter[int] = Counter()
-        differing: list[DifferingFollower] = []
+        differing: list[FollowerDifference] = []
         more = 0
         for one in self.subscribers.values():
             found = self.difference(one)
@@ -334,5 +342,5 @@
                 else:
                     more += 1
         highest = sorted(counts.items(), reverse=True)[:MAX_COUNTS]
-        return FollowerSummary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
+        return VersionsSummary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
                        tuple(differing), more)
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -85,8 +85,9 @@
               "reached_ms": snapshot.reached_ms, "entries": len(snapshot.entries),
               "tokens": [[token.name, token.role, token.digest, token.created_ms, token.revoked_ms]
                          for token in snapshot.tokens]}
-    return assemble([encode_line(header), *(encode_line([entry.version, str(entry.scope), entry.overlay, entry.base, entry.restores,
-                                           entry.actor, entry.at_ms]) for entry in snapshot.entries)])
+    return assemble([encode_line(header), *(encode_line([entry.version, str(entry.scope), entry.overlay, entry.base,
+                                                         entry.restores, entry.actor, entry.at_ms])
+                                            for entry in snapshot.entries)])
 
 
 # Reading
@@ -140,7 +141,8 @@
         raise SnapshotError(f"expected version 1 to {FORMAT_VERSION}, got {version}: written by a newer program")
     size = int.from_bytes(data[HEADER_BYTES - 4:HEADER_BYTES])
     if len(data) != HEADER_BYTES + size + CHECKSUM_BYTES:
-        raise SnapshotError(f"expected {HEADER_BYTES + size + CHECKSUM_BYTES} bytes, as its length says, got {len(data)}")
+        raise SnapshotError(f"expected {HEADER_BYTES + size + CHECKSUM_BYTES} bytes, as its length says, got "
+                            f"{len(data)}")
     if blake2b(data[:-CHECKSUM_BYTES], digest_size=CHECKSUM_BYTES).digest() != data[-CHECKSUM_BYTES:]:
         raise SnapshotError("expected a matching checksum, got another: the snapshot is damaged")
     return data[HEADER_BYTES:-CHECKSUM_BYTES]
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -29,7 +29,7 @@
 )
 from ironscale.operator_file import read_secret
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Scope, overlay_digest, combine_layers, parse_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, combine_layers, overlay_digest, parse_scope
 from ironscale.versions.publishing import Draft
 from ironscale.versions.serving import AdmissionBucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
@@ -94,7 +94,8 @@
 
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
-        values = {"position": at, "running": at, "digest": overlay_digest(combine_layers(self.view.layers_for(self.labels))), **changes}
+        values = {"position": at, "running": at,
+                  "digest": overlay_digest(combine_layers(self.view.layers_for(self.labels))), **changes}
         self.writer.write(encode(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -10,7 +10,7 @@
 from ironscale.agent import upstream_polling
 from ironscale.agent.refusal import Refusal
 from ironscale.disruption import ledger
-from ironscale.disruption.model import Budget, UnitKind, Phase
+from ironscale.disruption.model import Budget, Phase, UnitKind
 from tests.agent.agent_harness import AgentScene, run, scene, until
 from tests.sockets import Scene
 from tests.sockets import run as run_sockets
@@ -83,7 +83,8 @@
             await until(lambda: any(p.phase is Phase.HELD for p in engine.permits.ledger.permits.values()))
             for name in list(found.instances):
                 found.kill(name)
-            await until(lambda: all(s.out == 1.0 and not s.known for s in sights.values() if s.unit.of is UnitKind.UPSTREAM))
+            await until(lambda: all(s.out == 1.0 and not s.known for s in sights.values()
+                                    if s.unit.of is UnitKind.UPSTREAM))
 
     run(test)
 
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -24,7 +24,16 @@
 from ironscale.standins.postgres import Data, Session
 from ironscale.versions import publishing as decisions
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, MAX_OVERLAY_BYTES, Entry, Labels, Scope, overlay_digest, combine_layers, parse_scope
+from ironscale.versions.model import (
+    ALL,
+    MAX_OVERLAY_BYTES,
+    Entry,
+    Labels,
+    Scope,
+    combine_layers,
+    overlay_digest,
+    parse_scope,
+)
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
@@ -325,7 +334,8 @@
                 (draft("all", {"name": "x"}, 0), "BAD_INPUT", "overlay: name: expected no key that each instance has"),
                 (draft("all", {"settings": {"self-index": 1}}, 0), "BAD_INPUT", "settings.self-index"),
                 (draft("all", {"a": float("nan")}, 0), "BAD_INPUT", "overlay: expected what JSON has"),
-                (draft("all", {"a": "x" * MAX_OVERLAY_BYTES}, 0), "BAD_INPUT", f"expected {MAX_OVERLAY_BYTES} bytes at most"),
+                (draft("all", {"a": "x" * MAX_OVERLAY_BYTES}, 0), "BAD_INPUT",
+                 f"expected {MAX_OVERLAY_BYTES} bytes at most"),
                 (draft("all", deep, 0), "BAD_INPUT", "objects in one another"),
                 (draft("all", {}, 0, note="a\nb"), "BAD_INPUT", "note: expected a line"),
             ):
@@ -446,7 +456,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(decisions, "MOST_SCOPES", 3)
+        monkeypatch.setattr(decisions, "MAX_SCOPES", 3)
         async with store_of("sqlite", tmp_path) as store:
             publisher, _ = await publisher_on(store)
             for n in range(3):
--- a/tests/cli/test_permit.py
+++ b/tests/cli/test_permit.py
@@ -10,7 +10,7 @@
 
 from ironscale.agent.model import Kind
 from ironscale.cli.output import Exit
-from ironscale.disruption.model import Budget, UnitKind, Phase
+from ironscale.disruption.model import Budget, Phase, UnitKind
 from tests.agent.agent_harness import run, scene, until
 from tests.cli.test_commands import tool
 from tests.deployed import ROOT
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -28,7 +28,7 @@
 from ironscale.versions import agent_selection
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, overlay_digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, combine_layers, overlay_digest
 from tests.sockets import run, until
 
 LABELS = Labels("app-0", "app", "a", "north")
--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from ironscale.disruption.evidence import UpstreamView, SidecarView, merge_views, upstream_view
-from ironscale.disruption.model import UnitKind, Observation, Unit
+from ironscale.disruption.evidence import SidecarView, UpstreamView, merge_views, upstream_view
+from ironscale.disruption.model import Observation, Unit, UnitKind
 
 NAMES = [f"n{i}" for i in range(12)]
 
@@ -17,7 +17,8 @@
 def view(who: int, asked_ms: int = 100, why: dict[str, str] | None = None, warmth: dict[str, float] | None = None,
          without: tuple[str, ...] = ()) -> SidecarView:
     return SidecarView(f"s{who}", asked_ms, {
-        name: UpstreamView(Unit(UnitKind.UPSTREAM, name, zone="a"), (why or {}).get(name, ""), (warmth or {}).get(name, 1.0), "1")
+        name: UpstreamView(Unit(UnitKind.UPSTREAM, name, zone="a"), (why or {}).get(name, ""),
+                           (warmth or {}).get(name, 1.0), "1")
         for name in NAMES if name not in without})
 
 
@@ -90,7 +91,8 @@
 def test_an_entry_that_cannot_be_used_is_an_error_and_not_a_guess() -> None:
     good: dict[str, Any] = {"state": "ready", "zone": "a", "kind": "k", "group": "1", "weight": 1.0, "warmth": 0.5,
                             "mute": False, "failing": True, "resting": False, "startedUs": 7}
-    assert upstream_view("n", good) == UpstreamView(Unit(UnitKind.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
+    assert upstream_view("n", good) == UpstreamView(
+        Unit(UnitKind.UPSTREAM, "n", zone="a", kind="k", group="1"), "", 0.5, "7")
     assert upstream_view("n", {**good, "resting": True}).reason == "failing"
     assert upstream_view("n", {**good, "mute": True}).reason == "no answer"
     assert upstream_view("n", {**good, "state": "draining"}).reason == "draining"
--- a/tests/disruption/test_ledger.py
+++ b/tests/disruption/test_ledger.py
@@ -9,7 +9,7 @@
 
 from bench.permits import play
 from ironscale.disruption.ledger import BudgetCell, Ledger
-from ironscale.disruption.model import Budget, ImpossibleRequest, UnitKind, Permit, Phase, Observation, Unit
+from ironscale.disruption.model import Budget, ImpossibleRequest, Observation, Permit, Phase, Unit, UnitKind
 
 SEEDS = range(100, 106)
 FOUND_WITHIN = range(40)
@@ -21,17 +21,17 @@
 
 
 class LeaseIsEvidence(Ledger):
-    def lapses(self, now_ms: int) -> list[Permit]:
+    def expired_leases(self, now_ms: int) -> list[Permit]:
         return [permit.with_phase(Phase.ENDED) for permit in super().expired_leases(now_ms)]
 
 
 class HeartbeatIsEvidence(Ledger):
-    def _is_shown(self, permit: Permit, key: str) -> bool:
+    def _serves_again(self, permit: Permit, key: str) -> bool:
         return self.observations[key].out <= 0.0
 
 
 class WordIsEvidence(Ledger):
-    def _is_shown(self, permit: Permit, key: str) -> bool:
+    def _serves_again(self, permit: Permit, key: str) -> bool:
         return True
 
 
@@ -41,22 +41,22 @@
 
 
 class SilentIsOut(Ledger):
-    def see(self, sight: Observation) -> bool:
-        return super().observe(replace(sight, known=True))
+    def observe(self, observation: Observation) -> bool:
+        return super().observe(replace(observation, known=True))
 
 
 class CountsOnlyWhatIsSeen(Ledger):
     """A granted permit counts only once its units are observed to be out, which is after its holder was told."""
 
-    def out(self, key: str) -> float:
+    def out_fraction(self, key: str) -> float:
         return self.observations[key].out if key in self.observations else 1.0
 
 
 class UnseenServes(Ledger):
     """A new leader assumes that units it has not heard from serve."""
 
-    def see(self, sight: Observation) -> bool:
-        return super().observe(replace(sight, out=0.0) if not sight.known else sight)
+    def observe(self, observation: Observation) -> bool:
+        return super().observe(replace(observation, out=0.0) if not observation.known else observation)
 
 
 @pytest.mark.parametrize("fault", [LeaseIsEvidence, HeartbeatIsEvidence, WordIsEvidence, OneBudgetOfThree, SilentIsOut,
@@ -152,8 +152,8 @@
     world = World(7)
     world.run(30_000)
     again = Ledger(world.ledger.budgets)
-    for sight in world.ledger.observations.values():
-        again.observe(sight)
+    for observation in world.ledger.observations.values():
+        again.observe(observation)
     again.load(world.ledger.permits.values(), 0)
 
     def sums(cells: Iterable[BudgetCell]) -> dict[str, tuple[float, float, float, int]]:
--- a/tests/disruption/test_releases.py
+++ b/tests/disruption/test_releases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironscale.disruption.releases import Counts, SoakRule, Decision, confidence_interval, judge_release
+from ironscale.disruption.releases import Counts, Decision, SoakRule, confidence_interval, judge_release
 
 RULE = SoakRule(soak_ms=0, margin=0.02, max_ms=10_000)
 
@@ -42,8 +42,8 @@
 
 def test_refusals_count_beside_failures() -> None:
     found = judge_release({"view": Counts(900, 100, 0)}, {"view": Counts(990, 0, 10)}, RULE, 0)
-    assert (found.decision, found.text) == (Decision.BREACH, "class view: 100 of 1000 refused where it is changed, 0 of 1000 "
-                                                     "where it is not")
+    assert (found.decision, found.text) == (Decision.BREACH, "class view: 100 of 1000 refused where it is changed, "
+                                                             "0 of 1000 where it is not")
 
 
 def test_nothing_seen_is_never_taken_for_well() -> None:
--- a/tests/versions/test_compacted_log.py
+++ b/tests/versions/test_compacted_log.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironscale.versions.compacted_log import Change, View, ViewError, merge_changes, limited_to
+from ironscale.versions.compacted_log import Change, View, ViewError, limited_to, merge_changes
 from ironscale.versions.model import ALL, Entry, Labels, Scope, combine_layers, parse_scope
 
 LABELS = (Labels("i", "s", "a", "r"), Labels("j", "s", "b", "r"), Labels("k"))
--- a/tests/versions/test_follower_state.py
+++ b/tests/versions/test_follower_state.py
@@ -6,7 +6,7 @@
 
 from ironscale.versions.compacted_log import Change, View, limited_to
 from ironscale.versions.follower_state import FollowerState, UpdateOutcome
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, overlay_digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_layers, overlay_digest
 
 LABELS = Labels("app-1", "app", "a", "north")
 SCOPES = (ALL, Scope(Reach.REGION, "north"), Scope(Reach.ZONE, "a"), Scope(Reach.ZONE, "b"),
@@ -78,7 +78,8 @@
     assert state.handle_update(*told(view_at(log, 1), 0) or ()) is UpdateOutcome.APPLY
     state.mark_applied()
     other = Change("M", 9, 0, True, 0, (Entry(9, ALL, {"a": 2}),))
-    assert state.handle_update(other, overlay_digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {"a": 1}
+    assert state.handle_update(other, overlay_digest({"a": 2})) is UpdateOutcome.OTHER_LINEAGE and state.desired == {
+        "a": 1}
 
 
 def test_what_was_refused_is_tried_again_with_the_next_version_only() -> None:
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -18,12 +18,12 @@
     Reach,
     Scope,
     ScopeError,
-    overlay_digest,
     combine_layers,
     combine_patches,
+    overlay_digest,
     parse_scope,
 )
-from ironscale.versions.publishing import Draft, RecordedState, is_rollback, check_publish
+from ironscale.versions.publishing import Draft, RecordedState, check_publish, is_rollback
 
 NAMES = st.text(st.characters(categories=["L", "N", "P"]), min_size=1, max_size=MAX_SCOPE_NAME_CHARS)
 SCOPES = st.one_of(st.just(ALL), st.builds(Scope, st.sampled_from([r for r in Reach if r is not Reach.ALL]), NAMES))
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -8,16 +8,16 @@
 
 from ironscale.versions.agent_selection import BOOKMARK_INTERVAL_S, COALESCE_S
 from ironscale.versions.compacted_log import Change, View, limited_to
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, overlay_digest, combine_layers
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_layers, overlay_digest
 from ironscale.versions.serving import (
     MAX_DIFFERING,
     SLOW_READER_TIMEOUT_S,
     AdmissionBucket,
+    AdmissionRefused,
     EncodedUpdateCache,
-    VersionDistributor,
-    Subscriber,
     FollowerUpdate,
-    AdmissionRefused,
+    Subscriber,
+    VersionDistributor,
 )
 
 SCOPES = [ALL, Scope(Reach.REGION, "r0"), Scope(Reach.ZONE, "z0"), Scope(Reach.ZONE, "z1"),
@@ -125,7 +125,8 @@
             tell()
     for one in followers:
         assert one.view.position == log.view.position
-        assert combine_layers(one.view.layers_for(one.subscriber.labels)) == combine_layers(log.view.layers_for(one.subscriber.labels))
+        assert combine_layers(one.view.layers_for(one.subscriber.labels)) == combine_layers(
+            log.view.layers_for(one.subscriber.labels))
         assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
     assert len(serving.subscribers) == len(followers)
 
@@ -149,7 +150,8 @@
     told: list[FollowerUpdate] = []
     for version in range(2, 52):  # 50 a second
         now_s = version / 50
-        serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), now_s)
+        serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)),
+                             now_s)
         told += [told for _, told in all_due(serving, now_s)]
     told += [told for _, told in all_due(serving, 1.3)]
     assert len(told) <= 1.3 / COALESCE_S + 1
@@ -202,7 +204,8 @@
         change = Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),))
         serving.apply_change(change, version * 0.2)
         assert [subscriber for subscriber, _ in all_due(serving, version * 0.2)] == [other]
-    assert serving.stalled_readers(SLOW_READER_TIMEOUT_S) == [] and serving.stalled_readers(SLOW_READER_TIMEOUT_S + 0.2) == [slow]
+    assert serving.stalled_readers(SLOW_READER_TIMEOUT_S) == [] and serving.stalled_readers(
+        SLOW_READER_TIMEOUT_S + 0.2) == [slow]
     serving.mark_caught_up(slow, 5.0)
     (_, told), = [found for found in all_due(serving, 5.0) if found[0] is slow]
     assert (told.since, told.position, len(told.entries)) == (1, 21, 1)
@@ -234,7 +237,7 @@
 
 def test_whom_it_turns_away() -> None:
     empty = VersionDistributor(random.Random(1))
-    full = served(most=1)
+    full = served(max_followers=1)
     full.join(Labels("i0"), "", 0, 0.0)
     for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
                                    (served(bucket=AdmissionBucket(1.0, 0.0)), "", "BUSY")):
@@ -244,7 +247,7 @@
 
 
 def test_two_that_are_told_the_same_are_told_the_same_bytes_and_what_is_kept_of_them_is_bounded() -> None:
-    serving = served(most=1_000)
+    serving = served(max_followers=1_000)
     for i in range(300):
         serving.join(Labels(f"i{i}", zone="z0"), "", 0, 0.0)
     kept = EncodedUpdateCache(2_000)
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -96,7 +96,8 @@
 
 def test_without_its_position_it_is_refused() -> None:
     header = {"lineage": "5f", "floor": 0, "reached_ms": 1, "entries": 0, "tokens": []}
-    assert refusal(assemble([encode_line(header)])).startswith("header: expected the keys entries, floor, lineage, position,")
+    assert refusal(assemble([encode_line(header)])).startswith(
+        "header: expected the keys entries, floor, lineage, position,")
 
 
 def test_its_age_is_never_less_than_nothing() -> None:
