--- a/ironscale/disruption/ledger.py
+++ b/ironscale/disruption/ledger.py
@@ -145,10 +145,10 @@
             cell.weight -= observation.unit.weight
 
     def _cell_for(self, budget: Budget, unit: Unit) -> BudgetCell:
-        at = (budget.name, budget.cell_value(unit))
-        if at not in self.cells:
-            self.cells[at] = BudgetCell(budget, at[1])
-        return self.cells[at]
+        cell_key = (budget.name, budget.cell_value(unit))
+        if cell_key not in self.cells:
+            self.cells[cell_key] = BudgetCell(budget, cell_key[1])
+        return self.cells[cell_key]
 
     def _update_counts(self, key: str, before: float, after: float) -> None:
         if before == after:
@@ -185,25 +185,25 @@
         skipped, so that it can be repaired at any time. One that is silent or already covered by a permit counts as out
         without being known to be out: it adds nothing, but its cells must be within their limits. Otherwise, if half
         of a fleet fell silent while still serving, every one of those units could be taken out."""
-        found: dict[BudgetCell, tuple[float, float]] = {}
+        added: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
             observation = self.observations.get(key)
             if observation is None or (observation.known and observation.out >= 1.0):
                 continue
             more = 1.0 - self.out_fraction(key)
             for cell in self.cells_by_unit[key]:
-                number, weight = found.get(cell, (0.0, 0.0))
-                found[cell] = number + more, weight + more * observation.unit.weight
-        return found
+                number, weight = added.get(cell, (0.0, 0.0))
+                added[cell] = number + more, weight + more * observation.unit.weight
+        return added
 
     def check_possible(self, units: Iterable[str]) -> None:
         """Raises ImpossibleRequest if these units could not be out together even with all others in service."""
-        whole: dict[BudgetCell, tuple[float, float]] = {}
+        totals: dict[BudgetCell, tuple[float, float]] = {}
         for key in units:
             for cell in self.cells_by_unit.get(key, ()):
-                number, weight = whole.get(cell, (0.0, 0.0))
-                whole[cell] = number + 1.0, weight + self.observations[key].unit.weight
-        for cell, (number, weight) in whole.items():
+                number, weight = totals.get(cell, (0.0, 0.0))
+                totals[cell] = number + 1.0, weight + self.observations[key].unit.weight
+        for cell, (number, weight) in totals.items():
             if not cell.could_ever_fit(number, weight):
                 raise ImpossibleRequest(f"budget {cell.title}: expected {self._limit(cell)} at most, got {number:g} "
                                         f"units at once; ask for them one after the other")
@@ -211,16 +211,16 @@
     def blocking_reason(self, units: Iterable[str], waiter: str, rank: tuple[int, int], now_ms: int,
                         is_rollback: bool = False) -> str:
         """Why these units can't be taken out now; empty = they can. Halts don't block a rollback."""
-        adds = self._additional_out(units)
-        if not adds:
+        added = self._additional_out(units)
+        if not added:
             return ""
         if self.halted and not is_rollback:
             return f"halted by {self.halted}"
-        if not self._have_room(adds):
-            return next(self.explain(cell) for cell, more in adds.items() if not cell.has_room(*more))
+        if not self._have_room(added):
+            return next(self.explain(cell) for cell, more in added.items() if not cell.has_room(*more))
         # without this, small requests would keep overtaking a large one, which would never find enough room at once
         for other in self.waiters.values():
-            if other.name != waiter and other.rank(now_ms) < rank and not other.cells.isdisjoint(adds):
+            if other.name != waiter and other.rank(now_ms) < rank and not other.cells.isdisjoint(added):
                 return f"{other.name} waits before it"
         return ""
 
@@ -296,8 +296,8 @@
         """Counts a permit as held if there is room, and returns an empty text; otherwise it waits in its turn, and the
         reason is returned. Halts don't block a rollback."""
         waiter = waiter_name(permit)
-        mine = self.enqueue(waiter, permit.priority, permit.units, now_ms)
-        problem = self.blocking_reason(permit.units, waiter, mine.rank(now_ms), now_ms, is_rollback)
+        own = self.enqueue(waiter, permit.priority, permit.units, now_ms)
+        problem = self.blocking_reason(permit.units, waiter, own.rank(now_ms), now_ms, is_rollback)
         if not problem:
             self.put(permit.with_phase(Phase.HELD), now_ms)
         return problem
@@ -315,13 +315,14 @@
             if permit.phase is Phase.WAITING:
                 self.enqueue(waiter_name(permit), permit.priority, permit.units, now_ms)
         waiting = {waiter_name(p): p for p in self.permits.values() if p.phase is Phase.WAITING}
-        taken: set[BudgetCell] = set()
+        blocked: set[BudgetCell] = set()
         granted = []
         for waiter in sorted(self.waiters.values(), key=lambda waiter: waiter.rank(now_ms)):
             found = waiting.get(waiter.name)  # None for an operation, which calls `reserve` itself
-            adds = self._additional_out(found.units) if found is not None else {}
-            if found is None or (adds and (self.halted or not taken.isdisjoint(adds) or not self._have_room(adds))):
-                taken |= waiter.cells
+            added = self._additional_out(found.units) if found is not None else {}
+            if found is None or (added and (self.halted or not blocked.isdisjoint(added)
+                                            or not self._have_room(added))):
+                blocked |= waiter.cells
                 continue
             held = found.with_phase(Phase.HELD)
             self.put(held, now_ms)
@@ -329,8 +330,8 @@
         return granted
 
     @staticmethod
-    def _have_room(adds: dict[BudgetCell, tuple[float, float]]) -> bool:
-        return all(cell.has_room(number, weight) for cell, (number, weight) in adds.items())
+    def _have_room(added: dict[BudgetCell, tuple[float, float]]) -> bool:
+        return all(cell.has_room(number, weight) for cell, (number, weight) in added.items())
 
     def renew(self, ident: int, now_ms: int) -> Permit:
         """Renews a lease. An expired permit becomes held again; its units have counted as out all the time."""
--- a/ironscale/disruption/releases.py
+++ b/ironscale/disruption/releases.py
@@ -75,12 +75,12 @@
     unsure: dict[str, None] = {}
     for name in sorted(changed.keys() | untouched.keys()):
         one, other = changed.get(name, Counts()), untouched.get(name, Counts())
-        for what in BAD_OUTCOMES:
-            bad, usual = getattr(one, what), getattr(other, what)
+        for outcome in BAD_OUTCOMES:
+            bad, usual = getattr(one, outcome), getattr(other, outcome)
             low, high = confidence_interval(bad, one.total)
             usual_low, usual_high = confidence_interval(usual, other.total)
             if low > usual_high + rule.margin:
-                return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {what} where it is changed, "
+                return Verdict(Decision.BREACH, f"class {name}: {bad} of {one.total} {outcome} where it is changed, "
                                                 f"{usual} of {other.total} where it is not")
             if high > usual_low + rule.margin:
                 unsure[f"class {name} ({one.total} answers where it is changed, {other.total} where it is not)"] = None
--- a/ironscale/versions/agent_selection.py
+++ b/ironscale/versions/agent_selection.py
@@ -33,20 +33,20 @@
     region: str = ""
 
 
-def rendezvous_weight(instance: str, place: AgentEndpoint) -> int:
+def rendezvous_weight(instance: str, agent: AgentEndpoint) -> int:
     """Rendezvous hashing: the instances of an agent that is lost spread evenly over the other agents."""
-    text = f"{instance}\0{place.host}:{place.port}".encode()
+    text = f"{instance}\0{agent.host}:{agent.port}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
-def preference_order(labels: Labels, places: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
+def preference_order(labels: Labels, agents: Sequence[AgentEndpoint]) -> tuple[AgentEndpoint, ...]:
     """All agents in order of preference: first those in the instance's zone, then in its region, then the others."""
-    def distance(place: AgentEndpoint) -> int:
-        if labels.zone and place.zone == labels.zone:
+    def distance(agent: AgentEndpoint) -> int:
+        if labels.zone and agent.zone == labels.zone:
             return 0
-        return 1 if labels.region and place.region == labels.region else 2
+        return 1 if labels.region and agent.region == labels.region else 2
 
-    return tuple(sorted(places, key=lambda place: (distance(place), -rendezvous_weight(labels.instance, place))))
+    return tuple(sorted(agents, key=lambda agent: (distance(agent), -rendezvous_weight(labels.instance, agent))))
 
 
 def reconnect_spread_s(followers: int, admitted_per_s: float, agents: int) -> float:
@@ -62,14 +62,14 @@
     age_s: float  # time since the agent last reached the record
 
 
-def should_try_others(heard: AgentStatus | None, silent_s: float) -> bool:
+def should_try_others(status: AgentStatus | None, silent_s: float) -> bool:
     """Whether an instance also tries other agents, because its own is silent or cut off from the record."""
-    return heard is None or silent_s >= SILENT_AFTER_S or heard.age_s + silent_s >= STALE_AFTER_S
+    return status is None or silent_s >= SILENT_AFTER_S or status.age_s + silent_s >= STALE_AFTER_S
 
 
 def should_switch(other: AgentStatus, own: AgentStatus | None) -> bool:
-    """Whether to switch to the other agent: only where the own one is unknown or stale, and the other is fresh or has a
-    higher position. Otherwise an instance would switch back and forth between two agents that are both cut off."""
+    """Whether to switch to the other agent: always if the own one has not reported; if it is stale, only to one that is
+    fresh or has a higher position, or else an instance would switch back and forth between two that are cut off."""
     if own is None or own.age_s < STALE_AFTER_S:
         return own is None
     return other.age_s < STALE_AFTER_S or other.position > own.position
--- a/ironscale/versions/compacted_log.py
+++ b/ironscale/versions/compacted_log.py
@@ -47,9 +47,9 @@
         if since > self.position:
             return None
         snapshot = not lineage or since < self.floor or since == 0
-        found = self.entries.values() if snapshot else [e for e in self.entries.values() if e.version > since]
+        selected = self.entries.values() if snapshot else [e for e in self.entries.values() if e.version > since]
         return Change(self.lineage, self.position, since, snapshot, self.floor,
-                      tuple(sorted(found, key=lambda entry: entry.version)))
+                      tuple(sorted(selected, key=lambda entry: entry.version)))
 
     def apply(self, change: Change) -> set[Scope]:
         """Applies a change and returns the scopes that changed. Applying the same change twice is harmless.
@@ -63,13 +63,13 @@
         for entry in change.entries:
             if entry.version > change.position:
                 raise ViewError(f"entry {entry.version}: expected {change.position} or less")
-        new = {} if change.is_snapshot else dict(self.entries)
+        entries = {} if change.is_snapshot else dict(self.entries)
         for entry in change.entries:
-            if entry.scope not in new or new[entry.scope].version < entry.version:
-                new[entry.scope] = entry
-        changed = {scope for scope in new.keys() | self.entries.keys()
-                   if getattr(new.get(scope), "version", 0) != getattr(self.entries.get(scope), "version", 0)}
-        self.lineage, self.position, self.entries = change.lineage, change.position, new
+            if entry.scope not in entries or entries[entry.scope].version < entry.version:
+                entries[entry.scope] = entry
+        changed = {scope for scope in entries.keys() | self.entries.keys()
+                   if getattr(entries.get(scope), "version", 0) != getattr(self.entries.get(scope), "version", 0)}
+        self.lineage, self.position, self.entries = change.lineage, change.position, entries
         self.floor = max(self.floor, change.floor)
         return changed
 
@@ -79,9 +79,10 @@
 
     def without_removals(self, before: int) -> View:
         """A copy without the removals (entries without an overlay) at or before version `before`."""
-        gone = [entry.version for entry in self.entries.values() if entry.overlay is None and entry.version <= before]
-        kept = {scope: entry for scope, entry in self.entries.items() if entry.version not in set(gone)}
-        return replace(self, entries=kept, floor=max([self.floor, *gone]))
+        removals = [entry.version for entry in self.entries.values()
+                    if entry.overlay is None and entry.version <= before]
+        kept = {scope: entry for scope, entry in self.entries.items() if entry.version not in set(removals)}
+        return replace(self, entries=kept, floor=max([self.floor, *removals]))
 
 
 def limited_to(change: Change, labels: Labels) -> Change:
@@ -92,14 +93,14 @@
 
 def merge_changes(changes: Iterable[Change]) -> Change | None:
     """Merges consecutive changes into one; None if there are none. Raises ViewError if they have a gap between them."""
-    found: Change | None = None
+    merged: Change | None = None
     for change in changes:
-        if found is None or change.is_snapshot:
-            found = change
+        if merged is None or change.is_snapshot:
+            merged = change
             continue
-        if change.since > found.position or change.lineage != found.lineage:
-            raise ViewError(f"since: expected {found.position} or less, got {change.since}")
-        newest = {entry.scope: entry for entry in sorted((*found.entries, *change.entries), key=lambda e: e.version)}
-        found = replace(found, position=max(found.position, change.position), floor=max(found.floor, change.floor),
+        if change.since > merged.position or change.lineage != merged.lineage:
+            raise ViewError(f"since: expected {merged.position} or less, got {change.since}")
+        newest = {entry.scope: entry for entry in sorted((*merged.entries, *change.entries), key=lambda e: e.version)}
+        merged = replace(merged, position=max(merged.position, change.position), floor=max(merged.floor, change.floor),
                         entries=tuple(sorted(newest.values(), key=lambda e: e.version)))
-    return found
+    return merged
--- a/ironscale/versions/follower_state.py
+++ b/ironscale/versions/follower_state.py
@@ -47,24 +47,24 @@
         if change.since > self.view.position and not change.is_snapshot:
             self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
-        before = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
+        previous = View(self.view.lineage, self.view.position, self.view.floor, dict(self.view.entries))
         try:
             self.view.apply(change)
         except ViewError:
             self.needs_snapshot = True
             return UpdateOutcome.NEEDS_SNAPSHOT
-        wanted = combine_layers(self.view.layers_for(self.labels))
-        found = overlay_digest(wanted)
-        if found != agent_digest:
+        desired = combine_layers(self.view.layers_for(self.labels))
+        digest = overlay_digest(desired)
+        if digest != agent_digest:
             # a change was lost on the way; without a snapshot it would be missing for good
-            self.view, self.needs_snapshot = before, True
+            self.view, self.needs_snapshot = previous, True
             return UpdateOutcome.NEEDS_SNAPSHOT
         self.needs_snapshot = False
-        self.desired, self.desired_digest = wanted, found
-        if found == self.running_digest:
+        self.desired, self.desired_digest = desired, digest
+        if digest == self.running_digest:
             self.running, self.status, self.detail = self.view.position, "applied", ""
             return UpdateOutcome.NOTHING
-        if self.status != "applied" and before.position and not change.entries:
+        if self.status != "applied" and previous.position and not change.entries:
             return UpdateOutcome.NOTHING  # refused before, and there is nothing new: don't retry the same
         return UpdateOutcome.APPLY
 
--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -74,40 +74,40 @@
     return None
 
 
-def is_rollback(draft: Draft, standing: RecordedState) -> bool:
+def is_rollback(draft: Draft, recorded: RecordedState) -> bool:
     """Whether the draft returns to what the scope had before: an earlier version, or no overlay if it had none."""
-    newest = standing.newest
+    newest = recorded.newest
     if draft.restores:
         return True
-    had_none = newest is not None and (newest.base == 0 or standing.replaced is not None
-                                       and standing.replaced.overlay is None)
+    had_none = newest is not None and (newest.base == 0 or recorded.replaced is not None
+                                       and recorded.replaced.overlay is None)
     return draft.overlay is None and had_none
 
 
-def check_publish(draft: Draft, standing: RecordedState) -> Problem | None:
+def check_publish(draft: Draft, recorded: RecordedState) -> Problem | None:
     """Checks a draft against the recorded state; None if it may be published. This is a compare-and-set: of two drafts
     with the same base only the first becomes a version. A halt still allows rollbacks, because an operator halts a bad
     version first and then rolls it back."""
-    newest = standing.newest
-    number = newest.version if newest is not None else 0
-    if draft.base > standing.position:
-        return Problem("BAD_INPUT", f"base: expected a version that was published, {standing.position} at most, got "
+    newest = recorded.newest
+    newest_version = newest.version if newest is not None else 0
+    if draft.base > recorded.position:
+        return Problem("BAD_INPUT", f"base: expected a version that was published, {recorded.position} at most, got "
                                     f"{draft.base}")
-    if draft.base != number:
+    if draft.base != newest_version:
         by = f" of {newest.actor}" if newest is not None else ""
-        return Problem("CONFLICT", f"base: expected the newest version of {draft.scope}, {number}{by}, got "
+        return Problem("CONFLICT", f"base: expected the newest version of {draft.scope}, {newest_version}{by}, got "
                                    f"{draft.base}; look at it, then publish again",
-                       {"newest": number, "actor": newest.actor if newest is not None else "",
+                       {"newest": newest_version, "actor": newest.actor if newest is not None else "",
                         "atMs": newest.at_ms if newest is not None else 0})
-    if standing.halt and not is_rollback(draft, standing):
-        return Problem("HALTED", f"halted by {standing.halt}; a way back goes on, `ironscale halt --lift` ends the "
+    if recorded.halt and not is_rollback(draft, recorded):
+        return Problem("HALTED", f"halted by {recorded.halt}; a way back goes on, `ironscale halt --lift` ends the "
                                  "halt")
     if draft.overlay is None and (newest is None or newest.overlay is None):
         return Problem("BAD_INPUT", f"overlay: expected an object, as {draft.scope} has none to take away, got none")
-    if draft.restores and draft.restores == number:
-        return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {number}, which is in "
-                                    "force")
-    if newest is None and standing.scope_count >= MAX_SCOPES:
+    if draft.restores and draft.restores == newest_version:
+        return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {newest_version}, which is "
+                                    "in force")
+    if newest is None and recorded.scope_count >= MAX_SCOPES:
         return Problem("FULL", f"expected {MAX_SCOPES} scopes at most; take some away, they go once they are out of "
                                "the history")
     return None
--- a/ironscale/versions/serving.py
+++ b/ironscale/versions/serving.py
@@ -131,11 +131,11 @@
         self.max_bytes, self.size, self.encoded_count = max_bytes, 0, 0
         self.cached: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
-    def get(self, told: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
-        key = told.key
+    def get(self, update: FollowerUpdate, encode: Callable[[FollowerUpdate], bytes]) -> bytes:
+        key = update.key
         data = self.cached.get(key)
         if data is None:
-            data = encode(told)
+            data = encode(update)
             self.encoded_count += 1
             if len(data) <= self.max_bytes:
                 self.cached[key] = data
@@ -181,10 +181,10 @@
         """Replaces the view by one of another log; removes and returns the followers of the former log."""
         self.view = view
         self.digests.clear()
-        strange = [one for one in self.subscribers.values() if one.lineage and one.lineage != view.lineage]
-        for one in strange:
+        former = [one for one in self.subscribers.values() if one.lineage and one.lineage != view.lineage]
+        for one in former:
             self.leave(one)
-        return strange
+        return former
 
     # Followers
 
@@ -221,9 +221,9 @@
         if self.subscribers.pop(subscriber.ident, None) is None:
             return
         for scope in subscriber.scopes:
-            among = self.by_scope[scope]
-            among.discard(subscriber.ident)
-            if not among:
+            idents = self.by_scope[scope]
+            idents.discard(subscriber.ident)
+            if not idents:
                 del self.by_scope[scope]
 
     def record_status(self, subscriber: Subscriber, running: int, digest: str, status: str, detail: str) -> None:
@@ -236,6 +236,7 @@
             subscriber.slow_since_s = now_s
 
     def mark_caught_up(self, subscriber: Subscriber, now_s: float) -> None:
+        """Resumes the updates of a follower that has read everything."""
         if subscriber.slow_since_s >= 0:
             subscriber.slow_since_s = -1.0
             self._schedule(subscriber, max(now_s, subscriber.sent_s + COALESCE_S))
@@ -274,12 +275,12 @@
                 return
             _, ident = heapq.heappop(self.queue)
             found = self.subscribers[ident]
-            told = self.update_for(found, age_ms, spread_ms)
-            if found.position <= told.position:
-                found.lineage, found.position = told.lineage, told.position
+            update = self.update_for(found, age_ms, spread_ms)
+            if found.position <= update.position:
+                found.lineage, found.position = update.lineage, update.position
             found.sent_s = now_s
             self._schedule(found, now_s + BOOKMARK_INTERVAL_S * (0.75 + 0.25 * self.rng.random()))
-            yield found, told
+            yield found, update
 
     def update_for(self, subscriber: Subscriber, age_ms: int, spread_ms: int) -> FollowerUpdate:
         """What `compacted_log.View.change_since` gives, limited to the follower's scopes, without a pass over all
@@ -293,7 +294,8 @@
         snapshot = whole and not (since == view.position and subscriber.lineage == view.lineage)
         entries = layers if snapshot else tuple(entry for entry in layers if entry.version > since)
         return FollowerUpdate(view.lineage, view.position, since, snapshot, view.floor,
-                    tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_for(layers), age_ms, spread_ms)
+                              tuple(sorted(entries, key=lambda entry: entry.version)), self.digest_for(layers), age_ms,
+                              spread_ms)
 
     def layers_for(self, subscriber: Subscriber) -> tuple[Entry, ...]:
         entries = self.view.entries
@@ -343,4 +345,4 @@
                     more += 1
         highest = sorted(counts.items(), reverse=True)[:MAX_COUNTS]
         return VersionsSummary(self.view.lineage, self.view.position, len(self.subscribers), tuple(highest),
-                       tuple(differing), more)
+                               tuple(differing), more)
--- a/ironscale/versions/snapshot.py
+++ b/ironscale/versions/snapshot.py
@@ -183,7 +183,7 @@
     if len({entry.scope for entry in entries}) < len(entries):
         raise SnapshotError("expected one entry for each scope, got a scope twice")
     if type(header["tokens"]) is not list or len(header["tokens"]) > MAX_TOKENS:
-        _fail("header.tokens", f"a list of at most {MAX_TOKENS}", header["tokens"])
+        _fail("header.tokens", f"a list of {MAX_TOKENS} at most", header["tokens"])
     tokens = []
     for i, row in enumerate(header["tokens"]):
         name, role, digest, created_ms, revoked_ms = _list(row, f"header.tokens[{i}]", 5)
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -32,7 +32,7 @@
 
 def grants_all_that_wait() -> None:
     Ledger.blocking_reason = lambda self, *args, **more: ""  # type: ignore[method-assign]
-    Ledger._have_room = staticmethod(lambda adds: True)  # type: ignore[method-assign]
+    Ledger._have_room = staticmethod(lambda added: True)  # type: ignore[method-assign]
 
 
 def counts_only_what_is_held() -> None:
