--- a/ironscale/versions/publishing.py
+++ b/ironscale/versions/publishing.py
@@ -105,8 +105,8 @@
     if draft.overlay is None and (newest is None or newest.overlay is None):
         return Problem("BAD_INPUT", f"overlay: expected an object, as {draft.scope} has none to take away, got none")
     if draft.restores and draft.restores == newest_version:
-        return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {newest_version}, which is "
-                                    "in force")
+        return Problem("BAD_INPUT", f"version: expected an earlier one of {draft.scope}, got {newest_version}, which "
+                                    "is in force")
     if newest is None and recorded.scope_count >= MAX_SCOPES:
         return Problem("FULL", f"expected {MAX_SCOPES} scopes at most; take some away, they go once they are out of "
                                "the history")
--- a/tests/versions/test_model.py
+++ b/tests/versions/test_model.py
@@ -34,7 +34,7 @@
 OBJECTS = st.dictionaries(KEYS, PATCHES, max_size=3)
 
 
-def merged(value: Any, patch: Any) -> Any:
+def apply_patch(value: Any, patch: Any) -> Any:
     """The algorithm of RFC 7396, section 2."""
     if not isinstance(patch, dict):
         return patch
@@ -43,18 +43,18 @@
         if change is None:
             result.pop(name, None)
         else:
-            result[name] = merged(result.get(name), change)
+            result[name] = apply_patch(result.get(name), change)
     return result
 
 
 @given(SCOPES)
-def test_a_scope_is_read_as_it_is_written(scope: Scope) -> None:
+def test_a_scope_is_parsed_back_from_its_text(scope: Scope) -> None:
     assert parse_scope(str(scope)) == scope
 
 
 @pytest.mark.parametrize("text", ["", "ALL", "all=x", "zone", "zone=", "zone= a", "zone=a\n", "zones=a", "=a",
                                   "zone=" + "a" * (MAX_SCOPE_NAME_CHARS + 1)])
-def test_what_is_no_scope_is_told_in_one_line(text: str) -> None:
+def test_an_invalid_scope_gives_a_one_line_error(text: str) -> None:
     with pytest.raises(ScopeError, match="scope: expected all, or one of region, zone, service, instance with =NAME"
                        ) as found:
         parse_scope(text)
@@ -67,7 +67,7 @@
     assert [str(s) for s in Labels("i").scopes()] == ["all", "instance=i"]  # an empty label gives no scope
 
 
-def test_the_narrower_goes_before_in_whatever_order_they_come() -> None:
+def test_narrower_scopes_override_wider_ones_in_any_order() -> None:
     entries = [Entry(9 - n, scope, {"who": str(scope), str(scope): n})
                for n, scope in enumerate(Labels("i", "s", "z", "r").scopes())]
     for some in permutations(entries):
@@ -76,51 +76,53 @@
     assert combine_layers(entries[:3])["who"] == "zone=z"
 
 
-def test_an_entry_without_an_overlay_leaves_what_the_wider_say() -> None:
+def test_an_entry_without_an_overlay_leaves_the_wider_overlays_in_force() -> None:
     assert combine_layers([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), None)]) == {"a": 1}
     # null is kept: it removes the value that the file has
     assert combine_layers([Entry(1, ALL, {"a": 1}), Entry(2, Scope(Reach.ZONE, "z"), {"a": None})]) == {"a": None}
 
 
-def outvoted(wide: Any, narrow: Any) -> Any:
+def effective_part(wide: Any, narrow: Any) -> Any:
     """The part of the wide patch that takes effect: a removal or plain value is lost where the narrow patch has an
     object, because a merge patch can't express that the object is to be emptied first."""
     if not isinstance(wide, dict) or not isinstance(narrow, dict):
         return wide
-    return {name: outvoted(value, narrow.get(name)) for name, value in wide.items()
+    return {name: effective_part(value, narrow.get(name)) for name, value in wide.items()
             if isinstance(value, dict) or not isinstance(narrow.get(name), dict)}
 
 
 @given(OBJECTS, OBJECTS, OBJECTS)
-def test_two_patches_made_one_do_what_both_did(file: dict[str, Any], wide: dict[str, Any], narrow: dict[str, Any]
-                                               ) -> None:
-    assert merged(file, combine_patches(wide, narrow)) == merged(merged(file, outvoted(wide, narrow)), narrow)
+def test_a_combined_patch_has_the_effect_of_both_patches(file: dict[str, Any], wide: dict[str, Any],
+                                                         narrow: dict[str, Any]) -> None:
+    assert apply_patch(file, combine_patches(wide, narrow)) == apply_patch(
+        apply_patch(file, effective_part(wide, narrow)), narrow)
 
 
-def test_a_removal_by_the_wider_does_not_empty_what_the_narrower_gives_as_an_object() -> None:
+def test_a_removal_in_the_wider_patch_does_not_empty_an_object_of_the_narrower() -> None:
     assert combine_patches({"b": None}, {"b": {"x": 1}}) == {"b": {"x": 1}}  # so the other keys of b in the file stay
     assert combine_patches({"b": {"x": 1}}, {"b": None}) == {"b": None}
 
 
 @given(OBJECTS)
-def test_the_digest_is_of_what_is_said_and_not_of_how(overlay: dict[str, Any]) -> None:
-    turned = dict(reversed(overlay.items()))
-    assert overlay_digest(turned) == overlay_digest(overlay) == overlay_digest(json.loads(json.dumps(overlay)))
+def test_the_digest_does_not_depend_on_the_order_of_keys(overlay: dict[str, Any]) -> None:
+    reordered = dict(reversed(overlay.items()))
+    assert overlay_digest(reordered) == overlay_digest(overlay) == overlay_digest(json.loads(json.dumps(overlay)))
     assert overlay_digest({**overlay, "d": 1}) != overlay_digest(overlay)
 
 
 # What may be published
 
 
-def standing(newest: Entry | None = None, before: Entry | None = None, **more: Any) -> RecordedState:
+def recorded_state(newest: Entry | None = None, before: Entry | None = None, **more: Any) -> RecordedState:
     values: dict[str, Any] = {"position": 9, "scopes": 1, **more}
     return RecordedState(values["position"], newest, before, values["scopes"], values.get("halt", ""))
 
 
 @given(st.integers(0, 12), st.one_of(st.none(), st.integers(1, 9)), st.booleans())
-def test_only_upon_the_newest_and_told_what_it_is(base: int, newest: int | None, halted: bool) -> None:
+def test_a_draft_must_be_based_on_the_newest_version_and_a_conflict_names_it(base: int, newest: int | None,
+                                                                             halted: bool) -> None:
     entry = Entry(newest, ALL, {}) if newest else None
-    found = check_publish(Draft(ALL, {"a": 1}, base), standing(entry, halt="bob" if halted else ""))
+    found = check_publish(Draft(ALL, {"a": 1}, base), recorded_state(entry, halt="bob" if halted else ""))
     if base > 9:
         assert found is not None and found.code == "BAD_INPUT"
     elif base != (newest or 0):
@@ -129,7 +131,7 @@
         assert (found.code if found is not None else "") == ("HALTED" if halted else "")
 
 
-@pytest.mark.parametrize(("newest", "before", "overlay", "restores", "back"), [
+@pytest.mark.parametrize(("newest", "before", "overlay", "restores", "expected"), [
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), {"a": 1}, 0, False),
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), {"a": 1}, 2, True),
     (Entry(3, ALL, {}, base=2), Entry(2, ALL, {}), None, 0, False),  # it had an overlay before
@@ -138,10 +140,10 @@
     (Entry(3, ALL, {}, base=0), None, None, 0, True),
     (None, None, None, 0, False),
 ])
-def test_a_way_back_is_to_what_was_there_before(newest: Entry | None, before: Entry | None, overlay: Any,
-                                                restores: int, back: bool) -> None:
+def test_a_rollback_returns_to_what_the_scope_had_before(newest: Entry | None, before: Entry | None, overlay: Any,
+                                                         restores: int, expected: bool) -> None:
     draft = Draft(ALL, overlay, newest.version if newest else 0, restores=restores)
-    assert is_rollback(draft, standing(newest, before)) is back
+    assert is_rollback(draft, recorded_state(newest, before)) is expected
     if newest is not None:
-        found = check_publish(draft, standing(newest, before, halt="bob"))
-        assert (found is None) is back
+        found = check_publish(draft, recorded_state(newest, before, halt="bob"))
+        assert (found is None) is expected
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -61,21 +61,21 @@
         assert overlay_digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == told.digest
 
 
-def test_drawn_histories_leave_every_follower_where_the_record_is() -> None:
+def test_after_random_histories_every_follower_has_the_position_of_the_record() -> None:
     for seed in range(3_000):
         rng = random.Random(seed)
         try:
-            play(rng)
+            run_history(rng)
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
 
 
-def play(rng: random.Random) -> None:
+def run_history(rng: random.Random) -> None:
     log, now_s = Log(), 100.0
     serving = VersionDistributor(rng, bucket=AdmissionBucket(1e6, 1e6))
     followers: list[Follower] = []
 
-    def tell(age_s: float = 0.0) -> None:
+    def send_due(age_s: float = 0.0) -> None:
         by = {one.subscriber.ident: one for one in followers}
         for subscriber, told in serving.due_updates(now_s, age_s, rng.randint(1, 20)):
             assert subscriber.slow_since_s < 0, "a slow reader got an update"
@@ -111,7 +111,7 @@
             whole = serving.view.change_since(subscriber.position, subscriber.lineage)
             if whole is not None and whole.since != serving.view.position:
                 assert told.entries == limited_to(whole, subscriber.labels).entries
-        tell()
+        send_due()
     # all followers read again and the record is reached: within one bookmark interval all have its position
     found = log.view.change_since(serving.view.position, serving.view.lineage)
     assert found is not None
@@ -122,7 +122,7 @@
     while now_s < ends_s:
         now_s += 0.02
         for _ in range(20):
-            tell()
+            send_due()
     for one in followers:
         assert one.view.position == log.view.position
         assert combine_layers(one.view.layers_for(one.subscriber.labels)) == combine_layers(
@@ -131,7 +131,7 @@
     assert len(serving.subscribers) == len(followers)
 
 
-def served(position: int = 1, **changes: object) -> VersionDistributor:
+def distributor_at(position: int = 1, **changes: object) -> VersionDistributor:
     serving = VersionDistributor(random.Random(1), **changes)  # type: ignore[arg-type]
     serving.apply_change(Change("aa", position, 0, True, 0, (Entry(position, ALL, {"n": position}),)), 0.0)
     return serving
@@ -144,8 +144,8 @@
     return found
 
 
-def test_a_burst_is_folded_into_few_updates_and_none_is_lost() -> None:
-    serving = served()
+def test_a_burst_of_versions_is_coalesced_into_few_updates_and_none_is_lost() -> None:
+    serving = distributor_at()
     one = serving.join(Labels("i0"), "", 0, 0.0)
     told: list[FollowerUpdate] = []
     for version in range(2, 52):  # 50 a second
@@ -162,8 +162,8 @@
     assert len(serving.queue) < 20  # memory does not grow with the number of changes
 
 
-def test_who_is_not_concerned_is_told_with_its_next_bookmark() -> None:
-    serving = served()
+def test_a_follower_outside_the_scope_gets_the_position_with_its_next_bookmark() -> None:
+    serving = distributor_at()
     here, there = (serving.join(Labels(f"i{i}", zone=f"z{i}"), "", 0, 0.0) for i in range(2))
     all_due(serving, 0.0)
     serving.apply_change(Change("aa", 2, 1, False, 0, (Entry(2, Scope(Reach.ZONE, "z0"), {}),)), 0.2)
@@ -171,8 +171,8 @@
     assert there in [subscriber for subscriber, told in all_due(serving, BOOKMARK_INTERVAL_S) if told.position == 2]
 
 
-def test_bookmarks_come_in_time_and_not_all_at_once() -> None:
-    serving = served()
+def test_bookmarks_are_in_time_and_spread_out() -> None:
+    serving = distributor_at()
     for i in range(400):
         serving.join(Labels(f"i{i}"), "", 0, 0.0)
     all_due(serving, 0.0)
@@ -183,8 +183,8 @@
     assert told.age_ms == 4_300  # rounded up, never down
 
 
-def test_one_that_is_ahead_is_told_nothing_older() -> None:
-    serving = served(5)
+def test_a_follower_that_is_ahead_gets_no_older_entries() -> None:
+    serving = distributor_at(5)
     serving.join(Labels("i0"), "aa", 7, 0.0)
     (_, told), = all_due(serving, 0.0)
     assert (told.position, told.since, told.entries, told.is_snapshot) == (5, 5, (), False)
@@ -195,8 +195,8 @@
     assert [entry.version for entry in told.entries] == [8] and told.since == 7
 
 
-def test_a_slow_reader_gets_what_it_lacks_once_it_has_read() -> None:
-    serving = served()
+def test_a_slow_reader_gets_one_update_once_it_has_read() -> None:
+    serving = distributor_at()
     slow, other = (serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(2))
     all_due(serving, 0.0)
     serving.mark_slow(slow, 0.1)
@@ -211,7 +211,7 @@
     assert (told.since, told.position, len(told.entries)) == (1, 21, 1)
 
 
-def test_new_followers_are_taken_on_at_a_rate_and_the_rest_spread_over_the_time_it_needs() -> None:
+def test_new_followers_are_admitted_at_a_rate_and_the_rest_are_spread_over_time() -> None:
     for seed in range(20):
         rng = random.Random(seed)
         bucket = AdmissionBucket(100.0, 20.0)
@@ -230,24 +230,24 @@
         assert all(b - a >= 0.99 for a, b in zip(taken, taken[20 + 100:], strict=False)), f"seed {seed}"
         assert taken[-1] < 8.0, f"seed {seed}: the last after {taken[-1]:.1f} s"
         assert tries < 400 * 4, f"seed {seed}: {tries} tries"
-    impatient = AdmissionBucket(100.0, 20.0)  # callers that don't wait gain nothing
-    assert 215 <= sum(impatient.take(step / 1000, rng) == 0.0 for step in range(2_000)) <= 221
-    assert sum(impatient.take(100.0, rng) == 0.0 for _ in range(500)) == 20
+    eager = AdmissionBucket(100.0, 20.0)  # callers that don't wait gain nothing
+    assert 215 <= sum(eager.take(step / 1000, rng) == 0.0 for step in range(2_000)) <= 221
+    assert sum(eager.take(100.0, rng) == 0.0 for _ in range(500)) == 20
 
 
-def test_whom_it_turns_away() -> None:
+def test_which_followers_are_not_admitted() -> None:
     empty = VersionDistributor(random.Random(1))
-    full = served(max_followers=1)
+    full = distributor_at(max_followers=1)
     full.join(Labels("i0"), "", 0, 0.0)
-    for serving, lineage, code in ((empty, "", "NOTHING"), (served(), "bb", "LINEAGE"), (full, "", "BUSY"),
-                                   (served(bucket=AdmissionBucket(1.0, 0.0)), "", "BUSY")):
+    for serving, lineage, code in ((empty, "", "NOTHING"), (distributor_at(), "bb", "LINEAGE"), (full, "", "BUSY"),
+                                   (distributor_at(bucket=AdmissionBucket(1.0, 0.0)), "", "BUSY")):
         with pytest.raises(AdmissionRefused) as found:
             serving.check_admission(lineage, 0.0)
         assert found.value.code == code and found.value.retry_ms > 0
 
 
-def test_two_that_are_told_the_same_are_told_the_same_bytes_and_what_is_kept_of_them_is_bounded() -> None:
-    serving = served(max_followers=1_000)
+def test_equal_updates_are_encoded_once_and_the_cache_is_bounded() -> None:
+    serving = distributor_at(max_followers=1_000)
     for i in range(300):
         serving.join(Labels(f"i{i}", zone="z0"), "", 0, 0.0)
     kept = EncodedUpdateCache(2_000)
@@ -261,14 +261,14 @@
     assert kept.size <= 2_000
 
 
-def test_the_sum_says_who_runs_what_and_is_bounded() -> None:
-    serving = served(3)
-    right = serving.digest_for(serving.view.layers_for(Labels("i")))
+def test_the_summary_lists_differing_followers_and_is_bounded() -> None:
+    serving = distributor_at(3)
+    current_digest = serving.digest_for(serving.view.layers_for(Labels("i")))
     ones = [serving.join(Labels(f"i{i}"), "", 0, 0.0) for i in range(5)]
-    serving.record_status(ones[0], 3, right, "applied", "")
+    serving.record_status(ones[0], 3, current_digest, "applied", "")
     serving.record_status(ones[1], 2, "old", "refused", "x" * 5_000)
     serving.record_status(ones[2], 3, "bad", "applied", "")
-    serving.record_status(ones[3], 9, right, "applied", "")
+    serving.record_status(ones[3], 9, current_digest, "applied", "")
     found = serving.summary()
     assert found.counts == ((9, 1), (3, 2), (2, 1), (0, 1))
     assert [(one.name, one.status) for one in found.differing] == [
@@ -283,8 +283,8 @@
     assert len(found.differing) == MAX_DIFFERING and found.more == 304 - MAX_DIFFERING
 
 
-def test_another_log_lets_those_of_the_former_go() -> None:
-    serving = served(3)
+def test_a_view_of_another_lineage_removes_the_followers_of_the_former() -> None:
+    serving = distributor_at(3)
     old = serving.join(Labels("i0"), "", 0, 0.0)
     all_due(serving, 0.0)
     new = serving.join(Labels("i1"), "", 0, 0.0)
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -36,14 +36,14 @@
     return str(found.value)
 
 
-def test_what_was_written_is_read() -> None:
+def test_a_snapshot_is_decoded_as_it_was_encoded() -> None:
     assert decode(encode(KEPT)) == KEPT
     assert make_snapshot(KEPT.view(), KEPT.tokens, KEPT.reached_ms) == KEPT
     empty = make_snapshot(View(), (), 0)
     assert decode(encode(empty)) == empty
 
 
-def test_drawn_snapshots_are_read_as_they_were_written() -> None:
+def test_random_snapshots_are_decoded_as_they_were_encoded() -> None:
     for seed in range(300):
         rng = random.Random(seed)
         position = rng.randint(0, 50)
@@ -55,7 +55,7 @@
         assert decode(encode(kept)) == kept, f"seed {seed}"
 
 
-def test_torn_at_any_byte_it_is_refused() -> None:
+def test_a_snapshot_truncated_at_any_byte_is_refused() -> None:
     data = encode(KEPT)
     for size in range(len(data)):
         refusal(data[:size])
@@ -63,20 +63,20 @@
     refusal(data + b"\0")
 
 
-def test_with_any_byte_changed_it_is_refused() -> None:
+def test_a_snapshot_with_any_byte_changed_is_refused() -> None:
     data = encode(KEPT)
     for at in range(len(data)):
         for bit in (1, 128):
             refusal(data[:at] + bytes([data[at] ^ bit]) + data[at + 1:])
 
 
-def test_of_a_newer_program_it_is_refused_as_such() -> None:
+def test_a_snapshot_of_a_newer_format_version_is_refused_as_such() -> None:
     body = encode(KEPT)[HEADER_BYTES:-CHECKSUM_BYTES].split(b"\n")
     assert refusal(assemble(body, 2)) == "expected version 1 to 1, got 2: written by a newer program"
     assert refusal(assemble(body, 0)).startswith("expected version 1 to 1, got 0")
 
 
-def test_a_wrong_checksum_is_told_as_damage() -> None:
+def test_a_wrong_checksum_is_reported_as_damage() -> None:
     data = encode(KEPT)
     assert refusal(data[:-1] + bytes([data[-1] ^ 1])) == (
         "expected a matching checksum, got another: the snapshot is damaged")
@@ -90,16 +90,16 @@
     ({"entries": ENTRIES[::-1]}, "expected entries in ascending order of distinct versions, got another order"),
     ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry for each scope, got a scope twice"),
 ])
-def test_a_whole_file_that_says_what_can_t_be_is_refused(changes: dict[str, object], told: str) -> None:
+def test_an_intact_snapshot_with_inconsistent_content_is_refused(changes: dict[str, object], told: str) -> None:
     assert refusal(encode(replace(KEPT, **changes))) == told  # type: ignore[arg-type]
 
 
-def test_without_its_position_it_is_refused() -> None:
+def test_a_snapshot_without_its_position_is_refused() -> None:
     header = {"lineage": "5f", "floor": 0, "reached_ms": 1, "entries": 0, "tokens": []}
     assert refusal(assemble([encode_line(header)])).startswith(
         "header: expected the keys entries, floor, lineage, position,")
 
 
-def test_its_age_is_never_less_than_nothing() -> None:
+def test_the_age_of_a_snapshot_is_never_negative() -> None:
     assert KEPT.age_s(KEPT.reached_ms + 1_500) == 1.5
     assert KEPT.age_s(KEPT.reached_ms - 60_000) == 0.0
