--- a/tests/disruption/test_evidence.py
+++ b/tests/disruption/test_evidence.py
@@ -24,7 +24,7 @@
 
 def merged_by_name(views: list[SidecarView], connected: int = 9,
                    known: tuple[Unit, ...] = ()) -> dict[str, Observation]:
-    return {sight.unit.name: sight for sight in merge_views(views, connected, known)}
+    return {observation.unit.name: observation for observation in merge_views(views, connected, known)}
 
 
 def test_one_faulty_sidecar_has_no_effect_and_a_quarter_makes_a_unit_count_as_out() -> None:
@@ -35,23 +35,24 @@
     assert (found["n0"].out, found["n0"].known, found["n0"].reason) == (1.0, False, "failing by 2 of 8")
     found = merged_by_name([view(n, why=false_reports if n < 5 else None) for n in range(8)])
     assert (found["n0"].out, found["n0"].known) == (1.0, True)
-    assert all(sight.out == 0.0 for name, sight in found.items() if name != "n0")
+    assert all(observation.out == 0.0 for name, observation in found.items() if name != "n0")
 
 
 def test_a_sidecar_that_sees_most_upstreams_as_out_is_ignored() -> None:
     all_out = dict.fromkeys(NAMES, "no answer")
     found = merged_by_name([view(0, why=all_out), view(1, why=all_out), *(view(n) for n in range(2, 8))])
-    assert all(sight.out == 0.0 for sight in found.values())
+    assert all(observation.out == 0.0 for observation in found.values())
     found = merged_by_name([view(n, why=all_out) for n in range(5)])  # all sidecars agree
-    assert all(sight.out == 1.0 and sight.known for sight in found.values())
+    assert all(observation.out == 1.0 and observation.known for observation in found.values())
 
 
 def test_with_too_few_answers_every_unit_counts_as_out_without_being_known_to_be() -> None:
     units = tuple(Unit(UnitKind.UPSTREAM, name) for name in NAMES)
     for views in ([], [view(0)], [view(0), view(1)]):
         found = merged_by_name(views, 9, units)
-        assert all((sight.out, sight.known) == (1.0, False) for sight in found.values()) and len(found) == 12
-    assert all(sight.out == 0.0 for sight in merged_by_name([view(0)], connected=1).values())
+        assert all((observation.out, observation.known) == (1.0, False)
+                   for observation in found.values()) and len(found) == 12
+    assert all(observation.out == 0.0 for observation in merged_by_name([view(0)], connected=1).values())
 
 
 def test_cold_upstreams_count_as_out_by_their_missing_capacity() -> None:
@@ -84,7 +85,7 @@
     # faulty sidecars answer at random; they are fewer than a quarter
     views = [view(n, rng.randrange(1_000), {name: reason(n, name) for name in NAMES}) for n in range(count)]
     found = merged_by_name(views, count)
-    assert {name for name, sight in found.items() if sight.out} >= out
+    assert {name for name, observation in found.items() if observation.out} >= out
     assert all(found[name].known for name in out)
     assert all(found[name].out == 0.0 for name in NAMES if name not in out), f"seed {seed}"
 
--- a/tests/versions/test_serving.py
+++ b/tests/versions/test_serving.py
@@ -48,17 +48,18 @@
 
     def __init__(self, subscriber: Subscriber, view: View) -> None:
         self.subscriber, self.view = subscriber, view
-        self.told_s: list[float] = []
+        self.updated_s: list[float] = []
 
-    def take(self, told: FollowerUpdate, now_s: float) -> None:
-        self.told_s.append(now_s)
-        if told.position < self.view.position:
-            assert told.entries == (), "got entries older than what it has"
+    def handle(self, update: FollowerUpdate, now_s: float) -> None:
+        self.updated_s.append(now_s)
+        if update.position < self.view.position:
+            assert update.entries == (), "got entries older than what it has"
             return
-        if told.is_snapshot:
-            assert all(entry.scope in self.subscriber.scopes for entry in told.entries)
-        self.view.apply(Change(told.lineage, told.position, told.since, told.is_snapshot, told.floor, told.entries))
-        assert overlay_digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == told.digest
+        if update.is_snapshot:
+            assert all(entry.scope in self.subscriber.scopes for entry in update.entries)
+        self.view.apply(Change(update.lineage, update.position, update.since, update.is_snapshot, update.floor,
+                               update.entries))
+        assert overlay_digest(combine_layers(self.view.layers_for(self.subscriber.labels))) == update.digest
 
 
 def test_after_random_histories_every_follower_has_the_position_of_the_record() -> None:
@@ -77,40 +78,41 @@
 
     def send_due(age_s: float = 0.0) -> None:
         by = {one.subscriber.ident: one for one in followers}
-        for subscriber, told in serving.due_updates(now_s, age_s, rng.randint(1, 20)):
+        for subscriber, update in serving.due_updates(now_s, age_s, rng.randint(1, 20)):
             assert subscriber.slow_since_s < 0, "a slow reader got an update"
-            # `take` checks the digest of the result
-            by[subscriber.ident].take(told, now_s)
+            # `handle` checks the digest of the result
+            by[subscriber.ident].handle(update, now_s)
 
     for _ in range(rng.randint(5, 40)):
         now_s += rng.choice([0.0, 0.01, 0.05, 0.3])
-        what = rng.random()
-        if what < 0.35:
+        action = rng.random()
+        if action < 0.35:
             log.publish(rng)
-        if what < 0.6:
+        if action < 0.6:
             view = serving.view
             found = log.view.change_since(view.position, view.lineage)
             assert found is not None
             serving.apply_change(found, now_s)
-        elif what < 0.75 and serving.has_reached_record:
+        elif action < 0.75 and serving.has_reached_record:
             serving.check_admission("", now_s)
             followers.append(Follower(serving.join(some_labels(rng), "", 0, now_s), View()))
-        elif what < 0.8 and followers:
+        elif action < 0.8 and followers:
             one = followers.pop(rng.randrange(len(followers)))
             serving.leave(one.subscriber)
             if one.view.lineage and rng.random() < 0.7:  # the same instance reconnects with what it has
                 since = one.view.position if rng.random() < 0.9 else 0
                 back = serving.join(one.subscriber.labels, one.view.lineage, since, now_s)
                 followers.append(Follower(back, one.view))
-        elif what < 0.85 and followers:
+        elif action < 0.85 and followers:
             serving.mark_slow(rng.choice(followers).subscriber, now_s)
-        elif what < 0.9 and followers:
+        elif action < 0.9 and followers:
             serving.mark_caught_up(rng.choice(followers).subscriber, now_s)
         for subscriber in serving.subscribers.values():
-            told = serving.update_for(subscriber, 100, 100)
-            whole = serving.view.change_since(subscriber.position, subscriber.lineage)
-            if whole is not None and whole.since != serving.view.position:
-                assert told.entries == limited_to(whole, subscriber.labels).entries
+            # without a pass over all entries it must give the same as the view itself
+            update = serving.update_for(subscriber, 100, 100)
+            change = serving.view.change_since(subscriber.position, subscriber.lineage)
+            if change is not None and change.since != serving.view.position:
+                assert update.entries == limited_to(change, subscriber.labels).entries
         send_due()
     # all followers read again and the record is reached: within one bookmark interval all have its position
     found = log.view.change_since(serving.view.position, serving.view.lineage)
@@ -127,7 +129,7 @@
         assert one.view.position == log.view.position
         assert combine_layers(one.view.layers_for(one.subscriber.labels)) == combine_layers(
             log.view.layers_for(one.subscriber.labels))
-        assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.told_s, one.told_s[1:], strict=False))
+        assert not any(0 < b - a < COALESCE_S - 1e-9 for a, b in zip(one.updated_s, one.updated_s[1:], strict=False))
     assert len(serving.subscribers) == len(followers)
 
 
@@ -147,16 +149,17 @@
 def test_a_burst_of_versions_is_coalesced_into_few_updates_and_none_is_lost() -> None:
     serving = distributor_at()
     one = serving.join(Labels("i0"), "", 0, 0.0)
-    told: list[FollowerUpdate] = []
+    updates: list[FollowerUpdate] = []
     for version in range(2, 52):  # 50 a second
         now_s = version / 50
         serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)),
                              now_s)
-        told += [told for _, told in all_due(serving, now_s)]
-    told += [told for _, told in all_due(serving, 1.3)]
-    assert len(told) <= 1.3 / COALESCE_S + 1
-    assert told[-1].position == 51 == one.position
-    assert [t.since for t in told[1:]] == [t.position for t in told[:-1]]  # each continues where the one before ended
+        updates += [update for _, update in all_due(serving, now_s)]
+    updates += [update for _, update in all_due(serving, 1.3)]
+    assert len(updates) <= 1.3 / COALESCE_S + 1
+    assert updates[-1].position == 51 == one.position
+    # each update continues where the one before ended
+    assert [t.since for t in updates[1:]] == [t.position for t in updates[:-1]]
     for version in range(52, 200):
         serving.apply_change(Change("aa", version, version - 1, False, 0, (Entry(version, ALL, {"n": version}),)), 1.35)
     assert len(serving.queue) < 20  # memory does not grow with the number of changes
@@ -168,7 +171,7 @@
     all_due(serving, 0.0)
     serving.apply_change(Change("aa", 2, 1, False, 0, (Entry(2, Scope(Reach.ZONE, "z0"), {}),)), 0.2)
     assert [subscriber for subscriber, _ in all_due(serving, 0.2)] == [here]
-    assert there in [subscriber for subscriber, told in all_due(serving, BOOKMARK_INTERVAL_S) if told.position == 2]
+    assert there in [subscriber for subscriber, update in all_due(serving, BOOKMARK_INTERVAL_S) if update.position == 2]
 
 
 def test_bookmarks_are_in_time_and_spread_out() -> None:
@@ -178,21 +181,21 @@
     all_due(serving, 0.0)
     steps = [len(all_due(serving, 0.02 * step)) for step in range(1, 52)]
     assert sum(steps) == 400 and max(steps) < 100
-    _, told = all_due(serving, 2.1, age_s=4.25)[0]
-    assert told.entries == () and not told.is_snapshot
-    assert told.age_ms == 4_300  # rounded up, never down
+    _, update = all_due(serving, 2.1, age_s=4.25)[0]
+    assert update.entries == () and not update.is_snapshot
+    assert update.age_ms == 4_300  # rounded up, never down
 
 
 def test_a_follower_that_is_ahead_gets_no_older_entries() -> None:
     serving = distributor_at(5)
     serving.join(Labels("i0"), "aa", 7, 0.0)
-    (_, told), = all_due(serving, 0.0)
-    assert (told.position, told.since, told.entries, told.is_snapshot) == (5, 5, (), False)
+    (_, update), = all_due(serving, 0.0)
+    assert (update.position, update.since, update.entries, update.is_snapshot) == (5, 5, (), False)
     serving.apply_change(Change("aa", 6, 5, False, 0, (Entry(6, ALL, {"n": 6}),)), 1.0)
-    assert all(told.entries == () for _, told in all_due(serving, 1.0))
+    assert all(update.entries == () for _, update in all_due(serving, 1.0))
     serving.apply_change(Change("aa", 8, 6, False, 0, (Entry(8, ALL, {"n": 8}),)), 2.0)
-    (_, told), = all_due(serving, 2.0)
-    assert [entry.version for entry in told.entries] == [8] and told.since == 7
+    (_, update), = all_due(serving, 2.0)
+    assert [entry.version for entry in update.entries] == [8] and update.since == 7
 
 
 def test_a_slow_reader_gets_one_update_once_it_has_read() -> None:
@@ -207,8 +210,8 @@
     assert serving.stalled_readers(SLOW_READER_TIMEOUT_S) == [] and serving.stalled_readers(
         SLOW_READER_TIMEOUT_S + 0.2) == [slow]
     serving.mark_caught_up(slow, 5.0)
-    (_, told), = [found for found in all_due(serving, 5.0) if found[0] is slow]
-    assert (told.since, told.position, len(told.entries)) == (1, 21, 1)
+    (_, update), = [found for found in all_due(serving, 5.0) if found[0] is slow]
+    assert (update.since, update.position, len(update.entries)) == (1, 21, 1)
 
 
 def test_new_followers_are_admitted_at_a_rate_and_the_rest_are_spread_over_time() -> None:
@@ -251,13 +254,13 @@
     for i in range(300):
         serving.join(Labels(f"i{i}", zone="z0"), "", 0, 0.0)
     kept = EncodedUpdateCache(2_000)
-    for _, told in all_due(serving, 0.0):
-        kept.get(told, lambda told: b"x" * 100)
+    for _, update in all_due(serving, 0.0):
+        kept.get(update, lambda update: b"x" * 100)
     assert kept.encoded_count == 1
     for i in range(1_000):
-        kept.get(FollowerUpdate("aa", i, 0, False, 0, (), "", 0, 0), lambda told: b"x" * 100)
+        kept.get(FollowerUpdate("aa", i, 0, False, 0, (), "", 0, 0), lambda update: b"x" * 100)
         assert kept.size <= 2_000 and len(kept.cached) <= 20
-    kept.get(FollowerUpdate("aa", 0, 0, True, 0, (), "", 0, 0), lambda told: b"x" * 3_000)
+    kept.get(FollowerUpdate("aa", 0, 0, True, 0, (), "", 0, 0), lambda update: b"x" * 3_000)
     assert kept.size <= 2_000
 
 
@@ -294,5 +297,5 @@
     # not the cached digest of the former log's version 3
     assert serving.digest_for((Entry(3, ALL, {"n": 4}),)) == overlay_digest({"n": 4})
     serving.apply_change(Change("bb", 3, 0, True, 0, (Entry(3, ALL, {"n": 4}),)), 1.0)
-    (subscriber, told), = all_due(serving, 1.0)
-    assert subscriber is new and told.lineage == "bb" and told.is_snapshot
+    (subscriber, update), = all_due(serving, 1.0)
+    assert subscriber is new and update.lineage == "bb" and update.is_snapshot
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -83,15 +83,15 @@
     assert refusal(b"something else, long enough for it all").startswith(f"expected it to begin with {MAGIC!r}")
 
 
-@pytest.mark.parametrize(("changes", "told"), [
+@pytest.mark.parametrize(("changes", "message"), [
     ({"position": 6}, "entry 2.version: expected a whole number from 1 to 6, got '7'"),
     ({"floor": 10}, "header.floor: expected a whole number from 0 to 9, got '10'"),
     ({"lineage": ""}, "header.lineage: expected the lineage of the log to which the position belongs, got ''"),
     ({"entries": ENTRIES[::-1]}, "expected entries in ascending order of distinct versions, got another order"),
     ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry for each scope, got a scope twice"),
 ])
-def test_an_intact_snapshot_with_inconsistent_content_is_refused(changes: dict[str, object], told: str) -> None:
-    assert refusal(encode(replace(KEPT, **changes))) == told  # type: ignore[arg-type]
+def test_an_intact_snapshot_with_inconsistent_content_is_refused(changes: dict[str, object], message: str) -> None:
+    assert refusal(encode(replace(KEPT, **changes))) == message  # type: ignore[arg-type]
 
 
 def test_a_snapshot_without_its_position_is_refused() -> None:
