--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -25,7 +25,7 @@
 from ironscale.agent.serve import running
 from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_instance, kill_client
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import Budget, Of, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import Budget, Observation, Permit, Phase, Unit, UnitKind
 from ironscale.operator_file import AgentConfig as Section
 from ironscale.operator_file import read_secret
 from ironscale.stage.fault_scenario import World
@@ -88,36 +88,39 @@
 
 def decision() -> None:
     """5,000 instances and 500 upstreams under ten budgets, 1,000 waiting permits: a report, a grant, a pass."""
-    budgets = [Budget("number", Of.SIDECAR, number=50), Budget("share", Of.SIDECAR, share=0.02),
-               Budget("zones", Of.SIDECAR, each="zone", share=0.03),
-               Budget("groups", Of.SIDECAR, each="group", number=3), Budget("weight", Of.SIDECAR, capacity=0.03),
-               Budget("services", Of.SIDECAR, each="service", number=20),
-               Budget("up", Of.UPSTREAM, number=10), Budget("up zones", Of.UPSTREAM, each="zone", share=0.1),
-               Budget("up kinds", Of.UPSTREAM, each="kind", share=0.2), Budget("up weight", Of.UPSTREAM, capacity=0.1)]
+    budgets = [Budget("number", UnitKind.SIDECAR, number=50), Budget("share", UnitKind.SIDECAR, share=0.02),
+               Budget("zones", UnitKind.SIDECAR, each="zone", share=0.03),
+               Budget("groups", UnitKind.SIDECAR, each="group", number=3),
+               Budget("weight", UnitKind.SIDECAR, capacity=0.03),
+               Budget("services", UnitKind.SIDECAR, each="service", number=20),
+               Budget("up", UnitKind.UPSTREAM, number=10),
+               Budget("up zones", UnitKind.UPSTREAM, each="zone", share=0.1),
+               Budget("up kinds", UnitKind.UPSTREAM, each="kind", share=0.2),
+               Budget("up weight", UnitKind.UPSTREAM, capacity=0.1)]
     ledger, rng = Ledger(budgets), random.Random(1)
     units = [Unit(of, f"u{n}", f"s{n % 40}", "abcd"[n % 4], f"k{n % 5}", f"g{n % 100}", 1.0 + n % 3)
-             for of, count in ((Of.SIDECAR, 5_000), (Of.UPSTREAM, 500)) for n in range(count)]
+             for of, count in ((UnitKind.SIDECAR, 5_000), (UnitKind.UPSTREAM, 500)) for n in range(count)]
     for unit in units:
-        ledger.see(Sight(unit, 0.0))
+        ledger.observe(Observation(unit, 0.0))
     for ident in range(1, 1_001):
         keys = tuple(unit.key for unit in rng.sample(units, rng.choice((1, 1, 2, 5))))
         ledger.put(Permit(ident, str(ident), "h", keys, priority=rng.randrange(3), lease_ms=9_000), 0)
     passes, reports, single = [], [], []
     for turn in range(60):
         start_s = time.perf_counter()
-        granted = ledger.grants(turn * 100)
+        granted = ledger.grant_waiting(turn * 100)
         passes.append(time.perf_counter() - start_s)
         for permit in granted:
-            ledger.put(permit.to(Phase.ENDED), turn * 100)
+            ledger.put(permit.with_phase(Phase.ENDED), turn * 100)
         for unit in rng.sample(units, 200):
             start_s = time.perf_counter()
-            ledger.see(Sight(unit, float(rng.random() < 0.01), "not ready"))
+            ledger.observe(Observation(unit, float(rng.random() < 0.01), "not ready"))
             reports.append(time.perf_counter() - start_s)
         permit = Permit(10_000 + turn, "x", "h", (rng.choice(units).key,))
         start_s = time.perf_counter()
         if not ledger.reserve(permit, turn * 100):
-            ledger.release(permit.id, turn * 100)
-        ledger.leave(f"permit {permit.id}")
+            ledger.cancel_reservation(permit.id, turn * 100)
+        ledger.dequeue(f"permit {permit.id}")
         single.append(time.perf_counter() - start_s)
     waiting = sum(permit.phase is Phase.WAITING for permit in ledger.permits.values())
     print(f"5,500 units, 1,000 waiting at first, {waiting} at last, in ms:")
@@ -129,7 +132,7 @@
     """Each takes `out_s` to serve again; the least is what the budget allows with no time lost between."""
     with tempfile.TemporaryDirectory() as folder:
         section = Section(data=Path(folder), control=("127.0.0.1", 0), api=("127.0.0.1", 0), lease_s=6.0,
-                          heartbeat_s=0.2, budgets=(Budget("all", Of.SIDECAR, number=most),) if most else ())
+                          heartbeat_s=0.2, budgets=(Budget("all", UnitKind.SIDECAR, number=most),) if most else ())
         async with running(section) as agent:
             token = read_secret(agent.data / "instance.token")
             made = [create_simulated_instance(f"i{n:03}", ("127.0.0.1", agent.control_port), token)
@@ -148,7 +151,7 @@
 
             for instance, _ in made:
                 instance.before_effect = lambda what, instance=instance: away(instance)  # type: ignore[misc]
-            while sum(sight.out == 0.0 for sight in agent.engine.permits.ledger.sights.values()) < instances:
+            while sum(sight.out == 0.0 for sight in agent.engine.permits.ledger.observations.values()) < instances:
                 await asyncio.sleep(0.05)
             start_s, cpu_s = time.monotonic(), time.process_time()
             op, _ = await agent.engine.begin("ann", Kind.RECONFIGURE, [f"i{n:03}" for n in range(instances)], Policy(),
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,15 +16,24 @@
 from functools import partial
 
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import COUNTS, Budget, Impossible, Of, Permit, Phase, Sight, Unit
+from ironscale.disruption.model import (
+    COUNTED_PHASES,
+    Budget,
+    ImpossibleRequest,
+    Observation,
+    Permit,
+    Phase,
+    Unit,
+    UnitKind,
+)
 
 BEAT_MS, LATEST_MS, SILENT_MS, LEASE_MS = 1_000, 1_500, 4_000, 3_000
 # A loss that the leader could not know of when it granted: its silence, and a heartbeat that was still on its way.
 BLIND_MS = SILENT_MS + LATEST_MS + BEAT_MS
 BUDGETS = (
-    Budget("all", Of.SIDECAR, number=4),
-    Budget("zone", Of.SIDECAR, each="zone", share=0.34),
-    Budget("capacity", Of.SIDECAR, capacity=0.4),
+    Budget("all", UnitKind.SIDECAR, number=4),
+    Budget("zone", UnitKind.SIDECAR, each="zone", share=0.34),
+    Budget("capacity", UnitKind.SIDECAR, capacity=0.4),
 )
 
 
@@ -47,7 +56,8 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.count = self.grants = self.ended = self.worst = 0
         self.units = {u.key: Truth(u) for u in (
-            Unit(Of.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2) for n in range(self.rng.randint(6, 15)))}
+            Unit(UnitKind.SIDECAR, f"i{n}", zone="abc"[n % 3], weight=1.0 + n % 2)
+            for n in range(self.rng.randint(6, 15)))}
         self.record: dict[int, Permit] = {}
         self.last_grant_ms: dict[str, int] = {}  # of a unit
         self.heard_ms: dict[str, int] = {}
@@ -79,7 +89,7 @@
         """A new one: it knows the record, and nothing of what is out now."""
         self.ledger = self.make(BUDGETS)
         for truth in self.units.values():
-            self.ledger.see(Sight(truth.unit, 1.0, "not seen", known=False))
+            self.ledger.observe(Observation(truth.unit, 1.0, "not seen", known=False))
         self.heard_ms = dict.fromkeys(self.units, self.now_ms)
         self.told_out = dict.fromkeys(self.units, False)
         self.ledger.load(self.record.values(), self.now_ms)
@@ -89,7 +99,7 @@
         self.at(self.rng.randrange(6_000, 40_000), self.replaced)
 
     def keep(self, permit: Permit) -> None:
-        if permit.phase in COUNTS or permit.phase is Phase.WAITING:
+        if permit.phase in COUNTED_PHASES or permit.phase is Phase.WAITING:
             self.record[permit.id] = permit
         else:
             self.record.pop(permit.id, None)
@@ -98,15 +108,15 @@
         ledger, now_ms = self.ledger, self.now_ms
         for key, heard_ms in self.heard_ms.items():
             if now_ms - heard_ms >= SILENT_MS:
-                ledger.see(Sight(self.units[key].unit, 1.0, "silent", known=False))
+                ledger.observe(Observation(self.units[key].unit, 1.0, "silent", known=False))
                 self.told_out[key] = False
-        for permit in (*ledger.lapses(now_ms), *ledger.ends()):
+        for permit in (*ledger.expired_leases(now_ms), *ledger.ended_permits()):
             self.keep(permit)
             ledger.put(permit, now_ms)
             self.ended += permit.phase is Phase.ENDED
-        for permit in ledger.grants(now_ms):
+        for permit in ledger.grant_waiting(now_ms):
             self.granted(permit)
-        for key in ledger.asks():
+        for key in ledger.units_to_ask():
             there_ms, back_ms = self.rng.randrange(LATEST_MS), self.rng.randrange(LATEST_MS)
             self.at(there_ms, partial(self.answer, key, now_ms, back_ms, ledger))
         self.at(100, self.tick)
@@ -123,9 +133,9 @@
 
     # Units
 
-    def sight(self, key: str, asked_ms: int = 0) -> Sight:
+    def sight(self, key: str, asked_ms: int = 0) -> Observation:
         truth = self.units[key]
-        return Sight(truth.unit, float(bool(truth.out)), "out" if truth.out else "", boot="b", asked_ms=asked_ms)
+        return Observation(truth.unit, float(bool(truth.out)), "out" if truth.out else "", boot="b", asked_ms=asked_ms)
 
     def beat(self, key: str) -> None:
         if not self.units[key].is_mute:
@@ -136,17 +146,17 @@
         if not self.units[key].is_mute:
             self.send(self.sight(key, asked_ms), back_ms, leader)
 
-    def send(self, sight: Sight, late_ms: int, leader: Ledger) -> None:
+    def send(self, sight: Observation, late_ms: int, leader: Ledger) -> None:
         """On one connection: what is said first is heard first."""
         key = sight.unit.key
         self.heard_by_ms[key] = max(self.heard_by_ms.get(key, 0), self.now_ms + late_ms)
         self.at(self.heard_by_ms[key] - self.now_ms, lambda: self.hear(sight, leader))
 
-    def hear(self, sight: Sight, leader: Ledger) -> None:
+    def hear(self, sight: Observation, leader: Ledger) -> None:
         if leader is self.ledger:  # what was sent to a former one is lost
             self.heard_ms[sight.unit.key] = self.now_ms
             self.told_out[sight.unit.key] = sight.out > 0.0
-            leader.see(sight)
+            leader.observe(sight)
 
     def fail(self) -> None:
         truth = self.rng.choice(list(self.units.values()))
@@ -168,8 +178,8 @@
         permit = Permit(number, f"k{number}", f"h{number}", keys, priority=rng.randrange(3), lease_ms=LEASE_MS)
         self.at(rng.randrange(500, 4_000), self.holder)
         try:
-            self.ledger.check(keys)
-        except Impossible:
+            self.ledger.check_possible(keys)
+        except ImpossibleRequest:
             return
         self.keep(permit)
         self.ledger.put(permit, self.now_ms)
@@ -215,7 +225,7 @@
 
     def give_back(self, ident: int) -> None:
         if self.phase(ident) in (Phase.HELD, Phase.UNKNOWN):
-            returned = self.record[ident].to(Phase.RETURNED)
+            returned = self.record[ident].with_phase(Phase.RETURNED)
             self.keep(returned)
             self.ledger.put(returned, self.now_ms)
 
@@ -231,7 +241,7 @@
         for budget in BUDGETS:
             parts: dict[str, list[Truth]] = {}
             for truth in self.units.values():
-                parts.setdefault(budget.value(truth.unit), []).append(truth)
+                parts.setdefault(budget.cell_value(truth.unit), []).append(truth)
             for value, members in parts.items():
                 granted_ms = max(self.last_grant_ms.get(t.unit.key, -10**9) for t in members)
                 counted = [t for t in members if t.out and not self.is_loss(t, granted_ms)]
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -25,8 +25,8 @@
 from ironscale.agent.upstream_polling import Watching
 from ironscale.control.frames import FrameError, encode_frame
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
-from ironscale.disruption.model import Budget, Halt, Of, Permit
-from ironscale.disruption.releases import Word
+from ironscale.disruption.model import Budget, Halt, Permit, UnitKind
+from ironscale.disruption.releases import Decision
 
 RETRY_S = 1.0  # after the record could not be written
 REST_SHARE = 1  # an operation rests for so many times what its last round took: thousands report at once
@@ -223,7 +223,7 @@
             except TimeoutError:
                 pass
         self.live.pop(live.op.id, None)
-        self.permits.ledger.leave(f"operation {live.op.id}")
+        self.permits.ledger.dequeue(f"operation {live.op.id}")
         self.notify()
 
     async def round(self, live: Live) -> tuple[bool, int | None]:
@@ -248,12 +248,12 @@
 
         def passes(targets: Sequence[Target], first: int) -> tuple[str, bool]:
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
-            return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
+            return ("", False) if found.decision is Decision.GO else (found.text, found.decision is Decision.BREACH)
 
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
         live.waits = plan.waits
         if not plan.waits:
-            self.permits.ledger.leave(f"operation {op.id}")
+            self.permits.ledger.dequeue(f"operation {op.id}")
         for target in plan.targets:
             answered[target.position] = target
         changed = {after.name: after for before, after in zip(live.targets, answered, strict=True)
@@ -604,7 +604,7 @@
     async def forget(self, actor: str, name: str, ended: bool) -> None:
         """Takes an instance that is no more off the record, and out of all counts. `ended`: the operator's word where
         its end is not known here. Raises Refusal or StoreError."""
-        if name in self.permits.ledger.sights and name.startswith(f"{Of.UPSTREAM}/"):
+        if name in self.permits.ledger.observations and name.startswith(f"{UnitKind.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
         seen = self.fleet.seen(name)
@@ -630,7 +630,7 @@
         done(None)
 
     async def forget_upstream(self, actor: str, key: str) -> None:
-        if not self.permits.ledger.sights[key].why.startswith("not listed"):
+        if not self.permits.ledger.observations[key].reason.startswith("not listed"):
             raise Refusal("CONFLICT", f"{key} is on sidecars' lists; it can be forgotten once it is gone there")
         await self.store.write(lambda records: records.audit(self.now_ms(), actor, "forget", key, "forgotten"))
         self.permits.ledger.forget(key)
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -31,7 +31,16 @@
     serialize_message,
 )
 from ironscale.versions.model import Labels
-from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
+from ironscale.versions.serving import (
+    SLOW_READER_TIMEOUT_S,
+    AdmissionRefused,
+    EncodedUpdateCache,
+    FollowerDifference,
+    FollowerUpdate,
+    Subscriber,
+    VersionDistributor,
+    VersionsSummary,
+)
 
 # What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
@@ -41,7 +50,7 @@
 MOST_SUMS = 100
 
 
-def encoded(told: Told) -> bytes:
+def encoded(told: FollowerUpdate) -> bytes:
     """Raises FrameError where it does not fit a frame."""
     return encode_frame(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
@@ -57,18 +66,18 @@
     known: bool  # False: not heard of lately, and what it said then is not what is now
     heard_ms: int  # ago
     age_ms: int  # of its view, as it said
-    summary: Summary
+    summary: VersionsSummary
 
 
 class Followers:
     """All that follow this agent, for as long as it lives."""
 
-    def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
+    def __init__(self, serving: VersionDistributor, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerLink] = {}
         self.open: set[FollowerLink | SumLink] = set()
-        self.encoded = Encoded()
+        self.encoded = EncodedUpdateCache()
         self.wake = asyncio.Event()
         self.leads: Callable[[], bool] = lambda: False
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
@@ -87,15 +96,15 @@
         self.wake.clear()
         now_s = time.monotonic()
         told_any = False
-        for subscriber, told in self.serving.due(now_s, self.age_s()):
+        for subscriber, told in self.serving.due_updates(now_s, self.age_s()):
             told_any = True
             self.links[subscriber.ident].tell(told)
-        for subscriber in self.serving.stuck(now_s):
-            self.links[subscriber.ident].abort(f"has read nothing for {SLOW_S:g} s")
+        for subscriber in self.serving.stalled_readers(now_s):
+            self.links[subscriber.ident].abort(f"has read nothing for {SLOW_READER_TIMEOUT_S:g} s")
         if told_any:
             await asyncio.sleep(0)
             return
-        at_s = self.serving.next_s()
+        at_s = self.serving.next_due_s()
         wait_s = min(1.0, max(0.0, at_s - now_s)) if at_s is not None else 1.0
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -120,7 +129,7 @@
         for sum_, heard_s in self.sums.values():
             found.append(AgentSum(
                 sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
-                Summary(sum_.lineage, sum_.position, sum_.followers,
+                VersionsSummary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
                         tuple(sum_differing(sum_)), sum_.more)))
         return found
@@ -170,8 +179,8 @@
         await asyncio.sleep(SUM_S)
 
 
-def sum_differing(found: FollowerSummary) -> list[Differs]:
-    return [Differs(one.name, one.running, one.status, one.detail) for one in found.differing]
+def sum_differing(found: FollowerSummary) -> list[FollowerDifference]:
+    return [FollowerDifference(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
 class _Link(asyncio.Protocol):
@@ -233,7 +242,7 @@
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BYTES)
                 # a machine that is gone says nothing: what was sent to it is not waited for
-                sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_S * 1000))
+                sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_READER_TIMEOUT_S * 1000))
 
     def on_message(self, raw: dict[str, object]) -> None:
         message = parse_message(raw, FROM_FOLLOWER)
@@ -241,7 +250,7 @@
         if isinstance(message, RunningReport):
             if self.subscriber is None:
                 raise MessageError("expected follow, got runs")
-            serving.runs(self.subscriber, message.running, message.digest, message.status, message.detail)
+            serving.record_status(self.subscriber, message.running, message.digest, message.status, message.detail)
         elif isinstance(message, FollowRequest):
             self.on_follow(message)
 
@@ -256,15 +265,15 @@
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         now_s = time.monotonic()
         try:
-            followers.serving.check(follow.lineage, now_s)
-        except Turned as turned:
+            followers.serving.check_admission(follow.lineage, now_s)
+        except AdmissionRefused as turned:
             return self.deny(turned.code, str(turned), turned.retry_ms)
         labels = Labels(follow.name, follow.service, follow.zone, follow.region)
         self.subscriber = followers.serving.join(labels, follow.lineage, follow.position, now_s)
         followers.links[self.subscriber.ident] = self
         followers.changed()
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: FollowerUpdate) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         try:
@@ -278,11 +287,11 @@
 
     def pause_writing(self) -> None:
         if self.subscriber is not None:
-            self.followers.serving.slow(self.subscriber, time.monotonic())
+            self.followers.serving.mark_slow(self.subscriber, time.monotonic())
 
     def resume_writing(self) -> None:
         if self.subscriber is not None:
-            self.followers.serving.drained(self.subscriber, time.monotonic())
+            self.followers.serving.mark_caught_up(self.subscriber, time.monotonic())
             self.followers.changed()
 
     def abort(self, why: str) -> None:
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -19,18 +19,18 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import (
-    COUNTS,
-    MOST_PRIORITY,
-    MOST_UNITS,
-    MOST_WAITING,
+    COUNTED_PHASES,
+    MAX_PERMIT_UNITS,
+    MAX_PRIORITY,
+    MAX_WAITING_PERMITS,
     Budget,
     Halt,
-    Impossible,
-    Of,
+    ImpossibleRequest,
+    Observation,
     Permit,
     Phase,
-    Sight,
     Unit,
+    UnitKind,
 )
 
 TICK_S = 0.25
@@ -85,51 +85,52 @@
 
     # What is seen
 
-    def sight(self, name: str) -> Sight:
+    def sight(self, name: str) -> Observation:
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
-        unit = Unit(Of.SIDECAR, name, service_of(name), member.row.zone)
+        unit = Unit(UnitKind.SIDECAR, name, service_of(name), member.row.zone)
         asked_ms = self.asked_ms.get(name, 0)
         if seen.ended:
-            return Sight(unit, 1.0, "gone", boot=seen.boot)
+            return Observation(unit, 1.0, "gone", boot=seen.boot)
         if not (seen.leased and seen.connected and seen.shown):
-            return Sight(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
+            return Observation(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
         if seen.replacing:
-            return Sight(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
+            return Observation(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
         state = state_of(seen)
-        return Sight(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
+        return Observation(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
     def see(self, name: str) -> None:
-        if self.ledger.see(self.sight(name)):
+        if self.ledger.observe(self.sight(name)):
             self.wake.set()
 
     def forget(self, name: str) -> None:
-        self.ledger.forget(f"{Of.SIDECAR}/{name}")
+        self.ledger.forget(f"{UnitKind.SIDECAR}/{name}")
         self.wake.set()
 
     # Operations
 
     def may(self, op: Operation, target: Target, is_way_back: bool) -> str:
         """Reserves what telling this target needs; empty, or what stands in the way."""
-        key = f"{Of.SIDECAR}/{target.name}"
+        key = f"{UnitKind.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
         known = self.ledger.permits.get(ident)
         if ident in self.ending:
             return f"the end of its former permit for {target.name} is being recorded"
         if known is not None and known.phase is Phase.HELD and (is_way_back or not self.ledger.halted):
             return ""
-        if not self.ledger.is_bound(key):
+        if not self.ledger.has_budget(key):
             return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_way_back else ""
         permit = known or Permit(ident, str(target.position), f"operation {op.id}", (key,), str(op.kind),
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
         if is_way_back and op.policy.urgent:
-            self.ledger.put(permit.to(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
+            # an operator's word: it counts, and asks for no room
+            self.ledger.put(permit.with_phase(Phase.HELD), now_ms)
         else:
             try:
-                self.ledger.check((key,))
+                self.ledger.check_possible((key,))
                 problem = self.ledger.reserve(permit, now_ms, is_way_back)
-            except Impossible as impossible:
+            except ImpossibleRequest as impossible:
                 problem = str(impossible)
         if not problem:
             self.doubt.discard(ident)
@@ -142,14 +143,14 @@
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
             if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in TAKEN_OUT):
-                found.append(permit.to(Phase.RETURNED, str(target.state)))
+                found.append(permit.with_phase(Phase.RETURNED, str(target.state)))
         return found
 
     def adopt(self, op: Operation, targets: Iterable[Target]) -> None:
         """What an agent without budgets had begun counts all the same."""
         for target in targets:
-            key = f"{Of.SIDECAR}/{target.name}"
-            if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.is_bound(key)
+            key = f"{UnitKind.SIDECAR}/{target.name}"
+            if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.has_budget(key)
                     and permit_id(op, target) not in self.ledger.permits):
                 self.put([Permit(permit_id(op, target), str(target.position), f"operation {op.id}", (key,),
                                  str(op.kind), phase=Phase.HELD, created_ms=op.created_ms, operation=op.id)])
@@ -168,7 +169,7 @@
             return
         for ident, permit in before.items():
             if permit is None:
-                self.ledger.release(ident, clock_ms())
+                self.ledger.cancel_reservation(ident, clock_ms())
             else:
                 self.ledger.put(permit, clock_ms())
 
@@ -187,8 +188,8 @@
                 raise Refusal("KEY_REUSED", f"key {key!r} was used for other units, by permit {earlier.id}")
             if earlier is not None and earlier.phase is not Phase.WITHDRAWN:
                 return earlier
-            if sum(p.phase is Phase.WAITING for p in self.ledger.permits.values()) >= MOST_WAITING:
-                raise Refusal("FULL", f"expected {MOST_WAITING} waiting permits at most; ask again later")
+            if sum(p.phase is Phase.WAITING for p in self.ledger.permits.values()) >= MAX_WAITING_PERMITS:
+                raise Refusal("FULL", f"expected {MAX_WAITING_PERMITS} waiting permits at most; ask again later")
             ident = earlier.id if earlier is not None else records.next_permit()
             made = Permit(ident, key, holder, names, reason, priority, Phase.WAITING, now_ms, lease_ms)
             records.put_permits([made])
@@ -207,21 +208,21 @@
         return self.ledger.permits.get(made.id, made)
 
     def check(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
-        if not 0 < len(units) <= MOST_UNITS:
-            raise Refusal("BAD_INPUT", f"units: expected 1 to {MOST_UNITS}, got {len(units)}")
+        if not 0 < len(units) <= MAX_PERMIT_UNITS:
+            raise Refusal("BAD_INPUT", f"units: expected 1 to {MAX_PERMIT_UNITS}, got {len(units)}")
         if not 0 < len(key) <= 200 or not key.isprintable():
             raise Refusal("BAD_INPUT", f"key: expected 1 to 200 printable characters, got {key!r:.60}")
-        if not 0 <= priority <= MOST_PRIORITY:
-            raise Refusal("BAD_INPUT", f"priority: expected 0 to {MOST_PRIORITY}, got {priority}")
+        if not 0 <= priority <= MAX_PRIORITY:
+            raise Refusal("BAD_INPUT", f"priority: expected 0 to {MAX_PRIORITY}, got {priority}")
         if not LEASE_MS[0] <= lease_ms <= LEASE_MS[1]:
             raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_MS[0]} to {LEASE_MS[1]}, got {lease_ms}")
         for unit in units:
-            if unit not in self.ledger.sights:
+            if unit not in self.ledger.observations:
                 raise Refusal("NOT_FOUND", f"units: expected units that are known (sidecar/NAME, see `ironscale ls`), "
                                            f"got {unit!r:.80}")
         try:
-            self.ledger.check(units)
-        except Impossible as impossible:
+            self.ledger.check_possible(units)
+        except ImpossibleRequest as impossible:
             raise Refusal("BAD_INPUT", str(impossible)) from impossible
 
     async def find(self, ident: int) -> Permit:
@@ -271,7 +272,7 @@
         if permit.phase in (Phase.RETURNED, Phase.ENDED, Phase.WITHDRAWN):
             return permit
         phase = Phase.WITHDRAWN if permit.phase is Phase.WAITING else Phase.RETURNED
-        after = replace(permit.to(phase, f"given back by {holder}"),
+        after = replace(permit.with_phase(phase, f"given back by {holder}"),
                         ended_ms=self.now_ms() if phase is Phase.WITHDRAWN else 0)
         await self.record([after], holder, str(phase))
         return after
@@ -375,9 +376,9 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             self.room()
-            for key in self.ledger.asks():
+            for key in self.ledger.units_to_ask():
                 sort, _, name = key.partition("/")
-                if sort == Of.SIDECAR:  # what sidecars see of upstreams is asked for all the time
+                if sort == UnitKind.SIDECAR:  # what sidecars see of upstreams is asked for all the time
                     self.ask(tasks, name)
             await asyncio.sleep(0.01)  # thousands of reports at once are one decision
 
@@ -388,24 +389,24 @@
 
     async def _decide(self) -> None:
         wall_ms = self.now_ms()
-        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ends()]
+        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ended_permits()]
         if over:
             self.ending = {permit.id for permit in over}
             try:
                 await self.record(over, "agent", str(Phase.ENDED))
             finally:
                 self.ending = set()
-        lapsed = self.ledger.lapses(clock_ms())
+        lapsed = self.ledger.expired_leases(clock_ms())
         if lapsed:
             await self.record(lapsed, "agent", str(Phase.UNKNOWN))
-        granted = self.ledger.grants(clock_ms())
+        granted = self.ledger.grant_waiting(clock_ms())
         if granted:
             try:
                 await self.record(granted, "agent", str(Phase.HELD))
             except StoreError as error:
                 if error.code != "UNKNOWN":
                     for permit in granted:
-                        self.ledger.put(permit.to(Phase.WAITING), clock_ms())
+                        self.ledger.put(permit.with_phase(Phase.WAITING), clock_ms())
                 raise
 
     async def resolve(self) -> None:
@@ -427,12 +428,12 @@
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
-                    self.ledger.release(ident, clock_ms())
+                    self.ledger.cancel_reservation(ident, clock_ms())
                     self.doubt.discard(ident)
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """For the evidence that it serves: once a second at most, and only where it has said so by itself."""
-        now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
+        now_s, sight = time.monotonic(), self.ledger.observations.get(f"{UnitKind.SIDECAR}/{name}")
         if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
                 or name in self.asking):
             return
@@ -454,4 +455,4 @@
             self.wake.set()
 
     def counted(self) -> list[Permit]:
-        return [p for p in self.ledger.permits.values() if p.phase in COUNTS]
+        return [p for p in self.ledger.permits.values() if p.phase in COUNTED_PHASES]
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -13,8 +13,16 @@
 from ironscale.agent.store import Published, Records, Store, StoreError
 from ironscale.control.instance import ChangeRefused, check_overlay
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Labels, digest, effective
-from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
+from ironscale.versions.model import Entry, Labels, combine_layers, overlay_digest
+from ironscale.versions.publishing import (
+    HISTORY_MS,
+    HISTORY_VERSIONS,
+    Draft,
+    Problem,
+    RecordedState,
+    check_draft,
+    check_publish,
+)
 
 COMPACT_S = 60.0
 # Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
@@ -113,7 +121,7 @@
         self.step: Callable[[str], None] = lambda where: None  # tests end the process here
         self.room = asyncio.Semaphore(AT_ONCE)
         self.position = 0  # of the log, as far as it is confirmed
-        self.keep, self.keep_ms = KEEP, KEEP_MS
+        self.keep, self.keep_ms = HISTORY_VERSIONS, HISTORY_MS
 
     async def load(self) -> None:
         """Makes the log where there is none. Raises StoreError."""
@@ -127,7 +135,7 @@
     async def publish(self, actor: str, draft: Draft, key: str = "") -> tuple[Published, bool]:
         """The version, and False beside it where an earlier call with this key made it. Raises Refusal or StoreError,
         with nothing done; but a StoreError UNKNOWN may have published it: the same key tells."""
-        told(misfit(draft))
+        told(check_draft(draft))
         if draft.overlay is not None:
             try:
                 check_overlay(draft.overlay)
@@ -162,9 +170,9 @@
             if earlier is not None:
                 return self.again(records, key, fingerprint, *earlier), None
             draft = made(records)
-            told(misfit(draft))
+            told(check_draft(draft))
             lineage, position, floor, newest = records.standing(draft.scope)
-            told(refused(draft, self.standing(records, position, newest)))
+            told(check_publish(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
                                         draft.note)
             if key:
@@ -201,10 +209,10 @@
         return found
 
     @staticmethod
-    def standing(records: Records, position: int, newest: Entry | None) -> Standing:
+    def standing(records: Records, position: int, newest: Entry | None) -> RecordedState:
         halt = records.halt()
         before = records.version(newest.base) if halt is not None and newest is not None and newest.base else None
-        return Standing(position, newest, before.entry if before is not None else None,
+        return RecordedState(position, newest, before.entry if before is not None else None,
                         records.count_scopes() if newest is None else 0, halt.text if halt is not None else "")
 
     # Looking
@@ -214,10 +222,10 @@
         def work(records: Records) -> Composed:
             position, found = records.version_position(), records.in_force(labels.scopes())
             layers = tuple(sorted(found, key=lambda published: published.entry.scope.reach))
-            overlay = effective(published.entry for published in layers)
+            overlay = combine_layers(published.entry for published in layers)
             # a commit between the two looks: what came of it is as of then, and nothing else of it concerns these
             position = max([position, *(published.entry.version for published in layers)])
-            return Composed(position, overlay, digest(overlay), layers)
+            return Composed(position, overlay, overlay_digest(overlay), layers)
 
         return await self.store.read(work)
 
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -28,8 +28,8 @@
 from ironscale.agent.store import Event, Published, Records, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
-from ironscale.disruption.model import MOST_PRIORITY, Halt, Permit, Phase
-from ironscale.versions.model import MAX_NAME, Labels, Scope, ScopeError, read_scope
+from ironscale.disruption.model import MAX_PRIORITY, Halt, Permit, Phase
+from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, parse_scope
 from ironscale.versions.publishing import Draft
 
 MOST_KEY = 200
@@ -318,10 +318,10 @@
     ledger = engine.permits.ledger
     waits = ""
     if permit.phase is Phase.WAITING:
-        waits = ledger.waits_for(permit, clock_ms())
+        waits = ledger.waiting_reason(permit, clock_ms())
     elif permit.phase is Phase.RETURNED:
-        waits = ", ".join(f"{key} {ledger.sights[key].why or 'has still to be asked'}" for key in permit.units
-                          if key in ledger.sights)
+        waits = ", ".join(f"{key} {ledger.observations[key].reason or 'has still to be asked'}" for key in permit.units
+                          if key in ledger.observations)
     return {"id": permit.id, "key": permit.key, "holder": permit.holder, "units": permit.units,
             "reason": permit.reason, "priority": permit.priority, "phase": permit.phase.name, "note": permit.note,
             "createdAt": iso(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
@@ -331,7 +331,7 @@
     ledger = need(info, "read").engine.permits.ledger
     found = []
     for cell in ledger.all_cells():
-        number, weight = cell.most(), cell.budget.capacity
+        number, weight = cell.max_units(), cell.budget.capacity
         found.append({
             "name": cell.budget.name, "part": cell.value, "of": str(cell.budget.of), "units": len(cell.units),
             "most": -1.0 if number == math.inf else number, "mostCapacity": -1.0 if weight is None else weight,
@@ -362,7 +362,7 @@
 
 def scope_of(text: str) -> Scope:
     try:
-        return read_scope(text)
+        return parse_scope(text)
     except ScopeError as problem:
         raise error("BAD_INPUT", str(problem)) from problem
 
@@ -387,8 +387,9 @@
                              ) -> dict[str, Any]:
     engine = need(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
-        if len(value) > MAX_NAME or not value.isprintable():
-            raise error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
+        if len(value) > MAX_SCOPE_NAME_CHARS or not value.isprintable():
+            raise error("BAD_INPUT",
+                        f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}")
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
@@ -428,7 +429,7 @@
     for name, value, least, most in (
         ("wave", policy.wave, 0, 1_000_000), ("maxUnavailable", policy.max_unavailable, 0, 1_000_000),
         ("maxFailures", policy.max_failures, 0, 1_000_000), ("answerMs", policy.answer_ms, 100, 3_600_000),
-        ("priority", policy.priority, 0, MOST_PRIORITY), ("canary", policy.canary, 0, 1_000_000),
+        ("priority", policy.priority, 0, MAX_PRIORITY), ("canary", policy.canary, 0, 1_000_000),
         ("soakMs", policy.soak_ms, 0, 3_600_000), ("soakMostMs", policy.soak_most_ms, policy.soak_ms, 86_400_000),
         ("margin", policy.margin, 0.0, 1.0),
     ):
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -20,7 +20,7 @@
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.record.sql import typed
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.model import Entry, Scope, canonical, read_scope
+from ironscale.versions.model import Entry, Scope, canonical_json, parse_scope
 
 ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
 SCOPES_AT_ONCE = 500  # compacted in one transaction
@@ -247,7 +247,7 @@
 
     @staticmethod
     def _permit(row: tuple[Any, ...]) -> Permit:
-        return Permit.unpacked(row[0], row[1], row[2], json.loads(row[5]))
+        return Permit.from_record(row[0], row[1], row[2], json.loads(row[5]))
 
     def permits(self, open_only: bool = False) -> list[Permit]:
         rows = self._columns("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
@@ -265,7 +265,7 @@
                 over.append(permit.id)
             else:
                 kept.append((permit.id, permit.holder, permit.key, is_open, permit.ended_ms,
-                             json.dumps(permit.packed())))
+                             json.dumps(permit.to_record())))
         self.insert("permits", PERMIT, kept, PUT_PERMIT)
         for start in range(0, len(over), ROWS_AT_ONCE):
             part = over[start:start + ROWS_AT_ONCE]
@@ -305,7 +305,8 @@
     @staticmethod
     def _entry(row: tuple[Any, ...]) -> Entry:
         version, scope, overlay, base, restores, actor, at_ms = row[:7]
-        return Entry(version, read_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor, at_ms)
+        return Entry(version, parse_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor,
+                     at_ms)
 
     def version_change(self, since: int, lineage: str) -> Change:
         own, position, floor = self._log()
@@ -374,7 +375,7 @@
             self.make_lineage()
             found = self.sql(one_more)
         (number,), = found
-        text = canonical(overlay).decode("ascii") if overlay is not None else ""
+        text = canonical_json(overlay).decode("ascii") if overlay is not None else ""
         row = (number, str(scope), text, base, restores, actor, at_ms, note)
         self.insert("versions", VERSION, [row])
         self.insert("newest", NEWEST, [(str(scope), number)], PUT_NEWEST)
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -9,9 +9,9 @@
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.terms import clock_ms
-from ironscale.disruption.evidence import View, merged, ought
+from ironscale.disruption.evidence import SidecarView, merge_views, upstream_view
 from ironscale.disruption.ledger import Ledger
-from ironscale.disruption.model import Of
+from ironscale.disruption.model import UnitKind
 
 ASKED = 9  # at a time: more would say no more, and each answer is a list
 EVERY_S, ANSWER_S = 1.0, 2.0
@@ -22,13 +22,13 @@
     def __init__(self, ledger: Ledger, fleet: Fleet, ask: Callable[[str, float], Awaitable[list[dict[str, object]]]],
                  log: Callable[[str], None], changed: Callable[[], None]) -> None:
         self.ledger, self.fleet, self.ask, self.log, self.changed = ledger, fleet, ask, log, changed
-        self.views: dict[str, View] = {}
+        self.views: dict[str, SidecarView] = {}
         self.random = random.Random()
         self.garbled: set[str] = set()
 
     @property
     def is_wanted(self) -> bool:
-        return any(budget.of is Of.UPSTREAM for budget in self.ledger.budgets)
+        return any(budget.of is UnitKind.UPSTREAM for budget in self.ledger.budgets)
 
     def chosen(self) -> list[str]:
         """Some that are there, of every zone in turn: a zone that is cut off must not be all that is asked."""
@@ -47,7 +47,8 @@
         asked_ms = clock_ms()
         try:
             entries = await self.ask(name, ANSWER_S)
-            self.views[name] = View(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
+            self.views[name] = SidecarView(name, asked_ms,
+                                           {str(e["name"]): upstream_view(str(e["name"]), e) for e in entries})
         except Refusal:
             pass  # it gave no answer: its view grows old
         except (KeyError, TypeError, ValueError) as error:
@@ -67,15 +68,15 @@
         oldest_ms = clock_ms() - FRESH_MS
         self.views = {name: view for name, view in self.views.items() if view.asked_ms >= oldest_ms}
         connected = sum(member.link is not None for member in self.fleet.members.values())
-        known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is Of.UPSTREAM]
+        known = [sight.unit for sight in self.ledger.observations.values() if sight.unit.of is UnitKind.UPSTREAM]
         room = False
-        for sight in merged(list(self.views.values()), connected, known):
-            before = self.ledger.sights.get(sight.unit.key)
-            if (before is not None and before.why.startswith("draining") and sight.known
-                    and sight.why.startswith("not listed")):
+        for sight in merge_views(list(self.views.values()), connected, known):
+            before = self.ledger.observations.get(sight.unit.key)
+            if (before is not None and before.reason.startswith("draining") and sight.known
+                    and sight.reason.startswith("not listed")):
                 self.ledger.forget(sight.unit.key)  # told to go, and gone: it is no unit any more
                 room = True
             else:
-                room |= self.ledger.see(sight)
+                room |= self.ledger.observe(sight)
         if room:
             self.changed()
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -16,7 +16,7 @@
 from ironscale.agent.terms import clock_ms
 from ironscale.learned.store import OsFiles
 from ironscale.versions.compacted_log import Change, View, ViewError
-from ironscale.versions.serving import Serving, Subscriber
+from ironscale.versions.serving import Subscriber, VersionDistributor
 from ironscale.versions.snapshot import (
     MAX_BYTES,
     Snapshot,
@@ -24,7 +24,7 @@
     Token,
     decode,
     encode,
-    snapshot_of,
+    make_snapshot,
 )
 
 POLL_S = 0.3  # between two looks at the record
@@ -50,7 +50,7 @@
 
 
 class Following:
-    def __init__(self, serving: Serving, data: Path, log: Callable[[str], None],
+    def __init__(self, serving: VersionDistributor, data: Path, log: Callable[[str], None],
                  rng: random.Random | None = None) -> None:
         self.serving, self.path, self.log = serving, data / FILE, log
         self.random = rng or random.Random()
@@ -146,7 +146,7 @@
                 return
             self.log(f"{self.path}: it is of lineage {view.lineage}, the record of {change.lineage or 'none'}; not "
                      "used any more")
-            strange = self.serving.begin_anew(View())
+            strange = self.serving.replace_view(View())
             if self.tells is not None:
                 self.tells.dismiss(strange)
         elif change.position < view.position:
@@ -155,7 +155,7 @@
                          "served: this is kept, with its age")
             return
         try:
-            changed = self.serving.advance(change, time.monotonic())
+            changed = self.serving.apply_change(change, time.monotonic())
         except ViewError as error:
             self.say(f"versions: what the record gives does not fit what is served, which is kept: {error}")
             return
@@ -185,7 +185,7 @@
             self.log(f"{self.path}: {error}; not used")
             return False
         age_s = snapshot.age_s(time.time_ns() // 1_000_000)
-        self.serving.view, self.serving.reached = snapshot.view(), True
+        self.serving.view, self.serving.has_reached_record = snapshot.view(), True
         self.tokens = snapshot.tokens
         self.reached_ms = clock_ms() - age_s * 1000
         self.saved, self.saved_s = self.mark(), time.monotonic()
@@ -205,7 +205,7 @@
     async def save(self) -> None:
         mark = self.mark()
         wall_ms = time.time_ns() // 1_000_000 - int(self.age_s() * 1000)
-        snapshot = snapshot_of(self.serving.view, self.tokens, max(0, wall_ms))
+        snapshot = make_snapshot(self.serving.view, self.tokens, max(0, wall_ms))
         try:
             await asyncio.to_thread(self.write, snapshot)
         except OSError as error:
--- a/ironscale/control/follower.py
+++ b/ironscale/control/follower.py
@@ -28,10 +28,10 @@
     serialize_message,
 )
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import Heard, Place
+from ironscale.versions.agent_selection import AgentEndpoint, AgentStatus
 from ironscale.versions.compacted_log import Change
-from ironscale.versions.follower_state import Following, Word
-from ironscale.versions.model import Entry, Labels, ScopeError, read_scope
+from ironscale.versions.follower_state import FollowerState, UpdateOutcome
+from ironscale.versions.model import Entry, Labels, ScopeError, parse_scope
 
 INITIAL_BACKOFF_S = 0.5  # after a round in which no agent could be followed; doubles per round, with full jitter
 MAX_BACKOFF_S = 2.0
@@ -51,7 +51,7 @@
     labels: Labels
     boot: str
     token: str
-    agents: tuple[Place, ...]
+    agents: tuple[AgentEndpoint, ...]
 
 
 class Follower:
@@ -60,8 +60,8 @@
     def __init__(self, target: PublishTarget, identity: FollowerIdentity, rng: random.Random,
                  log: Callable[[str], None] | None = None) -> None:
         self.target, self.identity, self.random = target, identity, rng
-        self.state = Following(identity.labels)
-        self.agents_by_preference = agent_selection.order(identity.labels, identity.agents)
+        self.state = FollowerState(identity.labels)
+        self.agents_by_preference = agent_selection.preference_order(identity.labels, identity.agents)
         self.current: _AgentConnection | None = None
         self.spread_s = INITIAL_BACKOFF_S
         self.failed_rounds = 0  # consecutive rounds that found no agent to follow
@@ -120,7 +120,7 @@
         next_closer_look_s = current.last_closer_look_s + CLOSER_AGENT_INTERVAL_S * (1 + self.random.random())
         while not current.ended.is_set():
             now_s = time.monotonic()
-            if agent_selection.looks_elsewhere(current.agent_status, now_s - current.heard_at_s):
+            if agent_selection.should_try_others(current.agent_status, now_s - current.heard_at_s):
                 await self.try_alternatives(self.agents_by_preference, current)
                 return
             if has_closer and now_s >= next_closer_look_s:
@@ -128,25 +128,25 @@
                 await self.try_alternatives(
                     self.agents_by_preference[:self.agents_by_preference.index(current.agent)], current)
                 return
-            stale_at_s = current.heard_at_s + agent_selection.STALE_S - (
+            stale_at_s = current.heard_at_s + agent_selection.STALE_AFTER_S - (
                 current.agent_status.age_s if current.agent_status is not None else 0.0)
             wait_s = max(0.05, min(stale_at_s, next_closer_look_s if has_closer else stale_at_s) - now_s)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await current.ended.wait()
 
-    async def try_alternatives(self, candidates: Sequence[Place], current: _AgentConnection) -> None:
+    async def try_alternatives(self, candidates: Sequence[AgentEndpoint], current: _AgentConnection) -> None:
         """Tries other agents while the current one is still followed; switches only after a better one has answered."""
         for agent in candidates:
             if agent == current.agent:
                 continue
             connection = await self.connect(agent)
             silent_s = time.monotonic() - current.heard_at_s
-            own_status = (Heard(current.agent_status.position, current.agent_status.age_s + silent_s)
+            own_status = (AgentStatus(current.agent_status.position, current.agent_status.age_s + silent_s)
                           if current.agent_status is not None else None)
             if connection.agent_status is not None and not connection.ended.is_set() and (
-                    agent_selection.is_better(connection.agent_status, own_status)
-                    or agent_selection.is_home(connection.agent_status, own_status, agent, current.agent,
+                    agent_selection.should_switch(connection.agent_status, own_status)
+                    or agent_selection.is_preferred(connection.agent_status, own_status, agent, current.agent,
                                                self.agents_by_preference)):
                 current.close()
                 self.switch_to(connection)
@@ -154,7 +154,7 @@
             connection.close()
             if current.ended.is_set():
                 return
-        if current.agent_status is not None and time.monotonic() - current.heard_at_s >= agent_selection.SILENT_S:
+        if current.agent_status is not None and time.monotonic() - current.heard_at_s >= agent_selection.SILENT_AFTER_S:
             current.end("no message from the agent in time")
             return
         self.failed_rounds += 1
@@ -165,12 +165,12 @@
         self.current, self.failed_rounds = connection, 0
         connection.start_following()
 
-    async def connect(self, agent: Place) -> _AgentConnection:
-        """Connects, and waits until the agent has told its position or CONNECT_S have passed."""
+    async def connect(self, agent: AgentEndpoint) -> _AgentConnection:
+        """Connects, and waits until the agent has told its position or CONNECT_TIMEOUT_S have passed."""
         connection = _AgentConnection(self, agent)
         self.connection_attempts += 1
         try:
-            async with asyncio.timeout(agent_selection.CONNECT_S):
+            async with asyncio.timeout(agent_selection.CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, agent.host, agent.port)
                 await connection.position_known.wait()
         except (OSError, TimeoutError, ValueError) as error:
@@ -186,14 +186,14 @@
         """Processes one update; gives the report to send about it. Raises MessageError if it can't be used."""
         state = self.state
         before = state.view.position, state.running, state.status
-        entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
+        entries = tuple(Entry(layer.version, parse_scope(layer.scope), layer.overlay) for layer in update.entries)
         change = Change(update.lineage, update.position, update.since, update.snapshot, update.floor, entries)
-        outcome = state.take(change, update.digest)
-        if outcome is Word.STRANGE:
+        outcome = state.handle_update(change, update.digest)
+        if outcome is UpdateOutcome.OTHER_LINEAGE:
             raise MessageError(f"lineage: expected {state.view.lineage}, got {update.lineage[:60]}")
-        if outcome is Word.REREAD:
+        if outcome is UpdateOutcome.NEEDS_SNAPSHOT:
             raise MessageError(f"position {update.position}: doesn't match the entries held; a snapshot is needed")
-        if outcome is Word.APPLY:
+        if outcome is UpdateOutcome.APPLY:
             self.apply_configuration()
         if (state.view.position, state.running, state.status) != before:
             self.on_change()
@@ -205,14 +205,14 @@
         try:
             self.target.publish(state.overlay())
         except ChangeRefused as error:
-            state.refused("refused", str(error))
+            state.mark_refused("refused", str(error))
         except RestartNeeded as error:
-            state.refused("needs restart", str(error))
+            state.mark_refused("needs restart", str(error))
         except Exception as error:  # must not end the connection: the same version would be sent again and again
             logs.write_line(traceback.format_exc())
-            state.refused("failed", f"{type(error).__name__}: {error}")
+            state.mark_refused("failed", f"{type(error).__name__}: {error}")
         else:
-            state.applied()
+            state.mark_applied()
         if state.status != "applied":
             self.log(f"version {state.view.position} not applied: {state.status}: {state.detail}")
 
@@ -221,13 +221,13 @@
     """One connection to an agent. Until the agent is followed, its updates are buffered and only its position is
     considered."""
 
-    def __init__(self, follower: Follower, agent: Place) -> None:
+    def __init__(self, follower: Follower, agent: AgentEndpoint) -> None:
         self.follower, self.agent = follower, agent
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.ended, self.position_known = asyncio.Event(), asyncio.Event()
         self.end_reason = ""
-        self.agent_status: Heard | None = None
+        self.agent_status: AgentStatus | None = None
         self.heard_at_s = self.last_closer_look_s = time.monotonic()
         self.denied: Denied | None = None
         # Updates received before the agent is followed; None from then on.
@@ -241,7 +241,7 @@
         identity, state = self.follower.identity, self.follower.state
         labels = identity.labels
         self.send(FollowRequest(PROTOCOL, identity.token, labels.instance, identity.boot, labels.service, labels.zone,
-                                labels.region, state.view.lineage, state.since()))
+                                labels.region, state.view.lineage, state.resume_position()))
 
     def data_received(self, data: bytes) -> None:
         if self.ended.is_set():
@@ -259,7 +259,7 @@
             self.end(f"denied ({message.code}): {message.text}")
             return
         assert isinstance(message, VersionUpdate)
-        self.agent_status, self.heard_at_s = Heard(message.position, message.age_ms / 1000), time.monotonic()
+        self.agent_status, self.heard_at_s = AgentStatus(message.position, message.age_ms / 1000), time.monotonic()
         if self.buffered_updates is not None:
             self.buffered_updates.append(message)
         else:
--- a/ironscale/control/layers.py
+++ b/ironscale/control/layers.py
@@ -7,7 +7,7 @@
 
 from ironscale.control.instance import Instance
 from ironscale.control.messages import Report
-from ironscale.versions.model import over
+from ironscale.versions.model import combine_patches
 
 
 class LayeredInstance:
@@ -31,12 +31,12 @@
 
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         """Replaces the operation's overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
-        self.instance.reconfigure(generation, over(self.published_overlay, overlay))
+        self.instance.reconfigure(generation, combine_patches(self.published_overlay, overlay))
         self.generation, self.operation_overlay = generation, overlay
 
     def publish(self, overlay: Mapping[str, Any]) -> None:
         """Replaces the published overlay, or changes nothing and raises ChangeRefused or RestartNeeded."""
-        self.instance.reconfigure(self.generation, over(overlay, self.operation_overlay))
+        self.instance.reconfigure(self.generation, combine_patches(overlay, self.operation_overlay))
         self.published_overlay = overlay
 
     def stop(self) -> None:
--- a/ironscale/control/simulated_instance.py
+++ b/ironscale/control/simulated_instance.py
@@ -15,7 +15,7 @@
 from ironscale.control.instance import ChangeRefused, RestartNeeded, check_overlay
 from ironscale.control.layers import LayeredInstance
 from ironscale.control.messages import ClassCounts, Report
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
 
@@ -87,9 +87,16 @@
     return instance, client
 
 
-def create_simulated_follower(instance: SimulatedInstance, labels: Labels, token: str, places: tuple[Place, ...], *,
-                              boot: str = "", rng: random.Random | None = None,
-                              log: Callable[[str], None] = lambda text: None) -> Follower:
+def create_simulated_follower(
+    instance: SimulatedInstance,
+    labels: Labels,
+    token: str,
+    places: tuple[AgentEndpoint, ...],
+    *,
+    boot: str = "",
+    rng: random.Random | None = None,
+    log: Callable[[str], None] = lambda text: None,
+) -> Follower:
     """Makes a simulated instance follow published versions."""
     return Follower(instance.layered, FollowerIdentity(labels, boot or secrets.token_hex(8), token, places),
                     rng or random.Random(), log)
--- a/ironscale/disruption/evidence.py
+++ b/ironscale/disruption/evidence.py
@@ -1,8 +1,8 @@
-"""What is out among upstreams, by what several sidecars see of the list and of their own windows. No I/O, no clock.
+"""Decides which upstreams are out, from what several sidecars see in discovery and in their windows. No I/O, no clock.
 
-One that sees most ill where others don't is ill itself, and is left out; one that many see ill is ill. Where they
-disagree a unit counts as out and is not known to be: nobody is taken for well against a quarter of those who look, and
-where more than three look nobody's word alone takes one for ill.
+A sidecar that sees most upstreams as out while the others don't is faulty itself and is ignored. An upstream that most
+sidecars see as out is out. Where they disagree it counts as out without being known to be out: no upstream counts as in
+service if a quarter of the sidecars disagree, and with more than three a single one can't make it count as out.
 """
 
 from __future__ import annotations
@@ -12,77 +12,80 @@
 from dataclasses import dataclass
 from statistics import median
 
-from ironscale.disruption.model import Of, Sight, Unit
+from ironscale.disruption.model import Observation, Unit, UnitKind
 
-QUORUM = 3  # that have answered; fewer where there are no more
-DISSENT = 4  # one of so many that says out is enough for it to count
+QUORUM = 3  # sidecars that must have answered; fewer if fewer are connected
+DISSENT_DIVISOR = 4  # an upstream counts as out if one sidecar in this many sees it so
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """One upstream, as one sidecar has it."""
+class UpstreamView:
+    """One upstream as one sidecar sees it."""
 
     unit: Unit
-    why: str  # empty = in service, as far as this sidecar can tell
+    reason: str  # why it is out; empty = in service, as far as this sidecar can tell
     warmth: float = 1.0
-    started: str = ""  # which process
+    process_start: str = ""  # start time of the upstream's process, to tell processes apart
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """All that one sidecar has on its list, at one moment."""
+class SidecarView:
+    """All upstreams that one sidecar knows at one moment."""
 
-    who: str
-    asked_ms: int  # when the question was put whose answer this is
-    looks: Mapping[str, Look]  # by the upstream's name
+    sidecar: str
+    asked_ms: int  # when the request was sent that this answers
+    upstreams: Mapping[str, UpstreamView]  # by name
 
 
-def merged(views: Sequence[View], connected: int, known: Iterable[Unit]) -> list[Sight]:
-    """Of every upstream that a fresh view lists, or that is `known` from before. `connected`: sidecars that could have
-    answered."""
+def merge_views(views: Sequence[SidecarView], connected: int, known: Iterable[Unit]) -> list[Observation]:
+    """Combines the sidecars' views into one observation of each upstream that a view lists or that is `known` from
+    before. `connected` is the number of sidecars that could have answered."""
     units = {unit.name: unit for unit in known}
     for view in sorted(views, key=lambda view: view.asked_ms):
-        units |= {name: look.unit for name, look in view.looks.items()}
+        units |= {name: upstream.unit for name, upstream in view.upstreams.items()}
     quorum = max(1, min(QUORUM, connected))
-    views = _sound(views, len(units))
-    return [_one(units[name], views, quorum) for name in sorted(units)]
+    views = _trusted_views(views, len(units))
+    return [_observe_unit(units[name], views, quorum) for name in sorted(units)]
 
 
-def _sound(views: Sequence[View], count: int) -> list[View]:
-    """Without those that see most ill while most of the others see few so."""
-    ill = {view.who: count - sum(not look.why for look in view.looks.values()) for view in views}
-    if len(views) < QUORUM or median(ill.values()) * DISSENT >= count:
+def _trusted_views(views: Sequence[SidecarView], count: int) -> list[SidecarView]:
+    """Leaves out the views of sidecars that see most upstreams as out while most other sidecars see few as out."""
+    out_counts = {view.sidecar: count - sum(not upstream.reason for upstream in view.upstreams.values())
+                  for view in views}
+    if len(views) < QUORUM or median(out_counts.values()) * DISSENT_DIVISOR >= count:
         return list(views)
-    return [view for view in views if 2 * ill[view.who] <= count]
+    return [view for view in views if 2 * out_counts[view.sidecar] <= count]
 
 
-def _one(unit: Unit, views: Sequence[View], quorum: int) -> Sight:
+def _observe_unit(unit: Unit, views: Sequence[SidecarView], quorum: int) -> Observation:
     total = len(views)
     if total < quorum:
-        return Sight(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
-    looks = [(view, view.looks.get(unit.name)) for view in views]
-    well = [(view, look) for view, look in looks if look is not None and not look.why]
-    ill = total - len(well)
-    enough = 1 if total <= QUORUM else max(2, -(-total // DISSENT))
-    if ill >= enough:
-        reasons = Counter("not listed" if look is None else look.why for _, look in looks if look is None or look.why)
-        why, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
-        # by most it is out for certain; by some it counts, and can't be taken out as if it were
-        return Sight(unit, 1.0, f"{why} by {count} of {total}", known=2 * ill > total)
-    processes = {look.started for _, look in well}
-    warmth = median(look.warmth for _, look in well)
-    # the answer to the latest question that most of all have answered so
-    asked = sorted((view.asked_ms for view, _ in well), reverse=True)
-    why = f"cold, {warmth:.0%}" if warmth < 1.0 else ""
-    return Sight(unit, round(1.0 - warmth, 4), why, boot=max(processes), asked_ms=asked[total // 2]
-                 if len(asked) > total // 2 else 0)
-
-
-def ought(name: str, entry: Mapping[str, object]) -> Look:
-    """A sidecar's own entry, as `inspect` gives it. Raises KeyError, TypeError or ValueError."""
+        return Observation(unit, 1.0, f"seen by {total} sidecars of {quorum}", known=False)
+    entries = [(view, view.upstreams.get(unit.name)) for view in views]
+    serving = [(view, upstream) for view, upstream in entries if upstream is not None and not upstream.reason]
+    out_count = total - len(serving)
+    needed = 1 if total <= QUORUM else max(2, -(-total // DISSENT_DIVISOR))
+    if out_count >= needed:
+        reasons = Counter("not listed" if upstream is None else upstream.reason for _, upstream in entries
+                          if upstream is None or upstream.reason)
+        reason, count = min(reasons.items(), key=lambda found: (-found[1], found[0]))
+        # If most sidecars agree it is known to be out. Otherwise it counts against the budget, but a permit for it must
+        # not treat it as already out.
+        return Observation(unit, 1.0, f"{reason} by {count} of {total}", known=2 * out_count > total)
+    processes = {upstream.process_start for _, upstream in serving}
+    warmth = median(upstream.warmth for _, upstream in serving)
+    # the latest request time by which a majority of all sidecars confirm that it serves
+    asked_times = sorted((view.asked_ms for view, _ in serving), reverse=True)
+    reason = f"cold, {warmth:.0%}" if warmth < 1.0 else ""
+    return Observation(unit, round(1.0 - warmth, 4), reason, boot=max(processes), asked_ms=asked_times[total // 2]
+                 if len(asked_times) > total // 2 else 0)
+
+
+def upstream_view(name: str, entry: Mapping[str, object]) -> UpstreamView:
+    """Converts one upstream of a sidecar's `inspect` answer. Raises KeyError, TypeError or ValueError."""
     state = str(entry["state"])
-    unit = Unit(Of.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
+    unit = Unit(UnitKind.UPSTREAM, name, zone=str(entry["zone"]), kind=str(entry["kind"]), group=str(entry["group"]),
                 weight=float(str(entry["weight"])) or 1.0)
-    why = state if state != "ready" else "no answer" if entry["mute"] else (
+    reason = state if state != "ready" else "no answer" if entry["mute"] else (
         "failing" if entry["failing"] and entry["resting"] else "")
-    return Look(unit, why, float(str(entry["warmth"])), str(entry["startedUs"]))
+    return UpstreamView(unit, reason, float(str(entry["warmth"])), str(entry["startedUs"]))
--- a/ironscale/operator_file.py
+++ b/ironscale/operator_file.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ironscale.disruption.model import Budget
-    from ironscale.versions.agent_selection import Place
+    from ironscale.versions.agent_selection import AgentEndpoint
 
 MAX_INSTANCES = 5_000
 MAX_BUDGETS = 200
@@ -40,7 +40,7 @@
 class VersionsConfig:
     """`[versions]`: the instance follows published configuration versions from any one of these agents."""
 
-    agents: tuple[Place, ...]
+    agents: tuple[AgentEndpoint, ...]
     service: str = ""
     zone: str = ""  # empty = the zone of [control]
     region: str = ""
@@ -188,12 +188,12 @@
 
 
 def _read_versions(table: Table) -> VersionsConfig:
-    from ironscale.versions.agent_selection import Place  # not loaded by a sidecar without [versions]
+    from ironscale.versions.agent_selection import AgentEndpoint  # not loaded by a sidecar without [versions]
 
     places = []
     for entry in table.tables("agent"):
         host, port = entry.address("address")
-        places.append(Place(host, port, entry.get("zone", "a text", text_or_none, ""),
+        places.append(AgentEndpoint(host, port, entry.get("zone", "a text", text_or_none, ""),
                             entry.get("region", "a text", text_or_none, "")))
         entry.reject_unknown_keys()
     if not 0 < len(places) <= MAX_VERSION_AGENTS:
@@ -276,13 +276,14 @@
 
 
 def _read_budget(table: Table) -> Budget:
-    from ironscale.disruption.model import ATTRIBUTES, Budget, Of  # not loaded by sidecars
+    from ironscale.disruption.model import ATTRIBUTES, Budget, UnitKind  # not loaded by sidecars
 
     # the key `name` is the budget's own name, so the pattern for unit names has the key `names`
     patterns = {"names" if name == "name" else name: name for name in ATTRIBUTES}
     where = tuple((name, table.string(key)) for key, name in patterns.items() if key in table.values)
     budget = Budget(
-        name=table.string("name"), of=Of(table.one_of("of", tuple(str(of) + "s" for of in Of), "sidecars")[:-1]),
+        name=table.string("name"),
+        of=UnitKind(table.one_of("of", tuple(str(of) + "s" for of in UnitKind), "sidecars")[:-1]),
         where=where, each=table.one_of("each", ("", *ATTRIBUTES[1:]), ""),
         number=table.integer("number", 1, 1_000_000) if "number" in table.values else None,
         share=table.number("share", 0.0001, 1.0, None, "a share") if "share" in table.values else None,
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -26,11 +26,11 @@
 from ironscale.stage.virtual_network import WHO, Net, VirtualLoop, VirtualTime, play
 from ironscale.versions import follower_state as state_module
 from ironscale.versions import serving as told_module
-from ironscale.versions.agent_selection import Place
+from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, over
-from ironscale.versions.serving import Serving
-from ironscale.versions.snapshot import snapshot_of
+from ironscale.versions.model import ALL, Entry, Labels, Reach, Scope, combine_patches
+from ironscale.versions.serving import VersionDistributor
+from ironscale.versions.snapshot import make_snapshot
 
 REGIONS = {"a": "north", "b": "north", "c": "south", "d": "south"}
 FAULTS = ("kill", "kill", "kill disk", "stop", "record", "region", "zone", "link", "restart", "restart all")
@@ -48,9 +48,9 @@
 
     def version_change(self, since: int, lineage: str) -> Change:
         view = View()
-        view.take(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
-        view = view.dropped(self.floor)
-        found = view.change(since, lineage) or Change("log", view.position, since, True, view.floor,
+        view.apply(Change("log", len(self.entries), 0, True, 0, tuple(self.entries)))
+        view = view.without_removals(self.floor)
+        found = view.change_since(since, lineage) or Change("log", view.position, since, True, view.floor,
                                                       tuple(view.entries.values()))
         if self.lose_folded and len(found.entries) > 1 and not found.is_snapshot:
             return Change(found.lineage, found.position, found.since, False, found.floor, found.entries[1:])
@@ -100,7 +100,7 @@
 
     def start(self) -> None:
         world, net = self.world, self.world.net
-        serving = Serving(random.Random(world.random.random()))
+        serving = VersionDistributor(random.Random(world.random.random()))
         following = Following(serving, self.folder, lambda text: None, random.Random(world.random.random()))
         following.files = cast(Any, _Files())
         following.load()
@@ -136,7 +136,7 @@
             await self.while_running()
             if self.following.is_sure:
                 wall_ms = int(VirtualTime(self.world.loop).time() * 1000 - self.following.age_s() * 1000)
-                self.following.write(snapshot_of(self.following.serving.view, (), wall_ms))
+                self.following.write(make_snapshot(self.following.serving.view, (), wall_ms))
 
     def kill(self, with_disk: bool) -> None:
         self.up = False
@@ -197,7 +197,8 @@
         self.lost_record: dict[str, int] = {}  # agents that are cut off from it, by how many faults
         self.lost_links: dict[frozenset[str], int] = {}
         self.agents = [Agent(self, number) for number in range(self.random.randrange(3, 7))]
-        self.places = tuple(Place("agent", agent.port, agent.zone, REGIONS[agent.zone]) for agent in self.agents)
+        self.places = tuple(AgentEndpoint("agent", agent.port, agent.zone, REGIONS[agent.zone])
+                            for agent in self.agents)
         self.net.names.update({agent.port: agent.name for agent in self.agents})
         self.instances = [Instance(self, number) for number in range(self.random.randrange(4, 17))]
 
@@ -371,7 +372,7 @@
         result: dict[str, Any] = {}
         for entry in sorted(layers, key=lambda entry: -entry.scope.reach):
             if entry.overlay is not None:
-                result = over(result, entry.overlay)
+                result = combine_patches(result, entry.overlay)
         return result
 
     if plant == "scope rule turned round":
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -16,12 +16,12 @@
 from ironscale.agent.permits import permit_id
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import StoreError
-from ironscale.disruption.model import Budget, Of
+from ironscale.disruption.model import Budget, UnitKind
 from ironscale.disruption.model import Phase as PermitPhase
 from ironscale.operator_file import OperatorFileError, parse
 from tests.agent.agent_harness import AgentScene, run, scene, until
 
-TWO = Budget("all", Of.SIDECAR, number=2)
+TWO = Budget("all", UnitKind.SIDECAR, number=2)
 
 
 class Watched(AgentScene):
@@ -45,7 +45,7 @@
         assert isinstance(found, Watched)
         await found.start_many(count)
         found.watch()
-        await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.sights.values()))
+        await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.observations.values()))
         yield found
 
 
@@ -94,7 +94,7 @@
 
 def test_a_permit_ends_by_what_is_seen_after_its_return_and_not_by_a_word(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, name = found.engine.permits, "i0000"
             held = await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
             assert held.phase is PermitPhase.HELD
@@ -109,7 +109,7 @@
             assert await permits.give_back("ann", held.id, False) == returned
             with pytest.raises(Refusal, match="take a new one"):
                 await permits.renew("ann", held.id)
-            await until(lambda: permits.ledger.sights[f"sidecar/{name}"].why == "drained")
+            await until(lambda: permits.ledger.observations[f"sidecar/{name}"].reason == "drained")
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
             found.instances[name].draining = False
             await until(lambda: permits.ledger.permits[waiting.id].phase is PermitPhase.HELD)
@@ -120,7 +120,7 @@
 
 def test_a_lapsed_lease_is_not_known_and_not_free(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
             waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
@@ -171,7 +171,7 @@
             await asyncio.sleep(0)  # it has been asked for, and its commit is under way
             assert permits.halt is None
             # hazard: an operation's round would reserve now, and its command be recorded behind the halt
-            assert permits.ledger.stands_in_the_way(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
+            assert permits.ledger.blocking_reason(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
             permit = await permits.take("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
             assert permit.phase is PermitPhase.WAITING
             assert (await halting).text == "ann: now"
@@ -202,7 +202,7 @@
 def test_a_word_that_comes_while_a_decision_is_being_written_is_not_undone_by_it(tmp_path: Path) -> None:
     """Seen on the stage: a permit was given back, then unknown for good, as its lease had lapsed a moment before."""
     async def test() -> None:
-        async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 2, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
             gate = Gated(found)
@@ -218,7 +218,7 @@
 
 def test_what_an_operation_reserved_counts_on_while_its_commit_is_not_known(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, store, write = found.engine.permits, found.engine.store, found.engine.store.write
             rounds: list[str] = []
             known = asyncio.Event()
@@ -237,7 +237,7 @@
             await asyncio.sleep(0)
             assert found.engine.permits.doubt and not found.instances["i0000"].effects
             # it may stand: nothing else goes out meanwhile
-            assert permits.ledger.stands_in_the_way(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
+            assert permits.ledger.blocking_reason(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
             known.set()
             assert (await found.end(op))[0].phase is Phase.SUCCEEDED
             await until(lambda: not permits.doubt and not permits.counted())
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("stands", [True, False])
 def test_a_reservation_whose_commit_is_not_known_counts_until_the_record_says(tmp_path: Path, stands: bool) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, write = found.engine.permits, found.engine.store.write
             waiting = await permits.take("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
             other = await permits.take("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
@@ -264,7 +264,7 @@
                 raise StoreError("UNKNOWN", "it broke off at COMMIT")
 
             known: list[int] = []
-            returned = waiting.to(PermitPhase.ENDED)
+            returned = waiting.with_phase(PermitPhase.ENDED)
             permits.put([returned])  # room for the other; whether its grant stands is not known
             found.engine.store.write = broken  # type: ignore[method-assign]
             # the agent's own pass may meet the break in place of this one, which then finds nothing to decide
@@ -274,7 +274,7 @@
                 assert "broke off" in str(error)
             assert known, "no pass has met it"
             assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.doubt
-            assert permits.ledger.stands_in_the_way(("sidecar/i0002",), "x", (0, 99), 0)
+            assert permits.ledger.blocking_reason(("sidecar/i0002",), "x", (0, 99), 0)
             away[0] = False
             await until(lambda: other.id not in permits.doubt)
             if not stands:  # as the record has it, it waits; and is granted again
@@ -295,7 +295,7 @@
                 "the end of its former permit for i0000 is being recorded")
             permits.ending = set()
             assert permits.may(ended, targets[0], False) == "" and counted(found) == 1
-            permits.ledger.release(permit_id(ended, targets[0]), 0)
+            permits.ledger.cancel_reservation(permit_id(ended, targets[0]), 0)
 
     run(test)
 
@@ -345,12 +345,12 @@
 
 def test_what_is_no_more_is_forgotten_by_a_hand_and_counts_no_longer(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
+        async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             engine = found.engine
             with pytest.raises(Refusal, match="is running"):
                 await engine.forget("ann", "i0000", False)
             found.kill("i0000")
-            await until(lambda: engine.permits.ledger.sights["sidecar/i0000"].out == 1.0)
+            await until(lambda: engine.permits.ledger.observations["sidecar/i0000"].out == 1.0)
             with pytest.raises(Refusal, match="--ended says it for you"):
                 await engine.forget("ann", "i0000", False)
             await engine.forget("ann", "i0000", True)
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -29,9 +29,9 @@
 )
 from ironscale.operator_file import read_secret
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, Entry, Labels, Scope, digest, effective, read_scope
+from ironscale.versions.model import ALL, Entry, Labels, Scope, combine_layers, overlay_digest, parse_scope
 from ironscale.versions.publishing import Draft
-from ironscale.versions.serving import Bucket
+from ironscale.versions.serving import AdmissionBucket
 from ironscale.versions.snapshot import Snapshot, SnapshotError, Token, assemble, decode
 from ironscale.versions.snapshot import encode as to_bytes
 from tests.agent.agent_harness import run, section, until
@@ -86,15 +86,16 @@
         if update.position < max(self.position, self.view.position):
             assert not update.entries, "told what is older"
             return
-        entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
-        self.view.take(Change(update.lineage, update.position, update.since if self.view.position else 0,
+        entries = tuple(Entry(layer.version, parse_scope(layer.scope), layer.overlay) for layer in update.entries)
+        self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
                               update.snapshot, update.floor, entries))
         if not self.position:
-            assert update.digest == digest(effective(self.view.layers(self.labels)))
+            assert update.digest == overlay_digest(combine_layers(self.view.layers_for(self.labels)))
 
     def runs(self, status: str = "applied", **changes: Any) -> None:
         at = self.view.position
-        values = {"position": at, "running": at, "digest": digest(effective(self.view.layers(self.labels))), **changes}
+        values = {"position": at, "running": at,
+                  "digest": overlay_digest(combine_layers(self.view.layers_for(self.labels))), **changes}
         self.writer.write(encode_frame(serialize_message(RunningReport(status=status, **values))))
 
     async def close(self) -> None:
@@ -135,7 +136,7 @@
             at_s = time.monotonic()
             await until(lambda: near.view.position == 1 and far.view.position == 1)
             assert time.monotonic() - at_s < 5.0
-            await publish(first, {"settings": {"instances": 3}}, read_scope("zone=a"))
+            await publish(first, {"settings": {"instances": 3}}, parse_scope("zone=a"))
             await until(lambda: near.view.position == 2 and far.view.position == 2)
             assert near.view.entries.keys() == {ALL} and len(far.view.entries) == 2
             assert not second.leading.is_set() and far.updates[-1].age_ms < 2_500
@@ -368,12 +369,12 @@
             assert link.subscriber is not None and link.transport is not None
             most = 0
             for n in range(10_000):
-                if link.subscriber.slow_s >= 0:
+                if link.subscriber.slow_since_s >= 0:
                     break
                 version = await publish(agent, {"settings": {"x": [f"{random.Random(n).random()}"] * 900}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert link.subscriber.slow_s >= 0, "it was never seen to be slow"
+            assert link.subscriber.slow_since_s >= 0, "it was never seen to be slow"
             for n in range(5):
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
@@ -394,7 +395,7 @@
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
             await publish(agent)
-            agent.following.serving.bucket = Bucket(100.0, 20.0)
+            agent.following.serving.bucket = AdmissionBucket(100.0, 20.0)
             began_s, joined, tries = time.monotonic(), list[float](), 0
 
             async def one(number: int) -> Raw:
@@ -415,10 +416,10 @@
             assert len(agent.followers.links) == 200
             assert joined[-1] >= 1.7  # 180 at 100 a second
             assert tries < 800
-            sent, made = agent.followers.sent, agent.followers.encoded.made
+            sent, made = agent.followers.sent, agent.followers.encoded.encoded_count
             await publish(agent, {"settings": {"instances": 3}})
             await until(lambda: all(raw.view.position == 2 for raw in found))
-            sent, made = agent.followers.sent - sent, agent.followers.encoded.made - made
+            sent, made = agent.followers.sent - sent, agent.followers.encoded.encoded_count - made
             assert sent >= 200 and made <= sent / 4  # one frame for many
             for raw in found:
                 await raw.close()
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -24,13 +24,22 @@
 from ironscale.standins.postgres import Data, Session
 from ironscale.versions import publishing as decisions
 from ironscale.versions.compacted_log import Change, View
-from ironscale.versions.model import ALL, MOST_OVERLAY, Entry, Labels, Scope, digest, effective, read_scope
+from ironscale.versions.model import (
+    ALL,
+    MAX_OVERLAY_BYTES,
+    Entry,
+    Labels,
+    Scope,
+    combine_layers,
+    overlay_digest,
+    parse_scope,
+)
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
 from tests.agent.test_postgres import Vanishes, hosts, store_on
 from tests.deployed import ROOT
 
-SCOPES = [ALL, *map(read_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
+SCOPES = [ALL, *map(parse_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
 
 
 @contextlib.asynccontextmanager
@@ -77,7 +86,7 @@
             assert (await store.read(lambda r: r.newest(ALL))) == made[-1]
             kept = await store.read(lambda r: r.versions(9, 3))
             assert [(p.entry, p.in_force) for p in kept] == [(made[7], True), (made[6], False), (made[5], False)]
-            assert await store.read(lambda r: r.versions(99, 9, read_scope("zone=a"))) == []
+            assert await store.read(lambda r: r.versions(99, 9, parse_scope("zone=a"))) == []
             assert await store.read(lambda r: r.version(9)) is None
 
     run(test)
@@ -107,7 +116,7 @@
                     if chance.random() < (0.7, 0.3, 0.1, 0.03)[number] or step == 59:
                         change = await store.read(lambda r, v=view: r.version_change(  # type: ignore[misc]
                             v.position, v.lineage))
-                        view.take(change)
+                        view.apply(change)
                         assert view.position == step + 1
                         told = {s: e for s, e in view.entries.items() if e.overlay is not None}
                         meant = {s: e for s, e in whole.entries.items() if e.overlay is not None}
@@ -120,7 +129,7 @@
 def test_what_is_compacted_is_what_nothing_in_the_kept_history_needs(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
-            zone, service = read_scope("zone=a"), read_scope("service=s")
+            zone, service = parse_scope("zone=a"), parse_scope("service=s")
             for at_ms, scope, overlay in ((1, zone, {"n": 1}), (2, ALL, {"n": 2}), (3, zone, {"n": 3}),
                                           (4, service, {"n": 4}), (5, service, None), (6, ALL, {"n": 6}),
                                           (7, ALL, {"n": 7}), (8, ALL, {"n": 8})):
@@ -195,7 +204,7 @@
 
 def test_an_end_that_is_compacted_between_two_looks_of_a_follower_is_told_by_a_snapshot() -> None:
     async def test() -> None:
-        data, zone = Data(), read_scope("zone=a")
+        data, zone = Data(), parse_scope("zone=a")
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
             reader.holder.follows = True
             for scope, overlay in ((ALL, {"n": 1}), (zone, {"n": 2}), (zone, None)):
@@ -228,7 +237,7 @@
         self.view, self.positions = View(), list[int]()
 
     def __call__(self, change: Change) -> None:
-        self.view.take(change)
+        self.view.apply(change)
         self.positions.append(change.position)
 
 
@@ -245,7 +254,7 @@
 
 
 def draft(scope: str, overlay: Any, base: int, **more: Any) -> Draft:
-    return Draft(read_scope(scope), overlay, base, **more)
+    return Draft(parse_scope(scope), overlay, base, **more)
 
 
 def refusal_of(found: Any) -> str:
@@ -325,7 +334,8 @@
                 (draft("all", {"name": "x"}, 0), "BAD_INPUT", "overlay: name: expected no key that each instance has"),
                 (draft("all", {"settings": {"self-index": 1}}, 0), "BAD_INPUT", "settings.self-index"),
                 (draft("all", {"a": float("nan")}, 0), "BAD_INPUT", "overlay: expected what JSON has"),
-                (draft("all", {"a": "x" * MOST_OVERLAY}, 0), "BAD_INPUT", f"expected {MOST_OVERLAY} bytes at most"),
+                (draft("all", {"a": "x" * MAX_OVERLAY_BYTES}, 0), "BAD_INPUT",
+                 f"expected {MAX_OVERLAY_BYTES} bytes at most"),
                 (draft("all", deep, 0), "BAD_INPUT", "objects in one another"),
                 (draft("all", {}, 0, note="a\nb"), "BAD_INPUT", "note: expected a line"),
             ):
@@ -377,7 +387,7 @@
             found = await publisher.compose(labels)
             assert [str(layer.entry.scope) for layer in found.layers] == ["all", "zone=z", "service=s", "instance=i"]
             assert found.overlay == {"a": 3, "b": {"x": None, "y": 1}, "e": 5} and found.position == 5
-            assert found.digest == digest(effective(heard.view.layers(labels)))
+            assert found.digest == overlay_digest(combine_layers(heard.view.layers_for(labels)))
             assert (await publisher.compose(Labels("other"))).overlay == {"a": 1, "b": {"x": 1, "y": 1}}
 
     run(test)
@@ -446,7 +456,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(decisions, "MOST_SCOPES", 3)
+        monkeypatch.setattr(decisions, "MAX_SCOPES", 3)
         async with store_of("sqlite", tmp_path) as store:
             publisher, _ = await publisher_on(store)
             for n in range(3):
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -26,9 +26,9 @@
 )
 from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower
 from ironscale.versions import agent_selection
-from ironscale.versions.agent_selection import Place
-from ironscale.versions.compacted_log import Change, View, narrowed
-from ironscale.versions.model import ALL, Entry, Labels, digest, effective
+from ironscale.versions.agent_selection import AgentEndpoint
+from ironscale.versions.compacted_log import Change, View, limited_to
+from ironscale.versions.model import ALL, Entry, Labels, combine_layers, overlay_digest
 from tests.sockets import run, until
 
 LABELS = Labels("app-0", "app", "a", "north")
@@ -53,17 +53,17 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def place(self, zone: str = "") -> Place:
-        return Place("127.0.0.1", self.port, zone)
+    def place(self, zone: str = "") -> AgentEndpoint:
+        return AgentEndpoint("127.0.0.1", self.port, zone)
 
     def update(self, since: int, known: str) -> VersionUpdate | None:
         view = View()
-        view.take(Change(self.lineage, len(self.log), 0, True, 0, tuple(self.log)))
-        change = view.change(since, known)
+        view.apply(Change(self.lineage, len(self.log), 0, True, 0, tuple(self.log)))
+        change = view.change_since(since, known)
         if change is None:
             return VersionUpdate(self.lineage, view.position, view.position, False, 0, [], "", self.age_ms(), 10)
-        change = narrowed(change, LABELS)
-        update_digest = "wrong" if self.sends_wrong_digest else digest(effective(view.layers(LABELS)))
+        change = limited_to(change, LABELS)
+        update_digest = "wrong" if self.sends_wrong_digest else overlay_digest(combine_layers(view.layers_for(LABELS)))
         return VersionUpdate(self.lineage, change.position, change.since, change.is_snapshot, change.floor,
                              [OverlayLayer(e.version, str(e.scope), e.overlay) for e in change.entries], update_digest,
                              self.age_ms(), 10)
@@ -138,7 +138,7 @@
             assert instance.overlay == {"settings": {"x": 2}}
             last = agent.running_reports()[-1]
             assert (last.position, last.running, last.status) == (2, 2, "applied")
-            assert last.digest == digest({"settings": {"x": 2}})
+            assert last.digest == overlay_digest({"settings": {"x": 2}})
 
     run(test)
 
@@ -168,7 +168,7 @@
             await until(lambda: len(agent.running_reports()) == 2)
             told = agent.running_reports()[-1]
             assert (told.position, told.running, told.status) == (2, 1, "refused") and "no" in told.detail
-            assert told.digest == digest({"a": 1}) and instance.overlay == {"a": 1}
+            assert told.digest == overlay_digest({"a": 1}) and instance.overlay == {"a": 1}
             agent.publish({"a": 2})
             await until(lambda: len(agent.running_reports()) == 3)
             assert agent.running_reports()[-1].running == 3 and instance.overlay == {"a": 2}
@@ -208,7 +208,7 @@
             far.publish({"a": 2})
             start_s = asyncio.get_running_loop().time()
             await until(lambda: instance.overlay == {"a": 2})
-            assert asyncio.get_running_loop().time() - start_s < agent_selection.LIMIT_S
+            assert asyncio.get_running_loop().time() - start_s < agent_selection.DELIVERY_LIMIT_S
             assert follower.current is not None and follower.current.agent.port == far.port
 
     run(test)
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -27,12 +27,12 @@
 
 
 def word_is_evidence() -> None:
-    Ledger._is_shown = lambda self, permit, key: True  # type: ignore[method-assign]
+    Ledger._serves_again = lambda self, permit, key: True  # type: ignore[method-assign]
 
 
 def grants_all_that_wait() -> None:
-    Ledger.stands_in_the_way = lambda self, *args, **more: ""  # type: ignore[method-assign]
-    Ledger._fit = staticmethod(lambda adds: True)  # type: ignore[method-assign]
+    Ledger.blocking_reason = lambda self, *args, **more: ""  # type: ignore[method-assign]
+    Ledger._have_room = staticmethod(lambda added: True)  # type: ignore[method-assign]
 
 
 def counts_only_what_is_held() -> None:
@@ -43,7 +43,7 @@
         put(self, permit, now_ms)
         if str(permit.phase) == "returned":
             for key in permit.units:
-                self.covers.pop(key, None)
+                self.permits_by_unit.pop(key, None)
 
     Ledger.put = forgetful  # type: ignore[method-assign]
 
--- a/tests/versions/test_snapshot.py
+++ b/tests/versions/test_snapshot.py
@@ -1,4 +1,4 @@
-"""An agent's snapshot of the published versions: taken whole or refused in one line."""
+"""An agent's snapshot of the published versions is either read whole or refused with a one-line error."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ironscale.versions.compacted_log import View
 from ironscale.versions.model import ALL, Entry, Reach, Scope
 from ironscale.versions.snapshot import (
-    DIGEST,
-    HEAD,
+    CHECKSUM_BYTES,
+    HEADER_BYTES,
     MAGIC,
     Snapshot,
     SnapshotError,
@@ -19,8 +19,8 @@
     assemble,
     decode,
     encode,
-    line,
-    snapshot_of,
+    encode_line,
+    make_snapshot,
 )
 
 ENTRIES = (Entry(2, ALL, {"settings": {"instances": 2, "ü\n": [1.5, None]}}, 1, 0, "ann", 1_000),
@@ -36,14 +36,14 @@
     return str(found.value)
 
 
-def test_what_was_written_is_read() -> None:
+def test_a_snapshot_is_decoded_as_it_was_encoded() -> None:
     assert decode(encode(KEPT)) == KEPT
-    assert snapshot_of(KEPT.view(), KEPT.tokens, KEPT.reached_ms) == KEPT
-    empty = snapshot_of(View(), (), 0)
+    assert make_snapshot(KEPT.view(), KEPT.tokens, KEPT.reached_ms) == KEPT
+    empty = make_snapshot(View(), (), 0)
     assert decode(encode(empty)) == empty
 
 
-def test_drawn_snapshots_are_read_as_they_were_written() -> None:
+def test_random_snapshots_are_decoded_as_they_were_encoded() -> None:
     for seed in range(300):
         rng = random.Random(seed)
         position = rng.randint(0, 50)
@@ -55,7 +55,7 @@
         assert decode(encode(kept)) == kept, f"seed {seed}"
 
 
-def test_torn_at_any_byte_it_is_refused() -> None:
+def test_a_snapshot_truncated_at_any_byte_is_refused() -> None:
     data = encode(KEPT)
     for size in range(len(data)):
         refusal(data[:size])
@@ -63,41 +63,43 @@
     refusal(data + b"\0")
 
 
-def test_with_any_byte_changed_it_is_refused() -> None:
+def test_a_snapshot_with_any_byte_changed_is_refused() -> None:
     data = encode(KEPT)
     for at in range(len(data)):
         for bit in (1, 128):
             refusal(data[:at] + bytes([data[at] ^ bit]) + data[at + 1:])
 
 
-def test_of_a_newer_program_it_is_refused_as_such() -> None:
-    body = encode(KEPT)[HEAD:-DIGEST].split(b"\n")
+def test_a_snapshot_of_a_newer_format_version_is_refused_as_such() -> None:
+    body = encode(KEPT)[HEADER_BYTES:-CHECKSUM_BYTES].split(b"\n")
     assert refusal(assemble(body, 2)) == "expected version 1 to 1, got 2: written by a newer program"
     assert refusal(assemble(body, 0)).startswith("expected version 1 to 1, got 0")
 
 
-def test_a_wrong_checksum_is_told_as_damage() -> None:
+def test_a_wrong_checksum_is_reported_as_damage() -> None:
     data = encode(KEPT)
-    assert refusal(data[:-1] + bytes([data[-1] ^ 1])) == "expected its checksum to fit, got another: it is damaged"
+    assert refusal(data[:-1] + bytes([data[-1] ^ 1])) == (
+        "expected a matching checksum, got another: the snapshot is damaged")
     assert refusal(b"something else, long enough for it all").startswith(f"expected it to begin with {MAGIC!r}")
 
 
-@pytest.mark.parametrize(("changes", "told"), [
+@pytest.mark.parametrize(("changes", "message"), [
     ({"position": 6}, "entry 2.version: expected a whole number from 1 to 6, got '7'"),
     ({"floor": 10}, "header.floor: expected a whole number from 0 to 9, got '10'"),
-    ({"lineage": ""}, "header.lineage: expected the lineage of the log that the position is in, got ''"),
-    ({"entries": ENTRIES[::-1]}, "expected entries in the order of their versions, each once, got another order"),
-    ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry a scope, got a scope twice"),
+    ({"lineage": ""}, "header.lineage: expected the lineage of the log to which the position belongs, got ''"),
+    ({"entries": ENTRIES[::-1]}, "expected entries in ascending order of distinct versions, got another order"),
+    ({"entries": (ENTRIES[0], replace(ENTRIES[0], version=3))}, "expected one entry for each scope, got a scope twice"),
 ])
-def test_a_whole_file_that_says_what_can_t_be_is_refused(changes: dict[str, object], told: str) -> None:
-    assert refusal(encode(replace(KEPT, **changes))) == told  # type: ignore[arg-type]
+def test_an_intact_snapshot_with_inconsistent_content_is_refused(changes: dict[str, object], message: str) -> None:
+    assert refusal(encode(replace(KEPT, **changes))) == message  # type: ignore[arg-type]
 
 
-def test_without_its_position_it_is_refused() -> None:
+def test_a_snapshot_without_its_position_is_refused() -> None:
     header = {"lineage": "5f", "floor": 0, "reached_ms": 1, "entries": 0, "tokens": []}
-    assert refusal(assemble([line(header)])).startswith("header: expected the keys entries, floor, lineage, position,")
+    assert refusal(assemble([encode_line(header)])).startswith(
+        "header: expected the keys entries, floor, lineage, position,")
 
 
-def test_its_age_is_never_less_than_nothing() -> None:
+def test_the_age_of_a_snapshot_is_never_negative() -> None:
     assert KEPT.age_s(KEPT.reached_ms + 1_500) == 1.5
     assert KEPT.age_s(KEPT.reached_ms - 60_000) == 0.0
