--- a/ironscale/agent/config_diff.py
+++ b/ironscale/agent/config_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, a line each. No I/O."""
+"""Line-by-line difference between two configurations. No I/O."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def _flat(value: Any, path: str, into: dict[str, str]) -> None:
+    """Adds each leaf of `value` to `into` as path -> JSON; list elements that are objects are keyed by their name."""
     if isinstance(value, dict) and value:
         for key, member in value.items():
             _flat(member, f"{path}.{key}" if path else key, into)
@@ -21,7 +22,7 @@
 
 
 def difference(old: Any, new: Any) -> list[str]:
-    """`- path: value` for what goes, `+ path: value` for what comes, `~ path: old -> new`, by path."""
+    """Lines sorted by path: `- path: value` if removed, `+ path: value` if added, `~ path: old -> new` if changed."""
     before: dict[str, str] = {}
     after: dict[str, str] = {}
     _flat(old, "", before)
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -1,4 +1,4 @@
-"""Carries operations out: asks the planner, records what it says, then sends; takes in what comes back."""
+"""Carries out operations: asks the planner, records its plan, then sends the commands; takes in answers and reports."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from ironscale.disruption.model import Budget, Halt, Of, Permit
 from ironscale.disruption.releases import Word
 
-RETRY_S = 1.0  # after the record could not be written
-REST_SHARE = 1  # an operation rests for so many times what its last round took: thousands report at once
+RETRY_S = 1.0  # delay after a failed write to the record
+REST_SHARE = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
 CATCH_UP_S = 1.0
 INSPECT_S = 5.0
-AGENT = "agent"  # the actor of what the agent does by itself
+AGENT = "agent"  # actor of what the agent does on its own
 
 
 @dataclass(slots=True)
 class Live:
-    """An open operation in memory: what the record has, and what has come in since."""
+    """An open operation in memory: its recorded state, and what has been received since."""
 
     op: Operation
     targets: list[Target]
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    names: set[str] | None = None  # of instances that may show something new; None = any may
+    names: set[str] | None = None  # instances that may have reported something new; None = any
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     answers: deque[tuple[str, str, str, str]] = field(default_factory=deque)  # name, command, status, detail
     superseded: dict[str, int] = field(default_factory=dict)
-    stalled: str = ""  # why it can't go on at present
-    waits: str = ""  # for room in a budget, for the end of a halt, or for what a wave serves
+    stalled: str = ""  # why it can't proceed at present
+    waits: str = ""  # what it waits for: room in a budget, the end of a halt, or measured answers
     gate: Gate = field(default_factory=Gate)
     index: dict[str, int] = field(default_factory=dict)
 
@@ -78,21 +78,21 @@
         self.live: dict[int, Live] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
-        self.restart: Callable[[Send], None] = lambda send: None  # the supervisor's
-        self.stopping: Callable[[str], None] = lambda name: None  # told before a process is told to stop
+        self.restart: Callable[[Send], None] = lambda send: None  # set to the supervisor's method
+        self.stopping: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.questions: dict[str, _Question] = {}
         self.asked = 0
-        self.caught_up: set[tuple[str, str, int]] = set()  # tried once for each process and generation
-        self.watchers: set[asyncio.Event] = set()  # of operations, instances and the audit log
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
-        self.held_back: set[str] = set()  # instances whose commands were not sent, as the term was void
-        self.leader: Owner | None = None  # this agent only follows: who leads, as far as that is known
-        self.read_ms = 0  # follower: on `clock_ms`, of when the record was read that is shown here
+        self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
+        self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
+        self.step: Callable[[str], None] = lambda where: None  # tests kill the process at these points
+        self.held_back: set[str] = set()  # instances whose commands were not sent because the term had run out
+        self.leader: Owner | None = None  # set while this agent only follows: the leader, as far as known
+        self.read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
         self.started_ms = now_ms()
         fleet.changed = self.on_changed
         fleet.connected = self.on_connected
 
-    # The record at the start
+    # Loading the record at startup
 
     async def load(self) -> None:
         def work(records: Records) -> tuple[list[tuple[Operation, list[Target]]], dict[int, dict[str, Any]],
@@ -111,11 +111,12 @@
         self.permits.load(permits, halt)
         await self.publisher.load()
         for op, targets in found:
-            # hazard: the time without an agent, or a clock set back, must not count against the instances
+            # Restart the answer timeout: time without an agent, or a clock set back, must not count against instances.
             targets = [replace(t, sent_ms=self.now_ms()) if t.command else t for t in targets]
             self.adopt(op, targets)
 
     def adopt(self, op: Operation, targets: list[Target]) -> Live:
+        """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
         for other in self.live.values():
             other.superseded.update({t.name: op.id for t in targets if t.name in other.index})
             other.names = None
@@ -138,14 +139,14 @@
             self.tasks.create_task(self.watching.run())
             self.tasks.create_task(self.publisher.run())
 
-    # What comes in
+    # Events
 
     def notify(self) -> None:
         for watcher in self.watchers:
             watcher.set()
 
     def room(self) -> None:
-        """Operations that wait may go on."""
+        """Wakes the operations that wait, as there may be room in a budget now."""
         for live in self.live.values():
             if live.waits:
                 live.changed.set()
@@ -160,7 +161,7 @@
         self.notify()
 
     def on_connected(self, name: str) -> None:
-        """What a process was told, and may not have got, is told again by the same id."""
+        """Sends commands again, with the same ids, that a process may not have received before it reconnected."""
         member = self.fleet.members[name]
         for live in self.live.values():
             place = live.index.get(name)
@@ -181,7 +182,7 @@
         ident = result.id.partition(".")[0]
         live = self.live.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
         place = live.index.get(name) if live is not None else None
-        # hazard: an instance must not be able to answer for another, nor for a command that was never its own
+        # An instance must not be able to answer for another one, or a command that it was never sent.
         if live is not None and place is not None and (
                 (live.targets[place].boot, live.targets[place].command) == (boot, result.id)):
             live.answers.append((name, result.id, result.status, result.detail))
@@ -190,6 +191,7 @@
     # Operations
 
     async def drive(self, live: Live) -> None:
+        """Runs rounds of an operation until it has ended. Faults and failed writes are retried."""
         while live.op.phase in OPEN:
             live.changed.clear()
             try:
@@ -198,7 +200,7 @@
                     more, wake_ms = await self.round(live)
                     took_s = time.monotonic() - start_s
             except StoreError as error:
-                # nothing was sent that was not recorded; instances and their traffic don't notice
+                # Nothing was sent that was not recorded, so instances and their traffic are not affected.
                 if live.stalled != str(error):
                     self.log(f"operation {live.op.id} waits: {error}")
                 live.stalled = str(error)
@@ -206,8 +208,8 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             except Exception:
-                # hazard: a fault met by one operation would end the agent, and the next agent, and the next
-                self.log(f"operation {live.op.id} met a fault of the agent\n{traceback.format_exc()}")
+                # Without this, an operation that runs into a bug would crash this agent and every agent after it.
+                self.log(f"operation {live.op.id}: unexpected error in the agent\n{traceback.format_exc()}")
                 live.stalled, live.names = "a fault of the agent; its log says which", None
                 self.notify()
                 await asyncio.sleep(RETRY_S)
@@ -227,7 +229,8 @@
         self.notify()
 
     async def round(self, live: Live) -> tuple[bool, int | None]:
-        """One look at an operation: what changes is recorded, then sent. True if another is due at once."""
+        """One planning round: records the changes, then sends the commands. Returns whether another round is due at
+        once, and otherwise when the next is due."""
         op, answered = live.op, list(live.targets)
         taken, names = len(live.answers), live.names
         live.names = set()
@@ -236,7 +239,7 @@
             if names is not None:
                 names.add(name)
             answered[place] = planner.answer(op, answered[place], command, status, detail)
-        before: dict[int, Permit | None] = {}  # permits that this round reserves, as they were
+        before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
         def may(target: Target) -> str:
             ident, known = permit_id(op, target), self.permits.ledger.permits
@@ -285,7 +288,7 @@
         try:
             recorded(await self.record(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
         except Exception as error:
-            live.names = None  # what was seen has not been taken in
+            live.names = None  # the reports of this round were not processed: look at all again
             self.permits.restore(before, not (isinstance(error, StoreError) and error.code == "UNKNOWN"))
             raise
         return True, None
@@ -321,7 +324,7 @@
 
     @staticmethod
     def desired(op: Operation, changed: Iterable[Target]) -> list[tuple[str, int]]:
-        """What instances should run from now on, also after a restart, by how their targets stand."""
+        """The generation that each instance should run from now on, also after a restart, by its target's state."""
         if op.kind is not Kind.RECONFIGURE:
             return []
         found = []
@@ -333,12 +336,13 @@
         return found
 
     def leads(self) -> bool:
-        """By our own clock, without asking: nobody else can have claimed the record."""
+        """Whether, by this machine's clock alone, it is certain that no other agent has claimed the record."""
         return self.leader is None and self.store.term.holds(clock_ms())
 
     def deliver(self, send: Send) -> None:
-        """Looks at the term last: a process that was stopped since its record was written has lost it. What leaves a
-        moment too late all the same is what the record names, and counts for whoever leads by then."""
+        """Sends a recorded command if this agent still leads. The term is checked last, as the process may have been
+        suspended since it wrote the record. A command that leaves a moment too late even so is in the record, so the
+        next leader accounts for it."""
         if not self.leads():
             self.held_back.add(send.name)
             return
@@ -347,7 +351,7 @@
             return
         member = self.fleet.members.get(send.name)
         if member is None or member.link is None or member.row.boot != send.boot:
-            return  # told again when it comes back; if it does not, its lease ends
+            return  # sent again when it reconnects; if it does not, its lease runs out
         args: dict[str, Any] = {}
         if send.kind == Kind.STOP:
             self.stopping(send.name)
@@ -358,11 +362,12 @@
     async def begin(self, actor: str, kind: Kind, names: Sequence[str], policy: Policy, *, key: str = "",
                     overlay: dict[str, Any] | None = None, expect: int | None = None, generation: int = 0,
                     supersede: bool = False) -> tuple[Operation, bool]:
-        """Records a new operation, and starts it; False beside it where an earlier call with this key did.
+        """Records a new operation and starts it. Returns it with True, or with False if an earlier call with the same
+        idempotency key created it.
 
-        With an `overlay` it makes the next generation, if the present one is `expect`: of two operators who
-        saw the same generation exactly one wins. Raises Refusal or StoreError, with nothing done; but a StoreError
-        UNKNOWN may have begun, and if it has, the operation goes on once that is seen.
+        With an `overlay` it creates the next generation, provided the current one is `expect`: of two operators who
+        saw the same generation exactly one succeeds. Raises Refusal or StoreError if nothing was done; but after a
+        StoreError UNKNOWN the operation may have been recorded, and then it proceeds once that is known.
         """
         names = sorted(set(names))
         fingerprint = sha256(json.dumps([kind, names, asdict(policy), overlay, expect, generation, supersede],
@@ -396,7 +401,7 @@
             op = Operation(ident, kind, fence, Phase.RUNNING, actor, policy, made, {"supersede": supersede},
                            "", now_ms)
             targets = [Target(name, place) for place, name in enumerate(names)]
-            # hazard: an agent killed before it had written who its targets are would not know them again
+            # Without these rows, an agent killed right after this would not know the targets when it starts again.
             records.put_instances(rows)
             records.put_operation(op)
             records.put_targets(ident, targets)
@@ -425,7 +430,7 @@
 
     @staticmethod
     def check_size(overlay: dict[str, Any]) -> None:
-        """A patch that fits no frame would leave every target without an answer."""
+        """Refuses an overlay that exceeds a frame, as no target could be sent it and none would answer."""
         args = {"generation": 2**53, "overlay": overlay}
         command = Command("0" * 40, 2**53, "0" * 64, Kind.RECONFIGURE, args)
         try:
@@ -437,6 +442,7 @@
 
     @staticmethod
     def compare_and_set(records: Records, expect: int | None, overlay: dict[str, Any]) -> None:
+        """Raises Refusal unless `expect` is the current generation."""
         current = records.current_generation()
         if expect == current:
             return
@@ -450,12 +456,12 @@
             operation=winner.operation, difference=difference(winner.overlay, overlay))
 
     def check_rivals(self, records: Records, names: set[str], supersede: bool) -> None:
-        """An open operation on the same instances: theirs first, unless this one is to take its place."""
+        """Refuses the new operation if an open one has the same instances, unless it is to supersede that one."""
         if supersede:
             return
         for op in records.operations(2**62, 10_000, open_only=True):
             if op.actor == AGENT:
-                continue  # catching up with what operators wanted before
+                continue  # the agent's own catching up gives way to operators
             both = names & {target.name for target in records.targets(op.id)
                             if target.state is not State.SUPERSEDED}
             if both:
@@ -466,8 +472,8 @@
                     actor=op.actor, atMs=op.created_ms, instances=sorted(both)[:20])
 
     async def control(self, actor: str, ident: int, action: str, urgent: bool = False) -> Operation:
-        """Pause, resume, abort or roll back an open operation; `urgent`: back without waiting for room in a budget.
-        Again is the same. Raises Refusal."""
+        """Pauses, resumes, aborts or rolls back an open operation. `urgent`: roll back without waiting for room in a
+        budget. Idempotent. Raises Refusal."""
         live = self.live.get(ident)
         if live is None:
             found = await self.store.read(lambda records: records.operation(ident))
@@ -489,7 +495,7 @@
             if wanted is Phase.ROLLING_BACK and op.kind is not Kind.RECONFIGURE:
                 raise Refusal("WRONG_PHASE",
                               f"operation {ident} is a {op.kind}; only a reconfigure rolls back")
-            # a resume after failures goes on past them: the operator has seen them
+            # Resuming after failures means that the operator has seen them: no number of failures stops it again.
             policy = replace(op.policy, max_failures=len(live.targets)) if action == "resume" else op.policy
             policy = replace(policy, urgent=policy.urgent or urgent)
             note = f"{action} by {actor}" if wanted is Phase.ROLLING_BACK else ""
@@ -511,10 +517,10 @@
             told(await self.store.write(work, told))
             return live.op
 
-    # Questions
+    # Inspection of instances
 
     async def inspect(self, name: str, timeout_s: float = INSPECT_S) -> Inspection:
-        """Asks a process now. Raises Refusal with since when it has not been heard."""
+        """Queries a process for its present state. Raises Refusal, with the time when it was last heard from."""
         member = self.fleet.members.get(name)
         if member is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
@@ -546,7 +552,7 @@
         elif not result.more and result.report is not None:
             question.future.set_result(Inspection(result.report, question.parts))
 
-    # What goes on by itself
+    # Background tasks
 
     async def sweep(self) -> None:
         while True:
@@ -554,7 +560,7 @@
             self.fleet.sweep()
 
     async def keep_instances(self) -> None:
-        """Writes what changed of the instances, and that the agent is alive; heartbeats are not written."""
+        """Periodically records changed instances and that the agent is alive. Heartbeats alone are not written."""
         while True:
             await asyncio.sleep(min(0.5, self.store.term.lease_ms / 5_000 or 0.5))
             rows, now_ms = self.fleet.take_dirty(), self.now_ms()
@@ -567,14 +573,14 @@
                 await self.store.write(work)
                 held_back, self.held_back = self.held_back, set()
                 for name in held_back & self.fleet.members.keys():
-                    self.on_connected(name)  # the term goes on: told again, by the same ids
+                    self.on_connected(name)  # the term was renewed: send again with the same ids
             except StoreError as error:
                 self.fleet.dirty.update(row.name for row in rows)
-                self.log(f"instances not recorded: {error}")
+                self.log(f"could not record changed instances: {error}")
                 await asyncio.sleep(min(RETRY_S, self.store.term.lease_ms / 5_000 or RETRY_S))
 
     async def catch_up(self) -> None:
-        """A process that came back without what its instance should run gets it, once."""
+        """Reconfigures, once each, processes that connected with another generation than their instance should run."""
         while True:
             await asyncio.sleep(CATCH_UP_S)
             if self.permits.halt is not None:
@@ -594,16 +600,16 @@
                     await self.begin(AGENT, Kind.RECONFIGURE, names, Policy(), generation=generation)
                 except (StoreError, Refusal) as error:
                     if isinstance(error, Refusal) and error.code == "NOT_FOUND":
-                        # of an agent whose record is no more: told once, and left as it is
+                        # The generation is from an agent whose record is lost: log once, leave the instance alone.
                         self.log(f"not caught up: {', '.join(names[:5])} should run generation {generation}: {error}")
                         continue
                     self.caught_up.difference_update(
                         (n, self.fleet.members[n].row.boot, generation) for n in names)
-                    self.log(f"catching up waits: {error}")
+                    self.log(f"catching up will be retried: {error}")
 
     async def forget(self, actor: str, name: str, ended: bool) -> None:
-        """Takes an instance that is no more off the record, and out of all counts. `ended`: the operator's word where
-        its end is not known here. Raises Refusal or StoreError."""
+        """Removes an instance that no longer exists from the record and from all counts. `ended`: the operator confirms
+        that its process has ended, for the case that the agent doesn't know. Raises Refusal or StoreError."""
         if name in self.permits.ledger.sights and name.startswith(f"{Of.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -1,4 +1,4 @@
-"""Every instance that the agent knows, as it last showed itself. In memory; what must last is recorded."""
+"""All instances that the agent knows, as they last reported. Kept in memory; what must survive is recorded."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from ironscale.control.messages import Command, Hello, Report
 from ironscale.control.processes import is_alive, machine
 
-# So many instances a second come back after they have lost their agent.
+# Rate at which instances reconnect after they have lost their agent; they spread out accordingly.
 RETURNS_PER_S = 200.0
 LEAST_SPREAD_MS = 1_000
-DRAWN, OFFERED, SETTLED_MS = 20, 5, 10_000  # newcomers are told of so many donors, that have run so long
-# So many heartbeats a second an agent asks for; in a larger fleet each beats less often, and leases last longer.
+# For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
+DRAWN, OFFERED, SETTLED_MS = 20, 5, 10_000
+# Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 BEATS_PER_S = 1_000.0
 BEATS_A_LEASE = 3
 BACK_MS = 1_000
-ROUND_MS = 4_000  # where an instance has to try several agents, one of which may accept and say nothing
+ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
 
 
 class Link(Protocol):
-    """The connection of one process."""
+    """The control connection of one process."""
 
     boot: str
 
@@ -35,12 +36,12 @@
 
 @dataclass(slots=True)
 class Member:
-    """One instance. `row.boot` is the process that has the name now."""
+    """One instance. `row.boot` identifies the process that has its name now."""
 
     row: InstanceRow
     leased_until_ms: int
     leased: bool
-    lease_ms: int = 0  # as it was told at its welcome
+    lease_ms: int = 0  # lease duration sent in its welcome message
     report: Report | None = None
     link: Link | None = None
     saved_heard_ms: int = 0
@@ -48,7 +49,7 @@
 
 
 class Denial(Exception):
-    """A registration that is turned away, for now or for good."""
+    """A registration is refused; the process may try again after `retry_ms`."""
 
     def __init__(self, code: str, text: str, retry_ms: int) -> None:
         super().__init__(text)
@@ -56,11 +57,11 @@
 
 
 def state_of(seen: Seen) -> str:
-    """One word for people and selectors."""
+    """The state of an instance as one word, for people and selectors."""
     if seen.ended:
         return "gone"
     if not seen.leased:
-        return "silent"  # what it does now is not known
+        return "silent"  # its present state is unknown
     if seen.draining:
         return "drained" if seen.open == 0 else "draining"
     return "ready" if seen.ready else "not ready"
@@ -69,24 +70,26 @@
 class Fleet:
     def __init__(self, lease_ms: int, beat_ms: int, most: int, now_ms: Callable[[], int], back_ms: int = BACK_MS
                  ) -> None:
-        """`back_ms`: beside lease and spread, what instances have time for to come back to a new agent."""
+        """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
+        reconnect to a new agent."""
         self.back_ms = back_ms
         self.lease_ms, self.beat_ms, self.most, self.now_ms = lease_ms, beat_ms, most, now_ms
         self.members: dict[str, Member] = {}
-        self.changed: Callable[[str], None] = lambda name: None  # something that operations look at
-        self.connected: Callable[[str], None] = lambda name: None  # a process may be told things again
-        self.supervised: Callable[[str], str | None] = lambda name: None  # "" or "awaited" if it is
-        self.replacing: Callable[[str], bool] = lambda name: False  # its process is being replaced
+        self.changed: Callable[[str], None] = lambda name: None  # an instance changed
+        self.connected: Callable[[str], None] = lambda name: None  # a process has registered
+        # None if not supervised; "awaited" if its process runs or is about to be started; else "".
+        self.supervised: Callable[[str], str | None] = lambda name: None
+        self.replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
         self.ordered: list[str] = []
-        self.dirty: set[str] = set()  # to be written to the record
+        self.dirty: set[str] = set()  # names of rows to be written to the record
         self.here = machine()
         self.registrations = self.beats = 0
-        self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it teaches newcomers
-        self.teachers: list[str] = []  # those names, to draw from
+        self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
+        self.teachers: list[str] = []  # the same names as a list, for random sampling
         self.random = random.Random()
 
     def load(self, rows: Iterable[InstanceRow], alive_ms: int) -> None:
-        """What was known before this agent's start. Who was connected then has time to come back."""
+        """Loads the instances from the record. Those that were connected get time to reconnect before leases end."""
         now_ms = self.now_ms()
         rows = list(rows)
         lease_ms = max(self.lease_ms, int(BEATS_A_LEASE * 1_000 * len(rows) / BEATS_PER_S))
@@ -101,37 +104,38 @@
             self.members[row.name] = member
 
     def show(self, rows: Iterable[InstanceRow]) -> None:
-        """What another agent has recorded, for those who look here: what its instances do now is not known here."""
+        """Shows what the leader has recorded, on a follower: the present state of the instances is not known here."""
         self.members = {row.name: Member(row, 0, False) for row in rows}
         self.ordered = []
 
     def spread_ms(self, count: int | None = None) -> int:
+        """Time over which that many instances (by default all) spread their reconnections."""
         count = len(self.members) if count is None else count
         return max(LEAST_SPREAD_MS, int(1_000 * count / RETURNS_PER_S))
 
     def times(self) -> tuple[int, int]:
-        """Lease and heartbeat that a process is told, in milliseconds, by the fleet's size now."""
+        """Lease duration and heartbeat interval for a new registration, in milliseconds, by the present fleet size."""
         beat_ms = max(self.beat_ms, int(1_000 * len(self.members) / BEATS_PER_S))
         return max(self.lease_ms, BEATS_A_LEASE * beat_ms), beat_ms
 
     def has_died(self, row: InstanceRow) -> bool:
-        """Whether the process is known to be no more: only of this machine's can that be said."""
+        """Whether the process is known to have ended; that can be told only of processes on this machine."""
         return bool(row.host and row.host == self.here and row.ticks and not is_alive(row.pid, row.ticks))
 
     def check(self, hello: Hello) -> None:
-        """Whether a process may have its name. Raises Denial."""
+        """Checks whether a process may take the name that it asks for. Raises Denial."""
         member = self.members.get(hello.name)
         if member is None and len(self.members) >= self.most:
             raise Denial("FULL", f"expected {self.most} instances at most", 60_000)
         if member is not None and member.row.boot != hello.boot and hello.replaces != member.row.boot:
             rival = member.link is not None and member.leased and not self.has_died(member.row)
             if rival:
-                # hazard: two processes of one name would take each other's commands in turns
+                # Two processes with one name would alternately take each other's place and commands.
                 text = f"{hello.name} is process {member.row.pid} (boot {member.row.boot}), which has its lease"
                 raise Denial("DUPLICATE", text, max(1_000, member.leased_until_ms - self.now_ms()))
 
     def register(self, hello: Hello, link: Link, lease_ms: int) -> Member:
-        """A process that was checked takes its name, with the lease that it was told."""
+        """Registers a checked process under its name, with the lease duration that it was sent."""
         now_ms = self.now_ms()
         member = self.members.get(hello.name)
         if member is not None and member.link is not None and member.link is not link:
@@ -157,8 +161,8 @@
         return member
 
     def donors(self, hello: Hello, wall_ms: int) -> list[str]:
-        """Where a newcomer may be taught: some that serve, on its machine, those of its zone first. A few are drawn and
-        looked at, however many there are."""
+        """Addresses from which a new process may get its initial state: serving instances on its machine, those of its
+        zone first. Only a random sample is examined, so the cost does not grow with the fleet."""
         found = []
         for name in self.random.sample(self.teachers, min(DRAWN, len(self.teachers))):
             member = self.members.get(name)
@@ -171,7 +175,7 @@
         return [address for _, address in sorted(found, key=lambda one: one[0])[:OFFERED]]
 
     def beat(self, name: str, link: Link, report: Report) -> bool:
-        """A heartbeat; False from a process that no longer has the name."""
+        """Takes in a heartbeat. Returns False if the process no longer has the name."""
         member = self.members.get(name)
         if member is None or member.link is not link:
             return False
@@ -189,7 +193,7 @@
         return True
 
     def unlink(self, name: str, link: Link, bye: str) -> None:
-        """A connection has ended. Whether the process has, is known only if it said so or was ours to see."""
+        """A connection has ended. The process is known to have ended only if it said so in `bye` or ran here."""
         member = self.members.get(name)
         if member is None or member.link is not link:
             return
@@ -203,7 +207,7 @@
             self.touch(name)
 
     def ended(self, name: str, boot: str, how: str) -> None:
-        """The process is known to have ended; the more exact account goes before the other."""
+        """The process is known to have ended. An exit code or signal replaces a less exact earlier description."""
         member = self.members.get(name)
         if member is None or member.row.boot != boot:
             return
@@ -218,6 +222,7 @@
         self.touch(name)
 
     def touch(self, name: str) -> None:
+        """Marks an instance as changed: to be recorded, and to be looked at by operations."""
         self.members[name].cached = None
         self.dirty.add(name)
         self.changed(name)
@@ -227,7 +232,7 @@
             self.touch(name)
 
     def sweep(self) -> None:
-        """Ends the leases whose time is over, and sees which processes without a connection have died."""
+        """Ends expired leases, and finds processes without a connection that have died."""
         now_ms = self.now_ms()
         for name, member in self.members.items():
             if not member.leased:
@@ -253,24 +258,24 @@
         return member.cached
 
     def get(self, name: str, /) -> Seen | None:
-        """As a planner's view."""
+        """Same as `seen`; implements planner.View."""
         return self.seen(name)
 
     def names(self) -> list[str]:
         """All names in order."""
-        if len(self.ordered) != len(self.members):  # a name stays once it is known
+        if len(self.ordered) != len(self.members):  # names are only ever added, or the cache is cleared
             self.ordered = sorted(self.members)
         return self.ordered
 
     def values(self, name: str) -> dict[str, str]:
-        """What selectors look at."""
+        """The instance's values by selector key."""
         member, seen = self.members[name], self.seen(name)
         assert seen is not None
         return {"name": name, "zone": member.row.zone, "state": state_of(seen),
                 "generation": str(member.row.generation), "version": member.row.version}
 
     def forget(self, name: str) -> None:
-        """One that is no more, as an operator says."""
+        """Removes an instance that, as an operator confirms, no longer exists."""
         del self.members[name]
         self.dirty.discard(name)
         self.ordered = []
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -1,4 +1,4 @@
-"""Between two waves of a release: what the changed instances have answered meanwhile, and what the others did."""
+"""Canary analysis between two waves of a release: compares answers of changed instances with those of the others."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 @dataclass(slots=True)
 class Gate:
-    """Of one operation; begins anew with each wave, and with another leader."""
+    """Gate of one operation. Counting starts over with each wave, and when another agent becomes the leader."""
 
-    first: int = -1  # position at which the next wave begins
+    first: int = -1  # position of the first target of the next wave
     since_ms: int = 0
-    before: dict[str, tuple[str, dict[str, Counts]]] = field(default_factory=dict)  # name -> boot, by class
+    before: dict[str, tuple[str, dict[str, Counts]]] = field(default_factory=dict)  # name -> boot, baseline
     note: str = ""
 
     def verdict(self, policy: Policy, targets: Sequence[Target], first: int, fleet: Fleet, now_ms: int) -> Verdict:
+        """Whether the wave that begins at position `first` may start, by the answers counted since the last wave."""
         if first != self.first:
             self.first, self.since_ms = first, now_ms
             self.before = {name: (member.row.boot, counted(fleet, name)) for name, member in fleet.members.items()
@@ -35,19 +36,21 @@
         return found
 
     def total(self, fleet: Fleet, names: Collection[str]) -> dict[str, Counts]:
+        """Answers of the ready instances among `names` since the start of the soak, summed by request class."""
         total: dict[str, Counts] = {}
         for name in names:
             seen = fleet.seen(name)
-            if seen is None or state_of(seen) != "ready":  # who is on his way out refuses for that
+            if seen is None or state_of(seen) != "ready":  # draining instances refuse requests for that reason
                 continue
             boot, before = self.before.get(name, ("", {}))
             for kind, counts in counted(fleet, name).items():
-                # a process that has started since counts from its own zero
+                # A process that has started since then has counted from zero.
                 delta = counts.since(before.get(kind, Counts())) if boot == seen.boot else counts
                 total[kind] = total.get(kind, Counts()).plus(delta)
         return total
 
 
 def counted(fleet: Fleet, name: str) -> dict[str, Counts]:
+    """The instance's last reported counters by request class."""
     report = fleet.members[name].report
     return {c.name: Counts(c.served, c.refused, c.failed) for c in report.classes} if report is not None else {}
--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -1,4 +1,4 @@
-"""How much one GraphQL document may ask for, told before anything is resolved. No I/O."""
+"""Size, depth and cost limits of a GraphQL document, checked before anything is resolved. No I/O."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
     VariableNode,
 )
 
-MAX_BODY = 256 << 10
+MAX_BODY = 256 << 10  # bytes
 MAX_TOKENS = 4_000
 MAX_DEPTH = 12
-MAX_COST = 50_000  # fields that a document can come to, lists counted by what `first` allows
-PAGE, MOST_PAGE = 100, 500
-LISTS = ("instances", "operations", "events", "targets", "versions")
+MAX_COST = 50_000  # fields that a document can resolve to; a list counts as many entries as `first` allows
+PAGE, MOST_PAGE = 100, 500  # entries of a page: default, and maximum
+LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
+# Lists without pagination, with the number of entries that the cost assumes.
 OPEN_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
               "positions": 50, "differing": 100}
 
 
 class TooMuch(Exception):
-    """A document past the limits; the text is one line."""
+    """The document exceeds a limit; the text is one line."""
 
 
 def cost(document: DocumentNode, variables: Mapping[str, Any]) -> int:
-    """Fields that the document can come to. Raises TooMuch past depth or cost.
+    """Number of fields that the document can resolve to. Raises TooMuch if depth or cost exceeds its limit.
 
-    Fragments are walked where they are spread; validation has refused cycles before. Hazard: fragments that
-    spread each other twice over double at each level, so the walk itself stops at the limit.
+    Fragments are walked at each place where they are spread; validation has already refused cycles. Fragments that
+    spread the next one twice double the work at each level, so the walk itself stops at the limit.
     """
     fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
     total = 0
@@ -67,7 +68,7 @@
 
 
 def _size(node: FieldNode, variables: Mapping[str, Any]) -> int:
-    """How many entries the field's list may have."""
+    """How many entries the field's list may have; 1 for a field that is no list."""
     name = node.name.value
     if name in OPEN_LISTS:
         return OPEN_LISTS[name]
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -1,4 +1,4 @@
-"""What the agent knows: instances as they show themselves, operations, and the state of each target."""
+"""Data model of the agent: instances as they report themselves, operations, and the state of each target."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
     DRAIN = "drain"
     UNDRAIN = "undrain"
     RECONFIGURE = "reconfigure"
-    RESTART = "restart"  # only instances that the agent supervises
+    RESTART = "restart"  # only for instances that the agent supervises
     STOP = "stop"
 
 
 class Phase(enum.StrEnum):
-    """Of an operation. The first four are open; the others are how it ended."""
+    """Phase of an operation. The first four are open; the others are final."""
 
     RUNNING = "running"
     PAUSED = "paused"
-    ABORTING = "aborting"  # starts nothing more; what is under way is awaited
+    ABORTING = "aborting"  # starts no more targets and waits for those under way
     ROLLING_BACK = "rolling back"
-    SUCCEEDED = "succeeded"  # every target has shown it
+    SUCCEEDED = "succeeded"  # every target has confirmed the change by a report
     PARTIAL = "partial"
     ABORTED = "aborted"
     ROLLED_BACK = "rolled back"
@@ -32,17 +32,17 @@
 
 
 class State(enum.StrEnum):
-    """Of one target. There is no state for what is assumed."""
+    """State of one target. Each state is based on evidence; none is assumed."""
 
     NOT_STARTED = "not started"
     UNDER_WAY = "under way"
-    APPLIED = "applied"  # the process has shown it
+    APPLIED = "applied"  # confirmed by a report of the process
     REFUSED = "refused"
     FAILED = "failed"
-    NO_ANSWER = "no answer"  # since the time given; what it runs is not known
+    NO_ANSWER = "no answer"  # not heard from since `since_ms`; what it runs is unknown
     GONE = "gone"  # the process has ended
-    SUPERSEDED = "superseded"  # a newer operation has the instance
-    REVERTED = "reverted"  # the process has shown what it ran before
+    SUPERSEDED = "superseded"  # a newer operation controls the instance
+    REVERTED = "reverted"  # the process has confirmed its former generation by a report
 
 
 FAILURES = (State.REFUSED, State.FAILED, State.NO_ANSWER, State.GONE)
@@ -51,22 +51,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How an operation goes through its targets."""
-
-    wave: int = 0  # targets a wave; the next begins when all of one have settled; 0 = all in one
-    max_unavailable: int = 0  # under way, without answer or gone at the same time; 0 = no limit of its own
-    max_failures: int = 0  # more than so many failed targets: `on_failure`
-    on_failure: str = "stop"  # start nothing more and end; pause; roll back
-    answer_ms: int = 10_000  # an instance has so long to answer, and to show it
-    tries: int = 3  # processes of one name that are told; one that restarted has not applied
-    priority: int = 0  # among all that wait for room in a budget
-    urgent: bool = False  # its way back waits for no room
-    canary: int = 0  # targets of the first wave, before those of `wave` each; 0 = as the others
-    gate: bool = False  # the next wave begins by the service that is measured, `gates.py`
-    soak_ms: int = 0
-    soak_most_ms: int = 60_000
-    margin: float = 0.02  # of answers of a class, refused or failed, more than where nothing was changed
-    unsure: str = "halt"  # or "go", where not enough was seen by then
+    """How an operation proceeds through its targets."""
+
+    wave: int = 0  # targets per wave; the next wave begins when all of one have settled; 0 = all in one wave
+    max_unavailable: int = 0  # limit of targets under way, without answer or gone at once; 0 = no limit
+    max_failures: int = 0  # `on_failure` applies when more targets than this have failed
+    on_failure: str = "stop"  # one of ON_FAILURE; "stop" starts no more targets and ends the operation
+    answer_ms: int = 10_000  # time in which an instance has to answer and to confirm the change by a report
+    tries: int = 3  # processes commanded per instance name; a restart loses what the former process applied
+    priority: int = 0  # rank among all that wait for room in a disruption budget
+    urgent: bool = False  # its rollback does not wait for room in a budget
+    canary: int = 0  # targets of the first wave; later ones have `wave` each; 0 = same as the others
+    gate: bool = False  # a wave begins only if the measured answers allow it, see gates.py
+    soak_ms: int = 0  # shortest observation between two waves
+    soak_most_ms: int = 60_000  # longest observation; then `unsure` decides
+    margin: float = 0.02  # tolerated excess share of bad answers of a class, compared with unchanged instances
+    unsure: str = "halt"  # or "go": what to do if there were too few answers by `soak_most_ms`
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,39 +77,39 @@
     position: int
     state: State = State.NOT_STARTED
     detail: str = ""
-    since_ms: int = 0  # when the state began; for "no answer", when it was last heard
-    boot: str = ""  # the process that was told
+    since_ms: int = 0  # when the state began; for "no answer", when the instance was last heard from
+    boot: str = ""  # id of the process that was sent the command
     command: str = ""  # id of the last command sent to it
     sent_ms: int = 0
     tries: int = 0
     answered: str = ""  # status of its answer to that command
-    restarting: bool = False  # told to restart, as it could not take it on live
+    restarting: bool = False  # being restarted, as it could not apply the change while running
     reverting: bool = False
-    from_generation: int = 0  # what it ran when the operation reached it
+    from_generation: int = 0  # generation that it ran before the operation's first command
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
     id: int
     kind: Kind
-    fence: int  # of its commands; rises once more with a roll-back
+    fence: int  # fencing token of its commands; a rollback takes a new one
     phase: Phase
     actor: str
     policy: Policy
-    generation: int = 0  # reconfigure: the one to show
+    generation: int = 0  # for a reconfigure: the generation to reach
     args: dict[str, Any] = field(default_factory=dict)
-    note: str = ""  # why it is in its phase
+    note: str = ""  # reason for its phase
     created_ms: int = 0
     ended_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """An instance as it last showed itself, at one moment."""
+    """Snapshot of an instance as it last reported itself."""
 
     name: str
     boot: str
-    leased: bool  # its lease runs; else nothing is known of what it does now
+    leased: bool  # its lease is valid; otherwise nothing is known of its present state
     connected: bool
     heard_ms: int
     generation: int = 0
@@ -117,34 +117,34 @@
     ready: bool = False
     draining: bool = False
     open: int = 0
-    ended: str = ""  # how the process is known to have ended: "exit 0", "signal 9" ...; empty = not known
+    ended: str = ""  # how the process ended: "exit 0", "signal 9" ...; empty = not known to have ended
     supervised: bool = False
-    restart_awaited: bool = False  # supervised, and to be started again
-    replacing: bool = False  # the supervisor replaces its process
-    shown: bool = True  # this process has reported to this agent; else the rest is as the record has it
+    restart_awaited: bool = False  # supervised, and the supervisor is going to start it again
+    replacing: bool = False  # the supervisor is replacing its process
+    shown: bool = True  # this process has reported to this agent; otherwise the other fields come from the record
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Tell one process to do something. The same id again is the same command."""
+    """A command to send to one process. Sending it again with the same id is idempotent."""
 
     id: str
     name: str
     boot: str
     fence: int
-    kind: str  # a command's kind, or "restart", which the supervisor carries out
+    kind: str  # kind of the command, or "restart", which the supervisor carries out
     generation: int = 0
 
 
 @dataclass(slots=True)
 class Plan:
-    """What to record, then what to send."""
+    """Result of planning: what to record first, then what to send."""
 
-    targets: list[Target] = field(default_factory=list)  # those that changed
+    targets: list[Target] = field(default_factory=list)  # targets that changed
     sends: list[Send] = field(default_factory=list)
     phase: Phase | None = None
     note: str = ""
-    rollback: bool = False  # a new fence is needed before the roll-back can begin
-    wake_ms: int | None = None  # look again by then, if nothing happens before
-    soaks: bool = False  # it waits for what is measured
-    waits: str = ""  # what stands in the way of the next target, where that is not the operation's own policy
+    rollback: bool = False  # a new fence must be recorded before the rollback can begin
+    wake_ms: int | None = None  # when to plan again if nothing happens before
+    soaks: bool = False  # waits for measured answers of the last wave
+    waits: str = ""  # what the next target waits for, other than the operation's own policy
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -1,7 +1,7 @@
-"""Budgets and permits at the agent that leads: the ledger's decisions recorded, told and kept up to date.
+"""Disruption budgets and permits at the leading agent: records the ledger's decisions and keeps them up to date.
 
-What takes a unit out is reserved in the ledger first, then recorded, then told: whoever dies in between leaves a permit
-that counts, and never an outage that does not.
+Whatever takes a unit out of service is first reserved in the ledger, then recorded, then announced. An agent that dies
+in between leaves a permit that counts against its budget, never an outage that doesn't.
 """
 
 from __future__ import annotations
@@ -33,23 +33,23 @@
     Unit,
 )
 
-TICK_S = 0.25
-ASKS_AT_ONCE, ASK_AGAIN_S = 50, 1.0
+TICK_S = 0.25  # longest time between two decisions
+ASKS_AT_ONCE, ASK_AGAIN_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
-KEPT_MS = 3_600_000  # a permit that has ended answers for its key so long
-LEASE_MS = (500, 3_600_000)
-POSITIONS = 1_000_000  # targets of one operation at most: the ids of its permits are made of both
+KEPT_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
+LEASE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
+POSITIONS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
 TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
 
 
 def service_of(name: str) -> str:
-    """app-12 is an instance of app."""
+    """The service of an instance: app-12 belongs to app."""
     service, _, number = name.rpartition("-")
     return service if service and number.isdecimal() else name
 
 
 def permit_id(op: Operation, target: Target) -> int:
-    """Below 0: those that were asked for are counted from 1 on."""
+    """Id of the permit for one target. It is negative; permits requested through the API are numbered from 1."""
     return -(op.id * POSITIONS + target.position)
 
 
@@ -60,18 +60,18 @@
         self.ledger = Ledger(budgets)
         self.halt: Halt | None = None
         self.wake = asyncio.Event()
-        self.room: Callable[[], None] = lambda: None  # operations that wait may find some now
+        self.room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
         self.notify: Callable[[], None] = lambda: None
-        self.question: Callable[[str], Awaitable[object]] | None = None  # asks an instance; raises Refusal
-        self.asked_ms: dict[str, int] = {}  # of an instance, the question whose answer is the newest
-        self.asking: dict[str, float] = {}  # when it was asked last
-        self.doubt: set[int] = set()  # what became of their last write is not known
-        # hazard: what was decided before another's word came, and is written after it, would undo that word
+        self.question: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
+        self.asked_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
+        self.asking: dict[str, float] = {}  # instance -> when its running inspection began
+        self.doubt: set[int] = set()  # ids whose last write has an unknown outcome
+        # Serializes decisions: one made before another change but written after it would undo that change.
         self.lock = asyncio.Lock()
-        self.ending: set[int] = set()  # whose end is being written: an operation may not take them up again meanwhile
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
+        self.ending: set[int] = set()  # ids whose end is being written: not to be reserved again meanwhile
+        self.step: Callable[[str], None] = lambda where: None  # tests kill the process at these points
 
-    # The record
+    # Loading the record
 
     def load(self, permits: Iterable[Permit], halt: Halt | None) -> None:
         self.ledger.load(permits, clock_ms())
@@ -83,9 +83,10 @@
         self.halt = halt if halt is not None and not halt.lifted_ms else None
         self.ledger.halted = self.halt.text if self.halt is not None else ""
 
-    # What is seen
+    # Observations of instances
 
     def sight(self, name: str) -> Sight:
+        """What the ledger needs to know of a sidecar: whether it is out of service, and why."""
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
         unit = Unit(Of.SIDECAR, name, service_of(name), member.row.zone)
@@ -110,7 +111,7 @@
     # Operations
 
     def may(self, op: Operation, target: Target, is_way_back: bool) -> str:
-        """Reserves what telling this target needs; empty, or what stands in the way."""
+        """Reserves the permit that a command to this target needs. Returns empty, or the reason why it has to wait."""
         key = f"{Of.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
         known = self.ledger.permits.get(ident)
@@ -124,7 +125,7 @@
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
         if is_way_back and op.policy.urgent:
-            self.ledger.put(permit.to(Phase.HELD), now_ms)  # an operator's word: it counts, and asks for no room
+            self.ledger.put(permit.to(Phase.HELD), now_ms)  # on an operator's demand: it counts, but needs no room
         else:
             try:
                 self.ledger.check((key,))
@@ -136,8 +137,9 @@
         return problem
 
     def settled(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
-        """Permits that these targets need no more, as to be recorded beside them. `ends`: the operation does, and what
-        it sent has been carried out or never will be once an instance answers what it is asked after this."""
+        """Permits that these targets no longer need, as they are to be recorded together with them. `ends`: the
+        operation ends, so once an instance answers a later inspection, it has either carried out the commands or never
+        will."""
         found = []
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
@@ -146,7 +148,7 @@
         return found
 
     def adopt(self, op: Operation, targets: Iterable[Target]) -> None:
-        """What an agent without budgets had begun counts all the same."""
+        """Adds permits for targets under way that an agent without budgets started, as they count too."""
         for target in targets:
             key = f"{Of.SIDECAR}/{target.name}"
             if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.is_bound(key)
@@ -162,7 +164,7 @@
         self.wake.set()
 
     def restore(self, before: dict[int, Permit | None], is_known: bool) -> None:
-        """A round whose record failed. Where that is not known, what it reserved goes on counting."""
+        """Undoes the reservations of a round whose write failed. If its outcome is unknown, they go on counting."""
         if not is_known:
             self.doubt.update(before)
             return
@@ -172,11 +174,11 @@
             else:
                 self.ledger.put(permit, clock_ms())
 
-    # Who asks by hand
+    # Permits requested through the API
 
     async def take(self, holder: str, key: str, units: Sequence[str], reason: str, priority: int, lease_ms: int
                    ) -> Permit:
-        """Raises Refusal or StoreError."""
+        """Requests a permit for units, idempotent by holder and key. Raises Refusal or StoreError."""
         names = tuple(sorted(set(units)))
         self.check(names, key, priority, lease_ms)
         now_ms = self.now_ms()
@@ -235,6 +237,7 @@
         return found
 
     async def own(self, holder: str, ident: int, may_any: bool) -> Permit:
+        """The permit, if it is the holder's own or `may_any`. Raises Refusal or StoreError."""
         permit = await self.find(ident)
         if permit.operation:
             raise Refusal("FORBIDDEN", f"permit {ident} is {permit.holder}'s; abort that, or let it end")
@@ -243,7 +246,7 @@
         return permit
 
     async def renew(self, holder: str, ident: int) -> Permit:
-        """Raises Refusal; ENDED where its units may be somebody else's by now."""
+        """Renews the lease of a permit. Raises StoreError, or Refusal: ENDED if another may have its units by now."""
         async with self.lock:
             return await self._renew(holder, ident)
 
@@ -261,8 +264,8 @@
         return renewed
 
     async def give_back(self, holder: str, ident: int, force: bool) -> Permit:
-        """Its holder's word that he is through; with `force` another's, who knows that the holder can act no more. The
-        units count on until they are seen to serve. Again is the same. Raises Refusal or StoreError."""
+        """Gives back a permit that its holder no longer needs or, with `force`, one of a holder known to be unable to
+        act. Its units count as out until they are seen to serve. Idempotent. Raises Refusal or StoreError."""
         async with self.lock:
             return await self._give_back(holder, ident, force)
 
@@ -277,13 +280,13 @@
         return after
 
     async def record(self, permits: Sequence[Permit], actor: str, result: str) -> None:
-        """Recorded, then counted so. Raises StoreError; where that is UNKNOWN they are looked up in the record."""
+        """Records permits, then updates the ledger. Raises StoreError; after UNKNOWN, `resolve` reads them back."""
         now_ms = self.now_ms()
 
         def work(records: Records) -> None:
             records.put_permits(permits)
             for permit in permits:
-                if not permit.operation:  # of targets the log tells already
+                if not permit.operation:  # the audit log has an entry for the target already
                     records.audit(now_ms, actor, "permit", f"permit {permit.id}", result, {"note": permit.note})
 
         self.step("before a permit's commit")
@@ -297,14 +300,15 @@
         self.put(permits)
         self.notify()
 
-    # A halt
+    # Halting the fleet
 
     async def set_halt(self, actor: str, reason: str) -> Halt:
-        """Nothing more is granted or begun from this moment on; told once it is recorded. Again is the same."""
+        """Stops all grants and new operations at once; returns once the halt is recorded. Idempotent. Raises
+        StoreError."""
         if self.halt is not None:
             return self.halt
         now_ms, before = self.now_ms(), self.ledger.halted
-        self.ledger.halted = f"{actor}: {reason}" if reason else actor  # before it is written: what comes now waits
+        self.ledger.halted = f"{actor}: {reason}" if reason else actor  # before the write: requests wait
 
         def work(records: Records) -> Halt:
             standing = records.halt()
@@ -326,7 +330,7 @@
         return halt
 
     async def lift_halt(self, actor: str) -> Halt | None:
-        """The halt that stood. Raises StoreError."""
+        """Lifts the halt and returns it, or None if there is none. Raises StoreError."""
         standing, now_ms = self.halt, self.now_ms()
         if standing is None:
             return None
@@ -346,7 +350,7 @@
         done(None)
         return lifted
 
-    # What goes on by itself
+    # Background tasks
 
     async def prune(self) -> None:
         while True:
@@ -359,6 +363,7 @@
                 await self.store.write(work)
 
     async def run(self, tasks: asyncio.TaskGroup) -> None:
+        """Decides on permits whenever something has changed, until cancelled."""
         tasks.create_task(self.prune())
         while True:
             try:
@@ -371,18 +376,18 @@
                 await self.resolve()
                 await self.decide()
             except StoreError as error:
-                self.log(f"permits wait: {error}")
+                self.log(f"decisions on permits will be retried: {error}")
                 await asyncio.sleep(RETRY_S)
                 continue
             self.room()
             for key in self.ledger.asks():
                 sort, _, name = key.partition("/")
-                if sort == Of.SIDECAR:  # what sidecars see of upstreams is asked for all the time
+                if sort == Of.SIDECAR:  # upstreams are polled all the time anyway
                     self.ask(tasks, name)
-            await asyncio.sleep(0.01)  # thousands of reports at once are one decision
+            await asyncio.sleep(0.01)  # so that thousands of simultaneous reports share one decision
 
     async def decide(self) -> None:
-        """Lapses, ends and grants, recorded before they are told. Raises StoreError."""
+        """Expires, ends and grants permits; each is recorded before it is announced. Raises StoreError."""
         async with self.lock:
             await self._decide()
 
@@ -409,7 +414,7 @@
                 raise
 
     async def resolve(self) -> None:
-        """After a write whose outcome was not known: as the record has it, once it takes writes. Raises StoreError."""
+        """Reads back permits whose last write had an unknown outcome, once it is writable. Raises StoreError."""
         async with self.lock:
             await self._resolve()
 
@@ -423,7 +428,7 @@
 
             open_ = await self.store.write(work)
             recorded = {permit.id: permit for permit in open_}
-            for ident in doubt & self.doubt:  # hazard: one that an operation has taken up again since is its round's
+            for ident in doubt & self.doubt:  # one reserved again since then belongs to its operation's round
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
@@ -431,7 +436,7 @@
                     self.doubt.discard(ident)
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
-        """For the evidence that it serves: once a second at most, and only where it has said so by itself."""
+        """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
         if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
                 or name in self.asking):
@@ -440,6 +445,7 @@
         tasks.create_task(self.answer(name))
 
     async def answer(self, name: str) -> None:
+        """Waits for the answer to an inspection; a failed one ends after ASK_AGAIN_S, which limits the rate."""
         assert self.question is not None
         asked_ms, start_s = clock_ms(), time.monotonic()
         try:
@@ -447,11 +453,12 @@
             self.asked_ms[name] = asked_ms
             self.see(name)
         except Refusal:
-            # it has gone silent meanwhile, or takes its time
+            # It has become silent, or is slow to answer.
             await asyncio.sleep(max(0.0, ASK_AGAIN_S - (time.monotonic() - start_s)))
         finally:
             self.asking.pop(name, None)
             self.wake.set()
 
     def counted(self) -> list[Permit]:
+        """Permits whose units count as out of service."""
         return [p for p in self.ledger.permits.values() if p.phase in COUNTS]
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -1,8 +1,8 @@
-"""What an operation does next: state in, steps out. No I/O, no clock, no randomness.
+"""Computes the next steps of an operation from its state. No I/O, no clock, no randomness.
 
-It may be asked at any time and as often as one likes: with nothing new it has nothing new to say. The caller
-records the changed targets first and sends after; a process killed in between sends the same command, by the
-same id, again.
+Planning is idempotent: it may run at any time, and returns no steps unless something has changed. The caller records
+the changed targets before it sends any command; if the agent is killed in between, the next one sends the same command
+again under the same id.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 )
 
 FINAL = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
-LOOK_MS = 500  # between two looks at what a wave serves
-OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # may not be serving
+LOOK_MS = 500  # interval between checks of the measured answers while a wave soaks
+OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
 def shows(op: Operation, target: Target, seen: Seen) -> bool:
-    """Whether the process shows what the operation wants, under the operation's fence."""
+    """Whether the process reports the state that the operation wants, under the operation's fence or a later one."""
     if target.reverting:
         return seen.generation == target.from_generation and seen.fence >= op.fence
     match op.kind:
@@ -43,12 +43,12 @@
         case Kind.UNDRAIN:
             return not seen.draining and seen.fence >= op.fence
         case Kind.RESTART | Kind.STOP:
-            return False  # shown by the end of the process
+            return False  # only the end of the process confirms these
     return False
 
 
 def _missing(op: Operation, target: Target, seen: Seen) -> str:
-    """What the process shows instead."""
+    """Describes what the process reports instead of the wanted state."""
     match op.kind:
         case Kind.RECONFIGURE:
             return f"runs generation {seen.generation}"
@@ -60,7 +60,7 @@
 
 
 def _successor(op: Operation, target: Target, seen: Seen) -> Target:
-    """Another process has the name now: the one that was told is no more."""
+    """The target's state after another process has taken over the instance name from the one that was commanded."""
     if op.kind is Kind.STOP:
         return replace(target, state=State.APPLIED, detail=f"ended; the name is now {seen.boot}'s")
     settled = seen.leased and seen.ready
@@ -73,20 +73,21 @@
     wanted = target.from_generation if target.reverting else op.generation
     if op.kind is Kind.RECONFIGURE and seen.generation == wanted:
         if not seen.ready and target.state is State.UNDER_WAY:
-            return target  # starting
+            return target  # still starting
         state = State.REVERTED if target.reverting else State.APPLIED
         return replace(target, state=state, boot=seen.boot, detail=f"started with it as {seen.boot}")
     if target.tries >= op.policy.tries:
         return replace(target, state=State.FAILED, detail=f"restarted {target.tries} times in mid-operation")
-    # hazard: what the former process applied, or said it had, died with it
+    # Whatever the former process applied, or reported as applied, was lost with it: the new one must be commanded.
     return replace(target, state=State.NOT_STARTED, boot="", restarting=False, answered="",
                    detail=f"restarted as {seen.boot}, which had not applied")
 
 
 def _unheard(target: Target, seen: Seen) -> Target:
+    """The target's state once its instance has no lease: gone if its end is known, else without an answer."""
     had = "had applied; " if target.state is State.APPLIED else ""
     if target.state in (State.GONE, State.NO_ANSWER) and "; " in target.detail:
-        had = target.detail.rpartition("; ")[0] + "; "  # what it had done before stays told
+        had = target.detail.rpartition("; ")[0] + "; "  # keeps the outcome reported before it went silent
     if seen.ended:
         return replace(target, state=State.GONE, detail=f"{had}{seen.ended}")
     if target.state in (State.NO_ANSWER, State.GONE):
@@ -96,10 +97,10 @@
 
 
 def judge(op: Operation, target: Target, seen: Seen | None, now_ms: int) -> Target:
-    """The target's state by what its process shows now; its state before if that says nothing new."""
+    """The target's state derived from what its process reports now; the same object if that changes nothing."""
     if target.state in (State.REFUSED, State.FAILED) and seen is not None and seen.ended and (
             seen.boot == target.boot):
-        # what it refused while it was ending, say: there is nobody any more who refuses
+        # For instance, it refused because it was shutting down. The process has ended, so the refusal no longer stands.
         return replace(target, state=State.GONE, detail=f"{target.state}: {target.detail}; {seen.ended}")
     if target.state in FINAL or target.state is State.NOT_STARTED:
         return target
@@ -116,16 +117,16 @@
         if op.kind is Kind.STOP and seen.ended and target.command:
             return replace(target, state=State.APPLIED, detail=seen.ended)
         if seen.restart_awaited and not late and target.state is State.UNDER_WAY:
-            return target  # the supervisor starts it again
+            return target  # the supervisor is going to start it again
         return _unheard(target, seen)
     if shows(op, target, seen):
         return replace(target, state=State.REVERTED if target.reverting else State.APPLIED, detail="")
     if target.state is State.APPLIED and not seen.shown:
-        return target  # hazard: a restarted agent's record may be older than what the process has shown
+        return target  # no report yet since the agent restarted; its record may be older than the last report
     if target.state is State.APPLIED:
         return replace(target, state=State.FAILED, detail=f"had applied; now {_missing(op, target, seen)}")
     if target.state in (State.NO_ANSWER, State.GONE):
-        # it is back, as the same process: its answer may still come
+        # The same process is connected again: its answer may still arrive.
         return target if late else replace(target, state=State.UNDER_WAY)
     if late:
         if target.answered or target.restarting:
@@ -137,9 +138,9 @@
 
 
 def answer(op: Operation, target: Target, command: str, status: str, detail: str) -> Target:
-    """An instance's answer to one command. Applied is what it says; it has yet to show it."""
+    """Takes in an instance's answer to one command. "applied" does not settle the target until a report confirms it."""
     if command != target.command or target.state not in (State.UNDER_WAY, State.NO_ANSWER):
-        return target  # of an earlier try, or told before
+        return target  # answers an earlier command, or the target has settled
     match status:
         case "applied":
             return replace(target, answered=status)
@@ -152,7 +153,7 @@
 
 
 class View(Protocol):
-    """The fleet by name, as it shows itself at this moment."""
+    """Looks up what an instance reports at this moment, by name."""
 
     def get(self, name: str, /) -> Seen | None: ...
 
@@ -161,8 +162,8 @@
 
 
 class Passes(Protocol):
-    """Whether the wave that begins at this position may, by what is measured: nothing, what it waits for, or (True)
-    what speaks against it."""
+    """Decides by measured answers whether the wave that begins at position `first` may start. Returns an empty text if
+    it may, the text of what it waits for, or (with True) the text of the evidence against it."""
 
     def __call__(self, targets: Sequence[Target], first: int, /) -> tuple[str, bool]: ...
 
@@ -170,10 +171,11 @@
 def advance(op: Operation, targets: Sequence[Target], fleet: View, now_ms: int, superseded: Mapping[str, int],
             changed: Collection[str] | None = None, may: May = lambda target: "",
             passes: Passes = lambda targets, first: ("", False)) -> Plan:
-    """The next steps of an open operation. `superseded`: instances that a newer operation has, and its id.
-    `changed`: the instances that may show something new since the last look, where that is known; the others are
-    judged only where time alone can change them. `may`: asked before a target is told anything that may take it out of
-    service; empty, or what stands in the way now. `passes`: asked before each wave but the first."""
+    """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
+    `changed`: the instances that may have reported something new since the last call, or None if not known; other
+    targets are judged only while under way, as time alone can change their state. `may`: asked before a command that
+    may take a target out of service; empty, or the reason why it has to wait. `passes`: asked before each wave but
+    the first."""
     plan = Plan()
     if op.phase not in OPEN:
         return plan
@@ -187,7 +189,7 @@
                             detail=f"operation {superseded[target.name]} has it")
         elif after.answered == "needs restart" and not after.restarting and after.state is State.UNDER_WAY:
             seen = fleet.get(after.name)
-            assert seen is not None  # else it would not be under way
+            assert seen is not None  # an unknown instance can't be under way
             after = _restart(op, after, seen, now_ms, plan)
         current[index] = after
     if op.phase is Phase.ROLLING_BACK:
@@ -209,6 +211,7 @@
 
 
 def _restart(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+    """Plans a restart of a process that can't apply the configuration while it runs; refused if not supervised."""
     if not seen.supervised:
         return replace(target, state=State.REFUSED, detail=f"{target.detail}; not started by this agent")
     command = f"{op.id}.{target.position}.{target.tries}.restart"
@@ -218,7 +221,7 @@
 
 
 def _tell(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
-    """One command to the process that has the name now."""
+    """Plans one command to the process that has the instance name now."""
     tries = target.tries + 1
     command = f"{op.id}.{target.position}.{tries}{'.back' if target.reverting else ''}"
     if op.kind is Kind.RESTART and not seen.supervised:
@@ -231,6 +234,7 @@
 
 
 def _permitted(target: Target, plan: Plan, may: May) -> bool:
+    """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
     problem = may(target)
     plan.waits = plan.waits or problem
     return not problem
@@ -238,7 +242,7 @@
 
 def _start(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May,
            passes: Passes) -> None:
-    """Starts what the policy allows: wave by wave, with no more out at a time than it says."""
+    """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
     failures = sum(t.state in FAILURES for t in targets)
     if failures > policy.max_failures:
@@ -260,7 +264,7 @@
             if target.state is not State.NOT_STARTED:
                 continue
             seen = fleet.get(target.name)
-            # a process of ours that has ended, or that says nothing, can be started anew all the same
+            # A supervised process can be restarted even if it has ended or is silent.
             ours = seen is not None and seen.supervised and op.kind is Kind.RESTART
             if seen is None or not (seen.leased or ours):
                 targets[index] = _unheard(target, seen) if seen is not None else replace(
@@ -277,14 +281,14 @@
 
 
 def _waves(policy: Policy, count: int) -> list[range]:
-    """Positions of each wave, the canary's first."""
+    """Positions of the targets of each wave; the canary wave comes first."""
     size = policy.wave or count
     starts = [0, *range(policy.canary or size, count, size)]
     return [range(start, end) for start, end in pairwise([*starts, count]) if start < end]
 
 
 def _breach(op: Operation, plan: Plan, text: str) -> None:
-    """More has failed than is borne, or what is measured speaks against going on."""
+    """Applies `on_failure`: too many targets failed, or the measured answers are worse where the change was applied."""
     plan.note = text
     if op.policy.on_failure == "rollback" and op.kind is Kind.RECONFIGURE:
         plan.rollback = True
@@ -293,11 +297,11 @@
 
 
 def _roll_back(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May) -> None:
-    """Every target that was told something goes back to what it ran; what never was told stays."""
+    """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
-        # a refusal changed nothing; a failure may have
+        # A refusal changed nothing; a failure may have.
         touched = target.command and target.state not in (State.REFUSED, State.SUPERSEDED)
-        again = target.reverting and target.state is State.NOT_STARTED  # restarted meanwhile
+        again = target.reverting and target.state is State.NOT_STARTED  # its process restarted during the rollback
         if not touched or (target.reverting and not again):
             continue
         seen = fleet.get(target.name)
@@ -311,6 +315,7 @@
 
 
 def _conclude(op: Operation, targets: Sequence[Target], plan: Plan) -> None:
+    """Sets the operation's final phase once no target is under way and nothing is left to start or to revert."""
     states = [t.state for t in targets]
     if State.UNDER_WAY in states:
         return
--- a/ironscale/agent/refusal.py
+++ b/ironscale/agent/refusal.py
@@ -1,4 +1,4 @@
-"""How the agent says no."""
+"""The error with which the agent refuses a request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Refusal(Exception):
-    """A mutation that is turned away with nothing done: a stable code, one line, what to know about it."""
+    """A request that was refused and changed nothing: a stable code, a text of one line, and details by key."""
 
     def __init__(self, code: str, text: str, **details: Any) -> None:
         super().__init__(text)
--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: which instances are meant. `name=app-*,zone=a,state!=drained`. No I/O."""
+"""Selectors, such as `name=app-*,zone=a,state!=drained`, choose instances by their attributes. No I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 class SelectorError(Exception):
-    """A selector that can't be read; the text is one line."""
+    """The selector is invalid; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
+    """One comparison of a selector."""
+
     key: str
     operator: str
     value: str
@@ -31,7 +33,8 @@
 
 
 def parse(text: str) -> tuple[Term, ...]:
-    """Terms that all must hold; none for an empty text. A bare word is a name."""
+    """Parses a selector into terms that must all hold; an empty text gives none. A bare word means `name=WORD`. Raises
+    SelectorError."""
     terms = []
     for part in filter(None, (part.strip() for part in text.split(","))):
         found = TERM.fullmatch(part if any(c in part for c in "=<>") else f"name={part}")
@@ -53,5 +56,6 @@
 
 
 def selected(text: str) -> Callable[[Mapping[str, str]], bool]:
+    """A predicate that tells whether an instance's values match the selector. Raises SelectorError."""
     terms = parse(text)
     return lambda values: matches(terms, values)
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -1,5 +1,5 @@
-"""Local instances that the agent starts, keeps running and replaces. They outlive the agent and are taken over
-by the next one."""
+"""Supervises local instances: starts, restarts and replaces them. They outlive the agent, and the next agent takes
+them over."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from ironscale.control.processes import is_alive, start_ticks, with_variable
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
-READY_S = 30.0  # a successor has so long to become ready before the old process is told to end
-MOST_LOG = 16 << 20
+READY_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
+MOST_LOG = 16 << 20  # bytes; a larger log is rotated when the instance starts
 
 
 class Run:
-    """One process, ours or taken over."""
+    """One process, either a child of this agent or taken over from a former one."""
 
     def __init__(self, pid: int, ticks: int, boot: str, child: subprocess.Popen[bytes] | None) -> None:
         self.pid, self.ticks, self.boot, self.child = pid, ticks, boot, child
@@ -43,7 +43,7 @@
             self.on_end()
 
     def on_end(self) -> None:
-        """Readable: the process has ended. What is no child of ours keeps its exit code to itself."""
+        """Called when the pidfd is readable: the process has ended. Only a child's exit code can be read."""
         how = "its process has ended"
         if self.child is not None:
             code = self.child.poll()
@@ -58,12 +58,13 @@
             self.ended.set_result(how)
 
     def kill(self, number: int) -> None:
-        # hazard: the number may be another process's by now
+        # The pid may have been reused by another process.
         if not self.ended.done() and is_alive(self.pid, self.ticks):
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
     async def stop(self, within_s: float) -> None:
+        """SIGTERM, then SIGKILL after `within_s`; returns when the process has ended."""
         self.kill(signal.SIGTERM)
         try:
             async with asyncio.timeout(within_s):
@@ -73,7 +74,7 @@
             await asyncio.shield(self.ended)
 
     def release(self) -> None:
-        """The agent ends; the process goes on."""
+        """Stops watching the process, which goes on running after the agent."""
         if self.pidfd >= 0:
             asyncio.get_running_loop().remove_reader(self.pidfd)
             os.close(self.pidfd)
@@ -82,18 +83,21 @@
 
 @dataclass(slots=True)
 class Supervised:
+    """One supervised instance."""
+
     service: ServiceConfig
     index: int
     name: str
     base: dict[str, Any]
     restarts: Restarts = field(default_factory=Restarts)
     run: Run | None = None
-    held: bool = False  # an operator stopped it
-    gave_up: str = ""
-    wake: asyncio.Event = field(default_factory=asyncio.Event)  # start it now
+    held: bool = False  # an operator stopped it: not to be started
+    gave_up: str = ""  # why it is not restarted any more; empty while it is
+    wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
     replacing: bool = False
 
     def is_awaited(self) -> bool:
+        """Whether a process of this instance is running or about to be started."""
         return self.replacing or not (self.held or self.gave_up)
 
 
@@ -147,8 +151,9 @@
         return self.folder / f"{member.name}.state"
 
     def remember(self, member: Supervised, boot: str = "") -> None:
-        """What the next agent needs to take the process over. `boot`: of one that is about to be started, told
-        before: an agent killed right after would leave a process that the next knows nothing of."""
+        """Writes the file that the next agent needs to take the process over. `boot`: id of a process that is about to
+        be started, written beforehand, so that the next agent finds it even if this one is killed right after the
+        start."""
         run = member.run
         state = {"pid": run.pid, "ticks": run.ticks, "boot": run.boot} if run else {"boot": boot} if boot else {}
         path = self.state_file(member)
@@ -157,7 +162,7 @@
         aside.replace(path)
 
     def take_over(self, member: Supervised) -> Run | None:
-        """The process that the last agent left, if it still runs."""
+        """The process that the former agent left running, if any."""
         try:
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
             member.held = bool(state.get("held", False))
@@ -171,7 +176,7 @@
         return Run(pid, ticks, boot, None) if is_alive(pid, ticks) else None
 
     async def keep(self, member: Supervised) -> None:
-        """Starts it, and again whenever it ends by itself."""
+        """Starts the instance, and restarts it whenever its process ends by itself."""
         member.run = self.take_over(member)
         while not self.ending:
             if member.run is None:
@@ -185,7 +190,7 @@
             run = member.run
             how = await asyncio.shield(run.ended)
             if member.run is not run:
-                continue  # its successor has its place
+                continue  # already replaced by its successor
             self.fleet.ended(member.name, run.boot, how)
             member.run = None
             self.remember(member)
@@ -194,8 +199,8 @@
             wait_s = member.restarts.ended(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
                 member.gave_up = f"crash loop, last {how}"
-                self.log(f"{member.name}: given up ({member.gave_up}); see {self.logs / member.name}.log, "
-                         "then `ironscale restart`")
+                self.log(f"{member.name}: not restarted again ({member.gave_up}); see {self.logs / member.name}.log, "
+                         "then run `ironscale restart`")
                 self.fleet.touch_if_known(member.name)
                 continue
             with contextlib.suppress(TimeoutError):
@@ -203,13 +208,14 @@
                     await member.wake.wait()
 
     def start(self, member: Supervised, replaces: str) -> Run | None:
-        """A new process with what its instance should run now."""
+        """Starts a process with the generation that its instance should run; None if that fails. `replaces`: boot id
+        of the process that it is to replace, or empty."""
         service, name = member.service, member.name
         known = self.fleet.members.get(name)
         generation = known.row.desired if known is not None else 0
         overlay = self.overlay(generation)
-        if overlay is None:  # of an agent whose record is no more
-            self.log(f"{name}: generation {generation} is not in this record; it starts with its file alone")
+        if overlay is None:  # the generation comes from an agent whose record is lost
+            self.log(f"{name}: generation {generation} is not in the record; starting with its base configuration")
             generation, overlay = 0, {}
         boot = secrets.token_hex(8)
         port = service.first_port + member.index if service.first_port else 0
@@ -246,17 +252,17 @@
             self.remember(member)
         return run
 
-    # What operations ask for
+    # Called by operations
 
     def stopping(self, name: str) -> None:
-        """An operator stops it: it stays stopped, also under the next agent."""
+        """An operator stops the instance: it stays stopped, also under the next agent."""
         member = self.members.get(name)
         if member is not None:
             member.held = True
             self.remember(member)
 
     def restart(self, send: Send) -> None:
-        """Replaces the process `send.boot`; nothing where that has been done."""
+        """Replaces the process `send.boot`; does nothing if it has been replaced already."""
         member = self.members.get(send.name)
         if member is None or member.replacing or self.tasks is None:
             return
@@ -275,20 +281,21 @@
             elif member.service.make_before_break and member.service.first_port:
                 await self.make_before_break(member, old)
             else:
-                member.wake.set()  # `keep` starts the next as soon as this has ended
+                member.wake.set()  # `keep` starts the next process as soon as this one has ended
                 await old.stop(member.service.stop_s)
         finally:
             member.replacing = False
             self.fleet.touch_if_known(member.name)
 
     async def make_before_break(self, member: Supervised, old: Run) -> None:
+        """Starts the successor first, and stops the old process once the successor is ready."""
         new = self.start(member, old.boot)
         if new is None:
             return
         deadline_s = time.monotonic() + READY_S
         while not self.is_ready(member.name, new.boot):
             if new.ended.done() or time.monotonic() > deadline_s or old.ended.done():
-                self.log(f"{member.name}: its successor did not become ready; the old process goes on")
+                self.log(f"{member.name}: the successor did not become ready; the old process stays")
                 await new.stop(member.service.stop_s)
                 return
             await asyncio.sleep(0.02)
@@ -301,10 +308,10 @@
         return (member is not None and member.row.boot == boot and member.report is not None
                 and member.report.ready)
 
-    # The end
+    # Shutdown
 
     async def stop_all(self) -> None:
-        """SIGTERM to all, SIGKILL to those that outstay their time; returns when none is left."""
+        """Stops all processes: SIGTERM, then SIGKILL after their stop time; returns when none is left."""
         self.ending = True
         runs = [(m.run, m.service.stop_s) for m in self.members.values() if m.run is not None]
         await asyncio.gather(*(run.stop(stop_s) for run, stop_s in runs))
--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -1,8 +1,8 @@
-"""Whose the record is, under which term, and until when its holder may act on that. No I/O but the machine's clock.
+"""Terms of leadership: which agent owns the record, and until when it may act on that. No I/O but the machine's clock.
 
-A term is an epoch of the record and a lease on it. Every write of the holder renews the lease, in the transaction that
-it is part of, and changes nothing once another epoch stands there. Its own clock tells the holder, without asking,
-from when on another may have claimed the record: nothing that has an effect leaves after that.
+A term is an epoch of the record together with a lease on it. Every write of the holder renews the lease in the same
+transaction, and changes nothing if the record carries another epoch. From its own clock alone the holder knows when
+another agent may have claimed the record: after that it sends nothing that has an effect.
 """
 
 from __future__ import annotations
@@ -14,39 +14,40 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MARGIN = 0.1  # of a lease: clocks drift, and what is checked takes a moment to leave
+MARGIN = 0.1  # share of the lease: clocks drift, and messages leave a moment after the check
 
 
 def clock_ms() -> int:
-    """Of this machine since its start, sleep included; the same for all its processes, and no wall clock's steps."""
+    """Milliseconds since the machine booted, including suspend. All processes share this clock, and setting the wall
+    clock does not affect it."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """As its holder has it."""
+    """A term of leadership as its holder knows it."""
 
-    epoch: int = 0  # 0 = a record that only one agent opens
-    until_ms: float = math.inf  # on `clock_ms`, of what was renewed last
+    epoch: int = 0  # 0 = a record that only one agent ever opens
+    until_ms: float = math.inf  # when the lease as last renewed runs out, by `clock_ms`
     lease_ms: int = 0
 
     def holds(self, now_ms: int) -> bool:
-        """Whether nobody else can have claimed the record yet."""
+        """Whether it is certain that no other agent has claimed the record yet."""
         return now_ms < self.until_ms - MARGIN * self.lease_ms
 
     def is_over(self, now_ms: int) -> bool:
-        """Void for as long as a lease: another one may lead, and has been kept from nothing."""
+        """Whether the lease ran out at least one lease time ago: by then another agent has had time to take over."""
         return now_ms >= self.until_ms + self.lease_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """As the record names it."""
+    """The owner of a term as the record names it."""
 
     epoch: int
     holder: str
     place: str
-    left_ms: int  # of its lease
+    left_ms: int  # time left of its lease
 
     @property
     def api(self) -> str:
@@ -60,12 +61,12 @@
 
 
 def place_of(host: str, data: Path, api: str = "", control: str = "") -> str:
-    """For people, and with both addresses for other agents."""
+    """Describes where an agent runs, for people; with its API and control addresses, which other agents read."""
     return f"{host}, {data}" + (f" (api {api}, control {control})" if api else "")
 
 
 def holder_of(data: Path) -> str:
-    """Who claims: the same for every agent on this data folder, of which there is one at a time."""
+    """Id under which agents on this data folder claim the record; kept in a file. Only one runs at a time."""
     path = data / "holder"
     try:
         found = path.read_text(encoding="ascii").strip()
--- a/ironscale/agent/tokens.py
+++ b/ironscale/agent/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: made, stored as digests, compared in constant time."""
+"""Bearer tokens: created here, stored as digests, and compared in constant time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from ironscale.agent.store import TokenRow
 
-# `instance` may only register; each of the others may do what the one before it may.
+# `instance` may only register. Each of the other roles includes the rights of the one before it.
 ROLES = ("instance", "read", "operate", "admin")
 
 
 def new_token() -> str:
-    """256 random bits: nothing to guess, so a plain digest of it needs no salt and no slow hash."""
+    """A token of 256 random bits. It can't be guessed, so its stored digest needs neither a salt nor a slow hash."""
     return secrets.token_urlsafe(32)
 
 
@@ -25,7 +25,7 @@
 
 
 def find(token: str, rows: Iterable[TokenRow]) -> TokenRow | None:
-    """The row of a token that has not been revoked. All rows are compared, whichever fits."""
+    """The row of the token unless revoked. Always compares all rows, so that the time taken doesn't reveal a match."""
     wanted, found = digest(token), None
     for row in rows:
         if hmac.compare_digest(row.digest, wanted) and row.revoked_ms == 0:
@@ -34,13 +34,14 @@
 
 
 def may(role: str, needed: str) -> bool:
+    """Whether a token with `role` has the rights of role `needed`."""
     if role == "instance" or needed == "instance":
         return role == needed
     return ROLES.index(role) >= ROLES.index(needed)
 
 
 def write_secret(path: Path, token: str) -> None:
-    """A file of mode 0600 from its first byte; an existing one is replaced whole."""
+    """Writes the token to a file created with mode 0600; an existing file is replaced atomically."""
     aside = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
     descriptor = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     with os.fdopen(descriptor, "w", encoding="ascii") as file:
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -201,7 +201,7 @@
                 assert log.count("setting instances: expected a number, got 'many'") == CRASHES
 
     run(test)
-    assert "app-0: given up (crash loop, last exit 2)" in capsys.readouterr().err
+    assert "app-0: not restarted again (crash loop, last exit 2)" in capsys.readouterr().err
 
 
 def test_sidecars_outlive_an_agent_that_is_killed_and_the_next_one_takes_them_over(tmp_path: Path) -> None:
