--- a/tests/agent/test_signals.py
+++ b/tests/agent/test_signals.py
@@ -1,4 +1,4 @@
-"""An agent hears that it is told to end, whatever calls of its event loop fail just then."""
+"""An agent stops on SIGTERM even if socket calls of its event loop fail at that moment."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from pathlib import Path
 import uvloop
 from ironscale.agent.serve import serve
-from ironscale.operator_file import Agent
-uvloop.run(serve(Agent(data=Path(sys.argv[1]), control=("127.0.0.1", 0), api=("127.0.0.1", 0)), False))
+from ironscale.operator_file import AgentConfig
+uvloop.run(serve(AgentConfig(data=Path(sys.argv[1]), control=("127.0.0.1", 0), api=("127.0.0.1", 0)), False))
 """
 
 
-# Guards against an agent that never ends, as a socket did not take the byte that tells its event loop of SIGTERM.
-def test_sigterm_is_heard_though_no_socket_takes_a_byte(tmp_path: Path) -> None:
+# Guards against an agent that never stops: the event loop learns of SIGTERM by a byte on a socket, which was lost.
+def test_sigterm_stops_the_agent_though_socket_writes_fail(tmp_path: Path) -> None:
     async def test() -> None:
         shim, data = Shim(tmp_path), tmp_path / "data"
         process = await asyncio.create_subprocess_exec(sys.executable, "-B", "-c", AGENT, str(data), cwd=ROOT,
