--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -27,7 +27,7 @@
 )
 
 FINAL = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
-LOOK_MS = 500  # interval between checks of the measured answers while a wave soaks
+SOAK_CHECK_MS = 500  # interval between checks of the measured answers while a wave soaks
 OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
@@ -205,7 +205,7 @@
         _conclude(op, current, plan)
     due = [t.sent_ms + op.policy.answer_ms for t in current if t.state is State.UNDER_WAY]
     if plan.soaks:
-        due.append(now_ms + LOOK_MS)
+        due.append(now_ms + SOAK_CHECK_MS)
     plan.wake_ms = max(now_ms + 1, min(due)) if due else None
     return plan
 
