--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -26,7 +26,7 @@
     Target,
 )
 
-FINAL = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
+FINAL_STATES = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
 SOAK_CHECK_MS = 500  # interval between checks of the measured answers while a wave soaks
 OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
@@ -102,7 +102,7 @@
             seen.boot == target.boot):
         # For instance, it refused because it was shutting down. The process has ended, so the refusal no longer stands.
         return replace(target, state=State.GONE, detail=f"{target.state}: {target.detail}; {seen.ended}")
-    if target.state in FINAL or target.state is State.NOT_STARTED:
+    if target.state in FINAL_STATES or target.state is State.NOT_STARTED:
         return target
     if seen is None:
         return replace(target, state=State.NO_ANSWER, detail="not known any more")
