--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -28,7 +28,7 @@
 
 FINAL_STATES = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
 SOAK_CHECK_MS = 500  # interval between checks of the measured answers while a wave soaks
-OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
+UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
 def shows(op: Operation, target: Target, seen: Seen) -> bool:
@@ -184,7 +184,7 @@
         if changed is not None and target.state is not State.UNDER_WAY and target.name not in changed:
             continue
         after = judge(op, target, fleet.get(target.name), now_ms)
-        if target.name in superseded and after.state in (State.NOT_STARTED, *OUT):
+        if target.name in superseded and after.state in (State.NOT_STARTED, *UNAVAILABLE):
             after = replace(after, state=State.SUPERSEDED,
                             detail=f"operation {superseded[target.name]} has it")
         elif after.answered == "needs restart" and not after.restarting and after.state is State.UNDER_WAY:
@@ -248,7 +248,7 @@
     if failures > policy.max_failures:
         _breach(op, plan, f"{failures} failed, {policy.max_failures} allowed")
         return
-    out = sum(t.state in OUT for t in targets)
+    out = sum(t.state in UNAVAILABLE for t in targets)
     most = policy.max_unavailable or len(targets)
     for wave in _waves(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
@@ -272,7 +272,7 @@
                 out += 1
             elif (seen.connected or ours) and out < most and _permitted(target, plan, may):
                 targets[index] = _tell(op, target, seen, now_ms, plan)
-                out += targets[index].state in OUT
+                out += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
             break
     states = {t.state for t in targets}
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -405,8 +405,8 @@
         self.wires += sends
         policy = self.run_.op.policy
         if sends and self.run_.op.phase is Phase.RUNNING and policy.max_unavailable:
-            out = sum(state in planner.OUT for state in self.run_.states())
-            fresh = sum(state in planner.OUT for state in before)
+            out = sum(state in planner.UNAVAILABLE for state in self.run_.states())
+            fresh = sum(state in planner.UNAVAILABLE for state in before)
             assert out <= max(policy.max_unavailable, fresh) + sum(
                 state is State.NO_ANSWER for state in self.run_.states())
 
