--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -31,7 +31,7 @@
 UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
-def shows(op: Operation, target: Target, seen: Seen) -> bool:
+def is_confirmed(op: Operation, target: Target, seen: Seen) -> bool:
     """Whether the process reports the state that the operation wants, under the operation's fence or a later one."""
     if target.reverting:
         return seen.generation == target.from_generation and seen.fence >= op.fence
@@ -119,7 +119,7 @@
         if seen.restart_awaited and not late and target.state is State.UNDER_WAY:
             return target  # the supervisor is going to start it again
         return _unheard(target, seen)
-    if shows(op, target, seen):
+    if is_confirmed(op, target, seen):
         return replace(target, state=State.REVERTED if target.reverting else State.APPLIED, detail="")
     if target.state is State.APPLIED and not seen.shown:
         return target  # no report yet since the agent restarted; its record may be older than the last report
