--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -47,7 +47,7 @@
     return False
 
 
-def _missing(op: Operation, target: Target, seen: Seen) -> str:
+def _describe_mismatch(op: Operation, target: Target, seen: Seen) -> str:
     """Describes what the process reports instead of the wanted state."""
     match op.kind:
         case Kind.RECONFIGURE:
@@ -124,14 +124,14 @@
     if target.state is State.APPLIED and not seen.shown:
         return target  # no report yet since the agent restarted; its record may be older than the last report
     if target.state is State.APPLIED:
-        return replace(target, state=State.FAILED, detail=f"had applied; now {_missing(op, target, seen)}")
+        return replace(target, state=State.FAILED, detail=f"had applied; now {_describe_mismatch(op, target, seen)}")
     if target.state in (State.NO_ANSWER, State.GONE):
         # The same process is connected again: its answer may still arrive.
         return target if late else replace(target, state=State.UNDER_WAY)
     if late:
         if target.answered or target.restarting:
             return replace(target, state=State.FAILED, detail=f"answered {target.answered}, but "
-                                                              f"{_missing(op, target, seen)}")
+                                                              f"{_describe_mismatch(op, target, seen)}")
         return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
                        detail="heartbeats come, its answer does not")
     return target
