--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -59,7 +59,7 @@
     return "drained" if seen.draining else "not drained"
 
 
-def _successor(op: Operation, target: Target, seen: Seen) -> Target:
+def _judge_successor(op: Operation, target: Target, seen: Seen) -> Target:
     """The target's state after another process has taken over the instance name from the one that was commanded."""
     if op.kind is Kind.STOP:
         return replace(target, state=State.APPLIED, detail=f"ended; the name is now {seen.boot}'s")
@@ -108,7 +108,7 @@
         return replace(target, state=State.NO_ANSWER, detail="not known any more")
     late = now_ms - target.sent_ms >= op.policy.answer_ms
     if target.boot and seen.boot != target.boot:
-        after = _successor(op, target, seen)
+        after = _judge_successor(op, target, seen)
         if after is target and late and target.state is State.UNDER_WAY:
             return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
                            detail=f"{seen.boot} has taken its place and is not ready")
