--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -67,9 +67,9 @@
     if op.kind is Kind.RESTART:
         if settled:
             return replace(target, state=State.APPLIED, boot=seen.boot, detail=f"now {seen.boot}")
-        return target if seen.leased else _unheard(target, seen)
+        return target if seen.leased else _judge_without_lease(target, seen)
     if not seen.leased:
-        return _unheard(target, seen)
+        return _judge_without_lease(target, seen)
     wanted = target.from_generation if target.reverting else op.generation
     if op.kind is Kind.RECONFIGURE and seen.generation == wanted:
         if not seen.ready and target.state is State.UNDER_WAY:
@@ -83,7 +83,7 @@
                    detail=f"restarted as {seen.boot}, which had not applied")
 
 
-def _unheard(target: Target, seen: Seen) -> Target:
+def _judge_without_lease(target: Target, seen: Seen) -> Target:
     """The target's state once its instance has no lease: gone if its end is known, else without an answer."""
     had = "had applied; " if target.state is State.APPLIED else ""
     if target.state in (State.GONE, State.NO_ANSWER) and "; " in target.detail:
@@ -118,7 +118,7 @@
             return replace(target, state=State.APPLIED, detail=seen.ended)
         if seen.restart_awaited and not late and target.state is State.UNDER_WAY:
             return target  # the supervisor is going to start it again
-        return _unheard(target, seen)
+        return _judge_without_lease(target, seen)
     if is_confirmed(op, target, seen):
         return replace(target, state=State.REVERTED if target.reverting else State.APPLIED, detail="")
     if target.state is State.APPLIED and not seen.shown:
@@ -267,7 +267,7 @@
             # A supervised process can be restarted even if it has ended or is silent.
             ours = seen is not None and seen.supervised and op.kind is Kind.RESTART
             if seen is None or not (seen.leased or ours):
-                targets[index] = _unheard(target, seen) if seen is not None else replace(
+                targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
                 out += 1
             elif (seen.connected or ours) and out < most and _permitted(target, plan, may):
@@ -309,7 +309,7 @@
             continue
         target = replace(target, reverting=True)
         if seen is None or not seen.leased:
-            targets[index] = _unheard(target, seen) if seen is not None else target
+            targets[index] = _judge_without_lease(target, seen) if seen is not None else target
         elif seen.connected:
             targets[index] = _tell(op, target, seen, now_ms, plan)
 
