--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -96,7 +96,7 @@
                    detail=f"{had}its lease is over" if target.command else "not connected")
 
 
-def judge(op: Operation, target: Target, seen: Seen | None, now_ms: int) -> Target:
+def judge_target(op: Operation, target: Target, seen: Seen | None, now_ms: int) -> Target:
     """The target's state derived from what its process reports now; the same object if that changes nothing."""
     if target.state in (State.REFUSED, State.FAILED) and seen is not None and seen.ended and (
             seen.boot == target.boot):
@@ -183,7 +183,7 @@
     for index, target in enumerate(current):
         if changed is not None and target.state is not State.UNDER_WAY and target.name not in changed:
             continue
-        after = judge(op, target, fleet.get(target.name), now_ms)
+        after = judge_target(op, target, fleet.get(target.name), now_ms)
         if target.name in superseded and after.state in (State.NOT_STARTED, *UNAVAILABLE):
             after = replace(after, state=State.SUPERSEDED,
                             detail=f"operation {superseded[target.name]} has it")
