--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -238,7 +238,7 @@
             place = live.index[name]
             if names is not None:
                 names.add(name)
-            answered[place] = planner.answer(op, answered[place], command, status, detail)
+            answered[place] = planner.take_answer(op, answered[place], command, status, detail)
         before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
         def may(target: Target) -> str:
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -137,7 +137,7 @@
     return target
 
 
-def answer(op: Operation, target: Target, command: str, status: str, detail: str) -> Target:
+def take_answer(op: Operation, target: Target, command: str, status: str, detail: str) -> Target:
     """Takes in an instance's answer to one command. "applied" does not settle the target until a report confirms it."""
     if command != target.command or target.state not in (State.UNDER_WAY, State.NO_ANSWER):
         return target  # answers an earlier command, or the target has settled
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -71,7 +71,7 @@
     def answer(self, send: Send, status: str = "applied", detail: str = "") -> None:
         place = next(t.position for t in self.targets if t.name == send.name)
         self.touched.add(send.name)
-        self.targets[place] = planner.answer(self.op, self.targets[place], send.id, status, detail)
+        self.targets[place] = planner.take_answer(self.op, self.targets[place], send.id, status, detail)
 
     def show(self, name: str, **changes: object) -> None:
         self.fleet[name] = replace(self.fleet[name], **changes)  # type: ignore[arg-type]
