--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -152,7 +152,7 @@
     return replace(target, answered=status, detail=f"needs restart: {detail}")
 
 
-class View(Protocol):
+class FleetView(Protocol):
     """Looks up what an instance reports at this moment, by name."""
 
     def get(self, name: str, /) -> Seen | None: ...
@@ -168,7 +168,7 @@
     def __call__(self, targets: Sequence[Target], first: int, /) -> tuple[str, bool]: ...
 
 
-def advance(op: Operation, targets: Sequence[Target], fleet: View, now_ms: int, superseded: Mapping[str, int],
+def advance(op: Operation, targets: Sequence[Target], fleet: FleetView, now_ms: int, superseded: Mapping[str, int],
             changed: Collection[str] | None = None, may: May = lambda target: "",
             passes: Passes = lambda targets, first: ("", False)) -> Plan:
     """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
@@ -240,7 +240,7 @@
     return not problem
 
 
-def _start(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May,
+def _start(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: May,
            passes: Passes) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
@@ -296,7 +296,7 @@
         plan.phase = Phase.PAUSED if op.policy.on_failure == "pause" else Phase.ABORTING
 
 
-def _roll_back(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May) -> None:
+def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: May) -> None:
     """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
