--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -158,7 +158,7 @@
     def get(self, name: str, /) -> Seen | None: ...
 
 
-May = Callable[[Target], str]
+PermitCheck = Callable[[Target], str]
 
 
 class Passes(Protocol):
@@ -169,7 +169,7 @@
 
 
 def advance(op: Operation, targets: Sequence[Target], fleet: FleetView, now_ms: int, superseded: Mapping[str, int],
-            changed: Collection[str] | None = None, may: May = lambda target: "",
+            changed: Collection[str] | None = None, may: PermitCheck = lambda target: "",
             passes: Passes = lambda targets, first: ("", False)) -> Plan:
     """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
     `changed`: the instances that may have reported something new since the last call, or None if not known; other
@@ -233,14 +233,14 @@
                    tries=tries, answered="", restarting=False, from_generation=before)
 
 
-def _permitted(target: Target, plan: Plan, may: May) -> bool:
+def _permitted(target: Target, plan: Plan, may: PermitCheck) -> bool:
     """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
     problem = may(target)
     plan.waits = plan.waits or problem
     return not problem
 
 
-def _start(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: May,
+def _start(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck,
            passes: Passes) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
@@ -296,7 +296,7 @@
         plan.phase = Phase.PAUSED if op.policy.on_failure == "pause" else Phase.ABORTING
 
 
-def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: May) -> None:
+def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck) -> None:
     """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
