--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -161,7 +161,7 @@
 PermitCheck = Callable[[Target], str]
 
 
-class Passes(Protocol):
+class GateCheck(Protocol):
     """Decides by measured answers whether the wave that begins at position `first` may start. Returns an empty text if
     it may, the text of what it waits for, or (with True) the text of the evidence against it."""
 
@@ -170,7 +170,7 @@
 
 def advance(op: Operation, targets: Sequence[Target], fleet: FleetView, now_ms: int, superseded: Mapping[str, int],
             changed: Collection[str] | None = None, may: PermitCheck = lambda target: "",
-            passes: Passes = lambda targets, first: ("", False)) -> Plan:
+            passes: GateCheck = lambda targets, first: ("", False)) -> Plan:
     """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
     `changed`: the instances that may have reported something new since the last call, or None if not known; other
     targets are judged only while under way, as time alone can change their state. `may`: asked before a command that
@@ -241,7 +241,7 @@
 
 
 def _start(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck,
-           passes: Passes) -> None:
+           passes: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
     failures = sum(t.state in FAILURES for t in targets)
