--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -190,7 +190,7 @@
         elif after.answered == "needs restart" and not after.restarting and after.state is State.UNDER_WAY:
             seen = fleet.get(after.name)
             assert seen is not None  # an unknown instance can't be under way
-            after = _restart(op, after, seen, now_ms, plan)
+            after = _plan_restart(op, after, seen, now_ms, plan)
         current[index] = after
     if op.phase is Phase.ROLLING_BACK:
         _roll_back(op, current, fleet, now_ms, plan, may)
@@ -210,7 +210,7 @@
     return plan
 
 
-def _restart(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+def _plan_restart(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
     """Plans a restart of a process that can't apply the configuration while it runs; refused if not supervised."""
     if not seen.supervised:
         return replace(target, state=State.REFUSED, detail=f"{target.detail}; not started by this agent")
