--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -220,7 +220,7 @@
     return replace(target, restarting=True, command=command, sent_ms=now_ms)
 
 
-def _tell(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+def _plan_command(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
     """Plans one command to the process that has the instance name now."""
     tries = target.tries + 1
     command = f"{op.id}.{target.position}.{tries}{'.back' if target.reverting else ''}"
@@ -271,7 +271,7 @@
                     target, state=State.NO_ANSWER, detail="not known")
                 out += 1
             elif (seen.connected or ours) and out < most and _permitted(target, plan, may):
-                targets[index] = _tell(op, target, seen, now_ms, plan)
+                targets[index] = _plan_command(op, target, seen, now_ms, plan)
                 out += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
             break
@@ -311,7 +311,7 @@
         if seen is None or not seen.leased:
             targets[index] = _judge_without_lease(target, seen) if seen is not None else target
         elif seen.connected:
-            targets[index] = _tell(op, target, seen, now_ms, plan)
+            targets[index] = _plan_command(op, target, seen, now_ms, plan)
 
 
 def _conclude(op: Operation, targets: Sequence[Target], plan: Plan) -> None:
