--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -233,7 +233,7 @@
                    tries=tries, answered="", restarting=False, from_generation=before)
 
 
-def _permitted(target: Target, plan: Plan, may: PermitCheck) -> bool:
+def _is_permitted(target: Target, plan: Plan, may: PermitCheck) -> bool:
     """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
     problem = may(target)
     plan.waits = plan.waits or problem
@@ -270,7 +270,7 @@
                 targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
                 out += 1
-            elif (seen.connected or ours) and out < most and _permitted(target, plan, may):
+            elif (seen.connected or ours) and out < most and _is_permitted(target, plan, may):
                 targets[index] = _plan_command(op, target, seen, now_ms, plan)
                 out += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
@@ -305,7 +305,7 @@
         if not touched or (target.reverting and not again):
             continue
         seen = fleet.get(target.name)
-        if seen is not None and seen.connected and not _permitted(target, plan, may):
+        if seen is not None and seen.connected and not _is_permitted(target, plan, may):
             continue
         target = replace(target, reverting=True)
         if seen is None or not seen.leased:
