--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -195,7 +195,7 @@
     if op.phase is Phase.ROLLING_BACK:
         _roll_back(op, current, fleet, now_ms, plan, may)
     elif op.phase is Phase.RUNNING:
-        _start(op, current, fleet, now_ms, plan, may, passes)
+        _start_targets(op, current, fleet, now_ms, plan, may, passes)
     for index, (before, after) in enumerate(zip(targets, current, strict=True)):
         if after is not before and after != before:
             moved = after.state is not before.state and after.state is not State.NO_ANSWER
@@ -240,7 +240,7 @@
     return not problem
 
 
-def _start(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck,
+def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck,
            passes: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
