--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -250,7 +250,7 @@
         return
     out = sum(t.state in UNAVAILABLE for t in targets)
     most = policy.max_unavailable or len(targets)
-    for wave in _waves(policy, len(targets)):
+    for wave in _wave_positions(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
             text, speaks_against = passes(targets, wave[0])
             if speaks_against:
@@ -280,7 +280,7 @@
         plan.phase, plan.note = Phase.ABORTING, f"{out} unavailable, {most} allowed"
 
 
-def _waves(policy: Policy, count: int) -> list[range]:
+def _wave_positions(policy: Policy, count: int) -> list[range]:
     """Positions of the targets of each wave; the canary wave comes first."""
     size = policy.wave or count
     starts = [0, *range(policy.canary or size, count, size)]
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironscale.agent.model import Phase, Policy, State
-from ironscale.agent.planner import _waves
+from ironscale.agent.planner import _wave_positions
 from ironscale.control.messages import ClassCounts
 from ironscale.control.simulated_instance import LightInstance
 from tests.agent.agent_harness import AgentScene, run, scene, until
@@ -79,6 +79,6 @@
 @pytest.mark.parametrize(("wave", "canary", "count", "sizes"), [
     (0, 0, 5, [5]), (2, 0, 5, [2, 2, 1]), (2, 1, 5, [1, 2, 2]), (0, 1, 5, [1, 4]), (10, 3, 2, [2]), (1, 7, 5, [5])])
 def test_waves_have_the_canary_first_and_leave_nobody_out(wave: int, canary: int, count: int, sizes: list[int]) -> None:
-    found = _waves(Policy(wave=wave, canary=canary), count)
+    found = _wave_positions(Policy(wave=wave, canary=canary), count)
     assert [len(part) for part in found] == sizes
     assert [place for part in found for place in part] == list(range(count))
