--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -246,7 +246,7 @@
     policy = op.policy
     failures = sum(t.state in FAILURES for t in targets)
     if failures > policy.max_failures:
-        _breach(op, plan, f"{failures} failed, {policy.max_failures} allowed")
+        _apply_on_failure(op, plan, f"{failures} failed, {policy.max_failures} allowed")
         return
     out = sum(t.state in UNAVAILABLE for t in targets)
     most = policy.max_unavailable or len(targets)
@@ -254,7 +254,7 @@
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
             text, speaks_against = passes(targets, wave[0])
             if speaks_against:
-                _breach(op, plan, text)
+                _apply_on_failure(op, plan, text)
                 return
             if text:
                 plan.waits, plan.soaks = text, True
@@ -287,7 +287,7 @@
     return [range(start, end) for start, end in pairwise([*starts, count]) if start < end]
 
 
-def _breach(op: Operation, plan: Plan, text: str) -> None:
+def _apply_on_failure(op: Operation, plan: Plan, text: str) -> None:
     """Applies `on_failure`: too many targets failed, or the measured answers are worse where the change was applied."""
     plan.note = text
     if op.policy.on_failure == "rollback" and op.kind is Kind.RECONFIGURE:
