--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from ironscale.agent.model import Seen
+from ironscale.agent.model import Observation
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import Command, Hello, Report
 from ironscale.control.processes import is_alive, machine
@@ -45,7 +45,7 @@
     report: Report | None = None
     link: Link | None = None
     saved_heard_ms: int = 0
-    cached: Seen | None = None
+    cached: Observation | None = None
 
 
 class Denial(Exception):
@@ -56,7 +56,7 @@
         self.code, self.retry_ms = code, retry_ms
 
 
-def state_of(seen: Seen) -> str:
+def state_of(seen: Observation) -> str:
     """The state of an instance as one word, for people and selectors."""
     if seen.ended:
         return "gone"
@@ -243,21 +243,21 @@
                 member.leased = False
                 self.touch(name)
 
-    def seen(self, name: str) -> Seen | None:
+    def seen(self, name: str) -> Observation | None:
         member = self.members.get(name)
         if member is None:
             return None
         if member.cached is None:
             row, report = member.row, member.report
             supervised = self.supervised(name)
-            member.cached = Seen(
+            member.cached = Observation(
                 name, row.boot, member.leased, member.link is not None, row.heard_ms, row.generation,
                 report.fence if report else 0, report.ready if report else False,
                 report.draining if report else False, report.open if report else 0, row.ended,
                 supervised is not None, supervised == "awaited", self.replacing(name), report is not None)
         return member.cached
 
-    def get(self, name: str, /) -> Seen | None:
+    def get(self, name: str, /) -> Observation | None:
         """Same as `seen`; implements planner.View."""
         return self.seen(name)
 
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class Observation:
     """Snapshot of an instance as it last reported itself."""
 
     name: str
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -20,7 +20,7 @@
     Phase,
     Plan,
     Policy,
-    Seen,
+    Observation,
     Send,
     State,
     Target,
@@ -31,7 +31,7 @@
 UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
-def is_confirmed(op: Operation, target: Target, seen: Seen) -> bool:
+def is_confirmed(op: Operation, target: Target, seen: Observation) -> bool:
     """Whether the process reports the state that the operation wants, under the operation's fence or a later one."""
     if target.reverting:
         return seen.generation == target.from_generation and seen.fence >= op.fence
@@ -47,7 +47,7 @@
     return False
 
 
-def _describe_mismatch(op: Operation, target: Target, seen: Seen) -> str:
+def _describe_mismatch(op: Operation, target: Target, seen: Observation) -> str:
     """Describes what the process reports instead of the wanted state."""
     match op.kind:
         case Kind.RECONFIGURE:
@@ -59,7 +59,7 @@
     return "drained" if seen.draining else "not drained"
 
 
-def _judge_successor(op: Operation, target: Target, seen: Seen) -> Target:
+def _judge_successor(op: Operation, target: Target, seen: Observation) -> Target:
     """The target's state after another process has taken over the instance name from the one that was commanded."""
     if op.kind is Kind.STOP:
         return replace(target, state=State.APPLIED, detail=f"ended; the name is now {seen.boot}'s")
@@ -83,7 +83,7 @@
                    detail=f"restarted as {seen.boot}, which had not applied")
 
 
-def _judge_without_lease(target: Target, seen: Seen) -> Target:
+def _judge_without_lease(target: Target, seen: Observation) -> Target:
     """The target's state once its instance has no lease: gone if its end is known, else without an answer."""
     had = "had applied; " if target.state is State.APPLIED else ""
     if target.state in (State.GONE, State.NO_ANSWER) and "; " in target.detail:
@@ -96,7 +96,7 @@
                    detail=f"{had}its lease is over" if target.command else "not connected")
 
 
-def judge_target(op: Operation, target: Target, seen: Seen | None, now_ms: int) -> Target:
+def judge_target(op: Operation, target: Target, seen: Observation | None, now_ms: int) -> Target:
     """The target's state derived from what its process reports now; the same object if that changes nothing."""
     if target.state in (State.REFUSED, State.FAILED) and seen is not None and seen.ended and (
             seen.boot == target.boot):
@@ -155,7 +155,7 @@
 class FleetView(Protocol):
     """Looks up what an instance reports at this moment, by name."""
 
-    def get(self, name: str, /) -> Seen | None: ...
+    def get(self, name: str, /) -> Observation | None: ...
 
 
 PermitCheck = Callable[[Target], str]
@@ -210,7 +210,7 @@
     return plan
 
 
-def _plan_restart(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+def _plan_restart(op: Operation, target: Target, seen: Observation, now_ms: int, plan: Plan) -> Target:
     """Plans a restart of a process that can't apply the configuration while it runs; refused if not supervised."""
     if not seen.supervised:
         return replace(target, state=State.REFUSED, detail=f"{target.detail}; not started by this agent")
@@ -220,7 +220,7 @@
     return replace(target, restarting=True, command=command, sent_ms=now_ms)
 
 
-def _plan_command(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+def _plan_command(op: Operation, target: Target, seen: Observation, now_ms: int, plan: Plan) -> Target:
     """Plans one command to the process that has the instance name now."""
     tries = target.tries + 1
     command = f"{op.id}.{target.position}.{tries}{'.back' if target.reverting else ''}"
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from ironscale.agent import planner
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Seen, Send, State, Target
+from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Observation, Send, State, Target
 from ironscale.control.commands import Commands
 from ironscale.control.messages import Command, CommandResult
 
@@ -21,10 +21,10 @@
     return Operation(1, kind, 10, Phase.RUNNING, "ann", Policy(**policy), generation=5)  # type: ignore[arg-type]
 
 
-def seen(name: str, **changes: object) -> Seen:
+def seen(name: str, **changes: object) -> Observation:
     values: dict[str, object] = {"boot": f"{name}-1", "leased": True, "connected": True, "heard_ms": T0 - 5,
                                  "generation": 4, "ready": True, **changes}
-    return Seen(name, **values)  # type: ignore[arg-type]
+    return Observation(name, **values)  # type: ignore[arg-type]
 
 
 class Run:
@@ -38,7 +38,7 @@
         self.superseded: dict[str, int] = {}
         self.now_ms = T0
         self.looked: tuple[object, ...] = ()
-        self.shown: dict[str, Seen] = {}
+        self.shown: dict[str, Observation] = {}
         self.touched: set[str] = set()
 
     def changed(self) -> set[str] | None:
@@ -398,7 +398,7 @@
     def look(self) -> None:
         for name, process in self.processes.items():
             if process.alive and process.reachable:
-                self.run_.fleet[name] = Seen(name, str(process.boot), True, True, self.run_.now_ms,
+                self.run_.fleet[name] = Observation(name, str(process.boot), True, True, self.run_.now_ms,
                                              process.generation, process.commands.fence, True)
         before = self.run_.states()
         sends = self.run_.step()
