--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -93,8 +93,8 @@
         asked_ms = self.asked_ms.get(name, 0)
         if seen.ended:
             return Sight(unit, 1.0, "gone", boot=seen.boot)
-        if not (seen.leased and seen.connected and seen.shown):
-            return Sight(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
+        if not (seen.leased and seen.connected and seen.has_reported):
+            return Sight(unit, 1.0, "silent" if seen.has_reported else "not seen", False, seen.boot)
         if seen.replacing:
             return Sight(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
         state = state_of(seen)
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -121,7 +121,7 @@
         return _judge_without_lease(target, seen)
     if is_confirmed(op, target, seen):
         return replace(target, state=State.REVERTED if target.reverting else State.APPLIED, detail="")
-    if target.state is State.APPLIED and not seen.shown:
+    if target.state is State.APPLIED and not seen.has_reported:
         return target  # no report yet since the agent restarted; its record may be older than the last report
     if target.state is State.APPLIED:
         return replace(target, state=State.FAILED, detail=f"had applied; now {_describe_mismatch(op, target, seen)}")
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -522,9 +522,9 @@
             shown = self.run_.fleet[target.name]
             if target.state is State.APPLIED and op.phase in OPEN:
                 assert shown.leased and shown.boot == target.boot
-                assert shown.generation == op.generation or not shown.shown
+                assert shown.generation == op.generation or not shown.has_reported
             back = target.state is State.REVERTED and op.phase in OPEN
-            if back and shown.leased and shown.boot == target.boot and shown.shown:
+            if back and shown.leased and shown.boot == target.boot and shown.has_reported:
                 assert shown.generation == target.from_generation
 
     @invariant()
