--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -16,7 +16,7 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, Send, State, Target
+from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, OutgoingCommand, State, Target
 from ironscale.agent.permits import Permits, permit_id
 from ironscale.agent.publishing import Publisher, used_for
 from ironscale.agent.refusal import Refusal
@@ -78,7 +78,7 @@
         self.live: dict[int, Live] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
-        self.restart: Callable[[Send], None] = lambda send: None  # set to the supervisor's method
+        self.restart: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
         self.stopping: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.questions: dict[str, _Question] = {}
         self.asked = 0
@@ -172,7 +172,7 @@
             if waiting and (target.restarting or not target.answered):
                 generation = target.from_generation if target.reverting else live.op.generation
                 kind = "restart" if target.restarting else live.op.kind.value
-                self.deliver(Send(target.command, name, target.boot, live.op.fence, kind, generation))
+                self.deliver(OutgoingCommand(target.command, name, target.boot, live.op.fence, kind, generation))
 
     def on_result(self, name: str, boot: str, result: CommandResult) -> None:
         question = self.questions.get(result.id)
@@ -339,7 +339,7 @@
         """Whether, by this machine's clock alone, it is certain that no other agent has claimed the record."""
         return self.leader is None and self.store.term.holds(clock_ms())
 
-    def deliver(self, send: Send) -> None:
+    def deliver(self, send: OutgoingCommand) -> None:
         """Sends a recorded command if this agent still leads. The term is checked last, as the process may have been
         suspended since it wrote the record. A command that leaves a moment too late even so is in the record, so the
         next leader accounts for it."""
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class OutgoingCommand:
     """A command to send to one process. Sending it again with the same id is idempotent."""
 
     id: str
@@ -141,7 +141,7 @@
     """Result of planning: what to record first, then what to send."""
 
     targets: list[Target] = field(default_factory=list)  # targets that changed
-    sends: list[Send] = field(default_factory=list)
+    sends: list[OutgoingCommand] = field(default_factory=list)
     phase: Phase | None = None
     note: str = ""
     rollback: bool = False  # a new fence must be recorded before the rollback can begin
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from ironscale.agent.fleet import Fleet
-from ironscale.agent.model import Send
+from ironscale.agent.model import OutgoingCommand
 from ironscale.agent.restarts import Restarts
 from ironscale.control.processes import is_alive, start_ticks, with_variable
 from ironscale.operator_file import OperatorFileError, ServiceConfig
@@ -261,7 +261,7 @@
             member.held = True
             self.remember(member)
 
-    def restart(self, send: Send) -> None:
+    def restart(self, send: OutgoingCommand) -> None:
         """Replaces the process `send.boot`; does nothing if it has been replaced already."""
         member = self.members.get(send.name)
         if member is None or member.replacing or self.tasks is None:
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from ironscale.agent import planner
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Observation, Send, State, Target
+from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Observation, OutgoingCommand, State, Target
 from ironscale.control.commands import Commands
 from ironscale.control.messages import Command, CommandResult
 
@@ -50,9 +50,9 @@
         self.shown, self.looked, self.touched = now, looked, set()
         return names if known else None
 
-    def step(self) -> list[Send]:
+    def step(self) -> list[OutgoingCommand]:
         """Looks until there is nothing new; what is sent."""
-        sends: list[Send] = []
+        sends: list[OutgoingCommand] = []
         for _ in range(50):
             plan = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded)
             less = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded, self.changed())
@@ -68,7 +68,7 @@
                 return sends
         raise AssertionError("the planner never comes to rest")
 
-    def answer(self, send: Send, status: str = "applied", detail: str = "") -> None:
+    def answer(self, send: OutgoingCommand, status: str = "applied", detail: str = "") -> None:
         place = next(t.position for t in self.targets if t.name == send.name)
         self.touched.add(send.name)
         self.targets[place] = planner.take_answer(self.op, self.targets[place], send.id, status, detail)
@@ -76,7 +76,7 @@
     def show(self, name: str, **changes: object) -> None:
         self.fleet[name] = replace(self.fleet[name], **changes)  # type: ignore[arg-type]
 
-    def apply(self, send: Send) -> None:
+    def apply(self, send: OutgoingCommand) -> None:
         self.answer(send)
         self.show(send.name, generation=send.generation, fence=send.fence)
 
@@ -391,8 +391,8 @@
                                   on_failure=on_failure, answer_ms=5_000), count)
         self.names = list(self.run_.fleet)
         self.processes = {name: Process() for name in self.names}
-        self.wires: list[Send] = []
-        self.answers: list[tuple[Send, CommandResult]] = []
+        self.wires: list[OutgoingCommand] = []
+        self.answers: list[tuple[OutgoingCommand, CommandResult]] = []
         self.look()
 
     def look(self) -> None:
@@ -493,7 +493,7 @@
             if (target.name == name and target.command and not target.answered
                     and target.state in (State.UNDER_WAY, State.NO_ANSWER)):
                 generation = target.from_generation if target.reverting else self.run_.op.generation
-                self.wires.append(Send(target.command, name, target.boot, self.run_.op.fence, "reconfigure",
+                self.wires.append(OutgoingCommand(target.command, name, target.boot, self.run_.op.fence, "reconfigure",
                                        generation))
 
     @rule(action=st.sampled_from(["pause", "resume", "abort", "rollback"]))
