--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -280,7 +280,7 @@
             self.permits.put(permits.values())
             live.changed.set()
             self.notify()
-            for send in plan.sends:
+            for send in plan.commands:
                 self.step("before a send")
                 self.deliver(send)
                 self.step("after a send")
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -141,7 +141,7 @@
     """Result of planning: what to record first, then what to send."""
 
     targets: list[Target] = field(default_factory=list)  # targets that changed
-    sends: list[OutgoingCommand] = field(default_factory=list)
+    commands: list[OutgoingCommand] = field(default_factory=list)
     phase: Phase | None = None
     note: str = ""
     rollback: bool = False  # a new fence must be recorded before the rollback can begin
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -216,7 +216,7 @@
         return replace(target, state=State.REFUSED, detail=f"{target.detail}; not started by this agent")
     command = f"{op.id}.{target.position}.{target.tries}.restart"
     generation = target.from_generation if target.reverting else op.generation
-    plan.sends.append(OutgoingCommand(command, target.name, target.boot, op.fence, "restart", generation))
+    plan.commands.append(OutgoingCommand(command, target.name, target.boot, op.fence, "restart", generation))
     return replace(target, restarting=True, command=command, sent_ms=now_ms)
 
 
@@ -227,7 +227,7 @@
     if op.kind is Kind.RESTART and not seen.supervised:
         return replace(target, state=State.REFUSED, detail="not started by this agent")
     generation = target.from_generation if target.reverting else op.generation
-    plan.sends.append(OutgoingCommand(command, target.name, seen.boot, op.fence, op.kind.value, generation))
+    plan.commands.append(OutgoingCommand(command, target.name, seen.boot, op.fence, op.kind.value, generation))
     before = target.from_generation if target.command else seen.generation
     return replace(target, state=State.UNDER_WAY, detail="", boot=seen.boot, command=command, sent_ms=now_ms,
                    tries=tries, answered="", restarting=False, from_generation=before)
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -59,7 +59,7 @@
             assert less == plan  # what is passed over has nothing new to say
             for target in plan.targets:
                 self.targets[target.position] = target
-            sends += plan.sends
+            sends += plan.commands
             if plan.rollback:
                 self.op = replace(self.op, phase=Phase.ROLLING_BACK, fence=self.op.fence + 1, note=plan.note)
             elif plan.phase is not None:
@@ -359,7 +359,7 @@
         if phase not in OPEN:
             op = replace(operation(kind), phase=phase)
             plan = planner.advance(op, [Target("i0", 0)], {"i0": seen("i0")}, T0, {})
-            assert not plan.targets and not plan.sends and plan.phase is None
+            assert not plan.targets and not plan.commands and plan.phase is None
 
 
 # A world that does its worst
