--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -146,5 +146,5 @@
     note: str = ""
     rollback: bool = False  # a new fence must be recorded before the rollback can begin
     wake_ms: int | None = None  # when to plan again if nothing happens before
-    soaks: bool = False  # waits for measured answers of the last wave
+    is_soaking: bool = False  # waits for measured answers of the last wave
     waits: str = ""  # what the next target waits for, other than the operation's own policy
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -204,7 +204,7 @@
     if plan.phase is None and not plan.rollback:
         _conclude(op, current, plan)
     due = [t.sent_ms + op.policy.answer_ms for t in current if t.state is State.UNDER_WAY]
-    if plan.soaks:
+    if plan.is_soaking:
         due.append(now_ms + SOAK_CHECK_MS)
     plan.wake_ms = max(now_ms + 1, min(due)) if due else None
     return plan
@@ -257,7 +257,7 @@
                 _apply_on_failure(op, plan, text)
                 return
             if text:
-                plan.waits, plan.soaks = text, True
+                plan.waits, plan.is_soaking = text, True
                 return
         for index in wave:
             target = targets[index]
