--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -254,8 +254,8 @@
             return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
 
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
-        live.waits = plan.waits
-        if not plan.waits:
+        live.waits = plan.waits_for
+        if not plan.waits_for:
             self.permits.ledger.leave(f"operation {op.id}")
         for target in plan.targets:
             answered[target.position] = target
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -147,4 +147,4 @@
     rollback: bool = False  # a new fence must be recorded before the rollback can begin
     wake_ms: int | None = None  # when to plan again if nothing happens before
     is_soaking: bool = False  # waits for measured answers of the last wave
-    waits: str = ""  # what the next target waits for, other than the operation's own policy
+    waits_for: str = ""  # what the next target waits for, other than the operation's own policy
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -236,7 +236,7 @@
 def _is_permitted(target: Target, plan: Plan, may: PermitCheck) -> bool:
     """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
     problem = may(target)
-    plan.waits = plan.waits or problem
+    plan.waits_for = plan.waits_for or problem
     return not problem
 
 
@@ -257,7 +257,7 @@
                 _apply_on_failure(op, plan, text)
                 return
             if text:
-                plan.waits, plan.is_soaking = text, True
+                plan.waits_for, plan.is_soaking = text, True
                 return
         for index in wave:
             target = targets[index]
