--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from ironscale.agent.model import OPEN, Kind, Policy
+from ironscale.agent.model import OPEN_PHASES, Kind, Policy
 from ironscale.agent.serve import running
 from ironscale.control.simulated_instance import LightInstance, light, stop
 from ironscale.disruption.ledger import Ledger
@@ -155,7 +155,7 @@
             while True:
                 found = await agent.engine.find(op.id)
                 assert found is not None
-                if found[0].phase not in OPEN:
+                if found[0].phase not in OPEN_PHASES:
                     break
                 await asyncio.sleep(0.02)
             took_s, cpu_s = time.monotonic() - start_s, time.process_time() - cpu_s
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -16,7 +16,7 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, OutgoingCommand, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Phase, Plan, Policy, OutgoingCommand, State, Target
 from ironscale.agent.permits import Permits, permit_id
 from ironscale.agent.publishing import Publisher, used_for
 from ironscale.agent.refusal import Refusal
@@ -192,7 +192,7 @@
 
     async def drive(self, live: Live) -> None:
         """Runs rounds of an operation until it has ended. Faults and failed writes are retried."""
-        while live.op.phase in OPEN:
+        while live.op.phase in OPEN_PHASES:
             live.changed.clear()
             try:
                 async with live.lock:
@@ -266,7 +266,7 @@
                 live.answers.popleft()
             return False, plan.wake_ms
         desired = self.desired(op, changed.values())
-        ends = plan.phase is not None and plan.phase not in OPEN
+        ends = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
         permits |= {p.id: p for p in self.permits.settled(op, answered if ends else changed.values(), ends)}
 
@@ -302,7 +302,7 @@
             if plan.rollback:
                 new = replace(op, phase=Phase.ROLLING_BACK, fence=records.next_fence(), note=plan.note)
             elif plan.phase is not None:
-                ended_ms = 0 if plan.phase in OPEN else now_ms
+                ended_ms = 0 if plan.phase in OPEN_PHASES else now_ms
                 new = replace(op, phase=plan.phase, note=plan.note, ended_ms=ended_ms)
             records.put_targets(op.id, changed)
             records.set_desired(desired)
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -28,7 +28,7 @@
     ROLLED_BACK = "rolled back"
 
 
-OPEN = (Phase.RUNNING, Phase.PAUSED, Phase.ABORTING, Phase.ROLLING_BACK)
+OPEN_PHASES = (Phase.RUNNING, Phase.PAUSED, Phase.ABORTING, Phase.ROLLING_BACK)
 
 
 class State(enum.StrEnum):
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -14,7 +14,7 @@
 
 from ironscale.agent.model import (
     FAILURES,
-    OPEN,
+    OPEN_PHASES,
     Kind,
     Operation,
     Phase,
@@ -177,7 +177,7 @@
     may take a target out of service; empty, or the reason why it has to wait. `passes`: asked before each wave but
     the first."""
     plan = Plan()
-    if op.phase not in OPEN:
+    if op.phase not in OPEN_PHASES:
         return plan
     current = list(targets)
     for index, target in enumerate(current):
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -22,7 +22,7 @@
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import state_of
 from ironscale.agent.limits import MOST_PAGE
-from ironscale.agent.model import ON_FAILURE, OPEN, Kind, Operation, Policy, State, Target
+from ironscale.agent.model import ON_FAILURE, OPEN_PHASES, Kind, Operation, Policy, State, Target
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.selectors import SelectorError, selected
 from ironscale.agent.store import Event, Published, Records, StoreError, TokenRow
@@ -181,7 +181,7 @@
     live = engine.live.get(op.id)
     p = op.policy
     return {
-        "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN, "actor": op.actor,
+        "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN_PHASES, "actor": op.actor,
         "note": op.note, "stalled": (live.stalled or live.waits) if live else "", "generation": op.generation,
         "fence": op.fence, "createdAt": iso(op.created_ms), "endedAt": iso(op.ended_ms),
         "policy": {"wave": p.wave, "maxUnavailable": p.max_unavailable, "maxFailures": p.max_failures,
@@ -601,7 +601,7 @@
         if (*found, stalled) != before:
             before = (*found, stalled)
             yield {"operation": operation_object(engine, *found)}
-        if found[0].phase not in OPEN:
+        if found[0].phase not in OPEN_PHASES:
             return
 
 
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -14,7 +14,7 @@
 from operator import attrgetter
 from typing import Any, Protocol
 
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Phase, Policy, State, Target
 from ironscale.agent.store import Configuration, Event, InstanceRow, Published, TokenRow
 from ironscale.disruption.model import Halt, Permit
 from ironscale.disruption.model import Phase as PermitPhase
@@ -182,7 +182,7 @@
         return self._operation(found[0]) if found else None
 
     def operations(self, before: int, most: int, open_only: bool = False) -> list[Operation]:
-        phases = [str(phase) for phase in (OPEN if open_only else Phase)]
+        phases = [str(phase) for phase in (OPEN_PHASES if open_only else Phase)]
         rows = self._columns("operations", OPERATION, f"WHERE id < %s AND phase IN ({', '.join(['%s'] * len(phases))})"
                              " ORDER BY id DESC LIMIT %s", (before, *phases, most))
         return [self._operation(row) for row in rows]
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -12,7 +12,7 @@
 import httpx
 
 from ironscale.agent.engine import Engine
-from ironscale.agent.model import OPEN, Kind, Operation, Policy, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Policy, State, Target
 from ironscale.agent.serve import Agent, running
 from ironscale.control.client import Client
 from ironscale.control.simulated_instance import LightInstance, light, stop
@@ -88,7 +88,7 @@
         while True:
             found = await self.engine.find(ident)
             assert found is not None
-            if found[0].phase not in OPEN:
+            if found[0].phase not in OPEN_PHASES:
                 return found
             await asyncio.sleep(0.005)
 
--- a/tests/agent/killed_agent.py
+++ b/tests/agent/killed_agent.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from ironscale.agent.model import OPEN, Kind, Policy
+from ironscale.agent.model import OPEN_PHASES, Kind, Policy
 from ironscale.agent.serve import running
 from ironscale.disruption.model import Budget, Of
 from ironscale.operator_file import AgentConfig as Section
@@ -43,7 +43,7 @@
         while True:
             found = await agent.engine.find(op.id)
             assert found is not None
-            if found[0].phase not in OPEN:
+            if found[0].phase not in OPEN_PHASES:
                 break
             await asyncio.sleep(0.01)
         while agent.engine.permits.ledger.permits:  # each has its evidence
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from ironscale.agent import planner
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Observation, OutgoingCommand, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Phase, Policy, Observation, OutgoingCommand, State, Target
 from ironscale.control.commands import Commands
 from ironscale.control.messages import Command, CommandResult
 
@@ -356,7 +356,7 @@
 @pytest.mark.parametrize("kind", list(Kind))
 def test_an_operation_that_has_ended_does_nothing(kind: Kind) -> None:
     for phase in Phase:
-        if phase not in OPEN:
+        if phase not in OPEN_PHASES:
             op = replace(operation(kind), phase=phase)
             plan = planner.advance(op, [Target("i0", 0)], {"i0": seen("i0")}, T0, {})
             assert not plan.targets and not plan.commands and plan.phase is None
@@ -520,10 +520,10 @@
         op = self.run_.op
         for target in self.run_.targets:
             shown = self.run_.fleet[target.name]
-            if target.state is State.APPLIED and op.phase in OPEN:
+            if target.state is State.APPLIED and op.phase in OPEN_PHASES:
                 assert shown.leased and shown.boot == target.boot
                 assert shown.generation == op.generation or not shown.has_reported
-            back = target.state is State.REVERTED and op.phase in OPEN
+            back = target.state is State.REVERTED and op.phase in OPEN_PHASES
             if back and shown.leased and shown.boot == target.boot and shown.has_reported:
                 assert shown.generation == target.from_generation
 
@@ -543,7 +543,7 @@
                 process.reachable = True
                 self.resend(name)
         for _ in range(60):
-            if self.run_.op.phase not in OPEN:
+            if self.run_.op.phase not in OPEN_PHASES:
                 break
             self.look()
             while self.wires:
@@ -558,7 +558,7 @@
                     if answer is not None:
                         self.run_.answer(send, answer.status, answer.detail)
             self.run_.now_ms += 1_000
-        assert self.run_.op.phase not in OPEN, (self.run_.op, self.run_.targets)
+        assert self.run_.op.phase not in OPEN_PHASES, (self.run_.op, self.run_.targets)
 
 
 World.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
