--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -45,7 +45,7 @@
     REVERTED = "reverted"  # the process has confirmed its former generation by a report
 
 
-FAILURES = (State.REFUSED, State.FAILED, State.NO_ANSWER, State.GONE)
+FAILURE_STATES = (State.REFUSED, State.FAILED, State.NO_ANSWER, State.GONE)
 ON_FAILURE = ("stop", "pause", "rollback")
 
 
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from ironscale.agent.model import (
-    FAILURES,
+    FAILURE_STATES,
     OPEN_PHASES,
     Kind,
     Operation,
@@ -244,7 +244,7 @@
            passes: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
-    failures = sum(t.state in FAILURES for t in targets)
+    failures = sum(t.state in FAILURE_STATES for t in targets)
     if failures > policy.max_failures:
         _apply_on_failure(op, plan, f"{failures} failed, {policy.max_failures} allowed")
         return
