--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Live:
+class LiveOperation:
     """An open operation in memory: its recorded state, and what has been received since."""
 
     op: Operation
@@ -75,7 +75,7 @@
         self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
         self.watching = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
-        self.live: dict[int, Live] = {}
+        self.live: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
         self.restart: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
@@ -115,14 +115,14 @@
             targets = [replace(t, sent_ms=self.now_ms()) if t.command else t for t in targets]
             self.adopt(op, targets)
 
-    def adopt(self, op: Operation, targets: list[Target]) -> Live:
+    def adopt(self, op: Operation, targets: list[Target]) -> LiveOperation:
         """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
         for other in self.live.values():
             other.superseded.update({t.name: op.id for t in targets if t.name in other.index})
             other.names = None
             other.changed.set()
         self.permits.adopt(op, targets)
-        live = self.live[op.id] = Live(op, targets)
+        live = self.live[op.id] = LiveOperation(op, targets)
         if self.tasks is not None:
             self.tasks.create_task(self.drive(live))
         return live
@@ -190,7 +190,7 @@
 
     # Operations
 
-    async def drive(self, live: Live) -> None:
+    async def drive(self, live: LiveOperation) -> None:
         """Runs rounds of an operation until it has ended. Faults and failed writes are retried."""
         while live.op.phase in OPEN_PHASES:
             live.changed.clear()
@@ -228,7 +228,7 @@
         self.permits.ledger.leave(f"operation {live.op.id}")
         self.notify()
 
-    async def round(self, live: Live) -> tuple[bool, int | None]:
+    async def round(self, live: LiveOperation) -> tuple[bool, int | None]:
         """One planning round: records the changes, then sends the commands. Returns whether another round is due at
         once, and otherwise when the next is due."""
         op, answered = live.op, list(live.targets)
