--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -42,7 +42,7 @@
     op: Operation
     targets: list[Target]
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    names: set[str] | None = None  # instances that may have reported something new; None = any
+    changed_names: set[str] | None = None  # instances that may have reported something new; None = any
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     answers: deque[tuple[str, str, str, str]] = field(default_factory=deque)  # name, command, status, detail
     superseded: dict[str, int] = field(default_factory=dict)
@@ -119,7 +119,7 @@
         """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
         for other in self.live.values():
             other.superseded.update({t.name: op.id for t in targets if t.name in other.index})
-            other.names = None
+            other.changed_names = None
             other.changed.set()
         self.permits.adopt(op, targets)
         live = self.live[op.id] = LiveOperation(op, targets)
@@ -155,8 +155,8 @@
         self.permits.see(name)
         for live in self.live.values():
             if name in live.index:
-                if live.names is not None:
-                    live.names.add(name)
+                if live.changed_names is not None:
+                    live.changed_names.add(name)
                 live.changed.set()
         self.notify()
 
@@ -210,7 +210,7 @@
             except Exception:
                 # Without this, an operation that runs into a bug would crash this agent and every agent after it.
                 self.log(f"operation {live.op.id}: unexpected error in the agent\n{traceback.format_exc()}")
-                live.stalled, live.names = "a fault of the agent; its log says which", None
+                live.stalled, live.changed_names = "a fault of the agent; its log says which", None
                 self.notify()
                 await asyncio.sleep(RETRY_S)
                 continue
@@ -232,8 +232,8 @@
         """One planning round: records the changes, then sends the commands. Returns whether another round is due at
         once, and otherwise when the next is due."""
         op, answered = live.op, list(live.targets)
-        taken, names = len(live.answers), live.names
-        live.names = set()
+        taken, names = len(live.answers), live.changed_names
+        live.changed_names = set()
         for name, command, status, detail in list(live.answers):
             place = live.index[name]
             if names is not None:
@@ -288,7 +288,7 @@
         try:
             recorded(await self.record(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
         except Exception as error:
-            live.names = None  # the reports of this round were not processed: look at all again
+            live.changed_names = None  # the reports of this round were not processed: look at all again
             self.permits.restore(before, not (isinstance(error, StoreError) and error.code == "UNKNOWN"))
             raise
         return True, None
@@ -510,7 +510,7 @@
 
             def told(new: Operation) -> None:
                 live.op = new
-                live.names = None
+                live.changed_names = None
                 live.changed.set()
                 self.notify()
 
