--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -47,7 +47,7 @@
     answers: deque[tuple[str, str, str, str]] = field(default_factory=deque)  # name, command, status, detail
     superseded: dict[str, int] = field(default_factory=dict)
     stalled: str = ""  # why it can't proceed at present
-    waits: str = ""  # what it waits for: room in a budget, the end of a halt, or measured answers
+    waits_for: str = ""  # what it waits for: room in a budget, the end of a halt, or measured answers
     gate: Gate = field(default_factory=Gate)
     index: dict[str, int] = field(default_factory=dict)
 
@@ -148,7 +148,7 @@
     def room(self) -> None:
         """Wakes the operations that wait, as there may be room in a budget now."""
         for live in self.live.values():
-            if live.waits:
+            if live.waits_for:
                 live.changed.set()
 
     def on_changed(self, name: str) -> None:
@@ -254,7 +254,7 @@
             return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
 
         plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
-        live.waits = plan.waits_for
+        live.waits_for = plan.waits_for
         if not plan.waits_for:
             self.permits.ledger.leave(f"operation {op.id}")
         for target in plan.targets:
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -182,7 +182,7 @@
     p = op.policy
     return {
         "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN_PHASES, "actor": op.actor,
-        "note": op.note, "stalled": (live.stalled or live.waits) if live else "", "generation": op.generation,
+        "note": op.note, "stalled": (live.stalled or live.waits_for) if live else "", "generation": op.generation,
         "fence": op.fence, "createdAt": iso(op.created_ms), "endedAt": iso(op.ended_ms),
         "policy": {"wave": p.wave, "maxUnavailable": p.max_unavailable, "maxFailures": p.max_failures,
                    "onFailure": p.on_failure.upper(), "answerMs": p.answer_ms, "tries": p.tries,
