--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -49,10 +49,10 @@
     stalled: str = ""  # why it can't proceed at present
     waits_for: str = ""  # what it waits for: room in a budget, the end of a halt, or measured answers
     gate: Gate = field(default_factory=Gate)
-    index: dict[str, int] = field(default_factory=dict)
+    position_of: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.index = {target.name: i for i, target in enumerate(self.targets)}
+        self.position_of = {target.name: i for i, target in enumerate(self.targets)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
     def adopt(self, op: Operation, targets: list[Target]) -> LiveOperation:
         """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
         for other in self.live.values():
-            other.superseded.update({t.name: op.id for t in targets if t.name in other.index})
+            other.superseded.update({t.name: op.id for t in targets if t.name in other.position_of})
             other.changed_names = None
             other.changed.set()
         self.permits.adopt(op, targets)
@@ -154,7 +154,7 @@
     def on_changed(self, name: str) -> None:
         self.permits.see(name)
         for live in self.live.values():
-            if name in live.index:
+            if name in live.position_of:
                 if live.changed_names is not None:
                     live.changed_names.add(name)
                 live.changed.set()
@@ -164,7 +164,7 @@
         """Sends commands again, with the same ids, that a process may not have received before it reconnected."""
         member = self.fleet.members[name]
         for live in self.live.values():
-            place = live.index.get(name)
+            place = live.position_of.get(name)
             target = live.targets[place] if place is not None else None
             if target is None or target.boot != member.row.boot or name in live.superseded:
                 continue
@@ -181,7 +181,7 @@
             return
         ident = result.id.partition(".")[0]
         live = self.live.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
-        place = live.index.get(name) if live is not None else None
+        place = live.position_of.get(name) if live is not None else None
         # An instance must not be able to answer for another one, or a command that it was never sent.
         if live is not None and place is not None and (
                 (live.targets[place].boot, live.targets[place].command) == (boot, result.id)):
@@ -235,7 +235,7 @@
         taken, names = len(live.answers), live.changed_names
         live.changed_names = set()
         for name, command, status, detail in list(live.answers):
-            place = live.index[name]
+            place = live.position_of[name]
             if names is not None:
                 names.add(name)
             answered[place] = planner.take_answer(op, answered[place], command, status, detail)
@@ -585,7 +585,7 @@
             await asyncio.sleep(CATCH_UP_S)
             if self.permits.halt is not None:
                 continue
-            busy = {name for live in self.live.values() for name in live.index}
+            busy = {name for live in self.live.values() for name in live.position_of}
             behind: dict[int, list[str]] = {}
             for name, member in self.fleet.members.items():
                 row = member.row
@@ -616,7 +616,7 @@
         seen = self.fleet.seen(name)
         if seen is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
-        if any(name in live.index for live in self.live.values()):
+        if any(name in live.position_of for live in self.live.values()):
             raise Refusal("CONFLICT", f"{name} is in an open operation; see `ironscale ops`")
         if seen.supervised or (seen.connected and seen.leased):
             raise Refusal("CONFLICT", f"{name} is running; stop it first")
