--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -75,7 +75,7 @@
         self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
         self.watching = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
-        self.live: dict[int, LiveOperation] = {}
+        self.live_operations: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
         self.restart: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
@@ -117,12 +117,12 @@
 
     def adopt(self, op: Operation, targets: list[Target]) -> LiveOperation:
         """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
-        for other in self.live.values():
+        for other in self.live_operations.values():
             other.superseded.update({t.name: op.id for t in targets if t.name in other.position_of})
             other.changed_names = None
             other.changed.set()
         self.permits.adopt(op, targets)
-        live = self.live[op.id] = LiveOperation(op, targets)
+        live = self.live_operations[op.id] = LiveOperation(op, targets)
         if self.tasks is not None:
             self.tasks.create_task(self.drive(live))
         return live
@@ -130,7 +130,7 @@
     async def run(self) -> None:
         """Drives all operations until cancelled."""
         async with asyncio.TaskGroup() as self.tasks:
-            for live in list(self.live.values()):
+            for live in list(self.live_operations.values()):
                 self.tasks.create_task(self.drive(live))
             self.tasks.create_task(self.sweep())
             self.tasks.create_task(self.keep_instances())
@@ -147,13 +147,13 @@
 
     def room(self) -> None:
         """Wakes the operations that wait, as there may be room in a budget now."""
-        for live in self.live.values():
+        for live in self.live_operations.values():
             if live.waits_for:
                 live.changed.set()
 
     def on_changed(self, name: str) -> None:
         self.permits.see(name)
-        for live in self.live.values():
+        for live in self.live_operations.values():
             if name in live.position_of:
                 if live.changed_names is not None:
                     live.changed_names.add(name)
@@ -163,7 +163,7 @@
     def on_connected(self, name: str) -> None:
         """Sends commands again, with the same ids, that a process may not have received before it reconnected."""
         member = self.fleet.members[name]
-        for live in self.live.values():
+        for live in self.live_operations.values():
             place = live.position_of.get(name)
             target = live.targets[place] if place is not None else None
             if target is None or target.boot != member.row.boot or name in live.superseded:
@@ -180,7 +180,7 @@
             self.on_inspected(question, result)
             return
         ident = result.id.partition(".")[0]
-        live = self.live.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
+        live = self.live_operations.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
         place = live.position_of.get(name) if live is not None else None
         # An instance must not be able to answer for another one, or a command that it was never sent.
         if live is not None and place is not None and (
@@ -224,7 +224,7 @@
                     await live.changed.wait()
             except TimeoutError:
                 pass
-        self.live.pop(live.op.id, None)
+        self.live_operations.pop(live.op.id, None)
         self.permits.ledger.leave(f"operation {live.op.id}")
         self.notify()
 
@@ -474,7 +474,7 @@
     async def control(self, actor: str, ident: int, action: str, urgent: bool = False) -> Operation:
         """Pauses, resumes, aborts or rolls back an open operation. `urgent`: roll back without waiting for room in a
         budget. Idempotent. Raises Refusal."""
-        live = self.live.get(ident)
+        live = self.live_operations.get(ident)
         if live is None:
             found = await self.store.read(lambda records: records.operation(ident))
             if found is None:
@@ -585,7 +585,7 @@
             await asyncio.sleep(CATCH_UP_S)
             if self.permits.halt is not None:
                 continue
-            busy = {name for live in self.live.values() for name in live.position_of}
+            busy = {name for live in self.live_operations.values() for name in live.position_of}
             behind: dict[int, list[str]] = {}
             for name, member in self.fleet.members.items():
                 row = member.row
@@ -616,7 +616,7 @@
         seen = self.fleet.seen(name)
         if seen is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
-        if any(name in live.position_of for live in self.live.values()):
+        if any(name in live.position_of for live in self.live_operations.values()):
             raise Refusal("CONFLICT", f"{name} is in an open operation; see `ironscale ops`")
         if seen.supervised or (seen.connected and seen.leased):
             raise Refusal("CONFLICT", f"{name} is running; stop it first")
@@ -654,7 +654,7 @@
     # Views
 
     async def find(self, ident: int) -> tuple[Operation, list[Target]] | None:
-        live = self.live.get(ident)
+        live = self.live_operations.get(ident)
         if live is not None:
             return live.op, list(live.targets)
 
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -178,7 +178,7 @@
         return connection([target_object(t) for t in page], [cursor(t.name) for t in page], len(rest) > size,
                           len(found))
 
-    live = engine.live.get(op.id)
+    live = engine.live_operations.get(op.id)
     p = op.policy
     return {
         "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN_PHASES, "actor": op.actor,
@@ -228,7 +228,7 @@
     return {
         "generation": generation, "instances": len(engine.fleet.members), "ready": states["ready"],
         "draining": states["draining"] + states["drained"], "silent": states["silent"], "gone": states["gone"],
-        "behind": behind, "openOperations": len(engine.live), "version": context.version,
+        "behind": behind, "openOperations": len(engine.live_operations), "version": context.version,
         "startedAt": iso(context.started_ms), "registrations": engine.fleet.registrations,
         "heartbeats": engine.fleet.beats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
@@ -272,7 +272,7 @@
     engine, size = need(info, "read").engine, page_size(first)
     before = uncursor_number(after) or 2**62
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
-    ops = [engine.live[op.id].op if op.id in engine.live else op for op in ops]
+    ops = [engine.live_operations[op.id].op if op.id in engine.live_operations else op for op in ops]
     page = ops[:size]
     return connection([operation_object(engine, op) for op in page], [cursor(op.id) for op in page],
                       len(ops) > size)
@@ -597,7 +597,7 @@
         found = await engine.find(id)
         if found is None:
             raise error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
-        stalled = engine.live[id].stalled if id in engine.live else ""
+        stalled = engine.live_operations[id].stalled if id in engine.live_operations else ""
         if (*found, stalled) != before:
             before = (*found, stalled)
             yield {"operation": operation_object(engine, *found)}
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -47,7 +47,7 @@
             ident = await s.begin(Kind.DRAIN)
             await until(lambda: s.instances["i0001"].draining)
             await asyncio.sleep(0.3)
-            assert s.engine.live[ident].targets[1].state is State.UNDER_WAY
+            assert s.engine.live_operations[ident].targets[1].state is State.UNDER_WAY
             s.instances["i0001"].open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert set((await s.states(await s.begin(Kind.UNDRAIN))).values()) == {State.APPLIED}
@@ -283,13 +283,13 @@
             await s.start_many(2)
             s.instances["i0001"].open = 1
             ident = await s.begin(Kind.DRAIN, policy=Policy(answer_ms=60_000))
-            await until(lambda: s.instances["i0001"].draining and s.engine.live[ident].targets[1].answered)
+            await until(lambda: s.instances["i0001"].draining and s.engine.live_operations[ident].targets[1].answered)
             session = s.clients["i0000"].session
             assert session is not None
             for command in (f"{ident}.1.1", f"{ident}.9.9", "x", "99.1.1", f"{ident}."):
                 session.send(CommandResult(command, "failed", "by another"))
             await asyncio.sleep(0.3)
-            assert [t.state for t in s.engine.live[ident].targets] == [State.APPLIED, State.UNDER_WAY]
+            assert [t.state for t in s.engine.live_operations[ident].targets] == [State.APPLIED, State.UNDER_WAY]
             s.instances["i0001"].open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
 
@@ -306,7 +306,7 @@
             assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED
             assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED  # again is the same
             s.instances["i0001"].open = 0
-            await until(lambda: s.engine.live[ident].targets[1].state is State.APPLIED)
+            await until(lambda: s.engine.live_operations[ident].targets[1].state is State.APPLIED)
             await asyncio.sleep(0.2)
             assert not s.instances["i0002"].draining
             s.instances["i0003"].open = 1
@@ -340,7 +340,7 @@
             s.instances["i0003"].before_effect = refuse
             ident = await s.begin(overlay={"settings": {"instances": 9}}, expect=1,
                                   policy=Policy(wave=2, on_failure="rollback"))
-            await until(lambda: s.engine.live[ident].op.phase is Phase.ROLLING_BACK)
+            await until(lambda: s.engine.live_operations[ident].op.phase is Phase.ROLLING_BACK)
             s.instances["i0003"].before_effect = lambda what: None
             op, targets = await s.end(ident)
             assert op.phase in (Phase.ROLLED_BACK, Phase.PARTIAL) and op.note.startswith("1 failed, 0 allowed")
@@ -366,7 +366,7 @@
             await until(lambda: s.instances["i0000"].draining)
             await store.read(lambda r: store.connection.execute("PRAGMA query_only = 1"))
             s.instances["i0000"].open = 0
-            await until(lambda: s.engine.live[ident].stalled)
+            await until(lambda: s.engine.live_operations[ident].stalled)
             with pytest.raises(StoreError):
                 await s.begin(Kind.DRAIN, ["i0003"], supersede=True)
             shown = await s.ask("query($id: Int!) { operation(id: $id) { stalled phase } }", id=ident)
@@ -488,7 +488,7 @@
             s.tasks.update(tasks)
             await until(lambda: sum(m.link is not None for m in s.agent.fleet.members.values()) == 2)
             await asyncio.sleep(0.3)
-            assert {t.state for t in s.engine.live[ident].targets} == {State.UNDER_WAY}
+            assert {t.state for t in s.engine.live_operations[ident].targets} == {State.UNDER_WAY}
             for instance in instances.values():
                 instance.open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
@@ -561,7 +561,7 @@
 
             monkeypatch.setattr(planner, "advance", sometimes)
             first = await s.begin(Kind.DRAIN, ["i0000"])
-            await until(lambda: "fault" in s.engine.live[first].stalled)
+            await until(lambda: "fault" in s.engine.live_operations[first].stalled)
             assert await s.states(await s.begin(Kind.DRAIN, ["i0001"])) == {"i0001": State.APPLIED}
             broken[0] = False
             assert await s.states(first) == {"i0000": State.APPLIED}
--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -172,7 +172,7 @@
     rollout = asyncio.create_task(many.tool(
         "apply", str(folder / "overlay.json"), "--yes", "--wave", str(max(1, COUNT // 5)),
         "--max-failures", str(COUNT), "--answer-timeout", "30"))
-    await until(lambda: many.scene.engine.live)  # it has begun
+    await until(lambda: many.scene.engine.live_operations)  # it has begun
     await asyncio.gather(*(strike(name) for name in victims))
     await reached.wait()
     await asyncio.sleep(LEASE_S + 0.5)  # those that are silent now have lost their lease
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -74,13 +74,13 @@
                 return known is not None and known.phase is PermitPhase.HELD
 
             await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2)
-            await until(lambda: any(live.waits_for for live in engine.live.values()))
+            await until(lambda: any(live.waits_for for live in engine.live_operations.values()))
             assert found.most <= 2 and counted(found) == 2
             await undrain(found)  # what is out comes back, and those that waited have their turn
-            await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live)
+            await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
             if held():
                 await engine.permits.give_back("script", permit.id, False)
-            for ident in list(engine.live):
+            for ident in list(engine.live_operations):
                 with contextlib.suppress(Refusal):
                     await engine.control("ann", ident, "abort")
             await undrain(found)
@@ -145,14 +145,14 @@
                 instance.before_effect = lambda what: None
             await engine.permits.set_halt("ann", "errors rise")
             told = sum(bool(i.effects) for i in found.instances.values())
-            await until(lambda: engine.live[op].waits_for == "halted by ann: errors rise")
+            await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             with pytest.raises(Refusal, match="halted by ann: errors rise"):
                 await found.begin(Kind.DRAIN)
             assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been under way
             assert (await engine.permits.set_halt("bob", "too")).actor == "ann"
         async with fleet(tmp_path, 4, TWO) as found:
             engine = found.engine
-            await until(lambda: engine.live[op].waits_for == "halted by ann: errors rise")
+            await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             await engine.control("ann", op, "rollback")
             assert (await found.end(op))[0].phase is Phase.ROLLED_BACK
             lifted = await engine.permits.lift_halt("bob")
@@ -305,18 +305,18 @@
         async with fleet(tmp_path, 4, TWO) as found:
             engine, names = found.engine, list(found.instances)
             op = await found.begin(names=names[:2], policy=Policy(on_failure="pause", wave=1))
-            await until(lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live)
-            if op in engine.live:
+            await until(lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live_operations)
+            if op in engine.live_operations:
                 await found.end(op)
             again = await found.begin(names=names[:2], expect=1, overlay={"settings": {"instances": 3}},
                                       policy=Policy(canary=1, wave=1, gate=True, soak_ms=60_000))
-            await until(lambda: engine.live[again].waits_for.startswith("soaks"))
+            await until(lambda: engine.live_operations[again].waits_for.startswith("soaks"))
             for name in names[2:]:  # losses spend the budget, and one more is out by its permit
                 found.cut(name)
                 found.kill(name)
             await until(lambda: engine.permits.ledger.cells["all", ""].out == 2.0)
             await engine.control("ann", again, "rollback")
-            await until(lambda: "budget all" in engine.live[again].waits_for)
+            await until(lambda: "budget all" in engine.live_operations[again].waits_for)
             assert found.instances[names[0]].generation == 2
             await engine.control("ann", again, "rollback", True)
             assert (await found.end(again))[0].phase is Phase.ROLLED_BACK
@@ -334,7 +334,7 @@
                 found.kill(name)
             await until(lambda: engine.permits.ledger.cells["all", ""].out == 2.0)
             op = await found.begin(names=["i0000", "i0001"])
-            await until(lambda: "i0003" in engine.live[op].waits_for and "i0004" in engine.live[op].waits_for)
+            await until(lambda: "i0003" in engine.live_operations[op].waits_for and "i0004" in engine.live_operations[op].waits_for)
             assert not found.instances["i0000"].effects
             for name in ("i0003", "i0004"):
                 found.start(name)
@@ -389,7 +389,7 @@
                 for permit in list(engine.permits.ledger.permits.values()):
                     if not permit.operation:
                         await engine.permits.give_back("s", permit.id, False)
-                for ident in list(engine.live):
+                for ident in list(engine.live_operations):
                     with contextlib.suppress(Refusal):  # it has ended meanwhile
                         await engine.control("ann", ident, "abort")
                 await undrain(found)
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -653,10 +653,10 @@
             with pytest.raises(StoreError) as found:
                 await s.begin(key="k")
             assert found.value.code == "UNKNOWN"
-            assert s.engine.live == {} and all(i.effects == [] for i in s.instances.values())
+            assert s.engine.live_operations == {} and all(i.effects == [] for i in s.instances.values())
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
-            assert list(s.engine.live) == ([1] if stands else [])
+            assert list(s.engine.live_operations) == ([1] if stands else [])
             # asked again with its key it is one operation, whatever became of the first
             ident = await s.begin(key="k")
             op, targets = await s.end(ident)
@@ -684,7 +684,7 @@
             assert found.value.code == "UNKNOWN"
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
-            assert s.engine.live[ident].op.phase is Phase.PAUSED
+            assert s.engine.live_operations[ident].op.phase is Phase.PAUSED
             kept = await store.read(lambda r: r.operation(ident))
             assert kept is not None and kept.phase is Phase.PAUSED
 
@@ -769,7 +769,7 @@
                     ident = await s.begin(policy=Policy(wave=5, max_unavailable=3), key="one")
                 except StoreError:
                     await asyncio.sleep(0.02)
-            await until(lambda: ident not in s.engine.live)
+            await until(lambda: ident not in s.engine.live_operations)
             host.hook = None
             op, targets = await s.end(ident)
             assert op.phase is Phase.SUCCEEDED and {t.state for t in targets} == {State.APPLIED}, (seed, op)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -159,7 +159,7 @@
             await s.start_many(1)
             s.instances["i0000"].open = 1
             process = await start(tmp_path, "drain", "*", "--timeout", "3", "--answer-timeout", "60")
-            await until(lambda: s.engine.live)
+            await until(lambda: s.engine.live_operations)
             await asyncio.sleep(0.5)
         out, err = await process.communicate()
         assert process.returncode == Exit.NO_AGENT, (out, err)
--- a/tests/cli/test_permit.py
+++ b/tests/cli/test_permit.py
@@ -128,6 +128,6 @@
             ):
                 code, _, err = await tool(s, *arguments)
                 assert code == exit_ and words in err, (arguments, code, err)
-            assert not s.engine.permits.ledger.permits and not s.engine.live
+            assert not s.engine.permits.ledger.permits and not s.engine.live_operations
 
     run(test)
