--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Question:
+class _PendingInspection:
     future: asyncio.Future[Inspection]
     parts: list[dict[str, Any]] = field(default_factory=list)
 
@@ -80,7 +80,7 @@
         self.tasks: asyncio.TaskGroup | None = None
         self.restart: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
         self.stopping: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
-        self.questions: dict[str, _Question] = {}
+        self.questions: dict[str, _PendingInspection] = {}
         self.asked = 0
         self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
         self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
@@ -528,7 +528,7 @@
             raise Refusal("NO_ANSWER", f"{name} is not connected", sinceMs=member.row.heard_ms)
         self.asked += 1
         ident = f"q{self.started_ms}.{self.asked}"
-        question = self.questions[ident] = _Question(asyncio.get_running_loop().create_future())
+        question = self.questions[ident] = _PendingInspection(asyncio.get_running_loop().create_future())
         try:
             member.link.command(Command(ident, 0, member.row.boot, "inspect"))
             async with asyncio.timeout(timeout_s):
@@ -543,7 +543,7 @@
         return (await self.inspect(name, timeout_s)).upstreams
 
     @staticmethod
-    def on_inspected(question: _Question, result: CommandResult) -> None:
+    def on_inspected(question: _PendingInspection, result: CommandResult) -> None:
         if question.future.done():
             return
         question.parts += result.data
