--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -29,7 +29,7 @@
 from ironscale.disruption.releases import Word
 
 RETRY_S = 1.0  # delay after a failed write to the record
-REST_SHARE = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
+PAUSE_PER_ROUND = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
 CATCH_UP_S = 1.0
 INSPECT_S = 5.0
 AGENT = "agent"  # actor of what the agent does on its own
@@ -217,7 +217,7 @@
             live.stalled = ""
             if more:
                 continue
-            await asyncio.sleep(min(0.5, REST_SHARE * took_s))
+            await asyncio.sleep(min(0.5, PAUSE_PER_ROUND * took_s))
             wait_s = None if wake_ms is None else max(0.001, (wake_ms - self.now_ms()) / 1000)
             try:
                 async with asyncio.timeout(wait_s):
