--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -30,7 +30,7 @@
 
 RETRY_S = 1.0  # delay after a failed write to the record
 PAUSE_PER_ROUND = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
-CATCH_UP_S = 1.0
+CATCH_UP_INTERVAL_S = 1.0
 INSPECT_S = 5.0
 AGENT = "agent"  # actor of what the agent does on its own
 
@@ -582,7 +582,7 @@
     async def catch_up(self) -> None:
         """Reconfigures, once each, processes that connected with another generation than their instance should run."""
         while True:
-            await asyncio.sleep(CATCH_UP_S)
+            await asyncio.sleep(CATCH_UP_INTERVAL_S)
             if self.permits.halt is not None:
                 continue
             busy = {name for live in self.live_operations.values() for name in live.position_of}
