--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -31,7 +31,7 @@
 RETRY_S = 1.0  # delay after a failed write to the record
 PAUSE_PER_ROUND = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
 CATCH_UP_INTERVAL_S = 1.0
-INSPECT_S = 5.0
+INSPECT_TIMEOUT_S = 5.0
 AGENT = "agent"  # actor of what the agent does on its own
 
 
@@ -519,7 +519,7 @@
 
     # Inspection of instances
 
-    async def inspect(self, name: str, timeout_s: float = INSPECT_S) -> Inspection:
+    async def inspect(self, name: str, timeout_s: float = INSPECT_TIMEOUT_S) -> Inspection:
         """Queries a process for its present state. Raises Refusal, with the time when it was last heard from."""
         member = self.fleet.members.get(name)
         if member is None:
