--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -73,7 +73,7 @@
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
         self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
-        self.watching = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
+        self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live_operations: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
@@ -136,7 +136,7 @@
             self.tasks.create_task(self.keep_instances())
             self.tasks.create_task(self.catch_up())
             self.tasks.create_task(self.permits.run(self.tasks))
-            self.tasks.create_task(self.watching.run())
+            self.tasks.create_task(self.upstream_polling.run())
             self.tasks.create_task(self.publisher.run())
 
     # Events
