--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -78,7 +78,7 @@
         self.live_operations: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
-        self.restart: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
+        self.restart_process: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
         self.stopping: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.questions: dict[str, _PendingInspection] = {}
         self.asked = 0
@@ -347,7 +347,7 @@
             self.held_back.add(send.name)
             return
         if send.kind == "restart":
-            self.restart(send)
+            self.restart_process(send)
             return
         member = self.fleet.members.get(send.name)
         if member is None or member.link is None or member.row.boot != send.boot:
