--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -79,7 +79,7 @@
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
         self.restart_process: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
-        self.stopping: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
+        self.before_stop: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.questions: dict[str, _PendingInspection] = {}
         self.asked = 0
         self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
@@ -354,7 +354,7 @@
             return  # sent again when it reconnects; if it does not, its lease runs out
         args: dict[str, Any] = {}
         if send.kind == Kind.STOP:
-            self.stopping(send.name)
+            self.before_stop(send.name)
         if send.kind == Kind.RECONFIGURE:
             args = {"generation": send.generation, "overlay": self.overlays.get(send.generation, {})}
         member.link.command(Command(send.id, send.fence, send.boot, send.kind, args))
