--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -80,7 +80,7 @@
         self.tasks: asyncio.TaskGroup | None = None
         self.restart_process: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
         self.before_stop: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
-        self.questions: dict[str, _PendingInspection] = {}
+        self.inspections: dict[str, _PendingInspection] = {}
         self.asked = 0
         self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
         self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
@@ -175,7 +175,7 @@
                 self.deliver(OutgoingCommand(target.command, name, target.boot, live.op.fence, kind, generation))
 
     def on_result(self, name: str, boot: str, result: CommandResult) -> None:
-        question = self.questions.get(result.id)
+        question = self.inspections.get(result.id)
         if question is not None:
             self.on_inspected(question, result)
             return
@@ -528,7 +528,7 @@
             raise Refusal("NO_ANSWER", f"{name} is not connected", sinceMs=member.row.heard_ms)
         self.asked += 1
         ident = f"q{self.started_ms}.{self.asked}"
-        question = self.questions[ident] = _PendingInspection(asyncio.get_running_loop().create_future())
+        question = self.inspections[ident] = _PendingInspection(asyncio.get_running_loop().create_future())
         try:
             member.link.command(Command(ident, 0, member.row.boot, "inspect"))
             async with asyncio.timeout(timeout_s):
@@ -537,7 +537,7 @@
             raise Refusal("NO_ANSWER", f"{name} gave no answer in {timeout_s:g} s",
                           sinceMs=member.row.heard_ms) from error
         finally:
-            del self.questions[ident]
+            del self.inspections[ident]
 
     async def upstreams_of(self, name: str, timeout_s: float) -> list[dict[str, Any]]:
         return (await self.inspect(name, timeout_s)).upstreams
