--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -81,7 +81,7 @@
         self.restart_process: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
         self.before_stop: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.inspections: dict[str, _PendingInspection] = {}
-        self.asked = 0
+        self.inspections_sent = 0
         self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
         self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
         self.step: Callable[[str], None] = lambda where: None  # tests kill the process at these points
@@ -526,8 +526,8 @@
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
         if member.link is None or not member.leased:
             raise Refusal("NO_ANSWER", f"{name} is not connected", sinceMs=member.row.heard_ms)
-        self.asked += 1
-        ident = f"q{self.started_ms}.{self.asked}"
+        self.inspections_sent += 1
+        ident = f"q{self.started_ms}.{self.inspections_sent}"
         question = self.inspections[ident] = _PendingInspection(asyncio.get_running_loop().create_future())
         try:
             member.link.command(Command(ident, 0, member.row.boot, "inspect"))
