--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -84,7 +84,7 @@
         self.inspections_sent = 0
         self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
         self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
-        self.step: Callable[[str], None] = lambda where: None  # tests kill the process at these points
+        self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
         self.held_back: set[str] = set()  # instances whose commands were not sent because the term had run out
         self.leader: Owner | None = None  # set while this agent only follows: the leader, as far as known
         self.read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
@@ -281,9 +281,9 @@
             live.changed.set()
             self.notify()
             for send in plan.commands:
-                self.step("before a send")
+                self.crash_point("before a send")
                 self.deliver(send)
-                self.step("after a send")
+                self.crash_point("after a send")
 
         try:
             recorded(await self.record(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
@@ -317,9 +317,9 @@
                               {"note": new.note})
             return new
 
-        self.step("before a commit")
+        self.crash_point("before a commit")
         new = await self.store.write(work, late)
-        self.step("after a commit")
+        self.crash_point("after a commit")
         return new
 
     @staticmethod
@@ -422,9 +422,9 @@
             self.adopt(op, targets)
             self.notify()
 
-        self.step("before the beginning")
+        self.crash_point("before the beginning")
         found = await self.store.write(work, begun)
-        self.step("after the beginning")
+        self.crash_point("after the beginning")
         begun(found)
         return found[0], found[1] is not None
 
