--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -87,7 +87,7 @@
         self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
         self.held_back: set[str] = set()  # instances whose commands were not sent because the term had run out
         self.leader: Owner | None = None  # set while this agent only follows: the leader, as far as known
-        self.read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
+        self.record_read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
         self.started_ms = now_ms()
         fleet.changed = self.on_changed
         fleet.connected = self.on_connected
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -233,7 +233,7 @@
         "heartbeats": engine.fleet.beats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
         "leader": engine.leader.api if engine.leader is not None else "",
-        "ageMs": 0 if engine.leader is None else clock_ms() - engine.read_ms,
+        "ageMs": 0 if engine.leader is None else clock_ms() - engine.record_read_ms,
     }
 
 
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -309,7 +309,7 @@
                     await self.reload_tokens(store)
                     fleet.show(await store.read(lambda records: records.instances()))
                     engine.permits.take_halt(await store.read(lambda records: records.halt()))
-                    engine.read_ms = clock_ms()
+                    engine.record_read_ms = clock_ms()
                 except StoreError as error:
                     # a file that a stopped process holds is told; a lease that another has is what is followed
                     if ("SQLITE_BUSY" in str(error) or error.code != "LOCKED") and str(error) != said:
