--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -72,7 +72,7 @@
                  log: Callable[[str], None], budgets: Sequence[Budget] = ()) -> None:
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
-        self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
+        self.permits.room, self.permits.notify, self.permits.question = self.on_budget_room, self.notify, self.inspect
         self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live_operations: dict[int, LiveOperation] = {}
@@ -145,7 +145,7 @@
         for watcher in self.watchers:
             watcher.set()
 
-    def room(self) -> None:
+    def on_budget_room(self) -> None:
         """Wakes the operations that wait, as there may be room in a budget now."""
         for live in self.live_operations.values():
             if live.waits_for:
