--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -197,7 +197,7 @@
             try:
                 async with live.lock:
                     start_s = time.monotonic()
-                    more, wake_ms = await self.round(live)
+                    more, wake_ms = await self.plan_round(live)
                     took_s = time.monotonic() - start_s
             except StoreError as error:
                 # Nothing was sent that was not recorded, so instances and their traffic are not affected.
@@ -228,7 +228,7 @@
         self.permits.ledger.leave(f"operation {live.op.id}")
         self.notify()
 
-    async def round(self, live: LiveOperation) -> tuple[bool, int | None]:
+    async def plan_round(self, live: LiveOperation) -> tuple[bool, int | None]:
         """One planning round: records the changes, then sends the commands. Returns whether another round is due at
         once, and otherwise when the next is due."""
         op, answered = live.op, list(live.targets)
