--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -286,14 +286,14 @@
                 self.crash_point("after a send")
 
         try:
-            recorded(await self.record(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
+            recorded(await self.record_plan(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
         except Exception as error:
             live.changed_names = None  # the reports of this round were not processed: look at all again
             self.permits.restore(before, not (isinstance(error, StoreError) and error.code == "UNKNOWN"))
             raise
         return True, None
 
-    async def record(self, op: Operation, changed: list[Target], plan: Plan, desired: list[tuple[str, int]],
+    async def record_plan(self, op: Operation, changed: list[Target], plan: Plan, desired: list[tuple[str, int]],
                      permits: list[Permit], late: Callable[[Operation], None]) -> Operation:
         now_ms = self.now_ms()
 
