--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -265,7 +265,7 @@
             for _ in range(taken):
                 live.answers.popleft()
             return False, plan.wake_ms
-        desired = self.desired(op, changed.values())
+        desired = self.desired_generations(op, changed.values())
         ends = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
         permits |= {p.id: p for p in self.permits.settled(op, answered if ends else changed.values(), ends)}
@@ -323,7 +323,7 @@
         return new
 
     @staticmethod
-    def desired(op: Operation, changed: Iterable[Target]) -> list[tuple[str, int]]:
+    def desired_generations(op: Operation, changed: Iterable[Target]) -> list[tuple[str, int]]:
         """The generation that each instance should run from now on, also after a restart, by its target's state."""
         if op.kind is not Kind.RECONFIGURE:
             return []
