--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -172,7 +172,7 @@
             if waiting and (target.restarting or not target.answered):
                 generation = target.from_generation if target.reverting else live.op.generation
                 kind = "restart" if target.restarting else live.op.kind.value
-                self.deliver(OutgoingCommand(target.command, name, target.boot, live.op.fence, kind, generation))
+                self.send_command(OutgoingCommand(target.command, name, target.boot, live.op.fence, kind, generation))
 
     def on_result(self, name: str, boot: str, result: CommandResult) -> None:
         question = self.inspections.get(result.id)
@@ -282,7 +282,7 @@
             self.notify()
             for send in plan.commands:
                 self.crash_point("before a send")
-                self.deliver(send)
+                self.send_command(send)
                 self.crash_point("after a send")
 
         try:
@@ -339,7 +339,7 @@
         """Whether, by this machine's clock alone, it is certain that no other agent has claimed the record."""
         return self.leader is None and self.store.term.holds(clock_ms())
 
-    def deliver(self, send: OutgoingCommand) -> None:
+    def send_command(self, send: OutgoingCommand) -> None:
         """Sends a recorded command if this agent still leads. The term is checked last, as the process may have been
         suspended since it wrote the record. A command that leaves a moment too late even so is in the record, so the
         next leader accounts for it."""
