--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -394,7 +394,7 @@
                 raise Refusal("NO_TARGETS",
                               "expected a selector that matches an instance; see `ironscale ls`")
             if overlay is not None:
-                self.compare_and_set(records, expect, overlay)
+                self.check_generation(records, expect, overlay)
             self.check_rivals(records, set(names), supersede)
             ident, fence = records.next_operation(), records.next_fence()
             made = records.current_generation() + 1 if overlay is not None else generation
@@ -441,7 +441,7 @@
             raise Refusal("BAD_INPUT", f"overlay: expected numbers that JSON has, got {error}") from error
 
     @staticmethod
-    def compare_and_set(records: Records, expect: int | None, overlay: dict[str, Any]) -> None:
+    def check_generation(records: Records, expect: int | None, overlay: dict[str, Any]) -> None:
         """Raises Refusal unless `expect` is the current generation."""
         current = records.current_generation()
         if expect == current:
