--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -395,7 +395,7 @@
                               "expected a selector that matches an instance; see `ironscale ls`")
             if overlay is not None:
                 self.check_generation(records, expect, overlay)
-            self.check_rivals(records, set(names), supersede)
+            self.check_conflicts(records, set(names), supersede)
             ident, fence = records.next_operation(), records.next_fence()
             made = records.current_generation() + 1 if overlay is not None else generation
             op = Operation(ident, kind, fence, Phase.RUNNING, actor, policy, made, {"supersede": supersede},
@@ -455,7 +455,7 @@
             "look at it, then apply again", generation=current, actor=winner.actor, atMs=winner.at_ms,
             operation=winner.operation, difference=difference(winner.overlay, overlay))
 
-    def check_rivals(self, records: Records, names: set[str], supersede: bool) -> None:
+    def check_conflicts(self, records: Records, names: set[str], supersede: bool) -> None:
         """Refuses the new operation if an open one has the same instances, unless it is to supersede that one."""
         if supersede:
             return
