--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -133,7 +133,7 @@
             for live in list(self.live_operations.values()):
                 self.tasks.create_task(self.drive(live))
             self.tasks.create_task(self.sweep())
-            self.tasks.create_task(self.keep_instances())
+            self.tasks.create_task(self.record_instances())
             self.tasks.create_task(self.catch_up())
             self.tasks.create_task(self.permits.run(self.tasks))
             self.tasks.create_task(self.upstream_polling.run())
@@ -559,7 +559,7 @@
             await asyncio.sleep(min(0.25, self.fleet.lease_ms / 4000))
             self.fleet.sweep()
 
-    async def keep_instances(self) -> None:
+    async def record_instances(self) -> None:
         """Periodically records changed instances and that the agent is alive. Heartbeats alone are not written."""
         while True:
             await asyncio.sleep(min(0.5, self.store.term.lease_ms / 5_000 or 0.5))
