--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -60,7 +60,7 @@
         self.ledger = Ledger(budgets)
         self.halt: Halt | None = None
         self.wake = asyncio.Event()
-        self.room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
+        self.on_budget_room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
         self.notify: Callable[[], None] = lambda: None
         self.question: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.asked_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
@@ -343,7 +343,7 @@
         def done(_: None) -> None:
             self.take_halt(None)
             self.wake.set()
-            self.room()
+            self.on_budget_room()
             self.notify()
 
         await self.store.write(work, done)
@@ -379,7 +379,7 @@
                 self.log(f"decisions on permits will be retried: {error}")
                 await asyncio.sleep(RETRY_S)
                 continue
-            self.room()
+            self.on_budget_room()
             for key in self.ledger.asks():
                 sort, _, name = key.partition("/")
                 if sort == Of.SIDECAR:  # upstreams are polled all the time anyway
