--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -72,7 +72,7 @@
                  log: Callable[[str], None], budgets: Sequence[Budget] = ()) -> None:
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
-        self.permits.on_budget_room, self.permits.notify, self.permits.question = self.on_budget_room, self.notify, self.inspect
+        self.permits.on_budget_room, self.permits.notify, self.permits.inspect = self.on_budget_room, self.notify, self.inspect
         self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live_operations: dict[int, LiveOperation] = {}
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -62,7 +62,7 @@
         self.wake = asyncio.Event()
         self.on_budget_room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
         self.notify: Callable[[], None] = lambda: None
-        self.question: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
+        self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.asked_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
         self.asking: dict[str, float] = {}  # instance -> when its running inspection began
         self.doubt: set[int] = set()  # ids whose last write has an unknown outcome
@@ -438,7 +438,7 @@
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
-        if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
+        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
                 or name in self.asking):
             return
         self.asking[name] = now_s
@@ -446,10 +446,10 @@
 
     async def answer(self, name: str) -> None:
         """Waits for the answer to an inspection; a failed one ends after ASK_AGAIN_S, which limits the rate."""
-        assert self.question is not None
+        assert self.inspect is not None
         asked_ms, start_s = clock_ms(), time.monotonic()
         try:
-            await self.question(name)
+            await self.inspect(name)
             self.asked_ms[name] = asked_ms
             self.see(name)
         except Refusal:
