--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -63,7 +63,7 @@
         self.on_budget_room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
         self.notify: Callable[[], None] = lambda: None
         self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
-        self.asked_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
+        self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
         self.asking: dict[str, float] = {}  # instance -> when its running inspection began
         self.doubt: set[int] = set()  # ids whose last write has an unknown outcome
         # Serializes decisions: one made before another change but written after it would undo that change.
@@ -90,7 +90,7 @@
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
         unit = Unit(Of.SIDECAR, name, service_of(name), member.row.zone)
-        asked_ms = self.asked_ms.get(name, 0)
+        asked_ms = self.inspected_ms.get(name, 0)
         if seen.ended:
             return Sight(unit, 1.0, "gone", boot=seen.boot)
         if not (seen.leased and seen.connected and seen.has_reported):
@@ -450,7 +450,7 @@
         asked_ms, start_s = clock_ms(), time.monotonic()
         try:
             await self.inspect(name)
-            self.asked_ms[name] = asked_ms
+            self.inspected_ms[name] = asked_ms
             self.see(name)
         except Refusal:
             # It has become silent, or is slow to answer.
