--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -64,7 +64,7 @@
         self.notify: Callable[[], None] = lambda: None
         self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
-        self.asking: dict[str, float] = {}  # instance -> when its running inspection began
+        self.inspecting: dict[str, float] = {}  # instance -> when its running inspection began
         self.doubt: set[int] = set()  # ids whose last write has an unknown outcome
         # Serializes decisions: one made before another change but written after it would undo that change.
         self.lock = asyncio.Lock()
@@ -438,10 +438,10 @@
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
-        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
-                or name in self.asking):
+        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.inspecting) >= ASKS_AT_ONCE
+                or name in self.inspecting):
             return
-        self.asking[name] = now_s
+        self.inspecting[name] = now_s
         tasks.create_task(self.answer(name))
 
     async def answer(self, name: str) -> None:
@@ -456,7 +456,7 @@
             # It has become silent, or is slow to answer.
             await asyncio.sleep(max(0.0, ASK_AGAIN_S - (time.monotonic() - start_s)))
         finally:
-            self.asking.pop(name, None)
+            self.inspecting.pop(name, None)
             self.wake.set()
 
     def counted(self) -> list[Permit]:
