--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -65,7 +65,7 @@
         self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
         self.inspecting: dict[str, float] = {}  # instance -> when its running inspection began
-        self.doubt: set[int] = set()  # ids whose last write has an unknown outcome
+        self.unconfirmed: set[int] = set()  # ids whose last write has an unknown outcome
         # Serializes decisions: one made before another change but written after it would undo that change.
         self.lock = asyncio.Lock()
         self.ending: set[int] = set()  # ids whose end is being written: not to be reserved again meanwhile
@@ -133,7 +133,7 @@
             except Impossible as impossible:
                 problem = str(impossible)
         if not problem:
-            self.doubt.discard(ident)
+            self.unconfirmed.discard(ident)
         return problem
 
     def settled(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
@@ -160,13 +160,13 @@
         now_ms = clock_ms()
         for permit in permits:
             self.ledger.put(permit, now_ms)
-            self.doubt.discard(permit.id)
+            self.unconfirmed.discard(permit.id)
         self.wake.set()
 
     def restore(self, before: dict[int, Permit | None], is_known: bool) -> None:
         """Undoes the reservations of a round whose write failed. If its outcome is unknown, they go on counting."""
         if not is_known:
-            self.doubt.update(before)
+            self.unconfirmed.update(before)
             return
         for ident, permit in before.items():
             if permit is None:
@@ -294,7 +294,7 @@
             await self.store.write(work, lambda done: self.put(permits))
         except StoreError as error:
             if error.code == "UNKNOWN":
-                self.doubt.update(p.id for p in permits)
+                self.unconfirmed.update(p.id for p in permits)
             raise
         self.step("after a permit's commit")
         self.put(permits)
@@ -419,8 +419,8 @@
             await self._resolve()
 
     async def _resolve(self) -> None:
-        if self.doubt:
-            doubt, before_ms = set(self.doubt), self.now_ms() - KEPT_MS
+        if self.unconfirmed:
+            doubt, before_ms = set(self.unconfirmed), self.now_ms() - KEPT_MS
 
             def work(records: Records) -> list[Permit]:
                 records.prune_permits(before_ms)
@@ -428,12 +428,12 @@
 
             open_ = await self.store.write(work)
             recorded = {permit.id: permit for permit in open_}
-            for ident in doubt & self.doubt:  # one reserved again since then belongs to its operation's round
+            for ident in doubt & self.unconfirmed:  # one reserved again since then belongs to its operation's round
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
                     self.ledger.release(ident, clock_ms())
-                    self.doubt.discard(ident)
+                    self.unconfirmed.discard(ident)
 
     def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -235,12 +235,12 @@
             op = await found.begin(names=["i0000"])
             await until(lambda: rounds)
             await asyncio.sleep(0)
-            assert found.engine.permits.doubt and not found.instances["i0000"].effects
+            assert found.engine.permits.unconfirmed and not found.instances["i0000"].effects
             # it may stand: nothing else goes out meanwhile
             assert permits.ledger.stands_in_the_way(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
             known.set()
             assert (await found.end(op))[0].phase is Phase.SUCCEEDED
-            await until(lambda: not permits.doubt and not permits.counted())
+            await until(lambda: not permits.unconfirmed and not permits.counted())
 
     run(test)
 
@@ -273,10 +273,10 @@
             except StoreError as error:
                 assert "broke off" in str(error)
             assert known, "no pass has met it"
-            assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.doubt
+            assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.unconfirmed
             assert permits.ledger.stands_in_the_way(("sidecar/i0002",), "x", (0, 99), 0)
             away[0] = False
-            await until(lambda: other.id not in permits.doubt)
+            await until(lambda: other.id not in permits.unconfirmed)
             if not stands:  # as the record has it, it waits; and is granted again
                 await permits.decide()
             await until(lambda: permits.ledger.permits[other.id].phase is PermitPhase.HELD)
