--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -69,7 +69,7 @@
         # Serializes decisions: one made before another change but written after it would undo that change.
         self.lock = asyncio.Lock()
         self.ending: set[int] = set()  # ids whose end is being written: not to be reserved again meanwhile
-        self.step: Callable[[str], None] = lambda where: None  # tests kill the process at these points
+        self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
 
     # Loading the record
 
@@ -289,14 +289,14 @@
                 if not permit.operation:  # the audit log has an entry for the target already
                     records.audit(now_ms, actor, "permit", f"permit {permit.id}", result, {"note": permit.note})
 
-        self.step("before a permit's commit")
+        self.crash_point("before a permit's commit")
         try:
             await self.store.write(work, lambda done: self.put(permits))
         except StoreError as error:
             if error.code == "UNKNOWN":
                 self.unconfirmed.update(p.id for p in permits)
             raise
-        self.step("after a permit's commit")
+        self.crash_point("after a permit's commit")
         self.put(permits)
         self.notify()
 
--- a/tests/agent/killed_agent.py
+++ b/tests/agent/killed_agent.py
@@ -33,7 +33,7 @@
             if steps == fatal:
                 os.kill(os.getpid(), signal.SIGKILL)
 
-        agent.engine.crash_point = agent.engine.permits.step = step
+        agent.engine.crash_point = agent.engine.permits.crash_point = step
         while sum(m.link is not None and m.report is not None for m in agent.fleet.members.values()) < count:
             await asyncio.sleep(0.01)
         names = sorted(agent.fleet.members)
--- a/tests/agent/replica_agent.py
+++ b/tests/agent/replica_agent.py
@@ -37,7 +37,7 @@
     async def count_steps() -> None:
         while True:
             await agent.leading.wait()
-            agent.engine.crash_point = agent.engine.permits.step = step
+            agent.engine.crash_point = agent.engine.permits.crash_point = step
             await asyncio.sleep(0.001)
 
     counting = asyncio.create_task(count_steps())
