--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -75,11 +75,11 @@
 
     def load(self, permits: Iterable[Permit], halt: Halt | None) -> None:
         self.ledger.load(permits, clock_ms())
-        self.take_halt(halt)
+        self.apply_halt(halt)
         for name in self.fleet.members:
             self.see(name)
 
-    def take_halt(self, halt: Halt | None) -> None:
+    def apply_halt(self, halt: Halt | None) -> None:
         self.halt = halt if halt is not None and not halt.lifted_ms else None
         self.ledger.halted = self.halt.text if self.halt is not None else ""
 
@@ -320,12 +320,12 @@
             return halt
 
         try:
-            halt = await self.store.write(work, self.take_halt)
+            halt = await self.store.write(work, self.apply_halt)
         except StoreError as error:
             if error.code != "UNKNOWN":
                 self.ledger.halted = before
             raise
-        self.take_halt(halt)
+        self.apply_halt(halt)
         self.notify()
         return halt
 
@@ -341,7 +341,7 @@
             records.audit(now_ms, actor, "halt", "fleet", "lifted", {"halted by": standing.actor})
 
         def done(_: None) -> None:
-            self.take_halt(None)
+            self.apply_halt(None)
             self.wake.set()
             self.on_budget_room()
             self.notify()
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -308,7 +308,7 @@
                         said = owner.place
                     await self.reload_tokens(store)
                     fleet.show(await store.read(lambda records: records.instances()))
-                    engine.permits.take_halt(await store.read(lambda records: records.halt()))
+                    engine.permits.apply_halt(await store.read(lambda records: records.halt()))
                     engine.record_read_ms = clock_ms()
                 except StoreError as error:
                     # a file that a stopped process holds is told; a lease that another has is what is followed
