--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -85,7 +85,7 @@
 
     # Observations of instances
 
-    def sight(self, name: str) -> Sight:
+    def observe(self, name: str) -> Sight:
         """What the ledger needs to know of a sidecar: whether it is out of service, and why."""
         member, seen = self.fleet.members[name], self.fleet.seen(name)
         assert seen is not None
@@ -101,7 +101,7 @@
         return Sight(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
     def see(self, name: str) -> None:
-        if self.ledger.see(self.sight(name)):
+        if self.ledger.see(self.observe(name)):
             self.wake.set()
 
     def forget(self, name: str) -> None:
