--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -152,7 +152,7 @@
                 live.changed.set()
 
     def on_changed(self, name: str) -> None:
-        self.permits.see(name)
+        self.permits.update_instance(name)
         for live in self.live_operations.values():
             if name in live.position_of:
                 if live.changed_names is not None:
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -77,7 +77,7 @@
         self.ledger.load(permits, clock_ms())
         self.apply_halt(halt)
         for name in self.fleet.members:
-            self.see(name)
+            self.update_instance(name)
 
     def apply_halt(self, halt: Halt | None) -> None:
         self.halt = halt if halt is not None and not halt.lifted_ms else None
@@ -100,7 +100,7 @@
         state = state_of(seen)
         return Sight(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
-    def see(self, name: str) -> None:
+    def update_instance(self, name: str) -> None:
         if self.ledger.see(self.observe(name)):
             self.wake.set()
 
@@ -451,7 +451,7 @@
         try:
             await self.inspect(name)
             self.inspected_ms[name] = asked_ms
-            self.see(name)
+            self.update_instance(name)
         except Refusal:
             # It has become silent, or is slow to answer.
             await asyncio.sleep(max(0.0, ASK_AGAIN_S - (time.monotonic() - start_s)))
