--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -244,7 +244,7 @@
         def may(target: Target) -> str:
             ident, known = permit_id(op, target), self.permits.ledger.permits
             former = known.get(ident)
-            problem = "" if op.kind is Kind.UNDRAIN else self.permits.may(op, target, op.phase is Phase.ROLLING_BACK)
+            problem = "" if op.kind is Kind.UNDRAIN else self.permits.reserve(op, target, op.phase is Phase.ROLLING_BACK)
             if known.get(ident) is not former:
                 before[ident] = former
             return problem
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -110,7 +110,7 @@
 
     # Operations
 
-    def may(self, op: Operation, target: Target, is_way_back: bool) -> str:
+    def reserve(self, op: Operation, target: Target, is_way_back: bool) -> str:
         """Reserves the permit that a command to this target needs. Returns empty, or the reason why it has to wait."""
         key = f"{Of.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -291,10 +291,10 @@
             op = await found.begin(names=["i0000"])
             ended, targets = await found.end(op)
             permits.ending = {permit_id(ended, targets[0])}
-            assert permits.may(ended, targets[0], False) == (
+            assert permits.reserve(ended, targets[0], False) == (
                 "the end of its former permit for i0000 is being recorded")
             permits.ending = set()
-            assert permits.may(ended, targets[0], False) == "" and counted(found) == 1
+            assert permits.reserve(ended, targets[0], False) == "" and counted(found) == 1
             permits.ledger.release(permit_id(ended, targets[0]), 0)
 
     run(test)
