--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -268,7 +268,7 @@
         desired = self.desired_generations(op, changed.values())
         ends = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
-        permits |= {p.id: p for p in self.permits.settled(op, answered if ends else changed.values(), ends)}
+        permits |= {p.id: p for p in self.permits.returned_permits(op, answered if ends else changed.values(), ends)}
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -136,7 +136,7 @@
             self.unconfirmed.discard(ident)
         return problem
 
-    def settled(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
+    def returned_permits(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
         """Permits that these targets no longer need, as they are to be recorded together with them. `ends`: the
         operation ends, so once an instance answers a later inspection, it has either carried out the commands or never
         will."""
