--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -176,7 +176,7 @@
 
     # Permits requested through the API
 
-    async def take(self, holder: str, key: str, units: Sequence[str], reason: str, priority: int, lease_ms: int
+    async def request(self, holder: str, key: str, units: Sequence[str], reason: str, priority: int, lease_ms: int
                    ) -> Permit:
         """Requests a permit for units, idempotent by holder and key. Raises Refusal or StoreError."""
         names = tuple(sorted(set(units)))
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -481,7 +481,7 @@
 async def m_take_permit(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
     context = need(info, "operate")
     permits = context.engine.permits
-    return permit_object(context.engine, await permits.take(
+    return permit_object(context.engine, await permits.request(
         context.caller.name, input["key"], input["units"], input["reason"] or "", input["priority"] or 0,
         input["leaseMs"] or 0))
 
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -67,7 +67,7 @@
             # in one step of the loop: whoever is first, no more than two are given
             _, _, permit = await asyncio.gather(
                 found.begin(Kind.DRAIN, names[:3]), found.begin(Kind.DRAIN, names[3:], actor="bob"),
-                engine.permits.take("script", "k", [f"sidecar/{names[5]}"], "disk", 0, 60_000))
+                engine.permits.request("script", "k", [f"sidecar/{names[5]}"], "disk", 0, 60_000))
 
             def held() -> bool:
                 known = engine.permits.ledger.permits.get(permit.id)
@@ -96,12 +96,12 @@
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits, name = found.engine.permits, "i0000"
-            held = await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
+            held = await permits.request("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
             assert held.phase is PermitPhase.HELD
-            assert await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000) == held
+            assert await permits.request("ann", "k", [f"sidecar/{name}"], "", 0, 60_000) == held
             with pytest.raises(Refusal, match="was used for other units"):
-                await permits.take("ann", "k", ["sidecar/i0001"], "", 0, 60_000)
-            waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
+                await permits.request("ann", "k", ["sidecar/i0001"], "", 0, 60_000)
+            waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             assert waiting.phase is PermitPhase.WAITING
             found.instances[name].draining = True  # its holder takes it out, by a way of his own, and is gone at once
             returned = await permits.give_back("ann", held.id, False)
@@ -122,8 +122,8 @@
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits = found.engine.permits
-            held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
-            waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
+            held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
+            waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             await until(lambda: permits.ledger.permits[held.id].phase is PermitPhase.UNKNOWN)
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
             assert (await permits.renew("ann", held.id)).phase is PermitPhase.HELD  # it was slow, and is there
@@ -172,7 +172,7 @@
             assert permits.halt is None
             # hazard: an operation's round would reserve now, and its command be recorded behind the halt
             assert permits.ledger.stands_in_the_way(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
-            permit = await permits.take("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
+            permit = await permits.request("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
             assert permit.phase is PermitPhase.WAITING
             assert (await halting).text == "ann: now"
             await permits.lift_halt("ann")
@@ -204,7 +204,7 @@
     async def test() -> None:
         async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
             permits = found.engine.permits
-            held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
+            held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
             gate = Gated(found)
             giving = asyncio.create_task(permits.give_back("ann", held.id, False))
             await asyncio.sleep(0.8)  # the lease lapses while that is being written, and is looked at several times
@@ -250,8 +250,8 @@
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits, write = found.engine.permits, found.engine.store.write
-            waiting = await permits.take("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
-            other = await permits.take("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
+            waiting = await permits.request("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
+            other = await permits.request("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
             assert (waiting.phase, other.phase) == (PermitPhase.HELD, PermitPhase.WAITING)
             away = [True]
 
@@ -381,7 +381,7 @@
                             case 3:
                                 found.cut(rng.choice(names))
                             case 4:
-                                await engine.permits.take("s", str(rng.random()), [f"sidecar/{some[0]}"], "", 0, 500)
+                                await engine.permits.request("s", str(rng.random()), [f"sidecar/{some[0]}"], "", 0, 500)
                     except (Refusal, AssertionError):
                         pass
                     assert found.most <= 2, f"seed {seed}"
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -46,8 +46,8 @@
             await found.start_many(5)
             nodes, permits = Nodes(found), found.engine.permits
             await until(lambda: [s.out for s in permits.ledger.sights.values()].count(0.0) == 9)
-            first = await permits.take("ann", "a", ["upstream/n0"], "disk", 0, 60_000)
-            second = await permits.take("bob", "b", ["upstream/n1"], "", 0, 60_000)
+            first = await permits.request("ann", "a", ["upstream/n0"], "disk", 0, 60_000)
+            second = await permits.request("bob", "b", ["upstream/n1"], "", 0, 60_000)
             assert (first.phase, second.phase) == (Phase.HELD, Phase.WAITING)
             nodes.states["n0"] = "draining"
             await until(lambda: permits.ledger.sights["upstream/n0"].why == "draining by 5 of 5")
@@ -76,7 +76,7 @@
             await until(lambda: "upstream/n0" not in sights)
             del nodes.states["n1"]  # gone without being told
             await until(lambda: sights["upstream/n1"].why == "not listed by 4 of 4")
-            assert (await engine.permits.take("ann", "k", ["upstream/n2"], "", 0, 60_000)).phase is Phase.WAITING
+            assert (await engine.permits.request("ann", "k", ["upstream/n2"], "", 0, 60_000)).phase is Phase.WAITING
             with pytest.raises(Refusal, match="it can be forgotten once it is gone there"):
                 await engine.forget("ann", "upstream/n3", False)
             await engine.forget("ann", "upstream/n1", False)
