--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -180,7 +180,7 @@
                    ) -> Permit:
         """Requests a permit for units, idempotent by holder and key. Raises Refusal or StoreError."""
         names = tuple(sorted(set(units)))
-        self.check(names, key, priority, lease_ms)
+        self.check_request(names, key, priority, lease_ms)
         now_ms = self.now_ms()
 
         def work(records: Records) -> Permit:
@@ -208,7 +208,7 @@
         await self.decide()
         return self.ledger.permits.get(made.id, made)
 
-    def check(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
+    def check_request(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
         if not 0 < len(units) <= MOST_UNITS:
             raise Refusal("BAD_INPUT", f"units: expected 1 to {MOST_UNITS}, got {len(units)}")
         if not 0 < len(key) <= 200 or not key.isprintable():
