--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -236,7 +236,7 @@
             raise Refusal("NOT_FOUND", f"there is no permit {ident}; see `ironscale permit list`")
         return found
 
-    async def own(self, holder: str, ident: int, may_any: bool) -> Permit:
+    async def find_owned(self, holder: str, ident: int, may_any: bool) -> Permit:
         """The permit, if it is the holder's own or `may_any`. Raises Refusal or StoreError."""
         permit = await self.find(ident)
         if permit.operation:
@@ -251,7 +251,7 @@
             return await self._renew(holder, ident)
 
     async def _renew(self, holder: str, ident: int) -> Permit:
-        permit = await self.own(holder, ident, False)
+        permit = await self.find_owned(holder, ident, False)
         if not self.store.term.holds(clock_ms()):
             raise StoreError("AWAY", "the record does not answer, and another agent may lead by now; ask again")
         if permit.phase not in (Phase.HELD, Phase.UNKNOWN, Phase.WAITING):
@@ -270,7 +270,7 @@
             return await self._give_back(holder, ident, force)
 
     async def _give_back(self, holder: str, ident: int, force: bool) -> Permit:
-        permit = await self.own(holder, ident, force)
+        permit = await self.find_owned(holder, ident, force)
         if permit.phase in (Phase.RETURNED, Phase.ENDED, Phase.WITHDRAWN):
             return permit
         phase = Phase.WITHDRAWN if permit.phase is Phase.WAITING else Phase.RETURNED
