--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -260,7 +260,7 @@
             return permit
         renewed = self.ledger.renew(ident, clock_ms())
         if renewed is not permit:
-            await self.record([renewed], holder, "held again")
+            await self.record_permits([renewed], holder, "held again")
         return renewed
 
     async def give_back(self, holder: str, ident: int, force: bool) -> Permit:
@@ -276,10 +276,10 @@
         phase = Phase.WITHDRAWN if permit.phase is Phase.WAITING else Phase.RETURNED
         after = replace(permit.to(phase, f"given back by {holder}"),
                         ended_ms=self.now_ms() if phase is Phase.WITHDRAWN else 0)
-        await self.record([after], holder, str(phase))
+        await self.record_permits([after], holder, str(phase))
         return after
 
-    async def record(self, permits: Sequence[Permit], actor: str, result: str) -> None:
+    async def record_permits(self, permits: Sequence[Permit], actor: str, result: str) -> None:
         """Records permits, then updates the ledger. Raises StoreError; after UNKNOWN, `resolve` reads them back."""
         now_ms = self.now_ms()
 
@@ -397,16 +397,16 @@
         if over:
             self.ending = {permit.id for permit in over}
             try:
-                await self.record(over, "agent", str(Phase.ENDED))
+                await self.record_permits(over, "agent", str(Phase.ENDED))
             finally:
                 self.ending = set()
         lapsed = self.ledger.lapses(clock_ms())
         if lapsed:
-            await self.record(lapsed, "agent", str(Phase.UNKNOWN))
+            await self.record_permits(lapsed, "agent", str(Phase.UNKNOWN))
         granted = self.ledger.grants(clock_ms())
         if granted:
             try:
-                await self.record(granted, "agent", str(Phase.HELD))
+                await self.record_permits(granted, "agent", str(Phase.HELD))
             except StoreError as error:
                 if error.code != "UNKNOWN":
                     for permit in granted:
