--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -383,7 +383,7 @@
             for key in self.ledger.asks():
                 sort, _, name = key.partition("/")
                 if sort == Of.SIDECAR:  # upstreams are polled all the time anyway
-                    self.ask(tasks, name)
+                    self.start_inspection(tasks, name)
             await asyncio.sleep(0.01)  # so that thousands of simultaneous reports share one decision
 
     async def decide(self) -> None:
@@ -435,7 +435,7 @@
                     self.ledger.release(ident, clock_ms())
                     self.unconfirmed.discard(ident)
 
-    def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
+    def start_inspection(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
         if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.inspecting) >= ASKS_AT_ONCE
