--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -442,9 +442,9 @@
                 or name in self.inspecting):
             return
         self.inspecting[name] = now_s
-        tasks.create_task(self.answer(name))
+        tasks.create_task(self.await_inspection(name))
 
-    async def answer(self, name: str) -> None:
+    async def await_inspection(self, name: str) -> None:
         """Waits for the answer to an inspection; a failed one ends after ASK_AGAIN_S, which limits the rate."""
         assert self.inspect is not None
         asked_ms, start_s = clock_ms(), time.monotonic()
