--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -33,7 +33,7 @@
     Unit,
 )
 
-TICK_S = 0.25  # longest time between two decisions
+DECISION_INTERVAL_S = 0.25  # longest time between two decisions
 ASKS_AT_ONCE, ASK_AGAIN_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
 KEPT_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
@@ -367,7 +367,7 @@
         tasks.create_task(self.prune())
         while True:
             try:
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(DECISION_INTERVAL_S):
                     await self.wake.wait()
             except TimeoutError:
                 pass
