--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -34,7 +34,7 @@
 )
 
 DECISION_INTERVAL_S = 0.25  # longest time between two decisions
-ASKS_AT_ONCE, ASK_AGAIN_S = 50, 1.0  # concurrent inspections, and delay after a failed one
+MAX_INSPECTIONS, ASK_AGAIN_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
 KEPT_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
 LEASE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
@@ -438,7 +438,7 @@
     def start_inspection(self, tasks: asyncio.TaskGroup, name: str) -> None:
         """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.sights.get(f"{Of.SIDECAR}/{name}")
-        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.inspecting) >= ASKS_AT_ONCE
+        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.inspecting) >= MAX_INSPECTIONS
                 or name in self.inspecting):
             return
         self.inspecting[name] = now_s
