--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -34,7 +34,7 @@
 )
 
 DECISION_INTERVAL_S = 0.25  # longest time between two decisions
-MAX_INSPECTIONS, ASK_AGAIN_S = 50, 1.0  # concurrent inspections, and delay after a failed one
+MAX_INSPECTIONS, INSPECTION_RETRY_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
 KEPT_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
 LEASE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
@@ -454,7 +454,7 @@
             self.update_instance(name)
         except Refusal:
             # It has become silent, or is slow to answer.
-            await asyncio.sleep(max(0.0, ASK_AGAIN_S - (time.monotonic() - start_s)))
+            await asyncio.sleep(max(0.0, INSPECTION_RETRY_S - (time.monotonic() - start_s)))
         finally:
             self.inspecting.pop(name, None)
             self.wake.set()
