--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -36,7 +36,7 @@
 DECISION_INTERVAL_S = 0.25  # longest time between two decisions
 MAX_INSPECTIONS, INSPECTION_RETRY_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
-KEPT_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
+PERMIT_RETENTION_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
 LEASE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
 POSITIONS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
 TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
@@ -354,9 +354,9 @@
 
     async def prune(self) -> None:
         while True:
-            await asyncio.sleep(KEPT_MS / 10_000)
+            await asyncio.sleep(PERMIT_RETENTION_MS / 10_000)
 
-            def work(records: Records, before_ms: int = self.now_ms() - KEPT_MS) -> None:
+            def work(records: Records, before_ms: int = self.now_ms() - PERMIT_RETENTION_MS) -> None:
                 records.prune_permits(before_ms)
 
             with contextlib.suppress(StoreError):
@@ -420,7 +420,7 @@
 
     async def _resolve(self) -> None:
         if self.unconfirmed:
-            doubt, before_ms = set(self.unconfirmed), self.now_ms() - KEPT_MS
+            doubt, before_ms = set(self.unconfirmed), self.now_ms() - PERMIT_RETENTION_MS
 
             def work(records: Records) -> list[Permit]:
                 records.prune_permits(before_ms)
