--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -37,7 +37,7 @@
 MAX_INSPECTIONS, INSPECTION_RETRY_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
 PERMIT_RETENTION_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
-LEASE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
+LEASE_RANGE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
 POSITIONS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
 TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
 
@@ -215,8 +215,8 @@
             raise Refusal("BAD_INPUT", f"key: expected 1 to 200 printable characters, got {key!r:.60}")
         if not 0 <= priority <= MOST_PRIORITY:
             raise Refusal("BAD_INPUT", f"priority: expected 0 to {MOST_PRIORITY}, got {priority}")
-        if not LEASE_MS[0] <= lease_ms <= LEASE_MS[1]:
-            raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_MS[0]} to {LEASE_MS[1]}, got {lease_ms}")
+        if not LEASE_RANGE_MS[0] <= lease_ms <= LEASE_RANGE_MS[1]:
+            raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_RANGE_MS[0]} to {LEASE_RANGE_MS[1]}, got {lease_ms}")
         for unit in units:
             if unit not in self.ledger.sights:
                 raise Refusal("NOT_FOUND", f"units: expected units that are known (sidecar/NAME, see `ironscale ls`), "
