--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -38,7 +38,7 @@
 RETRY_S = 1.0
 PERMIT_RETENTION_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
 LEASE_RANGE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
-POSITIONS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
+MAX_TARGETS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
 TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
 
 
@@ -50,7 +50,7 @@
 
 def permit_id(op: Operation, target: Target) -> int:
     """Id of the permit for one target. It is negative; permits requested through the API are numbered from 1."""
-    return -(op.id * POSITIONS + target.position)
+    return -(op.id * MAX_TARGETS + target.position)
 
 
 class Permits:
