--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -39,7 +39,7 @@
 PERMIT_RETENTION_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
 LEASE_RANGE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
 MAX_TARGETS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
-TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
+UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
 
 
 def service_of(name: str) -> str:
@@ -143,7 +143,7 @@
         found = []
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
-            if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in TAKEN_OUT):
+            if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in UNAVAILABLE):
                 found.append(permit.to(Phase.RETURNED, str(target.state)))
         return found
 
