--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -14,7 +14,7 @@
 
 # Rate at which instances reconnect after they have lost their agent; they spread out accordingly.
 RECONNECTS_PER_S = 200.0
-LEAST_SPREAD_MS = 1_000
+MIN_SPREAD_MS = 1_000
 # For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
 DRAWN, OFFERED, SETTLED_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
@@ -111,7 +111,7 @@
     def spread_ms(self, count: int | None = None) -> int:
         """Time over which that many instances (by default all) spread their reconnections."""
         count = len(self.members) if count is None else count
-        return max(LEAST_SPREAD_MS, int(1_000 * count / RECONNECTS_PER_S))
+        return max(MIN_SPREAD_MS, int(1_000 * count / RECONNECTS_PER_S))
 
     def times(self) -> tuple[int, int]:
         """Lease duration and heartbeat interval for a new registration, in milliseconds, by the present fleet size."""
