--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -16,7 +16,7 @@
 RECONNECTS_PER_S = 200.0
 MIN_SPREAD_MS = 1_000
 # For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
-DRAWN, OFFERED, SETTLED_MS = 20, 5, 10_000
+DONOR_SAMPLE, OFFERED, SETTLED_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 BEATS_PER_S = 1_000.0
 BEATS_A_LEASE = 3
@@ -164,7 +164,7 @@
         """Addresses from which a new process may get its initial state: serving instances on its machine, those of its
         zone first. Only a random sample is examined, so the cost does not grow with the fleet."""
         found = []
-        for name in self.random.sample(self.teachers, min(DRAWN, len(self.teachers))):
+        for name in self.random.sample(self.teachers, min(DONOR_SAMPLE, len(self.teachers))):
             member = self.members.get(name)
             if (member is None or name == hello.name or member.link is None or member.report is None
                     or member.row.host != hello.host):
