--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -16,7 +16,7 @@
 RECONNECTS_PER_S = 200.0
 MIN_SPREAD_MS = 1_000
 # For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
-DONOR_SAMPLE, OFFERED, SETTLED_MS = 20, 5, 10_000
+DONOR_SAMPLE, MAX_DONORS, SETTLED_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 BEATS_PER_S = 1_000.0
 BEATS_A_LEASE = 3
@@ -172,7 +172,7 @@
             settled = wall_ms - member.row.started_ms >= SETTLED_MS
             if settled and member.report.ready and not member.report.draining:
                 found.append((member.row.zone != hello.zone, self.teaching[name]))
-        return [address for _, address in sorted(found, key=lambda one: one[0])[:OFFERED]]
+        return [address for _, address in sorted(found, key=lambda one: one[0])[:MAX_DONORS]]
 
     def beat(self, name: str, link: Link, report: Report) -> bool:
         """Takes in a heartbeat. Returns False if the process no longer has the name."""
