--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -16,7 +16,7 @@
 RECONNECTS_PER_S = 200.0
 MIN_SPREAD_MS = 1_000
 # For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
-DONOR_SAMPLE, MAX_DONORS, SETTLED_MS = 20, 5, 10_000
+DONOR_SAMPLE, MAX_DONORS, DONOR_MIN_UPTIME_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 BEATS_PER_S = 1_000.0
 BEATS_A_LEASE = 3
@@ -169,7 +169,7 @@
             if (member is None or name == hello.name or member.link is None or member.report is None
                     or member.row.host != hello.host):
                 continue
-            settled = wall_ms - member.row.started_ms >= SETTLED_MS
+            settled = wall_ms - member.row.started_ms >= DONOR_MIN_UPTIME_MS
             if settled and member.report.ready and not member.report.draining:
                 found.append((member.row.zone != hello.zone, self.teaching[name]))
         return [address for _, address in sorted(found, key=lambda one: one[0])[:MAX_DONORS]]
