--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -19,7 +19,7 @@
 DONOR_SAMPLE, MAX_DONORS, DONOR_MIN_UPTIME_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 MAX_HEARTBEATS_PER_S = 1_000.0
-BEATS_A_LEASE = 3
+HEARTBEATS_PER_LEASE = 3
 BACK_MS = 1_000
 ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
 
@@ -92,7 +92,7 @@
         """Loads the instances from the record. Those that were connected get time to reconnect before leases end."""
         now_ms = self.now_ms()
         rows = list(rows)
-        lease_ms = max(self.lease_ms, int(BEATS_A_LEASE * 1_000 * len(rows) / MAX_HEARTBEATS_PER_S))
+        lease_ms = max(self.lease_ms, int(HEARTBEATS_PER_LEASE * 1_000 * len(rows) / MAX_HEARTBEATS_PER_S))
         back_ms = now_ms + lease_ms + self.spread_ms(len(rows)) + self.back_ms
         for row in rows:
             heard_ms = min(now_ms, max(row.heard_ms, alive_ms)) if row.connected else row.heard_ms
@@ -116,7 +116,7 @@
     def times(self) -> tuple[int, int]:
         """Lease duration and heartbeat interval for a new registration, in milliseconds, by the present fleet size."""
         beat_ms = max(self.beat_ms, int(1_000 * len(self.members) / MAX_HEARTBEATS_PER_S))
-        return max(self.lease_ms, BEATS_A_LEASE * beat_ms), beat_ms
+        return max(self.lease_ms, HEARTBEATS_PER_LEASE * beat_ms), beat_ms
 
     def has_died(self, row: InstanceRow) -> bool:
         """Whether the process is known to have ended; that can be told only of processes on this machine."""
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ironscale.agent.fleet import BEATS_A_LEASE, MAX_HEARTBEATS_PER_S, Denial, Fleet, state_of
+from ironscale.agent.fleet import HEARTBEATS_PER_LEASE, MAX_HEARTBEATS_PER_S, Denial, Fleet, state_of
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import PROTOCOL, Command, Hello
 from ironscale.control.processes import machine, start_ticks
@@ -131,7 +131,7 @@
     for count in (2_000, 5_000, 20_000):
         s.fleet.members.update((f"i{n}", None) for n in range(count))  # type: ignore[misc]
         lease_ms, beat_ms = s.fleet.times()
-        assert count * 1_000 / beat_ms <= MAX_HEARTBEATS_PER_S and lease_ms >= BEATS_A_LEASE * beat_ms
+        assert count * 1_000 / beat_ms <= MAX_HEARTBEATS_PER_S and lease_ms >= HEARTBEATS_PER_LEASE * beat_ms
 
 
 def row(name: str, **changes: Any) -> InstanceRow:
