--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -20,7 +20,7 @@
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 MAX_HEARTBEATS_PER_S = 1_000.0
 HEARTBEATS_PER_LEASE = 3
-BACK_MS = 1_000
+RECONNECT_MS = 1_000
 ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
 
 
@@ -68,7 +68,7 @@
 
 
 class Fleet:
-    def __init__(self, lease_ms: int, beat_ms: int, most: int, now_ms: Callable[[], int], back_ms: int = BACK_MS
+    def __init__(self, lease_ms: int, beat_ms: int, most: int, now_ms: Callable[[], int], back_ms: int = RECONNECT_MS
                  ) -> None:
         """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
         reconnect to a new agent."""
