--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -21,7 +21,7 @@
 MAX_HEARTBEATS_PER_S = 1_000.0
 HEARTBEATS_PER_LEASE = 3
 RECONNECT_MS = 1_000
-ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
+AGENT_ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
 
 
 class Link(Protocol):
