--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -72,7 +72,7 @@
                  ) -> None:
         """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
         reconnect to a new agent."""
-        self.back_ms = back_ms
+        self.reconnect_ms = back_ms
         self.lease_ms, self.beat_ms, self.most, self.now_ms = lease_ms, beat_ms, most, now_ms
         self.members: dict[str, Member] = {}
         self.changed: Callable[[str], None] = lambda name: None  # an instance changed
@@ -93,7 +93,7 @@
         now_ms = self.now_ms()
         rows = list(rows)
         lease_ms = max(self.lease_ms, int(HEARTBEATS_PER_LEASE * 1_000 * len(rows) / MAX_HEARTBEATS_PER_S))
-        back_ms = now_ms + lease_ms + self.spread_ms(len(rows)) + self.back_ms
+        back_ms = now_ms + lease_ms + self.spread_ms(len(rows)) + self.reconnect_ms
         for row in rows:
             heard_ms = min(now_ms, max(row.heard_ms, alive_ms)) if row.connected else row.heard_ms
             row = replace(row, connected=False, heard_ms=heard_ms)
