--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -73,7 +73,7 @@
         """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
         reconnect to a new agent."""
         self.reconnect_ms = back_ms
-        self.lease_ms, self.beat_ms, self.most, self.now_ms = lease_ms, beat_ms, most, now_ms
+        self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, most, now_ms
         self.members: dict[str, Member] = {}
         self.changed: Callable[[str], None] = lambda name: None  # an instance changed
         self.connected: Callable[[str], None] = lambda name: None  # a process has registered
@@ -125,8 +125,8 @@
     def check(self, hello: Hello) -> None:
         """Checks whether a process may take the name that it asks for. Raises Denial."""
         member = self.members.get(hello.name)
-        if member is None and len(self.members) >= self.most:
-            raise Denial("FULL", f"expected {self.most} instances at most", 60_000)
+        if member is None and len(self.members) >= self.max_instances:
+            raise Denial("FULL", f"expected {self.max_instances} instances at most", 60_000)
         if member is not None and member.row.boot != hello.boot and hello.replaces != member.row.boot:
             rival = member.link is not None and member.leased and not self.has_died(member.row)
             if rival:
