--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -89,7 +89,7 @@
         self.leader: Owner | None = None  # set while this agent only follows: the leader, as far as known
         self.record_read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
         self.started_ms = now_ms()
-        fleet.changed = self.on_changed
+        fleet.on_changed = self.on_changed
         fleet.connected = self.on_connected
 
     # Loading the record at startup
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -75,7 +75,7 @@
         self.reconnect_ms = back_ms
         self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, most, now_ms
         self.members: dict[str, Member] = {}
-        self.changed: Callable[[str], None] = lambda name: None  # an instance changed
+        self.on_changed: Callable[[str], None] = lambda name: None  # an instance changed
         self.connected: Callable[[str], None] = lambda name: None  # a process has registered
         # None if not supervised; "awaited" if its process runs or is about to be started; else "".
         self.supervised: Callable[[str], str | None] = lambda name: None
@@ -225,7 +225,7 @@
         """Marks an instance as changed: to be recorded, and to be looked at by operations."""
         self.members[name].cached = None
         self.dirty.add(name)
-        self.changed(name)
+        self.on_changed(name)
 
     def touch_if_known(self, name: str) -> None:
         if name in self.members:
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -32,7 +32,7 @@
         self.now_ms = 1_000_000
         self.fleet = Fleet(6_000, 2_000, most, lambda: self.now_ms)
         self.changed: list[str] = []
-        self.fleet.changed = self.changed.append
+        self.fleet.on_changed = self.changed.append
 
     def come(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
         hello = Hello(PROTOCOL, name, boot, 1, "0", 5, "z", "h:1", "t", 0, 0, **changes)
