--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -90,7 +90,7 @@
         self.record_read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
         self.started_ms = now_ms()
         fleet.on_changed = self.on_changed
-        fleet.connected = self.on_connected
+        fleet.on_connected = self.on_connected
 
     # Loading the record at startup
 
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -76,7 +76,7 @@
         self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, most, now_ms
         self.members: dict[str, Member] = {}
         self.on_changed: Callable[[str], None] = lambda name: None  # an instance changed
-        self.connected: Callable[[str], None] = lambda name: None  # a process has registered
+        self.on_connected: Callable[[str], None] = lambda name: None  # a process has registered
         # None if not supervised; "awaited" if its process runs or is about to be started; else "".
         self.supervised: Callable[[str], str | None] = lambda name: None
         self.replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
@@ -157,7 +157,7 @@
             self.teachers.remove(hello.name)
         self.registrations += 1
         self.touch(hello.name)
-        self.connected(hello.name)
+        self.on_connected(hello.name)
         return member
 
     def donors(self, hello: Hello, wall_ms: int) -> list[str]:
