--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -78,7 +78,7 @@
         self.on_changed: Callable[[str], None] = lambda name: None  # an instance changed
         self.on_connected: Callable[[str], None] = lambda name: None  # a process has registered
         # None if not supervised; "awaited" if its process runs or is about to be started; else "".
-        self.supervised: Callable[[str], str | None] = lambda name: None
+        self.supervision_of: Callable[[str], str | None] = lambda name: None
         self.replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
         self.ordered: list[str] = []
         self.dirty: set[str] = set()  # names of rows to be written to the record
@@ -249,7 +249,7 @@
             return None
         if member.cached is None:
             row, report = member.row, member.report
-            supervised = self.supervised(name)
+            supervised = self.supervision_of(name)
             member.cached = Observation(
                 name, row.boot, member.leased, member.link is not None, row.heard_ms, row.generation,
                 report.fence if report else 0, report.ready if report else False,
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -118,7 +118,7 @@
                     raise OperatorFileError(f"service {service.name}: expected names that differ, "
                                             f"got {name} twice")
                 self.members[name] = Supervised(service, index, name, base)
-        fleet.supervised = self.supervised
+        fleet.supervision_of = self.supervised
         fleet.replacing = lambda name: name in self.members and self.members[name].replacing
 
     @staticmethod
