--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -79,7 +79,7 @@
         self.on_connected: Callable[[str], None] = lambda name: None  # a process has registered
         # None if not supervised; "awaited" if its process runs or is about to be started; else "".
         self.supervision_of: Callable[[str], str | None] = lambda name: None
-        self.replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
+        self.is_replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
         self.ordered: list[str] = []
         self.dirty: set[str] = set()  # names of rows to be written to the record
         self.here = machine()
@@ -254,7 +254,7 @@
                 name, row.boot, member.leased, member.link is not None, row.heard_ms, row.generation,
                 report.fence if report else 0, report.ready if report else False,
                 report.draining if report else False, report.open if report else 0, row.ended,
-                supervised is not None, supervised == "awaited", self.replacing(name), report is not None)
+                supervised is not None, supervised == "awaited", self.is_replacing(name), report is not None)
         return member.cached
 
     def get(self, name: str, /) -> Observation | None:
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -119,7 +119,7 @@
                                             f"got {name} twice")
                 self.members[name] = Supervised(service, index, name, base)
         fleet.supervision_of = self.supervised
-        fleet.replacing = lambda name: name in self.members and self.members[name].replacing
+        fleet.is_replacing = lambda name: name in self.members and self.members[name].replacing
 
     @staticmethod
     def read_base(service: ServiceConfig) -> dict[str, Any]:
