--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -80,7 +80,7 @@
         # None if not supervised; "awaited" if its process runs or is about to be started; else "".
         self.supervision_of: Callable[[str], str | None] = lambda name: None
         self.is_replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
-        self.ordered: list[str] = []
+        self.sorted_names: list[str] = []
         self.dirty: set[str] = set()  # names of rows to be written to the record
         self.here = machine()
         self.registrations = self.beats = 0
@@ -106,7 +106,7 @@
     def show(self, rows: Iterable[InstanceRow]) -> None:
         """Shows what the leader has recorded, on a follower: the present state of the instances is not known here."""
         self.members = {row.name: Member(row, 0, False) for row in rows}
-        self.ordered = []
+        self.sorted_names = []
 
     def spread_ms(self, count: int | None = None) -> int:
         """Time over which that many instances (by default all) spread their reconnections."""
@@ -263,9 +263,9 @@
 
     def names(self) -> list[str]:
         """All names in order."""
-        if len(self.ordered) != len(self.members):  # names are only ever added, or the cache is cleared
-            self.ordered = sorted(self.members)
-        return self.ordered
+        if len(self.sorted_names) != len(self.members):  # names are only ever added, or the cache is cleared
+            self.sorted_names = sorted(self.members)
+        return self.sorted_names
 
     def values(self, name: str) -> dict[str, str]:
         """The instance's values by selector key."""
@@ -278,7 +278,7 @@
         """Removes an instance that, as an operator confirms, no longer exists."""
         del self.members[name]
         self.dirty.discard(name)
-        self.ordered = []
+        self.sorted_names = []
 
     def set_desired(self, generations: Iterable[tuple[str, int]]) -> None:
         for name, generation in generations:
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -181,11 +181,11 @@
 def test_a_bug_inside_is_told_by_a_code_and_nothing_else(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
-            s.engine.fleet.ordered = None  # type: ignore[assignment]  # read by queries, and not by the agent's own sweep
+            s.engine.fleet.sorted_names = None  # type: ignore[assignment]  # read by queries, and not by the agent's own sweep
             body = await s.ask("{ instances { totalCount } }")
             assert body["errors"][0]["extensions"] == {"code": "INTERNAL"}
             assert "Traceback" not in json.dumps(body) and "NoneType" not in json.dumps(body)
-            s.engine.fleet.ordered = []
+            s.engine.fleet.sorted_names = []
 
     run(test)
     assert "Traceback" in capsys.readouterr().err
