--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -82,7 +82,7 @@
         self.is_replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
         self.sorted_names: list[str] = []
         self.dirty: set[str] = set()  # names of rows to be written to the record
-        self.here = machine()
+        self.this_machine = machine()
         self.registrations = self.beats = 0
         self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
         self.teachers: list[str] = []  # the same names as a list, for random sampling
@@ -120,7 +120,7 @@
 
     def has_died(self, row: InstanceRow) -> bool:
         """Whether the process is known to have ended; that can be told only of processes on this machine."""
-        return bool(row.host and row.host == self.here and row.ticks and not is_alive(row.pid, row.ticks))
+        return bool(row.host and row.host == self.this_machine and row.ticks and not is_alive(row.pid, row.ticks))
 
     def check(self, hello: Hello) -> None:
         """Checks whether a process may take the name that it asks for. Raises Denial."""
