--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -83,7 +83,7 @@
         self.sorted_names: list[str] = []
         self.dirty: set[str] = set()  # names of rows to be written to the record
         self.this_machine = machine()
-        self.registrations = self.beats = 0
+        self.registrations = self.heartbeats = 0
         self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
         self.teachers: list[str] = []  # the same names as a list, for random sampling
         self.random = random.Random()
@@ -187,7 +187,7 @@
             != (report.generation, report.fence, report.ready, report.draining, report.open == 0))
         member.row = replace(member.row, heard_ms=now_ms, generation=report.generation)
         member.leased, member.cached = True, None
-        self.beats += 1
+        self.heartbeats += 1
         if changed:
             self.touch(name)
         return True
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -230,7 +230,7 @@
         "draining": states["draining"] + states["drained"], "silent": states["silent"], "gone": states["gone"],
         "behind": behind, "openOperations": len(engine.live_operations), "version": context.version,
         "startedAt": iso(context.started_ms), "registrations": engine.fleet.registrations,
-        "heartbeats": engine.fleet.beats, "halt": halt_object(engine.permits.halt),
+        "heartbeats": engine.fleet.heartbeats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
         "leader": engine.leader.api if engine.leader is not None else "",
         "ageMs": 0 if engine.leader is None else clock_ms() - engine.record_read_ms,
