--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -84,7 +84,7 @@
         self.dirty: set[str] = set()  # names of rows to be written to the record
         self.this_machine = machine()
         self.registrations = self.heartbeats = 0
-        self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
+        self.donor_addresses: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
         self.teachers: list[str] = []  # the same names as a list, for random sampling
         self.random = random.Random()
 
@@ -150,10 +150,10 @@
         report = member.report if member is not None and same else None
         self.members[hello.name] = member = Member(row, now_ms + lease_ms, True, lease_ms, report, link)
         if hello.teaches:
-            if hello.name not in self.teaching:
+            if hello.name not in self.donor_addresses:
                 self.teachers.append(hello.name)
-            self.teaching[hello.name] = hello.teaches
-        elif self.teaching.pop(hello.name, None) is not None:
+            self.donor_addresses[hello.name] = hello.teaches
+        elif self.donor_addresses.pop(hello.name, None) is not None:
             self.teachers.remove(hello.name)
         self.registrations += 1
         self.touch(hello.name)
@@ -171,7 +171,7 @@
                 continue
             settled = wall_ms - member.row.started_ms >= DONOR_MIN_UPTIME_MS
             if settled and member.report.ready and not member.report.draining:
-                found.append((member.row.zone != hello.zone, self.teaching[name]))
+                found.append((member.row.zone != hello.zone, self.donor_addresses[name]))
         return [address for _, address in sorted(found, key=lambda one: one[0])[:MAX_DONORS]]
 
     def beat(self, name: str, link: Link, report: Report) -> bool:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -490,7 +490,7 @@
             async with one(old, "old", LearnedConfig(teach=("127.0.0.1", 0))):
                 while len(learned_state(old.sidecar.balancer).upstreams) < 3:
                     await old.call()
-                await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
+                await until(lambda: "old" in agent.fleet.donor_addresses and agent.fleet.members["old"].report)
                 async with one(new, "new", LearnedConfig(from_agent=True)) as channel:
                     await until(lambda: channel.running is not None and channel.running.pupil.learned)
                     assert all(server.lesson for server in new.sidecar.balancer.upstreams.values())
