--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -85,7 +85,7 @@
         self.this_machine = machine()
         self.registrations = self.heartbeats = 0
         self.donor_addresses: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
-        self.teachers: list[str] = []  # the same names as a list, for random sampling
+        self.donor_names: list[str] = []  # the same names as a list, for random sampling
         self.random = random.Random()
 
     def load(self, rows: Iterable[InstanceRow], alive_ms: int) -> None:
@@ -151,10 +151,10 @@
         self.members[hello.name] = member = Member(row, now_ms + lease_ms, True, lease_ms, report, link)
         if hello.teaches:
             if hello.name not in self.donor_addresses:
-                self.teachers.append(hello.name)
+                self.donor_names.append(hello.name)
             self.donor_addresses[hello.name] = hello.teaches
         elif self.donor_addresses.pop(hello.name, None) is not None:
-            self.teachers.remove(hello.name)
+            self.donor_names.remove(hello.name)
         self.registrations += 1
         self.touch(hello.name)
         self.on_connected(hello.name)
@@ -164,7 +164,7 @@
         """Addresses from which a new process may get its initial state: serving instances on its machine, those of its
         zone first. Only a random sample is examined, so the cost does not grow with the fleet."""
         found = []
-        for name in self.random.sample(self.teachers, min(DONOR_SAMPLE, len(self.teachers))):
+        for name in self.random.sample(self.donor_names, min(DONOR_SAMPLE, len(self.donor_names))):
             member = self.members.get(name)
             if (member is None or name == hello.name or member.link is None or member.report is None
                     or member.row.host != hello.host):
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -197,4 +197,4 @@
     scene.fleet.beat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
     scene.come("far0", "b1")  # it teaches no more
-    assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.teachers) == 5
+    assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.donor_names) == 5
