--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -103,7 +103,7 @@
                 member.row, member.leased = replace(row, ended="ended while no agent looked"), False
             self.members[row.name] = member
 
-    def show(self, rows: Iterable[InstanceRow]) -> None:
+    def show_record(self, rows: Iterable[InstanceRow]) -> None:
         """Shows what the leader has recorded, on a follower: the present state of the instances is not known here."""
         self.members = {row.name: Member(row, 0, False) for row in rows}
         self.sorted_names = []
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -307,7 +307,7 @@
                         self.log(f"follows the agent of {owner.place}, term {owner.epoch}")
                         said = owner.place
                     await self.reload_tokens(store)
-                    fleet.show(await store.read(lambda records: records.instances()))
+                    fleet.show_record(await store.read(lambda records: records.instances()))
                     engine.permits.apply_halt(await store.read(lambda records: records.halt()))
                     engine.record_read_ms = clock_ms()
                 except StoreError as error:
