--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -99,7 +99,7 @@
             self.boot, name = hello.boot, hello.name
             fleet = self.links.fleet
             fleet.check(hello)
-            lease_ms, beat_ms = fleet.times()
+            lease_ms, beat_ms = fleet.lease_and_heartbeat()
             donors = fleet.donors(hello, int(time.time() * 1000))
             self.send(Welcome(lease_ms, beat_ms, fleet.spread_ms(), donors, self.links.term()))
             fleet.register(hello, self, lease_ms)
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -113,7 +113,7 @@
         count = len(self.members) if count is None else count
         return max(MIN_SPREAD_MS, int(1_000 * count / RECONNECTS_PER_S))
 
-    def times(self) -> tuple[int, int]:
+    def lease_and_heartbeat(self) -> tuple[int, int]:
         """Lease duration and heartbeat interval for a new registration, in milliseconds, by the present fleet size."""
         beat_ms = max(self.beat_ms, int(1_000 * len(self.members) / MAX_HEARTBEATS_PER_S))
         return max(self.lease_ms, HEARTBEATS_PER_LEASE * beat_ms), beat_ms
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -38,7 +38,7 @@
         hello = Hello(PROTOCOL, name, boot, 1, "0", 5, "z", "h:1", "t", 0, 0, **changes)
         link = FakeLink(boot)
         self.fleet.check(hello)
-        self.fleet.register(hello, link, self.fleet.times()[0])
+        self.fleet.register(hello, link, self.fleet.lease_and_heartbeat()[0])
         return link
 
     def state(self, name: str = "a") -> str:
@@ -127,10 +127,10 @@
 
 def test_the_interval_grows_with_the_fleet_so_that_heartbeats_don_t() -> None:
     s = Scene(most=100_000)
-    assert s.fleet.times() == (6_000, 2_000)
+    assert s.fleet.lease_and_heartbeat() == (6_000, 2_000)
     for count in (2_000, 5_000, 20_000):
         s.fleet.members.update((f"i{n}", None) for n in range(count))  # type: ignore[misc]
-        lease_ms, beat_ms = s.fleet.times()
+        lease_ms, beat_ms = s.fleet.lease_and_heartbeat()
         assert count * 1_000 / beat_ms <= MAX_HEARTBEATS_PER_S and lease_ms >= HEARTBEATS_PER_LEASE * beat_ms
 
 
