--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -98,7 +98,7 @@
                 raise Denial(NOT_LEADING, "another agent leads", 0)
             self.boot, name = hello.boot, hello.name
             fleet = self.links.fleet
-            fleet.check(hello)
+            fleet.check_registration(hello)
             lease_ms, beat_ms = fleet.lease_and_heartbeat()
             donors = fleet.donors(hello, int(time.time() * 1000))
             self.send(Welcome(lease_ms, beat_ms, fleet.spread_ms(), donors, self.links.term()))
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -122,7 +122,7 @@
         """Whether the process is known to have ended; that can be told only of processes on this machine."""
         return bool(row.host and row.host == self.this_machine and row.ticks and not is_alive(row.pid, row.ticks))
 
-    def check(self, hello: Hello) -> None:
+    def check_registration(self, hello: Hello) -> None:
         """Checks whether a process may take the name that it asks for. Raises Denial."""
         member = self.members.get(hello.name)
         if member is None and len(self.members) >= self.max_instances:
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -37,7 +37,7 @@
     def come(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
         hello = Hello(PROTOCOL, name, boot, 1, "0", 5, "z", "h:1", "t", 0, 0, **changes)
         link = FakeLink(boot)
-        self.fleet.check(hello)
+        self.fleet.check_registration(hello)
         self.fleet.register(hello, link, self.fleet.lease_and_heartbeat()[0])
         return link
 
