--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -75,13 +75,13 @@
                 raise MessageError(f"expected hello, got {message.type}")
             self.on_hello(message)
         elif isinstance(message, Heartbeat):
-            if self.links.fleet.beat(self.name, self, message.report):
+            if self.links.fleet.heartbeat(self.name, self, message.report):
                 self.send(LeaseRenewal(message.seq))
             else:
                 self.close("another process has its name")
         elif isinstance(message, CommandResult):
             if message.report is not None:
-                self.links.fleet.beat(self.name, self, message.report)
+                self.links.fleet.heartbeat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
         elif isinstance(message, Goodbye):
             self.bye = f"ended by itself: {message.reason}"
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -174,7 +174,7 @@
                 found.append((member.row.zone != hello.zone, self.donor_addresses[name]))
         return [address for _, address in sorted(found, key=lambda one: one[0])[:MAX_DONORS]]
 
-    def beat(self, name: str, link: Link, report: Report) -> bool:
+    def heartbeat(self, name: str, link: Link, report: Report) -> bool:
         """Takes in a heartbeat. Returns False if the process no longer has the name."""
         member = self.members.get(name)
         if member is None or member.link is not link:
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -51,7 +51,7 @@
     s = Scene()
     link = s.come()
     assert s.state() == "not ready"  # it has shown nothing yet
-    assert s.fleet.beat("a", link, REPORT) and s.state() == "ready"
+    assert s.fleet.heartbeat("a", link, REPORT) and s.state() == "ready"
     s.now_ms += 5_999
     s.fleet.sweep()
     assert s.state() == "ready"
@@ -59,20 +59,20 @@
     s.changed.clear()
     s.fleet.sweep()
     assert s.state() == "silent" and s.changed == ["a"]
-    s.fleet.beat("a", link, REPORT)
+    s.fleet.heartbeat("a", link, REPORT)
     assert s.state() == "ready"
 
 
 def test_heartbeats_that_show_nothing_new_wake_no_operation() -> None:
     s = Scene()
     link = s.come()
-    s.fleet.beat("a", link, REPORT)
+    s.fleet.heartbeat("a", link, REPORT)
     s.changed.clear()
     for more in range(5):
-        s.fleet.beat("a", link, replace(REPORT, cpu_s=1.0 + more, open=3 + more))
+        s.fleet.heartbeat("a", link, replace(REPORT, cpu_s=1.0 + more, open=3 + more))
     assert s.changed == []
     for report in (replace(REPORT, open=0), replace(REPORT, generation=9), replace(REPORT, draining=True)):
-        s.fleet.beat("a", link, report)
+        s.fleet.heartbeat("a", link, report)
     assert s.changed == ["a"] * 3
 
 
@@ -84,7 +84,7 @@
     assert found.value.code == "DUPLICATE" and found.value.retry_ms == 6_000
     again = s.come()  # the same process, on another connection
     assert first.closed and not again.closed
-    assert not s.fleet.beat("a", first, REPORT)  # what the old connection still says counts for nothing
+    assert not s.fleet.heartbeat("a", first, REPORT)  # what the old connection still says counts for nothing
     successor = s.come(boot="b2", replaces="b1")
     assert again.closed and not successor.closed and s.fleet.members["a"].row.boot == "b2"
     s.fleet.unlink("a", again, "ended by itself: x")
@@ -177,7 +177,7 @@
                       **changes)
         link = FakeLink("b1")
         scene.fleet.register(hello, link, 6_000)
-        scene.fleet.beat(name, link, REPORT)
+        scene.fleet.heartbeat(name, link, REPORT)
         return link
 
     newcomer = Hello(PROTOCOL, "new", "b", 1, "0", 5, "z", "h:1", "t", 0, 0, host="m")
@@ -194,7 +194,7 @@
     gone = teach("near1", 8001)
     scene.fleet.unlink("near1", gone, "")
     drained = teach("near0", 8000)
-    scene.fleet.beat("near0", drained, replace(REPORT, draining=True))
+    scene.fleet.heartbeat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
     scene.come("far0", "b1")  # it teaches no more
     assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.donor_names) == 5
