--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -135,7 +135,7 @@
         self.patience.cancel()
         self.links.open.discard(self)
         if self.name:
-            self.links.fleet.unlink(self.name, self, self.bye)
+            self.links.fleet.disconnect(self.name, self, self.bye)
         else:
             self.links.silent -= 1
 
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -192,7 +192,7 @@
             self.touch(name)
         return True
 
-    def unlink(self, name: str, link: Link, bye: str) -> None:
+    def disconnect(self, name: str, link: Link, bye: str) -> None:
         """A connection has ended. The process is known to have ended only if it said so in `bye` or ran here."""
         member = self.members.get(name)
         if member is None or member.link is not link:
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -87,7 +87,7 @@
     assert not s.fleet.heartbeat("a", first, REPORT)  # what the old connection still says counts for nothing
     successor = s.come(boot="b2", replaces="b1")
     assert again.closed and not successor.closed and s.fleet.members["a"].row.boot == "b2"
-    s.fleet.unlink("a", again, "ended by itself: x")
+    s.fleet.disconnect("a", again, "ended by itself: x")
     assert s.fleet.members["a"].row.ended == ""  # that was the former one's end
     s.now_ms += 6_001
     s.fleet.sweep()
@@ -106,7 +106,7 @@
 def test_the_most_exact_account_of_an_end_stays() -> None:
     s = Scene()
     link = s.come()
-    s.fleet.unlink("a", link, "ended by itself: ended")
+    s.fleet.disconnect("a", link, "ended by itself: ended")
     assert s.state() == "gone" and s.fleet.members["a"].row.ended.startswith("ended by itself")
     s.fleet.ended("a", "b1", "exit 0")
     assert s.fleet.members["a"].row.ended == "exit 0"
@@ -118,10 +118,10 @@
 
 def test_a_connection_that_breaks_says_nothing_of_the_process_unless_it_was_here() -> None:
     s = Scene()
-    s.fleet.unlink("a", s.come(), "")
+    s.fleet.disconnect("a", s.come(), "")
     assert s.state() == "not ready"  # its lease runs
     here = s.come("b", host=machine(), ticks=77)  # pid 1 with another start time: that process is no more
-    s.fleet.unlink("b", here, "")
+    s.fleet.disconnect("b", here, "")
     assert s.state("b") == "gone"
 
 
@@ -192,7 +192,7 @@
     assert scene.fleet.donors(replace(newcomer, host="other"), 50_000) == []  # their loopback is not its own
     assert "127.0.0.1:8000" not in scene.fleet.donors(replace(newcomer, name="near0"), 50_000)
     gone = teach("near1", 8001)
-    scene.fleet.unlink("near1", gone, "")
+    scene.fleet.disconnect("near1", gone, "")
     drained = teach("near0", 8000)
     scene.fleet.heartbeat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
