--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -200,13 +200,13 @@
         member.link = None
         member.row = replace(member.row, connected=False)
         if bye:
-            self.ended(name, member.row.boot, bye)
+            self.process_ended(name, member.row.boot, bye)
         elif self.has_died(member.row):
-            self.ended(name, member.row.boot, "its process has ended")
+            self.process_ended(name, member.row.boot, "its process has ended")
         else:
             self.touch(name)
 
-    def ended(self, name: str, boot: str, how: str) -> None:
+    def process_ended(self, name: str, boot: str, how: str) -> None:
         """The process is known to have ended. An exit code or signal replaces a less exact earlier description."""
         member = self.members.get(name)
         if member is None or member.row.boot != boot:
@@ -238,7 +238,7 @@
             if not member.leased:
                 continue
             if member.link is None and self.has_died(member.row):
-                self.ended(name, member.row.boot, "its process has ended")
+                self.process_ended(name, member.row.boot, "its process has ended")
             elif now_ms >= member.leased_until_ms:
                 member.leased = False
                 self.touch(name)
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -191,7 +191,7 @@
             how = await asyncio.shield(run.ended)
             if member.run is not run:
                 continue  # already replaced by its successor
-            self.fleet.ended(member.name, run.boot, how)
+            self.fleet.process_ended(member.name, run.boot, how)
             member.run = None
             self.remember(member)
             if member.held or member.wake.is_set() or self.ending:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -534,7 +534,7 @@
             s.kill("i0")
             await until(lambda: s.agent.fleet.members["i0"].link is None)
             s.agent.fleet.sweep()
-            s.agent.fleet.ended("i0", s.clients["i0"].identity.boot, "signal 9")
+            s.agent.fleet.process_ended("i0", s.clients["i0"].identity.boot, "signal 9")
             second = s.start("i0")
             await until(lambda: second.client is not None and s.agent.fleet.members["i0"].link is not None)
             await asyncio.sleep(2.5)
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -108,11 +108,11 @@
     link = s.come()
     s.fleet.disconnect("a", link, "ended by itself: ended")
     assert s.state() == "gone" and s.fleet.members["a"].row.ended.startswith("ended by itself")
-    s.fleet.ended("a", "b1", "exit 0")
+    s.fleet.process_ended("a", "b1", "exit 0")
     assert s.fleet.members["a"].row.ended == "exit 0"
-    s.fleet.ended("a", "b1", "its process has ended")
-    s.fleet.ended("a", "b0", "signal 9")  # another process's
-    s.fleet.ended("nobody", "b1", "signal 9")
+    s.fleet.process_ended("a", "b1", "its process has ended")
+    s.fleet.process_ended("a", "b0", "signal 9")  # another process's
+    s.fleet.process_ended("nobody", "b1", "signal 9")
     assert s.fleet.members["a"].row.ended == "exit 0"
 
 
