--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -156,7 +156,7 @@
         elif self.donor_addresses.pop(hello.name, None) is not None:
             self.donor_names.remove(hello.name)
         self.registrations += 1
-        self.touch(hello.name)
+        self.mark_changed(hello.name)
         self.on_connected(hello.name)
         return member
 
@@ -189,7 +189,7 @@
         member.leased, member.cached = True, None
         self.heartbeats += 1
         if changed:
-            self.touch(name)
+            self.mark_changed(name)
         return True
 
     def disconnect(self, name: str, link: Link, bye: str) -> None:
@@ -204,7 +204,7 @@
         elif self.has_died(member.row):
             self.process_ended(name, member.row.boot, "its process has ended")
         else:
-            self.touch(name)
+            self.mark_changed(name)
 
     def process_ended(self, name: str, boot: str, how: str) -> None:
         """The process is known to have ended. An exit code or signal replaces a less exact earlier description."""
@@ -219,9 +219,9 @@
         if member.link is not None:
             link, member.link = member.link, None
             link.close("its process has ended")
-        self.touch(name)
+        self.mark_changed(name)
 
-    def touch(self, name: str) -> None:
+    def mark_changed(self, name: str) -> None:
         """Marks an instance as changed: to be recorded, and to be looked at by operations."""
         self.members[name].cached = None
         self.dirty.add(name)
@@ -229,7 +229,7 @@
 
     def touch_if_known(self, name: str) -> None:
         if name in self.members:
-            self.touch(name)
+            self.mark_changed(name)
 
     def sweep(self) -> None:
         """Ends expired leases, and finds processes without a connection that have died."""
@@ -241,7 +241,7 @@
                 self.process_ended(name, member.row.boot, "its process has ended")
             elif now_ms >= member.leased_until_ms:
                 member.leased = False
-                self.touch(name)
+                self.mark_changed(name)
 
     def seen(self, name: str) -> Observation | None:
         member = self.members.get(name)
