--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -227,7 +227,7 @@
         self.dirty.add(name)
         self.on_changed(name)
 
-    def touch_if_known(self, name: str) -> None:
+    def mark_changed_if_known(self, name: str) -> None:
         if name in self.members:
             self.mark_changed(name)
 
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -201,7 +201,7 @@
                 member.gave_up = f"crash loop, last {how}"
                 self.log(f"{member.name}: not restarted again ({member.gave_up}); see {self.logs / member.name}.log, "
                          "then run `ironscale restart`")
-                self.fleet.touch_if_known(member.name)
+                self.fleet.mark_changed_if_known(member.name)
                 continue
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -270,7 +270,7 @@
             return
         member.restarts.forgive()
         member.held, member.gave_up, member.replacing = False, "", True
-        self.fleet.touch_if_known(member.name)
+        self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
 
     async def replace(self, member: Supervised) -> None:
@@ -285,7 +285,7 @@
                 await old.stop(member.service.stop_s)
         finally:
             member.replacing = False
-            self.fleet.touch_if_known(member.name)
+            self.fleet.mark_changed_if_known(member.name)
 
     async def make_before_break(self, member: Supervised, old: Run) -> None:
         """Starts the successor first, and stops the old process once the successor is ready."""
