--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -613,7 +613,7 @@
         if name in self.permits.ledger.sights and name.startswith(f"{Of.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
-        seen = self.fleet.seen(name)
+        seen = self.fleet.observe(name)
         if seen is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
         if any(name in live.position_of for live in self.live_operations.values()):
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -243,7 +243,7 @@
                 member.leased = False
                 self.mark_changed(name)
 
-    def seen(self, name: str) -> Observation | None:
+    def observe(self, name: str) -> Observation | None:
         member = self.members.get(name)
         if member is None:
             return None
@@ -259,7 +259,7 @@
 
     def get(self, name: str, /) -> Observation | None:
         """Same as `seen`; implements planner.View."""
-        return self.seen(name)
+        return self.observe(name)
 
     def names(self) -> list[str]:
         """All names in order."""
@@ -269,7 +269,7 @@
 
     def values(self, name: str) -> dict[str, str]:
         """The instance's values by selector key."""
-        member, seen = self.members[name], self.seen(name)
+        member, seen = self.members[name], self.observe(name)
         assert seen is not None
         return {"name": name, "zone": member.row.zone, "state": state_of(seen),
                 "generation": str(member.row.generation), "version": member.row.version}
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -39,7 +39,7 @@
         """Answers of the ready instances among `names` since the start of the soak, summed by request class."""
         total: dict[str, Counts] = {}
         for name in names:
-            seen = fleet.seen(name)
+            seen = fleet.observe(name)
             if seen is None or state_of(seen) != "ready":  # draining instances refuse requests for that reason
                 continue
             boot, before = self.before.get(name, ("", {}))
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -87,7 +87,7 @@
 
     def observe(self, name: str) -> Sight:
         """What the ledger needs to know of a sidecar: whether it is out of service, and why."""
-        member, seen = self.fleet.members[name], self.fleet.seen(name)
+        member, seen = self.fleet.members[name], self.fleet.observe(name)
         assert seen is not None
         unit = Unit(Of.SIDECAR, name, service_of(name), member.row.zone)
         asked_ms = self.inspected_ms.get(name, 0)
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -134,7 +134,7 @@
 
 
 def instance_object(engine: Engine, name: str) -> dict[str, Any]:
-    member, seen = engine.fleet.members[name], engine.fleet.seen(name)
+    member, seen = engine.fleet.members[name], engine.fleet.observe(name)
     assert seen is not None
     row = member.row
 
@@ -221,7 +221,7 @@
     states: Counter[str] = Counter()
     behind = 0
     for name, member in engine.fleet.members.items():
-        seen = engine.fleet.seen(name)
+        seen = engine.fleet.observe(name)
         assert seen is not None
         states[state_of(seen)] += 1
         behind += member.row.generation != member.row.desired
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -42,7 +42,7 @@
         return link
 
     def state(self, name: str = "a") -> str:
-        seen = self.fleet.seen(name)
+        seen = self.fleet.observe(name)
         assert seen is not None
         return state_of(seen)
 
