--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -267,7 +267,7 @@
             self.sorted_names = sorted(self.members)
         return self.sorted_names
 
-    def values(self, name: str) -> dict[str, str]:
+    def selector_values(self, name: str) -> dict[str, str]:
         """The instance's values by selector key."""
         member, seen = self.members[name], self.observe(name)
         assert seen is not None
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -206,7 +206,7 @@
 
 def names_matching(engine: Engine, selector: str) -> list[str]:
     holds = selected(selector)
-    return [name for name in engine.fleet.names() if not selector or holds(engine.fleet.values(name))]
+    return [name for name in engine.fleet.names() if not selector or holds(engine.fleet.selector_values(name))]
 
 
 async def q_me(root: Any, info: Any) -> dict[str, Any]:
@@ -243,7 +243,7 @@
     size, last, holds = page_size(first), uncursor(after), selected(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
-        if not selector or holds(engine.fleet.values(names[place])):
+        if not selector or holds(engine.fleet.selector_values(names[place])):
             page.append(names[place])
             if len(page) > size:
                 break
