--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -45,7 +45,7 @@
     report: Report | None = None
     link: Link | None = None
     saved_heard_ms: int = 0
-    cached: Observation | None = None
+    cached_observation: Observation | None = None
 
 
 class Denial(Exception):
@@ -186,7 +186,7 @@
             (before.generation, before.fence, before.ready, before.draining, before.open == 0)
             != (report.generation, report.fence, report.ready, report.draining, report.open == 0))
         member.row = replace(member.row, heard_ms=now_ms, generation=report.generation)
-        member.leased, member.cached = True, None
+        member.leased, member.cached_observation = True, None
         self.heartbeats += 1
         if changed:
             self.mark_changed(name)
@@ -223,7 +223,7 @@
 
     def mark_changed(self, name: str) -> None:
         """Marks an instance as changed: to be recorded, and to be looked at by operations."""
-        self.members[name].cached = None
+        self.members[name].cached_observation = None
         self.dirty.add(name)
         self.on_changed(name)
 
@@ -247,15 +247,15 @@
         member = self.members.get(name)
         if member is None:
             return None
-        if member.cached is None:
+        if member.cached_observation is None:
             row, report = member.row, member.report
             supervised = self.supervision_of(name)
-            member.cached = Observation(
+            member.cached_observation = Observation(
                 name, row.boot, member.leased, member.link is not None, row.heard_ms, row.generation,
                 report.fence if report else 0, report.ready if report else False,
                 report.draining if report else False, report.open if report else 0, row.ended,
                 supervised is not None, supervised == "awaited", self.is_replacing(name), report is not None)
-        return member.cached
+        return member.cached_observation
 
     def get(self, name: str, /) -> Observation | None:
         """Same as `seen`; implements planner.View."""
