--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -23,7 +23,7 @@
         """Whether the wave that begins at position `first` may start, by the answers counted since the last wave."""
         if first != self.first:
             self.first, self.since_ms = first, now_ms
-            self.before = {name: (member.row.boot, counted(fleet, name)) for name, member in fleet.members.items()
+            self.before = {name: (member.row.boot, reported_counts(fleet, name)) for name, member in fleet.members.items()
                            if member.report is not None}
         settled = {target.name for target in targets if target.state is State.APPLIED}
         touched = {target.name for target in targets if target.command}
@@ -43,14 +43,14 @@
             if seen is None or state_of(seen) != "ready":  # draining instances refuse requests for that reason
                 continue
             boot, before = self.before.get(name, ("", {}))
-            for kind, counts in counted(fleet, name).items():
+            for kind, counts in reported_counts(fleet, name).items():
                 # A process that has started since then has counted from zero.
                 delta = counts.since(before.get(kind, Counts())) if boot == seen.boot else counts
                 total[kind] = total.get(kind, Counts()).plus(delta)
         return total
 
 
-def counted(fleet: Fleet, name: str) -> dict[str, Counts]:
+def reported_counts(fleet: Fleet, name: str) -> dict[str, Counts]:
     """The instance's last reported counters by request class."""
     report = fleet.members[name].report
     return {c.name: Counts(c.served, c.refused, c.failed) for c in report.classes} if report is not None else {}
