--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -14,15 +14,15 @@
 class Gate:
     """Gate of one operation. Counting starts over with each wave, and when another agent becomes the leader."""
 
-    first: int = -1  # position of the first target of the next wave
+    next_wave_start: int = -1  # position of the first target of the next wave
     since_ms: int = 0
     before: dict[str, tuple[str, dict[str, Counts]]] = field(default_factory=dict)  # name -> boot, baseline
     note: str = ""
 
     def verdict(self, policy: Policy, targets: Sequence[Target], first: int, fleet: Fleet, now_ms: int) -> Verdict:
         """Whether the wave that begins at position `first` may start, by the answers counted since the last wave."""
-        if first != self.first:
-            self.first, self.since_ms = first, now_ms
+        if first != self.next_wave_start:
+            self.next_wave_start, self.since_ms = first, now_ms
             self.before = {name: (member.row.boot, reported_counts(fleet, name)) for name, member in fleet.members.items()
                            if member.report is not None}
         settled = {target.name for target in targets if target.state is State.APPLIED}
