--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -16,14 +16,14 @@
 
     next_wave_start: int = -1  # position of the first target of the next wave
     since_ms: int = 0
-    before: dict[str, tuple[str, dict[str, Counts]]] = field(default_factory=dict)  # name -> boot, baseline
+    baseline: dict[str, tuple[str, dict[str, Counts]]] = field(default_factory=dict)  # name -> boot, baseline
     note: str = ""
 
     def verdict(self, policy: Policy, targets: Sequence[Target], first: int, fleet: Fleet, now_ms: int) -> Verdict:
         """Whether the wave that begins at position `first` may start, by the answers counted since the last wave."""
         if first != self.next_wave_start:
             self.next_wave_start, self.since_ms = first, now_ms
-            self.before = {name: (member.row.boot, reported_counts(fleet, name)) for name, member in fleet.members.items()
+            self.baseline = {name: (member.row.boot, reported_counts(fleet, name)) for name, member in fleet.members.items()
                            if member.report is not None}
         settled = {target.name for target in targets if target.state is State.APPLIED}
         touched = {target.name for target in targets if target.command}
@@ -42,7 +42,7 @@
             seen = fleet.observe(name)
             if seen is None or state_of(seen) != "ready":  # draining instances refuse requests for that reason
                 continue
-            boot, before = self.before.get(name, ("", {}))
+            boot, before = self.baseline.get(name, ("", {}))
             for kind, counts in reported_counts(fleet, name).items():
                 # A process that has started since then has counted from zero.
                 delta = counts.since(before.get(kind, Counts())) if boot == seen.boot else counts
