--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -27,15 +27,15 @@
                            if member.report is not None}
         settled = {target.name for target in targets if target.state is State.APPLIED}
         touched = {target.name for target in targets if target.command}
-        changed = self.total(fleet, settled)
-        untouched = self.total(fleet, fleet.members.keys() - touched)
+        changed = self.count_answers(fleet, settled)
+        untouched = self.count_answers(fleet, fleet.members.keys() - touched)
         rule = Rule(policy.soak_ms, policy.margin, policy.soak_most_ms, policy.unsure)
         found = judge(changed, untouched, rule, now_ms - self.since_ms)
         if found.word is Word.GO:
             self.note = found.text
         return found
 
-    def total(self, fleet: Fleet, names: Collection[str]) -> dict[str, Counts]:
+    def count_answers(self, fleet: Fleet, names: Collection[str]) -> dict[str, Counts]:
         """Answers of the ready instances among `names` since the start of the soak, summed by request class."""
         total: dict[str, Counts] = {}
         for name in names:
