--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -21,7 +21,7 @@
 MAX_TOKENS = 4_000
 MAX_DEPTH = 12
 MAX_COST = 50_000  # fields that a document can resolve to; a list counts as many entries as `first` allows
-DEFAULT_PAGE, MOST_PAGE = 100, 500  # entries of a page: default, and maximum
+DEFAULT_PAGE, MAX_PAGE = 100, 500  # entries of a page: default, and maximum
 LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
 # Lists without pagination, with the number of entries that the cost assumes.
 OPEN_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
@@ -82,5 +82,5 @@
             elif isinstance(argument.value, VariableNode):
                 value = variables.get(argument.value.name.value)
             if isinstance(value, int):
-                return max(1, min(value, MOST_PAGE))
+                return max(1, min(value, MAX_PAGE))
     return DEFAULT_PAGE
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -21,7 +21,7 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import state_of
-from ironscale.agent.limits import MOST_PAGE
+from ironscale.agent.limits import MAX_PAGE
 from ironscale.agent.model import ON_FAILURE, OPEN_PHASES, Kind, Operation, Policy, State, Target
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.selectors import SelectorError, selected
@@ -104,8 +104,8 @@
 
 
 def page_size(first: int) -> int:
-    if not 0 <= first <= MOST_PAGE:
-        raise error("BAD_INPUT", f"first: expected 0 to {MOST_PAGE}, got {first}")
+    if not 0 <= first <= MAX_PAGE:
+        raise error("BAD_INPUT", f"first: expected 0 to {MAX_PAGE}, got {first}")
     return first
 
 
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -130,7 +130,7 @@
     assert of("{ instances(first: 10) { edges { node { name } } } }") == 1 + 10 + 10 + 10
     assert of("query($n: Int) { instances(first: $n) { totalCount } }", n=7) == 1 + 7
     assert of("{ instances { totalCount } }") == 1 + limits.DEFAULT_PAGE
-    assert of("{ instances(first: 99999) { totalCount } }") == 1 + limits.MOST_PAGE
+    assert of("{ instances(first: 99999) { totalCount } }") == 1 + limits.MAX_PAGE
 
 
 def test_introspection_can_be_switched_off(tmp_path: Path) -> None:
