--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -22,7 +22,7 @@
 MAX_DEPTH = 12
 MAX_COST = 50_000  # fields that a document can resolve to; a list counts as many entries as `first` allows
 DEFAULT_PAGE, MAX_PAGE = 100, 500  # entries of a page: default, and maximum
-LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
+PAGINATED_LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
 # Lists without pagination, with the number of entries that the cost assumes.
 OPEN_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
               "positions": 50, "differing": 100}
@@ -72,7 +72,7 @@
     name = node.name.value
     if name in OPEN_LISTS:
         return OPEN_LISTS[name]
-    if name not in LISTS:
+    if name not in PAGINATED_LISTS:
         return 1
     for argument in node.arguments or ():
         if argument.name.value == "first":
