--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -24,7 +24,7 @@
 DEFAULT_PAGE, MAX_PAGE = 100, 500  # entries of a page: default, and maximum
 PAGINATED_LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
 # Lists without pagination, with the number of entries that the cost assumes.
-OPEN_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
+UNPAGINATED_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
               "positions": 50, "differing": 100}
 
 
@@ -70,8 +70,8 @@
 def _size(node: FieldNode, variables: Mapping[str, Any]) -> int:
     """How many entries the field's list may have; 1 for a field that is no list."""
     name = node.name.value
-    if name in OPEN_LISTS:
-        return OPEN_LISTS[name]
+    if name in UNPAGINATED_LISTS:
+        return UNPAGINATED_LISTS[name]
     if name not in PAGINATED_LISTS:
         return 1
     for argument in node.arguments or ():
