--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -165,8 +165,8 @@
         body = b""
         async for piece in request.stream():
             body += piece
-            if len(body) > limits.MAX_BODY:
-                raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY} bytes at most")
+            if len(body) > limits.MAX_BODY_BYTES:
+                raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY_BYTES} bytes at most")
         return body
 
     async def answer(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -66,7 +66,7 @@
     ("query no text", {"json": {"query": 3}}, 400, "BAD_REQUEST"),
     ("variables no object", {"json": {**ME, "variables": [1]}}, 400, "BAD_REQUEST"),
     ("operationName no text", {"json": {**ME, "operationName": 3}}, 400, "BAD_REQUEST"),
-    ("a large body", {"json": {"query": "#" + "x" * limits.MAX_BODY}}, 413, "TOO_LARGE"),
+    ("a large body", {"json": {"query": "#" + "x" * limits.MAX_BODY_BYTES}}, 413, "TOO_LARGE"),
     ("a syntax error", {"json": {"query": "{ me"}}, 400, "BAD_REQUEST"),
     ("an unknown field", {"json": {"query": "{ nobody }"}}, 400, "BAD_REQUEST"),
     ("the same, legacy", {"json": {"query": "{ nobody }"}, "headers": {"accept": LEGACY}}, 200, "BAD_REQUEST"),
