--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -199,7 +199,7 @@
         """Cost first: hazard: validation of fields that overlap grows with the square of a document."""
         try:
             limits.cost(document, variables)
-        except limits.TooMuch as error:
+        except limits.LimitExceeded as error:
             return [GraphQLError(str(error), extensions={"code": "TOO_COMPLEX"})]
         except RecursionError:
             return [GraphQLError("expected fragments that don't contain themselves")]
--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -28,7 +28,7 @@
               "positions": 50, "differing": 100}
 
 
-class TooMuch(Exception):
+class LimitExceeded(Exception):
     """The document exceeds a limit; the text is one line."""
 
 
@@ -46,19 +46,19 @@
         if selections is None:
             return
         if depth > MAX_DEPTH:
-            raise TooMuch(f"expected a depth of {MAX_DEPTH} at most, got more")
+            raise LimitExceeded(f"expected a depth of {MAX_DEPTH} at most, got more")
         for node in selections.selections:
             if isinstance(node, FieldNode):
                 total += times
                 if total > MAX_COST:
-                    raise TooMuch(f"expected {MAX_COST} fields at most, got more; ask for smaller pages")
+                    raise LimitExceeded(f"expected {MAX_COST} fields at most, got more; ask for smaller pages")
                 walk(node.selection_set, depth + 1, times * _size(node, variables))
             elif isinstance(node, InlineFragmentNode):
                 walk(node.selection_set, depth, times)
             elif isinstance(node, FragmentSpreadNode) and node.name.value in fragments:
                 total += 1
                 if total > MAX_COST:
-                    raise TooMuch(f"expected {MAX_COST} fields at most, got more")
+                    raise LimitExceeded(f"expected {MAX_COST} fields at most, got more")
                 walk(fragments[node.name.value].selection_set, depth, times)
 
     for definition in document.definitions:
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -119,7 +119,7 @@
 def test_fragments_that_double_at_each_level_are_refused_in_no_time() -> None:
     bomb = "{ ...f0 }" + "".join(f" fragment f{i} on Query {{ ...f{i + 1} ...f{i + 1} }}" for i in range(40)) + (
         " fragment f40 on Query { __typename }")
-    with pytest.raises(limits.TooMuch):
+    with pytest.raises(limits.LimitExceeded):
         limits.cost(parse(bomb), {})
 
 
