--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -52,7 +52,7 @@
                 total += times
                 if total > MAX_COST:
                     raise LimitExceeded(f"expected {MAX_COST} fields at most, got more; ask for smaller pages")
-                walk(node.selection_set, depth + 1, times * _size(node, variables))
+                walk(node.selection_set, depth + 1, times * _list_size(node, variables))
             elif isinstance(node, InlineFragmentNode):
                 walk(node.selection_set, depth, times)
             elif isinstance(node, FragmentSpreadNode) and node.name.value in fragments:
@@ -67,7 +67,7 @@
     return total
 
 
-def _size(node: FieldNode, variables: Mapping[str, Any]) -> int:
+def _list_size(node: FieldNode, variables: Mapping[str, Any]) -> int:
     """How many entries the field's list may have; 1 for a field that is no list."""
     name = node.name.value
     if name in UNPAGINATED_LISTS:
