--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -9,7 +9,7 @@
 
 KEYS = ("name", "zone", "state", "generation", "version")
 STATES = ("ready", "not ready", "drained", "draining", "silent", "gone")
-TERM = re.compile(r"\s*([a-z]+)\s*(!=|<=|>=|=|<|>)\s*([^,]*?)\s*")
+COMPARISON = re.compile(r"\s*([a-z]+)\s*(!=|<=|>=|=|<|>)\s*([^,]*?)\s*")
 
 
 class SelectorError(Exception):
@@ -37,7 +37,7 @@
     SelectorError."""
     terms = []
     for part in filter(None, (part.strip() for part in text.split(","))):
-        found = TERM.fullmatch(part if any(c in part for c in "=<>") else f"name={part}")
+        found = COMPARISON.fullmatch(part if any(c in part for c in "=<>") else f"name={part}")
         if found is None or found[1] not in KEYS:
             raise SelectorError(f"selector: expected one of {', '.join(KEYS)} with =, !=, <, >, <= or >=, "
                                 f"got {part!r}")
