--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
+class Comparison:
     """One comparison of a selector."""
 
     key: str
@@ -32,7 +32,7 @@
             self.operator]
 
 
-def parse(text: str) -> tuple[Term, ...]:
+def parse(text: str) -> tuple[Comparison, ...]:
     """Parses a selector into terms that must all hold; an empty text gives none. A bare word means `name=WORD`. Raises
     SelectorError."""
     terms = []
@@ -47,11 +47,11 @@
                                 f"got {part!r}")
         if key == "state" and not any(fnmatch.fnmatchcase(state, value) for state in STATES):
             raise SelectorError(f"selector: expected a state out of {', '.join(STATES)}, got {value!r}")
-        terms.append(Term(key, operator, value))
+        terms.append(Comparison(key, operator, value))
     return tuple(terms)
 
 
-def matches(terms: tuple[Term, ...], values: Mapping[str, str]) -> bool:
+def matches(terms: tuple[Comparison, ...], values: Mapping[str, str]) -> bool:
     return all(term.holds(values[term.key]) for term in terms)
 
 
