--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -24,7 +24,7 @@
     operator: str
     value: str
 
-    def holds(self, value: str) -> bool:
+    def matches(self, value: str) -> bool:
         if self.operator in ("=", "!="):
             return fnmatch.fnmatchcase(value, self.value) is (self.operator == "=")
         number, other = int(value), int(self.value)
@@ -52,7 +52,7 @@
 
 
 def matches(terms: tuple[Comparison, ...], values: Mapping[str, str]) -> bool:
-    return all(term.holds(values[term.key]) for term in terms)
+    return all(term.matches(values[term.key]) for term in terms)
 
 
 def selected(text: str) -> Callable[[Mapping[str, str]], bool]:
