--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MARGIN = 0.1  # share of the lease: clocks drift, and messages leave a moment after the check
+LEASE_MARGIN = 0.1  # share of the lease: clocks drift, and messages leave a moment after the check
 
 
 def clock_ms() -> int:
@@ -33,7 +33,7 @@
 
     def holds(self, now_ms: int) -> bool:
         """Whether it is certain that no other agent has claimed the record yet."""
-        return now_ms < self.until_ms - MARGIN * self.lease_ms
+        return now_ms < self.until_ms - LEASE_MARGIN * self.lease_ms
 
     def is_over(self, now_ms: int) -> bool:
         """Whether the lease ran out at least one lease time ago: by then another agent has had time to take over."""
