--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -337,7 +337,7 @@
 
     def leads(self) -> bool:
         """Whether, by this machine's clock alone, it is certain that no other agent has claimed the record."""
-        return self.leader is None and self.store.term.holds(clock_ms())
+        return self.leader is None and self.store.term.is_held(clock_ms())
 
     def send_command(self, send: OutgoingCommand) -> None:
         """Sends a recorded command if this agent still leads. The term is checked last, as the process may have been
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -252,7 +252,7 @@
 
     async def _renew(self, holder: str, ident: int) -> Permit:
         permit = await self.find_owned(holder, ident, False)
-        if not self.store.term.holds(clock_ms()):
+        if not self.store.term.is_held(clock_ms()):
             raise StoreError("AWAY", "the record does not answer, and another agent may lead by now; ask again")
         if permit.phase not in (Phase.HELD, Phase.UNKNOWN, Phase.WAITING):
             raise Refusal("ENDED", f"permit {ident} is {permit.phase}; take a new one before anything goes out")
--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -31,7 +31,7 @@
     until_ms: float = math.inf  # when the lease as last renewed runs out, by `clock_ms`
     lease_ms: int = 0
 
-    def holds(self, now_ms: int) -> bool:
+    def is_held(self, now_ms: int) -> bool:
         """Whether it is certain that no other agent has claimed the record yet."""
         return now_ms < self.until_ms - LEASE_MARGIN * self.lease_ms
 
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -128,7 +128,7 @@
                      f"{error}")
         elif error is not None:
             self.say("versions: " + "".join(traceback.format_exception(error)))
-        elif self.leads() and not store.term.holds(clock_ms()):
+        elif self.leads() and not store.term.is_held(clock_ms()):
             self.say("versions: this agent's term is not sure; what it has is served with its age")
         else:
             self.take(done.result(), began_ms)
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -306,9 +306,9 @@
 
 def test_a_term_is_void_for_its_holder_before_it_is_free_for_another() -> None:
     term = Term(1, 1_000, 500)
-    assert term.holds(949) and not term.holds(950) and not term.holds(1_000)
+    assert term.is_held(949) and not term.is_held(950) and not term.is_held(1_000)
     assert not term.is_over(1_499) and term.is_over(1_500)
-    assert Term().holds(10**15) and not Term().is_over(10**15)
+    assert Term().is_held(10**15) and not Term().is_over(10**15)
 
 
 def test_one_claims_a_record_and_the_former_holder_changes_nothing_more(tmp_path: Path) -> None:
@@ -323,10 +323,10 @@
             assert await one.write(lambda records: records.next_fence()) == 1
             with pytest.raises(StoreError, match="the agent of place a has this record"):
                 await two.claim()
-            assert (await two.owner()).holder == "a" and one.term.holds(clock_ms())
+            assert (await two.owner()).holder == "a" and one.term.is_held(clock_ms())
             while (await two.owner()).left_ms:
                 await asyncio.sleep(0.01)
-            assert not one.term.holds(clock_ms())  # known without asking
+            assert not one.term.is_held(clock_ms())  # known without asking
             await two.claim()
             assert (one.term.epoch, two.term.epoch) == (1, 2)
             with pytest.raises(StoreError) as refused:
