--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -20,7 +20,7 @@
 from ironscale.agent.commit_tracking import told
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
-from ironscale.agent.terms import holder_of, place_of
+from ironscale.agent.terms import holder_of, describe_place
 from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
 from ironscale.record.database import Transaction, trouble
@@ -63,7 +63,7 @@
     OperatorFileError."""
     path = data / "agent.db"
     loop = asyncio.get_running_loop()
-    place = place_of(socket.gethostname(), data, *at)
+    place = describe_place(socket.gethostname(), data, *at)
     lease_ms = int(section.term_s * 1000)
 
     def lost(found: StoreError) -> None:
--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -60,7 +60,7 @@
         return found[2] if found and self.left_ms > 0 else ""
 
 
-def place_of(host: str, data: Path, api: str = "", control: str = "") -> str:
+def describe_place(host: str, data: Path, api: str = "", control: str = "") -> str:
     """Describes where an agent runs, for people; with its API and control addresses, which other agents read."""
     return f"{host}, {data}" + (f" (api {api}, control {control})" if api else "")
 
