--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -20,7 +20,7 @@
 from ironscale.agent.commit_tracking import told
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
-from ironscale.agent.terms import holder_of, describe_place
+from ironscale.agent.terms import holder_id, describe_place
 from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
 from ironscale.record.database import Transaction, trouble
@@ -71,7 +71,7 @@
             loop.call_soon_threadsafe(on_lost, found)
 
     if section.record is not None:
-        shared = SqliteStore(section.record, claim=Claim(holder_of(data), place, lease_ms))
+        shared = SqliteStore(section.record, claim=Claim(holder_id(data), place, lease_ms))
         shared.on_lost = lost
         if not section.standby:
             try:
@@ -90,7 +90,7 @@
     access = access_of(section)  # first: it says in one line what is not installed
     from ironscale.agent.postgres import Holder, PostgresStore
 
-    holder = Holder(access, holder_of(data), place, lease_ms=lease_ms)
+    holder = Holder(access, holder_id(data), place, lease_ms=lease_ms)
     holder.on_lost = lambda found: lost(told(found))
     holder.follows = True
     kept = PostgresStore(holder)
--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -65,7 +65,7 @@
     return f"{host}, {data}" + (f" (api {api}, control {control})" if api else "")
 
 
-def holder_of(data: Path) -> str:
+def holder_id(data: Path) -> str:
     """Id under which agents on this data folder claim the record; kept in a file. Only one runs at a time."""
     path = data / "holder"
     try:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -23,7 +23,7 @@
 from ironscale.agent.sqlite import SqliteStore, connect
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
 from ironscale.agent.store_setup import open_store
-from ironscale.agent.terms import holder_of
+from ironscale.agent.terms import holder_id
 from ironscale.cli.output import CODES, Exit
 from ironscale.operator_file import OperatorFileError, ServiceConfig, parse
 from ironscale.record.postgres import Access
@@ -980,5 +980,5 @@
 def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
-    one = holder_of(tmp_path / "a")
-    assert len(one) == 32 and holder_of(tmp_path / "a") == one != holder_of(tmp_path / "b")
+    one = holder_id(tmp_path / "a")
+    assert len(one) == 32 and holder_id(tmp_path / "a") == one != holder_id(tmp_path / "b")
