--- a/ironscale/agent/config_diff.py
+++ b/ironscale/agent/config_diff.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-MOST_LINES = 200
+MAX_LINES = 200
 
 
 def _flat(value: Any, path: str, into: dict[str, str]) -> None:
@@ -35,6 +35,6 @@
             lines.append(f"+ {path}: {after[path]}")
         elif before[path] != after[path]:
             lines.append(f"~ {path}: {before[path]} -> {after[path]}")
-    if len(lines) > MOST_LINES:
-        lines[MOST_LINES:] = [f"and {len(lines) - MOST_LINES} more"]
+    if len(lines) > MAX_LINES:
+        lines[MAX_LINES:] = [f"and {len(lines) - MAX_LINES} more"]
     return lines
