--- a/ironscale/agent/config_diff.py
+++ b/ironscale/agent/config_diff.py
@@ -8,15 +8,15 @@
 MAX_LINES = 200
 
 
-def _flat(value: Any, path: str, into: dict[str, str]) -> None:
+def _flatten(value: Any, path: str, into: dict[str, str]) -> None:
     """Adds each leaf of `value` to `into` as path -> JSON; list elements that are objects are keyed by their name."""
     if isinstance(value, dict) and value:
         for key, member in value.items():
-            _flat(member, f"{path}.{key}" if path else key, into)
+            _flatten(member, f"{path}.{key}" if path else key, into)
     elif isinstance(value, list) and any(isinstance(member, dict | list) for member in value):
         for index, member in enumerate(value):
             name = member.get("name") if isinstance(member, dict) else None
-            _flat(member, f"{path}[{name or index}]", into)
+            _flatten(member, f"{path}[{name or index}]", into)
     elif value != {} or path:
         into[path] = json.dumps(value, sort_keys=True, ensure_ascii=False)
 
@@ -25,8 +25,8 @@
     """Lines sorted by path: `- path: value` if removed, `+ path: value` if added, `~ path: old -> new` if changed."""
     before: dict[str, str] = {}
     after: dict[str, str] = {}
-    _flat(old, "", before)
-    _flat(new, "", after)
+    _flatten(old, "", before)
+    _flatten(new, "", after)
     lines = []
     for path in sorted(before.keys() | after.keys()):
         if path not in after:
