--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -144,7 +144,7 @@
         self.following.take_tokens(self.tokens)
 
     def authenticate(self, token: str) -> Caller | None:
-        row = tokens.find(token, self.tokens)
+        row = tokens.find_token(token, self.tokens)
         return Caller(row.name, row.role) if row is not None else None
 
     def admits(self, token: str) -> bool:
--- a/ironscale/agent/tokens.py
+++ b/ironscale/agent/tokens.py
@@ -24,7 +24,7 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def find(token: str, rows: Iterable[TokenRow]) -> TokenRow | None:
+def find_token(token: str, rows: Iterable[TokenRow]) -> TokenRow | None:
     """The row of the token unless revoked. Always compares all rows, so that the time taken doesn't reveal a match."""
     wanted, found = digest(token), None
     for row in rows:
