--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -66,7 +66,7 @@
 
 def need(info: Any, role: str) -> Context:
     context: Context = info.context
-    if not secrets_.may(context.caller.role, role):
+    if not secrets_.has_role(context.caller.role, role):
         raise error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
     leader = context.engine.leader
     if leader is not None and info.operation.operation is OperationType.MUTATION:
--- a/ironscale/agent/tokens.py
+++ b/ironscale/agent/tokens.py
@@ -33,7 +33,7 @@
     return found
 
 
-def may(role: str, needed: str) -> bool:
+def has_role(role: str, needed: str) -> bool:
     """Whether a token with `role` has the rights of role `needed`."""
     if role == "instance" or needed == "instance":
         return role == needed
