--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-FIRST_DELAY_S, MOST_S = 0.5, 60.0  # delay before the first restart, and the longest delay
+FIRST_DELAY_S, MAX_DELAY_S = 0.5, 60.0  # delay before the first restart, and the longest delay
 STEADY_S = 30.0  # a process that ran at least this long resets the backoff
 CRASHES, WITHIN_S = 6, 120.0  # this many ends within this time are a crash loop
 
@@ -24,7 +24,7 @@
         self.ends_s = [at for at in self.ends_s if now_s - at < WITHIN_S] + [now_s]
         if len(self.ends_s) >= CRASHES:
             return None
-        wait_s = min(MOST_S, FIRST_DELAY_S * 2.0 ** min(self.failures, 16))
+        wait_s = min(MAX_DELAY_S, FIRST_DELAY_S * 2.0 ** min(self.failures, 16))
         self.failures += 1
         return wait_s
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -18,7 +18,7 @@
 import pytest
 
 from ironscale.agent.model import Kind, Phase, Policy, State
-from ironscale.agent.restarts import CRASHES, MOST_S, STEADY_S, Restarts
+from ironscale.agent.restarts import CRASHES, MAX_DELAY_S, STEADY_S, Restarts
 from ironscale.control.processes import is_alive, start_ticks
 from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -47,7 +47,7 @@
     slow = Restarts()
     for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
         wait_s = slow.ended(now_s, 1.0)
-        assert wait_s is not None and wait_s <= MOST_S
+        assert wait_s is not None and wait_s <= MAX_DELAY_S
         now_s += 60.0
 
 
