--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 FIRST_DELAY_S, MAX_DELAY_S = 0.5, 60.0  # delay before the first restart, and the longest delay
-STEADY_S = 30.0  # a process that ran at least this long resets the backoff
+STABLE_S = 30.0  # a process that ran at least this long resets the backoff
 CRASHES, WITHIN_S = 6, 120.0  # this many ends within this time are a crash loop
 
 
@@ -19,7 +19,7 @@
     def ended(self, now_s: float, ran_s: float) -> float | None:
         """Records an end of the process, which ran for `ran_s`. Returns the seconds to wait before the restart, or None
         in a crash loop: then only an operator restarts it."""
-        if ran_s >= STEADY_S:
+        if ran_s >= STABLE_S:
             self.failures, self.ends_s = 0, []
         self.ends_s = [at for at in self.ends_s if now_s - at < WITHIN_S] + [now_s]
         if len(self.ends_s) >= CRASHES:
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -18,7 +18,7 @@
 import pytest
 
 from ironscale.agent.model import Kind, Phase, Policy, State
-from ironscale.agent.restarts import CRASHES, MAX_DELAY_S, STEADY_S, Restarts
+from ironscale.agent.restarts import CRASHES, MAX_DELAY_S, STABLE_S, Restarts
 from ironscale.control.processes import is_alive, start_ticks
 from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -42,8 +42,8 @@
     assert restarts.ended(now_s, 0.1) == 0.5
     steady = Restarts()
     for _ in range(50):
-        assert steady.ended(now_s, STEADY_S) == 0.5
-        now_s += STEADY_S
+        assert steady.ended(now_s, STABLE_S) == 0.5
+        now_s += STABLE_S
     slow = Restarts()
     for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
         wait_s = slow.ended(now_s, 1.0)
