--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -18,7 +18,7 @@
 import pytest
 
 from ironscale.agent.model import Kind, Phase, Policy, State
-from ironscale.agent.restarts import CRASHES, MAX_DELAY_S, STABLE_S, Restarts
+from ironscale.agent.restarts import CRASH_LOOP_ENDS, MAX_DELAY_S, STABLE_S, Restarts
 from ironscale.control.processes import is_alive, start_ticks
 from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -33,7 +33,7 @@
 
 def test_restarts_back_off_give_up_on_a_crash_loop_and_forget_after_a_steady_run() -> None:
     restarts, now_s, waits = Restarts(), 100.0, []
-    for _ in range(CRASHES - 1):
+    for _ in range(CRASH_LOOP_ENDS - 1):
         waits.append(restarts.ended(now_s, 0.1))
         now_s += 1.0
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0]
@@ -198,7 +198,7 @@
                 await until(lambda: member.gave_up)
                 assert member.gave_up == "crash loop, last exit 2" and member.run is None
                 log = (tmp_path / "data" / "logs" / "app-0.log").read_text()
-                assert log.count("setting instances: expected a number, got 'many'") == CRASHES
+                assert log.count("setting instances: expected a number, got 'many'") == CRASH_LOOP_ENDS
 
     run(test)
     assert "app-0: not restarted again (crash loop, last exit 2)" in capsys.readouterr().err
