--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -6,7 +6,7 @@
 
 FIRST_DELAY_S, MAX_DELAY_S = 0.5, 60.0  # delay before the first restart, and the longest delay
 STABLE_S = 30.0  # a process that ran at least this long resets the backoff
-CRASH_LOOP_ENDS, WITHIN_S = 6, 120.0  # this many ends within this time are a crash loop
+CRASH_LOOP_ENDS, CRASH_LOOP_WINDOW_S = 6, 120.0  # this many ends within this time are a crash loop
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
         in a crash loop: then only an operator restarts it."""
         if ran_s >= STABLE_S:
             self.failures, self.ends_s = 0, []
-        self.ends_s = [at for at in self.ends_s if now_s - at < WITHIN_S] + [now_s]
+        self.ends_s = [at for at in self.ends_s if now_s - at < CRASH_LOOP_WINDOW_S] + [now_s]
         if len(self.ends_s) >= CRASH_LOOP_ENDS:
             return None
         wait_s = min(MAX_DELAY_S, FIRST_DELAY_S * 2.0 ** min(self.failures, 16))
