--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Restarts:
+class RestartBackoff:
     """Restart history of one instance."""
 
     ends_s: list[float] = field(default_factory=list)
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -19,7 +19,7 @@
 
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.model import OutgoingCommand
-from ironscale.agent.restarts import Restarts
+from ironscale.agent.restarts import RestartBackoff
 from ironscale.control.processes import is_alive, start_ticks, with_variable
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
@@ -89,7 +89,7 @@
     index: int
     name: str
     base: dict[str, Any]
-    restarts: Restarts = field(default_factory=Restarts)
+    restarts: RestartBackoff = field(default_factory=RestartBackoff)
     run: Run | None = None
     held: bool = False  # an operator stopped it: not to be started
     gave_up: str = ""  # why it is not restarted any more; empty while it is
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -18,7 +18,7 @@
 import pytest
 
 from ironscale.agent.model import Kind, Phase, Policy, State
-from ironscale.agent.restarts import CRASH_LOOP_ENDS, MAX_DELAY_S, STABLE_S, Restarts
+from ironscale.agent.restarts import CRASH_LOOP_ENDS, MAX_DELAY_S, STABLE_S, RestartBackoff
 from ironscale.control.processes import is_alive, start_ticks
 from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -32,7 +32,7 @@
 
 
 def test_restarts_back_off_give_up_on_a_crash_loop_and_forget_after_a_steady_run() -> None:
-    restarts, now_s, waits = Restarts(), 100.0, []
+    restarts, now_s, waits = RestartBackoff(), 100.0, []
     for _ in range(CRASH_LOOP_ENDS - 1):
         waits.append(restarts.ended(now_s, 0.1))
         now_s += 1.0
@@ -40,11 +40,11 @@
     assert restarts.ended(now_s, 0.1) is None
     restarts.forgive()
     assert restarts.ended(now_s, 0.1) == 0.5
-    steady = Restarts()
+    steady = RestartBackoff()
     for _ in range(50):
         assert steady.ended(now_s, STABLE_S) == 0.5
         now_s += STABLE_S
-    slow = Restarts()
+    slow = RestartBackoff()
     for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
         wait_s = slow.ended(now_s, 1.0)
         assert wait_s is not None and wait_s <= MAX_DELAY_S
