--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -16,7 +16,7 @@
     ends_s: list[float] = field(default_factory=list)
     failures: int = 0
 
-    def ended(self, now_s: float, ran_s: float) -> float | None:
+    def on_end(self, now_s: float, ran_s: float) -> float | None:
         """Records an end of the process, which ran for `ran_s`. Returns the seconds to wait before the restart, or None
         in a crash loop: then only an operator restarts it."""
         if ran_s >= STABLE_S:
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -196,7 +196,7 @@
             self.remember(member)
             if member.held or member.wake.is_set() or self.ending:
                 continue
-            wait_s = member.restarts.ended(time.monotonic(), time.monotonic() - run.started_s)
+            wait_s = member.restarts.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
                 member.gave_up = f"crash loop, last {how}"
                 self.log(f"{member.name}: not restarted again ({member.gave_up}); see {self.logs / member.name}.log, "
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -34,19 +34,19 @@
 def test_restarts_back_off_give_up_on_a_crash_loop_and_forget_after_a_steady_run() -> None:
     restarts, now_s, waits = RestartBackoff(), 100.0, []
     for _ in range(CRASH_LOOP_ENDS - 1):
-        waits.append(restarts.ended(now_s, 0.1))
+        waits.append(restarts.on_end(now_s, 0.1))
         now_s += 1.0
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0]
-    assert restarts.ended(now_s, 0.1) is None
+    assert restarts.on_end(now_s, 0.1) is None
     restarts.forgive()
-    assert restarts.ended(now_s, 0.1) == 0.5
+    assert restarts.on_end(now_s, 0.1) == 0.5
     steady = RestartBackoff()
     for _ in range(50):
-        assert steady.ended(now_s, STABLE_S) == 0.5
+        assert steady.on_end(now_s, STABLE_S) == 0.5
         now_s += STABLE_S
     slow = RestartBackoff()
     for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
-        wait_s = slow.ended(now_s, 1.0)
+        wait_s = slow.on_end(now_s, 1.0)
         assert wait_s is not None and wait_s <= MAX_DELAY_S
         now_s += 60.0
 
