--- a/ironscale/agent/restarts.py
+++ b/ironscale/agent/restarts.py
@@ -28,5 +28,5 @@
         self.failures += 1
         return wait_s
 
-    def forgive(self) -> None:
+    def reset(self) -> None:
         self.failures, self.ends_s = 0, []
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -268,7 +268,7 @@
             return
         if member.run is not None and member.run.boot != send.boot:
             return
-        member.restarts.forgive()
+        member.restarts.reset()
         member.held, member.gave_up, member.replacing = False, "", True
         self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -38,7 +38,7 @@
         now_s += 1.0
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0]
     assert restarts.on_end(now_s, 0.1) is None
-    restarts.forgive()
+    restarts.reset()
     assert restarts.on_end(now_s, 0.1) == 0.5
     steady = RestartBackoff()
     for _ in range(50):
