--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -24,7 +24,7 @@
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
 READY_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
-MOST_LOG = 16 << 20  # bytes; a larger log is rotated when the instance starts
+MAX_LOG_BYTES = 16 << 20  # bytes; a larger log is rotated when the instance starts
 
 
 class Run:
@@ -238,7 +238,7 @@
             if not replaces:
                 self.remember(member, boot)
             log_path = self.logs / f"{name}.log"
-            if log_path.exists() and log_path.stat().st_size > MOST_LOG:
+            if log_path.exists() and log_path.stat().st_size > MAX_LOG_BYTES:
                 log_path.replace(log_path.with_suffix(".log.1"))
             with open(log_path, "ab") as log:
                 child = subprocess.Popen([sys.executable, "-B", "-m", "ironscale"], env=environ, stdout=log,
