--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -23,7 +23,7 @@
 from ironscale.control.processes import is_alive, start_ticks, with_variable
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
-READY_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
+READY_TIMEOUT_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
 MAX_LOG_BYTES = 16 << 20  # bytes; a larger log is rotated when the instance starts
 
 
@@ -292,7 +292,7 @@
         new = self.start(member, old.boot)
         if new is None:
             return
-        deadline_s = time.monotonic() + READY_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not self.is_ready(member.name, new.boot):
             if new.ended.done() or time.monotonic() > deadline_s or old.ended.done():
                 self.log(f"{member.name}: the successor did not become ready; the old process stays")
