--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -91,14 +91,14 @@
     base: dict[str, Any]
     restarts: RestartBackoff = field(default_factory=RestartBackoff)
     run: Run | None = None
-    held: bool = False  # an operator stopped it: not to be started
+    stopped: bool = False  # an operator stopped it: not to be started
     gave_up: str = ""  # why it is not restarted any more; empty while it is
     wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
     replacing: bool = False
 
     def is_awaited(self) -> bool:
         """Whether a process of this instance is running or about to be started."""
-        return self.replacing or not (self.held or self.gave_up)
+        return self.replacing or not (self.stopped or self.gave_up)
 
 
 class Supervisor:
@@ -158,14 +158,14 @@
         state = {"pid": run.pid, "ticks": run.ticks, "boot": run.boot} if run else {"boot": boot} if boot else {}
         path = self.state_file(member)
         aside = path.with_suffix(".new")
-        aside.write_text(json.dumps({**state, "held": member.held}), encoding="ascii")
+        aside.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
         aside.replace(path)
 
     def take_over(self, member: Supervised) -> Run | None:
         """The process that the former agent left running, if any."""
         try:
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
-            member.held = bool(state.get("held", False))
+            member.stopped = bool(state.get("held", False))
             boot = str(state["boot"])
             pid = int(state["pid"]) if "pid" in state else with_variable("GW_BOOT", boot)
             if pid is None:
@@ -180,7 +180,7 @@
         member.run = self.take_over(member)
         while not self.ending:
             if member.run is None:
-                if member.held or member.gave_up:
+                if member.stopped or member.gave_up:
                     await member.wake.wait()
                 member.wake.clear()
                 member.run = self.start(member, "")
@@ -194,7 +194,7 @@
             self.fleet.process_ended(member.name, run.boot, how)
             member.run = None
             self.remember(member)
-            if member.held or member.wake.is_set() or self.ending:
+            if member.stopped or member.wake.is_set() or self.ending:
                 continue
             wait_s = member.restarts.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
@@ -258,7 +258,7 @@
         """An operator stops the instance: it stays stopped, also under the next agent."""
         member = self.members.get(name)
         if member is not None:
-            member.held = True
+            member.stopped = True
             self.remember(member)
 
     def restart(self, send: OutgoingCommand) -> None:
@@ -269,7 +269,7 @@
         if member.run is not None and member.run.boot != send.boot:
             return
         member.restarts.reset()
-        member.held, member.gave_up, member.replacing = False, "", True
+        member.stopped, member.gave_up, member.replacing = False, "", True
         self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
 
