--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -92,13 +92,13 @@
     restarts: RestartBackoff = field(default_factory=RestartBackoff)
     run: Run | None = None
     stopped: bool = False  # an operator stopped it: not to be started
-    gave_up: str = ""  # why it is not restarted any more; empty while it is
+    crash_loop: str = ""  # why it is not restarted any more; empty while it is
     wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
     replacing: bool = False
 
     def is_awaited(self) -> bool:
         """Whether a process of this instance is running or about to be started."""
-        return self.replacing or not (self.stopped or self.gave_up)
+        return self.replacing or not (self.stopped or self.crash_loop)
 
 
 class Supervisor:
@@ -180,7 +180,7 @@
         member.run = self.take_over(member)
         while not self.ending:
             if member.run is None:
-                if member.stopped or member.gave_up:
+                if member.stopped or member.crash_loop:
                     await member.wake.wait()
                 member.wake.clear()
                 member.run = self.start(member, "")
@@ -198,8 +198,8 @@
                 continue
             wait_s = member.restarts.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
-                member.gave_up = f"crash loop, last {how}"
-                self.log(f"{member.name}: not restarted again ({member.gave_up}); see {self.logs / member.name}.log, "
+                member.crash_loop = f"crash loop, last {how}"
+                self.log(f"{member.name}: not restarted again ({member.crash_loop}); see {self.logs / member.name}.log, "
                          "then run `ironscale restart`")
                 self.fleet.mark_changed_if_known(member.name)
                 continue
@@ -269,7 +269,7 @@
         if member.run is not None and member.run.boot != send.boot:
             return
         member.restarts.reset()
-        member.stopped, member.gave_up, member.replacing = False, "", True
+        member.stopped, member.crash_loop, member.replacing = False, "", True
         self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -195,8 +195,8 @@
             config.write_text(json.dumps(bad))
             async with supervised(tmp_path, config) as s:
                 member = s.agent.supervisor.members["app-0"]
-                await until(lambda: member.gave_up)
-                assert member.gave_up == "crash loop, last exit 2" and member.run is None
+                await until(lambda: member.crash_loop)
+                assert member.crash_loop == "crash loop, last exit 2" and member.run is None
                 log = (tmp_path / "data" / "logs" / "app-0.log").read_text()
                 assert log.count("setting instances: expected a number, got 'many'") == CRASH_LOOP_ENDS
 
