--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -89,7 +89,7 @@
     index: int
     name: str
     base: dict[str, Any]
-    restarts: RestartBackoff = field(default_factory=RestartBackoff)
+    backoff: RestartBackoff = field(default_factory=RestartBackoff)
     run: Run | None = None
     stopped: bool = False  # an operator stopped it: not to be started
     crash_loop: str = ""  # why it is not restarted any more; empty while it is
@@ -196,7 +196,7 @@
             self.remember(member)
             if member.stopped or member.wake.is_set() or self.ending:
                 continue
-            wait_s = member.restarts.on_end(time.monotonic(), time.monotonic() - run.started_s)
+            wait_s = member.backoff.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
                 member.crash_loop = f"crash loop, last {how}"
                 self.log(f"{member.name}: not restarted again ({member.crash_loop}); see {self.logs / member.name}.log, "
@@ -268,7 +268,7 @@
             return
         if member.run is not None and member.run.boot != send.boot:
             return
-        member.restarts.reset()
+        member.backoff.reset()
         member.stopped, member.crash_loop, member.replacing = False, "", True
         self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
