--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -27,7 +27,7 @@
 MAX_LOG_BYTES = 16 << 20  # bytes; a larger log is rotated when the instance starts
 
 
-class Run:
+class SupervisedProcess:
     """One process, either a child of this agent or taken over from a former one."""
 
     def __init__(self, pid: int, ticks: int, boot: str, child: subprocess.Popen[bytes] | None) -> None:
@@ -90,7 +90,7 @@
     name: str
     base: dict[str, Any]
     backoff: RestartBackoff = field(default_factory=RestartBackoff)
-    run: Run | None = None
+    run: SupervisedProcess | None = None
     stopped: bool = False  # an operator stopped it: not to be started
     crash_loop: str = ""  # why it is not restarted any more; empty while it is
     wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
@@ -161,7 +161,7 @@
         aside.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
         aside.replace(path)
 
-    def take_over(self, member: Supervised) -> Run | None:
+    def take_over(self, member: Supervised) -> SupervisedProcess | None:
         """The process that the former agent left running, if any."""
         try:
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
@@ -173,7 +173,7 @@
             ticks = int(state["ticks"]) if "ticks" in state else start_ticks(pid) or 0
         except (OSError, ValueError, KeyError, TypeError, AttributeError):
             return None
-        return Run(pid, ticks, boot, None) if is_alive(pid, ticks) else None
+        return SupervisedProcess(pid, ticks, boot, None) if is_alive(pid, ticks) else None
 
     async def keep(self, member: Supervised) -> None:
         """Starts the instance, and restarts it whenever its process ends by itself."""
@@ -207,7 +207,7 @@
                 async with asyncio.timeout(wait_s):
                     await member.wake.wait()
 
-    def start(self, member: Supervised, replaces: str) -> Run | None:
+    def start(self, member: Supervised, replaces: str) -> SupervisedProcess | None:
         """Starts a process with the generation that its instance should run; None if that fails. `replaces`: boot id
         of the process that it is to replace, or empty."""
         service, name = member.service, member.name
@@ -246,7 +246,7 @@
         except OSError as error:
             self.log(f"{name}: can't start: {error}")
             return None
-        run = Run(child.pid, start_ticks(child.pid) or 0, boot, child)
+        run = SupervisedProcess(child.pid, start_ticks(child.pid) or 0, boot, child)
         member.run = run if not replaces else member.run
         if not replaces:
             self.remember(member)
@@ -287,7 +287,7 @@
             member.replacing = False
             self.fleet.mark_changed_if_known(member.name)
 
-    async def make_before_break(self, member: Supervised, old: Run) -> None:
+    async def make_before_break(self, member: Supervised, old: SupervisedProcess) -> None:
         """Starts the successor first, and stops the old process once the successor is ready."""
         new = self.start(member, old.boot)
         if new is None:
