--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -73,7 +73,7 @@
             self.kill(signal.SIGKILL)
             await asyncio.shield(self.ended)
 
-    def release(self) -> None:
+    def stop_watching(self) -> None:
         """Stops watching the process, which goes on running after the agent."""
         if self.pidfd >= 0:
             asyncio.get_running_loop().remove_reader(self.pidfd)
@@ -320,4 +320,4 @@
         self.ending = True
         for member in self.members.values():
             if member.run is not None:
-                member.run.release()
+                member.run.stop_watching()
