--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Supervised:
+class SupervisedInstance:
     """One supervised instance."""
 
     service: ServiceConfig
@@ -107,7 +107,7 @@
         self.folder, self.logs = data / "instances", data / "logs"
         self.agent, self.token_file, self.fleet = agent, token_file, fleet
         self.overlay, self.log = overlay, log
-        self.members: dict[str, Supervised] = {}
+        self.members: dict[str, SupervisedInstance] = {}
         self.tasks: asyncio.TaskGroup | None = None
         self.ending = False
         for service in services:
@@ -117,7 +117,7 @@
                 if name in self.members:
                     raise OperatorFileError(f"service {service.name}: expected names that differ, "
                                             f"got {name} twice")
-                self.members[name] = Supervised(service, index, name, base)
+                self.members[name] = SupervisedInstance(service, index, name, base)
         fleet.supervision_of = self.supervised
         fleet.is_replacing = lambda name: name in self.members and self.members[name].replacing
 
@@ -147,10 +147,10 @@
 
     # One instance
 
-    def state_file(self, member: Supervised) -> Path:
+    def state_file(self, member: SupervisedInstance) -> Path:
         return self.folder / f"{member.name}.state"
 
-    def remember(self, member: Supervised, boot: str = "") -> None:
+    def remember(self, member: SupervisedInstance, boot: str = "") -> None:
         """Writes the file that the next agent needs to take the process over. `boot`: id of a process that is about to
         be started, written beforehand, so that the next agent finds it even if this one is killed right after the
         start."""
@@ -161,7 +161,7 @@
         aside.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
         aside.replace(path)
 
-    def take_over(self, member: Supervised) -> SupervisedProcess | None:
+    def take_over(self, member: SupervisedInstance) -> SupervisedProcess | None:
         """The process that the former agent left running, if any."""
         try:
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
@@ -175,7 +175,7 @@
             return None
         return SupervisedProcess(pid, ticks, boot, None) if is_alive(pid, ticks) else None
 
-    async def keep(self, member: Supervised) -> None:
+    async def keep(self, member: SupervisedInstance) -> None:
         """Starts the instance, and restarts it whenever its process ends by itself."""
         member.run = self.take_over(member)
         while not self.ending:
@@ -207,7 +207,7 @@
                 async with asyncio.timeout(wait_s):
                     await member.wake.wait()
 
-    def start(self, member: Supervised, replaces: str) -> SupervisedProcess | None:
+    def start(self, member: SupervisedInstance, replaces: str) -> SupervisedProcess | None:
         """Starts a process with the generation that its instance should run; None if that fails. `replaces`: boot id
         of the process that it is to replace, or empty."""
         service, name = member.service, member.name
@@ -273,7 +273,7 @@
         self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
 
-    async def replace(self, member: Supervised) -> None:
+    async def replace(self, member: SupervisedInstance) -> None:
         try:
             old = member.run
             if old is None:
@@ -287,7 +287,7 @@
             member.replacing = False
             self.fleet.mark_changed_if_known(member.name)
 
-    async def make_before_break(self, member: Supervised, old: SupervisedProcess) -> None:
+    async def make_before_break(self, member: SupervisedInstance, old: SupervisedProcess) -> None:
         """Starts the successor first, and stops the old process once the successor is ready."""
         new = self.start(member, old.boot)
         if new is None:
