--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -143,7 +143,7 @@
         self.logs.mkdir(mode=0o700, parents=True, exist_ok=True)
         async with asyncio.TaskGroup() as self.tasks:
             for member in self.members.values():
-                self.tasks.create_task(self.keep(member))
+                self.tasks.create_task(self.keep_running(member))
 
     # One instance
 
@@ -175,7 +175,7 @@
             return None
         return SupervisedProcess(pid, ticks, boot, None) if is_alive(pid, ticks) else None
 
-    async def keep(self, member: SupervisedInstance) -> None:
+    async def keep_running(self, member: SupervisedInstance) -> None:
         """Starts the instance, and restarts it whenever its process ends by itself."""
         member.run = self.take_over(member)
         while not self.ending:
