--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -150,7 +150,7 @@
     def state_file(self, member: SupervisedInstance) -> Path:
         return self.folder / f"{member.name}.state"
 
-    def remember(self, member: SupervisedInstance, boot: str = "") -> None:
+    def write_state(self, member: SupervisedInstance, boot: str = "") -> None:
         """Writes the file that the next agent needs to take the process over. `boot`: id of a process that is about to
         be started, written beforehand, so that the next agent finds it even if this one is killed right after the
         start."""
@@ -193,7 +193,7 @@
                 continue  # already replaced by its successor
             self.fleet.process_ended(member.name, run.boot, how)
             member.run = None
-            self.remember(member)
+            self.write_state(member)
             if member.stopped or member.wake.is_set() or self.ending:
                 continue
             wait_s = member.backoff.on_end(time.monotonic(), time.monotonic() - run.started_s)
@@ -236,7 +236,7 @@
             }
             environ.pop("GW_LISTEN", None)
             if not replaces:
-                self.remember(member, boot)
+                self.write_state(member, boot)
             log_path = self.logs / f"{name}.log"
             if log_path.exists() and log_path.stat().st_size > MAX_LOG_BYTES:
                 log_path.replace(log_path.with_suffix(".log.1"))
@@ -249,7 +249,7 @@
         run = SupervisedProcess(child.pid, start_ticks(child.pid) or 0, boot, child)
         member.run = run if not replaces else member.run
         if not replaces:
-            self.remember(member)
+            self.write_state(member)
         return run
 
     # Called by operations
@@ -259,7 +259,7 @@
         member = self.members.get(name)
         if member is not None:
             member.stopped = True
-            self.remember(member)
+            self.write_state(member)
 
     def restart(self, send: OutgoingCommand) -> None:
         """Replaces the process `send.boot`; does nothing if it has been replaced already."""
@@ -300,7 +300,7 @@
                 return
             await asyncio.sleep(0.02)
         member.run = new
-        self.remember(member)
+        self.write_state(member)
         await old.stop(member.service.stop_s)
 
     def is_ready(self, name: str, boot: str) -> bool:
