--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -118,7 +118,7 @@
                     raise OperatorFileError(f"service {service.name}: expected names that differ, "
                                             f"got {name} twice")
                 self.members[name] = SupervisedInstance(service, index, name, base)
-        fleet.supervision_of = self.supervised
+        fleet.supervision_of = self.supervision_of
         fleet.is_replacing = lambda name: name in self.members and self.members[name].replacing
 
     @staticmethod
@@ -134,7 +134,7 @@
             raise OperatorFileError(f"{service.config}: expected an object with settings, got {base!r:.60}")
         return base
 
-    def supervised(self, name: str) -> str | None:
+    def supervision_of(self, name: str) -> str | None:
         member = self.members.get(name)
         return None if member is None else "awaited" if member.is_awaited() else ""
 
