--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -254,7 +254,7 @@
 
     # Called by operations
 
-    def stopping(self, name: str) -> None:
+    def mark_stopped(self, name: str) -> None:
         """An operator stops the instance: it stays stopped, also under the next agent."""
         member = self.members.get(name)
         if member is not None:
