--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -388,7 +388,7 @@
         self.supervisor = supervisor = Supervisor(
             section.services, self.data, (section.control[0], self.control_port), self.data / f"{INSTANCE}.token",
             fleet, engine.overlays.get, self.log)
-        engine.restart_process, engine.before_stop = supervisor.restart, supervisor.mark_stopped
+        engine.restart_process, engine.before_stop = supervisor.restart_process, supervisor.mark_stopped
         async with asyncio.TaskGroup() as group:
             parts = [group.create_task(engine.run()), group.create_task(supervisor.run()),
                      group.create_task(self.watch_term(engine, links))]
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -261,7 +261,7 @@
             member.stopped = True
             self.write_state(member)
 
-    def restart(self, send: OutgoingCommand) -> None:
+    def restart_process(self, send: OutgoingCommand) -> None:
         """Replaces the process `send.boot`; does nothing if it has been replaced already."""
         member = self.members.get(send.name)
         if member is None or member.replacing or self.tasks is None:
