--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -16,7 +16,7 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
-from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Phase, Plan, Policy, OutgoingCommand, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, OutgoingCommand, Phase, Plan, Policy, State, Target
 from ironscale.agent.permits import Permits, permit_id
 from ironscale.agent.publishing import Publisher, used_for
 from ironscale.agent.refusal import Refusal
@@ -72,7 +72,8 @@
                  log: Callable[[str], None], budgets: Sequence[Budget] = ()) -> None:
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
-        self.permits.on_budget_room, self.permits.notify, self.permits.inspect = self.on_budget_room, self.notify, self.inspect
+        self.permits.on_budget_room, self.permits.notify, self.permits.inspect = (
+            self.on_budget_room, self.notify, self.inspect)
         self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live_operations: dict[int, LiveOperation] = {}
@@ -244,7 +245,8 @@
         def may(target: Target) -> str:
             ident, known = permit_id(op, target), self.permits.ledger.permits
             former = known.get(ident)
-            problem = "" if op.kind is Kind.UNDRAIN else self.permits.reserve(op, target, op.phase is Phase.ROLLING_BACK)
+            problem = "" if op.kind is Kind.UNDRAIN else self.permits.reserve(
+                op, target, op.phase is Phase.ROLLING_BACK)
             if known.get(ident) is not former:
                 before[ident] = former
             return problem
@@ -286,7 +288,8 @@
                 self.crash_point("after a send")
 
         try:
-            recorded(await self.record_plan(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
+            recorded(await self.record_plan(
+                op, list(changed.values()), plan, desired, list(permits.values()), recorded))
         except Exception as error:
             live.changed_names = None  # the reports of this round were not processed: look at all again
             self.permits.restore(before, not (isinstance(error, StoreError) and error.code == "UNKNOWN"))
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -258,7 +258,7 @@
         return member.cached_observation
 
     def get(self, name: str, /) -> Observation | None:
-        """Same as `seen`; implements planner.View."""
+        """Same as `observe`; implements planner.FleetView."""
         return self.observe(name)
 
     def names(self) -> list[str]:
--- a/ironscale/agent/gates.py
+++ b/ironscale/agent/gates.py
@@ -23,8 +23,8 @@
         """Whether the wave that begins at position `first` may start, by the answers counted since the last wave."""
         if first != self.next_wave_start:
             self.next_wave_start, self.since_ms = first, now_ms
-            self.baseline = {name: (member.row.boot, reported_counts(fleet, name)) for name, member in fleet.members.items()
-                           if member.report is not None}
+            self.baseline = {name: (member.row.boot, reported_counts(fleet, name))
+                             for name, member in fleet.members.items() if member.report is not None}
         settled = {target.name for target in targets if target.state is State.APPLIED}
         touched = {target.name for target in targets if target.command}
         changed = self.count_answers(fleet, settled)
--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -33,7 +33,7 @@
 
 
 def cost(document: DocumentNode, variables: Mapping[str, Any]) -> int:
-    """Number of fields that the document can resolve to. Raises TooMuch if depth or cost exceeds its limit.
+    """Number of fields that the document can resolve to. Raises LimitExceeded if depth or cost exceeds its limit.
 
     Fragments are walked at each place where they are spread; validation has already refused cycles. Fragments that
     spread the next one twice double the work at each level, so the walk itself stops at the limit.
--- a/ironscale/agent/model.py
+++ b/ironscale/agent/model.py
@@ -121,7 +121,7 @@
     supervised: bool = False
     restart_awaited: bool = False  # supervised, and the supervisor is going to start it again
     replacing: bool = False  # the supervisor is replacing its process
-    has_reported: bool = True  # this process has reported to this agent; otherwise the other fields come from the record
+    has_reported: bool = True  # this process has reported to this agent; else the other fields come from the record
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -60,7 +60,7 @@
         self.ledger = Ledger(budgets)
         self.halt: Halt | None = None
         self.wake = asyncio.Event()
-        self.on_budget_room: Callable[[], None] = lambda: None  # called when operations that wait may find room in a budget
+        self.on_budget_room: Callable[[], None] = lambda: None  # there may be room in a budget now
         self.notify: Callable[[], None] = lambda: None
         self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -16,12 +16,12 @@
     FAILURE_STATES,
     OPEN_PHASES,
     Kind,
+    Observation,
     Operation,
+    OutgoingCommand,
     Phase,
     Plan,
     Policy,
-    Observation,
-    OutgoingCommand,
     State,
     Target,
 )
@@ -296,7 +296,8 @@
         plan.phase = Phase.PAUSED if op.policy.on_failure == "pause" else Phase.ABORTING
 
 
-def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck) -> None:
+def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan,
+               may: PermitCheck) -> None:
     """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -24,7 +24,7 @@
 from ironscale.agent.limits import MAX_PAGE
 from ironscale.agent.model import ON_FAILURE, OPEN_PHASES, Kind, Operation, Policy, State, Target
 from ironscale.agent.refusal import Refusal
-from ironscale.agent.selectors import SelectorError, selector
+from ironscale.agent.selectors import SelectorError, compile_selector
 from ironscale.agent.store import Event, Published, Records, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
@@ -205,7 +205,7 @@
 
 
 def names_matching(engine: Engine, selector: str) -> list[str]:
-    holds = selector(selector)
+    holds = compile_selector(selector)
     return [name for name in engine.fleet.names() if not selector or holds(engine.fleet.selector_values(name))]
 
 
@@ -240,7 +240,7 @@
 def instances_page(engine: Engine, selector: str, first: int, after: str | None) -> dict[str, Any]:
     """From the cursor on until the page is full: a page costs what it holds, and what it passes over. The count of
     all that match is made only where it is asked for."""
-    size, last, holds = page_size(first), uncursor(after), selector(selector)
+    size, last, holds = page_size(first), uncursor(after), compile_selector(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
         if not selector or holds(engine.fleet.selector_values(names[place])):
--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -55,7 +55,7 @@
     return all(term.matches(values[term.key]) for term in terms)
 
 
-def selector(text: str) -> Callable[[Mapping[str, str]], bool]:
+def compile_selector(text: str) -> Callable[[Mapping[str, str]], bool]:
     """A predicate that tells whether an instance's values match the selector. Raises SelectorError."""
     terms = parse(text)
     return lambda values: matches(terms, values)
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -21,7 +21,7 @@
 from ironscale.agent.api import Api
 from ironscale.agent.control_connections import NOT_LEADING, Door, Links
 from ironscale.agent.engine import Engine
-from ironscale.agent.fleet import RECONNECT_MS, AGENT_ROUND_MS, Denial, Fleet
+from ironscale.agent.fleet import AGENT_ROUND_MS, RECONNECT_MS, Denial, Fleet
 from ironscale.agent.follower_connections import FollowerLink, Followers, SumLink
 from ironscale.agent.schema import Caller, Context, make_schema
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
@@ -380,7 +380,8 @@
         section = self.section
         await self.first_tokens(store)
         self.fleet = fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000),
-                                   section.most_instances, self.now_ms, AGENT_ROUND_MS if section.standby else RECONNECT_MS)
+                                   section.most_instances, self.now_ms,
+                                   AGENT_ROUND_MS if section.standby else RECONNECT_MS)
         self.engine = engine = Engine(store, fleet, self.now_ms, self.log, section.budgets)
         await engine.load()
         self.bind()
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -20,7 +20,7 @@
 from ironscale.agent.commit_tracking import told
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
-from ironscale.agent.terms import holder_id, describe_place
+from ironscale.agent.terms import describe_place, holder_id
 from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
 from ironscale.record.database import Transaction, trouble
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -199,8 +199,8 @@
             wait_s = member.backoff.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
                 member.crash_loop = f"crash loop, last {how}"
-                self.log(f"{member.name}: not restarted again ({member.crash_loop}); see {self.logs / member.name}.log, "
-                         "then run `ironscale restart`")
+                self.log(f"{member.name}: not restarted again ({member.crash_loop}); "
+                         f"see {self.logs / member.name}.log, then run `ironscale restart`")
                 self.fleet.mark_changed_if_known(member.name)
                 continue
             with contextlib.suppress(TimeoutError):
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -64,7 +64,8 @@
         async with scene(tmp_path) as found:
             await found.start_many(3)
             op = await found.begin(policy=Policy(wave=1, gate=True, on_failure="pause", soak_most_ms=600))
-            await until(lambda: found.engine.live_operations[op].waits_for.startswith("not enough seen of class view (0 answers"))
+            await until(lambda: found.engine.live_operations[op].waits_for.startswith(
+                "not enough seen of class view (0 answers"))
             await until(lambda: found.engine.live_operations[op].op.phase is Phase.PAUSED)
             assert found.engine.live_operations[op].op.note.startswith("not enough seen") and effects(found) == 1
             await found.engine.control("ann", op, "abort")
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -77,7 +77,8 @@
             await until(lambda: any(live.waits_for for live in engine.live_operations.values()))
             assert found.most <= 2 and counted(found) == 2
             await undrain(found)  # what is out comes back, and those that waited have their turn
-            await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
+            await until(
+                lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
             if held():
                 await engine.permits.give_back("script", permit.id, False)
             for ident in list(engine.live_operations):
@@ -224,7 +225,7 @@
             known = asyncio.Event()
 
             async def broken(work: Any, late: Any = None) -> Any:
-                if "Engine.record" in work.__qualname__ and not known.is_set():
+                if "Engine.record_plan" in work.__qualname__ and not known.is_set():
                     rounds.append(work.__qualname__)
                     raise StoreError("UNKNOWN", "it broke off at COMMIT")
                 if rounds and not known.is_set():
@@ -305,7 +306,8 @@
         async with fleet(tmp_path, 4, TWO) as found:
             engine, names = found.engine, list(found.instances)
             op = await found.begin(names=names[:2], policy=Policy(on_failure="pause", wave=1))
-            await until(lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live_operations)
+            await until(
+                lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live_operations)
             if op in engine.live_operations:
                 await found.end(op)
             again = await found.begin(names=names[:2], expect=1, overlay={"settings": {"instances": 3}},
@@ -334,7 +336,9 @@
                 found.kill(name)
             await until(lambda: engine.permits.ledger.cells["all", ""].out == 2.0)
             op = await found.begin(names=["i0000", "i0001"])
-            await until(lambda: "i0003" in engine.live_operations[op].waits_for and "i0004" in engine.live_operations[op].waits_for)
+            await until(
+                lambda: "i0003" in engine.live_operations[op].waits_for
+                and "i0004" in engine.live_operations[op].waits_for)
             assert not found.instances["i0000"].effects
             for name in ("i0003", "i0004"):
                 found.start(name)
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -10,7 +10,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from ironscale.agent import planner
-from ironscale.agent.model import OPEN_PHASES, Kind, Operation, Phase, Policy, Observation, OutgoingCommand, State, Target
+from ironscale.agent.model import (
+    OPEN_PHASES,
+    Kind,
+    Observation,
+    Operation,
+    OutgoingCommand,
+    Phase,
+    Policy,
+    State,
+    Target,
+)
 from ironscale.control.commands import Commands
 from ironscale.control.messages import Command, CommandResult
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -161,7 +161,7 @@
             assert s.agent.fleet.members["app-0"].row.generation == 0
 
     run(test)
-    assert "generation 9 is not in this record" in capsys.readouterr().err
+    assert "generation 9 is not in the record" in capsys.readouterr().err
 
 
 def test_a_restart_replaces_and_a_stopped_one_stays_stopped_until_then(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
 
 def test_a_crash_loop_is_given_up_plainly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                           capsys: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr("ironscale.agent.restarts.FIRST_S", 0.01)
+    monkeypatch.setattr("ironscale.agent.restarts.FIRST_DELAY_S", 0.01)
 
     async def test() -> None:
         async with world(tmp_path) as (_, config):
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -469,7 +469,7 @@
 
 def test_an_agent_tells_a_newcomer_who_teaches(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Two sidecars beside each other, each with its client; the second is taught by the first."""
-    monkeypatch.setattr(fleet, "SETTLED_MS", 0)
+    monkeypatch.setattr(fleet, "DONOR_MIN_UPTIME_MS", 0)
     monkeypatch.setattr(confidence, "SETTLED_US", 0)
 
     async def test() -> None:
