--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -1,7 +1,7 @@
-"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, what
-is wrong with it) from standard input for each, and writes its process id.
+"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, fault
+to inject) from standard input for each, and writes its process id.
 
-A process forked from here is a process of its own like any other; only the half second of imports is saved.
+Forking only saves the half second that the imports take.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def go_wrong(how: str) -> None:
-    """What an instance does with a reconfigure, other than it should."""
+    """Makes the instance misbehave on a reconfigure: die after applying it, answer with garbage, or be slow."""
     carry_out = client.Client.carry_out
 
     def dies(self: client.Client, command: Any) -> Any:
--- a/tests/agent/killed_agent.py
+++ b/tests/agent/killed_agent.py
@@ -1,7 +1,7 @@
 """An agent that kills itself at its Nth step: `python -m tests.agent.killed_agent DATA PORT STEP COUNT MOST [DSN]`.
 
-It begins one rollout by an idempotency key, as an operator who repeats a lost call would, waits for its end and
-prints what the record says of it. MOST: a budget of so many out at once, in place of waves; 0 = none.
+It starts one rollout with an idempotency key, as an operator who repeats a lost call would, waits for its end and
+prints what was recorded. MOST: a budget of that many instances out of service at once, instead of waves; 0 = none.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
             if found[0].phase not in OPEN_PHASES:
                 break
             await asyncio.sleep(0.01)
-        while agent.engine.permits.ledger.permits:  # each has its evidence
+        while agent.engine.permits.ledger.permits:  # each ends once its instance is confirmed to serve
             await asyncio.sleep(0.01)
         left = await agent.engine.store.read(lambda records: records.permits())
         events = await agent.engine.events(0, 500)
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -1,4 +1,4 @@
-"""An agent and light instances on sockets: operations, races, losses, a record that can't be written."""
+"""An agent and simulated instances over sockets: operations, races, lost processes, a record that can't be written."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3)
-            s.instances["i0001"].open = 1  # a request that it still works on
+            s.instances["i0001"].open = 1  # a request still open
             ident = await s.begin(Kind.DRAIN)
             await until(lambda: s.instances["i0001"].draining)
             await asyncio.sleep(0.3)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_half_lost_in_mid_command_is_named_and_never_success(seed: int, tmp_path: Path) -> None:
-    """The account equals the truth: what each process runs, whether it is there."""
+    """The reported state of each target equals what its process actually runs, and whether it is alive."""
     async def test() -> None:
         rng = random.Random(seed)
         async with scene(tmp_path, seed, lease_s=1.0) as s:
@@ -79,7 +79,7 @@
             for name in victims:
                 instance = s.instances[name]
                 if rng.random() < 0.5:
-                    # applies, and dies before it can say so
+                    # applies the change, and dies before it can answer
                     def die(what: str, name: str = name) -> None:
                         asyncio.get_running_loop().call_soon(s.kill, name)
                         s.cut(name)
@@ -218,7 +218,7 @@
             assert "denied (DUPLICATE)" in lines[0]
             await s.end(await s.begin(Kind.DRAIN, ["i0000"]))
             assert first.draining and not second.draining
-            task.cancel()  # the first is gone; the second takes the name when its lease is over
+            task.cancel()  # the first ends; the second takes the name once the lease has ended
             await until(lambda: s.agent.fleet.members["i0000"].row.boot == s.clients["i0000"].identity.boot)
             events = await s.engine.events(0, 100)
             assert [e.result for e in events if e.action == "register"] == ["denied: DUPLICATE"]
@@ -304,7 +304,7 @@
             ident = await s.begin(Kind.DRAIN, policy=Policy(wave=2, answer_ms=60_000))
             await until(lambda: s.instances["i0001"].draining)
             assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED
-            assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED  # again is the same
+            assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED  # idempotent
             s.instances["i0001"].open = 0
             await until(lambda: s.engine.live_operations[ident].targets[1].state is State.APPLIED)
             await asyncio.sleep(0.2)
@@ -376,7 +376,7 @@
                 try:
                     await store.read(lambda r: store.connection.execute("PRAGMA query_only = 0"))
                     break
-                except StoreError:  # it stood in one commit with a write that was tried again just then
+                except StoreError:  # it shared a commit with a write that was being retried
                     pass
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert all(i.effects == ["drain"] for i in s.instances.values())
@@ -443,7 +443,7 @@
             assert {(m.row.zone, m.row.generation, m.row.desired, m.leased) for m in members.values()} == {
                 ("b", 1, 1, True)}
             assert all(m.link is None for m in members.values())
-            await until(lambda: not any(m.leased for m in members.values()))  # nobody came back
+            await until(lambda: not any(m.leased for m in members.values()))  # no instance reconnected
 
     run(test)
 
@@ -452,7 +452,7 @@
 def test_a_clock_that_is_set_under_a_running_agent_changes_nothing(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hazard: leases would end at once, or never."""
+    """Leases by the wall clock would end at once, or never."""
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.6) as s:
             await s.start_many(3)
@@ -483,7 +483,7 @@
             real = time.time_ns
             monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10**9)
             instances, tasks = s.instances, dict(s.tasks)
-            s.tasks.clear()  # they outlive this agent
+            s.tasks.clear()  # the instances outlive this agent
         async with scene(tmp_path, control=("127.0.0.1", port)) as s:
             s.tasks.update(tasks)
             await until(lambda: sum(m.link is not None for m in s.agent.fleet.members.values()) == 2)
@@ -500,7 +500,7 @@
 def test_a_lease_that_ends_while_the_command_is_on_its_way_is_no_answer_and_the_command_is_done_once(
     tmp_path: Path
 ) -> None:
-    """The command lies in the connection of an instance that has stopped; when it goes on, the operation has ended."""
+    """The instance is suspended with the command in its socket buffer; when it resumes, the operation has ended."""
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(2)
@@ -517,7 +517,7 @@
             await until(lambda: s.agent.fleet.members["i0001"].row.generation == 1)
             assert s.instances["i0001"].effects == ["generation 1"]
             found = await s.engine.find(ident)
-            assert found is not None and found[0].phase is Phase.PARTIAL  # what was told is not told otherwise later
+            assert found is not None and found[0].phase is Phase.PARTIAL  # a reported outcome is not changed later
 
     run(test)
 
@@ -528,7 +528,7 @@
     async def test() -> None:
         async with scene(tmp_path) as s:
             first = s.start("i0")
-            first.generation = 7  # it ran this before it came here
+            first.generation = 7  # it ran this before it connected to this agent
             await until(lambda: "i0" in s.agent.fleet.members and s.agent.fleet.members["i0"].report)
             s.agent.fleet.set_desired([("i0", 7)])
             s.kill("i0")
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet in memory, without sockets: names, leases, ends, and what a restarted agent makes of its record."""
+"""The in-memory fleet, without sockets: names, leases, ended processes, and loading the record after a restart."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def test_a_lease_is_renewed_by_heartbeats_and_ends_without() -> None:
     s = Scene()
     link = s.come()
-    assert s.state() == "not ready"  # it has shown nothing yet
+    assert s.state() == "not ready"  # it has sent no report yet
     assert s.fleet.heartbeat("a", link, REPORT) and s.state() == "ready"
     s.now_ms += 5_999
     s.fleet.sweep()
@@ -84,14 +84,14 @@
     assert found.value.code == "DUPLICATE" and found.value.retry_ms == 6_000
     again = s.come()  # the same process, on another connection
     assert first.closed and not again.closed
-    assert not s.fleet.heartbeat("a", first, REPORT)  # what the old connection still says counts for nothing
+    assert not s.fleet.heartbeat("a", first, REPORT)  # messages on the old connection are ignored
     successor = s.come(boot="b2", replaces="b1")
     assert again.closed and not successor.closed and s.fleet.members["a"].row.boot == "b2"
     s.fleet.disconnect("a", again, "ended by itself: x")
-    assert s.fleet.members["a"].row.ended == ""  # that was the former one's end
+    assert s.fleet.members["a"].row.ended == ""  # that was the end of the former process
     s.now_ms += 6_001
     s.fleet.sweep()
-    s.come(boot="b3")  # a lease that is over keeps nobody out
+    s.come(boot="b3")  # an expired lease does not block another process
     assert s.fleet.members["a"].row.boot == "b3"
 
 
@@ -111,7 +111,7 @@
     s.fleet.process_ended("a", "b1", "exit 0")
     assert s.fleet.members["a"].row.ended == "exit 0"
     s.fleet.process_ended("a", "b1", "its process has ended")
-    s.fleet.process_ended("a", "b0", "signal 9")  # another process's
+    s.fleet.process_ended("a", "b0", "signal 9")  # of another process
     s.fleet.process_ended("nobody", "b1", "signal 9")
     assert s.fleet.members["a"].row.ended == "exit 0"
 
@@ -119,8 +119,8 @@
 def test_a_connection_that_breaks_says_nothing_of_the_process_unless_it_was_here() -> None:
     s = Scene()
     s.fleet.disconnect("a", s.come(), "")
-    assert s.state() == "not ready"  # its lease runs
-    here = s.come("b", host=machine(), ticks=77)  # pid 1 with another start time: that process is no more
+    assert s.state() == "not ready"  # its lease is still valid
+    here = s.come("b", host=machine(), ticks=77)  # pid 1 with another start time: that process has ended
     s.fleet.disconnect("b", here, "")
     assert s.state("b") == "gone"
 
@@ -150,11 +150,11 @@
                   row("future", heard_ms=2**50)], alive_ms=950_000)
     assert {name: s.state(name) for name in s.fleet.members} == {
         "back": "not ready", "gone": "gone", "dead": "gone", "here": "not ready", "future": "not ready"}
-    assert s.fleet.members["back"].row.heard_ms == 950_000  # connected, and so heard until the agent was last alive
-    assert s.fleet.members["future"].row.heard_ms == s.now_ms  # a clock that was set back
+    assert s.fleet.members["back"].row.heard_ms == 950_000  # connected, so heard until the agent was last alive
+    assert s.fleet.members["future"].row.heard_ms == s.now_ms  # the clock was set back
     s.now_ms += 6_000 + 1_000 + 999
     s.fleet.sweep()
-    assert s.state("back") == "not ready"  # it has time to come back
+    assert s.state("back") == "not ready"  # it still has time to reconnect
     s.now_ms += 1
     s.fleet.sweep()
     assert s.state("back") == "silent" and s.state("gone") == "gone"
@@ -188,13 +188,13 @@
         teach(f"near{i}", 8000 + i)
     found = scene.fleet.donors(newcomer, 50_000)
     assert len(found) == 5 and {text.split(":")[1] for text in found[:2]} == {"8000", "8001"}
-    assert scene.fleet.donors(newcomer, 5_000) == []  # they had just started
-    assert scene.fleet.donors(replace(newcomer, host="other"), 50_000) == []  # their loopback is not its own
+    assert scene.fleet.donors(newcomer, 5_000) == []  # their uptime is too short
+    assert scene.fleet.donors(replace(newcomer, host="other"), 50_000) == []  # loopback of another machine
     assert "127.0.0.1:8000" not in scene.fleet.donors(replace(newcomer, name="near0"), 50_000)
     gone = teach("near1", 8001)
     scene.fleet.disconnect("near1", gone, "")
     drained = teach("near0", 8000)
     scene.fleet.heartbeat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
-    scene.come("far0", "b1")  # it teaches no more
+    scene.come("far0", "b1")  # it is no donor any more
     assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.donor_names) == 5
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -1,4 +1,4 @@
-"""A release's next wave begins by the service that is measured, beside the untouched part at the same moment."""
+"""Canary analysis: measured answers of changed and unchanged instances decide whether the next wave starts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def traffic(found: AgentScene, failing: Callable[[LightInstance], float], rate: int = 200) -> None:
-    """So many answers to each instance every 20 ms."""
+    """Adds `rate` answers to the counters of each instance every 20 ms; `failing` gives the share of failures."""
     rng = random.Random(1)
     while True:
         for instance in found.instances.values():
--- a/tests/agent/test_killed.py
+++ b/tests/agent/test_killed.py
@@ -1,4 +1,4 @@
-"""The agent killed with SIGKILL at each of its steps: the next one ends what it began, and nothing is done twice."""
+"""The agent is killed with SIGKILL at each of its steps; the next one completes the rollout and does nothing twice."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.sockets import free_port
 
 COUNT = 2
-# Two steps round the beginning, two round each commit and each send; found by running with a step out of reach.
+# Two steps around the beginning, and two around each commit and each send; counted by a run without a kill.
 STEPS = 12
 
 
@@ -34,7 +34,7 @@
 
 
 async def rollout(data: Path, fatal: int, dsn: str = "", most: int = 0) -> tuple[int, dict[str, Any], list[list[str]]]:
-    """With an agent that dies at step `fatal`, and then with one that does not."""
+    """Runs a rollout with an agent that dies at step `fatal`, and then with one that does not."""
     port = free_port()
     first = asyncio.create_task(agent(data, port, fatal, dsn, most))
     while not (data / "instance.token").exists():
@@ -58,7 +58,7 @@
 
 
 def check(fatal: int, code: int, told: dict[str, Any], effects: list[list[str]]) -> None:
-    assert (code != 0) is (fatal <= STEPS), (fatal, told)  # the last one lives: every step has been one to die at
+    assert (code != 0) is (fatal <= STEPS), (fatal, told)  # the last one kills none: all steps are covered
     check_record(told, effects)
 
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -1,4 +1,4 @@
-"""Several agent processes on one record: one leads, and whatever befalls it another goes on from what was recorded."""
+"""Several agent processes on one record: one leads, and if it fails another continues from the recorded state."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Agents:
-    """Processes on one record, and light instances in this one that dial all of them."""
+    """Agent processes on one record, and simulated instances in this process that connect to any of them."""
 
     def __init__(self, folder: Path, record: str, most: int) -> None:
         self.folder, self.record, self.most = folder, record, most
@@ -69,7 +69,7 @@
             self.tasks.append(asyncio.create_task(client.run()))
 
     def effect(self, instance: LightInstance) -> None:
-        """A new configuration keeps an instance out for a moment: the truth that the budget is held against."""
+        """Applying a configuration takes an instance out for 30 ms; counts how many are actually out at once."""
         instance.ready = False
         self.out += 1
         self.worst = max(self.worst, self.out)
@@ -81,7 +81,7 @@
         asyncio.get_running_loop().call_later(0.03, back)
 
     async def ask(self, number: int, query: str, **variables: Any) -> dict[str, Any] | None:
-        """None where it does not answer."""
+        """Sends a GraphQL request to an agent; None if it does not answer."""
         with contextlib.suppress(httpx.HTTPError, OSError, ValueError):
             url = (self.folder / f"a{number}" / "address").read_text().strip()
             token = next(read_secret(path) for path in self.folder.glob("a*/admin.token"))
@@ -92,7 +92,7 @@
         return None
 
     async def leader(self, but: int = -1, seeing: int = 0) -> int:
-        """Waits until one leads that sees so many instances ready."""
+        """Waits until an agent other than `but` leads and sees at least `seeing` instances ready."""
         while True:
             for number in self.processes:
                 found = await self.ask(number, GO) if number != but else None
@@ -115,7 +115,7 @@
             await asyncio.sleep(0.02)
 
     async def apply(self, key: str, but: int = -1) -> int:
-        """As an operator who repeats a lost call would."""
+        """Repeats the call until it is answered, as an operator would after a lost call."""
         while True:
             number = await self.leader(but)
             found = await self.ask(number, APPLY, k=key, o={"settings": {"instances": 7}})
@@ -145,7 +145,7 @@
             await found.start(number)
         found.dial(instances)
         await found.leader(seeing=instances)
-        while len(await found.recorded()) < instances:  # the record has them a moment later
+        while len(await found.recorded()) < instances:  # they are recorded a moment later
             await asyncio.sleep(0.02)
         yield found
     finally:
@@ -153,8 +153,8 @@
 
 
 def check(found: Agents, op: dict[str, Any]) -> None:
-    """What holds however little CPU there is: what is told as applied is, nothing is done twice, the budget is kept.
-    Who fell silent for want of CPU is told as without an answer."""
+    """Checks that hold however little CPU there is: a target reported as applied was applied, nothing is done twice,
+    and the budget is kept. An instance that became silent for lack of CPU is reported as without an answer."""
     states = {edge["node"]["name"]: edge["node"]["state"] for edge in op["targets"]["edges"]}
     assert states.keys() == found.instances.keys() and set(states.values()) <= {"APPLIED", "NO_ANSWER"}, states
     assert op["phase"] == ("SUCCEEDED" if set(states.values()) == {"APPLIED"} else "PARTIAL")
@@ -166,19 +166,19 @@
 @pytest.mark.parametrize("how", ["KILL", "STOP"])
 @pytest.mark.parametrize("fatal", [1, 2, 3, 4, 5, 6, 7, 9, 11, 14])
 def test_at_each_step_of_a_release_another_goes_on_within_the_budget(tmp_path: Path, fatal: int, how: str) -> None:
-    """Killed there; or stopped there past its term, and continued once another leads: it does nothing more."""
+    """The leader is killed, or suspended past its term and resumed once another leads; then it must do nothing more."""
     async def test() -> None:
         async with agents(tmp_path, 2, fatal=fatal, how=how) as found:
             first = found.processes[0]
             applying = asyncio.create_task(found.apply("k"))
             while how not in found.log(0) and "leads no longer" not in found.log(0):
                 await asyncio.sleep(0.01)
-            struck = how in found.log(0)  # else it had no CPU for a term, and another leads for that
+            struck = how in found.log(0)  # else it got no CPU for a whole term, so another leads
             if struck:
                 try:
                     assert await asyncio.wait_for(found.leader(but=0), 15) == 1
                 except TimeoutError:
-                    # stopped in mid-commit it holds SQLite's own lock: nobody can take over until it goes on or ends
+                    # Suspended during a commit it holds SQLite's lock: none can take over until it resumes or ends.
                     assert how == "STOP" and "SQLITE_BUSY" in found.log(1), found.log(1)
                     os.kill(first.pid, signal.SIGCONT)
                     struck = False
@@ -206,7 +206,7 @@
                     break
                 await asyncio.sleep(0.02)
             fleet = told["data"]["fleet"]
-            assert not fleet["leads"] and 0 <= fleet["ageMs"] < 2_000 and fleet["ready"] == 0  # it has not seen them
+            assert not fleet["leads"] and 0 <= fleet["ageMs"] < 2_000 and fleet["ready"] == 0  # not connected to it
             refused = await found.ask(follower, "mutation { halt(reason: \"x\") { actor } }")
             assert refused is not None
             extensions = refused["errors"][0]["extensions"]
@@ -223,7 +223,7 @@
 
 
 def test_three_agents_lose_their_leader_again_and_again(tmp_path: Path) -> None:
-    """One at a time, and terms only rise. (How soon: `python -m bench.takeover`.)"""
+    """Only one leads at a time, and terms only increase. `python -m bench.takeover` measures how soon."""
     async def test() -> None:
         async with agents(tmp_path) as found:
             terms = [0]
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("where", ["anywhere", "in mid-transaction"])
 def test_a_leader_stopped_on_postgresql_is_followed_and_finds_its_term_void(tmp_path: Path, where: str) -> None:
-    """In the middle of a transaction it holds the row that says whose the record is: its server ends that by time."""
+    """Suspended within a transaction it holds the lock on the row of the owner; the server ends that by its timeout."""
     async def test() -> None:
         data = Data()
         host = await Host(data).start()
@@ -256,7 +256,7 @@
                 stopped = asyncio.Event()
 
                 async def stop_it(session: Session, kind: str, after: bool) -> None:
-                    if kind == "update" and after and not stopped.is_set():  # who follows writes nothing
+                    if kind == "update" and after and not stopped.is_set():  # a follower writes nothing
                         os.kill(found.processes[leader].pid, signal.SIGSTOP)
                         stopped.set()
 
@@ -278,7 +278,7 @@
 
 
 def test_a_sqlite_file_that_a_stopped_process_holds_is_told_and_led_on_once_it_is_free(tmp_path: Path) -> None:
-    """As a leader stopped in mid-commit holds it: nobody can write there, and so nobody leads."""
+    """A leader suspended during a commit holds the file's lock: none can write, and so none leads."""
     async def test() -> None:
         async with agents(tmp_path, 2) as found:
             leader = await found.leader(seeing=6)
@@ -291,7 +291,7 @@
                 while "SQLITE_BUSY" not in found.log(other):
                     await asyncio.sleep(0.01)
                 told = await found.ask(other, GO)
-                assert told is not None and not told["data"]["fleet"]["leads"]  # and it goes on showing the record
+                assert told is not None and not told["data"]["fleet"]["leads"]  # but it goes on showing the record
                 assert told["data"]["fleet"]["instances"] == 6
                 connection.execute("ROLLBACK")
             finally:
@@ -301,7 +301,7 @@
     run(test)
 
 
-# The term itself
+# The term of leadership
 
 
 def test_a_term_is_void_for_its_holder_before_it_is_free_for_another() -> None:
@@ -326,7 +326,7 @@
             assert (await two.owner()).holder == "a" and one.term.is_held(clock_ms())
             while (await two.owner()).left_ms:
                 await asyncio.sleep(0.01)
-            assert not one.term.is_held(clock_ms())  # known without asking
+            assert not one.term.is_held(clock_ms())  # by its own clock, without reading the record
             await two.claim()
             assert (one.term.epoch, two.term.epoch) == (1, 2)
             with pytest.raises(StoreError) as refused:
@@ -334,7 +334,7 @@
             assert refused.value.code == "TAKEN" and lost[-1] == "TAKEN"
             assert await two.write(lambda records: records.next_fence()) == 2
             await two.give_up()
-            await one.claim()  # at once: it was given up
+            await one.claim()  # possible at once, as the term was given up
             assert one.term.epoch == 3 and await one.write(lambda records: records.next_fence()) == 3
         finally:
             for store in (one, two):
--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -1,5 +1,5 @@
-"""200 sidecar processes, a rollout, and processes that are killed, stopped and ended meanwhile: what the command
-line says of each equals what the test reads from the process itself, over its own sockets.
+"""A rollout to 200 sidecar processes, some of which are killed, suspended or terminated meanwhile: what the command
+line reports of each equals what the test reads from the process itself, over its own sockets.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 COUNT = int(os.environ.get("MANY_COUNT", "200"))
 SEEDS = [int(seed) for seed in os.environ.get("MANY_SEEDS", "1,2").split(",")]
 LEASE_S = 3.0
-GATE = "z-gate"  # a light instance of the last wave: the operation can't end before the test lets it
+GATE = "z-gate"  # a simulated instance in the last wave: the operation can't end before the test allows it
 EXTRA = {"name": "extra", "aim": 1_000_000, "deadline": 2_000_000, "worth": 1.0, "effect": "idempotent"}
 OVERLAY = {"settings": {"request-classes": [*SETTINGS["request-classes"], EXTRA]}}
 
@@ -93,7 +93,7 @@
         return is_alive(*self.processes[name])
 
     async def knows_extra(self, name: str) -> bool:
-        """What the process itself does with a request of the class that the new settings bring."""
+        """Whether the process accepts a request of the class that only the new settings have."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[name])
         writer.write(b"GET /api HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nX-Lane: extra\r\nX-Remaining: 2000m\r\n\r\n")
         status = (await read_message(reader)).status
@@ -102,7 +102,7 @@
         return status != 400
 
     def hold_gate(self) -> tuple[asyncio.Event, asyncio.Event]:
-        """The gate takes its command and does nothing with it until it is let; it beats on."""
+        """The gate instance receives its command and delays it until allowed; its heartbeats go on."""
         reached, let = asyncio.Event(), asyncio.Event()
         session = self.scene.clients[GATE].session
         assert session is not None
@@ -163,7 +163,7 @@
                 many.signal(name, signal.SIGSTOP)
             case "term":
                 many.signal(name, signal.SIGTERM)
-            case "pause":  # slow: within its lease
+            case "pause":  # suspended, but within its lease
                 many.signal(name, signal.SIGSTOP)
                 await asyncio.sleep(rng.random() * LEASE_S * 0.4)
                 many.signal(name, signal.SIGCONT)
@@ -175,7 +175,7 @@
     await until(lambda: many.scene.engine.live_operations)  # it has begun
     await asyncio.gather(*(strike(name) for name in victims))
     await reached.wait()
-    await asyncio.sleep(LEASE_S + 0.5)  # those that are silent now have lost their lease
+    await asyncio.sleep(LEASE_S + 0.5)  # by now silent processes have lost their lease
     many.scene.tasks.pop(f"{GATE} lets", None)
     let.set()
     code, op = await rollout
@@ -191,8 +191,8 @@
         else:
             knows = await many.knows_extra(name)
             assert state in ("APPLIED", "NO_ANSWER", "FAILED", "REFUSED", "NOT_STARTED")
-            # one that talks nonsense is turned away for longer than its lease, one that was stopped for a while
-            # may have lost it: "no answer" says that it is not known, and that is so
+            # An instance that sends garbage is refused for longer than its lease, and a suspended one may have lost
+            # its lease: "no answer" means that its state is unknown, which is correct.
             unknown = state == "NO_ANSWER" and (many.wrongs.get(name) == "garbles" or fates.get(name) == "pause")
             assert unknown or knows is (state == "APPLIED"), (name, account[name], knows, fates.get(name))
     counts = Counter(target["state"] for target in account.values())
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -1,4 +1,4 @@
-"""Budgets at the agent: operations, scripts and a halt meet in them, and what is out stays within at every moment."""
+"""Disruption budgets in the agent: operations, scripts and a halt share them, and no budget is ever exceeded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Watched(AgentScene):
-    """Looks at the instances' own truth at each of their effects."""
+    """Counts the instances that are actually drained at each of their effects; `most` is the maximum."""
 
     most = 0
 
@@ -50,7 +50,7 @@
 
 
 async def undrain(found: Watched) -> None:
-    """Again until all serve: who has lost its connection just then is not told."""
+    """Repeats until all serve, as an instance that has just lost its connection misses the command."""
     while any(i.draining for i in found.instances.values()):
         await found.end(await found.begin(Kind.UNDRAIN, list(found.instances), supersede=True))
         await asyncio.sleep(0.02)
@@ -64,7 +64,7 @@
     async def test() -> None:
         async with fleet(tmp_path, 6, TWO) as found:
             engine, names = found.engine, list(found.instances)
-            # in one step of the loop: whoever is first, no more than two are given
+            # all in one step of the event loop: in whatever order, no more than two permits are granted
             _, _, permit = await asyncio.gather(
                 found.begin(Kind.DRAIN, names[:3]), found.begin(Kind.DRAIN, names[3:], actor="bob"),
                 engine.permits.request("script", "k", [f"sidecar/{names[5]}"], "disk", 0, 60_000))
@@ -76,7 +76,7 @@
             await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2)
             await until(lambda: any(live.waits_for for live in engine.live_operations.values()))
             assert found.most <= 2 and counted(found) == 2
-            await undrain(found)  # what is out comes back, and those that waited have their turn
+            await undrain(found)  # drained instances return to service, and the waiting ones get their turn
             await until(
                 lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
             if held():
@@ -104,7 +104,7 @@
                 await permits.request("ann", "k", ["sidecar/i0001"], "", 0, 60_000)
             waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             assert waiting.phase is PermitPhase.WAITING
-            found.instances[name].draining = True  # its holder takes it out, by a way of his own, and is gone at once
+            found.instances[name].draining = True  # its holder drains it on its own, without the agent
             returned = await permits.give_back("ann", held.id, False)
             assert returned.phase is PermitPhase.RETURNED
             assert await permits.give_back("ann", held.id, False) == returned
@@ -127,11 +127,11 @@
             waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             await until(lambda: permits.ledger.permits[held.id].phase is PermitPhase.UNKNOWN)
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
-            assert (await permits.renew("ann", held.id)).phase is PermitPhase.HELD  # it was slow, and is there
+            assert (await permits.renew("ann", held.id)).phase is PermitPhase.HELD  # the holder was slow, but is alive
             await until(lambda: permits.ledger.permits[held.id].phase is PermitPhase.UNKNOWN)
             with pytest.raises(Refusal, match="is ann's, not bob's"):
                 await permits.give_back("bob", held.id, False)
-            await permits.give_back("bob", held.id, True)  # who knows that its holder has died
+            await permits.give_back("bob", held.id, True)  # bob knows that the holder has died
             await until(lambda: permits.ledger.permits[waiting.id].phase is PermitPhase.HELD)
 
     run(test)
@@ -149,7 +149,7 @@
             await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             with pytest.raises(Refusal, match="halted by ann: errors rise"):
                 await found.begin(Kind.DRAIN)
-            assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been under way
+            assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been in flight
             assert (await engine.permits.set_halt("bob", "too")).actor == "ann"
         async with fleet(tmp_path, 4, TWO) as found:
             engine = found.engine
@@ -169,9 +169,9 @@
         async with fleet(tmp_path, 3, TWO) as found:
             permits = found.engine.permits
             halting = asyncio.create_task(permits.set_halt("ann", "now"))
-            await asyncio.sleep(0)  # it has been asked for, and its commit is under way
+            await asyncio.sleep(0)  # the halt was requested, and its commit is in progress
             assert permits.halt is None
-            # hazard: an operation's round would reserve now, and its command be recorded behind the halt
+            # Otherwise an operation's round could reserve now, and its command would be recorded after the halt.
             assert permits.ledger.stands_in_the_way(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
             permit = await permits.request("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
             assert permit.phase is PermitPhase.WAITING
@@ -183,7 +183,7 @@
 
 
 class Gated:
-    """Holds the store's writes, from the next one on, until it is opened; and may say of one that nobody knows."""
+    """Blocks the store's writes, from the next one on, until it is lifted."""
 
     def __init__(self, found: AgentScene) -> None:
         self.store, self.write = found.engine.store, found.engine.store.write
@@ -201,17 +201,17 @@
 
 
 def test_a_word_that_comes_while_a_decision_is_being_written_is_not_undone_by_it(tmp_path: Path) -> None:
-    """Seen on the stage: a permit was given back, then unknown for good, as its lease had lapsed a moment before."""
+    """Seen in a bench run: a permit was given back, then unknown for good, as its lease had run out just before."""
     async def test() -> None:
         async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
             gate = Gated(found)
             giving = asyncio.create_task(permits.give_back("ann", held.id, False))
-            await asyncio.sleep(0.8)  # the lease lapses while that is being written, and is looked at several times
+            await asyncio.sleep(0.8)  # the lease runs out during the write, and several decisions are made
             gate.lift()
             assert (await giving).phase is PermitPhase.RETURNED
-            await until(lambda: held.id not in permits.ledger.permits)  # seen to serve, and ended
+            await until(lambda: held.id not in permits.ledger.permits)  # confirmed to serve, and ended
             assert (await permits.find(held.id)).phase is PermitPhase.ENDED
 
     run(test)
@@ -237,7 +237,7 @@
             await until(lambda: rounds)
             await asyncio.sleep(0)
             assert found.engine.permits.unconfirmed and not found.instances["i0000"].effects
-            # it may stand: nothing else goes out meanwhile
+            # it may have been recorded: nothing else may go out of service meanwhile
             assert permits.ledger.stands_in_the_way(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
             known.set()
             assert (await found.end(op))[0].phase is Phase.SUCCEEDED
@@ -266,19 +266,19 @@
 
             known: list[int] = []
             returned = waiting.to(PermitPhase.ENDED)
-            permits.put([returned])  # room for the other; whether its grant stands is not known
+            permits.put([returned])  # room for the other, whose grant then has an unknown outcome
             found.engine.store.write = broken  # type: ignore[method-assign]
-            # the agent's own pass may meet the break in place of this one, which then finds nothing to decide
+            # The agent's own decision may run into the failure first; then this call finds nothing to decide.
             try:
                 await permits.decide()
             except StoreError as error:
                 assert "broke off" in str(error)
-            assert known, "no pass has met it"
+            assert known, "no decision ran into the failure"
             assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.unconfirmed
             assert permits.ledger.stands_in_the_way(("sidecar/i0002",), "x", (0, 99), 0)
             away[0] = False
             await until(lambda: other.id not in permits.unconfirmed)
-            if not stands:  # as the record has it, it waits; and is granted again
+            if not stands:  # in the record it waits, so it is granted again
                 await permits.decide()
             await until(lambda: permits.ledger.permits[other.id].phase is PermitPhase.HELD)
 
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_operators_never_have_more_out_than_is_allowed(tmp_path: Path, seed: int) -> None:
-    """Drains, undrains, permits, kills of connections and a new agent, drawn by seed."""
+    """Random drains, undrains, permits, broken connections and a new agent, by seed."""
     async def test() -> None:
         rng = random.Random(seed)
         names = [f"i{n:04}" for n in range(6)]
@@ -394,7 +394,7 @@
                     if not permit.operation:
                         await engine.permits.give_back("s", permit.id, False)
                 for ident in list(engine.live_operations):
-                    with contextlib.suppress(Refusal):  # it has ended meanwhile
+                    with contextlib.suppress(Refusal):  # it has already ended
                         await engine.control("ann", ident, "abort")
                 await undrain(found)
                 await until(lambda engine=engine: not engine.permits.counted())  # type: ignore[misc]
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: what an operation does next, and a world of processes that does its worst."""
+"""The planner: next steps of an operation, and a property-based test with faulty processes and connections."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Run:
-    """An operation, its targets and what is seen of them; each `step` is one look."""
+    """An operation, its targets and the observations of them; each `step` plans until nothing changes."""
 
     def __init__(self, op: Operation, count: int = 3) -> None:
         self.op = op
@@ -52,7 +52,7 @@
         self.touched: set[str] = set()
 
     def changed(self) -> set[str] | None:
-        """The names that the engine would hand over: of instances that show something else than at the last look."""
+        """The names that the engine would pass: of instances that report something else than at the last step."""
         now = {name: replace(one, heard_ms=0) for name, one in self.fleet.items()}
         names = {name for name in now if now[name] != self.shown.get(name)} | self.touched
         looked = (self.op, dict(self.superseded))
@@ -61,12 +61,12 @@
         return names if known else None
 
     def step(self) -> list[OutgoingCommand]:
-        """Looks until there is nothing new; what is sent."""
+        """Plans until nothing changes; returns the commands to send."""
         sends: list[OutgoingCommand] = []
         for _ in range(50):
             plan = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded)
             less = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded, self.changed())
-            assert less == plan  # what is passed over has nothing new to say
+            assert less == plan  # skipping unchanged targets gives the same plan
             for target in plan.targets:
                 self.targets[target.position] = target
             sends += plan.commands
@@ -76,7 +76,7 @@
                 self.op = replace(self.op, phase=plan.phase, note=plan.note)
             elif not plan.targets:
                 return sends
-        raise AssertionError("the planner never comes to rest")
+        raise AssertionError("the planner keeps planning new steps")
 
     def answer(self, send: OutgoingCommand, status: str = "applied", detail: str = "") -> None:
         place = next(t.position for t in self.targets if t.name == send.name)
@@ -103,7 +103,7 @@
     assert [send.name for send in sends] == ["i0", "i1", "i2"]
     for send in sends[:2]:
         run.apply(send)
-    run.answer(sends[2])  # says so, and shows something else
+    run.answer(sends[2])  # answers "applied", but reports another generation
     assert run.step() == [] and run.phase() is Phase.RUNNING
     run.show("i2", generation=5, fence=10)
     run.step()
@@ -112,7 +112,7 @@
 
 def test_what_was_shown_before_the_command_arrived_does_not_count() -> None:
     run = Run(operation(Kind.DRAIN), 1)
-    run.show("i0", draining=True, fence=9)  # by an operation before, whose undrain may be on its way
+    run.show("i0", draining=True, fence=9)  # by a former operation, whose undrain may still arrive
     run.step()
     assert run.states() == [State.UNDER_WAY]
     run.show("i0", fence=10)
@@ -121,7 +121,7 @@
 
 
 def test_nor_does_a_generation_that_it_ran_under_another_operation() -> None:
-    """Hazard: a command of the operation before may still arrive and change it again."""
+    """A command of the former operation may still arrive and change the generation again."""
     run = Run(operation(), 1)
     run.show("i0", generation=5, fence=9)
     run.step()
@@ -226,10 +226,10 @@
     run = Run(operation(), 2)
     run.apply(run.step()[0])
     run.step()
-    run.show("i0", shown=False, generation=4, fence=0)
+    run.show("i0", has_reported=False, generation=4, fence=0)
     run.step()
     assert run.states()[0] is State.APPLIED
-    run.show("i0", shown=True)
+    run.show("i0", has_reported=True)
     run.step()
     assert run.states()[0] is State.FAILED and "runs generation 4" in run.targets[0].detail
 
@@ -335,7 +335,7 @@
     for send in run.step():
         run.answer(send)
     run.show("i0", leased=False, ended="exit 0")
-    run.show("i1", leased=False)  # silent: it may run still
+    run.show("i1", leased=False)  # silent: may still be running
     run.show("i2", boot="i2-2")
     run.step()
     assert run.states() == [State.APPLIED, State.NO_ANSWER, State.APPLIED]
@@ -372,12 +372,12 @@
             assert not plan.targets and not plan.commands and plan.phase is None
 
 
-# A world that does its worst
+# Property-based test with faulty processes and connections
 
 
 @dataclass
 class Process:
-    """What is true of an instance, whatever the agent believes."""
+    """The actual state of an instance, whatever the agent assumes."""
 
     boot: int = 1
     alive: bool = True
@@ -388,7 +388,7 @@
 
 
 class World(RuleBasedStateMachine):
-    """Commands and answers are lost, doubled and late; processes die, restart, fall silent; the agent dies."""
+    """Commands and answers get lost, duplicated or delayed; processes die, restart or become silent; the agent dies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -487,12 +487,12 @@
 
     @rule()
     def agent_dies(self) -> None:
-        """What was recorded stays, what was on its way may be lost; what is under way is sent again."""
+        """Recorded state stays, commands in flight are lost, and commands of targets under way are sent again."""
         self.wires.clear()
         self.run_.targets = [replace(t, sent_ms=self.run_.now_ms) if t.command else t for t in self.run_.targets]
         self.run_.looked = ()
-        for name in self.names:  # the record of the instances is older than that of the targets
-            self.run_.show(name, shown=False, generation=4, fence=0, ready=False)
+        for name in self.names:  # the recorded instances may be older than the recorded targets
+            self.run_.show(name, has_reported=False, generation=4, fence=0, ready=False)
         self.wires += self.run_.step()
         for name in self.names:
             self.resend(name)
@@ -543,7 +543,7 @@
             assert set(self.run_.states()) == {State.APPLIED}
 
     def teardown(self) -> None:
-        """Once the world behaves, every operation that is not paused comes to its end."""
+        """Without further faults, every operation that is not paused ends."""
         if not hasattr(self, "run_"):
             return
         if self.run_.op.phase is Phase.PAUSED:
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Instances that the agent starts: crash loops, replacements under traffic, an agent that dies and the next one."""
+"""Supervised instances: crash loops, replacement under traffic, and takeover by the next agent after a kill."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         assert steady.on_end(now_s, STABLE_S) == 0.5
         now_s += STABLE_S
     slow = RestartBackoff()
-    for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
+    for _ in range(20):  # ends far apart are no crash loop, and the delay is bounded
         wait_s = slow.on_end(now_s, 1.0)
         assert wait_s is not None and wait_s <= MAX_DELAY_S
         now_s += 60.0
@@ -84,7 +84,7 @@
 
 
 def test_what_needs_a_restart_is_replaced_on_its_port_and_no_request_is_lost(tmp_path: Path) -> None:
-    """Make before break: the successor listens on the same port before the old process is told to end."""
+    """Make before break: the successor listens on the same port before the old process is stopped."""
     async def test() -> None:
         async with world(tmp_path) as (peer, config):
             port = free_port()
@@ -141,7 +141,7 @@
             await until(lambda: s.agent.fleet.members["app-0"].row.ended == "signal 9"
                         or s.agent.fleet.members["app-0"].row.boot != row.boot)
             await until(lambda: s.agent.fleet.members["app-0"].row.boot != row.boot and ready(s, "app-0"))
-            assert s.agent.fleet.members["app-0"].row.generation == 1  # from its start, with no operation
+            assert s.agent.fleet.members["app-0"].row.generation == 1  # from its start, without an operation
             assert len(await s.engine.store.read(lambda r: r.operations(99, 99))) == 1
 
     run(test)
@@ -150,7 +150,7 @@
 def test_one_that_should_run_what_this_record_does_not_have_starts_with_its_file_alone(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Hazard: the agent ended with a fault, and every agent after it."""
+    """Guards against a crash of the agent, and of every agent after it."""
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config) as s:
             await until(lambda: ready(s, "app-0"))
@@ -221,12 +221,12 @@
                         await agents[0].wait()
                         assert all(is_alive(pid, start_ticks(pid) or -1) for pid in rows[0].values())
                 assert rows[0] == rows[1]  # the same processes
-                os.kill(rows[1]["app-0"], signal.SIGKILL)  # no child of this agent: it notices all the same
+                os.kill(rows[1]["app-0"], signal.SIGKILL)  # not a child of this agent, which notices all the same
                 while (now := await instances(tmp_path, api))["app-0"] == rows[1]["app-0"]:
                     await asyncio.sleep(0.05)
                 assert now["app-1"] == rows[1]["app-1"]
                 rows.append(now)
-                agents[1].terminate()  # with --stop-instances: all of them end
+                agents[1].terminate()  # with --stop-instances: all instances end
                 assert await agents[1].wait() == 0
                 assert not any(is_alive(pid, start_ticks(pid) or -1) for row in rows for pid in row.values())
             finally:
@@ -274,7 +274,7 @@
                 row = s.agent.fleet.members["app-0"].row
                 ends.callback(kill, row.pid)
             state = tmp_path / "data" / "instances" / "app-0.state"
-            state.write_text(json.dumps({"boot": row.boot, "held": False}))  # as it stands before the start
+            state.write_text(json.dumps({"boot": row.boot, "held": False}))  # as it is written before the start
             async with scene(tmp_path / "data", **changes) as s:
                 await until(lambda: ready(s, "app-0"))
                 assert s.agent.fleet.members["app-0"].row.pid == row.pid
