--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_half_lost_in_mid_command_is_named_and_never_success(seed: int, tmp_path: Path) -> None:
+def test_instances_lost_during_a_command_are_never_reported_as_applied(seed: int, tmp_path: Path) -> None:
     """The reported state of each target equals what its process actually runs, and whether it is alive."""
     async def test() -> None:
         rng = random.Random(seed)
@@ -128,7 +128,7 @@
     run(test)
 
 
-def test_also_through_different_connections_and_the_same_key_again_is_one_operation(tmp_path: Path) -> None:
+def test_concurrent_applies_over_the_api_have_one_winner_and_the_key_is_idempotent(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(2)
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_a_restarted_instance_has_not_applied_and_is_told_again(tmp_path: Path) -> None:
+def test_restarted_instance_is_commanded_again(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3)
@@ -244,7 +244,7 @@
     encode(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
     encode(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
 ])
-def test_an_instance_that_talks_nonsense_is_told_and_harms_nobody(raw: bytes, tmp_path: Path) -> None:
+def test_invalid_messages_are_denied_without_affecting_other_instances(raw: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(2)
@@ -258,7 +258,7 @@
     run(test)
 
 
-def test_an_answer_of_garbage_in_mid_operation_is_no_answer(tmp_path: Path) -> None:
+def test_garbage_instead_of_an_answer_counts_as_no_answer(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(3)
@@ -328,7 +328,7 @@
     run(test)
 
 
-def test_a_roll_back_takes_all_to_what_they_ran(tmp_path: Path) -> None:
+def test_rollback_reverts_all_to_their_former_generation(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(6)
@@ -351,7 +351,7 @@
     run(test)
 
 
-def test_nothing_is_sent_that_could_not_be_recorded_and_it_goes_on_when_it_can(
+def test_nothing_is_sent_before_it_is_recorded_and_the_operation_resumes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ironscale.agent.engine.RETRY_S", 0.05)
@@ -408,7 +408,7 @@
     ({"x": "y" * 200_000}, "expected a frame of 131072 bytes at most"),
     ({"x": float("nan")}, "expected numbers that JSON has"),
 ])
-def test_a_patch_that_fits_no_frame_is_refused_before_anything_is_begun(
+def test_overlay_that_can_not_be_sent_is_refused(
     overlay: dict[str, Any], words: str, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -433,7 +433,7 @@
     run(test)
 
 
-def test_a_restarted_agent_knows_what_it_knew_and_leases_go_on(tmp_path: Path) -> None:
+def test_restarted_agent_loads_its_record_and_leases_continue(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3, zone="b")
@@ -449,7 +449,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-86_400, 86_400])
-def test_a_clock_that_is_set_under_a_running_agent_changes_nothing(
+def test_setting_the_wall_clock_does_not_affect_leases(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Leases by the wall clock would end at once, or never."""
@@ -469,7 +469,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-86_400, 86_400])
-def test_an_operation_goes_on_under_an_agent_whose_clock_was_set_in_between(
+def test_operation_continues_after_a_restart_with_another_wall_clock(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -497,7 +497,7 @@
     run(test)
 
 
-def test_a_lease_that_ends_while_the_command_is_on_its_way_is_no_answer_and_the_command_is_done_once(
+def test_lease_that_expires_with_a_command_in_flight_is_no_answer_and_the_command_runs_once(
     tmp_path: Path
 ) -> None:
     """The instance is suspended with the command in its socket buffer; when it resumes, the operation has ended."""
@@ -522,7 +522,7 @@
     run(test)
 
 
-def test_an_instance_of_an_agent_whose_record_is_gone_is_left_as_it_is(
+def test_instance_with_a_generation_missing_in_the_record_is_left_alone(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
@@ -544,7 +544,7 @@
     assert capsys.readouterr().err.count("not caught up: i0 should run generation 7") == 1
 
 
-def test_a_fault_met_by_one_operation_ends_neither_the_agent_nor_the_others(
+def test_exception_in_one_operation_stops_neither_the_agent_nor_other_operations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("ironscale.agent.engine.RETRY_S", 0.05)
@@ -570,7 +570,7 @@
     assert "a bug" in capsys.readouterr().err
 
 
-def test_catching_up_that_was_refused_for_now_is_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_catching_up_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(1)
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -47,7 +47,7 @@
         return state_of(seen)
 
 
-def test_a_lease_is_renewed_by_heartbeats_and_ends_without() -> None:
+def test_lease_is_renewed_by_heartbeats_and_expires_without() -> None:
     s = Scene()
     link = s.come()
     assert s.state() == "not ready"  # it has sent no report yet
@@ -63,7 +63,7 @@
     assert s.state() == "ready"
 
 
-def test_heartbeats_that_show_nothing_new_wake_no_operation() -> None:
+def test_heartbeats_without_changes_wake_no_operation() -> None:
     s = Scene()
     link = s.come()
     s.fleet.heartbeat("a", link, REPORT)
@@ -95,7 +95,7 @@
     assert s.fleet.members["a"].row.boot == "b3"
 
 
-def test_a_full_agent_says_so_and_knows_those_that_it_has() -> None:
+def test_full_agent_denies_new_names_and_accepts_known_ones() -> None:
     s = Scene(most=1)
     s.come()
     with pytest.raises(Denial, match="expected 1 instances at most"):
@@ -103,7 +103,7 @@
     s.come()
 
 
-def test_the_most_exact_account_of_an_end_stays() -> None:
+def test_most_exact_description_of_an_end_is_kept() -> None:
     s = Scene()
     link = s.come()
     s.fleet.disconnect("a", link, "ended by itself: ended")
@@ -116,7 +116,7 @@
     assert s.fleet.members["a"].row.ended == "exit 0"
 
 
-def test_a_connection_that_breaks_says_nothing_of_the_process_unless_it_was_here() -> None:
+def test_broken_connection_means_death_only_of_a_local_process() -> None:
     s = Scene()
     s.fleet.disconnect("a", s.come(), "")
     assert s.state() == "not ready"  # its lease is still valid
@@ -125,7 +125,7 @@
     assert s.state("b") == "gone"
 
 
-def test_the_interval_grows_with_the_fleet_so_that_heartbeats_don_t() -> None:
+def test_heartbeat_interval_grows_with_the_fleet() -> None:
     s = Scene(most=100_000)
     assert s.fleet.lease_and_heartbeat() == (6_000, 2_000)
     for count in (2_000, 5_000, 20_000):
@@ -141,7 +141,7 @@
     return InstanceRow(name, **values)
 
 
-def test_what_a_restarted_agent_makes_of_its_record() -> None:
+def test_loading_the_record_after_an_agent_restart() -> None:
     s = Scene()
     ticks = start_ticks(os.getpid())
     assert ticks is not None
@@ -169,7 +169,7 @@
     assert s.fleet.names() == ["0", "a", "b", "c"]
 
 
-def test_newcomers_are_told_of_some_that_teach_their_zone_first() -> None:
+def test_donors_are_serving_instances_of_the_zone_first() -> None:
     scene = Scene(100)
 
     def teach(name: str, port: int, zone: str = "z", **changes: Any) -> FakeLink:
--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -33,7 +33,7 @@
     return sum(bool(instance.effects) for instance in found.instances.values())
 
 
-def test_a_release_that_fails_under_load_stops_at_its_canary_and_goes_back(tmp_path: Path) -> None:
+def test_failing_release_stops_at_the_canary_and_rolls_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as found:
             await found.start_many(6)
@@ -47,7 +47,7 @@
     run(test)
 
 
-def test_a_good_release_goes_on_through_an_hour_that_is_bad_for_all(tmp_path: Path) -> None:
+def test_release_proceeds_if_unchanged_instances_fail_as_much(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as found:
             await found.start_many(6)
@@ -59,7 +59,7 @@
     run(test)
 
 
-def test_without_traffic_it_waits_says_so_and_ends_by_its_rule(tmp_path: Path) -> None:
+def test_without_traffic_the_gate_waits_then_applies_unsure(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as found:
             await found.start_many(3)
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize(("wave", "canary", "count", "sizes"), [
     (0, 0, 5, [5]), (2, 0, 5, [2, 2, 1]), (2, 1, 5, [1, 2, 2]), (0, 1, 5, [1, 4]), (10, 3, 2, [2]), (1, 7, 5, [5])])
-def test_waves_have_the_canary_first_and_leave_nobody_out(wave: int, canary: int, count: int, sizes: list[int]) -> None:
+def test_canary_wave_comes_first_and_waves_cover_all_targets(wave: int, canary: int, count: int, sizes: list[int]) -> None:
     found = _wave_positions(Policy(wave=wave, canary=canary), count)
     assert [len(part) for part in found] == sizes
     assert [place for part in found for place in part] == list(range(count))
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("how", ["KILL", "STOP"])
 @pytest.mark.parametrize("fatal", [1, 2, 3, 4, 5, 6, 7, 9, 11, 14])
-def test_at_each_step_of_a_release_another_goes_on_within_the_budget(tmp_path: Path, fatal: int, how: str) -> None:
+def test_another_agent_continues_a_release_from_each_step_within_the_budget(tmp_path: Path, fatal: int, how: str) -> None:
     """The leader is killed, or suspended past its term and resumed once another leads; then it must do nothing more."""
     async def test() -> None:
         async with agents(tmp_path, 2, fatal=fatal, how=how) as found:
@@ -195,7 +195,7 @@
     run(test)
 
 
-def test_who_follows_shows_the_record_with_its_age_and_sends_mutations_on(tmp_path: Path) -> None:
+def test_follower_shows_the_record_with_its_age_and_names_the_leader_for_mutations(tmp_path: Path) -> None:
     async def test() -> None:
         async with agents(tmp_path) as found:
             leader = await found.leader(seeing=6)
@@ -222,7 +222,7 @@
     run(test)
 
 
-def test_three_agents_lose_their_leader_again_and_again(tmp_path: Path) -> None:
+def test_three_agents_lose_their_leader_repeatedly(tmp_path: Path) -> None:
     """Only one leads at a time, and terms only increase. `python -m bench.takeover` measures how soon."""
     async def test() -> None:
         async with agents(tmp_path) as found:
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("where", ["anywhere", "in mid-transaction"])
-def test_a_leader_stopped_on_postgresql_is_followed_and_finds_its_term_void(tmp_path: Path, where: str) -> None:
+def test_suspended_leader_on_postgresql_is_replaced_and_its_term_is_void(tmp_path: Path, where: str) -> None:
     """Suspended within a transaction it holds the lock on the row of the owner; the server ends that by its timeout."""
     async def test() -> None:
         data = Data()
@@ -277,7 +277,7 @@
     run(test)
 
 
-def test_a_sqlite_file_that_a_stopped_process_holds_is_told_and_led_on_once_it_is_free(tmp_path: Path) -> None:
+def test_locked_sqlite_file_is_reported_and_led_again_once_unlocked(tmp_path: Path) -> None:
     """A leader suspended during a commit holds the file's lock: none can write, and so none leads."""
     async def test() -> None:
         async with agents(tmp_path, 2) as found:
@@ -304,14 +304,14 @@
 # The term of leadership
 
 
-def test_a_term_is_void_for_its_holder_before_it_is_free_for_another() -> None:
+def test_term_expires_for_its_holder_before_another_may_claim() -> None:
     term = Term(1, 1_000, 500)
     assert term.is_held(949) and not term.is_held(950) and not term.is_held(1_000)
     assert not term.is_over(1_499) and term.is_over(1_500)
     assert Term().is_held(10**15) and not Term().is_over(10**15)
 
 
-def test_one_claims_a_record_and_the_former_holder_changes_nothing_more(tmp_path: Path) -> None:
+def test_former_holder_of_a_claimed_record_can_not_write(tmp_path: Path) -> None:
     async def test() -> None:
         one, two = (SqliteStore(tmp_path / "r.db", claim=Claim(name, f"place {name}", 300)) for name in "ab")
         lost: list[str] = []
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -93,7 +93,7 @@
     run(test)
 
 
-def test_a_permit_ends_by_what_is_seen_after_its_return_and_not_by_a_word(tmp_path: Path) -> None:
+def test_returned_permit_ends_only_when_its_unit_is_seen_to_serve(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits, name = found.engine.permits, "i0000"
@@ -119,7 +119,7 @@
     run(test)
 
 
-def test_a_lapsed_lease_is_not_known_and_not_free(tmp_path: Path) -> None:
+def test_permit_with_an_expired_lease_is_unknown_and_still_counts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits = found.engine.permits
@@ -137,7 +137,7 @@
     run(test)
 
 
-def test_a_halt_holds_everything_survives_the_agent_and_lets_ways_back_through(tmp_path: Path) -> None:
+def test_halt_blocks_all_but_rollbacks_and_survives_an_agent_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 4, TWO) as found:
             engine = found.engine
@@ -164,7 +164,7 @@
     run(test)
 
 
-def test_a_halt_holds_from_the_moment_it_is_asked_for_and_not_from_its_commit(tmp_path: Path) -> None:
+def test_halt_takes_effect_before_its_commit(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, TWO) as found:
             permits = found.engine.permits
@@ -200,7 +200,7 @@
         self.open.set()
 
 
-def test_a_word_that_comes_while_a_decision_is_being_written_is_not_undone_by_it(tmp_path: Path) -> None:
+def test_give_back_is_not_undone_by_a_concurrent_lease_expiry(tmp_path: Path) -> None:
     """Seen in a bench run: a permit was given back, then unknown for good, as its lease had run out just before."""
     async def test() -> None:
         async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
@@ -217,7 +217,7 @@
     run(test)
 
 
-def test_what_an_operation_reserved_counts_on_while_its_commit_is_not_known(tmp_path: Path) -> None:
+def test_reservation_of_an_operation_counts_while_its_commit_is_unknown(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits, store, write = found.engine.permits, found.engine.store, found.engine.store.write
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_a_reservation_whose_commit_is_not_known_counts_until_the_record_says(tmp_path: Path, stands: bool) -> None:
+def test_grant_with_an_unknown_commit_counts_until_read_back(tmp_path: Path, stands: bool) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             permits, write = found.engine.permits, found.engine.store.write
@@ -285,7 +285,7 @@
     run(test)
 
 
-def test_an_operation_takes_no_permit_up_again_whose_end_is_being_written(tmp_path: Path) -> None:
+def test_permit_is_not_reserved_again_while_its_end_is_being_written(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 2, TWO) as found:
             permits = found.engine.permits
@@ -301,7 +301,7 @@
     run(test)
 
 
-def test_an_urgent_way_back_waits_for_no_room_and_counts_all_the_same(tmp_path: Path) -> None:
+def test_urgent_rollback_does_not_wait_for_room_but_counts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 4, TWO) as found:
             engine, names = found.engine, list(found.instances)
@@ -327,7 +327,7 @@
     run(test)
 
 
-def test_unplanned_losses_stop_a_release_of_others_until_they_are_back(tmp_path: Path) -> None:
+def test_unplanned_losses_block_a_release_of_other_instances(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 5, TWO) as found:
             engine = found.engine
@@ -347,7 +347,7 @@
     run(test)
 
 
-def test_what_is_no_more_is_forgotten_by_a_hand_and_counts_no_longer(tmp_path: Path) -> None:
+def test_forgotten_instance_no_longer_counts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", Of.SIDECAR, number=1)) as found:
             engine = found.engine
@@ -365,7 +365,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_random_operators_never_have_more_out_than_is_allowed(tmp_path: Path, seed: int) -> None:
+def test_random_operations_never_exceed_the_budget(tmp_path: Path, seed: int) -> None:
     """Random drains, undrains, permits, broken connections and a new agent, by seed."""
     async def test() -> None:
         rng = random.Random(seed)
@@ -412,7 +412,7 @@
     ('name = "a"\nnumber = 1\n[[agent.budget]]\nname = "b"\nnumber = 2',
      "expected one number for the same units, got 1 of 'a' and 2 of 'b'"),
 ])
-def test_a_budget_that_cannot_be_used_is_told_in_one_line(tmp_path: Path, text: str, wrong: str) -> None:
+def test_invalid_budget_is_reported_in_one_line(tmp_path: Path, text: str, wrong: str) -> None:
     with pytest.raises(OperatorFileError) as found:
         parse(f"[agent]\n[[agent.budget]]\n{text}\n", "f.toml", tmp_path)
     assert str(found.value).startswith("f.toml: agent.budget") and wrong in str(found.value)
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -97,7 +97,7 @@
         return [target.state for target in self.targets]
 
 
-def test_success_is_told_only_when_every_target_has_shown_it() -> None:
+def test_succeeds_only_when_a_report_of_every_target_confirms_it() -> None:
     run = Run(operation())
     sends = run.step()
     assert [send.name for send in sends] == ["i0", "i1", "i2"]
@@ -110,7 +110,7 @@
     assert run.phase() is Phase.SUCCEEDED and set(run.states()) == {State.APPLIED}
 
 
-def test_what_was_shown_before_the_command_arrived_does_not_count() -> None:
+def test_state_reported_under_an_older_fence_does_not_count() -> None:
     run = Run(operation(Kind.DRAIN), 1)
     run.show("i0", draining=True, fence=9)  # by a former operation, whose undrain may still arrive
     run.step()
@@ -120,7 +120,7 @@
     assert run.phase() is Phase.SUCCEEDED
 
 
-def test_nor_does_a_generation_that_it_ran_under_another_operation() -> None:
+def test_generation_reported_under_an_older_fence_does_not_count() -> None:
     """A command of the former operation may still arrive and change the generation again."""
     run = Run(operation(), 1)
     run.show("i0", generation=5, fence=9)
@@ -131,7 +131,7 @@
     assert run.phase() is Phase.SUCCEEDED
 
 
-def test_one_that_says_applied_and_never_shows_it_has_failed() -> None:
+def test_target_that_answers_applied_without_a_confirming_report_fails() -> None:
     run = Run(operation(answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.now_ms += 1_000
@@ -140,7 +140,7 @@
     assert "runs generation 4" in run.targets[0].detail
 
 
-def test_heartbeats_without_an_answer_are_no_answer() -> None:
+def test_heartbeats_alone_do_not_count_as_an_answer() -> None:
     run = Run(operation(answer_ms=1_000), 1)
     run.step()
     run.now_ms += 999
@@ -152,7 +152,7 @@
     assert run.phase() is Phase.PARTIAL
 
 
-def test_a_lost_half_is_named_and_nothing_is_assumed_of_it() -> None:
+def test_lost_targets_are_reported_as_no_answer_or_gone() -> None:
     run = Run(operation(), 4)
     sends = run.step()
     for send in sends[:2]:
@@ -165,7 +165,7 @@
     assert run.targets[3].detail == "signal 9"
 
 
-def test_one_that_was_not_there_at_the_start_is_told_as_not_connected() -> None:
+def test_target_without_a_lease_at_the_start_is_reported_as_not_connected() -> None:
     run = Run(operation(), 2)
     run.show("i1", leased=False, connected=False)
     sends = run.step()
@@ -173,7 +173,7 @@
     assert run.targets[1].detail == "not connected" and run.targets[1].since_ms == T0 - 5
 
 
-def test_a_connection_lost_within_its_lease_is_waited_for() -> None:
+def test_waits_for_a_disconnected_target_while_its_lease_is_valid() -> None:
     run = Run(operation(), 1)
     run.show("i0", connected=False)
     assert run.step() == [] and run.states() == [State.NOT_STARTED] and run.phase() is Phase.RUNNING
@@ -181,7 +181,7 @@
     assert len(run.step()) == 1
 
 
-def test_a_restarted_process_has_not_applied_what_the_former_did() -> None:
+def test_restarted_process_is_commanded_again() -> None:
     run = Run(operation(), 1)
     first = run.step()[0]
     run.answer(first)
@@ -193,7 +193,7 @@
     assert run.phase() is Phase.SUCCEEDED and run.targets[0].boot == "i0-2"
 
 
-def test_also_when_it_had_shown_it_while_others_were_under_way() -> None:
+def test_restarted_process_is_commanded_again_after_it_had_applied() -> None:
     run = Run(operation(), 2)
     sends = run.step()
     run.apply(sends[0])
@@ -204,7 +204,7 @@
     assert [send.boot for send in again] == ["i0-2"]
 
 
-def test_one_that_keeps_restarting_has_failed() -> None:
+def test_target_that_keeps_restarting_fails() -> None:
     run = Run(operation(tries=3), 1)
     run.step()
     for boot in range(2, 5):
@@ -213,7 +213,7 @@
     assert run.states() == [State.FAILED] and "restarted 3 times" in run.targets[0].detail
 
 
-def test_one_applied_that_dies_before_the_end_is_told_as_gone() -> None:
+def test_applied_target_that_dies_before_the_end_is_gone() -> None:
     run = Run(operation(), 2)
     run.apply(run.step()[0])
     run.step()
@@ -222,7 +222,7 @@
     assert run.targets[0].state is State.GONE and run.targets[0].detail == "had applied; signal 9"
 
 
-def test_what_a_restarted_agent_reads_of_a_process_does_not_undo_what_it_had_shown() -> None:
+def test_recorded_state_after_an_agent_restart_does_not_undo_applied() -> None:
     run = Run(operation(), 2)
     run.apply(run.step()[0])
     run.step()
@@ -234,7 +234,7 @@
     assert run.states()[0] is State.FAILED and "runs generation 4" in run.targets[0].detail
 
 
-def test_one_that_refused_because_it_was_ending_is_gone_and_its_successor_is_told() -> None:
+def test_target_that_refused_while_shutting_down_is_gone_and_its_successor_is_commanded() -> None:
     run = Run(operation(max_failures=2), 2)
     run.answer(run.step()[0], "refused", "the process is ending")
     run.step()
@@ -247,7 +247,7 @@
     assert [send.boot for send in run.step()] == ["i0-2"]
 
 
-def test_waves_follow_one_another_and_the_budget_holds() -> None:
+def test_waves_run_in_order_within_max_unavailable() -> None:
     run = Run(operation(wave=2, max_unavailable=1), 4)
     order = []
     for _ in range(4):
@@ -259,7 +259,7 @@
     assert order == ["i0", "i1", "i2", "i3"] and run.phase() is Phase.SUCCEEDED
 
 
-def test_past_the_threshold_nothing_more_is_started() -> None:
+def test_no_more_targets_start_after_too_many_failures() -> None:
     run = Run(operation(wave=1, max_failures=1), 5)
     run.answer(run.step()[0], "refused", "bad settings")
     run.answer(run.step()[0], "failed", "a bug")
@@ -268,7 +268,7 @@
     assert run.states() == [State.REFUSED, State.FAILED, *[State.NOT_STARTED] * 3]
 
 
-def test_or_it_pauses_and_goes_on_when_told() -> None:
+def test_on_failure_pause_waits_until_resumed() -> None:
     run = Run(operation(wave=1, on_failure="pause"), 2)
     run.answer(run.step()[0], "refused", "no")
     assert run.step() == [] and run.phase() is Phase.PAUSED
@@ -276,7 +276,7 @@
     assert [send.name for send in run.step()] == ["i1"]
 
 
-def test_or_everything_that_was_told_goes_back() -> None:
+def test_on_failure_rollback_reverts_every_commanded_target() -> None:
     run = Run(operation(wave=2, on_failure="rollback"), 4)
     sends = run.step()
     run.apply(sends[0])
@@ -292,7 +292,7 @@
     assert run.states() == [State.REVERTED, State.REVERTED, State.NOT_STARTED, State.NOT_STARTED]
 
 
-def test_a_roll_back_that_is_not_shown_is_not_told_as_done() -> None:
+def test_unconfirmed_rollback_ends_as_partial() -> None:
     run = Run(operation(on_failure="rollback", answer_ms=1_000), 2)
     sends = run.step()
     run.apply(sends[0])
@@ -304,7 +304,7 @@
     assert run.states() == [State.NO_ANSWER, State.REFUSED]
 
 
-def test_what_needs_a_restart_is_restarted_where_the_agent_can() -> None:
+def test_target_that_needs_a_restart_is_restarted_if_supervised() -> None:
     run = Run(operation(), 2)
     run.show("i0", supervised=True)
     sends = run.step()
@@ -321,7 +321,7 @@
     assert run.states()[0] is State.APPLIED
 
 
-def test_a_newer_operation_takes_its_instances() -> None:
+def test_newer_operation_supersedes_its_targets() -> None:
     run = Run(operation(wave=1), 3)
     run.step()
     run.superseded = {"i0": 2, "i1": 2}
@@ -330,7 +330,7 @@
     assert run.targets[0].detail == "operation 2 has it"
 
 
-def test_a_stop_is_shown_by_the_end_of_the_process() -> None:
+def test_stop_is_confirmed_by_the_end_of_the_process() -> None:
     run = Run(operation(Kind.STOP), 3)
     for send in run.step():
         run.answer(send)
@@ -342,7 +342,7 @@
     assert run.targets[0].detail == "exit 0"
 
 
-def test_a_drain_waits_for_what_was_taken() -> None:
+def test_drain_waits_for_open_requests() -> None:
     run = Run(operation(Kind.DRAIN, answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.show("i0", draining=True, fence=10, open=3)
@@ -353,7 +353,7 @@
     assert run.states() == [State.FAILED] and "3 requests still open" in run.targets[0].detail
 
 
-def test_an_answer_to_an_earlier_try_says_nothing_of_the_present_one() -> None:
+def test_answer_to_an_earlier_command_is_ignored() -> None:
     run = Run(operation(), 1)
     first = run.step()[0]
     run.show("i0", boot="i0-2")
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -31,7 +31,7 @@
 from tests.sockets import free_port
 
 
-def test_restarts_back_off_give_up_on_a_crash_loop_and_forget_after_a_steady_run() -> None:
+def test_restart_backoff_detects_crash_loops_and_resets_after_a_stable_run() -> None:
     restarts, now_s, waits = RestartBackoff(), 100.0, []
     for _ in range(CRASH_LOOP_ENDS - 1):
         waits.append(restarts.on_end(now_s, 0.1))
@@ -83,7 +83,7 @@
     return member is not None and member.leased and member.report is not None and member.report.ready
 
 
-def test_what_needs_a_restart_is_replaced_on_its_port_and_no_request_is_lost(tmp_path: Path) -> None:
+def test_make_before_break_restart_loses_no_request(tmp_path: Path) -> None:
     """Make before break: the successor listens on the same port before the old process is stopped."""
     async def test() -> None:
         async with world(tmp_path) as (peer, config):
@@ -131,7 +131,7 @@
         writer.close()
 
 
-def test_a_killed_process_is_started_again_with_what_it_should_run(tmp_path: Path) -> None:
+def test_killed_process_is_restarted_with_its_desired_generation(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config, 2) as s:
             await until(lambda: ready(s, "app-0") and ready(s, "app-1"))
@@ -147,7 +147,7 @@
     run(test)
 
 
-def test_one_that_should_run_what_this_record_does_not_have_starts_with_its_file_alone(
+def test_instance_whose_generation_is_not_recorded_starts_with_its_base_configuration(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Guards against a crash of the agent, and of every agent after it."""
@@ -164,7 +164,7 @@
     assert "generation 9 is not in the record" in capsys.readouterr().err
 
 
-def test_a_restart_replaces_and_a_stopped_one_stays_stopped_until_then(tmp_path: Path) -> None:
+def test_stopped_instance_stays_stopped_until_restarted(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config) as s:
             await until(lambda: ready(s, "app-0"))
@@ -184,7 +184,7 @@
     run(test)
 
 
-def test_a_crash_loop_is_given_up_plainly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+def test_crash_loop_ends_restarts_and_is_logged(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                           capsys: pytest.CaptureFixture[str]) -> None:
     monkeypatch.setattr("ironscale.agent.restarts.FIRST_DELAY_S", 0.01)
 
@@ -240,7 +240,7 @@
     run(test)
 
 
-def test_a_process_is_on_record_before_it_is_started(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_state_file_is_written_before_the_process_starts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     before: list[tuple[str, str]] = []
     popen = subprocess.Popen
 
@@ -259,7 +259,7 @@
     assert len(before) == 1 and before[0][0] == before[0][1]
 
 
-def test_a_process_whose_agent_was_killed_right_after_its_start_is_found(tmp_path: Path) -> None:
+def test_process_is_found_after_its_agent_was_killed_right_after_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         with contextlib.ExitStack() as ends:
             await found_again(ends)
