--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -79,7 +79,8 @@
 
 @pytest.mark.parametrize(("wave", "canary", "count", "sizes"), [
     (0, 0, 5, [5]), (2, 0, 5, [2, 2, 1]), (2, 1, 5, [1, 2, 2]), (0, 1, 5, [1, 4]), (10, 3, 2, [2]), (1, 7, 5, [5])])
-def test_canary_wave_comes_first_and_waves_cover_all_targets(wave: int, canary: int, count: int, sizes: list[int]) -> None:
+def test_canary_wave_comes_first_and_waves_cover_all_targets(wave: int, canary: int, count: int,
+                                                             sizes: list[int]) -> None:
     found = _wave_positions(Policy(wave=wave, canary=canary), count)
     assert [len(part) for part in found] == sizes
     assert [place for part in found for place in part] == list(range(count))
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -165,7 +165,8 @@
 
 @pytest.mark.parametrize("how", ["KILL", "STOP"])
 @pytest.mark.parametrize("fatal", [1, 2, 3, 4, 5, 6, 7, 9, 11, 14])
-def test_another_agent_continues_a_release_from_each_step_within_the_budget(tmp_path: Path, fatal: int, how: str) -> None:
+def test_another_agent_continues_a_release_from_each_step_within_the_budget(tmp_path: Path, fatal: int, how: str
+                                                                            ) -> None:
     """The leader is killed, or suspended past its term and resumed once another leads; then it must do nothing more."""
     async def test() -> None:
         async with agents(tmp_path, 2, fatal=fatal, how=how) as found:
