--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -85,15 +85,15 @@
 
 def _judge_without_lease(target: Target, seen: Observation) -> Target:
     """The target's state once its instance has no lease: gone if its end is known, else without an answer."""
-    had = "had applied; " if target.state is State.APPLIED else ""
+    prefix = "had applied; " if target.state is State.APPLIED else ""
     if target.state in (State.GONE, State.NO_ANSWER) and "; " in target.detail:
-        had = target.detail.rpartition("; ")[0] + "; "  # keeps the outcome reported before it went silent
+        prefix = target.detail.rpartition("; ")[0] + "; "  # keeps the outcome reported before it went silent
     if seen.ended:
-        return replace(target, state=State.GONE, detail=f"{had}{seen.ended}")
+        return replace(target, state=State.GONE, detail=f"{prefix}{seen.ended}")
     if target.state in (State.NO_ANSWER, State.GONE):
         return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms)
     return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
-                   detail=f"{had}its lease is over" if target.command else "not connected")
+                   detail=f"{prefix}its lease is over" if target.command else "not connected")
 
 
 def judge_target(op: Operation, target: Target, seen: Observation | None, now_ms: int) -> Target:
