--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -106,17 +106,17 @@
         return target
     if seen is None:
         return replace(target, state=State.NO_ANSWER, detail="not known any more")
-    late = now_ms - target.sent_ms >= op.policy.answer_ms
+    is_late = now_ms - target.sent_ms >= op.policy.answer_ms
     if target.boot and seen.boot != target.boot:
         after = _judge_successor(op, target, seen)
-        if after is target and late and target.state is State.UNDER_WAY:
+        if after is target and is_late and target.state is State.UNDER_WAY:
             return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
                            detail=f"{seen.boot} has taken its place and is not ready")
         return after
     if not seen.leased:
         if op.kind is Kind.STOP and seen.ended and target.command:
             return replace(target, state=State.APPLIED, detail=seen.ended)
-        if seen.restart_awaited and not late and target.state is State.UNDER_WAY:
+        if seen.restart_awaited and not is_late and target.state is State.UNDER_WAY:
             return target  # the supervisor is going to start it again
         return _judge_without_lease(target, seen)
     if is_confirmed(op, target, seen):
@@ -127,8 +127,8 @@
         return replace(target, state=State.FAILED, detail=f"had applied; now {_describe_mismatch(op, target, seen)}")
     if target.state in (State.NO_ANSWER, State.GONE):
         # The same process is connected again: its answer may still arrive.
-        return target if late else replace(target, state=State.UNDER_WAY)
-    if late:
+        return target if is_late else replace(target, state=State.UNDER_WAY)
+    if is_late:
         if target.answered or target.restarting:
             return replace(target, state=State.FAILED, detail=f"answered {target.answered}, but "
                                                               f"{_describe_mismatch(op, target, seen)}")
