--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -170,7 +170,7 @@
 
 def advance(op: Operation, targets: Sequence[Target], fleet: FleetView, now_ms: int, superseded: Mapping[str, int],
             changed: Collection[str] | None = None, check_permit: PermitCheck = lambda target: "",
-            passes: GateCheck = lambda targets, first: ("", False)) -> Plan:
+            check_gate: GateCheck = lambda targets, first: ("", False)) -> Plan:
     """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
     `changed`: the instances that may have reported something new since the last call, or None if not known; other
     targets are judged only while under way, as time alone can change their state. `may`: asked before a command that
@@ -195,7 +195,7 @@
     if op.phase is Phase.ROLLING_BACK:
         _roll_back(op, current, fleet, now_ms, plan, check_permit)
     elif op.phase is Phase.RUNNING:
-        _start_targets(op, current, fleet, now_ms, plan, check_permit, passes)
+        _start_targets(op, current, fleet, now_ms, plan, check_permit, check_gate)
     for index, (before, after) in enumerate(zip(targets, current, strict=True)):
         if after is not before and after != before:
             moved = after.state is not before.state and after.state is not State.NO_ANSWER
