--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -198,8 +198,8 @@
         _start_targets(op, current, fleet, now_ms, plan, check_permit, check_gate)
     for index, (before, after) in enumerate(zip(targets, current, strict=True)):
         if after is not before and after != before:
-            moved = after.state is not before.state and after.state is not State.NO_ANSWER
-            current[index] = replace(after, since_ms=now_ms) if moved else after
+            has_changed_state = after.state is not before.state and after.state is not State.NO_ANSWER
+            current[index] = replace(after, since_ms=now_ms) if has_changed_state else after
             plan.targets.append(current[index])
     if plan.phase is None and not plan.rollback:
         _conclude(op, current, plan)
