--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -233,9 +233,9 @@
                    tries=tries, answered="", restarting=False, from_generation=before)
 
 
-def _is_permitted(target: Target, plan: Plan, may: PermitCheck) -> bool:
+def _is_permitted(target: Target, plan: Plan, check_permit: PermitCheck) -> bool:
     """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
-    problem = may(target)
+    problem = check_permit(target)
     plan.waits_for = plan.waits_for or problem
     return not problem
 
