--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -240,7 +240,7 @@
     return not problem
 
 
-def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, may: PermitCheck,
+def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, check_permit: PermitCheck,
            passes: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
@@ -270,7 +270,7 @@
                 targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
                 out += 1
-            elif (seen.connected or ours) and out < most and _is_permitted(target, plan, may):
+            elif (seen.connected or ours) and out < most and _is_permitted(target, plan, check_permit):
                 targets[index] = _plan_command(op, target, seen, now_ms, plan)
                 out += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
