--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -241,7 +241,7 @@
 
 
 def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, check_permit: PermitCheck,
-           passes: GateCheck) -> None:
+           check_gate: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
     failures = sum(t.state in FAILURE_STATES for t in targets)
@@ -252,7 +252,7 @@
     most = policy.max_unavailable or len(targets)
     for wave in _wave_positions(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
-            text, speaks_against = passes(targets, wave[0])
+            text, speaks_against = check_gate(targets, wave[0])
             if speaks_against:
                 _apply_on_failure(op, plan, text)
                 return
