--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -249,7 +249,7 @@
         _apply_on_failure(op, plan, f"{failures} failed, {policy.max_failures} allowed")
         return
     unavailable = sum(t.state in UNAVAILABLE for t in targets)
-    most = policy.max_unavailable or len(targets)
+    limit = policy.max_unavailable or len(targets)
     for wave in _wave_positions(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
             text, speaks_against = check_gate(targets, wave[0])
@@ -270,14 +270,14 @@
                 targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
                 unavailable += 1
-            elif (seen.connected or ours) and unavailable < most and _is_permitted(target, plan, check_permit):
+            elif (seen.connected or ours) and unavailable < limit and _is_permitted(target, plan, check_permit):
                 targets[index] = _plan_command(op, target, seen, now_ms, plan)
                 unavailable += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
             break
     states = {t.state for t in targets}
-    if unavailable >= most and State.UNDER_WAY not in states and State.NOT_STARTED in states:
-        plan.phase, plan.note = Phase.ABORTING, f"{unavailable} unavailable, {most} allowed"
+    if unavailable >= limit and State.UNDER_WAY not in states and State.NOT_STARTED in states:
+        plan.phase, plan.note = Phase.ABORTING, f"{unavailable} unavailable, {limit} allowed"
 
 
 def _wave_positions(policy: Policy, count: int) -> list[range]:
