--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -265,12 +265,12 @@
                 continue
             seen = fleet.get(target.name)
             # A supervised process can be restarted even if it has ended or is silent.
-            ours = seen is not None and seen.supervised and op.kind is Kind.RESTART
-            if seen is None or not (seen.leased or ours):
+            restartable = seen is not None and seen.supervised and op.kind is Kind.RESTART
+            if seen is None or not (seen.leased or restartable):
                 targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
                 unavailable += 1
-            elif (seen.connected or ours) and unavailable < limit and _is_permitted(target, plan, check_permit):
+            elif (seen.connected or restartable) and unavailable < limit and _is_permitted(target, plan, check_permit):
                 targets[index] = _plan_command(op, target, seen, now_ms, plan)
                 unavailable += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
