--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -252,8 +252,8 @@
     limit = policy.max_unavailable or len(targets)
     for wave in _wave_positions(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
-            text, speaks_against = check_gate(targets, wave[0])
-            if speaks_against:
+            text, is_breach = check_gate(targets, wave[0])
+            if is_breach:
                 _apply_on_failure(op, plan, text)
                 return
             if text:
