--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -297,7 +297,7 @@
 
 
 def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan,
-               may: PermitCheck) -> None:
+               check_permit: PermitCheck) -> None:
     """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
@@ -306,7 +306,7 @@
         if not touched or (target.reverting and not again):
             continue
         seen = fleet.get(target.name)
-        if seen is not None and seen.connected and not _is_permitted(target, plan, may):
+        if seen is not None and seen.connected and not _is_permitted(target, plan, check_permit):
             continue
         target = replace(target, reverting=True)
         if seen is None or not seen.leased:
