--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -302,8 +302,8 @@
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
         touched = target.command and target.state not in (State.REFUSED, State.SUPERSEDED)
-        again = target.reverting and target.state is State.NOT_STARTED  # its process restarted during the rollback
-        if not touched or (target.reverting and not again):
+        has_restarted = target.reverting and target.state is State.NOT_STARTED  # its process restarted during the rollback
+        if not touched or (target.reverting and not has_restarted):
             continue
         seen = fleet.get(target.name)
         if seen is not None and seen.connected and not _is_permitted(target, plan, check_permit):
