--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -324,10 +324,10 @@
         if any(t.command and not t.reverting and t.state not in (State.REFUSED, State.SUPERSEDED)
                for t in targets) or any(t.reverting and t.state is State.NOT_STARTED for t in targets):
             return
-        back = all(t.state is State.REVERTED or not t.command
+        all_reverted = all(t.state is State.REVERTED or not t.command
                    or t.state in (State.REFUSED, State.SUPERSEDED) for t in targets)
-        plan.phase = Phase.ROLLED_BACK if back else Phase.PARTIAL
-        plan.note = op.note if back else f"{op.note}; the roll-back is not complete"
+        plan.phase = Phase.ROLLED_BACK if all_reverted else Phase.PARTIAL
+        plan.note = op.note if all_reverted else f"{op.note}; the roll-back is not complete"
     elif op.phase is Phase.ABORTING:
         plan.phase, plan.note = (Phase.PARTIAL if op.note else Phase.ABORTED), op.note
     elif op.phase is Phase.RUNNING and State.NOT_STARTED not in states:
