--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -331,5 +331,5 @@
     elif op.phase is Phase.ABORTING:
         plan.phase, plan.note = (Phase.PARTIAL if op.note else Phase.ABORTED), op.note
     elif op.phase is Phase.RUNNING and State.NOT_STARTED not in states:
-        done = all(state is State.APPLIED for state in states)
-        plan.phase = Phase.SUCCEEDED if done else Phase.PARTIAL
+        all_applied = all(state is State.APPLIED for state in states)
+        plan.phase = Phase.SUCCEEDED if all_applied else Phase.PARTIAL
