--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -165,8 +165,8 @@
         """Sends commands again, with the same ids, that a process may not have received before it reconnected."""
         member = self.fleet.members[name]
         for live in self.live_operations.values():
-            place = live.position_of.get(name)
-            target = live.targets[place] if place is not None else None
+            position = live.position_of.get(name)
+            target = live.targets[position] if position is not None else None
             if target is None or target.boot != member.row.boot or name in live.superseded:
                 continue
             waiting = target.state in (State.UNDER_WAY, State.NO_ANSWER) and target.command
