--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -182,10 +182,10 @@
             return
         ident = result.id.partition(".")[0]
         live = self.live_operations.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
-        place = live.position_of.get(name) if live is not None else None
+        position = live.position_of.get(name) if live is not None else None
         # An instance must not be able to answer for another one, or a command that it was never sent.
-        if live is not None and place is not None and (
-                (live.targets[place].boot, live.targets[place].command) == (boot, result.id)):
+        if live is not None and position is not None and (
+                (live.targets[position].boot, live.targets[position].command) == (boot, result.id)):
             live.answers.append((name, result.id, result.status, result.detail))
             live.changed.set()
 
