--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -233,7 +233,7 @@
         """One planning round: records the changes, then sends the commands. Returns whether another round is due at
         once, and otherwise when the next is due."""
         op, answered = live.op, list(live.targets)
-        taken, names = len(live.answers), live.changed_names
+        answers_taken, names = len(live.answers), live.changed_names
         live.changed_names = set()
         for name, command, status, detail in list(live.answers):
             place = live.position_of[name]
@@ -264,7 +264,7 @@
         changed = {after.name: after for before, after in zip(live.targets, answered, strict=True)
                    if after is not before and after != before}
         if not changed and plan.phase is None and not plan.rollback:
-            for _ in range(taken):
+            for _ in range(answers_taken):
                 live.answers.popleft()
             return False, plan.wake_ms
         desired = self.desired_generations(op, changed.values())
@@ -274,7 +274,7 @@
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
-            for _ in range(taken):
+            for _ in range(answers_taken):
                 live.answers.popleft()
             for target in changed.values():
                 live.targets[target.position] = target
