--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -236,10 +236,10 @@
         answers_taken, names = len(live.answers), live.changed_names
         live.changed_names = set()
         for name, command, status, detail in list(live.answers):
-            place = live.position_of[name]
+            position = live.position_of[name]
             if names is not None:
                 names.add(name)
-            answered[place] = planner.take_answer(op, answered[place], command, status, detail)
+            answered[position] = planner.take_answer(op, answered[position], command, status, detail)
         before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
         def may(target: Target) -> str:
