--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -242,7 +242,7 @@
             answered[position] = planner.take_answer(op, answered[position], command, status, detail)
         before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
-        def may(target: Target) -> str:
+        def check_permit(target: Target) -> str:
             ident, known = permit_id(op, target), self.permits.ledger.permits
             former = known.get(ident)
             problem = "" if op.kind is Kind.UNDRAIN else self.permits.reserve(
@@ -255,7 +255,7 @@
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
             return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
 
-        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
+        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, check_permit, passes)
         live.waits_for = plan.waits_for
         if not plan.waits_for:
             self.permits.ledger.leave(f"operation {op.id}")
