--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -251,11 +251,11 @@
                 before[ident] = former
             return problem
 
-        def passes(targets: Sequence[Target], first: int) -> tuple[str, bool]:
+        def check_gate(targets: Sequence[Target], first: int) -> tuple[str, bool]:
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
             return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
 
-        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, check_permit, passes)
+        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, check_permit, check_gate)
         live.waits_for = plan.waits_for
         if not plan.waits_for:
             self.permits.ledger.leave(f"operation {op.id}")
