--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -232,14 +232,14 @@
     async def plan_round(self, live: LiveOperation) -> tuple[bool, int | None]:
         """One planning round: records the changes, then sends the commands. Returns whether another round is due at
         once, and otherwise when the next is due."""
-        op, answered = live.op, list(live.targets)
+        op, targets = live.op, list(live.targets)
         answers_taken, names = len(live.answers), live.changed_names
         live.changed_names = set()
         for name, command, status, detail in list(live.answers):
             position = live.position_of[name]
             if names is not None:
                 names.add(name)
-            answered[position] = planner.take_answer(op, answered[position], command, status, detail)
+            targets[position] = planner.take_answer(op, targets[position], command, status, detail)
         before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
         def check_permit(target: Target) -> str:
@@ -255,13 +255,13 @@
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
             return ("", False) if found.word is Word.GO else (found.text, found.word is Word.BREACH)
 
-        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, check_permit, check_gate)
+        plan = planner.advance(op, targets, self.fleet, self.now_ms(), live.superseded, names, check_permit, check_gate)
         live.waits_for = plan.waits_for
         if not plan.waits_for:
             self.permits.ledger.leave(f"operation {op.id}")
         for target in plan.targets:
-            answered[target.position] = target
-        changed = {after.name: after for before, after in zip(live.targets, answered, strict=True)
+            targets[target.position] = target
+        changed = {after.name: after for before, after in zip(live.targets, targets, strict=True)
                    if after is not before and after != before}
         if not changed and plan.phase is None and not plan.rollback:
             for _ in range(answers_taken):
@@ -270,7 +270,7 @@
         desired = self.desired_generations(op, changed.values())
         ends = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
-        permits |= {p.id: p for p in self.permits.returned_permits(op, answered if ends else changed.values(), ends)}
+        permits |= {p.id: p for p in self.permits.returned_permits(op, targets if ends else changed.values(), ends)}
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
