--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -268,9 +268,9 @@
                 live.answers.popleft()
             return False, plan.wake_ms
         desired = self.desired_generations(op, changed.values())
-        ends = plan.phase is not None and plan.phase not in OPEN_PHASES
+        has_ended = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
-        permits |= {p.id: p for p in self.permits.returned_permits(op, targets if ends else changed.values(), ends)}
+        permits |= {p.id: p for p in self.permits.returned_permits(op, targets if has_ended else changed.values(), has_ended)}
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
