--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -416,7 +416,7 @@
                           {"targets": len(names), "generation": made, "policy": asdict(policy)})
             return op, targets
 
-        def begun(found: tuple[Operation, list[Target] | None]) -> None:
+        def on_recorded(found: tuple[Operation, list[Target] | None]) -> None:
             op, targets = found
             if targets is None:
                 return
@@ -426,9 +426,9 @@
             self.notify()
 
         self.crash_point("before the beginning")
-        found = await self.store.write(work, begun)
+        found = await self.store.write(work, on_recorded)
         self.crash_point("after the beginning")
-        begun(found)
+        on_recorded(found)
         return found[0], found[1] is not None
 
     @staticmethod
