--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -511,13 +511,13 @@
                 records.audit(now_ms, actor, action, f"operation {ident}", str(wanted))
                 return new
 
-            def told(new: Operation) -> None:
+            def on_recorded(new: Operation) -> None:
                 live.op = new
                 live.changed_names = None
                 live.changed.set()
                 self.notify()
 
-            told(await self.store.write(work, told))
+            on_recorded(await self.store.write(work, on_recorded))
             return live.op
 
     # Inspection of instances
