--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -504,8 +504,8 @@
             note = f"{action} by {actor}" if wanted is Phase.ROLLING_BACK else ""
 
             def work(records: Records) -> Operation:
-                turns = wanted is Phase.ROLLING_BACK and op.phase is not wanted
-                fence = records.next_fence() if turns else op.fence
+                starts_rollback = wanted is Phase.ROLLING_BACK and op.phase is not wanted
+                fence = records.next_fence() if starts_rollback else op.fence
                 new = replace(op, phase=wanted, fence=fence, policy=policy, note=note)
                 records.put_operation(new)
                 records.audit(now_ms, actor, action, f"operation {ident}", str(wanted))
