--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -592,10 +592,10 @@
             behind: dict[int, list[str]] = {}
             for name, member in self.fleet.members.items():
                 row = member.row
-                mark = (name, row.boot, row.desired)
+                attempt = (name, row.boot, row.desired)
                 if (row.generation != row.desired and member.link is not None and member.leased
-                        and name not in busy and mark not in self.caught_up):
-                    self.caught_up.add(mark)
+                        and name not in busy and attempt not in self.caught_up):
+                    self.caught_up.add(attempt)
                     behind.setdefault(row.desired, []).append(name)
             for generation, names in behind.items():
                 try:
