--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -465,14 +465,14 @@
         for op in records.operations(2**62, 10_000, open_only=True):
             if op.actor == AGENT:
                 continue  # the agent's own catching up gives way to operators
-            both = names & {target.name for target in records.targets(op.id)
+            shared = names & {target.name for target in records.targets(op.id)
                             if target.state is not State.SUPERSEDED}
-            if both:
+            if shared:
                 raise Refusal(
                     "CONFLICT",
-                    f"operation {op.id} ({op.kind}) of {op.actor} has {len(both)} of these instances, "
-                    f"{min(both)} among them; wait for it, abort it, or supersede it", operation=op.id,
-                    actor=op.actor, atMs=op.created_ms, instances=sorted(both)[:20])
+                    f"operation {op.id} ({op.kind}) of {op.actor} has {len(shared)} of these instances, "
+                    f"{min(shared)} among them; wait for it, abort it, or supersede it", operation=op.id,
+                    actor=op.actor, atMs=op.created_ms, instances=sorted(shared)[:20])
 
     async def control(self, actor: str, ident: int, action: str, urgent: bool = False) -> Operation:
         """Pauses, resumes, aborts or rolls back an open operation. `urgent`: roll back without waiting for room in a
