--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -110,26 +110,26 @@
 
     # Operations
 
-    def reserve(self, op: Operation, target: Target, is_way_back: bool) -> str:
+    def reserve(self, op: Operation, target: Target, is_rollback: bool) -> str:
         """Reserves the permit that a command to this target needs. Returns empty, or the reason why it has to wait."""
         key = f"{Of.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
         known = self.ledger.permits.get(ident)
         if ident in self.ending:
             return f"the end of its former permit for {target.name} is being recorded"
-        if known is not None and known.phase is Phase.HELD and (is_way_back or not self.ledger.halted):
+        if known is not None and known.phase is Phase.HELD and (is_rollback or not self.ledger.halted):
             return ""
         if not self.ledger.is_bound(key):
-            return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_way_back else ""
+            return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_rollback else ""
         permit = known or Permit(ident, str(target.position), f"operation {op.id}", (key,), str(op.kind),
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
-        if is_way_back and op.policy.urgent:
+        if is_rollback and op.policy.urgent:
             self.ledger.put(permit.to(Phase.HELD), now_ms)  # on an operator's demand: it counts, but needs no room
         else:
             try:
                 self.ledger.check((key,))
-                problem = self.ledger.reserve(permit, now_ms, is_way_back)
+                problem = self.ledger.reserve(permit, now_ms, is_rollback)
             except Impossible as impossible:
                 problem = str(impossible)
         if not problem:
