--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -393,11 +393,11 @@
 
     async def _decide(self) -> None:
         wall_ms = self.now_ms()
-        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ends()]
-        if over:
-            self.ending = {permit.id for permit in over}
+        ended = [replace(p, ended_ms=wall_ms) for p in self.ledger.ends()]
+        if ended:
+            self.ending = {permit.id for permit in ended}
             try:
-                await self.record_permits(over, "agent", str(Phase.ENDED))
+                await self.record_permits(ended, "agent", str(Phase.ENDED))
             finally:
                 self.ending = set()
         lapsed = self.ledger.lapses(clock_ms())
