--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -420,7 +420,7 @@
 
     async def _resolve(self) -> None:
         if self.unconfirmed:
-            doubt, before_ms = set(self.unconfirmed), self.now_ms() - PERMIT_RETENTION_MS
+            unconfirmed, before_ms = set(self.unconfirmed), self.now_ms() - PERMIT_RETENTION_MS
 
             def work(records: Records) -> list[Permit]:
                 records.prune_permits(before_ms)
@@ -428,7 +428,7 @@
 
             open_ = await self.store.write(work)
             recorded = {permit.id: permit for permit in open_}
-            for ident in doubt & self.unconfirmed:  # one reserved again since then belongs to its operation's round
+            for ident in unconfirmed & self.unconfirmed:  # one reserved again since then belongs to its operation's round
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
