--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -426,8 +426,8 @@
                 records.prune_permits(before_ms)
                 return records.permits(open_only=True)
 
-            open_ = await self.store.write(work)
-            recorded = {permit.id: permit for permit in open_}
+            open_permits = await self.store.write(work)
+            recorded = {permit.id: permit for permit in open_permits}
             for ident in unconfirmed & self.unconfirmed:  # one reserved again since then belongs to its operation's round
                 if ident in recorded:
                     self.put([recorded[ident]])
