--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -381,8 +381,8 @@
                 continue
             self.on_budget_room()
             for key in self.ledger.asks():
-                sort, _, name = key.partition("/")
-                if sort == Of.SIDECAR:  # upstreams are polled all the time anyway
+                kind, _, name = key.partition("/")
+                if kind == Of.SIDECAR:  # upstreams are polled all the time anyway
                     self.start_inspection(tasks, name)
             await asyncio.sleep(0.01)  # so that thousands of simultaneous reports share one decision
 
