--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -331,14 +331,14 @@
 
     async def lift_halt(self, actor: str) -> Halt | None:
         """Lifts the halt and returns it, or None if there is none. Raises StoreError."""
-        standing, now_ms = self.halt, self.now_ms()
-        if standing is None:
+        current, now_ms = self.halt, self.now_ms()
+        if current is None:
             return None
-        lifted = replace(standing, lifted_ms=now_ms, lifted_by=actor)
+        lifted = replace(current, lifted_ms=now_ms, lifted_by=actor)
 
         def work(records: Records) -> None:
             records.put_halt(lifted)
-            records.audit(now_ms, actor, "halt", "fleet", "lifted", {"halted by": standing.actor})
+            records.audit(now_ms, actor, "halt", "fleet", "lifted", {"halted by": current.actor})
 
         def done(_: None) -> None:
             self.apply_halt(None)
