--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -311,9 +311,9 @@
         self.ledger.halted = f"{actor}: {reason}" if reason else actor  # before the write: requests wait
 
         def work(records: Records) -> Halt:
-            standing = records.halt()
-            if standing is not None:
-                return standing
+            current = records.halt()
+            if current is not None:
+                return current
             halt = Halt(records.next_permit(), actor, reason, now_ms)
             records.put_halt(halt)
             records.audit(now_ms, actor, "halt", "fleet", "halted", {"reason": reason})
