--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -136,14 +136,14 @@
             self.unconfirmed.discard(ident)
         return problem
 
-    def returned_permits(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
+    def returned_permits(self, op: Operation, targets: Iterable[Target], has_ended: bool) -> list[Permit]:
         """Permits that these targets no longer need, as they are to be recorded together with them. `ends`: the
         operation ends, so once an instance answers a later inspection, it has either carried out the commands or never
         will."""
         found = []
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
-            if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in UNAVAILABLE):
+            if permit is not None and permit.phase is Phase.HELD and (has_ended or target.state not in UNAVAILABLE):
                 found.append(permit.to(Phase.RETURNED, str(target.state)))
         return found
 
