--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -68,12 +68,12 @@
 
 
 class Fleet:
-    def __init__(self, lease_ms: int, beat_ms: int, most: int, now_ms: Callable[[], int], reconnect_ms: int = RECONNECT_MS
+    def __init__(self, lease_ms: int, beat_ms: int, max_instances: int, now_ms: Callable[[], int], reconnect_ms: int = RECONNECT_MS
                  ) -> None:
         """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
         reconnect to a new agent."""
         self.reconnect_ms = reconnect_ms
-        self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, most, now_ms
+        self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, max_instances, now_ms
         self.members: dict[str, Member] = {}
         self.on_changed: Callable[[str], None] = lambda name: None  # an instance changed
         self.on_connected: Callable[[str], None] = lambda name: None  # a process has registered
