--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -128,8 +128,8 @@
         if member is None and len(self.members) >= self.max_instances:
             raise Denial("FULL", f"expected {self.max_instances} instances at most", 60_000)
         if member is not None and member.row.boot != hello.boot and hello.replaces != member.row.boot:
-            rival = member.link is not None and member.leased and not self.has_died(member.row)
-            if rival:
+            is_taken = member.link is not None and member.leased and not self.has_died(member.row)
+            if is_taken:
                 # Two processes with one name would alternately take each other's place and commands.
                 text = f"{hello.name} is process {member.row.pid} (boot {member.row.boot}), which has its lease"
                 raise Denial("DUPLICATE", text, max(1_000, member.leased_until_ms - self.now_ms()))
