--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -41,7 +41,7 @@
     fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
     total = 0
 
-    def walk(selections: SelectionSetNode | None, depth: int, times: int) -> None:
+    def walk(selections: SelectionSetNode | None, depth: int, multiplier: int) -> None:
         nonlocal total
         if selections is None:
             return
@@ -49,17 +49,17 @@
             raise LimitExceeded(f"expected a depth of {MAX_DEPTH} at most, got more")
         for node in selections.selections:
             if isinstance(node, FieldNode):
-                total += times
+                total += multiplier
                 if total > MAX_COST:
                     raise LimitExceeded(f"expected {MAX_COST} fields at most, got more; ask for smaller pages")
-                walk(node.selection_set, depth + 1, times * _list_size(node, variables))
+                walk(node.selection_set, depth + 1, multiplier * _list_size(node, variables))
             elif isinstance(node, InlineFragmentNode):
-                walk(node.selection_set, depth, times)
+                walk(node.selection_set, depth, multiplier)
             elif isinstance(node, FragmentSpreadNode) and node.name.value in fragments:
                 total += 1
                 if total > MAX_COST:
                     raise LimitExceeded(f"expected {MAX_COST} fields at most, got more")
-                walk(fragments[node.name.value].selection_set, depth, times)
+                walk(fragments[node.name.value].selection_set, depth, multiplier)
 
     for definition in document.definitions:
         if isinstance(definition, OperationDefinitionNode):
