--- a/ironscale/agent/terms.py
+++ b/ironscale/agent/terms.py
@@ -75,7 +75,7 @@
     except FileNotFoundError:
         pass
     found = uuid.uuid4().hex
-    aside = data / ".holder"
-    aside.write_text(found + "\n", encoding="ascii")
-    aside.replace(path)
+    temporary = data / ".holder"
+    temporary.write_text(found + "\n", encoding="ascii")
+    temporary.replace(path)
     return found
