--- a/ironscale/agent/tokens.py
+++ b/ironscale/agent/tokens.py
@@ -42,10 +42,10 @@
 
 def write_secret(path: Path, token: str) -> None:
     """Writes the token to a file created with mode 0600; an existing file is replaced atomically."""
-    aside = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
-    descriptor = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    temporary = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     with os.fdopen(descriptor, "w", encoding="ascii") as file:
         file.write(token + "\n")
         file.flush()
         os.fsync(file.fileno())
-    os.replace(aside, path)
+    os.replace(temporary, path)
