--- a/ironscale/agent/config_diff.py
+++ b/ironscale/agent/config_diff.py
@@ -8,17 +8,17 @@
 MAX_LINES = 200
 
 
-def _flatten(value: Any, path: str, into: dict[str, str]) -> None:
+def _flatten(value: Any, path: str, leaves: dict[str, str]) -> None:
     """Adds each leaf of `value` to `into` as path -> JSON; list elements that are objects are keyed by their name."""
     if isinstance(value, dict) and value:
         for key, member in value.items():
-            _flatten(member, f"{path}.{key}" if path else key, into)
+            _flatten(member, f"{path}.{key}" if path else key, leaves)
     elif isinstance(value, list) and any(isinstance(member, dict | list) for member in value):
         for index, member in enumerate(value):
             name = member.get("name") if isinstance(member, dict) else None
-            _flatten(member, f"{path}[{name or index}]", into)
+            _flatten(member, f"{path}[{name or index}]", leaves)
     elif value != {} or path:
-        into[path] = json.dumps(value, sort_keys=True, ensure_ascii=False)
+        leaves[path] = json.dumps(value, sort_keys=True, ensure_ascii=False)
 
 
 def difference(old: Any, new: Any) -> list[str]:
