--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -157,9 +157,9 @@
         run = member.run
         state = {"pid": run.pid, "ticks": run.ticks, "boot": run.boot} if run else {"boot": boot} if boot else {}
         path = self.state_file(member)
-        aside = path.with_suffix(".new")
-        aside.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
-        aside.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
+        temporary.replace(path)
 
     def take_over(self, member: SupervisedInstance) -> SupervisedProcess | None:
         """The process that the former agent left running, if any."""
