--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -63,11 +63,11 @@
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
-    async def stop(self, within_s: float) -> None:
+    async def stop(self, timeout_s: float) -> None:
         """SIGTERM, then SIGKILL after `within_s`; returns when the process has ended."""
         self.kill(signal.SIGTERM)
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await asyncio.shield(self.ended)
         except TimeoutError:
             self.kill(signal.SIGKILL)
