--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -57,11 +57,11 @@
         if not self.ended.done():
             self.ended.set_result(how)
 
-    def kill(self, number: int) -> None:
+    def kill(self, signal_number: int) -> None:
         # The pid may have been reused by another process.
         if not self.ended.done() and is_alive(self.pid, self.ticks):
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+                os.kill(self.pid, signal_number)
 
     async def stop(self, timeout_s: float) -> None:
         """SIGTERM, then SIGKILL after `within_s`; returns when the process has ended."""
