--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -90,7 +90,7 @@
     name: str
     base: dict[str, Any]
     backoff: RestartBackoff = field(default_factory=RestartBackoff)
-    run: SupervisedProcess | None = None
+    process: SupervisedProcess | None = None
     stopped: bool = False  # an operator stopped it: not to be started
     crash_loop: str = ""  # why it is not restarted any more; empty while it is
     wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
@@ -154,7 +154,7 @@
         """Writes the file that the next agent needs to take the process over. `boot`: id of a process that is about to
         be started, written beforehand, so that the next agent finds it even if this one is killed right after the
         start."""
-        run = member.run
+        run = member.process
         state = {"pid": run.pid, "ticks": run.ticks, "boot": run.boot} if run else {"boot": boot} if boot else {}
         path = self.state_file(member)
         temporary = path.with_suffix(".new")
@@ -177,22 +177,22 @@
 
     async def keep_running(self, member: SupervisedInstance) -> None:
         """Starts the instance, and restarts it whenever its process ends by itself."""
-        member.run = self.take_over(member)
+        member.process = self.take_over(member)
         while not self.ending:
-            if member.run is None:
+            if member.process is None:
                 if member.stopped or member.crash_loop:
                     await member.wake.wait()
                 member.wake.clear()
-                member.run = self.start(member, "")
-                if member.run is None:
+                member.process = self.start(member, "")
+                if member.process is None:
                     await asyncio.sleep(1.0)
                     continue
-            run = member.run
+            run = member.process
             how = await asyncio.shield(run.ended)
-            if member.run is not run:
+            if member.process is not run:
                 continue  # already replaced by its successor
             self.fleet.process_ended(member.name, run.boot, how)
-            member.run = None
+            member.process = None
             self.write_state(member)
             if member.stopped or member.wake.is_set() or self.ending:
                 continue
@@ -247,7 +247,7 @@
             self.log(f"{name}: can't start: {error}")
             return None
         run = SupervisedProcess(child.pid, start_ticks(child.pid) or 0, boot, child)
-        member.run = run if not replaces else member.run
+        member.process = run if not replaces else member.process
         if not replaces:
             self.write_state(member)
         return run
@@ -266,7 +266,7 @@
         member = self.members.get(send.name)
         if member is None or member.replacing or self.tasks is None:
             return
-        if member.run is not None and member.run.boot != send.boot:
+        if member.process is not None and member.process.boot != send.boot:
             return
         member.backoff.reset()
         member.stopped, member.crash_loop, member.replacing = False, "", True
@@ -275,7 +275,7 @@
 
     async def replace(self, member: SupervisedInstance) -> None:
         try:
-            old = member.run
+            old = member.process
             if old is None:
                 member.wake.set()
             elif member.service.make_before_break and member.service.first_port:
@@ -299,7 +299,7 @@
                 await new.stop(member.service.stop_s)
                 return
             await asyncio.sleep(0.02)
-        member.run = new
+        member.process = new
         self.write_state(member)
         await old.stop(member.service.stop_s)
 
@@ -313,11 +313,11 @@
     async def stop_all(self) -> None:
         """Stops all processes: SIGTERM, then SIGKILL after their stop time; returns when none is left."""
         self.ending = True
-        runs = [(m.run, m.service.stop_s) for m in self.members.values() if m.run is not None]
+        runs = [(m.process, m.service.stop_s) for m in self.members.values() if m.process is not None]
         await asyncio.gather(*(run.stop(stop_s) for run, stop_s in runs))
 
     def release_all(self) -> None:
         self.ending = True
         for member in self.members.values():
-            if member.run is not None:
-                member.run.stop_watching()
+            if member.process is not None:
+                member.process.stop_watching()
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -196,7 +196,7 @@
             async with supervised(tmp_path, config) as s:
                 member = s.agent.supervisor.members["app-0"]
                 await until(lambda: member.crash_loop)
-                assert member.crash_loop == "crash loop, last exit 2" and member.run is None
+                assert member.crash_loop == "crash loop, last exit 2" and member.process is None
                 log = (tmp_path / "data" / "logs" / "app-0.log").read_text()
                 assert log.count("setting instances: expected a number, got 'many'") == CRASH_LOOP_ENDS
 
