--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -109,7 +109,7 @@
         self.overlay, self.log = overlay, log
         self.members: dict[str, SupervisedInstance] = {}
         self.tasks: asyncio.TaskGroup | None = None
-        self.ending = False
+        self.is_stopping = False
         for service in services:
             base = self.read_base(service)
             for index in range(service.count):
@@ -178,7 +178,7 @@
     async def keep_running(self, member: SupervisedInstance) -> None:
         """Starts the instance, and restarts it whenever its process ends by itself."""
         member.process = self.take_over(member)
-        while not self.ending:
+        while not self.is_stopping:
             if member.process is None:
                 if member.stopped or member.crash_loop:
                     await member.wake.wait()
@@ -194,7 +194,7 @@
             self.fleet.process_ended(member.name, run.boot, how)
             member.process = None
             self.write_state(member)
-            if member.stopped or member.wake.is_set() or self.ending:
+            if member.stopped or member.wake.is_set() or self.is_stopping:
                 continue
             wait_s = member.backoff.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
@@ -312,12 +312,12 @@
 
     async def stop_all(self) -> None:
         """Stops all processes: SIGTERM, then SIGKILL after their stop time; returns when none is left."""
-        self.ending = True
+        self.is_stopping = True
         runs = [(m.process, m.service.stop_s) for m in self.members.values() if m.process is not None]
         await asyncio.gather(*(run.stop(stop_s) for run, stop_s in runs))
 
     def release_all(self) -> None:
-        self.ending = True
+        self.is_stopping = True
         for member in self.members.values():
             if member.process is not None:
                 member.process.stop_watching()
