--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -83,7 +83,7 @@
         self.before_stop: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
         self.inspections: dict[str, _PendingInspection] = {}
         self.inspections_sent = 0
-        self.caught_up: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
+        self.catch_up_attempts: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
         self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
         self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
         self.held_back: set[str] = set()  # instances whose commands were not sent because the term had run out
@@ -594,8 +594,8 @@
                 row = member.row
                 attempt = (name, row.boot, row.desired)
                 if (row.generation != row.desired and member.link is not None and member.leased
-                        and name not in busy and attempt not in self.caught_up):
-                    self.caught_up.add(attempt)
+                        and name not in busy and attempt not in self.catch_up_attempts):
+                    self.catch_up_attempts.add(attempt)
                     behind.setdefault(row.desired, []).append(name)
             for generation, names in behind.items():
                 try:
@@ -606,7 +606,7 @@
                         # The generation is from an agent whose record is lost: log once, leave the instance alone.
                         self.log(f"not caught up: {', '.join(names[:5])} should run generation {generation}: {error}")
                         continue
-                    self.caught_up.difference_update(
+                    self.catch_up_attempts.difference_update(
                         (n, self.fleet.members[n].row.boot, generation) for n in names)
                     self.log(f"catching up will be retried: {error}")
 
