--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -37,7 +37,7 @@
     return Observation(name, **values)  # type: ignore[arg-type]
 
 
-class Run:
+class PlannerRun:
     """An operation, its targets and the observations of them; each `step` plans until nothing changes."""
 
     def __init__(self, op: Operation, count: int = 3) -> None:
@@ -98,7 +98,7 @@
 
 
 def test_succeeds_only_when_a_report_of_every_target_confirms_it() -> None:
-    run = Run(operation())
+    run = PlannerRun(operation())
     sends = run.step()
     assert [send.name for send in sends] == ["i0", "i1", "i2"]
     for send in sends[:2]:
@@ -111,7 +111,7 @@
 
 
 def test_state_reported_under_an_older_fence_does_not_count() -> None:
-    run = Run(operation(Kind.DRAIN), 1)
+    run = PlannerRun(operation(Kind.DRAIN), 1)
     run.show("i0", draining=True, fence=9)  # by a former operation, whose undrain may still arrive
     run.step()
     assert run.states() == [State.UNDER_WAY]
@@ -122,7 +122,7 @@
 
 def test_generation_reported_under_an_older_fence_does_not_count() -> None:
     """A command of the former operation may still arrive and change the generation again."""
-    run = Run(operation(), 1)
+    run = PlannerRun(operation(), 1)
     run.show("i0", generation=5, fence=9)
     run.step()
     assert run.states() == [State.UNDER_WAY]
@@ -132,7 +132,7 @@
 
 
 def test_target_that_answers_applied_without_a_confirming_report_fails() -> None:
-    run = Run(operation(answer_ms=1_000), 1)
+    run = PlannerRun(operation(answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.now_ms += 1_000
     run.step()
@@ -141,7 +141,7 @@
 
 
 def test_heartbeats_alone_do_not_count_as_an_answer() -> None:
-    run = Run(operation(answer_ms=1_000), 1)
+    run = PlannerRun(operation(answer_ms=1_000), 1)
     run.step()
     run.now_ms += 999
     run.step()
@@ -153,7 +153,7 @@
 
 
 def test_lost_targets_are_reported_as_no_answer_or_gone() -> None:
-    run = Run(operation(), 4)
+    run = PlannerRun(operation(), 4)
     sends = run.step()
     for send in sends[:2]:
         run.apply(send)
@@ -166,7 +166,7 @@
 
 
 def test_target_without_a_lease_at_the_start_is_reported_as_not_connected() -> None:
-    run = Run(operation(), 2)
+    run = PlannerRun(operation(), 2)
     run.show("i1", leased=False, connected=False)
     sends = run.step()
     assert [send.name for send in sends] == ["i0"] and run.targets[1].state is State.NO_ANSWER
@@ -174,7 +174,7 @@
 
 
 def test_waits_for_a_disconnected_target_while_its_lease_is_valid() -> None:
-    run = Run(operation(), 1)
+    run = PlannerRun(operation(), 1)
     run.show("i0", connected=False)
     assert run.step() == [] and run.states() == [State.NOT_STARTED] and run.phase() is Phase.RUNNING
     run.show("i0", connected=True)
@@ -182,7 +182,7 @@
 
 
 def test_restarted_process_is_commanded_again() -> None:
-    run = Run(operation(), 1)
+    run = PlannerRun(operation(), 1)
     first = run.step()[0]
     run.answer(first)
     run.show("i0", boot="i0-2")
@@ -194,7 +194,7 @@
 
 
 def test_restarted_process_is_commanded_again_after_it_had_applied() -> None:
-    run = Run(operation(), 2)
+    run = PlannerRun(operation(), 2)
     sends = run.step()
     run.apply(sends[0])
     run.step()
@@ -205,7 +205,7 @@
 
 
 def test_target_that_keeps_restarting_fails() -> None:
-    run = Run(operation(tries=3), 1)
+    run = PlannerRun(operation(tries=3), 1)
     run.step()
     for boot in range(2, 5):
         run.show("i0", boot=f"i0-{boot}")
@@ -214,7 +214,7 @@
 
 
 def test_applied_target_that_dies_before_the_end_is_gone() -> None:
-    run = Run(operation(), 2)
+    run = PlannerRun(operation(), 2)
     run.apply(run.step()[0])
     run.step()
     run.show("i0", leased=False, ended="signal 9")
@@ -223,7 +223,7 @@
 
 
 def test_recorded_state_after_an_agent_restart_does_not_undo_applied() -> None:
-    run = Run(operation(), 2)
+    run = PlannerRun(operation(), 2)
     run.apply(run.step()[0])
     run.step()
     run.show("i0", has_reported=False, generation=4, fence=0)
@@ -235,7 +235,7 @@
 
 
 def test_target_that_refused_while_shutting_down_is_gone_and_its_successor_is_commanded() -> None:
-    run = Run(operation(max_failures=2), 2)
+    run = PlannerRun(operation(max_failures=2), 2)
     run.answer(run.step()[0], "refused", "the process is ending")
     run.step()
     assert run.states()[0] is State.REFUSED
@@ -248,7 +248,7 @@
 
 
 def test_waves_run_in_order_within_max_unavailable() -> None:
-    run = Run(operation(wave=2, max_unavailable=1), 4)
+    run = PlannerRun(operation(wave=2, max_unavailable=1), 4)
     order = []
     for _ in range(4):
         sends = run.step()
@@ -260,7 +260,7 @@
 
 
 def test_no_more_targets_start_after_too_many_failures() -> None:
-    run = Run(operation(wave=1, max_failures=1), 5)
+    run = PlannerRun(operation(wave=1, max_failures=1), 5)
     run.answer(run.step()[0], "refused", "bad settings")
     run.answer(run.step()[0], "failed", "a bug")
     run.step()
@@ -269,7 +269,7 @@
 
 
 def test_on_failure_pause_waits_until_resumed() -> None:
-    run = Run(operation(wave=1, on_failure="pause"), 2)
+    run = PlannerRun(operation(wave=1, on_failure="pause"), 2)
     run.answer(run.step()[0], "refused", "no")
     assert run.step() == [] and run.phase() is Phase.PAUSED
     run.op = replace(run.op, phase=Phase.RUNNING, policy=replace(run.op.policy, max_failures=2))
@@ -277,7 +277,7 @@
 
 
 def test_on_failure_rollback_reverts_every_commanded_target() -> None:
-    run = Run(operation(wave=2, on_failure="rollback"), 4)
+    run = PlannerRun(operation(wave=2, on_failure="rollback"), 4)
     sends = run.step()
     run.apply(sends[0])
     run.answer(sends[1], "failed", "half way through")
@@ -293,7 +293,7 @@
 
 
 def test_unconfirmed_rollback_ends_as_partial() -> None:
-    run = Run(operation(on_failure="rollback", answer_ms=1_000), 2)
+    run = PlannerRun(operation(on_failure="rollback", answer_ms=1_000), 2)
     sends = run.step()
     run.apply(sends[0])
     run.answer(sends[1], "refused", "no")
@@ -305,7 +305,7 @@
 
 
 def test_target_that_needs_a_restart_is_restarted_if_supervised() -> None:
-    run = Run(operation(), 2)
+    run = PlannerRun(operation(), 2)
     run.show("i0", supervised=True)
     sends = run.step()
     for send in sends:
@@ -322,7 +322,7 @@
 
 
 def test_newer_operation_supersedes_its_targets() -> None:
-    run = Run(operation(wave=1), 3)
+    run = PlannerRun(operation(wave=1), 3)
     run.step()
     run.superseded = {"i0": 2, "i1": 2}
     sends = run.step()
@@ -331,7 +331,7 @@
 
 
 def test_stop_is_confirmed_by_the_end_of_the_process() -> None:
-    run = Run(operation(Kind.STOP), 3)
+    run = PlannerRun(operation(Kind.STOP), 3)
     for send in run.step():
         run.answer(send)
     run.show("i0", leased=False, ended="exit 0")
@@ -343,7 +343,7 @@
 
 
 def test_drain_waits_for_open_requests() -> None:
-    run = Run(operation(Kind.DRAIN, answer_ms=1_000), 1)
+    run = PlannerRun(operation(Kind.DRAIN, answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.show("i0", draining=True, fence=10, open=3)
     run.step()
@@ -354,7 +354,7 @@
 
 
 def test_answer_to_an_earlier_command_is_ignored() -> None:
-    run = Run(operation(), 1)
+    run = PlannerRun(operation(), 1)
     first = run.step()[0]
     run.show("i0", boot="i0-2")
     run.step()
@@ -397,7 +397,7 @@
     @initialize(count=st.integers(1, 6), wave=st.integers(0, 3), unavailable=st.integers(0, 3),
                 failures=st.integers(0, 6), on_failure=st.sampled_from(["stop", "pause", "rollback"]))
     def begin(self, count: int, wave: int, unavailable: int, failures: int, on_failure: str) -> None:
-        self.run_ = Run(operation(wave=wave, max_unavailable=unavailable, max_failures=failures,
+        self.run_ = PlannerRun(operation(wave=wave, max_unavailable=unavailable, max_failures=failures,
                                   on_failure=on_failure, answer_ms=5_000), count)
         self.names = list(self.run_.fleet)
         self.processes = {name: Process() for name in self.names}
