--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -387,7 +387,7 @@
     done: list[str] = field(default_factory=list)
 
 
-class World(RuleBasedStateMachine):
+class FaultyWorld(RuleBasedStateMachine):
     """Commands and answers get lost, duplicated or delayed; processes die, restart or become silent; the agent dies."""
 
     def __init__(self) -> None:
@@ -571,5 +571,5 @@
         assert self.run_.op.phase not in OPEN_PHASES, (self.run_.op, self.run_.targets)
 
 
-World.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
-TestWorld = World.TestCase
+FaultyWorld.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
+TestWorld = FaultyWorld.TestCase
