--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -572,4 +572,4 @@
 
 
 FaultyWorld.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
-TestWorld = FaultyWorld.TestCase
+TestFaultyWorld = FaultyWorld.TestCase
