--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -24,7 +24,7 @@
 TWO = Budget("all", Of.SIDECAR, number=2)
 
 
-class Watched(AgentScene):
+class ObservedScene(AgentScene):
     """Counts the instances that are actually drained at each of their effects; `most` is the maximum."""
 
     most = 0
@@ -39,17 +39,17 @@
 
 
 @asynccontextmanager
-async def fleet(data: Path, count: int, *budgets: Budget, **changes: Any) -> AsyncIterator[Watched]:
+async def fleet(data: Path, count: int, *budgets: Budget, **changes: Any) -> AsyncIterator[ObservedScene]:
     async with scene(data, budgets=budgets, **changes) as found:
-        found.__class__ = Watched
-        assert isinstance(found, Watched)
+        found.__class__ = ObservedScene
+        assert isinstance(found, ObservedScene)
         await found.start_many(count)
         found.watch()
         await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.sights.values()))
         yield found
 
 
-async def undrain(found: Watched) -> None:
+async def undrain(found: ObservedScene) -> None:
     """Repeats until all serve, as an instance that has just lost its connection misses the command."""
     while any(i.draining for i in found.instances.values()):
         await found.end(await found.begin(Kind.UNDRAIN, list(found.instances), supersede=True))
