--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -27,13 +27,13 @@
 class ObservedScene(AgentScene):
     """Counts the instances that are actually drained at each of their effects; `most` is the maximum."""
 
-    most = 0
+    max_drained = 0
 
     def watch(self) -> None:
         for instance in self.instances.values():
             def look(what: str, instance: Any = instance) -> None:
                 out = sum(i.draining for i in self.instances.values()) + (what == "drain" and not instance.draining)
-                self.most = max(self.most, out)
+                self.max_drained = max(self.max_drained, out)
 
             instance.before_effect = look
 
@@ -75,7 +75,7 @@
 
             await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2)
             await until(lambda: any(live.waits_for for live in engine.live_operations.values()))
-            assert found.most <= 2 and counted(found) == 2
+            assert found.max_drained <= 2 and counted(found) == 2
             await undrain(found)  # drained instances return to service, and the waiting ones get their turn
             await until(
                 lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
@@ -88,7 +88,7 @@
             if permit.id in engine.permits.ledger.permits:
                 await engine.permits.give_back("script", permit.id, False)
             await until(lambda: counted(found) == 0)
-            assert found.most <= 2
+            assert found.max_drained <= 2
 
     run(test)
 
@@ -388,8 +388,8 @@
                                 await engine.permits.request("s", str(rng.random()), [f"sidecar/{some[0]}"], "", 0, 500)
                     except (Refusal, AssertionError):
                         pass
-                    assert found.most <= 2, f"seed {seed}"
-                assert found.most > 0
+                    assert found.max_drained <= 2, f"seed {seed}"
+                assert found.max_drained > 0
                 for permit in list(engine.permits.ledger.permits.values()):
                     if not permit.operation:
                         await engine.permits.give_back("s", permit.id, False)
