--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -29,7 +29,7 @@
 
     max_drained = 0
 
-    def watch(self) -> None:
+    def count_drained(self) -> None:
         for instance in self.instances.values():
             def look(what: str, instance: Any = instance) -> None:
                 out = sum(i.draining for i in self.instances.values()) + (what == "drain" and not instance.draining)
@@ -44,7 +44,7 @@
         found.__class__ = ObservedScene
         assert isinstance(found, ObservedScene)
         await found.start_many(count)
-        found.watch()
+        found.count_drained()
         await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.sights.values()))
         yield found
 
