--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -182,7 +182,7 @@
     run(test)
 
 
-class Gated:
+class BlockedWrites:
     """Blocks the store's writes, from the next one on, until it is lifted."""
 
     def __init__(self, found: AgentScene) -> None:
@@ -206,7 +206,7 @@
         async with fleet(tmp_path, 2, Budget("all", Of.SIDECAR, number=1)) as found:
             permits = found.engine.permits
             held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
-            gate = Gated(found)
+            gate = BlockedWrites(found)
             giving = asyncio.create_task(permits.give_back("ann", held.id, False))
             await asyncio.sleep(0.8)  # the lease runs out during the write, and several decisions are made
             gate.lift()
