--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -21,7 +21,7 @@
 from ironscale.operator_file import OperatorFileError, parse
 from tests.agent.agent_harness import AgentScene, run, scene, until
 
-TWO = Budget("all", Of.SIDECAR, number=2)
+TWO_OUT = Budget("all", Of.SIDECAR, number=2)
 
 
 class ObservedScene(AgentScene):
@@ -62,7 +62,7 @@
 
 def test_two_operations_and_a_script_share_one_budget(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 6, TWO) as found:
+        async with fleet(tmp_path, 6, TWO_OUT) as found:
             engine, names = found.engine, list(found.instances)
             # all in one step of the event loop: in whatever order, no more than two permits are granted
             _, _, permit = await asyncio.gather(
@@ -139,7 +139,7 @@
 
 def test_halt_blocks_all_but_rollbacks_and_survives_an_agent_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine = found.engine
             op = await found.begin(policy=Policy(wave=1))
             for instance in found.instances.values():
@@ -151,7 +151,7 @@
                 await found.begin(Kind.DRAIN)
             assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been in flight
             assert (await engine.permits.set_halt("bob", "too")).actor == "ann"
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine = found.engine
             await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             await engine.control("ann", op, "rollback")
@@ -166,7 +166,7 @@
 
 def test_halt_takes_effect_before_its_commit(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, TWO) as found:
+        async with fleet(tmp_path, 3, TWO_OUT) as found:
             permits = found.engine.permits
             halting = asyncio.create_task(permits.set_halt("ann", "now"))
             await asyncio.sleep(0)  # the halt was requested, and its commit is in progress
@@ -287,7 +287,7 @@
 
 def test_permit_is_not_reserved_again_while_its_end_is_being_written(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 2, TWO) as found:
+        async with fleet(tmp_path, 2, TWO_OUT) as found:
             permits = found.engine.permits
             op = await found.begin(names=["i0000"])
             ended, targets = await found.end(op)
@@ -303,7 +303,7 @@
 
 def test_urgent_rollback_does_not_wait_for_room_but_counts(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine, names = found.engine, list(found.instances)
             op = await found.begin(names=names[:2], policy=Policy(on_failure="pause", wave=1))
             await until(
@@ -329,7 +329,7 @@
 
 def test_unplanned_losses_block_a_release_of_other_instances(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 5, TWO) as found:
+        async with fleet(tmp_path, 5, TWO_OUT) as found:
             engine = found.engine
             for name in ("i0003", "i0004"):
                 found.cut(name)
@@ -371,7 +371,7 @@
         rng = random.Random(seed)
         names = [f"i{n:04}" for n in range(6)]
         for _ in range(2):
-            async with fleet(tmp_path, 6, TWO, lease_s=0.6) as found:
+            async with fleet(tmp_path, 6, TWO_OUT, lease_s=0.6) as found:
                 engine = found.engine
                 for _ in range(25):
                     await asyncio.sleep(rng.random() * 0.06)
