--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -35,7 +35,7 @@
 OVERLAY = {"settings": {"request-classes": [*SETTINGS["request-classes"], EXTRA]}}
 
 
-class Many:
+class ManyProcesses:
     def __init__(self, scene: AgentScene, folder: Path, seed: int) -> None:
         self.scene, self.folder = scene, folder
         self.random = random.Random(seed)
@@ -136,14 +136,14 @@
         async with scene(tmp_path / "data", seed, lease_s=LEASE_S, heartbeat_s=0.5) as s:
             s.start(GATE)
             await until(lambda: GATE in s.agent.fleet.members)
-            many = Many(s, tmp_path, seed)
+            many = ManyProcesses(s, tmp_path, seed)
             async with many.running():
                 await campaign(many, tmp_path)
 
     run(test)
 
 
-async def campaign(many: Many, folder: Path) -> None:
+async def campaign(many: ManyProcesses, folder: Path) -> None:
     rng, names = many.random, sorted(many.processes)
     code, listed = await many.tool("ls")
     assert code == 0 and [node["name"] for node in listed] == [*names, GATE]
