--- a/tests/agent/test_many.py
+++ b/tests/agent/test_many.py
@@ -42,7 +42,7 @@
         self.peer, self.discovery = Peer(), ListedDiscovery()
         self.processes: dict[str, tuple[int, int]] = {}
         self.ports: dict[str, int] = {}
-        self.wrongs: dict[str, str] = {}
+        self.faults: dict[str, str] = {}
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
@@ -53,7 +53,7 @@
             sys.executable, "-m", "tests.agent.fork_server", cwd=ROOT, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE)
         assert zygote.stdin is not None and zygote.stdout is not None
-        self.wrongs = wrongs = {f"app-{n:03}": how for n, how in zip(self.random.sample(range(COUNT), min(COUNT, 9)),
+        self.faults = wrongs = {f"app-{n:03}": how for n, how in zip(self.random.sample(range(COUNT), min(COUNT, 9)),
                                                       ["dies"] * 3 + ["garbles"] * 3 + ["slow"] * 3, strict=False)}
         try:
             for n in range(COUNT):
@@ -193,7 +193,7 @@
             assert state in ("APPLIED", "NO_ANSWER", "FAILED", "REFUSED", "NOT_STARTED")
             # An instance that sends garbage is refused for longer than its lease, and a suspended one may have lost
             # its lease: "no answer" means that its state is unknown, which is correct.
-            unknown = state == "NO_ANSWER" and (many.wrongs.get(name) == "garbles" or fates.get(name) == "pause")
+            unknown = state == "NO_ANSWER" and (many.faults.get(name) == "garbles" or fates.get(name) == "pause")
             assert unknown or knows is (state == "APPLIED"), (name, account[name], knows, fates.get(name))
     counts = Counter(target["state"] for target in account.values())
     assert counts["APPLIED"] >= COUNT // 2 and counts["GONE"] and counts["NO_ANSWER"], counts
