--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -29,7 +29,7 @@
 from tests.sockets import free_port
 
 TERM_S = 1.2
-GO = "query { fleet { leads term leader ageMs instances ready halt { actor } } }"
+FLEET_QUERY = "query { fleet { leads term leader ageMs instances ready halt { actor } } }"
 APPLY = """mutation($k: String!, $o: JSON!) { apply(input: {overlay: $o, expectGeneration: 0, idempotencyKey: $k,
   policy: {maxFailures: 100}}) {
   id } }"""
@@ -95,7 +95,7 @@
         """Waits until an agent other than `but` leads and sees at least `seeing` instances ready."""
         while True:
             for number in self.processes:
-                found = await self.ask(number, GO) if number != but else None
+                found = await self.ask(number, FLEET_QUERY) if number != but else None
                 fleet = (found or {}).get("data", {}) and (found or {})["data"]["fleet"]
                 if fleet and fleet["leads"] and fleet["ready"] >= seeing:
                     return number
@@ -189,7 +189,7 @@
                 os.kill(first.pid, signal.SIGCONT)
                 while "leads no longer" not in found.log(0) and "follows the agent" not in found.log(0):
                     await asyncio.sleep(0.01)
-                told = await found.ask(1, GO)
+                told = await found.ask(1, FLEET_QUERY)
                 assert told is not None and told["data"]["fleet"]["term"] >= 2
             check(found, op)
 
@@ -202,7 +202,7 @@
             leader = await found.leader(seeing=6)
             follower = next(n for n in found.processes if n != leader)
             while True:
-                told = await found.ask(follower, GO)
+                told = await found.ask(follower, FLEET_QUERY)
                 if told is not None and told["data"]["fleet"]["instances"] == 6:
                     break
                 await asyncio.sleep(0.02)
@@ -215,7 +215,7 @@
             assert extensions["code"] == "NOT_LEADING" and extensions["leader"] == url == fleet["leader"]
             await found.ask(leader, "mutation { halt(reason: \"x\") { actor } }")
             while True:
-                told = await found.ask(follower, GO)
+                told = await found.ask(follower, FLEET_QUERY)
                 if told is not None and told["data"]["fleet"]["halt"]:
                     break
                 await asyncio.sleep(0.02)
@@ -230,7 +230,7 @@
             terms = [0]
             for _ in range(3):
                 leader = await found.leader(seeing=6)
-                told = await found.ask(leader, GO)
+                told = await found.ask(leader, FLEET_QUERY)
                 assert told is not None and told["data"]["fleet"]["term"] > terms[-1]
                 terms.append(told["data"]["fleet"]["term"])
                 found.processes[leader].kill()
@@ -270,7 +270,7 @@
                 os.kill(found.processes[leader].pid, signal.SIGCONT)
                 while "leads no longer" not in found.log(leader):
                     await asyncio.sleep(0.01)
-                told = await found.ask(other, GO)
+                told = await found.ask(other, FLEET_QUERY)
                 assert told is not None and told["data"]["fleet"]["ready"] == 6
         finally:
             await host.stop()
@@ -291,7 +291,7 @@
                 await found.processes[leader].wait()
                 while "SQLITE_BUSY" not in found.log(other):
                     await asyncio.sleep(0.01)
-                told = await found.ask(other, GO)
+                told = await found.ask(other, FLEET_QUERY)
                 assert told is not None and not told["data"]["fleet"]["leads"]  # but it goes on showing the record
                 assert told["data"]["fleet"]["instances"] == 6
                 connection.execute("ROLLBACK")
