--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -45,7 +45,7 @@
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.instances: dict[str, LightInstance] = {}
         self.tasks: list[asyncio.Task[None]] = []
-        self.out = self.worst = 0
+        self.out = self.max_out = 0
         self.client = httpx.AsyncClient(timeout=1.0, trust_env=False)
 
     async def start(self, number: int, fatal: int = 0, how: str = "") -> None:
@@ -72,7 +72,7 @@
         """Applying a configuration takes an instance out for 30 ms; counts how many are actually out at once."""
         instance.ready = False
         self.out += 1
-        self.worst = max(self.worst, self.out)
+        self.max_out = max(self.max_out, self.out)
 
         def back() -> None:
             instance.ready = True
@@ -160,7 +160,7 @@
     assert op["phase"] == ("SUCCEEDED" if set(states.values()) == {"APPLIED"} else "PARTIAL")
     for name, instance in found.instances.items():
         assert instance.effects == ["generation 1"] or (not instance.effects and states[name] != "APPLIED"), name
-    assert 0 < found.worst <= 2, found.worst
+    assert 0 < found.max_out <= 2, found.max_out
 
 
 @pytest.mark.parametrize("how", ["KILL", "STOP"])
