--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -34,7 +34,7 @@
         self.changed: list[str] = []
         self.fleet.on_changed = self.changed.append
 
-    def come(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
+    def connect(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
         hello = Hello(PROTOCOL, name, boot, 1, "0", 5, "z", "h:1", "t", 0, 0, **changes)
         link = FakeLink(boot)
         self.fleet.check_registration(hello)
@@ -49,7 +49,7 @@
 
 def test_lease_is_renewed_by_heartbeats_and_expires_without() -> None:
     s = Scene()
-    link = s.come()
+    link = s.connect()
     assert s.state() == "not ready"  # it has sent no report yet
     assert s.fleet.heartbeat("a", link, REPORT) and s.state() == "ready"
     s.now_ms += 5_999
@@ -65,7 +65,7 @@
 
 def test_heartbeats_without_changes_wake_no_operation() -> None:
     s = Scene()
-    link = s.come()
+    link = s.connect()
     s.fleet.heartbeat("a", link, REPORT)
     s.changed.clear()
     for more in range(5):
@@ -78,34 +78,34 @@
 
 def test_a_name_belongs_to_one_process() -> None:
     s = Scene()
-    first = s.come()
+    first = s.connect()
     with pytest.raises(Denial, match="which has its lease") as found:
-        s.come(boot="b2")
+        s.connect(boot="b2")
     assert found.value.code == "DUPLICATE" and found.value.retry_ms == 6_000
-    again = s.come()  # the same process, on another connection
+    again = s.connect()  # the same process, on another connection
     assert first.closed and not again.closed
     assert not s.fleet.heartbeat("a", first, REPORT)  # messages on the old connection are ignored
-    successor = s.come(boot="b2", replaces="b1")
+    successor = s.connect(boot="b2", replaces="b1")
     assert again.closed and not successor.closed and s.fleet.members["a"].row.boot == "b2"
     s.fleet.disconnect("a", again, "ended by itself: x")
     assert s.fleet.members["a"].row.ended == ""  # that was the end of the former process
     s.now_ms += 6_001
     s.fleet.sweep()
-    s.come(boot="b3")  # an expired lease does not block another process
+    s.connect(boot="b3")  # an expired lease does not block another process
     assert s.fleet.members["a"].row.boot == "b3"
 
 
 def test_full_agent_denies_new_names_and_accepts_known_ones() -> None:
     s = Scene(most=1)
-    s.come()
+    s.connect()
     with pytest.raises(Denial, match="expected 1 instances at most"):
-        s.come("b")
-    s.come()
+        s.connect("b")
+    s.connect()
 
 
 def test_most_exact_description_of_an_end_is_kept() -> None:
     s = Scene()
-    link = s.come()
+    link = s.connect()
     s.fleet.disconnect("a", link, "ended by itself: ended")
     assert s.state() == "gone" and s.fleet.members["a"].row.ended.startswith("ended by itself")
     s.fleet.process_ended("a", "b1", "exit 0")
@@ -118,9 +118,9 @@
 
 def test_broken_connection_means_death_only_of_a_local_process() -> None:
     s = Scene()
-    s.fleet.disconnect("a", s.come(), "")
+    s.fleet.disconnect("a", s.connect(), "")
     assert s.state() == "not ready"  # its lease is still valid
-    here = s.come("b", host=machine(), ticks=77)  # pid 1 with another start time: that process has ended
+    here = s.connect("b", host=machine(), ticks=77)  # pid 1 with another start time: that process has ended
     s.fleet.disconnect("b", here, "")
     assert s.state("b") == "gone"
 
@@ -163,9 +163,9 @@
 def test_names_come_in_order_as_they_join() -> None:
     s = Scene()
     for name in ("c", "a", "b"):
-        s.come(name)
+        s.connect(name)
     assert s.fleet.names() == ["a", "b", "c"]
-    s.come("0")
+    s.connect("0")
     assert s.fleet.names() == ["0", "a", "b", "c"]
 
 
@@ -196,5 +196,5 @@
     drained = teach("near0", 8000)
     scene.fleet.heartbeat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
-    scene.come("far0", "b1")  # it is no donor any more
+    scene.connect("far0", "b1")  # it is no donor any more
     assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.donor_names) == 5
