--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -16,7 +16,7 @@
 from ironscale.control import client, extension  # noqa: F401 (loaded once, for all)
 
 
-def go_wrong(how: str) -> None:
+def inject_fault(how: str) -> None:
     """Makes the instance misbehave on a reconfigure: die after applying it, answer with garbage, or be slow."""
     carry_out = client.Client.carry_out
 
@@ -47,7 +47,7 @@
     os.dup2(null, 0)
     os.dup2(log, 1)
     os.dup2(log, 2)
-    go_wrong(order.get("wrong", ""))
+    inject_fault(order.get("wrong", ""))
     code = 1
     try:
         code = main({**os.environ, **order["environ"]})
