--- a/tests/agent/test_gates.py
+++ b/tests/agent/test_gates.py
@@ -18,7 +18,7 @@
 GATED = Policy(wave=2, canary=1, gate=True, on_failure="rollback", soak_most_ms=20_000)
 
 
-async def traffic(found: AgentScene, failing: Callable[[LightInstance], float], rate: int = 200) -> None:
+async def generate_answers(found: AgentScene, failing: Callable[[LightInstance], float], rate: int = 200) -> None:
     """Adds `rate` answers to the counters of each instance every 20 ms; `failing` gives the share of failures."""
     rng = random.Random(1)
     while True:
@@ -37,7 +37,7 @@
     async def test() -> None:
         async with scene(tmp_path) as found:
             await found.start_many(6)
-            load = asyncio.create_task(traffic(found, lambda i: 0.2 if i.generation else 0.01))
+            load = asyncio.create_task(generate_answers(found, lambda i: 0.2 if i.generation else 0.01))
             op = await found.begin(policy=GATED)
             ended, targets = await found.end(op)
             load.cancel()
@@ -51,7 +51,7 @@
     async def test() -> None:
         async with scene(tmp_path) as found:
             await found.start_many(6)
-            load = asyncio.create_task(traffic(found, lambda i: 0.1))
+            load = asyncio.create_task(generate_answers(found, lambda i: 0.1))
             ended, _ = await found.end(await found.begin(policy=GATED))
             load.cancel()
             assert ended.phase is Phase.SUCCEEDED and effects(found) == 6
