--- a/ironscale/agent/config_diff.py
+++ b/ironscale/agent/config_diff.py
@@ -9,7 +9,7 @@
 
 
 def _flatten(value: Any, path: str, leaves: dict[str, str]) -> None:
-    """Adds each leaf of `value` to `into` as path -> JSON; list elements that are objects are keyed by their name."""
+    """Adds each leaf of `value` to `leaves` as path -> JSON; list elements that are objects are keyed by their name."""
     if isinstance(value, dict) and value:
         for key, member in value.items():
             _flatten(member, f"{path}.{key}" if path else key, leaves)
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -211,7 +211,7 @@
             except Exception:
                 # Without this, an operation that runs into a bug would crash this agent and every agent after it.
                 self.log(f"operation {live.op.id}: unexpected error in the agent\n{traceback.format_exc()}")
-                live.stalled, live.changed_names = "a fault of the agent; its log says which", None
+                live.stalled, live.changed_names = "unexpected error in the agent; see its log", None
                 self.notify()
                 await asyncio.sleep(RETRY_S)
                 continue
@@ -270,7 +270,8 @@
         desired = self.desired_generations(op, changed.values())
         has_ended = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
-        permits |= {p.id: p for p in self.permits.returned_permits(op, targets if has_ended else changed.values(), has_ended)}
+        permits |= {p.id: p for p in self.permits.returned_permits(
+            op, targets if has_ended else changed.values(), has_ended)}
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
@@ -624,7 +625,7 @@
         if seen.supervised or (seen.connected and seen.leased):
             raise Refusal("CONFLICT", f"{name} is running; stop it first")
         if not seen.ended and not ended:
-            raise Refusal("CONFLICT", f"{name} is silent, which is not known to be its end; --ended says it for you")
+            raise Refusal("CONFLICT", f"{name} is silent, but not known to have ended; confirm that with --ended")
 
         def work(records: Records) -> None:
             records.forget_instance(name)
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -15,7 +15,7 @@
 # Rate at which instances reconnect after they have lost their agent; they spread out accordingly.
 RECONNECTS_PER_S = 200.0
 MIN_SPREAD_MS = 1_000
-# For donors, which pass on their state to a new process: names sampled, addresses offered, shortest uptime.
+# For donors, which pass on their learned state to a new process: names sampled, addresses offered, shortest uptime.
 DONOR_SAMPLE, MAX_DONORS, DONOR_MIN_UPTIME_MS = 20, 5, 10_000
 # Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
 MAX_HEARTBEATS_PER_S = 1_000.0
@@ -68,10 +68,10 @@
 
 
 class Fleet:
-    def __init__(self, lease_ms: int, beat_ms: int, max_instances: int, now_ms: Callable[[], int], reconnect_ms: int = RECONNECT_MS
-                 ) -> None:
-        """`most`: largest number of instances. `back_ms`: time, in addition to lease and spread, that instances have to
-        reconnect to a new agent."""
+    def __init__(self, lease_ms: int, beat_ms: int, max_instances: int, now_ms: Callable[[], int],
+                 reconnect_ms: int = RECONNECT_MS) -> None:
+        """`max_instances`: largest number of instances. `reconnect_ms`: time, in addition to lease and spread, that
+        instances have to reconnect to a new agent."""
         self.reconnect_ms = reconnect_ms
         self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, max_instances, now_ms
         self.members: dict[str, Member] = {}
--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -17,7 +17,7 @@
     VariableNode,
 )
 
-MAX_BODY_BYTES = 256 << 10  # bytes
+MAX_BODY_BYTES = 256 << 10
 MAX_TOKENS = 4_000
 MAX_DEPTH = 12
 MAX_COST = 50_000  # fields that a document can resolve to; a list counts as many entries as `first` allows
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -60,7 +60,7 @@
         self.ledger = Ledger(budgets)
         self.halt: Halt | None = None
         self.wake = asyncio.Event()
-        self.on_budget_room: Callable[[], None] = lambda: None  # there may be room in a budget now
+        self.on_budget_room: Callable[[], None] = lambda: None  # called when a budget may have room
         self.notify: Callable[[], None] = lambda: None
         self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
         self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
@@ -137,7 +137,7 @@
         return problem
 
     def returned_permits(self, op: Operation, targets: Iterable[Target], has_ended: bool) -> list[Permit]:
-        """Permits that these targets no longer need, as they are to be recorded together with them. `ends`: the
+        """Permits that these targets no longer need, as they are to be recorded together with them. `has_ended`: the
         operation ends, so once an instance answers a later inspection, it has either carried out the commands or never
         will."""
         found = []
@@ -308,7 +308,8 @@
         if self.halt is not None:
             return self.halt
         now_ms, before = self.now_ms(), self.ledger.halted
-        self.ledger.halted = f"{actor}: {reason}" if reason else actor  # before the write: requests wait
+        # Set before the write, so that requests arriving meanwhile wait.
+        self.ledger.halted = f"{actor}: {reason}" if reason else actor
 
         def work(records: Records) -> Halt:
             current = records.halt()
@@ -428,7 +429,8 @@
 
             open_permits = await self.store.write(work)
             recorded = {permit.id: permit for permit in open_permits}
-            for ident in unconfirmed & self.unconfirmed:  # one reserved again since then belongs to its operation's round
+            # One that was reserved again since then belongs to its operation's round.
+            for ident in unconfirmed & self.unconfirmed:
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
@@ -445,7 +447,7 @@
         tasks.create_task(self.await_inspection(name))
 
     async def await_inspection(self, name: str) -> None:
-        """Waits for the answer to an inspection; a failed one ends after ASK_AGAIN_S, which limits the rate."""
+        """Waits for the answer to an inspection; a failed one ends after INSPECTION_RETRY_S, which limits the rate."""
         assert self.inspect is not None
         asked_ms, start_s = clock_ms(), time.monotonic()
         try:
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -173,9 +173,9 @@
             check_gate: GateCheck = lambda targets, first: ("", False)) -> Plan:
     """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
     `changed`: the instances that may have reported something new since the last call, or None if not known; other
-    targets are judged only while under way, as time alone can change their state. `may`: asked before a command that
-    may take a target out of service; empty, or the reason why it has to wait. `passes`: asked before each wave but
-    the first."""
+    targets are judged only while under way, as time alone can change their state. `check_permit`: asked before a
+    command that may take a target out of service; empty, or the reason why it has to wait. `check_gate`: asked before
+    each wave but the first."""
     plan = Plan()
     if op.phase not in OPEN_PHASES:
         return plan
@@ -240,8 +240,8 @@
     return not problem
 
 
-def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan, check_permit: PermitCheck,
-           check_gate: GateCheck) -> None:
+def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan,
+                   check_permit: PermitCheck, check_gate: GateCheck) -> None:
     """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
     failures = sum(t.state in FAILURE_STATES for t in targets)
@@ -302,7 +302,7 @@
     for index, target in enumerate(targets):
         # A refusal changed nothing; a failure may have.
         touched = target.command and target.state not in (State.REFUSED, State.SUPERSEDED)
-        has_restarted = target.reverting and target.state is State.NOT_STARTED  # its process restarted during the rollback
+        has_restarted = target.reverting and target.state is State.NOT_STARTED  # during the rollback
         if not touched or (target.reverting and not has_restarted):
             continue
         seen = fleet.get(target.name)
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -24,7 +24,7 @@
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
 READY_TIMEOUT_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
-MAX_LOG_BYTES = 16 << 20  # bytes; a larger log is rotated when the instance starts
+MAX_LOG_BYTES = 16 << 20  # a larger log is rotated when the instance starts
 
 
 class SupervisedProcess:
@@ -64,7 +64,7 @@
                 os.kill(self.pid, signal_number)
 
     async def stop(self, timeout_s: float) -> None:
-        """SIGTERM, then SIGKILL after `within_s`; returns when the process has ended."""
+        """SIGTERM, then SIGKILL after `timeout_s`; returns when the process has ended."""
         self.kill(signal.SIGTERM)
         try:
             async with asyncio.timeout(timeout_s):
@@ -281,7 +281,7 @@
             elif member.service.make_before_break and member.service.first_port:
                 await self.make_before_break(member, old)
             else:
-                member.wake.set()  # `keep` starts the next process as soon as this one has ended
+                member.wake.set()  # `keep_running` starts the next process as soon as this one has ended
                 await old.stop(member.service.stop_s)
         finally:
             member.replacing = False
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -561,7 +561,7 @@
 
             monkeypatch.setattr(planner, "advance", sometimes)
             first = await s.begin(Kind.DRAIN, ["i0000"])
-            await until(lambda: "fault" in s.engine.live_operations[first].stalled)
+            await until(lambda: "unexpected error in the agent" in s.engine.live_operations[first].stalled)
             assert await s.states(await s.begin(Kind.DRAIN, ["i0001"])) == {"i0001": State.APPLIED}
             broken[0] = False
             assert await s.states(first) == {"i0000": State.APPLIED}
--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -355,7 +355,7 @@
                 await engine.forget("ann", "i0000", False)
             found.kill("i0000")
             await until(lambda: engine.permits.ledger.sights["sidecar/i0000"].out == 1.0)
-            with pytest.raises(Refusal, match="--ended says it for you"):
+            with pytest.raises(Refusal, match="confirm that with --ended"):
                 await engine.forget("ann", "i0000", False)
             await engine.forget("ann", "i0000", True)
             assert engine.permits.ledger.cells["all", ""].out == 0.0
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -409,7 +409,7 @@
         for name, process in self.processes.items():
             if process.alive and process.reachable:
                 self.run_.fleet[name] = Observation(name, str(process.boot), True, True, self.run_.now_ms,
-                                             process.generation, process.commands.fence, True)
+                                                    process.generation, process.commands.fence, True)
         before = self.run_.states()
         sends = self.run_.step()
         self.wires += sends
@@ -504,7 +504,7 @@
                     and target.state in (State.UNDER_WAY, State.NO_ANSWER)):
                 generation = target.from_generation if target.reverting else self.run_.op.generation
                 self.wires.append(OutgoingCommand(target.command, name, target.boot, self.run_.op.fence, "reconfigure",
-                                       generation))
+                                                  generation))
 
     @rule(action=st.sampled_from(["pause", "resume", "abort", "rollback"]))
     def steer(self, action: str) -> None:
--- a/tests/stage/planted_faults.py
+++ b/tests/stage/planted_faults.py
@@ -14,7 +14,7 @@
 
 
 def sends_without_a_permit() -> None:
-    Permits.reserve = lambda self, op, target, is_way_back: ""  # type: ignore[method-assign]
+    Permits.reserve = lambda self, op, target, is_rollback: ""  # type: ignore[method-assign]
 
 
 def one_budget_of_two() -> None:
