--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -298,7 +298,7 @@
         return True, None
 
     async def record_plan(self, op: Operation, changed: list[Target], plan: Plan, desired: list[tuple[str, int]],
-                     permits: list[Permit], late: Callable[[Operation], None]) -> Operation:
+                          permits: list[Permit], late: Callable[[Operation], None]) -> Operation:
         now_ms = self.now_ms()
 
         def work(records: Records) -> Operation:
@@ -467,7 +467,7 @@
             if op.actor == AGENT:
                 continue  # the agent's own catching up gives way to operators
             shared = names & {target.name for target in records.targets(op.id)
-                            if target.state is not State.SUPERSEDED}
+                              if target.state is not State.SUPERSEDED}
             if shared:
                 raise Refusal(
                     "CONFLICT",
--- a/ironscale/agent/limits.py
+++ b/ironscale/agent/limits.py
@@ -25,7 +25,7 @@
 PAGINATED_LISTS = ("instances", "operations", "events", "targets", "versions")  # paginated by `first`
 # Lists without pagination, with the number of entries that the cost assumes.
 UNPAGINATED_LISTS = {"upstreams": 100, "classes": 10, "refusals": 10, "difference": 50, "layers": 5, "agents": 20,
-              "positions": 50, "differing": 100}
+                     "positions": 50, "differing": 100}
 
 
 class LimitExceeded(Exception):
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -325,7 +325,7 @@
                for t in targets) or any(t.reverting and t.state is State.NOT_STARTED for t in targets):
             return
         all_reverted = all(t.state is State.REVERTED or not t.command
-                   or t.state in (State.REFUSED, State.SUPERSEDED) for t in targets)
+                           or t.state in (State.REFUSED, State.SUPERSEDED) for t in targets)
         plan.phase = Phase.ROLLED_BACK if all_reverted else Phase.PARTIAL
         plan.note = op.note if all_reverted else f"{op.note}; the roll-back is not complete"
     elif op.phase is Phase.ABORTING:
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -398,7 +398,7 @@
                 failures=st.integers(0, 6), on_failure=st.sampled_from(["stop", "pause", "rollback"]))
     def begin(self, count: int, wave: int, unavailable: int, failures: int, on_failure: str) -> None:
         self.run_ = PlannerRun(operation(wave=wave, max_unavailable=unavailable, max_failures=failures,
-                                  on_failure=on_failure, answer_ms=5_000), count)
+                                         on_failure=on_failure, answer_ms=5_000), count)
         self.names = list(self.run_.fleet)
         self.processes = {name: Process() for name in self.names}
         self.wires: list[OutgoingCommand] = []
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -185,7 +185,7 @@
 
 
 def test_crash_loop_ends_restarts_and_is_logged(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                          capsys: pytest.CaptureFixture[str]) -> None:
+                                                capsys: pytest.CaptureFixture[str]) -> None:
     monkeypatch.setattr("ironscale.agent.restarts.FIRST_DELAY_S", 0.01)
 
     async def test() -> None:
