--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -165,8 +165,8 @@
         body = b""
         async for piece in request.stream():
             body += piece
-            if len(body) > limits.MAX_BODY:
-                raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY} bytes at most")
+            if len(body) > limits.MAX_BODY_BYTES:
+                raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY_BYTES} bytes at most")
         return body
 
     async def answer(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
@@ -199,7 +199,7 @@
         """Cost first: hazard: validation of fields that overlap grows with the square of a document."""
         try:
             limits.cost(document, variables)
-        except limits.TooMuch as error:
+        except limits.LimitExceeded as error:
             return [GraphQLError(str(error), extensions={"code": "TOO_COMPLEX"})]
         except RecursionError:
             return [GraphQLError("expected fragments that don't contain themselves")]
--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -75,13 +75,13 @@
                 raise MessageError(f"expected hello, got {message.type}")
             self.on_hello(message)
         elif isinstance(message, Heartbeat):
-            if self.links.fleet.beat(self.name, self, message.report):
+            if self.links.fleet.heartbeat(self.name, self, message.report):
                 self.send(LeaseRenewal(message.seq))
             else:
                 self.close("another process has its name")
         elif isinstance(message, CommandResult):
             if message.report is not None:
-                self.links.fleet.beat(self.name, self, message.report)
+                self.links.fleet.heartbeat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
         elif isinstance(message, Goodbye):
             self.bye = f"ended by itself: {message.reason}"
@@ -98,8 +98,8 @@
                 raise Denial(NOT_LEADING, "another agent leads", 0)
             self.boot, name = hello.boot, hello.name
             fleet = self.links.fleet
-            fleet.check(hello)
-            lease_ms, beat_ms = fleet.times()
+            fleet.check_registration(hello)
+            lease_ms, beat_ms = fleet.lease_and_heartbeat()
             donors = fleet.donors(hello, int(time.time() * 1000))
             self.send(Welcome(lease_ms, beat_ms, fleet.spread_ms(), donors, self.links.term()))
             fleet.register(hello, self, lease_ms)
@@ -135,7 +135,7 @@
         self.patience.cancel()
         self.links.open.discard(self)
         if self.name:
-            self.links.fleet.unlink(self.name, self, self.bye)
+            self.links.fleet.disconnect(self.name, self, self.bye)
         else:
             self.links.silent -= 1
 
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -1,4 +1,4 @@
-"""Carries operations out: asks the planner, records what it says, then sends; takes in what comes back."""
+"""Carries out operations: asks the planner, records its plan, then sends the commands; takes in answers and reports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.fleet import Fleet
 from ironscale.agent.gates import Gate
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, Send, State, Target
+from ironscale.agent.model import OPEN_PHASES, Kind, Operation, OutgoingCommand, Phase, Plan, Policy, State, Target
 from ironscale.agent.permits import Permits, permit_id
 from ironscale.agent.publishing import Publisher, used_for
 from ironscale.agent.refusal import Refusal
@@ -28,31 +28,31 @@
 from ironscale.disruption.model import Budget, Halt, Permit, UnitKind
 from ironscale.disruption.releases import Decision
 
-RETRY_S = 1.0  # after the record could not be written
-REST_SHARE = 1  # an operation rests for so many times what its last round took: thousands report at once
-CATCH_UP_S = 1.0
-INSPECT_S = 5.0
-AGENT = "agent"  # the actor of what the agent does by itself
+RETRY_S = 1.0  # delay after a failed write to the record
+PAUSE_PER_ROUND = 1  # pause after a round, as a multiple of its duration, so that thousands of reports share one round
+CATCH_UP_INTERVAL_S = 1.0
+INSPECT_TIMEOUT_S = 5.0
+AGENT = "agent"  # actor of what the agent does on its own
 
 
 @dataclass(slots=True)
-class Live:
-    """An open operation in memory: what the record has, and what has come in since."""
+class LiveOperation:
+    """An open operation in memory: its recorded state, and what has been received since."""
 
     op: Operation
     targets: list[Target]
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    names: set[str] | None = None  # of instances that may show something new; None = any may
+    changed_names: set[str] | None = None  # instances that may have reported something new; None = any
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     answers: deque[tuple[str, str, str, str]] = field(default_factory=deque)  # name, command, status, detail
     superseded: dict[str, int] = field(default_factory=dict)
-    stalled: str = ""  # why it can't go on at present
-    waits: str = ""  # for room in a budget, for the end of a halt, or for what a wave serves
+    stalled: str = ""  # why it can't proceed at present
+    waits_for: str = ""  # what it waits for: room in a budget, the end of a halt, or measured answers
     gate: Gate = field(default_factory=Gate)
-    index: dict[str, int] = field(default_factory=dict)
+    position_of: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.index = {target.name: i for i, target in enumerate(self.targets)}
+        self.position_of = {target.name: i for i, target in enumerate(self.targets)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Question:
+class _PendingInspection:
     future: asyncio.Future[Inspection]
     parts: list[dict[str, Any]] = field(default_factory=list)
 
@@ -72,27 +72,28 @@
                  log: Callable[[str], None], budgets: Sequence[Budget] = ()) -> None:
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
-        self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
-        self.watching = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
+        self.permits.on_budget_room, self.permits.notify, self.permits.inspect = (
+            self.on_budget_room, self.notify, self.inspect)
+        self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
-        self.live: dict[int, Live] = {}
+        self.live_operations: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
         self.tasks: asyncio.TaskGroup | None = None
-        self.restart: Callable[[Send], None] = lambda send: None  # the supervisor's
-        self.stopping: Callable[[str], None] = lambda name: None  # told before a process is told to stop
-        self.questions: dict[str, _Question] = {}
-        self.asked = 0
-        self.caught_up: set[tuple[str, str, int]] = set()  # tried once for each process and generation
-        self.watchers: set[asyncio.Event] = set()  # of operations, instances and the audit log
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
-        self.held_back: set[str] = set()  # instances whose commands were not sent, as the term was void
-        self.leader: Owner | None = None  # this agent only follows: who leads, as far as that is known
-        self.read_ms = 0  # follower: on `clock_ms`, of when the record was read that is shown here
+        self.restart_process: Callable[[OutgoingCommand], None] = lambda send: None  # set to the supervisor's method
+        self.before_stop: Callable[[str], None] = lambda name: None  # called before a process is sent the stop command
+        self.inspections: dict[str, _PendingInspection] = {}
+        self.inspections_sent = 0
+        self.catch_up_attempts: set[tuple[str, str, int]] = set()  # already tried: once for each process and generation
+        self.watchers: set[asyncio.Event] = set()  # set when operations, instances or the audit log change
+        self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
+        self.held_back: set[str] = set()  # instances whose commands were not sent because the term had run out
+        self.leader: Owner | None = None  # set while this agent only follows: the leader, as far as known
+        self.record_read_ms = 0  # follower: when the record shown here was read, by `clock_ms`
         self.started_ms = now_ms()
-        fleet.changed = self.on_changed
-        fleet.connected = self.on_connected
+        fleet.on_changed = self.on_changed
+        fleet.on_connected = self.on_connected
 
-    # The record at the start
+    # Loading the record at startup
 
     async def load(self) -> None:
         def work(records: Records) -> tuple[list[tuple[Operation, list[Target]]], dict[int, dict[str, Any]],
@@ -111,17 +112,18 @@
         self.permits.load(permits, halt)
         await self.publisher.load()
         for op, targets in found:
-            # hazard: the time without an agent, or a clock set back, must not count against the instances
+            # Restart the answer timeout: time without an agent, or a clock set back, must not count against instances.
             targets = [replace(t, sent_ms=self.now_ms()) if t.command else t for t in targets]
             self.adopt(op, targets)
 
-    def adopt(self, op: Operation, targets: list[Target]) -> Live:
-        for other in self.live.values():
-            other.superseded.update({t.name: op.id for t in targets if t.name in other.index})
-            other.names = None
+    def adopt(self, op: Operation, targets: list[Target]) -> LiveOperation:
+        """Starts driving a recorded operation; it supersedes the other open operations on the same instances."""
+        for other in self.live_operations.values():
+            other.superseded.update({t.name: op.id for t in targets if t.name in other.position_of})
+            other.changed_names = None
             other.changed.set()
         self.permits.adopt(op, targets)
-        live = self.live[op.id] = Live(op, targets)
+        live = self.live_operations[op.id] = LiveOperation(op, targets)
         if self.tasks is not None:
             self.tasks.create_task(self.drive(live))
         return live
@@ -129,76 +131,77 @@
     async def run(self) -> None:
         """Drives all operations until cancelled."""
         async with asyncio.TaskGroup() as self.tasks:
-            for live in list(self.live.values()):
+            for live in list(self.live_operations.values()):
                 self.tasks.create_task(self.drive(live))
             self.tasks.create_task(self.sweep())
-            self.tasks.create_task(self.keep_instances())
+            self.tasks.create_task(self.record_instances())
             self.tasks.create_task(self.catch_up())
             self.tasks.create_task(self.permits.run(self.tasks))
-            self.tasks.create_task(self.watching.run())
+            self.tasks.create_task(self.upstream_polling.run())
             self.tasks.create_task(self.publisher.run())
 
-    # What comes in
+    # Events
 
     def notify(self) -> None:
         for watcher in self.watchers:
             watcher.set()
 
-    def room(self) -> None:
-        """Operations that wait may go on."""
-        for live in self.live.values():
-            if live.waits:
+    def on_budget_room(self) -> None:
+        """Wakes the operations that wait, as there may be room in a budget now."""
+        for live in self.live_operations.values():
+            if live.waits_for:
                 live.changed.set()
 
     def on_changed(self, name: str) -> None:
-        self.permits.see(name)
-        for live in self.live.values():
-            if name in live.index:
-                if live.names is not None:
-                    live.names.add(name)
+        self.permits.update_instance(name)
+        for live in self.live_operations.values():
+            if name in live.position_of:
+                if live.changed_names is not None:
+                    live.changed_names.add(name)
                 live.changed.set()
         self.notify()
 
     def on_connected(self, name: str) -> None:
-        """What a process was told, and may not have got, is told again by the same id."""
+        """Sends commands again, with the same ids, that a process may not have received before it reconnected."""
         member = self.fleet.members[name]
-        for live in self.live.values():
-            place = live.index.get(name)
-            target = live.targets[place] if place is not None else None
+        for live in self.live_operations.values():
+            position = live.position_of.get(name)
+            target = live.targets[position] if position is not None else None
             if target is None or target.boot != member.row.boot or name in live.superseded:
                 continue
             waiting = target.state in (State.UNDER_WAY, State.NO_ANSWER) and target.command
             if waiting and (target.restarting or not target.answered):
                 generation = target.from_generation if target.reverting else live.op.generation
                 kind = "restart" if target.restarting else live.op.kind.value
-                self.deliver(Send(target.command, name, target.boot, live.op.fence, kind, generation))
+                self.send_command(OutgoingCommand(target.command, name, target.boot, live.op.fence, kind, generation))
 
     def on_result(self, name: str, boot: str, result: CommandResult) -> None:
-        question = self.questions.get(result.id)
+        question = self.inspections.get(result.id)
         if question is not None:
             self.on_inspected(question, result)
             return
         ident = result.id.partition(".")[0]
-        live = self.live.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
-        place = live.index.get(name) if live is not None else None
-        # hazard: an instance must not be able to answer for another, nor for a command that was never its own
-        if live is not None and place is not None and (
-                (live.targets[place].boot, live.targets[place].command) == (boot, result.id)):
+        live = self.live_operations.get(int(ident)) if ident.isascii() and ident.isdecimal() else None
+        position = live.position_of.get(name) if live is not None else None
+        # An instance must not be able to answer for another one, or a command that it was never sent.
+        if live is not None and position is not None and (
+                (live.targets[position].boot, live.targets[position].command) == (boot, result.id)):
             live.answers.append((name, result.id, result.status, result.detail))
             live.changed.set()
 
     # Operations
 
-    async def drive(self, live: Live) -> None:
-        while live.op.phase in OPEN:
+    async def drive(self, live: LiveOperation) -> None:
+        """Runs rounds of an operation until it has ended. Faults and failed writes are retried."""
+        while live.op.phase in OPEN_PHASES:
             live.changed.clear()
             try:
                 async with live.lock:
                     start_s = time.monotonic()
-                    more, wake_ms = await self.round(live)
+                    more, wake_ms = await self.plan_round(live)
                     took_s = time.monotonic() - start_s
             except StoreError as error:
-                # nothing was sent that was not recorded; instances and their traffic don't notice
+                # Nothing was sent that was not recorded, so instances and their traffic are not affected.
                 if live.stalled != str(error):
                     self.log(f"operation {live.op.id} waits: {error}")
                 live.stalled = str(error)
@@ -206,70 +209,73 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             except Exception:
-                # hazard: a fault met by one operation would end the agent, and the next agent, and the next
-                self.log(f"operation {live.op.id} met a fault of the agent\n{traceback.format_exc()}")
-                live.stalled, live.names = "a fault of the agent; its log says which", None
+                # Without this, an operation that runs into a bug would crash this agent and every agent after it.
+                self.log(f"operation {live.op.id}: unexpected error in the agent\n{traceback.format_exc()}")
+                live.stalled, live.changed_names = "unexpected error in the agent; see its log", None
                 self.notify()
                 await asyncio.sleep(RETRY_S)
                 continue
             live.stalled = ""
             if more:
                 continue
-            await asyncio.sleep(min(0.5, REST_SHARE * took_s))
+            await asyncio.sleep(min(0.5, PAUSE_PER_ROUND * took_s))
             wait_s = None if wake_ms is None else max(0.001, (wake_ms - self.now_ms()) / 1000)
             try:
                 async with asyncio.timeout(wait_s):
                     await live.changed.wait()
             except TimeoutError:
                 pass
-        self.live.pop(live.op.id, None)
+        self.live_operations.pop(live.op.id, None)
         self.permits.ledger.dequeue(f"operation {live.op.id}")
         self.notify()
 
-    async def round(self, live: Live) -> tuple[bool, int | None]:
-        """One look at an operation: what changes is recorded, then sent. True if another is due at once."""
-        op, answered = live.op, list(live.targets)
-        taken, names = len(live.answers), live.names
-        live.names = set()
+    async def plan_round(self, live: LiveOperation) -> tuple[bool, int | None]:
+        """One planning round: records the changes, then sends the commands. Returns whether another round is due at
+        once, and otherwise when the next is due."""
+        op, targets = live.op, list(live.targets)
+        answers_taken, names = len(live.answers), live.changed_names
+        live.changed_names = set()
         for name, command, status, detail in list(live.answers):
-            place = live.index[name]
+            position = live.position_of[name]
             if names is not None:
                 names.add(name)
-            answered[place] = planner.answer(op, answered[place], command, status, detail)
-        before: dict[int, Permit | None] = {}  # permits that this round reserves, as they were
+            targets[position] = planner.take_answer(op, targets[position], command, status, detail)
+        before: dict[int, Permit | None] = {}  # former state of the permits that this round reserves
 
-        def may(target: Target) -> str:
+        def check_permit(target: Target) -> str:
             ident, known = permit_id(op, target), self.permits.ledger.permits
             former = known.get(ident)
-            problem = "" if op.kind is Kind.UNDRAIN else self.permits.may(op, target, op.phase is Phase.ROLLING_BACK)
+            problem = "" if op.kind is Kind.UNDRAIN else self.permits.reserve(
+                op, target, op.phase is Phase.ROLLING_BACK)
             if known.get(ident) is not former:
                 before[ident] = former
             return problem
 
-        def passes(targets: Sequence[Target], first: int) -> tuple[str, bool]:
+        def check_gate(targets: Sequence[Target], first: int) -> tuple[str, bool]:
             found = live.gate.verdict(op.policy, targets, first, self.fleet, clock_ms())
             return ("", False) if found.decision is Decision.GO else (found.text, found.decision is Decision.BREACH)
 
-        plan = planner.advance(op, answered, self.fleet, self.now_ms(), live.superseded, names, may, passes)
-        live.waits = plan.waits
-        if not plan.waits:
+        plan = planner.advance(op, targets, self.fleet, self.now_ms(), live.superseded, names, check_permit, check_gate)
+        live.waits_for = plan.waits_for
+        if not plan.waits_for:
             self.permits.ledger.dequeue(f"operation {op.id}")
         for target in plan.targets:
-            answered[target.position] = target
-        changed = {after.name: after for before, after in zip(live.targets, answered, strict=True)
+            targets[target.position] = target
+        changed = {after.name: after for before, after in zip(live.targets, targets, strict=True)
                    if after is not before and after != before}
         if not changed and plan.phase is None and not plan.rollback:
-            for _ in range(taken):
+            for _ in range(answers_taken):
                 live.answers.popleft()
             return False, plan.wake_ms
-        desired = self.desired(op, changed.values())
-        ends = plan.phase is not None and plan.phase not in OPEN
+        desired = self.desired_generations(op, changed.values())
+        has_ended = plan.phase is not None and plan.phase not in OPEN_PHASES
         permits = {ident: self.permits.ledger.permits[ident] for ident in before}
-        permits |= {p.id: p for p in self.permits.settled(op, answered if ends else changed.values(), ends)}
+        permits |= {p.id: p for p in self.permits.returned_permits(
+            op, targets if has_ended else changed.values(), has_ended)}
 
         def recorded(new_op: Operation) -> None:
             self.fleet.set_desired(desired)
-            for _ in range(taken):
+            for _ in range(answers_taken):
                 live.answers.popleft()
             for target in changed.values():
                 live.targets[target.position] = target
@@ -277,21 +283,22 @@
             self.permits.put(permits.values())
             live.changed.set()
             self.notify()
-            for send in plan.sends:
-                self.step("before a send")
-                self.deliver(send)
-                self.step("after a send")
+            for send in plan.commands:
+                self.crash_point("before a send")
+                self.send_command(send)
+                self.crash_point("after a send")
 
         try:
-            recorded(await self.record(op, list(changed.values()), plan, desired, list(permits.values()), recorded))
+            recorded(await self.record_plan(
+                op, list(changed.values()), plan, desired, list(permits.values()), recorded))
         except Exception as error:
-            live.names = None  # what was seen has not been taken in
+            live.changed_names = None  # the reports of this round were not processed: look at all again
             self.permits.restore(before, not (isinstance(error, StoreError) and error.code == "UNKNOWN"))
             raise
         return True, None
 
-    async def record(self, op: Operation, changed: list[Target], plan: Plan, desired: list[tuple[str, int]],
-                     permits: list[Permit], late: Callable[[Operation], None]) -> Operation:
+    async def record_plan(self, op: Operation, changed: list[Target], plan: Plan, desired: list[tuple[str, int]],
+                          permits: list[Permit], late: Callable[[Operation], None]) -> Operation:
         now_ms = self.now_ms()
 
         def work(records: Records) -> Operation:
@@ -299,7 +306,7 @@
             if plan.rollback:
                 new = replace(op, phase=Phase.ROLLING_BACK, fence=records.next_fence(), note=plan.note)
             elif plan.phase is not None:
-                ended_ms = 0 if plan.phase in OPEN else now_ms
+                ended_ms = 0 if plan.phase in OPEN_PHASES else now_ms
                 new = replace(op, phase=plan.phase, note=plan.note, ended_ms=ended_ms)
             records.put_targets(op.id, changed)
             records.set_desired(desired)
@@ -314,14 +321,14 @@
                               {"note": new.note})
             return new
 
-        self.step("before a commit")
+        self.crash_point("before a commit")
         new = await self.store.write(work, late)
-        self.step("after a commit")
+        self.crash_point("after a commit")
         return new
 
     @staticmethod
-    def desired(op: Operation, changed: Iterable[Target]) -> list[tuple[str, int]]:
-        """What instances should run from now on, also after a restart, by how their targets stand."""
+    def desired_generations(op: Operation, changed: Iterable[Target]) -> list[tuple[str, int]]:
+        """The generation that each instance should run from now on, also after a restart, by its target's state."""
         if op.kind is not Kind.RECONFIGURE:
             return []
         found = []
@@ -333,24 +340,25 @@
         return found
 
     def leads(self) -> bool:
-        """By our own clock, without asking: nobody else can have claimed the record."""
-        return self.leader is None and self.store.term.holds(clock_ms())
+        """Whether, by this machine's clock alone, it is certain that no other agent has claimed the record."""
+        return self.leader is None and self.store.term.is_held(clock_ms())
 
-    def deliver(self, send: Send) -> None:
-        """Looks at the term last: a process that was stopped since its record was written has lost it. What leaves a
-        moment too late all the same is what the record names, and counts for whoever leads by then."""
+    def send_command(self, send: OutgoingCommand) -> None:
+        """Sends a recorded command if this agent still leads. The term is checked last, as the process may have been
+        suspended since it wrote the record. A command that leaves a moment too late even so is in the record, so the
+        next leader accounts for it."""
         if not self.leads():
             self.held_back.add(send.name)
             return
         if send.kind == "restart":
-            self.restart(send)
+            self.restart_process(send)
             return
         member = self.fleet.members.get(send.name)
         if member is None or member.link is None or member.row.boot != send.boot:
-            return  # told again when it comes back; if it does not, its lease ends
+            return  # sent again when it reconnects; if it does not, its lease runs out
         args: dict[str, Any] = {}
         if send.kind == Kind.STOP:
-            self.stopping(send.name)
+            self.before_stop(send.name)
         if send.kind == Kind.RECONFIGURE:
             args = {"generation": send.generation, "overlay": self.overlays.get(send.generation, {})}
         member.link.command(Command(send.id, send.fence, send.boot, send.kind, args))
@@ -358,11 +366,12 @@
     async def begin(self, actor: str, kind: Kind, names: Sequence[str], policy: Policy, *, key: str = "",
                     overlay: dict[str, Any] | None = None, expect: int | None = None, generation: int = 0,
                     supersede: bool = False) -> tuple[Operation, bool]:
-        """Records a new operation, and starts it; False beside it where an earlier call with this key did.
+        """Records a new operation and starts it. Returns it with True, or with False if an earlier call with the same
+        idempotency key created it.
 
-        With an `overlay` it makes the next generation, if the present one is `expect`: of two operators who
-        saw the same generation exactly one wins. Raises Refusal or StoreError, with nothing done; but a StoreError
-        UNKNOWN may have begun, and if it has, the operation goes on once that is seen.
+        With an `overlay` it creates the next generation, provided the current one is `expect`: of two operators who
+        saw the same generation exactly one succeeds. Raises Refusal or StoreError if nothing was done; but after a
+        StoreError UNKNOWN the operation may have been recorded, and then it proceeds once that is known.
         """
         names = sorted(set(names))
         fingerprint = sha256(json.dumps([kind, names, asdict(policy), overlay, expect, generation, supersede],
@@ -389,14 +398,14 @@
                 raise Refusal("NO_TARGETS",
                               "expected a selector that matches an instance; see `ironscale ls`")
             if overlay is not None:
-                self.compare_and_set(records, expect, overlay)
-            self.check_rivals(records, set(names), supersede)
+                self.check_generation(records, expect, overlay)
+            self.check_conflicts(records, set(names), supersede)
             ident, fence = records.next_operation(), records.next_fence()
             made = records.current_generation() + 1 if overlay is not None else generation
             op = Operation(ident, kind, fence, Phase.RUNNING, actor, policy, made, {"supersede": supersede},
                            "", now_ms)
             targets = [Target(name, place) for place, name in enumerate(names)]
-            # hazard: an agent killed before it had written who its targets are would not know them again
+            # Without these rows, an agent killed right after this would not know the targets when it starts again.
             records.put_instances(rows)
             records.put_operation(op)
             records.put_targets(ident, targets)
@@ -408,7 +417,7 @@
                           {"targets": len(names), "generation": made, "policy": asdict(policy)})
             return op, targets
 
-        def begun(found: tuple[Operation, list[Target] | None]) -> None:
+        def on_recorded(found: tuple[Operation, list[Target] | None]) -> None:
             op, targets = found
             if targets is None:
                 return
@@ -417,15 +426,15 @@
             self.adopt(op, targets)
             self.notify()
 
-        self.step("before the beginning")
-        found = await self.store.write(work, begun)
-        self.step("after the beginning")
-        begun(found)
+        self.crash_point("before the beginning")
+        found = await self.store.write(work, on_recorded)
+        self.crash_point("after the beginning")
+        on_recorded(found)
         return found[0], found[1] is not None
 
     @staticmethod
     def check_size(overlay: dict[str, Any]) -> None:
-        """A patch that fits no frame would leave every target without an answer."""
+        """Refuses an overlay that exceeds a frame, as no target could be sent it and none would answer."""
         args = {"generation": 2**53, "overlay": overlay}
         command = Command("0" * 40, 2**53, "0" * 64, Kind.RECONFIGURE, args)
         try:
@@ -436,7 +445,8 @@
             raise Refusal("BAD_INPUT", f"overlay: expected numbers that JSON has, got {error}") from error
 
     @staticmethod
-    def compare_and_set(records: Records, expect: int | None, overlay: dict[str, Any]) -> None:
+    def check_generation(records: Records, expect: int | None, overlay: dict[str, Any]) -> None:
+        """Raises Refusal unless `expect` is the current generation."""
         current = records.current_generation()
         if expect == current:
             return
@@ -449,26 +459,26 @@
             "look at it, then apply again", generation=current, actor=winner.actor, atMs=winner.at_ms,
             operation=winner.operation, difference=difference(winner.overlay, overlay))
 
-    def check_rivals(self, records: Records, names: set[str], supersede: bool) -> None:
-        """An open operation on the same instances: theirs first, unless this one is to take its place."""
+    def check_conflicts(self, records: Records, names: set[str], supersede: bool) -> None:
+        """Refuses the new operation if an open one has the same instances, unless it is to supersede that one."""
         if supersede:
             return
         for op in records.operations(2**62, 10_000, open_only=True):
             if op.actor == AGENT:
-                continue  # catching up with what operators wanted before
-            both = names & {target.name for target in records.targets(op.id)
-                            if target.state is not State.SUPERSEDED}
-            if both:
+                continue  # the agent's own catching up gives way to operators
+            shared = names & {target.name for target in records.targets(op.id)
+                              if target.state is not State.SUPERSEDED}
+            if shared:
                 raise Refusal(
                     "CONFLICT",
-                    f"operation {op.id} ({op.kind}) of {op.actor} has {len(both)} of these instances, "
-                    f"{min(both)} among them; wait for it, abort it, or supersede it", operation=op.id,
-                    actor=op.actor, atMs=op.created_ms, instances=sorted(both)[:20])
+                    f"operation {op.id} ({op.kind}) of {op.actor} has {len(shared)} of these instances, "
+                    f"{min(shared)} among them; wait for it, abort it, or supersede it", operation=op.id,
+                    actor=op.actor, atMs=op.created_ms, instances=sorted(shared)[:20])
 
     async def control(self, actor: str, ident: int, action: str, urgent: bool = False) -> Operation:
-        """Pause, resume, abort or roll back an open operation; `urgent`: back without waiting for room in a budget.
-        Again is the same. Raises Refusal."""
-        live = self.live.get(ident)
+        """Pauses, resumes, aborts or rolls back an open operation. `urgent`: roll back without waiting for room in a
+        budget. Idempotent. Raises Refusal."""
+        live = self.live_operations.get(ident)
         if live is None:
             found = await self.store.read(lambda records: records.operation(ident))
             if found is None:
@@ -489,40 +499,40 @@
             if wanted is Phase.ROLLING_BACK and op.kind is not Kind.RECONFIGURE:
                 raise Refusal("WRONG_PHASE",
                               f"operation {ident} is a {op.kind}; only a reconfigure rolls back")
-            # a resume after failures goes on past them: the operator has seen them
+            # Resuming after failures means that the operator has seen them: no number of failures stops it again.
             policy = replace(op.policy, max_failures=len(live.targets)) if action == "resume" else op.policy
             policy = replace(policy, urgent=policy.urgent or urgent)
             note = f"{action} by {actor}" if wanted is Phase.ROLLING_BACK else ""
 
             def work(records: Records) -> Operation:
-                turns = wanted is Phase.ROLLING_BACK and op.phase is not wanted
-                fence = records.next_fence() if turns else op.fence
+                starts_rollback = wanted is Phase.ROLLING_BACK and op.phase is not wanted
+                fence = records.next_fence() if starts_rollback else op.fence
                 new = replace(op, phase=wanted, fence=fence, policy=policy, note=note)
                 records.put_operation(new)
                 records.audit(now_ms, actor, action, f"operation {ident}", str(wanted))
                 return new
 
-            def told(new: Operation) -> None:
+            def on_recorded(new: Operation) -> None:
                 live.op = new
-                live.names = None
+                live.changed_names = None
                 live.changed.set()
                 self.notify()
 
-            told(await self.store.write(work, told))
+            on_recorded(await self.store.write(work, on_recorded))
             return live.op
 
-    # Questions
+    # Inspection of instances
 
-    async def inspect(self, name: str, timeout_s: float = INSPECT_S) -> Inspection:
-        """Asks a process now. Raises Refusal with since when it has not been heard."""
+    async def inspect(self, name: str, timeout_s: float = INSPECT_TIMEOUT_S) -> Inspection:
+        """Queries a process for its present state. Raises Refusal, with the time when it was last heard from."""
         member = self.fleet.members.get(name)
         if member is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
         if member.link is None or not member.leased:
             raise Refusal("NO_ANSWER", f"{name} is not connected", sinceMs=member.row.heard_ms)
-        self.asked += 1
-        ident = f"q{self.started_ms}.{self.asked}"
-        question = self.questions[ident] = _Question(asyncio.get_running_loop().create_future())
+        self.inspections_sent += 1
+        ident = f"q{self.started_ms}.{self.inspections_sent}"
+        question = self.inspections[ident] = _PendingInspection(asyncio.get_running_loop().create_future())
         try:
             member.link.command(Command(ident, 0, member.row.boot, "inspect"))
             async with asyncio.timeout(timeout_s):
@@ -531,13 +541,13 @@
             raise Refusal("NO_ANSWER", f"{name} gave no answer in {timeout_s:g} s",
                           sinceMs=member.row.heard_ms) from error
         finally:
-            del self.questions[ident]
+            del self.inspections[ident]
 
     async def upstreams_of(self, name: str, timeout_s: float) -> list[dict[str, Any]]:
         return (await self.inspect(name, timeout_s)).upstreams
 
     @staticmethod
-    def on_inspected(question: _Question, result: CommandResult) -> None:
+    def on_inspected(question: _PendingInspection, result: CommandResult) -> None:
         if question.future.done():
             return
         question.parts += result.data
@@ -546,15 +556,15 @@
         elif not result.more and result.report is not None:
             question.future.set_result(Inspection(result.report, question.parts))
 
-    # What goes on by itself
+    # Background tasks
 
     async def sweep(self) -> None:
         while True:
             await asyncio.sleep(min(0.25, self.fleet.lease_ms / 4000))
             self.fleet.sweep()
 
-    async def keep_instances(self) -> None:
-        """Writes what changed of the instances, and that the agent is alive; heartbeats are not written."""
+    async def record_instances(self) -> None:
+        """Periodically records changed instances and that the agent is alive. Heartbeats alone are not written."""
         while True:
             await asyncio.sleep(min(0.5, self.store.term.lease_ms / 5_000 or 0.5))
             rows, now_ms = self.fleet.take_dirty(), self.now_ms()
@@ -567,26 +577,26 @@
                 await self.store.write(work)
                 held_back, self.held_back = self.held_back, set()
                 for name in held_back & self.fleet.members.keys():
-                    self.on_connected(name)  # the term goes on: told again, by the same ids
+                    self.on_connected(name)  # the term was renewed: send again with the same ids
             except StoreError as error:
                 self.fleet.dirty.update(row.name for row in rows)
-                self.log(f"instances not recorded: {error}")
+                self.log(f"could not record changed instances: {error}")
                 await asyncio.sleep(min(RETRY_S, self.store.term.lease_ms / 5_000 or RETRY_S))
 
     async def catch_up(self) -> None:
-        """A process that came back without what its instance should run gets it, once."""
+        """Reconfigures, once each, processes that connected with another generation than their instance should run."""
         while True:
-            await asyncio.sleep(CATCH_UP_S)
+            await asyncio.sleep(CATCH_UP_INTERVAL_S)
             if self.permits.halt is not None:
                 continue
-            busy = {name for live in self.live.values() for name in live.index}
+            busy = {name for live in self.live_operations.values() for name in live.position_of}
             behind: dict[int, list[str]] = {}
             for name, member in self.fleet.members.items():
                 row = member.row
-                mark = (name, row.boot, row.desired)
+                attempt = (name, row.boot, row.desired)
                 if (row.generation != row.desired and member.link is not None and member.leased
-                        and name not in busy and mark not in self.caught_up):
-                    self.caught_up.add(mark)
+                        and name not in busy and attempt not in self.catch_up_attempts):
+                    self.catch_up_attempts.add(attempt)
                     behind.setdefault(row.desired, []).append(name)
             for generation, names in behind.items():
                 try:
@@ -594,28 +604,28 @@
                     await self.begin(AGENT, Kind.RECONFIGURE, names, Policy(), generation=generation)
                 except (StoreError, Refusal) as error:
                     if isinstance(error, Refusal) and error.code == "NOT_FOUND":
-                        # of an agent whose record is no more: told once, and left as it is
+                        # The generation is from an agent whose record is lost: log once, leave the instance alone.
                         self.log(f"not caught up: {', '.join(names[:5])} should run generation {generation}: {error}")
                         continue
-                    self.caught_up.difference_update(
+                    self.catch_up_attempts.difference_update(
                         (n, self.fleet.members[n].row.boot, generation) for n in names)
-                    self.log(f"catching up waits: {error}")
+                    self.log(f"catching up will be retried: {error}")
 
     async def forget(self, actor: str, name: str, ended: bool) -> None:
-        """Takes an instance that is no more off the record, and out of all counts. `ended`: the operator's word where
-        its end is not known here. Raises Refusal or StoreError."""
+        """Removes an instance that no longer exists from the record and from all counts. `ended`: the operator confirms
+        that its process has ended, for the case that the agent doesn't know. Raises Refusal or StoreError."""
         if name in self.permits.ledger.observations and name.startswith(f"{UnitKind.UPSTREAM}/"):
             await self.forget_upstream(actor, name)
             return
-        seen = self.fleet.seen(name)
+        seen = self.fleet.observe(name)
         if seen is None:
             raise Refusal("NOT_FOUND", f"there is no instance {name!r}; see `ironscale ls`")
-        if any(name in live.index for live in self.live.values()):
+        if any(name in live.position_of for live in self.live_operations.values()):
             raise Refusal("CONFLICT", f"{name} is in an open operation; see `ironscale ops`")
         if seen.supervised or (seen.connected and seen.leased):
             raise Refusal("CONFLICT", f"{name} is running; stop it first")
         if not seen.ended and not ended:
-            raise Refusal("CONFLICT", f"{name} is silent, which is not known to be its end; --ended says it for you")
+            raise Refusal("CONFLICT", f"{name} is silent, but not known to have ended; confirm that with --ended")
 
         def work(records: Records) -> None:
             records.forget_instance(name)
@@ -648,7 +658,7 @@
     # Views
 
     async def find(self, ident: int) -> tuple[Operation, list[Target]] | None:
-        live = self.live.get(ident)
+        live = self.live_operations.get(ident)
         if live is not None:
             return live.op, list(live.targets)
 
--- a/ironscale/agent/fleet.py
+++ b/ironscale/agent/fleet.py
@@ -1,4 +1,4 @@
-"""Every instance that the agent knows, as it last showed itself. In memory; what must last is recorded."""
+"""All instances that the agent knows, as they last reported. Kept in memory; what must survive is recorded."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from ironscale.agent.model import Seen
+from ironscale.agent.model import Observation
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import Command, Hello, Report
 from ironscale.control.processes import is_alive, machine_boot_id
 
-# So many instances a second come back after they have lost their agent.
-RETURNS_PER_S = 200.0
-LEAST_SPREAD_MS = 1_000
-DRAWN, OFFERED, SETTLED_MS = 20, 5, 10_000  # newcomers are told of so many donors, that have run so long
-# So many heartbeats a second an agent asks for; in a larger fleet each beats less often, and leases last longer.
-BEATS_PER_S = 1_000.0
-BEATS_A_LEASE = 3
-BACK_MS = 1_000
-ROUND_MS = 4_000  # where an instance has to try several agents, one of which may accept and say nothing
+# Rate at which instances reconnect after they have lost their agent; they spread out accordingly.
+RECONNECTS_PER_S = 200.0
+MIN_SPREAD_MS = 1_000
+# For donors, which pass on their learned state to a new process: names sampled, addresses offered, shortest uptime.
+DONOR_SAMPLE, MAX_DONORS, DONOR_MIN_UPTIME_MS = 20, 5, 10_000
+# Most heartbeats that an agent asks for; in a larger fleet heartbeats are less frequent and leases longer.
+MAX_HEARTBEATS_PER_S = 1_000.0
+HEARTBEATS_PER_LEASE = 3
+RECONNECT_MS = 1_000
+AGENT_ROUND_MS = 4_000  # extra time if an instance has to try several agents, one of which may accept and never answer
 
 
 class Link(Protocol):
-    """The connection of one process."""
+    """The control connection of one process."""
 
     boot: str
 
@@ -35,62 +36,64 @@
 
 @dataclass(slots=True)
 class Member:
-    """One instance. `row.boot` is the process that has the name now."""
+    """One instance. `row.boot` identifies the process that has its name now."""
 
     row: InstanceRow
     leased_until_ms: int
     leased: bool
-    lease_ms: int = 0  # as it was told at its welcome
+    lease_ms: int = 0  # lease duration sent in its welcome message
     report: Report | None = None
     link: Link | None = None
     saved_heard_ms: int = 0
-    cached: Seen | None = None
+    cached_observation: Observation | None = None
 
 
 class Denial(Exception):
-    """A registration that is turned away, for now or for good."""
+    """A registration is refused; the process may try again after `retry_ms`."""
 
     def __init__(self, code: str, text: str, retry_ms: int) -> None:
         super().__init__(text)
         self.code, self.retry_ms = code, retry_ms
 
 
-def state_of(seen: Seen) -> str:
-    """One word for people and selectors."""
+def state_of(seen: Observation) -> str:
+    """The state of an instance as one word, for people and selectors."""
     if seen.ended:
         return "gone"
     if not seen.leased:
-        return "silent"  # what it does now is not known
+        return "silent"  # its present state is unknown
     if seen.draining:
         return "drained" if seen.open == 0 else "draining"
     return "ready" if seen.ready else "not ready"
 
 
 class Fleet:
-    def __init__(self, lease_ms: int, beat_ms: int, most: int, now_ms: Callable[[], int], back_ms: int = BACK_MS
-                 ) -> None:
-        """`back_ms`: beside lease and spread, what instances have time for to come back to a new agent."""
-        self.back_ms = back_ms
-        self.lease_ms, self.beat_ms, self.most, self.now_ms = lease_ms, beat_ms, most, now_ms
+    def __init__(self, lease_ms: int, beat_ms: int, max_instances: int, now_ms: Callable[[], int],
+                 reconnect_ms: int = RECONNECT_MS) -> None:
+        """`max_instances`: largest number of instances. `reconnect_ms`: time, in addition to lease and spread, that
+        instances have to reconnect to a new agent."""
+        self.reconnect_ms = reconnect_ms
+        self.lease_ms, self.beat_ms, self.max_instances, self.now_ms = lease_ms, beat_ms, max_instances, now_ms
         self.members: dict[str, Member] = {}
-        self.changed: Callable[[str], None] = lambda name: None  # something that operations look at
-        self.connected: Callable[[str], None] = lambda name: None  # a process may be told things again
-        self.supervised: Callable[[str], str | None] = lambda name: None  # "" or "awaited" if it is
-        self.replacing: Callable[[str], bool] = lambda name: False  # its process is being replaced
-        self.ordered: list[str] = []
-        self.dirty: set[str] = set()  # to be written to the record
-        self.here = machine_boot_id()
-        self.registrations = self.beats = 0
-        self.teaching: dict[str, str] = {}  # name -> HOST:PORT where it teaches newcomers
-        self.teachers: list[str] = []  # those names, to draw from
+        self.on_changed: Callable[[str], None] = lambda name: None  # an instance changed
+        self.on_connected: Callable[[str], None] = lambda name: None  # a process has registered
+        # None if not supervised; "awaited" if its process runs or is about to be started; else "".
+        self.supervision_of: Callable[[str], str | None] = lambda name: None
+        self.is_replacing: Callable[[str], bool] = lambda name: False  # whether its process is being replaced
+        self.sorted_names: list[str] = []
+        self.dirty: set[str] = set()  # names of rows to be written to the record
+        self.this_machine = machine_boot_id()
+        self.registrations = self.heartbeats = 0
+        self.donor_addresses: dict[str, str] = {}  # name -> HOST:PORT where it passes on its state to new processes
+        self.donor_names: list[str] = []  # the same names as a list, for random sampling
         self.random = random.Random()
 
     def load(self, rows: Iterable[InstanceRow], alive_ms: int) -> None:
-        """What was known before this agent's start. Who was connected then has time to come back."""
+        """Loads the instances from the record. Those that were connected get time to reconnect before leases end."""
         now_ms = self.now_ms()
         rows = list(rows)
-        lease_ms = max(self.lease_ms, int(BEATS_A_LEASE * 1_000 * len(rows) / BEATS_PER_S))
-        back_ms = now_ms + lease_ms + self.spread_ms(len(rows)) + self.back_ms
+        lease_ms = max(self.lease_ms, int(HEARTBEATS_PER_LEASE * 1_000 * len(rows) / MAX_HEARTBEATS_PER_S))
+        back_ms = now_ms + lease_ms + self.spread_ms(len(rows)) + self.reconnect_ms
         for row in rows:
             heard_ms = min(now_ms, max(row.heard_ms, alive_ms)) if row.connected else row.heard_ms
             row = replace(row, connected=False, heard_ms=heard_ms)
@@ -100,38 +103,39 @@
                 member.row, member.leased = replace(row, ended="ended while no agent looked"), False
             self.members[row.name] = member
 
-    def show(self, rows: Iterable[InstanceRow]) -> None:
-        """What another agent has recorded, for those who look here: what its instances do now is not known here."""
+    def show_record(self, rows: Iterable[InstanceRow]) -> None:
+        """Shows what the leader has recorded, on a follower: the present state of the instances is not known here."""
         self.members = {row.name: Member(row, 0, False) for row in rows}
-        self.ordered = []
+        self.sorted_names = []
 
     def spread_ms(self, count: int | None = None) -> int:
+        """Time over which that many instances (by default all) spread their reconnections."""
         count = len(self.members) if count is None else count
-        return max(LEAST_SPREAD_MS, int(1_000 * count / RETURNS_PER_S))
+        return max(MIN_SPREAD_MS, int(1_000 * count / RECONNECTS_PER_S))
 
-    def times(self) -> tuple[int, int]:
-        """Lease and heartbeat that a process is told, in milliseconds, by the fleet's size now."""
-        beat_ms = max(self.beat_ms, int(1_000 * len(self.members) / BEATS_PER_S))
-        return max(self.lease_ms, BEATS_A_LEASE * beat_ms), beat_ms
+    def lease_and_heartbeat(self) -> tuple[int, int]:
+        """Lease duration and heartbeat interval for a new registration, in milliseconds, by the present fleet size."""
+        beat_ms = max(self.beat_ms, int(1_000 * len(self.members) / MAX_HEARTBEATS_PER_S))
+        return max(self.lease_ms, HEARTBEATS_PER_LEASE * beat_ms), beat_ms
 
     def has_died(self, row: InstanceRow) -> bool:
-        """Whether the process is known to be no more: only of this machine's can that be said."""
-        return bool(row.host and row.host == self.here and row.ticks and not is_alive(row.pid, row.ticks))
+        """Whether the process is known to have ended; that can be told only of processes on this machine."""
+        return bool(row.host and row.host == self.this_machine and row.ticks and not is_alive(row.pid, row.ticks))
 
-    def check(self, hello: Hello) -> None:
-        """Whether a process may have its name. Raises Denial."""
+    def check_registration(self, hello: Hello) -> None:
+        """Checks whether a process may take the name that it asks for. Raises Denial."""
         member = self.members.get(hello.name)
-        if member is None and len(self.members) >= self.most:
-            raise Denial("FULL", f"expected {self.most} instances at most", 60_000)
+        if member is None and len(self.members) >= self.max_instances:
+            raise Denial("FULL", f"expected {self.max_instances} instances at most", 60_000)
         if member is not None and member.row.boot != hello.boot and hello.replaces != member.row.boot:
-            rival = member.link is not None and member.leased and not self.has_died(member.row)
-            if rival:
-                # hazard: two processes of one name would take each other's commands in turns
+            is_taken = member.link is not None and member.leased and not self.has_died(member.row)
+            if is_taken:
+                # Two processes with one name would alternately take each other's place and commands.
                 text = f"{hello.name} is process {member.row.pid} (boot {member.row.boot}), which has its lease"
                 raise Denial("DUPLICATE", text, max(1_000, member.leased_until_ms - self.now_ms()))
 
     def register(self, hello: Hello, link: Link, lease_ms: int) -> Member:
-        """A process that was checked takes its name, with the lease that it was told."""
+        """Registers a checked process under its name, with the lease duration that it was sent."""
         now_ms = self.now_ms()
         member = self.members.get(hello.name)
         if member is not None and member.link is not None and member.link is not link:
@@ -146,32 +150,32 @@
         report = member.report if member is not None and same else None
         self.members[hello.name] = member = Member(row, now_ms + lease_ms, True, lease_ms, report, link)
         if hello.teaches:
-            if hello.name not in self.teaching:
-                self.teachers.append(hello.name)
-            self.teaching[hello.name] = hello.teaches
-        elif self.teaching.pop(hello.name, None) is not None:
-            self.teachers.remove(hello.name)
+            if hello.name not in self.donor_addresses:
+                self.donor_names.append(hello.name)
+            self.donor_addresses[hello.name] = hello.teaches
+        elif self.donor_addresses.pop(hello.name, None) is not None:
+            self.donor_names.remove(hello.name)
         self.registrations += 1
-        self.touch(hello.name)
-        self.connected(hello.name)
+        self.mark_changed(hello.name)
+        self.on_connected(hello.name)
         return member
 
     def donors(self, hello: Hello, wall_ms: int) -> list[str]:
-        """Where a newcomer may be taught: some that serve, on its machine, those of its zone first. A few are drawn and
-        looked at, however many there are."""
+        """Addresses from which a new process may get its initial state: serving instances on its machine, those of its
+        zone first. Only a random sample is examined, so the cost does not grow with the fleet."""
         found = []
-        for name in self.random.sample(self.teachers, min(DRAWN, len(self.teachers))):
+        for name in self.random.sample(self.donor_names, min(DONOR_SAMPLE, len(self.donor_names))):
             member = self.members.get(name)
             if (member is None or name == hello.name or member.link is None or member.report is None
                     or member.row.host != hello.host):
                 continue
-            settled = wall_ms - member.row.started_ms >= SETTLED_MS
+            settled = wall_ms - member.row.started_ms >= DONOR_MIN_UPTIME_MS
             if settled and member.report.ready and not member.report.draining:
-                found.append((member.row.zone != hello.zone, self.teaching[name]))
-        return [address for _, address in sorted(found, key=lambda one: one[0])[:OFFERED]]
+                found.append((member.row.zone != hello.zone, self.donor_addresses[name]))
+        return [address for _, address in sorted(found, key=lambda one: one[0])[:MAX_DONORS]]
 
-    def beat(self, name: str, link: Link, report: Report) -> bool:
-        """A heartbeat; False from a process that no longer has the name."""
+    def heartbeat(self, name: str, link: Link, report: Report) -> bool:
+        """Takes in a heartbeat. Returns False if the process no longer has the name."""
         member = self.members.get(name)
         if member is None or member.link is not link:
             return False
@@ -182,28 +186,28 @@
             (before.generation, before.fence, before.ready, before.draining, before.open == 0)
             != (report.generation, report.fence, report.ready, report.draining, report.open == 0))
         member.row = replace(member.row, heard_ms=now_ms, generation=report.generation)
-        member.leased, member.cached = True, None
-        self.beats += 1
+        member.leased, member.cached_observation = True, None
+        self.heartbeats += 1
         if changed:
-            self.touch(name)
+            self.mark_changed(name)
         return True
 
-    def unlink(self, name: str, link: Link, bye: str) -> None:
-        """A connection has ended. Whether the process has, is known only if it said so or was ours to see."""
+    def disconnect(self, name: str, link: Link, bye: str) -> None:
+        """A connection has ended. The process is known to have ended only if it said so in `bye` or ran here."""
         member = self.members.get(name)
         if member is None or member.link is not link:
             return
         member.link = None
         member.row = replace(member.row, connected=False)
         if bye:
-            self.ended(name, member.row.boot, bye)
+            self.process_ended(name, member.row.boot, bye)
         elif self.has_died(member.row):
-            self.ended(name, member.row.boot, "its process has ended")
+            self.process_ended(name, member.row.boot, "its process has ended")
         else:
-            self.touch(name)
+            self.mark_changed(name)
 
-    def ended(self, name: str, boot: str, how: str) -> None:
-        """The process is known to have ended; the more exact account goes before the other."""
+    def process_ended(self, name: str, boot: str, how: str) -> None:
+        """The process is known to have ended. An exit code or signal replaces a less exact earlier description."""
         member = self.members.get(name)
         if member is None or member.row.boot != boot:
             return
@@ -215,65 +219,66 @@
         if member.link is not None:
             link, member.link = member.link, None
             link.close("its process has ended")
-        self.touch(name)
+        self.mark_changed(name)
 
-    def touch(self, name: str) -> None:
-        self.members[name].cached = None
+    def mark_changed(self, name: str) -> None:
+        """Marks an instance as changed: to be recorded, and to be looked at by operations."""
+        self.members[name].cached_observation = None
         self.dirty.add(name)
-        self.changed(name)
+        self.on_changed(name)
 
-    def touch_if_known(self, name: str) -> None:
+    def mark_changed_if_known(self, name: str) -> None:
         if name in self.members:
-            self.touch(name)
+            self.mark_changed(name)
 
     def sweep(self) -> None:
-        """Ends the leases whose time is over, and sees which processes without a connection have died."""
+        """Ends expired leases, and finds processes without a connection that have died."""
         now_ms = self.now_ms()
         for name, member in self.members.items():
             if not member.leased:
                 continue
             if member.link is None and self.has_died(member.row):
-                self.ended(name, member.row.boot, "its process has ended")
+                self.process_ended(name, member.row.boot, "its process has ended")
             elif now_ms >= member.leased_until_ms:
                 member.leased = False
-                self.touch(name)
+                self.mark_changed(name)
 
-    def seen(self, name: str) -> Seen | None:
+    def observe(self, name: str) -> Observation | None:
         member = self.members.get(name)
         if member is None:
             return None
-        if member.cached is None:
+        if member.cached_observation is None:
             row, report = member.row, member.report
-            supervised = self.supervised(name)
-            member.cached = Seen(
+            supervised = self.supervision_of(name)
+            member.cached_observation = Observation(
                 name, row.boot, member.leased, member.link is not None, row.heard_ms, row.generation,
                 report.fence if report else 0, report.ready if report else False,
                 report.draining if report else False, report.open if report else 0, row.ended,
-                supervised is not None, supervised == "awaited", self.replacing(name), report is not None)
-        return member.cached
+                supervised is not None, supervised == "awaited", self.is_replacing(name), report is not None)
+        return member.cached_observation
 
-    def get(self, name: str, /) -> Seen | None:
-        """As a planner's view."""
-        return self.seen(name)
+    def get(self, name: str, /) -> Observation | None:
+        """Same as `observe`; implements planner.FleetView."""
+        return self.observe(name)
 
     def names(self) -> list[str]:
         """All names in order."""
-        if len(self.ordered) != len(self.members):  # a name stays once it is known
-            self.ordered = sorted(self.members)
-        return self.ordered
+        if len(self.sorted_names) != len(self.members):  # names are only ever added, or the cache is cleared
+            self.sorted_names = sorted(self.members)
+        return self.sorted_names
 
-    def values(self, name: str) -> dict[str, str]:
-        """What selectors look at."""
-        member, seen = self.members[name], self.seen(name)
+    def selector_values(self, name: str) -> dict[str, str]:
+        """The instance's values by selector key."""
+        member, seen = self.members[name], self.observe(name)
         assert seen is not None
         return {"name": name, "zone": member.row.zone, "state": state_of(seen),
                 "generation": str(member.row.generation), "version": member.row.version}
 
     def forget(self, name: str) -> None:
-        """One that is no more, as an operator says."""
+        """Removes an instance that, as an operator confirms, no longer exists."""
         del self.members[name]
         self.dirty.discard(name)
-        self.ordered = []
+        self.sorted_names = []
 
     def set_desired(self, generations: Iterable[tuple[str, int]]) -> None:
         for name, generation in generations:
--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -1,7 +1,7 @@
-"""Budgets and permits at the agent that leads: the ledger's decisions recorded, told and kept up to date.
+"""Disruption budgets and permits at the leading agent: records the ledger's decisions and keeps them up to date.
 
-What takes a unit out is reserved in the ledger first, then recorded, then told: whoever dies in between leaves a permit
-that counts, and never an outage that does not.
+Whatever takes a unit out of service is first reserved in the ledger, then recorded, then announced. An agent that dies
+in between leaves a permit that counts against its budget, never an outage that doesn't.
 """
 
 from __future__ import annotations
@@ -33,24 +33,24 @@
     UnitKind,
 )
 
-TICK_S = 0.25
-ASKS_AT_ONCE, ASK_AGAIN_S = 50, 1.0
+DECISION_INTERVAL_S = 0.25  # longest time between two decisions
+MAX_INSPECTIONS, INSPECTION_RETRY_S = 50, 1.0  # concurrent inspections, and delay after a failed one
 RETRY_S = 1.0
-KEPT_MS = 3_600_000  # a permit that has ended answers for its key so long
-LEASE_MS = (500, 3_600_000)
-POSITIONS = 1_000_000  # targets of one operation at most: the ids of its permits are made of both
-TAKEN_OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
+PERMIT_RETENTION_MS = 3_600_000  # a permit that has ended is kept this long for its idempotency key
+LEASE_RANGE_MS = (500, 3_600_000)  # shortest and longest lease of a permit
+MAX_TARGETS = 1_000_000  # most targets of one operation: a permit id combines the operation's id and the position
+UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)
 
 
 def service_of(name: str) -> str:
-    """app-12 is an instance of app."""
+    """The service of an instance: app-12 belongs to app."""
     service, _, number = name.rpartition("-")
     return service if service and number.isdecimal() else name
 
 
 def permit_id(op: Operation, target: Target) -> int:
-    """Below 0: those that were asked for are counted from 1 on."""
-    return -(op.id * POSITIONS + target.position)
+    """Id of the permit for one target. It is negative; permits requested through the API are numbered from 1."""
+    return -(op.id * MAX_TARGETS + target.position)
 
 
 class Permits:
@@ -60,47 +60,48 @@
         self.ledger = Ledger(budgets)
         self.halt: Halt | None = None
         self.wake = asyncio.Event()
-        self.room: Callable[[], None] = lambda: None  # operations that wait may find some now
+        self.on_budget_room: Callable[[], None] = lambda: None  # called when a budget may have room
         self.notify: Callable[[], None] = lambda: None
-        self.question: Callable[[str], Awaitable[object]] | None = None  # asks an instance; raises Refusal
-        self.asked_ms: dict[str, int] = {}  # of an instance, the question whose answer is the newest
-        self.asking: dict[str, float] = {}  # when it was asked last
-        self.doubt: set[int] = set()  # what became of their last write is not known
-        # hazard: what was decided before another's word came, and is written after it, would undo that word
+        self.inspect: Callable[[str], Awaitable[object]] | None = None  # inspects an instance; raises Refusal
+        self.inspected_ms: dict[str, int] = {}  # instance -> when the inspection was sent that it answered last
+        self.inspecting: dict[str, float] = {}  # instance -> when its running inspection began
+        self.unconfirmed: set[int] = set()  # ids whose last write has an unknown outcome
+        # Serializes decisions: one made before another change but written after it would undo that change.
         self.lock = asyncio.Lock()
-        self.ending: set[int] = set()  # whose end is being written: an operation may not take them up again meanwhile
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
+        self.ending: set[int] = set()  # ids whose end is being written: not to be reserved again meanwhile
+        self.crash_point: Callable[[str], None] = lambda where: None  # tests kill the process at these points
 
-    # The record
+    # Loading the record
 
     def load(self, permits: Iterable[Permit], halt: Halt | None) -> None:
         self.ledger.load(permits, clock_ms())
-        self.take_halt(halt)
+        self.apply_halt(halt)
         for name in self.fleet.members:
-            self.see(name)
+            self.update_instance(name)
 
-    def take_halt(self, halt: Halt | None) -> None:
+    def apply_halt(self, halt: Halt | None) -> None:
         self.halt = halt if halt is not None and not halt.lifted_ms else None
         self.ledger.halted = self.halt.text if self.halt is not None else ""
 
-    # What is seen
+    # Observations of instances
 
-    def sight(self, name: str) -> Observation:
-        member, seen = self.fleet.members[name], self.fleet.seen(name)
+    def observe(self, name: str) -> Observation:
+        """What the ledger needs to know of a sidecar: whether it is out of service, and why."""
+        member, seen = self.fleet.members[name], self.fleet.observe(name)
         assert seen is not None
         unit = Unit(UnitKind.SIDECAR, name, service_of(name), member.row.zone)
-        asked_ms = self.asked_ms.get(name, 0)
+        asked_ms = self.inspected_ms.get(name, 0)
         if seen.ended:
             return Observation(unit, 1.0, "gone", boot=seen.boot)
-        if not (seen.leased and seen.connected and seen.shown):
-            return Observation(unit, 1.0, "silent" if seen.shown else "not seen", False, seen.boot)
+        if not (seen.leased and seen.connected and seen.has_reported):
+            return Observation(unit, 1.0, "silent" if seen.has_reported else "not seen", False, seen.boot)
         if seen.replacing:
             return Observation(unit, 1.0, "restarting", boot=seen.boot, asked_ms=asked_ms)
         state = state_of(seen)
         return Observation(unit, float(state != "ready"), "" if state == "ready" else state, True, seen.boot, asked_ms)
 
-    def see(self, name: str) -> None:
-        if self.ledger.observe(self.sight(name)):
+    def update_instance(self, name: str) -> None:
+        if self.ledger.observe(self.observe(name)):
             self.wake.set()
 
     def forget(self, name: str) -> None:
@@ -109,45 +110,46 @@
 
     # Operations
 
-    def may(self, op: Operation, target: Target, is_way_back: bool) -> str:
-        """Reserves what telling this target needs; empty, or what stands in the way."""
+    def reserve(self, op: Operation, target: Target, is_rollback: bool) -> str:
+        """Reserves the permit that a command to this target needs. Returns empty, or the reason why it has to wait."""
         key = f"{UnitKind.SIDECAR}/{target.name}"
         ident, now_ms = permit_id(op, target), clock_ms()
         known = self.ledger.permits.get(ident)
         if ident in self.ending:
             return f"the end of its former permit for {target.name} is being recorded"
-        if known is not None and known.phase is Phase.HELD and (is_way_back or not self.ledger.halted):
+        if known is not None and known.phase is Phase.HELD and (is_rollback or not self.ledger.halted):
             return ""
         if not self.ledger.has_budget(key):
-            return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_way_back else ""
+            return f"halted by {self.ledger.halted}" if self.ledger.halted and not is_rollback else ""
         permit = known or Permit(ident, str(target.position), f"operation {op.id}", (key,), str(op.kind),
                                  op.policy.priority, Phase.WAITING, self.now_ms(), 0, op.id)
         problem = ""
-        if is_way_back and op.policy.urgent:
-            # an operator's word: it counts, and asks for no room
+        if is_rollback and op.policy.urgent:
+            # on an operator's demand: it counts, but needs no room
             self.ledger.put(permit.with_phase(Phase.HELD), now_ms)
         else:
             try:
                 self.ledger.check_possible((key,))
-                problem = self.ledger.reserve(permit, now_ms, is_way_back)
+                problem = self.ledger.reserve(permit, now_ms, is_rollback)
             except ImpossibleRequest as impossible:
                 problem = str(impossible)
         if not problem:
-            self.doubt.discard(ident)
+            self.unconfirmed.discard(ident)
         return problem
 
-    def settled(self, op: Operation, targets: Iterable[Target], ends: bool) -> list[Permit]:
-        """Permits that these targets need no more, as to be recorded beside them. `ends`: the operation does, and what
-        it sent has been carried out or never will be once an instance answers what it is asked after this."""
+    def returned_permits(self, op: Operation, targets: Iterable[Target], has_ended: bool) -> list[Permit]:
+        """Permits that these targets no longer need, as they are to be recorded together with them. `has_ended`: the
+        operation ends, so once an instance answers a later inspection, it has either carried out the commands or never
+        will."""
         found = []
         for target in targets:
             permit = self.ledger.permits.get(permit_id(op, target))
-            if permit is not None and permit.phase is Phase.HELD and (ends or target.state not in TAKEN_OUT):
+            if permit is not None and permit.phase is Phase.HELD and (has_ended or target.state not in UNAVAILABLE):
                 found.append(permit.with_phase(Phase.RETURNED, str(target.state)))
         return found
 
     def adopt(self, op: Operation, targets: Iterable[Target]) -> None:
-        """What an agent without budgets had begun counts all the same."""
+        """Adds permits for targets under way that an agent without budgets started, as they count too."""
         for target in targets:
             key = f"{UnitKind.SIDECAR}/{target.name}"
             if (target.state in (State.UNDER_WAY, State.NO_ANSWER) and self.ledger.has_budget(key)
@@ -159,13 +161,13 @@
         now_ms = clock_ms()
         for permit in permits:
             self.ledger.put(permit, now_ms)
-            self.doubt.discard(permit.id)
+            self.unconfirmed.discard(permit.id)
         self.wake.set()
 
     def restore(self, before: dict[int, Permit | None], is_known: bool) -> None:
-        """A round whose record failed. Where that is not known, what it reserved goes on counting."""
+        """Undoes the reservations of a round whose write failed. If its outcome is unknown, they go on counting."""
         if not is_known:
-            self.doubt.update(before)
+            self.unconfirmed.update(before)
             return
         for ident, permit in before.items():
             if permit is None:
@@ -173,13 +175,13 @@
             else:
                 self.ledger.put(permit, clock_ms())
 
-    # Who asks by hand
+    # Permits requested through the API
 
-    async def take(self, holder: str, key: str, units: Sequence[str], reason: str, priority: int, lease_ms: int
+    async def request(self, holder: str, key: str, units: Sequence[str], reason: str, priority: int, lease_ms: int
                    ) -> Permit:
-        """Raises Refusal or StoreError."""
+        """Requests a permit for units, idempotent by holder and key. Raises Refusal or StoreError."""
         names = tuple(sorted(set(units)))
-        self.check(names, key, priority, lease_ms)
+        self.check_request(names, key, priority, lease_ms)
         now_ms = self.now_ms()
 
         def work(records: Records) -> Permit:
@@ -207,15 +209,15 @@
         await self.decide()
         return self.ledger.permits.get(made.id, made)
 
-    def check(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
+    def check_request(self, units: Sequence[str], key: str, priority: int, lease_ms: int) -> None:
         if not 0 < len(units) <= MAX_PERMIT_UNITS:
             raise Refusal("BAD_INPUT", f"units: expected 1 to {MAX_PERMIT_UNITS}, got {len(units)}")
         if not 0 < len(key) <= 200 or not key.isprintable():
             raise Refusal("BAD_INPUT", f"key: expected 1 to 200 printable characters, got {key!r:.60}")
         if not 0 <= priority <= MAX_PRIORITY:
             raise Refusal("BAD_INPUT", f"priority: expected 0 to {MAX_PRIORITY}, got {priority}")
-        if not LEASE_MS[0] <= lease_ms <= LEASE_MS[1]:
-            raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_MS[0]} to {LEASE_MS[1]}, got {lease_ms}")
+        if not LEASE_RANGE_MS[0] <= lease_ms <= LEASE_RANGE_MS[1]:
+            raise Refusal("BAD_INPUT", f"leaseMs: expected {LEASE_RANGE_MS[0]} to {LEASE_RANGE_MS[1]}, got {lease_ms}")
         for unit in units:
             if unit not in self.ledger.observations:
                 raise Refusal("NOT_FOUND", f"units: expected units that are known (sidecar/NAME, see `ironscale ls`), "
@@ -235,7 +237,8 @@
             raise Refusal("NOT_FOUND", f"there is no permit {ident}; see `ironscale permit list`")
         return found
 
-    async def own(self, holder: str, ident: int, may_any: bool) -> Permit:
+    async def find_owned(self, holder: str, ident: int, may_any: bool) -> Permit:
+        """The permit, if it is the holder's own or `may_any`. Raises Refusal or StoreError."""
         permit = await self.find(ident)
         if permit.operation:
             raise Refusal("FORBIDDEN", f"permit {ident} is {permit.holder}'s; abort that, or let it end")
@@ -244,13 +247,13 @@
         return permit
 
     async def renew(self, holder: str, ident: int) -> Permit:
-        """Raises Refusal; ENDED where its units may be somebody else's by now."""
+        """Renews the lease of a permit. Raises StoreError, or Refusal: ENDED if another may have its units by now."""
         async with self.lock:
             return await self._renew(holder, ident)
 
     async def _renew(self, holder: str, ident: int) -> Permit:
-        permit = await self.own(holder, ident, False)
-        if not self.store.term.holds(clock_ms()):
+        permit = await self.find_owned(holder, ident, False)
+        if not self.store.term.is_held(clock_ms()):
             raise StoreError("AWAY", "the record does not answer, and another agent may lead by now; ask again")
         if permit.phase not in (Phase.HELD, Phase.UNKNOWN, Phase.WAITING):
             raise Refusal("ENDED", f"permit {ident} is {permit.phase}; take a new one before anything goes out")
@@ -258,112 +261,115 @@
             return permit
         renewed = self.ledger.renew(ident, clock_ms())
         if renewed is not permit:
-            await self.record([renewed], holder, "held again")
+            await self.record_permits([renewed], holder, "held again")
         return renewed
 
     async def give_back(self, holder: str, ident: int, force: bool) -> Permit:
-        """Its holder's word that he is through; with `force` another's, who knows that the holder can act no more. The
-        units count on until they are seen to serve. Again is the same. Raises Refusal or StoreError."""
+        """Gives back a permit that its holder no longer needs or, with `force`, one of a holder known to be unable to
+        act. Its units count as out until they are seen to serve. Idempotent. Raises Refusal or StoreError."""
         async with self.lock:
             return await self._give_back(holder, ident, force)
 
     async def _give_back(self, holder: str, ident: int, force: bool) -> Permit:
-        permit = await self.own(holder, ident, force)
+        permit = await self.find_owned(holder, ident, force)
         if permit.phase in (Phase.RETURNED, Phase.ENDED, Phase.WITHDRAWN):
             return permit
         phase = Phase.WITHDRAWN if permit.phase is Phase.WAITING else Phase.RETURNED
         after = replace(permit.with_phase(phase, f"given back by {holder}"),
                         ended_ms=self.now_ms() if phase is Phase.WITHDRAWN else 0)
-        await self.record([after], holder, str(phase))
+        await self.record_permits([after], holder, str(phase))
         return after
 
-    async def record(self, permits: Sequence[Permit], actor: str, result: str) -> None:
-        """Recorded, then counted so. Raises StoreError; where that is UNKNOWN they are looked up in the record."""
+    async def record_permits(self, permits: Sequence[Permit], actor: str, result: str) -> None:
+        """Records permits, then updates the ledger. Raises StoreError; after UNKNOWN, `resolve` reads them back."""
         now_ms = self.now_ms()
 
         def work(records: Records) -> None:
             records.put_permits(permits)
             for permit in permits:
-                if not permit.operation:  # of targets the log tells already
+                if not permit.operation:  # the audit log has an entry for the target already
                     records.audit(now_ms, actor, "permit", f"permit {permit.id}", result, {"note": permit.note})
 
-        self.step("before a permit's commit")
+        self.crash_point("before a permit's commit")
         try:
             await self.store.write(work, lambda done: self.put(permits))
         except StoreError as error:
             if error.code == "UNKNOWN":
-                self.doubt.update(p.id for p in permits)
+                self.unconfirmed.update(p.id for p in permits)
             raise
-        self.step("after a permit's commit")
+        self.crash_point("after a permit's commit")
         self.put(permits)
         self.notify()
 
-    # A halt
+    # Halting the fleet
 
     async def set_halt(self, actor: str, reason: str) -> Halt:
-        """Nothing more is granted or begun from this moment on; told once it is recorded. Again is the same."""
+        """Stops all grants and new operations at once; returns once the halt is recorded. Idempotent. Raises
+        StoreError."""
         if self.halt is not None:
             return self.halt
         now_ms, before = self.now_ms(), self.ledger.halted
-        self.ledger.halted = f"{actor}: {reason}" if reason else actor  # before it is written: what comes now waits
+        # Set before the write, so that requests arriving meanwhile wait.
+        self.ledger.halted = f"{actor}: {reason}" if reason else actor
 
         def work(records: Records) -> Halt:
-            standing = records.halt()
-            if standing is not None:
-                return standing
+            current = records.halt()
+            if current is not None:
+                return current
             halt = Halt(records.next_permit(), actor, reason, now_ms)
             records.put_halt(halt)
             records.audit(now_ms, actor, "halt", "fleet", "halted", {"reason": reason})
             return halt
 
         try:
-            halt = await self.store.write(work, self.take_halt)
+            halt = await self.store.write(work, self.apply_halt)
         except StoreError as error:
             if error.code != "UNKNOWN":
                 self.ledger.halted = before
             raise
-        self.take_halt(halt)
+        self.apply_halt(halt)
         self.notify()
         return halt
 
     async def lift_halt(self, actor: str) -> Halt | None:
-        """The halt that stood. Raises StoreError."""
-        standing, now_ms = self.halt, self.now_ms()
-        if standing is None:
+        """Lifts the halt and returns it, or None if there is none. Raises StoreError."""
+        current, now_ms = self.halt, self.now_ms()
+        if current is None:
             return None
-        lifted = replace(standing, lifted_ms=now_ms, lifted_by=actor)
+        lifted = replace(current, lifted_ms=now_ms, lifted_by=actor)
 
         def work(records: Records) -> None:
             records.put_halt(lifted)
-            records.audit(now_ms, actor, "halt", "fleet", "lifted", {"halted by": standing.actor})
+            records.audit(now_ms, actor, "halt", "fleet", "lifted", {"halted by": current.actor})
 
         def done(_: None) -> None:
-            self.take_halt(None)
+            self.apply_halt(None)
             self.wake.set()
-            self.room()
+            self.on_budget_room()
             self.notify()
 
         await self.store.write(work, done)
         done(None)
         return lifted
 
-    # What goes on by itself
+    # Background tasks
 
     async def prune(self) -> None:
         while True:
-            await asyncio.sleep(KEPT_MS / 10_000)
+            await asyncio.sleep(PERMIT_RETENTION_MS / 10_000)
 
-            def work(records: Records, before_ms: int = self.now_ms() - KEPT_MS) -> None:
+            def work(records: Records, before_ms: int = self.now_ms() - PERMIT_RETENTION_MS) -> None:
                 records.prune_permits(before_ms)
 
             with contextlib.suppress(StoreError):
                 await self.store.write(work)
 
     async def run(self, tasks: asyncio.TaskGroup) -> None:
+        """Decides on permits whenever something has changed, until cancelled."""
         tasks.create_task(self.prune())
         while True:
             try:
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(DECISION_INTERVAL_S):
                     await self.wake.wait()
             except TimeoutError:
                 pass
@@ -372,37 +378,37 @@
                 await self.resolve()
                 await self.decide()
             except StoreError as error:
-                self.log(f"permits wait: {error}")
+                self.log(f"decisions on permits will be retried: {error}")
                 await asyncio.sleep(RETRY_S)
                 continue
-            self.room()
+            self.on_budget_room()
             for key in self.ledger.units_to_ask():
-                sort, _, name = key.partition("/")
-                if sort == UnitKind.SIDECAR:  # what sidecars see of upstreams is asked for all the time
-                    self.ask(tasks, name)
-            await asyncio.sleep(0.01)  # thousands of reports at once are one decision
+                kind, _, name = key.partition("/")
+                if kind == UnitKind.SIDECAR:  # upstreams are polled all the time anyway
+                    self.start_inspection(tasks, name)
+            await asyncio.sleep(0.01)  # so that thousands of simultaneous reports share one decision
 
     async def decide(self) -> None:
-        """Lapses, ends and grants, recorded before they are told. Raises StoreError."""
+        """Expires, ends and grants permits; each is recorded before it is announced. Raises StoreError."""
         async with self.lock:
             await self._decide()
 
     async def _decide(self) -> None:
         wall_ms = self.now_ms()
-        over = [replace(p, ended_ms=wall_ms) for p in self.ledger.ended_permits()]
-        if over:
-            self.ending = {permit.id for permit in over}
+        ended = [replace(p, ended_ms=wall_ms) for p in self.ledger.ended_permits()]
+        if ended:
+            self.ending = {permit.id for permit in ended}
             try:
-                await self.record(over, "agent", str(Phase.ENDED))
+                await self.record_permits(ended, "agent", str(Phase.ENDED))
             finally:
                 self.ending = set()
         lapsed = self.ledger.expired_leases(clock_ms())
         if lapsed:
-            await self.record(lapsed, "agent", str(Phase.UNKNOWN))
+            await self.record_permits(lapsed, "agent", str(Phase.UNKNOWN))
         granted = self.ledger.grant_waiting(clock_ms())
         if granted:
             try:
-                await self.record(granted, "agent", str(Phase.HELD))
+                await self.record_permits(granted, "agent", str(Phase.HELD))
             except StoreError as error:
                 if error.code != "UNKNOWN":
                     for permit in granted:
@@ -410,49 +416,52 @@
                 raise
 
     async def resolve(self) -> None:
-        """After a write whose outcome was not known: as the record has it, once it takes writes. Raises StoreError."""
+        """Reads back permits whose last write had an unknown outcome, once it is writable. Raises StoreError."""
         async with self.lock:
             await self._resolve()
 
     async def _resolve(self) -> None:
-        if self.doubt:
-            doubt, before_ms = set(self.doubt), self.now_ms() - KEPT_MS
+        if self.unconfirmed:
+            unconfirmed, before_ms = set(self.unconfirmed), self.now_ms() - PERMIT_RETENTION_MS
 
             def work(records: Records) -> list[Permit]:
                 records.prune_permits(before_ms)
                 return records.permits(open_only=True)
 
-            open_ = await self.store.write(work)
-            recorded = {permit.id: permit for permit in open_}
-            for ident in doubt & self.doubt:  # hazard: one that an operation has taken up again since is its round's
+            open_permits = await self.store.write(work)
+            recorded = {permit.id: permit for permit in open_permits}
+            # One that was reserved again since then belongs to its operation's round.
+            for ident in unconfirmed & self.unconfirmed:
                 if ident in recorded:
                     self.put([recorded[ident]])
                 else:
                     self.ledger.cancel_reservation(ident, clock_ms())
-                    self.doubt.discard(ident)
+                    self.unconfirmed.discard(ident)
 
-    def ask(self, tasks: asyncio.TaskGroup, name: str) -> None:
-        """For the evidence that it serves: once a second at most, and only where it has said so by itself."""
+    def start_inspection(self, tasks: asyncio.TaskGroup, name: str) -> None:
+        """Inspects an instance that reports to be in service, to confirm that; one inspection of it at a time."""
         now_s, sight = time.monotonic(), self.ledger.observations.get(f"{UnitKind.SIDECAR}/{name}")
-        if (self.question is None or sight is None or sight.out > 0.0 or len(self.asking) >= ASKS_AT_ONCE
-                or name in self.asking):
+        if (self.inspect is None or sight is None or sight.out > 0.0 or len(self.inspecting) >= MAX_INSPECTIONS
+                or name in self.inspecting):
             return
-        self.asking[name] = now_s
-        tasks.create_task(self.answer(name))
+        self.inspecting[name] = now_s
+        tasks.create_task(self.await_inspection(name))
 
-    async def answer(self, name: str) -> None:
-        assert self.question is not None
+    async def await_inspection(self, name: str) -> None:
+        """Waits for the answer to an inspection; a failed one ends after INSPECTION_RETRY_S, which limits the rate."""
+        assert self.inspect is not None
         asked_ms, start_s = clock_ms(), time.monotonic()
         try:
-            await self.question(name)
-            self.asked_ms[name] = asked_ms
-            self.see(name)
+            await self.inspect(name)
+            self.inspected_ms[name] = asked_ms
+            self.update_instance(name)
         except Refusal:
-            # it has gone silent meanwhile, or takes its time
-            await asyncio.sleep(max(0.0, ASK_AGAIN_S - (time.monotonic() - start_s)))
+            # It has become silent, or is slow to answer.
+            await asyncio.sleep(max(0.0, INSPECTION_RETRY_S - (time.monotonic() - start_s)))
         finally:
-            self.asking.pop(name, None)
+            self.inspecting.pop(name, None)
             self.wake.set()
 
     def counted(self) -> list[Permit]:
+        """Permits whose units count as out of service."""
         return [p for p in self.ledger.permits.values() if p.phase in COUNTED_PHASES]
--- a/ironscale/agent/planner.py
+++ b/ironscale/agent/planner.py
@@ -1,8 +1,8 @@
-"""What an operation does next: state in, steps out. No I/O, no clock, no randomness.
+"""Computes the next steps of an operation from its state. No I/O, no clock, no randomness.
 
-It may be asked at any time and as often as one likes: with nothing new it has nothing new to say. The caller
-records the changed targets first and sends after; a process killed in between sends the same command, by the
-same id, again.
+Planning is idempotent: it may run at any time, and returns no steps unless something has changed. The caller records
+the changed targets before it sends any command; if the agent is killed in between, the next one sends the same command
+again under the same id.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from typing import Protocol
 
 from ironscale.agent.model import (
-    FAILURES,
-    OPEN,
+    FAILURE_STATES,
+    OPEN_PHASES,
     Kind,
+    Observation,
     Operation,
+    OutgoingCommand,
     Phase,
     Plan,
     Policy,
-    Seen,
-    Send,
     State,
     Target,
 )
 
-FINAL = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
-LOOK_MS = 500  # between two looks at what a wave serves
-OUT = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # may not be serving
+FINAL_STATES = (State.REFUSED, State.FAILED, State.SUPERSEDED, State.REVERTED)
+SOAK_CHECK_MS = 500  # interval between checks of the measured answers while a wave soaks
+UNAVAILABLE = (State.UNDER_WAY, State.NO_ANSWER, State.GONE)  # states in which an instance may not be serving
 
 
-def shows(op: Operation, target: Target, seen: Seen) -> bool:
-    """Whether the process shows what the operation wants, under the operation's fence."""
+def is_confirmed(op: Operation, target: Target, seen: Observation) -> bool:
+    """Whether the process reports the state that the operation wants, under the operation's fence or a later one."""
     if target.reverting:
         return seen.generation == target.from_generation and seen.fence >= op.fence
     match op.kind:
@@ -43,12 +43,12 @@
         case Kind.UNDRAIN:
             return not seen.draining and seen.fence >= op.fence
         case Kind.RESTART | Kind.STOP:
-            return False  # shown by the end of the process
+            return False  # only the end of the process confirms these
     return False
 
 
-def _missing(op: Operation, target: Target, seen: Seen) -> str:
-    """What the process shows instead."""
+def _describe_mismatch(op: Operation, target: Target, seen: Observation) -> str:
+    """Describes what the process reports instead of the wanted state."""
     match op.kind:
         case Kind.RECONFIGURE:
             return f"runs generation {seen.generation}"
@@ -59,87 +59,88 @@
     return "drained" if seen.draining else "not drained"
 
 
-def _successor(op: Operation, target: Target, seen: Seen) -> Target:
-    """Another process has the name now: the one that was told is no more."""
+def _judge_successor(op: Operation, target: Target, seen: Observation) -> Target:
+    """The target's state after another process has taken over the instance name from the one that was commanded."""
     if op.kind is Kind.STOP:
         return replace(target, state=State.APPLIED, detail=f"ended; the name is now {seen.boot}'s")
     settled = seen.leased and seen.ready
     if op.kind is Kind.RESTART:
         if settled:
             return replace(target, state=State.APPLIED, boot=seen.boot, detail=f"now {seen.boot}")
-        return target if seen.leased else _unheard(target, seen)
+        return target if seen.leased else _judge_without_lease(target, seen)
     if not seen.leased:
-        return _unheard(target, seen)
+        return _judge_without_lease(target, seen)
     wanted = target.from_generation if target.reverting else op.generation
     if op.kind is Kind.RECONFIGURE and seen.generation == wanted:
         if not seen.ready and target.state is State.UNDER_WAY:
-            return target  # starting
+            return target  # still starting
         state = State.REVERTED if target.reverting else State.APPLIED
         return replace(target, state=state, boot=seen.boot, detail=f"started with it as {seen.boot}")
     if target.tries >= op.policy.tries:
         return replace(target, state=State.FAILED, detail=f"restarted {target.tries} times in mid-operation")
-    # hazard: what the former process applied, or said it had, died with it
+    # Whatever the former process applied, or reported as applied, was lost with it: the new one must be commanded.
     return replace(target, state=State.NOT_STARTED, boot="", restarting=False, answered="",
                    detail=f"restarted as {seen.boot}, which had not applied")
 
 
-def _unheard(target: Target, seen: Seen) -> Target:
-    had = "had applied; " if target.state is State.APPLIED else ""
+def _judge_without_lease(target: Target, seen: Observation) -> Target:
+    """The target's state once its instance has no lease: gone if its end is known, else without an answer."""
+    prefix = "had applied; " if target.state is State.APPLIED else ""
     if target.state in (State.GONE, State.NO_ANSWER) and "; " in target.detail:
-        had = target.detail.rpartition("; ")[0] + "; "  # what it had done before stays told
+        prefix = target.detail.rpartition("; ")[0] + "; "  # keeps the outcome reported before it went silent
     if seen.ended:
-        return replace(target, state=State.GONE, detail=f"{had}{seen.ended}")
+        return replace(target, state=State.GONE, detail=f"{prefix}{seen.ended}")
     if target.state in (State.NO_ANSWER, State.GONE):
         return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms)
     return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
-                   detail=f"{had}its lease is over" if target.command else "not connected")
+                   detail=f"{prefix}its lease is over" if target.command else "not connected")
 
 
-def judge(op: Operation, target: Target, seen: Seen | None, now_ms: int) -> Target:
-    """The target's state by what its process shows now; its state before if that says nothing new."""
+def judge_target(op: Operation, target: Target, seen: Observation | None, now_ms: int) -> Target:
+    """The target's state derived from what its process reports now; the same object if that changes nothing."""
     if target.state in (State.REFUSED, State.FAILED) and seen is not None and seen.ended and (
             seen.boot == target.boot):
-        # what it refused while it was ending, say: there is nobody any more who refuses
+        # For instance, it refused because it was shutting down. The process has ended, so the refusal no longer stands.
         return replace(target, state=State.GONE, detail=f"{target.state}: {target.detail}; {seen.ended}")
-    if target.state in FINAL or target.state is State.NOT_STARTED:
+    if target.state in FINAL_STATES or target.state is State.NOT_STARTED:
         return target
     if seen is None:
         return replace(target, state=State.NO_ANSWER, detail="not known any more")
-    late = now_ms - target.sent_ms >= op.policy.answer_ms
+    is_late = now_ms - target.sent_ms >= op.policy.answer_ms
     if target.boot and seen.boot != target.boot:
-        after = _successor(op, target, seen)
-        if after is target and late and target.state is State.UNDER_WAY:
+        after = _judge_successor(op, target, seen)
+        if after is target and is_late and target.state is State.UNDER_WAY:
             return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
                            detail=f"{seen.boot} has taken its place and is not ready")
         return after
     if not seen.leased:
         if op.kind is Kind.STOP and seen.ended and target.command:
             return replace(target, state=State.APPLIED, detail=seen.ended)
-        if seen.restart_awaited and not late and target.state is State.UNDER_WAY:
-            return target  # the supervisor starts it again
-        return _unheard(target, seen)
-    if shows(op, target, seen):
+        if seen.restart_awaited and not is_late and target.state is State.UNDER_WAY:
+            return target  # the supervisor is going to start it again
+        return _judge_without_lease(target, seen)
+    if is_confirmed(op, target, seen):
         return replace(target, state=State.REVERTED if target.reverting else State.APPLIED, detail="")
-    if target.state is State.APPLIED and not seen.shown:
-        return target  # hazard: a restarted agent's record may be older than what the process has shown
+    if target.state is State.APPLIED and not seen.has_reported:
+        return target  # no report yet since the agent restarted; its record may be older than the last report
     if target.state is State.APPLIED:
-        return replace(target, state=State.FAILED, detail=f"had applied; now {_missing(op, target, seen)}")
+        return replace(target, state=State.FAILED, detail=f"had applied; now {_describe_mismatch(op, target, seen)}")
     if target.state in (State.NO_ANSWER, State.GONE):
-        # it is back, as the same process: its answer may still come
-        return target if late else replace(target, state=State.UNDER_WAY)
-    if late:
+        # The same process is connected again: its answer may still arrive.
+        return target if is_late else replace(target, state=State.UNDER_WAY)
+    if is_late:
         if target.answered or target.restarting:
             return replace(target, state=State.FAILED, detail=f"answered {target.answered}, but "
-                                                              f"{_missing(op, target, seen)}")
+                                                              f"{_describe_mismatch(op, target, seen)}")
         return replace(target, state=State.NO_ANSWER, since_ms=seen.heard_ms,
                        detail="heartbeats come, its answer does not")
     return target
 
 
-def answer(op: Operation, target: Target, command: str, status: str, detail: str) -> Target:
-    """An instance's answer to one command. Applied is what it says; it has yet to show it."""
+def take_answer(op: Operation, target: Target, command: str, status: str, detail: str) -> Target:
+    """Takes in an instance's answer to one command. "applied" does not settle the target until a report confirms it."""
     if command != target.command or target.state not in (State.UNDER_WAY, State.NO_ANSWER):
-        return target  # of an earlier try, or told before
+        return target  # answers an earlier command, or the target has settled
     match status:
         case "applied":
             return replace(target, answered=status)
@@ -151,140 +152,143 @@
     return replace(target, answered=status, detail=f"needs restart: {detail}")
 
 
-class View(Protocol):
-    """The fleet by name, as it shows itself at this moment."""
+class FleetView(Protocol):
+    """Looks up what an instance reports at this moment, by name."""
 
-    def get(self, name: str, /) -> Seen | None: ...
+    def get(self, name: str, /) -> Observation | None: ...
 
 
-May = Callable[[Target], str]
+PermitCheck = Callable[[Target], str]
 
 
-class Passes(Protocol):
-    """Whether the wave that begins at this position may, by what is measured: nothing, what it waits for, or (True)
-    what speaks against it."""
+class GateCheck(Protocol):
+    """Decides by measured answers whether the wave that begins at position `first` may start. Returns an empty text if
+    it may, the text of what it waits for, or (with True) the text of the evidence against it."""
 
     def __call__(self, targets: Sequence[Target], first: int, /) -> tuple[str, bool]: ...
 
 
-def advance(op: Operation, targets: Sequence[Target], fleet: View, now_ms: int, superseded: Mapping[str, int],
-            changed: Collection[str] | None = None, may: May = lambda target: "",
-            passes: Passes = lambda targets, first: ("", False)) -> Plan:
-    """The next steps of an open operation. `superseded`: instances that a newer operation has, and its id.
-    `changed`: the instances that may show something new since the last look, where that is known; the others are
-    judged only where time alone can change them. `may`: asked before a target is told anything that may take it out of
-    service; empty, or what stands in the way now. `passes`: asked before each wave but the first."""
+def advance(op: Operation, targets: Sequence[Target], fleet: FleetView, now_ms: int, superseded: Mapping[str, int],
+            changed: Collection[str] | None = None, check_permit: PermitCheck = lambda target: "",
+            check_gate: GateCheck = lambda targets, first: ("", False)) -> Plan:
+    """The next steps of an open operation. `superseded`: instances that a newer operation controls, with its id.
+    `changed`: the instances that may have reported something new since the last call, or None if not known; other
+    targets are judged only while under way, as time alone can change their state. `check_permit`: asked before a
+    command that may take a target out of service; empty, or the reason why it has to wait. `check_gate`: asked before
+    each wave but the first."""
     plan = Plan()
-    if op.phase not in OPEN:
+    if op.phase not in OPEN_PHASES:
         return plan
     current = list(targets)
     for index, target in enumerate(current):
         if changed is not None and target.state is not State.UNDER_WAY and target.name not in changed:
             continue
-        after = judge(op, target, fleet.get(target.name), now_ms)
-        if target.name in superseded and after.state in (State.NOT_STARTED, *OUT):
+        after = judge_target(op, target, fleet.get(target.name), now_ms)
+        if target.name in superseded and after.state in (State.NOT_STARTED, *UNAVAILABLE):
             after = replace(after, state=State.SUPERSEDED,
                             detail=f"operation {superseded[target.name]} has it")
         elif after.answered == "needs restart" and not after.restarting and after.state is State.UNDER_WAY:
             seen = fleet.get(after.name)
-            assert seen is not None  # else it would not be under way
-            after = _restart(op, after, seen, now_ms, plan)
+            assert seen is not None  # an unknown instance can't be under way
+            after = _plan_restart(op, after, seen, now_ms, plan)
         current[index] = after
     if op.phase is Phase.ROLLING_BACK:
-        _roll_back(op, current, fleet, now_ms, plan, may)
+        _roll_back(op, current, fleet, now_ms, plan, check_permit)
     elif op.phase is Phase.RUNNING:
-        _start(op, current, fleet, now_ms, plan, may, passes)
+        _start_targets(op, current, fleet, now_ms, plan, check_permit, check_gate)
     for index, (before, after) in enumerate(zip(targets, current, strict=True)):
         if after is not before and after != before:
-            moved = after.state is not before.state and after.state is not State.NO_ANSWER
-            current[index] = replace(after, since_ms=now_ms) if moved else after
+            has_changed_state = after.state is not before.state and after.state is not State.NO_ANSWER
+            current[index] = replace(after, since_ms=now_ms) if has_changed_state else after
             plan.targets.append(current[index])
     if plan.phase is None and not plan.rollback:
         _conclude(op, current, plan)
     due = [t.sent_ms + op.policy.answer_ms for t in current if t.state is State.UNDER_WAY]
-    if plan.soaks:
-        due.append(now_ms + LOOK_MS)
+    if plan.is_soaking:
+        due.append(now_ms + SOAK_CHECK_MS)
     plan.wake_ms = max(now_ms + 1, min(due)) if due else None
     return plan
 
 
-def _restart(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
+def _plan_restart(op: Operation, target: Target, seen: Observation, now_ms: int, plan: Plan) -> Target:
+    """Plans a restart of a process that can't apply the configuration while it runs; refused if not supervised."""
     if not seen.supervised:
         return replace(target, state=State.REFUSED, detail=f"{target.detail}; not started by this agent")
     command = f"{op.id}.{target.position}.{target.tries}.restart"
     generation = target.from_generation if target.reverting else op.generation
-    plan.sends.append(Send(command, target.name, target.boot, op.fence, "restart", generation))
+    plan.commands.append(OutgoingCommand(command, target.name, target.boot, op.fence, "restart", generation))
     return replace(target, restarting=True, command=command, sent_ms=now_ms)
 
 
-def _tell(op: Operation, target: Target, seen: Seen, now_ms: int, plan: Plan) -> Target:
-    """One command to the process that has the name now."""
+def _plan_command(op: Operation, target: Target, seen: Observation, now_ms: int, plan: Plan) -> Target:
+    """Plans one command to the process that has the instance name now."""
     tries = target.tries + 1
     command = f"{op.id}.{target.position}.{tries}{'.back' if target.reverting else ''}"
     if op.kind is Kind.RESTART and not seen.supervised:
         return replace(target, state=State.REFUSED, detail="not started by this agent")
     generation = target.from_generation if target.reverting else op.generation
-    plan.sends.append(Send(command, target.name, seen.boot, op.fence, op.kind.value, generation))
+    plan.commands.append(OutgoingCommand(command, target.name, seen.boot, op.fence, op.kind.value, generation))
     before = target.from_generation if target.command else seen.generation
     return replace(target, state=State.UNDER_WAY, detail="", boot=seen.boot, command=command, sent_ms=now_ms,
                    tries=tries, answered="", restarting=False, from_generation=before)
 
 
-def _permitted(target: Target, plan: Plan, may: May) -> bool:
-    problem = may(target)
-    plan.waits = plan.waits or problem
+def _is_permitted(target: Target, plan: Plan, check_permit: PermitCheck) -> bool:
+    """Whether the disruption budgets allow it; otherwise notes the first reason in the plan."""
+    problem = check_permit(target)
+    plan.waits_for = plan.waits_for or problem
     return not problem
 
 
-def _start(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May,
-           passes: Passes) -> None:
-    """Starts what the policy allows: wave by wave, with no more out at a time than it says."""
+def _start_targets(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan,
+                   check_permit: PermitCheck, check_gate: GateCheck) -> None:
+    """Starts targets wave by wave, with no more unavailable at a time than the policy allows."""
     policy = op.policy
-    failures = sum(t.state in FAILURES for t in targets)
+    failures = sum(t.state in FAILURE_STATES for t in targets)
     if failures > policy.max_failures:
-        _breach(op, plan, f"{failures} failed, {policy.max_failures} allowed")
+        _apply_on_failure(op, plan, f"{failures} failed, {policy.max_failures} allowed")
         return
-    out = sum(t.state in OUT for t in targets)
-    most = policy.max_unavailable or len(targets)
-    for wave in _waves(policy, len(targets)):
+    unavailable = sum(t.state in UNAVAILABLE for t in targets)
+    limit = policy.max_unavailable or len(targets)
+    for wave in _wave_positions(policy, len(targets)):
         if policy.gate and wave[0] and all(targets[index].state is State.NOT_STARTED for index in wave):
-            text, speaks_against = passes(targets, wave[0])
-            if speaks_against:
-                _breach(op, plan, text)
+            text, is_breach = check_gate(targets, wave[0])
+            if is_breach:
+                _apply_on_failure(op, plan, text)
                 return
             if text:
-                plan.waits, plan.soaks = text, True
+                plan.waits_for, plan.is_soaking = text, True
                 return
         for index in wave:
             target = targets[index]
             if target.state is not State.NOT_STARTED:
                 continue
             seen = fleet.get(target.name)
-            # a process of ours that has ended, or that says nothing, can be started anew all the same
-            ours = seen is not None and seen.supervised and op.kind is Kind.RESTART
-            if seen is None or not (seen.leased or ours):
-                targets[index] = _unheard(target, seen) if seen is not None else replace(
+            # A supervised process can be restarted even if it has ended or is silent.
+            restartable = seen is not None and seen.supervised and op.kind is Kind.RESTART
+            if seen is None or not (seen.leased or restartable):
+                targets[index] = _judge_without_lease(target, seen) if seen is not None else replace(
                     target, state=State.NO_ANSWER, detail="not known")
-                out += 1
-            elif (seen.connected or ours) and out < most and _permitted(target, plan, may):
-                targets[index] = _tell(op, target, seen, now_ms, plan)
-                out += targets[index].state in OUT
+                unavailable += 1
+            elif (seen.connected or restartable) and unavailable < limit and _is_permitted(target, plan, check_permit):
+                targets[index] = _plan_command(op, target, seen, now_ms, plan)
+                unavailable += targets[index].state in UNAVAILABLE
         if any(targets[index].state in (State.NOT_STARTED, State.UNDER_WAY) for index in wave):
             break
     states = {t.state for t in targets}
-    if out >= most and State.UNDER_WAY not in states and State.NOT_STARTED in states:
-        plan.phase, plan.note = Phase.ABORTING, f"{out} unavailable, {most} allowed"
+    if unavailable >= limit and State.UNDER_WAY not in states and State.NOT_STARTED in states:
+        plan.phase, plan.note = Phase.ABORTING, f"{unavailable} unavailable, {limit} allowed"
 
 
-def _waves(policy: Policy, count: int) -> list[range]:
-    """Positions of each wave, the canary's first."""
+def _wave_positions(policy: Policy, count: int) -> list[range]:
+    """Positions of the targets of each wave; the canary wave comes first."""
     size = policy.wave or count
     starts = [0, *range(policy.canary or size, count, size)]
     return [range(start, end) for start, end in pairwise([*starts, count]) if start < end]
 
 
-def _breach(op: Operation, plan: Plan, text: str) -> None:
-    """More has failed than is borne, or what is measured speaks against going on."""
+def _apply_on_failure(op: Operation, plan: Plan, text: str) -> None:
+    """Applies `on_failure`: too many targets failed, or the measured answers are worse where the change was applied."""
     plan.note = text
     if op.policy.on_failure == "rollback" and op.kind is Kind.RECONFIGURE:
         plan.rollback = True
@@ -292,25 +296,27 @@
         plan.phase = Phase.PAUSED if op.policy.on_failure == "pause" else Phase.ABORTING
 
 
-def _roll_back(op: Operation, targets: list[Target], fleet: View, now_ms: int, plan: Plan, may: May) -> None:
-    """Every target that was told something goes back to what it ran; what never was told stays."""
+def _roll_back(op: Operation, targets: list[Target], fleet: FleetView, now_ms: int, plan: Plan,
+               check_permit: PermitCheck) -> None:
+    """Reverts every target that was sent a command to its former generation; the others are left alone."""
     for index, target in enumerate(targets):
-        # a refusal changed nothing; a failure may have
+        # A refusal changed nothing; a failure may have.
         touched = target.command and target.state not in (State.REFUSED, State.SUPERSEDED)
-        again = target.reverting and target.state is State.NOT_STARTED  # restarted meanwhile
-        if not touched or (target.reverting and not again):
+        has_restarted = target.reverting and target.state is State.NOT_STARTED  # during the rollback
+        if not touched or (target.reverting and not has_restarted):
             continue
         seen = fleet.get(target.name)
-        if seen is not None and seen.connected and not _permitted(target, plan, may):
+        if seen is not None and seen.connected and not _is_permitted(target, plan, check_permit):
             continue
         target = replace(target, reverting=True)
         if seen is None or not seen.leased:
-            targets[index] = _unheard(target, seen) if seen is not None else target
+            targets[index] = _judge_without_lease(target, seen) if seen is not None else target
         elif seen.connected:
-            targets[index] = _tell(op, target, seen, now_ms, plan)
+            targets[index] = _plan_command(op, target, seen, now_ms, plan)
 
 
 def _conclude(op: Operation, targets: Sequence[Target], plan: Plan) -> None:
+    """Sets the operation's final phase once no target is under way and nothing is left to start or to revert."""
     states = [t.state for t in targets]
     if State.UNDER_WAY in states:
         return
@@ -318,12 +324,12 @@
         if any(t.command and not t.reverting and t.state not in (State.REFUSED, State.SUPERSEDED)
                for t in targets) or any(t.reverting and t.state is State.NOT_STARTED for t in targets):
             return
-        back = all(t.state is State.REVERTED or not t.command
-                   or t.state in (State.REFUSED, State.SUPERSEDED) for t in targets)
-        plan.phase = Phase.ROLLED_BACK if back else Phase.PARTIAL
-        plan.note = op.note if back else f"{op.note}; the roll-back is not complete"
+        all_reverted = all(t.state is State.REVERTED or not t.command
+                           or t.state in (State.REFUSED, State.SUPERSEDED) for t in targets)
+        plan.phase = Phase.ROLLED_BACK if all_reverted else Phase.PARTIAL
+        plan.note = op.note if all_reverted else f"{op.note}; the roll-back is not complete"
     elif op.phase is Phase.ABORTING:
         plan.phase, plan.note = (Phase.PARTIAL if op.note else Phase.ABORTED), op.note
     elif op.phase is Phase.RUNNING and State.NOT_STARTED not in states:
-        done = all(state is State.APPLIED for state in states)
-        plan.phase = Phase.SUCCEEDED if done else Phase.PARTIAL
+        all_applied = all(state is State.APPLIED for state in states)
+        plan.phase = Phase.SUCCEEDED if all_applied else Phase.PARTIAL
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -21,10 +21,10 @@
 from ironscale.agent.config_diff import difference
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import state_of
-from ironscale.agent.limits import MOST_PAGE
-from ironscale.agent.model import ON_FAILURE, OPEN, Kind, Operation, Policy, State, Target
+from ironscale.agent.limits import MAX_PAGE
+from ironscale.agent.model import ON_FAILURE, OPEN_PHASES, Kind, Operation, Policy, State, Target
 from ironscale.agent.refusal import Refusal
-from ironscale.agent.selectors import SelectorError, selected
+from ironscale.agent.selectors import SelectorError, compile_selector
 from ironscale.agent.store import Event, Published, Records, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
 from ironscale.control.messages import Report
@@ -66,7 +66,7 @@
 
 def need(info: Any, role: str) -> Context:
     context: Context = info.context
-    if not secrets_.may(context.caller.role, role):
+    if not secrets_.has_role(context.caller.role, role):
         raise error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
     leader = context.engine.leader
     if leader is not None and info.operation.operation is OperationType.MUTATION:
@@ -104,8 +104,8 @@
 
 
 def page_size(first: int) -> int:
-    if not 0 <= first <= MOST_PAGE:
-        raise error("BAD_INPUT", f"first: expected 0 to {MOST_PAGE}, got {first}")
+    if not 0 <= first <= MAX_PAGE:
+        raise error("BAD_INPUT", f"first: expected 0 to {MAX_PAGE}, got {first}")
     return first
 
 
@@ -134,7 +134,7 @@
 
 
 def instance_object(engine: Engine, name: str) -> dict[str, Any]:
-    member, seen = engine.fleet.members[name], engine.fleet.seen(name)
+    member, seen = engine.fleet.members[name], engine.fleet.observe(name)
     assert seen is not None
     row = member.row
 
@@ -178,11 +178,11 @@
         return connection([target_object(t) for t in page], [cursor(t.name) for t in page], len(rest) > size,
                           len(found))
 
-    live = engine.live.get(op.id)
+    live = engine.live_operations.get(op.id)
     p = op.policy
     return {
-        "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN, "actor": op.actor,
-        "note": op.note, "stalled": (live.stalled or live.waits) if live else "", "generation": op.generation,
+        "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN_PHASES, "actor": op.actor,
+        "note": op.note, "stalled": (live.stalled or live.waits_for) if live else "", "generation": op.generation,
         "fence": op.fence, "createdAt": iso(op.created_ms), "endedAt": iso(op.ended_ms),
         "policy": {"wave": p.wave, "maxUnavailable": p.max_unavailable, "maxFailures": p.max_failures,
                    "onFailure": p.on_failure.upper(), "answerMs": p.answer_ms, "tries": p.tries,
@@ -205,8 +205,8 @@
 
 
 def names_matching(engine: Engine, selector: str) -> list[str]:
-    holds = selected(selector)
-    return [name for name in engine.fleet.names() if not selector or holds(engine.fleet.values(name))]
+    holds = compile_selector(selector)
+    return [name for name in engine.fleet.names() if not selector or holds(engine.fleet.selector_values(name))]
 
 
 async def q_me(root: Any, info: Any) -> dict[str, Any]:
@@ -221,29 +221,29 @@
     states: Counter[str] = Counter()
     behind = 0
     for name, member in engine.fleet.members.items():
-        seen = engine.fleet.seen(name)
+        seen = engine.fleet.observe(name)
         assert seen is not None
         states[state_of(seen)] += 1
         behind += member.row.generation != member.row.desired
     return {
         "generation": generation, "instances": len(engine.fleet.members), "ready": states["ready"],
         "draining": states["draining"] + states["drained"], "silent": states["silent"], "gone": states["gone"],
-        "behind": behind, "openOperations": len(engine.live), "version": context.version,
+        "behind": behind, "openOperations": len(engine.live_operations), "version": context.version,
         "startedAt": iso(context.started_ms), "registrations": engine.fleet.registrations,
-        "heartbeats": engine.fleet.beats, "halt": halt_object(engine.permits.halt),
+        "heartbeats": engine.fleet.heartbeats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
         "leader": engine.leader.api if engine.leader is not None else "",
-        "ageMs": 0 if engine.leader is None else clock_ms() - engine.read_ms,
+        "ageMs": 0 if engine.leader is None else clock_ms() - engine.record_read_ms,
     }
 
 
 def instances_page(engine: Engine, selector: str, first: int, after: str | None) -> dict[str, Any]:
     """From the cursor on until the page is full: a page costs what it holds, and what it passes over. The count of
     all that match is made only where it is asked for."""
-    size, last, holds = page_size(first), uncursor(after), selected(selector)
+    size, last, holds = page_size(first), uncursor(after), compile_selector(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
-        if not selector or holds(engine.fleet.values(names[place])):
+        if not selector or holds(engine.fleet.selector_values(names[place])):
             page.append(names[place])
             if len(page) > size:
                 break
@@ -272,7 +272,7 @@
     engine, size = need(info, "read").engine, page_size(first)
     before = uncursor_number(after) or 2**62
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
-    ops = [engine.live[op.id].op if op.id in engine.live else op for op in ops]
+    ops = [engine.live_operations[op.id].op if op.id in engine.live_operations else op for op in ops]
     page = ops[:size]
     return connection([operation_object(engine, op) for op in page], [cursor(op.id) for op in page],
                       len(ops) > size)
@@ -482,7 +482,7 @@
 async def m_take_permit(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
     context = need(info, "operate")
     permits = context.engine.permits
-    return permit_object(context.engine, await permits.take(
+    return permit_object(context.engine, await permits.request(
         context.caller.name, input["key"], input["units"], input["reason"] or "", input["priority"] or 0,
         input["leaseMs"] or 0))
 
@@ -598,11 +598,11 @@
         found = await engine.find(id)
         if found is None:
             raise error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
-        stalled = engine.live[id].stalled if id in engine.live else ""
+        stalled = engine.live_operations[id].stalled if id in engine.live_operations else ""
         if (*found, stalled) != before:
             before = (*found, stalled)
             yield {"operation": operation_object(engine, *found)}
-        if found[0].phase not in OPEN:
+        if found[0].phase not in OPEN_PHASES:
             return
 
 
--- a/ironscale/agent/selectors.py
+++ b/ironscale/agent/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: which instances are meant. `name=app-*,zone=a,state!=drained`. No I/O."""
+"""Selectors, such as `name=app-*,zone=a,state!=drained`, choose instances by their attributes. No I/O."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 
 KEYS = ("name", "zone", "state", "generation", "version")
 STATES = ("ready", "not ready", "drained", "draining", "silent", "gone")
-TERM = re.compile(r"\s*([a-z]+)\s*(!=|<=|>=|=|<|>)\s*([^,]*?)\s*")
+COMPARISON = re.compile(r"\s*([a-z]+)\s*(!=|<=|>=|=|<|>)\s*([^,]*?)\s*")
 
 
 class SelectorError(Exception):
-    """A selector that can't be read; the text is one line."""
+    """The selector is invalid; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
+class Comparison:
+    """One comparison of a selector."""
+
     key: str
     operator: str
     value: str
 
-    def holds(self, value: str) -> bool:
+    def matches(self, value: str) -> bool:
         if self.operator in ("=", "!="):
             return fnmatch.fnmatchcase(value, self.value) is (self.operator == "=")
         number, other = int(value), int(self.value)
@@ -30,11 +32,12 @@
             self.operator]
 
 
-def parse(text: str) -> tuple[Term, ...]:
-    """Terms that all must hold; none for an empty text. A bare word is a name."""
+def parse(text: str) -> tuple[Comparison, ...]:
+    """Parses a selector into terms that must all hold; an empty text gives none. A bare word means `name=WORD`. Raises
+    SelectorError."""
     terms = []
     for part in filter(None, (part.strip() for part in text.split(","))):
-        found = TERM.fullmatch(part if any(c in part for c in "=<>") else f"name={part}")
+        found = COMPARISON.fullmatch(part if any(c in part for c in "=<>") else f"name={part}")
         if found is None or found[1] not in KEYS:
             raise SelectorError(f"selector: expected one of {', '.join(KEYS)} with =, !=, <, >, <= or >=, "
                                 f"got {part!r}")
@@ -44,14 +47,15 @@
                                 f"got {part!r}")
         if key == "state" and not any(fnmatch.fnmatchcase(state, value) for state in STATES):
             raise SelectorError(f"selector: expected a state out of {', '.join(STATES)}, got {value!r}")
-        terms.append(Term(key, operator, value))
+        terms.append(Comparison(key, operator, value))
     return tuple(terms)
 
 
-def matches(terms: tuple[Term, ...], values: Mapping[str, str]) -> bool:
-    return all(term.holds(values[term.key]) for term in terms)
+def matches(terms: tuple[Comparison, ...], values: Mapping[str, str]) -> bool:
+    return all(term.matches(values[term.key]) for term in terms)
 
 
-def selected(text: str) -> Callable[[Mapping[str, str]], bool]:
+def compile_selector(text: str) -> Callable[[Mapping[str, str]], bool]:
+    """A predicate that tells whether an instance's values match the selector. Raises SelectorError."""
     terms = parse(text)
     return lambda values: matches(terms, values)
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -21,7 +21,7 @@
 from ironscale.agent.api import Api
 from ironscale.agent.control_connections import NOT_LEADING, Door, Links
 from ironscale.agent.engine import Engine
-from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
+from ironscale.agent.fleet import AGENT_ROUND_MS, RECONNECT_MS, Denial, Fleet
 from ironscale.agent.follower_connections import FollowerLink, Followers, SumLink
 from ironscale.agent.schema import Caller, Context, make_schema
 from ironscale.agent.store import Records, Store, StoreError, TokenRow
@@ -144,7 +144,7 @@
         self.following.take_tokens(self.tokens)
 
     def authenticate(self, token: str) -> Caller | None:
-        row = tokens.find(token, self.tokens)
+        row = tokens.find_token(token, self.tokens)
         return Caller(row.name, row.role) if row is not None else None
 
     def admits(self, token: str) -> bool:
@@ -307,9 +307,9 @@
                         self.log(f"follows the agent of {owner.place}, term {owner.epoch}")
                         said = owner.place
                     await self.reload_tokens(store)
-                    fleet.show(await store.read(lambda records: records.instances()))
-                    engine.permits.take_halt(await store.read(lambda records: records.halt()))
-                    engine.read_ms = clock_ms()
+                    fleet.show_record(await store.read(lambda records: records.instances()))
+                    engine.permits.apply_halt(await store.read(lambda records: records.halt()))
+                    engine.record_read_ms = clock_ms()
                 except StoreError as error:
                     # a file that a stopped process holds is told; a lease that another has is what is followed
                     if ("SQLITE_BUSY" in str(error) or error.code != "LOCKED") and str(error) != said:
@@ -380,7 +380,8 @@
         section = self.section
         await self.first_tokens(store)
         self.fleet = fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000),
-                                   section.most_instances, self.now_ms, ROUND_MS if section.standby else BACK_MS)
+                                   section.most_instances, self.now_ms,
+                                   AGENT_ROUND_MS if section.standby else RECONNECT_MS)
         self.engine = engine = Engine(store, fleet, self.now_ms, self.log, section.budgets)
         await engine.load()
         self.bind()
@@ -388,7 +389,7 @@
         self.supervisor = supervisor = Supervisor(
             section.services, self.data, (section.control[0], self.control_port), self.data / f"{INSTANCE}.token",
             fleet, engine.overlays.get, self.log)
-        engine.restart, engine.stopping = supervisor.restart, supervisor.stopping
+        engine.restart_process, engine.before_stop = supervisor.restart_process, supervisor.mark_stopped
         async with asyncio.TaskGroup() as group:
             parts = [group.create_task(engine.run()), group.create_task(supervisor.run()),
                      group.create_task(self.watch_term(engine, links))]
--- a/ironscale/agent/supervisor.py
+++ b/ironscale/agent/supervisor.py
@@ -1,5 +1,5 @@
-"""Local instances that the agent starts, keeps running and replaces. They outlive the agent and are taken over
-by the next one."""
+"""Supervises local instances: starts, restarts and replaces them. They outlive the agent, and the next agent takes
+them over."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from typing import Any
 
 from ironscale.agent.fleet import Fleet
-from ironscale.agent.model import Send
-from ironscale.agent.restarts import Restarts
+from ironscale.agent.model import OutgoingCommand
+from ironscale.agent.restarts import RestartBackoff
 from ironscale.control.processes import find_process_with_variable, is_alive, start_ticks
 from ironscale.operator_file import OperatorFileError, ServiceConfig
 
-READY_S = 30.0  # a successor has so long to become ready before the old process is told to end
-MOST_LOG = 16 << 20
+READY_TIMEOUT_S = 30.0  # a successor that is not ready by then is stopped, and the old process stays
+MAX_LOG_BYTES = 16 << 20  # a larger log is rotated when the instance starts
 
 
-class Run:
-    """One process, ours or taken over."""
+class SupervisedProcess:
+    """One process, either a child of this agent or taken over from a former one."""
 
     def __init__(self, pid: int, ticks: int, boot: str, child: subprocess.Popen[bytes] | None) -> None:
         self.pid, self.ticks, self.boot, self.child = pid, ticks, boot, child
@@ -43,7 +43,7 @@
             self.on_end()
 
     def on_end(self) -> None:
-        """Readable: the process has ended. What is no child of ours keeps its exit code to itself."""
+        """Called when the pidfd is readable: the process has ended. Only a child's exit code can be read."""
         how = "its process has ended"
         if self.child is not None:
             code = self.child.poll()
@@ -57,23 +57,24 @@
         if not self.ended.done():
             self.ended.set_result(how)
 
-    def kill(self, number: int) -> None:
-        # hazard: the number may be another process's by now
+    def kill(self, signal_number: int) -> None:
+        # The pid may have been reused by another process.
         if not self.ended.done() and is_alive(self.pid, self.ticks):
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+                os.kill(self.pid, signal_number)
 
-    async def stop(self, within_s: float) -> None:
+    async def stop(self, timeout_s: float) -> None:
+        """SIGTERM, then SIGKILL after `timeout_s`; returns when the process has ended."""
         self.kill(signal.SIGTERM)
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await asyncio.shield(self.ended)
         except TimeoutError:
             self.kill(signal.SIGKILL)
             await asyncio.shield(self.ended)
 
-    def release(self) -> None:
-        """The agent ends; the process goes on."""
+    def stop_watching(self) -> None:
+        """Stops watching the process, which goes on running after the agent."""
         if self.pidfd >= 0:
             asyncio.get_running_loop().remove_reader(self.pidfd)
             os.close(self.pidfd)
@@ -81,20 +82,23 @@
 
 
 @dataclass(slots=True)
-class Supervised:
+class SupervisedInstance:
+    """One supervised instance."""
+
     service: ServiceConfig
     index: int
     name: str
     base: dict[str, Any]
-    restarts: Restarts = field(default_factory=Restarts)
-    run: Run | None = None
-    held: bool = False  # an operator stopped it
-    gave_up: str = ""
-    wake: asyncio.Event = field(default_factory=asyncio.Event)  # start it now
+    backoff: RestartBackoff = field(default_factory=RestartBackoff)
+    process: SupervisedProcess | None = None
+    stopped: bool = False  # an operator stopped it: not to be started
+    crash_loop: str = ""  # why it is not restarted any more; empty while it is
+    wake: asyncio.Event = field(default_factory=asyncio.Event)  # set to start it now
     replacing: bool = False
 
     def is_awaited(self) -> bool:
-        return self.replacing or not (self.held or self.gave_up)
+        """Whether a process of this instance is running or about to be started."""
+        return self.replacing or not (self.stopped or self.crash_loop)
 
 
 class Supervisor:
@@ -103,9 +107,9 @@
         self.folder, self.logs = data / "instances", data / "logs"
         self.agent, self.token_file, self.fleet = agent, token_file, fleet
         self.overlay, self.log = overlay, log
-        self.members: dict[str, Supervised] = {}
+        self.members: dict[str, SupervisedInstance] = {}
         self.tasks: asyncio.TaskGroup | None = None
-        self.ending = False
+        self.is_stopping = False
         for service in services:
             base = self.read_base(service)
             for index in range(service.count):
@@ -113,9 +117,9 @@
                 if name in self.members:
                     raise OperatorFileError(f"service {service.name}: expected names that differ, "
                                             f"got {name} twice")
-                self.members[name] = Supervised(service, index, name, base)
-        fleet.supervised = self.supervised
-        fleet.replacing = lambda name: name in self.members and self.members[name].replacing
+                self.members[name] = SupervisedInstance(service, index, name, base)
+        fleet.supervision_of = self.supervision_of
+        fleet.is_replacing = lambda name: name in self.members and self.members[name].replacing
 
     @staticmethod
     def read_base(service: ServiceConfig) -> dict[str, Any]:
@@ -130,7 +134,7 @@
             raise OperatorFileError(f"{service.config}: expected an object with settings, got {base!r:.60}")
         return base
 
-    def supervised(self, name: str) -> str | None:
+    def supervision_of(self, name: str) -> str | None:
         member = self.members.get(name)
         return None if member is None else "awaited" if member.is_awaited() else ""
 
@@ -139,28 +143,29 @@
         self.logs.mkdir(mode=0o700, parents=True, exist_ok=True)
         async with asyncio.TaskGroup() as self.tasks:
             for member in self.members.values():
-                self.tasks.create_task(self.keep(member))
+                self.tasks.create_task(self.keep_running(member))
 
     # One instance
 
-    def state_file(self, member: Supervised) -> Path:
+    def state_file(self, member: SupervisedInstance) -> Path:
         return self.folder / f"{member.name}.state"
 
-    def remember(self, member: Supervised, boot: str = "") -> None:
-        """What the next agent needs to take the process over. `boot`: of one that is about to be started, told
-        before: an agent killed right after would leave a process that the next knows nothing of."""
-        run = member.run
+    def write_state(self, member: SupervisedInstance, boot: str = "") -> None:
+        """Writes the file that the next agent needs to take the process over. `boot`: id of a process that is about to
+        be started, written beforehand, so that the next agent finds it even if this one is killed right after the
+        start."""
+        run = member.process
         state = {"pid": run.pid, "ticks": run.ticks, "boot": run.boot} if run else {"boot": boot} if boot else {}
         path = self.state_file(member)
-        aside = path.with_suffix(".new")
-        aside.write_text(json.dumps({**state, "held": member.held}), encoding="ascii")
-        aside.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(json.dumps({**state, "held": member.stopped}), encoding="ascii")
+        temporary.replace(path)
 
-    def take_over(self, member: Supervised) -> Run | None:
-        """The process that the last agent left, if it still runs."""
+    def take_over(self, member: SupervisedInstance) -> SupervisedProcess | None:
+        """The process that the former agent left running, if any."""
         try:
             state = json.loads(self.state_file(member).read_text(encoding="ascii"))
-            member.held = bool(state.get("held", False))
+            member.stopped = bool(state.get("held", False))
             boot = str(state["boot"])
             pid = int(state["pid"]) if "pid" in state else find_process_with_variable("GW_BOOT", boot)
             if pid is None:
@@ -168,48 +173,49 @@
             ticks = int(state["ticks"]) if "ticks" in state else start_ticks(pid) or 0
         except (OSError, ValueError, KeyError, TypeError, AttributeError):
             return None
-        return Run(pid, ticks, boot, None) if is_alive(pid, ticks) else None
-
-    async def keep(self, member: Supervised) -> None:
-        """Starts it, and again whenever it ends by itself."""
-        member.run = self.take_over(member)
-        while not self.ending:
-            if member.run is None:
-                if member.held or member.gave_up:
+        return SupervisedProcess(pid, ticks, boot, None) if is_alive(pid, ticks) else None
+
+    async def keep_running(self, member: SupervisedInstance) -> None:
+        """Starts the instance, and restarts it whenever its process ends by itself."""
+        member.process = self.take_over(member)
+        while not self.is_stopping:
+            if member.process is None:
+                if member.stopped or member.crash_loop:
                     await member.wake.wait()
                 member.wake.clear()
-                member.run = self.start(member, "")
-                if member.run is None:
+                member.process = self.start(member, "")
+                if member.process is None:
                     await asyncio.sleep(1.0)
                     continue
-            run = member.run
+            run = member.process
             how = await asyncio.shield(run.ended)
-            if member.run is not run:
-                continue  # its successor has its place
-            self.fleet.ended(member.name, run.boot, how)
-            member.run = None
-            self.remember(member)
-            if member.held or member.wake.is_set() or self.ending:
+            if member.process is not run:
+                continue  # already replaced by its successor
+            self.fleet.process_ended(member.name, run.boot, how)
+            member.process = None
+            self.write_state(member)
+            if member.stopped or member.wake.is_set() or self.is_stopping:
                 continue
-            wait_s = member.restarts.ended(time.monotonic(), time.monotonic() - run.started_s)
+            wait_s = member.backoff.on_end(time.monotonic(), time.monotonic() - run.started_s)
             if wait_s is None:
-                member.gave_up = f"crash loop, last {how}"
-                self.log(f"{member.name}: given up ({member.gave_up}); see {self.logs / member.name}.log, "
-                         "then `ironscale restart`")
-                self.fleet.touch_if_known(member.name)
+                member.crash_loop = f"crash loop, last {how}"
+                self.log(f"{member.name}: not restarted again ({member.crash_loop}); "
+                         f"see {self.logs / member.name}.log, then run `ironscale restart`")
+                self.fleet.mark_changed_if_known(member.name)
                 continue
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await member.wake.wait()
 
-    def start(self, member: Supervised, replaces: str) -> Run | None:
-        """A new process with what its instance should run now."""
+    def start(self, member: SupervisedInstance, replaces: str) -> SupervisedProcess | None:
+        """Starts a process with the generation that its instance should run; None if that fails. `replaces`: boot id
+        of the process that it is to replace, or empty."""
         service, name = member.service, member.name
         known = self.fleet.members.get(name)
         generation = known.row.desired if known is not None else 0
         overlay = self.overlay(generation)
-        if overlay is None:  # of an agent whose record is no more
-            self.log(f"{name}: generation {generation} is not in this record; it starts with its file alone")
+        if overlay is None:  # the generation comes from an agent whose record is lost
+            self.log(f"{name}: generation {generation} is not in the record; starting with its base configuration")
             generation, overlay = 0, {}
         boot = secrets.token_hex(8)
         port = service.first_port + member.index if service.first_port else 0
@@ -230,9 +236,9 @@
             }
             environ.pop("GW_LISTEN", None)
             if not replaces:
-                self.remember(member, boot)
+                self.write_state(member, boot)
             log_path = self.logs / f"{name}.log"
-            if log_path.exists() and log_path.stat().st_size > MOST_LOG:
+            if log_path.exists() and log_path.stat().st_size > MAX_LOG_BYTES:
                 log_path.replace(log_path.with_suffix(".log.1"))
             with open(log_path, "ab") as log:
                 child = subprocess.Popen([sys.executable, "-B", "-m", "ironscale"], env=environ, stdout=log,
@@ -240,60 +246,61 @@
         except OSError as error:
             self.log(f"{name}: can't start: {error}")
             return None
-        run = Run(child.pid, start_ticks(child.pid) or 0, boot, child)
-        member.run = run if not replaces else member.run
+        run = SupervisedProcess(child.pid, start_ticks(child.pid) or 0, boot, child)
+        member.process = run if not replaces else member.process
         if not replaces:
-            self.remember(member)
+            self.write_state(member)
         return run
 
-    # What operations ask for
+    # Called by operations
 
-    def stopping(self, name: str) -> None:
-        """An operator stops it: it stays stopped, also under the next agent."""
+    def mark_stopped(self, name: str) -> None:
+        """An operator stops the instance: it stays stopped, also under the next agent."""
         member = self.members.get(name)
         if member is not None:
-            member.held = True
-            self.remember(member)
+            member.stopped = True
+            self.write_state(member)
 
-    def restart(self, send: Send) -> None:
-        """Replaces the process `send.boot`; nothing where that has been done."""
+    def restart_process(self, send: OutgoingCommand) -> None:
+        """Replaces the process `send.boot`; does nothing if it has been replaced already."""
         member = self.members.get(send.name)
         if member is None or member.replacing or self.tasks is None:
             return
-        if member.run is not None and member.run.boot != send.boot:
+        if member.process is not None and member.process.boot != send.boot:
             return
-        member.restarts.forgive()
-        member.held, member.gave_up, member.replacing = False, "", True
-        self.fleet.touch_if_known(member.name)
+        member.backoff.reset()
+        member.stopped, member.crash_loop, member.replacing = False, "", True
+        self.fleet.mark_changed_if_known(member.name)
         self.tasks.create_task(self.replace(member))
 
-    async def replace(self, member: Supervised) -> None:
+    async def replace(self, member: SupervisedInstance) -> None:
         try:
-            old = member.run
+            old = member.process
             if old is None:
                 member.wake.set()
             elif member.service.make_before_break and member.service.first_port:
                 await self.make_before_break(member, old)
             else:
-                member.wake.set()  # `keep` starts the next as soon as this has ended
+                member.wake.set()  # `keep_running` starts the next process as soon as this one has ended
                 await old.stop(member.service.stop_s)
         finally:
             member.replacing = False
-            self.fleet.touch_if_known(member.name)
+            self.fleet.mark_changed_if_known(member.name)
 
-    async def make_before_break(self, member: Supervised, old: Run) -> None:
+    async def make_before_break(self, member: SupervisedInstance, old: SupervisedProcess) -> None:
+        """Starts the successor first, and stops the old process once the successor is ready."""
         new = self.start(member, old.boot)
         if new is None:
             return
-        deadline_s = time.monotonic() + READY_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not self.is_ready(member.name, new.boot):
             if new.ended.done() or time.monotonic() > deadline_s or old.ended.done():
-                self.log(f"{member.name}: its successor did not become ready; the old process goes on")
+                self.log(f"{member.name}: the successor did not become ready; the old process stays")
                 await new.stop(member.service.stop_s)
                 return
             await asyncio.sleep(0.02)
-        member.run = new
-        self.remember(member)
+        member.process = new
+        self.write_state(member)
         await old.stop(member.service.stop_s)
 
     def is_ready(self, name: str, boot: str) -> bool:
@@ -301,16 +308,16 @@
         return (member is not None and member.row.boot == boot and member.report is not None
                 and member.report.ready)
 
-    # The end
+    # Shutdown
 
     async def stop_all(self) -> None:
-        """SIGTERM to all, SIGKILL to those that outstay their time; returns when none is left."""
-        self.ending = True
-        runs = [(m.run, m.service.stop_s) for m in self.members.values() if m.run is not None]
+        """Stops all processes: SIGTERM, then SIGKILL after their stop time; returns when none is left."""
+        self.is_stopping = True
+        runs = [(m.process, m.service.stop_s) for m in self.members.values() if m.process is not None]
         await asyncio.gather(*(run.stop(stop_s) for run, stop_s in runs))
 
     def release_all(self) -> None:
-        self.ending = True
+        self.is_stopping = True
         for member in self.members.values():
-            if member.run is not None:
-                member.run.release()
+            if member.process is not None:
+                member.process.stop_watching()
--- a/tests/agent/fork_server.py
+++ b/tests/agent/fork_server.py
@@ -1,7 +1,7 @@
-"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, what
-is wrong with it) from standard input for each, and writes its process id.
+"""Starts real sidecars by fork: `python -m tests.agent.fork_server` reads a line of JSON (environment, log file, fault
+to inject) from standard input for each, and writes its process id.
 
-A process forked from here is a process of its own like any other; only the half second of imports is saved.
+Forking only saves the half second that the imports take.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from ironscale.control import client, extension  # noqa: F401 (loaded once, for all)
 
 
-def go_wrong(how: str) -> None:
-    """What an instance does with a reconfigure, other than it should."""
+def inject_fault(how: str) -> None:
+    """Makes the instance misbehave on a reconfigure: die after applying it, answer with garbage, or be slow."""
     carry_out = client.AgentClient.run_command
 
     def dies(self: client.AgentClient, command: Any) -> Any:
@@ -47,7 +47,7 @@
     os.dup2(null, 0)
     os.dup2(log, 1)
     os.dup2(log, 2)
-    go_wrong(order.get("wrong", ""))
+    inject_fault(order.get("wrong", ""))
     code = 1
     try:
         code = main({**os.environ, **order["environ"]})
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -66,7 +66,7 @@
     ("query no text", {"json": {"query": 3}}, 400, "BAD_REQUEST"),
     ("variables no object", {"json": {**ME, "variables": [1]}}, 400, "BAD_REQUEST"),
     ("operationName no text", {"json": {**ME, "operationName": 3}}, 400, "BAD_REQUEST"),
-    ("a large body", {"json": {"query": "#" + "x" * limits.MAX_BODY}}, 413, "TOO_LARGE"),
+    ("a large body", {"json": {"query": "#" + "x" * limits.MAX_BODY_BYTES}}, 413, "TOO_LARGE"),
     ("a syntax error", {"json": {"query": "{ me"}}, 400, "BAD_REQUEST"),
     ("an unknown field", {"json": {"query": "{ nobody }"}}, 400, "BAD_REQUEST"),
     ("the same, legacy", {"json": {"query": "{ nobody }"}, "headers": {"accept": LEGACY}}, 200, "BAD_REQUEST"),
@@ -119,7 +119,7 @@
 def test_fragments_that_double_at_each_level_are_refused_in_no_time() -> None:
     bomb = "{ ...f0 }" + "".join(f" fragment f{i} on Query {{ ...f{i + 1} ...f{i + 1} }}" for i in range(40)) + (
         " fragment f40 on Query { __typename }")
-    with pytest.raises(limits.TooMuch):
+    with pytest.raises(limits.LimitExceeded):
         limits.cost(parse(bomb), {})
 
 
@@ -129,8 +129,8 @@
 
     assert of("{ instances(first: 10) { edges { node { name } } } }") == 1 + 10 + 10 + 10
     assert of("query($n: Int) { instances(first: $n) { totalCount } }", n=7) == 1 + 7
-    assert of("{ instances { totalCount } }") == 1 + limits.PAGE
-    assert of("{ instances(first: 99999) { totalCount } }") == 1 + limits.MOST_PAGE
+    assert of("{ instances { totalCount } }") == 1 + limits.DEFAULT_PAGE
+    assert of("{ instances(first: 99999) { totalCount } }") == 1 + limits.MAX_PAGE
 
 
 def test_introspection_can_be_switched_off(tmp_path: Path) -> None:
@@ -181,11 +181,11 @@
 def test_a_bug_inside_is_told_by_a_code_and_nothing_else(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
-            s.engine.fleet.ordered = None  # type: ignore[assignment]  # read by queries, and not by the agent's own sweep
+            s.engine.fleet.sorted_names = None  # type: ignore[assignment]  # read by queries, and not by the agent's own sweep
             body = await s.ask("{ instances { totalCount } }")
             assert body["errors"][0]["extensions"] == {"code": "INTERNAL"}
             assert "Traceback" not in json.dumps(body) and "NoneType" not in json.dumps(body)
-            s.engine.fleet.ordered = []
+            s.engine.fleet.sorted_names = []
 
     run(test)
     assert "Traceback" in capsys.readouterr().err
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -1,4 +1,4 @@
-"""An agent and light instances on sockets: operations, races, losses, a record that can't be written."""
+"""An agent and simulated instances over sockets: operations, races, lost processes, a record that can't be written."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3)
-            s.instances["i0001"].open = 1  # a request that it still works on
+            s.instances["i0001"].open = 1  # a request still open
             ident = await s.begin(Kind.DRAIN)
             await until(lambda: s.instances["i0001"].draining)
             await asyncio.sleep(0.3)
-            assert s.engine.live[ident].targets[1].state is State.UNDER_WAY
+            assert s.engine.live_operations[ident].targets[1].state is State.UNDER_WAY
             s.instances["i0001"].open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert set((await s.states(await s.begin(Kind.UNDRAIN))).values()) == {State.APPLIED}
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_half_lost_in_mid_command_is_named_and_never_success(seed: int, tmp_path: Path) -> None:
-    """The account equals the truth: what each process runs, whether it is there."""
+def test_instances_lost_during_a_command_are_never_reported_as_applied(seed: int, tmp_path: Path) -> None:
+    """The reported state of each target equals what its process actually runs, and whether it is alive."""
     async def test() -> None:
         rng = random.Random(seed)
         async with scene(tmp_path, seed, lease_s=1.0) as s:
@@ -79,7 +79,7 @@
             for name in victims:
                 instance = s.instances[name]
                 if rng.random() < 0.5:
-                    # applies, and dies before it can say so
+                    # applies the change, and dies before it can answer
                     def die(what: str, name: str = name) -> None:
                         asyncio.get_running_loop().call_soon(s.kill, name)
                         s.cut(name)
@@ -128,7 +128,7 @@
     run(test)
 
 
-def test_also_through_different_connections_and_the_same_key_again_is_one_operation(tmp_path: Path) -> None:
+def test_concurrent_applies_over_the_api_have_one_winner_and_the_key_is_idempotent(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(2)
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_a_restarted_instance_has_not_applied_and_is_told_again(tmp_path: Path) -> None:
+def test_restarted_instance_is_commanded_again(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3)
@@ -218,7 +218,7 @@
             assert "denied (DUPLICATE)" in lines[0]
             await s.end(await s.begin(Kind.DRAIN, ["i0000"]))
             assert first.draining and not second.draining
-            task.cancel()  # the first is gone; the second takes the name when its lease is over
+            task.cancel()  # the first ends; the second takes the name once the lease has ended
             await until(lambda: s.agent.fleet.members["i0000"].row.boot == s.clients["i0000"].identity.boot)
             events = await s.engine.events(0, 100)
             assert [e.result for e in events if e.action == "register"] == ["denied: DUPLICATE"]
@@ -244,7 +244,7 @@
     encode_frame(serialize_message(Hello(PROTOCOL + 1, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))),
     encode_frame(serialize_message(Hello(PROTOCOL, "i9", "b", 1, "0", 1, "", "", "TOKEN", 0, 0))) * 2,
 ])
-def test_an_instance_that_talks_nonsense_is_told_and_harms_nobody(raw: bytes, tmp_path: Path) -> None:
+def test_invalid_messages_are_denied_without_affecting_other_instances(raw: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(2)
@@ -258,7 +258,7 @@
     run(test)
 
 
-def test_an_answer_of_garbage_in_mid_operation_is_no_answer(tmp_path: Path) -> None:
+def test_garbage_instead_of_an_answer_counts_as_no_answer(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(3)
@@ -283,13 +283,13 @@
             await s.start_many(2)
             s.instances["i0001"].open = 1
             ident = await s.begin(Kind.DRAIN, policy=Policy(answer_ms=60_000))
-            await until(lambda: s.instances["i0001"].draining and s.engine.live[ident].targets[1].answered)
+            await until(lambda: s.instances["i0001"].draining and s.engine.live_operations[ident].targets[1].answered)
             session = s.clients["i0000"].session
             assert session is not None
             for command in (f"{ident}.1.1", f"{ident}.9.9", "x", "99.1.1", f"{ident}."):
                 session.send(CommandResult(command, "failed", "by another"))
             await asyncio.sleep(0.3)
-            assert [t.state for t in s.engine.live[ident].targets] == [State.APPLIED, State.UNDER_WAY]
+            assert [t.state for t in s.engine.live_operations[ident].targets] == [State.APPLIED, State.UNDER_WAY]
             s.instances["i0001"].open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
 
@@ -304,9 +304,9 @@
             ident = await s.begin(Kind.DRAIN, policy=Policy(wave=2, answer_ms=60_000))
             await until(lambda: s.instances["i0001"].draining)
             assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED
-            assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED  # again is the same
+            assert (await s.engine.control("bob", ident, "pause")).phase is Phase.PAUSED  # idempotent
             s.instances["i0001"].open = 0
-            await until(lambda: s.engine.live[ident].targets[1].state is State.APPLIED)
+            await until(lambda: s.engine.live_operations[ident].targets[1].state is State.APPLIED)
             await asyncio.sleep(0.2)
             assert not s.instances["i0002"].draining
             s.instances["i0003"].open = 1
@@ -328,7 +328,7 @@
     run(test)
 
 
-def test_a_roll_back_takes_all_to_what_they_ran(tmp_path: Path) -> None:
+def test_rollback_reverts_all_to_their_former_generation(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(6)
@@ -340,7 +340,7 @@
             s.instances["i0003"].before_effect = refuse
             ident = await s.begin(overlay={"settings": {"instances": 9}}, expect=1,
                                   policy=Policy(wave=2, on_failure="rollback"))
-            await until(lambda: s.engine.live[ident].op.phase is Phase.ROLLING_BACK)
+            await until(lambda: s.engine.live_operations[ident].op.phase is Phase.ROLLING_BACK)
             s.instances["i0003"].before_effect = lambda what: None
             op, targets = await s.end(ident)
             assert op.phase in (Phase.ROLLED_BACK, Phase.PARTIAL) and op.note.startswith("1 failed, 0 allowed")
@@ -351,7 +351,7 @@
     run(test)
 
 
-def test_nothing_is_sent_that_could_not_be_recorded_and_it_goes_on_when_it_can(
+def test_nothing_is_sent_before_it_is_recorded_and_the_operation_resumes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ironscale.agent.engine.RETRY_S", 0.05)
@@ -366,7 +366,7 @@
             await until(lambda: s.instances["i0000"].draining)
             await store.read(lambda r: store.connection.execute("PRAGMA query_only = 1"))
             s.instances["i0000"].open = 0
-            await until(lambda: s.engine.live[ident].stalled)
+            await until(lambda: s.engine.live_operations[ident].stalled)
             with pytest.raises(StoreError):
                 await s.begin(Kind.DRAIN, ["i0003"], supersede=True)
             shown = await s.ask("query($id: Int!) { operation(id: $id) { stalled phase } }", id=ident)
@@ -376,7 +376,7 @@
                 try:
                     await store.read(lambda r: store.connection.execute("PRAGMA query_only = 0"))
                     break
-                except StoreError:  # it stood in one commit with a write that was tried again just then
+                except StoreError:  # it shared a commit with a write that was being retried
                     pass
             assert set((await s.states(ident)).values()) == {State.APPLIED}
             assert all(i.effects == ["drain"] for i in s.instances.values())
@@ -408,7 +408,7 @@
     ({"x": "y" * 200_000}, "expected a frame of 131072 bytes at most"),
     ({"x": float("nan")}, "expected numbers that JSON has"),
 ])
-def test_a_patch_that_fits_no_frame_is_refused_before_anything_is_begun(
+def test_overlay_that_can_not_be_sent_is_refused(
     overlay: dict[str, Any], words: str, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -433,7 +433,7 @@
     run(test)
 
 
-def test_a_restarted_agent_knows_what_it_knew_and_leases_go_on(tmp_path: Path) -> None:
+def test_restarted_agent_loads_its_record_and_leases_continue(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(3, zone="b")
@@ -443,16 +443,16 @@
             assert {(m.row.zone, m.row.generation, m.row.desired, m.leased) for m in members.values()} == {
                 ("b", 1, 1, True)}
             assert all(m.link is None for m in members.values())
-            await until(lambda: not any(m.leased for m in members.values()))  # nobody came back
+            await until(lambda: not any(m.leased for m in members.values()))  # no instance reconnected
 
     run(test)
 
 
 @pytest.mark.parametrize("step_s", [-86_400, 86_400])
-def test_a_clock_that_is_set_under_a_running_agent_changes_nothing(
+def test_setting_the_wall_clock_does_not_affect_leases(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hazard: leases would end at once, or never."""
+    """Leases by the wall clock would end at once, or never."""
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.6) as s:
             await s.start_many(3)
@@ -469,7 +469,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-86_400, 86_400])
-def test_an_operation_goes_on_under_an_agent_whose_clock_was_set_in_between(
+def test_operation_continues_after_a_restart_with_another_wall_clock(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -483,12 +483,12 @@
             real = time.time_ns
             monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10**9)
             instances, tasks = s.instances, dict(s.tasks)
-            s.tasks.clear()  # they outlive this agent
+            s.tasks.clear()  # the instances outlive this agent
         async with scene(tmp_path, control=("127.0.0.1", port)) as s:
             s.tasks.update(tasks)
             await until(lambda: sum(m.link is not None for m in s.agent.fleet.members.values()) == 2)
             await asyncio.sleep(0.3)
-            assert {t.state for t in s.engine.live[ident].targets} == {State.UNDER_WAY}
+            assert {t.state for t in s.engine.live_operations[ident].targets} == {State.UNDER_WAY}
             for instance in instances.values():
                 instance.open = 0
             assert set((await s.states(ident)).values()) == {State.APPLIED}
@@ -497,10 +497,10 @@
     run(test)
 
 
-def test_a_lease_that_ends_while_the_command_is_on_its_way_is_no_answer_and_the_command_is_done_once(
+def test_lease_that_expires_with_a_command_in_flight_is_no_answer_and_the_command_runs_once(
     tmp_path: Path
 ) -> None:
-    """The command lies in the connection of an instance that has stopped; when it goes on, the operation has ended."""
+    """The instance is suspended with the command in its socket buffer; when it resumes, the operation has ended."""
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(2)
@@ -517,24 +517,24 @@
             await until(lambda: s.agent.fleet.members["i0001"].row.generation == 1)
             assert s.instances["i0001"].effects == ["generation 1"]
             found = await s.engine.find(ident)
-            assert found is not None and found[0].phase is Phase.PARTIAL  # what was told is not told otherwise later
+            assert found is not None and found[0].phase is Phase.PARTIAL  # a reported outcome is not changed later
 
     run(test)
 
 
-def test_an_instance_of_an_agent_whose_record_is_gone_is_left_as_it_is(
+def test_instance_with_a_generation_missing_in_the_record_is_left_alone(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             first = s.start("i0")
-            first.generation = 7  # it ran this before it came here
+            first.generation = 7  # it ran this before it connected to this agent
             await until(lambda: "i0" in s.agent.fleet.members and s.agent.fleet.members["i0"].report)
             s.agent.fleet.set_desired([("i0", 7)])
             s.kill("i0")
             await until(lambda: s.agent.fleet.members["i0"].link is None)
             s.agent.fleet.sweep()
-            s.agent.fleet.ended("i0", s.clients["i0"].identity.boot, "signal 9")
+            s.agent.fleet.process_ended("i0", s.clients["i0"].identity.boot, "signal 9")
             second = s.start("i0")
             await until(lambda: second.client is not None and s.agent.fleet.members["i0"].link is not None)
             await asyncio.sleep(2.5)
@@ -544,7 +544,7 @@
     assert capsys.readouterr().err.count("not caught up: i0 should run generation 7") == 1
 
 
-def test_a_fault_met_by_one_operation_ends_neither_the_agent_nor_the_others(
+def test_exception_in_one_operation_stops_neither_the_agent_nor_other_operations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("ironscale.agent.engine.RETRY_S", 0.05)
@@ -561,7 +561,7 @@
 
             monkeypatch.setattr(planner, "advance", sometimes)
             first = await s.begin(Kind.DRAIN, ["i0000"])
-            await until(lambda: "fault" in s.engine.live[first].stalled)
+            await until(lambda: "unexpected error in the agent" in s.engine.live_operations[first].stalled)
             assert await s.states(await s.begin(Kind.DRAIN, ["i0001"])) == {"i0001": State.APPLIED}
             broken[0] = False
             assert await s.states(first) == {"i0000": State.APPLIED}
@@ -570,7 +570,7 @@
     assert "a bug" in capsys.readouterr().err
 
 
-def test_catching_up_that_was_refused_for_now_is_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_catching_up_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with scene(tmp_path, lease_s=0.5) as s:
             await s.start_many(1)
--- a/tests/agent/test_fleet.py
+++ b/tests/agent/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet in memory, without sockets: names, leases, ends, and what a restarted agent makes of its record."""
+"""The in-memory fleet, without sockets: names, leases, ended processes, and loading the record after a restart."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ironscale.agent.fleet import BEATS_A_LEASE, BEATS_PER_S, Denial, Fleet, state_of
+from ironscale.agent.fleet import HEARTBEATS_PER_LEASE, MAX_HEARTBEATS_PER_S, Denial, Fleet, state_of
 from ironscale.agent.store import InstanceRow
 from ironscale.control.messages import PROTOCOL, Command, Hello
 from ironscale.control.processes import machine_boot_id, start_ticks
@@ -32,26 +32,26 @@
         self.now_ms = 1_000_000
         self.fleet = Fleet(6_000, 2_000, most, lambda: self.now_ms)
         self.changed: list[str] = []
-        self.fleet.changed = self.changed.append
+        self.fleet.on_changed = self.changed.append
 
-    def come(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
+    def connect(self, name: str = "a", boot: str = "b1", **changes: Any) -> FakeLink:
         hello = Hello(PROTOCOL, name, boot, 1, "0", 5, "z", "h:1", "t", 0, 0, **changes)
         link = FakeLink(boot)
-        self.fleet.check(hello)
-        self.fleet.register(hello, link, self.fleet.times()[0])
+        self.fleet.check_registration(hello)
+        self.fleet.register(hello, link, self.fleet.lease_and_heartbeat()[0])
         return link
 
     def state(self, name: str = "a") -> str:
-        seen = self.fleet.seen(name)
+        seen = self.fleet.observe(name)
         assert seen is not None
         return state_of(seen)
 
 
-def test_a_lease_is_renewed_by_heartbeats_and_ends_without() -> None:
+def test_lease_is_renewed_by_heartbeats_and_expires_without() -> None:
     s = Scene()
-    link = s.come()
-    assert s.state() == "not ready"  # it has shown nothing yet
-    assert s.fleet.beat("a", link, REPORT) and s.state() == "ready"
+    link = s.connect()
+    assert s.state() == "not ready"  # it has sent no report yet
+    assert s.fleet.heartbeat("a", link, REPORT) and s.state() == "ready"
     s.now_ms += 5_999
     s.fleet.sweep()
     assert s.state() == "ready"
@@ -59,79 +59,79 @@
     s.changed.clear()
     s.fleet.sweep()
     assert s.state() == "silent" and s.changed == ["a"]
-    s.fleet.beat("a", link, REPORT)
+    s.fleet.heartbeat("a", link, REPORT)
     assert s.state() == "ready"
 
 
-def test_heartbeats_that_show_nothing_new_wake_no_operation() -> None:
+def test_heartbeats_without_changes_wake_no_operation() -> None:
     s = Scene()
-    link = s.come()
-    s.fleet.beat("a", link, REPORT)
+    link = s.connect()
+    s.fleet.heartbeat("a", link, REPORT)
     s.changed.clear()
     for more in range(5):
-        s.fleet.beat("a", link, replace(REPORT, cpu_s=1.0 + more, open=3 + more))
+        s.fleet.heartbeat("a", link, replace(REPORT, cpu_s=1.0 + more, open=3 + more))
     assert s.changed == []
     for report in (replace(REPORT, open=0), replace(REPORT, generation=9), replace(REPORT, draining=True)):
-        s.fleet.beat("a", link, report)
+        s.fleet.heartbeat("a", link, report)
     assert s.changed == ["a"] * 3
 
 
 def test_a_name_belongs_to_one_process() -> None:
     s = Scene()
-    first = s.come()
+    first = s.connect()
     with pytest.raises(Denial, match="which has its lease") as found:
-        s.come(boot="b2")
+        s.connect(boot="b2")
     assert found.value.code == "DUPLICATE" and found.value.retry_ms == 6_000
-    again = s.come()  # the same process, on another connection
+    again = s.connect()  # the same process, on another connection
     assert first.closed and not again.closed
-    assert not s.fleet.beat("a", first, REPORT)  # what the old connection still says counts for nothing
-    successor = s.come(boot="b2", replaces="b1")
+    assert not s.fleet.heartbeat("a", first, REPORT)  # messages on the old connection are ignored
+    successor = s.connect(boot="b2", replaces="b1")
     assert again.closed and not successor.closed and s.fleet.members["a"].row.boot == "b2"
-    s.fleet.unlink("a", again, "ended by itself: x")
-    assert s.fleet.members["a"].row.ended == ""  # that was the former one's end
+    s.fleet.disconnect("a", again, "ended by itself: x")
+    assert s.fleet.members["a"].row.ended == ""  # that was the end of the former process
     s.now_ms += 6_001
     s.fleet.sweep()
-    s.come(boot="b3")  # a lease that is over keeps nobody out
+    s.connect(boot="b3")  # an expired lease does not block another process
     assert s.fleet.members["a"].row.boot == "b3"
 
 
-def test_a_full_agent_says_so_and_knows_those_that_it_has() -> None:
+def test_full_agent_denies_new_names_and_accepts_known_ones() -> None:
     s = Scene(most=1)
-    s.come()
+    s.connect()
     with pytest.raises(Denial, match="expected 1 instances at most"):
-        s.come("b")
-    s.come()
+        s.connect("b")
+    s.connect()
 
 
-def test_the_most_exact_account_of_an_end_stays() -> None:
+def test_most_exact_description_of_an_end_is_kept() -> None:
     s = Scene()
-    link = s.come()
-    s.fleet.unlink("a", link, "ended by itself: ended")
+    link = s.connect()
+    s.fleet.disconnect("a", link, "ended by itself: ended")
     assert s.state() == "gone" and s.fleet.members["a"].row.ended.startswith("ended by itself")
-    s.fleet.ended("a", "b1", "exit 0")
+    s.fleet.process_ended("a", "b1", "exit 0")
     assert s.fleet.members["a"].row.ended == "exit 0"
-    s.fleet.ended("a", "b1", "its process has ended")
-    s.fleet.ended("a", "b0", "signal 9")  # another process's
-    s.fleet.ended("nobody", "b1", "signal 9")
+    s.fleet.process_ended("a", "b1", "its process has ended")
+    s.fleet.process_ended("a", "b0", "signal 9")  # of another process
+    s.fleet.process_ended("nobody", "b1", "signal 9")
     assert s.fleet.members["a"].row.ended == "exit 0"
 
 
-def test_a_connection_that_breaks_says_nothing_of_the_process_unless_it_was_here() -> None:
+def test_broken_connection_means_death_only_of_a_local_process() -> None:
     s = Scene()
-    s.fleet.unlink("a", s.come(), "")
-    assert s.state() == "not ready"  # its lease runs
-    here = s.come("b", host=machine_boot_id(), ticks=77)  # pid 1 with another start time: that process is no more
-    s.fleet.unlink("b", here, "")
+    s.fleet.disconnect("a", s.connect(), "")
+    assert s.state() == "not ready"  # its lease is still valid
+    here = s.connect("b", host=machine_boot_id(), ticks=77)  # pid 1 with another start time: that process has ended
+    s.fleet.disconnect("b", here, "")
     assert s.state("b") == "gone"
 
 
-def test_the_interval_grows_with_the_fleet_so_that_heartbeats_don_t() -> None:
+def test_heartbeat_interval_grows_with_the_fleet() -> None:
     s = Scene(most=100_000)
-    assert s.fleet.times() == (6_000, 2_000)
+    assert s.fleet.lease_and_heartbeat() == (6_000, 2_000)
     for count in (2_000, 5_000, 20_000):
         s.fleet.members.update((f"i{n}", None) for n in range(count))  # type: ignore[misc]
-        lease_ms, beat_ms = s.fleet.times()
-        assert count * 1_000 / beat_ms <= BEATS_PER_S and lease_ms >= BEATS_A_LEASE * beat_ms
+        lease_ms, beat_ms = s.fleet.lease_and_heartbeat()
+        assert count * 1_000 / beat_ms <= MAX_HEARTBEATS_PER_S and lease_ms >= HEARTBEATS_PER_LEASE * beat_ms
 
 
 def row(name: str, **changes: Any) -> InstanceRow:
@@ -141,7 +141,7 @@
     return InstanceRow(name, **values)
 
 
-def test_what_a_restarted_agent_makes_of_its_record() -> None:
+def test_loading_the_record_after_an_agent_restart() -> None:
     s = Scene()
     ticks = start_ticks(os.getpid())
     assert ticks is not None
@@ -151,11 +151,11 @@
                   row("future", heard_ms=2**50)], alive_ms=950_000)
     assert {name: s.state(name) for name in s.fleet.members} == {
         "back": "not ready", "gone": "gone", "dead": "gone", "here": "not ready", "future": "not ready"}
-    assert s.fleet.members["back"].row.heard_ms == 950_000  # connected, and so heard until the agent was last alive
-    assert s.fleet.members["future"].row.heard_ms == s.now_ms  # a clock that was set back
+    assert s.fleet.members["back"].row.heard_ms == 950_000  # connected, so heard until the agent was last alive
+    assert s.fleet.members["future"].row.heard_ms == s.now_ms  # the clock was set back
     s.now_ms += 6_000 + 1_000 + 999
     s.fleet.sweep()
-    assert s.state("back") == "not ready"  # it has time to come back
+    assert s.state("back") == "not ready"  # it still has time to reconnect
     s.now_ms += 1
     s.fleet.sweep()
     assert s.state("back") == "silent" and s.state("gone") == "gone"
@@ -164,13 +164,13 @@
 def test_names_come_in_order_as_they_join() -> None:
     s = Scene()
     for name in ("c", "a", "b"):
-        s.come(name)
+        s.connect(name)
     assert s.fleet.names() == ["a", "b", "c"]
-    s.come("0")
+    s.connect("0")
     assert s.fleet.names() == ["0", "a", "b", "c"]
 
 
-def test_newcomers_are_told_of_some_that_teach_their_zone_first() -> None:
+def test_donors_are_serving_instances_of_the_zone_first() -> None:
     scene = Scene(100)
 
     def teach(name: str, port: int, zone: str = "z", **changes: Any) -> FakeLink:
@@ -178,7 +178,7 @@
                       **changes)
         link = FakeLink("b1")
         scene.fleet.register(hello, link, 6_000)
-        scene.fleet.beat(name, link, REPORT)
+        scene.fleet.heartbeat(name, link, REPORT)
         return link
 
     newcomer = Hello(PROTOCOL, "new", "b", 1, "0", 5, "z", "h:1", "t", 0, 0, host="m")
@@ -189,13 +189,13 @@
         teach(f"near{i}", 8000 + i)
     found = scene.fleet.donors(newcomer, 50_000)
     assert len(found) == 5 and {text.split(":")[1] for text in found[:2]} == {"8000", "8001"}
-    assert scene.fleet.donors(newcomer, 5_000) == []  # they had just started
-    assert scene.fleet.donors(replace(newcomer, host="other"), 50_000) == []  # their loopback is not its own
+    assert scene.fleet.donors(newcomer, 5_000) == []  # their uptime is too short
+    assert scene.fleet.donors(replace(newcomer, host="other"), 50_000) == []  # loopback of another machine
     assert "127.0.0.1:8000" not in scene.fleet.donors(replace(newcomer, name="near0"), 50_000)
     gone = teach("near1", 8001)
-    scene.fleet.unlink("near1", gone, "")
+    scene.fleet.disconnect("near1", gone, "")
     drained = teach("near0", 8000)
-    scene.fleet.beat("near0", drained, replace(REPORT, draining=True))
+    scene.fleet.heartbeat("near0", drained, replace(REPORT, draining=True))
     assert not {"127.0.0.1:8000", "127.0.0.1:8001"} & set(scene.fleet.donors(newcomer, 50_000))
-    scene.come("far0", "b1")  # it teaches no more
-    assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.teachers) == 5
+    scene.connect("far0", "b1")  # it is no donor any more
+    assert "127.0.0.1:7000" not in scene.fleet.donors(newcomer, 50_000) and len(scene.fleet.donor_names) == 5
