--- a/tests/agent/test_permits.py
+++ b/tests/agent/test_permits.py
@@ -1,4 +1,4 @@
-"""Budgets at the agent: operations, scripts and a halt meet in them, and what is out stays within at every moment."""
+"""Disruption budgets in the agent: operations, scripts and a halt share them, and no budget is ever exceeded."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
 from ironscale.operator_file import OperatorFileError, parse
 from tests.agent.agent_harness import AgentScene, run, scene, until
 
-TWO = Budget("all", UnitKind.SIDECAR, number=2)
+TWO_OUT = Budget("all", UnitKind.SIDECAR, number=2)
 
 
-class Watched(AgentScene):
-    """Looks at the instances' own truth at each of their effects."""
+class ObservedScene(AgentScene):
+    """Counts the instances that are actually drained at each of their effects; `most` is the maximum."""
 
-    most = 0
+    max_drained = 0
 
-    def watch(self) -> None:
+    def count_drained(self) -> None:
         for instance in self.instances.values():
             def look(what: str, instance: Any = instance) -> None:
                 out = sum(i.draining for i in self.instances.values()) + (what == "drain" and not instance.draining)
-                self.most = max(self.most, out)
+                self.max_drained = max(self.max_drained, out)
 
             instance.before_effect = look
 
 
 @asynccontextmanager
-async def fleet(data: Path, count: int, *budgets: Budget, **changes: Any) -> AsyncIterator[Watched]:
+async def fleet(data: Path, count: int, *budgets: Budget, **changes: Any) -> AsyncIterator[ObservedScene]:
     async with scene(data, budgets=budgets, **changes) as found:
-        found.__class__ = Watched
-        assert isinstance(found, Watched)
+        found.__class__ = ObservedScene
+        assert isinstance(found, ObservedScene)
         await found.start_many(count)
-        found.watch()
+        found.count_drained()
         await until(lambda: all(s.out == 0.0 for s in found.engine.permits.ledger.observations.values()))
         yield found
 
 
-async def undrain(found: Watched) -> None:
-    """Again until all serve: who has lost its connection just then is not told."""
+async def undrain(found: ObservedScene) -> None:
+    """Repeats until all serve, as an instance that has just lost its connection misses the command."""
     while any(i.draining for i in found.instances.values()):
         await found.end(await found.begin(Kind.UNDRAIN, list(found.instances), supersede=True))
         await asyncio.sleep(0.02)
@@ -62,48 +62,49 @@
 
 def test_two_operations_and_a_script_share_one_budget(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 6, TWO) as found:
+        async with fleet(tmp_path, 6, TWO_OUT) as found:
             engine, names = found.engine, list(found.instances)
-            # in one step of the loop: whoever is first, no more than two are given
+            # all in one step of the event loop: in whatever order, no more than two permits are granted
             _, _, permit = await asyncio.gather(
                 found.begin(Kind.DRAIN, names[:3]), found.begin(Kind.DRAIN, names[3:], actor="bob"),
-                engine.permits.take("script", "k", [f"sidecar/{names[5]}"], "disk", 0, 60_000))
+                engine.permits.request("script", "k", [f"sidecar/{names[5]}"], "disk", 0, 60_000))
 
             def held() -> bool:
                 known = engine.permits.ledger.permits.get(permit.id)
                 return known is not None and known.phase is PermitPhase.HELD
 
             await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2)
-            await until(lambda: any(live.waits for live in engine.live.values()))
-            assert found.most <= 2 and counted(found) == 2
-            await undrain(found)  # what is out comes back, and those that waited have their turn
-            await until(lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live)
+            await until(lambda: any(live.waits_for for live in engine.live_operations.values()))
+            assert found.max_drained <= 2 and counted(found) == 2
+            await undrain(found)  # drained instances return to service, and the waiting ones get their turn
+            await until(
+                lambda: sum(i.draining for i in found.instances.values()) + held() == 2 or not engine.live_operations)
             if held():
                 await engine.permits.give_back("script", permit.id, False)
-            for ident in list(engine.live):
+            for ident in list(engine.live_operations):
                 with contextlib.suppress(Refusal):
                     await engine.control("ann", ident, "abort")
             await undrain(found)
             if permit.id in engine.permits.ledger.permits:
                 await engine.permits.give_back("script", permit.id, False)
             await until(lambda: counted(found) == 0)
-            assert found.most <= 2
+            assert found.max_drained <= 2
 
     run(test)
 
 
-def test_a_permit_ends_by_what_is_seen_after_its_return_and_not_by_a_word(tmp_path: Path) -> None:
+def test_returned_permit_ends_only_when_its_unit_is_seen_to_serve(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, name = found.engine.permits, "i0000"
-            held = await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
+            held = await permits.request("ann", "k", [f"sidecar/{name}"], "", 0, 60_000)
             assert held.phase is PermitPhase.HELD
-            assert await permits.take("ann", "k", [f"sidecar/{name}"], "", 0, 60_000) == held
+            assert await permits.request("ann", "k", [f"sidecar/{name}"], "", 0, 60_000) == held
             with pytest.raises(Refusal, match="was used for other units"):
-                await permits.take("ann", "k", ["sidecar/i0001"], "", 0, 60_000)
-            waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
+                await permits.request("ann", "k", ["sidecar/i0001"], "", 0, 60_000)
+            waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             assert waiting.phase is PermitPhase.WAITING
-            found.instances[name].draining = True  # its holder takes it out, by a way of his own, and is gone at once
+            found.instances[name].draining = True  # its holder drains it on its own, without the agent
             returned = await permits.give_back("ann", held.id, False)
             assert returned.phase is PermitPhase.RETURNED
             assert await permits.give_back("ann", held.id, False) == returned
@@ -118,41 +119,41 @@
     run(test)
 
 
-def test_a_lapsed_lease_is_not_known_and_not_free(tmp_path: Path) -> None:
+def test_permit_with_an_expired_lease_is_unknown_and_still_counts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
-            held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
-            waiting = await permits.take("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
+            held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
+            waiting = await permits.request("bob", "k", ["sidecar/i0001"], "", 0, 60_000)
             await until(lambda: permits.ledger.permits[held.id].phase is PermitPhase.UNKNOWN)
             assert permits.ledger.permits[waiting.id].phase is PermitPhase.WAITING
-            assert (await permits.renew("ann", held.id)).phase is PermitPhase.HELD  # it was slow, and is there
+            assert (await permits.renew("ann", held.id)).phase is PermitPhase.HELD  # the holder was slow, but is alive
             await until(lambda: permits.ledger.permits[held.id].phase is PermitPhase.UNKNOWN)
             with pytest.raises(Refusal, match="is ann's, not bob's"):
                 await permits.give_back("bob", held.id, False)
-            await permits.give_back("bob", held.id, True)  # who knows that its holder has died
+            await permits.give_back("bob", held.id, True)  # bob knows that the holder has died
             await until(lambda: permits.ledger.permits[waiting.id].phase is PermitPhase.HELD)
 
     run(test)
 
 
-def test_a_halt_holds_everything_survives_the_agent_and_lets_ways_back_through(tmp_path: Path) -> None:
+def test_halt_blocks_all_but_rollbacks_and_survives_an_agent_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine = found.engine
             op = await found.begin(policy=Policy(wave=1))
             for instance in found.instances.values():
                 instance.before_effect = lambda what: None
             await engine.permits.set_halt("ann", "errors rise")
             told = sum(bool(i.effects) for i in found.instances.values())
-            await until(lambda: engine.live[op].waits == "halted by ann: errors rise")
+            await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             with pytest.raises(Refusal, match="halted by ann: errors rise"):
                 await found.begin(Kind.DRAIN)
-            assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been under way
+            assert sum(bool(i.effects) for i in found.instances.values()) <= told + 1  # one may have been in flight
             assert (await engine.permits.set_halt("bob", "too")).actor == "ann"
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine = found.engine
-            await until(lambda: engine.live[op].waits == "halted by ann: errors rise")
+            await until(lambda: engine.live_operations[op].waits_for == "halted by ann: errors rise")
             await engine.control("ann", op, "rollback")
             assert (await found.end(op))[0].phase is Phase.ROLLED_BACK
             lifted = await engine.permits.lift_halt("bob")
@@ -163,16 +164,16 @@
     run(test)
 
 
-def test_a_halt_holds_from_the_moment_it_is_asked_for_and_not_from_its_commit(tmp_path: Path) -> None:
+def test_halt_takes_effect_before_its_commit(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, TWO) as found:
+        async with fleet(tmp_path, 3, TWO_OUT) as found:
             permits = found.engine.permits
             halting = asyncio.create_task(permits.set_halt("ann", "now"))
-            await asyncio.sleep(0)  # it has been asked for, and its commit is under way
+            await asyncio.sleep(0)  # the halt was requested, and its commit is in progress
             assert permits.halt is None
-            # hazard: an operation's round would reserve now, and its command be recorded behind the halt
+            # Otherwise an operation's round could reserve now, and its command would be recorded after the halt.
             assert permits.ledger.blocking_reason(("sidecar/i0000",), "x", (0, 0), 0) == "halted by ann: now"
-            permit = await permits.take("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
+            permit = await permits.request("bob", "k", ["sidecar/i0000"], "", 0, 60_000)
             assert permit.phase is PermitPhase.WAITING
             assert (await halting).text == "ann: now"
             await permits.lift_halt("ann")
@@ -181,8 +182,8 @@
     run(test)
 
 
-class Gated:
-    """Holds the store's writes, from the next one on, until it is opened; and may say of one that nobody knows."""
+class BlockedWrites:
+    """Blocks the store's writes, from the next one on, until it is lifted."""
 
     def __init__(self, found: AgentScene) -> None:
         self.store, self.write = found.engine.store, found.engine.store.write
@@ -199,24 +200,24 @@
         self.open.set()
 
 
-def test_a_word_that_comes_while_a_decision_is_being_written_is_not_undone_by_it(tmp_path: Path) -> None:
-    """Seen on the stage: a permit was given back, then unknown for good, as its lease had lapsed a moment before."""
+def test_give_back_is_not_undone_by_a_concurrent_lease_expiry(tmp_path: Path) -> None:
+    """Seen in a bench run: a permit was given back, then unknown for good, as its lease had run out just before."""
     async def test() -> None:
         async with fleet(tmp_path, 2, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits = found.engine.permits
-            held = await permits.take("ann", "k", ["sidecar/i0000"], "", 0, 500)
-            gate = Gated(found)
+            held = await permits.request("ann", "k", ["sidecar/i0000"], "", 0, 500)
+            gate = BlockedWrites(found)
             giving = asyncio.create_task(permits.give_back("ann", held.id, False))
-            await asyncio.sleep(0.8)  # the lease lapses while that is being written, and is looked at several times
+            await asyncio.sleep(0.8)  # the lease runs out during the write, and several decisions are made
             gate.lift()
             assert (await giving).phase is PermitPhase.RETURNED
-            await until(lambda: held.id not in permits.ledger.permits)  # seen to serve, and ended
+            await until(lambda: held.id not in permits.ledger.permits)  # confirmed to serve, and ended
             assert (await permits.find(held.id)).phase is PermitPhase.ENDED
 
     run(test)
 
 
-def test_what_an_operation_reserved_counts_on_while_its_commit_is_not_known(tmp_path: Path) -> None:
+def test_reservation_of_an_operation_counts_while_its_commit_is_unknown(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, store, write = found.engine.permits, found.engine.store, found.engine.store.write
@@ -224,7 +225,7 @@
             known = asyncio.Event()
 
             async def broken(work: Any, late: Any = None) -> Any:
-                if "Engine.record" in work.__qualname__ and not known.is_set():
+                if "Engine.record_plan" in work.__qualname__ and not known.is_set():
                     rounds.append(work.__qualname__)
                     raise StoreError("UNKNOWN", "it broke off at COMMIT")
                 if rounds and not known.is_set():
@@ -235,23 +236,23 @@
             op = await found.begin(names=["i0000"])
             await until(lambda: rounds)
             await asyncio.sleep(0)
-            assert found.engine.permits.doubt and not found.instances["i0000"].effects
-            # it may stand: nothing else goes out meanwhile
+            assert found.engine.permits.unconfirmed and not found.instances["i0000"].effects
+            # it may have been recorded: nothing else may go out of service meanwhile
             assert permits.ledger.blocking_reason(("sidecar/i0001",), "x", (0, 99), 0).startswith("budget all")
             known.set()
             assert (await found.end(op))[0].phase is Phase.SUCCEEDED
-            await until(lambda: not permits.doubt and not permits.counted())
+            await until(lambda: not permits.unconfirmed and not permits.counted())
 
     run(test)
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_a_reservation_whose_commit_is_not_known_counts_until_the_record_says(tmp_path: Path, stands: bool) -> None:
+def test_grant_with_an_unknown_commit_counts_until_read_back(tmp_path: Path, stands: bool) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             permits, write = found.engine.permits, found.engine.store.write
-            waiting = await permits.take("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
-            other = await permits.take("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
+            waiting = await permits.request("ann", "a", ["sidecar/i0000"], "", 0, 60_000)
+            other = await permits.request("bob", "b", ["sidecar/i0001"], "", 0, 60_000)
             assert (waiting.phase, other.phase) == (PermitPhase.HELD, PermitPhase.WAITING)
             away = [True]
 
@@ -265,58 +266,59 @@
 
             known: list[int] = []
             returned = waiting.with_phase(PermitPhase.ENDED)
-            permits.put([returned])  # room for the other; whether its grant stands is not known
+            permits.put([returned])  # room for the other, whose grant then has an unknown outcome
             found.engine.store.write = broken  # type: ignore[method-assign]
-            # the agent's own pass may meet the break in place of this one, which then finds nothing to decide
+            # The agent's own decision may run into the failure first; then this call finds nothing to decide.
             try:
                 await permits.decide()
             except StoreError as error:
                 assert "broke off" in str(error)
-            assert known, "no pass has met it"
-            assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.doubt
+            assert known, "no decision ran into the failure"
+            assert permits.ledger.cells["all", ""].out == 1.0 and other.id in permits.unconfirmed
             assert permits.ledger.blocking_reason(("sidecar/i0002",), "x", (0, 99), 0)
             away[0] = False
-            await until(lambda: other.id not in permits.doubt)
-            if not stands:  # as the record has it, it waits; and is granted again
+            await until(lambda: other.id not in permits.unconfirmed)
+            if not stands:  # in the record it waits, so it is granted again
                 await permits.decide()
             await until(lambda: permits.ledger.permits[other.id].phase is PermitPhase.HELD)
 
     run(test)
 
 
-def test_an_operation_takes_no_permit_up_again_whose_end_is_being_written(tmp_path: Path) -> None:
+def test_permit_is_not_reserved_again_while_its_end_is_being_written(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 2, TWO) as found:
+        async with fleet(tmp_path, 2, TWO_OUT) as found:
             permits = found.engine.permits
             op = await found.begin(names=["i0000"])
             ended, targets = await found.end(op)
             permits.ending = {permit_id(ended, targets[0])}
-            assert permits.may(ended, targets[0], False) == (
+            assert permits.reserve(ended, targets[0], False) == (
                 "the end of its former permit for i0000 is being recorded")
             permits.ending = set()
-            assert permits.may(ended, targets[0], False) == "" and counted(found) == 1
+            assert permits.reserve(ended, targets[0], False) == "" and counted(found) == 1
             permits.ledger.cancel_reservation(permit_id(ended, targets[0]), 0)
 
     run(test)
 
 
-def test_an_urgent_way_back_waits_for_no_room_and_counts_all_the_same(tmp_path: Path) -> None:
+def test_urgent_rollback_does_not_wait_for_room_but_counts(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, TWO) as found:
+        async with fleet(tmp_path, 4, TWO_OUT) as found:
             engine, names = found.engine, list(found.instances)
             op = await found.begin(names=names[:2], policy=Policy(on_failure="pause", wave=1))
-            await until(lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live)
-            if op in engine.live:
+            await until(
+                lambda: all(found.instances[name].generation for name in names[:2]) or not engine.live_operations)
+            if op in engine.live_operations:
                 await found.end(op)
             again = await found.begin(names=names[:2], expect=1, overlay={"settings": {"instances": 3}},
                                       policy=Policy(canary=1, wave=1, gate=True, soak_ms=60_000))
-            await until(lambda: engine.live[again].waits.startswith("soaks"))
+            await until(lambda: engine.live_operations[again].waits_for.startswith("soaks"))
             for name in names[2:]:  # losses spend the budget, and one more is out by its permit
                 found.cut(name)
                 found.kill(name)
             await until(lambda: engine.permits.ledger.cells["all", ""].out == 2.0)
             await engine.control("ann", again, "rollback")
-            await until(lambda: "budget all" in engine.live[again].waits)
+            await until(lambda: "budget all" in engine.live_operations[again].waits_for)
             assert found.instances[names[0]].generation == 2
             await engine.control("ann", again, "rollback", True)
             assert (await found.end(again))[0].phase is Phase.ROLLED_BACK
@@ -325,16 +327,18 @@
     run(test)
 
 
-def test_unplanned_losses_stop_a_release_of_others_until_they_are_back(tmp_path: Path) -> None:
+def test_unplanned_losses_block_a_release_of_other_instances(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 5, TWO) as found:
+        async with fleet(tmp_path, 5, TWO_OUT) as found:
             engine = found.engine
             for name in ("i0003", "i0004"):
                 found.cut(name)
                 found.kill(name)
             await until(lambda: engine.permits.ledger.cells["all", ""].out == 2.0)
             op = await found.begin(names=["i0000", "i0001"])
-            await until(lambda: "i0003" in engine.live[op].waits and "i0004" in engine.live[op].waits)
+            await until(
+                lambda: "i0003" in engine.live_operations[op].waits_for
+                and "i0004" in engine.live_operations[op].waits_for)
             assert not found.instances["i0000"].effects
             for name in ("i0003", "i0004"):
                 found.start(name)
@@ -343,7 +347,7 @@
     run(test)
 
 
-def test_what_is_no_more_is_forgotten_by_a_hand_and_counts_no_longer(tmp_path: Path) -> None:
+def test_forgotten_instance_no_longer_counts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 3, Budget("all", UnitKind.SIDECAR, number=1)) as found:
             engine = found.engine
@@ -351,7 +355,7 @@
                 await engine.forget("ann", "i0000", False)
             found.kill("i0000")
             await until(lambda: engine.permits.ledger.observations["sidecar/i0000"].out == 1.0)
-            with pytest.raises(Refusal, match="--ended says it for you"):
+            with pytest.raises(Refusal, match="confirm that with --ended"):
                 await engine.forget("ann", "i0000", False)
             await engine.forget("ann", "i0000", True)
             assert engine.permits.ledger.cells["all", ""].out == 0.0
@@ -361,13 +365,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_random_operators_never_have_more_out_than_is_allowed(tmp_path: Path, seed: int) -> None:
-    """Drains, undrains, permits, kills of connections and a new agent, drawn by seed."""
+def test_random_operations_never_exceed_the_budget(tmp_path: Path, seed: int) -> None:
+    """Random drains, undrains, permits, broken connections and a new agent, by seed."""
     async def test() -> None:
         rng = random.Random(seed)
         names = [f"i{n:04}" for n in range(6)]
         for _ in range(2):
-            async with fleet(tmp_path, 6, TWO, lease_s=0.6) as found:
+            async with fleet(tmp_path, 6, TWO_OUT, lease_s=0.6) as found:
                 engine = found.engine
                 for _ in range(25):
                     await asyncio.sleep(rng.random() * 0.06)
@@ -381,16 +385,16 @@
                             case 3:
                                 found.cut(rng.choice(names))
                             case 4:
-                                await engine.permits.take("s", str(rng.random()), [f"sidecar/{some[0]}"], "", 0, 500)
+                                await engine.permits.request("s", str(rng.random()), [f"sidecar/{some[0]}"], "", 0, 500)
                     except (Refusal, AssertionError):
                         pass
-                    assert found.most <= 2, f"seed {seed}"
-                assert found.most > 0
+                    assert found.max_drained <= 2, f"seed {seed}"
+                assert found.max_drained > 0
                 for permit in list(engine.permits.ledger.permits.values()):
                     if not permit.operation:
                         await engine.permits.give_back("s", permit.id, False)
-                for ident in list(engine.live):
-                    with contextlib.suppress(Refusal):  # it has ended meanwhile
+                for ident in list(engine.live_operations):
+                    with contextlib.suppress(Refusal):  # it has already ended
                         await engine.control("ann", ident, "abort")
                 await undrain(found)
                 await until(lambda engine=engine: not engine.permits.counted())  # type: ignore[misc]
@@ -408,7 +412,7 @@
     ('name = "a"\nnumber = 1\n[[agent.budget]]\nname = "b"\nnumber = 2',
      "expected one number for the same units, got 1 of 'a' and 2 of 'b'"),
 ])
-def test_a_budget_that_cannot_be_used_is_told_in_one_line(tmp_path: Path, text: str, wrong: str) -> None:
+def test_invalid_budget_is_reported_in_one_line(tmp_path: Path, text: str, wrong: str) -> None:
     with pytest.raises(OperatorFileError) as found:
         parse(f"[agent]\n[[agent.budget]]\n{text}\n", "f.toml", tmp_path)
     assert str(found.value).startswith("f.toml: agent.budget") and wrong in str(found.value)
--- a/tests/agent/test_planner.py
+++ b/tests/agent/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: what an operation does next, and a world of processes that does its worst."""
+"""The planner: next steps of an operation, and a property-based test with faulty processes and connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from ironscale.agent import planner
-from ironscale.agent.model import OPEN, Kind, Operation, Phase, Policy, Seen, Send, State, Target
+from ironscale.agent.model import (
+    OPEN_PHASES,
+    Kind,
+    Observation,
+    Operation,
+    OutgoingCommand,
+    Phase,
+    Policy,
+    State,
+    Target,
+)
 from ironscale.control.commands import CommandDeduplicator
 from ironscale.control.messages import Command, CommandResult
 
@@ -21,14 +31,14 @@
     return Operation(1, kind, 10, Phase.RUNNING, "ann", Policy(**policy), generation=5)  # type: ignore[arg-type]
 
 
-def seen(name: str, **changes: object) -> Seen:
+def seen(name: str, **changes: object) -> Observation:
     values: dict[str, object] = {"boot": f"{name}-1", "leased": True, "connected": True, "heard_ms": T0 - 5,
                                  "generation": 4, "ready": True, **changes}
-    return Seen(name, **values)  # type: ignore[arg-type]
+    return Observation(name, **values)  # type: ignore[arg-type]
 
 
-class Run:
-    """An operation, its targets and what is seen of them; each `step` is one look."""
+class PlannerRun:
+    """An operation, its targets and the observations of them; each `step` plans until nothing changes."""
 
     def __init__(self, op: Operation, count: int = 3) -> None:
         self.op = op
@@ -38,11 +48,11 @@
         self.superseded: dict[str, int] = {}
         self.now_ms = T0
         self.looked: tuple[object, ...] = ()
-        self.shown: dict[str, Seen] = {}
+        self.shown: dict[str, Observation] = {}
         self.touched: set[str] = set()
 
     def changed(self) -> set[str] | None:
-        """The names that the engine would hand over: of instances that show something else than at the last look."""
+        """The names that the engine would pass: of instances that report something else than at the last step."""
         now = {name: replace(one, heard_ms=0) for name, one in self.fleet.items()}
         names = {name for name in now if now[name] != self.shown.get(name)} | self.touched
         looked = (self.op, dict(self.superseded))
@@ -50,33 +60,33 @@
         self.shown, self.looked, self.touched = now, looked, set()
         return names if known else None
 
-    def step(self) -> list[Send]:
-        """Looks until there is nothing new; what is sent."""
-        sends: list[Send] = []
+    def step(self) -> list[OutgoingCommand]:
+        """Plans until nothing changes; returns the commands to send."""
+        sends: list[OutgoingCommand] = []
         for _ in range(50):
             plan = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded)
             less = planner.advance(self.op, self.targets, self.fleet, self.now_ms, self.superseded, self.changed())
-            assert less == plan  # what is passed over has nothing new to say
+            assert less == plan  # skipping unchanged targets gives the same plan
             for target in plan.targets:
                 self.targets[target.position] = target
-            sends += plan.sends
+            sends += plan.commands
             if plan.rollback:
                 self.op = replace(self.op, phase=Phase.ROLLING_BACK, fence=self.op.fence + 1, note=plan.note)
             elif plan.phase is not None:
                 self.op = replace(self.op, phase=plan.phase, note=plan.note)
             elif not plan.targets:
                 return sends
-        raise AssertionError("the planner never comes to rest")
+        raise AssertionError("the planner keeps planning new steps")
 
-    def answer(self, send: Send, status: str = "applied", detail: str = "") -> None:
+    def answer(self, send: OutgoingCommand, status: str = "applied", detail: str = "") -> None:
         place = next(t.position for t in self.targets if t.name == send.name)
         self.touched.add(send.name)
-        self.targets[place] = planner.answer(self.op, self.targets[place], send.id, status, detail)
+        self.targets[place] = planner.take_answer(self.op, self.targets[place], send.id, status, detail)
 
     def show(self, name: str, **changes: object) -> None:
         self.fleet[name] = replace(self.fleet[name], **changes)  # type: ignore[arg-type]
 
-    def apply(self, send: Send) -> None:
+    def apply(self, send: OutgoingCommand) -> None:
         self.answer(send)
         self.show(send.name, generation=send.generation, fence=send.fence)
 
@@ -87,22 +97,22 @@
         return [target.state for target in self.targets]
 
 
-def test_success_is_told_only_when_every_target_has_shown_it() -> None:
-    run = Run(operation())
+def test_succeeds_only_when_a_report_of_every_target_confirms_it() -> None:
+    run = PlannerRun(operation())
     sends = run.step()
     assert [send.name for send in sends] == ["i0", "i1", "i2"]
     for send in sends[:2]:
         run.apply(send)
-    run.answer(sends[2])  # says so, and shows something else
+    run.answer(sends[2])  # answers "applied", but reports another generation
     assert run.step() == [] and run.phase() is Phase.RUNNING
     run.show("i2", generation=5, fence=10)
     run.step()
     assert run.phase() is Phase.SUCCEEDED and set(run.states()) == {State.APPLIED}
 
 
-def test_what_was_shown_before_the_command_arrived_does_not_count() -> None:
-    run = Run(operation(Kind.DRAIN), 1)
-    run.show("i0", draining=True, fence=9)  # by an operation before, whose undrain may be on its way
+def test_state_reported_under_an_older_fence_does_not_count() -> None:
+    run = PlannerRun(operation(Kind.DRAIN), 1)
+    run.show("i0", draining=True, fence=9)  # by a former operation, whose undrain may still arrive
     run.step()
     assert run.states() == [State.UNDER_WAY]
     run.show("i0", fence=10)
@@ -110,9 +120,9 @@
     assert run.phase() is Phase.SUCCEEDED
 
 
-def test_nor_does_a_generation_that_it_ran_under_another_operation() -> None:
-    """Hazard: a command of the operation before may still arrive and change it again."""
-    run = Run(operation(), 1)
+def test_generation_reported_under_an_older_fence_does_not_count() -> None:
+    """A command of the former operation may still arrive and change the generation again."""
+    run = PlannerRun(operation(), 1)
     run.show("i0", generation=5, fence=9)
     run.step()
     assert run.states() == [State.UNDER_WAY]
@@ -121,8 +131,8 @@
     assert run.phase() is Phase.SUCCEEDED
 
 
-def test_one_that_says_applied_and_never_shows_it_has_failed() -> None:
-    run = Run(operation(answer_ms=1_000), 1)
+def test_target_that_answers_applied_without_a_confirming_report_fails() -> None:
+    run = PlannerRun(operation(answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.now_ms += 1_000
     run.step()
@@ -130,8 +140,8 @@
     assert "runs generation 4" in run.targets[0].detail
 
 
-def test_heartbeats_without_an_answer_are_no_answer() -> None:
-    run = Run(operation(answer_ms=1_000), 1)
+def test_heartbeats_alone_do_not_count_as_an_answer() -> None:
+    run = PlannerRun(operation(answer_ms=1_000), 1)
     run.step()
     run.now_ms += 999
     run.step()
@@ -142,8 +152,8 @@
     assert run.phase() is Phase.PARTIAL
 
 
-def test_a_lost_half_is_named_and_nothing_is_assumed_of_it() -> None:
-    run = Run(operation(), 4)
+def test_lost_targets_are_reported_as_no_answer_or_gone() -> None:
+    run = PlannerRun(operation(), 4)
     sends = run.step()
     for send in sends[:2]:
         run.apply(send)
@@ -155,24 +165,24 @@
     assert run.targets[3].detail == "signal 9"
 
 
-def test_one_that_was_not_there_at_the_start_is_told_as_not_connected() -> None:
-    run = Run(operation(), 2)
+def test_target_without_a_lease_at_the_start_is_reported_as_not_connected() -> None:
+    run = PlannerRun(operation(), 2)
     run.show("i1", leased=False, connected=False)
     sends = run.step()
     assert [send.name for send in sends] == ["i0"] and run.targets[1].state is State.NO_ANSWER
     assert run.targets[1].detail == "not connected" and run.targets[1].since_ms == T0 - 5
 
 
-def test_a_connection_lost_within_its_lease_is_waited_for() -> None:
-    run = Run(operation(), 1)
+def test_waits_for_a_disconnected_target_while_its_lease_is_valid() -> None:
+    run = PlannerRun(operation(), 1)
     run.show("i0", connected=False)
     assert run.step() == [] and run.states() == [State.NOT_STARTED] and run.phase() is Phase.RUNNING
     run.show("i0", connected=True)
     assert len(run.step()) == 1
 
 
-def test_a_restarted_process_has_not_applied_what_the_former_did() -> None:
-    run = Run(operation(), 1)
+def test_restarted_process_is_commanded_again() -> None:
+    run = PlannerRun(operation(), 1)
     first = run.step()[0]
     run.answer(first)
     run.show("i0", boot="i0-2")
@@ -183,8 +193,8 @@
     assert run.phase() is Phase.SUCCEEDED and run.targets[0].boot == "i0-2"
 
 
-def test_also_when_it_had_shown_it_while_others_were_under_way() -> None:
-    run = Run(operation(), 2)
+def test_restarted_process_is_commanded_again_after_it_had_applied() -> None:
+    run = PlannerRun(operation(), 2)
     sends = run.step()
     run.apply(sends[0])
     run.step()
@@ -194,8 +204,8 @@
     assert [send.boot for send in again] == ["i0-2"]
 
 
-def test_one_that_keeps_restarting_has_failed() -> None:
-    run = Run(operation(tries=3), 1)
+def test_target_that_keeps_restarting_fails() -> None:
+    run = PlannerRun(operation(tries=3), 1)
     run.step()
     for boot in range(2, 5):
         run.show("i0", boot=f"i0-{boot}")
@@ -203,8 +213,8 @@
     assert run.states() == [State.FAILED] and "restarted 3 times" in run.targets[0].detail
 
 
-def test_one_applied_that_dies_before_the_end_is_told_as_gone() -> None:
-    run = Run(operation(), 2)
+def test_applied_target_that_dies_before_the_end_is_gone() -> None:
+    run = PlannerRun(operation(), 2)
     run.apply(run.step()[0])
     run.step()
     run.show("i0", leased=False, ended="signal 9")
@@ -212,20 +222,20 @@
     assert run.targets[0].state is State.GONE and run.targets[0].detail == "had applied; signal 9"
 
 
-def test_what_a_restarted_agent_reads_of_a_process_does_not_undo_what_it_had_shown() -> None:
-    run = Run(operation(), 2)
+def test_recorded_state_after_an_agent_restart_does_not_undo_applied() -> None:
+    run = PlannerRun(operation(), 2)
     run.apply(run.step()[0])
     run.step()
-    run.show("i0", shown=False, generation=4, fence=0)
+    run.show("i0", has_reported=False, generation=4, fence=0)
     run.step()
     assert run.states()[0] is State.APPLIED
-    run.show("i0", shown=True)
+    run.show("i0", has_reported=True)
     run.step()
     assert run.states()[0] is State.FAILED and "runs generation 4" in run.targets[0].detail
 
 
-def test_one_that_refused_because_it_was_ending_is_gone_and_its_successor_is_told() -> None:
-    run = Run(operation(max_failures=2), 2)
+def test_target_that_refused_while_shutting_down_is_gone_and_its_successor_is_commanded() -> None:
+    run = PlannerRun(operation(max_failures=2), 2)
     run.answer(run.step()[0], "refused", "the process is ending")
     run.step()
     assert run.states()[0] is State.REFUSED
@@ -237,8 +247,8 @@
     assert [send.boot for send in run.step()] == ["i0-2"]
 
 
-def test_waves_follow_one_another_and_the_budget_holds() -> None:
-    run = Run(operation(wave=2, max_unavailable=1), 4)
+def test_waves_run_in_order_within_max_unavailable() -> None:
+    run = PlannerRun(operation(wave=2, max_unavailable=1), 4)
     order = []
     for _ in range(4):
         sends = run.step()
@@ -249,8 +259,8 @@
     assert order == ["i0", "i1", "i2", "i3"] and run.phase() is Phase.SUCCEEDED
 
 
-def test_past_the_threshold_nothing_more_is_started() -> None:
-    run = Run(operation(wave=1, max_failures=1), 5)
+def test_no_more_targets_start_after_too_many_failures() -> None:
+    run = PlannerRun(operation(wave=1, max_failures=1), 5)
     run.answer(run.step()[0], "refused", "bad settings")
     run.answer(run.step()[0], "failed", "a bug")
     run.step()
@@ -258,16 +268,16 @@
     assert run.states() == [State.REFUSED, State.FAILED, *[State.NOT_STARTED] * 3]
 
 
-def test_or_it_pauses_and_goes_on_when_told() -> None:
-    run = Run(operation(wave=1, on_failure="pause"), 2)
+def test_on_failure_pause_waits_until_resumed() -> None:
+    run = PlannerRun(operation(wave=1, on_failure="pause"), 2)
     run.answer(run.step()[0], "refused", "no")
     assert run.step() == [] and run.phase() is Phase.PAUSED
     run.op = replace(run.op, phase=Phase.RUNNING, policy=replace(run.op.policy, max_failures=2))
     assert [send.name for send in run.step()] == ["i1"]
 
 
-def test_or_everything_that_was_told_goes_back() -> None:
-    run = Run(operation(wave=2, on_failure="rollback"), 4)
+def test_on_failure_rollback_reverts_every_commanded_target() -> None:
+    run = PlannerRun(operation(wave=2, on_failure="rollback"), 4)
     sends = run.step()
     run.apply(sends[0])
     run.answer(sends[1], "failed", "half way through")
@@ -282,8 +292,8 @@
     assert run.states() == [State.REVERTED, State.REVERTED, State.NOT_STARTED, State.NOT_STARTED]
 
 
-def test_a_roll_back_that_is_not_shown_is_not_told_as_done() -> None:
-    run = Run(operation(on_failure="rollback", answer_ms=1_000), 2)
+def test_unconfirmed_rollback_ends_as_partial() -> None:
+    run = PlannerRun(operation(on_failure="rollback", answer_ms=1_000), 2)
     sends = run.step()
     run.apply(sends[0])
     run.answer(sends[1], "refused", "no")
@@ -294,8 +304,8 @@
     assert run.states() == [State.NO_ANSWER, State.REFUSED]
 
 
-def test_what_needs_a_restart_is_restarted_where_the_agent_can() -> None:
-    run = Run(operation(), 2)
+def test_target_that_needs_a_restart_is_restarted_if_supervised() -> None:
+    run = PlannerRun(operation(), 2)
     run.show("i0", supervised=True)
     sends = run.step()
     for send in sends:
@@ -311,8 +321,8 @@
     assert run.states()[0] is State.APPLIED
 
 
-def test_a_newer_operation_takes_its_instances() -> None:
-    run = Run(operation(wave=1), 3)
+def test_newer_operation_supersedes_its_targets() -> None:
+    run = PlannerRun(operation(wave=1), 3)
     run.step()
     run.superseded = {"i0": 2, "i1": 2}
     sends = run.step()
@@ -320,20 +330,20 @@
     assert run.targets[0].detail == "operation 2 has it"
 
 
-def test_a_stop_is_shown_by_the_end_of_the_process() -> None:
-    run = Run(operation(Kind.STOP), 3)
+def test_stop_is_confirmed_by_the_end_of_the_process() -> None:
+    run = PlannerRun(operation(Kind.STOP), 3)
     for send in run.step():
         run.answer(send)
     run.show("i0", leased=False, ended="exit 0")
-    run.show("i1", leased=False)  # silent: it may run still
+    run.show("i1", leased=False)  # silent: may still be running
     run.show("i2", boot="i2-2")
     run.step()
     assert run.states() == [State.APPLIED, State.NO_ANSWER, State.APPLIED]
     assert run.targets[0].detail == "exit 0"
 
 
-def test_a_drain_waits_for_what_was_taken() -> None:
-    run = Run(operation(Kind.DRAIN, answer_ms=1_000), 1)
+def test_drain_waits_for_open_requests() -> None:
+    run = PlannerRun(operation(Kind.DRAIN, answer_ms=1_000), 1)
     run.answer(run.step()[0])
     run.show("i0", draining=True, fence=10, open=3)
     run.step()
@@ -343,8 +353,8 @@
     assert run.states() == [State.FAILED] and "3 requests still open" in run.targets[0].detail
 
 
-def test_an_answer_to_an_earlier_try_says_nothing_of_the_present_one() -> None:
-    run = Run(operation(), 1)
+def test_answer_to_an_earlier_command_is_ignored() -> None:
+    run = PlannerRun(operation(), 1)
     first = run.step()[0]
     run.show("i0", boot="i0-2")
     run.step()
@@ -356,18 +366,18 @@
 @pytest.mark.parametrize("kind", list(Kind))
 def test_an_operation_that_has_ended_does_nothing(kind: Kind) -> None:
     for phase in Phase:
-        if phase not in OPEN:
+        if phase not in OPEN_PHASES:
             op = replace(operation(kind), phase=phase)
             plan = planner.advance(op, [Target("i0", 0)], {"i0": seen("i0")}, T0, {})
-            assert not plan.targets and not plan.sends and plan.phase is None
+            assert not plan.targets and not plan.commands and plan.phase is None
 
 
-# A world that does its worst
+# Property-based test with faulty processes and connections
 
 
 @dataclass
 class Process:
-    """What is true of an instance, whatever the agent believes."""
+    """The actual state of an instance, whatever the agent assumes."""
 
     boot: int = 1
     alive: bool = True
@@ -377,8 +387,8 @@
     done: list[str] = field(default_factory=list)
 
 
-class World(RuleBasedStateMachine):
-    """Commands and answers are lost, doubled and late; processes die, restart, fall silent; the agent dies."""
+class FaultyWorld(RuleBasedStateMachine):
+    """Commands and answers get lost, duplicated or delayed; processes die, restart or become silent; the agent dies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -387,26 +397,26 @@
     @initialize(count=st.integers(1, 6), wave=st.integers(0, 3), unavailable=st.integers(0, 3),
                 failures=st.integers(0, 6), on_failure=st.sampled_from(["stop", "pause", "rollback"]))
     def begin(self, count: int, wave: int, unavailable: int, failures: int, on_failure: str) -> None:
-        self.run_ = Run(operation(wave=wave, max_unavailable=unavailable, max_failures=failures,
-                                  on_failure=on_failure, answer_ms=5_000), count)
+        self.run_ = PlannerRun(operation(wave=wave, max_unavailable=unavailable, max_failures=failures,
+                                         on_failure=on_failure, answer_ms=5_000), count)
         self.names = list(self.run_.fleet)
         self.processes = {name: Process() for name in self.names}
-        self.wires: list[Send] = []
-        self.answers: list[tuple[Send, CommandResult]] = []
+        self.wires: list[OutgoingCommand] = []
+        self.answers: list[tuple[OutgoingCommand, CommandResult]] = []
         self.look()
 
     def look(self) -> None:
         for name, process in self.processes.items():
             if process.alive and process.reachable:
-                self.run_.fleet[name] = Seen(name, str(process.boot), True, True, self.run_.now_ms,
-                                             process.generation, process.commands.fence, True)
+                self.run_.fleet[name] = Observation(name, str(process.boot), True, True, self.run_.now_ms,
+                                                    process.generation, process.commands.fence, True)
         before = self.run_.states()
         sends = self.run_.step()
         self.wires += sends
         policy = self.run_.op.policy
         if sends and self.run_.op.phase is Phase.RUNNING and policy.max_unavailable:
-            out = sum(state in planner.OUT for state in self.run_.states())
-            fresh = sum(state in planner.OUT for state in before)
+            out = sum(state in planner.UNAVAILABLE for state in self.run_.states())
+            fresh = sum(state in planner.UNAVAILABLE for state in before)
             assert out <= max(policy.max_unavailable, fresh) + sum(
                 state is State.NO_ANSWER for state in self.run_.states())
 
@@ -477,12 +487,12 @@
 
     @rule()
     def agent_dies(self) -> None:
-        """What was recorded stays, what was on its way may be lost; what is under way is sent again."""
+        """Recorded state stays, commands in flight are lost, and commands of targets under way are sent again."""
         self.wires.clear()
         self.run_.targets = [replace(t, sent_ms=self.run_.now_ms) if t.command else t for t in self.run_.targets]
         self.run_.looked = ()
-        for name in self.names:  # the record of the instances is older than that of the targets
-            self.run_.show(name, shown=False, generation=4, fence=0, ready=False)
+        for name in self.names:  # the recorded instances may be older than the recorded targets
+            self.run_.show(name, has_reported=False, generation=4, fence=0, ready=False)
         self.wires += self.run_.step()
         for name in self.names:
             self.resend(name)
@@ -493,8 +503,8 @@
             if (target.name == name and target.command and not target.answered
                     and target.state in (State.UNDER_WAY, State.NO_ANSWER)):
                 generation = target.from_generation if target.reverting else self.run_.op.generation
-                self.wires.append(Send(target.command, name, target.boot, self.run_.op.fence, "reconfigure",
-                                       generation))
+                self.wires.append(OutgoingCommand(target.command, name, target.boot, self.run_.op.fence, "reconfigure",
+                                                  generation))
 
     @rule(action=st.sampled_from(["pause", "resume", "abort", "rollback"]))
     def steer(self, action: str) -> None:
@@ -520,11 +530,11 @@
         op = self.run_.op
         for target in self.run_.targets:
             shown = self.run_.fleet[target.name]
-            if target.state is State.APPLIED and op.phase in OPEN:
+            if target.state is State.APPLIED and op.phase in OPEN_PHASES:
                 assert shown.leased and shown.boot == target.boot
-                assert shown.generation == op.generation or not shown.shown
-            back = target.state is State.REVERTED and op.phase in OPEN
-            if back and shown.leased and shown.boot == target.boot and shown.shown:
+                assert shown.generation == op.generation or not shown.has_reported
+            back = target.state is State.REVERTED and op.phase in OPEN_PHASES
+            if back and shown.leased and shown.boot == target.boot and shown.has_reported:
                 assert shown.generation == target.from_generation
 
     @invariant()
@@ -533,7 +543,7 @@
             assert set(self.run_.states()) == {State.APPLIED}
 
     def teardown(self) -> None:
-        """Once the world behaves, every operation that is not paused comes to its end."""
+        """Without further faults, every operation that is not paused ends."""
         if not hasattr(self, "run_"):
             return
         if self.run_.op.phase is Phase.PAUSED:
@@ -543,7 +553,7 @@
                 process.reachable = True
                 self.resend(name)
         for _ in range(60):
-            if self.run_.op.phase not in OPEN:
+            if self.run_.op.phase not in OPEN_PHASES:
                 break
             self.look()
             while self.wires:
@@ -558,8 +568,8 @@
                     if answer is not None:
                         self.run_.answer(send, answer.status, answer.detail)
             self.run_.now_ms += 1_000
-        assert self.run_.op.phase not in OPEN, (self.run_.op, self.run_.targets)
+        assert self.run_.op.phase not in OPEN_PHASES, (self.run_.op, self.run_.targets)
 
 
-World.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
-TestWorld = World.TestCase
+FaultyWorld.TestCase.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
+TestFaultyWorld = FaultyWorld.TestCase
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Instances that the agent starts: crash loops, replacements under traffic, an agent that dies and the next one."""
+"""Supervised instances: crash loops, replacement under traffic, and takeover by the next agent after a kill."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 import pytest
 
 from ironscale.agent.model import Kind, Phase, Policy, State
-from ironscale.agent.restarts import CRASHES, MOST_S, STEADY_S, Restarts
+from ironscale.agent.restarts import CRASH_LOOP_ENDS, MAX_DELAY_S, STABLE_S, RestartBackoff
 from ironscale.control.processes import is_alive, start_ticks
 from ironscale.operator_file import ServiceConfig, read_secret
 from ironscale.standins.discovery import ListedDiscovery, listing
@@ -31,23 +31,23 @@
 from tests.sockets import free_port
 
 
-def test_restarts_back_off_give_up_on_a_crash_loop_and_forget_after_a_steady_run() -> None:
-    restarts, now_s, waits = Restarts(), 100.0, []
-    for _ in range(CRASHES - 1):
-        waits.append(restarts.ended(now_s, 0.1))
+def test_restart_backoff_detects_crash_loops_and_resets_after_a_stable_run() -> None:
+    restarts, now_s, waits = RestartBackoff(), 100.0, []
+    for _ in range(CRASH_LOOP_ENDS - 1):
+        waits.append(restarts.on_end(now_s, 0.1))
         now_s += 1.0
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0]
-    assert restarts.ended(now_s, 0.1) is None
-    restarts.forgive()
-    assert restarts.ended(now_s, 0.1) == 0.5
-    steady = Restarts()
+    assert restarts.on_end(now_s, 0.1) is None
+    restarts.reset()
+    assert restarts.on_end(now_s, 0.1) == 0.5
+    steady = RestartBackoff()
     for _ in range(50):
-        assert steady.ended(now_s, STEADY_S) == 0.5
-        now_s += STEADY_S
-    slow = Restarts()
-    for _ in range(20):  # ends that lie far apart are no loop, and the pause has a bound
-        wait_s = slow.ended(now_s, 1.0)
-        assert wait_s is not None and wait_s <= MOST_S
+        assert steady.on_end(now_s, STABLE_S) == 0.5
+        now_s += STABLE_S
+    slow = RestartBackoff()
+    for _ in range(20):  # ends far apart are no crash loop, and the delay is bounded
+        wait_s = slow.on_end(now_s, 1.0)
+        assert wait_s is not None and wait_s <= MAX_DELAY_S
         now_s += 60.0
 
 
@@ -83,8 +83,8 @@
     return member is not None and member.leased and member.report is not None and member.report.ready
 
 
-def test_what_needs_a_restart_is_replaced_on_its_port_and_no_request_is_lost(tmp_path: Path) -> None:
-    """Make before break: the successor listens on the same port before the old process is told to end."""
+def test_make_before_break_restart_loses_no_request(tmp_path: Path) -> None:
+    """Make before break: the successor listens on the same port before the old process is stopped."""
     async def test() -> None:
         async with world(tmp_path) as (peer, config):
             port = free_port()
@@ -131,7 +131,7 @@
         writer.close()
 
 
-def test_a_killed_process_is_started_again_with_what_it_should_run(tmp_path: Path) -> None:
+def test_killed_process_is_restarted_with_its_desired_generation(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config, 2) as s:
             await until(lambda: ready(s, "app-0") and ready(s, "app-1"))
@@ -141,16 +141,16 @@
             await until(lambda: s.agent.fleet.members["app-0"].row.ended == "signal 9"
                         or s.agent.fleet.members["app-0"].row.boot != row.boot)
             await until(lambda: s.agent.fleet.members["app-0"].row.boot != row.boot and ready(s, "app-0"))
-            assert s.agent.fleet.members["app-0"].row.generation == 1  # from its start, with no operation
+            assert s.agent.fleet.members["app-0"].row.generation == 1  # from its start, without an operation
             assert len(await s.engine.store.read(lambda r: r.operations(99, 99))) == 1
 
     run(test)
 
 
-def test_one_that_should_run_what_this_record_does_not_have_starts_with_its_file_alone(
+def test_instance_whose_generation_is_not_recorded_starts_with_its_base_configuration(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Hazard: the agent ended with a fault, and every agent after it."""
+    """Guards against a crash of the agent, and of every agent after it."""
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config) as s:
             await until(lambda: ready(s, "app-0"))
@@ -161,10 +161,10 @@
             assert s.agent.fleet.members["app-0"].row.generation == 0
 
     run(test)
-    assert "generation 9 is not in this record" in capsys.readouterr().err
+    assert "generation 9 is not in the record" in capsys.readouterr().err
 
 
-def test_a_restart_replaces_and_a_stopped_one_stays_stopped_until_then(tmp_path: Path) -> None:
+def test_stopped_instance_stays_stopped_until_restarted(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path) as (_, config), supervised(tmp_path, config) as s:
             await until(lambda: ready(s, "app-0"))
@@ -184,9 +184,9 @@
     run(test)
 
 
-def test_a_crash_loop_is_given_up_plainly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                          capsys: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr("ironscale.agent.restarts.FIRST_S", 0.01)
+def test_crash_loop_ends_restarts_and_is_logged(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+                                                capsys: pytest.CaptureFixture[str]) -> None:
+    monkeypatch.setattr("ironscale.agent.restarts.FIRST_DELAY_S", 0.01)
 
     async def test() -> None:
         async with world(tmp_path) as (_, config):
@@ -195,13 +195,13 @@
             config.write_text(json.dumps(bad))
             async with supervised(tmp_path, config) as s:
                 member = s.agent.supervisor.members["app-0"]
-                await until(lambda: member.gave_up)
-                assert member.gave_up == "crash loop, last exit 2" and member.run is None
+                await until(lambda: member.crash_loop)
+                assert member.crash_loop == "crash loop, last exit 2" and member.process is None
                 log = (tmp_path / "data" / "logs" / "app-0.log").read_text()
-                assert log.count("setting instances: expected a number, got 'many'") == CRASHES
+                assert log.count("setting instances: expected a number, got 'many'") == CRASH_LOOP_ENDS
 
     run(test)
-    assert "app-0: given up (crash loop, last exit 2)" in capsys.readouterr().err
+    assert "app-0: not restarted again (crash loop, last exit 2)" in capsys.readouterr().err
 
 
 def test_sidecars_outlive_an_agent_that_is_killed_and_the_next_one_takes_them_over(tmp_path: Path) -> None:
@@ -221,12 +221,12 @@
                         await agents[0].wait()
                         assert all(is_alive(pid, start_ticks(pid) or -1) for pid in rows[0].values())
                 assert rows[0] == rows[1]  # the same processes
-                os.kill(rows[1]["app-0"], signal.SIGKILL)  # no child of this agent: it notices all the same
+                os.kill(rows[1]["app-0"], signal.SIGKILL)  # not a child of this agent, which notices all the same
                 while (now := await instances(tmp_path, api))["app-0"] == rows[1]["app-0"]:
                     await asyncio.sleep(0.05)
                 assert now["app-1"] == rows[1]["app-1"]
                 rows.append(now)
-                agents[1].terminate()  # with --stop-instances: all of them end
+                agents[1].terminate()  # with --stop-instances: all instances end
                 assert await agents[1].wait() == 0
                 assert not any(is_alive(pid, start_ticks(pid) or -1) for row in rows for pid in row.values())
             finally:
@@ -240,7 +240,7 @@
     run(test)
 
 
-def test_a_process_is_on_record_before_it_is_started(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_state_file_is_written_before_the_process_starts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     before: list[tuple[str, str]] = []
     popen = subprocess.Popen
 
@@ -259,7 +259,7 @@
     assert len(before) == 1 and before[0][0] == before[0][1]
 
 
-def test_a_process_whose_agent_was_killed_right_after_its_start_is_found(tmp_path: Path) -> None:
+def test_process_is_found_after_its_agent_was_killed_right_after_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         with contextlib.ExitStack() as ends:
             await found_again(ends)
@@ -274,7 +274,7 @@
                 row = s.agent.fleet.members["app-0"].row
                 ends.callback(kill, row.pid)
             state = tmp_path / "data" / "instances" / "app-0.state"
-            state.write_text(json.dumps({"boot": row.boot, "held": False}))  # as it stands before the start
+            state.write_text(json.dumps({"boot": row.boot, "held": False}))  # as it is written before the start
             async with scene(tmp_path / "data", **changes) as s:
                 await until(lambda: ready(s, "app-0"))
                 assert s.agent.fleet.members["app-0"].row.pid == row.pid
