--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -1,8 +1,8 @@
-"""A store whose every write has a number, so that a write whose outcome is not known is told from the record itself.
+"""A store that numbers its writes, so that a commit with an unknown outcome can be resolved by reading the store.
 
-A commit that broke off stands or does not: the record says so, once the store is reached again, by the number of the
-last write that it holds. Until then nothing more is written, and who asked is told that it is not known; should the
-write turn out to stand, he hears of it.
+When the connection breaks during COMMIT, the transaction may or may not have been committed. Once the database can be
+reached again, the number of its last write tells which. Until then the store accepts no further writes and the caller
+gets the error UNKNOWN; if the write turns out to be committed, the caller's callback is called with its result.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 T = TypeVar("T")
 X = TypeVar("X", bound=Transaction)
-RESOLVE_S = 10.0  # who asked waits so long for the word whether his write stands
+RESOLVE_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
 AGAIN_S = 0.5
 CLOSE_S = 10.0
 CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
          "SQLITE_NOTADB": "DAMAGED", "NEWER": "NEWER", "53100": "FULL", "25006": "READ_ONLY", "LOCKED": "LOCKED",
          "TAKEN": "TAKEN", "LESS": "LESS", "UNKNOWN_BEFORE": "AWAY"}
-REFUSED = ("22", "23", "42")  # SQLSTATE classes of a statement that fails again
+REFUSED = ("22", "23", "42")  # SQLSTATE classes of errors that a retry of the statement would raise again
 
 
 def told(found: Trouble) -> StoreError:
-    """What the store says, under a stable code."""
+    """Converts a database error to a StoreError with a stable code."""
     failed = found.code.startswith("SQLITE") or found.code[:2] in REFUSED or found.cause is Cause.UNUSABLE
     return StoreError(CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
 
 
 @dataclass(slots=True)
 class _Write:
-    """One that was carried out, and what it gave; whether it stands is to be seen."""
+    """A write whose statements were executed, with its result. Whether it was committed may not be known yet."""
 
     late: Callable[[Any], None] | None
     number: int = 0
@@ -50,48 +50,49 @@
 
 
 class KeptStore(abc.ABC, Generic[X]):
-    """`Store` on a worker, which writes nothing more from the moment on that an outcome is open."""
+    """A `Store` on a worker thread that accepts no writes while the outcome of an earlier one is unknown."""
 
-    reaches_by_write: bool  # whether `reached` is asked within a transaction that writes
+    reaches_by_write: bool  # whether `reached` must run in a transaction that writes
 
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
         worker.stops_at_unknown = True
         self.group: X | None = None
-        self.carried: list[_Write] = []  # of the group, on the worker's thread; it rests while an outcome is open
+        # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
+        self.carried: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
-        self.stood = 0  # writes that were told as not known and turned out to stand
+        self.stood = 0  # writes reported as UNKNOWN that turned out to be committed
         self.resolve_s = RESOLVE_S
         self.term = Term()
 
     @abc.abstractmethod
     def mark(self, records: SqlRecords) -> int:
-        """Within a write's transaction: its number, above all before; kept by the commit that keeps the write."""
+        """Assigns the transaction's number, above all earlier ones, and stores it in the same transaction."""
 
     async def owner(self) -> Owner:
-        """Whose the record is, by its own word. Raises StoreError."""
+        """The store's owner as it is stored. Raises StoreError."""
         return Owner(self.term.epoch, "", "", 0)
 
     async def claim(self) -> None:
-        """Makes the record this agent's. Raises StoreError, LOCKED while another holds it."""
+        """Makes this agent the store's owner. Raises StoreError, with LOCKED while another agent owns it."""
 
     async def give_up(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
-        """Ends its term, as far as it can be told so."""
+        """Ends this agent's term in the store, if the store can be reached."""
 
     def renewed(self) -> None:  # noqa: B027
-        """A write has been confirmed: the term runs on from then."""
+        """Extends the term after a write was confirmed."""
 
     @abc.abstractmethod
     def reached(self, records: SqlRecords) -> int:
-        """The number of the last write that the record holds, in a transaction that no earlier commit can overtake."""
+        """The number of the last committed write, read so that no earlier commit can still take effect afterwards."""
 
     async def write(self, work: Callable[[Records], T], late: Callable[[T], None] | None = None) -> T:
-        """Raises StoreError; with the code UNKNOWN the work may stand, and if it does, `late` is called with its
+        """Raises StoreError. With the code UNKNOWN the write may be committed; if it is, `late` is called with its
         result before anything else is written."""
         if self.resolving is not None:
-            # hazard: this one was made upon what was known before the open one's outcome
-            raise StoreError("AWAY", f"{self.worker.name}: whether its last write stands is not known yet; nothing "
-                                     "more is written till then")
+            # This write was prepared without knowing the outcome of the open one, and may contradict it.
+            raise StoreError("AWAY", f"{self.worker.name}: the outcome of the last write is not known yet; no writes "
+                                     "are accepted until it is")
         write = _Write(late)
 
         def job(transaction: X) -> T:
@@ -123,19 +124,20 @@
             raise told(found) from found
 
     async def _settled(self, write: _Write, found: Trouble) -> None:
-        """Returns once it is seen to stand. Raises StoreError."""
+        """Returns once the write is known to be committed. Raises StoreError otherwise."""
         if write.stands is None:
             if self.resolving is None:
                 self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.carried))
             await asyncio.wait([self.resolving], timeout=self.resolve_s)
         if write.stands is None:
-            raise StoreError("UNKNOWN", f"{found}; whether it stands is not known yet; look again once the record is "
-                                        "back") from found
+            raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
+                                        "store is reachable") from found
         if not write.stands:
-            raise told(Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
+            raise told(
+                Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
-        """Asks until it is told, then tells all who wait, and lets writes go on."""
+        """Retries until the store has answered, passes the outcome to the callers, and allows writes again."""
         while True:
             with contextlib.suppress(Trouble):
                 reached = await self.worker.run(
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -1,10 +1,10 @@
-"""The record in PostgreSQL, for one agent at a time.
+"""The agent's store in PostgreSQL, owned by one agent at a time.
 
-The row `agent_owner` says whose it is. An agent claims the record by raising `epoch`; each of its transactions begins
-by writing its number there, under that epoch, and so holds the row until its end. Two things follow. A former agent
-that still runs, or a commit of ours that still lies somewhere on its way, finds another epoch and changes nothing. And
-after a connection that broke off at COMMIT, the next claim waits for what is still under way, and `sequence` then says
-whether that commit stands.
+The row in `agent_owner` names the owner. An agent claims the store by incrementing `epoch`, which acts as a fencing
+token. Each of its transactions begins by writing its sequence number to this row under that epoch, and so holds the
+row's lock until it ends. This has two effects. A former owner that still runs, or a delayed transaction of this agent,
+finds another epoch and changes nothing. And after a connection broke during COMMIT, the next claim waits for the row
+lock of the transaction in progress; `sequence` then tells whether that transaction was committed.
 """
 
 from __future__ import annotations
@@ -32,15 +32,16 @@
 from ironscale.threads import start_thread
 
 NOW = NOW_MS["postgresql"]
-LEASE_MS = 10_000  # a holder that was not heard for so long may be followed by another
-LIMIT_S = 5.0  # a transaction, from BEGIN to the answer of COMMIT
+LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
+LIMIT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
 CONNECT_S = 2.0
-LOCK = 0x69726F61  # advisory: one agent at a time brings the schema up
-FENCES_APART = 1_000_000  # instances may have seen fences that a record which lost commits would give again
+LOCK = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
+# Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
+FENCES_APART = 1_000_000
 
 
 class Held:
-    """A transaction of the group, as the work sees it."""
+    """The transaction of a group commit, as passed to its jobs."""
 
     __slots__ = ("began_ms", "connection", "number")
 
@@ -54,7 +55,8 @@
 
 
 class _Watch:
-    """Ends a connection that takes too long: a server that hangs keeps its TCP connection alive."""
+    """A thread that shuts down a connection when a transaction exceeds its time limit. TCP keepalive doesn't detect
+    this: a server process that hangs keeps its connection alive."""
 
     def __init__(self) -> None:
         self.wake = threading.Condition()
@@ -99,34 +101,36 @@
 
 
 class Holder(Worker[Held]):
-    """One connection on one thread, and the claim on the record."""
+    """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
     def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
                  lease_ms: int = LEASE_MS) -> None:
-        """`holder`: who claims, the same for the next process on the same data folder; `place`: where, for people."""
+        """`holder`: identifies the claimant, and is the same for the next process on the same data folder. `place`:
+        where the agent runs, for error messages."""
         self.settings = settings_of(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
         self.limit_s, self.lease_ms = limit_s, lease_ms
         self.connection: psycopg.Connection[Any] | None = None
-        self.epoch = 0  # of our claim; 0 = none yet
-        self.number = 0  # of the last transaction that wrote, whatever became of it
-        self.confirmed = 0  # of the last that was confirmed
+        self.epoch = 0  # of this agent's claim; 0: no claim yet
+        self.number = 0  # sequence number of the last transaction that wrote, whatever its outcome
+        self.confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
-        self.lost: Trouble | None = None  # the record is no longer ours: for good
-        self.on_lost: Callable[[Trouble], None] = lambda found: None  # on the thread
-        self.reopens = False  # the connection is due to be made anew, with a claim
-        self.follows = False  # reads what another agent writes, and claims nothing
-        self.until_ms = 0.0  # of the lease, on this machine's own clock and as of before it was asked for
+        self.lost: Trouble | None = None  # why this agent doesn't own the store any more; never reset
+        self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
+        self.reopens = False  # the connection has to be opened again, with a claim
+        self.follows = False  # reads what another agent writes, and doesn't claim the store
+        self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
         self.watch = _Watch()
 
-    # A group
+    # Group commit
 
     def commit(self, group: list[Job[Held, Any]]) -> list[Done[Held]]:
         done: list[Done[Held]] = []
         step = Step.CONNECT
         try:
-            # hazard: a server that ended tells so on the idle connection; what is sent there may end as not known
+            # A server that shut down has closed the idle connection. A transaction sent on it could end with an
+            # unknown outcome, so a stale connection is replaced before it is used.
             if self.connection is not None and (self.reopens or is_stale(self.connection)):
                 self._drop()
             self.reopens = False
@@ -154,14 +158,14 @@
             return done
         except (psycopg.Error, OSError, Trouble) as error:
             found = error if isinstance(error, Trouble) else self._trouble(error, step)
-        except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
+        except Exception as error:  # callers would wait forever if the thread died
             found = Trouble(Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
         return fated(group, done, found)
 
     def _do(self, held: Held, job: Job[Held, Any], done: list[Done[Held]], several: bool) -> None:
-        """One job; what it has done is taken back if it fails. Raises what ends the whole transaction."""
+        """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
         if several:
             connection.execute("SAVEPOINT job")
@@ -180,7 +184,8 @@
             connection.execute("RELEASE SAVEPOINT job")
 
     def _hold(self, connection: psycopg.Connection[Any]) -> int:
-        """The transaction's number, under our claim; from here on the row is held until its end."""
+        """Assigns the transaction's sequence number under this agent's claim. This locks the owner's row until the
+        transaction ends."""
         if self.follows:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
         self.number += 1
@@ -188,8 +193,9 @@
             f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW} + %s WHERE one = %s AND epoch = %s"
             " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
-            # ours it may be still, or be less than it was: the next claim tells
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim on it has to be renewed",
+            # The epoch has changed: either a claim of this agent went unnoticed, another agent owns the store, or the
+            # store has lost writes. The next claim finds out which.
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim has to be renewed",
                           "CLAIM")
         return self.number
 
@@ -209,7 +215,7 @@
             with contextlib.suppress(psycopg.Error, OSError):
                 connection.close()
 
-    # A connection and the claim
+    # Connection and claim
 
     def _open(self) -> psycopg.Connection[Any]:
         """Raises psycopg.Error, OSError or Trouble."""
@@ -219,8 +225,9 @@
                                                 autocommit=True, prepare_threshold=None)
         try:
             with self.watch.over(connection, self.limit_s):
-                # what a server does that we have given up on has an end too, and then the row is free. Hazard: who is
-                # stopped in mid-transaction would keep the next agent from the row past the end of his lease
+                # The server also limits statements, so that a transaction which this agent has abandoned releases the
+                # owner's row. An agent process that is stopped within a transaction would otherwise keep the next
+                # agent from the row past the end of the lease; hence the limit for idle transactions.
                 idle_ms = min(int(2 * self.limit_s * 1000), self.lease_ms)
                 connection.execute(f"SET statement_timeout = {int(self.limit_s * 1000)}")
                 connection.execute(f"SET idle_in_transaction_session_timeout = {idle_ms}")
@@ -250,24 +257,24 @@
                               "ROLLBACK") from None
 
     def _claim(self, connection: psycopg.Connection[Any]) -> None:
-        """Makes the record ours, or ours again. Waits for what an earlier transaction of ours still does."""
+        """Claims the store, or renews the claim. Waits for earlier transactions of this agent that are in progress."""
         began_ms = clock_ms()
         (epoch, sequence, holder, place, left_ms), = connection.execute(
             f"SELECT epoch, sequence, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} has this record, "
-                          f"for {left_ms / 1000:.1f} s more at least; stop that agent, or name another database",
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
+                          f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
                           "LOCKED")
         if epoch < self.epoch or sequence < self.confirmed:
             self._less(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
-            self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken this record over")
+            self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
         rows = connection.execute(
             f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW} + %s"
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent claims this record at "
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store at "
                           "the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.confirmed = rows[0]
         self.number = max(self.number, self.confirmed)
@@ -275,18 +282,21 @@
         self.claims += 1
 
     def _less(self, connection: psycopg.Connection[Any], epoch: int, sequence: int) -> None:
-        """A server that took over without all that was confirmed. What was told to operators and instances is gone, so
-        nothing here may go on from it; the next agent begins from what is there, with fences above all that were."""
+        """Handles a database server that took over without all confirmed commits. Changes that operators and instances
+        were told about are lost, so this agent can't continue from its memory; the next agent starts from what the
+        server has, with fences above all that were issued."""
         connection.execute("BEGIN")
         connection.execute(f"UPDATE agent_owner SET epoch = %s, sequence = %s, holder = %s, place = %s,"
                            f" until_ms = {NOW} WHERE one = %s",
                            (max(epoch, self.epoch) + 1, max(sequence, self.number), self.holder, self.place, 1))
         connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCES_APART, "fence"))
-        # versions that were told may be gone, and their numbers be given again: positions of the two aren't compared
+        # Published versions may be lost and their numbers issued again. With a new lineage, followers don't compare
+        # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
         connection.execute("COMMIT")
         self._give_up("LESS", f"{self.name}: expected {self.confirmed} writes, as it had confirmed, got {sequence}: a "
-                      "server took over that had not got them all; look at `ironscale ops`, then start the agent again")
+                      "server took over that had not received all of them; check `ironscale ops`, then start the agent "
+                      "again")
 
     def _give_up(self, code: str, text: str) -> None:
         self.lost = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
@@ -294,7 +304,7 @@
         raise self.lost
 
     def stop(self, wait_s: float) -> None:
-        """After all that was asked for; the next agent need not wait for the lease."""
+        """Finishes the queued jobs, then ends the lease, so that the next agent need not wait for it to expire."""
         self.end()
         if self.thread.is_alive():
             self.thread.join(wait_s)
@@ -307,9 +317,10 @@
 
 
 class PostgresStore(KeptStore[Held]):
-    """The record under one agent's claim."""
+    """The store in PostgreSQL under one agent's claim."""
 
-    # hazard: a write of its own would have a number above the open one's, and be taken for it if it broke off too
+    # A write made to resolve an outcome would get a number above the unresolved write's. If its connection broke too,
+    # it could be mistaken for that write.
     reaches_by_write = False
 
     def __init__(self, holder: Holder) -> None:
@@ -323,7 +334,7 @@
 
     @term.setter
     def term(self, term: Term) -> None:
-        pass  # the claim is the holder's
+        pass  # the term follows from the claim of `holder`
 
     async def owner(self) -> Owner:
         def work(records: Records) -> Owner:
@@ -350,5 +361,6 @@
         return held.number
 
     def reached(self, records: SqlRecords) -> int:
-        """By the claim that this connection made: it has waited for all that came before, and shut out the rest."""
+        """The number found by the claim that opened this connection: the claim waited for earlier transactions that
+        were in progress, and its new epoch rejects later ones."""
         return self.holder.confirmed
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -1,7 +1,8 @@
-"""The record's statements, once for both dialects, and `Records` upon them. Values go in as parameters only.
+"""The SQL statements of the agent's store, shared by both dialects, and `Records` implemented with them. Values are
+passed as parameters only.
 
-A table is named `@table`: SQLite has a file of its own for the agent; in PostgreSQL the names begin with `agent_`, as
-the database may be shared with stores of record.
+Statements write a table's name as `@table`. SQLite uses it without a prefix, as the agent has its own file; in
+PostgreSQL it becomes `agent_table`, as the database may be shared with the stores that hold records of requests.
 """
 
 from __future__ import annotations
@@ -22,12 +23,13 @@
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope, canonical, read_scope
 
-ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
+# Rows of one INSERT, with up to 15 values each: PostgreSQL takes 65,535 parameters, SQLite 32,766.
+ROWS_AT_ONCE = 500
 SCOPES_AT_ONCE = 500  # compacted in one transaction
 
 
 class Transaction(Protocol):
-    """What a dialect gives: one statement, all its rows."""
+    """The database driver's transaction: executes one statement and returns all its rows."""
 
     def execute(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]: ...
 
@@ -44,7 +46,7 @@
 
 DIALECTS: dict[str, Callable[[str], str]] = {"sqlite": _sqlite, "postgresql": _postgresql}
 
-# `dataclasses.astuple` copies deeply, for thousands of rows at a time
+# Not `dataclasses.astuple`: it makes deep copies, which is slow for thousands of rows.
 _instance_values = attrgetter(*(f.name for f in fields(InstanceRow)))
 _target_values = attrgetter(*(f.name for f in fields(Target)))
 _token_values = attrgetter(*(f.name for f in fields(TokenRow)))
@@ -68,7 +70,7 @@
     return f"ON CONFLICT ({key}) DO UPDATE SET " + ", ".join(f"{c} = excluded.{c}" for c in columns)
 
 
-# what it should run is the operations' to say (`set_desired`); when it was first seen stays
+# `desired` is changed only by operations, through `set_desired`; `first_seen_ms` never changes.
 PUT_INSTANCES = _upsert("name", (c for c in INSTANCE if c not in ("name", "first_seen_ms", "desired")))
 PUT_OPERATION = _upsert("id", ("policy", "fence", "phase", "note", "ended_ms"))
 PUT_TARGETS = _upsert("operation, name", (c for c in TARGET if c not in ("operation", "name")))
@@ -80,25 +82,26 @@
 
 
 def plain(value: Any) -> Any:
-    """Both stores keep whole numbers and texts, no truth values and no enumerations."""
+    """Converts booleans and enum values to the integers and strings that both databases store."""
     if isinstance(value, bool):
         return int(value)
     return str(value) if isinstance(value, str) else value
 
 
 class SqlRecords:
-    """`Records` within one transaction. `end` is due before its commit."""
+    """`Records` within one transaction. `end` must be called before the commit."""
 
     def __init__(self, transaction: Transaction, dialect: str) -> None:
         self.transaction, self.translated = transaction, DIALECTS[dialect]
-        self.audited: list[tuple[Any, ...]] = []  # lines of the log that are not written yet
+        self.audited: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
         self.last_id = -1
 
     def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         return self.transaction.execute(self.translated(sql), values)
 
     def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
-        """Many at a time: a statement each would be a round trip each."""
+        """Inserts many rows per statement, as one statement per row would cost a round trip per row. `behind` is SQL
+        appended to the statement."""
         found = [tuple(map(plain, row)) for row in rows]
         one = f"({', '.join(['%s'] * len(columns))})"
         for start in range(0, len(found), ROWS_AT_ONCE):
@@ -107,7 +110,7 @@
                      [value for row in part for value in row])
 
     def end(self) -> None:
-        """Writes what was held back."""
+        """Writes the buffered entries of the audit log."""
         lines, self.audited = self.audited, []
         self.insert("audit", AUDIT, lines)
 
@@ -119,7 +122,7 @@
         self.insert("counters", COUNTER, [(name, value)], PUT_COUNTER)
 
     def count(self, name: str) -> int:
-        """One more, from 1 on."""
+        """Increments the counter and returns it; the first value is 1."""
         return self._number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
                             " SET value = @counters.value + 1 RETURNING value", (name,))
 
@@ -141,12 +144,12 @@
         return InstanceRow(*values)
 
     def put_instances(self, rows: Iterable[InstanceRow]) -> None:
-        # one statement may not meet a row twice: the last word on an instance is what counts
+        # An upsert statement may not update a row twice, so only the last row of each instance is written.
         last = {row.name: row for row in rows}
         self.insert("instances", INSTANCE, map(_instance_values, last.values()), PUT_INSTANCES)
 
     def set_desired(self, generations: Iterable[tuple[str, int]]) -> None:
-        """By generation: an operation has one or two for all its targets."""
+        """One statement per generation: an operation has one or two generations for all its targets."""
         names: dict[int, list[str]] = {}
         for name, generation in dict(generations).items():
             names.setdefault(generation, []).append(name)
@@ -313,7 +316,7 @@
             return Change(own, position, since, False, floor, ())
         whole = lineage != own or since == 0 or since < floor or since > position
         while True:
-            # in one statement: a commit between two would leave out the scope that it moved on
+            # One statement: a commit between two statements would hide the scope whose newest version it replaced.
             rows = self.sql(
                 f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
                 " AS l LEFT JOIN @newest AS n ON n.version > %s LEFT JOIN @versions AS v ON v.version = n.version"
@@ -321,7 +324,7 @@
             own, position, floor = rows[0][:3] if rows else ("", 0, 0)
             if whole or lineage == own and since >= floor:
                 break
-            whole = True  # it was compacted since the first look
+            whole = True  # the log was compacted since `_log` was read
         entries = tuple(self._entry(row[3:]) for row in rows if row[3] is not None)
         return Change(own, position, since, whole, floor, entries)
 
@@ -383,7 +386,8 @@
     def compact_versions(self, keep: int, before_ms: int) -> int:
         _, position, floor = self._log()
         beyond, values = "(version <= %s OR at_ms < %s)", (position - keep, before_ms)
-        # what was in force when the kept history begins stays, so that what came before its first change is known
+        # Each scope keeps the version that was in force when the retained history begins, so that the state before
+        # the first retained change is known.
         rows = self.sql(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
                         " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, SCOPES_AT_ONCE))
         gone = 0
@@ -402,7 +406,7 @@
         return gone
 
 
-# One statement each. The log can't be changed nor thinned out: what tries finds nothing done.
+# One statement per string. Rules turn every UPDATE and DELETE of the audit log into a no-op.
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
     (
         "CREATE TABLE agent_counters (name {TEXT} NOT NULL PRIMARY KEY, value {INTEGER} NOT NULL)",
@@ -437,7 +441,7 @@
         """CREATE TABLE agent_tokens (
             name {TEXT} NOT NULL PRIMARY KEY, role {TEXT} NOT NULL, digest {TEXT} NOT NULL,
             created_ms {INTEGER} NOT NULL, revoked_ms {INTEGER} NOT NULL)""",
-        # whose record it is: which claim counts, how far its writes have come, until when the holder is taken for alive
+        # The store's owner: the number of the valid claim (epoch), the last write (sequence), the end of the lease.
         """CREATE TABLE agent_owner (
             one {INTEGER} NOT NULL PRIMARY KEY, epoch {INTEGER} NOT NULL, sequence {INTEGER} NOT NULL,
             holder {TEXT} NOT NULL, place {TEXT} NOT NULL, until_ms {INTEGER} NOT NULL)""",
@@ -458,7 +462,7 @@
             base {INTEGER} NOT NULL, restores {INTEGER} NOT NULL, actor {TEXT} NOT NULL, at_ms {INTEGER} NOT NULL,
             note {TEXT} NOT NULL)""",
         "CREATE INDEX agent_versions_by_scope ON agent_versions (scope, version)",
-        # beside them, as a row that is updated is written anew, with its overlay
+        # A table of its own: PostgreSQL rewrites a whole row on update, which would include the overlay.
         "CREATE TABLE agent_newest (scope {TEXT} NOT NULL PRIMARY KEY, version {INTEGER} NOT NULL)",
         "CREATE UNIQUE INDEX agent_newest_by_version ON agent_newest (version)",
         """CREATE TABLE agent_version_log (
@@ -470,6 +474,6 @@
 
 
 def migrations(version: int) -> list[str]:
-    """What brings a PostgreSQL schema of `version` up to this program's."""
+    """The statements that upgrade a PostgreSQL schema from `version` to the current version."""
     return [typed(statement, "postgresql")
             for statements in MIGRATIONS[version:] for statement in statements]
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -1,4 +1,4 @@
-"""The record in SQLite, on the driver of `ironscale.record.database`; migrations with versions."""
+"""The agent's store in SQLite, on the driver of `ironscale.record.database`, with versioned schema migrations."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ironscale.record.model import Cause, Knowledge, Trouble
 
 BUSY_MS = 2_000
-SEQUENCE = "sequence"  # of the last write
+SEQUENCE = "sequence"  # counter with the number of the last write
 MIGRATIONS = (
     """
     CREATE TABLE counters (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
@@ -88,7 +88,7 @@
 
 
 def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
-    """Opens the file and brings its schema up to this program's. Raises StoreError."""
+    """Opens the file and upgrades its schema to the current version. Raises StoreError."""
     opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
     try:
         return opener.open()
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What an agent writes into a record that it wants to lead on."""
+    """What an agent writes into a shared store to become its owner, and so the leader."""
 
     holder: str
     place: str
@@ -112,17 +112,17 @@
 
 
 class SqliteStore(KeptStore[Transaction]):
-    """The record on the driver that stores of record have: one writer with group commit."""
+    """The store on the same driver as the stores that hold records of requests: one writer with group commit."""
 
     reaches_by_write = True
 
     def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
-        """`opener`: tests open the file upon a disk of theirs. `claim`: several agents of this machine open the file,
-        and write it only once they have claimed it."""
+        """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
+        open the file; an agent then writes only after it has claimed the store."""
         self.path, self.claim_as = path, claim
         opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
-        self.number = -1  # of the last write; the record's own until the first
+        self.number = -1  # number of the last write; -1 until it is read from the store
         super().__init__(self.writer, "sqlite")
         if claim is not None:
             self.term = Term(0, 0, claim.lease_ms)
@@ -145,7 +145,7 @@
     def _owner(transaction: Transaction) -> Owner:
         (epoch, holder, place, on, until_ms), = transaction.execute(
             "SELECT epoch, holder, place, machine, until_ms FROM owner WHERE one = 1")
-        # a lease of before the machine's last start: its holder is no more, and the clock has begun anew
+        # A lease from before the last boot of the machine is void: its holder is gone and the clock has restarted.
         return Owner(epoch, holder, place, max(0, until_ms - clock_ms()) if on == machine() else 0)
 
     async def claim(self) -> None:
@@ -155,8 +155,8 @@
         def job(transaction: Transaction) -> Term:
             owner, now_ms = self._owner(transaction), clock_ms()
             if owner.left_ms > 0 and owner.holder != claim.holder:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
-                              f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
+                raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} owns "
+                              f"this store, for at least {owner.left_ms / 1000:.1f} s more", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
                                 " WHERE one = 1", (claim.holder, claim.place, machine(), now_ms + claim.lease_ms))
             return Term(owner.epoch + 1, now_ms + claim.lease_ms, claim.lease_ms)
@@ -167,7 +167,7 @@
             raise told(found) from found
 
     async def give_up(self) -> None:
-        """The next agent need not wait for the lease."""
+        """Ends the lease, so that the next agent need not wait for it to expire."""
         epoch = self.term.epoch
         if epoch:
             with contextlib.suppress(Trouble):
@@ -186,7 +186,8 @@
             self.marked_until_ms = until_ms
         if self.number < 0:
             self.number = records.counter(SEQUENCE)
-        # hazard: an agent that leads again would go on from numbers of its own that another has passed
+        # Read again under a claim: an agent that leads a second time must not continue from its old number, as
+        # another leader has written higher ones meanwhile.
         self.number = max(self.number, records.counter(SEQUENCE) if self.claim_as is not None else 0) + 1
         records.set_counter(SEQUENCE, self.number)
         return self.number
@@ -196,7 +197,8 @@
             self.term = replace(self.term, until_ms=self.marked_until_ms)
 
     def reached(self, records: SqlRecords) -> int:
-        """Told only with a commit of its own: what a recovery found may lie in the log without having been synced.
-        Hazard: SQLite leaves a row alone that would get the value it has, and a commit of nothing syncs nothing."""
+        """Reads the number in a transaction that writes, because what a recovery found in the log may not have been
+        synced to disk yet. It increments a counter: SQLite skips an update that keeps the value of the row, and a
+        commit without changes syncs nothing."""
         records.count("resolved")
         return records.counter(SEQUENCE)
--- a/ironscale/agent/store.py
+++ b/ironscale/agent/store.py
@@ -1,7 +1,7 @@
-"""The record: what the agent keeps, behind one narrow interface. No SQL outside the module that fills it.
+"""The interface of the agent's store. SQL appears only in the modules that implement it.
 
-A `Records` is handed to a piece of work within one transaction; `Store.write` returns once it is committed
-and durable, so whatever is told to an operator after it survives a kill.
+`Store.write` passes a `Records` to a function that runs within one transaction, and returns once that transaction is
+committed and durable. What an operator is told after that survives the agent being killed.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
 
 
 class StoreError(Exception):
-    """The record can't be written or read; nothing of that piece of work was kept, unless the code is UNKNOWN. The text
-    is one line."""
+    """The store can't be read or written. Nothing of the transaction was kept, unless the code is UNKNOWN. The text is
+    one line."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
-        # FULL, LOCKED, READ_ONLY, DAMAGED, NEWER, FAILED; AWAY = not reached, or not in time; UNKNOWN = the work may
-        # stand; TAKEN, LESS = it is no longer this agent's, or holds less than it had confirmed: the agent ends
+        # FULL, LOCKED, READ_ONLY, DAMAGED, NEWER, FAILED. AWAY: not reached, or not in time. UNKNOWN: the transaction
+        # may have been committed. TAKEN, LESS: another agent owns the store now, or the store has lost writes that it
+        # had confirmed; the agent exits on both.
         self.code = code
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceRow:
-    """What is kept of an instance between its processes and the agent's."""
+    """What is stored about an instance; it outlives the instance's processes and the agent's."""
 
     name: str
     boot: str
@@ -42,13 +43,13 @@
     listen: str
     started_ms: int
     first_seen_ms: int
-    heard_ms: int  # as of the last change of its state; see `Records.alive_ms`
+    heard_ms: int  # last contact, stored only when the instance's state changes; see `Records.alive_ms`
     connected: bool
-    generation: int  # as it last showed
-    desired: int  # that it should run: 0 = its file alone
+    generation: int  # that it last reported to run
+    desired: int  # generation that it should run; 0: only its own configuration file
     ended: str = ""
     host: str = ""
-    ticks: int = 0  # the kernel's start time of the process; with pid and host it names one process
+    ticks: int = 0  # start time of the process in kernel ticks; with pid and host it identifies one process
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A line of the audit log."""
+    """An entry of the audit log."""
 
     id: int
     at_ms: int
@@ -77,6 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRow:
+    """A bearer token; only the digest of its secret is stored."""
+
     name: str
     role: str
     digest: str
@@ -86,15 +89,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A version as the record has it."""
+    """A published version as it is stored."""
 
     entry: Entry
     note: str
-    in_force: bool  # it is the newest of its scope
+    in_force: bool  # it is the newest version of its scope
 
 
 class Records(Protocol):
-    """Everything that can be asked of the record, within one transaction."""
+    """Every read and write of the store, within one transaction."""
 
     def instances(self) -> list[InstanceRow]: ...
     def put_instances(self, rows: Iterable[InstanceRow]) -> None: ...
@@ -104,12 +107,12 @@
     def set_alive(self, at_ms: int) -> None: ...
 
     def next_fence(self) -> int:
-        """A number above all that were given before."""
+        """Returns a number above all fences returned before."""
 
     def next_operation(self) -> int: ...
     def operation(self, ident: int) -> Operation | None: ...
     def operations(self, before: int, most: int, open_only: bool = False) -> list[Operation]:
-        """The newest first, with ids under `before`."""
+        """At most `most` operations with ids under `before`, newest first."""
 
     def put_operation(self, operation: Operation) -> None: ...
     def targets(self, operation: int) -> list[Target]: ...
@@ -118,7 +121,7 @@
     def current_generation(self) -> int: ...
     def configuration(self, generation: int) -> Configuration | None: ...
     def add_configuration(self, configuration: Configuration) -> None:
-        """Raises StoreError where the generation is taken."""
+        """Raises StoreError if the generation exists already."""
 
     def mutation(self, actor: str, key: str) -> tuple[str, int] | None:
         """Fingerprint and operation of an earlier mutation with this idempotency key."""
@@ -134,11 +137,12 @@
     def permits(self, open_only: bool = False) -> list[Permit]: ...
     def permit_of(self, holder: str, key: str) -> Permit | None: ...
     def put_permits(self, permits: Iterable[Permit]) -> None:
-        """Those of operations go when they have ended; others stay for who asks again, until `prune_permits`."""
+        """Stores the permits. A permit of an operation is deleted once it has ended; a permit taken by another holder
+        stays after its end, so that a repeated request finds it, until `prune_permits`."""
 
     def prune_permits(self, before_ms: int) -> None: ...
     def halt(self) -> Halt | None:
-        """The one that stands."""
+        """The halt that is in force, if any."""
 
     def put_halt(self, halt: Halt) -> None: ...
 
@@ -146,51 +150,55 @@
     def put_token(self, token: TokenRow) -> None: ...
 
     def lineage(self) -> str:
-        """Of the log of versions; empty until it is made."""
+        """The identifier of the version log; empty until `make_lineage` creates it."""
 
     def make_lineage(self) -> str:
-        """The log's, made where there is none yet: by who leads, before anybody is told a position."""
+        """Returns the identifier of the version log, creating it if there is none. The leading agent calls this before
+        any follower is sent a position."""
 
     def version_change(self, since: int, lineage: str) -> Change:
-        """What one at `since` of `lineage` lacks; where nothing is new, one look at one row. Of another lineage, from
-        before what was compacted, or ahead of this log: a snapshot of the whole."""
+        """What a follower at position `since` of `lineage` is missing. If nothing is new, this reads a single row. A
+        follower of another lineage, older than the compacted part of the log, or ahead of the log gets a full
+        snapshot."""
 
     def version_position(self) -> int: ...
     def newest(self, scope: Scope) -> Entry | None: ...
     def standing(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
-        """Lineage, position and floor of the log, and the scope's newest, in one look."""
+        """Lineage, position and floor of the log, and the scope's newest version, read in one statement."""
 
     def in_force(self, scopes: Sequence[Scope]) -> list[Published]:
-        """The newest of each, all as of the same moment."""
+        """The newest version of each scope, all read at the same moment."""
 
     def count_scopes(self) -> int: ...
     def version(self, number: int) -> Published | None: ...
     def versions(self, before: int, most: int, scope: Scope | None = None) -> list[Published]:
-        """The newest first, with numbers under `before`."""
+        """At most `most` versions with numbers under `before`, newest first."""
 
     def add_version(self, scope: Scope, overlay: Mapping[str, Any] | None, base: int, actor: str, at_ms: int,
                     restores: int = 0, note: str = "") -> Entry:
-        """The log's next: numbers have no holes, as a transaction that fails takes its own back."""
+        """Appends a version to the log. Numbers have no gaps, because a transaction that fails rolls back its own."""
 
     def compact_versions(self, keep: int, before_ms: int) -> int:
-        """Drops what no follower and no way back needs: what was no longer in force when the history that is kept
-        begins, and by then said only that its scope has none. The history is the last `keep` versions, but none of
-        before `before_ms`. Gives how many rows went; some of more remain for the next call."""
+        """Deletes versions that neither followers nor a restore need: those superseded before the retained history
+        begins, and removals of a scope's overlay from before then. The retained history is the last `keep` versions,
+        without those from before `before_ms`. Returns how many rows were deleted; one call handles a limited number
+        of scopes, so call again until it returns 0."""
 
 
 class Store(Protocol):
-    term: Term  # of this agent on the record
+    term: Term  # during which this agent owns the store
 
     async def owner(self) -> Owner: ...
 
     async def claim(self) -> None:
-        """Raises StoreError, LOCKED while another agent holds the record."""
+        """Makes this agent the store's owner. Raises StoreError, with LOCKED while another agent owns it."""
 
     async def give_up(self) -> None: ...
 
     async def write(self, work: Callable[[Records], T], late: Callable[[T], None] | None = None) -> T:
-        """Runs `work` in a transaction; returns when it is durable. Raises StoreError, or what `work` raised. `late`
-        hears the result of one that was told as UNKNOWN and stands, before anything else is written."""
+        """Runs `work` in a transaction and returns when it is durable. Raises StoreError, or what `work` raised. If
+        StoreError UNKNOWN was raised and the transaction turns out to be committed, `late` is called with the result
+        before anything else is written."""
 
     async def read(self, work: Callable[[Records], T]) -> T: ...
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -321,7 +321,7 @@
                 await one.write(lambda records: records.next_fence())  # nobody leads yet
             await one.claim()
             assert await one.write(lambda records: records.next_fence()) == 1
-            with pytest.raises(StoreError, match="the agent of place a has this record"):
+            with pytest.raises(StoreError, match="the agent of place a owns this store"):
                 await two.claim()
             assert (await two.owner()).holder == "a" and one.term.holds(clock_ms())
             while (await two.owner()).left_ms:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -234,7 +234,7 @@
         async with hosts(data) as (host,), store_on(host, holder="one") as first:
             await first.write(line("a"))
             async with store_on(host, holder="two") as second:
-                with pytest.raises(StoreError, match="machine of one has this record, for [0-9.]+ s more") as found:
+                with pytest.raises(StoreError, match="machine of one owns this store, for at least [0-9.]+ s more") as found:
                     await second.write(line("b"))
                 assert found.value.code == "LOCKED"
                 data.skew_ms += 9_000
@@ -244,7 +244,7 @@
                     await second.write(line("b"))
                 data.skew_ms += 1_001
                 await second.write(line("d"))
-                with pytest.raises(StoreError, match="machine of two has taken this record over") as found:
+                with pytest.raises(StoreError, match="machine of two has taken over this store") as found:
                     for _ in range(2):  # its claim is seen to be void, then whose it is
                         with contextlib.suppress(StoreError):
                             await first.write(line("e"))
@@ -350,7 +350,7 @@
             heard: list[str] = []
 
             host.hook = Vanishes(host, "agent_audit", stands)
-            with pytest.raises(StoreError, match="whether it stands is not known yet") as found:
+            with pytest.raises(StoreError, match="whether it was committed is not known yet") as found:
                 await store.write(line("it"), heard.append)
             assert found.value.code == "UNKNOWN" and heard == []
             host.hook = None
@@ -801,7 +801,7 @@
                     await store.write(line("taken"))  # between two of its half seconds; else it was renewed
                 data.skew_ms += 60_000
                 await store.write(line("taken"))
-                with pytest.raises(StoreError, match="the agent of machine of two has taken this record over") as found:
+                with pytest.raises(StoreError, match="the agent of machine of two has taken over this store") as found:
                     await running_one
                 assert found.value.code == "TAKEN"
                 names = [t.name for t in await store.read(lambda r: r.tokens())]
@@ -828,7 +828,7 @@
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
             monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
-                assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
+                assert [text[:6] for text in said if "owns this store" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the record knows" in text]) == 2
             with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the record knows"):
                 service = ServiceConfig("app", 1, tmp_path / "app.json")
