--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -274,8 +274,8 @@
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store at "
-                          "the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store "
+                          "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.confirmed = rows[0]
         self.number = max(self.number, self.confirmed)
         self.until_ms = began_ms + self.lease_ms
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -234,7 +234,8 @@
         async with hosts(data) as (host,), store_on(host, holder="one") as first:
             await first.write(line("a"))
             async with store_on(host, holder="two") as second:
-                with pytest.raises(StoreError, match="machine of one owns this store, for at least [0-9.]+ s more") as found:
+                expected = "machine of one owns this store, for at least [0-9.]+ s more"
+                with pytest.raises(StoreError, match=expected) as found:
                     await second.write(line("b"))
                 assert found.value.code == "LOCKED"
                 data.skew_ms += 9_000
@@ -354,7 +355,7 @@
                 await store.write(line("it"), heard.append)
             assert found.value.code == "UNKNOWN" and heard == []
             host.hook = None
-            with pytest.raises(StoreError, match="nothing more is written till then") as found:
+            with pytest.raises(StoreError, match="no writes are accepted until it is") as found:
                 await store.write(line("next"))
             assert found.value.code == "AWAY"
             host.starting = False
@@ -388,7 +389,7 @@
             go.set()
             results = await asyncio.gather(first, behind, return_exceptions=True)
             assert [isinstance(r, StoreError) and r.code for r in results] == ["AWAY", "AWAY"], results
-            assert "nothing more is written till then" in str(results[1])
+            assert "no writes are accepted until it is" in str(results[1])
             await store.write(line("after"))
             assert subjects(data) == ["before", "after"]
 
@@ -414,7 +415,7 @@
             host.hook = script
             first = asyncio.create_task(store.write(line("it")))
             await gate.reached.wait()  # the claim that will tell
-            with pytest.raises(StoreError, match="nothing more is written till then"):
+            with pytest.raises(StoreError, match="no writes are accepted until it is"):
                 await asyncio.wait_for(store.write(line("meanwhile")), 1.0)
             gate.go.set()
             assert await first == "it"
@@ -818,7 +819,7 @@
         async with hosts(data) as (host,):
             async with running(section(tmp_path / "one", postgresql=dsn(host))) as one:
                 monkeypatch.setattr(store_setup, "WAIT_S", -9.5)
-                with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one has this"):
+                with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one owns this"):
                     async with running(section(tmp_path / "two", postgresql=dsn(host))):
                         pass
                 said: list[str] = []
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -318,10 +318,10 @@
 import asyncio, sys
 from pathlib import Path
 from ironscale.agent.store_setup import open_store
-from ironscale.operator_file import Agent
+from ironscale.operator_file import AgentConfig
 async def main():
     data = Path(sys.argv[1])
-    store = await open_store(Agent(data=data, postgresql="".join(sys.argv[2:])), data, print, print)
+    store = await open_store(AgentConfig(data=data, postgresql="".join(sys.argv[2:])), data, print, print)
     while True:
         n = await store.write(lambda r: r.next_fence())
         await store.write(lambda r: r.audit(n, "w", "step", str(n), "done"))
