--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -49,7 +49,7 @@
     waiting: bool = True
 
 
-class KeptStore(abc.ABC, Generic[X]):
+class SequencedStore(abc.ABC, Generic[X]):
     """A `Store` on a worker thread that accepts no writes while the outcome of an earlier one is unknown."""
 
     reaches_by_write: bool  # whether `reached` must run in a transaction that writes
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -20,7 +20,7 @@
 
 import psycopg
 
-from ironscale.agent.commit_tracking import KeptStore
+from ironscale.agent.commit_tracking import SequencedStore
 from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
@@ -316,7 +316,7 @@
         self.watch.stop()
 
 
-class PostgresStore(KeptStore[Held]):
+class PostgresStore(SequencedStore[Held]):
     """The store in PostgreSQL under one agent's claim."""
 
     # A write made to resolve an outcome would get a number above the unresolved write's. If its connection broke too,
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -9,7 +9,7 @@
 
 import apsw
 
-from ironscale.agent.commit_tracking import KeptStore, told
+from ironscale.agent.commit_tracking import SequencedStore, told
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
@@ -111,7 +111,7 @@
     lease_ms: int
 
 
-class SqliteStore(KeptStore[Transaction]):
+class SqliteStore(SequencedStore[Transaction]):
     """The store on the same driver as the stores that hold records of requests: one writer with group commit."""
 
     reaches_by_write = True
