--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -32,7 +32,7 @@
 REFUSED = ("22", "23", "42")  # SQLSTATE classes of errors that a retry of the statement would raise again
 
 
-def told(found: Trouble) -> StoreError:
+def to_store_error(found: Trouble) -> StoreError:
     """Converts a database error to a StoreError with a stable code."""
     failed = found.code.startswith("SQLITE") or found.code[:2] in REFUSED or found.cause is Cause.UNUSABLE
     return StoreError(CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
@@ -111,7 +111,7 @@
             return result
         except Trouble as found:
             if found.knowledge is not Knowledge.NOT_KNOWN:
-                raise told(found) from found
+                raise to_store_error(found) from found
             await self._settled(write, found)
             return write.result  # type: ignore[no-any-return]
         finally:
@@ -121,7 +121,7 @@
         try:
             return await self.worker.run(lambda transaction: work(SqlRecords(transaction, self.dialect)), writes=False)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
     async def _settled(self, write: _Write, found: Trouble) -> None:
         """Returns once the write is known to be committed. Raises StoreError otherwise."""
@@ -133,7 +133,7 @@
             raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
                                         "store is reachable") from found
         if not write.stands:
-            raise told(
+            raise to_store_error(
                 Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -9,7 +9,7 @@
 
 import apsw
 
-from ironscale.agent.commit_tracking import SequencedStore, told
+from ironscale.agent.commit_tracking import SequencedStore, to_store_error
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
@@ -93,9 +93,9 @@
     try:
         return opener.open()
     except Trouble as found:
-        raise told(found) from found
+        raise to_store_error(found) from found
     except apsw.Error as error:
-        raise told(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(trouble(error, Step.WORK, path)) from error
 
 
 def migrate(connection: apsw.Connection) -> None:
@@ -139,7 +139,7 @@
         try:
             return await self.worker.run(self._owner, writes=False)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
     @staticmethod
     def _owner(transaction: Transaction) -> Owner:
@@ -164,7 +164,7 @@
         try:
             self.term = await self.worker.run(job)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
     async def give_up(self) -> None:
         """Ends the lease, so that the next agent need not wait for it to expire."""
@@ -181,7 +181,7 @@
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
                 found = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
                                 "TAKEN")
-                self.on_lost(told(found))
+                self.on_lost(to_store_error(found))
                 raise found
             self.marked_until_ms = until_ms
         if self.number < 0:
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -17,7 +17,7 @@
 import apsw
 
 from ironscale.agent import sql
-from ironscale.agent.commit_tracking import told
+from ironscale.agent.commit_tracking import to_store_error
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import holder_of, place_of
@@ -91,7 +91,7 @@
     from ironscale.agent.postgres import Holder, PostgresStore
 
     holder = Holder(access, holder_of(data), place, lease_ms=lease_ms)
-    holder.on_lost = lambda found: lost(told(found))
+    holder.on_lost = lambda found: lost(to_store_error(found))
     holder.follows = True
     kept = PostgresStore(holder)
     try:
@@ -167,7 +167,7 @@
     try:
         yield
     except apsw.Error as error:
-        raise told(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(trouble(error, Step.WORK, path)) from error
 
 
 def copy(source: apsw.Connection, records: sql.SqlRecords) -> int:
