--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -22,7 +22,7 @@
 
 T = TypeVar("T")
 X = TypeVar("X", bound=Transaction)
-RESOLVE_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
+RESOLVE_TIMEOUT_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
 AGAIN_S = 0.5
 CLOSE_S = 10.0
 CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
@@ -62,7 +62,7 @@
         self.carried: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
         self.stood = 0  # writes reported as UNKNOWN that turned out to be committed
-        self.resolve_s = RESOLVE_S
+        self.resolve_s = RESOLVE_TIMEOUT_S
         self.term = Term()
 
     @abc.abstractmethod
