--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -23,7 +23,7 @@
 T = TypeVar("T")
 X = TypeVar("X", bound=Transaction)
 RESOLVE_TIMEOUT_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
-AGAIN_S = 0.5
+RESOLVE_RETRY_S = 0.5
 CLOSE_S = 10.0
 CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
@@ -146,7 +146,7 @@
                 break
             if self.worker.ending:
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RESOLVE_RETRY_S)
         for write in writes:
             write.stands = write.number <= reached
             if write.stands and not write.waiting:
