--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -24,7 +24,7 @@
 X = TypeVar("X", bound=Transaction)
 RESOLVE_TIMEOUT_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
 RESOLVE_RETRY_S = 0.5
-CLOSE_S = 10.0
+CLOSE_TIMEOUT_S = 10.0
 CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
          "SQLITE_NOTADB": "DAMAGED", "NEWER": "NEWER", "53100": "FULL", "25006": "READ_ONLY", "LOCKED": "LOCKED",
@@ -156,7 +156,7 @@
         self.resolving = None
         self.worker.unknown = False
 
-    def close(self, wait_s: float = CLOSE_S) -> None:
+    def close(self, wait_s: float = CLOSE_TIMEOUT_S) -> None:
         if self.resolving is not None:
             self.resolving.cancel()
         self.worker.stop(wait_s)
