--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -29,12 +29,12 @@
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
          "SQLITE_NOTADB": "DAMAGED", "NEWER": "NEWER", "53100": "FULL", "25006": "READ_ONLY", "LOCKED": "LOCKED",
          "TAKEN": "TAKEN", "LESS": "LESS", "UNKNOWN_BEFORE": "AWAY"}
-REFUSED = ("22", "23", "42")  # SQLSTATE classes of errors that a retry of the statement would raise again
+PERMANENT_SQLSTATE_CLASSES = ("22", "23", "42")  # SQLSTATE classes of errors that a retry of the statement would raise again
 
 
 def to_store_error(found: Trouble) -> StoreError:
     """Converts a database error to a StoreError with a stable code."""
-    failed = found.code.startswith("SQLITE") or found.code[:2] in REFUSED or found.cause is Cause.UNUSABLE
+    failed = found.code.startswith("SQLITE") or found.code[:2] in PERMANENT_SQLSTATE_CLASSES or found.cause is Cause.UNUSABLE
     return StoreError(STORE_CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
 
 
