--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -66,7 +66,7 @@
         self.term = Term()
 
     @abc.abstractmethod
-    def mark(self, records: SqlRecords) -> int:
+    def assign_sequence_number(self, records: SqlRecords) -> int:
         """Assigns the transaction's number, above all earlier ones, and stores it in the same transaction."""
 
     async def owner(self) -> Owner:
@@ -101,7 +101,7 @@
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
             records.end()
-            write.number = self.mark(records)
+            write.number = self.assign_sequence_number(records)
             self.carried.append(write)
             return result
 
