--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -83,7 +83,7 @@
         """Extends the term after a write was confirmed."""
 
     @abc.abstractmethod
-    def reached(self, records: SqlRecords) -> int:
+    def last_sequence_number(self, records: SqlRecords) -> int:
         """The number of the last committed write, read so that no earlier commit can still take effect afterwards."""
 
     async def write(self, work: Callable[[Records], T], late: Callable[[T], None] | None = None) -> T:
@@ -141,7 +141,7 @@
         while True:
             with contextlib.suppress(Trouble):
                 reached = await self.worker.run(
-                    lambda transaction: self.reached(SqlRecords(transaction, self.dialect)),
+                    lambda transaction: self.last_sequence_number(SqlRecords(transaction, self.dialect)),
                     writes=self.reaches_by_write, resolves=True)
                 break
             if self.worker.ending:
