--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -52,7 +52,7 @@
 class SequencedStore(abc.ABC, Generic[X]):
     """A `Store` on a worker thread that accepts no writes while the outcome of an earlier one is unknown."""
 
-    reaches_by_write: bool  # whether `reached` must run in a transaction that writes
+    resolve_needs_write: bool  # whether `reached` must run in a transaction that writes
 
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
@@ -142,7 +142,7 @@
             with contextlib.suppress(Trouble):
                 reached = await self.worker.run(
                     lambda transaction: self.last_sequence_number(SqlRecords(transaction, self.dialect)),
-                    writes=self.reaches_by_write, resolves=True)
+                    writes=self.resolve_needs_write, resolves=True)
                 break
             if self.worker.ending:
                 return
