--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -79,7 +79,7 @@
     async def give_up(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
         """Ends this agent's term in the store, if the store can be reached."""
 
-    def renewed(self) -> None:  # noqa: B027
+    def on_write_confirmed(self) -> None:  # noqa: B027
         """Extends the term after a write was confirmed."""
 
     @abc.abstractmethod
@@ -107,7 +107,7 @@
 
         try:
             result = await self.worker.run(job)
-            self.renewed()
+            self.on_write_confirmed()
             return result
         except Trouble as found:
             if found.knowledge is not Knowledge.NOT_KNOWN:
