--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -76,7 +76,7 @@
     async def claim(self) -> None:
         """Makes this agent the store's owner. Raises StoreError, with LOCKED while another agent owns it."""
 
-    async def give_up(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
+    async def release_ownership(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
         """Ends this agent's term in the store, if the store can be reached."""
 
     def on_write_confirmed(self) -> None:  # noqa: B027
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -224,7 +224,7 @@
             if not self.section.standby or await self.follow(store, over):
                 await self.run_on(store, over, stop_instances)
                 if over.is_set() and self.failed is None:
-                    await store.give_up()
+                    await store.release_ownership()
         except StoreError as error:
             # of a term that ended as it began: it is followed again
             if not self.may_wait():
