--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -112,7 +112,7 @@
         except Trouble as found:
             if found.knowledge is not Knowledge.NOT_KNOWN:
                 raise to_store_error(found) from found
-            await self._settled(write, found)
+            await self._wait_for_outcome(write, found)
             return write.result  # type: ignore[no-any-return]
         finally:
             write.waiting = False
@@ -123,7 +123,7 @@
         except Trouble as found:
             raise to_store_error(found) from found
 
-    async def _settled(self, write: _Write, found: Trouble) -> None:
+    async def _wait_for_outcome(self, write: _Write, found: Trouble) -> None:
         """Returns once the write is known to be committed. Raises StoreError otherwise."""
         if write.stands is None:
             if self.resolving is None:
