--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -61,7 +61,7 @@
         # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
         self.carried: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
-        self.stood = 0  # writes reported as UNKNOWN that turned out to be committed
+        self.late_commits = 0  # writes reported as UNKNOWN that turned out to be committed
         self.resolve_s = RESOLVE_TIMEOUT_S
         self.term = Term()
 
@@ -150,7 +150,7 @@
         for write in writes:
             write.stands = write.number <= reached
             if write.stands and not write.waiting:
-                self.stood += 1
+                self.late_commits += 1
                 if write.late is not None:
                     write.late(write.result)
         self.resolving = None
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -362,7 +362,7 @@
             await until(lambda: store.resolving is None)
             assert heard == (["it"] if stands else [])
             await store.write(line("after"))
-            assert subjects(data) == ["before", *heard, "after"] and store.stood == stands
+            assert subjects(data) == ["before", *heard, "after"] and store.late_commits == stands
 
     run(test)
 
