--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -62,7 +62,7 @@
         self.carried: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
         self.late_commits = 0  # writes reported as UNKNOWN that turned out to be committed
-        self.resolve_s = RESOLVE_TIMEOUT_S
+        self.resolve_timeout_s = RESOLVE_TIMEOUT_S
         self.term = Term()
 
     @abc.abstractmethod
@@ -128,7 +128,7 @@
         if write.stands is None:
             if self.resolving is None:
                 self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.carried))
-            await asyncio.wait([self.resolving], timeout=self.resolve_s)
+            await asyncio.wait([self.resolving], timeout=self.resolve_timeout_s)
         if write.stands is None:
             raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
                                         "store is reachable") from found
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -52,7 +52,7 @@
     held = Holder(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
     held.on_lost = lost
     store = PostgresStore(held)
-    store.resolve_s = 5.0
+    store.resolve_timeout_s = 5.0
     try:
         yield store
     finally:
@@ -347,7 +347,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(line("before"))
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             heard: list[str] = []
 
             host.hook = Vanishes(host, "agent_audit", stands)
@@ -606,7 +606,7 @@
                 await asyncio.sleep(1.2 * LIMIT_S)
 
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            store.resolve_s = 0.02
+            store.resolve_timeout_s = 0.02
             await store.write(line("first"))
             host.hook = weather
 
@@ -648,7 +648,7 @@
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(3)
             host.hook = Vanishes(host, "agent_operations", stands)
             with pytest.raises(StoreError) as found:
@@ -674,7 +674,7 @@
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(2)
             s.instances["i0000"].open = 1  # the first wave does not end
             ident = await s.begin(Kind.DRAIN, policy=Policy(wave=1))
@@ -698,7 +698,7 @@
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(2)
             mutation = 'mutation { createToken(name: "t", role: READ) { secret } }'
 
@@ -761,7 +761,7 @@
         async with hosts(Data()) as (host,), scene(tmp_path, seed, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.01
+            store.resolve_timeout_s = 0.01
             await s.start_many(20)
             host.hook = weather
             ident = 0
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -390,7 +390,7 @@
         async with hosts(data) as (host,), store_on(host) as store:
             publisher, heard = await publisher_on(store)
             await publisher.publish("ann", draft("all", {"n": 1}, 0))
-            store.resolve_s = 0.05
+            store.resolve_timeout_s = 0.05
             host.hook = Vanishes(host, "agent_versions", stands)
             with pytest.raises(StoreError) as found:
                 await publisher.publish("ann", draft("all", {"n": 2}, 1), "k")
