--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -59,7 +59,7 @@
         worker.stops_at_unknown = True
         self.group: X | None = None
         # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
-        self.carried: list[_Write] = []
+        self.group_writes: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
         self.late_commits = 0  # writes reported as UNKNOWN that turned out to be committed
         self.resolve_timeout_s = RESOLVE_TIMEOUT_S
@@ -97,12 +97,12 @@
 
         def job(transaction: X) -> T:
             if transaction is not self.group:
-                self.group, self.carried = transaction, []
+                self.group, self.group_writes = transaction, []
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
             records.end()
             write.number = self.assign_sequence_number(records)
-            self.carried.append(write)
+            self.group_writes.append(write)
             return result
 
         try:
@@ -127,7 +127,7 @@
         """Returns once the write is known to be committed. Raises StoreError otherwise."""
         if write.stands is None:
             if self.resolving is None:
-                self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.carried))
+                self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.group_writes))
             await asyncio.wait([self.resolving], timeout=self.resolve_timeout_s)
         if write.stands is None:
             raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
