--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -42,7 +42,7 @@
 class _Write:
     """A write whose statements were executed, with its result. Whether it was committed may not be known yet."""
 
-    late: Callable[[Any], None] | None
+    on_late_commit: Callable[[Any], None] | None
     number: int = 0
     result: Any = None
     stands: bool | None = None
@@ -151,8 +151,8 @@
             write.stands = write.number <= reached
             if write.stands and not write.waiting:
                 self.late_commits += 1
-                if write.late is not None:
-                    write.late(write.result)
+                if write.on_late_commit is not None:
+                    write.on_late_commit(write.result)
         self.resolving = None
         self.worker.unknown = False
 
