--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -45,7 +45,7 @@
     on_late_commit: Callable[[Any], None] | None
     number: int = 0
     result: Any = None
-    stands: bool | None = None
+    is_committed: bool | None = None
     waiting: bool = True
 
 
@@ -125,14 +125,14 @@
 
     async def _wait_for_outcome(self, write: _Write, found: Trouble) -> None:
         """Returns once the write is known to be committed. Raises StoreError otherwise."""
-        if write.stands is None:
+        if write.is_committed is None:
             if self.resolving is None:
                 self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.group_writes))
             await asyncio.wait([self.resolving], timeout=self.resolve_timeout_s)
-        if write.stands is None:
+        if write.is_committed is None:
             raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
                                         "store is reachable") from found
-        if not write.stands:
+        if not write.is_committed:
             raise to_store_error(
                 Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)) from found
 
@@ -148,8 +148,8 @@
                 return
             await asyncio.sleep(RESOLVE_RETRY_S)
         for write in writes:
-            write.stands = write.number <= reached
-            if write.stands and not write.waiting:
+            write.is_committed = write.number <= reached
+            if write.is_committed and not write.waiting:
                 self.late_commits += 1
                 if write.on_late_commit is not None:
                     write.on_late_commit(write.result)
