--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -46,7 +46,7 @@
     number: int = 0
     result: Any = None
     is_committed: bool | None = None
-    waiting: bool = True
+    has_waiter: bool = True
 
 
 class SequencedStore(abc.ABC, Generic[X]):
@@ -115,7 +115,7 @@
             await self._wait_for_outcome(write, found)
             return write.result  # type: ignore[no-any-return]
         finally:
-            write.waiting = False
+            write.has_waiter = False
 
     async def read(self, work: Callable[[Records], T]) -> T:
         try:
@@ -149,7 +149,7 @@
             await asyncio.sleep(RESOLVE_RETRY_S)
         for write in writes:
             write.is_committed = write.number <= reached
-            if write.is_committed and not write.waiting:
+            if write.is_committed and not write.has_waiter:
                 self.late_commits += 1
                 if write.on_late_commit is not None:
                     write.on_late_commit(write.result)
