--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -43,7 +43,7 @@
     """A write whose statements were executed, with its result. Whether it was committed may not be known yet."""
 
     on_late_commit: Callable[[Any], None] | None
-    number: int = 0
+    sequence_number: int = 0
     result: Any = None
     is_committed: bool | None = None
     has_waiter: bool = True
@@ -101,7 +101,7 @@
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
             records.end()
-            write.number = self.assign_sequence_number(records)
+            write.sequence_number = self.assign_sequence_number(records)
             self.group_writes.append(write)
             return result
 
@@ -148,7 +148,7 @@
                 return
             await asyncio.sleep(RESOLVE_RETRY_S)
         for write in writes:
-            write.is_committed = write.number <= reached
+            write.is_committed = write.sequence_number <= reached
             if write.is_committed and not write.has_waiter:
                 self.late_commits += 1
                 if write.on_late_commit is not None:
