--- a/ironscale/agent/store.py
+++ b/ironscale/agent/store.py
@@ -193,7 +193,7 @@
     async def claim(self) -> None:
         """Makes this agent the store's owner. Raises StoreError, with LOCKED while another agent owns it."""
 
-    async def give_up(self) -> None: ...
+    async def release_ownership(self) -> None: ...
 
     async def write(self, work: Callable[[Records], T], late: Callable[[T], None] | None = None) -> T:
         """Runs `work` in a transaction and returns when it is durable. Raises StoreError, or what `work` raised. If
