--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -163,7 +163,7 @@
                 return self.again(records, key, fingerprint, *earlier), None
             draft = made(records)
             told(misfit(draft))
-            lineage, position, floor, newest = records.standing(draft.scope)
+            lineage, position, floor, newest = records.log_and_newest(draft.scope)
             told(refused(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
                                         draft.note)
--- a/ironscale/agent/store.py
+++ b/ironscale/agent/store.py
@@ -163,7 +163,7 @@
 
     def version_position(self) -> int: ...
     def newest(self, scope: Scope) -> Entry | None: ...
-    def standing(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
+    def log_and_newest(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
         """Lineage, position and floor of the log, and the scope's newest version, read in one statement."""
 
     def in_force(self, scopes: Sequence[Scope]) -> list[Published]:
