--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -336,7 +336,7 @@
     def version_position(self) -> int:
         return self._log()[1]
 
-    def standing(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
+    def log_and_newest(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
         rows = self.sql(
             f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
             " AS l LEFT JOIN @newest AS n ON n.scope = %s LEFT JOIN @versions AS v ON v.version = n.version"
