--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -205,7 +205,7 @@
         halt = records.halt()
         before = records.version(newest.base) if halt is not None and newest is not None and newest.base else None
         return Standing(position, newest, before.entry if before is not None else None,
-                        records.count_scopes() if newest is None else 0, halt.text if halt is not None else "")
+                        records.count_scopes_in_force() if newest is None else 0, halt.text if halt is not None else "")
 
     # Looking
 
