--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -351,7 +351,7 @@
         return self._published(f"WHERE version IN (SELECT version FROM @newest WHERE scope IN ({marks}))"
                                " ORDER BY version", list(map(str, scopes)))
 
-    def count_scopes(self) -> int:
+    def count_scopes_in_force(self) -> int:
         return self._number("SELECT count(*) FROM @newest")
 
     def _published(self, behind: str, values: Sequence[Any]) -> list[Published]:
