--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -561,7 +561,7 @@
 
             def work(records: Records, rows: list[Any] = rows, now_ms: int = now_ms) -> None:
                 records.put_instances(rows)
-                records.set_alive(now_ms)
+                records.set_alive_ms(now_ms)
 
             try:
                 await self.store.write(work)
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -407,7 +407,7 @@
 
             def work(records: Records) -> None:
                 records.put_instances(rows)
-                records.set_alive(now_ms)
+                records.set_alive_ms(now_ms)
 
             await store.write(work)
 
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -730,7 +730,7 @@
     """Nothing of it can stand, so there is nothing to wait for."""
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            await store.write(lambda r: r.set_alive(1))
+            await store.write(lambda r: r.set_alive_ms(1))
 
             async def cut(session: Session, kind: str, after: bool) -> None:
                 if kind == "commit":
@@ -740,7 +740,7 @@
             host.hook = cut
             with pytest.raises(StoreError):
                 await store.read(lambda r: r.alive_ms())
-            await store.write(lambda r: r.set_alive(2))
+            await store.write(lambda r: r.set_alive_ms(2))
             assert await store.read(lambda r: r.alive_ms()) == 2 and store.resolving is None
 
     run(test)
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -57,7 +57,7 @@
     r.add_version(read_scope("zone=a"), {"settings": {"x": 1}}, 0, "ann", 7, note="first")
     r.add_version(read_scope("zone=a"), None, 1, "ann", 8)
     r.add_version(read_scope("zone=a"), {"settings": {"x": 1}}, 2, "bob", 9, restores=1)
-    r.set_alive(77)
+    r.set_alive_ms(77)
 
 
 ZONE_A = read_scope("zone=a")
