--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -165,7 +165,7 @@
     def alive_ms(self) -> int:
         return self.counter("alive_ms")
 
-    def set_alive(self, at_ms: int) -> None:
+    def set_alive_ms(self, at_ms: int) -> None:
         self.set_counter("alive_ms", at_ms)
 
     def next_fence(self) -> int:
