--- a/ironscale/agent/permits.py
+++ b/ironscale/agent/permits.py
@@ -182,7 +182,7 @@
         now_ms = self.now_ms()
 
         def work(records: Records) -> Permit:
-            earlier = records.permit_of(holder, key)
+            earlier = records.permit_by_key(holder, key)
             if earlier is not None and earlier.units != names:
                 raise Refusal("KEY_REUSED", f"key {key!r} was used for other units, by permit {earlier.id}")
             if earlier is not None and earlier.phase is not Phase.WITHDRAWN:
