--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -256,7 +256,7 @@
         rows = self._columns("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
         return [self._permit(row) for row in rows]
 
-    def permit_of(self, holder: str, key: str) -> Permit | None:
+    def permit_by_key(self, holder: str, key: str) -> Permit | None:
         rows = self._columns("permits", PERMIT, "WHERE holder = %s AND key = %s", (holder, key))
         return self._permit(rows[0]) if rows else None
 
