--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -24,7 +24,7 @@
 from ironscale.versions.model import Entry, Scope, canonical, read_scope
 
 # Rows of one INSERT, with up to 15 values each: PostgreSQL takes 65,535 parameters, SQLite 32,766.
-ROWS_AT_ONCE = 500
+MAX_ROWS_PER_INSERT = 500
 SCOPES_AT_ONCE = 500  # compacted in one transaction
 
 
@@ -104,8 +104,8 @@
         appended to the statement."""
         found = [tuple(map(plain, row)) for row in rows]
         one = f"({', '.join(['%s'] * len(columns))})"
-        for start in range(0, len(found), ROWS_AT_ONCE):
-            part = found[start:start + ROWS_AT_ONCE]
+        for start in range(0, len(found), MAX_ROWS_PER_INSERT):
+            part = found[start:start + MAX_ROWS_PER_INSERT]
             self.sql(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
                      [value for row in part for value in row])
 
@@ -154,8 +154,8 @@
         for name, generation in dict(generations).items():
             names.setdefault(generation, []).append(name)
         for generation, found in names.items():
-            for start in range(0, len(found), ROWS_AT_ONCE):
-                part = found[start:start + ROWS_AT_ONCE]
+            for start in range(0, len(found), MAX_ROWS_PER_INSERT):
+                part = found[start:start + MAX_ROWS_PER_INSERT]
                 self.sql(f"UPDATE @instances SET desired = %s WHERE name IN ({', '.join(['%s'] * len(part))})",
                          (generation, *part))
 
@@ -270,8 +270,8 @@
                 kept.append((permit.id, permit.holder, permit.key, is_open, permit.ended_ms,
                              json.dumps(permit.packed())))
         self.insert("permits", PERMIT, kept, PUT_PERMIT)
-        for start in range(0, len(over), ROWS_AT_ONCE):
-            part = over[start:start + ROWS_AT_ONCE]
+        for start in range(0, len(over), MAX_ROWS_PER_INSERT):
+            part = over[start:start + MAX_ROWS_PER_INSERT]
             self.sql(f"DELETE FROM @permits WHERE id IN ({', '.join(['%s'] * len(part))})", part)
 
     def prune_permits(self, before_ms: int) -> None:
