--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -25,7 +25,7 @@
 
 # Rows of one INSERT, with up to 15 values each: PostgreSQL takes 65,535 parameters, SQLite 32,766.
 MAX_ROWS_PER_INSERT = 500
-SCOPES_AT_ONCE = 500  # compacted in one transaction
+MAX_SCOPES_PER_COMPACTION = 500  # compacted in one transaction
 
 
 class Transaction(Protocol):
@@ -389,14 +389,14 @@
         # Each scope keeps the version that was in force when the retained history begins, so that the state before
         # the first retained change is known.
         rows = self.sql(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
-                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, SCOPES_AT_ONCE))
+                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, MAX_SCOPES_PER_COMPACTION))
         gone = 0
         for scope, number in rows:
             gone += len(self.sql("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
                                  (scope, number)))
         ends = self.sql("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version FROM"
                         f" @newest) AND {beyond} ORDER BY version LIMIT %s",
-                        (*values, SCOPES_AT_ONCE))
+                        (*values, MAX_SCOPES_PER_COMPACTION))
         for scope, number in ends:
             gone += len(self.sql("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
             self.sql("DELETE FROM @newest WHERE scope = %s", (scope,))
