--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -81,7 +81,7 @@
 PUT_NEWEST = _upsert("scope", ("version",))
 
 
-def plain(value: Any) -> Any:
+def to_column_value(value: Any) -> Any:
     """Converts booleans and enum values to the integers and strings that both databases store."""
     if isinstance(value, bool):
         return int(value)
@@ -102,7 +102,7 @@
     def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
         """Inserts many rows per statement, as one statement per row would cost a round trip per row. `behind` is SQL
         appended to the statement."""
-        found = [tuple(map(plain, row)) for row in rows]
+        found = [tuple(map(to_column_value, row)) for row in rows]
         one = f"({', '.join(['%s'] * len(columns))})"
         for start in range(0, len(found), MAX_ROWS_PER_INSERT):
             part = found[start:start + MAX_ROWS_PER_INSERT]
