--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -92,12 +92,12 @@
     """`Records` within one transaction. `end` must be called before the commit."""
 
     def __init__(self, transaction: Transaction, dialect: str) -> None:
-        self.transaction, self.translated = transaction, DIALECTS[dialect]
+        self.transaction, self.to_dialect = transaction, DIALECTS[dialect]
         self.audited: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
         self.last_id = -1
 
     def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        return self.transaction.execute(self.translated(sql), values)
+        return self.transaction.execute(self.to_dialect(sql), values)
 
     def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
         """Inserts many rows per statement, as one statement per row would cost a round trip per row. `behind` is SQL
