--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -93,7 +93,7 @@
 
     def __init__(self, transaction: Transaction, dialect: str) -> None:
         self.transaction, self.to_dialect = transaction, DIALECTS[dialect]
-        self.audited: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
+        self.pending_audit: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
         self.last_id = -1
 
     def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
@@ -111,7 +111,7 @@
 
     def end(self) -> None:
         """Writes the buffered entries of the audit log."""
-        lines, self.audited = self.audited, []
+        lines, self.pending_audit = self.pending_audit, []
         self.insert("audit", AUDIT, lines)
 
     def counter(self, name: str) -> int:
@@ -231,7 +231,7 @@
         if self.last_id < 0:
             self.last_id = self._last_event()
         self.last_id += 1
-        self.audited.append((self.last_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
+        self.pending_audit.append((self.last_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
 
     def events(self, after: int, most: int) -> list[Event]:
         self.end()
