--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -94,7 +94,7 @@
     def __init__(self, transaction: Transaction, dialect: str) -> None:
         self.transaction, self.to_dialect = transaction, DIALECTS[dialect]
         self.pending_audit: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
-        self.last_id = -1
+        self.last_audit_id = -1
 
     def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         return self.transaction.execute(self.to_dialect(sql), values)
@@ -228,10 +228,10 @@
 
     def audit(self, at_ms: int, actor: str, action: str, subject: str, result: str,
               detail: dict[str, Any] | None = None) -> None:
-        if self.last_id < 0:
-            self.last_id = self._last_event()
-        self.last_id += 1
-        self.pending_audit.append((self.last_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
+        if self.last_audit_id < 0:
+            self.last_audit_id = self._last_event()
+        self.last_audit_id += 1
+        self.pending_audit.append((self.last_audit_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
 
     def events(self, after: int, most: int) -> list[Event]:
         self.end()
