--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -100,7 +100,7 @@
                 self.group, self.group_writes = transaction, []
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
-            records.end()
+            records.write_pending_audit()
             write.sequence_number = self.assign_sequence_number(records)
             self.group_writes.append(write)
             return result
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -109,7 +109,7 @@
             self.sql(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
                      [value for row in part for value in row])
 
-    def end(self) -> None:
+    def write_pending_audit(self) -> None:
         """Writes the buffered entries of the audit log."""
         lines, self.pending_audit = self.pending_audit, []
         self.insert("audit", AUDIT, lines)
@@ -234,12 +234,12 @@
         self.pending_audit.append((self.last_audit_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
 
     def events(self, after: int, most: int) -> list[Event]:
-        self.end()
+        self.write_pending_audit()
         rows = self._columns("audit", AUDIT, "WHERE id > %s ORDER BY id LIMIT %s", (after, most))
         return [Event(*(json.loads(v) if i == 6 else v for i, v in enumerate(row))) for row in rows]
 
     def last_event(self) -> int:
-        self.end()
+        self.write_pending_audit()
         return self._last_event()
 
     def _last_event(self) -> int:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -135,7 +135,7 @@
     connection = connect(tmp_path / "a.db")
     records = SqlRecords(Transaction(connection), "sqlite")
     records.audit(1, "ann", "drain", "i0", "applied")
-    records.end()
+    records.write_pending_audit()
     for statement in ("UPDATE audit SET actor = 'bob'", "DELETE FROM audit"):
         with pytest.raises(apsw.ConstraintError, match="append-only"):
             connection.execute(statement)
