--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -121,7 +121,7 @@
     def set_counter(self, name: str, value: int) -> None:
         self.insert("counters", COUNTER, [(name, value)], PUT_COUNTER)
 
-    def count(self, name: str) -> int:
+    def increment_counter(self, name: str) -> int:
         """Increments the counter and returns it; the first value is 1."""
         return self._number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
                             " SET value = @counters.value + 1 RETURNING value", (name,))
@@ -169,10 +169,10 @@
         self.set_counter("alive_ms", at_ms)
 
     def next_fence(self) -> int:
-        return self.count("fence")
+        return self.increment_counter("fence")
 
     def next_operation(self) -> int:
-        return self.count("operation")
+        return self.increment_counter("operation")
 
     @staticmethod
     def _operation(row: tuple[Any, ...]) -> Operation:
@@ -246,7 +246,7 @@
         return self._number("SELECT coalesce(max(id), 0) FROM @audit")
 
     def next_permit(self) -> int:
-        return self.count("permit")
+        return self.increment_counter("permit")
 
     @staticmethod
     def _permit(row: tuple[Any, ...]) -> Permit:
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -200,5 +200,5 @@
         """Reads the number in a transaction that writes, because what a recovery found in the log may not have been
         synced to disk yet. It increments a counter: SQLite skips an update that keeps the value of the row, and a
         commit without changes syncs nothing."""
-        records.count("resolved")
+        records.increment_counter("resolved")
         return records.counter(SEQUENCE)
