--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -290,13 +290,13 @@
     def put_token(self, token: TokenRow) -> None:
         self.insert("tokens", TOKEN, [_token_values(token)], PUT_TOKEN)
 
-    def _log(self) -> tuple[str, int, int]:
+    def _version_log(self) -> tuple[str, int, int]:
         """Lineage, position and floor."""
         found = self._columns("version_log", VERSION_LOG[1:], "WHERE one = 1")
         return found[0] if found else ("", 0, 0)
 
     def lineage(self) -> str:
-        return self._log()[0]
+        return self._version_log()[0]
 
     def make_lineage(self) -> str:
         found = self.lineage()
@@ -311,7 +311,7 @@
         return Entry(version, read_scope(scope), json.loads(overlay) if overlay else None, base, restores, actor, at_ms)
 
     def version_change(self, since: int, lineage: str) -> Change:
-        own, position, floor = self._log()
+        own, position, floor = self._version_log()
         if lineage == own and since == position:
             return Change(own, position, since, False, floor, ())
         whole = lineage != own or since == 0 or since < floor or since > position
@@ -334,7 +334,7 @@
         return self._entry(found[0]) if found else None
 
     def version_position(self) -> int:
-        return self._log()[1]
+        return self._version_log()[1]
 
     def log_and_newest(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
         rows = self.sql(
@@ -384,7 +384,7 @@
         return Entry(number, scope, overlay, base, restores, actor, at_ms)
 
     def compact_versions(self, keep: int, before_ms: int) -> int:
-        _, position, floor = self._log()
+        _, position, floor = self._version_log()
         beyond, values = "(version <= %s OR at_ms < %s)", (position - keep, before_ms)
         # Each scope keeps the version that was in force when the retained history begins, so that the state before
         # the first retained change is known.
