--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -123,10 +123,10 @@
 
     def increment_counter(self, name: str) -> int:
         """Increments the counter and returns it; the first value is 1."""
-        return self._number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
+        return self._query_number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
                             " SET value = @counters.value + 1 RETURNING value", (name,))
 
-    def _number(self, sql: str, values: tuple[Any, ...] = ()) -> int:
+    def _query_number(self, sql: str, values: tuple[Any, ...] = ()) -> int:
         (value,), = self.sql(sql, values)
         return int(value)
 
@@ -209,7 +209,7 @@
         self.insert("targets", TARGET, ((operation, *_target_values(t)) for t in targets), PUT_TARGETS)
 
     def current_generation(self) -> int:
-        return self._number("SELECT coalesce(max(generation), 0) FROM @configurations")
+        return self._query_number("SELECT coalesce(max(generation), 0) FROM @configurations")
 
     def configuration(self, generation: int) -> Configuration | None:
         found = self._columns("configurations", CONFIGURATION, "WHERE generation = %s", (generation,))
@@ -243,7 +243,7 @@
         return self._last_event()
 
     def _last_event(self) -> int:
-        return self._number("SELECT coalesce(max(id), 0) FROM @audit")
+        return self._query_number("SELECT coalesce(max(id), 0) FROM @audit")
 
     def next_permit(self) -> int:
         return self.increment_counter("permit")
@@ -352,7 +352,7 @@
                                " ORDER BY version", list(map(str, scopes)))
 
     def count_scopes_in_force(self) -> int:
-        return self._number("SELECT count(*) FROM @newest")
+        return self._query_number("SELECT count(*) FROM @newest")
 
     def _published(self, behind: str, values: Sequence[Any]) -> list[Published]:
         newest = "(SELECT n.version FROM @newest AS n WHERE n.scope = @versions.scope)"
