--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -130,12 +130,12 @@
         (value,), = self.sql(sql, values)
         return int(value)
 
-    def _columns(self, table: str, columns: Sequence[str], behind: str,
+    def _select(self, table: str, columns: Sequence[str], behind: str,
                  values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         return self.sql(f"SELECT {', '.join(columns)} FROM @{table} {behind}", values)
 
     def instances(self) -> list[InstanceRow]:
-        return [self._instance(row) for row in self._columns("instances", INSTANCE, "ORDER BY name")]
+        return [self._instance(row) for row in self._select("instances", INSTANCE, "ORDER BY name")]
 
     @staticmethod
     def _instance(row: tuple[Any, ...]) -> InstanceRow:
@@ -181,12 +181,12 @@
                          generation, json.loads(args), note, created_ms, ended_ms)
 
     def operation(self, ident: int) -> Operation | None:
-        found = self._columns("operations", OPERATION, "WHERE id = %s", (ident,))
+        found = self._select("operations", OPERATION, "WHERE id = %s", (ident,))
         return self._operation(found[0]) if found else None
 
     def operations(self, before: int, most: int, open_only: bool = False) -> list[Operation]:
         phases = [str(phase) for phase in (OPEN if open_only else Phase)]
-        rows = self._columns("operations", OPERATION, f"WHERE id < %s AND phase IN ({', '.join(['%s'] * len(phases))})"
+        rows = self._select("operations", OPERATION, f"WHERE id < %s AND phase IN ({', '.join(['%s'] * len(phases))})"
                              " ORDER BY id DESC LIMIT %s", (before, *phases, most))
         return [self._operation(row) for row in rows]
 
@@ -196,7 +196,7 @@
             json.dumps(op.args), op.note, op.created_ms, op.ended_ms)], PUT_OPERATION)
 
     def targets(self, operation: int) -> list[Target]:
-        return [self._target(row) for row in self._columns(
+        return [self._target(row) for row in self._select(
             "targets", TARGET[1:], "WHERE operation = %s ORDER BY position", (operation,))]
 
     @staticmethod
@@ -212,7 +212,7 @@
         return self._query_number("SELECT coalesce(max(generation), 0) FROM @configurations")
 
     def configuration(self, generation: int) -> Configuration | None:
-        found = self._columns("configurations", CONFIGURATION, "WHERE generation = %s", (generation,))
+        found = self._select("configurations", CONFIGURATION, "WHERE generation = %s", (generation,))
         return Configuration(found[0][0], json.loads(found[0][1]), *found[0][2:]) if found else None
 
     def add_configuration(self, c: Configuration) -> None:
@@ -235,7 +235,7 @@
 
     def events(self, after: int, most: int) -> list[Event]:
         self.write_pending_audit()
-        rows = self._columns("audit", AUDIT, "WHERE id > %s ORDER BY id LIMIT %s", (after, most))
+        rows = self._select("audit", AUDIT, "WHERE id > %s ORDER BY id LIMIT %s", (after, most))
         return [Event(*(json.loads(v) if i == 6 else v for i, v in enumerate(row))) for row in rows]
 
     def last_event(self) -> int:
@@ -253,11 +253,11 @@
         return Permit.unpacked(row[0], row[1], row[2], json.loads(row[5]))
 
     def permits(self, open_only: bool = False) -> list[Permit]:
-        rows = self._columns("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
+        rows = self._select("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
         return [self._permit(row) for row in rows]
 
     def permit_by_key(self, holder: str, key: str) -> Permit | None:
-        rows = self._columns("permits", PERMIT, "WHERE holder = %s AND key = %s", (holder, key))
+        rows = self._select("permits", PERMIT, "WHERE holder = %s AND key = %s", (holder, key))
         return self._permit(rows[0]) if rows else None
 
     def put_permits(self, permits: Iterable[Permit]) -> None:
@@ -278,21 +278,21 @@
         self.sql("DELETE FROM @permits WHERE open = 0 AND ended_ms < %s", (before_ms,))
 
     def halt(self) -> Halt | None:
-        rows = self._columns("halts", HALT, "WHERE lifted_ms = 0 ORDER BY id DESC LIMIT 1")
+        rows = self._select("halts", HALT, "WHERE lifted_ms = 0 ORDER BY id DESC LIMIT 1")
         return Halt(*rows[0]) if rows else None
 
     def put_halt(self, halt: Halt) -> None:
         self.insert("halts", HALT, [tuple(getattr(halt, name) for name in HALT)], PUT_HALT)
 
     def tokens(self) -> list[TokenRow]:
-        return [TokenRow(*row) for row in self._columns("tokens", TOKEN, "ORDER BY name")]
+        return [TokenRow(*row) for row in self._select("tokens", TOKEN, "ORDER BY name")]
 
     def put_token(self, token: TokenRow) -> None:
         self.insert("tokens", TOKEN, [_token_values(token)], PUT_TOKEN)
 
     def _version_log(self) -> tuple[str, int, int]:
         """Lineage, position and floor."""
-        found = self._columns("version_log", VERSION_LOG[1:], "WHERE one = 1")
+        found = self._select("version_log", VERSION_LOG[1:], "WHERE one = 1")
         return found[0] if found else ("", 0, 0)
 
     def lineage(self) -> str:
@@ -329,7 +329,7 @@
         return Change(own, position, since, whole, floor, entries)
 
     def newest(self, scope: Scope) -> Entry | None:
-        found = self._columns("versions", VERSION, "WHERE version = (SELECT version FROM @newest WHERE scope = %s)",
+        found = self._select("versions", VERSION, "WHERE version = (SELECT version FROM @newest WHERE scope = %s)",
                               (str(scope),))
         return self._entry(found[0]) if found else None
 
@@ -357,7 +357,7 @@
     def _published(self, behind: str, values: Sequence[Any]) -> list[Published]:
         newest = "(SELECT n.version FROM @newest AS n WHERE n.scope = @versions.scope)"
         return [Published(self._entry(row), row[7], row[8] == row[0])
-                for row in self._columns("versions", (*VERSION, newest), behind, values)]
+                for row in self._select("versions", (*VERSION, newest), behind, values)]
 
     def version(self, number: int) -> Published | None:
         found = self._published("WHERE version = %s", (number,))
