--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -96,7 +96,7 @@
         self.pending_audit: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
         self.last_audit_id = -1
 
-    def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+    def execute(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         return self.transaction.execute(self.to_dialect(sql), values)
 
     def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
@@ -106,7 +106,7 @@
         one = f"({', '.join(['%s'] * len(columns))})"
         for start in range(0, len(found), MAX_ROWS_PER_INSERT):
             part = found[start:start + MAX_ROWS_PER_INSERT]
-            self.sql(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
+            self.execute(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
                      [value for row in part for value in row])
 
     def write_pending_audit(self) -> None:
@@ -115,7 +115,7 @@
         self.insert("audit", AUDIT, lines)
 
     def counter(self, name: str) -> int:
-        found = self.sql("SELECT value FROM @counters WHERE name = %s", (name,))
+        found = self.execute("SELECT value FROM @counters WHERE name = %s", (name,))
         return int(found[0][0]) if found else 0
 
     def set_counter(self, name: str, value: int) -> None:
@@ -127,12 +127,12 @@
                             " SET value = @counters.value + 1 RETURNING value", (name,))
 
     def _query_number(self, sql: str, values: tuple[Any, ...] = ()) -> int:
-        (value,), = self.sql(sql, values)
+        (value,), = self.execute(sql, values)
         return int(value)
 
     def _select(self, table: str, columns: Sequence[str], behind: str,
                  values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        return self.sql(f"SELECT {', '.join(columns)} FROM @{table} {behind}", values)
+        return self.execute(f"SELECT {', '.join(columns)} FROM @{table} {behind}", values)
 
     def instances(self) -> list[InstanceRow]:
         return [self._instance(row) for row in self._select("instances", INSTANCE, "ORDER BY name")]
@@ -156,11 +156,11 @@
         for generation, found in names.items():
             for start in range(0, len(found), MAX_ROWS_PER_INSERT):
                 part = found[start:start + MAX_ROWS_PER_INSERT]
-                self.sql(f"UPDATE @instances SET desired = %s WHERE name IN ({', '.join(['%s'] * len(part))})",
+                self.execute(f"UPDATE @instances SET desired = %s WHERE name IN ({', '.join(['%s'] * len(part))})",
                          (generation, *part))
 
     def forget_instance(self, name: str) -> None:
-        self.sql("DELETE FROM @instances WHERE name = %s", (name,))
+        self.execute("DELETE FROM @instances WHERE name = %s", (name,))
 
     def alive_ms(self) -> int:
         return self.counter("alive_ms")
@@ -220,7 +220,7 @@
             (c.generation, json.dumps(c.overlay), c.actor, c.at_ms, c.operation)])
 
     def mutation(self, actor: str, key: str) -> tuple[str, int] | None:
-        found = self.sql("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s", (actor, key))
+        found = self.execute("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s", (actor, key))
         return (found[0][0], found[0][1]) if found else None
 
     def add_mutation(self, actor: str, key: str, fingerprint: str, operation: int, at_ms: int) -> None:
@@ -272,10 +272,10 @@
         self.insert("permits", PERMIT, kept, PUT_PERMIT)
         for start in range(0, len(over), MAX_ROWS_PER_INSERT):
             part = over[start:start + MAX_ROWS_PER_INSERT]
-            self.sql(f"DELETE FROM @permits WHERE id IN ({', '.join(['%s'] * len(part))})", part)
+            self.execute(f"DELETE FROM @permits WHERE id IN ({', '.join(['%s'] * len(part))})", part)
 
     def prune_permits(self, before_ms: int) -> None:
-        self.sql("DELETE FROM @permits WHERE open = 0 AND ended_ms < %s", (before_ms,))
+        self.execute("DELETE FROM @permits WHERE open = 0 AND ended_ms < %s", (before_ms,))
 
     def halt(self) -> Halt | None:
         rows = self._select("halts", HALT, "WHERE lifted_ms = 0 ORDER BY id DESC LIMIT 1")
@@ -317,7 +317,7 @@
         whole = lineage != own or since == 0 or since < floor or since > position
         while True:
             # One statement: a commit between two statements would hide the scope whose newest version it replaced.
-            rows = self.sql(
+            rows = self.execute(
                 f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
                 " AS l LEFT JOIN @newest AS n ON n.version > %s LEFT JOIN @versions AS v ON v.version = n.version"
                 " WHERE l.one = 1 ORDER BY n.version", (0 if whole else since,))
@@ -337,7 +337,7 @@
         return self._version_log()[1]
 
     def log_and_newest(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
-        rows = self.sql(
+        rows = self.execute(
             f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
             " AS l LEFT JOIN @newest AS n ON n.scope = %s LEFT JOIN @versions AS v ON v.version = n.version"
             " WHERE l.one = 1", (str(scope),))
@@ -372,10 +372,10 @@
     def add_version(self, scope: Scope, overlay: Mapping[str, Any] | None, base: int, actor: str, at_ms: int,
                     restores: int = 0, note: str = "") -> Entry:
         one_more = "UPDATE @version_log SET position = position + 1 WHERE one = 1 RETURNING position"
-        found = self.sql(one_more)
+        found = self.execute(one_more)
         if not found:
             self.make_lineage()
-            found = self.sql(one_more)
+            found = self.execute(one_more)
         (number,), = found
         text = canonical(overlay).decode("ascii") if overlay is not None else ""
         row = (number, str(scope), text, base, restores, actor, at_ms, note)
@@ -388,21 +388,21 @@
         beyond, values = "(version <= %s OR at_ms < %s)", (position - keep, before_ms)
         # Each scope keeps the version that was in force when the retained history begins, so that the state before
         # the first retained change is known.
-        rows = self.sql(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
+        rows = self.execute(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
                         " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, MAX_SCOPES_PER_COMPACTION))
         gone = 0
         for scope, number in rows:
-            gone += len(self.sql("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
+            gone += len(self.execute("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
                                  (scope, number)))
-        ends = self.sql("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version FROM"
+        ends = self.execute("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version FROM"
                         f" @newest) AND {beyond} ORDER BY version LIMIT %s",
                         (*values, MAX_SCOPES_PER_COMPACTION))
         for scope, number in ends:
-            gone += len(self.sql("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
-            self.sql("DELETE FROM @newest WHERE scope = %s", (scope,))
+            gone += len(self.execute("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
+            self.execute("DELETE FROM @newest WHERE scope = %s", (scope,))
             floor = max(floor, number)
         if ends:
-            self.sql("UPDATE @version_log SET floor = %s WHERE one = 1", (floor,))
+            self.execute("UPDATE @version_log SET floor = %s WHERE one = 1", (floor,))
         return gone
 
 
