--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -99,14 +99,14 @@
     def execute(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         return self.transaction.execute(self.to_dialect(sql), values)
 
-    def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
+    def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], suffix: str = "") -> None:
         """Inserts many rows per statement, as one statement per row would cost a round trip per row. `behind` is SQL
         appended to the statement."""
         found = [tuple(map(to_column_value, row)) for row in rows]
         one = f"({', '.join(['%s'] * len(columns))})"
         for start in range(0, len(found), MAX_ROWS_PER_INSERT):
             part = found[start:start + MAX_ROWS_PER_INSERT]
-            self.execute(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
+            self.execute(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {suffix}",
                      [value for row in part for value in row])
 
     def write_pending_audit(self) -> None:
