--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -130,9 +130,9 @@
         (value,), = self.execute(sql, values)
         return int(value)
 
-    def _select(self, table: str, columns: Sequence[str], behind: str,
+    def _select(self, table: str, columns: Sequence[str], suffix: str,
                  values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        return self.execute(f"SELECT {', '.join(columns)} FROM @{table} {behind}", values)
+        return self.execute(f"SELECT {', '.join(columns)} FROM @{table} {suffix}", values)
 
     def instances(self) -> list[InstanceRow]:
         return [self._instance(row) for row in self._select("instances", INSTANCE, "ORDER BY name")]
