--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -354,10 +354,10 @@
     def count_scopes_in_force(self) -> int:
         return self._query_number("SELECT count(*) FROM @newest")
 
-    def _published(self, behind: str, values: Sequence[Any]) -> list[Published]:
+    def _published(self, suffix: str, values: Sequence[Any]) -> list[Published]:
         newest = "(SELECT n.version FROM @newest AS n WHERE n.scope = @versions.scope)"
         return [Published(self._entry(row), row[7], row[8] == row[0])
-                for row in self._select("versions", (*VERSION, newest), behind, values)]
+                for row in self._select("versions", (*VERSION, newest), suffix, values)]
 
     def version(self, number: int) -> Published | None:
         found = self._published("WHERE version = %s", (number,))
