--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -21,7 +21,7 @@
 import psycopg
 
 from ironscale.agent.commit_tracking import SequencedStore
-from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
+from ironscale.agent.sql import SCHEMA_VERSION, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import Step, cause, knowledge
@@ -245,7 +245,7 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = Held(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA, migrations)
+        held, steps = Held(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
             while True:
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -470,7 +470,7 @@
             floor {INTEGER} NOT NULL)""",
     ),
 )
-SCHEMA = len(MIGRATIONS)
+SCHEMA_VERSION = len(MIGRATIONS)
 
 
 def migrations(version: int) -> list[str]:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -19,7 +19,7 @@
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
 from ironscale.agent.postgres import Holder, PostgresStore
 from ironscale.agent.serve import Agent, AgentError, running
-from ironscale.agent.sql import SCHEMA
+from ironscale.agent.sql import SCHEMA_VERSION
 from ironscale.agent.sqlite import SqliteStore, connect
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
 from ironscale.agent.store_setup import open_store
@@ -198,10 +198,10 @@
         async with hosts(data) as (host,):
             async with store_on(host) as store:
                 await store.write(line("a"))
-            data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA + 4,))
+            data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA_VERSION + 4,))
             before = data.all("SELECT * FROM agent_owner")
             async with store_on(host) as store:
-                with pytest.raises(StoreError, match=f"expected schema {SCHEMA} or older, got {SCHEMA + 4}") as found:
+                with pytest.raises(StoreError, match=f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}") as found:
                     await store.write(line("b"))
             assert found.value.code == "NEWER" and data.all("SELECT * FROM agent_owner") == before
 
--- a/tests/agent/test_postgres_killed.py
+++ b/tests/agent/test_postgres_killed.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ironscale.agent.sql import SCHEMA
+from ironscale.agent.sql import SCHEMA_VERSION
 from ironscale.standins.postgres import Data, Host
 from tests.agent.agent_harness import run
 from tests.agent.test_killed import check, rollout
@@ -99,7 +99,7 @@
             assert data.all("SELECT until_ms FROM agent_owner") == [(0,)]
             data.db.execute("UPDATE agent_schema SET version = 99")
             code, _, said = await ironscale("agent", str(file))
-            assert code == 2 and f"expected schema {SCHEMA} or older, got 99" in said and said.count("\n") == 1
+            assert code == 2 and f"expected schema {SCHEMA_VERSION} or older, got 99" in said and said.count("\n") == 1
             password.write_text("guessed\n")
             code, _, said = await ironscale("agent", str(file))
             assert code == 2 and "password authentication failed" in said and "guessed" not in said
