--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -84,7 +84,7 @@
         one INTEGER PRIMARY KEY, lineage TEXT NOT NULL, position INTEGER NOT NULL, floor INTEGER NOT NULL);
     """,
 )
-SCHEMA = len(MIGRATIONS)
+SCHEMA_VERSION = len(MIGRATIONS)
 
 
 def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
@@ -99,7 +99,7 @@
 
 
 def migrate(connection: apsw.Connection) -> None:
-    database.migrate(connection, SCHEMA, lambda version: MIGRATIONS[version:], "name another data folder")
+    database.migrate(connection, SCHEMA_VERSION, lambda version: MIGRATIONS[version:], "name another data folder")
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -21,7 +21,7 @@
 from ironscale.agent import sqlite as module
 from ironscale.agent.model import Kind, Operation, Phase, Policy, State, Target
 from ironscale.agent.sql import SqlRecords
-from ironscale.agent.sqlite import MIGRATIONS, SCHEMA, SqliteStore, connect
+from ironscale.agent.sqlite import MIGRATIONS, SCHEMA_VERSION, SqliteStore, connect
 from ironscale.agent.store import Configuration, InstanceRow, Published, Records, StoreError, TokenRow
 from ironscale.record.database import Opener, Transaction
 from ironscale.versions.model import Entry, read_scope
@@ -151,24 +151,24 @@
 
 
 def test_a_newer_file_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
-    connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA + 4}")
-    with pytest.raises(StoreError, match=f"expected schema {SCHEMA} or older, got {SCHEMA + 4}") as found:
+    connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA_VERSION + 4}")
+    with pytest.raises(StoreError, match=f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}") as found:
         connect(tmp_path / "a.db")
     assert found.value.code == "NEWER"
-    assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA + 4,)
+    assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION + 4,)
 
 
 def test_an_older_file_is_brought_up_and_a_migration_that_fails_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
-    monkeypatch.setattr(module, "SCHEMA", SCHEMA + 1)
+    monkeypatch.setattr(module, "SCHEMA", SCHEMA_VERSION + 1)
     broken = "ALTER TABLE tokens ADD COLUMN note TEXT;\nINSERT INTO nowhere VALUES (1);\n"
     monkeypatch.setattr(module, "MIGRATIONS", (*MIGRATIONS, broken))
     with pytest.raises(StoreError, match="no such table"):
         connect(tmp_path / "a.db")
     plain = sqlite3.connect(tmp_path / "a.db")
-    assert plain.execute("PRAGMA user_version").fetchone() == (SCHEMA,)
+    assert plain.execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION,)
     assert "note" not in [r[1] for r in plain.execute("PRAGMA table_info(tokens)")]
     plain.close()
     monkeypatch.setattr(module, "MIGRATIONS", (*MIGRATIONS, "ALTER TABLE tokens ADD COLUMN note TEXT;\n"))
