--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -19,7 +19,7 @@
 from ironscale.record.errors import Step
 from ironscale.record.model import Cause, Knowledge, Trouble
 
-BUSY_MS = 2_000
+BUSY_TIMEOUT_MS = 2_000
 SEQUENCE = "sequence"  # counter with the number of the last write
 MIGRATIONS = (
     """
@@ -89,7 +89,7 @@
 
 def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
     """Opens the file and upgrades its schema to the current version. Raises StoreError."""
-    opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+    opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
     try:
         return opener.open()
     except Trouble as found:
@@ -120,7 +120,7 @@
         """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
         open the file; an agent then writes only after it has claimed the store."""
         self.path, self.claim_as = path, claim
-        opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+        opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
         self.number = -1  # number of the last write; -1 until it is read from the store
         super().__init__(self.writer, "sqlite")
