--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -20,7 +20,7 @@
 from ironscale.record.model import Cause, Knowledge, Trouble
 
 BUSY_TIMEOUT_MS = 2_000
-SEQUENCE = "sequence"  # counter with the number of the last write
+SEQUENCE_COUNTER = "sequence"  # counter with the number of the last write
 MIGRATIONS = (
     """
     CREATE TABLE counters (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
@@ -185,11 +185,11 @@
                 raise found
             self.marked_until_ms = until_ms
         if self.number < 0:
-            self.number = records.counter(SEQUENCE)
+            self.number = records.counter(SEQUENCE_COUNTER)
         # Read again under a claim: an agent that leads a second time must not continue from its old number, as
         # another leader has written higher ones meanwhile.
-        self.number = max(self.number, records.counter(SEQUENCE) if self.claim_as is not None else 0) + 1
-        records.set_counter(SEQUENCE, self.number)
+        self.number = max(self.number, records.counter(SEQUENCE_COUNTER) if self.claim_as is not None else 0) + 1
+        records.set_counter(SEQUENCE_COUNTER, self.number)
         return self.number
 
     def renewed(self) -> None:
@@ -201,4 +201,4 @@
         synced to disk yet. It increments a counter: SQLite skips an update that keeps the value of the row, and a
         commit without changes syncs nothing."""
         records.increment_counter("resolved")
-        return records.counter(SEQUENCE)
+        return records.counter(SEQUENCE_COUNTER)
