--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -119,7 +119,7 @@
     def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
         """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
         open the file; an agent then writes only after it has claimed the store."""
-        self.path, self.claim_as = path, claim
+        self.path, self.claim_identity = path, claim
         opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
         self.number = -1  # number of the last write; -1 until it is read from the store
@@ -149,7 +149,7 @@
         return Owner(epoch, holder, place, max(0, until_ms - clock_ms()) if on == machine() else 0)
 
     async def claim(self) -> None:
-        claim = self.claim_as
+        claim = self.claim_identity
         assert claim is not None
 
         def job(transaction: Transaction) -> Term:
@@ -175,8 +175,8 @@
                     "UPDATE owner SET until_ms = 0 WHERE one = 1 AND epoch = ?", (epoch,)))
 
     def mark(self, records: SqlRecords) -> int:
-        if self.claim_as is not None:
-            until_ms = clock_ms() + self.claim_as.lease_ms
+        if self.claim_identity is not None:
+            until_ms = clock_ms() + self.claim_identity.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
                 found = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
@@ -188,12 +188,12 @@
             self.number = records.counter(SEQUENCE_COUNTER)
         # Read again under a claim: an agent that leads a second time must not continue from its old number, as
         # another leader has written higher ones meanwhile.
-        self.number = max(self.number, records.counter(SEQUENCE_COUNTER) if self.claim_as is not None else 0) + 1
+        self.number = max(self.number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
         records.set_counter(SEQUENCE_COUNTER, self.number)
         return self.number
 
     def renewed(self) -> None:
-        if self.claim_as is not None:
+        if self.claim_identity is not None:
             self.term = replace(self.term, until_ms=self.marked_until_ms)
 
     def reached(self, records: SqlRecords) -> int:
