--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -122,7 +122,7 @@
         self.path, self.claim_identity = path, claim
         opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
-        self.number = -1  # number of the last write; -1 until it is read from the store
+        self.last_number = -1  # number of the last write; -1 until it is read from the store
         super().__init__(self.writer, "sqlite")
         if claim is not None:
             self.term = Term(0, 0, claim.lease_ms)
@@ -184,13 +184,13 @@
                 self.on_lost(to_store_error(found))
                 raise found
             self.marked_until_ms = until_ms
-        if self.number < 0:
-            self.number = records.counter(SEQUENCE_COUNTER)
+        if self.last_number < 0:
+            self.last_number = records.counter(SEQUENCE_COUNTER)
         # Read again under a claim: an agent that leads a second time must not continue from its old number, as
         # another leader has written higher ones meanwhile.
-        self.number = max(self.number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
-        records.set_counter(SEQUENCE_COUNTER, self.number)
-        return self.number
+        self.last_number = max(self.last_number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
+        records.set_counter(SEQUENCE_COUNTER, self.last_number)
+        return self.last_number
 
     def renewed(self) -> None:
         if self.claim_identity is not None:
