--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -127,7 +127,7 @@
         if claim is not None:
             self.term = Term(0, 0, claim.lease_ms)
 
-        self.marked_until_ms = 0
+        self.pending_until_ms = 0
         self.on_lost: Callable[[StoreError], None] = lambda error: None  # on the worker's thread
 
     @property
@@ -183,7 +183,7 @@
                                 "TAKEN")
                 self.on_lost(to_store_error(found))
                 raise found
-            self.marked_until_ms = until_ms
+            self.pending_until_ms = until_ms
         if self.last_number < 0:
             self.last_number = records.counter(SEQUENCE_COUNTER)
         # Read again under a claim: an agent that leads a second time must not continue from its old number, as
@@ -194,7 +194,7 @@
 
     def renewed(self) -> None:
         if self.claim_identity is not None:
-            self.term = replace(self.term, until_ms=self.marked_until_ms)
+            self.term = replace(self.term, until_ms=self.pending_until_ms)
 
     def reached(self, records: SqlRecords) -> int:
         """Reads the number in a transaction that writes, because what a recovery found in the log may not have been
