--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -40,7 +40,7 @@
 FENCES_APART = 1_000_000
 
 
-class Held:
+class GroupTransaction:
     """The transaction of a group commit, as passed to its jobs."""
 
     __slots__ = ("began_ms", "connection", "number")
@@ -100,7 +100,7 @@
             self.wake.notify()
 
 
-class Holder(Worker[Held]):
+class Holder(Worker[GroupTransaction]):
     """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
     def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
@@ -125,8 +125,8 @@
 
     # Group commit
 
-    def commit(self, group: list[Job[Held, Any]]) -> list[Done[Held]]:
-        done: list[Done[Held]] = []
+    def commit(self, group: list[Job[GroupTransaction, Any]]) -> list[Done[GroupTransaction]]:
+        done: list[Done[GroupTransaction]] = []
         step = Step.CONNECT
         try:
             # A server that shut down has closed the idle connection. A transaction sent on it could end with an
@@ -139,7 +139,7 @@
             with self.watch.over(connection, self.limit_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
-                held = Held(connection, 0)
+                held = GroupTransaction(connection, 0)
                 held.number = self._hold(connection) if writes else 0
                 for job in group:
                     self._do(held, job, done, len(group) > 1)
@@ -164,7 +164,7 @@
         self._drop()
         return fated(group, done, found)
 
-    def _do(self, held: Held, job: Job[Held, Any], done: list[Done[Held]], several: bool) -> None:
+    def _do(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]], several: bool) -> None:
         """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
         if several:
@@ -245,7 +245,7 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = Held(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA_VERSION, migrations)
+        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
             while True:
@@ -316,7 +316,7 @@
         self.watch.stop()
 
 
-class PostgresStore(SequencedStore[Held]):
+class PostgresStore(SequencedStore[GroupTransaction]):
     """The store in PostgreSQL under one agent's claim."""
 
     # A write made to resolve an outcome would get a number above the unresolved write's. If its connection broke too,
@@ -357,7 +357,7 @@
 
     def mark(self, records: SqlRecords) -> int:
         held = records.transaction
-        assert isinstance(held, Held)
+        assert isinstance(held, GroupTransaction)
         return held.number
 
     def reached(self, records: SqlRecords) -> int:
