--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -54,7 +54,7 @@
         return cursor.fetchall() if cursor.description is not None else []
 
 
-class _Watch:
+class _TransactionWatchdog:
     """A thread that shuts down a connection when a transaction exceeds its time limit. TCP keepalive doesn't detect
     this: a server process that hangs keeps its connection alive."""
 
@@ -121,7 +121,7 @@
         self.reopens = False  # the connection has to be opened again, with a claim
         self.follows = False  # reads what another agent writes, and doesn't claim the store
         self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
-        self.watch = _Watch()
+        self.watch = _TransactionWatchdog()
 
     # Group commit
 
