--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -67,7 +67,7 @@
         start_thread(self.thread)
 
     @contextlib.contextmanager
-    def over(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
+    def time_limit(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
         with socket.socket(fileno=os.dup(connection.pgconn.socket)) as end:
             with self.wake:
                 self.watched = end, time.monotonic() + limit_s
@@ -136,7 +136,7 @@
             self.reopens = False
             connection = self.connection or self._open()
             step = Step.WORK
-            with self.watch.over(connection, self.limit_s):
+            with self.watch.time_limit(connection, self.limit_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
                 held = GroupTransaction(connection, 0)
@@ -224,7 +224,7 @@
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
-            with self.watch.over(connection, self.limit_s):
+            with self.watch.time_limit(connection, self.limit_s):
                 # The server also limits statements, so that a transaction which this agent has abandoned releases the
                 # owner's row. An agent process that is stopped within a transaction would otherwise keep the next
                 # agent from the row past the end of the lease; hence the limit for idle transactions.
@@ -310,7 +310,7 @@
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            with contextlib.suppress(psycopg.Error, OSError), self.watch.over(connection, min(wait_s, self.limit_s)):
+            with contextlib.suppress(psycopg.Error, OSError), self.watch.time_limit(connection, min(wait_s, self.limit_s)):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
             self._drop()
         self.watch.stop()
