--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         self.wake = threading.Condition()
-        self.watched: tuple[socket.socket, float] | None = None
+        self.current: tuple[socket.socket, float] | None = None
         self.ending = False
         self.cuts = 0
         self.thread = threading.Thread(target=self._run, name="record-watch", daemon=True)
@@ -70,26 +70,26 @@
     def time_limit(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
         with socket.socket(fileno=os.dup(connection.pgconn.socket)) as end:
             with self.wake:
-                self.watched = end, time.monotonic() + limit_s
+                self.current = end, time.monotonic() + limit_s
                 self.wake.notify()
             try:
                 yield
             finally:
                 with self.wake:
-                    self.watched = None
+                    self.current = None
 
     def _run(self) -> None:
         with self.wake:
             while not self.ending:
-                if self.watched is None:
+                if self.current is None:
                     self.wake.wait()
                     continue
-                end, until = self.watched
+                end, until = self.current
                 left = until - time.monotonic()
                 if left > 0:
                     self.wake.wait(left)
                     continue
-                self.watched = None
+                self.current = None
                 self.cuts += 1
                 with contextlib.suppress(OSError):
                     end.shutdown(socket.SHUT_RDWR)
