--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -62,7 +62,7 @@
         self.wake = threading.Condition()
         self.current: tuple[socket.socket, float] | None = None
         self.ending = False
-        self.cuts = 0
+        self.timeouts = 0
         self.thread = threading.Thread(target=self._run, name="record-watch", daemon=True)
         start_thread(self.thread)
 
@@ -90,7 +90,7 @@
                     self.wake.wait(left)
                     continue
                 self.current = None
-                self.cuts += 1
+                self.timeouts += 1
                 with contextlib.suppress(OSError):
                     end.shutdown(socket.SHUT_RDWR)
 
