--- a/bench/record.py
+++ b/bench/record.py
@@ -224,7 +224,7 @@
 def bench_agent(seconds: float, folder: Path) -> None:
     """Small writes of the agent on both kinds; a record of 20,000 lines moved; from a lost connection, and from a
     statement that never ends, to the next write that is kept."""
-    from ironscale.agent.postgres import Holder
+    from ironscale.agent.postgres import OwnerWorker
     from ironscale.agent.postgres import PostgresStore as AgentOnPostgres
     from ironscale.agent.sqlite import SqliteStore as AgentOnSqlite
     from ironscale.agent.store import Records, StoreError
@@ -253,7 +253,7 @@
         dsn = f"host=127.0.0.1 port={host.port} user=app"
         store = AgentOnSqlite(folder / "agent.db")
         await figures("SQLite", store, 32)
-        held = Holder(Access(dsn), "bench", "here")
+        held = OwnerWorker(Access(dsn), "bench", "here")
         on = AgentOnPostgres(held)
         await figures("stand-in", on, 1)  # it plays a long transaction again for each statement
 
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -100,7 +100,7 @@
             self.wake.notify()
 
 
-class Holder(Worker[GroupTransaction]):
+class OwnerWorker(Worker[GroupTransaction]):
     """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
     def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
@@ -323,7 +323,7 @@
     # it could be mistaken for that write.
     reaches_by_write = False
 
-    def __init__(self, holder: Holder) -> None:
+    def __init__(self, holder: OwnerWorker) -> None:
         self.holder = holder
         super().__init__(holder, "postgresql")
         holder.start()
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -88,9 +88,9 @@
                                        "agent.postgresql in the operator file, or another data folder")
         return store
     access = access_of(section)  # first: it says in one line what is not installed
-    from ironscale.agent.postgres import Holder, PostgresStore
+    from ironscale.agent.postgres import OwnerWorker, PostgresStore
 
-    holder = Holder(access, holder_of(data), place, lease_ms=lease_ms)
+    holder = OwnerWorker(access, holder_of(data), place, lease_ms=lease_ms)
     holder.on_lost = lambda found: lost(to_store_error(found))
     holder.follows = True
     kept = PostgresStore(holder)
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -17,7 +17,7 @@
 
 from ironscale.agent import commit_tracking, store_setup
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
-from ironscale.agent.postgres import Holder, PostgresStore
+from ironscale.agent.postgres import OwnerWorker, PostgresStore
 from ironscale.agent.serve import Agent, AgentError, running
 from ironscale.agent.sql import SCHEMA_VERSION
 from ironscale.agent.sqlite import SqliteStore, connect
@@ -49,7 +49,7 @@
 @contextlib.asynccontextmanager
 async def store_on(*on: Host, holder: str = "me", lease_ms: int = 10_000, limit_s: float = 5.0,
                    lost: Callable[[Any], None] = lambda found: None) -> AsyncIterator[PostgresStore]:
-    held = Holder(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
+    held = OwnerWorker(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
     held.on_lost = lost
     store = PostgresStore(held)
     store.resolve_timeout_s = 5.0
