--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -31,7 +31,7 @@
 from ironscale.record.worker import Done, Job, Worker, fated
 from ironscale.threads import start_thread
 
-NOW = NOW_MS["postgresql"]
+NOW_MS_SQL = NOW_MS["postgresql"]
 LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
 LIMIT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
 CONNECT_S = 2.0
@@ -190,7 +190,7 @@
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
         self.number += 1
         rows = connection.execute(
-            f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW} + %s WHERE one = %s AND epoch = %s"
+            f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW_MS_SQL} + %s WHERE one = %s AND epoch = %s"
             " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
             # The epoch has changed: either a claim of this agent went unnoticed, another agent owns the store, or the
@@ -260,7 +260,7 @@
         """Claims the store, or renews the claim. Waits for earlier transactions of this agent that are in progress."""
         began_ms = clock_ms()
         (epoch, sequence, holder, place, left_ms), = connection.execute(
-            f"SELECT epoch, sequence, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,)).fetchall()
+            f"SELECT epoch, sequence, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s", (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
                           f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
@@ -270,7 +270,7 @@
         if self.epoch and holder != self.holder:
             self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
         rows = connection.execute(
-            f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW} + %s"
+            f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW_MS_SQL} + %s"
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
@@ -287,7 +287,7 @@
         server has, with fences above all that were issued."""
         connection.execute("BEGIN")
         connection.execute(f"UPDATE agent_owner SET epoch = %s, sequence = %s, holder = %s, place = %s,"
-                           f" until_ms = {NOW} WHERE one = %s",
+                           f" until_ms = {NOW_MS_SQL} WHERE one = %s",
                            (max(epoch, self.epoch) + 1, max(sequence, self.number), self.holder, self.place, 1))
         connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCES_APART, "fence"))
         # Published versions may be lost and their numbers issued again. With a new lineage, followers don't compare
@@ -340,7 +340,7 @@
         def work(records: Records) -> Owner:
             assert isinstance(records, SqlRecords)
             (epoch, holder, place, left_ms), = records.transaction.execute(
-                f"SELECT epoch, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,))
+                f"SELECT epoch, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s", (1,))
             return Owner(epoch, holder, place, max(0, left_ms))
 
         return await self.read(work)
