--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -33,7 +33,7 @@
 
 NOW_MS_SQL = NOW_MS["postgresql"]
 LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
-LIMIT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
+TRANSACTION_TIMEOUT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
 CONNECT_S = 2.0
 LOCK = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
 # Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
@@ -103,7 +103,7 @@
 class OwnerWorker(Worker[GroupTransaction]):
     """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
-    def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
+    def __init__(self, access: Access, holder: str, place: str, limit_s: float = TRANSACTION_TIMEOUT_S,
                  lease_ms: int = LEASE_MS) -> None:
         """`holder`: identifies the claimant, and is the same for the next process on the same data folder. `place`:
         where the agent runs, for error messages."""
