--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -34,7 +34,7 @@
 NOW_MS_SQL = NOW_MS["postgresql"]
 LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
 TRANSACTION_TIMEOUT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 LOCK = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
 # Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
 FENCES_APART = 1_000_000
@@ -221,7 +221,7 @@
         """Raises psycopg.Error, OSError or Trouble."""
         if self.lost is not None:
             raise self.lost
-        connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_S)},
+        connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
             with self.watch.time_limit(connection, self.limit_s):
