--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -35,7 +35,7 @@
 LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
 TRANSACTION_TIMEOUT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
 CONNECT_TIMEOUT_S = 2.0
-LOCK = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
+MIGRATION_LOCK_KEY = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
 # Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
 FENCES_APART = 1_000_000
 
@@ -245,7 +245,7 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA_VERSION, migrations)
+        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", MIGRATION_LOCK_KEY, SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
             while True:
