--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -37,7 +37,7 @@
 CONNECT_TIMEOUT_S = 2.0
 MIGRATION_LOCK_KEY = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
 # Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
-FENCES_APART = 1_000_000
+FENCE_GAP = 1_000_000
 
 
 class GroupTransaction:
@@ -289,7 +289,7 @@
         connection.execute(f"UPDATE agent_owner SET epoch = %s, sequence = %s, holder = %s, place = %s,"
                            f" until_ms = {NOW_MS_SQL} WHERE one = %s",
                            (max(epoch, self.epoch) + 1, max(sequence, self.number), self.holder, self.place, 1))
-        connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCES_APART, "fence"))
+        connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCE_GAP, "fence"))
         # Published versions may be lost and their numbers issued again. With a new lineage, followers don't compare
         # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
