--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -113,7 +113,7 @@
         self.limit_s, self.lease_ms = limit_s, lease_ms
         self.connection: psycopg.Connection[Any] | None = None
         self.epoch = 0  # of this agent's claim; 0: no claim yet
-        self.number = 0  # sequence number of the last transaction that wrote, whatever its outcome
+        self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
         self.confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
         self.lost: Trouble | None = None  # why this agent doesn't own the store any more; never reset
@@ -188,16 +188,16 @@
         transaction ends."""
         if self.follows:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
-        self.number += 1
+        self.last_number += 1
         rows = connection.execute(
             f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW_MS_SQL} + %s WHERE one = %s AND epoch = %s"
-            " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
+            " RETURNING sequence", (self.last_number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
             # The epoch has changed: either a claim of this agent went unnoticed, another agent owns the store, or the
             # store has lost writes. The next claim finds out which.
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim has to be renewed",
                           "CLAIM")
-        return self.number
+        return self.last_number
 
     def _trouble(self, error: psycopg.Error | OSError, step: Step) -> Trouble:
         sqlstate = getattr(error, "sqlstate", None) or ""
@@ -277,7 +277,7 @@
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store "
                           "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.confirmed = rows[0]
-        self.number = max(self.number, self.confirmed)
+        self.last_number = max(self.last_number, self.confirmed)
         self.until_ms = began_ms + self.lease_ms
         self.claims += 1
 
@@ -288,7 +288,7 @@
         connection.execute("BEGIN")
         connection.execute(f"UPDATE agent_owner SET epoch = %s, sequence = %s, holder = %s, place = %s,"
                            f" until_ms = {NOW_MS_SQL} WHERE one = %s",
-                           (max(epoch, self.epoch) + 1, max(sequence, self.number), self.holder, self.place, 1))
+                           (max(epoch, self.epoch) + 1, max(sequence, self.last_number), self.holder, self.place, 1))
         connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCE_GAP, "fence"))
         # Published versions may be lost and their numbers issued again. With a new lineage, followers don't compare
         # positions of the old log with those of the new one.
