--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -114,7 +114,7 @@
         self.connection: psycopg.Connection[Any] | None = None
         self.epoch = 0  # of this agent's claim; 0: no claim yet
         self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
-        self.confirmed = 0  # sequence number of the last transaction whose commit was confirmed
+        self.last_confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
         self.lost: Trouble | None = None  # why this agent doesn't own the store any more; never reset
         self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
@@ -153,7 +153,7 @@
                                   "ROLLBACK")
             if writes:
                 self.commits += 1
-                self.confirmed = held.number
+                self.last_confirmed = held.number
                 self.until_ms = held.began_ms + self.lease_ms
             return done
         except (psycopg.Error, OSError, Trouble) as error:
@@ -265,7 +265,7 @@
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
                           f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
                           "LOCKED")
-        if epoch < self.epoch or sequence < self.confirmed:
+        if epoch < self.epoch or sequence < self.last_confirmed:
             self._less(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
             self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
@@ -276,8 +276,8 @@
         if not rows:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store "
                           "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
-        self.epoch, self.confirmed = rows[0]
-        self.last_number = max(self.last_number, self.confirmed)
+        self.epoch, self.last_confirmed = rows[0]
+        self.last_number = max(self.last_number, self.last_confirmed)
         self.until_ms = began_ms + self.lease_ms
         self.claims += 1
 
@@ -294,7 +294,7 @@
         # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
         connection.execute("COMMIT")
-        self._give_up("LESS", f"{self.name}: expected {self.confirmed} writes, as it had confirmed, got {sequence}: a "
+        self._give_up("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got {sequence}: a "
                       "server took over that had not received all of them; check `ironscale ops`, then start the agent "
                       "again")
 
@@ -363,4 +363,4 @@
     def reached(self, records: SqlRecords) -> int:
         """The number found by the claim that opened this connection: the claim waited for earlier transactions that
         were in progress, and its new epoch rejects later ones."""
-        return self.holder.confirmed
+        return self.holder.last_confirmed
