--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -116,7 +116,7 @@
         self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
         self.last_confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
-        self.lost: Trouble | None = None  # why this agent doesn't own the store any more; never reset
+        self.ownership_loss: Trouble | None = None  # why this agent doesn't own the store any more; never reset
         self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
         self.reopens = False  # the connection has to be opened again, with a claim
         self.follows = False  # reads what another agent writes, and doesn't claim the store
@@ -219,8 +219,8 @@
 
     def _open(self) -> psycopg.Connection[Any]:
         """Raises psycopg.Error, OSError or Trouble."""
-        if self.lost is not None:
-            raise self.lost
+        if self.ownership_loss is not None:
+            raise self.ownership_loss
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
@@ -299,9 +299,9 @@
                       "again")
 
     def _give_up(self, code: str, text: str) -> None:
-        self.lost = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
-        self.on_lost(self.lost)
-        raise self.lost
+        self.ownership_loss = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
+        self.on_lost(self.ownership_loss)
+        raise self.ownership_loss
 
     def stop(self, wait_s: float) -> None:
         """Finishes the queued jobs, then ends the lease, so that the next agent need not wait for it to expire."""
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -518,7 +518,7 @@
             with contextlib.suppress(StoreError):
                 await store.write(line("b"))
             await store.write(line("c"))
-            assert subjects(data)[-1] == "c" and store.holder.lost is None
+            assert subjects(data)[-1] == "c" and store.holder.ownership_loss is None
             assert len(two.sessions) == 1
 
     run(test)
