--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -118,7 +118,7 @@
         self.commits = self.claims = 0
         self.ownership_loss: Trouble | None = None  # why this agent doesn't own the store any more; never reset
         self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
-        self.reopens = False  # the connection has to be opened again, with a claim
+        self.needs_reconnect = False  # the connection has to be opened again, with a claim
         self.follows = False  # reads what another agent writes, and doesn't claim the store
         self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
         self.watch = _TransactionWatchdog()
@@ -131,9 +131,9 @@
         try:
             # A server that shut down has closed the idle connection. A transaction sent on it could end with an
             # unknown outcome, so a stale connection is replaced before it is used.
-            if self.connection is not None and (self.reopens or is_stale(self.connection)):
+            if self.connection is not None and (self.needs_reconnect or is_stale(self.connection)):
                 self._drop()
-            self.reopens = False
+            self.needs_reconnect = False
             connection = self.connection or self._open()
             step = Step.WORK
             with self.watch.time_limit(connection, self.limit_s):
@@ -348,7 +348,7 @@
     async def claim(self) -> None:
         if self.holder.epoch:
             return
-        self.holder.follows, self.holder.reopens = False, True  # the next connection begins with the claim
+        self.holder.follows, self.holder.needs_reconnect = False, True  # the next connection begins with the claim
         try:
             await self.read(lambda records: records.last_event())
         except StoreError:
