--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -119,7 +119,7 @@
         self.ownership_loss: Trouble | None = None  # why this agent doesn't own the store any more; never reset
         self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
         self.needs_reconnect = False  # the connection has to be opened again, with a claim
-        self.follows = False  # reads what another agent writes, and doesn't claim the store
+        self.is_read_only = False  # reads what another agent writes, and doesn't claim the store
         self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
         self.watch = _TransactionWatchdog()
 
@@ -186,7 +186,7 @@
     def _hold(self, connection: psycopg.Connection[Any]) -> int:
         """Assigns the transaction's sequence number under this agent's claim. This locks the owner's row until the
         transaction ends."""
-        if self.follows:
+        if self.is_read_only:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
         self.last_number += 1
         rows = connection.execute(
@@ -234,7 +234,7 @@
                 connection.execute(f"SET synchronous_commit = {self.access.synchronous_commit}")
                 if self.epoch == 0:
                     self._migrate(connection)
-                if not self.follows:
+                if not self.is_read_only:
                     self._claim(connection)
         except BaseException:
             with contextlib.suppress(psycopg.Error, OSError):
@@ -348,11 +348,11 @@
     async def claim(self) -> None:
         if self.holder.epoch:
             return
-        self.holder.follows, self.holder.needs_reconnect = False, True  # the next connection begins with the claim
+        self.holder.is_read_only, self.holder.needs_reconnect = False, True  # the next connection begins with the claim
         try:
             await self.read(lambda records: records.last_event())
         except StoreError:
-            self.holder.follows = True
+            self.holder.is_read_only = True
             raise
 
     def mark(self, records: SqlRecords) -> int:
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -92,7 +92,7 @@
 
     holder = OwnerWorker(access, holder_of(data), place, lease_ms=lease_ms)
     holder.on_lost = lambda found: lost(to_store_error(found))
-    holder.follows = True
+    holder.is_read_only = True
     kept = PostgresStore(holder)
     try:
         if section.standby:
