--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -121,7 +121,7 @@
         self.needs_reconnect = False  # the connection has to be opened again, with a claim
         self.is_read_only = False  # reads what another agent writes, and doesn't claim the store
         self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
-        self.watch = _TransactionWatchdog()
+        self.watchdog = _TransactionWatchdog()
 
     # Group commit
 
@@ -136,7 +136,7 @@
             self.needs_reconnect = False
             connection = self.connection or self._open()
             step = Step.WORK
-            with self.watch.time_limit(connection, self.limit_s):
+            with self.watchdog.time_limit(connection, self.limit_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
                 held = GroupTransaction(connection, 0)
@@ -224,7 +224,7 @@
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
-            with self.watch.time_limit(connection, self.limit_s):
+            with self.watchdog.time_limit(connection, self.limit_s):
                 # The server also limits statements, so that a transaction which this agent has abandoned releases the
                 # owner's row. An agent process that is stopped within a transaction would otherwise keep the next
                 # agent from the row past the end of the lease; hence the limit for idle transactions.
@@ -310,10 +310,10 @@
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            with contextlib.suppress(psycopg.Error, OSError), self.watch.time_limit(connection, min(wait_s, self.limit_s)):
+            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, min(wait_s, self.limit_s)):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
             self._drop()
-        self.watch.stop()
+        self.watchdog.stop()
 
 
 class PostgresStore(SequencedStore[GroupTransaction]):
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -433,7 +433,7 @@
             gate = host.hook = Gate("commit")
             writing = asyncio.create_task(store.write(line("it")))
             await gate.reached.wait()
-            await until(lambda: store.holder.watch.timeouts == 1)
+            await until(lambda: store.holder.watchdog.timeouts == 1)
             assert not writing.done()
             gate.go.set()
             assert await writing == "it"
