--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -110,7 +110,7 @@
         self.settings = settings_of(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
-        self.limit_s, self.lease_ms = limit_s, lease_ms
+        self.transaction_timeout_s, self.lease_ms = limit_s, lease_ms
         self.connection: psycopg.Connection[Any] | None = None
         self.epoch = 0  # of this agent's claim; 0: no claim yet
         self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
@@ -136,7 +136,7 @@
             self.needs_reconnect = False
             connection = self.connection or self._open()
             step = Step.WORK
-            with self.watchdog.time_limit(connection, self.limit_s):
+            with self.watchdog.time_limit(connection, self.transaction_timeout_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
                 held = GroupTransaction(connection, 0)
@@ -224,12 +224,12 @@
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
-            with self.watchdog.time_limit(connection, self.limit_s):
+            with self.watchdog.time_limit(connection, self.transaction_timeout_s):
                 # The server also limits statements, so that a transaction which this agent has abandoned releases the
                 # owner's row. An agent process that is stopped within a transaction would otherwise keep the next
                 # agent from the row past the end of the lease; hence the limit for idle transactions.
-                idle_ms = min(int(2 * self.limit_s * 1000), self.lease_ms)
-                connection.execute(f"SET statement_timeout = {int(self.limit_s * 1000)}")
+                idle_ms = min(int(2 * self.transaction_timeout_s * 1000), self.lease_ms)
+                connection.execute(f"SET statement_timeout = {int(self.transaction_timeout_s * 1000)}")
                 connection.execute(f"SET idle_in_transaction_session_timeout = {idle_ms}")
                 connection.execute(f"SET synchronous_commit = {self.access.synchronous_commit}")
                 if self.epoch == 0:
@@ -310,7 +310,7 @@
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, min(wait_s, self.limit_s)):
+            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, min(wait_s, self.transaction_timeout_s)):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
             self._drop()
         self.watchdog.stop()
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -142,11 +142,11 @@
                 return -1
             return copy(source, of_sql(records))
 
-        limit_s, store.holder.limit_s = store.holder.limit_s, MOVE_S
+        limit_s, store.holder.transaction_timeout_s = store.holder.transaction_timeout_s, MOVE_S
         try:
             count = await store.write(work)
         finally:
-            store.holder.limit_s = limit_s
+            store.holder.transaction_timeout_s = limit_s
         if count < 0:
             log(f"{path} is not used: {store.holder.name} has a record already")
             return
