--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -103,14 +103,14 @@
 class OwnerWorker(Worker[GroupTransaction]):
     """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
-    def __init__(self, access: Access, holder: str, place: str, limit_s: float = TRANSACTION_TIMEOUT_S,
+    def __init__(self, access: Access, holder: str, place: str, transaction_timeout_s: float = TRANSACTION_TIMEOUT_S,
                  lease_ms: int = LEASE_MS) -> None:
         """`holder`: identifies the claimant, and is the same for the next process on the same data folder. `place`:
         where the agent runs, for error messages."""
         self.settings = settings_of(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
-        self.transaction_timeout_s, self.lease_ms = limit_s, lease_ms
+        self.transaction_timeout_s, self.lease_ms = transaction_timeout_s, lease_ms
         self.connection: psycopg.Connection[Any] | None = None
         self.epoch = 0  # of this agent's claim; 0: no claim yet
         self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
