--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -142,7 +142,7 @@
                 held = GroupTransaction(connection, 0)
                 held.number = self._hold(connection) if writes else 0
                 for job in group:
-                    self._do(held, job, done, len(group) > 1)
+                    self._run_job(held, job, done, len(group) > 1)
                 if all(problem is not None for _, _, problem in done):
                     connection.execute("ROLLBACK")
                     return done
@@ -164,7 +164,7 @@
         self._drop()
         return fated(group, done, found)
 
-    def _do(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]], several: bool) -> None:
+    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]], several: bool) -> None:
         """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
         if several:
