--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -140,7 +140,7 @@
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
                 held = GroupTransaction(connection, 0)
-                held.number = self._hold(connection) if writes else 0
+                held.number = self._lock_owner_row(connection) if writes else 0
                 for job in group:
                     self._run_job(held, job, done, len(group) > 1)
                 if all(problem is not None for _, _, problem in done):
@@ -183,7 +183,7 @@
                 connection.execute("ROLLBACK TO SAVEPOINT job")
             connection.execute("RELEASE SAVEPOINT job")
 
-    def _hold(self, connection: psycopg.Connection[Any]) -> int:
+    def _lock_owner_row(self, connection: psycopg.Connection[Any]) -> int:
         """Assigns the transaction's sequence number under this agent's claim. This locks the owner's row until the
         transaction ends."""
         if self.is_read_only:
