--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -132,7 +132,7 @@
             # A server that shut down has closed the idle connection. A transaction sent on it could end with an
             # unknown outcome, so a stale connection is replaced before it is used.
             if self.connection is not None and (self.needs_reconnect or is_stale(self.connection)):
-                self._drop()
+                self._close_connection()
             self.needs_reconnect = False
             connection = self.connection or self._open()
             step = Step.WORK
@@ -161,7 +161,7 @@
         except Exception as error:  # callers would wait forever if the thread died
             found = Trouble(Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
-        self._drop()
+        self._close_connection()
         return fated(group, done, found)
 
     def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]], several: bool) -> None:
@@ -209,7 +209,7 @@
             text = text.replace(self.access.password, "***")
         return Trouble(knowledge(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             with contextlib.suppress(psycopg.Error, OSError):
@@ -312,7 +312,7 @@
         if not self.thread.is_alive() and connection is not None and self.epoch:
             with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, min(wait_s, self.transaction_timeout_s)):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
-            self._drop()
+            self._close_connection()
         self.watchdog.stop()
 
 
