--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -266,7 +266,7 @@
                           f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
                           "LOCKED")
         if epoch < self.epoch or sequence < self.last_confirmed:
-            self._less(connection, epoch, sequence)
+            self._abandon_after_data_loss(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
             self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
         rows = connection.execute(
@@ -281,7 +281,7 @@
         self.until_ms = began_ms + self.lease_ms
         self.claims += 1
 
-    def _less(self, connection: psycopg.Connection[Any], epoch: int, sequence: int) -> None:
+    def _abandon_after_data_loss(self, connection: psycopg.Connection[Any], epoch: int, sequence: int) -> None:
         """Handles a database server that took over without all confirmed commits. Changes that operators and instances
         were told about are lost, so this agent can't continue from its memory; the next agent starts from what the
         server has, with fences above all that were issued."""
