--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -268,7 +268,7 @@
         if epoch < self.epoch or sequence < self.last_confirmed:
             self._abandon_after_data_loss(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
-            self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
+            self._lose_ownership("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
         rows = connection.execute(
             f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW_MS_SQL} + %s"
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
@@ -294,11 +294,11 @@
         # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
         connection.execute("COMMIT")
-        self._give_up("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got {sequence}: a "
+        self._lose_ownership("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got {sequence}: a "
                       "server took over that had not received all of them; check `ironscale ops`, then start the agent "
                       "again")
 
-    def _give_up(self, code: str, text: str) -> None:
+    def _lose_ownership(self, code: str, text: str) -> None:
         self.ownership_loss = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
         self.on_lost(self.ownership_loss)
         raise self.ownership_loss
