--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -324,13 +324,13 @@
     reaches_by_write = False
 
     def __init__(self, holder: OwnerWorker) -> None:
-        self.holder = holder
+        self.owner_worker = holder
         super().__init__(holder, "postgresql")
         holder.start()
 
     @property
     def term(self) -> Term:
-        return Term(self.holder.epoch, self.holder.until_ms, self.holder.lease_ms)
+        return Term(self.owner_worker.epoch, self.owner_worker.until_ms, self.owner_worker.lease_ms)
 
     @term.setter
     def term(self, term: Term) -> None:
@@ -346,13 +346,13 @@
         return await self.read(work)
 
     async def claim(self) -> None:
-        if self.holder.epoch:
+        if self.owner_worker.epoch:
             return
-        self.holder.is_read_only, self.holder.needs_reconnect = False, True  # the next connection begins with the claim
+        self.owner_worker.is_read_only, self.owner_worker.needs_reconnect = False, True  # the next connection begins with the claim
         try:
             await self.read(lambda records: records.last_event())
         except StoreError:
-            self.holder.is_read_only = True
+            self.owner_worker.is_read_only = True
             raise
 
     def mark(self, records: SqlRecords) -> int:
@@ -363,4 +363,4 @@
     def reached(self, records: SqlRecords) -> int:
         """The number found by the claim that opened this connection: the claim waited for earlier transactions that
         were in progress, and its new epoch rejects later ones."""
-        return self.holder.last_confirmed
+        return self.owner_worker.last_confirmed
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -142,17 +142,17 @@
                 return -1
             return copy(source, of_sql(records))
 
-        limit_s, store.holder.transaction_timeout_s = store.holder.transaction_timeout_s, MOVE_S
+        limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, MOVE_S
         try:
             count = await store.write(work)
         finally:
-            store.holder.transaction_timeout_s = limit_s
+            store.owner_worker.transaction_timeout_s = limit_s
         if count < 0:
-            log(f"{path} is not used: {store.holder.name} has a record already")
+            log(f"{path} is not used: {store.owner_worker.name} has a record already")
             return
         with reported(path):
             own.set_counter(MOVED, 1)
-        log(f"moved the record of {path} to {store.holder.name}, {count:,} rows")
+        log(f"moved the record of {path} to {store.owner_worker.name}, {count:,} rows")
     finally:
         source.close()
 
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -150,7 +150,7 @@
             assert isinstance(results[2], StoreError) and results[2].code == "FAILED" and "UNIQUE" in str(results[2])
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
             assert await store.read(lambda r: r.operation(1)) is None
-            assert store.holder.commits == 1
+            assert store.owner_worker.commits == 1
             # alone in its group it is taken back as a whole
             with pytest.raises(ValueError, match="in the middle"):
                 await store.write(half)
@@ -323,7 +323,7 @@
                     try:
                         assert await store.write(line("it")) == "it"
                         kept = True
-                        told["kept, seen later" if store.holder.claims > 1 else "kept"] += 1
+                        told["kept, seen later" if store.owner_worker.claims > 1 else "kept"] += 1
                     except StoreError as error:
                         assert error.code in ("AWAY", "FAILED"), (place, error)
                         kept = False
@@ -433,11 +433,11 @@
             gate = host.hook = Gate("commit")
             writing = asyncio.create_task(store.write(line("it")))
             await gate.reached.wait()
-            await until(lambda: store.holder.watchdog.timeouts == 1)
+            await until(lambda: store.owner_worker.watchdog.timeouts == 1)
             assert not writing.done()
             gate.go.set()
             assert await writing == "it"
-            assert subjects(data) == ["before", "it"] and store.holder.claims == 2
+            assert subjects(data) == ["before", "it"] and store.owner_worker.claims == 2
 
     run(test)
 
@@ -501,7 +501,7 @@
                 await store.write(line("lost"))
             await store.write(line("after"))
             assert subjects(data) in (["before", "after"], ["before", "lost", "after"])
-            assert store.holder.epoch == data.all("SELECT epoch FROM agent_owner")[0][0]
+            assert store.owner_worker.epoch == data.all("SELECT epoch FROM agent_owner")[0][0]
 
     run(test)
 
@@ -518,7 +518,7 @@
             with contextlib.suppress(StoreError):
                 await store.write(line("b"))
             await store.write(line("c"))
-            assert subjects(data)[-1] == "c" and store.holder.ownership_loss is None
+            assert subjects(data)[-1] == "c" and store.owner_worker.ownership_loss is None
             assert len(two.sessions) == 1
 
     run(test)
@@ -560,13 +560,13 @@
             await store.write(line("a"))
             new = await Host(data.copy()).start()
             try:
-                store.holder.settings["port"] = str(new.port)
+                store.owner_worker.settings["port"] = str(new.port)
                 await old.end_sessions()
                 with contextlib.suppress(StoreError):
                     await store.write(line("b"))
                 await store.write(line("c"))
                 assert subjects(new.data)[-1] == "c"
-                store.holder.settings["port"] = str(old.port)
+                store.owner_worker.settings["port"] = str(old.port)
                 await new.end_sessions()
                 with pytest.raises(StoreError) as found:
                     for _ in range(2):
@@ -780,7 +780,7 @@
             assert len(lines) == len(set(lines)) == 22, (seed, lines)
             kept = await store.read(lambda r: (r.operation(ident), r.targets(ident)))
             assert kept == (op, targets), seed
-            assert store.holder.claims > 1, seed
+            assert store.owner_worker.claims > 1, seed
 
     run(test)
 
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -172,7 +172,7 @@
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
-            reader.holder.is_read_only = True
+            reader.owner_worker.is_read_only = True
             for n in range(2):
                 await leader.write(add(ALL, {"n": n}))
             lineage = await leader.read(lambda r: r.lineage())
@@ -197,7 +197,7 @@
     async def test() -> None:
         data, zone = Data(), read_scope("zone=a")
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
-            reader.holder.is_read_only = True
+            reader.owner_worker.is_read_only = True
             for scope, overlay in ((ALL, {"n": 1}), (zone, {"n": 2}), (zone, None)):
                 await leader.write(add(scope, overlay))
             lineage = await leader.read(lambda r: r.lineage())
@@ -241,7 +241,7 @@
 
 
 def commits(store: SqliteStore | PostgresStore) -> int:
-    return store.holder.commits if isinstance(store, PostgresStore) else store.writer.commits
+    return store.owner_worker.commits if isinstance(store, PostgresStore) else store.writer.commits
 
 
 def draft(scope: str, overlay: Any, base: int, **more: Any) -> Draft:
