--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -25,16 +25,18 @@
 RESOLVE_TIMEOUT_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
 RESOLVE_RETRY_S = 0.5
 CLOSE_TIMEOUT_S = 10.0
-STORE_CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
+STORE_CODES = {
+         "SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
          "SQLITE_NOTADB": "DAMAGED", "NEWER": "NEWER", "53100": "FULL", "25006": "READ_ONLY", "LOCKED": "LOCKED",
          "TAKEN": "TAKEN", "LESS": "LESS", "UNKNOWN_BEFORE": "AWAY"}
-PERMANENT_SQLSTATE_CLASSES = ("22", "23", "42")  # SQLSTATE classes of errors that a retry of the statement would raise again
+PERMANENT_SQLSTATE_CLASSES = ("22", "23", "42")  # a retry of the statement would raise the same error
 
 
 def to_store_error(found: Trouble) -> StoreError:
     """Converts a database error to a StoreError with a stable code."""
-    failed = found.code.startswith("SQLITE") or found.code[:2] in PERMANENT_SQLSTATE_CLASSES or found.cause is Cause.UNUSABLE
+    failed = (found.code.startswith("SQLITE") or found.code[:2] in PERMANENT_SQLSTATE_CLASSES
+              or found.cause is Cause.UNUSABLE)
     return StoreError(STORE_CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
 
 
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -164,7 +164,8 @@
         self._close_connection()
         return fated(group, done, found)
 
-    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]], several: bool) -> None:
+    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]],
+                 several: bool) -> None:
         """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
         if several:
@@ -245,7 +246,8 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", MIGRATION_LOCK_KEY, SCHEMA_VERSION, migrations)
+        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", MIGRATION_LOCK_KEY,
+                                                                SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
             while True:
@@ -260,7 +262,8 @@
         """Claims the store, or renews the claim. Waits for earlier transactions of this agent that are in progress."""
         began_ms = clock_ms()
         (epoch, sequence, holder, place, left_ms), = connection.execute(
-            f"SELECT epoch, sequence, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s", (1,)).fetchall()
+            f"SELECT epoch, sequence, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s",
+            (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
                           f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
@@ -294,9 +297,9 @@
         # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
         connection.execute("COMMIT")
-        self._lose_ownership("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got {sequence}: a "
-                      "server took over that had not received all of them; check `ironscale ops`, then start the agent "
-                      "again")
+        self._lose_ownership("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got "
+                             f"{sequence}: a server took over that had not received all of them; check "
+                             "`ironscale ops`, then start the agent again")
 
     def _lose_ownership(self, code: str, text: str) -> None:
         self.ownership_loss = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
@@ -310,7 +313,8 @@
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, min(wait_s, self.transaction_timeout_s)):
+            limit_s = min(wait_s, self.transaction_timeout_s)
+            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, limit_s):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
             self._close_connection()
         self.watchdog.stop()
@@ -348,7 +352,8 @@
     async def claim(self) -> None:
         if self.owner_worker.epoch:
             return
-        self.owner_worker.is_read_only, self.owner_worker.needs_reconnect = False, True  # the next connection begins with the claim
+        # the next connection begins with the claim
+        self.owner_worker.is_read_only, self.owner_worker.needs_reconnect = False, True
         try:
             await self.read(lambda records: records.last_event())
         except StoreError:
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -1,4 +1,5 @@
-"""Publishes versions: one write each, by the agent that leads; told to nobody before its commit is confirmed."""
+"""Publishes versions of the configuration. Only the leading agent publishes, with one write per version; nobody is sent
+a version before its commit is confirmed."""
 
 from __future__ import annotations
 
@@ -17,14 +18,14 @@
 from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
 
 COMPACT_S = 60.0
-# Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
-# own: a burst would fail as a whole where the record is slow or far.
+# Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
+# Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
 AT_ONCE = 8
-MARK = "version "  # before the fingerprint of a mutation that made one; others make operations
+MARK = "version "  # prefix of the fingerprint of a mutation that made a version; others made an operation
 
 
 class DifferingView(Protocol):
-    """An instance that does not run what it should by its agent's view."""
+    """An instance that doesn't run the configuration that its agent last sent it."""
 
     @property
     def name(self) -> str: ...
@@ -37,7 +38,7 @@
 
 
 class SummaryView(Protocol):
-    """Of one agent's followers."""
+    """Which positions the followers of one agent run."""
 
     @property
     def lineage(self) -> str: ...
@@ -47,45 +48,46 @@
     def followers(self) -> int: ...
     @property
     def counts(self) -> Sequence[tuple[int, int]]:
-        """Position and how many are there, the highest first."""
+        """Pairs of a position and the number of followers that run it, highest position first."""
 
     @property
     def differing(self) -> Sequence[DifferingView]: ...
     @property
     def more(self) -> int:
-        """That differ beside those."""
+        """How many further instances differ beyond those listed."""
 
 
 class AgentView(Protocol):
     @property
     def agent(self) -> str:
-        """HOST:PORT where it is followed."""
+        """HOST:PORT at which instances follow the agent."""
 
     @property
     def known(self) -> bool:
-        """False: it was not heard of lately."""
+        """False if the agent's summary is too old."""
 
     @property
     def heard_ms(self) -> int:
-        """Ago."""
+        """Time since the agent's summary was received."""
 
     @property
     def age_ms(self) -> int:
-        """Of its view."""
+        """Age of the agent's view of the published versions."""
 
     @property
     def summary(self) -> SummaryView: ...
 
 
 class Served(Protocol):
-    """Who serves versions, and who runs them: what the agent that leads knows of all, another of itself."""
+    """Which agents serve versions, and what their followers run. The leading agent knows of all agents, any other only
+    of itself."""
 
     def summary(self) -> Sequence[AgentView]: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Composed:
-    """What an instance of some labels runs, and what that comes of."""
+    """The configuration of an instance with given labels, and the versions that it is made of."""
 
     position: int
     overlay: dict[str, Any]
@@ -94,7 +96,7 @@
 
 
 def used_for(fingerprint: str, number: int) -> str:
-    """What a mutation made, for who used its key a second time."""
+    """Names what a mutation made, for the error when its idempotency key is used again."""
     return f"{'version' if fingerprint.startswith(MARK) else 'operation'} {number}"
 
 
@@ -108,15 +110,15 @@
     def __init__(self, store: Store, now_ms: Callable[[], int], log: Callable[[str], None],
                  notify: Callable[[], None]) -> None:
         self.store, self.now_ms, self.log, self.notify = store, now_ms, log, notify
-        self.published: Callable[[Change], None] = lambda change: None  # its commit is confirmed
+        self.published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
         self.served: Served | None = None
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
+        self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
         self.room = asyncio.Semaphore(AT_ONCE)
-        self.position = 0  # of the log, as far as it is confirmed
+        self.position = 0  # of the last confirmed version in the log
         self.keep, self.keep_ms = KEEP, KEEP_MS
 
     async def load(self) -> None:
-        """Makes the log where there is none. Raises StoreError."""
+        """Creates the version log if there is none. Raises StoreError."""
         change = await self.store.read(lambda records: records.version_change(0, ""))
         if not change.lineage:
             await self.store.write(lambda records: records.make_lineage())
@@ -125,8 +127,9 @@
     # Publishing
 
     async def publish(self, actor: str, draft: Draft, key: str = "") -> tuple[Published, bool]:
-        """The version, and False beside it where an earlier call with this key made it. Raises Refusal or StoreError,
-        with nothing done; but a StoreError UNKNOWN may have published it: the same key tells."""
+        """Returns the version, and whether this call made it; False if an earlier call with the same key did. Raises
+        Refusal or StoreError with nothing done, except that after StoreError UNKNOWN the version may be published:
+        calling again with the same key tells."""
         told(misfit(draft))
         if draft.overlay is not None:
             try:
@@ -138,7 +141,7 @@
 
     async def restore(self, actor: str, number: int, base: int, key: str = "", note: str = ""
                       ) -> tuple[Published, bool]:
-        """A way back: what `number` said of its scope, as a new version. Raises as `publish` does."""
+        """Publishes the overlay of version `number` again, as a new version of its scope. Raises as `publish` does."""
         def made(records: Records) -> Draft:
             former = records.version(number)
             if former is None:
@@ -197,7 +200,8 @@
                                         f"{used_for(earlier, number)}; use a new one")
         found = records.version(number)
         if found is None:
-            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which is out of the history")
+            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which is not in the history any "
+                                        "more")
         return found
 
     @staticmethod
@@ -207,7 +211,7 @@
         return Standing(position, newest, before.entry if before is not None else None,
                         records.count_scopes_in_force() if newest is None else 0, halt.text if halt is not None else "")
 
-    # Looking
+    # Queries
 
     async def compose(self, labels: Labels) -> Composed:
         """Raises StoreError."""
@@ -215,16 +219,17 @@
             position, found = records.version_position(), records.in_force(labels.scopes())
             layers = tuple(sorted(found, key=lambda published: published.entry.scope.reach))
             overlay = effective(published.entry for published in layers)
-            # a commit between the two looks: what came of it is as of then, and nothing else of it concerns these
+            # A version committed between the two reads may be among the layers; the position then includes it. No
+            # other version up to it concerns these scopes.
             position = max([position, *(published.entry.version for published in layers)])
             return Composed(position, overlay, digest(overlay), layers)
 
         return await self.store.read(work)
 
-    # What goes on by itself
+    # Background work
 
     async def compact(self) -> int:
-        """How many rows went. Raises StoreError."""
+        """Returns how many rows were deleted. Raises StoreError."""
         before_ms = self.now_ms() - self.keep_ms
         return await self.store.write(lambda records: records.compact_versions(self.keep, before_ms))
 
@@ -237,4 +242,4 @@
                 while await self.compact():
                     await asyncio.sleep(0.1)
             except StoreError as error:
-                self.log(f"versions are compacted later: {error}")
+                self.log(f"compacting the versions failed, will be retried: {error}")
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -220,7 +220,8 @@
             (c.generation, json.dumps(c.overlay), c.actor, c.at_ms, c.operation)])
 
     def mutation(self, actor: str, key: str) -> tuple[str, int] | None:
-        found = self.execute("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s", (actor, key))
+        found = self.execute("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s",
+                             (actor, key))
         return (found[0][0], found[0][1]) if found else None
 
     def add_mutation(self, actor: str, key: str, fingerprint: str, operation: int, at_ms: int) -> None:
@@ -389,13 +390,14 @@
         # Each scope keeps the version that was in force when the retained history begins, so that the state before
         # the first retained change is known.
         rows = self.execute(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
-                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, MAX_SCOPES_PER_COMPACTION))
+                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s",
+                            (*values, MAX_SCOPES_PER_COMPACTION))
         gone = 0
         for scope, number in rows:
             gone += len(self.execute("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
                                  (scope, number)))
-        ends = self.execute("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version FROM"
-                        f" @newest) AND {beyond} ORDER BY version LIMIT %s",
+        ends = self.execute("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version"
+                        f" FROM @newest) AND {beyond} ORDER BY version LIMIT %s",
                         (*values, MAX_SCOPES_PER_COMPACTION))
         for scope, number in ends:
             gone += len(self.execute("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -188,7 +188,8 @@
             self.last_number = records.counter(SEQUENCE_COUNTER)
         # Read again under a claim: an agent that leads a second time must not continue from its old number, as
         # another leader has written higher ones meanwhile.
-        self.last_number = max(self.last_number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
+        self.last_number = max(
+            self.last_number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
         records.set_counter(SEQUENCE_COUNTER, self.last_number)
         return self.last_number
 
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -1,5 +1,5 @@
-"""The agent's view of the published versions, for as long as the agent lives: followed from the record by position,
-kept in a file of its own, and served with its age where the record is away."""
+"""The agent's replica of the published versions. It lives as long as the agent process, reads new versions from the
+store by position, saves a snapshot file, and keeps being served, with its age, while the store can't be reached."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     snapshot_of,
 )
 
-POLL_S = 0.3  # between two looks at the record
-SAVE_S, KEEP_S = 1.0, 30.0  # between two writes of the file: where something changed, and for the age alone
+POLL_S = 0.3  # between two reads of the store
+SAVE_S, KEEP_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
 FILE = "versions.snapshot"
 
 
 class Tells(Protocol):
-    """Who serves the view."""
+    """Serves the replica to followers."""
 
     def changed(self) -> None: ...
     def dismiss(self, strange: Iterable[Subscriber]) -> None: ...
 
 
 async def for_good(step: Callable[[], Awaitable[None]], log: Callable[[str], None]) -> None:
-    """One step after the other; an error of ours ends none of what comes after it."""
+    """Runs `step` again and again. An unexpected exception is logged and doesn't end the loop."""
     while True:
         try:
             await step()
@@ -56,42 +56,42 @@
         self.random = rng or random.Random()
         self.tells: Tells | None = None
         self.leads: Callable[[], bool] = lambda: False
-        self.store: Store | None = None  # the one that is open now
+        self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
-        self.reached_ms: float | None = None  # on `clock_ms`, when the record was last reached
-        self.is_sure = False  # of the lineage: it is that of a record which this process has read
+        self.reached_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
+        self.is_sure = False  # the view's lineage was read from a store by this process, not only from the file
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
         self.said = ""
-        self.loaded = ""  # what the file held at the start; told by one that serves it before it has the record
+        self.loaded = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
         self.saved: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
         self.files = OsFiles()
 
     def age_s(self) -> float:
-        """Of the view: since the record was last reached."""
+        """Age of the replica: the time since the store was last read."""
         return (clock_ms() - self.reached_ms) / 1000 if self.reached_ms is not None else 0.0
 
     def say(self, text: str) -> None:
-        """A line a cause, however often it comes."""
+        """Logs the text unless it is the same as the last one; an empty text resets this."""
         if text != self.said:
             self.said = text
             if text:
                 self.log(text)
 
-    # The record
+    # Reading the store
 
     def attach(self, store: Store | None) -> None:
-        """The store that is open from here on; None = it is about to be closed."""
+        """Sets the store that is open from now on; None: the store is about to be closed."""
         self.store = store
-        self.reading = None  # what it still gives is of the store before
+        self.reading = None  # a read in progress is of the previous store, and its result is ignored
         self.wake.set()
 
     def take_tokens(self, rows: Iterable[TokenRow]) -> None:
         self.tokens = tuple(Token(row.name, row.role, row.digest, row.created_ms, row.revoked_ms) for row in rows)
 
     def published(self, change: Change) -> None:
-        """The agent that leads has a commit of its own confirmed: nobody waits for the next look."""
+        """Applies a change that this agent, as leader, has just committed, without waiting for the next poll."""
         view = self.serving.view
         if change.lineage == view.lineage and not change.is_snapshot and change.since > view.position:
             self.wake.set()
@@ -99,11 +99,11 @@
         self.take(change, clock_ms())
 
     async def poll(self) -> None:
-        """One look. Hazard: a file that is held gives its answer late or never, and a look each time would queue up
-        behind it: there is one at a time."""
+        """Starts a read of the store unless one is in progress, and waits for the poll interval. There is one read at a
+        time, because a locked database file answers late or never, and reads would queue up behind it."""
         self.wake.clear()
         store = self.store
-        # hazard: while it is not known whether a write stands, what is read may not have been made to last
+        # While the outcome of a write is unknown, what is read may not be durable yet.
         if store is not None and getattr(store, "resolving", None) is None and self.reading is None:
             began_ms, view = clock_ms(), self.serving.view
             position, lineage = view.position, view.lineage
@@ -124,55 +124,56 @@
             return
         self.reading = None
         if isinstance(error, StoreError):
-            self.say(f"versions: the record is away, position {self.serving.view.position} is served with its age: "
+            self.say(f"versions: the store is unreachable, serving position {self.serving.view.position} with its age: "
                      f"{error}")
         elif error is not None:
             self.say("versions: " + "".join(traceback.format_exception(error)))
         elif self.leads() and not store.term.holds(clock_ms()):
-            self.say("versions: this agent's term is not sure; what it has is served with its age")
+            self.say("versions: this agent's term is not confirmed, serving what it has with its age")
         else:
             self.take(done.result(), began_ms)
 
     def take(self, change: Change, reached_ms: float) -> None:
-        """Never backwards, and never to another log than this process has served."""
+        """Applies a change read from the store. The view never goes back to an earlier position, and never moves to
+        another lineage once one was confirmed by a store."""
         view = self.serving.view
         if view.lineage and change.lineage != view.lineage:
             if self.is_sure:
-                self.say(f"versions: expected the record's lineage {view.lineage}, got {change.lineage or 'none'}: "
-                         f"position {view.position} of the former is served with its age; restart this agent if the "
-                         "record was replaced")
+                self.say(f"versions: expected the store's lineage {view.lineage}, got {change.lineage or 'none'}: "
+                         f"still serving position {view.position} of the former with its age; restart this agent if "
+                         "the store was replaced")
                 return
             if not change.is_snapshot:
                 return
-            self.log(f"{self.path}: it is of lineage {view.lineage}, the record of {change.lineage or 'none'}; not "
-                     "used any more")
+            self.log(f"{self.path}: it is of lineage {view.lineage}, the store of {change.lineage or 'none'}; no "
+                     "longer used")
             strange = self.serving.begin_anew(View())
             if self.tells is not None:
                 self.tells.dismiss(strange)
         elif change.position < view.position:
             if reached_ms >= (self.reached_ms or 0):
-                self.say(f"versions: the record is at position {change.position}, behind {view.position} that is "
-                         "served: this is kept, with its age")
+                self.say(f"versions: the store is at position {change.position}, behind the served position "
+                         f"{view.position}: still serving that with its age")
             return
         try:
             changed = self.serving.advance(change, time.monotonic())
         except ViewError as error:
-            self.say(f"versions: what the record gives does not fit what is served, which is kept: {error}")
+            self.say(f"versions: the store's change can't be applied to the served versions, which are kept: {error}")
             return
         if self.said:
-            self.log(f"versions: the record is back, position {self.serving.view.position}")
+            self.log(f"versions: the store can be read again, position {self.serving.view.position}")
             self.said = ""
         self.is_sure = True
         self.reached_ms = max(self.reached_ms, reached_ms) if self.reached_ms is not None else reached_ms
         if changed and self.tells is not None:
             self.tells.changed()
 
-    # The file
+    # The snapshot file
 
     def load(self) -> bool:
-        """Whether there is a snapshot to serve. Blocks, once at the start."""
+        """Loads the snapshot file and returns whether there is one to serve. Blocks; called once at the start."""
         try:
-            # hazard: a pipe or a device under that name would block or never end
+            # O_NONBLOCK and the bounded read: a pipe or a device under that name would block or never end.
             with open(os.open(self.path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
                 data = file.read(MAX_BYTES + 1)
             snapshot = decode(data)
@@ -197,7 +198,7 @@
         return view.lineage, view.position, view.floor, self.tokens
 
     async def keep(self) -> None:
-        """One look at whether the file is due."""
+        """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_S)
         if self.is_sure and (self.mark() != self.saved or time.monotonic() - self.saved_s >= KEEP_S):
             await self.save()
@@ -209,12 +210,12 @@
         try:
             await asyncio.to_thread(self.write, snapshot)
         except OSError as error:
-            self.say(f"{self.path}: expected to write it, got {error.strerror}; it is as it was before")
+            self.say(f"{self.path}: expected to write it, got {error.strerror}; the previous file was kept")
             return
         self.saved, self.saved_s = mark, time.monotonic()
 
     def write(self, snapshot: Snapshot) -> None:
-        """When it returns the snapshot lasts; when it is cut off, what was there before does."""
+        """Writes the snapshot durably. If it is interrupted, the previous file is kept."""
         aside = str(self.path.with_name(f".{FILE}"))
         self.files.write(aside, encode(snapshot))
         self.files.rename(aside, str(self.path))
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -201,7 +201,8 @@
             data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA_VERSION + 4,))
             before = data.all("SELECT * FROM agent_owner")
             async with store_on(host) as store:
-                with pytest.raises(StoreError, match=f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}") as found:
+                expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
+                with pytest.raises(StoreError, match=expected) as found:
                     await store.write(line("b"))
             assert found.value.code == "NEWER" and data.all("SELECT * FROM agent_owner") == before
 
@@ -389,7 +390,7 @@
             go.set()
             results = await asyncio.gather(first, behind, return_exceptions=True)
             assert [isinstance(r, StoreError) and r.code for r in results] == ["AWAY", "AWAY"], results
-            assert "no writes are accepted until it is" in str(results[1])
+            assert "nothing more is written till then" in str(results[1])
             await store.write(line("after"))
             assert subjects(data) == ["before", "after"]
 
@@ -585,7 +586,7 @@
 def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Cuts, stalls, errors, lost replies and restarts. Each write is told as kept, not kept or not known; the log holds
     the first once, the second never, and of the third exactly those that were heard of later."""
-    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.01)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.01)
 
     async def test() -> None:
         rng, data = random.Random(seed), Data()
@@ -897,7 +898,7 @@
 def test_a_move_that_fails_leaves_both_as_they_were_and_one_that_ended_early_is_not_done_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(commit_tracking, "RESOLVE_S", 0.3)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_TIMEOUT_S", 0.3)
     said: list[str] = []
 
     async def test() -> None:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -338,7 +338,7 @@
             await again.close()
             await follower.close()
         err = capsys.readouterr().err
-        assert "it is of lineage ffff, the record of" in err and "got eeee: position 1 of the former is served" in err
+        assert "it is of lineage ffff, the store of" in err and "got eeee: still serving position 1 of the former" in err
 
     run(test)
 
@@ -352,7 +352,7 @@
             reached = agent.following.reached_ms
             agent.following.take(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
             assert view.position == 2 and agent.following.reached_ms == reached
-        assert "the record is at position 1, behind 2 that is served" in capsys.readouterr().err
+        assert "the store is at position 1, behind the served position 2" in capsys.readouterr().err
 
     run(test)
 
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -152,7 +152,8 @@
 
 def test_a_newer_file_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
     connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA_VERSION + 4}")
-    with pytest.raises(StoreError, match=f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}") as found:
+    expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
+    with pytest.raises(StoreError, match=expected) as found:
         connect(tmp_path / "a.db")
     assert found.value.code == "NEWER"
     assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION + 4,)
@@ -162,7 +163,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
-    monkeypatch.setattr(module, "SCHEMA", SCHEMA_VERSION + 1)
+    monkeypatch.setattr(module, "SCHEMA_VERSION", SCHEMA_VERSION + 1)
     broken = "ALTER TABLE tokens ADD COLUMN note TEXT;\nINSERT INTO nowhere VALUES (1);\n"
     monkeypatch.setattr(module, "MIGRATIONS", (*MIGRATIONS, broken))
     with pytest.raises(StoreError, match="no such table"):
@@ -179,7 +180,7 @@
 def test_a_record_of_before_versions_is_brought_up_with_all_that_it_holds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SCHEMA", 3)
+    monkeypatch.setattr(module, "SCHEMA_VERSION", 3)
     monkeypatch.setattr(module, "MIGRATIONS", MIGRATIONS[:3])
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
     monkeypatch.undo()
@@ -211,7 +212,7 @@
 
 
 def test_a_file_that_another_process_holds_is_told_as_locked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "BUSY_MS", 50)
+    monkeypatch.setattr(module, "BUSY_TIMEOUT_MS", 50)
 
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
@@ -262,7 +263,7 @@
 ) -> None:
     """Writes, a checkpoint among them; after each the log must hold what was told, also once the power has gone."""
     names = itertools.count()
-    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.002)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.002)
 
     async def day(disk: Disk) -> tuple[list[str], list[str], int]:
         """Subjects that were kept, those that were not, and how many of the first were found out."""
