--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -1,4 +1,4 @@
-"""The agent's end of the control connections: one listener, a step a frame."""
+"""The agent's end of the control connections: one listener, and protocols that handle one frame at a time."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 )
 
 HELLO_S = 5.0
-MOST_UNSENT = 4 << 20  # a process that reads nothing (stopped, say) must not fill the agent's memory
+MOST_UNSENT = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
 ACCEPTS = 200
 NOT_LEADING = "NOT_LEADING"
-MOST_SILENT = 1_000  # connections that have not said hello
+MOST_SILENT = 1_000  # connections that have not sent their first message yet
 
 
 class InstanceLink(asyncio.Protocol):
-    """One connection: what its process says goes to the fleet, what it answers to the engine."""
+    """The connection of one instance. Heartbeats are passed to the fleet, results of commands to the engine."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
@@ -141,14 +141,14 @@
 
 
 class FirstLink(asyncio.Protocol):
-    """A connection that has not said yet what it is for: its first message hands it over, unread, to whom it concerns.
-    While the agent is between two terms, an instance's session waits here."""
+    """A connection whose purpose is not known yet. The type of its first message selects the protocol that takes over
+    the connection and all data received so far. While the agent is between two terms, instances wait here."""
 
     def __init__(self, door: Door) -> None:
         self.door = door
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
-        self.waits = False  # for the next Links
+        self.waits = False  # an instance that waits for the agent's next term
         self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -202,8 +202,8 @@
 
 
 class Door:
-    """The agent's one control listener, for as long as the agent lives: terms come and go behind it, and what is said
-    to `others`, by the type of the first message, goes on meanwhile."""
+    """The agent's control listener. It stays open as long as the agent process lives, while the agent's terms change.
+    `others` maps the type of a first message to the protocol that handles such a connection in any term."""
 
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
         self.others = others
@@ -217,7 +217,7 @@
                                                                          backlog=4096)
 
     def use(self, links: Links | None) -> None:
-        """Instances are these Links' from here on; None = nobody's for a moment."""
+        """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
         self.links = links
         if links is not None:
             for link in [link for link in self.open if link.waits]:
@@ -231,7 +231,7 @@
 
 
 class Links:
-    """The instances' sessions of one term, or of one while another agent leads."""
+    """The connections of instances during one term, or while another agent leads."""
 
     def __init__(self, fleet: Fleet, admits: Callable[[str], bool],
                  on_result: Callable[[str, str, CommandResult], None], log: Callable[[str], None]) -> None:
@@ -241,7 +241,7 @@
         self.log = log
         self.leads: Callable[[], bool] = lambda: True
         self.term: Callable[[], int] = lambda: 0
-        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT where another one is dialled
+        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
         self.open: set[InstanceLink] = set()
         self.silent = 0
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -1,5 +1,5 @@
-"""The I/O of serving published versions: followers' connections, which outlive the agent's terms, and the sums that
-agents that stand by tell the one that leads."""
+"""Connections for serving published versions: those of followers, which outlive the agent's terms, and those over which
+standby agents send the leading agent summaries of their followers."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 from ironscale.versions.model import Labels
 from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
 
-# What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
+# Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
 KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 SUM_S, SUM_ANSWER_S = 1.0, 2.0
-SUM_OLD_S = 5.0  # a sum that was heard so long ago says nothing of now
+SUM_OLD_S = 5.0  # a summary older than this is reported as not current
 MOST_SUMS = 100
 
 
 def encoded(told: Told) -> bytes:
-    """Raises FrameError where it does not fit a frame."""
+    """Raises FrameError if the update is larger than a frame may be."""
     return encode(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
         [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
@@ -51,17 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSum:
-    """What the agent that leads knows of one agent's followers."""
+    """What the leading agent knows of one agent's followers."""
 
-    agent: str  # HOST:PORT where it is followed
-    known: bool  # False: not heard of lately, and what it said then is not what is now
-    heard_ms: int  # ago
-    age_ms: int  # of its view, as it said
+    agent: str  # HOST:PORT at which it serves followers
+    known: bool  # False: the summary is too old to be current
+    heard_ms: int  # time since the summary was received
+    age_ms: int  # age of that agent's view, as it reported
     summary: Summary
 
 
 class Followers:
-    """All that follow this agent, for as long as it lives."""
+    """All followers of this agent, for as long as the agent process lives."""
 
     def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
@@ -74,16 +74,17 @@
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.agent = ""  # HOST:PORT of this one
         self.sums: dict[str, tuple[FollowerSummary, float]] = {}
-        self.sent = 0  # frames
+        self.sent = 0  # number of frames
         self.denied = 0
 
-    # Telling
+    # Sending updates
 
     def changed(self) -> None:
         self.wake.set()
 
     async def tell(self) -> None:
-        """What is due now, a few hundred followers in one step of the loop, and then the wait for what is next."""
+        """Sends the updates that are due, to a few hundred followers per step of the event loop. If none is due, waits
+        until the next one is."""
         self.wake.clear()
         now_s = time.monotonic()
         told_any = False
@@ -105,16 +106,16 @@
         for subscriber in strange:
             link = self.links.pop(subscriber.ident, None)
             if link is not None:
-                link.deny("LINEAGE", "the record's log is another", 0)
+                link.deny("LINEAGE", "the store's version log is another one", 0)
 
     def close(self) -> None:
         for link in list(self.open):
             link.close()
 
-    # Sums
+    # Summaries
 
     def summary(self) -> list[AgentSum]:
-        """This agent's own followers first, then what the others said of theirs."""
+        """The summary of this agent's own followers, then those that other agents sent of theirs."""
         now_s = time.monotonic()
         found = [AgentSum(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
         for sum_, heard_s in self.sums.values():
@@ -138,7 +139,7 @@
                    own.more)
 
     async def tell_sums(self, token: str) -> None:
-        """Over one connection to the agent that leads, for as long as it does."""
+        """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
         address = self.leader() if not self.leads() else ""
         host, _, port = address.rpartition(":")
         if not address or address == self.agent:
@@ -175,7 +176,7 @@
 
 
 class _Link(asyncio.Protocol):
-    """What both kinds of connection share."""
+    """The common part of both kinds of connection."""
 
     def __init__(self, followers: Followers) -> None:
         self.followers = followers
@@ -217,7 +218,7 @@
 
 
 class FollowerLink(_Link):
-    """One follower."""
+    """The connection of one follower."""
 
     def __init__(self, followers: Followers) -> None:
         super().__init__(followers)
@@ -232,7 +233,7 @@
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BYTES)
-                # a machine that is gone says nothing: what was sent to it is not waited for
+                # A machine that is gone doesn't close its connections, so unacknowledged data ends them.
                 sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_S * 1000))
 
     def on_message(self, raw: dict[str, object]) -> None:
@@ -270,7 +271,7 @@
         try:
             data = self.followers.encoded.get(told, encoded)
         except FrameError as error:
-            self.followers.log(f"{self.name}: its versions are too large together: {error}")
+            self.followers.log(f"{self.name}: its versions together exceed a frame: {error}")
             self.deny("TOO_LARGE", f"what concerns it is too large together: {error}", 30_000)
             return
         self.followers.sent += 1
@@ -286,7 +287,7 @@
             self.followers.changed()
 
     def abort(self, why: str) -> None:
-        self.followers.log(f"{self.name}: {why}; it is let go")
+        self.followers.log(f"{self.name}: {why}; closing the connection")
         self.closing = True
         if self.subscriber is not None:
             self.followers.serving.leave(self.subscriber)
@@ -301,7 +302,7 @@
 
 
 class SumLink(_Link):
-    """One agent that stands by and tells its sums."""
+    """The connection of a standby agent that sends summaries of its followers."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -200,8 +200,8 @@
                                         f"{used_for(earlier, number)}; use a new one")
         found = records.version(number)
         if found is None:
-            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which is not in the history any "
-                                        "more")
+            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which the history no "
+                                        "longer has")
         return found
 
     @staticmethod
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -1,6 +1,6 @@
-"""From the operator file to the agent's record: SQLite in the data folder, or PostgreSQL; and from one to the other.
+"""Opens the agent's store as the operator file says, SQLite or PostgreSQL, and migrates data from SQLite to PostgreSQL.
 
-The libraries of PostgreSQL are loaded only where it is named.
+The libraries of PostgreSQL are imported only if the operator file names it.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
           ("targets", sql.TARGET), ("configurations", sql.CONFIGURATION), ("mutations", sql.MUTATION),
           ("audit", sql.AUDIT), ("tokens", sql.TOKEN), ("permits", sql.PERMIT), ("halts", sql.HALT),
           ("versions", sql.VERSION), ("newest", sql.NEWEST), ("version_log", sql.VERSION_LOG))
-MOVE_S = 600.0  # the longest that a record's way to PostgreSQL may take
+MOVE_S = 600.0  # time limit for copying a store to PostgreSQL
 AT_ONCE = 5_000  # rows read at a time
-MOVED = "moved"  # in both: the record has been brought over
-WAIT_S, AGAIN_S = 2.0, 0.5  # past the end of another agent's lease; between two looks
+MOVED = "moved"  # counter that is set in both databases once the data has been copied
+WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
 def access_of(section: AgentSection) -> Access:
@@ -58,16 +58,16 @@
 
 async def open_store(section: AgentSection, data: Path, on_lost: Callable[[StoreError], None],
                      log: Callable[[str], None], at: tuple[str, str] = ("", "")) -> SqliteStore | PostgresStore:
-    """The record, seen to be ours; with `standby` it is another's perhaps, and to be claimed. `on_lost` hears, on the
-    loop, that it is ours no longer. `at`: where this agent's API and its instances are. Raises StoreError or
-    OperatorFileError."""
+    """Opens the store and claims it; with `standby` it is not claimed, as another agent may own it. `on_lost` is called
+    on the event loop when this agent has lost the ownership. `at`: addresses of this agent's API and of its control
+    listener. Raises StoreError or OperatorFileError."""
     path = data / "agent.db"
     loop = asyncio.get_running_loop()
     place = place_of(socket.gethostname(), data, *at)
     lease_ms = int(section.term_s * 1000)
 
     def lost(found: StoreError) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody has it any more
+        with contextlib.suppress(RuntimeError):  # the event loop has been closed: there is nobody to notify
             loop.call_soon_threadsafe(on_lost, found)
 
     if section.record is not None:
@@ -84,10 +84,10 @@
         store = SqliteStore(path)
         if await store.read(lambda records: of_sql(records).counter(MOVED)):
             store.close()
-            raise StoreError("FAILED", f"{path}: expected a record in use, got one that was moved to PostgreSQL; name "
+            raise StoreError("FAILED", f"{path}: expected a store in use, got one that was moved to PostgreSQL; name "
                                        "agent.postgresql in the operator file, or another data folder")
         return store
-    access = access_of(section)  # first: it says in one line what is not installed
+    access = access_of(section)  # before the import: if packages are missing, it raises an error of one line
     from ironscale.agent.postgres import OwnerWorker, PostgresStore
 
     holder = OwnerWorker(access, holder_of(data), place, lease_ms=lease_ms)
@@ -107,7 +107,8 @@
 
 
 async def claimed(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
-    """Waits for the lease of an agent that may have gone; one that is there renews it. Raises StoreError."""
+    """Claims the store, waiting for the lease of an agent that may be gone; a live one renews its lease, and then this
+    fails. Raises StoreError."""
     until, said = time.monotonic() + lease_s + WAIT_S, False
     while True:
         try:
@@ -126,8 +127,8 @@
 
 
 async def moved(store: PostgresStore, path: Path, log: Callable[[str], None]) -> None:
-    """Brings the record of the data folder over, whole or not at all, where PostgreSQL has none; then it is marked, so
-    that no agent goes on from what it holds. Raises StoreError."""
+    """Copies the SQLite store of the data folder to PostgreSQL, wholly or not at all, if PostgreSQL holds none yet.
+    Then the file is marked, so that no agent uses it any more. Raises StoreError."""
     source = connect(path)
     try:
         own = sql.SqlRecords(Transaction(source), "sqlite")
@@ -137,7 +138,7 @@
 
         def work(records: Records) -> int:
             if of_sql(records).counter(MOVED):
-                return 0  # it was brought over by a start that ended before it had marked the file
+                return 0  # an earlier start copied it and ended before it had marked the file
             if records.tokens() or records.last_event():
                 return -1
             return copy(source, of_sql(records))
@@ -148,11 +149,11 @@
         finally:
             store.owner_worker.transaction_timeout_s = limit_s
         if count < 0:
-            log(f"{path} is not used: {store.owner_worker.name} has a record already")
+            log(f"{path} is not used: {store.owner_worker.name} holds a store already")
             return
         with reported(path):
             own.set_counter(MOVED, 1)
-        log(f"moved the record of {path} to {store.owner_worker.name}, {count:,} rows")
+        log(f"moved the store {path} to {store.owner_worker.name}, {count:,} rows")
     finally:
         source.close()
 
@@ -171,7 +172,7 @@
 
 
 def copy(source: apsw.Connection, records: sql.SqlRecords) -> int:
-    """All rows, in the order that references ask for; how many."""
+    """Copies all tables, in an order that satisfies the foreign keys. Returns the number of rows."""
     count = 0
     source.execute("BEGIN")
     try:
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -1,4 +1,4 @@
-"""Asks some sidecars at a time what they see of the upstreams, for budgets that count those."""
+"""Asks a few sidecars at a time for the state of the upstreams, for disruption budgets that count upstreams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Of
 
-ASKED = 9  # at a time: more would say no more, and each answer is a list
+ASKED = 9  # sidecars per round: more would add no information, and each answer is a whole list
 EVERY_S, ANSWER_S = 1.0, 2.0
 FRESH_MS = 5_000
 
@@ -31,7 +31,8 @@
         return any(budget.of is Of.UPSTREAM for budget in self.ledger.budgets)
 
     def chosen(self) -> list[str]:
-        """Some that are there, of every zone in turn: a zone that is cut off must not be all that is asked."""
+        """Chooses connected instances at random, taking the zones in turn, so that a zone which is cut off from the
+        others doesn't provide all the answers."""
         zones: dict[str, list[str]] = {}
         for name, member in self.fleet.members.items():
             if member.link is not None and member.leased:
@@ -49,11 +50,11 @@
             entries = await self.ask(name, ANSWER_S)
             self.views[name] = View(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
         except Refusal:
-            pass  # it gave no answer: its view grows old
+            pass  # no answer: its last view is used until it is too old
         except (KeyError, TypeError, ValueError) as error:
-            if name not in self.garbled:  # an older sidecar, or one that talks nonsense: told once, and left out
+            if name not in self.garbled:  # an older sidecar, or a faulty one: logged once, and its answers are ignored
                 self.garbled.add(name)
-                self.log(f"{name}: what it says of its upstreams is not used: {type(error).__name__}: {error}")
+                self.log(f"{name}: ignoring its invalid list of upstreams: {type(error).__name__}: {error}")
 
     async def run(self) -> None:
         while self.is_wanted:
@@ -73,7 +74,7 @@
             before = self.ledger.sights.get(sight.unit.key)
             if (before is not None and before.why.startswith("draining") and sight.known
                     and sight.why.startswith("not listed")):
-                self.ledger.forget(sight.unit.key)  # told to go, and gone: it is no unit any more
+                self.ledger.forget(sight.unit.key)  # it was draining and is not listed any more, so it has gone
                 room = True
             else:
                 room |= self.ledger.see(sight)
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -888,8 +888,8 @@
                 assert await moved.read(all_of) == before
                 assert await moved.write(lambda r: r.next_fence()) > 41
                 await asyncio.to_thread(moved.close)
-            assert len(said) == 1 and said[0].startswith("moved the record of") and "72 rows" in said[0], said
-            with pytest.raises(StoreError, match=r"agent\.db: expected a record in use, got one that was moved"):
+            assert len(said) == 1 and said[0].startswith("moved the store ") and "72 rows" in said[0], said
+            with pytest.raises(StoreError, match=r"agent\.db: expected a store in use, got one that was moved"):
                 await open_store(section(tmp_path), tmp_path, nobody, said.append)
 
     run(test)
@@ -945,7 +945,7 @@
             moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other", nobody,
                                      said.append)
             await asyncio.to_thread(moved.close)
-            assert said[-1].endswith("has a record already") and "is not used" in said[-1]
+            assert said[-1].endswith("holds a store already") and "is not used" in said[-1]
 
     run(test)
 
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -338,7 +338,8 @@
             await again.close()
             await follower.close()
         err = capsys.readouterr().err
-        assert "it is of lineage ffff, the store of" in err and "got eeee: still serving position 1 of the former" in err
+        assert "it is of lineage ffff, the store of" in err
+        assert "got eeee: still serving position 1 of the former" in err
 
     run(test)
 
