--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -1,7 +1,7 @@
-"""GraphQL over HTTP, as the GraphQL-over-HTTP specification has it; subscriptions as server-sent events.
+"""GraphQL over HTTP according to the GraphQL-over-HTTP specification; subscriptions use server-sent events.
 
-POST takes `application/json` alone: a browser form can't send that, so no foreign page can act with what a
-browser knows. GET is for queries. Every request needs a bearer token.
+POST accepts only `application/json`, which an HTML form can't send; this prevents cross-site request forgery. GET is
+for queries only. Every request needs a bearer token.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 from ironscale.agent.store import StoreError
 
 MODERN, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
-PING_S = 10.0  # a comment line while nothing changes, so that each side notices that the other has gone
+PING_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
 
 
 class HttpError(Exception):
-    """An answer before GraphQL has begun."""
+    """A request that is answered with an error before GraphQL execution starts."""
 
     def __init__(self, status: int, code: str, text: str, headers: dict[str, str] | None = None) -> None:
         super().__init__(text)
@@ -52,7 +52,7 @@
 
 
 def acceptable(header: str | None) -> str:
-    """The media type of the answer, by the client's `Accept`. Raises HttpError."""
+    """Chooses the media type of the answer by the client's `Accept` header. Raises HttpError."""
     if not header or not header.strip():
         return MODERN
     wanted: list[tuple[float, int, str]] = []
@@ -79,7 +79,7 @@
 
 
 def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
-    """An error as clients see it: a stable code, and nothing of what is inside."""
+    """Formats an error for clients: with a stable code, and without internal details."""
     cause = error.original_error
     if isinstance(cause, StoreError):
         error = GraphQLError(str(cause), error.nodes, path=error.path, extensions={"code": f"STORE_{cause.code}"})
@@ -131,7 +131,7 @@
         return caller
 
     async def parameters(self, request: Request) -> tuple[str, dict[str, Any], str | None]:
-        """Query, variables and operation name, from the body or from the address."""
+        """Returns query, variables and operation name, from the body or from the query string. Raises HttpError."""
         if request.method == "GET":
             given: Any = dict(request.query_params)
             for key in ("variables", "extensions"):
@@ -196,7 +196,8 @@
         return self.result(media, done)
 
     def check(self, document: DocumentNode, variables: dict[str, Any]) -> list[GraphQLError]:
-        """Cost first: hazard: validation of fields that overlap grows with the square of a document."""
+        """Checks the limits before it validates: the time to validate overlapping fields grows with the square of the
+        size of a document."""
         try:
             limits.cost(document, variables)
         except limits.TooMuch as error:
@@ -206,7 +207,7 @@
         return validate(self.schema, document, self.rules, max_errors=MAX_ERRORS)
 
     def failed(self, media: str, errors: list[GraphQLError]) -> Response:
-        """A request that was not executed: there is no data. Legacy clients get 200 with it."""
+        """The response to a request that was not executed, without data. Legacy clients get status 200 with it."""
         body = {"errors": [problem(error, self.log) for error in errors]}
         if media == STREAM:
             return JSONResponse(body, 400)
@@ -225,7 +226,7 @@
         body: dict[str, Any] = {}
         if done.errors:
             body["errors"] = [problem(error, self.log) for error in done.errors]
-        # variables that don't fit their types are found before anything runs: then there is no data entry
+        # Variables that don't match their types are found before execution; the response then has no data entry.
         if done.data is not None or not done.errors or any(error.path for error in done.errors):
             body["data"] = done.data
         return body
@@ -251,8 +252,8 @@
                                  headers={"Cache-Control": "no-store", "X-Accel-Buffering": "no"})
 
     async def events(self, results: Any, caller: Caller) -> AsyncIterator[bytes]:
-        """Results as they come. What a slow reader has not taken is not produced: the next result is asked for
-        when the last one is out."""
+        """Sends results as they are produced. The next result is requested only after the last one was sent, so a slow
+        reader exerts backpressure."""
         pending: asyncio.Future[Any] | None = None
         ending = asyncio.ensure_future(self.ending.wait())
         try:
--- a/ironscale/agent/print_schema.py
+++ b/ironscale/agent/print_schema.py
@@ -1,4 +1,4 @@
-"""Prints the schema: `python -m ironscale.agent.print_schema > docs/schema.graphql`."""
+"""Prints the GraphQL schema: `python -m ironscale.agent.print_schema > docs/schema.graphql`."""
 
 from __future__ import annotations
 
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -1,4 +1,4 @@
-"""The GraphQL schema on the engine: resolvers, thin."""
+"""The resolvers of the GraphQL schema, a thin layer over the engine."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 from ironscale.versions.publishing import Draft
 
 MOST_KEY = 200
-MOST_VERSIONS = 100  # a page, as each has an overlay of up to 24 KB
-MOST_INT = 2**31 - 1  # of the schema's Int
+MOST_VERSIONS = 100  # per page, as each has an overlay of up to 24 KB
+MOST_INT = 2**31 - 1  # the largest value of GraphQL's Int
 WATCH_GAP_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who asks: the name and role of their token."""
+    """The authenticated caller: the name and role of the token."""
 
     name: str
     role: str
@@ -53,7 +53,7 @@
     started_ms: int
     version: str
     reload_tokens: Callable[[], Any]
-    tokens_changed: Callable[[], None]  # seen only afterwards: to be read again
+    tokens_changed: Callable[[], None]  # called when a change of tokens with an unknown outcome proves committed
 
 
 def sdl() -> str:
@@ -116,7 +116,7 @@
     return found if total is None else {**found, "totalCount": total}
 
 
-# Objects as the schema has them
+# Conversion to the objects of the schema
 
 
 def report_object(report: Report) -> dict[str, Any]:
@@ -238,8 +238,8 @@
 
 
 def instances_page(engine: Engine, selector: str, first: int, after: str | None) -> dict[str, Any]:
-    """From the cursor on until the page is full: a page costs what it holds, and what it passes over. The count of
-    all that match is made only where it is asked for."""
+    """Searches from the cursor on until the page is full, so the cost is that of the instances on the page and of those
+    skipped. All matching instances are counted only if the query asks for the total."""
     size, last, holds = page_size(first), uncursor(after), selected(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
@@ -398,7 +398,7 @@
     engine = need(info, "read").engine
     served = engine.publisher.served
     position: int | None = None
-    with contextlib.suppress(StoreError):  # who asks may ask just because the record is away
+    with contextlib.suppress(StoreError):  # callers may ask just because the store is unreachable
         position = await engine.store.read(lambda records: records.version_position())
     return {"position": position, "agents": [{
         "agent": one.agent, "known": one.known, "heardMs": min(one.heard_ms, MOST_INT),
@@ -576,7 +576,8 @@
 
 
 async def changes(engine: Engine) -> AsyncIterator[None]:
-    """Now, and whenever something has changed, with a gap between two: thousands change at once."""
+    """Yields at once, and then whenever something has changed, at most once per interval: thousands of instances can
+    change at the same time."""
     watcher = asyncio.Event()
     engine.watchers.add(watcher)
     try:
@@ -647,7 +648,7 @@
 
 
 def coded(resolve: Callable[..., Any]) -> Callable[..., Any]:
-    """What the engine refuses, as an error with its code; anything else stays inside."""
+    """Converts a Refusal or SelectorError of a resolver to a GraphQL error with its code. Other exceptions pass."""
     async def resolved(root: Any, info: Any, **arguments: Any) -> Any:
         try:
             return await resolve(root, info, **arguments)
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -1,4 +1,4 @@
-"""One agent from its start to its end."""
+"""Runs one agent process from start to shutdown: its lock, tokens, listeners and terms."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 from ironscale.operator_file import read_secret
 from ironscale.versions.serving import Serving
 
-ADMIN, INSTANCE = "admin", "instance"  # tokens of the first start, and their files NAME.token
+ADMIN, INSTANCE = "admin", "instance"  # names of the tokens made on the first start, in files NAME.token
 DENIALS_KEPT = 1_000
 RELOAD_S = AGAIN_S = 0.5
 
 
 class AgentError(Exception):
-    """An agent that can't start; the text is one line."""
+    """The agent can't start. The text is one line."""
 
 
 class _Server(uvicorn.Server):
-    """In the agent's own loop, whose signals are the agent's."""
+    """An HTTP server that leaves signals to the agent, in whose event loop it runs."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -68,12 +68,12 @@
         self.engine: Engine
         self.fleet: Fleet
         self.supervisor: Supervisor
-        self.failed: StoreError | None = None  # the record is another's, or less than it was
-        # published versions: followed and served for as long as this agent lives, whoever leads
+        self.failed: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
+        # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.following = Following(Serving(random.Random()), self.data, self.log)
         self.followers = Followers(self.following.serving, self.admits, self.following.age_s, self.log)
         self.door = Door({"follow": lambda: FollowerLink(self.followers), "sum": lambda: SumLink(self.followers)})
-        self.can_serve = False  # what it had kept, while the record was never reached
+        self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.following.tells = self.followers
         self.following.leads = self.followers.leads = self.leads
         self.followers.leader = self.leader
@@ -85,7 +85,7 @@
         return self.leading.is_set()
 
     def leader(self) -> str:
-        """HOST:PORT where another agent leads; empty = nobody is known to."""
+        """HOST:PORT of the control listener of the leading agent; empty if this agent leads or no leader is known."""
         engine = getattr(self, "engine", None)
         return engine.leader.control if engine is not None and engine.leader is not None else ""
 
@@ -94,7 +94,7 @@
 
     @contextlib.contextmanager
     def alone(self) -> Iterator[None]:
-        """Hazard: two agents on one record would each send commands that the other knows nothing of."""
+        """Holds the lock on the data folder: two agents on one store would send commands unknown to each other."""
         try:
             self.data.mkdir(mode=0o700, parents=True, exist_ok=True)
             lock = open(self.data / "agent.lock", "a+", encoding="ascii")  # noqa: SIM115 (closed below)
@@ -105,7 +105,7 @@
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 lock.seek(0)
-                raise AgentError(f"{self.data}: process {lock.read().strip() or 'unknown'} has it; stop that agent, "
+                raise AgentError(f"{self.data}: process {lock.read().strip() or 'unknown'} uses it; stop that agent, "
                                  "or name another data folder") from None
             lock.truncate(0)
             lock.write(f"{os.getpid()}\n")
@@ -113,21 +113,21 @@
             yield
 
     async def first_tokens(self, store: Store) -> None:
-        """On the first start, one token for operators and one for instances, each in a file of its own."""
+        """On the first start, makes one token for operators and one for instances, each in its own file."""
         now_ms = self.now_ms()
         known = {row.name for row in await store.read(lambda records: records.tokens())}
         for name, role in ((ADMIN, "admin"), (INSTANCE, "instance")):
             path = self.data / f"{name}.token"
             if name in known:
                 if not path.exists():
-                    # the record came from elsewhere, or its agent did: the token itself is kept in no record
-                    text = (f"{path}: expected the token that the record knows, got no file; bring it from the data "
-                            "folder of the agent before")
+                    # The store was used with another data folder before. It holds only the token's digest.
+                    text = (f"{path}: expected the token that the store knows, got no file; copy it from the data "
+                            "folder of the previous agent")
                     if name == INSTANCE and self.section.services:
                         raise AgentError(text)
                     self.log(text)
                 continue
-            # a file without a row is of a start that was killed in between: it is made good here
+            # A file without a row is left by a start that was killed in between; the row is added now.
             if not path.exists():
                 tokens.write_secret(path, tokens.new_token())
             row = TokenRow(name, role, tokens.digest(read_secret(path)), now_ms)
@@ -152,9 +152,10 @@
         return caller is not None and caller.role == "instance"
 
     def on_denied(self, hello: Hello, denial: Denial) -> None:
-        """Told once a process and reason: one that asks again and again must not fill log and record."""
+        """Logs a denied registration once per process and reason: an instance that retries must not fill the log and
+        the store."""
         mark = (hello.boot, denial.code)
-        if mark in self.denials or denial.code == NOT_LEADING:  # which is no fault of anybody's
+        if mark in self.denials or denial.code == NOT_LEADING:  # expected in normal operation
             return
         self.denials.append(mark)
         self.log(f"{hello.name} (process {hello.pid}) was denied: {denial}")
@@ -169,8 +170,8 @@
             self.engine.tasks.create_task(record())
 
     async def run(self, stop: asyncio.Event, stop_instances: bool = False) -> None:
-        """Until `stop`. One that stands by leads, follows and leads again; another ends with its term. Raises
-        AgentError, StoreError or OperatorFileError where it can't start."""
+        """Runs until `stop`. An agent configured with `standby` may lead and stand by several times; another one exits
+        when its term ends. Raises AgentError, StoreError or OperatorFileError if it can't start."""
         token = read_secret(self.section.token_file) if self.section.token_file is not None else ""
         with self.alone(), contextlib.ExitStack() as ends:
             ends.callback(self.close_sockets)
@@ -200,12 +201,12 @@
             raise self.failed
 
     async def one_turn(self, stop: asyncio.Event, stop_instances: bool) -> None:
-        """From opening the record to the end of the term, or to `stop`."""
+        """Opens the store and runs one term: until the term ends or `stop` is set."""
         over, self.failed = asyncio.Event(), None
         relay = asyncio.create_task(self.relay(stop, over))
 
         def lost(error: StoreError) -> None:
-            self.log(f"{'leads no longer' if self.section.standby else 'ends'}: {error}")
+            self.log(f"{'no longer leads' if self.section.standby else 'exits'}: {error}")
             self.failed = error
             over.set()
 
@@ -226,7 +227,7 @@
                 if over.is_set() and self.failed is None:
                     await store.release_ownership()
         except StoreError as error:
-            # of a term that ended as it began: it is followed again
+            # The term ended as it began, so the agent stands by again.
             if not self.may_wait():
                 raise
             self.log(f"waits: {error}")
@@ -236,12 +237,12 @@
             relay.cancel()
             self.leading.clear()
             self.following.attach(None)
-            # beside the loop, as a store that does not answer may take its time
+            # In a thread, as closing a store that doesn't answer may block.
             await asyncio.to_thread(store.close)
 
     def may_wait(self) -> bool:
-        """Whether it goes on without the record: another agent may lead on it meanwhile, and what this one has of the
-        published versions is served."""
+        """Whether the agent keeps running without the store: another agent may lead meanwhile, and this one serves its
+        replica of the published versions."""
         return self.section.standby and (self.ready.is_set() or self.can_serve)
 
     @staticmethod
@@ -249,7 +250,7 @@
         await stop.wait()
         over.set()
 
-    # Addresses: bound once, also where several terms come and go
+    # Listening sockets: bound once, and kept over several terms
 
     def bind(self) -> None:
         """Raises AgentError."""
@@ -265,13 +266,13 @@
         self.control_port, self.api_port = (sock.getsockname()[1] for sock in self.sockets)
 
     async def listen(self) -> None:
-        """For followers from here on, and for instances once there is somebody for them. Raises AgentError."""
+        """Accepts followers from now on, and instances once `door.use` was called. Raises AgentError."""
         self.bind()
         self.followers.agent = self.addresses()[1]
         await self.door.listen(self.sockets[0].dup())
 
     def addresses(self) -> tuple[str, str]:
-        """Of API and control, for other agents; empty before they are bound."""
+        """Addresses of the API and the control listener, for other agents; empty before the sockets are bound."""
         if not self.sockets:
             return "", ""
         section = self.section
@@ -284,7 +285,8 @@
     # While another agent leads
 
     async def follow(self, store: Store, over: asyncio.Event) -> bool:
-        """Shows the record, sends instances on to who leads, and claims the record once nobody does: True then."""
+        """Stands by: serves reads from the store, redirects instances to the leading agent, and claims the store once
+        the leader's lease has expired. Returns True after a successful claim, False if `over` was set."""
         section = self.section
         poll_s = section.term_s / 8
         fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000), section.most_instances, self.now_ms)
@@ -292,7 +294,7 @@
         engine.leader = Owner(0, "", "", 0)
         links = self.make_links(fleet, engine)
         said = ""
-        # hazard: without the record's tokens every instance would be turned away as a stranger, and for long
+        # Without the store's tokens every instance would be denied for its token, and would wait long to retry.
         await self.reload_tokens(store)
         async with self.serving(engine, links):
             while not over.is_set():
@@ -304,20 +306,20 @@
                         self.log(f"leads, term {store.term.epoch}")
                         return True
                     if said != owner.place:
-                        self.log(f"follows the agent of {owner.place}, term {owner.epoch}")
+                        self.log(f"stands by for the agent of {owner.place}, term {owner.epoch}")
                         said = owner.place
                     await self.reload_tokens(store)
                     fleet.show(await store.read(lambda records: records.instances()))
                     engine.permits.take_halt(await store.read(lambda records: records.halt()))
                     engine.read_ms = clock_ms()
                 except StoreError as error:
-                    # a file that a stopped process holds is told; a lease that another has is what is followed
+                    # A file locked by a stopped process is logged; another agent's lease is the normal case.
                     if ("SQLITE_BUSY" in str(error) or error.code != "LOCKED") and str(error) != said:
                         said = str(error)
                         self.log(f"waits: {error}")
                 self.started()
                 left_s = engine.leader.left_ms / 1000
-                # all that stand by see the same end: each looks a moment after it, at a time of its own
+                # All standby agents see the same end of the lease; jitter lets each retry at a different time after it.
                 wait_s = min(poll_s, left_s) * (0.8 + 0.4 * random.random()) + 0.005 if left_s else poll_s / 4
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait_s):
@@ -342,7 +344,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self, engine: Engine, links: Links) -> AsyncIterator[Api]:
-        """Instances and callers on the bound addresses; ends with all connections closed."""
+        """Serves instances and API requests on the bound sockets; closes all connections at the end."""
         started_ms = self.now_ms()
 
         def tokens_changed() -> None:
@@ -374,7 +376,7 @@
             await http
             links.close()
 
-    # While this one does
+    # While this agent leads
 
     async def run_on(self, store: Store, over: asyncio.Event, stop_instances: bool) -> None:
         section = self.section
@@ -396,7 +398,7 @@
                 self.started()
                 self.leading.set()
                 await over.wait()
-                self.log("ends")
+                self.log("shutting down")
                 if stop_instances:
                     await supervisor.stop_all()
             for part in parts:
@@ -412,16 +414,16 @@
             await store.write(work)
 
     async def watch_term(self, engine: Engine, links: Links) -> None:
-        """Lets the instances go where they may find who leads, once that has not been us for as long as a lease: cut
-        off from the record, we would not hear of it."""
+        """Closes the connections of instances once this agent's term is over, so that they can find the leading agent.
+        An agent that is cut off from the store would not learn otherwise that another one leads."""
         while True:
             await asyncio.sleep(self.section.term_s / 8)
             if engine.store.term.is_over(clock_ms()) and links.open:
-                self.log("the record has not answered for two leases: instances are sent elsewhere")
+                self.log("the store has not answered for two leases: closing the connections of instances")
                 links.part("this agent's term is over")
 
     def write_addresses(self) -> None:
-        """Where this agent is, for the command line on this machine."""
+        """Writes the API's address to a file, for the command line on this machine."""
         host = self.section.api[0]
         aside = self.data / ".address"
         aside.write_text(f"http://{host}:{self.api_port}\n", encoding="ascii")
@@ -429,7 +431,7 @@
 
 
 async def serve(section: AgentSection, stop_instances: bool) -> None:
-    # hazard: answers of many objects make the collector walk the whole fleet again and again
+    # Answers with many objects would otherwise make the garbage collector traverse the whole fleet again and again.
     gc.set_threshold(100_000, 50, 100)
     stop, signals = asyncio.Event(), Signals()
     for number in STOP_SIGNALS:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -426,7 +426,7 @@
 
     async def test() -> None:
         async with scene(tmp_path):
-            with pytest.raises(AgentError, match="has it; stop that agent"):
+            with pytest.raises(AgentError, match="uses it; stop that agent"):
                 async with scene(tmp_path):
                     pass
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -171,7 +171,7 @@
         async with agents(tmp_path, 2, fatal=fatal, how=how) as found:
             first = found.processes[0]
             applying = asyncio.create_task(found.apply("k"))
-            while how not in found.log(0) and "leads no longer" not in found.log(0):
+            while how not in found.log(0) and "no longer leads" not in found.log(0):
                 await asyncio.sleep(0.01)
             struck = how in found.log(0)  # else it had no CPU for a term, and another leads for that
             if struck:
@@ -186,7 +186,7 @@
             op = await found.until_ended(ident, but=0 if struck else -1)
             if struck and how == "STOP":
                 os.kill(first.pid, signal.SIGCONT)
-                while "leads no longer" not in found.log(0) and "follows the agent" not in found.log(0):
+                while "no longer leads" not in found.log(0) and "stands by for the agent" not in found.log(0):
                     await asyncio.sleep(0.01)
                 told = await found.ask(1, GO)
                 assert told is not None and told["data"]["fleet"]["term"] >= 2
@@ -267,7 +267,7 @@
                     await stopped.wait()
                 other = await found.leader(but=leader, seeing=6)
                 os.kill(found.processes[leader].pid, signal.SIGCONT)
-                while "leads no longer" not in found.log(leader):
+                while "no longer leads" not in found.log(leader):
                     await asyncio.sleep(0.01)
                 told = await found.ask(other, GO)
                 assert told is not None and told["data"]["fleet"]["ready"] == 6
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -831,8 +831,8 @@
             monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
                 assert [text[:6] for text in said if "owns this store" in text] == ["waits:"]
-                assert len([text for text in said if "expected the token that the record knows" in text]) == 2
-            with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the record knows"):
+                assert len([text for text in said if "expected the token that the store knows" in text]) == 2
+            with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the store knows"):
                 service = ServiceConfig("app", 1, tmp_path / "app.json")
                 async with running(section(tmp_path / "two", postgresql=dsn(host), services=(service,))):
                     pass
