--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -174,7 +174,7 @@
                 await self.worker.run(lambda transaction: transaction.execute(
                     "UPDATE owner SET until_ms = 0 WHERE one = 1 AND epoch = ?", (epoch,)))
 
-    def mark(self, records: SqlRecords) -> int:
+    def assign_sequence_number(self, records: SqlRecords) -> int:
         if self.claim_identity is not None:
             until_ms = clock_ms() + self.claim_identity.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
