--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -197,7 +197,7 @@
         if self.claim_identity is not None:
             self.term = replace(self.term, until_ms=self.pending_until_ms)
 
-    def reached(self, records: SqlRecords) -> int:
+    def last_sequence_number(self, records: SqlRecords) -> int:
         """Reads the number in a transaction that writes, because what a recovery found in the log may not have been
         synced to disk yet. It increments a counter: SQLite skips an update that keeps the value of the row, and a
         commit without changes syncs nothing."""
