--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -193,7 +193,7 @@
         records.set_counter(SEQUENCE_COUNTER, self.last_number)
         return self.last_number
 
-    def renewed(self) -> None:
+    def on_write_confirmed(self) -> None:
         if self.claim_identity is not None:
             self.term = replace(self.term, until_ms=self.pending_until_ms)
 
