--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -166,7 +166,7 @@
         except Trouble as found:
             raise to_store_error(found) from found
 
-    async def give_up(self) -> None:
+    async def release_ownership(self) -> None:
         """Ends the lease, so that the next agent need not wait for it to expire."""
         epoch = self.term.epoch
         if epoch:
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -333,7 +333,7 @@
                 await one.write(lambda records: records.next_fence())
             assert refused.value.code == "TAKEN" and lost[-1] == "TAKEN"
             assert await two.write(lambda records: records.next_fence()) == 2
-            await two.give_up()
+            await two.release_ownership()
             await one.claim()  # at once: it was given up
             assert one.term.epoch == 3 and await one.write(lambda records: records.next_fence()) == 3
         finally:
