--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -114,7 +114,7 @@
 class SqliteStore(SequencedStore[Transaction]):
     """The store on the same driver as the stores that hold records of requests: one writer with group commit."""
 
-    reaches_by_write = True
+    resolve_needs_write = True
 
     def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
         """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
