--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -360,7 +360,7 @@
             self.owner_worker.is_read_only = True
             raise
 
-    def mark(self, records: SqlRecords) -> int:
+    def assign_sequence_number(self, records: SqlRecords) -> int:
         held = records.transaction
         assert isinstance(held, GroupTransaction)
         return held.number
