--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -365,7 +365,7 @@
         assert isinstance(held, GroupTransaction)
         return held.number
 
-    def reached(self, records: SqlRecords) -> int:
+    def last_sequence_number(self, records: SqlRecords) -> int:
         """The number found by the claim that opened this connection: the claim waited for earlier transactions that
         were in progress, and its new epoch rejects later ones."""
         return self.owner_worker.last_confirmed
