--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -325,7 +325,7 @@
 
     # A write made to resolve an outcome would get a number above the unresolved write's. If its connection broke too,
     # it could be mistaken for that write.
-    reaches_by_write = False
+    resolve_needs_write = False
 
     def __init__(self, holder: OwnerWorker) -> None:
         self.owner_worker = holder
