--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -100,7 +100,7 @@
     return f"{'version' if fingerprint.startswith(MARK) else 'operation'} {number}"
 
 
-def told(problem: Problem | None) -> None:
+def raise_problem(problem: Problem | None) -> None:
     """Raises Refusal."""
     if problem is not None:
         raise Refusal(problem.code, problem.text, **problem.details)
@@ -130,7 +130,7 @@
         """Returns the version, and whether this call made it; False if an earlier call with the same key did. Raises
         Refusal or StoreError with nothing done, except that after StoreError UNKNOWN the version may be published:
         calling again with the same key tells."""
-        told(misfit(draft))
+        raise_problem(misfit(draft))
         if draft.overlay is not None:
             try:
                 check_overlay(draft.overlay)
@@ -165,9 +165,9 @@
             if earlier is not None:
                 return self.again(records, key, fingerprint, *earlier), None
             draft = made(records)
-            told(misfit(draft))
+            raise_problem(misfit(draft))
             lineage, position, floor, newest = records.log_and_newest(draft.scope)
-            told(refused(draft, self.standing(records, position, newest)))
+            raise_problem(refused(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
                                         draft.note)
             if key:
