--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -21,7 +21,7 @@
 # Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
 # Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
 AT_ONCE = 8
-MARK = "version "  # prefix of the fingerprint of a mutation that made a version; others made an operation
+VERSION_FINGERPRINT_PREFIX = "version "  # prefix of the fingerprint of a mutation that made a version; others made an operation
 
 
 class DifferingView(Protocol):
@@ -97,7 +97,7 @@
 
 def used_for(fingerprint: str, number: int) -> str:
     """Names what a mutation made, for the error when its idempotency key is used again."""
-    return f"{'version' if fingerprint.startswith(MARK) else 'operation'} {number}"
+    return f"{'version' if fingerprint.startswith(VERSION_FINGERPRINT_PREFIX) else 'operation'} {number}"
 
 
 def raise_problem(problem: Problem | None) -> None:
@@ -154,7 +154,7 @@
 
     @staticmethod
     def fingerprint(*parts: Any) -> str:
-        return MARK + sha256(json.dumps(parts, sort_keys=True).encode()).hexdigest()
+        return VERSION_FINGERPRINT_PREFIX + sha256(json.dumps(parts, sort_keys=True).encode()).hexdigest()
 
     async def write(self, actor: str, key: str, fingerprint: str, made: Callable[[Records], Draft]
                     ) -> tuple[Published, bool]:
