--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -20,7 +20,7 @@
 COMPACT_S = 60.0
 # Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
 # Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
-AT_ONCE = 8
+MAX_CONCURRENT_WRITES = 8
 VERSION_FINGERPRINT_PREFIX = "version "  # prefix of the fingerprint of a mutation that made a version; others made an operation
 
 
@@ -113,7 +113,7 @@
         self.published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
         self.served: Served | None = None
         self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
-        self.room = asyncio.Semaphore(AT_ONCE)
+        self.room = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
         self.position = 0  # of the last confirmed version in the log
         self.keep, self.keep_ms = KEEP, KEEP_MS
 
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ironscale.agent.postgres import PostgresStore
-from ironscale.agent.publishing import AT_ONCE, Publisher
+from ironscale.agent.publishing import MAX_CONCURRENT_WRITES, Publisher
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import Records, StoreError
@@ -281,7 +281,7 @@
             await asyncio.gather(*(publisher.publish("ann", draft(f"service=s{n}", {"n": n}, 0), f"key {n}")
                                    for n in range(50)))
             # not as one transaction, which has an end of its own and would take them all along
-            assert commits(store) - before >= 50 // AT_ONCE
+            assert commits(store) - before >= 50 // MAX_CONCURRENT_WRITES
             assert heard.positions == list(range(51)) and len(heard.view.entries) == 50
             events = await store.read(lambda r: r.events(0, 99))
             assert [e.subject for e in events] == [f"version {n}" for n in range(1, 51)]
