--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -17,7 +17,7 @@
 from ironscale.versions.model import Entry, Labels, digest, effective
 from ironscale.versions.publishing import KEEP, KEEP_MS, Draft, Problem, Standing, misfit, refused
 
-COMPACT_S = 60.0
+COMPACT_INTERVAL_S = 60.0
 # Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
 # Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
 MAX_CONCURRENT_WRITES = 8
@@ -235,7 +235,7 @@
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(COMPACT_S)
+            await asyncio.sleep(COMPACT_INTERVAL_S)
             if not self.position:
                 continue
             try:
