--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -78,7 +78,7 @@
     def summary(self) -> SummaryView: ...
 
 
-class Served(Protocol):
+class ServedVersions(Protocol):
     """Which agents serve versions, and what their followers run. The leading agent knows of all agents, any other only
     of itself."""
 
@@ -111,7 +111,7 @@
                  notify: Callable[[], None]) -> None:
         self.store, self.now_ms, self.log, self.notify = store, now_ms, log, notify
         self.published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
-        self.served: Served | None = None
+        self.served: ServedVersions | None = None
         self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
         self.room = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
         self.position = 0  # of the last confirmed version in the log
