--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Composed:
+class EffectiveConfiguration:
     """The configuration of an instance with given labels, and the versions that it is made of."""
 
     position: int
@@ -213,16 +213,16 @@
 
     # Queries
 
-    async def compose(self, labels: Labels) -> Composed:
+    async def compose(self, labels: Labels) -> EffectiveConfiguration:
         """Raises StoreError."""
-        def work(records: Records) -> Composed:
+        def work(records: Records) -> EffectiveConfiguration:
             position, found = records.version_position(), records.in_force(labels.scopes())
             layers = tuple(sorted(found, key=lambda published: published.entry.scope.reach))
             overlay = effective(published.entry for published in layers)
             # A version committed between the two reads may be among the layers; the position then includes it. No
             # other version up to it concerns these scopes.
             position = max([position, *(published.entry.version for published in layers)])
-            return Composed(position, overlay, digest(overlay), layers)
+            return EffectiveConfiguration(position, overlay, digest(overlay), layers)
 
         return await self.store.read(work)
 
