--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -113,7 +113,7 @@
         self.published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
         self.served: ServedVersions | None = None
         self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
-        self.room = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
+        self.write_slots = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
         self.position = 0  # of the last confirmed version in the log
         self.keep, self.keep_ms = KEEP, KEEP_MS
 
@@ -186,7 +186,7 @@
                 self.notify()
 
         self.step("before a version's commit")
-        async with self.room:
+        async with self.write_slots:
             found = await self.store.write(work, confirmed)
         self.step("after a version's commit")
         confirmed(found)
