--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -163,7 +163,7 @@
         def work(records: Records) -> tuple[Published, Change | None]:
             earlier = records.mutation(actor, key) if key else None
             if earlier is not None:
-                return self.again(records, key, fingerprint, *earlier), None
+                return self.repeated_result(records, key, fingerprint, *earlier), None
             draft = made(records)
             raise_problem(misfit(draft))
             lineage, position, floor, newest = records.log_and_newest(draft.scope)
@@ -194,7 +194,7 @@
         return found[0], found[1] is not None
 
     @staticmethod
-    def again(records: Records, key: str, fingerprint: str, earlier: str, number: int) -> Published:
+    def repeated_result(records: Records, key: str, fingerprint: str, earlier: str, number: int) -> Published:
         if earlier != fingerprint:
             raise Refusal("KEY_REUSED", f"idempotency key {key!r} was used for another mutation, "
                                         f"{used_for(earlier, number)}; use a new one")
