--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -110,7 +110,7 @@
     def __init__(self, store: Store, now_ms: Callable[[], int], log: Callable[[str], None],
                  notify: Callable[[], None]) -> None:
         self.store, self.now_ms, self.log, self.notify = store, now_ms, log, notify
-        self.published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
+        self.on_published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
         self.served: ServedVersions | None = None
         self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
         self.write_slots = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
@@ -182,7 +182,7 @@
             change = found[1]
             if change is not None:
                 self.position = max(self.position, change.position)
-                self.published(change)
+                self.on_published(change)
                 self.notify()
 
         self.step("before a version's commit")
--- a/tests/agent/killed_publisher.py
+++ b/tests/agent/killed_publisher.py
@@ -26,7 +26,7 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
     publisher.step = step
-    publisher.published = lambda change: print(change.position, flush=True)
+    publisher.on_published = lambda change: print(change.position, flush=True)
     await publisher.load()
     await publisher.publish("ann", Draft(ALL, {"n": 1}, 0), "k")
 
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -236,7 +236,7 @@
     made, heard = Publisher(store, lambda: 5_000, lambda text: None, lambda: None), Heard()
     await made.load()
     heard(await store.read(lambda records: records.version_change(0, "")))
-    made.published = heard
+    made.on_published = heard
     return made, heard
 
 
