--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -112,7 +112,7 @@
         self.store, self.now_ms, self.log, self.notify = store, now_ms, log, notify
         self.on_published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
         self.served: ServedVersions | None = None
-        self.step: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
+        self.test_hook: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
         self.write_slots = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
         self.position = 0  # of the last confirmed version in the log
         self.keep, self.keep_ms = KEEP, KEEP_MS
@@ -185,12 +185,12 @@
                 self.on_published(change)
                 self.notify()
 
-        self.step("before a version's commit")
+        self.test_hook("before a version's commit")
         async with self.write_slots:
             found = await self.store.write(work, confirmed)
-        self.step("after a version's commit")
+        self.test_hook("after a version's commit")
         confirmed(found)
-        self.step("after a version was told")
+        self.test_hook("after a version was told")
         return found[0], found[1] is not None
 
     @staticmethod
--- a/tests/agent/killed_publisher.py
+++ b/tests/agent/killed_publisher.py
@@ -25,7 +25,7 @@
         if steps == fatal:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    publisher.step = step
+    publisher.test_hook = step
     publisher.on_published = lambda change: print(change.position, flush=True)
     await publisher.load()
     await publisher.publish("ann", Draft(ALL, {"n": 1}, 0), "k")
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -165,7 +165,7 @@
                         raise RuntimeError("gone")
 
                 first.following.attach(None)
-                first.engine.publisher.step = step
+                first.engine.publisher.test_hook = step
                 with pytest.raises(RuntimeError):
                     await publish(first)
                 await until(lambda: follower.view.position == 1)
