--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -18,7 +18,7 @@
 from ironscale.agent.gates import Gate
 from ironscale.agent.model import OPEN, Kind, Operation, Phase, Plan, Policy, Send, State, Target
 from ironscale.agent.permits import Permits, permit_id
-from ironscale.agent.publishing import Publisher, used_for
+from ironscale.agent.publishing import Publisher, describe_earlier_use
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
@@ -381,7 +381,7 @@
             if earlier is not None:
                 if earlier[0] != fingerprint:
                     raise Refusal("KEY_REUSED", f"idempotency key {key!r} was used for another mutation, "
-                                                f"{used_for(*earlier)}; use a new one")
+                                                f"{describe_earlier_use(*earlier)}; use a new one")
                 found = records.operation(earlier[1])
                 assert found is not None
                 return found, None
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -95,7 +95,7 @@
     layers: tuple[Published, ...]
 
 
-def used_for(fingerprint: str, number: int) -> str:
+def describe_earlier_use(fingerprint: str, number: int) -> str:
     """Names what a mutation made, for the error when its idempotency key is used again."""
     return f"{'version' if fingerprint.startswith(VERSION_FINGERPRINT_PREFIX) else 'operation'} {number}"
 
@@ -197,7 +197,7 @@
     def repeated_result(records: Records, key: str, fingerprint: str, earlier: str, number: int) -> Published:
         if earlier != fingerprint:
             raise Refusal("KEY_REUSED", f"idempotency key {key!r} was used for another mutation, "
-                                        f"{used_for(earlier, number)}; use a new one")
+                                        f"{describe_earlier_use(earlier, number)}; use a new one")
         found = records.version(number)
         if found is None:
             raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which the history no "
