--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -28,7 +28,7 @@
 from ironscale.agent.store_setup import open_store
 from ironscale.agent.supervisor import Supervisor
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.versions_replica import Following, for_good
+from ironscale.agent.versions_replica import VersionsReplica, for_good
 from ironscale.control.extension import version
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import STOP_SIGNALS, Clock
@@ -70,7 +70,7 @@
         self.supervisor: Supervisor
         self.failed: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
-        self.following = Following(Serving(random.Random()), self.data, self.log)
+        self.following = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = Followers(self.following.serving, self.admits, self.following.age_s, self.log)
         self.door = Door({"follow": lambda: FollowerLink(self.followers), "sum": lambda: SumLink(self.followers)})
         self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -49,7 +49,7 @@
             await asyncio.sleep(1.0)
 
 
-class Following:
+class VersionsReplica:
     def __init__(self, serving: Serving, data: Path, log: Callable[[str], None],
                  rng: random.Random | None = None) -> None:
         self.serving, self.path, self.log = serving, data / FILE, log
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -18,7 +18,7 @@
 from ironscale.agent.follower_connections import FollowerLink, Followers
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
-from ironscale.agent.versions_replica import Following
+from ironscale.agent.versions_replica import VersionsReplica
 from ironscale.control import follower as follower_module
 from ironscale.control.follower import Follower
 from ironscale.control.simulated_instance import LightInstance, light_follower
@@ -96,12 +96,12 @@
         self.up = False
         self.down = 0  # faults that keep it from being started
         self.followers: Followers
-        self.following: Following
+        self.following: VersionsReplica
 
     def start(self) -> None:
         world, net = self.world, self.world.net
         serving = Serving(random.Random(world.random.random()))
-        following = Following(serving, self.folder, lambda text: None, random.Random(world.random.random()))
+        following = VersionsReplica(serving, self.folder, lambda text: None, random.Random(world.random.random()))
         following.files = cast(Any, _Files())
         following.load()
         if world.plant == "snapshot without its position" and serving.view.lineage:
