--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -32,7 +32,7 @@
 FILE = "versions.snapshot"
 
 
-class Tells(Protocol):
+class ReplicaListener(Protocol):
     """Serves the replica to followers."""
 
     def changed(self) -> None: ...
@@ -54,7 +54,7 @@
                  rng: random.Random | None = None) -> None:
         self.serving, self.path, self.log = serving, data / FILE, log
         self.random = rng or random.Random()
-        self.tells: Tells | None = None
+        self.tells: ReplicaListener | None = None
         self.leads: Callable[[], bool] = lambda: False
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
