--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -28,7 +28,7 @@
 from ironscale.agent.store_setup import open_store
 from ironscale.agent.supervisor import Supervisor
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.versions_replica import VersionsReplica, for_good
+from ironscale.agent.versions_replica import VersionsReplica, run_forever
 from ironscale.control.extension import version
 from ironscale.control.messages import Hello
 from ironscale.net.sidecar import STOP_SIGNALS, Clock
@@ -181,7 +181,7 @@
             steps: list[Callable[[], Awaitable[None]]] = [self.following.poll, self.following.keep, self.followers.tell]
             if token:
                 steps.append(lambda: self.followers.tell_sums(token))
-            parts = [asyncio.create_task(for_good(step, self.log)) for step in steps]
+            parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
             try:
                 if self.section.standby:
                     if self.following.loaded:
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -39,7 +39,7 @@
     def dismiss(self, strange: Iterable[Subscriber]) -> None: ...
 
 
-async def for_good(step: Callable[[], Awaitable[None]], log: Callable[[str], None]) -> None:
+async def run_forever(step: Callable[[], Awaitable[None]], log: Callable[[str], None]) -> None:
     """Runs `step` again and again. An unexpected exception is logged and doesn't end the loop."""
     while True:
         try:
