--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -27,7 +27,7 @@
     snapshot_of,
 )
 
-POLL_S = 0.3  # between two reads of the store
+POLL_INTERVAL_S = 0.3  # between two reads of the store
 SAVE_S, KEEP_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
 FILE = "versions.snapshot"
 
@@ -111,7 +111,7 @@
                 store.read(lambda records: records.version_change(position, lineage)))
             reading.add_done_callback(lambda done: self.read(store, began_ms, done))
         try:
-            async with asyncio.timeout(POLL_S * (0.8 + 0.4 * self.random.random())):
+            async with asyncio.timeout(POLL_INTERVAL_S * (0.8 + 0.4 * self.random.random())):
                 await self.wake.wait()
         except TimeoutError:
             pass
