--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -28,7 +28,7 @@
 )
 
 POLL_INTERVAL_S = 0.3  # between two reads of the store
-SAVE_INTERVAL_S, KEEP_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
+SAVE_INTERVAL_S, AGE_SAVE_INTERVAL_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
 FILE = "versions.snapshot"
 
 
@@ -200,7 +200,7 @@
     async def keep(self) -> None:
         """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_INTERVAL_S)
-        if self.is_sure and (self.mark() != self.saved or time.monotonic() - self.saved_s >= KEEP_S):
+        if self.is_sure and (self.mark() != self.saved or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
             await self.save()
 
     async def save(self) -> None:
