--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -29,7 +29,7 @@
 
 POLL_INTERVAL_S = 0.3  # between two reads of the store
 SAVE_INTERVAL_S, AGE_SAVE_INTERVAL_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
-FILE = "versions.snapshot"
+SNAPSHOT_FILE = "versions.snapshot"
 
 
 class ReplicaListener(Protocol):
@@ -52,7 +52,7 @@
 class VersionsReplica:
     def __init__(self, serving: Serving, data: Path, log: Callable[[str], None],
                  rng: random.Random | None = None) -> None:
-        self.serving, self.path, self.log = serving, data / FILE, log
+        self.serving, self.path, self.log = serving, data / SNAPSHOT_FILE, log
         self.random = rng or random.Random()
         self.tells: ReplicaListener | None = None
         self.leads: Callable[[], bool] = lambda: False
@@ -216,7 +216,7 @@
 
     def write(self, snapshot: Snapshot) -> None:
         """Writes the snapshot durably. If it is interrupted, the previous file is kept."""
-        aside = str(self.path.with_name(f".{FILE}"))
+        aside = str(self.path.with_name(f".{SNAPSHOT_FILE}"))
         self.files.write(aside, encode(snapshot))
         self.files.rename(aside, str(self.path))
         self.files.sync_folder(str(self.path.parent))
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -144,7 +144,7 @@
         for task in self.tasks:
             task.cancel()
         self.world.net.kill(self.name)
-        path = self.folder / replica_module.FILE
+        path = self.folder / replica_module.SNAPSHOT_FILE
         if with_disk:
             path.unlink(missing_ok=True)
         elif path.exists() and self.world.random.random() < 0.3:
