--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -74,7 +74,7 @@
         self.followers = Followers(self.following.serving, self.admits, self.following.age_s, self.log)
         self.door = Door({"follow": lambda: FollowerLink(self.followers), "sum": lambda: SumLink(self.followers)})
         self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
-        self.following.tells = self.followers
+        self.following.listener = self.followers
         self.following.leads = self.followers.leads = self.leads
         self.followers.leader = self.leader
 
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -54,7 +54,7 @@
                  rng: random.Random | None = None) -> None:
         self.serving, self.path, self.log = serving, data / SNAPSHOT_FILE, log
         self.random = rng or random.Random()
-        self.tells: ReplicaListener | None = None
+        self.listener: ReplicaListener | None = None
         self.leads: Callable[[], bool] = lambda: False
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
@@ -148,8 +148,8 @@
             self.log(f"{self.path}: it is of lineage {view.lineage}, the store of {change.lineage or 'none'}; no "
                      "longer used")
             strange = self.serving.begin_anew(View())
-            if self.tells is not None:
-                self.tells.dismiss(strange)
+            if self.listener is not None:
+                self.listener.dismiss(strange)
         elif change.position < view.position:
             if reached_ms >= (self.reached_ms or 0):
                 self.say(f"versions: the store is at position {change.position}, behind the served position "
@@ -165,8 +165,8 @@
             self.said = ""
         self.is_sure = True
         self.reached_ms = max(self.reached_ms, reached_ms) if self.reached_ms is not None else reached_ms
-        if changed and self.tells is not None:
-            self.tells.changed()
+        if changed and self.listener is not None:
+            self.listener.changed()
 
     # The snapshot file
 
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -107,7 +107,7 @@
         if world.plant == "snapshot without its position" and serving.view.lineage:
             serving.view.position = len(world.record.entries)
         followers = Followers(serving, lambda token: True, following.age_s, lambda text: None)
-        following.tells = followers
+        following.listener = followers
         following.attach(cast(Store, _Store(world, self.name)))
         self.followers, self.following = followers, following
         net.listen(self.port, self.name, lambda: FollowerLink(followers))
