--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -58,7 +58,7 @@
         self.leads: Callable[[], bool] = lambda: False
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
-        self.reached_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
+        self.last_read_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
         self.is_sure = False  # the view's lineage was read from a store by this process, not only from the file
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
@@ -70,7 +70,7 @@
 
     def age_s(self) -> float:
         """Age of the replica: the time since the store was last read."""
-        return (clock_ms() - self.reached_ms) / 1000 if self.reached_ms is not None else 0.0
+        return (clock_ms() - self.last_read_ms) / 1000 if self.last_read_ms is not None else 0.0
 
     def say(self, text: str) -> None:
         """Logs the text unless it is the same as the last one; an empty text resets this."""
@@ -151,7 +151,7 @@
             if self.listener is not None:
                 self.listener.dismiss(strange)
         elif change.position < view.position:
-            if reached_ms >= (self.reached_ms or 0):
+            if reached_ms >= (self.last_read_ms or 0):
                 self.say(f"versions: the store is at position {change.position}, behind the served position "
                          f"{view.position}: still serving that with its age")
             return
@@ -164,7 +164,7 @@
             self.log(f"versions: the store can be read again, position {self.serving.view.position}")
             self.said = ""
         self.is_sure = True
-        self.reached_ms = max(self.reached_ms, reached_ms) if self.reached_ms is not None else reached_ms
+        self.last_read_ms = max(self.last_read_ms, reached_ms) if self.last_read_ms is not None else reached_ms
         if changed and self.listener is not None:
             self.listener.changed()
 
@@ -188,7 +188,7 @@
         age_s = snapshot.age_s(time.time_ns() // 1_000_000)
         self.serving.view, self.serving.reached = snapshot.view(), True
         self.tokens = snapshot.tokens
-        self.reached_ms = clock_ms() - age_s * 1000
+        self.last_read_ms = clock_ms() - age_s * 1000
         self.saved, self.saved_s = self.mark(), time.monotonic()
         self.loaded = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
         return True
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -220,9 +220,9 @@
             assert store is not None
             store.renewed = lambda: None  # type: ignore[attr-defined]
             store.term = replace(store.term, until_ms=0)
-            at = agent.following.reached_ms
+            at = agent.following.last_read_ms
             await asyncio.sleep(0.8)
-            assert agent.following.reached_ms == at
+            assert agent.following.last_read_ms == at
 
     run(test)
 
@@ -332,9 +332,9 @@
             assert follower.denied is not None and follower.denied.code == "LINEAGE"
             again = Raw(agent)
             await until(lambda: again.view.position == 1)
-            lineage, reached = again.view.lineage, agent.following.reached_ms
+            lineage, reached = again.view.lineage, agent.following.last_read_ms
             agent.following.take(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
-            assert agent.following.serving.view.lineage == lineage and agent.following.reached_ms == reached
+            assert agent.following.serving.view.lineage == lineage and agent.following.last_read_ms == reached
             await again.close()
             await follower.close()
         err = capsys.readouterr().err
@@ -350,9 +350,9 @@
             for n in (2, 3):
                 await publish(agent, {"settings": {"instances": n}})
             view = agent.following.serving.view
-            reached = agent.following.reached_ms
+            reached = agent.following.last_read_ms
             agent.following.take(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
-            assert view.position == 2 and agent.following.reached_ms == reached
+            assert view.position == 2 and agent.following.last_read_ms == reached
         assert "the store is at position 1, behind the served position 2" in capsys.readouterr().err
 
     run(test)
