--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -59,7 +59,7 @@
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
         self.last_read_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
-        self.is_sure = False  # the view's lineage was read from a store by this process, not only from the file
+        self.is_lineage_confirmed = False  # the view's lineage was read from a store by this process, not only from the file
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
         self.said = ""
@@ -138,7 +138,7 @@
         another lineage once one was confirmed by a store."""
         view = self.serving.view
         if view.lineage and change.lineage != view.lineage:
-            if self.is_sure:
+            if self.is_lineage_confirmed:
                 self.say(f"versions: expected the store's lineage {view.lineage}, got {change.lineage or 'none'}: "
                          f"still serving position {view.position} of the former with its age; restart this agent if "
                          "the store was replaced")
@@ -163,7 +163,7 @@
         if self.said:
             self.log(f"versions: the store can be read again, position {self.serving.view.position}")
             self.said = ""
-        self.is_sure = True
+        self.is_lineage_confirmed = True
         self.last_read_ms = max(self.last_read_ms, reached_ms) if self.last_read_ms is not None else reached_ms
         if changed and self.listener is not None:
             self.listener.changed()
@@ -200,7 +200,7 @@
     async def keep(self) -> None:
         """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_INTERVAL_S)
-        if self.is_sure and (self.mark() != self.saved or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
+        if self.is_lineage_confirmed and (self.mark() != self.saved or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
             await self.save()
 
     async def save(self) -> None:
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -134,7 +134,7 @@
         while True:
             await asyncio.sleep(1.0)
             await self.while_running()
-            if self.following.is_sure:
+            if self.following.is_lineage_confirmed:
                 wall_ms = int(VirtualTime(self.world.loop).time() * 1000 - self.following.age_s() * 1000)
                 self.following.write(snapshot_of(self.following.serving.view, (), wall_ms))
 
