--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -62,7 +62,7 @@
         self.is_lineage_confirmed = False  # the view's lineage was read from a store by this process, not only from the file
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
-        self.said = ""
+        self.last_logged = ""
         self.loaded = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
         self.saved: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
@@ -74,8 +74,8 @@
 
     def say(self, text: str) -> None:
         """Logs the text unless it is the same as the last one; an empty text resets this."""
-        if text != self.said:
-            self.said = text
+        if text != self.last_logged:
+            self.last_logged = text
             if text:
                 self.log(text)
 
@@ -160,9 +160,9 @@
         except ViewError as error:
             self.say(f"versions: the store's change can't be applied to the served versions, which are kept: {error}")
             return
-        if self.said:
+        if self.last_logged:
             self.log(f"versions: the store can be read again, position {self.serving.view.position}")
-            self.said = ""
+            self.last_logged = ""
         self.is_lineage_confirmed = True
         self.last_read_ms = max(self.last_read_ms, reached_ms) if self.last_read_ms is not None else reached_ms
         if changed and self.listener is not None:
