--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -72,7 +72,7 @@
         """Age of the replica: the time since the store was last read."""
         return (clock_ms() - self.last_read_ms) / 1000 if self.last_read_ms is not None else 0.0
 
-    def say(self, text: str) -> None:
+    def log_change(self, text: str) -> None:
         """Logs the text unless it is the same as the last one; an empty text resets this."""
         if text != self.last_logged:
             self.last_logged = text
@@ -124,12 +124,12 @@
             return
         self.reading = None
         if isinstance(error, StoreError):
-            self.say(f"versions: the store is unreachable, serving position {self.serving.view.position} with its age: "
+            self.log_change(f"versions: the store is unreachable, serving position {self.serving.view.position} with its age: "
                      f"{error}")
         elif error is not None:
-            self.say("versions: " + "".join(traceback.format_exception(error)))
+            self.log_change("versions: " + "".join(traceback.format_exception(error)))
         elif self.leads() and not store.term.holds(clock_ms()):
-            self.say("versions: this agent's term is not confirmed, serving what it has with its age")
+            self.log_change("versions: this agent's term is not confirmed, serving what it has with its age")
         else:
             self.take(done.result(), began_ms)
 
@@ -139,7 +139,7 @@
         view = self.serving.view
         if view.lineage and change.lineage != view.lineage:
             if self.is_lineage_confirmed:
-                self.say(f"versions: expected the store's lineage {view.lineage}, got {change.lineage or 'none'}: "
+                self.log_change(f"versions: expected the store's lineage {view.lineage}, got {change.lineage or 'none'}: "
                          f"still serving position {view.position} of the former with its age; restart this agent if "
                          "the store was replaced")
                 return
@@ -152,13 +152,13 @@
                 self.listener.dismiss(strange)
         elif change.position < view.position:
             if reached_ms >= (self.last_read_ms or 0):
-                self.say(f"versions: the store is at position {change.position}, behind the served position "
+                self.log_change(f"versions: the store is at position {change.position}, behind the served position "
                          f"{view.position}: still serving that with its age")
             return
         try:
             changed = self.serving.advance(change, time.monotonic())
         except ViewError as error:
-            self.say(f"versions: the store's change can't be applied to the served versions, which are kept: {error}")
+            self.log_change(f"versions: the store's change can't be applied to the served versions, which are kept: {error}")
             return
         if self.last_logged:
             self.log(f"versions: the store can be read again, position {self.serving.view.position}")
@@ -210,7 +210,7 @@
         try:
             await asyncio.to_thread(self.write, snapshot)
         except OSError as error:
-            self.say(f"{self.path}: expected to write it, got {error.strerror}; the previous file was kept")
+            self.log_change(f"{self.path}: expected to write it, got {error.strerror}; the previous file was kept")
             return
         self.saved, self.saved_s = mark, time.monotonic()
 
