--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -184,8 +184,8 @@
             parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
             try:
                 if self.section.standby:
-                    if self.following.loaded:
-                        self.log(self.following.loaded)
+                    if self.following.loaded_text:
+                        self.log(self.following.loaded_text)
                     await self.listen()
                 while not stop.is_set():
                     await self.one_turn(stop, stop_instances)
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -63,7 +63,7 @@
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
         self.last_logged = ""
-        self.loaded = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
+        self.loaded_text = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
         self.saved: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
         self.files = OsFiles()
@@ -190,7 +190,7 @@
         self.tokens = snapshot.tokens
         self.last_read_ms = clock_ms() - age_s * 1000
         self.saved, self.saved_s = self.mark(), time.monotonic()
-        self.loaded = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
+        self.loaded_text = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
         return True
 
     def mark(self) -> tuple[str, int, int, tuple[Token, ...]]:
