--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -64,7 +64,7 @@
         self.wake = asyncio.Event()
         self.last_logged = ""
         self.loaded_text = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
-        self.saved: tuple[str, int, int, tuple[Token, ...]] | None = None
+        self.saved_state: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
         self.files = OsFiles()
 
@@ -189,7 +189,7 @@
         self.serving.view, self.serving.reached = snapshot.view(), True
         self.tokens = snapshot.tokens
         self.last_read_ms = clock_ms() - age_s * 1000
-        self.saved, self.saved_s = self.mark(), time.monotonic()
+        self.saved_state, self.saved_s = self.mark(), time.monotonic()
         self.loaded_text = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
         return True
 
@@ -200,7 +200,7 @@
     async def keep(self) -> None:
         """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_INTERVAL_S)
-        if self.is_lineage_confirmed and (self.mark() != self.saved or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
+        if self.is_lineage_confirmed and (self.mark() != self.saved_state or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
             await self.save()
 
     async def save(self) -> None:
@@ -212,7 +212,7 @@
         except OSError as error:
             self.log_change(f"{self.path}: expected to write it, got {error.strerror}; the previous file was kept")
             return
-        self.saved, self.saved_s = mark, time.monotonic()
+        self.saved_state, self.saved_s = mark, time.monotonic()
 
     def write(self, snapshot: Snapshot) -> None:
         """Writes the snapshot durably. If it is interrupted, the previous file is kept."""
