--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -189,22 +189,22 @@
         self.serving.view, self.serving.reached = snapshot.view(), True
         self.tokens = snapshot.tokens
         self.last_read_ms = clock_ms() - age_s * 1000
-        self.saved_state, self.saved_s = self.mark(), time.monotonic()
+        self.saved_state, self.saved_s = self.saveable_state(), time.monotonic()
         self.loaded_text = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
         return True
 
-    def mark(self) -> tuple[str, int, int, tuple[Token, ...]]:
+    def saveable_state(self) -> tuple[str, int, int, tuple[Token, ...]]:
         view = self.serving.view
         return view.lineage, view.position, view.floor, self.tokens
 
     async def keep(self) -> None:
         """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_INTERVAL_S)
-        if self.is_lineage_confirmed and (self.mark() != self.saved_state or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
+        if self.is_lineage_confirmed and (self.saveable_state() != self.saved_state or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
             await self.save()
 
     async def save(self) -> None:
-        mark = self.mark()
+        mark = self.saveable_state()
         wall_ms = time.time_ns() // 1_000_000 - int(self.age_s() * 1000)
         snapshot = snapshot_of(self.serving.view, self.tokens, max(0, wall_ms))
         try:
