--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -197,7 +197,7 @@
         view = self.serving.view
         return view.lineage, view.position, view.floor, self.tokens
 
-    async def keep(self) -> None:
+    async def save_if_due(self) -> None:
         """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
         await asyncio.sleep(SAVE_INTERVAL_S)
         if self.is_lineage_confirmed and (self.saveable_state() != self.saved_state or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
