--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -96,7 +96,7 @@
         if change.lineage == view.lineage and not change.is_snapshot and change.since > view.position:
             self.wake.set()
             return
-        self.take(change, clock_ms())
+        self.apply(change, clock_ms())
 
     async def poll(self) -> None:
         """Starts a read of the store unless one is in progress, and waits for the poll interval. There is one read at a
@@ -131,9 +131,9 @@
         elif self.leads() and not store.term.holds(clock_ms()):
             self.log_change("versions: this agent's term is not confirmed, serving what it has with its age")
         else:
-            self.take(done.result(), began_ms)
+            self.apply(done.result(), began_ms)
 
-    def take(self, change: Change, reached_ms: float) -> None:
+    def apply(self, change: Change, reached_ms: float) -> None:
         """Applies a change read from the store. The view never goes back to an earlier position, and never moves to
         another lineage once one was confirmed by a store."""
         view = self.serving.view
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -333,7 +333,7 @@
             again = Raw(agent)
             await until(lambda: again.view.position == 1)
             lineage, reached = again.view.lineage, agent.following.last_read_ms
-            agent.following.take(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
+            agent.following.apply(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
             assert agent.following.serving.view.lineage == lineage and agent.following.last_read_ms == reached
             await again.close()
             await follower.close()
@@ -351,7 +351,7 @@
                 await publish(agent, {"settings": {"instances": n}})
             view = agent.following.serving.view
             reached = agent.following.last_read_ms
-            agent.following.take(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
+            agent.following.apply(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
             assert view.position == 2 and agent.following.last_read_ms == reached
         assert "the store is at position 1, behind the served position 2" in capsys.readouterr().err
 
