--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -109,14 +109,14 @@
             position, lineage = view.position, view.lineage
             reading = self.reading = asyncio.ensure_future(
                 store.read(lambda records: records.version_change(position, lineage)))
-            reading.add_done_callback(lambda done: self.read(store, began_ms, done))
+            reading.add_done_callback(lambda done: self.on_read_done(store, began_ms, done))
         try:
             async with asyncio.timeout(POLL_INTERVAL_S * (0.8 + 0.4 * self.random.random())):
                 await self.wake.wait()
         except TimeoutError:
             pass
 
-    def read(self, store: Store, began_ms: int, done: asyncio.Future[Change]) -> None:
+    def on_read_done(self, store: Store, began_ms: int, done: asyncio.Future[Change]) -> None:
         if done.cancelled():
             return
         error = done.exception()
