--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -327,7 +327,7 @@
         return False
 
     def make_links(self, fleet: Fleet, engine: Engine) -> Links:
-        engine.publisher.on_published, engine.publisher.served = self.following.published, self.followers
+        engine.publisher.on_published, engine.publisher.served = self.following.on_published, self.followers
         links = Links(fleet, self.admits, engine.on_result, self.log)
         links.on_denied = self.on_denied
         links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -90,7 +90,7 @@
     def take_tokens(self, rows: Iterable[TokenRow]) -> None:
         self.tokens = tuple(Token(row.name, row.role, row.digest, row.created_ms, row.revoked_ms) for row in rows)
 
-    def published(self, change: Change) -> None:
+    def on_published(self, change: Change) -> None:
         """Applies a change that this agent, as leader, has just committed, without waiting for the next poll."""
         view = self.serving.view
         if change.lineage == view.lineage and not change.is_snapshot and change.since > view.position:
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -296,7 +296,7 @@
         leader, entry = able[0], self.drawn_entry()
         change = Change("log", entry.version, entry.version - 1, False, 0, (entry,))
         if self.plant == "served before commit" and leader.following.serving.view.position == entry.version - 1:
-            leader.following.published(change)
+            leader.following.on_published(change)
             if self.random.random() < 0.3:
                 return  # and the commit fails
         self.record.entries.append(entry)
@@ -305,7 +305,7 @@
         self.note("commit", version=entry.version, scope=str(entry.scope), overlay=entry.overlay)
         await asyncio.sleep(0.01 * self.random.random())  # in which it may be killed
         if leader.up and leader.name not in self.net.stopped:
-            leader.following.published(change)
+            leader.following.on_published(change)
 
     async def run(self, seconds: float, faults: int) -> list[Line]:
         for agent in self.agents:
