--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -141,7 +141,7 @@
 
     async def reload_tokens(self, store: Store) -> None:
         self.tokens = await store.read(lambda records: records.tokens())
-        self.following.take_tokens(self.tokens)
+        self.following.set_tokens(self.tokens)
 
     def authenticate(self, token: str) -> Caller | None:
         row = tokens.find(token, self.tokens)
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -87,7 +87,7 @@
         self.reading = None  # a read in progress is of the previous store, and its result is ignored
         self.wake.set()
 
-    def take_tokens(self, rows: Iterable[TokenRow]) -> None:
+    def set_tokens(self, rows: Iterable[TokenRow]) -> None:
         self.tokens = tuple(Token(row.name, row.role, row.digest, row.created_ms, row.revoked_ms) for row in rows)
 
     def on_published(self, change: Change) -> None:
