--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -36,7 +36,7 @@
     """Serves the replica to followers."""
 
     def changed(self) -> None: ...
-    def dismiss(self, strange: Iterable[Subscriber]) -> None: ...
+    def disconnect_followers(self, strange: Iterable[Subscriber]) -> None: ...
 
 
 async def run_forever(step: Callable[[], Awaitable[None]], log: Callable[[str], None]) -> None:
@@ -149,7 +149,7 @@
                      "longer used")
             strange = self.serving.begin_anew(View())
             if self.listener is not None:
-                self.listener.dismiss(strange)
+                self.listener.disconnect_followers(strange)
         elif change.position < view.position:
             if reached_ms >= (self.last_read_ms or 0):
                 self.log_change(f"versions: the store is at position {change.position}, behind the served position "
