--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -35,7 +35,7 @@
 class ReplicaListener(Protocol):
     """Serves the replica to followers."""
 
-    def changed(self) -> None: ...
+    def on_view_changed(self) -> None: ...
     def disconnect_followers(self, strange: Iterable[Subscriber]) -> None: ...
 
 
@@ -166,7 +166,7 @@
         self.is_lineage_confirmed = True
         self.last_read_ms = max(self.last_read_ms, reached_ms) if self.last_read_ms is not None else reached_ms
         if changed and self.listener is not None:
-            self.listener.changed()
+            self.listener.on_view_changed()
 
     # The snapshot file
 
