--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -102,7 +102,7 @@
             async with asyncio.timeout(wait_s):
                 await self.wake.wait()
 
-    def dismiss(self, strange: Iterable[Subscriber]) -> None:
+    def disconnect_followers(self, strange: Iterable[Subscriber]) -> None:
         for subscriber in strange:
             link = self.links.pop(subscriber.ident, None)
             if link is not None:
