--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -79,7 +79,7 @@
 
     # Sending updates
 
-    def changed(self) -> None:
+    def on_view_changed(self) -> None:
         self.wake.set()
 
     async def tell(self) -> None:
@@ -263,7 +263,7 @@
         labels = Labels(follow.name, follow.service, follow.zone, follow.region)
         self.subscriber = followers.serving.join(labels, follow.lineage, follow.position, now_s)
         followers.links[self.subscriber.ident] = self
-        followers.changed()
+        followers.on_view_changed()
 
     def tell(self, told: Told) -> None:
         if self.transport is None or self.transport.is_closing():
@@ -284,7 +284,7 @@
     def resume_writing(self) -> None:
         if self.subscriber is not None:
             self.followers.serving.drained(self.subscriber, time.monotonic())
-            self.followers.changed()
+            self.followers.on_view_changed()
 
     def abort(self, why: str) -> None:
         self.followers.log(f"{self.name}: {why}; closing the connection")
