--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -82,7 +82,7 @@
     def on_view_changed(self) -> None:
         self.wake.set()
 
-    async def tell(self) -> None:
+    async def send_due_updates(self) -> None:
         """Sends the updates that are due, to a few hundred followers per step of the event loop. If none is due, waits
         until the next one is."""
         self.wake.clear()
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -178,7 +178,7 @@
             self.can_serve = await asyncio.to_thread(self.following.load)
             self.tokens = [TokenRow(token.name, token.role, token.digest, token.created_ms, token.revoked_ms)
                            for token in self.following.tokens]
-            steps: list[Callable[[], Awaitable[None]]] = [self.following.poll, self.following.save_if_due, self.followers.tell]
+            steps: list[Callable[[], Awaitable[None]]] = [self.following.poll, self.following.save_if_due, self.followers.send_due_updates]
             if token:
                 steps.append(lambda: self.followers.tell_sums(token))
             parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -128,7 +128,7 @@
     async def tell(self) -> None:
         while True:
             await self.while_running()
-            await self.followers.tell()
+            await self.followers.send_due_updates()
 
     async def keep(self) -> None:
         while True:
