--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -73,7 +73,7 @@
         self.leads: Callable[[], bool] = lambda: False
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.agent = ""  # HOST:PORT of this one
-        self.sums: dict[str, tuple[FollowerSummary, float]] = {}
+        self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
         self.sent = 0  # number of frames
         self.denied = 0
 
@@ -118,7 +118,7 @@
         """The summary of this agent's own followers, then those that other agents sent of theirs."""
         now_s = time.monotonic()
         found = [AgentSum(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
-        for sum_, heard_s in self.sums.values():
+        for sum_, heard_s in self.summaries.values():
             found.append(AgentSum(
                 sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
                 Summary(sum_.lineage, sum_.position, sum_.followers,
@@ -127,9 +127,9 @@
         return found
 
     def on_sum(self, found: FollowerSummary) -> None:
-        if found.agent not in self.sums and len(self.sums) >= MOST_SUMS:
-            del self.sums[min(self.sums, key=lambda agent: self.sums[agent][1])]
-        self.sums[found.agent] = found, time.monotonic()
+        if found.agent not in self.summaries and len(self.summaries) >= MOST_SUMS:
+            del self.summaries[min(self.summaries, key=lambda agent: self.summaries[agent][1])]
+        self.summaries[found.agent] = found, time.monotonic()
 
     def own_sum(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
