--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -126,7 +126,7 @@
                         tuple(sum_differing(sum_)), sum_.more)))
         return found
 
-    def on_sum(self, found: FollowerSummary) -> None:
+    def on_summary(self, found: FollowerSummary) -> None:
         if found.agent not in self.summaries and len(self.summaries) >= MOST_SUMS:
             del self.summaries[min(self.summaries, key=lambda agent: self.summaries[agent][1])]
         self.summaries[found.agent] = found, time.monotonic()
@@ -318,7 +318,7 @@
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         if not self.followers.leads():
             return self.deny(NOT_LEADING, "another agent leads", 0)
-        self.followers.on_sum(found)
+        self.followers.on_summary(found)
         self.send(LeaseRenewal(found.seq))
 
     def connection_lost(self, exc: Exception | None) -> None:
