--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -131,7 +131,7 @@
             del self.summaries[min(self.summaries, key=lambda agent: self.summaries[agent][1])]
         self.summaries[found.agent] = found, time.monotonic()
 
-    def own_sum(self, token: str, seq: int) -> FollowerSummary:
+    def own_summary(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
         return FollowerSummary(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
                    own.followers, [PositionCount(position, number) for position, number in own.counts],
@@ -156,7 +156,7 @@
             while self.leader() == address and not self.leads():
                 seq += 1
                 async with asyncio.timeout(SUM_ANSWER_S):
-                    writer.write(encode(serialize_message(self.own_sum(token, seq))))
+                    writer.write(encode(serialize_message(self.own_summary(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER))
                     decoder = Decoder()
                     decoder.feed(size.to_bytes(HEADER) + await reader.readexactly(min(size, 1 << 16)))
