--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -138,7 +138,7 @@
                    [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing],
                    own.more)
 
-    async def tell_sums(self, token: str) -> None:
+    async def send_summaries(self, token: str) -> None:
         """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
         address = self.leader() if not self.leads() else ""
         host, _, port = address.rpartition(":")
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -180,7 +180,7 @@
                            for token in self.following.tokens]
             steps: list[Callable[[], Awaitable[None]]] = [self.following.poll, self.following.save_if_due, self.followers.send_due_updates]
             if token:
-                steps.append(lambda: self.followers.tell_sums(token))
+                steps.append(lambda: self.followers.send_summaries(token))
             parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
             try:
                 if self.section.standby:
