--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -60,7 +60,7 @@
     summary: Summary
 
 
-class Followers:
+class FollowerConnections:
     """All followers of this agent, for as long as the agent process lives."""
 
     def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
@@ -178,7 +178,7 @@
 class _Link(asyncio.Protocol):
     """The common part of both kinds of connection."""
 
-    def __init__(self, followers: Followers) -> None:
+    def __init__(self, followers: FollowerConnections) -> None:
         self.followers = followers
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
@@ -220,7 +220,7 @@
 class FollowerLink(_Link):
     """The connection of one follower."""
 
-    def __init__(self, followers: Followers) -> None:
+    def __init__(self, followers: FollowerConnections) -> None:
         super().__init__(followers)
         self.subscriber: Subscriber | None = None
 
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -15,7 +15,7 @@
 
 from ironscale.agent import follower_connections as connections_module
 from ironscale.agent import versions_replica as replica_module
-from ironscale.agent.follower_connections import FollowerLink, Followers
+from ironscale.agent.follower_connections import FollowerLink, FollowerConnections
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
 from ironscale.agent.versions_replica import VersionsReplica
@@ -95,7 +95,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.up = False
         self.down = 0  # faults that keep it from being started
-        self.followers: Followers
+        self.followers: FollowerConnections
         self.following: VersionsReplica
 
     def start(self) -> None:
@@ -106,7 +106,7 @@
         following.load()
         if world.plant == "snapshot without its position" and serving.view.lineage:
             serving.view.position = len(world.record.entries)
-        followers = Followers(serving, lambda token: True, following.age_s, lambda text: None)
+        followers = FollowerConnections(serving, lambda token: True, following.age_s, lambda text: None)
         following.listener = followers
         following.attach(cast(Store, _Store(world, self.name)))
         self.followers, self.following = followers, following
