--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgentSum:
+class AgentSummary:
     """What the leading agent knows of one agent's followers."""
 
     agent: str  # HOST:PORT at which it serves followers
@@ -114,12 +114,12 @@
 
     # Summaries
 
-    def summary(self) -> list[AgentSum]:
+    def summary(self) -> list[AgentSummary]:
         """The summary of this agent's own followers, then those that other agents sent of theirs."""
         now_s = time.monotonic()
-        found = [AgentSum(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
+        found = [AgentSummary(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
         for sum_, heard_s in self.summaries.values():
-            found.append(AgentSum(
+            found.append(AgentSummary(
                 sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
                 Summary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
