--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -90,7 +90,7 @@
         told_any = False
         for subscriber, told in self.serving.due(now_s, self.age_s()):
             told_any = True
-            self.links[subscriber.ident].tell(told)
+            self.links[subscriber.ident].send_update(told)
         for subscriber in self.serving.stuck(now_s):
             self.links[subscriber.ident].abort(f"has read nothing for {SLOW_S:g} s")
         if told_any:
@@ -265,7 +265,7 @@
         followers.links[self.subscriber.ident] = self
         followers.on_view_changed()
 
-    def tell(self, told: Told) -> None:
+    def send_update(self, told: Told) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         try:
