--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -66,8 +66,8 @@
     def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
-        self.links: dict[int, FollowerLink] = {}
-        self.open: set[FollowerLink | SumLink] = set()
+        self.links: dict[int, FollowerConnection] = {}
+        self.open: set[FollowerConnection | SumLink] = set()
         self.encoded = Encoded()
         self.wake = asyncio.Event()
         self.leads: Callable[[], bool] = lambda: False
@@ -217,7 +217,7 @@
             self.transport.close()
 
 
-class FollowerLink(_Link):
+class FollowerConnection(_Link):
     """The connection of one follower."""
 
     def __init__(self, followers: FollowerConnections) -> None:
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -15,7 +15,7 @@
 
 from ironscale.agent import follower_connections as connections_module
 from ironscale.agent import versions_replica as replica_module
-from ironscale.agent.follower_connections import FollowerLink, FollowerConnections
+from ironscale.agent.follower_connections import FollowerConnection, FollowerConnections
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
 from ironscale.agent.versions_replica import VersionsReplica
@@ -110,7 +110,7 @@
         following.listener = followers
         following.attach(cast(Store, _Store(world, self.name)))
         self.followers, self.following = followers, following
-        net.listen(self.port, self.name, lambda: FollowerLink(followers))
+        net.listen(self.port, self.name, lambda: FollowerConnection(followers))
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(work()) for work in (self.poll, self.tell, self.keep)]
         self.up = True
