--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -67,7 +67,7 @@
                  log: Callable[[str], None]) -> None:
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerConnection] = {}
-        self.open: set[FollowerConnection | SumLink] = set()
+        self.open: set[FollowerConnection | SummaryConnection] = set()
         self.encoded = Encoded()
         self.wake = asyncio.Event()
         self.leads: Callable[[], bool] = lambda: False
@@ -301,7 +301,7 @@
             self.followers.links.pop(self.subscriber.ident, None)
 
 
-class SumLink(_Link):
+class SummaryConnection(_Link):
     """The connection of a standby agent that sends summaries of its followers."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
