--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -175,7 +175,7 @@
     return [Differs(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
-class _Link(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """The common part of both kinds of connection."""
 
     def __init__(self, followers: FollowerConnections) -> None:
@@ -217,7 +217,7 @@
             self.transport.close()
 
 
-class FollowerConnection(_Link):
+class FollowerConnection(_Connection):
     """The connection of one follower."""
 
     def __init__(self, followers: FollowerConnections) -> None:
@@ -301,7 +301,7 @@
             self.followers.links.pop(self.subscriber.ident, None)
 
 
-class SummaryConnection(_Link):
+class SummaryConnection(_Connection):
     """The connection of a standby agent that sends summaries of its followers."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
