--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -123,7 +123,7 @@
                 sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
                 Summary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
-                        tuple(sum_differing(sum_)), sum_.more)))
+                        tuple(differing_followers(sum_)), sum_.more)))
         return found
 
     def on_summary(self, found: FollowerSummary) -> None:
@@ -171,7 +171,7 @@
         await asyncio.sleep(SUM_S)
 
 
-def sum_differing(found: FollowerSummary) -> list[Differs]:
+def differing_followers(found: FollowerSummary) -> list[Differs]:
     return [Differs(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
