--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -34,7 +34,7 @@
 from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
 
 # Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
-KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
+KERNEL_BUFFER_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 SUM_S, SUM_ANSWER_S = 1.0, 2.0
 SUM_OLD_S = 5.0  # a summary older than this is reported as not current
@@ -232,7 +232,7 @@
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BYTES)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
                 # A machine that is gone doesn't close its connections, so unacknowledged data ends them.
                 sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_S * 1000))
 
