--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -34,7 +34,7 @@
 from ironscale.versions.serving import SLOW_S, Differs, Encoded, Serving, Subscriber, Summary, Told, Turned
 
 # Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
-KERNEL_BUFFER_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
+KERNEL_BUFFER_BYTES, WRITE_BUFFER_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 SUM_S, SUM_ANSWER_S = 1.0, 2.0
 SUM_OLD_S = 5.0  # a summary older than this is reported as not current
@@ -228,7 +228,7 @@
         super().connection_made(transport)
         self.followers.open.add(self)
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(high=UNSENT_BYTES)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -379,7 +379,7 @@
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert most < follower_connections.UNSENT_BYTES + (64 << 10)
+            assert most < follower_connections.WRITE_BUFFER_BYTES + (64 << 10)
             count = len(slow.updates)
             slow.reads.set()
             await until(lambda: slow.view.position == version)
