--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -36,7 +36,7 @@
 # Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
 KERNEL_BUFFER_BYTES, WRITE_BUFFER_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-SUM_S, SUM_ANSWER_S = 1.0, 2.0
+SUMMARY_INTERVAL_S, SUM_ANSWER_S = 1.0, 2.0
 SUM_OLD_S = 5.0  # a summary older than this is reported as not current
 MOST_SUMS = 100
 
@@ -143,13 +143,13 @@
         address = self.leader() if not self.leads() else ""
         host, _, port = address.rpartition(":")
         if not address or address == self.agent:
-            await asyncio.sleep(SUM_S)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
             async with asyncio.timeout(SUM_ANSWER_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError, ValueError):
-            await asyncio.sleep(SUM_S)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
             seq = 0
@@ -163,12 +163,12 @@
                     raw = decoder.next()
                 if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
-                await asyncio.sleep(SUM_S)
+                await asyncio.sleep(SUMMARY_INTERVAL_S)
         except (OSError, EOFError, TimeoutError, FrameError, MessageError):
             pass
         finally:
             writer.close()
-        await asyncio.sleep(SUM_S)
+        await asyncio.sleep(SUMMARY_INTERVAL_S)
 
 
 def differing_followers(found: FollowerSummary) -> list[Differs]:
