--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -36,7 +36,7 @@
 # Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
 KERNEL_BUFFER_BYTES, WRITE_BUFFER_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-SUMMARY_INTERVAL_S, SUM_ANSWER_S = 1.0, 2.0
+SUMMARY_INTERVAL_S, SUMMARY_TIMEOUT_S = 1.0, 2.0
 SUM_OLD_S = 5.0  # a summary older than this is reported as not current
 MOST_SUMS = 100
 
@@ -146,7 +146,7 @@
             await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
-            async with asyncio.timeout(SUM_ANSWER_S):
+            async with asyncio.timeout(SUMMARY_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError, ValueError):
             await asyncio.sleep(SUMMARY_INTERVAL_S)
@@ -155,7 +155,7 @@
             seq = 0
             while self.leader() == address and not self.leads():
                 seq += 1
-                async with asyncio.timeout(SUM_ANSWER_S):
+                async with asyncio.timeout(SUMMARY_TIMEOUT_S):
                     writer.write(encode(serialize_message(self.own_summary(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER))
                     decoder = Decoder()
