--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -37,7 +37,7 @@
 KERNEL_BUFFER_BYTES, WRITE_BUFFER_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 SUMMARY_INTERVAL_S, SUMMARY_TIMEOUT_S = 1.0, 2.0
-SUM_OLD_S = 5.0  # a summary older than this is reported as not current
+MAX_SUMMARY_AGE_S = 5.0  # a summary older than this is reported as not current
 MOST_SUMS = 100
 
 
@@ -120,7 +120,7 @@
         found = [AgentSummary(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
         for sum_, heard_s in self.summaries.values():
             found.append(AgentSummary(
-                sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
+                sum_.agent, now_s - heard_s < MAX_SUMMARY_AGE_S, int((now_s - heard_s) * 1000), sum_.age_ms,
                 Summary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
                         tuple(differing_followers(sum_)), sum_.more)))
