--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -38,7 +38,7 @@
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 SUMMARY_INTERVAL_S, SUMMARY_TIMEOUT_S = 1.0, 2.0
 MAX_SUMMARY_AGE_S = 5.0  # a summary older than this is reported as not current
-MOST_SUMS = 100
+MAX_SUMMARIES = 100
 
 
 def encoded(told: Told) -> bytes:
@@ -127,7 +127,7 @@
         return found
 
     def on_summary(self, found: FollowerSummary) -> None:
-        if found.agent not in self.summaries and len(self.summaries) >= MOST_SUMS:
+        if found.agent not in self.summaries and len(self.summaries) >= MAX_SUMMARIES:
             del self.summaries[min(self.summaries, key=lambda agent: self.summaries[agent][1])]
         self.summaries[found.agent] = found, time.monotonic()
 
