--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -27,7 +27,7 @@
     serialize_message,
 )
 
-HELLO_S = 5.0
+HELLO_TIMEOUT_S = 5.0
 MOST_UNSENT = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
 ACCEPTS = 200
 NOT_LEADING = "NOT_LEADING"
@@ -45,7 +45,7 @@
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
         self.closing = False
-        self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close, "no hello")
+        self.patience = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close, "no hello")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -149,7 +149,7 @@
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
         self.waits = False  # an instance that waits for the agent's next term
-        self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close)
+        self.patience = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
