--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -28,7 +28,7 @@
 )
 
 HELLO_TIMEOUT_S = 5.0
-MOST_UNSENT = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
+MAX_UNSENT_BYTES = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
 ACCEPTS = 200
 NOT_LEADING = "NOT_LEADING"
 MOST_SILENT = 1_000  # connections that have not sent their first message yet
@@ -120,7 +120,7 @@
     def send(self, message: Message) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.closing = True
             self.transport.abort()
             return
