--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -31,7 +31,7 @@
 MAX_UNSENT_BYTES = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
 ACCEPTS = 200
 NOT_LEADING = "NOT_LEADING"
-MOST_SILENT = 1_000  # connections that have not sent their first message yet
+MAX_UNIDENTIFIED = 1_000  # connections that have not sent their first message yet
 
 
 class InstanceLink(asyncio.Protocol):
@@ -51,7 +51,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.links.open.add(self)
         self.links.silent += 1
-        if self.links.silent > MOST_SILENT:
+        if self.links.silent > MAX_UNIDENTIFIED:
             self.close("too many that say nothing")
 
     def data_received(self, data: bytes) -> None:
@@ -154,7 +154,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.door.open.add(self)
-        if len(self.door.open) > MOST_SILENT:
+        if len(self.door.open) > MAX_UNIDENTIFIED:
             self.close()
 
     def data_received(self, data: bytes) -> None:
