--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -45,7 +45,7 @@
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
         self.closing = False
-        self.patience = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close, "no hello")
+        self.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close, "no hello")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -104,7 +104,7 @@
             self.send(Welcome(lease_ms, beat_ms, fleet.spread_ms(), donors, self.links.term()))
             fleet.register(hello, self, lease_ms)
             self.name = name
-            self.patience.cancel()
+            self.hello_timer.cancel()
             self.links.silent -= 1
         except Denial as denial:
             self.links.on_denied(hello, denial)
@@ -132,7 +132,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.patience.cancel()
+        self.hello_timer.cancel()
         self.links.open.discard(self)
         if self.name:
             self.links.fleet.unlink(self.name, self, self.bye)
