--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -41,7 +41,7 @@
         self.links = links
         self.boot = ""
         self.name = ""
-        self.bye = ""
+        self.goodbye = ""
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
         self.closing = False
@@ -84,7 +84,7 @@
                 self.links.fleet.beat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
         elif isinstance(message, Goodbye):
-            self.bye = f"ended by itself: {message.reason}"
+            self.goodbye = f"ended by itself: {message.reason}"
         else:
             raise MessageError(f"expected beat, result or bye, got {message.type}")
 
@@ -135,7 +135,7 @@
         self.hello_timer.cancel()
         self.links.open.discard(self)
         if self.name:
-            self.links.fleet.unlink(self.name, self, self.bye)
+            self.links.fleet.unlink(self.name, self, self.goodbye)
         else:
             self.links.silent -= 1
 
