--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -149,7 +149,7 @@
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
         self.waits = False  # an instance that waits for the agent's next term
-        self.patience = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close)
+        self.first_message_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -182,7 +182,7 @@
     def give(self, protocol: asyncio.Protocol) -> None:
         assert self.transport is not None
         transport, self.transport = self.transport, None
-        self.patience.cancel()
+        self.first_message_timer.cancel()
         self.door.open.discard(self)
         if self.waits:
             transport.resume_reading()
@@ -197,7 +197,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.patience.cancel()
+        self.first_message_timer.cancel()
         self.door.open.discard(self)
 
 
