--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -148,7 +148,7 @@
         self.door = door
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
-        self.waits = False  # an instance that waits for the agent's next term
+        self.is_waiting = False  # an instance that waits for the agent's next term
         self.first_message_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -159,7 +159,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.data += data
-        if self.waits:
+        if self.is_waiting:
             return
         first = Decoder()
         first.feed(bytes(self.data))
@@ -175,7 +175,7 @@
         elif self.door.links is not None:
             self.give(InstanceLink(self.door.links))
         else:
-            self.waits = True
+            self.is_waiting = True
             assert self.transport is not None
             self.transport.pause_reading()
 
@@ -184,7 +184,7 @@
         transport, self.transport = self.transport, None
         self.first_message_timer.cancel()
         self.door.open.discard(self)
-        if self.waits:
+        if self.is_waiting:
             transport.resume_reading()
         if transport.is_closing():
             return
@@ -220,7 +220,7 @@
         """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
         self.links = links
         if links is not None:
-            for link in [link for link in self.open if link.waits]:
+            for link in [link for link in self.open if link.is_waiting]:
                 link.give(InstanceLink(links))
 
     def close(self) -> None:
