--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -171,15 +171,15 @@
             return
         taken_over = self.door.others.get(str(message.get("type")))
         if taken_over is not None:
-            self.give(taken_over())
+            self.hand_over(taken_over())
         elif self.door.links is not None:
-            self.give(InstanceLink(self.door.links))
+            self.hand_over(InstanceLink(self.door.links))
         else:
             self.is_waiting = True
             assert self.transport is not None
             self.transport.pause_reading()
 
-    def give(self, protocol: asyncio.Protocol) -> None:
+    def hand_over(self, protocol: asyncio.Protocol) -> None:
         assert self.transport is not None
         transport, self.transport = self.transport, None
         self.first_message_timer.cancel()
@@ -221,7 +221,7 @@
         self.links = links
         if links is not None:
             for link in [link for link in self.open if link.is_waiting]:
-                link.give(InstanceLink(links))
+                link.hand_over(InstanceLink(links))
 
     def close(self) -> None:
         if self.server is not None:
