--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -140,7 +140,7 @@
             self.links.silent -= 1
 
 
-class FirstLink(asyncio.Protocol):
+class UnidentifiedConnection(asyncio.Protocol):
     """A connection whose purpose is not known yet. The type of its first message selects the protocol that takes over
     the connection and all data received so far. While the agent is between two terms, instances wait here."""
 
@@ -208,12 +208,12 @@
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
         self.others = others
         self.links: Links | None = None
-        self.open: set[FirstLink] = set()
+        self.open: set[UnidentifiedConnection] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self, sock: socket.socket) -> None:
         if self.server is None:
-            self.server = await asyncio.get_running_loop().create_server(lambda: FirstLink(self), sock=sock,
+            self.server = await asyncio.get_running_loop().create_server(lambda: UnidentifiedConnection(self), sock=sock,
                                                                          backlog=4096)
 
     def use(self, links: Links | None) -> None:
