--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -34,7 +34,7 @@
 MAX_UNIDENTIFIED = 1_000  # connections that have not sent their first message yet
 
 
-class InstanceLink(asyncio.Protocol):
+class InstanceConnection(asyncio.Protocol):
     """The connection of one instance. Heartbeats are passed to the fleet, results of commands to the engine."""
 
     def __init__(self, links: Links) -> None:
@@ -173,7 +173,7 @@
         if taken_over is not None:
             self.hand_over(taken_over())
         elif self.door.links is not None:
-            self.hand_over(InstanceLink(self.door.links))
+            self.hand_over(InstanceConnection(self.door.links))
         else:
             self.is_waiting = True
             assert self.transport is not None
@@ -221,7 +221,7 @@
         self.links = links
         if links is not None:
             for link in [link for link in self.open if link.is_waiting]:
-                link.hand_over(InstanceLink(links))
+                link.hand_over(InstanceConnection(links))
 
     def close(self) -> None:
         if self.server is not None:
@@ -243,7 +243,7 @@
         self.term: Callable[[], int] = lambda: 0
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
-        self.open: set[InstanceLink] = set()
+        self.open: set[InstanceConnection] = set()
         self.silent = 0
 
     def part(self, why: str) -> None:
