--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -169,7 +169,7 @@
             message = {}
         if message is None:
             return
-        taken_over = self.door.others.get(str(message.get("type")))
+        taken_over = self.door.protocols_by_type.get(str(message.get("type")))
         if taken_over is not None:
             self.hand_over(taken_over())
         elif self.door.links is not None:
@@ -206,7 +206,7 @@
     `others` maps the type of a first message to the protocol that handles such a connection in any term."""
 
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
-        self.others = others
+        self.protocols_by_type = others
         self.links: Links | None = None
         self.open: set[UnidentifiedConnection] = set()
         self.server: asyncio.Server | None = None
