--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -172,8 +172,8 @@
         taken_over = self.door.protocols_by_type.get(str(message.get("type")))
         if taken_over is not None:
             self.hand_over(taken_over())
-        elif self.door.links is not None:
-            self.hand_over(InstanceConnection(self.door.links))
+        elif self.door.instance_connections is not None:
+            self.hand_over(InstanceConnection(self.door.instance_connections))
         else:
             self.is_waiting = True
             assert self.transport is not None
@@ -207,7 +207,7 @@
 
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
         self.protocols_by_type = others
-        self.links: Links | None = None
+        self.instance_connections: Links | None = None
         self.open: set[UnidentifiedConnection] = set()
         self.server: asyncio.Server | None = None
 
@@ -218,7 +218,7 @@
 
     def use(self, links: Links | None) -> None:
         """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
-        self.links = links
+        self.instance_connections = links
         if links is not None:
             for link in [link for link in self.open if link.is_waiting]:
                 link.hand_over(InstanceConnection(links))
