--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -216,7 +216,7 @@
             self.server = await asyncio.get_running_loop().create_server(lambda: UnidentifiedConnection(self), sock=sock,
                                                                          backlog=4096)
 
-    def use(self, links: Links | None) -> None:
+    def set_instance_connections(self, links: Links | None) -> None:
         """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
         self.instance_connections = links
         if links is not None:
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -365,12 +365,12 @@
         server = _Server(uvicorn.Config(api.app, log_level="warning", access_log=False, lifespan="off",
                                         timeout_keep_alive=30, timeout_graceful_shutdown=2, ws="none"))
         await self.listen()
-        self.door.use(links)
+        self.door.set_instance_connections(links)
         http = asyncio.create_task(server.serve(sockets=[self.sockets[1].dup()]))
         try:
             yield api
         finally:
-            self.door.use(None)
+            self.door.set_instance_connections(None)
             api.ending.set()
             server.should_exit = True
             await http
