--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -144,7 +144,7 @@
     """A connection whose purpose is not known yet. The type of its first message selects the protocol that takes over
     the connection and all data received so far. While the agent is between two terms, instances wait here."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: ControlListener) -> None:
         self.door = door
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
@@ -201,7 +201,7 @@
         self.door.open.discard(self)
 
 
-class Door:
+class ControlListener:
     """The agent's control listener. It stays open as long as the agent process lives, while the agent's terms change.
     `others` maps the type of a first message to the protocol that handles such a connection in any term."""
 
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -19,7 +19,7 @@
 from ironscale import logs
 from ironscale.agent import tokens
 from ironscale.agent.api import Api
-from ironscale.agent.control_connections import NOT_LEADING, Door, Links
+from ironscale.agent.control_connections import NOT_LEADING, ControlListener, Links
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
 from ironscale.agent.follower_connections import FollowerConnection, FollowerConnections, SummaryConnection
@@ -72,7 +72,7 @@
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.following = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = FollowerConnections(self.following.serving, self.admits, self.following.age_s, self.log)
-        self.door = Door({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
+        self.door = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
         self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.following.listener = self.followers
         self.following.leads = self.followers.leads = self.leads
