--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -246,9 +246,9 @@
         self.open: set[InstanceConnection] = set()
         self.silent = 0
 
-    def part(self, why: str) -> None:
+    def close_all(self, why: str) -> None:
         for link in list(self.open):
             link.close(why)
 
     def close(self) -> None:
-        self.part("the agent ends")
+        self.close_all("the agent ends")
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -420,7 +420,7 @@
             await asyncio.sleep(self.section.term_s / 8)
             if engine.store.term.is_over(clock_ms()) and links.open:
                 self.log("the store has not answered for two leases: closing the connections of instances")
-                links.part("this agent's term is over")
+                links.close_all("this agent's term is over")
 
     def write_addresses(self) -> None:
         """Writes the API's address to a file, for the command line on this machine."""
