--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -50,8 +50,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.links.open.add(self)
-        self.links.silent += 1
-        if self.links.silent > MAX_UNIDENTIFIED:
+        self.links.unidentified += 1
+        if self.links.unidentified > MAX_UNIDENTIFIED:
             self.close("too many that say nothing")
 
     def data_received(self, data: bytes) -> None:
@@ -105,7 +105,7 @@
             fleet.register(hello, self, lease_ms)
             self.name = name
             self.hello_timer.cancel()
-            self.links.silent -= 1
+            self.links.unidentified -= 1
         except Denial as denial:
             self.links.on_denied(hello, denial)
             self.deny(denial)
@@ -137,7 +137,7 @@
         if self.name:
             self.links.fleet.unlink(self.name, self, self.goodbye)
         else:
-            self.links.silent -= 1
+            self.links.unidentified -= 1
 
 
 class UnidentifiedConnection(asyncio.Protocol):
@@ -244,7 +244,7 @@
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
         self.open: set[InstanceConnection] = set()
-        self.silent = 0
+        self.unidentified = 0
 
     def close_all(self, why: str) -> None:
         for link in list(self.open):
