--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -37,7 +37,7 @@
 class InstanceConnection(asyncio.Protocol):
     """The connection of one instance. Heartbeats are passed to the fleet, results of commands to the engine."""
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: InstanceConnections) -> None:
         self.links = links
         self.boot = ""
         self.name = ""
@@ -207,7 +207,7 @@
 
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
         self.protocols_by_type = others
-        self.instance_connections: Links | None = None
+        self.instance_connections: InstanceConnections | None = None
         self.open: set[UnidentifiedConnection] = set()
         self.server: asyncio.Server | None = None
 
@@ -216,7 +216,7 @@
             self.server = await asyncio.get_running_loop().create_server(lambda: UnidentifiedConnection(self), sock=sock,
                                                                          backlog=4096)
 
-    def set_instance_connections(self, links: Links | None) -> None:
+    def set_instance_connections(self, links: InstanceConnections | None) -> None:
         """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
         self.instance_connections = links
         if links is not None:
@@ -230,7 +230,7 @@
             link.close()
 
 
-class Links:
+class InstanceConnections:
     """The connections of instances during one term, or while another agent leads."""
 
     def __init__(self, fleet: Fleet, admits: Callable[[str], bool],
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -19,7 +19,7 @@
 from ironscale import logs
 from ironscale.agent import tokens
 from ironscale.agent.api import Api
-from ironscale.agent.control_connections import NOT_LEADING, ControlListener, Links
+from ironscale.agent.control_connections import NOT_LEADING, ControlListener, InstanceConnections
 from ironscale.agent.engine import Engine
 from ironscale.agent.fleet import BACK_MS, ROUND_MS, Denial, Fleet
 from ironscale.agent.follower_connections import FollowerConnection, FollowerConnections, SummaryConnection
@@ -326,9 +326,9 @@
                         await over.wait()
         return False
 
-    def make_links(self, fleet: Fleet, engine: Engine) -> Links:
+    def make_links(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
         engine.publisher.on_published, engine.publisher.served = self.following.on_published, self.followers
-        links = Links(fleet, self.admits, engine.on_result, self.log)
+        links = InstanceConnections(fleet, self.admits, engine.on_result, self.log)
         links.on_denied = self.on_denied
         links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
         links.leader = lambda: engine.leader.control if engine.leader is not None else ""
@@ -343,7 +343,7 @@
             self.ready.set()
 
     @contextlib.asynccontextmanager
-    async def serving(self, engine: Engine, links: Links) -> AsyncIterator[Api]:
+    async def serving(self, engine: Engine, links: InstanceConnections) -> AsyncIterator[Api]:
         """Serves instances and API requests on the bound sockets; closes all connections at the end."""
         started_ms = self.now_ms()
 
@@ -413,7 +413,7 @@
 
             await store.write(work)
 
-    async def watch_term(self, engine: Engine, links: Links) -> None:
+    async def watch_term(self, engine: Engine, links: InstanceConnections) -> None:
         """Closes the connections of instances once this agent's term is over, so that they can find the leading agent.
         An agent that is cut off from the store would not learn otherwise that another one leads."""
         while True:
