--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -22,7 +22,7 @@
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.upstream_polling import Watching
+from ironscale.agent.upstream_polling import UpstreamPoller
 from ironscale.control.frames import FrameError, encode
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, Of, Permit
@@ -73,7 +73,7 @@
         self.store, self.fleet, self.now_ms, self.log = store, fleet, now_ms, log
         self.permits = Permits(budgets, store, fleet, now_ms, log)
         self.permits.room, self.permits.notify, self.permits.question = self.room, self.notify, self.inspect
-        self.watching = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
+        self.watching = UpstreamPoller(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live: dict[int, Live] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -18,7 +18,7 @@
 FRESH_MS = 5_000
 
 
-class Watching:
+class UpstreamPoller:
     def __init__(self, ledger: Ledger, fleet: Fleet, ask: Callable[[str, float], Awaitable[list[dict[str, object]]]],
                  log: Callable[[str], None], changed: Callable[[], None]) -> None:
         self.ledger, self.fleet, self.ask, self.log, self.changed = ledger, fleet, ask, log, changed
