--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -13,7 +13,7 @@
 from ironscale.disruption.ledger import Ledger
 from ironscale.disruption.model import Of
 
-ASKED = 9  # sidecars per round: more would add no information, and each answer is a whole list
+SIDECARS_PER_ROUND = 9  # sidecars per round: more would add no information, and each answer is a whole list
 EVERY_S, ANSWER_S = 1.0, 2.0
 FRESH_MS = 5_000
 
@@ -40,8 +40,8 @@
         found: list[str] = []
         for names in zones.values():
             self.random.shuffle(names)
-        while len(found) < ASKED and any(zones.values()):
-            found += [names.pop() for names in zones.values() if names and len(found) < ASKED]
+        while len(found) < SIDECARS_PER_ROUND and any(zones.values()):
+            found += [names.pop() for names in zones.values() if names and len(found) < SIDECARS_PER_ROUND]
         return found
 
     async def look(self, name: str) -> None:
