--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -14,7 +14,7 @@
 from ironscale.disruption.model import Of
 
 SIDECARS_PER_ROUND = 9  # sidecars per round: more would add no information, and each answer is a whole list
-EVERY_S, ANSWER_S = 1.0, 2.0
+POLL_INTERVAL_S, ANSWER_S = 1.0, 2.0
 FRESH_MS = 5_000
 
 
@@ -62,7 +62,7 @@
                 for name in self.chosen():
                     asking.create_task(self.look(name))
             self.take_in()
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def take_in(self) -> None:
         oldest_ms = clock_ms() - FRESH_MS
