--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -14,7 +14,7 @@
 from ironscale.disruption.model import Of
 
 SIDECARS_PER_ROUND = 9  # sidecars per round: more would add no information, and each answer is a whole list
-POLL_INTERVAL_S, ANSWER_S = 1.0, 2.0
+POLL_INTERVAL_S, ANSWER_TIMEOUT_S = 1.0, 2.0
 FRESH_MS = 5_000
 
 
@@ -47,7 +47,7 @@
     async def look(self, name: str) -> None:
         asked_ms = clock_ms()
         try:
-            entries = await self.ask(name, ANSWER_S)
+            entries = await self.ask(name, ANSWER_TIMEOUT_S)
             self.views[name] = View(name, asked_ms, {str(e["name"]): ought(str(e["name"]), e) for e in entries})
         except Refusal:
             pass  # no answer: its last view is used until it is too old
