--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -15,7 +15,7 @@
 
 SIDECARS_PER_ROUND = 9  # sidecars per round: more would add no information, and each answer is a whole list
 POLL_INTERVAL_S, ANSWER_TIMEOUT_S = 1.0, 2.0
-FRESH_MS = 5_000
+MAX_VIEW_AGE_MS = 5_000
 
 
 class UpstreamPoller:
@@ -65,7 +65,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def take_in(self) -> None:
-        oldest_ms = clock_ms() - FRESH_MS
+        oldest_ms = clock_ms() - MAX_VIEW_AGE_MS
         self.views = {name: view for name, view in self.views.items() if view.asked_ms >= oldest_ms}
         connected = sum(member.link is not None for member in self.fleet.members.values())
         known = [sight.unit for sight in self.ledger.sights.values() if sight.unit.of is Of.UPSTREAM]
