--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -24,7 +24,7 @@
         self.ledger, self.fleet, self.ask, self.log, self.changed = ledger, fleet, ask, log, changed
         self.views: dict[str, View] = {}
         self.random = random.Random()
-        self.garbled: set[str] = set()
+        self.invalid_logged: set[str] = set()
 
     @property
     def is_wanted(self) -> bool:
@@ -52,8 +52,8 @@
         except Refusal:
             pass  # no answer: its last view is used until it is too old
         except (KeyError, TypeError, ValueError) as error:
-            if name not in self.garbled:  # an older sidecar, or a faulty one: logged once, and its answers are ignored
-                self.garbled.add(name)
+            if name not in self.invalid_logged:  # an older sidecar, or a faulty one: logged once, and its answers are ignored
+                self.invalid_logged.add(name)
                 self.log(f"{name}: ignoring its invalid list of upstreams: {type(error).__name__}: {error}")
 
     async def run(self) -> None:
