--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -30,7 +30,7 @@
     def is_wanted(self) -> bool:
         return any(budget.of is Of.UPSTREAM for budget in self.ledger.budgets)
 
-    def chosen(self) -> list[str]:
+    def choose_sidecars(self) -> list[str]:
         """Chooses connected instances at random, taking the zones in turn, so that a zone which is cut off from the
         others doesn't provide all the answers."""
         zones: dict[str, list[str]] = {}
@@ -59,7 +59,7 @@
     async def run(self) -> None:
         while self.is_wanted:
             async with asyncio.TaskGroup() as asking:
-                for name in self.chosen():
+                for name in self.choose_sidecars():
                     asking.create_task(self.look(name))
             self.take_in()
             await asyncio.sleep(POLL_INTERVAL_S)
