--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -44,7 +44,7 @@
             found += [names.pop() for names in zones.values() if names and len(found) < SIDECARS_PER_ROUND]
         return found
 
-    async def look(self, name: str) -> None:
+    async def poll_sidecar(self, name: str) -> None:
         asked_ms = clock_ms()
         try:
             entries = await self.ask(name, ANSWER_TIMEOUT_S)
@@ -60,7 +60,7 @@
         while self.is_wanted:
             async with asyncio.TaskGroup() as asking:
                 for name in self.choose_sidecars():
-                    asking.create_task(self.look(name))
+                    asking.create_task(self.poll_sidecar(name))
             self.take_in()
             await asyncio.sleep(POLL_INTERVAL_S)
 
