--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -61,10 +61,10 @@
             async with asyncio.TaskGroup() as asking:
                 for name in self.choose_sidecars():
                     asking.create_task(self.poll_sidecar(name))
-            self.take_in()
+            self.update_ledger()
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def take_in(self) -> None:
+    def update_ledger(self) -> None:
         oldest_ms = clock_ms() - MAX_VIEW_AGE_MS
         self.views = {name: view for name, view in self.views.items() if view.asked_ms >= oldest_ms}
         connected = sum(member.link is not None for member in self.fleet.members.values())
