--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -40,7 +40,7 @@
 WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
-def access_of(section: AgentSection) -> Access:
+def postgres_access(section: AgentSection) -> Access:
     """Raises OperatorFileError."""
     place = f"{section.file}: agent.postgresql"
     try:
@@ -87,7 +87,7 @@
             raise StoreError("FAILED", f"{path}: expected a store in use, got one that was moved to PostgreSQL; name "
                                        "agent.postgresql in the operator file, or another data folder")
         return store
-    access = access_of(section)  # before the import: if packages are missing, it raises an error of one line
+    access = postgres_access(section)  # before the import: if packages are missing, it raises an error of one line
     from ironscale.agent.postgres import OwnerWorker, PostgresStore
 
     holder = OwnerWorker(access, holder_of(data), place, lease_ms=lease_ms)
--- a/ironscale/cli/processes.py
+++ b/ironscale/cli/processes.py
@@ -67,9 +67,9 @@
 
             check_stores(found.store)
         if found.agent is not None and found.agent.postgresql:
-            from ironscale.agent.store_setup import access_of
+            from ironscale.agent.store_setup import postgres_access
 
-            access_of(found.agent)
+            postgres_access(found.agent)
     except OperatorFileError as error:
         fail(Exit.USAGE, str(error))
     parts: dict[str, Any] = {
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -965,7 +965,7 @@
     with pytest.raises(OperatorFileError) as found:
         agent = parse(f"[agent]\n{text}\n", "F", tmp_path).agent
         assert agent is not None
-        store_setup.access_of(agent)
+        store_setup.postgres_access(agent)
     assert expected in str(found.value) and "\n" not in str(found.value)
 
 
@@ -976,7 +976,7 @@
     section_ = parse('[agent]\npostgresql = "host=a"\n', "F", tmp_path).agent
     assert section_ is not None
     with pytest.raises(OperatorFileError, match=r"F: agent\.postgresql: expected the packages of ironscale\[record\]"):
-        store_setup.access_of(section_)
+        store_setup.postgres_access(section_)
 
 
 def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
