--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -75,7 +75,7 @@
         shared.on_lost = lost
         if not section.standby:
             try:
-                await claimed(shared, lease_ms / 1000, log)
+                await claim_when_free(shared, lease_ms / 1000, log)
             except BaseException:
                 await asyncio.to_thread(shared.close)
                 raise
@@ -97,7 +97,7 @@
     try:
         if section.standby:
             return kept
-        await claimed(kept, holder.lease_ms / 1000, log)
+        await claim_when_free(kept, holder.lease_ms / 1000, log)
         if path.exists():
             await moved(kept, path, log)
     except BaseException:
@@ -106,7 +106,7 @@
     return kept
 
 
-async def claimed(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
+async def claim_when_free(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
     """Claims the store, waiting for the lease of an agent that may be gone; a live one renews its lease, and then this
     fails. Raises StoreError."""
     until, said = time.monotonic() + lease_s + WAIT_S, False
