--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -99,7 +99,7 @@
             return kept
         await claim_when_free(kept, holder.lease_ms / 1000, log)
         if path.exists():
-            await moved(kept, path, log)
+            await copy_to_postgres(kept, path, log)
     except BaseException:
         await asyncio.to_thread(kept.close)
         raise
@@ -126,7 +126,7 @@
 # From SQLite to PostgreSQL
 
 
-async def moved(store: PostgresStore, path: Path, log: Callable[[str], None]) -> None:
+async def copy_to_postgres(store: PostgresStore, path: Path, log: Callable[[str], None]) -> None:
     """Copies the SQLite store of the data folder to PostgreSQL, wholly or not at all, if PostgreSQL holds none yet.
     Then the file is marked, so that no agent uses it any more. Raises StoreError."""
     source = connect(path)
