--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -82,7 +82,7 @@
         return shared
     if not section.postgresql:
         store = SqliteStore(path)
-        if await store.read(lambda records: of_sql(records).counter(MOVED)):
+        if await store.read(lambda records: as_sql_records(records).counter(MOVED)):
             store.close()
             raise StoreError("FAILED", f"{path}: expected a store in use, got one that was moved to PostgreSQL; name "
                                        "agent.postgresql in the operator file, or another data folder")
@@ -137,11 +137,11 @@
                 return
 
         def work(records: Records) -> int:
-            if of_sql(records).counter(MOVED):
+            if as_sql_records(records).counter(MOVED):
                 return 0  # an earlier start copied it and ended before it had marked the file
             if records.tokens() or records.last_event():
                 return -1
-            return copy(source, of_sql(records))
+            return copy(source, as_sql_records(records))
 
         limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, MOVE_S
         try:
@@ -158,7 +158,7 @@
         source.close()
 
 
-def of_sql(records: Records) -> sql.SqlRecords:
+def as_sql_records(records: Records) -> sql.SqlRecords:
     assert isinstance(records, sql.SqlRecords)
     return records
 
