--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -132,7 +132,7 @@
     source = connect(path)
     try:
         own = sql.SqlRecords(Transaction(source), "sqlite")
-        with reported(path):
+        with store_errors(path):
             if own.counter(MOVED):
                 return
 
@@ -151,7 +151,7 @@
         if count < 0:
             log(f"{path} is not used: {store.owner_worker.name} holds a store already")
             return
-        with reported(path):
+        with store_errors(path):
             own.set_counter(MOVED, 1)
         log(f"moved the store {path} to {store.owner_worker.name}, {count:,} rows")
     finally:
@@ -164,7 +164,7 @@
 
 
 @contextlib.contextmanager
-def reported(path: Path) -> Iterator[None]:
+def store_errors(path: Path) -> Iterator[None]:
     try:
         yield
     except apsw.Error as error:
