--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -141,7 +141,7 @@
                 return 0  # an earlier start copied it and ended before it had marked the file
             if records.tokens() or records.last_event():
                 return -1
-            return copy(source, as_sql_records(records))
+            return copy_tables(source, as_sql_records(records))
 
         limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, MOVE_S
         try:
@@ -171,7 +171,7 @@
         raise to_store_error(trouble(error, Step.WORK, path)) from error
 
 
-def copy(source: apsw.Connection, records: sql.SqlRecords) -> int:
+def copy_tables(source: apsw.Connection, records: sql.SqlRecords) -> int:
     """Copies all tables, in an order that satisfies the foreign keys. Returns the number of rows."""
     count = 0
     source.execute("BEGIN")
