--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -34,7 +34,7 @@
           ("targets", sql.TARGET), ("configurations", sql.CONFIGURATION), ("mutations", sql.MUTATION),
           ("audit", sql.AUDIT), ("tokens", sql.TOKEN), ("permits", sql.PERMIT), ("halts", sql.HALT),
           ("versions", sql.VERSION), ("newest", sql.NEWEST), ("version_log", sql.VERSION_LOG))
-MOVE_S = 600.0  # time limit for copying a store to PostgreSQL
+COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
 AT_ONCE = 5_000  # rows read at a time
 MOVED = "moved"  # counter that is set in both databases once the data has been copied
 WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
@@ -143,7 +143,7 @@
                 return -1
             return copy_tables(source, as_sql_records(records))
 
-        limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, MOVE_S
+        limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, COPY_TIMEOUT_S
         try:
             count = await store.write(work)
         finally:
