--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -35,7 +35,7 @@
           ("audit", sql.AUDIT), ("tokens", sql.TOKEN), ("permits", sql.PERMIT), ("halts", sql.HALT),
           ("versions", sql.VERSION), ("newest", sql.NEWEST), ("version_log", sql.VERSION_LOG))
 COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
-AT_ONCE = 5_000  # rows read at a time
+COPY_BATCH_ROWS = 5_000  # rows read at a time
 MOVED = "moved"  # counter that is set in both databases once the data has been copied
 WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
@@ -178,7 +178,7 @@
     try:
         for table, columns in TABLES:
             cursor = source.execute(f"SELECT {', '.join(columns)} FROM {table}")
-            while rows := list(islice(cursor, AT_ONCE)):
+            while rows := list(islice(cursor, COPY_BATCH_ROWS)):
                 records.insert(table, columns, rows)
                 count += len(rows)
     finally:
