--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -36,7 +36,7 @@
           ("versions", sql.VERSION), ("newest", sql.NEWEST), ("version_log", sql.VERSION_LOG))
 COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
 COPY_BATCH_ROWS = 5_000  # rows read at a time
-MOVED = "moved"  # counter that is set in both databases once the data has been copied
+COPIED_COUNTER = "moved"  # counter that is set in both databases once the data has been copied
 WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
@@ -82,7 +82,7 @@
         return shared
     if not section.postgresql:
         store = SqliteStore(path)
-        if await store.read(lambda records: as_sql_records(records).counter(MOVED)):
+        if await store.read(lambda records: as_sql_records(records).counter(COPIED_COUNTER)):
             store.close()
             raise StoreError("FAILED", f"{path}: expected a store in use, got one that was moved to PostgreSQL; name "
                                        "agent.postgresql in the operator file, or another data folder")
@@ -133,11 +133,11 @@
     try:
         own = sql.SqlRecords(Transaction(source), "sqlite")
         with store_errors(path):
-            if own.counter(MOVED):
+            if own.counter(COPIED_COUNTER):
                 return
 
         def work(records: Records) -> int:
-            if as_sql_records(records).counter(MOVED):
+            if as_sql_records(records).counter(COPIED_COUNTER):
                 return 0  # an earlier start copied it and ended before it had marked the file
             if records.tokens() or records.last_event():
                 return -1
@@ -152,7 +152,7 @@
             log(f"{path} is not used: {store.owner_worker.name} holds a store already")
             return
         with store_errors(path):
-            own.set_counter(MOVED, 1)
+            own.set_counter(COPIED_COUNTER, 1)
         log(f"moved the store {path} to {store.owner_worker.name}, {count:,} rows")
     finally:
         source.close()
@@ -183,5 +183,5 @@
                 count += len(rows)
     finally:
         source.execute("ROLLBACK")
-    records.set_counter(MOVED, 1)
+    records.set_counter(COPIED_COUNTER, 1)
     return count
