--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -37,7 +37,7 @@
 COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
 COPY_BATCH_ROWS = 5_000  # rows read at a time
 COPIED_COUNTER = "moved"  # counter that is set in both databases once the data has been copied
-WAIT_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
+CLAIM_GRACE_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
 def postgres_access(section: AgentSection) -> Access:
@@ -109,7 +109,7 @@
 async def claim_when_free(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
     """Claims the store, waiting for the lease of an agent that may be gone; a live one renews its lease, and then this
     fails. Raises StoreError."""
-    until, said = time.monotonic() + lease_s + WAIT_S, False
+    until, said = time.monotonic() + lease_s + CLAIM_GRACE_S, False
     while True:
         try:
             await store.claim()
