--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -37,7 +37,7 @@
 COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
 COPY_BATCH_ROWS = 5_000  # rows read at a time
 COPIED_COUNTER = "moved"  # counter that is set in both databases once the data has been copied
-CLAIM_GRACE_S, AGAIN_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
+CLAIM_GRACE_S, CLAIM_RETRY_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
 def postgres_access(section: AgentSection) -> Access:
@@ -120,7 +120,7 @@
             if not said:
                 log(f"waits: {error}")
             said = True
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(CLAIM_RETRY_S)
 
 
 # From SQLite to PostgreSQL
