--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -38,7 +38,7 @@
 from ironscale.versions.serving import Serving
 
 ADMIN, INSTANCE = "admin", "instance"  # names of the tokens made on the first start, in files NAME.token
-DENIALS_KEPT = 1_000
+MAX_REMEMBERED_DENIALS = 1_000
 RELOAD_S = AGAIN_S = 0.5
 
 
@@ -60,7 +60,7 @@
         self.data = section.data.absolute()
         self.tokens: list[TokenRow] = []
         self.control_port = self.api_port = 0
-        self.denials: deque[tuple[str, str]] = deque(maxlen=DENIALS_KEPT)
+        self.denials: deque[tuple[str, str]] = deque(maxlen=MAX_REMEMBERED_DENIALS)
         self.clock = Clock()
         self.ready = asyncio.Event()
         self.leading = asyncio.Event()
