--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -39,7 +39,7 @@
 
 ADMIN, INSTANCE = "admin", "instance"  # names of the tokens made on the first start, in files NAME.token
 MAX_REMEMBERED_DENIALS = 1_000
-RELOAD_S = AGAIN_S = 0.5
+TOKEN_RELOAD_RETRY_S = AGAIN_S = 0.5
 
 
 class AgentError(Exception):
@@ -352,7 +352,7 @@
                 while True:
                     with contextlib.suppress(StoreError):
                         return await self.reload_tokens(engine.store)
-                    await asyncio.sleep(RELOAD_S)
+                    await asyncio.sleep(TOKEN_RELOAD_RETRY_S)
 
             if engine.tasks is not None:
                 engine.tasks.create_task(again())
