--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -39,7 +39,7 @@
 
 ADMIN, INSTANCE = "admin", "instance"  # names of the tokens made on the first start, in files NAME.token
 MAX_REMEMBERED_DENIALS = 1_000
-TOKEN_RELOAD_RETRY_S = AGAIN_S = 0.5
+TOKEN_RELOAD_RETRY_S = STORE_RETRY_S = 0.5
 
 
 class AgentError(Exception):
@@ -218,7 +218,7 @@
                 raise
             self.log(f"waits: {error}")
             self.started()
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(STORE_RETRY_S)
             return
         self.following.attach(store)
         try:
@@ -232,7 +232,7 @@
                 raise
             self.log(f"waits: {error}")
             self.started()
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(STORE_RETRY_S)
         finally:
             relay.cancel()
             self.leading.clear()
