--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -70,12 +70,12 @@
         self.supervisor: Supervisor
         self.failed: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
-        self.following = VersionsReplica(Serving(random.Random()), self.data, self.log)
-        self.followers = FollowerConnections(self.following.serving, self.admits, self.following.age_s, self.log)
+        self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
+        self.followers = FollowerConnections(self.replica.serving, self.admits, self.replica.age_s, self.log)
         self.door = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
         self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
-        self.following.listener = self.followers
-        self.following.leads = self.followers.leads = self.leads
+        self.replica.listener = self.followers
+        self.replica.leads = self.followers.leads = self.leads
         self.followers.leader = self.leader
 
     def now_ms(self) -> int:
@@ -141,7 +141,7 @@
 
     async def reload_tokens(self, store: Store) -> None:
         self.tokens = await store.read(lambda records: records.tokens())
-        self.following.set_tokens(self.tokens)
+        self.replica.set_tokens(self.tokens)
 
     def authenticate(self, token: str) -> Caller | None:
         row = tokens.find(token, self.tokens)
@@ -175,17 +175,17 @@
         token = read_secret(self.section.token_file) if self.section.token_file is not None else ""
         with self.alone(), contextlib.ExitStack() as ends:
             ends.callback(self.close_sockets)
-            self.can_serve = await asyncio.to_thread(self.following.load)
+            self.can_serve = await asyncio.to_thread(self.replica.load)
             self.tokens = [TokenRow(token.name, token.role, token.digest, token.created_ms, token.revoked_ms)
-                           for token in self.following.tokens]
-            steps: list[Callable[[], Awaitable[None]]] = [self.following.poll, self.following.save_if_due, self.followers.send_due_updates]
+                           for token in self.replica.tokens]
+            steps: list[Callable[[], Awaitable[None]]] = [self.replica.poll, self.replica.save_if_due, self.followers.send_due_updates]
             if token:
                 steps.append(lambda: self.followers.send_summaries(token))
             parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
             try:
                 if self.section.standby:
-                    if self.following.loaded_text:
-                        self.log(self.following.loaded_text)
+                    if self.replica.loaded_text:
+                        self.log(self.replica.loaded_text)
                     await self.listen()
                 while not stop.is_set():
                     await self.one_turn(stop, stop_instances)
@@ -220,7 +220,7 @@
             self.started()
             await asyncio.sleep(STORE_RETRY_S)
             return
-        self.following.attach(store)
+        self.replica.attach(store)
         try:
             if not self.section.standby or await self.follow(store, over):
                 await self.run_on(store, over, stop_instances)
@@ -236,7 +236,7 @@
         finally:
             relay.cancel()
             self.leading.clear()
-            self.following.attach(None)
+            self.replica.attach(None)
             # In a thread, as closing a store that doesn't answer may block.
             await asyncio.to_thread(store.close)
 
@@ -327,7 +327,7 @@
         return False
 
     def make_links(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
-        engine.publisher.on_published, engine.publisher.served = self.following.on_published, self.followers
+        engine.publisher.on_published, engine.publisher.served = self.replica.on_published, self.followers
         links = InstanceConnections(fleet, self.admits, engine.on_result, self.log)
         links.on_denied = self.on_denied
         links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -121,7 +121,7 @@
 
 
 async def publish(agent: Agent, overlay: dict[str, Any] | None = None, scope: Scope = ALL) -> int:
-    newest = agent.following.serving.view.entries.get(scope)
+    newest = agent.replica.serving.view.entries.get(scope)
     draft = Draft(scope, overlay or {"settings": {"instances": 2}}, newest.version if newest else 0)
     return (await agent.engine.publisher.publish("ann", draft))[0].entry.version
 
@@ -164,12 +164,12 @@
                     if where == "after a version's commit":
                         raise RuntimeError("gone")
 
-                first.following.attach(None)
+                first.replica.attach(None)
                 first.engine.publisher.test_hook = step
                 with pytest.raises(RuntimeError):
                     await publish(first)
                 await until(lambda: follower.view.position == 1)
-                assert first.following.serving.view.position == 0
+                assert first.replica.serving.view.position == 0
             await second.leading.wait()
             await publish(second, {"settings": {"instances": 5}})
             await until(lambda: follower.view.position == 2)
@@ -186,7 +186,7 @@
             await publish(first)
             follower = Raw(second)
             await until(lambda: follower.view.position == 1)
-            store = second.following.store
+            store = second.replica.store
             assert store is not None
             read_was = store.read
 
@@ -216,13 +216,13 @@
             await agent.leading.wait()
             TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
             await publish(agent)
-            store = agent.following.store
+            store = agent.replica.store
             assert store is not None
             store.renewed = lambda: None  # type: ignore[attr-defined]
             store.term = replace(store.term, until_ms=0)
-            at = agent.following.last_read_ms
+            at = agent.replica.last_read_ms
             await asyncio.sleep(0.8)
-            assert agent.following.last_read_ms == at
+            assert agent.replica.last_read_ms == at
 
     run(test)
 
@@ -311,7 +311,7 @@
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
         async with running(standing_section(tmp_path, "a1")) as agent:  # with the record it comes up, and keeps it anew
-            await until(lambda: agent.following.serving.view.position == 1)
+            await until(lambda: agent.replica.serving.view.position == 1)
             await saved(tmp_path / "a1", 1)
 
     run(test)
@@ -332,9 +332,9 @@
             assert follower.denied is not None and follower.denied.code == "LINEAGE"
             again = Raw(agent)
             await until(lambda: again.view.position == 1)
-            lineage, reached = again.view.lineage, agent.following.last_read_ms
-            agent.following.apply(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
-            assert agent.following.serving.view.lineage == lineage and agent.following.last_read_ms == reached
+            lineage, reached = again.view.lineage, agent.replica.last_read_ms
+            agent.replica.apply(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
+            assert agent.replica.serving.view.lineage == lineage and agent.replica.last_read_ms == reached
             await again.close()
             await follower.close()
         err = capsys.readouterr().err
@@ -349,10 +349,10 @@
         async with running(section(tmp_path / "a")) as agent:
             for n in (2, 3):
                 await publish(agent, {"settings": {"instances": n}})
-            view = agent.following.serving.view
-            reached = agent.following.last_read_ms
-            agent.following.apply(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
-            assert view.position == 2 and agent.following.last_read_ms == reached
+            view = agent.replica.serving.view
+            reached = agent.replica.last_read_ms
+            agent.replica.apply(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
+            assert view.position == 2 and agent.replica.last_read_ms == reached
         assert "the store is at position 1, behind the served position 2" in capsys.readouterr().err
 
     run(test)
@@ -395,7 +395,7 @@
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
             await publish(agent)
-            agent.following.serving.bucket = Bucket(100.0, 20.0)
+            agent.replica.serving.bucket = Bucket(100.0, 20.0)
             began_s, joined, tries = time.monotonic(), list[float](), 0
 
             async def one(number: int) -> Raw:
@@ -423,7 +423,7 @@
             assert sent >= 200 and made <= sent / 4  # one frame for many
             for raw in found:
                 await raw.close()
-            await until(lambda: not agent.followers.links and not agent.following.serving.subscribers)
+            await until(lambda: not agent.followers.links and not agent.replica.serving.subscribers)
 
     run(test)
 
