--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -72,7 +72,7 @@
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = FollowerConnections(self.replica.serving, self.admits, self.replica.age_s, self.log)
-        self.door = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
+        self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
         self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
         self.replica.leads = self.followers.leads = self.leads
@@ -195,7 +195,7 @@
                 for part in parts:
                     part.cancel()
                 await asyncio.gather(*parts, return_exceptions=True)
-                self.door.close()
+                self.control_listener.close()
                 self.followers.close()
         if self.failed is not None and not self.section.standby:
             raise self.failed
@@ -269,7 +269,7 @@
         """Accepts followers from now on, and instances once `door.use` was called. Raises AgentError."""
         self.bind()
         self.followers.agent = self.addresses()[1]
-        await self.door.listen(self.sockets[0].dup())
+        await self.control_listener.listen(self.sockets[0].dup())
 
     def addresses(self) -> tuple[str, str]:
         """Addresses of the API and the control listener, for other agents; empty before the sockets are bound."""
@@ -365,12 +365,12 @@
         server = _Server(uvicorn.Config(api.app, log_level="warning", access_log=False, lifespan="off",
                                         timeout_keep_alive=30, timeout_graceful_shutdown=2, ws="none"))
         await self.listen()
-        self.door.set_instance_connections(links)
+        self.control_listener.set_instance_connections(links)
         http = asyncio.create_task(server.serve(sockets=[self.sockets[1].dup()]))
         try:
             yield api
         finally:
-            self.door.set_instance_connections(None)
+            self.control_listener.set_instance_connections(None)
             api.ending.set()
             server.should_exit = True
             await http
