--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -73,7 +73,7 @@
         self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = FollowerConnections(self.replica.serving, self.admits, self.replica.age_s, self.log)
         self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
-        self.can_serve = False  # a snapshot file was loaded, which can be served before the store was ever reached
+        self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
         self.replica.leads = self.followers.leads = self.leads
         self.followers.leader = self.leader
@@ -175,7 +175,7 @@
         token = read_secret(self.section.token_file) if self.section.token_file is not None else ""
         with self.alone(), contextlib.ExitStack() as ends:
             ends.callback(self.close_sockets)
-            self.can_serve = await asyncio.to_thread(self.replica.load)
+            self.has_snapshot = await asyncio.to_thread(self.replica.load)
             self.tokens = [TokenRow(token.name, token.role, token.digest, token.created_ms, token.revoked_ms)
                            for token in self.replica.tokens]
             steps: list[Callable[[], Awaitable[None]]] = [self.replica.poll, self.replica.save_if_due, self.followers.send_due_updates]
@@ -243,7 +243,7 @@
     def may_wait(self) -> bool:
         """Whether the agent keeps running without the store: another agent may lead meanwhile, and this one serves its
         replica of the published versions."""
-        return self.section.standby and (self.ready.is_set() or self.can_serve)
+        return self.section.standby and (self.ready.is_set() or self.has_snapshot)
 
     @staticmethod
     async def relay(stop: asyncio.Event, over: asyncio.Event) -> None:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -262,7 +262,7 @@
         await publish(first)
         await saved(folder / "a1", 1)
         assert (folder / "a1" / "versions.snapshot").stat().st_mode & 0o777 == 0o600
-        assert second.can_serve is False
+        assert second.has_snapshot is False
 
 
 def test_one_that_starts_without_the_record_serves_its_snapshot_and_catches_up(tmp_path: Path,
