--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -93,7 +93,7 @@
         logs.write_line(f"{time.strftime('%H:%M:%S')} agent: {text}")
 
     @contextlib.contextmanager
-    def alone(self) -> Iterator[None]:
+    def data_folder_lock(self) -> Iterator[None]:
         """Holds the lock on the data folder: two agents on one store would send commands unknown to each other."""
         try:
             self.data.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -173,7 +173,7 @@
         """Runs until `stop`. An agent configured with `standby` may lead and stand by several times; another one exits
         when its term ends. Raises AgentError, StoreError or OperatorFileError if it can't start."""
         token = read_secret(self.section.token_file) if self.section.token_file is not None else ""
-        with self.alone(), contextlib.ExitStack() as ends:
+        with self.data_folder_lock(), contextlib.ExitStack() as ends:
             ends.callback(self.close_sockets)
             self.has_snapshot = await asyncio.to_thread(self.replica.load)
             self.tokens = [TokenRow(token.name, token.role, token.digest, token.created_ms, token.revoked_ms)
