--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -112,7 +112,7 @@
             lock.flush()
             yield
 
-    async def first_tokens(self, store: Store) -> None:
+    async def ensure_tokens(self, store: Store) -> None:
         """On the first start, makes one token for operators and one for instances, each in its own file."""
         now_ms = self.now_ms()
         known = {row.name for row in await store.read(lambda records: records.tokens())}
@@ -380,7 +380,7 @@
 
     async def run_on(self, store: Store, over: asyncio.Event, stop_instances: bool) -> None:
         section = self.section
-        await self.first_tokens(store)
+        await self.ensure_tokens(store)
         self.fleet = fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000),
                                    section.most_instances, self.now_ms, ROUND_MS if section.standby else BACK_MS)
         self.engine = engine = Engine(store, fleet, self.now_ms, self.log, section.budgets)
