--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -71,7 +71,7 @@
         self.failed: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
-        self.followers = FollowerConnections(self.replica.serving, self.admits, self.replica.age_s, self.log)
+        self.followers = FollowerConnections(self.replica.serving, self.is_instance_token, self.replica.age_s, self.log)
         self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
@@ -147,7 +147,7 @@
         row = tokens.find(token, self.tokens)
         return Caller(row.name, row.role) if row is not None else None
 
-    def admits(self, token: str) -> bool:
+    def is_instance_token(self, token: str) -> bool:
         caller = self.authenticate(token)
         return caller is not None and caller.role == "instance"
 
@@ -328,7 +328,7 @@
 
     def make_links(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
         engine.publisher.on_published, engine.publisher.served = self.replica.on_published, self.followers
-        links = InstanceConnections(fleet, self.admits, engine.on_result, self.log)
+        links = InstanceConnections(fleet, self.is_instance_token, engine.on_result, self.log)
         links.on_denied = self.on_denied
         links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
         links.leader = lambda: engine.leader.control if engine.leader is not None else ""
