--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -188,7 +188,7 @@
                         self.log(self.replica.loaded_text)
                     await self.listen()
                 while not stop.is_set():
-                    await self.one_turn(stop, stop_instances)
+                    await self.run_term(stop, stop_instances)
                     if not self.section.standby:
                         break
             finally:
@@ -200,7 +200,7 @@
         if self.failed is not None and not self.section.standby:
             raise self.failed
 
-    async def one_turn(self, stop: asyncio.Event, stop_instances: bool) -> None:
+    async def run_term(self, stop: asyncio.Event, stop_instances: bool) -> None:
         """Opens the store and runs one term: until the term ends or `stop` is set."""
         over, self.failed = asyncio.Event(), None
         relay = asyncio.create_task(self.relay(stop, over))
