--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -214,7 +214,7 @@
             store = await open_store(self.section, self.data, lost, self.log, self.addresses())
         except StoreError as error:
             relay.cancel()
-            if not self.may_wait():
+            if not self.can_run_without_store():
                 raise
             self.log(f"waits: {error}")
             self.started()
@@ -228,7 +228,7 @@
                     await store.release_ownership()
         except StoreError as error:
             # The term ended as it began, so the agent stands by again.
-            if not self.may_wait():
+            if not self.can_run_without_store():
                 raise
             self.log(f"waits: {error}")
             self.started()
@@ -240,7 +240,7 @@
             # In a thread, as closing a store that doesn't answer may block.
             await asyncio.to_thread(store.close)
 
-    def may_wait(self) -> bool:
+    def can_run_without_store(self) -> bool:
         """Whether the agent keeps running without the store: another agent may lead meanwhile, and this one serves its
         replica of the published versions."""
         return self.section.standby and (self.ready.is_set() or self.has_snapshot)
