--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -222,7 +222,7 @@
             return
         self.replica.attach(store)
         try:
-            if not self.section.standby or await self.follow(store, over):
+            if not self.section.standby or await self.stand_by(store, over):
                 await self.run_on(store, over, stop_instances)
                 if over.is_set() and self.failed is None:
                     await store.release_ownership()
@@ -284,7 +284,7 @@
 
     # While another agent leads
 
-    async def follow(self, store: Store, over: asyncio.Event) -> bool:
+    async def stand_by(self, store: Store, over: asyncio.Event) -> bool:
         """Stands by: serves reads from the store, redirects instances to the leading agent, and claims the store once
         the leader's lease has expired. Returns True after a successful claim, False if `over` was set."""
         section = self.section
