--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -223,7 +223,7 @@
         self.replica.attach(store)
         try:
             if not self.section.standby or await self.stand_by(store, over):
-                await self.run_on(store, over, stop_instances)
+                await self.lead(store, over, stop_instances)
                 if over.is_set() and self.failed is None:
                     await store.release_ownership()
         except StoreError as error:
@@ -378,7 +378,7 @@
 
     # While this agent leads
 
-    async def run_on(self, store: Store, over: asyncio.Event, stop_instances: bool) -> None:
+    async def lead(self, store: Store, over: asyncio.Event, stop_instances: bool) -> None:
         section = self.section
         await self.ensure_tokens(store)
         self.fleet = fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000),
