--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -217,7 +217,7 @@
             if not self.can_run_without_store():
                 raise
             self.log(f"waits: {error}")
-            self.started()
+            self.mark_ready()
             await asyncio.sleep(STORE_RETRY_S)
             return
         self.replica.attach(store)
@@ -231,7 +231,7 @@
             if not self.can_run_without_store():
                 raise
             self.log(f"waits: {error}")
-            self.started()
+            self.mark_ready()
             await asyncio.sleep(STORE_RETRY_S)
         finally:
             relay.cancel()
@@ -317,7 +317,7 @@
                     if ("SQLITE_BUSY" in str(error) or error.code != "LOCKED") and str(error) != said:
                         said = str(error)
                         self.log(f"waits: {error}")
-                self.started()
+                self.mark_ready()
                 left_s = engine.leader.left_ms / 1000
                 # All standby agents see the same end of the lease; jitter lets each retry at a different time after it.
                 wait_s = min(poll_s, left_s) * (0.8 + 0.4 * random.random()) + 0.005 if left_s else poll_s / 4
@@ -334,7 +334,7 @@
         links.leader = lambda: engine.leader.control if engine.leader is not None else ""
         return links
 
-    def started(self) -> None:
+    def mark_ready(self) -> None:
         if not self.ready.is_set():
             self.write_addresses()
             section = self.section
@@ -395,7 +395,7 @@
             parts = [group.create_task(engine.run()), group.create_task(supervisor.run()),
                      group.create_task(self.watch_term(engine, links))]
             async with self.serving(engine, links):
-                self.started()
+                self.mark_ready()
                 self.leading.set()
                 await over.wait()
                 self.log("shutting down")
