--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -75,13 +75,13 @@
         self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
-        self.replica.leads = self.followers.leads = self.leads
+        self.replica.leads = self.followers.leads = self.is_leading
         self.followers.leader = self.leader
 
     def now_ms(self) -> int:
         return self.clock.now_us() // 1000
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         return self.leading.is_set()
 
     def leader(self) -> str:
