--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -76,7 +76,7 @@
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
         self.replica.leads = self.followers.leads = self.is_leading
-        self.followers.leader = self.leader
+        self.followers.leader = self.leader_control
 
     def now_ms(self) -> int:
         return self.clock.now_us() // 1000
@@ -84,7 +84,7 @@
     def is_leading(self) -> bool:
         return self.leading.is_set()
 
-    def leader(self) -> str:
+    def leader_control(self) -> str:
         """HOST:PORT of the control listener of the leading agent; empty if this agent leads or no leader is known."""
         engine = getattr(self, "engine", None)
         return engine.leader.control if engine is not None and engine.leader is not None else ""
