--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -292,7 +292,7 @@
         fleet = Fleet(int(section.lease_s * 1000), int(section.heartbeat_s * 1000), section.most_instances, self.now_ms)
         self.engine = engine = Engine(store, fleet, self.now_ms, self.log, section.budgets)
         engine.leader = Owner(0, "", "", 0)
-        links = self.make_links(fleet, engine)
+        links = self.make_connections(fleet, engine)
         said = ""
         # Without the store's tokens every instance would be denied for its token, and would wait long to retry.
         await self.reload_tokens(store)
@@ -326,7 +326,7 @@
                         await over.wait()
         return False
 
-    def make_links(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
+    def make_connections(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
         engine.publisher.on_published, engine.publisher.served = self.replica.on_published, self.followers
         links = InstanceConnections(fleet, self.is_instance_token, engine.on_result, self.log)
         links.on_denied = self.on_denied
@@ -386,7 +386,7 @@
         self.engine = engine = Engine(store, fleet, self.now_ms, self.log, section.budgets)
         await engine.load()
         self.bind()
-        links = self.make_links(fleet, engine)
+        links = self.make_connections(fleet, engine)
         self.supervisor = supervisor = Supervisor(
             section.services, self.data, (section.control[0], self.control_port), self.data / f"{INSTANCE}.token",
             fleet, engine.overlays.get, self.log)
