--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -37,7 +37,7 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-MODERN, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
+GRAPHQL_RESPONSE_JSON, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
 PING_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
@@ -54,7 +54,7 @@
 def acceptable(header: str | None) -> str:
     """Chooses the media type of the answer by the client's `Accept` header. Raises HttpError."""
     if not header or not header.strip():
-        return MODERN
+        return GRAPHQL_RESPONSE_JSON
     wanted: list[tuple[float, int, str]] = []
     for place, part in enumerate(header.split(",")):
         name, *parameters = (piece.strip().lower() for piece in part.split(";"))
@@ -69,13 +69,13 @@
     for quality, _, name in sorted(wanted):
         if quality == 0.0:
             continue
-        if name in (MODERN, LEGACY, STREAM):
+        if name in (GRAPHQL_RESPONSE_JSON, LEGACY, STREAM):
             return name
         if name in ("*/*", "application/*"):
-            return MODERN
+            return GRAPHQL_RESPONSE_JSON
         if name == "text/*":
             return STREAM
-    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {MODERN}, {LEGACY} or {STREAM}, got {header[:80]!r}")
+    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {LEGACY} or {STREAM}, got {header[:80]!r}")
 
 
 def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
@@ -107,7 +107,7 @@
                                                                                "DELETE", "PATCH"])])
 
     async def endpoint(self, request: Request) -> Response:
-        media = MODERN
+        media = GRAPHQL_RESPONSE_JSON
         try:
             if request.method not in ("GET", "POST"):
                 raise HttpError(405, "METHOD", f"expected GET or POST, got {request.method}", {"Allow": "GET, POST"})
@@ -211,14 +211,14 @@
         body = {"errors": [problem(error, self.log) for error in errors]}
         if media == STREAM:
             return JSONResponse(body, 400)
-        return JSONResponse(body, 400 if media == MODERN else 200, media_type=media)
+        return JSONResponse(body, 400 if media == GRAPHQL_RESPONSE_JSON else 200, media_type=media)
 
     def result(self, media: str, done: ExecutionResult) -> Response:
         body = self.payload(done)
         if media == STREAM:
             return StreamingResponse(self.single(body), media_type=STREAM)
         status = 200
-        if media == MODERN and done.data is None and done.errors:
+        if media == GRAPHQL_RESPONSE_JSON and done.data is None and done.errors:
             status = 200 if "data" in body else 400
         return JSONResponse(body, status, media_type=media)
 
