--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -37,7 +37,7 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-GRAPHQL_RESPONSE_JSON, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
+GRAPHQL_RESPONSE_JSON, PLAIN_JSON, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
 PING_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
@@ -69,13 +69,13 @@
     for quality, _, name in sorted(wanted):
         if quality == 0.0:
             continue
-        if name in (GRAPHQL_RESPONSE_JSON, LEGACY, STREAM):
+        if name in (GRAPHQL_RESPONSE_JSON, PLAIN_JSON, STREAM):
             return name
         if name in ("*/*", "application/*"):
             return GRAPHQL_RESPONSE_JSON
         if name == "text/*":
             return STREAM
-    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {LEGACY} or {STREAM}, got {header[:80]!r}")
+    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {STREAM}, got {header[:80]!r}")
 
 
 def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
@@ -118,7 +118,7 @@
         except HttpError as error:
             body = {"errors": [{"message": str(error), "extensions": {"code": error.code}}]}
             return JSONResponse(body, error.status, error.headers,
-                                media_type=LEGACY if media == STREAM else media)
+                                media_type=PLAIN_JSON if media == STREAM else media)
         except ClientDisconnect:
             return Response(status_code=499)
 
