--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -37,7 +37,7 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-GRAPHQL_RESPONSE_JSON, PLAIN_JSON, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
+GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
 PING_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
@@ -69,13 +69,13 @@
     for quality, _, name in sorted(wanted):
         if quality == 0.0:
             continue
-        if name in (GRAPHQL_RESPONSE_JSON, PLAIN_JSON, STREAM):
+        if name in (GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM):
             return name
         if name in ("*/*", "application/*"):
             return GRAPHQL_RESPONSE_JSON
         if name == "text/*":
-            return STREAM
-    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {STREAM}, got {header[:80]!r}")
+            return EVENT_STREAM
+    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {EVENT_STREAM}, got {header[:80]!r}")
 
 
 def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
@@ -118,7 +118,7 @@
         except HttpError as error:
             body = {"errors": [{"message": str(error), "extensions": {"code": error.code}}]}
             return JSONResponse(body, error.status, error.headers,
-                                media_type=PLAIN_JSON if media == STREAM else media)
+                                media_type=PLAIN_JSON if media == EVENT_STREAM else media)
         except ClientDisconnect:
             return Response(status_code=499)
 
@@ -187,8 +187,8 @@
         if request.method == "GET" and operation.operation is OperationType.MUTATION:
             raise HttpError(405, "METHOD", "expected POST for a mutation, got GET", {"Allow": "POST"})
         if operation.operation is OperationType.SUBSCRIPTION:
-            if media != STREAM:
-                raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {STREAM} for a subscription, got {media}")
+            if media != EVENT_STREAM:
+                raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {EVENT_STREAM} for a subscription, got {media}")
             return await self.stream(document, operation, variables, caller)
         result = execute(self.schema, document, context_value=self.context(caller), variable_values=variables,
                          operation_name=name)
@@ -209,14 +209,14 @@
     def failed(self, media: str, errors: list[GraphQLError]) -> Response:
         """The response to a request that was not executed, without data. Legacy clients get status 200 with it."""
         body = {"errors": [problem(error, self.log) for error in errors]}
-        if media == STREAM:
+        if media == EVENT_STREAM:
             return JSONResponse(body, 400)
         return JSONResponse(body, 400 if media == GRAPHQL_RESPONSE_JSON else 200, media_type=media)
 
     def result(self, media: str, done: ExecutionResult) -> Response:
         body = self.payload(done)
-        if media == STREAM:
-            return StreamingResponse(self.single(body), media_type=STREAM)
+        if media == EVENT_STREAM:
+            return StreamingResponse(self.single(body), media_type=EVENT_STREAM)
         status = 200
         if media == GRAPHQL_RESPONSE_JSON and done.data is None and done.errors:
             status = 200 if "data" in body else 400
@@ -247,8 +247,8 @@
                            operation_name=name)
         found: Any = await source if isinstance(source, Awaitable) else source
         if isinstance(found, ExecutionResult):
-            return self.failed(STREAM, list(found.errors or []))
-        return StreamingResponse(self.events(found, caller), media_type=STREAM,
+            return self.failed(EVENT_STREAM, list(found.errors or []))
+        return StreamingResponse(self.events(found, caller), media_type=EVENT_STREAM,
                                  headers={"Cache-Control": "no-store", "X-Accel-Buffering": "no"})
 
     async def events(self, results: Any, caller: Caller) -> AsyncIterator[bytes]:
