--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -38,7 +38,7 @@
 from ironscale.agent.store import StoreError
 
 GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
-PING_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
+PING_INTERVAL_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
 
@@ -260,7 +260,7 @@
             yield b": open\n\n"
             while True:
                 pending = pending or asyncio.ensure_future(anext(results))
-                await asyncio.wait({pending, ending}, timeout=PING_S, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({pending, ending}, timeout=PING_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
                 if ending.done():
                     yield self.event("complete", None)
                     return
