--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -51,7 +51,7 @@
         self.status, self.code, self.headers = status, code, headers or {}
 
 
-def acceptable(header: str | None) -> str:
+def negotiate_media_type(header: str | None) -> str:
     """Chooses the media type of the answer by the client's `Accept` header. Raises HttpError."""
     if not header or not header.strip():
         return GRAPHQL_RESPONSE_JSON
@@ -111,7 +111,7 @@
         try:
             if request.method not in ("GET", "POST"):
                 raise HttpError(405, "METHOD", f"expected GET or POST, got {request.method}", {"Allow": "GET, POST"})
-            media = acceptable(request.headers.get("accept"))
+            media = negotiate_media_type(request.headers.get("accept"))
             caller = self.caller(request)
             query, variables, name = await self.parameters(request)
             return await self.answer(request, media, caller, query, variables, name)
--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -12,7 +12,7 @@
 from graphql import build_schema, parse, print_schema, validate
 
 from ironscale.agent import limits
-from ironscale.agent.api import HttpError, acceptable
+from ironscale.agent.api import HttpError, negotiate_media_type
 from ironscale.agent.model import Kind
 from ironscale.agent.schema import make_schema
 from ironscale.agent.selectors import SelectorError, matches
@@ -38,10 +38,10 @@
 def test_the_answer_has_the_type_that_the_client_accepts(header: str | None, expected: str | None) -> None:
     if expected is None:
         with pytest.raises(HttpError) as found:
-            acceptable(header)
+            negotiate_media_type(header)
         assert found.value.status == 406
     else:
-        assert acceptable(header) == expected
+        assert negotiate_media_type(header) == expected
 
 
 Case = tuple[dict[str, Any], int, str]
