--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -78,7 +78,7 @@
     raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {EVENT_STREAM}, got {header[:80]!r}")
 
 
-def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
+def format_error(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
     """Formats an error for clients: with a stable code, and without internal details."""
     cause = error.original_error
     if isinstance(cause, StoreError):
@@ -208,7 +208,7 @@
 
     def failed(self, media: str, errors: list[GraphQLError]) -> Response:
         """The response to a request that was not executed, without data. Legacy clients get status 200 with it."""
-        body = {"errors": [problem(error, self.log) for error in errors]}
+        body = {"errors": [format_error(error, self.log) for error in errors]}
         if media == EVENT_STREAM:
             return JSONResponse(body, 400)
         return JSONResponse(body, 400 if media == GRAPHQL_RESPONSE_JSON else 200, media_type=media)
@@ -225,7 +225,7 @@
     def payload(self, done: ExecutionResult) -> dict[str, Any]:
         body: dict[str, Any] = {}
         if done.errors:
-            body["errors"] = [problem(error, self.log) for error in done.errors]
+            body["errors"] = [format_error(error, self.log) for error in done.errors]
         # Variables that don't match their types are found before execution; the response then has no data entry.
         if done.data is not None or not done.errors or any(error.path for error in done.errors):
             body["data"] = done.data
@@ -274,7 +274,7 @@
                     yield self.event("complete", None)
                     return
                 except GraphQLError as error:
-                    yield self.event("next", {"errors": [problem(error, self.log)]})
+                    yield self.event("next", {"errors": [format_error(error, self.log)]})
                     yield self.event("complete", None)
                     return
         finally:
