--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -32,7 +32,7 @@
 from ironscale.versions.model import MAX_NAME, Labels, Scope, ScopeError, read_scope
 from ironscale.versions.publishing import Draft
 
-MOST_KEY = 200
+MAX_TEXT_LENGTH = 200
 MOST_VERSIONS = 100  # per page, as each has an overlay of up to 24 KB
 MOST_INT = 2**31 - 1  # the largest value of GraphQL's Int
 WATCH_GAP_S = 0.5
@@ -440,8 +440,8 @@
 
 def key_of(given: dict[str, Any]) -> str:
     key: str = given.get("idempotencyKey") or ""
-    if len(key) > MOST_KEY:
-        raise error("BAD_INPUT", f"idempotencyKey: expected {MOST_KEY} characters at most, got {len(key)}")
+    if len(key) > MAX_TEXT_LENGTH:
+        raise error("BAD_INPUT", f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
     return key
 
 
@@ -498,8 +498,8 @@
 
 async def m_halt(root: Any, info: Any, reason: str) -> dict[str, Any] | None:
     context = need(info, "operate")
-    if not reason.isprintable() or len(reason) > MOST_KEY:
-        raise error("BAD_INPUT", f"reason: expected a line of {MOST_KEY} characters at most, got {reason!r:.60}")
+    if not reason.isprintable() or len(reason) > MAX_TEXT_LENGTH:
+        raise error("BAD_INPUT", f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
     return halt_object(await context.engine.permits.set_halt(context.caller.name, reason))
 
 
