--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -33,7 +33,7 @@
 from ironscale.versions.publishing import Draft
 
 MAX_TEXT_LENGTH = 200
-MOST_VERSIONS = 100  # per page, as each has an overlay of up to 24 KB
+MAX_VERSIONS_PAGE = 100  # per page, as each has an overlay of up to 24 KB
 MOST_INT = 2**31 - 1  # the largest value of GraphQL's Int
 WATCH_GAP_S = 0.5
 
@@ -369,8 +369,8 @@
 
 async def q_versions(root: Any, info: Any, scope: str, first: int, after: str | None = None) -> dict[str, Any]:
     engine, before = need(info, "read").engine, uncursor_number(after) or 2**62
-    if not 0 <= first <= MOST_VERSIONS:
-        raise error("BAD_INPUT", f"first: expected 0 to {MOST_VERSIONS}, got {first}")
+    if not 0 <= first <= MAX_VERSIONS_PAGE:
+        raise error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
     wanted = scope_of(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
