--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -34,7 +34,7 @@
 
 MAX_TEXT_LENGTH = 200
 MAX_VERSIONS_PAGE = 100  # per page, as each has an overlay of up to 24 KB
-MOST_INT = 2**31 - 1  # the largest value of GraphQL's Int
+MAX_GRAPHQL_INT = 2**31 - 1  # the largest value of GraphQL's Int
 WATCH_GAP_S = 0.5
 
 
@@ -401,8 +401,8 @@
     with contextlib.suppress(StoreError):  # callers may ask just because the store is unreachable
         position = await engine.store.read(lambda records: records.version_position())
     return {"position": position, "agents": [{
-        "agent": one.agent, "known": one.known, "heardMs": min(one.heard_ms, MOST_INT),
-        "position": one.summary.position, "ageMs": min(one.age_ms, MOST_INT), "instances": one.summary.followers,
+        "agent": one.agent, "known": one.known, "heardMs": min(one.heard_ms, MAX_GRAPHQL_INT),
+        "position": one.summary.position, "ageMs": min(one.age_ms, MAX_GRAPHQL_INT), "instances": one.summary.followers,
         "positions": [{"position": at, "instances": count} for at, count in one.summary.counts],
         "differing": [{"name": d.name, "running": d.running, "status": d.status, "detail": d.detail}
                       for d in one.summary.differing],
