--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -35,7 +35,7 @@
 MAX_TEXT_LENGTH = 200
 MAX_VERSIONS_PAGE = 100  # per page, as each has an overlay of up to 24 KB
 MAX_GRAPHQL_INT = 2**31 - 1  # the largest value of GraphQL's Int
-WATCH_GAP_S = 0.5
+MIN_UPDATE_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -586,7 +586,7 @@
             yield None
             start_s = time.monotonic()
             await watcher.wait()
-            await asyncio.sleep(max(0.0, WATCH_GAP_S - (time.monotonic() - start_s)))
+            await asyncio.sleep(max(0.0, MIN_UPDATE_INTERVAL_S - (time.monotonic() - start_s)))
     finally:
         engine.watchers.discard(watcher)
 
