--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -64,7 +64,7 @@
     return GraphQLError(text, extensions={"code": code, **details})
 
 
-def need(info: Any, role: str) -> Context:
+def require_role(info: Any, role: str) -> Context:
     context: Context = info.context
     if not secrets_.may(context.caller.role, role):
         raise error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
@@ -210,12 +210,12 @@
 
 
 async def q_me(root: Any, info: Any) -> dict[str, Any]:
-    caller = need(info, "read").caller
+    caller = require_role(info, "read").caller
     return {"name": caller.name, "role": caller.role.upper()}
 
 
 async def q_fleet(root: Any, info: Any) -> dict[str, Any]:
-    context = need(info, "read")
+    context = require_role(info, "read")
     engine = context.engine
     generation = await engine.store.read(lambda records: records.current_generation())
     states: Counter[str] = Counter()
@@ -253,23 +253,23 @@
 
 
 async def q_instances(root: Any, info: Any, selector: str, first: int, after: str | None = None) -> dict[str, Any]:
-    return instances_page(need(info, "read").engine, selector, first, after)
+    return instances_page(require_role(info, "read").engine, selector, first, after)
 
 
 async def q_instance(root: Any, info: Any, name: str) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     return instance_object(engine, name) if name in engine.fleet.members else None
 
 
 async def q_operation(root: Any, info: Any, id: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.find(id)
     return operation_object(engine, *found) if found is not None else None
 
 
 async def q_operations(root: Any, info: Any, first: int, openOnly: bool,  # noqa: N803
                        after: str | None = None) -> dict[str, Any]:
-    engine, size = need(info, "read").engine, page_size(first)
+    engine, size = require_role(info, "read").engine, page_size(first)
     before = uncursor_number(after) or 2**62
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
     ops = [engine.live[op.id].op if op.id in engine.live else op for op in ops]
@@ -279,7 +279,7 @@
 
 
 async def q_configuration(root: Any, info: Any, generation: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.store.read(lambda records: records.configuration(generation))
     if found is None:
         return None
@@ -288,7 +288,7 @@
 
 
 async def q_plan(root: Any, info: Any, overlay: Any, selector: str) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     overlay = overlay_object(overlay)
     names = names_matching(engine, selector)
     current = await engine.store.read(lambda records: records.configuration(records.current_generation()))
@@ -298,14 +298,14 @@
 
 
 async def q_events(root: Any, info: Any, first: int, after: str | None = None) -> dict[str, Any]:
-    engine, size = need(info, "read").engine, page_size(first)
+    engine, size = require_role(info, "read").engine, page_size(first)
     found = await engine.events(uncursor_number(after), size + 1)
     page = found[:size]
     return connection([event_object(e) for e in page], [cursor(e.id) for e in page], len(found) > size)
 
 
 async def q_tokens(root: Any, info: Any) -> list[dict[str, Any]]:
-    engine = need(info, "admin").engine
+    engine = require_role(info, "admin").engine
     return [token_object(row) for row in await engine.store.read(lambda records: records.tokens())]
 
 
@@ -328,7 +328,7 @@
 
 
 async def q_budgets(root: Any, info: Any) -> list[dict[str, Any]]:
-    ledger = need(info, "read").engine.permits.ledger
+    ledger = require_role(info, "read").engine.permits.ledger
     found = []
     for cell in ledger.all_cells():
         number, weight = cell.most(), cell.budget.capacity
@@ -341,7 +341,7 @@
 
 
 async def q_permits(root: Any, info: Any, all: bool) -> list[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     ended = await engine.store.read(lambda records: records.permits()) if all else []
     known = engine.permits.ledger.permits
     found = {p.id: p for p in ended} | known
@@ -349,7 +349,7 @@
 
 
 async def q_permit(root: Any, info: Any, id: int) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     return permit_object(engine, await engine.permits.find(id))
 
 
@@ -368,7 +368,7 @@
 
 
 async def q_versions(root: Any, info: Any, scope: str, first: int, after: str | None = None) -> dict[str, Any]:
-    engine, before = need(info, "read").engine, uncursor_number(after) or 2**62
+    engine, before = require_role(info, "read").engine, uncursor_number(after) or 2**62
     if not 0 <= first <= MAX_VERSIONS_PAGE:
         raise error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
     wanted = scope_of(scope) if scope else None
@@ -378,14 +378,14 @@
 
 
 async def q_version(root: Any, info: Any, number: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.store.read(lambda records: records.version(number))
     return version_object(found) if found is not None else None
 
 
 async def q_configuration_of(root: Any, info: Any, instance: str, service: str, zone: str, region: str
                              ) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
         if len(value) > MAX_NAME or not value.isprintable():
             raise error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
@@ -395,7 +395,7 @@
 
 
 async def q_served(root: Any, info: Any) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     served = engine.publisher.served
     position: int | None = None
     with contextlib.suppress(StoreError):  # callers may ask just because the store is unreachable
@@ -446,7 +446,7 @@
 
 
 async def begin(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     engine, key = context.engine, key_of(given)
     names = names_matching(engine, given.get("selector") or "")
     op, _ = await engine.begin(context.caller.name, kind, names, read_policy(given.get("policy")), key=key,
@@ -471,7 +471,7 @@
 
 def controller(action: str) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, operation: int, urgent: bool = False) -> dict[str, Any]:
-        context = need(info, "operate")
+        context = require_role(info, "operate")
         op = await context.engine.control(context.caller.name, operation, action, urgent)
         return operation_object(context.engine, op)
 
@@ -479,7 +479,7 @@
 
 
 async def m_take_permit(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     permits = context.engine.permits
     return permit_object(context.engine, await permits.take(
         context.caller.name, input["key"], input["units"], input["reason"] or "", input["priority"] or 0,
@@ -487,29 +487,29 @@
 
 
 async def m_renew_permit(root: Any, info: Any, id: int) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return permit_object(context.engine, await context.engine.permits.renew(context.caller.name, id))
 
 
 async def m_give_back_permit(root: Any, info: Any, id: int, force: bool) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return permit_object(context.engine, await context.engine.permits.give_back(context.caller.name, id, force))
 
 
 async def m_halt(root: Any, info: Any, reason: str) -> dict[str, Any] | None:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     if not reason.isprintable() or len(reason) > MAX_TEXT_LENGTH:
         raise error("BAD_INPUT", f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
     return halt_object(await context.engine.permits.set_halt(context.caller.name, reason))
 
 
 async def m_lift_halt(root: Any, info: Any) -> dict[str, Any] | None:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return halt_object(await context.engine.permits.lift_halt(context.caller.name))
 
 
 async def m_publish(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     if "overlay" not in input:
         raise error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
@@ -519,19 +519,19 @@
 
 
 async def m_restore_version(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return version_object((await context.engine.publisher.restore(
         context.caller.name, input["version"], input["base"], key_of(input), input.get("note") or ""))[0])
 
 
 async def m_forget(root: Any, info: Any, name: str, ended: bool) -> bool:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     await context.engine.forget(context.caller.name, name, ended)
     return True
 
 
 async def m_create_token(root: Any, info: Any, name: str, role: str) -> dict[str, Any]:
-    context = need(info, "admin")
+    context = require_role(info, "admin")
     if not 0 < len(name) <= 64 or not name.isprintable():
         raise error("BAD_INPUT", f"name: expected 1 to 64 printable characters, got {name!r:.80}")
     secret, now_ms = secrets_.new_token(), context.engine.now_ms()
@@ -549,7 +549,7 @@
 
 
 async def m_revoke_token(root: Any, info: Any, name: str) -> dict[str, Any]:
-    context = need(info, "admin")
+    context = require_role(info, "admin")
     now_ms = context.engine.now_ms()
 
     def work(records: Records) -> TokenRow:
@@ -592,7 +592,7 @@
 
 
 async def s_operation(root: Any, info: Any, id: int) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     before: tuple[Any, ...] | None = None
     async for _ in changes(engine):
         found = await engine.find(id)
@@ -608,13 +608,13 @@
 
 async def s_instances(root: Any, info: Any, selector: str, first: int,
                       after: str | None = None) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     async for _ in changes(engine):
         yield {"instances": instances_page(engine, selector, first, after)}
 
 
 async def s_events(root: Any, info: Any, after: str | None = None) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     last = uncursor_number(after)
     if not after:
         last = await engine.store.read(lambda records: records.last_event())
