--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -75,7 +75,7 @@
     return context
 
 
-def iso(ms: int) -> str | None:
+def iso_time(ms: int) -> str | None:
     return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds") if ms else None
 
 
@@ -146,15 +146,15 @@
 
     return {
         "name": name, "state": enum_name(state_of(seen)), "zone": row.zone, "version": row.version,
-        "listen": row.listen, "pid": row.pid, "boot": row.boot, "startedAt": iso(row.started_ms),
-        "lastHeard": iso(row.heard_ms), "connected": seen.connected, "generation": row.generation,
+        "listen": row.listen, "pid": row.pid, "boot": row.boot, "startedAt": iso_time(row.started_ms),
+        "lastHeard": iso_time(row.heard_ms), "connected": seen.connected, "generation": row.generation,
         "desiredGeneration": row.desired, "ended": row.ended, "supervised": seen.supervised,
         "report": report_object(member.report) if member.report is not None else None, "inspect": inspect,
     }
 
 
 def target_object(target: Target) -> dict[str, Any]:
-    return {"name": target.name, "state": target.state.name, "detail": target.detail, "since": iso(target.since_ms),
+    return {"name": target.name, "state": target.state.name, "detail": target.detail, "since": iso_time(target.since_ms),
             "boot": target.boot, "tries": target.tries, "fromGeneration": target.from_generation}
 
 
@@ -183,7 +183,7 @@
     return {
         "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN, "actor": op.actor,
         "note": op.note, "stalled": (live.stalled or live.waits) if live else "", "generation": op.generation,
-        "fence": op.fence, "createdAt": iso(op.created_ms), "endedAt": iso(op.ended_ms),
+        "fence": op.fence, "createdAt": iso_time(op.created_ms), "endedAt": iso_time(op.ended_ms),
         "policy": {"wave": p.wave, "maxUnavailable": p.max_unavailable, "maxFailures": p.max_failures,
                    "onFailure": p.on_failure.upper(), "answerMs": p.answer_ms, "tries": p.tries,
                    "priority": p.priority, "urgent": p.urgent},
@@ -192,13 +192,13 @@
 
 
 def event_object(event: Event) -> dict[str, Any]:
-    return {"id": event.id, "cursor": cursor(event.id), "at": iso(event.at_ms), "actor": event.actor,
+    return {"id": event.id, "cursor": cursor(event.id), "at": iso_time(event.at_ms), "actor": event.actor,
             "action": event.action, "subject": event.subject, "result": event.result, "detail": event.detail}
 
 
 def token_object(row: TokenRow) -> dict[str, Any]:
-    return {"name": row.name, "role": row.role.upper(), "createdAt": iso(row.created_ms),
-            "revokedAt": iso(row.revoked_ms)}
+    return {"name": row.name, "role": row.role.upper(), "createdAt": iso_time(row.created_ms),
+            "revokedAt": iso_time(row.revoked_ms)}
 
 
 # Queries
@@ -229,7 +229,7 @@
         "generation": generation, "instances": len(engine.fleet.members), "ready": states["ready"],
         "draining": states["draining"] + states["drained"], "silent": states["silent"], "gone": states["gone"],
         "behind": behind, "openOperations": len(engine.live), "version": context.version,
-        "startedAt": iso(context.started_ms), "registrations": engine.fleet.registrations,
+        "startedAt": iso_time(context.started_ms), "registrations": engine.fleet.registrations,
         "heartbeats": engine.fleet.beats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
         "leader": engine.leader.api if engine.leader is not None else "",
@@ -284,7 +284,7 @@
     if found is None:
         return None
     return {"generation": found.generation, "overlay": found.overlay, "actor": found.actor,
-            "at": iso(found.at_ms), "operation": found.operation}
+            "at": iso_time(found.at_ms), "operation": found.operation}
 
 
 async def q_plan(root: Any, info: Any, overlay: Any, selector: str) -> dict[str, Any]:
@@ -310,8 +310,8 @@
 
 
 def halt_object(halt: Halt | None) -> dict[str, Any] | None:
-    return None if halt is None else {"actor": halt.actor, "reason": halt.reason, "at": iso(halt.at_ms),
-                                      "liftedAt": iso(halt.lifted_ms), "liftedBy": halt.lifted_by}
+    return None if halt is None else {"actor": halt.actor, "reason": halt.reason, "at": iso_time(halt.at_ms),
+                                      "liftedAt": iso_time(halt.lifted_ms), "liftedBy": halt.lifted_by}
 
 
 def permit_object(engine: Engine, permit: Permit) -> dict[str, Any]:
@@ -324,7 +324,7 @@
                           if key in ledger.sights)
     return {"id": permit.id, "key": permit.key, "holder": permit.holder, "units": permit.units,
             "reason": permit.reason, "priority": permit.priority, "phase": permit.phase.name, "note": permit.note,
-            "createdAt": iso(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
+            "createdAt": iso_time(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
 
 
 async def q_budgets(root: Any, info: Any) -> list[dict[str, Any]]:
@@ -356,7 +356,7 @@
 def version_object(published: Published) -> dict[str, Any]:
     entry = published.entry
     return {"number": entry.version, "scope": str(entry.scope), "overlay": entry.overlay, "base": entry.base,
-            "restores": entry.restores, "actor": entry.actor, "at": iso(entry.at_ms), "note": published.note,
+            "restores": entry.restores, "actor": entry.actor, "at": iso_time(entry.at_ms), "note": published.note,
             "inForce": published.in_force}
 
 
