--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -87,7 +87,7 @@
     return base64.urlsafe_b64encode(str(value).encode()).decode()
 
 
-def uncursor(text: str | None) -> str:
+def decode_cursor(text: str | None) -> str:
     if not text:
         return ""
     try:
@@ -97,7 +97,7 @@
 
 
 def uncursor_number(text: str | None) -> int:
-    value = uncursor(text)
+    value = decode_cursor(text)
     if value and not (value.isascii() and value.isdecimal() and len(value) < 18):
         raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
     return int(value or 0)
@@ -171,7 +171,7 @@
         return [{"state": state.name, "count": found[state]} for state in State if found[state]]
 
     async def targets(info: Any, first: int, after: str | None = None, state: str | None = None) -> dict[str, Any]:
-        size, last = page_size(first), uncursor(after)
+        size, last = page_size(first), decode_cursor(after)
         found = [t for t in await all_targets() if state is None or t.state.name == state]
         rest = [t for t in found if t.name > last] if last else found
         page = rest[:size]
@@ -240,7 +240,7 @@
 def instances_page(engine: Engine, selector: str, first: int, after: str | None) -> dict[str, Any]:
     """Searches from the cursor on until the page is full, so the cost is that of the instances on the page and of those
     skipped. All matching instances are counted only if the query asks for the total."""
-    size, last, holds = page_size(first), uncursor(after), selected(selector)
+    size, last, holds = page_size(first), decode_cursor(after), selected(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
         if not selector or holds(engine.fleet.values(names[place])):
