--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -96,7 +96,7 @@
         raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}") from None
 
 
-def uncursor_number(text: str | None) -> int:
+def decode_cursor_number(text: str | None) -> int:
     value = decode_cursor(text)
     if value and not (value.isascii() and value.isdecimal() and len(value) < 18):
         raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
@@ -270,7 +270,7 @@
 async def q_operations(root: Any, info: Any, first: int, openOnly: bool,  # noqa: N803
                        after: str | None = None) -> dict[str, Any]:
     engine, size = require_role(info, "read").engine, page_size(first)
-    before = uncursor_number(after) or 2**62
+    before = decode_cursor_number(after) or 2**62
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
     ops = [engine.live[op.id].op if op.id in engine.live else op for op in ops]
     page = ops[:size]
@@ -299,7 +299,7 @@
 
 async def q_events(root: Any, info: Any, first: int, after: str | None = None) -> dict[str, Any]:
     engine, size = require_role(info, "read").engine, page_size(first)
-    found = await engine.events(uncursor_number(after), size + 1)
+    found = await engine.events(decode_cursor_number(after), size + 1)
     page = found[:size]
     return connection([event_object(e) for e in page], [cursor(e.id) for e in page], len(found) > size)
 
@@ -368,7 +368,7 @@
 
 
 async def q_versions(root: Any, info: Any, scope: str, first: int, after: str | None = None) -> dict[str, Any]:
-    engine, before = require_role(info, "read").engine, uncursor_number(after) or 2**62
+    engine, before = require_role(info, "read").engine, decode_cursor_number(after) or 2**62
     if not 0 <= first <= MAX_VERSIONS_PAGE:
         raise error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
     wanted = scope_of(scope) if scope else None
@@ -615,7 +615,7 @@
 
 async def s_events(root: Any, info: Any, after: str | None = None) -> AsyncIterator[dict[str, Any]]:
     engine = require_role(info, "read").engine
-    last = uncursor_number(after)
+    last = decode_cursor_number(after)
     if not after:
         last = await engine.store.read(lambda records: records.last_event())
     async for _ in changes(engine):
