--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -83,7 +83,7 @@
     return value.upper().replace(" ", "_")
 
 
-def cursor(value: object) -> str:
+def encode_cursor(value: object) -> str:
     return base64.urlsafe_b64encode(str(value).encode()).decode()
 
 
@@ -175,7 +175,7 @@
         found = [t for t in await all_targets() if state is None or t.state.name == state]
         rest = [t for t in found if t.name > last] if last else found
         page = rest[:size]
-        return connection([target_object(t) for t in page], [cursor(t.name) for t in page], len(rest) > size,
+        return connection([target_object(t) for t in page], [encode_cursor(t.name) for t in page], len(rest) > size,
                           len(found))
 
     live = engine.live.get(op.id)
@@ -192,7 +192,7 @@
 
 
 def event_object(event: Event) -> dict[str, Any]:
-    return {"id": event.id, "cursor": cursor(event.id), "at": iso_time(event.at_ms), "actor": event.actor,
+    return {"id": event.id, "cursor": encode_cursor(event.id), "at": iso_time(event.at_ms), "actor": event.actor,
             "action": event.action, "subject": event.subject, "result": event.result, "detail": event.detail}
 
 
@@ -248,7 +248,7 @@
             if len(page) > size:
                 break
     found = connection([instance_object(engine, name) for name in page[:size]],
-                       [cursor(name) for name in page[:size]], len(page) > size)
+                       [encode_cursor(name) for name in page[:size]], len(page) > size)
     return {**found, "totalCount": lambda info: len(names_matching(engine, selector))}
 
 
@@ -274,7 +274,7 @@
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
     ops = [engine.live[op.id].op if op.id in engine.live else op for op in ops]
     page = ops[:size]
-    return connection([operation_object(engine, op) for op in page], [cursor(op.id) for op in page],
+    return connection([operation_object(engine, op) for op in page], [encode_cursor(op.id) for op in page],
                       len(ops) > size)
 
 
@@ -301,7 +301,7 @@
     engine, size = require_role(info, "read").engine, page_size(first)
     found = await engine.events(decode_cursor_number(after), size + 1)
     page = found[:size]
-    return connection([event_object(e) for e in page], [cursor(e.id) for e in page], len(found) > size)
+    return connection([event_object(e) for e in page], [encode_cursor(e.id) for e in page], len(found) > size)
 
 
 async def q_tokens(root: Any, info: Any) -> list[dict[str, Any]]:
@@ -374,7 +374,7 @@
     wanted = scope_of(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
-    return connection([version_object(p) for p in page], [cursor(p.entry.version) for p in page], len(found) > first)
+    return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page], len(found) > first)
 
 
 async def q_version(root: Any, info: Any, number: int) -> dict[str, Any] | None:
