--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -438,7 +438,7 @@
     return policy
 
 
-def key_of(given: dict[str, Any]) -> str:
+def idempotency_key(given: dict[str, Any]) -> str:
     key: str = given.get("idempotencyKey") or ""
     if len(key) > MAX_TEXT_LENGTH:
         raise error("BAD_INPUT", f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
@@ -447,7 +447,7 @@
 
 async def begin(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
     context = require_role(info, "operate")
-    engine, key = context.engine, key_of(given)
+    engine, key = context.engine, idempotency_key(given)
     names = names_matching(engine, given.get("selector") or "")
     op, _ = await engine.begin(context.caller.name, kind, names, read_policy(given.get("policy")), key=key,
                                supersede=bool(given.get("supersede")), **more)
@@ -515,13 +515,13 @@
     overlay = input["overlay"]
     draft = Draft(scope_of(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
-    return version_object((await context.engine.publisher.publish(context.caller.name, draft, key_of(input)))[0])
+    return version_object((await context.engine.publisher.publish(context.caller.name, draft, idempotency_key(input)))[0])
 
 
 async def m_restore_version(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
     context = require_role(info, "operate")
     return version_object((await context.engine.publisher.restore(
-        context.caller.name, input["version"], input["base"], key_of(input), input.get("note") or ""))[0])
+        context.caller.name, input["version"], input["base"], idempotency_key(input), input.get("note") or ""))[0])
 
 
 async def m_forget(root: Any, info: Any, name: str, ended: bool) -> bool:
