--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -360,7 +360,7 @@
             "inForce": published.in_force}
 
 
-def scope_of(text: str) -> Scope:
+def parse_scope(text: str) -> Scope:
     try:
         return read_scope(text)
     except ScopeError as problem:
@@ -371,7 +371,7 @@
     engine, before = require_role(info, "read").engine, decode_cursor_number(after) or 2**62
     if not 0 <= first <= MAX_VERSIONS_PAGE:
         raise error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
-    wanted = scope_of(scope) if scope else None
+    wanted = parse_scope(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
     return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page], len(found) > first)
@@ -513,7 +513,7 @@
     if "overlay" not in input:
         raise error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
-    draft = Draft(scope_of(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
+    draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
     return version_object((await context.engine.publisher.publish(context.caller.name, draft, idempotency_key(input)))[0])
 
