--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -454,7 +454,7 @@
     return operation_object(engine, op)
 
 
-def beginner(kind: Kind) -> Callable[..., Any]:
+def operation_resolver(kind: Kind) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
         if not input["selector"].strip():
             raise error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
@@ -634,8 +634,8 @@
         "versions": q_versions, "version": q_version, "configurationOf": q_configuration_of, "served": q_served,
     },
     "Mutation": {
-        "drain": beginner(Kind.DRAIN), "undrain": beginner(Kind.UNDRAIN), "stop": beginner(Kind.STOP),
-        "restart": beginner(Kind.RESTART), "apply": m_apply, "pause": controller("pause"),
+        "drain": operation_resolver(Kind.DRAIN), "undrain": operation_resolver(Kind.UNDRAIN), "stop": operation_resolver(Kind.STOP),
+        "restart": operation_resolver(Kind.RESTART), "apply": m_apply, "pause": controller("pause"),
         "resume": controller("resume"), "abort": controller("abort"), "rollBack": controller("rollback"),
         "takePermit": m_take_permit, "renewPermit": m_renew_permit, "giveBackPermit": m_give_back_permit,
         "halt": m_halt, "liftHalt": m_lift_halt, "forget": m_forget,
