--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -469,7 +469,7 @@
                        expect=input["expectGeneration"])
 
 
-def controller(action: str) -> Callable[..., Any]:
+def control_resolver(action: str) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, operation: int, urgent: bool = False) -> dict[str, Any]:
         context = require_role(info, "operate")
         op = await context.engine.control(context.caller.name, operation, action, urgent)
@@ -635,8 +635,8 @@
     },
     "Mutation": {
         "drain": operation_resolver(Kind.DRAIN), "undrain": operation_resolver(Kind.UNDRAIN), "stop": operation_resolver(Kind.STOP),
-        "restart": operation_resolver(Kind.RESTART), "apply": m_apply, "pause": controller("pause"),
-        "resume": controller("resume"), "abort": controller("abort"), "rollBack": controller("rollback"),
+        "restart": operation_resolver(Kind.RESTART), "apply": m_apply, "pause": control_resolver("pause"),
+        "resume": control_resolver("resume"), "abort": control_resolver("abort"), "rollBack": control_resolver("rollback"),
         "takePermit": m_take_permit, "renewPermit": m_renew_permit, "giveBackPermit": m_give_back_permit,
         "halt": m_halt, "liftHalt": m_lift_halt, "forget": m_forget,
         "publish": m_publish, "restoreVersion": m_restore_version,
