--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -647,7 +647,7 @@
     "operation": s_operation, "instances": s_instances, "events": s_events}
 
 
-def coded(resolve: Callable[..., Any]) -> Callable[..., Any]:
+def with_error_codes(resolve: Callable[..., Any]) -> Callable[..., Any]:
     """Converts a Refusal or SelectorError of a resolver to a GraphQL error with its code. Other exceptions pass."""
     async def resolved(root: Any, info: Any, **arguments: Any) -> Any:
         try:
@@ -676,12 +676,12 @@
     types: Any = schema.type_map
     for kind, fields in RESOLVERS.items():
         for name, resolve in fields.items():
-            types[kind].fields[name].resolve = coded(resolve)
+            types[kind].fields[name].resolve = with_error_codes(resolve)
     for name, subscribe in SUBSCRIPTIONS.items():
         types["Subscription"].fields[name].subscribe = coded_stream(subscribe)
     for name, asks in (("inspect", types["Instance"]), ("counts", types["Operation"]),
                        ("targets", types["Operation"])):
-        asks.fields[name].resolve = coded(_member(name))
+        asks.fields[name].resolve = with_error_codes(_member(name))
     types["JSON"].parse_literal = lambda node, variables=None: value_from_ast_untyped(node, variables)
     return schema
 
