--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -660,7 +660,7 @@
     return resolved
 
 
-def coded_stream(subscribe: Callable[..., Any]) -> Callable[..., Any]:
+def stream_with_error_codes(subscribe: Callable[..., Any]) -> Callable[..., Any]:
     async def subscribed(root: Any, info: Any, **arguments: Any) -> AsyncIterator[Any]:
         try:
             async for value in subscribe(root, info, **arguments):
@@ -678,7 +678,7 @@
         for name, resolve in fields.items():
             types[kind].fields[name].resolve = with_error_codes(resolve)
     for name, subscribe in SUBSCRIPTIONS.items():
-        types["Subscription"].fields[name].subscribe = coded_stream(subscribe)
+        types["Subscription"].fields[name].subscribe = stream_with_error_codes(subscribe)
     for name, asks in (("inspect", types["Instance"]), ("counts", types["Operation"]),
                        ("targets", types["Operation"])):
         asks.fields[name].resolve = with_error_codes(_member(name))
