--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -681,12 +681,12 @@
         types["Subscription"].fields[name].subscribe = stream_with_error_codes(subscribe)
     for name, asks in (("inspect", types["Instance"]), ("counts", types["Operation"]),
                        ("targets", types["Operation"])):
-        asks.fields[name].resolve = with_error_codes(_member(name))
+        asks.fields[name].resolve = with_error_codes(object_method_resolver(name))
     types["JSON"].parse_literal = lambda node, variables=None: value_from_ast_untyped(node, variables)
     return schema
 
 
-def _member(name: str) -> Callable[..., Any]:
+def object_method_resolver(name: str) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, **arguments: Any) -> Any:
         return await root[name](info, **arguments)
 
