--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -41,7 +41,7 @@
 MAX_SUMMARIES = 100
 
 
-def encoded(told: Told) -> bytes:
+def encode_update(told: Told) -> bytes:
     """Raises FrameError if the update is larger than a frame may be."""
     return encode(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
@@ -269,7 +269,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         try:
-            data = self.followers.encoded.get(told, encoded)
+            data = self.followers.encoded.get(told, encode_update)
         except FrameError as error:
             self.followers.log(f"{self.name}: its versions together exceed a frame: {error}")
             self.deny("TOO_LARGE", f"what concerns it is too large together: {error}", 30_000)
