--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -37,7 +37,8 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
+GRAPHQL_RESPONSE_JSON, PLAIN_JSON = "application/graphql-response+json", "application/json"
+EVENT_STREAM = "text/event-stream"
 PING_INTERVAL_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
@@ -75,7 +76,8 @@
             return GRAPHQL_RESPONSE_JSON
         if name == "text/*":
             return EVENT_STREAM
-    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {EVENT_STREAM}, got {header[:80]!r}")
+    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {EVENT_STREAM}, "
+                    f"got {header[:80]!r}")
 
 
 def format_error(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
@@ -188,7 +190,8 @@
             raise HttpError(405, "METHOD", "expected POST for a mutation, got GET", {"Allow": "POST"})
         if operation.operation is OperationType.SUBSCRIPTION:
             if media != EVENT_STREAM:
-                raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {EVENT_STREAM} for a subscription, got {media}")
+                raise HttpError(406, "NOT_ACCEPTABLE",
+                                f"Accept: expected {EVENT_STREAM} for a subscription, got {media}")
             return await self.stream(document, operation, variables, caller)
         result = execute(self.schema, document, context_value=self.context(caller), variable_values=variables,
                          operation_name=name)
--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -213,8 +213,8 @@
 
     async def listen(self, sock: socket.socket) -> None:
         if self.server is None:
-            self.server = await asyncio.get_running_loop().create_server(lambda: UnidentifiedConnection(self), sock=sock,
-                                                                         backlog=4096)
+            self.server = await asyncio.get_running_loop().create_server(
+                lambda: UnidentifiedConnection(self), sock=sock, backlog=4096)
 
     def set_instance_connections(self, links: InstanceConnections | None) -> None:
         """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -21,7 +21,7 @@
 # Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
 # Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
 MAX_CONCURRENT_WRITES = 8
-VERSION_FINGERPRINT_PREFIX = "version "  # prefix of the fingerprint of a mutation that made a version; others made an operation
+VERSION_FINGERPRINT_PREFIX = "version "  # marks mutations that made a version; all others made an operation
 
 
 class DifferingView(Protocol):
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -154,8 +154,9 @@
 
 
 def target_object(target: Target) -> dict[str, Any]:
-    return {"name": target.name, "state": target.state.name, "detail": target.detail, "since": iso_time(target.since_ms),
-            "boot": target.boot, "tries": target.tries, "fromGeneration": target.from_generation}
+    return {"name": target.name, "state": target.state.name, "detail": target.detail,
+            "since": iso_time(target.since_ms), "boot": target.boot, "tries": target.tries,
+            "fromGeneration": target.from_generation}
 
 
 def operation_object(engine: Engine, op: Operation, known: list[Target] | None = None) -> dict[str, Any]:
@@ -374,7 +375,8 @@
     wanted = parse_scope(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
-    return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page], len(found) > first)
+    return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page],
+                      len(found) > first)
 
 
 async def q_version(root: Any, info: Any, number: int) -> dict[str, Any] | None:
@@ -515,7 +517,8 @@
     overlay = input["overlay"]
     draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
-    return version_object((await context.engine.publisher.publish(context.caller.name, draft, idempotency_key(input)))[0])
+    return version_object((await context.engine.publisher.publish(
+        context.caller.name, draft, idempotency_key(input)))[0])
 
 
 async def m_restore_version(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
@@ -634,9 +637,11 @@
         "versions": q_versions, "version": q_version, "configurationOf": q_configuration_of, "served": q_served,
     },
     "Mutation": {
-        "drain": operation_resolver(Kind.DRAIN), "undrain": operation_resolver(Kind.UNDRAIN), "stop": operation_resolver(Kind.STOP),
+        "drain": operation_resolver(Kind.DRAIN), "undrain": operation_resolver(Kind.UNDRAIN),
+        "stop": operation_resolver(Kind.STOP),
         "restart": operation_resolver(Kind.RESTART), "apply": m_apply, "pause": control_resolver("pause"),
-        "resume": control_resolver("resume"), "abort": control_resolver("abort"), "rollBack": control_resolver("rollback"),
+        "resume": control_resolver("resume"), "abort": control_resolver("abort"),
+        "rollBack": control_resolver("rollback"),
         "takePermit": m_take_permit, "renewPermit": m_renew_permit, "giveBackPermit": m_give_back_permit,
         "halt": m_halt, "liftHalt": m_lift_halt, "forget": m_forget,
         "publish": m_publish, "restoreVersion": m_restore_version,
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -72,7 +72,8 @@
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = FollowerConnections(self.replica.serving, self.is_instance_token, self.replica.age_s, self.log)
-        self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers), "sum": lambda: SummaryConnection(self.followers)})
+        self.control_listener = ControlListener({"follow": lambda: FollowerConnection(self.followers),
+                                                 "sum": lambda: SummaryConnection(self.followers)})
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
         self.replica.leads = self.followers.leads = self.is_leading
@@ -178,7 +179,8 @@
             self.has_snapshot = await asyncio.to_thread(self.replica.load)
             self.tokens = [TokenRow(token.name, token.role, token.digest, token.created_ms, token.revoked_ms)
                            for token in self.replica.tokens]
-            steps: list[Callable[[], Awaitable[None]]] = [self.replica.poll, self.replica.save_if_due, self.followers.send_due_updates]
+            steps: list[Callable[[], Awaitable[None]]] = [self.replica.poll, self.replica.save_if_due,
+                                                          self.followers.send_due_updates]
             if token:
                 steps.append(lambda: self.followers.send_summaries(token))
             parts = [asyncio.create_task(run_forever(step, self.log)) for step in steps]
@@ -266,7 +268,7 @@
         self.control_port, self.api_port = (sock.getsockname()[1] for sock in self.sockets)
 
     async def listen(self) -> None:
-        """Accepts followers from now on, and instances once `door.use` was called. Raises AgentError."""
+        """Accepts followers from now on, and instances once their connections are set. Raises AgentError."""
         self.bind()
         self.followers.agent = self.addresses()[1]
         await self.control_listener.listen(self.sockets[0].dup())
--- a/ironscale/agent/upstream_polling.py
+++ b/ironscale/agent/upstream_polling.py
@@ -52,7 +52,8 @@
         except Refusal:
             pass  # no answer: its last view is used until it is too old
         except (KeyError, TypeError, ValueError) as error:
-            if name not in self.invalid_logged:  # an older sidecar, or a faulty one: logged once, and its answers are ignored
+            # an older sidecar, or a faulty one: logged once, and its answers are ignored
+            if name not in self.invalid_logged:
                 self.invalid_logged.add(name)
                 self.log(f"{name}: ignoring its invalid list of upstreams: {type(error).__name__}: {error}")
 
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -28,7 +28,8 @@
 )
 
 POLL_INTERVAL_S = 0.3  # between two reads of the store
-SAVE_INTERVAL_S, AGE_SAVE_INTERVAL_S = 1.0, 30.0  # between two writes of the file: if something changed, and to update only the age
+# Between two writes of the file: if something changed, and to update only the age.
+SAVE_INTERVAL_S, AGE_SAVE_INTERVAL_S = 1.0, 30.0
 SNAPSHOT_FILE = "versions.snapshot"
 
 
@@ -59,11 +60,11 @@
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
         self.last_read_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
-        self.is_lineage_confirmed = False  # the view's lineage was read from a store by this process, not only from the file
+        self.is_lineage_confirmed = False  # this process has read the view's lineage from a store, not only the file
         self.reading: asyncio.Task[Change] | None = None
         self.wake = asyncio.Event()
         self.last_logged = ""
-        self.loaded_text = ""  # describes the snapshot loaded at the start, for the log of a standby agent that serves it
+        self.loaded_text = ""  # describes the snapshot loaded at the start; logged by a standby agent that serves it
         self.saved_state: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
         self.files = OsFiles()
@@ -124,8 +125,8 @@
             return
         self.reading = None
         if isinstance(error, StoreError):
-            self.log_change(f"versions: the store is unreachable, serving position {self.serving.view.position} with its age: "
-                     f"{error}")
+            self.log_change(f"versions: the store is unreachable, serving position {self.serving.view.position} with "
+                            f"its age: {error}")
         elif error is not None:
             self.log_change("versions: " + "".join(traceback.format_exception(error)))
         elif self.leads() and not store.term.holds(clock_ms()):
@@ -139,9 +140,9 @@
         view = self.serving.view
         if view.lineage and change.lineage != view.lineage:
             if self.is_lineage_confirmed:
-                self.log_change(f"versions: expected the store's lineage {view.lineage}, got {change.lineage or 'none'}: "
-                         f"still serving position {view.position} of the former with its age; restart this agent if "
-                         "the store was replaced")
+                self.log_change(f"versions: expected the store's lineage {view.lineage}, got "
+                         f"{change.lineage or 'none'}: still serving position {view.position} of the former "
+                         "with its age; restart this agent if the store was replaced")
                 return
             if not change.is_snapshot:
                 return
@@ -158,7 +159,8 @@
         try:
             changed = self.serving.advance(change, time.monotonic())
         except ViewError as error:
-            self.log_change(f"versions: the store's change can't be applied to the served versions, which are kept: {error}")
+            self.log_change("versions: the store's change can't be applied to the served versions, which are kept: "
+                            f"{error}")
             return
         if self.last_logged:
             self.log(f"versions: the store can be read again, position {self.serving.view.position}")
@@ -190,7 +192,8 @@
         self.tokens = snapshot.tokens
         self.last_read_ms = clock_ms() - age_s * 1000
         self.saved_state, self.saved_s = self.saveable_state(), time.monotonic()
-        self.loaded_text = f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, {age_s:.1f} s old"
+        self.loaded_text = (f"{self.path}: position {snapshot.position}, {len(snapshot.entries)} scopes, "
+                            f"{age_s:.1f} s old")
         return True
 
     def saveable_state(self) -> tuple[str, int, int, tuple[Token, ...]]:
@@ -198,9 +201,10 @@
         return view.lineage, view.position, view.floor, self.tokens
 
     async def save_if_due(self) -> None:
-        """Waits SAVE_S, then saves the snapshot if it changed, or after KEEP_S to update its age."""
+        """Waits SAVE_INTERVAL_S, then saves the snapshot if it changed, or if its age has to be updated."""
         await asyncio.sleep(SAVE_INTERVAL_S)
-        if self.is_lineage_confirmed and (self.saveable_state() != self.saved_state or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
+        if self.is_lineage_confirmed and (self.saveable_state() != self.saved_state
+                                          or time.monotonic() - self.saved_s >= AGE_SAVE_INTERVAL_S):
             await self.save()
 
     async def save(self) -> None:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -819,7 +819,7 @@
         data = Data()
         async with hosts(data) as (host,):
             async with running(section(tmp_path / "one", postgresql=dsn(host))) as one:
-                monkeypatch.setattr(store_setup, "WAIT_S", -9.5)
+                monkeypatch.setattr(store_setup, "CLAIM_GRACE_S", -9.5)
                 with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one owns this"):
                     async with running(section(tmp_path / "two", postgresql=dsn(host))):
                         pass
@@ -828,7 +828,7 @@
                 assert one.ready.is_set()
             # killed in place of ended: its lease runs on
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
-            monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
+            monkeypatch.setattr(store_setup, "CLAIM_GRACE_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
                 assert [text[:6] for text in said if "owns this store" in text] == ["waits:"]
                 assert len([text for text in said if "expected the token that the store knows" in text]) == 2
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -449,7 +449,7 @@
 
 def test_who_leads_is_told_who_runs_what_and_says_of_whom_it_does_not_know(tmp_path: Path,
                                                                           monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follower_connections, "SUM_OLD_S", 1.6)
+    monkeypatch.setattr(follower_connections, "MAX_SUMMARY_AGE_S", 1.6)
 
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_polling, "EVERY_S", 0.02)
+    monkeypatch.setattr(upstream_polling, "POLL_INTERVAL_S", 0.02)
     monkeypatch.setitem(ledger.SETTLES_MS, Of.UPSTREAM, 100)
 
 
