--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -37,8 +37,8 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-GRAPHQL_RESPONSE_JSON, PLAIN_JSON = "application/graphql-response+json", "application/json"
-EVENT_STREAM = "text/event-stream"
+GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM = (
+    "application/graphql-response+json", "application/json", "text/event-stream")
 PING_INTERVAL_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -313,8 +313,8 @@
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            limit_s = min(wait_s, self.transaction_timeout_s)
-            with contextlib.suppress(psycopg.Error, OSError), self.watchdog.time_limit(connection, limit_s):
+            with (contextlib.suppress(psycopg.Error, OSError),
+                  self.watchdog.time_limit(connection, min(wait_s, self.transaction_timeout_s))):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
             self._close_connection()
         self.watchdog.stop()
--- a/tests/agent/agent_harness.py
+++ b/tests/agent/agent_harness.py
@@ -1,4 +1,4 @@
-"""An agent in this process, light instances around it, and a caller of its API."""
+"""Runs an agent in this process with simulated instances, and calls its API."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class AgentScene:
-    """Light instances by name, on one agent."""
+    """One agent and its simulated instances by name."""
 
     def __init__(self, agent: Agent, seed: int) -> None:
         self.agent = agent
@@ -51,7 +51,7 @@
         return self.agent.engine
 
     def start(self, name: str, **changes: Any) -> LightInstance:
-        """A process of this name; a former one is gone without a word."""
+        """Starts an instance; a running one of the same name is cancelled without a goodbye."""
         if name in self.tasks:
             self.tasks[name].cancel()
         address = ("127.0.0.1", self.agent.control_port)
@@ -71,7 +71,7 @@
         self.tasks.pop(name).cancel()
 
     def cut(self, name: str) -> None:
-        """Its connection breaks: what it says from now on is lost."""
+        """Breaks the instance's connection; what it sends until it reconnects is lost."""
         session = self.clients[name].session
         assert session is not None and session.transport is not None
         session.transport.abort()
--- a/tests/agent/killed_publisher.py
+++ b/tests/agent/killed_publisher.py
@@ -1,6 +1,6 @@
 """Publishes one version by a key and kills itself at its Nth step: `python -m tests.agent.killed_publisher DATA STEP`.
 
-It prints each change that is told, as soon as it is."""
+It prints the position of each change as soon as the change is sent to followers."""
 
 from __future__ import annotations
 
--- a/tests/agent/replica_agent.py
+++ b/tests/agent/replica_agent.py
@@ -1,6 +1,6 @@
-"""One of several agents on a record: `python -m tests.agent.replica_agent DATA RECORD CONTROL TERM_S MOST [STEP HOW]`.
+"""One of several agents on a store: `python -m tests.agent.replica_agent DATA RECORD CONTROL TERM_S MOST [STEP HOW]`.
 
-At its STEPth step as leader it kills itself (HOW = KILL) or stops itself (STOP), between any two things that it does.
+At its STEPth step as leader the process sends itself SIGKILL (HOW = KILL) or SIGSTOP (HOW = STOP).
 """
 
 from __future__ import annotations
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -1,4 +1,4 @@
-"""The record in PostgreSQL: kept once or known not to be, one agent at a time, and nothing behind its back."""
+"""The agent's store in PostgreSQL: each write is stored once or known to have failed, and only the owner writes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
-LIMIT_S = 0.4  # a transaction's, where a test lets one hang
+LIMIT_S = 0.4  # time limit of a transaction in tests that let one hang
 
 
 @contextlib.asynccontextmanager
@@ -60,12 +60,13 @@
 
 
 def subjects(data: Data) -> list[str]:
-    """The lines of the log, each once if nothing was done twice."""
+    """The subjects in the audit log; a duplicate means that a write was stored twice."""
     return [subject for subject, in data.all("SELECT subject FROM agent_audit ORDER BY id")]
 
 
 class Vanishes:
-    """The server goes away at the COMMIT of what was written to a table, before or after it has taken it."""
+    """Makes the server unavailable at the COMMIT of a transaction that wrote to a table, before or after it has
+    committed."""
 
     def __init__(self, host: Host, table: str, stands: bool = True) -> None:
         self.host, self.table, self.stands = host, table, stands
@@ -90,7 +91,7 @@
     return work
 
 
-# As it is kept
+# Stored data
 
 
 def test_everything_comes_back_as_it_was_also_for_the_next_agent() -> None:
@@ -137,7 +138,7 @@
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             gate = host.hook = Gate("begin")
-            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others wait behind it, as one group
+            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up behind it and form one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
                 lambda r: r.put_token(TokenRow("first", "read", "d", 1)), half, twice,
@@ -151,7 +152,7 @@
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
             assert await store.read(lambda r: r.operation(1)) is None
             assert store.owner_worker.commits == 1
-            # alone in its group it is taken back as a whole
+            # Alone in its group, its whole transaction is rolled back.
             with pytest.raises(ValueError, match="in the middle"):
                 await store.write(half)
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
@@ -226,7 +227,7 @@
     run(test)
 
 
-# Whose it is
+# Ownership
 
 
 def test_a_second_agent_is_refused_while_the_first_is_heard_and_follows_once_it_is_not() -> None:
@@ -240,20 +241,20 @@
                     await second.write(line("b"))
                 assert found.value.code == "LOCKED"
                 data.skew_ms += 9_000
-                await first.write(line("c"))  # heard again
+                await first.write(line("c"))  # renews the lease
                 data.skew_ms += 9_000
                 with pytest.raises(StoreError):
                     await second.write(line("b"))
                 data.skew_ms += 1_001
                 await second.write(line("d"))
                 with pytest.raises(StoreError, match="machine of two has taken over this store") as found:
-                    for _ in range(2):  # its claim is seen to be void, then whose it is
+                    for _ in range(2):  # first its claim is found void, then the new owner is read
                         with contextlib.suppress(StoreError):
                             await first.write(line("e"))
                     await first.write(line("e"))
                 assert found.value.code == "TAKEN"
                 with pytest.raises(StoreError):
-                    await first.read(lambda r: r.tokens())  # for good, though the other one may end
+                    await first.read(lambda r: r.tokens())  # permanent, even if the other agent ends
             assert subjects(data) == ["a", "c", "d"]
 
     run(test)
@@ -267,7 +268,7 @@
                 await store.write(line("a"))
             async with store_on(host, holder="two") as store:
                 await store.write(line("b"))
-                async with store_on(host, holder="two") as again:  # the same folder: the lock says that it is gone
+                async with store_on(host, holder="two") as again:  # the same data folder: its lock shows that the first has gone
                     await again.write(line("c"))
             assert subjects(data) == ["a", "b", "c"]
 
@@ -280,7 +281,7 @@
         async with hosts(data) as (host,):
             async with store_on(host, holder="none") as store:
                 await store.write(line("a"))
-            gate = host.hook = Gate("update", times=1)  # the first one's claim is held back on the way
+            gate = host.hook = Gate("update", times=1)  # delays the first agent's claim
             async with store_on(host, holder="one") as first, store_on(host, holder="two") as second:
                 slow = asyncio.create_task(first.write(line("one")))
                 await gate.reached.wait()
@@ -298,7 +299,7 @@
 
 
 async def exchange(host: Host) -> tuple[int, int]:
-    """Bytes of a connection that opens, claims and writes a line: towards the server and from it."""
+    """Bytes sent to and received from the server by a connection that opens, claims the store and writes a line."""
     host.bytes.clear()
     async with store_on(host) as store:
         await store.write(line("measured"))
@@ -307,7 +308,8 @@
 
 @pytest.mark.parametrize("direction", ["in", "out"])
 def test_cut_at_every_byte_a_write_is_kept_once_or_told_as_not_kept(direction: str) -> None:
-    """Each byte of the first write's connection, from the start-up on, the claim among it; the next connection asks."""
+    """Cuts the connection of the first write at every EVERY-th byte, from the start-up and the claim on. The next
+    connection has to find out whether the write was committed."""
     async def test() -> None:
         async with hosts(Data()) as (host,):
             await exchange(host)
@@ -332,7 +334,7 @@
                     assert subjects(data) == ["before", *(["it"] if kept else [])], (place, place_seed)
                     try:
                         await store.write(line("after"))
-                    except StoreError:  # the cut lay behind the first write
+                    except StoreError:  # the connection was cut after the first write
                         await store.write(line("after"))
                 assert subjects(data) == ["before", *(["it"] if kept else []), "after"], place
         assert told["kept"] and told["not kept"], told
@@ -343,7 +345,8 @@
 
 @pytest.mark.parametrize("stands", [True, False])
 def test_a_write_told_as_not_known_is_heard_of_later_and_before_anything_else_is_written(stands: bool) -> None:
-    """The server goes away at COMMIT, before or after it has taken it, and is back only after the caller was told."""
+    """The server becomes unavailable at COMMIT, before or after it has committed, and returns only after the caller got
+    the error UNKNOWN."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -369,7 +372,7 @@
 
 
 def test_a_write_that_waits_behind_one_that_broke_off_is_not_taken_for_it() -> None:
-    """Hazard: with a number above the open one's it would speak for it."""
+    """If the queued write were run, its higher number would make the interrupted one look committed."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -385,7 +388,7 @@
             host.hook = script
             first = asyncio.create_task(store.write(line("it")))
             await reached.wait()
-            behind = asyncio.create_task(store.write(line("behind")))  # in the queue, of the next group
+            behind = asyncio.create_task(store.write(line("behind")))  # queued for the next group
             await asyncio.sleep(0)
             go.set()
             results = await asyncio.gather(first, behind, return_exceptions=True)
@@ -398,7 +401,7 @@
 
 
 def test_a_write_that_is_asked_for_while_an_outcome_is_open_is_refused_at_once() -> None:
-    """Hazard: it was made upon what was known before; carried out once the outcome is known, it would undo that."""
+    """Such a write was prepared without knowing the outcome, and could undo the earlier one if it ran later."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -415,7 +418,7 @@
             script_struck: list[int] = []
             host.hook = script
             first = asyncio.create_task(store.write(line("it")))
-            await gate.reached.wait()  # the claim that will tell
+            await gate.reached.wait()  # the claim that finds out the outcome
             with pytest.raises(StoreError, match="no writes are accepted until it is"):
                 await asyncio.wait_for(store.write(line("meanwhile")), 1.0)
             gate.go.set()
@@ -426,7 +429,7 @@
 
 
 def test_a_commit_that_is_still_on_its_way_is_waited_for_and_not_guessed() -> None:
-    """The server holds COMMIT past the agent's patience, and carries it out while the agent asks."""
+    """The server delays COMMIT past the agent's time limit, and commits while the agent resolves the outcome."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
@@ -444,7 +447,7 @@
 
 
 def test_a_transaction_that_is_held_up_before_its_claim_is_looked_at_changes_nothing_afterwards() -> None:
-    """Hazard: let go after the next claim, it would write behind our back."""
+    """The server holds up the transaction before it has checked the epoch, and continues it after the next claim."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
@@ -497,7 +500,7 @@
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(line("before"))
             await host.end_sessions()
-            host.hook = Fault("update", after=True)  # carried out, and nobody hears of it
+            host.hook = Fault("update", after=True)  # executed, but the answer is lost
             with pytest.raises(StoreError):
                 await store.write(line("lost"))
             await store.write(line("after"))
@@ -533,7 +536,7 @@
             fence = await store.write(lambda r: r.next_fence())
             lineage = await store.write(lambda r: r.make_lineage())
             late = data.copy()
-            assert await store.write(lambda r: r.next_fence()) == fence + 1  # confirmed, and not copied
+            assert await store.write(lambda r: r.next_fence()) == fence + 1  # confirmed after the copy was made
             await one.stop()
             two = await Host(late).start(one.port)
             try:
@@ -542,9 +545,9 @@
                 assert found.value.code == "LESS" and [str(f) for f in lost] == [str(found.value)]
                 with pytest.raises(StoreError):
                     await store.write(line("c"))
-                async with store_on(two, holder="next") as following:  # need not wait
+                async with store_on(two, holder="next") as following:  # the lease has ended
                     assert await following.write(lambda r: r.next_fence()) > fence + 1
-                    # a version that was told may be gone, and its number be given again: it is another log
+                    # A published version may be lost and its number issued again, so the log gets a new lineage.
                     assert await following.read(lambda r: r.lineage()) not in ("", lineage)
                 assert subjects(late) == []
             finally:
@@ -554,7 +557,7 @@
 
 
 def test_the_old_server_that_is_written_again_is_seen_to_have_less() -> None:
-    """Split brain: what was confirmed on the new one is not there."""
+    """Split brain: writes confirmed by the new server are missing on the old one."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (old,), store_on(old) as store:
@@ -579,13 +582,14 @@
     run(test)
 
 
-# Random weather
+# Random faults
 
 
 @pytest.mark.parametrize("seed", [int(s) for s in os.environ.get("SEEDS", "1,2,3,4,5,6").split(",")])
 def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Cuts, stalls, errors, lost replies and restarts. Each write is told as kept, not kept or not known; the log holds
-    the first once, the second never, and of the third exactly those that were heard of later."""
+    """Random disconnects, stalls, errors and lost replies. Each write is reported as committed, failed or unknown. The
+    audit log holds the committed ones once, none of the failed ones, and of the unknown ones exactly those that were
+    reported as committed later."""
     monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.01)
 
     async def test() -> None:
@@ -638,7 +642,7 @@
     run(test)
 
 
-# The agent upon it
+# An agent on the store
 
 
 @pytest.mark.parametrize("stands", [True, False])
@@ -659,7 +663,7 @@
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
             assert list(s.engine.live) == ([1] if stands else [])
-            # asked again with its key it is one operation, whatever became of the first
+            # Repeated with its key there is one operation, whether or not the first attempt was committed.
             ident = await s.begin(key="k")
             op, targets = await s.end(ident)
             assert ident == 1 and op.phase is Phase.SUCCEEDED and {t.state for t in targets} == {State.APPLIED}
@@ -694,7 +698,7 @@
 
 
 def test_operators_are_told_by_a_code_while_instances_go_on(tmp_path: Path) -> None:
-    """A server that is away, and one that went at a commit: what memory holds is answered all the same."""
+    """With an unreachable server, or one lost during a commit, queries that need only memory are still answered."""
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
@@ -720,7 +724,7 @@
             assert CODES["STORE_UNKNOWN"] is Exit.NO_AGENT
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
-            # it stands, and so it is known to the agent, though nobody has its secret
+            # The token was committed, so the agent knows it, although its secret was returned to nobody.
             await until(lambda: any(token.name == "t" for token in s.agent.tokens))
             assert await code() == "CONFLICT"
 
@@ -728,7 +732,7 @@
 
 
 def test_a_read_whose_commit_breaks_off_bars_no_write() -> None:
-    """Nothing of it can stand, so there is nothing to wait for."""
+    """A read changes nothing, so there is no outcome to resolve."""
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             await store.write(lambda r: r.set_alive_ms(1))
@@ -787,7 +791,7 @@
 
 
 def test_the_next_agent_goes_on_where_one_that_lost_its_store_stopped(tmp_path: Path) -> None:
-    """It ends as soon as it is told that another has the record, and says whose that is."""
+    """The agent exits as soon as it learns that another agent owns the store, and names that agent."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
@@ -800,7 +804,7 @@
             data.skew_ms += 60_000
             async with store_on(host, holder="two") as store:
                 with contextlib.suppress(StoreError):
-                    await store.write(line("taken"))  # between two of its half seconds; else it was renewed
+                    await store.write(line("taken"))  # fails if the first agent has just renewed its lease
                 data.skew_ms += 60_000
                 await store.write(line("taken"))
                 with pytest.raises(StoreError, match="the agent of machine of two has taken over this store") as found:
@@ -826,7 +830,7 @@
                 said: list[str] = []
                 monkeypatch.setattr(Agent, "log", lambda agent, text: said.append(text))
                 assert one.ready.is_set()
-            # killed in place of ended: its lease runs on
+            # As after a kill: the lease has not ended yet.
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
             monkeypatch.setattr(store_setup, "CLAIM_GRACE_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
@@ -840,7 +844,7 @@
     run(test)
 
 
-# From SQLite
+# Copying from SQLite
 
 
 async def filled(path: Path, count: int = 30) -> SqliteStore:
@@ -865,7 +869,7 @@
 
 
 def nobody(found: Any) -> None:
-    """Hears that the record is another's; here it stays ours."""
+    """Callback for the loss of the ownership, which doesn't happen here."""
 
 
 def all_of(r: Records) -> list[Any]:
@@ -883,7 +887,7 @@
         store.close()
         async with hosts(Data()) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
-            for _ in range(2):  # the second time there is nothing to bring
+            for _ in range(2):  # the second time there is nothing to copy
                 moved = await open_store(where, tmp_path, nobody, said.append)
                 assert await moved.read(all_of) == before
                 assert await moved.write(lambda r: r.next_fence()) > 41
@@ -906,7 +910,7 @@
         data = Data()
         async with hosts(data) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
-            for kind, after, times in (("insert", True, 5), ("commit", False, 2)):  # the schema is there by then
+            for kind, after, times in (("insert", True, 5), ("commit", False, 2)):  # the schema exists by then
                 met = 0
 
                 async def fail(session: Session, what: str, later: bool, kind: str = kind, after: bool = after,
@@ -926,7 +930,7 @@
                 store = SqliteStore(tmp_path / "agent.db")
                 assert len(await store.read(lambda r: r.instances())) == 30
                 store.close()
-            # killed after the commit and before the file was marked: it is there, and marked now
+            # As after a kill between the commit and marking the file: it is not copied again, and marked now.
             moved = await open_store(where, tmp_path, nobody, said.append)
             await asyncio.to_thread(moved.close)
             source = connect(tmp_path / "agent.db")
@@ -937,7 +941,7 @@
             await asyncio.to_thread(moved.close)
             with pytest.raises(StoreError, match="was moved"):
                 await open_store(section(tmp_path), tmp_path, nobody, said.append)
-            # a folder with a record of its own, and a database with another
+            # A folder with a SQLite store, and a database that holds another store already.
             (await filled(tmp_path / "other.db")).close()
             (tmp_path / "other").mkdir()
             (tmp_path / "other.db").rename(tmp_path / "other" / "agent.db")
--- a/tests/agent/test_postgres_killed.py
+++ b/tests/agent/test_postgres_killed.py
@@ -1,4 +1,4 @@
-"""Agent processes on a PostgreSQL record that are killed: the next one has all that was told, and need not wait."""
+"""Agent processes on PostgreSQL that are killed: the next one has all confirmed writes and need not wait."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
                 await writer.wait()
             found = [int(subject) for subject, in data.all("SELECT subject FROM agent_audit ORDER BY id")]
             assert set(told) <= set(found) and len(found) == len(set(found)) and found == sorted(found)
-            assert data.all("SELECT epoch FROM agent_owner") == [(5,)]  # each claimed once, and at once
+            assert data.all("SELECT epoch FROM agent_owner") == [(5,)]  # each process claimed once, without waiting
         finally:
             await host.stop()
 
@@ -53,7 +53,8 @@
 
 
 def test_the_commands_show_what_is_kept_and_say_what_is_wrong(tmp_path: Path) -> None:
-    """As an operator meets it: check, start, ask, stop; a database that is away; one that another agent has."""
+    """The commands of an operator: check, start, query, stop; with a newer schema, a wrong password, and an unreachable
+    database."""
     async def test() -> None:
         data = Data()
         host = await Host(data, password="so secret").start()
@@ -92,7 +93,7 @@
             subjects: list[Any] = [json.loads(text)["subject"] for text in out.splitlines()]
             assert subjects == ["admin", "instance"]
             await ended(agent, signal.SIGKILL)
-            agent = await started("one")  # the lease of the one before runs, and keeps this one waiting for nothing
+            agent = await started("one")  # no wait, although the previous process's lease has not ended
             assert data.all("SELECT epoch FROM agent_owner") == [(2,)]
             said = await ended(agent, signal.SIGTERM)
             assert agent.returncode == 0 and "Traceback" not in said
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -1,4 +1,4 @@
-"""Agents that follow the record's log and serve it over loopback sockets, also when they are cut off from it."""
+"""Agents that replicate the version log and serve it over loopback sockets, also while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Raw:
-    """A follower that is a socket and a view."""
+    """A minimal follower: a socket and a view of the versions."""
 
     def __init__(self, agent: Agent, name: str = "i0", token: str = "", zone: str = "", lineage: str = "",
                  position: int = 0) -> None:
@@ -84,7 +84,7 @@
         self.updates.append(update)
         self.heard_s = time.monotonic()
         if update.position < max(self.position, self.view.position):
-            assert not update.entries, "told what is older"
+            assert not update.entries, "an older position came with entries"
             return
         entries = tuple(Entry(layer.version, read_scope(layer.scope), layer.overlay) for layer in update.entries)
         self.view.take(Change(update.lineage, update.position, update.since if self.view.position else 0,
@@ -112,7 +112,7 @@
 
 @contextlib.asynccontextmanager
 async def two(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
-    """One that leads, and one that stands by."""
+    """Runs a leading agent and a standby agent."""
     async with running(standing(folder, "a0")) as first:
         await first.leading.wait()
         TOKENS.append(read_secret(folder / "a0" / "instance.token"))
@@ -139,7 +139,7 @@
             await until(lambda: near.view.position == 2 and far.view.position == 2)
             assert near.view.entries.keys() == {ALL} and len(far.view.entries) == 2
             assert not second.leading.is_set() and far.updates[-1].age_ms < 2_500
-            # while nothing is published it says where it is, once a second and no more often
+            # Without new versions, the position is sent once a second.
             count = len(far.updates)
             await asyncio.sleep(2.2)
             assert 2 <= len(far.updates) - count <= 5
@@ -150,7 +150,7 @@
 
 
 def test_a_version_whose_publisher_ends_before_it_tells_is_heard_from_the_log(tmp_path: Path) -> None:
-    """And the follower's connection is the same when the agent that it follows leads in its place."""
+    """The follower's connection also survives its agent becoming the leader."""
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
             async with running(standing(tmp_path, "a0")) as first:
@@ -197,7 +197,7 @@
             await publish(first, {"settings": {"instances": 4}})
             await until(lambda: follower.updates[-1].age_ms > 2_500)
             assert follower.view.position == 1
-            newcomer = Raw(second, "i9")  # one that starts there gets what there is
+            newcomer = Raw(second, "i9")  # a new follower gets what the replica holds
             await until(lambda: newcomer.view.position == 1)
             assert newcomer.updates[-1].age_ms > 2_500
             monkeypatch.setattr(store, "read", read_was)
@@ -218,7 +218,7 @@
             await publish(agent)
             store = agent.replica.store
             assert store is not None
-            store.renewed = lambda: None  # type: ignore[attr-defined]
+            store.on_write_confirmed = lambda: None  # type: ignore[attr-defined]
             store.term = replace(store.term, until_ms=0)
             at = agent.replica.last_read_ms
             await asyncio.sleep(0.8)
@@ -228,7 +228,7 @@
 
 
 def kept(folder: Path, **changes: Any) -> Snapshot:
-    """What the agent's file holds once it has reached `position`."""
+    """The agent's snapshot, with `changes` to its fields."""
     return replace(decode((folder / "versions.snapshot").read_bytes()), **changes)
 
 
@@ -236,7 +236,7 @@
     path = folder / "versions.snapshot"
 
     def there() -> bool:
-        with contextlib.suppress(SnapshotError):  # what a test has put there
+        with contextlib.suppress(SnapshotError):  # an invalid file written by a test
             return path.exists() and decode(path.read_bytes()).position == position
         return False
 
@@ -257,7 +257,7 @@
 
 
 async def one_version(folder: Path) -> None:
-    """Two agents ran, one version is published, and both have kept it."""
+    """Runs two agents that publish one version and save it in their snapshots."""
     async with two(folder) as (first, second):
         await publish(first)
         await saved(folder / "a1", 1)
@@ -280,10 +280,10 @@
                 assert 86_000_000 < follower.updates[-1].age_ms < 87_000_000
                 ahead = Raw(agent, "i1", lineage=follower.view.lineage, position=3)
                 await until(lambda: len(ahead.updates) > 1)
-                stranger = Raw(agent, "i2", token="x" * 40)  # the tokens are those that it knew
+                stranger = Raw(agent, "i2", token="x" * 40)  # tokens are checked against those in the snapshot
                 await until(lambda: stranger.ended)
                 assert stranger.denied is not None and stranger.denied.code == "TOKEN"
-            await agent.leading.wait()  # the record is back: it goes on from there, on the same connections
+            await agent.leading.wait()  # the store is back, and the connections are still open
             await until(lambda: follower.updates[-1].age_ms < 2_500)
             for n in (2, 3, 4):
                 await publish(agent, {"settings": {"instances": n}})
@@ -310,7 +310,7 @@
                 pass
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
-        async with running(standing_section(tmp_path, "a1")) as agent:  # with the record it comes up, and keeps it anew
+        async with running(standing_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves a new snapshot
             await until(lambda: agent.replica.serving.view.position == 1)
             await saved(tmp_path / "a1", 1)
 
@@ -374,7 +374,7 @@
                 version = await publish(agent, {"settings": {"x": [f"{random.Random(n).random()}"] * 900}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert link.subscriber.slow_s >= 0, "it was never seen to be slow"
+            assert link.subscriber.slow_s >= 0, "it was never classified as slow"
             for n in range(5):
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
@@ -383,7 +383,7 @@
             count = len(slow.updates)
             slow.reads.set()
             await until(lambda: slow.view.position == version)
-            assert len(slow.updates) - count < n + 200  # what it missed came as one
+            assert len(slow.updates) - count < n + 200  # the missed versions came in one update
             await slow.close()
             await other.close()
 
@@ -420,7 +420,7 @@
             await publish(agent, {"settings": {"instances": 3}})
             await until(lambda: all(raw.view.position == 2 for raw in found))
             sent, made = agent.followers.sent - sent, agent.followers.encoded.made - made
-            assert sent >= 200 and made <= sent / 4  # one frame for many
+            assert sent >= 200 and made <= sent / 4  # followers share encoded frames
             for raw in found:
                 await raw.close()
             await until(lambda: not agent.followers.links and not agent.replica.serving.subscribers)
@@ -472,7 +472,7 @@
                 assert told().known and told().age_ms < 3_000 and told().summary.position == 1
                 differs, = told().summary.differing
                 assert (differs.name, differs.status, differs.detail) == ("i1", "refused", "settings.no: what is it?")
-                # one without a token tells nothing, and who does not lead takes no sum
+                # An agent without a token sends no summary, and one that doesn't lead accepts none.
                 assert quiet.followers.agent not in [one.agent for one in first.followers.summary()]
                 assert [one.agent for one in second.followers.summary()] == [second.followers.agent]
                 for one in ones:
@@ -494,7 +494,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
                 writer.write(b"".join(encode(serialize_message(message)) for message in messages))
                 decoder = Decoder()
-                decoder.feed(await reader.read())  # to its end: the agent closes it
+                decoder.feed(await reader.read())  # to the end, as the agent closes the connection
                 found = []
                 while (raw := decoder.next()) is not None:
                     found.append(parse_message(raw, TO_FOLLOWER))
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -1,4 +1,4 @@
-"""The record in SQLite: what is told to be kept is kept, and what can't be kept is told."""
+"""The agent's store in SQLite: confirmed writes are durable, and failed writes are reported."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def fill(r: Records) -> None:
-    """A row of each kind."""
+    """Writes a row of each kind."""
     r.put_instances([row("i0", host="m", ticks=4, ended="exit 0"), row("i1", connected=False)])
     r.put_operation(OP)
     r.put_targets(1, [TARGET, Target("i1", 1)])
@@ -72,7 +72,7 @@
 
 
 def twice(records: Records) -> None:
-    """What a unique key forbids."""
+    """Violates a unique key."""
     records.put_operation(OP)
     for _ in range(2):
         records.add_configuration(Configuration(1, {}, "ann", 1, 1))
@@ -87,7 +87,7 @@
         store.close()
         store = SqliteStore(tmp_path / "a.db")
         found = await store.read(lambda r: r.instances())
-        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # only set_desired sets that
+        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # `desired` is changed only by set_desired
         assert await store.read(lambda r: r.operation(1)) == OP
         assert await store.read(lambda r: r.targets(1)) == [TARGET, Target("i1", 1)]
         kept = Configuration(1, {"settings": {"x": None}}, "ann", 5, 1)
@@ -244,7 +244,7 @@
 
 
 def test_a_file_that_can_not_be_written_is_told(tmp_path: Path) -> None:
-    """Run as root, permissions bind nobody: a connection that may only read stands for them."""
+    """A read-only connection replaces file permissions here, because those don't apply to root."""
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         store.connection.execute("PRAGMA query_only = 1")
@@ -261,16 +261,17 @@
 def test_a_disk_that_fails_at_any_change_leaves_what_was_told_as_kept_and_nothing_that_was_told_as_not(
     fault: str, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Writes, a checkpoint among them; after each the log must hold what was told, also once the power has gone."""
+    """Injects a fault at each disk operation of twelve writes and a checkpoint. Afterwards the audit log must hold
+    exactly the confirmed writes, also after a simulated power failure."""
     names = itertools.count()
     monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.002)
 
     async def day(disk: Disk) -> tuple[list[str], list[str], int]:
-        """Subjects that were kept, those that were not, and how many of the first were found out."""
+        """Returns the subjects that were written, those that were not, and the number of commits."""
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         opener = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
         fault, disk.fault = disk.fault, ""
-        store = SqliteStore(Path("/a.db"), opener)  # a start that fails is told at once
+        store = SqliteStore(Path("/a.db"), opener)  # opened without faults: only writes are tested
         disk.fault = fault
         store.writer.checkpoint_pages = store.writer.longest_log_pages = 20
         kept, never, late = [], [], []
@@ -314,7 +315,7 @@
     run(test())
 
 
-# Writes on and on, and prints what it was told is kept: WRITER DATA [DSN].
+# A program that writes in a loop and prints the number of each confirmed write: WRITER DATA [DSN].
 WRITER = """
 import asyncio, sys
 from pathlib import Path
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -1,4 +1,4 @@
-"""Budgets of upstreams at the agent, by what its instances see of them."""
+"""Disruption budgets of upstreams at the agent, computed from what its instances report about them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Nodes:
-    """The truth of some upstreams, as all instances see it; `states` says otherwise of some."""
+    """Upstreams as all instances report them. Tests change `states` and `warmth`."""
 
     def __init__(self, found: AgentScene, count: int = 4) -> None:
         self.states: dict[str, str] = {f"n{i}": "ready" for i in range(count)}
@@ -52,7 +52,7 @@
             nodes.states["n0"] = "draining"
             await until(lambda: permits.ledger.sights["upstream/n0"].why == "draining by 5 of 5")
             await permits.give_back("ann", first.id, False)
-            nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back, and cold: so much of it is still out
+            nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back but cold: 60% still counts as out
             await until(lambda: permits.ledger.sights["upstream/n0"].why == "cold, 40%")
             assert permits.ledger.permits[second.id].phase is Phase.WAITING
             nodes.warmth.clear()
@@ -70,11 +70,11 @@
             nodes, engine = Nodes(found), found.engine
             sights = engine.permits.ledger.sights
             await until(lambda: "upstream/n3" in sights and sights["upstream/n3"].out == 0.0)
-            nodes.states["n0"] = "draining"  # told to go, then gone: none any more
+            nodes.states["n0"] = "draining"  # drained and then gone: no longer counted
             await until(lambda: sights["upstream/n0"].out == 1.0)
             del nodes.states["n0"]
             await until(lambda: "upstream/n0" not in sights)
-            del nodes.states["n1"]  # gone without being told
+            del nodes.states["n1"]  # gone without having drained
             await until(lambda: sights["upstream/n1"].why == "not listed by 4 of 4")
             assert (await engine.permits.take("ann", "k", ["upstream/n2"], "", 0, 60_000)).phase is Phase.WAITING
             with pytest.raises(Refusal, match="it can be forgotten once it is gone there"):
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -1,4 +1,4 @@
-"""Published versions in the record of an agent, on both stores."""
+"""Published versions in the agent's store, in SQLite and in PostgreSQL."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 def test_who_follows_the_record_from_anywhere_has_what_the_whole_log_says(
     kind: str, seed: int, tmp_path: Path
 ) -> None:
-    """Versions, ends of scopes and compactions by chance; followers look now and then, some of them hardly ever."""
+    """Random versions, removals and compactions; followers read at random times, some of them rarely."""
     chance = random.Random(seed)
 
     async def test() -> None:
@@ -131,19 +131,19 @@
                 return [p.entry.version for p in await store.read(lambda r: r.versions(99, 99))]
 
             assert await store.write(lambda r: r.compact_versions(8, 0)) == 0
-            # six are kept: of before them what was in force then, as a way back from the first change needs it
+            # Six are retained, plus what was in force before them, which a restore of the first change needs.
             assert await store.write(lambda r: r.compact_versions(6, 0)) == 0 and 2 in await numbers()
             assert await store.write(lambda r: r.compact_versions(5, 0)) == 1
             assert await numbers() == [8, 7, 6, 5, 4, 3, 2]
             assert (await store.read(lambda r: r.version_change(3, lineage))).is_snapshot is False
-            # by age alike; that the service has none is no longer told, so who may not know gets the whole
+            # The same by age. The removal of the service's overlay is deleted, so an older follower gets a snapshot.
             assert await store.write(lambda r: r.compact_versions(99, 7)) == 3 and await numbers() == [8, 7, 6, 3]
             late = await store.read(lambda r: r.version_change(4, lineage))
             assert late.is_snapshot and late.floor == 5 and [e.version for e in late.entries] == [3, 8]
             fresh = await store.read(lambda r: r.version_change(5, lineage))
             assert not fresh.is_snapshot and [e.version for e in fresh.entries] == [8]
             assert await store.write(lambda r: r.compact_versions(0, 99)) == 2 and await numbers() == [8, 3]
-            assert (await store.write(add(service, {}))).version == 9  # a number is never given again
+            assert (await store.write(add(service, {}))).version == 9  # a number is never issued twice
             assert (await store.read(lambda r: r.version(9))).entry.base == 0  # type: ignore[union-attr]
 
     run(test)
@@ -222,7 +222,7 @@
 
 
 class Heard:
-    """Who serves: what it was told, and what the record had confirmed by then."""
+    """Records the changes that the publisher sent, and what the store had confirmed by then."""
 
     def __init__(self) -> None:
         self.view, self.positions = View(), list[int]()
@@ -265,7 +265,7 @@
             assert {refusal_of(found) for found in results if isinstance(found, BaseException)} == {"CONFLICT"}
             problem = next(found for found in results if isinstance(found, Refusal))
             assert problem.details["newest"] == 1 and problem.details["actor"] == won[0][0].entry.actor
-            # another scope's base is its own
+            # Each scope has its own base.
             other, made = await publisher.publish("ann", draft("zone=b", {}, 0))
             assert made and other.entry.version == 2
 
@@ -280,7 +280,7 @@
             before = commits(store)
             await asyncio.gather(*(publisher.publish("ann", draft(f"service=s{n}", {"n": n}, 0), f"key {n}")
                                    for n in range(50)))
-            # not as one transaction, which has an end of its own and would take them all along
+            # Not in one transaction: that could exceed its time limit, and all of them would fail.
             assert commits(store) - before >= 50 // MAX_CONCURRENT_WRITES
             assert heard.positions == list(range(51)) and len(heard.view.entries) == 50
             events = await store.read(lambda r: r.events(0, 99))
@@ -305,7 +305,7 @@
             with pytest.raises(Refusal) as found:
                 await publisher.restore("ann", 1, 2, "k")
             assert found.value.code == "KEY_REUSED"
-            assert (await publisher.publish("bob", draft("all", {"n": 1}, 2), "k"))[1]  # each has keys of their own
+            assert (await publisher.publish("bob", draft("all", {"n": 1}, 2), "k"))[1]  # keys are separate per actor
 
     run(test)
 
@@ -357,7 +357,7 @@
                 assert found.value.code == "HALTED"
             back, _ = await publisher.restore("ann", 1, 2, note="bad")
             assert (back.entry.version, back.entry.overlay, back.entry.restores, back.entry.base) == (4, {"n": 1}, 1, 2)
-            none, _ = await publisher.publish("ann", draft("zone=a", None, 3))  # it had none before
+            none, _ = await publisher.publish("ann", draft("zone=a", None, 3))  # the scope had no overlay before
             assert none.entry.overlay is None
             with pytest.raises(Refusal, match="which is in force"):
                 await publisher.restore("ann", 4, 4)
@@ -411,7 +411,7 @@
 def test_killed_at_this_step_it_is_one_version_by_its_key_and_what_was_told_is_kept(
     fatal: int, kept: int, told: int, tmp_path: Path
 ) -> None:
-    """The last one lives: every step has been one to die at."""
+    """The last case has no such step, so the publisher survives: every step is covered."""
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "tests.agent.killed_publisher", str(tmp_path), str(fatal), cwd=ROOT,
@@ -421,7 +421,7 @@
         async with store_of("sqlite", tmp_path) as store:
             assert len(await store.read(lambda r: r.versions(99, 9))) == kept
             publisher, heard = await publisher_on(store)
-            assert heard.view.position == kept  # who leads next tells it, though nobody was told before
+            assert heard.view.position == kept  # the next leader sends it, though nobody got it before
             again, made = await publisher.publish("ann", draft("all", {"n": 1}, 0), "k")
             assert (again.entry.version, made, heard.view.position) == (1, not kept, 1)
 
@@ -456,7 +456,7 @@
             assert found.value.code == "FULL"
             await publisher.publish("ann", draft("zone=0", None, 1))
             publisher.keep = 0
-            assert await publisher.compact() == 2  # the version and its end
+            assert await publisher.compact() == 2  # the version and its removal
             await publisher.publish("ann", draft("all", {}, 0))
 
     run(test)
