--- a/tests/agent/test_api.py
+++ b/tests/agent/test_api.py
@@ -91,7 +91,7 @@
 ]
 
 
-def test_requests_are_answered_as_the_specification_has_it(tmp_path: Path) -> None:
+def test_requests_are_answered_according_to_the_specification(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s, s.api() as client:
             for what, case, status, code in CASES:
@@ -116,14 +116,14 @@
     run(test)
 
 
-def test_fragments_that_double_at_each_level_are_refused_in_no_time() -> None:
+def test_fragments_that_double_at_each_level_are_refused_quickly() -> None:
     bomb = "{ ...f0 }" + "".join(f" fragment f{i} on Query {{ ...f{i + 1} ...f{i + 1} }}" for i in range(40)) + (
         " fragment f40 on Query { __typename }")
     with pytest.raises(limits.TooMuch):
         limits.cost(parse(bomb), {})
 
 
-def test_pages_in_pages_count_by_what_they_can_come_to() -> None:
+def test_the_cost_of_nested_pages_is_multiplied() -> None:
     def of(query: str, **variables: Any) -> int:
         return limits.cost(parse(query), variables)
 
@@ -143,7 +143,7 @@
     run(test)
 
 
-def test_roles_may_do_what_they_are_for_and_no_more(tmp_path: Path) -> None:
+def test_roles_limit_what_a_token_may_do(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(1)
@@ -178,7 +178,7 @@
     run(test)
 
 
-def test_a_bug_inside_is_told_by_a_code_and_nothing_else(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_internal_errors_are_reported_without_details(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             s.engine.fleet.ordered = None  # type: ignore[assignment]  # read by queries, and not by the agent's own sweep
@@ -191,7 +191,7 @@
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_instances_come_in_pages_that_fit_together(tmp_path: Path) -> None:
+def test_pages_of_instances_join_without_gaps_or_overlaps(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.start_many(25)
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("selector", ["colour=red", "zone<3", "generation<x", "=3", "state=asleep"])
-def test_a_selector_that_can_not_be_read_is_told(selector: str) -> None:
+def test_an_invalid_selector_is_reported(selector: str) -> None:
     with pytest.raises(SelectorError, match="selector: expected"):
         parse_selector(selector)
 
@@ -240,7 +240,7 @@
                 into.append((kind, json.loads(line[6:] or "null")))
 
 
-def test_an_operation_can_be_followed_to_its_end(tmp_path: Path) -> None:
+def test_a_subscription_follows_an_operation_to_its_end(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s, s.api() as client:
             await s.start_many(4)
@@ -260,7 +260,7 @@
     run(test)
 
 
-def test_events_and_instances_can_be_followed_and_an_ending_agent_says_so(tmp_path: Path) -> None:
+def test_subscriptions_to_events_and_instances_complete_when_the_agent_stops(tmp_path: Path) -> None:
     async def test() -> None:
         events: list[tuple[str, Any]] = []
         lists: list[tuple[str, Any]] = []
@@ -283,7 +283,7 @@
     run(test)
 
 
-def test_streams_that_nobody_reads_any_more_are_let_go(tmp_path: Path) -> None:
+def test_abandoned_streams_are_closed(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
             for _ in range(5):
@@ -327,7 +327,7 @@
     ({"selector": "*", "policy": {"wave": -1}}, "BAD_INPUT", "policy.wave"),
     ({"selector": "*", "idempotencyKey": "x" * 201}, "BAD_INPUT", "idempotencyKey"),
 ])
-def test_mutations_that_can_not_be_done_do_nothing(given: dict[str, Any], code: str, words: str,
+def test_invalid_mutations_change_nothing(given: dict[str, Any], code: str, words: str,
                                                    tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as s:
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -94,7 +94,7 @@
 # Stored data
 
 
-def test_everything_comes_back_as_it_was_also_for_the_next_agent() -> None:
+def test_all_data_is_read_back_unchanged_by_the_next_agent() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,):
             async with store_on(host) as store:
@@ -122,7 +122,7 @@
     run(test)
 
 
-def test_more_rows_than_one_statement_takes() -> None:
+def test_writes_with_more_rows_than_one_statement_takes() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             rows = [row(f"i{n:04}") for n in range(1_201)]
@@ -134,11 +134,11 @@
     run(test)
 
 
-def test_a_piece_of_work_that_fails_leaves_nothing_and_takes_no_other_along() -> None:
+def test_a_failed_write_is_rolled_back_without_affecting_others_in_its_group() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             gate = host.hook = Gate("begin")
-            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up behind it and form one group
+            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
                 lambda r: r.put_token(TokenRow("first", "read", "d", 1)), half, twice,
@@ -160,7 +160,7 @@
     run(test)
 
 
-def test_one_that_failed_by_itself_is_told_so_though_the_commit_of_its_group_fails_too() -> None:
+def test_a_failed_write_raises_its_own_error_even_if_the_group_commit_fails() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -182,7 +182,7 @@
     run(test)
 
 
-def test_the_log_can_not_be_changed() -> None:
+def test_the_audit_log_is_append_only() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             await store.write(line("a"))
@@ -193,7 +193,7 @@
     run(test)
 
 
-def test_a_newer_schema_is_refused_and_left_as_it_is() -> None:
+def test_a_newer_schema_is_refused_and_left_unchanged() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
@@ -210,7 +210,7 @@
     run(test)
 
 
-def test_a_schema_that_could_not_be_made_is_not_there_by_half() -> None:
+def test_a_failed_schema_creation_leaves_no_tables() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -230,7 +230,7 @@
 # Ownership
 
 
-def test_a_second_agent_is_refused_while_the_first_is_heard_and_follows_once_it_is_not() -> None:
+def test_a_second_agent_can_claim_the_store_only_after_the_lease_of_the_first_expired() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, holder="one") as first:
@@ -260,7 +260,7 @@
     run(test)
 
 
-def test_an_agent_that_ended_well_keeps_nobody_waiting_nor_one_that_was_killed_its_next() -> None:
+def test_no_wait_after_a_clean_shutdown_or_on_the_data_folder_of_a_killed_agent() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
@@ -268,14 +268,14 @@
                 await store.write(line("a"))
             async with store_on(host, holder="two") as store:
                 await store.write(line("b"))
-                async with store_on(host, holder="two") as again:  # the same data folder: its lock shows that the first has gone
+                async with store_on(host, holder="two") as again:  # its data folder lock shows that the first has gone
                     await again.write(line("c"))
             assert subjects(data) == ["a", "b", "c"]
 
     run(test)
 
 
-def test_two_that_claim_at_the_same_moment_are_not_both_told_yes() -> None:
+def test_only_one_of_two_concurrent_claims_succeeds() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("direction", ["in", "out"])
-def test_cut_at_every_byte_a_write_is_kept_once_or_told_as_not_kept(direction: str) -> None:
+def test_with_the_connection_cut_at_any_byte_a_write_is_stored_once_or_reported_as_failed(direction: str) -> None:
     """Cuts the connection of the first write at every EVERY-th byte, from the start-up and the claim on. The next
     connection has to find out whether the write was committed."""
     async def test() -> None:
@@ -344,7 +344,7 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_a_write_told_as_not_known_is_heard_of_later_and_before_anything_else_is_written(stands: bool) -> None:
+def test_the_outcome_of_an_unknown_write_is_reported_before_any_other_write(stands: bool) -> None:
     """The server becomes unavailable at COMMIT, before or after it has committed, and returns only after the caller got
     the error UNKNOWN."""
     async def test() -> None:
@@ -371,7 +371,7 @@
     run(test)
 
 
-def test_a_write_that_waits_behind_one_that_broke_off_is_not_taken_for_it() -> None:
+def test_a_write_queued_behind_an_interrupted_one_is_not_mistaken_for_it() -> None:
     """If the queued write were run, its higher number would make the interrupted one look committed."""
     async def test() -> None:
         data = Data()
@@ -400,7 +400,7 @@
     run(test)
 
 
-def test_a_write_that_is_asked_for_while_an_outcome_is_open_is_refused_at_once() -> None:
+def test_a_write_is_refused_at_once_while_an_outcome_is_unknown() -> None:
     """Such a write was prepared without knowing the outcome, and could undo the earlier one if it ran later."""
     async def test() -> None:
         data = Data()
@@ -428,7 +428,7 @@
     run(test)
 
 
-def test_a_commit_that_is_still_on_its_way_is_waited_for_and_not_guessed() -> None:
+def test_the_outcome_of_a_delayed_commit_is_awaited() -> None:
     """The server delays COMMIT past the agent's time limit, and commits while the agent resolves the outcome."""
     async def test() -> None:
         data = Data()
@@ -446,7 +446,7 @@
     run(test)
 
 
-def test_a_transaction_that_is_held_up_before_its_claim_is_looked_at_changes_nothing_afterwards() -> None:
+def test_a_transaction_delayed_past_the_next_claim_changes_nothing() -> None:
     """The server holds up the transaction before it has checked the epoch, and continues it after the next claim."""
     async def test() -> None:
         data = Data()
@@ -465,7 +465,7 @@
     run(test)
 
 
-def test_a_server_that_does_not_answer_holds_up_no_one_for_ever() -> None:
+def test_a_hanging_server_ends_in_a_timeout() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(line("before"))
@@ -481,7 +481,7 @@
     run(test)
 
 
-def test_a_server_that_hangs_from_the_first_byte_is_told() -> None:
+def test_a_server_that_never_answers_is_reported() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as silent:
             host = Host()
@@ -494,7 +494,7 @@
     run(test)
 
 
-def test_the_claim_itself_may_lose_its_answer() -> None:
+def test_a_claim_whose_answer_is_lost_is_made_again() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -513,7 +513,7 @@
 # Failover
 
 
-def test_a_server_that_takes_over_with_all_is_gone_on_with() -> None:
+def test_the_agent_continues_on_a_failover_server_with_all_writes() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, two), store_on(one, two) as store:
@@ -528,7 +528,7 @@
     run(test)
 
 
-def test_a_server_that_takes_over_with_less_than_was_confirmed_ends_the_agent_and_raises_the_fences() -> None:
+def test_a_failover_that_lost_confirmed_writes_ends_the_agent_and_raises_the_fences() -> None:
     async def test() -> None:
         data = Data()
         lost: list[Any] = []
@@ -556,7 +556,7 @@
     run(test)
 
 
-def test_the_old_server_that_is_written_again_is_seen_to_have_less() -> None:
+def test_returning_to_the_old_server_after_a_failover_is_detected_as_data_loss() -> None:
     """Split brain: writes confirmed by the new server are missing on the old one."""
     async def test() -> None:
         data = Data()
@@ -586,7 +586,7 @@
 
 
 @pytest.mark.parametrize("seed", [int(s) for s in os.environ.get("SEEDS", "1,2,3,4,5,6").split(",")])
-def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_with_random_faults_reported_outcomes_match_the_stored_data(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Random disconnects, stalls, errors and lost replies. Each write is reported as committed, failed or unknown. The
     audit log holds the committed ones once, none of the failed ones, and of the unknown ones exactly those that were
     reported as committed later."""
@@ -646,7 +646,7 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_an_operation_whose_beginning_is_not_known_goes_on_if_it_stands_and_is_nowhere_if_not(
+def test_an_operation_with_an_unknown_start_runs_only_if_it_was_committed(
     tmp_path: Path, stands: bool
 ) -> None:
     async def test() -> None:
@@ -674,7 +674,7 @@
     run(test)
 
 
-def test_a_pause_whose_outcome_was_not_known_holds_once_it_stands(tmp_path: Path) -> None:
+def test_a_pause_with_an_unknown_outcome_takes_effect_once_it_proves_committed(tmp_path: Path) -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
@@ -697,7 +697,7 @@
     run(test)
 
 
-def test_operators_are_told_by_a_code_while_instances_go_on(tmp_path: Path) -> None:
+def test_operators_get_an_error_code_while_instances_continue(tmp_path: Path) -> None:
     """With an unreachable server, or one lost during a commit, queries that need only memory are still answered."""
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
@@ -731,7 +731,7 @@
     run(test)
 
 
-def test_a_read_whose_commit_breaks_off_bars_no_write() -> None:
+def test_an_interrupted_commit_of_a_read_does_not_block_writes() -> None:
     """A read changes nothing, so there is no outcome to resolve."""
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
@@ -752,7 +752,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_rollout_in_bad_weather_has_every_effect_once_and_a_true_log(tmp_path: Path, seed: int) -> None:
+def test_a_rollout_with_random_faults_has_every_effect_once_and_a_correct_log(tmp_path: Path, seed: int) -> None:
     async def test() -> None:
         rng = random.Random(seed)
 
@@ -790,7 +790,7 @@
     run(test)
 
 
-def test_the_next_agent_goes_on_where_one_that_lost_its_store_stopped(tmp_path: Path) -> None:
+def test_an_agent_that_loses_the_store_exits_and_names_the_new_owner(tmp_path: Path) -> None:
     """The agent exits as soon as it learns that another agent owns the store, and names that agent."""
     async def test() -> None:
         data = Data()
@@ -816,7 +816,7 @@
     run(test)
 
 
-def test_an_agent_on_another_folder_waits_for_the_lease_and_wants_the_tokens_of_the_one_before(
+def test_an_agent_on_another_folder_waits_for_the_lease_and_needs_the_previous_tokens(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -878,7 +878,7 @@
             r.version_change(0, ""), r.version_change(1, r.lineage())]
 
 
-def test_the_record_of_the_folder_comes_along_once_and_is_not_gone_on_with_behind_its_back(tmp_path: Path) -> None:
+def test_the_sqlite_store_is_copied_once_and_not_used_afterwards(tmp_path: Path) -> None:
     said: list[str] = []
 
     async def test() -> None:
@@ -899,7 +899,7 @@
     run(test)
 
 
-def test_a_move_that_fails_leaves_both_as_they_were_and_one_that_ended_early_is_not_done_again(
+def test_a_failed_copy_changes_nothing_and_an_interrupted_one_is_not_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(commit_tracking, "RESOLVE_TIMEOUT_S", 0.3)
@@ -965,7 +965,7 @@
      "F: agent.synchronous_commit: expected one of on, off, local, remote_write, remote_apply, got 'maybe'"),
     ('postgresql = "host=a"\npassword_file = "none"', "none: expected a token, got No such file"),
 ])
-def test_a_line_that_can_not_be_used_is_told_before_the_agent_starts(text: str, expected: str, tmp_path: Path) -> None:
+def test_invalid_settings_are_reported_before_the_agent_starts(text: str, expected: str, tmp_path: Path) -> None:
     with pytest.raises(OperatorFileError) as found:
         agent = parse(f"[agent]\n{text}\n", "F", tmp_path).agent
         assert agent is not None
@@ -973,7 +973,7 @@
     assert expected in str(found.value) and "\n" not in str(found.value)
 
 
-def test_without_the_packages_it_is_told_in_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_packages_are_reported_in_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in [name for name in sys.modules if name.startswith("psycopg") or name == "ironscale.record.postgres"]:
         monkeypatch.delitem(sys.modules, name)
     monkeypatch.setitem(sys.modules, "psycopg", None)
@@ -983,7 +983,7 @@
         store_setup.postgres_access(section_)
 
 
-def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
+def test_the_lease_holder_is_identified_by_the_data_folder(tmp_path: Path) -> None:
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     one = holder_of(tmp_path / "a")
--- a/tests/agent/test_postgres_killed.py
+++ b/tests/agent/test_postgres_killed.py
@@ -20,7 +20,7 @@
 from tests.record.postgres import dsn
 
 
-def test_what_was_told_as_kept_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
+def test_confirmed_writes_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     async def test() -> None:
         data = Data()
         host = await Host(data).start()
@@ -52,7 +52,7 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-def test_the_commands_show_what_is_kept_and_say_what_is_wrong(tmp_path: Path) -> None:
+def test_commands_show_stored_data_and_report_errors(tmp_path: Path) -> None:
     """The commands of an operator: check, start, query, stop; with a newer schema, a wrong password, and an unreachable
     database."""
     async def test() -> None:
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("fatal", [2, 3, 6, 9, 12])
-def test_an_agent_that_is_killed_at_a_step_is_gone_on_from(fatal: int, tmp_path: Path) -> None:
+def test_the_next_agent_continues_an_operation_of_an_agent_killed_at_any_step(fatal: int, tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host(Data()).start()
         try:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -126,7 +126,7 @@
     return (await agent.engine.publisher.publish("ann", draft))[0].entry.version
 
 
-def test_one_that_stands_by_serves_what_the_other_publishes(tmp_path: Path) -> None:
+def test_a_standby_agent_serves_what_the_leader_publishes(tmp_path: Path) -> None:
     async def test() -> None:
         async with two(tmp_path) as (first, second):
             near, far = Raw(first, "i0"), Raw(second, "i1", zone="a")
@@ -149,7 +149,7 @@
     run(test)
 
 
-def test_a_version_whose_publisher_ends_before_it_tells_is_heard_from_the_log(tmp_path: Path) -> None:
+def test_a_version_is_read_from_the_log_if_its_publisher_fails_before_sending_it(tmp_path: Path) -> None:
     """The follower's connection also survives its agent becoming the leader."""
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
@@ -179,7 +179,7 @@
     run(test)
 
 
-def test_without_the_record_it_goes_on_with_its_age_told_and_catches_up(tmp_path: Path,
+def test_without_the_store_an_agent_serves_its_replica_with_its_age_and_catches_up(tmp_path: Path,
                                                                          monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with two(tmp_path) as (first, second):
@@ -210,7 +210,7 @@
     run(test)
 
 
-def test_a_leader_whose_term_is_not_sure_is_not_fresh(tmp_path: Path) -> None:
+def test_the_replica_of_a_leader_with_an_unconfirmed_term_grows_old(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(standing(tmp_path, "a0")) as agent:
             await agent.leading.wait()
@@ -265,7 +265,7 @@
         assert second.has_snapshot is False
 
 
-def test_one_that_starts_without_the_record_serves_its_snapshot_and_catches_up(tmp_path: Path,
+def test_an_agent_started_without_the_store_serves_its_snapshot_and_catches_up(tmp_path: Path,
                                                                                 capsys: Any) -> None:
     async def test() -> None:
         await one_version(tmp_path)
@@ -299,7 +299,7 @@
 @pytest.mark.parametrize(("bytes_of", "told"), [
     (lambda data: data[:-9], "as its length says, got"), (lambda data: b"", "expected it to begin with"),
     (lambda data: assemble([], 9), "expected version 1 to 1, got 9: written by a newer program; not used")])
-def test_a_snapshot_that_can_t_be_used_is_told_and_not_served(tmp_path: Path, capsys: Any, told: str,
+def test_an_invalid_snapshot_is_logged_and_not_served(tmp_path: Path, capsys: Any, told: str,
                                                               bytes_of: Callable[[bytes], bytes]) -> None:
     async def test() -> None:
         await one_version(tmp_path)
@@ -310,14 +310,14 @@
                 pass
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
-        async with running(standing_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves a new snapshot
+        async with running(standing_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves it again
             await until(lambda: agent.replica.serving.view.position == 1)
             await saved(tmp_path / "a1", 1)
 
     run(test)
 
 
-def test_a_snapshot_of_another_log_ends_when_the_record_is_reached_and_a_later_change_of_log_is_refused(
+def test_a_snapshot_of_another_lineage_is_dropped_and_later_changes_of_lineage_are_refused(
         tmp_path: Path, capsys: Any) -> None:
     async def test() -> None:
         await one_version(tmp_path)
@@ -344,7 +344,7 @@
     run(test)
 
 
-def test_it_never_goes_backwards(tmp_path: Path, capsys: Any) -> None:
+def test_the_served_position_never_goes_backwards(tmp_path: Path, capsys: Any) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             for n in (2, 3):
@@ -358,7 +358,7 @@
     run(test)
 
 
-def test_one_that_reads_nothing_holds_nobody_up_and_costs_little(tmp_path: Path) -> None:
+def test_a_follower_that_reads_nothing_delays_nobody_and_uses_little_memory(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
@@ -390,7 +390,7 @@
     run(test)
 
 
-def test_many_at_once_are_taken_on_at_the_rate_and_told_when_to_come_back(tmp_path: Path) -> None:
+def test_many_new_followers_are_admitted_at_a_limited_rate_and_told_when_to_retry(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
@@ -428,7 +428,7 @@
     run(test)
 
 
-def test_a_burst_of_versions_is_told_as_few(tmp_path: Path) -> None:
+def test_a_burst_of_versions_is_sent_as_few_updates(tmp_path: Path) -> None:
     async def test() -> None:
         async with two(tmp_path) as (first, second):
             near, far = Raw(first, "i0"), Raw(second, "i1")
@@ -447,7 +447,7 @@
     run(test)
 
 
-def test_who_leads_is_told_who_runs_what_and_says_of_whom_it_does_not_know(tmp_path: Path,
+def test_the_leader_collects_summaries_of_followers_and_reports_which_are_too_old(tmp_path: Path,
                                                                           monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower_connections, "MAX_SUMMARY_AGE_S", 1.6)
 
@@ -482,7 +482,7 @@
     run(test)
 
 
-def test_followers_are_kept_apart_from_strangers_and_garbled_words(tmp_path: Path) -> None:
+def test_invalid_follow_requests_are_denied_with_a_code(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             token = read_secret(tmp_path / "a" / "instance.token")
@@ -505,6 +505,6 @@
     run(test)
 
 
-def test_a_token_that_was_kept_admits_no_more_than_it_did() -> None:
+def test_the_snapshot_keeps_when_a_token_was_revoked() -> None:
     token = Token("instance", "instance", "ab", 1, 5)
     assert decode(to_bytes(Snapshot("", 0, 0, (), (token,), 0))).tokens == (token,)
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -78,7 +78,7 @@
         records.add_configuration(Configuration(1, {}, "ann", 1, 1))
 
 
-def test_everything_comes_back_as_it_was_also_after_the_file_is_opened_anew(tmp_path: Path) -> None:
+def test_all_data_is_read_back_unchanged_after_reopening_the_file(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         await store.write(fill)
@@ -87,7 +87,7 @@
         store.close()
         store = SqliteStore(tmp_path / "a.db")
         found = await store.read(lambda r: r.instances())
-        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # `desired` is changed only by set_desired
+        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # only set_desired sets it
         assert await store.read(lambda r: r.operation(1)) == OP
         assert await store.read(lambda r: r.targets(1)) == [TARGET, Target("i1", 1)]
         kept = Configuration(1, {"settings": {"x": None}}, "ann", 5, 1)
@@ -105,7 +105,7 @@
     run(test())
 
 
-def test_a_piece_of_work_that_fails_leaves_nothing_and_takes_no_other_along(tmp_path: Path) -> None:
+def test_a_failed_write_is_rolled_back_without_affecting_others_in_its_group(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         results = await asyncio.gather(
@@ -120,7 +120,7 @@
     run(test())
 
 
-def test_what_is_asked_for_during_a_commit_shares_the_next(tmp_path: Path) -> None:
+def test_writes_requested_during_a_commit_share_the_next_one(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         await asyncio.gather(*(store.write(lambda r: r.next_fence()) for _ in range(500)))
@@ -142,7 +142,7 @@
     assert connection.execute("SELECT count(*) FROM audit").fetchone() == (1,)
 
 
-def test_files_are_for_the_owner_alone(tmp_path: Path) -> None:
+def test_files_are_readable_by_their_owner_only(tmp_path: Path) -> None:
     os.umask(0o022)
     connection = connect(tmp_path / "a.db")
     connection.execute("INSERT INTO counters VALUES ('x', 1)")
@@ -150,7 +150,7 @@
         "a.db": "0o600", "a.db-wal": "0o600", "a.db-shm": "0o600"}
 
 
-def test_a_newer_file_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
+def test_a_file_with_a_newer_schema_is_refused_and_left_unchanged(tmp_path: Path) -> None:
     connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA_VERSION + 4}")
     expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
     with pytest.raises(StoreError, match=expected) as found:
@@ -159,7 +159,7 @@
     assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION + 4,)
 
 
-def test_an_older_file_is_brought_up_and_a_migration_that_fails_changes_nothing(
+def test_an_older_schema_is_migrated_and_a_failed_migration_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
@@ -177,7 +177,7 @@
     assert migrated.execute("SELECT name, note FROM tokens").fetchall() == [("t", None)]
 
 
-def test_a_record_of_before_versions_is_brought_up_with_all_that_it_holds(
+def test_a_store_from_before_versions_is_migrated_with_its_data(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "SCHEMA_VERSION", 3)
@@ -190,7 +190,7 @@
     assert records.add_version(ZONE_A, {}, 0, "ann", 1).version == 1
 
 
-def test_a_full_disk_is_told_nothing_is_half_kept_and_it_goes_on_when_there_is_room(tmp_path: Path) -> None:
+def test_a_full_disk_is_reported_without_partial_writes_and_writes_resume_with_space(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         await store.write(lambda r: r.audit(1, "ann", "a", "b", "c"))
@@ -211,7 +211,7 @@
     run(test())
 
 
-def test_a_file_that_another_process_holds_is_told_as_locked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_locked_by_another_process_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "BUSY_TIMEOUT_MS", 50)
 
     async def test() -> None:
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("damage", [b"not a database at all" * 100, b"SQLite format 3\0" + b"\xff" * 4000])
-def test_a_file_that_is_no_database_is_refused(damage: bytes, tmp_path: Path) -> None:
+def test_a_file_that_is_not_a_database_is_refused(damage: bytes, tmp_path: Path) -> None:
     (tmp_path / "a.db").write_bytes(damage)
     with pytest.raises(StoreError) as found:
         connect(tmp_path / "a.db")
@@ -237,13 +237,13 @@
     assert (tmp_path / "a.db").read_bytes() == damage
 
 
-def test_a_folder_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_a_missing_folder_is_reported(tmp_path: Path) -> None:
     with pytest.raises(StoreError, match="No such file") as found:
         connect(tmp_path / "none" / "a.db")
     assert found.value.code == "READ_ONLY"
 
 
-def test_a_file_that_can_not_be_written_is_told(tmp_path: Path) -> None:
+def test_a_read_only_file_is_reported(tmp_path: Path) -> None:
     """A read-only connection replaces file permissions here, because those don't apply to root."""
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
@@ -258,7 +258,7 @@
 
 @pytest.mark.parametrize("fault", ["io", "sync", "full"])
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_disk_that_fails_at_any_change_leaves_what_was_told_as_kept_and_nothing_that_was_told_as_not(
+def test_after_a_disk_error_at_any_write_exactly_the_confirmed_writes_are_stored(
     fault: str, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Injects a fault at each disk operation of twelve writes and a checkpoint. Afterwards the audit log must hold
@@ -332,7 +332,7 @@
 """
 
 
-def test_what_was_told_as_kept_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
+def test_confirmed_writes_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     for turn in range(6):
         writer = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path)], cwd=ROOT,
                                   stdout=subprocess.PIPE, text=True)
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.usefixtures("soon")
-def test_one_upstream_at_a_time_goes_out_and_the_next_once_most_have_seen_it_back(tmp_path: Path) -> None:
+def test_one_upstream_is_out_at_a_time_and_the_next_waits_until_most_see_it_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(5)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.usefixtures("soon")
-def test_upstreams_lost_and_replaced_count_until_they_are_known_to_have_gone(tmp_path: Path) -> None:
+def test_lost_upstreams_count_against_the_budget_until_they_are_known_to_be_gone(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(4)
@@ -88,7 +88,7 @@
     run(test)
 
 
-def test_a_real_sidecar_tells_what_an_agent_needs_of_each_upstream() -> None:
+def test_a_real_sidecar_reports_what_the_agent_needs_of_each_upstream() -> None:
     from ironscale.control.instance import SidecarInstance
     from ironscale.disruption.evidence import ought
     from ironscale.standins.upstream import Peer
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -63,7 +63,7 @@
 
 
 @both
-def test_numbers_have_no_holes_and_what_failed_leaves_none(kind: str, tmp_path: Path) -> None:
+def test_version_numbers_have_no_gaps_even_after_failed_writes(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             assert await store.read(lambda r: r.lineage()) == ""
@@ -85,7 +85,7 @@
 
 @both
 @pytest.mark.parametrize("seed", range(6))
-def test_who_follows_the_record_from_anywhere_has_what_the_whole_log_says(
+def test_a_follower_at_any_position_ends_with_the_state_of_the_whole_log(
     kind: str, seed: int, tmp_path: Path
 ) -> None:
     """Random versions, removals and compactions; followers read at random times, some of them rarely."""
@@ -117,7 +117,7 @@
 
 
 @both
-def test_what_is_compacted_is_what_nothing_in_the_kept_history_needs(kind: str, tmp_path: Path) -> None:
+def test_compaction_deletes_only_what_the_retained_history_does_not_need(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             zone, service = read_scope("zone=a"), read_scope("service=s")
@@ -150,7 +150,7 @@
 
 
 @both
-def test_of_another_lineage_or_ahead_of_the_log_everything_is_told(kind: str, tmp_path: Path) -> None:
+def test_a_follower_of_another_lineage_or_ahead_of_the_log_gets_a_snapshot(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             empty = await store.read(lambda r: r.version_change(0, ""))
@@ -168,7 +168,7 @@
     run(test)
 
 
-def test_a_commit_between_two_looks_of_a_follower_leaves_no_scope_out() -> None:
+def test_a_commit_between_two_reads_of_a_follower_omits_no_scope() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
@@ -193,7 +193,7 @@
     run(test)
 
 
-def test_an_end_that_is_compacted_between_two_looks_of_a_follower_is_told_by_a_snapshot() -> None:
+def test_a_removal_compacted_between_two_reads_of_a_follower_leads_to_a_snapshot() -> None:
     async def test() -> None:
         data, zone = Data(), read_scope("zone=a")
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
@@ -254,7 +254,7 @@
 
 
 @both
-def test_of_operators_upon_one_base_exactly_one_wins_and_the_others_are_told_who(kind: str, tmp_path: Path) -> None:
+def test_of_concurrent_publishes_on_one_base_exactly_one_succeeds(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -273,7 +273,7 @@
 
 
 @both
-def test_fifty_in_a_second_are_fifty_versions_told_in_their_order(kind: str, tmp_path: Path) -> None:
+def test_fifty_concurrent_publishes_make_fifty_versions_sent_in_order(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -290,7 +290,7 @@
 
 
 @both
-def test_a_key_makes_one_version_and_no_other_mutation(kind: str, tmp_path: Path) -> None:
+def test_an_idempotency_key_makes_one_version_and_no_other_mutation(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -311,7 +311,7 @@
 
 
 @both
-def test_what_can_not_be_is_refused_in_one_line_and_leaves_nothing(kind: str, tmp_path: Path) -> None:
+def test_invalid_publishes_are_refused_in_one_line_and_change_nothing(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -343,7 +343,7 @@
 
 
 @both
-def test_a_halt_bars_what_is_new_and_lets_ways_back_through(kind: str, tmp_path: Path) -> None:
+def test_a_halt_blocks_new_versions_and_allows_restores(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, _ = await publisher_on(store)
@@ -366,7 +366,7 @@
     run(test)
 
 
-def test_what_an_instance_runs_is_told_with_what_it_comes_of(tmp_path: Path) -> None:
+def test_the_effective_configuration_is_returned_with_its_layers(tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of("sqlite", tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_an_outcome_that_is_not_known_is_told_to_nobody_before_it_is_and_found_by_its_key(stands: bool) -> None:
+def test_a_version_with_an_unknown_outcome_is_sent_to_nobody_and_found_by_its_key(stands: bool) -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
@@ -408,7 +408,7 @@
 
 
 @pytest.mark.parametrize(("fatal", "kept", "told"), [(1, 0, 0), (2, 1, 0), (3, 1, 1), (4, 1, 1)])
-def test_killed_at_this_step_it_is_one_version_by_its_key_and_what_was_told_is_kept(
+def test_a_publisher_killed_at_any_step_makes_one_version_and_loses_none_that_was_sent(
     fatal: int, kept: int, told: int, tmp_path: Path
 ) -> None:
     """The last case has no such step, so the publisher survives: every step is covered."""
@@ -428,7 +428,7 @@
     run(test)
 
 
-def test_the_log_is_made_once_by_who_leads_and_goes_on_after_a_restart(tmp_path: Path) -> None:
+def test_the_leader_creates_the_log_once_and_continues_it_after_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         lineages = []
         for start in range(2):
@@ -442,7 +442,7 @@
     run(test)
 
 
-def test_the_history_is_bounded_and_a_scope_more_than_may_be_is_refused(
+def test_the_history_and_the_number_of_scopes_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -471,7 +471,7 @@
     return str(body["errors"][0]["extensions"]["code"])
 
 
-def test_operators_publish_look_and_go_back_by_the_api(tmp_path: Path) -> None:
+def test_operators_publish_query_and_restore_through_the_api(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path / "data") as s:
             made = "mutation($i: PublishInput!) { publish(input: $i) { %s } }" % VERSION  # noqa: UP031
@@ -546,7 +546,7 @@
         return [One("h:1"), One("h:2", False, 9_000)]
 
 
-def test_who_serves_and_who_differs_is_told_also_while_the_record_is_away(tmp_path: Path) -> None:
+def test_served_and_differing_instances_are_reported_even_without_the_store(tmp_path: Path) -> None:
     query = ("{ served { position agents { agent known heardMs ageMs position instances more "
              "positions { position instances } differing { name running status detail } } } }")
 
