--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -205,7 +205,7 @@
     async def run_term(self, stop: asyncio.Event, stop_instances: bool) -> None:
         """Opens the store and runs one term: until the term ends or `stop` is set."""
         over, self.failed = asyncio.Event(), None
-        relay = asyncio.create_task(self.relay(stop, over))
+        relay = asyncio.create_task(self.end_term_on_stop(stop, over))
 
         def lost(error: StoreError) -> None:
             self.log(f"{'no longer leads' if self.section.standby else 'exits'}: {error}")
@@ -248,7 +248,7 @@
         return self.section.standby and (self.ready.is_set() or self.has_snapshot)
 
     @staticmethod
-    async def relay(stop: asyncio.Event, over: asyncio.Event) -> None:
+    async def end_term_on_stop(stop: asyncio.Event, over: asyncio.Event) -> None:
         await stop.wait()
         over.set()
 
