--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -152,7 +152,7 @@
         caller = self.authenticate(token)
         return caller is not None and caller.role == "instance"
 
-    def on_denied(self, hello: Hello, denial: Denial) -> None:
+    def log_denial(self, hello: Hello, denial: Denial) -> None:
         """Logs a denied registration once per process and reason: an instance that retries must not fill the log and
         the store."""
         mark = (hello.boot, denial.code)
@@ -331,7 +331,7 @@
     def make_connections(self, fleet: Fleet, engine: Engine) -> InstanceConnections:
         engine.publisher.on_published, engine.publisher.served = self.replica.on_published, self.followers
         links = InstanceConnections(fleet, self.is_instance_token, engine.on_result, self.log)
-        links.on_denied = self.on_denied
+        links.on_denied = self.log_denial
         links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
         links.leader = lambda: engine.leader.control if engine.leader is not None else ""
         return links
