--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -68,7 +68,7 @@
         self.engine: Engine
         self.fleet: Fleet
         self.supervisor: Supervisor
-        self.failed: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
+        self.term_error: StoreError | None = None  # why the term ended: the ownership or confirmed writes were lost
         # Published versions are replicated and served as long as this process lives, whichever agent leads.
         self.replica = VersionsReplica(Serving(random.Random()), self.data, self.log)
         self.followers = FollowerConnections(self.replica.serving, self.is_instance_token, self.replica.age_s, self.log)
@@ -199,17 +199,17 @@
                 await asyncio.gather(*parts, return_exceptions=True)
                 self.control_listener.close()
                 self.followers.close()
-        if self.failed is not None and not self.section.standby:
-            raise self.failed
+        if self.term_error is not None and not self.section.standby:
+            raise self.term_error
 
     async def run_term(self, stop: asyncio.Event, stop_instances: bool) -> None:
         """Opens the store and runs one term: until the term ends or `stop` is set."""
-        over, self.failed = asyncio.Event(), None
+        over, self.term_error = asyncio.Event(), None
         relay = asyncio.create_task(self.end_term_on_stop(stop, over))
 
         def lost(error: StoreError) -> None:
             self.log(f"{'no longer leads' if self.section.standby else 'exits'}: {error}")
-            self.failed = error
+            self.term_error = error
             over.set()
 
         try:
@@ -226,7 +226,7 @@
         try:
             if not self.section.standby or await self.stand_by(store, over):
                 await self.lead(store, over, stop_instances)
-                if over.is_set() and self.failed is None:
+                if over.is_set() and self.term_error is None:
                     await store.release_ownership()
         except StoreError as error:
             # The term ended as it began, so the agent stands by again.
