--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -61,7 +61,7 @@
         self.tokens: list[TokenRow] = []
         self.control_port = self.api_port = 0
         self.denials: deque[tuple[str, str]] = deque(maxlen=MAX_REMEMBERED_DENIALS)
-        self.clock = Clock()
+        self.monotonic_clock = Clock()
         self.ready = asyncio.Event()
         self.leading = asyncio.Event()
         self.sockets: list[socket.socket] = []  # control, api
@@ -80,7 +80,7 @@
         self.followers.leader = self.leader_control
 
     def now_ms(self) -> int:
-        return self.clock.now_us() // 1000
+        return self.monotonic_clock.now_us() // 1000
 
     def is_leading(self) -> bool:
         return self.leading.is_set()
