--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -59,7 +59,7 @@
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
         worker.stops_at_unknown = True
-        self.group: X | None = None
+        self.current_group: X | None = None
         # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
         self.group_writes: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
@@ -98,8 +98,8 @@
         write = _Write(late)
 
         def job(transaction: X) -> T:
-            if transaction is not self.group:
-                self.group, self.group_writes = transaction, []
+            if transaction is not self.current_group:
+                self.current_group, self.group_writes = transaction, []
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
             records.write_pending_audit()
