--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -578,7 +578,7 @@
 # Subscriptions
 
 
-async def changes(engine: Engine) -> AsyncIterator[None]:
+async def change_notifications(engine: Engine) -> AsyncIterator[None]:
     """Yields at once, and then whenever something has changed, at most once per interval: thousands of instances can
     change at the same time."""
     watcher = asyncio.Event()
@@ -597,7 +597,7 @@
 async def s_operation(root: Any, info: Any, id: int) -> AsyncIterator[dict[str, Any]]:
     engine = require_role(info, "read").engine
     before: tuple[Any, ...] | None = None
-    async for _ in changes(engine):
+    async for _ in change_notifications(engine):
         found = await engine.find(id)
         if found is None:
             raise error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
@@ -612,7 +612,7 @@
 async def s_instances(root: Any, info: Any, selector: str, first: int,
                       after: str | None = None) -> AsyncIterator[dict[str, Any]]:
     engine = require_role(info, "read").engine
-    async for _ in changes(engine):
+    async for _ in change_notifications(engine):
         yield {"instances": instances_page(engine, selector, first, after)}
 
 
@@ -621,7 +621,7 @@
     last = decode_cursor_number(after)
     if not after:
         last = await engine.store.read(lambda records: records.last_event())
-    async for _ in changes(engine):
+    async for _ in change_notifications(engine):
         while found := await engine.events(last, 200):
             for event in found:
                 last = event.id
