--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -447,7 +447,7 @@
     return key
 
 
-async def begin(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
+async def begin_operation(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
     context = require_role(info, "operate")
     engine, key = context.engine, idempotency_key(given)
     names = names_matching(engine, given.get("selector") or "")
@@ -461,13 +461,13 @@
         if not input["selector"].strip():
             raise error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
                                      "`name=*` is all of them")
-        return await begin(info, kind, input)
+        return await begin_operation(info, kind, input)
 
     return resolve
 
 
 async def m_apply(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    return await begin(info, Kind.RECONFIGURE, input, overlay=overlay_object(input["overlay"]),
+    return await begin_operation(info, Kind.RECONFIGURE, input, overlay=overlay_object(input["overlay"]),
                        expect=input["expectGeneration"])
 
 
