--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -79,7 +79,7 @@
     return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds") if ms else None
 
 
-def enum_name(value: str) -> str:
+def graphql_enum_name(value: str) -> str:
     return value.upper().replace(" ", "_")
 
 
@@ -145,7 +145,7 @@
         return {"report": report_object(found.report), "upstreams": found.upstreams}
 
     return {
-        "name": name, "state": enum_name(state_of(seen)), "zone": row.zone, "version": row.version,
+        "name": name, "state": graphql_enum_name(state_of(seen)), "zone": row.zone, "version": row.version,
         "listen": row.listen, "pid": row.pid, "boot": row.boot, "startedAt": iso_time(row.started_ms),
         "lastHeard": iso_time(row.heard_ms), "connected": seen.connected, "generation": row.generation,
         "desiredGeneration": row.desired, "ended": row.ended, "supervised": seen.supervised,
