--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -60,18 +60,18 @@
     return resources.files("ironscale.agent").joinpath("schema.graphql").read_text(encoding="utf-8")
 
 
-def error(code: str, text: str, **details: Any) -> GraphQLError:
+def graphql_error(code: str, text: str, **details: Any) -> GraphQLError:
     return GraphQLError(text, extensions={"code": code, **details})
 
 
 def require_role(info: Any, role: str) -> Context:
     context: Context = info.context
     if not secrets_.may(context.caller.role, role):
-        raise error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
+        raise graphql_error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
     leader = context.engine.leader
     if leader is not None and info.operation.operation is OperationType.MUTATION:
         where = f"the agent at {leader.api} does" if leader.api else "at present none is known to"
-        raise error("NOT_LEADING", f"this agent does not lead; {where}", leader=leader.api)
+        raise graphql_error("NOT_LEADING", f"this agent does not lead; {where}", leader=leader.api)
     return context
 
 
@@ -93,19 +93,19 @@
     try:
         return base64.b64decode(text.encode("ascii"), altchars=b"-_", validate=True).decode()
     except ValueError:
-        raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}") from None
+        raise graphql_error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}") from None
 
 
 def decode_cursor_number(text: str | None) -> int:
     value = decode_cursor(text)
     if value and not (value.isascii() and value.isdecimal() and len(value) < 18):
-        raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
+        raise graphql_error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
     return int(value or 0)
 
 
 def page_size(first: int) -> int:
     if not 0 <= first <= MOST_PAGE:
-        raise error("BAD_INPUT", f"first: expected 0 to {MOST_PAGE}, got {first}")
+        raise graphql_error("BAD_INPUT", f"first: expected 0 to {MOST_PAGE}, got {first}")
     return first
 
 
@@ -140,7 +140,7 @@
 
     async def inspect(info: Any, timeoutMs: int) -> dict[str, Any]:  # noqa: N803 (the schema's name)
         if not 1 <= timeoutMs <= 60_000:
-            raise error("BAD_INPUT", f"timeoutMs: expected 1 to 60000, got {timeoutMs}")
+            raise graphql_error("BAD_INPUT", f"timeoutMs: expected 1 to 60000, got {timeoutMs}")
         found = await engine.inspect(name, timeoutMs / 1000)
         return {"report": report_object(found.report), "upstreams": found.upstreams}
 
@@ -365,13 +365,13 @@
     try:
         return read_scope(text)
     except ScopeError as problem:
-        raise error("BAD_INPUT", str(problem)) from problem
+        raise graphql_error("BAD_INPUT", str(problem)) from problem
 
 
 async def q_versions(root: Any, info: Any, scope: str, first: int, after: str | None = None) -> dict[str, Any]:
     engine, before = require_role(info, "read").engine, decode_cursor_number(after) or 2**62
     if not 0 <= first <= MAX_VERSIONS_PAGE:
-        raise error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
+        raise graphql_error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
     wanted = parse_scope(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
@@ -390,7 +390,7 @@
     engine = require_role(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
         if len(value) > MAX_NAME or not value.isprintable():
-            raise error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
+            raise graphql_error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
@@ -416,7 +416,7 @@
 
 def overlay_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise error("BAD_INPUT", f"overlay: expected an object, got {value!r:.60}")
+        raise graphql_error("BAD_INPUT", f"overlay: expected an object, got {value!r:.60}")
     return value
 
 
@@ -435,7 +435,7 @@
         ("margin", policy.margin, 0.0, 1.0),
     ):
         if value is None or not least <= value <= most:
-            raise error("BAD_INPUT", f"policy.{name}: expected {least} to {most}, got {value}")
+            raise graphql_error("BAD_INPUT", f"policy.{name}: expected {least} to {most}, got {value}")
     assert policy.on_failure in ON_FAILURE
     return policy
 
@@ -443,7 +443,7 @@
 def idempotency_key(given: dict[str, Any]) -> str:
     key: str = given.get("idempotencyKey") or ""
     if len(key) > MAX_TEXT_LENGTH:
-        raise error("BAD_INPUT", f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
+        raise graphql_error("BAD_INPUT", f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
     return key
 
 
@@ -459,7 +459,7 @@
 def operation_resolver(kind: Kind) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
         if not input["selector"].strip():
-            raise error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
+            raise graphql_error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
                                      "`name=*` is all of them")
         return await begin_operation(info, kind, input)
 
@@ -501,7 +501,7 @@
 async def m_halt(root: Any, info: Any, reason: str) -> dict[str, Any] | None:
     context = require_role(info, "operate")
     if not reason.isprintable() or len(reason) > MAX_TEXT_LENGTH:
-        raise error("BAD_INPUT", f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
+        raise graphql_error("BAD_INPUT", f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
     return halt_object(await context.engine.permits.set_halt(context.caller.name, reason))
 
 
@@ -513,7 +513,7 @@
 async def m_publish(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
     context = require_role(info, "operate")
     if "overlay" not in input:
-        raise error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
+        raise graphql_error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
     draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
@@ -536,13 +536,13 @@
 async def m_create_token(root: Any, info: Any, name: str, role: str) -> dict[str, Any]:
     context = require_role(info, "admin")
     if not 0 < len(name) <= 64 or not name.isprintable():
-        raise error("BAD_INPUT", f"name: expected 1 to 64 printable characters, got {name!r:.80}")
+        raise graphql_error("BAD_INPUT", f"name: expected 1 to 64 printable characters, got {name!r:.80}")
     secret, now_ms = secrets_.new_token(), context.engine.now_ms()
     row = TokenRow(name, role.lower(), secrets_.digest(secret), now_ms)
 
     def work(records: Records) -> None:
         if any(known.name == name for known in records.tokens()):
-            raise error("CONFLICT", f"there is a token {name!r} already; names are not used twice")
+            raise graphql_error("CONFLICT", f"there is a token {name!r} already; names are not used twice")
         records.put_token(row)
         records.audit(now_ms, context.caller.name, "create token", name, row.role)
 
@@ -559,12 +559,12 @@
         rows = records.tokens()
         found = next((row for row in rows if row.name == name), None)
         if found is None:
-            raise error("NOT_FOUND", f"there is no token {name!r}")
+            raise graphql_error("NOT_FOUND", f"there is no token {name!r}")
         if found.revoked_ms:
             return found
         admins = [row for row in rows if row.role == "admin" and not row.revoked_ms]
         if admins == [found]:
-            raise error("CONFLICT", f"{name!r} is the last token of role admin; create another first")
+            raise graphql_error("CONFLICT", f"{name!r} is the last token of role admin; create another first")
         new = TokenRow(found.name, found.role, found.digest, found.created_ms, now_ms)
         records.put_token(new)
         records.audit(now_ms, context.caller.name, "revoke token", name, found.role)
@@ -600,7 +600,7 @@
     async for _ in change_notifications(engine):
         found = await engine.find(id)
         if found is None:
-            raise error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
+            raise graphql_error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
         stalled = engine.live[id].stalled if id in engine.live else ""
         if (*found, stalled) != before:
             before = (*found, stalled)
@@ -658,9 +658,9 @@
         try:
             return await resolve(root, info, **arguments)
         except Refusal as refusal:
-            raise error(refusal.code, str(refusal), **refusal.details) from refusal
+            raise graphql_error(refusal.code, str(refusal), **refusal.details) from refusal
         except SelectorError as problem:
-            raise error("BAD_INPUT", str(problem)) from problem
+            raise graphql_error("BAD_INPUT", str(problem)) from problem
 
     return resolved
 
@@ -671,7 +671,7 @@
             async for value in subscribe(root, info, **arguments):
                 yield value
         except SelectorError as problem:
-            raise error("BAD_INPUT", str(problem)) from problem
+            raise graphql_error("BAD_INPUT", str(problem)) from problem
 
     return subscribed
 
