--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -176,16 +176,16 @@
         try:
             document = parse(query, max_tokens=limits.MAX_TOKENS)
         except GraphQLError as error:
-            return self.failed(media, [error])
+            return self.request_error_response(media, [error])
         except RecursionError:
-            return self.failed(media, [GraphQLError("expected a document that nests less")])
+            return self.request_error_response(media, [GraphQLError("expected a document that nests less")])
         errors = self.check(document, variables)
         if errors:
-            return self.failed(media, errors)
+            return self.request_error_response(media, errors)
         operation = get_operation_ast(document, name)
         if operation is None:
             text = f"expected an operation {name!r} in the document" if name else "expected an operationName"
-            return self.failed(media, [GraphQLError(text)])
+            return self.request_error_response(media, [GraphQLError(text)])
         if request.method == "GET" and operation.operation is OperationType.MUTATION:
             raise HttpError(405, "METHOD", "expected POST for a mutation, got GET", {"Allow": "POST"})
         if operation.operation is OperationType.SUBSCRIPTION:
@@ -209,7 +209,7 @@
             return [GraphQLError("expected fragments that don't contain themselves")]
         return validate(self.schema, document, self.rules, max_errors=MAX_ERRORS)
 
-    def failed(self, media: str, errors: list[GraphQLError]) -> Response:
+    def request_error_response(self, media: str, errors: list[GraphQLError]) -> Response:
         """The response to a request that was not executed, without data. Legacy clients get status 200 with it."""
         body = {"errors": [format_error(error, self.log) for error in errors]}
         if media == EVENT_STREAM:
@@ -250,7 +250,7 @@
                            operation_name=name)
         found: Any = await source if isinstance(source, Awaitable) else source
         if isinstance(found, ExecutionResult):
-            return self.failed(EVENT_STREAM, list(found.errors or []))
+            return self.request_error_response(EVENT_STREAM, list(found.errors or []))
         return StreamingResponse(self.events(found, caller), media_type=EVENT_STREAM,
                                  headers={"Cache-Control": "no-store", "X-Accel-Buffering": "no"})
 
