--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -219,7 +219,7 @@
     def result(self, media: str, done: ExecutionResult) -> Response:
         body = self.payload(done)
         if media == EVENT_STREAM:
-            return StreamingResponse(self.single(body), media_type=EVENT_STREAM)
+            return StreamingResponse(self.single_result_events(body), media_type=EVENT_STREAM)
         status = 200
         if media == GRAPHQL_RESPONSE_JSON and done.data is None and done.errors:
             status = 200 if "data" in body else 400
@@ -234,7 +234,7 @@
             body["data"] = done.data
         return body
 
-    async def single(self, body: dict[str, Any]) -> AsyncIterator[bytes]:
+    async def single_result_events(self, body: dict[str, Any]) -> AsyncIterator[bytes]:
         yield self.event("next", body)
         yield self.event("complete", None)
 
