--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -114,7 +114,7 @@
             if request.method not in ("GET", "POST"):
                 raise HttpError(405, "METHOD", f"expected GET or POST, got {request.method}", {"Allow": "GET, POST"})
             media = negotiate_media_type(request.headers.get("accept"))
-            caller = self.caller(request)
+            caller = self.authenticated_caller(request)
             query, variables, name = await self.parameters(request)
             return await self.answer(request, media, caller, query, variables, name)
         except HttpError as error:
@@ -124,7 +124,7 @@
         except ClientDisconnect:
             return Response(status_code=499)
 
-    def caller(self, request: Request) -> Caller:
+    def authenticated_caller(self, request: Request) -> Caller:
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
         caller = self.authenticate(token.strip()) if scheme.lower() == "bearer" and token.strip() else None
         if caller is None or caller.role == "instance":
