--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -116,7 +116,7 @@
             media = negotiate_media_type(request.headers.get("accept"))
             caller = self.authenticated_caller(request)
             query, variables, name = await self.parameters(request)
-            return await self.answer(request, media, caller, query, variables, name)
+            return await self.execute_request(request, media, caller, query, variables, name)
         except HttpError as error:
             body = {"errors": [{"message": str(error), "extensions": {"code": error.code}}]}
             return JSONResponse(body, error.status, error.headers,
@@ -171,7 +171,7 @@
                 raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY} bytes at most")
         return body
 
-    async def answer(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
+    async def execute_request(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
                      name: str | None) -> Response:
         try:
             document = parse(query, max_tokens=limits.MAX_TOKENS)
