--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -104,7 +104,7 @@
         self.context = context
         self.rules = [*specified_rules, *([] if introspection else [NoSchemaIntrospectionCustomRule])]
         self.log = log or logs.write_line
-        self.ending = asyncio.Event()
+        self.shutting_down = asyncio.Event()
         self.app = Starlette(routes=[Route("/graphql", self.endpoint, methods=["GET", "POST", "HEAD", "OPTIONS", "PUT",
                                                                                "DELETE", "PATCH"])])
 
@@ -258,7 +258,7 @@
         """Sends results as they are produced. The next result is requested only after the last one was sent, so a slow
         reader exerts backpressure."""
         pending: asyncio.Future[Any] | None = None
-        ending = asyncio.ensure_future(self.ending.wait())
+        ending = asyncio.ensure_future(self.shutting_down.wait())
         try:
             yield b": open\n\n"
             while True:
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -373,7 +373,7 @@
             yield api
         finally:
             self.control_listener.set_instance_connections(None)
-            api.ending.set()
+            api.shutting_down.set()
             server.should_exit = True
             await http
             links.close()
