--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -94,7 +94,7 @@
                 raise Denial("PROTOCOL", f"expected protocol {PROTOCOL}, got {hello.protocol}", 60_000)
             if not self.links.admits(hello.token):
                 raise Denial("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
-            if not self.links.leads():
+            if not self.links.is_leading():
                 raise Denial(NOT_LEADING, "another agent leads", 0)
             self.boot, name = hello.boot, hello.name
             fleet = self.links.fleet
@@ -239,7 +239,7 @@
         self.admits = admits
         self.on_result = on_result
         self.log = log
-        self.leads: Callable[[], bool] = lambda: True
+        self.is_leading: Callable[[], bool] = lambda: True
         self.term: Callable[[], int] = lambda: 0
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -332,7 +332,7 @@
         engine.publisher.on_published, engine.publisher.served = self.replica.on_published, self.followers
         links = InstanceConnections(fleet, self.is_instance_token, engine.on_result, self.log)
         links.on_denied = self.log_denial
-        links.leads, links.term = engine.leads, lambda: engine.store.term.epoch
+        links.is_leading, links.term = engine.leads, lambda: engine.store.term.epoch
         links.leader = lambda: engine.leader.control if engine.leader is not None else ""
         return links
 
