--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -70,7 +70,7 @@
         self.open: set[FollowerConnection | SummaryConnection] = set()
         self.encoded = Encoded()
         self.wake = asyncio.Event()
-        self.leads: Callable[[], bool] = lambda: False
+        self.is_leading: Callable[[], bool] = lambda: False
         self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.agent = ""  # HOST:PORT of this one
         self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
@@ -140,7 +140,7 @@
 
     async def send_summaries(self, token: str) -> None:
         """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
-        address = self.leader() if not self.leads() else ""
+        address = self.leader() if not self.is_leading() else ""
         host, _, port = address.rpartition(":")
         if not address or address == self.agent:
             await asyncio.sleep(SUMMARY_INTERVAL_S)
@@ -153,7 +153,7 @@
             return
         try:
             seq = 0
-            while self.leader() == address and not self.leads():
+            while self.leader() == address and not self.is_leading():
                 seq += 1
                 async with asyncio.timeout(SUMMARY_TIMEOUT_S):
                     writer.write(encode(serialize_message(self.own_summary(token, seq))))
@@ -316,7 +316,7 @@
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {found.protocol}", 60_000)
         if not self.followers.admits(found.token):
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
-        if not self.followers.leads():
+        if not self.followers.is_leading():
             return self.deny(NOT_LEADING, "another agent leads", 0)
         self.followers.on_summary(found)
         self.send(LeaseRenewal(found.seq))
