--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -71,7 +71,7 @@
         self.encoded = Encoded()
         self.wake = asyncio.Event()
         self.is_leading: Callable[[], bool] = lambda: False
-        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
+        self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.agent = ""  # HOST:PORT of this one
         self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
         self.sent = 0  # number of frames
@@ -140,7 +140,7 @@
 
     async def send_summaries(self, token: str) -> None:
         """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
-        address = self.leader() if not self.is_leading() else ""
+        address = self.leader_control() if not self.is_leading() else ""
         host, _, port = address.rpartition(":")
         if not address or address == self.agent:
             await asyncio.sleep(SUMMARY_INTERVAL_S)
@@ -153,7 +153,7 @@
             return
         try:
             seq = 0
-            while self.leader() == address and not self.is_leading():
+            while self.leader_control() == address and not self.is_leading():
                 seq += 1
                 async with asyncio.timeout(SUMMARY_TIMEOUT_S):
                     writer.write(encode(serialize_message(self.own_summary(token, seq))))
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -77,7 +77,7 @@
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
         self.replica.leads = self.followers.is_leading = self.is_leading
-        self.followers.leader = self.leader_control
+        self.followers.leader_control = self.leader_control
 
     def now_ms(self) -> int:
         return self.monotonic_clock.now_us() // 1000
