--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -72,7 +72,7 @@
         self.wake = asyncio.Event()
         self.is_leading: Callable[[], bool] = lambda: False
         self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
-        self.agent = ""  # HOST:PORT of this one
+        self.own_address = ""  # HOST:PORT of this one
         self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
         self.sent = 0  # number of frames
         self.denied = 0
@@ -117,7 +117,7 @@
     def summary(self) -> list[AgentSummary]:
         """The summary of this agent's own followers, then those that other agents sent of theirs."""
         now_s = time.monotonic()
-        found = [AgentSummary(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
+        found = [AgentSummary(self.own_address, True, 0, int(self.age_s() * 1000), self.serving.summary())]
         for sum_, heard_s in self.summaries.values():
             found.append(AgentSummary(
                 sum_.agent, now_s - heard_s < MAX_SUMMARY_AGE_S, int((now_s - heard_s) * 1000), sum_.age_ms,
@@ -133,7 +133,7 @@
 
     def own_summary(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
-        return FollowerSummary(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
+        return FollowerSummary(PROTOCOL, token, seq, self.own_address, own.lineage, own.position, int(self.age_s() * 1000),
                    own.followers, [PositionCount(position, number) for position, number in own.counts],
                    [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing],
                    own.more)
@@ -142,7 +142,7 @@
         """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
         address = self.leader_control() if not self.is_leading() else ""
         host, _, port = address.rpartition(":")
-        if not address or address == self.agent:
+        if not address or address == self.own_address:
             await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -270,7 +270,7 @@
     async def listen(self) -> None:
         """Accepts followers from now on, and instances once their connections are set. Raises AgentError."""
         self.bind()
-        self.followers.agent = self.addresses()[1]
+        self.followers.own_address = self.addresses()[1]
         await self.control_listener.listen(self.sockets[0].dup())
 
     def addresses(self) -> tuple[str, str]:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -466,15 +466,15 @@
 
                 def told() -> Any:
                     found = {one.agent: one for one in first.followers.summary()}
-                    return found.get(second.followers.agent)
+                    return found.get(second.followers.own_address)
 
                 await until(lambda: told() is not None and told().summary.counts == ((1, 1), (0, 1)))
                 assert told().known and told().age_ms < 3_000 and told().summary.position == 1
                 differs, = told().summary.differing
                 assert (differs.name, differs.status, differs.detail) == ("i1", "refused", "settings.no: what is it?")
                 # An agent without a token sends no summary, and one that doesn't lead accepts none.
-                assert quiet.followers.agent not in [one.agent for one in first.followers.summary()]
-                assert [one.agent for one in second.followers.summary()] == [second.followers.agent]
+                assert quiet.followers.own_address not in [one.agent for one in first.followers.summary()]
+                assert [one.agent for one in second.followers.summary()] == [second.followers.own_address]
                 for one in ones:
                     await one.close()
             await until(lambda: not told().known)
