--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -74,7 +74,7 @@
         self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
         self.own_address = ""  # HOST:PORT of this one
         self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
-        self.sent = 0  # number of frames
+        self.frames_sent = 0  # number of frames
         self.denied = 0
 
     # Sending updates
@@ -274,7 +274,7 @@
             self.followers.log(f"{self.name}: its versions together exceed a frame: {error}")
             self.deny("TOO_LARGE", f"what concerns it is too large together: {error}", 30_000)
             return
-        self.followers.sent += 1
+        self.followers.frames_sent += 1
         self.transport.write(data)
 
     def pause_writing(self) -> None:
