--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -68,7 +68,7 @@
         self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerConnection] = {}
         self.open: set[FollowerConnection | SummaryConnection] = set()
-        self.encoded = Encoded()
+        self.encoded_updates = Encoded()
         self.wake = asyncio.Event()
         self.is_leading: Callable[[], bool] = lambda: False
         self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
@@ -269,7 +269,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         try:
-            data = self.followers.encoded.get(told, encode_update)
+            data = self.followers.encoded_updates.get(told, encode_update)
         except FrameError as error:
             self.followers.log(f"{self.name}: its versions together exceed a frame: {error}")
             self.deny("TOO_LARGE", f"what concerns it is too large together: {error}", 30_000)
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -416,10 +416,10 @@
             assert len(agent.followers.links) == 200
             assert joined[-1] >= 1.7  # 180 at 100 a second
             assert tries < 800
-            sent, made = agent.followers.frames_sent, agent.followers.encoded.made
+            sent, made = agent.followers.frames_sent, agent.followers.encoded_updates.made
             await publish(agent, {"settings": {"instances": 3}})
             await until(lambda: all(raw.view.position == 2 for raw in found))
-            sent, made = agent.followers.frames_sent - sent, agent.followers.encoded.made - made
+            sent, made = agent.followers.frames_sent - sent, agent.followers.encoded_updates.made - made
             assert sent >= 200 and made <= sent / 4  # followers share encoded frames
             for raw in found:
                 await raw.close()
