--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -65,7 +65,7 @@
 
     def __init__(self, serving: Serving, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
-        self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
+        self.serving, self.is_instance_token, self.age_s, self.log = serving, admits, age_s, log
         self.links: dict[int, FollowerConnection] = {}
         self.open: set[FollowerConnection | SummaryConnection] = set()
         self.encoded_updates = Encoded()
@@ -253,7 +253,7 @@
             raise MessageError("expected runs, got follow again")
         if follow.protocol != PROTOCOL:
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {follow.protocol}", 60_000)
-        if not followers.admits(follow.token):
+        if not followers.is_instance_token(follow.token):
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         now_s = time.monotonic()
         try:
@@ -314,7 +314,7 @@
         self.name = f"agent {found.agent[:60]}"
         if found.protocol != PROTOCOL:
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {found.protocol}", 60_000)
-        if not self.followers.admits(found.token):
+        if not self.followers.is_instance_token(found.token):
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         if not self.followers.is_leading():
             return self.deny(NOT_LEADING, "another agent leads", 0)
