--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -92,7 +92,7 @@
         try:
             if hello.protocol != PROTOCOL:
                 raise Denial("PROTOCOL", f"expected protocol {PROTOCOL}, got {hello.protocol}", 60_000)
-            if not self.links.admits(hello.token):
+            if not self.links.is_instance_token(hello.token):
                 raise Denial("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
             if not self.links.is_leading():
                 raise Denial(NOT_LEADING, "another agent leads", 0)
@@ -236,7 +236,7 @@
     def __init__(self, fleet: Fleet, admits: Callable[[str], bool],
                  on_result: Callable[[str, str, CommandResult], None], log: Callable[[str], None]) -> None:
         self.fleet = fleet
-        self.admits = admits
+        self.is_instance_token = admits
         self.on_result = on_result
         self.log = log
         self.is_leading: Callable[[], bool] = lambda: True
