--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -111,7 +111,7 @@
             self.deny(denial)
 
     def deny(self, denial: Denial) -> None:
-        self.send(Denied(denial.code, str(denial), denial.retry_ms, self.links.leader()))
+        self.send(Denied(denial.code, str(denial), denial.retry_ms, self.links.leader_control()))
         self.close(str(denial))
 
     def command(self, command: Command) -> None:
@@ -241,7 +241,7 @@
         self.log = log
         self.is_leading: Callable[[], bool] = lambda: True
         self.term: Callable[[], int] = lambda: 0
-        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
+        self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
         self.open: set[InstanceConnection] = set()
         self.unidentified = 0
--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -333,7 +333,7 @@
         links = InstanceConnections(fleet, self.is_instance_token, engine.on_result, self.log)
         links.on_denied = self.log_denial
         links.is_leading, links.term = engine.leads, lambda: engine.store.term.epoch
-        links.leader = lambda: engine.leader.control if engine.leader is not None else ""
+        links.leader_control = lambda: engine.leader.control if engine.leader is not None else ""
         return links
 
     def mark_ready(self) -> None:
