--- a/ironscale/agent/serve.py
+++ b/ironscale/agent/serve.py
@@ -76,7 +76,7 @@
                                                  "sum": lambda: SummaryConnection(self.followers)})
         self.has_snapshot = False  # a snapshot file was loaded, which can be served before the store was ever reached
         self.replica.listener = self.followers
-        self.replica.leads = self.followers.is_leading = self.is_leading
+        self.replica.is_leading = self.followers.is_leading = self.is_leading
         self.followers.leader_control = self.leader_control
 
     def now_ms(self) -> int:
--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -56,7 +56,7 @@
         self.serving, self.path, self.log = serving, data / SNAPSHOT_FILE, log
         self.random = rng or random.Random()
         self.listener: ReplicaListener | None = None
-        self.leads: Callable[[], bool] = lambda: False
+        self.is_leading: Callable[[], bool] = lambda: False
         self.store: Store | None = None  # the store that is open now
         self.tokens: tuple[Token, ...] = ()
         self.last_read_ms: float | None = None  # time on `clock_ms` of the last successful read of the store
@@ -129,7 +129,7 @@
                             f"its age: {error}")
         elif error is not None:
             self.log_change("versions: " + "".join(traceback.format_exception(error)))
-        elif self.leads() and not store.term.holds(clock_ms()):
+        elif self.is_leading() and not store.term.holds(clock_ms()):
             self.log_change("versions: this agent's term is not confirmed, serving what it has with its age")
         else:
             self.apply(done.result(), began_ms)
