--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -39,7 +39,7 @@
 TERM_S = 1.0
 
 
-class Raw:
+class RawFollower:
     """A minimal follower: a socket and a view of the versions."""
 
     def __init__(self, agent: Agent, name: str = "i0", token: str = "", zone: str = "", lineage: str = "",
@@ -129,7 +129,7 @@
 def test_a_standby_agent_serves_what_the_leader_publishes(tmp_path: Path) -> None:
     async def test() -> None:
         async with two(tmp_path) as (first, second):
-            near, far = Raw(first, "i0"), Raw(second, "i1", zone="a")
+            near, far = RawFollower(first, "i0"), RawFollower(second, "i1", zone="a")
             await until(lambda: near.updates and far.updates)
             assert await publish(first) == 1
             at_s = time.monotonic()
@@ -157,7 +157,7 @@
                 await first.leading.wait()
                 TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
                 second = await later.enter_async_context(running(standing(tmp_path, "a1")))
-                follower = Raw(second)
+                follower = RawFollower(second)
                 await until(lambda: follower.updates)
 
                 def step(where: str) -> None:
@@ -184,7 +184,7 @@
     async def test() -> None:
         async with two(tmp_path) as (first, second):
             await publish(first)
-            follower = Raw(second)
+            follower = RawFollower(second)
             await until(lambda: follower.view.position == 1)
             store = second.replica.store
             assert store is not None
@@ -197,7 +197,7 @@
             await publish(first, {"settings": {"instances": 4}})
             await until(lambda: follower.updates[-1].age_ms > 2_500)
             assert follower.view.position == 1
-            newcomer = Raw(second, "i9")  # a new follower gets what the replica holds
+            newcomer = RawFollower(second, "i9")  # a new follower gets what the replica holds
             await until(lambda: newcomer.view.position == 1)
             assert newcomer.updates[-1].age_ms > 2_500
             monkeypatch.setattr(store, "read", read_was)
@@ -275,12 +275,12 @@
         async with contextlib.AsyncExitStack() as later:
             with record_away(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
-                follower = Raw(agent)
+                follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 1)
                 assert 86_000_000 < follower.updates[-1].age_ms < 87_000_000
-                ahead = Raw(agent, "i1", lineage=follower.view.lineage, position=3)
+                ahead = RawFollower(agent, "i1", lineage=follower.view.lineage, position=3)
                 await until(lambda: len(ahead.updates) > 1)
-                stranger = Raw(agent, "i2", token="x" * 40)  # tokens are checked against those in the snapshot
+                stranger = RawFollower(agent, "i2", token="x" * 40)  # tokens are checked against those in the snapshot
                 await until(lambda: stranger.ended)
                 assert stranger.denied is not None and stranger.denied.code == "TOKEN"
             await agent.leading.wait()  # the store is back, and the connections are still open
@@ -326,11 +326,11 @@
         async with contextlib.AsyncExitStack() as later:
             with record_away(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
-                follower = Raw(agent)
+                follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 50)
             await until(lambda: follower.ended)
             assert follower.denied is not None and follower.denied.code == "LINEAGE"
-            again = Raw(agent)
+            again = RawFollower(agent)
             await until(lambda: again.view.position == 1)
             lineage, reached = again.view.lineage, agent.replica.last_read_ms
             agent.replica.apply(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
@@ -362,7 +362,7 @@
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
-            slow, other = Raw(agent, "i0"), Raw(agent, "i1")
+            slow, other = RawFollower(agent, "i0"), RawFollower(agent, "i1")
             await until(lambda: slow.updates and other.updates)
             slow.reads.clear()
             link = next(link for link in agent.followers.links.values() if link.name == "i0")
@@ -398,11 +398,11 @@
             agent.replica.serving.bucket = Bucket(100.0, 20.0)
             began_s, joined, tries = time.monotonic(), list[float](), 0
 
-            async def one(number: int) -> Raw:
+            async def one(number: int) -> RawFollower:
                 nonlocal tries
                 while True:
                     tries += 1
-                    raw = Raw(agent, f"i{number}")
+                    raw = RawFollower(agent, f"i{number}")
                     while not (raw.updates or raw.denied):
                         await asyncio.sleep(0.01)
                     if raw.denied is None:
@@ -431,7 +431,7 @@
 def test_a_burst_of_versions_is_sent_as_few_updates(tmp_path: Path) -> None:
     async def test() -> None:
         async with two(tmp_path) as (first, second):
-            near, far = Raw(first, "i0"), Raw(second, "i1")
+            near, far = RawFollower(first, "i0"), RawFollower(second, "i1")
             await until(lambda: near.updates and far.updates)
             counts = len(near.updates), len(far.updates)
             began_s = time.monotonic()
@@ -459,7 +459,7 @@
             with_token = standing(tmp_path, "a1", token_file=tmp_path / "a0" / "instance.token")
             async with running(with_token) as second, running(standing(tmp_path, "a2")) as quiet:
                 await publish(first)
-                ones = [Raw(second, "i0"), Raw(second, "i1"), Raw(quiet, "i2")]
+                ones = [RawFollower(second, "i0"), RawFollower(second, "i1"), RawFollower(quiet, "i2")]
                 await until(lambda: all(one.view.position == 1 for one in ones))
                 ones[0].runs()
                 ones[1].runs("refused", running=0, detail="settings.no: what is it?")
