--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -111,7 +111,7 @@
 
 
 @contextlib.asynccontextmanager
-async def two(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
+async def leader_and_standby(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
     """Runs a leading agent and a standby agent."""
     async with running(standing(folder, "a0")) as first:
         await first.leading.wait()
@@ -128,7 +128,7 @@
 
 def test_a_standby_agent_serves_what_the_leader_publishes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
+        async with leader_and_standby(tmp_path) as (first, second):
             near, far = RawFollower(first, "i0"), RawFollower(second, "i1", zone="a")
             await until(lambda: near.updates and far.updates)
             assert await publish(first) == 1
@@ -182,7 +182,7 @@
 def test_without_the_store_an_agent_serves_its_replica_with_its_age_and_catches_up(tmp_path: Path,
                                                                          monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
+        async with leader_and_standby(tmp_path) as (first, second):
             await publish(first)
             follower = RawFollower(second)
             await until(lambda: follower.view.position == 1)
@@ -258,7 +258,7 @@
 
 async def one_version(folder: Path) -> None:
     """Runs two agents that publish one version and save it in their snapshots."""
-    async with two(folder) as (first, second):
+    async with leader_and_standby(folder) as (first, second):
         await publish(first)
         await saved(folder / "a1", 1)
         assert (folder / "a1" / "versions.snapshot").stat().st_mode & 0o777 == 0o600
@@ -430,7 +430,7 @@
 
 def test_a_burst_of_versions_is_sent_as_few_updates(tmp_path: Path) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
+        async with leader_and_standby(tmp_path) as (first, second):
             near, far = RawFollower(first, "i0"), RawFollower(second, "i1")
             await until(lambda: near.updates and far.updates)
             counts = len(near.updates), len(far.updates)
