--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -105,7 +105,7 @@
 TOKENS = [""]
 
 
-def standing(folder: Path, name: str, **changes: Any) -> Any:
+def standby_section(folder: Path, name: str, **changes: Any) -> Any:
     (folder / "r").mkdir(exist_ok=True)
     return section(folder / name, record=folder / "r" / "record.db", standby=True, term_s=TERM_S, **changes)
 
@@ -113,10 +113,10 @@
 @contextlib.asynccontextmanager
 async def leader_and_standby(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
     """Runs a leading agent and a standby agent."""
-    async with running(standing(folder, "a0")) as first:
+    async with running(standby_section(folder, "a0")) as first:
         await first.leading.wait()
         TOKENS.append(read_secret(folder / "a0" / "instance.token"))
-        async with running(standing(folder, "a1", **changes)) as second:
+        async with running(standby_section(folder, "a1", **changes)) as second:
             yield first, second
 
 
@@ -153,10 +153,10 @@
     """The follower's connection also survives its agent becoming the leader."""
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
-            async with running(standing(tmp_path, "a0")) as first:
+            async with running(standby_section(tmp_path, "a0")) as first:
                 await first.leading.wait()
                 TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
-                second = await later.enter_async_context(running(standing(tmp_path, "a1")))
+                second = await later.enter_async_context(running(standby_section(tmp_path, "a1")))
                 follower = RawFollower(second)
                 await until(lambda: follower.updates)
 
@@ -212,7 +212,7 @@
 
 def test_the_replica_of_a_leader_with_an_unconfirmed_term_grows_old(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(standing(tmp_path, "a0")) as agent:
+        async with running(standby_section(tmp_path, "a0")) as agent:
             await agent.leading.wait()
             TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
             await publish(agent)
@@ -453,11 +453,11 @@
 
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
-            first = await later.enter_async_context(running(standing(tmp_path, "a0")))
+            first = await later.enter_async_context(running(standby_section(tmp_path, "a0")))
             await first.leading.wait()
             TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
-            with_token = standing(tmp_path, "a1", token_file=tmp_path / "a0" / "instance.token")
-            async with running(with_token) as second, running(standing(tmp_path, "a2")) as quiet:
+            with_token = standby_section(tmp_path, "a1", token_file=tmp_path / "a0" / "instance.token")
+            async with running(with_token) as second, running(standby_section(tmp_path, "a2")) as quiet:
                 await publish(first)
                 ones = [RawFollower(second, "i0"), RawFollower(second, "i1"), RawFollower(quiet, "i2")]
                 await until(lambda: all(one.view.position == 1 for one in ones))
