--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -227,7 +227,7 @@
     run(test)
 
 
-def kept(folder: Path, **changes: Any) -> Snapshot:
+def saved_snapshot(folder: Path, **changes: Any) -> Snapshot:
     """The agent's snapshot, with `changes` to its fields."""
     return replace(decode((folder / "versions.snapshot").read_bytes()), **changes)
 
@@ -271,7 +271,7 @@
         await one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         now_ms = time.time_ns() // 1_000_000
-        path.write_bytes(to_bytes(kept(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
+        path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
         async with contextlib.AsyncExitStack() as later:
             with record_away(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
@@ -322,7 +322,7 @@
     async def test() -> None:
         await one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
-        path.write_bytes(to_bytes(kept(tmp_path / "a1", lineage="ffff", position=50)))
+        path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", lineage="ffff", position=50)))
         async with contextlib.AsyncExitStack() as later:
             with record_away(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
