--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -232,7 +232,7 @@
     return replace(decode((folder / "versions.snapshot").read_bytes()), **changes)
 
 
-async def saved(folder: Path, position: int) -> None:
+async def wait_until_saved(folder: Path, position: int) -> None:
     path = folder / "versions.snapshot"
 
     def there() -> bool:
@@ -260,7 +260,7 @@
     """Runs two agents that publish one version and save it in their snapshots."""
     async with leader_and_standby(folder) as (first, second):
         await publish(first)
-        await saved(folder / "a1", 1)
+        await wait_until_saved(folder / "a1", 1)
         assert (folder / "a1" / "versions.snapshot").stat().st_mode & 0o777 == 0o600
         assert second.has_snapshot is False
 
@@ -312,7 +312,7 @@
         assert f"{path}: " in err and told in err
         async with running(standing_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves it again
             await until(lambda: agent.replica.serving.view.position == 1)
-            await saved(tmp_path / "a1", 1)
+            await wait_until_saved(tmp_path / "a1", 1)
 
     run(test)
 
