--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -244,7 +244,7 @@
 
 
 @contextlib.contextmanager
-def record_away(folder: Path) -> Any:
+def store_unreachable(folder: Path) -> Any:
     (folder / "r").rename(folder / "elsewhere")
     try:
         yield
@@ -273,7 +273,7 @@
         now_ms = time.time_ns() // 1_000_000
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
         async with contextlib.AsyncExitStack() as later:
-            with record_away(tmp_path):
+            with store_unreachable(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
                 follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 1)
@@ -305,7 +305,7 @@
         await one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(bytes_of(path.read_bytes()))
-        with record_away(tmp_path), pytest.raises((StoreError, AgentError)):
+        with store_unreachable(tmp_path), pytest.raises((StoreError, AgentError)):
             async with running(standing_section(tmp_path, "a1")):
                 pass
         err = capsys.readouterr().err
@@ -324,7 +324,7 @@
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", lineage="ffff", position=50)))
         async with contextlib.AsyncExitStack() as later:
-            with record_away(tmp_path):
+            with store_unreachable(tmp_path):
                 agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
                 follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 50)
