--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -252,7 +252,7 @@
         (folder / "elsewhere").rename(folder / "r")
 
 
-def standing_section(folder: Path, name: str) -> Any:
+def unchanged_standby_section(folder: Path, name: str) -> Any:
     return section(folder / name, record=folder / "r" / "record.db", standby=True, term_s=TERM_S)
 
 
@@ -274,7 +274,7 @@
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
         async with contextlib.AsyncExitStack() as later:
             with store_unreachable(tmp_path):
-                agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
+                agent = await later.enter_async_context(running(unchanged_standby_section(tmp_path, "a1")))
                 follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 1)
                 assert 86_000_000 < follower.updates[-1].age_ms < 87_000_000
@@ -306,11 +306,11 @@
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(bytes_of(path.read_bytes()))
         with store_unreachable(tmp_path), pytest.raises((StoreError, AgentError)):
-            async with running(standing_section(tmp_path, "a1")):
+            async with running(unchanged_standby_section(tmp_path, "a1")):
                 pass
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
-        async with running(standing_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves it again
+        async with running(unchanged_standby_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves it again
             await until(lambda: agent.replica.serving.view.position == 1)
             await wait_until_saved(tmp_path / "a1", 1)
 
@@ -325,7 +325,7 @@
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", lineage="ffff", position=50)))
         async with contextlib.AsyncExitStack() as later:
             with store_unreachable(tmp_path):
-                agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
+                agent = await later.enter_async_context(running(unchanged_standby_section(tmp_path, "a1")))
                 follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 50)
             await until(lambda: follower.ended)
