--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -256,7 +256,7 @@
     return section(folder / name, record=folder / "r" / "record.db", standby=True, term_s=TERM_S)
 
 
-async def one_version(folder: Path) -> None:
+async def publish_one_version(folder: Path) -> None:
     """Runs two agents that publish one version and save it in their snapshots."""
     async with leader_and_standby(folder) as (first, second):
         await publish(first)
@@ -268,7 +268,7 @@
 def test_an_agent_started_without_the_store_serves_its_snapshot_and_catches_up(tmp_path: Path,
                                                                                 capsys: Any) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         now_ms = time.time_ns() // 1_000_000
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
@@ -302,7 +302,7 @@
 def test_an_invalid_snapshot_is_logged_and_not_served(tmp_path: Path, capsys: Any, told: str,
                                                               bytes_of: Callable[[bytes], bytes]) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(bytes_of(path.read_bytes()))
         with store_unreachable(tmp_path), pytest.raises((StoreError, AgentError)):
@@ -320,7 +320,7 @@
 def test_a_snapshot_of_another_lineage_is_dropped_and_later_changes_of_lineage_are_refused(
         tmp_path: Path, capsys: Any) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", lineage="ffff", position=50)))
         async with contextlib.AsyncExitStack() as later:
