--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -64,7 +64,7 @@
     return [subject for subject, in data.all("SELECT subject FROM agent_audit ORDER BY id")]
 
 
-class Vanishes:
+class ServerLostAtCommit:
     """Makes the server unavailable at the COMMIT of a transaction that wrote to a table, before or after it has
     committed."""
 
@@ -170,7 +170,7 @@
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (line("a"), half, line("b"))]
             await asyncio.sleep(0)
-            host.hook = Vanishes(host, "agent_audit", stands=False)
+            host.hook = ServerLostAtCommit(host, "agent_audit", stands=False)
             gate.go.set()
             await reading
             await until(lambda: host.starting)
@@ -354,7 +354,7 @@
             store.resolve_timeout_s = 0.1
             heard: list[str] = []
 
-            host.hook = Vanishes(host, "agent_audit", stands)
+            host.hook = ServerLostAtCommit(host, "agent_audit", stands)
             with pytest.raises(StoreError, match="whether it was committed is not known yet") as found:
                 await store.write(line("it"), heard.append)
             assert found.value.code == "UNKNOWN" and heard == []
@@ -655,7 +655,7 @@
             assert isinstance(store, PostgresStore)
             store.resolve_timeout_s = 0.1
             await s.start_many(3)
-            host.hook = Vanishes(host, "agent_operations", stands)
+            host.hook = ServerLostAtCommit(host, "agent_operations", stands)
             with pytest.raises(StoreError) as found:
                 await s.begin(key="k")
             assert found.value.code == "UNKNOWN"
@@ -684,7 +684,7 @@
             s.instances["i0000"].open = 1  # the first wave does not end
             ident = await s.begin(Kind.DRAIN, policy=Policy(wave=1))
             await until(lambda: s.instances["i0000"].draining)
-            host.hook = Vanishes(host, "agent_operations")
+            host.hook = ServerLostAtCommit(host, "agent_operations")
             with pytest.raises(StoreError) as found:
                 await s.engine.control("ann", ident, "pause")
             assert found.value.code == "UNKNOWN"
@@ -711,7 +711,7 @@
                 found: str = (await s.ask(mutation))["errors"][0]["extensions"]["code"]
                 return found
 
-            gone = Vanishes(host, "agent_tokens")
+            gone = ServerLostAtCommit(host, "agent_tokens")
             host.starting = True
             await host.end_sessions()
             assert await code() == "STORE_AWAY"
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -27,7 +27,7 @@
 from ironscale.versions.model import ALL, MOST_OVERLAY, Entry, Labels, Scope, digest, effective, read_scope
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
-from tests.agent.test_postgres import Vanishes, hosts, store_on
+from tests.agent.test_postgres import ServerLostAtCommit, hosts, store_on
 from tests.deployed import ROOT
 
 SCOPES = [ALL, *map(read_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
@@ -391,7 +391,7 @@
             publisher, heard = await publisher_on(store)
             await publisher.publish("ann", draft("all", {"n": 1}, 0))
             store.resolve_timeout_s = 0.05
-            host.hook = Vanishes(host, "agent_versions", stands)
+            host.hook = ServerLostAtCommit(host, "agent_versions", stands)
             with pytest.raises(StoreError) as found:
                 await publisher.publish("ann", draft("all", {"n": 2}, 1), "k")
             assert found.value.code == "UNKNOWN" and heard.positions == [0, 1]
