--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -868,7 +868,7 @@
     return store
 
 
-def nobody(found: Any) -> None:
+def ignore_ownership_loss(found: Any) -> None:
     """Callback for the loss of the ownership, which doesn't happen here."""
 
 
@@ -888,13 +888,13 @@
         async with hosts(Data()) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
             for _ in range(2):  # the second time there is nothing to copy
-                moved = await open_store(where, tmp_path, nobody, said.append)
+                moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
                 assert await moved.read(all_of) == before
                 assert await moved.write(lambda r: r.next_fence()) > 41
                 await asyncio.to_thread(moved.close)
             assert len(said) == 1 and said[0].startswith("moved the store ") and "72 rows" in said[0], said
             with pytest.raises(StoreError, match=r"agent\.db: expected a store in use, got one that was moved"):
-                await open_store(section(tmp_path), tmp_path, nobody, said.append)
+                await open_store(section(tmp_path), tmp_path, ignore_ownership_loss, said.append)
 
     run(test)
 
@@ -923,7 +923,7 @@
 
                 host.hook = fail
                 with pytest.raises(StoreError, match="no space left"):
-                    await open_store(where, tmp_path, nobody, said.append)
+                    await open_store(where, tmp_path, ignore_ownership_loss, said.append)
                 tables = [name for name, in data.all("SELECT name FROM sqlite_schema WHERE name = 'agent_tokens'")]
                 assert not tables or data.all("SELECT * FROM agent_tokens") == []
                 host.hook = None
@@ -931,22 +931,22 @@
                 assert len(await store.read(lambda r: r.instances())) == 30
                 store.close()
             # As after a kill between the commit and marking the file: it is not copied again, and marked now.
-            moved = await open_store(where, tmp_path, nobody, said.append)
+            moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
             await asyncio.to_thread(moved.close)
             source = connect(tmp_path / "agent.db")
             source.execute("DELETE FROM counters WHERE name = 'moved'")
             source.close()
-            moved = await open_store(where, tmp_path, nobody, said.append)
+            moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
             assert len(await moved.read(lambda r: r.events(0, 99))) == 30
             await asyncio.to_thread(moved.close)
             with pytest.raises(StoreError, match="was moved"):
-                await open_store(section(tmp_path), tmp_path, nobody, said.append)
+                await open_store(section(tmp_path), tmp_path, ignore_ownership_loss, said.append)
             # A folder with a SQLite store, and a database that holds another store already.
             (await filled(tmp_path / "other.db")).close()
             (tmp_path / "other").mkdir()
             (tmp_path / "other.db").rename(tmp_path / "other" / "agent.db")
             data.db.execute("DELETE FROM agent_counters WHERE name = 'moved'")
-            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other", nobody,
+            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other", ignore_ownership_loss,
                                      said.append)
             await asyncio.to_thread(moved.close)
             assert said[-1].endswith("holds a store already") and "is not used" in said[-1]
