--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -872,7 +872,7 @@
     """Callback for the loss of the ownership, which doesn't happen here."""
 
 
-def all_of(r: Records) -> list[Any]:
+def read_everything(r: Records) -> list[Any]:
     return [r.instances(), r.operations(99, 99), r.targets(1), r.configuration(1), r.mutation("ann", "k"),
             r.events(0, 99), r.tokens(), r.alive_ms(), r.current_generation(), r.versions(99, 9), r.lineage(),
             r.version_change(0, ""), r.version_change(1, r.lineage())]
@@ -883,13 +883,13 @@
 
     async def test() -> None:
         store = await filled(tmp_path / "agent.db")
-        before = await store.read(all_of)
+        before = await store.read(read_everything)
         store.close()
         async with hosts(Data()) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
             for _ in range(2):  # the second time there is nothing to copy
                 moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
-                assert await moved.read(all_of) == before
+                assert await moved.read(read_everything) == before
                 assert await moved.write(lambda r: r.next_fence()) > 41
                 await asyncio.to_thread(moved.close)
             assert len(said) == 1 and said[0].startswith("moved the store ") and "72 rows" in said[0], said
