--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -847,7 +847,7 @@
 # Copying from SQLite
 
 
-async def filled(path: Path, count: int = 30) -> SqliteStore:
+async def filled_sqlite_store(path: Path, count: int = 30) -> SqliteStore:
     store = SqliteStore(path)
 
     def work(r: Records) -> None:
@@ -882,7 +882,7 @@
     said: list[str] = []
 
     async def test() -> None:
-        store = await filled(tmp_path / "agent.db")
+        store = await filled_sqlite_store(tmp_path / "agent.db")
         before = await store.read(read_everything)
         store.close()
         async with hosts(Data()) as (host,):
@@ -906,7 +906,7 @@
     said: list[str] = []
 
     async def test() -> None:
-        (await filled(tmp_path / "agent.db")).close()
+        (await filled_sqlite_store(tmp_path / "agent.db")).close()
         data = Data()
         async with hosts(data) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
@@ -942,7 +942,7 @@
             with pytest.raises(StoreError, match="was moved"):
                 await open_store(section(tmp_path), tmp_path, ignore_ownership_loss, said.append)
             # A folder with a SQLite store, and a database that holds another store already.
-            (await filled(tmp_path / "other.db")).close()
+            (await filled_sqlite_store(tmp_path / "other.db")).close()
             (tmp_path / "other").mkdir()
             (tmp_path / "other.db").rename(tmp_path / "other" / "agent.db")
             data.db.execute("DELETE FROM agent_counters WHERE name = 'moved'")
