--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -298,7 +298,7 @@
 # Connections that break
 
 
-async def exchange(host: Host) -> tuple[int, int]:
+async def measure_connection_bytes(host: Host) -> tuple[int, int]:
     """Bytes sent to and received from the server by a connection that opens, claims the store and writes a line."""
     host.bytes.clear()
     async with store_on(host) as store:
@@ -312,8 +312,8 @@
     connection has to find out whether the write was committed."""
     async def test() -> None:
         async with hosts(Data()) as (host,):
-            await exchange(host)
-            total = max(await exchange(host)) if direction == "out" else (await exchange(host))[0]
+            await measure_connection_bytes(host)
+            total = max(await measure_connection_bytes(host)) if direction == "out" else (await measure_connection_bytes(host))[0]
         told: dict[str, int] = {"kept": 0, "not kept": 0, "kept, seen later": 0}
         step = int(os.environ.get("EVERY", "17"))
         for place in range(random.Random(place_seed := 5).randrange(step), total + 1, step):
