--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -83,7 +83,7 @@
             raise Drop
 
 
-def line(subject: str) -> Callable[[Records], str]:
+def audit_line(subject: str) -> Callable[[Records], str]:
     def work(records: Records) -> str:
         records.audit(1, "ann", "did", subject, "done")
         return subject
@@ -164,11 +164,11 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
-            others = [asyncio.create_task(store.write(work)) for work in (line("a"), half, line("b"))]
+            others = [asyncio.create_task(store.write(work)) for work in (audit_line("a"), half, audit_line("b"))]
             await asyncio.sleep(0)
             host.hook = ServerLostAtCommit(host, "agent_audit", stands=False)
             gate.go.set()
@@ -185,7 +185,7 @@
 def test_the_audit_log_is_append_only() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             for statement in ("UPDATE agent_audit SET actor = 'bob'", "DELETE FROM agent_audit"):
                 await store.write(lambda r, s=statement: r.sql(s))  # type: ignore[misc]
             assert [(e.actor, e.subject) for e in await store.read(lambda r: r.events(0, 9))] == [("ann", "a")]
@@ -198,13 +198,13 @@
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host) as store:
-                await store.write(line("a"))
+                await store.write(audit_line("a"))
             data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA_VERSION + 4,))
             before = data.all("SELECT * FROM agent_owner")
             async with store_on(host) as store:
                 expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
                 with pytest.raises(StoreError, match=expected) as found:
-                    await store.write(line("b"))
+                    await store.write(audit_line("b"))
             assert found.value.code == "NEWER" and data.all("SELECT * FROM agent_owner") == before
 
     run(test)
@@ -217,11 +217,11 @@
             host.hook = Fault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
             for _ in range(4):
                 with pytest.raises(StoreError) as found:
-                    await store.write(line("a"))
+                    await store.write(audit_line("a"))
                 assert found.value.code == "FULL"
                 assert data.all("SELECT name FROM sqlite_schema WHERE name LIKE 'agent%'") == []
             host.hook = None
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             assert subjects(data) == ["a"]
 
     run(test)
@@ -234,24 +234,24 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, holder="one") as first:
-            await first.write(line("a"))
+            await first.write(audit_line("a"))
             async with store_on(host, holder="two") as second:
                 expected = "machine of one owns this store, for at least [0-9.]+ s more"
                 with pytest.raises(StoreError, match=expected) as found:
-                    await second.write(line("b"))
+                    await second.write(audit_line("b"))
                 assert found.value.code == "LOCKED"
                 data.skew_ms += 9_000
-                await first.write(line("c"))  # renews the lease
+                await first.write(audit_line("c"))  # renews the lease
                 data.skew_ms += 9_000
                 with pytest.raises(StoreError):
-                    await second.write(line("b"))
+                    await second.write(audit_line("b"))
                 data.skew_ms += 1_001
-                await second.write(line("d"))
+                await second.write(audit_line("d"))
                 with pytest.raises(StoreError, match="machine of two has taken over this store") as found:
                     for _ in range(2):  # first its claim is found void, then the new owner is read
                         with contextlib.suppress(StoreError):
-                            await first.write(line("e"))
-                    await first.write(line("e"))
+                            await first.write(audit_line("e"))
+                    await first.write(audit_line("e"))
                 assert found.value.code == "TAKEN"
                 with pytest.raises(StoreError):
                     await first.read(lambda r: r.tokens())  # permanent, even if the other agent ends
@@ -265,11 +265,11 @@
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host, holder="one") as store:
-                await store.write(line("a"))
+                await store.write(audit_line("a"))
             async with store_on(host, holder="two") as store:
-                await store.write(line("b"))
+                await store.write(audit_line("b"))
                 async with store_on(host, holder="two") as again:  # its data folder lock shows that the first has gone
-                    await again.write(line("c"))
+                    await again.write(audit_line("c"))
             assert subjects(data) == ["a", "b", "c"]
 
     run(test)
@@ -280,12 +280,12 @@
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host, holder="none") as store:
-                await store.write(line("a"))
+                await store.write(audit_line("a"))
             gate = host.hook = Gate("update", times=1)  # delays the first agent's claim
             async with store_on(host, holder="one") as first, store_on(host, holder="two") as second:
-                slow = asyncio.create_task(first.write(line("one")))
+                slow = asyncio.create_task(first.write(audit_line("one")))
                 await gate.reached.wait()
-                await second.write(line("two"))
+                await second.write(audit_line("two"))
                 gate.go.set()
                 with pytest.raises(StoreError) as found:
                     await slow
@@ -302,7 +302,7 @@
     """Bytes sent to and received from the server by a connection that opens, claims the store and writes a line."""
     host.bytes.clear()
     async with store_on(host) as store:
-        await store.write(line("measured"))
+        await store.write(audit_line("measured"))
     return host.bytes[0]
 
 
@@ -320,11 +320,11 @@
             data = Data()
             async with hosts(data) as (host,):
                 async with store_on(host) as store:
-                    await store.write(line("before"))
+                    await store.write(audit_line("before"))
                 host.cut = lambda number, place=place: (direction, place) if number == 2 else None
                 async with store_on(host) as store:
                     try:
-                        assert await store.write(line("it")) == "it"
+                        assert await store.write(audit_line("it")) == "it"
                         kept = True
                         told["kept, seen later" if store.owner_worker.claims > 1 else "kept"] += 1
                     except StoreError as error:
@@ -333,9 +333,9 @@
                         told["not kept"] += 1
                     assert subjects(data) == ["before", *(["it"] if kept else [])], (place, place_seed)
                     try:
-                        await store.write(line("after"))
+                        await store.write(audit_line("after"))
                     except StoreError:  # the connection was cut after the first write
-                        await store.write(line("after"))
+                        await store.write(audit_line("after"))
                 assert subjects(data) == ["before", *(["it"] if kept else []), "after"], place
         assert told["kept"] and told["not kept"], told
         assert direction == "in" or told["kept, seen later"], told
@@ -350,22 +350,22 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             store.resolve_timeout_s = 0.1
             heard: list[str] = []
 
             host.hook = ServerLostAtCommit(host, "agent_audit", stands)
             with pytest.raises(StoreError, match="whether it was committed is not known yet") as found:
-                await store.write(line("it"), heard.append)
+                await store.write(audit_line("it"), heard.append)
             assert found.value.code == "UNKNOWN" and heard == []
             host.hook = None
             with pytest.raises(StoreError, match="no writes are accepted until it is") as found:
-                await store.write(line("next"))
+                await store.write(audit_line("next"))
             assert found.value.code == "AWAY"
             host.starting = False
             await until(lambda: store.resolving is None)
             assert heard == (["it"] if stands else [])
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
             assert subjects(data) == ["before", *heard, "after"] and store.late_commits == stands
 
     run(test)
@@ -376,7 +376,7 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             reached, go = asyncio.Event(), asyncio.Event()
 
             async def script(session: Session, kind: str, after: bool) -> None:
@@ -386,15 +386,15 @@
                     raise Drop  # it never ran
 
             host.hook = script
-            first = asyncio.create_task(store.write(line("it")))
+            first = asyncio.create_task(store.write(audit_line("it")))
             await reached.wait()
-            behind = asyncio.create_task(store.write(line("behind")))  # queued for the next group
+            behind = asyncio.create_task(store.write(audit_line("behind")))  # queued for the next group
             await asyncio.sleep(0)
             go.set()
             results = await asyncio.gather(first, behind, return_exceptions=True)
             assert [isinstance(r, StoreError) and r.code for r in results] == ["AWAY", "AWAY"], results
             assert "nothing more is written till then" in str(results[1])
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
             assert subjects(data) == ["before", "after"]
 
     run(test)
@@ -405,7 +405,7 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = Gate("update")
 
             async def script(session: Session, kind: str, after: bool) -> None:
@@ -417,10 +417,10 @@
 
             script_struck: list[int] = []
             host.hook = script
-            first = asyncio.create_task(store.write(line("it")))
+            first = asyncio.create_task(store.write(audit_line("it")))
             await gate.reached.wait()  # the claim that finds out the outcome
             with pytest.raises(StoreError, match="no writes are accepted until it is"):
-                await asyncio.wait_for(store.write(line("meanwhile")), 1.0)
+                await asyncio.wait_for(store.write(audit_line("meanwhile")), 1.0)
             gate.go.set()
             assert await first == "it"
             assert subjects(data) == ["before", "it"]
@@ -433,9 +433,9 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("commit")
-            writing = asyncio.create_task(store.write(line("it")))
+            writing = asyncio.create_task(store.write(audit_line("it")))
             await gate.reached.wait()
             await until(lambda: store.owner_worker.watchdog.timeouts == 1)
             assert not writing.done()
@@ -451,15 +451,15 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("update")
             with pytest.raises(StoreError) as found:
-                await store.write(line("it"))
+                await store.write(audit_line("it"))
             assert found.value.code == "AWAY"
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
             gate.go.set()
             await asyncio.sleep(0.05)
-            await store.write(line("last"))
+            await store.write(audit_line("last"))
             assert subjects(data) == ["before", "after", "last"]
 
     run(test)
@@ -468,15 +468,15 @@
 def test_a_hanging_server_ends_in_a_timeout() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             for kind in ("begin", "insert", "select"):
                 gate = host.hook = Gate(kind)
                 with pytest.raises(StoreError) as found:
-                    await store.write(line(kind))
+                    await store.write(audit_line(kind))
                 assert found.value.code == "AWAY", kind
                 gate.go.set()
             host.hook = None
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
 
     run(test)
 
@@ -488,7 +488,7 @@
             host.port = silent.getsockname()[1]
             async with store_on(host, limit_s=LIMIT_S) as store:
                 with pytest.raises(StoreError) as found:
-                    await store.write(line("it"))
+                    await store.write(audit_line("it"))
                 assert found.value.code == "AWAY" and f":{host.port}" in str(found.value)
 
     run(test)
@@ -498,12 +498,12 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             await host.end_sessions()
             host.hook = Fault("update", after=True)  # executed, but the answer is lost
             with pytest.raises(StoreError):
-                await store.write(line("lost"))
-            await store.write(line("after"))
+                await store.write(audit_line("lost"))
+            await store.write(audit_line("after"))
             assert subjects(data) in (["before", "after"], ["before", "lost", "after"])
             assert store.owner_worker.epoch == data.all("SELECT epoch FROM agent_owner")[0][0]
 
@@ -517,11 +517,11 @@
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, two), store_on(one, two) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             one.read_only = True
             with contextlib.suppress(StoreError):
-                await store.write(line("b"))
-            await store.write(line("c"))
+                await store.write(audit_line("b"))
+            await store.write(audit_line("c"))
             assert subjects(data)[-1] == "c" and store.owner_worker.ownership_loss is None
             assert len(two.sessions) == 1
 
@@ -541,10 +541,10 @@
             two = await Host(late).start(one.port)
             try:
                 with pytest.raises(StoreError, match="expected 3 writes, as it had confirmed, got 2") as found:
-                    await store.write(line("b"))
+                    await store.write(audit_line("b"))
                 assert found.value.code == "LESS" and [str(f) for f in lost] == [str(found.value)]
                 with pytest.raises(StoreError):
-                    await store.write(line("c"))
+                    await store.write(audit_line("c"))
                 async with store_on(two, holder="next") as following:  # the lease has ended
                     assert await following.write(lambda r: r.next_fence()) > fence + 1
                     # A published version may be lost and its number issued again, so the log gets a new lineage.
@@ -561,20 +561,20 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (old,), store_on(old) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             new = await Host(data.copy()).start()
             try:
                 store.owner_worker.settings["port"] = str(new.port)
                 await old.end_sessions()
                 with contextlib.suppress(StoreError):
-                    await store.write(line("b"))
-                await store.write(line("c"))
+                    await store.write(audit_line("b"))
+                await store.write(audit_line("c"))
                 assert subjects(new.data)[-1] == "c"
                 store.owner_worker.settings["port"] = str(old.port)
                 await new.end_sessions()
                 with pytest.raises(StoreError) as found:
                     for _ in range(2):
-                        await store.write(line("d"))
+                        await store.write(audit_line("d"))
                 assert found.value.code == "LESS" and subjects(data) == ["a"]
             finally:
                 await new.stop()
@@ -612,7 +612,7 @@
 
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             store.resolve_timeout_s = 0.02
-            await store.write(line("first"))
+            await store.write(audit_line("first"))
             host.hook = weather
 
             async def client(name: int) -> None:
@@ -622,7 +622,7 @@
                         return
                     subject = f"{name}.{n}"
                     try:
-                        await store.write(line(subject), heard.append)
+                        await store.write(audit_line(subject), heard.append)
                         kept.add(subject)
                         done += 1
                     except StoreError as error:
@@ -632,7 +632,7 @@
             await asyncio.gather(*(client(name) for name in range(4)))
             host.hook = None
             await until(lambda: store.resolving is None)
-            await store.write(line("last"))
+            await store.write(audit_line("last"))
         found = subjects(data)
         assert len(found) == len(set(found)), seed
         assert set(found) == {"first", "last"} | kept | set(heard), seed
@@ -804,9 +804,9 @@
             data.skew_ms += 60_000
             async with store_on(host, holder="two") as store:
                 with contextlib.suppress(StoreError):
-                    await store.write(line("taken"))  # fails if the first agent has just renewed its lease
+                    await store.write(audit_line("taken"))  # fails if the first agent has just renewed its lease
                 data.skew_ms += 60_000
-                await store.write(line("taken"))
+                await store.write(audit_line("taken"))
                 with pytest.raises(StoreError, match="the agent of machine of two has taken over this store") as found:
                     await running_one
                 assert found.value.code == "TAKEN"
