--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -29,7 +29,7 @@
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
-from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
+from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, fail_midway, row, twice
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
@@ -141,7 +141,7 @@
             first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
-                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), half, twice,
+                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), fail_midway, twice,
                 lambda r: r.put_token(TokenRow("last", "read", "d", 1)))]
             await asyncio.sleep(0)
             gate.go.set()
@@ -154,7 +154,7 @@
             assert store.owner_worker.commits == 1
             # Alone in its group, its whole transaction is rolled back.
             with pytest.raises(ValueError, match="in the middle"):
-                await store.write(half)
+                await store.write(fail_midway)
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
 
     run(test)
@@ -168,7 +168,7 @@
             gate = host.hook = Gate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
-            others = [asyncio.create_task(store.write(work)) for work in (audit_line("a"), half, audit_line("b"))]
+            others = [asyncio.create_task(store.write(work)) for work in (audit_line("a"), fail_midway, audit_line("b"))]
             await asyncio.sleep(0)
             host.hook = ServerLostAtCommit(host, "agent_audit", stands=False)
             gate.go.set()
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -66,7 +66,7 @@
              Published(Entry(1, ZONE_A, {"settings": {"x": 1}}, 0, 0, "ann", 7), "first", False)]
 
 
-def half(records: Records) -> None:
+def fail_midway(records: Records) -> None:
     records.put_token(TokenRow("half", "read", "d", 1))
     raise ValueError("in the middle")
 
@@ -109,7 +109,7 @@
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         results = await asyncio.gather(
-            store.write(lambda r: r.put_token(TokenRow("first", "read", "d", 1))), store.write(half),
+            store.write(lambda r: r.put_token(TokenRow("first", "read", "d", 1))), store.write(fail_midway),
             store.write(twice), store.write(lambda r: r.put_token(TokenRow("last", "read", "d", 1))),
             return_exceptions=True)
         assert isinstance(results[1], ValueError) and isinstance(results[2], StoreError)
