--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -29,7 +29,7 @@
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
-from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, fail_midway, row, twice
+from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, fail_midway, row, violate_unique_key
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
@@ -141,7 +141,7 @@
             first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
-                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), fail_midway, twice,
+                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), fail_midway, violate_unique_key,
                 lambda r: r.put_token(TokenRow("last", "read", "d", 1)))]
             await asyncio.sleep(0)
             gate.go.set()
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -71,7 +71,7 @@
     raise ValueError("in the middle")
 
 
-def twice(records: Records) -> None:
+def violate_unique_key(records: Records) -> None:
     """Violates a unique key."""
     records.put_operation(OP)
     for _ in range(2):
@@ -110,7 +110,7 @@
         store = SqliteStore(tmp_path / "a.db")
         results = await asyncio.gather(
             store.write(lambda r: r.put_token(TokenRow("first", "read", "d", 1))), store.write(fail_midway),
-            store.write(twice), store.write(lambda r: r.put_token(TokenRow("last", "read", "d", 1))),
+            store.write(violate_unique_key), store.write(lambda r: r.put_token(TokenRow("last", "read", "d", 1))),
             return_exceptions=True)
         assert isinstance(results[1], ValueError) and isinstance(results[2], StoreError)
         assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
