--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -29,7 +29,7 @@
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
-from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, fail_midway, row, violate_unique_key
+from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, write_sample_rows, fail_midway, row, violate_unique_key
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
@@ -98,7 +98,7 @@
     async def test() -> None:
         async with hosts(Data()) as (host,):
             async with store_on(host) as store:
-                await store.write(fill)
+                await store.write(write_sample_rows)
                 await store.write(lambda r: r.set_desired([("i0", 9)]))
                 await store.write(lambda r: r.put_instances([row("i0", boot="c", desired=0)]))
             async with store_on(host, holder="another") as store:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -45,7 +45,7 @@
 TARGET = Target("i0", 0, State.NO_ANSWER, "d", 9, "b", "1.0.1", 10, 2, "applied", True, True, 3)
 
 
-def fill(r: Records) -> None:
+def write_sample_rows(r: Records) -> None:
     """Writes a row of each kind."""
     r.put_instances([row("i0", host="m", ticks=4, ended="exit 0"), row("i1", connected=False)])
     r.put_operation(OP)
@@ -81,7 +81,7 @@
 def test_all_data_is_read_back_unchanged_after_reopening_the_file(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
-        await store.write(fill)
+        await store.write(write_sample_rows)
         await store.write(lambda r: r.set_desired([("i0", 9)]))
         await store.write(lambda r: r.put_instances([row("i0", boot="c", desired=0)]))
         store.close()
