--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -221,7 +221,7 @@
 # Publishing
 
 
-class Heard:
+class RecordedChanges:
     """Records the changes that the publisher sent, and what the store had confirmed by then."""
 
     def __init__(self) -> None:
@@ -232,8 +232,8 @@
         self.positions.append(change.position)
 
 
-async def publisher_on(store: SqliteStore | PostgresStore) -> tuple[Publisher, Heard]:
-    made, heard = Publisher(store, lambda: 5_000, lambda text: None, lambda: None), Heard()
+async def publisher_on(store: SqliteStore | PostgresStore) -> tuple[Publisher, RecordedChanges]:
+    made, heard = Publisher(store, lambda: 5_000, lambda text: None, lambda: None), RecordedChanges()
     await made.load()
     heard(await store.read(lambda records: records.version_change(0, "")))
     made.on_published = heard
