--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -18,7 +18,7 @@
 ONE = Budget("nodes", Of.UPSTREAM, number=1)
 
 
-class Nodes:
+class ReportedUpstreams:
     """Upstreams as all instances report them. Tests change `states` and `warmth`."""
 
     def __init__(self, found: AgentScene, count: int = 4) -> None:
@@ -44,7 +44,7 @@
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(5)
-            nodes, permits = Nodes(found), found.engine.permits
+            nodes, permits = ReportedUpstreams(found), found.engine.permits
             await until(lambda: [s.out for s in permits.ledger.sights.values()].count(0.0) == 9)
             first = await permits.take("ann", "a", ["upstream/n0"], "disk", 0, 60_000)
             second = await permits.take("bob", "b", ["upstream/n1"], "", 0, 60_000)
@@ -67,7 +67,7 @@
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(4)
-            nodes, engine = Nodes(found), found.engine
+            nodes, engine = ReportedUpstreams(found), found.engine
             sights = engine.permits.ledger.sights
             await until(lambda: "upstream/n3" in sights and sights["upstream/n3"].out == 0.0)
             nodes.states["n0"] = "draining"  # drained and then gone: no longer counted
