--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -133,8 +133,9 @@
 
     def own_summary(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
-        return FollowerSummary(PROTOCOL, token, seq, self.own_address, own.lineage, own.position, int(self.age_s() * 1000),
-                   own.followers, [PositionCount(position, number) for position, number in own.counts],
+        return FollowerSummary(PROTOCOL, token, seq, self.own_address, own.lineage, own.position,
+                   int(self.age_s() * 1000), own.followers,
+                   [PositionCount(position, number) for position, number in own.counts],
                    [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing],
                    own.more)
 
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -390,7 +390,8 @@
     engine = require_role(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
         if len(value) > MAX_NAME or not value.isprintable():
-            raise graphql_error("BAD_INPUT", f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
+            raise graphql_error("BAD_INPUT",
+                                f"{name}: expected a name of {MAX_NAME} characters at most, got {value!r:.60}")
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
@@ -443,7 +444,8 @@
 def idempotency_key(given: dict[str, Any]) -> str:
     key: str = given.get("idempotencyKey") or ""
     if len(key) > MAX_TEXT_LENGTH:
-        raise graphql_error("BAD_INPUT", f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
+        raise graphql_error("BAD_INPUT",
+                            f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
     return key
 
 
@@ -501,7 +503,8 @@
 async def m_halt(root: Any, info: Any, reason: str) -> dict[str, Any] | None:
     context = require_role(info, "operate")
     if not reason.isprintable() or len(reason) > MAX_TEXT_LENGTH:
-        raise graphql_error("BAD_INPUT", f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
+        raise graphql_error("BAD_INPUT",
+                            f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
     return halt_object(await context.engine.permits.set_halt(context.caller.name, reason))
 
 
@@ -513,7 +516,8 @@
 async def m_publish(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
     context = require_role(info, "operate")
     if "overlay" not in input:
-        raise graphql_error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
+        raise graphql_error("BAD_INPUT",
+                            "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
     draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -29,7 +29,16 @@
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
-from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, write_sample_rows, fail_midway, row, violate_unique_key
+from tests.agent.test_store import (
+    OP,
+    PUBLISHED,
+    TARGET,
+    ZONE_A,
+    fail_midway,
+    row,
+    violate_unique_key,
+    write_sample_rows,
+)
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
@@ -168,7 +177,8 @@
             gate = host.hook = Gate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
-            others = [asyncio.create_task(store.write(work)) for work in (audit_line("a"), fail_midway, audit_line("b"))]
+            others = [asyncio.create_task(store.write(work))
+                      for work in (audit_line("a"), fail_midway, audit_line("b"))]
             await asyncio.sleep(0)
             host.hook = ServerLostAtCommit(host, "agent_audit", stands=False)
             gate.go.set()
@@ -313,7 +323,8 @@
     async def test() -> None:
         async with hosts(Data()) as (host,):
             await measure_connection_bytes(host)
-            total = max(await measure_connection_bytes(host)) if direction == "out" else (await measure_connection_bytes(host))[0]
+            total = (max(await measure_connection_bytes(host)) if direction == "out"
+                     else (await measure_connection_bytes(host))[0])
         told: dict[str, int] = {"kept": 0, "not kept": 0, "kept, seen later": 0}
         step = int(os.environ.get("EVERY", "17"))
         for place in range(random.Random(place_seed := 5).randrange(step), total + 1, step):
@@ -946,8 +957,8 @@
             (tmp_path / "other").mkdir()
             (tmp_path / "other.db").rename(tmp_path / "other" / "agent.db")
             data.db.execute("DELETE FROM agent_counters WHERE name = 'moved'")
-            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other", ignore_ownership_loss,
-                                     said.append)
+            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other",
+                                     ignore_ownership_loss, said.append)
             await asyncio.to_thread(moved.close)
             assert said[-1].endswith("holds a store already") and "is not used" in said[-1]
 
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -310,7 +310,7 @@
                 pass
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
-        async with running(unchanged_standby_section(tmp_path, "a1")) as agent:  # with the store it starts, and saves it again
+        async with running(unchanged_standby_section(tmp_path, "a1")) as agent:  # starts with the store
             await until(lambda: agent.replica.serving.view.position == 1)
             await wait_until_saved(tmp_path / "a1", 1)
 
