--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -197,7 +197,7 @@
         async with hosts(Data()) as (host,), store_on(host) as store:
             await store.write(audit_line("a"))
             for statement in ("UPDATE agent_audit SET actor = 'bob'", "DELETE FROM agent_audit"):
-                await store.write(lambda r, s=statement: r.sql(s))  # type: ignore[misc]
+                await store.write(lambda r, s=statement: r.execute(s))  # type: ignore[misc]
             assert [(e.actor, e.subject) for e in await store.read(lambda r: r.events(0, 9))] == [("ann", "a")]
 
     run(test)
