--- a/ironscale/agent/api.py
+++ b/ironscale/agent/api.py
@@ -1,7 +1,7 @@
-"""GraphQL over HTTP, as the GraphQL-over-HTTP specification has it; subscriptions as server-sent events.
+"""GraphQL over HTTP according to the GraphQL-over-HTTP specification; subscriptions use server-sent events.
 
-POST takes `application/json` alone: a browser form can't send that, so no foreign page can act with what a
-browser knows. GET is for queries. Every request needs a bearer token.
+POST accepts only `application/json`, which an HTML form can't send; this prevents cross-site request forgery. GET is
+for queries only. Every request needs a bearer token.
 """
 
 from __future__ import annotations
@@ -37,24 +37,25 @@
 from ironscale.agent.schema import Caller, Context
 from ironscale.agent.store import StoreError
 
-MODERN, LEGACY, STREAM = "application/graphql-response+json", "application/json", "text/event-stream"
-PING_S = 10.0  # a comment line while nothing changes, so that each side notices that the other has gone
+GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM = (
+    "application/graphql-response+json", "application/json", "text/event-stream")
+PING_INTERVAL_S = 10.0  # interval of comment lines while nothing changes, so that each side notices a lost connection
 MAX_ERRORS = 20
 Authenticate = Callable[[str], Caller | None]
 
 
 class HttpError(Exception):
-    """An answer before GraphQL has begun."""
+    """A request that is answered with an error before GraphQL execution starts."""
 
     def __init__(self, status: int, code: str, text: str, headers: dict[str, str] | None = None) -> None:
         super().__init__(text)
         self.status, self.code, self.headers = status, code, headers or {}
 
 
-def acceptable(header: str | None) -> str:
-    """The media type of the answer, by the client's `Accept`. Raises HttpError."""
+def negotiate_media_type(header: str | None) -> str:
+    """Chooses the media type of the answer by the client's `Accept` header. Raises HttpError."""
     if not header or not header.strip():
-        return MODERN
+        return GRAPHQL_RESPONSE_JSON
     wanted: list[tuple[float, int, str]] = []
     for place, part in enumerate(header.split(",")):
         name, *parameters = (piece.strip().lower() for piece in part.split(";"))
@@ -69,17 +70,18 @@
     for quality, _, name in sorted(wanted):
         if quality == 0.0:
             continue
-        if name in (MODERN, LEGACY, STREAM):
+        if name in (GRAPHQL_RESPONSE_JSON, PLAIN_JSON, EVENT_STREAM):
             return name
         if name in ("*/*", "application/*"):
-            return MODERN
+            return GRAPHQL_RESPONSE_JSON
         if name == "text/*":
-            return STREAM
-    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {MODERN}, {LEGACY} or {STREAM}, got {header[:80]!r}")
+            return EVENT_STREAM
+    raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {GRAPHQL_RESPONSE_JSON}, {PLAIN_JSON} or {EVENT_STREAM}, "
+                    f"got {header[:80]!r}")
 
 
-def problem(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
-    """An error as clients see it: a stable code, and nothing of what is inside."""
+def format_error(error: GraphQLError, log: Callable[[str], None]) -> dict[str, Any]:
+    """Formats an error for clients: with a stable code, and without internal details."""
     cause = error.original_error
     if isinstance(cause, StoreError):
         error = GraphQLError(str(cause), error.nodes, path=error.path, extensions={"code": f"STORE_{cause.code}"})
@@ -102,27 +104,27 @@
         self.context = context
         self.rules = [*specified_rules, *([] if introspection else [NoSchemaIntrospectionCustomRule])]
         self.log = log or logs.write_line
-        self.ending = asyncio.Event()
+        self.shutting_down = asyncio.Event()
         self.app = Starlette(routes=[Route("/graphql", self.endpoint, methods=["GET", "POST", "HEAD", "OPTIONS", "PUT",
                                                                                "DELETE", "PATCH"])])
 
     async def endpoint(self, request: Request) -> Response:
-        media = MODERN
+        media = GRAPHQL_RESPONSE_JSON
         try:
             if request.method not in ("GET", "POST"):
                 raise HttpError(405, "METHOD", f"expected GET or POST, got {request.method}", {"Allow": "GET, POST"})
-            media = acceptable(request.headers.get("accept"))
-            caller = self.caller(request)
+            media = negotiate_media_type(request.headers.get("accept"))
+            caller = self.authenticated_caller(request)
             query, variables, name = await self.parameters(request)
-            return await self.answer(request, media, caller, query, variables, name)
+            return await self.execute_request(request, media, caller, query, variables, name)
         except HttpError as error:
             body = {"errors": [{"message": str(error), "extensions": {"code": error.code}}]}
             return JSONResponse(body, error.status, error.headers,
-                                media_type=LEGACY if media == STREAM else media)
+                                media_type=PLAIN_JSON if media == EVENT_STREAM else media)
         except ClientDisconnect:
             return Response(status_code=499)
 
-    def caller(self, request: Request) -> Caller:
+    def authenticated_caller(self, request: Request) -> Caller:
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
         caller = self.authenticate(token.strip()) if scheme.lower() == "bearer" and token.strip() else None
         if caller is None or caller.role == "instance":
@@ -131,7 +133,7 @@
         return caller
 
     async def parameters(self, request: Request) -> tuple[str, dict[str, Any], str | None]:
-        """Query, variables and operation name, from the body or from the address."""
+        """Returns query, variables and operation name, from the body or from the query string. Raises HttpError."""
         if request.method == "GET":
             given: Any = dict(request.query_params)
             for key in ("variables", "extensions"):
@@ -169,26 +171,27 @@
                 raise HttpError(413, "TOO_LARGE", f"expected a body of {limits.MAX_BODY_BYTES} bytes at most")
         return body
 
-    async def answer(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
+    async def execute_request(self, request: Request, media: str, caller: Caller, query: str, variables: dict[str, Any],
                      name: str | None) -> Response:
         try:
             document = parse(query, max_tokens=limits.MAX_TOKENS)
         except GraphQLError as error:
-            return self.failed(media, [error])
+            return self.request_error_response(media, [error])
         except RecursionError:
-            return self.failed(media, [GraphQLError("expected a document that nests less")])
+            return self.request_error_response(media, [GraphQLError("expected a document that nests less")])
         errors = self.check(document, variables)
         if errors:
-            return self.failed(media, errors)
+            return self.request_error_response(media, errors)
         operation = get_operation_ast(document, name)
         if operation is None:
             text = f"expected an operation {name!r} in the document" if name else "expected an operationName"
-            return self.failed(media, [GraphQLError(text)])
+            return self.request_error_response(media, [GraphQLError(text)])
         if request.method == "GET" and operation.operation is OperationType.MUTATION:
             raise HttpError(405, "METHOD", "expected POST for a mutation, got GET", {"Allow": "POST"})
         if operation.operation is OperationType.SUBSCRIPTION:
-            if media != STREAM:
-                raise HttpError(406, "NOT_ACCEPTABLE", f"Accept: expected {STREAM} for a subscription, got {media}")
+            if media != EVENT_STREAM:
+                raise HttpError(406, "NOT_ACCEPTABLE",
+                                f"Accept: expected {EVENT_STREAM} for a subscription, got {media}")
             return await self.stream(document, operation, variables, caller)
         result = execute(self.schema, document, context_value=self.context(caller), variable_values=variables,
                          operation_name=name)
@@ -196,7 +199,8 @@
         return self.result(media, done)
 
     def check(self, document: DocumentNode, variables: dict[str, Any]) -> list[GraphQLError]:
-        """Cost first: hazard: validation of fields that overlap grows with the square of a document."""
+        """Checks the limits before it validates: the time to validate overlapping fields grows with the square of the
+        size of a document."""
         try:
             limits.cost(document, variables)
         except limits.LimitExceeded as error:
@@ -205,32 +209,32 @@
             return [GraphQLError("expected fragments that don't contain themselves")]
         return validate(self.schema, document, self.rules, max_errors=MAX_ERRORS)
 
-    def failed(self, media: str, errors: list[GraphQLError]) -> Response:
-        """A request that was not executed: there is no data. Legacy clients get 200 with it."""
-        body = {"errors": [problem(error, self.log) for error in errors]}
-        if media == STREAM:
+    def request_error_response(self, media: str, errors: list[GraphQLError]) -> Response:
+        """The response to a request that was not executed, without data. Legacy clients get status 200 with it."""
+        body = {"errors": [format_error(error, self.log) for error in errors]}
+        if media == EVENT_STREAM:
             return JSONResponse(body, 400)
-        return JSONResponse(body, 400 if media == MODERN else 200, media_type=media)
+        return JSONResponse(body, 400 if media == GRAPHQL_RESPONSE_JSON else 200, media_type=media)
 
     def result(self, media: str, done: ExecutionResult) -> Response:
         body = self.payload(done)
-        if media == STREAM:
-            return StreamingResponse(self.single(body), media_type=STREAM)
+        if media == EVENT_STREAM:
+            return StreamingResponse(self.single_result_events(body), media_type=EVENT_STREAM)
         status = 200
-        if media == MODERN and done.data is None and done.errors:
+        if media == GRAPHQL_RESPONSE_JSON and done.data is None and done.errors:
             status = 200 if "data" in body else 400
         return JSONResponse(body, status, media_type=media)
 
     def payload(self, done: ExecutionResult) -> dict[str, Any]:
         body: dict[str, Any] = {}
         if done.errors:
-            body["errors"] = [problem(error, self.log) for error in done.errors]
-        # variables that don't fit their types are found before anything runs: then there is no data entry
+            body["errors"] = [format_error(error, self.log) for error in done.errors]
+        # Variables that don't match their types are found before execution; the response then has no data entry.
         if done.data is not None or not done.errors or any(error.path for error in done.errors):
             body["data"] = done.data
         return body
 
-    async def single(self, body: dict[str, Any]) -> AsyncIterator[bytes]:
+    async def single_result_events(self, body: dict[str, Any]) -> AsyncIterator[bytes]:
         yield self.event("next", body)
         yield self.event("complete", None)
 
@@ -246,20 +250,20 @@
                            operation_name=name)
         found: Any = await source if isinstance(source, Awaitable) else source
         if isinstance(found, ExecutionResult):
-            return self.failed(STREAM, list(found.errors or []))
-        return StreamingResponse(self.events(found, caller), media_type=STREAM,
+            return self.request_error_response(EVENT_STREAM, list(found.errors or []))
+        return StreamingResponse(self.events(found, caller), media_type=EVENT_STREAM,
                                  headers={"Cache-Control": "no-store", "X-Accel-Buffering": "no"})
 
     async def events(self, results: Any, caller: Caller) -> AsyncIterator[bytes]:
-        """Results as they come. What a slow reader has not taken is not produced: the next result is asked for
-        when the last one is out."""
+        """Sends results as they are produced. The next result is requested only after the last one was sent, so a slow
+        reader exerts backpressure."""
         pending: asyncio.Future[Any] | None = None
-        ending = asyncio.ensure_future(self.ending.wait())
+        ending = asyncio.ensure_future(self.shutting_down.wait())
         try:
             yield b": open\n\n"
             while True:
                 pending = pending or asyncio.ensure_future(anext(results))
-                await asyncio.wait({pending, ending}, timeout=PING_S, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({pending, ending}, timeout=PING_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
                 if ending.done():
                     yield self.event("complete", None)
                     return
@@ -273,7 +277,7 @@
                     yield self.event("complete", None)
                     return
                 except GraphQLError as error:
-                    yield self.event("next", {"errors": [problem(error, self.log)]})
+                    yield self.event("next", {"errors": [format_error(error, self.log)]})
                     yield self.event("complete", None)
                     return
         finally:
--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -1,8 +1,8 @@
-"""A store whose every write has a number, so that a write whose outcome is not known is told from the record itself.
+"""A store that numbers its writes, so that a commit with an unknown outcome can be resolved by reading the store.
 
-A commit that broke off stands or does not: the record says so, once the store is reached again, by the number of the
-last write that it holds. Until then nothing more is written, and who asked is told that it is not known; should the
-write turn out to stand, he hears of it.
+When the connection breaks during COMMIT, the transaction may or may not have been committed. Once the database can be
+reached again, the number of its last write tells which. Until then the store accepts no further writes and the caller
+gets the error UNKNOWN; if the write turns out to be committed, the caller's callback is called with its result.
 """
 
 from __future__ import annotations
@@ -22,139 +22,143 @@
 
 T = TypeVar("T")
 X = TypeVar("X", bound=Transaction)
-RESOLVE_S = 10.0  # who asked waits so long for the word whether his write stands
-AGAIN_S = 0.5
-CLOSE_S = 10.0
-CODES = {"SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
+RESOLVE_TIMEOUT_S = 10.0  # how long a caller waits for the outcome of a write before UNKNOWN is raised
+RESOLVE_RETRY_S = 0.5
+CLOSE_TIMEOUT_S = 10.0
+STORE_CODES = {
+         "SQLITE_FULL": "FULL", "SQLITE_BUSY": "LOCKED", "SQLITE_LOCKED": "LOCKED", "SQLITE_READONLY": "READ_ONLY",
          "SQLITE_CANTOPEN": "READ_ONLY", "SQLITE_PERM": "READ_ONLY", "SQLITE_CORRUPT": "DAMAGED",
          "SQLITE_NOTADB": "DAMAGED", "NEWER": "NEWER", "53100": "FULL", "25006": "READ_ONLY", "LOCKED": "LOCKED",
          "TAKEN": "TAKEN", "LESS": "LESS", "UNKNOWN_BEFORE": "AWAY"}
-REFUSED = ("22", "23", "42")  # SQLSTATE classes of a statement that fails again
+PERMANENT_SQLSTATE_CLASSES = ("22", "23", "42")  # a retry of the statement would raise the same error
 
 
-def told(found: Trouble) -> StoreError:
-    """What the store says, under a stable code."""
-    failed = found.code.startswith("SQLITE") or found.code[:2] in REFUSED or found.cause is Cause.UNUSABLE
-    return StoreError(CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
+def to_store_error(found: Trouble) -> StoreError:
+    """Converts a database error to a StoreError with a stable code."""
+    failed = (found.code.startswith("SQLITE") or found.code[:2] in PERMANENT_SQLSTATE_CLASSES
+              or found.cause is Cause.UNUSABLE)
+    return StoreError(STORE_CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
 
 
 @dataclass(slots=True)
 class _Write:
-    """One that was carried out, and what it gave; whether it stands is to be seen."""
+    """A write whose statements were executed, with its result. Whether it was committed may not be known yet."""
 
-    late: Callable[[Any], None] | None
-    number: int = 0
+    on_late_commit: Callable[[Any], None] | None
+    sequence_number: int = 0
     result: Any = None
-    stands: bool | None = None
-    waiting: bool = True
+    is_committed: bool | None = None
+    has_waiter: bool = True
 
 
-class KeptStore(abc.ABC, Generic[X]):
-    """`Store` on a worker, which writes nothing more from the moment on that an outcome is open."""
+class SequencedStore(abc.ABC, Generic[X]):
+    """A `Store` on a worker thread that accepts no writes while the outcome of an earlier one is unknown."""
 
-    reaches_by_write: bool  # whether `reached` is asked within a transaction that writes
+    resolve_needs_write: bool  # whether `reached` must run in a transaction that writes
 
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
         worker.stops_at_unknown = True
-        self.group: X | None = None
-        self.carried: list[_Write] = []  # of the group, on the worker's thread; it rests while an outcome is open
+        self.current_group: X | None = None
+        # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
+        self.group_writes: list[_Write] = []
         self.resolving: asyncio.Task[None] | None = None
-        self.stood = 0  # writes that were told as not known and turned out to stand
-        self.resolve_s = RESOLVE_S
+        self.late_commits = 0  # writes reported as UNKNOWN that turned out to be committed
+        self.resolve_timeout_s = RESOLVE_TIMEOUT_S
         self.term = Term()
 
     @abc.abstractmethod
-    def mark(self, records: SqlRecords) -> int:
-        """Within a write's transaction: its number, above all before; kept by the commit that keeps the write."""
+    def assign_sequence_number(self, records: SqlRecords) -> int:
+        """Assigns the transaction's number, above all earlier ones, and stores it in the same transaction."""
 
     async def owner(self) -> Owner:
-        """Whose the record is, by its own word. Raises StoreError."""
+        """The store's owner as it is stored. Raises StoreError."""
         return Owner(self.term.epoch, "", "", 0)
 
     async def claim(self) -> None:
-        """Makes the record this agent's. Raises StoreError, LOCKED while another holds it."""
+        """Makes this agent the store's owner. Raises StoreError, with LOCKED while another agent owns it."""
 
-    async def give_up(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
-        """Ends its term, as far as it can be told so."""
+    async def release_ownership(self) -> None:  # noqa: B027 (a store that only one agent opens has no term)
+        """Ends this agent's term in the store, if the store can be reached."""
 
-    def renewed(self) -> None:  # noqa: B027
-        """A write has been confirmed: the term runs on from then."""
+    def on_write_confirmed(self) -> None:  # noqa: B027
+        """Extends the term after a write was confirmed."""
 
     @abc.abstractmethod
-    def reached(self, records: SqlRecords) -> int:
-        """The number of the last write that the record holds, in a transaction that no earlier commit can overtake."""
+    def last_sequence_number(self, records: SqlRecords) -> int:
+        """The number of the last committed write, read so that no earlier commit can still take effect afterwards."""
 
     async def write(self, work: Callable[[Records], T], late: Callable[[T], None] | None = None) -> T:
-        """Raises StoreError; with the code UNKNOWN the work may stand, and if it does, `late` is called with its
+        """Raises StoreError. With the code UNKNOWN the write may be committed; if it is, `late` is called with its
         result before anything else is written."""
         if self.resolving is not None:
-            # hazard: this one was made upon what was known before the open one's outcome
-            raise StoreError("AWAY", f"{self.worker.name}: whether its last write stands is not known yet; nothing "
-                                     "more is written till then")
+            # This write was prepared without knowing the outcome of the open one, and may contradict it.
+            raise StoreError("AWAY", f"{self.worker.name}: the outcome of the last write is not known yet; no writes "
+                                     "are accepted until it is")
         write = _Write(late)
 
         def job(transaction: X) -> T:
-            if transaction is not self.group:
-                self.group, self.carried = transaction, []
+            if transaction is not self.current_group:
+                self.current_group, self.group_writes = transaction, []
             records = SqlRecords(transaction, self.dialect)
             result = write.result = work(records)
-            records.end()
-            write.number = self.mark(records)
-            self.carried.append(write)
+            records.write_pending_audit()
+            write.sequence_number = self.assign_sequence_number(records)
+            self.group_writes.append(write)
             return result
 
         try:
             result = await self.worker.run(job)
-            self.renewed()
+            self.on_write_confirmed()
             return result
         except Trouble as found:
             if found.knowledge is not Knowledge.NOT_KNOWN:
-                raise told(found) from found
-            await self._settled(write, found)
+                raise to_store_error(found) from found
+            await self._wait_for_outcome(write, found)
             return write.result  # type: ignore[no-any-return]
         finally:
-            write.waiting = False
+            write.has_waiter = False
 
     async def read(self, work: Callable[[Records], T]) -> T:
         try:
             return await self.worker.run(lambda transaction: work(SqlRecords(transaction, self.dialect)), writes=False)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
-    async def _settled(self, write: _Write, found: Trouble) -> None:
-        """Returns once it is seen to stand. Raises StoreError."""
-        if write.stands is None:
+    async def _wait_for_outcome(self, write: _Write, found: Trouble) -> None:
+        """Returns once the write is known to be committed. Raises StoreError otherwise."""
+        if write.is_committed is None:
             if self.resolving is None:
-                self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.carried))
-            await asyncio.wait([self.resolving], timeout=self.resolve_s)
-        if write.stands is None:
-            raise StoreError("UNKNOWN", f"{found}; whether it stands is not known yet; look again once the record is "
-                                        "back") from found
-        if not write.stands:
-            raise told(Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
+                self.resolving = asyncio.get_running_loop().create_task(self._resolve(self.group_writes))
+            await asyncio.wait([self.resolving], timeout=self.resolve_timeout_s)
+        if write.is_committed is None:
+            raise StoreError("UNKNOWN", f"{found}; whether it was committed is not known yet; check again once the "
+                                        "store is reachable") from found
+        if not write.is_committed:
+            raise to_store_error(
+                Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
-        """Asks until it is told, then tells all who wait, and lets writes go on."""
+        """Retries until the store has answered, passes the outcome to the callers, and allows writes again."""
         while True:
             with contextlib.suppress(Trouble):
                 reached = await self.worker.run(
-                    lambda transaction: self.reached(SqlRecords(transaction, self.dialect)),
-                    writes=self.reaches_by_write, resolves=True)
+                    lambda transaction: self.last_sequence_number(SqlRecords(transaction, self.dialect)),
+                    writes=self.resolve_needs_write, resolves=True)
                 break
             if self.worker.ending:
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RESOLVE_RETRY_S)
         for write in writes:
-            write.stands = write.number <= reached
-            if write.stands and not write.waiting:
-                self.stood += 1
-                if write.late is not None:
-                    write.late(write.result)
+            write.is_committed = write.sequence_number <= reached
+            if write.is_committed and not write.has_waiter:
+                self.late_commits += 1
+                if write.on_late_commit is not None:
+                    write.on_late_commit(write.result)
         self.resolving = None
         self.worker.unknown = False
 
-    def close(self, wait_s: float = CLOSE_S) -> None:
+    def close(self, wait_s: float = CLOSE_TIMEOUT_S) -> None:
         if self.resolving is not None:
             self.resolving.cancel()
         self.worker.stop(wait_s)
--- a/ironscale/agent/control_connections.py
+++ b/ironscale/agent/control_connections.py
@@ -1,4 +1,4 @@
-"""The agent's end of the control connections: one listener, a step a frame."""
+"""The agent's end of the control connections: one listener, and protocols that handle one frame at a time."""
 
 from __future__ import annotations
 
@@ -27,31 +27,31 @@
     serialize_message,
 )
 
-HELLO_S = 5.0
-MOST_UNSENT = 4 << 20  # a process that reads nothing (stopped, say) must not fill the agent's memory
+HELLO_TIMEOUT_S = 5.0
+MAX_UNSENT_BYTES = 4 << 20  # a process that reads nothing, for instance a stopped one, must not fill the agent's memory
 ACCEPTS = 200
 NOT_LEADING = "NOT_LEADING"
-MOST_SILENT = 1_000  # connections that have not said hello
+MAX_UNIDENTIFIED = 1_000  # connections that have not sent their first message yet
 
 
-class InstanceLink(asyncio.Protocol):
-    """One connection: what its process says goes to the fleet, what it answers to the engine."""
+class InstanceConnection(asyncio.Protocol):
+    """The connection of one instance. Heartbeats are passed to the fleet, results of commands to the engine."""
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: InstanceConnections) -> None:
         self.links = links
         self.boot = ""
         self.name = ""
-        self.bye = ""
+        self.goodbye = ""
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.closing = False
-        self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close, "no hello")
+        self.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close, "no hello")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.links.open.add(self)
-        self.links.silent += 1
-        if self.links.silent > MOST_SILENT:
+        self.links.unidentified += 1
+        if self.links.unidentified > MAX_UNIDENTIFIED:
             self.close("too many that say nothing")
 
     def data_received(self, data: bytes) -> None:
@@ -84,7 +84,7 @@
                 self.links.fleet.heartbeat(self.name, self, message.report)
             self.links.on_result(self.name, self.boot, message)
         elif isinstance(message, Goodbye):
-            self.bye = f"ended by itself: {message.reason}"
+            self.goodbye = f"ended by itself: {message.reason}"
         else:
             raise MessageError(f"expected beat, result or bye, got {message.type}")
 
@@ -92,9 +92,9 @@
         try:
             if hello.protocol != PROTOCOL:
                 raise Denial("PROTOCOL", f"expected protocol {PROTOCOL}, got {hello.protocol}", 60_000)
-            if not self.links.admits(hello.token):
+            if not self.links.is_instance_token(hello.token):
                 raise Denial("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
-            if not self.links.leads():
+            if not self.links.is_leading():
                 raise Denial(NOT_LEADING, "another agent leads", 0)
             self.boot, name = hello.boot, hello.name
             fleet = self.links.fleet
@@ -104,14 +104,14 @@
             self.send(Welcome(lease_ms, beat_ms, fleet.spread_ms(), donors, self.links.term()))
             fleet.register(hello, self, lease_ms)
             self.name = name
-            self.patience.cancel()
-            self.links.silent -= 1
+            self.hello_timer.cancel()
+            self.links.unidentified -= 1
         except Denial as denial:
             self.links.on_denied(hello, denial)
             self.deny(denial)
 
     def deny(self, denial: Denial) -> None:
-        self.send(Denied(denial.code, str(denial), denial.retry_ms, self.links.leader()))
+        self.send(Denied(denial.code, str(denial), denial.retry_ms, self.links.leader_control()))
         self.close(str(denial))
 
     def command(self, command: Command) -> None:
@@ -120,7 +120,7 @@
     def send(self, message: Message) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.closing = True
             self.transport.abort()
             return
@@ -132,34 +132,34 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.patience.cancel()
+        self.hello_timer.cancel()
         self.links.open.discard(self)
         if self.name:
-            self.links.fleet.disconnect(self.name, self, self.bye)
+            self.links.fleet.disconnect(self.name, self, self.goodbye)
         else:
-            self.links.silent -= 1
+            self.links.unidentified -= 1
 
 
-class FirstLink(asyncio.Protocol):
-    """A connection that has not said yet what it is for: its first message hands it over, unread, to whom it concerns.
-    While the agent is between two terms, an instance's session waits here."""
+class UnidentifiedConnection(asyncio.Protocol):
+    """A connection whose purpose is not known yet. The type of its first message selects the protocol that takes over
+    the connection and all data received so far. While the agent is between two terms, instances wait here."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: ControlListener) -> None:
         self.door = door
         self.transport: asyncio.Transport | None = None
         self.data = bytearray()
-        self.waits = False  # for the next Links
-        self.patience = asyncio.get_running_loop().call_later(HELLO_S, self.close)
+        self.is_waiting = False  # an instance that waits for the agent's next term
+        self.first_message_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.close)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.door.open.add(self)
-        if len(self.door.open) > MOST_SILENT:
+        if len(self.door.open) > MAX_UNIDENTIFIED:
             self.close()
 
     def data_received(self, data: bytes) -> None:
         self.data += data
-        if self.waits:
+        if self.is_waiting:
             return
         first = FrameDecoder()
         first.feed(bytes(self.data))
@@ -169,22 +169,22 @@
             message = {}
         if message is None:
             return
-        taken_over = self.door.others.get(str(message.get("type")))
+        taken_over = self.door.protocols_by_type.get(str(message.get("type")))
         if taken_over is not None:
-            self.give(taken_over())
-        elif self.door.links is not None:
-            self.give(InstanceLink(self.door.links))
+            self.hand_over(taken_over())
+        elif self.door.instance_connections is not None:
+            self.hand_over(InstanceConnection(self.door.instance_connections))
         else:
-            self.waits = True
+            self.is_waiting = True
             assert self.transport is not None
             self.transport.pause_reading()
 
-    def give(self, protocol: asyncio.Protocol) -> None:
+    def hand_over(self, protocol: asyncio.Protocol) -> None:
         assert self.transport is not None
         transport, self.transport = self.transport, None
-        self.patience.cancel()
+        self.first_message_timer.cancel()
         self.door.open.discard(self)
-        if self.waits:
+        if self.is_waiting:
             transport.resume_reading()
         if transport.is_closing():
             return
@@ -197,31 +197,31 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.patience.cancel()
+        self.first_message_timer.cancel()
         self.door.open.discard(self)
 
 
-class Door:
-    """The agent's one control listener, for as long as the agent lives: terms come and go behind it, and what is said
-    to `others`, by the type of the first message, goes on meanwhile."""
+class ControlListener:
+    """The agent's control listener. It stays open as long as the agent process lives, while the agent's terms change.
+    `others` maps the type of a first message to the protocol that handles such a connection in any term."""
 
     def __init__(self, others: Mapping[str, Callable[[], asyncio.Protocol]]) -> None:
-        self.others = others
-        self.links: Links | None = None
-        self.open: set[FirstLink] = set()
+        self.protocols_by_type = others
+        self.instance_connections: InstanceConnections | None = None
+        self.open: set[UnidentifiedConnection] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self, sock: socket.socket) -> None:
         if self.server is None:
-            self.server = await asyncio.get_running_loop().create_server(lambda: FirstLink(self), sock=sock,
-                                                                         backlog=4096)
+            self.server = await asyncio.get_running_loop().create_server(
+                lambda: UnidentifiedConnection(self), sock=sock, backlog=4096)
 
-    def use(self, links: Links | None) -> None:
-        """Instances are these Links' from here on; None = nobody's for a moment."""
-        self.links = links
+    def set_instance_connections(self, links: InstanceConnections | None) -> None:
+        """Sets who handles the connections of instances from now on; None: nobody, and new ones wait."""
+        self.instance_connections = links
         if links is not None:
-            for link in [link for link in self.open if link.waits]:
-                link.give(InstanceLink(links))
+            for link in [link for link in self.open if link.is_waiting]:
+                link.hand_over(InstanceConnection(links))
 
     def close(self) -> None:
         if self.server is not None:
@@ -230,25 +230,25 @@
             link.close()
 
 
-class Links:
-    """The instances' sessions of one term, or of one while another agent leads."""
+class InstanceConnections:
+    """The connections of instances during one term, or while another agent leads."""
 
     def __init__(self, fleet: Fleet, admits: Callable[[str], bool],
                  on_result: Callable[[str, str, CommandResult], None], log: Callable[[str], None]) -> None:
         self.fleet = fleet
-        self.admits = admits
+        self.is_instance_token = admits
         self.on_result = on_result
         self.log = log
-        self.leads: Callable[[], bool] = lambda: True
+        self.is_leading: Callable[[], bool] = lambda: True
         self.term: Callable[[], int] = lambda: 0
-        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT where another one is dialled
+        self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the leading agent's control listener
         self.on_denied: Callable[[Hello, Denial], None] = lambda hello, denial: None
-        self.open: set[InstanceLink] = set()
-        self.silent = 0
+        self.open: set[InstanceConnection] = set()
+        self.unidentified = 0
 
-    def part(self, why: str) -> None:
+    def close_all(self, why: str) -> None:
         for link in list(self.open):
             link.close(why)
 
     def close(self) -> None:
-        self.part("the agent ends")
+        self.close_all("the agent ends")
--- a/ironscale/agent/engine.py
+++ b/ironscale/agent/engine.py
@@ -18,11 +18,11 @@
 from ironscale.agent.gates import Gate
 from ironscale.agent.model import OPEN_PHASES, Kind, Operation, OutgoingCommand, Phase, Plan, Policy, State, Target
 from ironscale.agent.permits import Permits, permit_id
-from ironscale.agent.publishing import Publisher, used_for
+from ironscale.agent.publishing import Publisher, describe_earlier_use
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.store import Configuration, Event, Records, Store, StoreError
 from ironscale.agent.terms import Owner, clock_ms
-from ironscale.agent.upstream_polling import Watching
+from ironscale.agent.upstream_polling import UpstreamPoller
 from ironscale.control.frames import FrameError, encode_frame
 from ironscale.control.messages import Command, CommandResult, Report, serialize_message
 from ironscale.disruption.model import Budget, Halt, Permit, UnitKind
@@ -74,7 +74,9 @@
         self.permits = Permits(budgets, store, fleet, now_ms, log)
         self.permits.on_budget_room, self.permits.notify, self.permits.inspect = (
             self.on_budget_room, self.notify, self.inspect)
-        self.upstream_polling = Watching(self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set)
+        self.upstream_polling = UpstreamPoller(
+            self.permits.ledger, fleet, self.upstreams_of, log, self.permits.wake.set
+        )
         self.publisher = Publisher(store, now_ms, log, self.notify)
         self.live_operations: dict[int, LiveOperation] = {}
         self.overlays: dict[int, dict[str, Any]] = {0: {}}
@@ -390,7 +392,7 @@
             if earlier is not None:
                 if earlier[0] != fingerprint:
                     raise Refusal("KEY_REUSED", f"idempotency key {key!r} was used for another mutation, "
-                                                f"{used_for(*earlier)}; use a new one")
+                                                f"{describe_earlier_use(*earlier)}; use a new one")
                 found = records.operation(earlier[1])
                 assert found is not None
                 return found, None
@@ -571,7 +573,7 @@
 
             def work(records: Records, rows: list[Any] = rows, now_ms: int = now_ms) -> None:
                 records.put_instances(rows)
-                records.set_alive(now_ms)
+                records.set_alive_ms(now_ms)
 
             try:
                 await self.store.write(work)
--- a/ironscale/agent/follower_connections.py
+++ b/ironscale/agent/follower_connections.py
@@ -1,5 +1,5 @@
-"""The I/O of serving published versions: followers' connections, which outlive the agent's terms, and the sums that
-agents that stand by tell the one that leads."""
+"""Connections for serving published versions: those of followers, which outlive the agent's terms, and those over which
+standby agents send the leading agent summaries of their followers."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     VersionsSummary,
 )
 
-# What one follower that reads nothing can hold: in the kernel, and here beyond it one frame more.
-KERNEL_BYTES, UNSENT_BYTES = 128 << 10, 64 << 10
+# Memory that a follower which reads nothing can occupy: in the kernel, and in this process, plus one frame.
+KERNEL_BUFFER_BYTES, WRITE_BUFFER_BYTES = 128 << 10, 64 << 10
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-SUM_S, SUM_ANSWER_S = 1.0, 2.0
-SUM_OLD_S = 5.0  # a sum that was heard so long ago says nothing of now
-MOST_SUMS = 100
+SUMMARY_INTERVAL_S, SUMMARY_TIMEOUT_S = 1.0, 2.0
+MAX_SUMMARY_AGE_S = 5.0  # a summary older than this is reported as not current
+MAX_SUMMARIES = 100
 
 
-def encoded(told: FollowerUpdate) -> bytes:
-    """Raises FrameError where it does not fit a frame."""
+def encode_update(told: FollowerUpdate) -> bytes:
+    """Raises FrameError if the update is larger than a frame may be."""
     return encode_frame(serialize_message(VersionUpdate(
         told.lineage, told.position, told.since, told.is_snapshot, told.floor,
         [OverlayLayer(entry.version, str(entry.scope), dict(entry.overlay) if entry.overlay is not None else None)
@@ -59,46 +59,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgentSum:
-    """What the agent that leads knows of one agent's followers."""
+class AgentSummary:
+    """What the leading agent knows of one agent's followers."""
 
-    agent: str  # HOST:PORT where it is followed
-    known: bool  # False: not heard of lately, and what it said then is not what is now
-    heard_ms: int  # ago
-    age_ms: int  # of its view, as it said
+    agent: str  # HOST:PORT at which it serves followers
+    known: bool  # False: the summary is too old to be current
+    heard_ms: int  # time since the summary was received
+    age_ms: int  # age of that agent's view, as it reported
     summary: VersionsSummary
 
 
-class Followers:
-    """All that follow this agent, for as long as it lives."""
+class FollowerConnections:
+    """All followers of this agent, for as long as the agent process lives."""
 
     def __init__(self, serving: VersionDistributor, admits: Callable[[str], bool], age_s: Callable[[], float],
                  log: Callable[[str], None]) -> None:
-        self.serving, self.admits, self.age_s, self.log = serving, admits, age_s, log
-        self.links: dict[int, FollowerLink] = {}
-        self.open: set[FollowerLink | SumLink] = set()
-        self.encoded = EncodedUpdateCache()
+        self.serving, self.is_instance_token, self.age_s, self.log = serving, admits, age_s, log
+        self.links: dict[int, FollowerConnection] = {}
+        self.open: set[FollowerConnection | SummaryConnection] = set()
+        self.encoded_updates = EncodedUpdateCache()
         self.wake = asyncio.Event()
-        self.leads: Callable[[], bool] = lambda: False
-        self.leader: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
-        self.agent = ""  # HOST:PORT of this one
-        self.sums: dict[str, tuple[FollowerSummary, float]] = {}
-        self.sent = 0  # frames
+        self.is_leading: Callable[[], bool] = lambda: False
+        self.leader_control: Callable[[], str] = lambda: ""  # HOST:PORT of the agent that leads
+        self.own_address = ""  # HOST:PORT of this one
+        self.summaries: dict[str, tuple[FollowerSummary, float]] = {}
+        self.frames_sent = 0  # number of frames
         self.denied = 0
 
-    # Telling
+    # Sending updates
 
-    def changed(self) -> None:
+    def on_view_changed(self) -> None:
         self.wake.set()
 
-    async def tell(self) -> None:
-        """What is due now, a few hundred followers in one step of the loop, and then the wait for what is next."""
+    async def send_due_updates(self) -> None:
+        """Sends the updates that are due, to a few hundred followers per step of the event loop. If none is due, waits
+        until the next one is."""
         self.wake.clear()
         now_s = time.monotonic()
         told_any = False
         for subscriber, told in self.serving.due_updates(now_s, self.age_s()):
             told_any = True
-            self.links[subscriber.ident].tell(told)
+            self.links[subscriber.ident].send_update(told)
         for subscriber in self.serving.stalled_readers(now_s):
             self.links[subscriber.ident].abort(f"has read nothing for {SLOW_READER_TIMEOUT_S:g} s")
         if told_any:
@@ -110,83 +111,84 @@
             async with asyncio.timeout(wait_s):
                 await self.wake.wait()
 
-    def dismiss(self, strange: Iterable[Subscriber]) -> None:
+    def disconnect_followers(self, strange: Iterable[Subscriber]) -> None:
         for subscriber in strange:
             link = self.links.pop(subscriber.ident, None)
             if link is not None:
-                link.deny("LINEAGE", "the record's log is another", 0)
+                link.deny("LINEAGE", "the store's version log is another one", 0)
 
     def close(self) -> None:
         for link in list(self.open):
             link.close()
 
-    # Sums
+    # Summaries
 
-    def summary(self) -> list[AgentSum]:
-        """This agent's own followers first, then what the others said of theirs."""
+    def summary(self) -> list[AgentSummary]:
+        """The summary of this agent's own followers, then those that other agents sent of theirs."""
         now_s = time.monotonic()
-        found = [AgentSum(self.agent, True, 0, int(self.age_s() * 1000), self.serving.summary())]
-        for sum_, heard_s in self.sums.values():
-            found.append(AgentSum(
-                sum_.agent, now_s - heard_s < SUM_OLD_S, int((now_s - heard_s) * 1000), sum_.age_ms,
+        found = [AgentSummary(self.own_address, True, 0, int(self.age_s() * 1000), self.serving.summary())]
+        for sum_, heard_s in self.summaries.values():
+            found.append(AgentSummary(
+                sum_.agent, now_s - heard_s < MAX_SUMMARY_AGE_S, int((now_s - heard_s) * 1000), sum_.age_ms,
                 VersionsSummary(sum_.lineage, sum_.position, sum_.followers,
                         tuple((count.position, count.number) for count in sum_.counts),
-                        tuple(sum_differing(sum_)), sum_.more)))
+                        tuple(differing_followers(sum_)), sum_.more)))
         return found
 
-    def on_sum(self, found: FollowerSummary) -> None:
-        if found.agent not in self.sums and len(self.sums) >= MOST_SUMS:
-            del self.sums[min(self.sums, key=lambda agent: self.sums[agent][1])]
-        self.sums[found.agent] = found, time.monotonic()
+    def on_summary(self, found: FollowerSummary) -> None:
+        if found.agent not in self.summaries and len(self.summaries) >= MAX_SUMMARIES:
+            del self.summaries[min(self.summaries, key=lambda agent: self.summaries[agent][1])]
+        self.summaries[found.agent] = found, time.monotonic()
 
-    def own_sum(self, token: str, seq: int) -> FollowerSummary:
+    def own_summary(self, token: str, seq: int) -> FollowerSummary:
         own = self.serving.summary()
-        return FollowerSummary(PROTOCOL, token, seq, self.agent, own.lineage, own.position, int(self.age_s() * 1000),
-                   own.followers, [PositionCount(position, number) for position, number in own.counts],
+        return FollowerSummary(PROTOCOL, token, seq, self.own_address, own.lineage, own.position,
+                   int(self.age_s() * 1000), own.followers,
+                   [PositionCount(position, number) for position, number in own.counts],
                    [DifferingFollower(one.name, one.running, one.status, one.detail) for one in own.differing],
                    own.more)
 
-    async def tell_sums(self, token: str) -> None:
-        """Over one connection to the agent that leads, for as long as it does."""
-        address = self.leader() if not self.leads() else ""
+    async def send_summaries(self, token: str) -> None:
+        """Sends summaries to the leading agent over one connection, until another agent leads or an error occurs."""
+        address = self.leader_control() if not self.is_leading() else ""
         host, _, port = address.rpartition(":")
-        if not address or address == self.agent:
-            await asyncio.sleep(SUM_S)
+        if not address or address == self.own_address:
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
-            async with asyncio.timeout(SUM_ANSWER_S):
+            async with asyncio.timeout(SUMMARY_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError, ValueError):
-            await asyncio.sleep(SUM_S)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
             return
         try:
             seq = 0
-            while self.leader() == address and not self.leads():
+            while self.leader_control() == address and not self.is_leading():
                 seq += 1
-                async with asyncio.timeout(SUM_ANSWER_S):
-                    writer.write(encode_frame(serialize_message(self.own_sum(token, seq))))
+                async with asyncio.timeout(SUMMARY_TIMEOUT_S):
+                    writer.write(encode_frame(serialize_message(self.own_summary(token, seq))))
                     size = int.from_bytes(await reader.readexactly(HEADER_BYTES))
                     decoder = FrameDecoder()
                     decoder.feed(size.to_bytes(HEADER_BYTES) + await reader.readexactly(min(size, 1 << 16)))
                     raw = decoder.next_message()
                 if raw is None or not isinstance(parse_message(raw, (LeaseRenewal, Denied)), LeaseRenewal):
                     break
-                await asyncio.sleep(SUM_S)
+                await asyncio.sleep(SUMMARY_INTERVAL_S)
         except (OSError, EOFError, TimeoutError, FrameError, MessageError):
             pass
         finally:
             writer.close()
-        await asyncio.sleep(SUM_S)
+        await asyncio.sleep(SUMMARY_INTERVAL_S)
 
 
-def sum_differing(found: FollowerSummary) -> list[FollowerDifference]:
+def differing_followers(found: FollowerSummary) -> list[FollowerDifference]:
     return [FollowerDifference(one.name, one.running, one.status, one.detail) for one in found.differing]
 
 
-class _Link(asyncio.Protocol):
-    """What both kinds of connection share."""
+class _Connection(asyncio.Protocol):
+    """The common part of both kinds of connection."""
 
-    def __init__(self, followers: Followers) -> None:
+    def __init__(self, followers: FollowerConnections) -> None:
         self.followers = followers
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
@@ -225,10 +227,10 @@
             self.transport.close()
 
 
-class FollowerLink(_Link):
-    """One follower."""
+class FollowerConnection(_Connection):
+    """The connection of one follower."""
 
-    def __init__(self, followers: Followers) -> None:
+    def __init__(self, followers: FollowerConnections) -> None:
         super().__init__(followers)
         self.subscriber: Subscriber | None = None
 
@@ -236,12 +238,12 @@
         super().connection_made(transport)
         self.followers.open.add(self)
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(high=UNSENT_BYTES)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BYTES)
-                # a machine that is gone says nothing: what was sent to it is not waited for
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
+                # A machine that is gone doesn't close its connections, so unacknowledged data ends them.
                 sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(SLOW_READER_TIMEOUT_S * 1000))
 
     def on_message(self, raw: dict[str, object]) -> None:
@@ -261,7 +263,7 @@
             raise MessageError("expected runs, got follow again")
         if follow.protocol != PROTOCOL:
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {follow.protocol}", 60_000)
-        if not followers.admits(follow.token):
+        if not followers.is_instance_token(follow.token):
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
         now_s = time.monotonic()
         try:
@@ -271,18 +273,18 @@
         labels = Labels(follow.name, follow.service, follow.zone, follow.region)
         self.subscriber = followers.serving.join(labels, follow.lineage, follow.position, now_s)
         followers.links[self.subscriber.ident] = self
-        followers.changed()
+        followers.on_view_changed()
 
-    def tell(self, told: FollowerUpdate) -> None:
+    def send_update(self, told: FollowerUpdate) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         try:
-            data = self.followers.encoded.get(told, encoded)
+            data = self.followers.encoded_updates.get(told, encode_update)
         except FrameError as error:
-            self.followers.log(f"{self.name}: its versions are too large together: {error}")
+            self.followers.log(f"{self.name}: its versions together exceed a frame: {error}")
             self.deny("TOO_LARGE", f"what concerns it is too large together: {error}", 30_000)
             return
-        self.followers.sent += 1
+        self.followers.frames_sent += 1
         self.transport.write(data)
 
     def pause_writing(self) -> None:
@@ -292,10 +294,10 @@
     def resume_writing(self) -> None:
         if self.subscriber is not None:
             self.followers.serving.mark_caught_up(self.subscriber, time.monotonic())
-            self.followers.changed()
+            self.followers.on_view_changed()
 
     def abort(self, why: str) -> None:
-        self.followers.log(f"{self.name}: {why}; it is let go")
+        self.followers.log(f"{self.name}: {why}; closing the connection")
         self.closing = True
         if self.subscriber is not None:
             self.followers.serving.leave(self.subscriber)
@@ -309,8 +311,8 @@
             self.followers.links.pop(self.subscriber.ident, None)
 
 
-class SumLink(_Link):
-    """One agent that stands by and tells its sums."""
+class SummaryConnection(_Connection):
+    """The connection of a standby agent that sends summaries of its followers."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -322,11 +324,11 @@
         self.name = f"agent {found.agent[:60]}"
         if found.protocol != PROTOCOL:
             return self.deny("PROTOCOL", f"expected protocol {PROTOCOL}, got {found.protocol}", 60_000)
-        if not self.followers.admits(found.token):
+        if not self.followers.is_instance_token(found.token):
             return self.deny("TOKEN", "expected a token of role instance; see `ironscale token`", 30_000)
-        if not self.followers.leads():
+        if not self.followers.is_leading():
             return self.deny(NOT_LEADING, "another agent leads", 0)
-        self.followers.on_sum(found)
+        self.followers.on_summary(found)
         self.send(LeaseRenewal(found.seq))
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -1,10 +1,10 @@
-"""The record in PostgreSQL, for one agent at a time.
+"""The agent's store in PostgreSQL, owned by one agent at a time.
 
-The row `agent_owner` says whose it is. An agent claims the record by raising `epoch`; each of its transactions begins
-by writing its number there, under that epoch, and so holds the row until its end. Two things follow. A former agent
-that still runs, or a commit of ours that still lies somewhere on its way, finds another epoch and changes nothing. And
-after a connection that broke off at COMMIT, the next claim waits for what is still under way, and `sequence` then says
-whether that commit stands.
+The row in `agent_owner` names the owner. An agent claims the store by incrementing `epoch`, which acts as a fencing
+token. Each of its transactions begins by writing its sequence number to this row under that epoch, and so holds the
+row's lock until it ends. This has two effects. A former owner that still runs, or a delayed transaction of this agent,
+finds another epoch and changes nothing. And after a connection broke during COMMIT, the next claim waits for the row
+lock of the transaction in progress; `sequence` then tells whether that transaction was committed.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 import psycopg
 
-from ironscale.agent.commit_tracking import KeptStore
-from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
+from ironscale.agent.commit_tracking import SequencedStore
+from ironscale.agent.sql import SCHEMA_VERSION, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import Step, cause, knowledge
@@ -31,16 +31,17 @@
 from ironscale.record.worker import Done, Job, Worker, fated
 from ironscale.threads import start_thread
 
-NOW = NOW_MS["postgresql"]
-LEASE_MS = 10_000  # a holder that was not heard for so long may be followed by another
-LIMIT_S = 5.0  # a transaction, from BEGIN to the answer of COMMIT
-CONNECT_S = 2.0
-LOCK = 0x69726F61  # advisory: one agent at a time brings the schema up
-FENCES_APART = 1_000_000  # instances may have seen fences that a record which lost commits would give again
+NOW_MS_SQL = NOW_MS["postgresql"]
+LEASE_MS = 10_000  # after this long without a write of the owner, another agent may claim the store
+TRANSACTION_TIMEOUT_S = 5.0  # for a transaction, from BEGIN to the answer to COMMIT
+CONNECT_TIMEOUT_S = 2.0
+MIGRATION_LOCK_KEY = 0x69726F61  # key of the advisory lock that lets one agent at a time upgrade the schema
+# Added to the fence counter after lost commits: instances may have seen fences that would otherwise be issued again.
+FENCE_GAP = 1_000_000
 
 
-class Held:
-    """A transaction of the group, as the work sees it."""
+class GroupTransaction:
+    """The transaction of a group commit, as passed to its jobs."""
 
     __slots__ = ("began_ms", "connection", "number")
 
@@ -53,42 +54,43 @@
         return cursor.fetchall() if cursor.description is not None else []
 
 
-class _Watch:
-    """Ends a connection that takes too long: a server that hangs keeps its TCP connection alive."""
+class _TransactionWatchdog:
+    """A thread that shuts down a connection when a transaction exceeds its time limit. TCP keepalive doesn't detect
+    this: a server process that hangs keeps its connection alive."""
 
     def __init__(self) -> None:
         self.wake = threading.Condition()
-        self.watched: tuple[socket.socket, float] | None = None
+        self.current: tuple[socket.socket, float] | None = None
         self.ending = False
-        self.cuts = 0
+        self.timeouts = 0
         self.thread = threading.Thread(target=self._run, name="record-watch", daemon=True)
         start_thread(self.thread)
 
     @contextlib.contextmanager
-    def over(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
+    def time_limit(self, connection: psycopg.Connection[Any], limit_s: float) -> Iterator[None]:
         with socket.socket(fileno=os.dup(connection.pgconn.socket)) as end:
             with self.wake:
-                self.watched = end, time.monotonic() + limit_s
+                self.current = end, time.monotonic() + limit_s
                 self.wake.notify()
             try:
                 yield
             finally:
                 with self.wake:
-                    self.watched = None
+                    self.current = None
 
     def _run(self) -> None:
         with self.wake:
             while not self.ending:
-                if self.watched is None:
+                if self.current is None:
                     self.wake.wait()
                     continue
-                end, until = self.watched
+                end, until = self.current
                 left = until - time.monotonic()
                 if left > 0:
                     self.wake.wait(left)
                     continue
-                self.watched = None
-                self.cuts += 1
+                self.current = None
+                self.timeouts += 1
                 with contextlib.suppress(OSError):
                     end.shutdown(socket.SHUT_RDWR)
 
@@ -98,47 +100,49 @@
             self.wake.notify()
 
 
-class Holder(Worker[Held]):
-    """One connection on one thread, and the claim on the record."""
+class OwnerWorker(Worker[GroupTransaction]):
+    """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
-    def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
+    def __init__(self, access: Access, holder: str, place: str, transaction_timeout_s: float = TRANSACTION_TIMEOUT_S,
                  lease_ms: int = LEASE_MS) -> None:
-        """`holder`: who claims, the same for the next process on the same data folder; `place`: where, for people."""
+        """`holder`: identifies the claimant, and is the same for the next process on the same data folder. `place`:
+        where the agent runs, for error messages."""
         self.settings = settings_of(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
-        self.limit_s, self.lease_ms = limit_s, lease_ms
+        self.transaction_timeout_s, self.lease_ms = transaction_timeout_s, lease_ms
         self.connection: psycopg.Connection[Any] | None = None
-        self.epoch = 0  # of our claim; 0 = none yet
-        self.number = 0  # of the last transaction that wrote, whatever became of it
-        self.confirmed = 0  # of the last that was confirmed
+        self.epoch = 0  # of this agent's claim; 0: no claim yet
+        self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
+        self.last_confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
-        self.lost: Trouble | None = None  # the record is no longer ours: for good
-        self.on_lost: Callable[[Trouble], None] = lambda found: None  # on the thread
-        self.reopens = False  # the connection is due to be made anew, with a claim
-        self.follows = False  # reads what another agent writes, and claims nothing
-        self.until_ms = 0.0  # of the lease, on this machine's own clock and as of before it was asked for
-        self.watch = _Watch()
+        self.ownership_loss: Trouble | None = None  # why this agent doesn't own the store any more; never reset
+        self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
+        self.needs_reconnect = False  # the connection has to be opened again, with a claim
+        self.is_read_only = False  # reads what another agent writes, and doesn't claim the store
+        self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
+        self.watchdog = _TransactionWatchdog()
 
-    # A group
+    # Group commit
 
-    def commit(self, group: list[Job[Held, Any]]) -> list[Done[Held]]:
-        done: list[Done[Held]] = []
+    def commit(self, group: list[Job[GroupTransaction, Any]]) -> list[Done[GroupTransaction]]:
+        done: list[Done[GroupTransaction]] = []
         step = Step.CONNECT
         try:
-            # hazard: a server that ended tells so on the idle connection; what is sent there may end as not known
-            if self.connection is not None and (self.reopens or is_stale(self.connection)):
-                self._drop()
-            self.reopens = False
+            # A server that shut down has closed the idle connection. A transaction sent on it could end with an
+            # unknown outcome, so a stale connection is replaced before it is used.
+            if self.connection is not None and (self.needs_reconnect or is_stale(self.connection)):
+                self._close_connection()
+            self.needs_reconnect = False
             connection = self.connection or self._open()
             step = Step.WORK
-            with self.watch.over(connection, self.limit_s):
+            with self.watchdog.time_limit(connection, self.transaction_timeout_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
-                held = Held(connection, 0)
-                held.number = self._hold(connection) if writes else 0
+                held = GroupTransaction(connection, 0)
+                held.number = self._lock_owner_row(connection) if writes else 0
                 for job in group:
-                    self._do(held, job, done, len(group) > 1)
+                    self._run_job(held, job, done, len(group) > 1)
                 if all(problem is not None for _, _, problem in done):
                     connection.execute("ROLLBACK")
                     return done
@@ -149,19 +153,20 @@
                                   "ROLLBACK")
             if writes:
                 self.commits += 1
-                self.confirmed = held.number
+                self.last_confirmed = held.number
                 self.until_ms = held.began_ms + self.lease_ms
             return done
         except (psycopg.Error, OSError, Trouble) as error:
             found = error if isinstance(error, Trouble) else self._trouble(error, step)
-        except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
+        except Exception as error:  # callers would wait forever if the thread died
             found = Trouble(Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
-        self._drop()
+        self._close_connection()
         return fated(group, done, found)
 
-    def _do(self, held: Held, job: Job[Held, Any], done: list[Done[Held]], several: bool) -> None:
-        """One job; what it has done is taken back if it fails. Raises what ends the whole transaction."""
+    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]],
+                 several: bool) -> None:
+        """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
         if several:
             connection.execute("SAVEPOINT job")
@@ -179,19 +184,21 @@
                 connection.execute("ROLLBACK TO SAVEPOINT job")
             connection.execute("RELEASE SAVEPOINT job")
 
-    def _hold(self, connection: psycopg.Connection[Any]) -> int:
-        """The transaction's number, under our claim; from here on the row is held until its end."""
-        if self.follows:
+    def _lock_owner_row(self, connection: psycopg.Connection[Any]) -> int:
+        """Assigns the transaction's sequence number under this agent's claim. This locks the owner's row until the
+        transaction ends."""
+        if self.is_read_only:
             raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
-        self.number += 1
+        self.last_number += 1
         rows = connection.execute(
-            f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW} + %s WHERE one = %s AND epoch = %s"
-            " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
+            f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW_MS_SQL} + %s WHERE one = %s AND epoch = %s"
+            " RETURNING sequence", (self.last_number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
-            # ours it may be still, or be less than it was: the next claim tells
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim on it has to be renewed",
+            # The epoch has changed: either a claim of this agent went unnoticed, another agent owns the store, or the
+            # store has lost writes. The next claim finds out which.
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim has to be renewed",
                           "CLAIM")
-        return self.number
+        return self.last_number
 
     def _trouble(self, error: psycopg.Error | OSError, step: Step) -> Trouble:
         sqlstate = getattr(error, "sqlstate", None) or ""
@@ -203,31 +210,32 @@
             text = text.replace(self.access.password, "***")
         return Trouble(knowledge(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             with contextlib.suppress(psycopg.Error, OSError):
                 connection.close()
 
-    # A connection and the claim
+    # Connection and claim
 
     def _open(self) -> psycopg.Connection[Any]:
         """Raises psycopg.Error, OSError or Trouble."""
-        if self.lost is not None:
-            raise self.lost
-        connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_S)},
+        if self.ownership_loss is not None:
+            raise self.ownership_loss
+        connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
                                                 autocommit=True, prepare_threshold=None)
         try:
-            with self.watch.over(connection, self.limit_s):
-                # what a server does that we have given up on has an end too, and then the row is free. Hazard: who is
-                # stopped in mid-transaction would keep the next agent from the row past the end of his lease
-                idle_ms = min(int(2 * self.limit_s * 1000), self.lease_ms)
-                connection.execute(f"SET statement_timeout = {int(self.limit_s * 1000)}")
+            with self.watchdog.time_limit(connection, self.transaction_timeout_s):
+                # The server also limits statements, so that a transaction which this agent has abandoned releases the
+                # owner's row. An agent process that is stopped within a transaction would otherwise keep the next
+                # agent from the row past the end of the lease; hence the limit for idle transactions.
+                idle_ms = min(int(2 * self.transaction_timeout_s * 1000), self.lease_ms)
+                connection.execute(f"SET statement_timeout = {int(self.transaction_timeout_s * 1000)}")
                 connection.execute(f"SET idle_in_transaction_session_timeout = {idle_ms}")
                 connection.execute(f"SET synchronous_commit = {self.access.synchronous_commit}")
                 if self.epoch == 0:
                     self._migrate(connection)
-                if not self.follows:
+                if not self.is_read_only:
                     self._claim(connection)
         except BaseException:
             with contextlib.suppress(psycopg.Error, OSError):
@@ -238,7 +246,8 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = Held(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA, migrations)
+        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", MIGRATION_LOCK_KEY,
+                                                                SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
             while True:
@@ -250,105 +259,113 @@
                               "ROLLBACK") from None
 
     def _claim(self, connection: psycopg.Connection[Any]) -> None:
-        """Makes the record ours, or ours again. Waits for what an earlier transaction of ours still does."""
+        """Claims the store, or renews the claim. Waits for earlier transactions of this agent that are in progress."""
         began_ms = clock_ms()
         (epoch, sequence, holder, place, left_ms), = connection.execute(
-            f"SELECT epoch, sequence, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,)).fetchall()
+            f"SELECT epoch, sequence, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s",
+            (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} has this record, "
-                          f"for {left_ms / 1000:.1f} s more at least; stop that agent, or name another database",
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
+                          f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
                           "LOCKED")
-        if epoch < self.epoch or sequence < self.confirmed:
-            self._less(connection, epoch, sequence)
+        if epoch < self.epoch or sequence < self.last_confirmed:
+            self._abandon_after_data_loss(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
-            self._give_up("TAKEN", f"{self.name}: the agent of {place} has taken this record over")
+            self._lose_ownership("TAKEN", f"{self.name}: the agent of {place} has taken over this store")
         rows = connection.execute(
-            f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW} + %s"
+            f"UPDATE agent_owner SET epoch = epoch + 1, holder = %s, place = %s, until_ms = {NOW_MS_SQL} + %s"
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent claims this record at "
-                          "the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
-        self.epoch, self.confirmed = rows[0]
-        self.number = max(self.number, self.confirmed)
+            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store "
+                          "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
+        self.epoch, self.last_confirmed = rows[0]
+        self.last_number = max(self.last_number, self.last_confirmed)
         self.until_ms = began_ms + self.lease_ms
         self.claims += 1
 
-    def _less(self, connection: psycopg.Connection[Any], epoch: int, sequence: int) -> None:
-        """A server that took over without all that was confirmed. What was told to operators and instances is gone, so
-        nothing here may go on from it; the next agent begins from what is there, with fences above all that were."""
+    def _abandon_after_data_loss(self, connection: psycopg.Connection[Any], epoch: int, sequence: int) -> None:
+        """Handles a database server that took over without all confirmed commits. Changes that operators and instances
+        were told about are lost, so this agent can't continue from its memory; the next agent starts from what the
+        server has, with fences above all that were issued."""
         connection.execute("BEGIN")
         connection.execute(f"UPDATE agent_owner SET epoch = %s, sequence = %s, holder = %s, place = %s,"
-                           f" until_ms = {NOW} WHERE one = %s",
-                           (max(epoch, self.epoch) + 1, max(sequence, self.number), self.holder, self.place, 1))
-        connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCES_APART, "fence"))
-        # versions that were told may be gone, and their numbers be given again: positions of the two aren't compared
+                           f" until_ms = {NOW_MS_SQL} WHERE one = %s",
+                           (max(epoch, self.epoch) + 1, max(sequence, self.last_number), self.holder, self.place, 1))
+        connection.execute("UPDATE agent_counters SET value = value + %s WHERE name = %s", (FENCE_GAP, "fence"))
+        # Published versions may be lost and their numbers issued again. With a new lineage, followers don't compare
+        # positions of the old log with those of the new one.
         connection.execute("UPDATE agent_version_log SET lineage = %s WHERE one = %s", (secrets.token_hex(8), 1))
         connection.execute("COMMIT")
-        self._give_up("LESS", f"{self.name}: expected {self.confirmed} writes, as it had confirmed, got {sequence}: a "
-                      "server took over that had not got them all; look at `ironscale ops`, then start the agent again")
+        self._lose_ownership("LESS", f"{self.name}: expected {self.last_confirmed} writes, as it had confirmed, got "
+                             f"{sequence}: a server took over that had not received all of them; check "
+                             "`ironscale ops`, then start the agent again")
 
-    def _give_up(self, code: str, text: str) -> None:
-        self.lost = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
-        self.on_lost(self.lost)
-        raise self.lost
+    def _lose_ownership(self, code: str, text: str) -> None:
+        self.ownership_loss = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
+        self.on_lost(self.ownership_loss)
+        raise self.ownership_loss
 
     def stop(self, wait_s: float) -> None:
-        """After all that was asked for; the next agent need not wait for the lease."""
+        """Finishes the queued jobs, then ends the lease, so that the next agent need not wait for it to expire."""
         self.end()
         if self.thread.is_alive():
             self.thread.join(wait_s)
         connection = self.connection
         if not self.thread.is_alive() and connection is not None and self.epoch:
-            with contextlib.suppress(psycopg.Error, OSError), self.watch.over(connection, min(wait_s, self.limit_s)):
+            with (contextlib.suppress(psycopg.Error, OSError),
+                  self.watchdog.time_limit(connection, min(wait_s, self.transaction_timeout_s))):
                 connection.execute("UPDATE agent_owner SET until_ms = 0 WHERE one = %s AND epoch = %s", (1, self.epoch))
-            self._drop()
-        self.watch.stop()
+            self._close_connection()
+        self.watchdog.stop()
 
 
-class PostgresStore(KeptStore[Held]):
-    """The record under one agent's claim."""
+class PostgresStore(SequencedStore[GroupTransaction]):
+    """The store in PostgreSQL under one agent's claim."""
 
-    # hazard: a write of its own would have a number above the open one's, and be taken for it if it broke off too
-    reaches_by_write = False
+    # A write made to resolve an outcome would get a number above the unresolved write's. If its connection broke too,
+    # it could be mistaken for that write.
+    resolve_needs_write = False
 
-    def __init__(self, holder: Holder) -> None:
-        self.holder = holder
+    def __init__(self, holder: OwnerWorker) -> None:
+        self.owner_worker = holder
         super().__init__(holder, "postgresql")
         holder.start()
 
     @property
     def term(self) -> Term:
-        return Term(self.holder.epoch, self.holder.until_ms, self.holder.lease_ms)
+        return Term(self.owner_worker.epoch, self.owner_worker.until_ms, self.owner_worker.lease_ms)
 
     @term.setter
     def term(self, term: Term) -> None:
-        pass  # the claim is the holder's
+        pass  # the term follows from the claim of `holder`
 
     async def owner(self) -> Owner:
         def work(records: Records) -> Owner:
             assert isinstance(records, SqlRecords)
             (epoch, holder, place, left_ms), = records.transaction.execute(
-                f"SELECT epoch, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,))
+                f"SELECT epoch, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s", (1,))
             return Owner(epoch, holder, place, max(0, left_ms))
 
         return await self.read(work)
 
     async def claim(self) -> None:
-        if self.holder.epoch:
+        if self.owner_worker.epoch:
             return
-        self.holder.follows, self.holder.reopens = False, True  # the next connection begins with the claim
+        # the next connection begins with the claim
+        self.owner_worker.is_read_only, self.owner_worker.needs_reconnect = False, True
         try:
             await self.read(lambda records: records.last_event())
         except StoreError:
-            self.holder.follows = True
+            self.owner_worker.is_read_only = True
             raise
 
-    def mark(self, records: SqlRecords) -> int:
+    def assign_sequence_number(self, records: SqlRecords) -> int:
         held = records.transaction
-        assert isinstance(held, Held)
+        assert isinstance(held, GroupTransaction)
         return held.number
 
-    def reached(self, records: SqlRecords) -> int:
-        """By the claim that this connection made: it has waited for all that came before, and shut out the rest."""
-        return self.holder.confirmed
+    def last_sequence_number(self, records: SqlRecords) -> int:
+        """The number found by the claim that opened this connection: the claim waited for earlier transactions that
+        were in progress, and its new epoch rejects later ones."""
+        return self.owner_worker.last_confirmed
--- a/ironscale/agent/publishing.py
+++ b/ironscale/agent/publishing.py
@@ -1,4 +1,5 @@
-"""Publishes versions: one write each, by the agent that leads; told to nobody before its commit is confirmed."""
+"""Publishes versions of the configuration. Only the leading agent publishes, with one write per version; nobody is sent
+a version before its commit is confirmed."""
 
 from __future__ import annotations
 
@@ -24,15 +25,15 @@
     check_publish,
 )
 
-COMPACT_S = 60.0
-# Hazard: what is asked for at once becomes one transaction, a dozen round trips a version, and that has an end of its
-# own: a burst would fail as a whole where the record is slow or far.
-AT_ONCE = 8
-MARK = "version "  # before the fingerprint of a mutation that made one; others make operations
+COMPACT_INTERVAL_S = 60.0
+# Concurrent writes share one transaction, with a dozen round trips per version, and the transaction has a time limit.
+# Without this bound, a burst of publishes would fail as a whole on a slow or distant database.
+MAX_CONCURRENT_WRITES = 8
+VERSION_FINGERPRINT_PREFIX = "version "  # marks mutations that made a version; all others made an operation
 
 
 class DifferingView(Protocol):
-    """An instance that does not run what it should by its agent's view."""
+    """An instance that doesn't run the configuration that its agent last sent it."""
 
     @property
     def name(self) -> str: ...
@@ -45,7 +46,7 @@
 
 
 class SummaryView(Protocol):
-    """Of one agent's followers."""
+    """Which positions the followers of one agent run."""
 
     @property
     def lineage(self) -> str: ...
@@ -55,45 +56,46 @@
     def followers(self) -> int: ...
     @property
     def counts(self) -> Sequence[tuple[int, int]]:
-        """Position and how many are there, the highest first."""
+        """Pairs of a position and the number of followers that run it, highest position first."""
 
     @property
     def differing(self) -> Sequence[DifferingView]: ...
     @property
     def more(self) -> int:
-        """That differ beside those."""
+        """How many further instances differ beyond those listed."""
 
 
 class AgentView(Protocol):
     @property
     def agent(self) -> str:
-        """HOST:PORT where it is followed."""
+        """HOST:PORT at which instances follow the agent."""
 
     @property
     def known(self) -> bool:
-        """False: it was not heard of lately."""
+        """False if the agent's summary is too old."""
 
     @property
     def heard_ms(self) -> int:
-        """Ago."""
+        """Time since the agent's summary was received."""
 
     @property
     def age_ms(self) -> int:
-        """Of its view."""
+        """Age of the agent's view of the published versions."""
 
     @property
     def summary(self) -> SummaryView: ...
 
 
-class Served(Protocol):
-    """Who serves versions, and who runs them: what the agent that leads knows of all, another of itself."""
+class ServedVersions(Protocol):
+    """Which agents serve versions, and what their followers run. The leading agent knows of all agents, any other only
+    of itself."""
 
     def summary(self) -> Sequence[AgentView]: ...
 
 
 @dataclass(frozen=True, slots=True)
-class Composed:
-    """What an instance of some labels runs, and what that comes of."""
+class EffectiveConfiguration:
+    """The configuration of an instance with given labels, and the versions that it is made of."""
 
     position: int
     overlay: dict[str, Any]
@@ -101,12 +103,12 @@
     layers: tuple[Published, ...]
 
 
-def used_for(fingerprint: str, number: int) -> str:
-    """What a mutation made, for who used its key a second time."""
-    return f"{'version' if fingerprint.startswith(MARK) else 'operation'} {number}"
+def describe_earlier_use(fingerprint: str, number: int) -> str:
+    """Names what a mutation made, for the error when its idempotency key is used again."""
+    return f"{'version' if fingerprint.startswith(VERSION_FINGERPRINT_PREFIX) else 'operation'} {number}"
 
 
-def told(problem: Problem | None) -> None:
+def raise_problem(problem: Problem | None) -> None:
     """Raises Refusal."""
     if problem is not None:
         raise Refusal(problem.code, problem.text, **problem.details)
@@ -116,15 +118,15 @@
     def __init__(self, store: Store, now_ms: Callable[[], int], log: Callable[[str], None],
                  notify: Callable[[], None]) -> None:
         self.store, self.now_ms, self.log, self.notify = store, now_ms, log, notify
-        self.published: Callable[[Change], None] = lambda change: None  # its commit is confirmed
-        self.served: Served | None = None
-        self.step: Callable[[str], None] = lambda where: None  # tests end the process here
-        self.room = asyncio.Semaphore(AT_ONCE)
-        self.position = 0  # of the log, as far as it is confirmed
+        self.on_published: Callable[[Change], None] = lambda change: None  # called once a commit is confirmed
+        self.served: ServedVersions | None = None
+        self.test_hook: Callable[[str], None] = lambda where: None  # hook at which tests kill the process
+        self.write_slots = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
+        self.position = 0  # of the last confirmed version in the log
         self.keep, self.keep_ms = HISTORY_VERSIONS, HISTORY_MS
 
     async def load(self) -> None:
-        """Makes the log where there is none. Raises StoreError."""
+        """Creates the version log if there is none. Raises StoreError."""
         change = await self.store.read(lambda records: records.version_change(0, ""))
         if not change.lineage:
             await self.store.write(lambda records: records.make_lineage())
@@ -133,9 +135,10 @@
     # Publishing
 
     async def publish(self, actor: str, draft: Draft, key: str = "") -> tuple[Published, bool]:
-        """The version, and False beside it where an earlier call with this key made it. Raises Refusal or StoreError,
-        with nothing done; but a StoreError UNKNOWN may have published it: the same key tells."""
-        told(check_draft(draft))
+        """Returns the version, and whether this call made it; False if an earlier call with the same key did. Raises
+        Refusal or StoreError with nothing done, except that after StoreError UNKNOWN the version may be published:
+        calling again with the same key tells."""
+        raise_problem(check_draft(draft))
         if draft.overlay is not None:
             try:
                 check_overlay(draft.overlay)
@@ -146,7 +149,7 @@
 
     async def restore(self, actor: str, number: int, base: int, key: str = "", note: str = ""
                       ) -> tuple[Published, bool]:
-        """A way back: what `number` said of its scope, as a new version. Raises as `publish` does."""
+        """Publishes the overlay of version `number` again, as a new version of its scope. Raises as `publish` does."""
         def made(records: Records) -> Draft:
             former = records.version(number)
             if former is None:
@@ -159,7 +162,7 @@
 
     @staticmethod
     def fingerprint(*parts: Any) -> str:
-        return MARK + sha256(json.dumps(parts, sort_keys=True).encode()).hexdigest()
+        return VERSION_FINGERPRINT_PREFIX + sha256(json.dumps(parts, sort_keys=True).encode()).hexdigest()
 
     async def write(self, actor: str, key: str, fingerprint: str, made: Callable[[Records], Draft]
                     ) -> tuple[Published, bool]:
@@ -168,11 +171,11 @@
         def work(records: Records) -> tuple[Published, Change | None]:
             earlier = records.mutation(actor, key) if key else None
             if earlier is not None:
-                return self.again(records, key, fingerprint, *earlier), None
+                return self.repeated_result(records, key, fingerprint, *earlier), None
             draft = made(records)
-            told(check_draft(draft))
-            lineage, position, floor, newest = records.standing(draft.scope)
-            told(check_publish(draft, self.standing(records, position, newest)))
+            raise_problem(check_draft(draft))
+            lineage, position, floor, newest = records.log_and_newest(draft.scope)
+            raise_problem(check_publish(draft, self.standing(records, position, newest)))
             entry = records.add_version(draft.scope, draft.overlay, draft.base, actor, now_ms, draft.restores,
                                         draft.note)
             if key:
@@ -187,25 +190,26 @@
             change = found[1]
             if change is not None:
                 self.position = max(self.position, change.position)
-                self.published(change)
+                self.on_published(change)
                 self.notify()
 
-        self.step("before a version's commit")
-        async with self.room:
+        self.test_hook("before a version's commit")
+        async with self.write_slots:
             found = await self.store.write(work, confirmed)
-        self.step("after a version's commit")
+        self.test_hook("after a version's commit")
         confirmed(found)
-        self.step("after a version was told")
+        self.test_hook("after a version was told")
         return found[0], found[1] is not None
 
     @staticmethod
-    def again(records: Records, key: str, fingerprint: str, earlier: str, number: int) -> Published:
+    def repeated_result(records: Records, key: str, fingerprint: str, earlier: str, number: int) -> Published:
         if earlier != fingerprint:
             raise Refusal("KEY_REUSED", f"idempotency key {key!r} was used for another mutation, "
-                                        f"{used_for(earlier, number)}; use a new one")
+                                        f"{describe_earlier_use(earlier, number)}; use a new one")
         found = records.version(number)
         if found is None:
-            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which is out of the history")
+            raise Refusal("KEY_REUSED", f"idempotency key {key!r} made version {number}, which the history no "
+                                        "longer has")
         return found
 
     @staticmethod
@@ -213,36 +217,37 @@
         halt = records.halt()
         before = records.version(newest.base) if halt is not None and newest is not None and newest.base else None
         return RecordedState(position, newest, before.entry if before is not None else None,
-                        records.count_scopes() if newest is None else 0, halt.text if halt is not None else "")
+                        records.count_scopes_in_force() if newest is None else 0, halt.text if halt is not None else "")
 
-    # Looking
+    # Queries
 
-    async def compose(self, labels: Labels) -> Composed:
+    async def compose(self, labels: Labels) -> EffectiveConfiguration:
         """Raises StoreError."""
-        def work(records: Records) -> Composed:
+        def work(records: Records) -> EffectiveConfiguration:
             position, found = records.version_position(), records.in_force(labels.scopes())
             layers = tuple(sorted(found, key=lambda published: published.entry.scope.reach))
             overlay = combine_layers(published.entry for published in layers)
-            # a commit between the two looks: what came of it is as of then, and nothing else of it concerns these
+            # A version committed between the two reads may be among the layers; the position then includes it. No
+            # other version up to it concerns these scopes.
             position = max([position, *(published.entry.version for published in layers)])
-            return Composed(position, overlay, overlay_digest(overlay), layers)
+            return EffectiveConfiguration(position, overlay, overlay_digest(overlay), layers)
 
         return await self.store.read(work)
 
-    # What goes on by itself
+    # Background work
 
     async def compact(self) -> int:
-        """How many rows went. Raises StoreError."""
+        """Returns how many rows were deleted. Raises StoreError."""
         before_ms = self.now_ms() - self.keep_ms
         return await self.store.write(lambda records: records.compact_versions(self.keep, before_ms))
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(COMPACT_S)
+            await asyncio.sleep(COMPACT_INTERVAL_S)
             if not self.position:
                 continue
             try:
                 while await self.compact():
                     await asyncio.sleep(0.1)
             except StoreError as error:
-                self.log(f"versions are compacted later: {error}")
+                self.log(f"compacting the versions failed, will be retried: {error}")
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -1,4 +1,4 @@
-"""The GraphQL schema on the engine: resolvers, thin."""
+"""The resolvers of the GraphQL schema, a thin layer over the engine."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 from ironscale.versions.model import MAX_SCOPE_NAME_CHARS, Labels, Scope, ScopeError, parse_scope
 from ironscale.versions.publishing import Draft
 
-MOST_KEY = 200
-MOST_VERSIONS = 100  # a page, as each has an overlay of up to 24 KB
-MOST_INT = 2**31 - 1  # of the schema's Int
-WATCH_GAP_S = 0.5
+MAX_TEXT_LENGTH = 200
+MAX_VERSIONS_PAGE = 100  # per page, as each has an overlay of up to 24 KB
+MAX_GRAPHQL_INT = 2**31 - 1  # the largest value of GraphQL's Int
+MIN_UPDATE_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who asks: the name and role of their token."""
+    """The authenticated caller: the name and role of the token."""
 
     name: str
     role: str
@@ -53,59 +53,59 @@
     started_ms: int
     version: str
     reload_tokens: Callable[[], Any]
-    tokens_changed: Callable[[], None]  # seen only afterwards: to be read again
+    tokens_changed: Callable[[], None]  # called when a change of tokens with an unknown outcome proves committed
 
 
 def sdl() -> str:
     return resources.files("ironscale.agent").joinpath("schema.graphql").read_text(encoding="utf-8")
 
 
-def error(code: str, text: str, **details: Any) -> GraphQLError:
+def graphql_error(code: str, text: str, **details: Any) -> GraphQLError:
     return GraphQLError(text, extensions={"code": code, **details})
 
 
-def need(info: Any, role: str) -> Context:
+def require_role(info: Any, role: str) -> Context:
     context: Context = info.context
     if not secrets_.has_role(context.caller.role, role):
-        raise error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
+        raise graphql_error("FORBIDDEN", f"expected a token of role {role}, got {context.caller.role}")
     leader = context.engine.leader
     if leader is not None and info.operation.operation is OperationType.MUTATION:
         where = f"the agent at {leader.api} does" if leader.api else "at present none is known to"
-        raise error("NOT_LEADING", f"this agent does not lead; {where}", leader=leader.api)
+        raise graphql_error("NOT_LEADING", f"this agent does not lead; {where}", leader=leader.api)
     return context
 
 
-def iso(ms: int) -> str | None:
+def iso_time(ms: int) -> str | None:
     return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds") if ms else None
 
 
-def enum_name(value: str) -> str:
+def graphql_enum_name(value: str) -> str:
     return value.upper().replace(" ", "_")
 
 
-def cursor(value: object) -> str:
+def encode_cursor(value: object) -> str:
     return base64.urlsafe_b64encode(str(value).encode()).decode()
 
 
-def uncursor(text: str | None) -> str:
+def decode_cursor(text: str | None) -> str:
     if not text:
         return ""
     try:
         return base64.b64decode(text.encode("ascii"), altchars=b"-_", validate=True).decode()
     except ValueError:
-        raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}") from None
+        raise graphql_error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}") from None
 
 
-def uncursor_number(text: str | None) -> int:
-    value = uncursor(text)
+def decode_cursor_number(text: str | None) -> int:
+    value = decode_cursor(text)
     if value and not (value.isascii() and value.isdecimal() and len(value) < 18):
-        raise error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
+        raise graphql_error("BAD_INPUT", f"after: expected a cursor from an earlier page, got {text!r:.60}")
     return int(value or 0)
 
 
 def page_size(first: int) -> int:
     if not 0 <= first <= MAX_PAGE:
-        raise error("BAD_INPUT", f"first: expected 0 to {MAX_PAGE}, got {first}")
+        raise graphql_error("BAD_INPUT", f"first: expected 0 to {MAX_PAGE}, got {first}")
     return first
 
 
@@ -116,7 +116,7 @@
     return found if total is None else {**found, "totalCount": total}
 
 
-# Objects as the schema has them
+# Conversion to the objects of the schema
 
 
 def report_object(report: Report) -> dict[str, Any]:
@@ -140,22 +140,23 @@
 
     async def inspect(info: Any, timeoutMs: int) -> dict[str, Any]:  # noqa: N803 (the schema's name)
         if not 1 <= timeoutMs <= 60_000:
-            raise error("BAD_INPUT", f"timeoutMs: expected 1 to 60000, got {timeoutMs}")
+            raise graphql_error("BAD_INPUT", f"timeoutMs: expected 1 to 60000, got {timeoutMs}")
         found = await engine.inspect(name, timeoutMs / 1000)
         return {"report": report_object(found.report), "upstreams": found.upstreams}
 
     return {
-        "name": name, "state": enum_name(state_of(seen)), "zone": row.zone, "version": row.version,
-        "listen": row.listen, "pid": row.pid, "boot": row.boot, "startedAt": iso(row.started_ms),
-        "lastHeard": iso(row.heard_ms), "connected": seen.connected, "generation": row.generation,
+        "name": name, "state": graphql_enum_name(state_of(seen)), "zone": row.zone, "version": row.version,
+        "listen": row.listen, "pid": row.pid, "boot": row.boot, "startedAt": iso_time(row.started_ms),
+        "lastHeard": iso_time(row.heard_ms), "connected": seen.connected, "generation": row.generation,
         "desiredGeneration": row.desired, "ended": row.ended, "supervised": seen.supervised,
         "report": report_object(member.report) if member.report is not None else None, "inspect": inspect,
     }
 
 
 def target_object(target: Target) -> dict[str, Any]:
-    return {"name": target.name, "state": target.state.name, "detail": target.detail, "since": iso(target.since_ms),
-            "boot": target.boot, "tries": target.tries, "fromGeneration": target.from_generation}
+    return {"name": target.name, "state": target.state.name, "detail": target.detail,
+            "since": iso_time(target.since_ms), "boot": target.boot, "tries": target.tries,
+            "fromGeneration": target.from_generation}
 
 
 def operation_object(engine: Engine, op: Operation, known: list[Target] | None = None) -> dict[str, Any]:
@@ -171,11 +172,11 @@
         return [{"state": state.name, "count": found[state]} for state in State if found[state]]
 
     async def targets(info: Any, first: int, after: str | None = None, state: str | None = None) -> dict[str, Any]:
-        size, last = page_size(first), uncursor(after)
+        size, last = page_size(first), decode_cursor(after)
         found = [t for t in await all_targets() if state is None or t.state.name == state]
         rest = [t for t in found if t.name > last] if last else found
         page = rest[:size]
-        return connection([target_object(t) for t in page], [cursor(t.name) for t in page], len(rest) > size,
+        return connection([target_object(t) for t in page], [encode_cursor(t.name) for t in page], len(rest) > size,
                           len(found))
 
     live = engine.live_operations.get(op.id)
@@ -183,7 +184,7 @@
     return {
         "id": op.id, "kind": op.kind.name, "phase": op.phase.name, "open": op.phase in OPEN_PHASES, "actor": op.actor,
         "note": op.note, "stalled": (live.stalled or live.waits_for) if live else "", "generation": op.generation,
-        "fence": op.fence, "createdAt": iso(op.created_ms), "endedAt": iso(op.ended_ms),
+        "fence": op.fence, "createdAt": iso_time(op.created_ms), "endedAt": iso_time(op.ended_ms),
         "policy": {"wave": p.wave, "maxUnavailable": p.max_unavailable, "maxFailures": p.max_failures,
                    "onFailure": p.on_failure.upper(), "answerMs": p.answer_ms, "tries": p.tries,
                    "priority": p.priority, "urgent": p.urgent},
@@ -192,13 +193,13 @@
 
 
 def event_object(event: Event) -> dict[str, Any]:
-    return {"id": event.id, "cursor": cursor(event.id), "at": iso(event.at_ms), "actor": event.actor,
+    return {"id": event.id, "cursor": encode_cursor(event.id), "at": iso_time(event.at_ms), "actor": event.actor,
             "action": event.action, "subject": event.subject, "result": event.result, "detail": event.detail}
 
 
 def token_object(row: TokenRow) -> dict[str, Any]:
-    return {"name": row.name, "role": row.role.upper(), "createdAt": iso(row.created_ms),
-            "revokedAt": iso(row.revoked_ms)}
+    return {"name": row.name, "role": row.role.upper(), "createdAt": iso_time(row.created_ms),
+            "revokedAt": iso_time(row.revoked_ms)}
 
 
 # Queries
@@ -210,12 +211,12 @@
 
 
 async def q_me(root: Any, info: Any) -> dict[str, Any]:
-    caller = need(info, "read").caller
+    caller = require_role(info, "read").caller
     return {"name": caller.name, "role": caller.role.upper()}
 
 
 async def q_fleet(root: Any, info: Any) -> dict[str, Any]:
-    context = need(info, "read")
+    context = require_role(info, "read")
     engine = context.engine
     generation = await engine.store.read(lambda records: records.current_generation())
     states: Counter[str] = Counter()
@@ -229,7 +230,7 @@
         "generation": generation, "instances": len(engine.fleet.members), "ready": states["ready"],
         "draining": states["draining"] + states["drained"], "silent": states["silent"], "gone": states["gone"],
         "behind": behind, "openOperations": len(engine.live_operations), "version": context.version,
-        "startedAt": iso(context.started_ms), "registrations": engine.fleet.registrations,
+        "startedAt": iso_time(context.started_ms), "registrations": engine.fleet.registrations,
         "heartbeats": engine.fleet.heartbeats, "halt": halt_object(engine.permits.halt),
         "leads": engine.leads(), "term": engine.store.term.epoch if engine.leader is None else engine.leader.epoch,
         "leader": engine.leader.api if engine.leader is not None else "",
@@ -238,9 +239,9 @@
 
 
 def instances_page(engine: Engine, selector: str, first: int, after: str | None) -> dict[str, Any]:
-    """From the cursor on until the page is full: a page costs what it holds, and what it passes over. The count of
-    all that match is made only where it is asked for."""
-    size, last, holds = page_size(first), uncursor(after), compile_selector(selector)
+    """Searches from the cursor on until the page is full, so the cost is that of the instances on the page and of those
+    skipped. All matching instances are counted only if the query asks for the total."""
+    size, last, holds = page_size(first), decode_cursor(after), compile_selector(selector)
     names, page = engine.fleet.names(), []
     for place in range(bisect_right(names, last) if last else 0, len(names)):
         if not selector or holds(engine.fleet.selector_values(names[place])):
@@ -248,47 +249,47 @@
             if len(page) > size:
                 break
     found = connection([instance_object(engine, name) for name in page[:size]],
-                       [cursor(name) for name in page[:size]], len(page) > size)
+                       [encode_cursor(name) for name in page[:size]], len(page) > size)
     return {**found, "totalCount": lambda info: len(names_matching(engine, selector))}
 
 
 async def q_instances(root: Any, info: Any, selector: str, first: int, after: str | None = None) -> dict[str, Any]:
-    return instances_page(need(info, "read").engine, selector, first, after)
+    return instances_page(require_role(info, "read").engine, selector, first, after)
 
 
 async def q_instance(root: Any, info: Any, name: str) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     return instance_object(engine, name) if name in engine.fleet.members else None
 
 
 async def q_operation(root: Any, info: Any, id: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.find(id)
     return operation_object(engine, *found) if found is not None else None
 
 
 async def q_operations(root: Any, info: Any, first: int, openOnly: bool,  # noqa: N803
                        after: str | None = None) -> dict[str, Any]:
-    engine, size = need(info, "read").engine, page_size(first)
-    before = uncursor_number(after) or 2**62
+    engine, size = require_role(info, "read").engine, page_size(first)
+    before = decode_cursor_number(after) or 2**62
     ops = await engine.store.read(lambda records: records.operations(before, size + 1, openOnly))
     ops = [engine.live_operations[op.id].op if op.id in engine.live_operations else op for op in ops]
     page = ops[:size]
-    return connection([operation_object(engine, op) for op in page], [cursor(op.id) for op in page],
+    return connection([operation_object(engine, op) for op in page], [encode_cursor(op.id) for op in page],
                       len(ops) > size)
 
 
 async def q_configuration(root: Any, info: Any, generation: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.store.read(lambda records: records.configuration(generation))
     if found is None:
         return None
     return {"generation": found.generation, "overlay": found.overlay, "actor": found.actor,
-            "at": iso(found.at_ms), "operation": found.operation}
+            "at": iso_time(found.at_ms), "operation": found.operation}
 
 
 async def q_plan(root: Any, info: Any, overlay: Any, selector: str) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     overlay = overlay_object(overlay)
     names = names_matching(engine, selector)
     current = await engine.store.read(lambda records: records.configuration(records.current_generation()))
@@ -298,20 +299,20 @@
 
 
 async def q_events(root: Any, info: Any, first: int, after: str | None = None) -> dict[str, Any]:
-    engine, size = need(info, "read").engine, page_size(first)
-    found = await engine.events(uncursor_number(after), size + 1)
+    engine, size = require_role(info, "read").engine, page_size(first)
+    found = await engine.events(decode_cursor_number(after), size + 1)
     page = found[:size]
-    return connection([event_object(e) for e in page], [cursor(e.id) for e in page], len(found) > size)
+    return connection([event_object(e) for e in page], [encode_cursor(e.id) for e in page], len(found) > size)
 
 
 async def q_tokens(root: Any, info: Any) -> list[dict[str, Any]]:
-    engine = need(info, "admin").engine
+    engine = require_role(info, "admin").engine
     return [token_object(row) for row in await engine.store.read(lambda records: records.tokens())]
 
 
 def halt_object(halt: Halt | None) -> dict[str, Any] | None:
-    return None if halt is None else {"actor": halt.actor, "reason": halt.reason, "at": iso(halt.at_ms),
-                                      "liftedAt": iso(halt.lifted_ms), "liftedBy": halt.lifted_by}
+    return None if halt is None else {"actor": halt.actor, "reason": halt.reason, "at": iso_time(halt.at_ms),
+                                      "liftedAt": iso_time(halt.lifted_ms), "liftedBy": halt.lifted_by}
 
 
 def permit_object(engine: Engine, permit: Permit) -> dict[str, Any]:
@@ -324,11 +325,11 @@
                           if key in ledger.observations)
     return {"id": permit.id, "key": permit.key, "holder": permit.holder, "units": permit.units,
             "reason": permit.reason, "priority": permit.priority, "phase": permit.phase.name, "note": permit.note,
-            "createdAt": iso(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
+            "createdAt": iso_time(permit.created_ms), "leaseMs": permit.lease_ms, "waitsFor": waits}
 
 
 async def q_budgets(root: Any, info: Any) -> list[dict[str, Any]]:
-    ledger = need(info, "read").engine.permits.ledger
+    ledger = require_role(info, "read").engine.permits.ledger
     found = []
     for cell in ledger.all_cells():
         number, weight = cell.max_units(), cell.budget.capacity
@@ -341,7 +342,7 @@
 
 
 async def q_permits(root: Any, info: Any, all: bool) -> list[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     ended = await engine.store.read(lambda records: records.permits()) if all else []
     known = engine.permits.ledger.permits
     found = {p.id: p for p in ended} | known
@@ -349,61 +350,63 @@
 
 
 async def q_permit(root: Any, info: Any, id: int) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     return permit_object(engine, await engine.permits.find(id))
 
 
 def version_object(published: Published) -> dict[str, Any]:
     entry = published.entry
     return {"number": entry.version, "scope": str(entry.scope), "overlay": entry.overlay, "base": entry.base,
-            "restores": entry.restores, "actor": entry.actor, "at": iso(entry.at_ms), "note": published.note,
+            "restores": entry.restores, "actor": entry.actor, "at": iso_time(entry.at_ms), "note": published.note,
             "inForce": published.in_force}
 
 
-def scope_of(text: str) -> Scope:
+def parse_scope(text: str) -> Scope:
     try:
         return parse_scope(text)
     except ScopeError as problem:
-        raise error("BAD_INPUT", str(problem)) from problem
+        raise graphql_error("BAD_INPUT", str(problem)) from problem
 
 
 async def q_versions(root: Any, info: Any, scope: str, first: int, after: str | None = None) -> dict[str, Any]:
-    engine, before = need(info, "read").engine, uncursor_number(after) or 2**62
-    if not 0 <= first <= MOST_VERSIONS:
-        raise error("BAD_INPUT", f"first: expected 0 to {MOST_VERSIONS}, got {first}")
-    wanted = scope_of(scope) if scope else None
+    engine, before = require_role(info, "read").engine, decode_cursor_number(after) or 2**62
+    if not 0 <= first <= MAX_VERSIONS_PAGE:
+        raise graphql_error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
+    wanted = parse_scope(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
-    return connection([version_object(p) for p in page], [cursor(p.entry.version) for p in page], len(found) > first)
+    return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page],
+                      len(found) > first)
 
 
 async def q_version(root: Any, info: Any, number: int) -> dict[str, Any] | None:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     found = await engine.store.read(lambda records: records.version(number))
     return version_object(found) if found is not None else None
 
 
 async def q_configuration_of(root: Any, info: Any, instance: str, service: str, zone: str, region: str
                              ) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     for name, value in (("instance", instance), ("service", service), ("zone", zone), ("region", region)):
         if len(value) > MAX_SCOPE_NAME_CHARS or not value.isprintable():
-            raise error("BAD_INPUT",
-                        f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}")
+            raise graphql_error(
+                "BAD_INPUT", f"{name}: expected a name of {MAX_SCOPE_NAME_CHARS} characters at most, got {value!r:.60}"
+            )
     found = await engine.publisher.compose(Labels(instance, service, zone, region))
     return {"position": found.position, "overlay": found.overlay, "digest": found.digest,
             "layers": [version_object(layer) for layer in found.layers]}
 
 
 async def q_served(root: Any, info: Any) -> dict[str, Any]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     served = engine.publisher.served
     position: int | None = None
-    with contextlib.suppress(StoreError):  # who asks may ask just because the record is away
+    with contextlib.suppress(StoreError):  # callers may ask just because the store is unreachable
         position = await engine.store.read(lambda records: records.version_position())
     return {"position": position, "agents": [{
-        "agent": one.agent, "known": one.known, "heardMs": min(one.heard_ms, MOST_INT),
-        "position": one.summary.position, "ageMs": min(one.age_ms, MOST_INT), "instances": one.summary.followers,
+        "agent": one.agent, "known": one.known, "heardMs": min(one.heard_ms, MAX_GRAPHQL_INT),
+        "position": one.summary.position, "ageMs": min(one.age_ms, MAX_GRAPHQL_INT), "instances": one.summary.followers,
         "positions": [{"position": at, "instances": count} for at, count in one.summary.counts],
         "differing": [{"name": d.name, "running": d.running, "status": d.status, "detail": d.detail}
                       for d in one.summary.differing],
@@ -415,7 +418,7 @@
 
 def overlay_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise error("BAD_INPUT", f"overlay: expected an object, got {value!r:.60}")
+        raise graphql_error("BAD_INPUT", f"overlay: expected an object, got {value!r:.60}")
     return value
 
 
@@ -434,45 +437,46 @@
         ("margin", policy.margin, 0.0, 1.0),
     ):
         if value is None or not least <= value <= most:
-            raise error("BAD_INPUT", f"policy.{name}: expected {least} to {most}, got {value}")
+            raise graphql_error("BAD_INPUT", f"policy.{name}: expected {least} to {most}, got {value}")
     assert policy.on_failure in ON_FAILURE
     return policy
 
 
-def key_of(given: dict[str, Any]) -> str:
+def idempotency_key(given: dict[str, Any]) -> str:
     key: str = given.get("idempotencyKey") or ""
-    if len(key) > MOST_KEY:
-        raise error("BAD_INPUT", f"idempotencyKey: expected {MOST_KEY} characters at most, got {len(key)}")
+    if len(key) > MAX_TEXT_LENGTH:
+        raise graphql_error("BAD_INPUT",
+                            f"idempotencyKey: expected {MAX_TEXT_LENGTH} characters at most, got {len(key)}")
     return key
 
 
-async def begin(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
-    context = need(info, "operate")
-    engine, key = context.engine, key_of(given)
+async def begin_operation(info: Any, kind: Kind, given: dict[str, Any], **more: Any) -> dict[str, Any]:
+    context = require_role(info, "operate")
+    engine, key = context.engine, idempotency_key(given)
     names = names_matching(engine, given.get("selector") or "")
     op, _ = await engine.begin(context.caller.name, kind, names, read_policy(given.get("policy")), key=key,
                                supersede=bool(given.get("supersede")), **more)
     return operation_object(engine, op)
 
 
-def beginner(kind: Kind) -> Callable[..., Any]:
+def operation_resolver(kind: Kind) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
         if not input["selector"].strip():
-            raise error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
+            raise graphql_error("BAD_INPUT", "selector: expected which instances are meant, got nothing; "
                                      "`name=*` is all of them")
-        return await begin(info, kind, input)
+        return await begin_operation(info, kind, input)
 
     return resolve
 
 
 async def m_apply(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    return await begin(info, Kind.RECONFIGURE, input, overlay=overlay_object(input["overlay"]),
+    return await begin_operation(info, Kind.RECONFIGURE, input, overlay=overlay_object(input["overlay"]),
                        expect=input["expectGeneration"])
 
 
-def controller(action: str) -> Callable[..., Any]:
+def control_resolver(action: str) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, operation: int, urgent: bool = False) -> dict[str, Any]:
-        context = need(info, "operate")
+        context = require_role(info, "operate")
         op = await context.engine.control(context.caller.name, operation, action, urgent)
         return operation_object(context.engine, op)
 
@@ -480,7 +484,7 @@
 
 
 async def m_take_permit(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     permits = context.engine.permits
     return permit_object(context.engine, await permits.request(
         context.caller.name, input["key"], input["units"], input["reason"] or "", input["priority"] or 0,
@@ -488,59 +492,62 @@
 
 
 async def m_renew_permit(root: Any, info: Any, id: int) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return permit_object(context.engine, await context.engine.permits.renew(context.caller.name, id))
 
 
 async def m_give_back_permit(root: Any, info: Any, id: int, force: bool) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return permit_object(context.engine, await context.engine.permits.give_back(context.caller.name, id, force))
 
 
 async def m_halt(root: Any, info: Any, reason: str) -> dict[str, Any] | None:
-    context = need(info, "operate")
-    if not reason.isprintable() or len(reason) > MOST_KEY:
-        raise error("BAD_INPUT", f"reason: expected a line of {MOST_KEY} characters at most, got {reason!r:.60}")
+    context = require_role(info, "operate")
+    if not reason.isprintable() or len(reason) > MAX_TEXT_LENGTH:
+        raise graphql_error("BAD_INPUT",
+                            f"reason: expected a line of {MAX_TEXT_LENGTH} characters at most, got {reason!r:.60}")
     return halt_object(await context.engine.permits.set_halt(context.caller.name, reason))
 
 
 async def m_lift_halt(root: Any, info: Any) -> dict[str, Any] | None:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return halt_object(await context.engine.permits.lift_halt(context.caller.name))
 
 
 async def m_publish(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     if "overlay" not in input:
-        raise error("BAD_INPUT", "overlay: expected an object, or null to take away what the scope has, got nothing")
+        raise graphql_error("BAD_INPUT",
+                            "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
-    draft = Draft(scope_of(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
+    draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
-    return version_object((await context.engine.publisher.publish(context.caller.name, draft, key_of(input)))[0])
+    return version_object((await context.engine.publisher.publish(
+        context.caller.name, draft, idempotency_key(input)))[0])
 
 
 async def m_restore_version(root: Any, info: Any, input: dict[str, Any]) -> dict[str, Any]:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     return version_object((await context.engine.publisher.restore(
-        context.caller.name, input["version"], input["base"], key_of(input), input.get("note") or ""))[0])
+        context.caller.name, input["version"], input["base"], idempotency_key(input), input.get("note") or ""))[0])
 
 
 async def m_forget(root: Any, info: Any, name: str, ended: bool) -> bool:
-    context = need(info, "operate")
+    context = require_role(info, "operate")
     await context.engine.forget(context.caller.name, name, ended)
     return True
 
 
 async def m_create_token(root: Any, info: Any, name: str, role: str) -> dict[str, Any]:
-    context = need(info, "admin")
+    context = require_role(info, "admin")
     if not 0 < len(name) <= 64 or not name.isprintable():
-        raise error("BAD_INPUT", f"name: expected 1 to 64 printable characters, got {name!r:.80}")
+        raise graphql_error("BAD_INPUT", f"name: expected 1 to 64 printable characters, got {name!r:.80}")
     secret, now_ms = secrets_.new_token(), context.engine.now_ms()
     row = TokenRow(name, role.lower(), secrets_.digest(secret), now_ms)
 
     def work(records: Records) -> None:
         if any(known.name == name for known in records.tokens()):
-            raise error("CONFLICT", f"there is a token {name!r} already; names are not used twice")
+            raise graphql_error("CONFLICT", f"there is a token {name!r} already; names are not used twice")
         records.put_token(row)
         records.audit(now_ms, context.caller.name, "create token", name, row.role)
 
@@ -550,19 +557,19 @@
 
 
 async def m_revoke_token(root: Any, info: Any, name: str) -> dict[str, Any]:
-    context = need(info, "admin")
+    context = require_role(info, "admin")
     now_ms = context.engine.now_ms()
 
     def work(records: Records) -> TokenRow:
         rows = records.tokens()
         found = next((row for row in rows if row.name == name), None)
         if found is None:
-            raise error("NOT_FOUND", f"there is no token {name!r}")
+            raise graphql_error("NOT_FOUND", f"there is no token {name!r}")
         if found.revoked_ms:
             return found
         admins = [row for row in rows if row.role == "admin" and not row.revoked_ms]
         if admins == [found]:
-            raise error("CONFLICT", f"{name!r} is the last token of role admin; create another first")
+            raise graphql_error("CONFLICT", f"{name!r} is the last token of role admin; create another first")
         new = TokenRow(found.name, found.role, found.digest, found.created_ms, now_ms)
         records.put_token(new)
         records.audit(now_ms, context.caller.name, "revoke token", name, found.role)
@@ -576,8 +583,9 @@
 # Subscriptions
 
 
-async def changes(engine: Engine) -> AsyncIterator[None]:
-    """Now, and whenever something has changed, with a gap between two: thousands change at once."""
+async def change_notifications(engine: Engine) -> AsyncIterator[None]:
+    """Yields at once, and then whenever something has changed, at most once per interval: thousands of instances can
+    change at the same time."""
     watcher = asyncio.Event()
     engine.watchers.add(watcher)
     try:
@@ -586,18 +594,18 @@
             yield None
             start_s = time.monotonic()
             await watcher.wait()
-            await asyncio.sleep(max(0.0, WATCH_GAP_S - (time.monotonic() - start_s)))
+            await asyncio.sleep(max(0.0, MIN_UPDATE_INTERVAL_S - (time.monotonic() - start_s)))
     finally:
         engine.watchers.discard(watcher)
 
 
 async def s_operation(root: Any, info: Any, id: int) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
+    engine = require_role(info, "read").engine
     before: tuple[Any, ...] | None = None
-    async for _ in changes(engine):
+    async for _ in change_notifications(engine):
         found = await engine.find(id)
         if found is None:
-            raise error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
+            raise graphql_error("NOT_FOUND", f"there is no operation {id}; see `ironscale ops`")
         stalled = engine.live_operations[id].stalled if id in engine.live_operations else ""
         if (*found, stalled) != before:
             before = (*found, stalled)
@@ -608,17 +616,17 @@
 
 async def s_instances(root: Any, info: Any, selector: str, first: int,
                       after: str | None = None) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
-    async for _ in changes(engine):
+    engine = require_role(info, "read").engine
+    async for _ in change_notifications(engine):
         yield {"instances": instances_page(engine, selector, first, after)}
 
 
 async def s_events(root: Any, info: Any, after: str | None = None) -> AsyncIterator[dict[str, Any]]:
-    engine = need(info, "read").engine
-    last = uncursor_number(after)
+    engine = require_role(info, "read").engine
+    last = decode_cursor_number(after)
     if not after:
         last = await engine.store.read(lambda records: records.last_event())
-    async for _ in changes(engine):
+    async for _ in change_notifications(engine):
         while found := await engine.events(last, 200):
             for event in found:
                 last = event.id
@@ -634,9 +642,11 @@
         "versions": q_versions, "version": q_version, "configurationOf": q_configuration_of, "served": q_served,
     },
     "Mutation": {
-        "drain": beginner(Kind.DRAIN), "undrain": beginner(Kind.UNDRAIN), "stop": beginner(Kind.STOP),
-        "restart": beginner(Kind.RESTART), "apply": m_apply, "pause": controller("pause"),
-        "resume": controller("resume"), "abort": controller("abort"), "rollBack": controller("rollback"),
+        "drain": operation_resolver(Kind.DRAIN), "undrain": operation_resolver(Kind.UNDRAIN),
+        "stop": operation_resolver(Kind.STOP),
+        "restart": operation_resolver(Kind.RESTART), "apply": m_apply, "pause": control_resolver("pause"),
+        "resume": control_resolver("resume"), "abort": control_resolver("abort"),
+        "rollBack": control_resolver("rollback"),
         "takePermit": m_take_permit, "renewPermit": m_renew_permit, "giveBackPermit": m_give_back_permit,
         "halt": m_halt, "liftHalt": m_lift_halt, "forget": m_forget,
         "publish": m_publish, "restoreVersion": m_restore_version,
@@ -647,26 +657,26 @@
     "operation": s_operation, "instances": s_instances, "events": s_events}
 
 
-def coded(resolve: Callable[..., Any]) -> Callable[..., Any]:
-    """What the engine refuses, as an error with its code; anything else stays inside."""
+def with_error_codes(resolve: Callable[..., Any]) -> Callable[..., Any]:
+    """Converts a Refusal or SelectorError of a resolver to a GraphQL error with its code. Other exceptions pass."""
     async def resolved(root: Any, info: Any, **arguments: Any) -> Any:
         try:
             return await resolve(root, info, **arguments)
         except Refusal as refusal:
-            raise error(refusal.code, str(refusal), **refusal.details) from refusal
+            raise graphql_error(refusal.code, str(refusal), **refusal.details) from refusal
         except SelectorError as problem:
-            raise error("BAD_INPUT", str(problem)) from problem
+            raise graphql_error("BAD_INPUT", str(problem)) from problem
 
     return resolved
 
 
-def coded_stream(subscribe: Callable[..., Any]) -> Callable[..., Any]:
+def stream_with_error_codes(subscribe: Callable[..., Any]) -> Callable[..., Any]:
     async def subscribed(root: Any, info: Any, **arguments: Any) -> AsyncIterator[Any]:
         try:
             async for value in subscribe(root, info, **arguments):
                 yield value
         except SelectorError as problem:
-            raise error("BAD_INPUT", str(problem)) from problem
+            raise graphql_error("BAD_INPUT", str(problem)) from problem
 
     return subscribed
 
@@ -676,17 +686,17 @@
     types: Any = schema.type_map
     for kind, fields in RESOLVERS.items():
         for name, resolve in fields.items():
-            types[kind].fields[name].resolve = coded(resolve)
+            types[kind].fields[name].resolve = with_error_codes(resolve)
     for name, subscribe in SUBSCRIPTIONS.items():
-        types["Subscription"].fields[name].subscribe = coded_stream(subscribe)
+        types["Subscription"].fields[name].subscribe = stream_with_error_codes(subscribe)
     for name, asks in (("inspect", types["Instance"]), ("counts", types["Operation"]),
                        ("targets", types["Operation"])):
-        asks.fields[name].resolve = coded(_member(name))
+        asks.fields[name].resolve = with_error_codes(object_method_resolver(name))
     types["JSON"].parse_literal = lambda node, variables=None: value_from_ast_untyped(node, variables)
     return schema
 
 
-def _member(name: str) -> Callable[..., Any]:
+def object_method_resolver(name: str) -> Callable[..., Any]:
     async def resolve(root: Any, info: Any, **arguments: Any) -> Any:
         return await root[name](info, **arguments)
 
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -1,7 +1,8 @@
-"""The record's statements, once for both dialects, and `Records` upon them. Values go in as parameters only.
+"""The SQL statements of the agent's store, shared by both dialects, and `Records` implemented with them. Values are
+passed as parameters only.
 
-A table is named `@table`: SQLite has a file of its own for the agent; in PostgreSQL the names begin with `agent_`, as
-the database may be shared with stores of record.
+Statements write a table's name as `@table`. SQLite uses it without a prefix, as the agent has its own file; in
+PostgreSQL it becomes `agent_table`, as the database may be shared with the stores that hold records of requests.
 """
 
 from __future__ import annotations
@@ -22,12 +23,13 @@
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope, canonical_json, parse_scope
 
-ROWS_AT_ONCE = 500  # of one INSERT: 15 values each, and PostgreSQL takes 65,535 parameters, SQLite 32,766
-SCOPES_AT_ONCE = 500  # compacted in one transaction
+# Rows of one INSERT, with up to 15 values each: PostgreSQL takes 65,535 parameters, SQLite 32,766.
+MAX_ROWS_PER_INSERT = 500
+MAX_SCOPES_PER_COMPACTION = 500  # compacted in one transaction
 
 
 class Transaction(Protocol):
-    """What a dialect gives: one statement, all its rows."""
+    """The database driver's transaction: executes one statement and returns all its rows."""
 
     def execute(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]: ...
 
@@ -44,7 +46,7 @@
 
 DIALECTS: dict[str, Callable[[str], str]] = {"sqlite": _sqlite, "postgresql": _postgresql}
 
-# `dataclasses.astuple` copies deeply, for thousands of rows at a time
+# Not `dataclasses.astuple`: it makes deep copies, which is slow for thousands of rows.
 _instance_values = attrgetter(*(f.name for f in fields(InstanceRow)))
 _target_values = attrgetter(*(f.name for f in fields(Target)))
 _token_values = attrgetter(*(f.name for f in fields(TokenRow)))
@@ -68,7 +70,7 @@
     return f"ON CONFLICT ({key}) DO UPDATE SET " + ", ".join(f"{c} = excluded.{c}" for c in columns)
 
 
-# what it should run is the operations' to say (`set_desired`); when it was first seen stays
+# `desired` is changed only by operations, through `set_desired`; `first_seen_ms` never changes.
 PUT_INSTANCES = _upsert("name", (c for c in INSTANCE if c not in ("name", "first_seen_ms", "desired")))
 PUT_OPERATION = _upsert("id", ("policy", "fence", "phase", "note", "ended_ms"))
 PUT_TARGETS = _upsert("operation, name", (c for c in TARGET if c not in ("operation", "name")))
@@ -79,60 +81,61 @@
 PUT_NEWEST = _upsert("scope", ("version",))
 
 
-def plain(value: Any) -> Any:
-    """Both stores keep whole numbers and texts, no truth values and no enumerations."""
+def to_column_value(value: Any) -> Any:
+    """Converts booleans and enum values to the integers and strings that both databases store."""
     if isinstance(value, bool):
         return int(value)
     return str(value) if isinstance(value, str) else value
 
 
 class SqlRecords:
-    """`Records` within one transaction. `end` is due before its commit."""
+    """`Records` within one transaction. `end` must be called before the commit."""
 
     def __init__(self, transaction: Transaction, dialect: str) -> None:
-        self.transaction, self.translated = transaction, DIALECTS[dialect]
-        self.audited: list[tuple[Any, ...]] = []  # lines of the log that are not written yet
-        self.last_id = -1
+        self.transaction, self.to_dialect = transaction, DIALECTS[dialect]
+        self.pending_audit: list[tuple[Any, ...]] = []  # entries of the audit log that are not written yet
+        self.last_audit_id = -1
 
-    def sql(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        return self.transaction.execute(self.translated(sql), values)
+    def execute(self, sql: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+        return self.transaction.execute(self.to_dialect(sql), values)
 
-    def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], behind: str = "") -> None:
-        """Many at a time: a statement each would be a round trip each."""
-        found = [tuple(map(plain, row)) for row in rows]
+    def insert(self, table: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], suffix: str = "") -> None:
+        """Inserts many rows per statement, as one statement per row would cost a round trip per row. `behind` is SQL
+        appended to the statement."""
+        found = [tuple(map(to_column_value, row)) for row in rows]
         one = f"({', '.join(['%s'] * len(columns))})"
-        for start in range(0, len(found), ROWS_AT_ONCE):
-            part = found[start:start + ROWS_AT_ONCE]
-            self.sql(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {behind}",
+        for start in range(0, len(found), MAX_ROWS_PER_INSERT):
+            part = found[start:start + MAX_ROWS_PER_INSERT]
+            self.execute(f"INSERT INTO @{table} ({', '.join(columns)}) VALUES {', '.join([one] * len(part))} {suffix}",
                      [value for row in part for value in row])
 
-    def end(self) -> None:
-        """Writes what was held back."""
-        lines, self.audited = self.audited, []
+    def write_pending_audit(self) -> None:
+        """Writes the buffered entries of the audit log."""
+        lines, self.pending_audit = self.pending_audit, []
         self.insert("audit", AUDIT, lines)
 
     def counter(self, name: str) -> int:
-        found = self.sql("SELECT value FROM @counters WHERE name = %s", (name,))
+        found = self.execute("SELECT value FROM @counters WHERE name = %s", (name,))
         return int(found[0][0]) if found else 0
 
     def set_counter(self, name: str, value: int) -> None:
         self.insert("counters", COUNTER, [(name, value)], PUT_COUNTER)
 
-    def count(self, name: str) -> int:
-        """One more, from 1 on."""
-        return self._number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
+    def increment_counter(self, name: str) -> int:
+        """Increments the counter and returns it; the first value is 1."""
+        return self._query_number("INSERT INTO @counters (name, value) VALUES (%s, 1) ON CONFLICT (name) DO UPDATE"
                             " SET value = @counters.value + 1 RETURNING value", (name,))
 
-    def _number(self, sql: str, values: tuple[Any, ...] = ()) -> int:
-        (value,), = self.sql(sql, values)
+    def _query_number(self, sql: str, values: tuple[Any, ...] = ()) -> int:
+        (value,), = self.execute(sql, values)
         return int(value)
 
-    def _columns(self, table: str, columns: Sequence[str], behind: str,
+    def _select(self, table: str, columns: Sequence[str], suffix: str,
                  values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        return self.sql(f"SELECT {', '.join(columns)} FROM @{table} {behind}", values)
+        return self.execute(f"SELECT {', '.join(columns)} FROM @{table} {suffix}", values)
 
     def instances(self) -> list[InstanceRow]:
-        return [self._instance(row) for row in self._columns("instances", INSTANCE, "ORDER BY name")]
+        return [self._instance(row) for row in self._select("instances", INSTANCE, "ORDER BY name")]
 
     @staticmethod
     def _instance(row: tuple[Any, ...]) -> InstanceRow:
@@ -141,35 +144,35 @@
         return InstanceRow(*values)
 
     def put_instances(self, rows: Iterable[InstanceRow]) -> None:
-        # one statement may not meet a row twice: the last word on an instance is what counts
+        # An upsert statement may not update a row twice, so only the last row of each instance is written.
         last = {row.name: row for row in rows}
         self.insert("instances", INSTANCE, map(_instance_values, last.values()), PUT_INSTANCES)
 
     def set_desired(self, generations: Iterable[tuple[str, int]]) -> None:
-        """By generation: an operation has one or two for all its targets."""
+        """One statement per generation: an operation has one or two generations for all its targets."""
         names: dict[int, list[str]] = {}
         for name, generation in dict(generations).items():
             names.setdefault(generation, []).append(name)
         for generation, found in names.items():
-            for start in range(0, len(found), ROWS_AT_ONCE):
-                part = found[start:start + ROWS_AT_ONCE]
-                self.sql(f"UPDATE @instances SET desired = %s WHERE name IN ({', '.join(['%s'] * len(part))})",
+            for start in range(0, len(found), MAX_ROWS_PER_INSERT):
+                part = found[start:start + MAX_ROWS_PER_INSERT]
+                self.execute(f"UPDATE @instances SET desired = %s WHERE name IN ({', '.join(['%s'] * len(part))})",
                          (generation, *part))
 
     def forget_instance(self, name: str) -> None:
-        self.sql("DELETE FROM @instances WHERE name = %s", (name,))
+        self.execute("DELETE FROM @instances WHERE name = %s", (name,))
 
     def alive_ms(self) -> int:
         return self.counter("alive_ms")
 
-    def set_alive(self, at_ms: int) -> None:
+    def set_alive_ms(self, at_ms: int) -> None:
         self.set_counter("alive_ms", at_ms)
 
     def next_fence(self) -> int:
-        return self.count("fence")
+        return self.increment_counter("fence")
 
     def next_operation(self) -> int:
-        return self.count("operation")
+        return self.increment_counter("operation")
 
     @staticmethod
     def _operation(row: tuple[Any, ...]) -> Operation:
@@ -178,12 +181,12 @@
                          generation, json.loads(args), note, created_ms, ended_ms)
 
     def operation(self, ident: int) -> Operation | None:
-        found = self._columns("operations", OPERATION, "WHERE id = %s", (ident,))
+        found = self._select("operations", OPERATION, "WHERE id = %s", (ident,))
         return self._operation(found[0]) if found else None
 
     def operations(self, before: int, most: int, open_only: bool = False) -> list[Operation]:
         phases = [str(phase) for phase in (OPEN_PHASES if open_only else Phase)]
-        rows = self._columns("operations", OPERATION, f"WHERE id < %s AND phase IN ({', '.join(['%s'] * len(phases))})"
+        rows = self._select("operations", OPERATION, f"WHERE id < %s AND phase IN ({', '.join(['%s'] * len(phases))})"
                              " ORDER BY id DESC LIMIT %s", (before, *phases, most))
         return [self._operation(row) for row in rows]
 
@@ -193,7 +196,7 @@
             json.dumps(op.args), op.note, op.created_ms, op.ended_ms)], PUT_OPERATION)
 
     def targets(self, operation: int) -> list[Target]:
-        return [self._target(row) for row in self._columns(
+        return [self._target(row) for row in self._select(
             "targets", TARGET[1:], "WHERE operation = %s ORDER BY position", (operation,))]
 
     @staticmethod
@@ -206,10 +209,10 @@
         self.insert("targets", TARGET, ((operation, *_target_values(t)) for t in targets), PUT_TARGETS)
 
     def current_generation(self) -> int:
-        return self._number("SELECT coalesce(max(generation), 0) FROM @configurations")
+        return self._query_number("SELECT coalesce(max(generation), 0) FROM @configurations")
 
     def configuration(self, generation: int) -> Configuration | None:
-        found = self._columns("configurations", CONFIGURATION, "WHERE generation = %s", (generation,))
+        found = self._select("configurations", CONFIGURATION, "WHERE generation = %s", (generation,))
         return Configuration(found[0][0], json.loads(found[0][1]), *found[0][2:]) if found else None
 
     def add_configuration(self, c: Configuration) -> None:
@@ -217,7 +220,8 @@
             (c.generation, json.dumps(c.overlay), c.actor, c.at_ms, c.operation)])
 
     def mutation(self, actor: str, key: str) -> tuple[str, int] | None:
-        found = self.sql("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s", (actor, key))
+        found = self.execute("SELECT fingerprint, operation FROM @mutations WHERE actor = %s AND key = %s",
+                             (actor, key))
         return (found[0][0], found[0][1]) if found else None
 
     def add_mutation(self, actor: str, key: str, fingerprint: str, operation: int, at_ms: int) -> None:
@@ -225,36 +229,36 @@
 
     def audit(self, at_ms: int, actor: str, action: str, subject: str, result: str,
               detail: dict[str, Any] | None = None) -> None:
-        if self.last_id < 0:
-            self.last_id = self._last_event()
-        self.last_id += 1
-        self.audited.append((self.last_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
+        if self.last_audit_id < 0:
+            self.last_audit_id = self._last_event()
+        self.last_audit_id += 1
+        self.pending_audit.append((self.last_audit_id, at_ms, actor, action, subject, result, json.dumps(detail or {})))
 
     def events(self, after: int, most: int) -> list[Event]:
-        self.end()
-        rows = self._columns("audit", AUDIT, "WHERE id > %s ORDER BY id LIMIT %s", (after, most))
+        self.write_pending_audit()
+        rows = self._select("audit", AUDIT, "WHERE id > %s ORDER BY id LIMIT %s", (after, most))
         return [Event(*(json.loads(v) if i == 6 else v for i, v in enumerate(row))) for row in rows]
 
     def last_event(self) -> int:
-        self.end()
+        self.write_pending_audit()
         return self._last_event()
 
     def _last_event(self) -> int:
-        return self._number("SELECT coalesce(max(id), 0) FROM @audit")
+        return self._query_number("SELECT coalesce(max(id), 0) FROM @audit")
 
     def next_permit(self) -> int:
-        return self.count("permit")
+        return self.increment_counter("permit")
 
     @staticmethod
     def _permit(row: tuple[Any, ...]) -> Permit:
         return Permit.from_record(row[0], row[1], row[2], json.loads(row[5]))
 
     def permits(self, open_only: bool = False) -> list[Permit]:
-        rows = self._columns("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
+        rows = self._select("permits", PERMIT, "WHERE open >= %s ORDER BY id", (int(open_only),))
         return [self._permit(row) for row in rows]
 
-    def permit_of(self, holder: str, key: str) -> Permit | None:
-        rows = self._columns("permits", PERMIT, "WHERE holder = %s AND key = %s", (holder, key))
+    def permit_by_key(self, holder: str, key: str) -> Permit | None:
+        rows = self._select("permits", PERMIT, "WHERE holder = %s AND key = %s", (holder, key))
         return self._permit(rows[0]) if rows else None
 
     def put_permits(self, permits: Iterable[Permit]) -> None:
@@ -267,33 +271,33 @@
                 kept.append((permit.id, permit.holder, permit.key, is_open, permit.ended_ms,
                              json.dumps(permit.to_record())))
         self.insert("permits", PERMIT, kept, PUT_PERMIT)
-        for start in range(0, len(over), ROWS_AT_ONCE):
-            part = over[start:start + ROWS_AT_ONCE]
-            self.sql(f"DELETE FROM @permits WHERE id IN ({', '.join(['%s'] * len(part))})", part)
+        for start in range(0, len(over), MAX_ROWS_PER_INSERT):
+            part = over[start:start + MAX_ROWS_PER_INSERT]
+            self.execute(f"DELETE FROM @permits WHERE id IN ({', '.join(['%s'] * len(part))})", part)
 
     def prune_permits(self, before_ms: int) -> None:
-        self.sql("DELETE FROM @permits WHERE open = 0 AND ended_ms < %s", (before_ms,))
+        self.execute("DELETE FROM @permits WHERE open = 0 AND ended_ms < %s", (before_ms,))
 
     def halt(self) -> Halt | None:
-        rows = self._columns("halts", HALT, "WHERE lifted_ms = 0 ORDER BY id DESC LIMIT 1")
+        rows = self._select("halts", HALT, "WHERE lifted_ms = 0 ORDER BY id DESC LIMIT 1")
         return Halt(*rows[0]) if rows else None
 
     def put_halt(self, halt: Halt) -> None:
         self.insert("halts", HALT, [tuple(getattr(halt, name) for name in HALT)], PUT_HALT)
 
     def tokens(self) -> list[TokenRow]:
-        return [TokenRow(*row) for row in self._columns("tokens", TOKEN, "ORDER BY name")]
+        return [TokenRow(*row) for row in self._select("tokens", TOKEN, "ORDER BY name")]
 
     def put_token(self, token: TokenRow) -> None:
         self.insert("tokens", TOKEN, [_token_values(token)], PUT_TOKEN)
 
-    def _log(self) -> tuple[str, int, int]:
+    def _version_log(self) -> tuple[str, int, int]:
         """Lineage, position and floor."""
-        found = self._columns("version_log", VERSION_LOG[1:], "WHERE one = 1")
+        found = self._select("version_log", VERSION_LOG[1:], "WHERE one = 1")
         return found[0] if found else ("", 0, 0)
 
     def lineage(self) -> str:
-        return self._log()[0]
+        return self._version_log()[0]
 
     def make_lineage(self) -> str:
         found = self.lineage()
@@ -309,33 +313,33 @@
                      at_ms)
 
     def version_change(self, since: int, lineage: str) -> Change:
-        own, position, floor = self._log()
+        own, position, floor = self._version_log()
         if lineage == own and since == position:
             return Change(own, position, since, False, floor, ())
         whole = lineage != own or since == 0 or since < floor or since > position
         while True:
-            # in one statement: a commit between two would leave out the scope that it moved on
-            rows = self.sql(
+            # One statement: a commit between two statements would hide the scope whose newest version it replaced.
+            rows = self.execute(
                 f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
                 " AS l LEFT JOIN @newest AS n ON n.version > %s LEFT JOIN @versions AS v ON v.version = n.version"
                 " WHERE l.one = 1 ORDER BY n.version", (0 if whole else since,))
             own, position, floor = rows[0][:3] if rows else ("", 0, 0)
             if whole or lineage == own and since >= floor:
                 break
-            whole = True  # it was compacted since the first look
+            whole = True  # the log was compacted since `_log` was read
         entries = tuple(self._entry(row[3:]) for row in rows if row[3] is not None)
         return Change(own, position, since, whole, floor, entries)
 
     def newest(self, scope: Scope) -> Entry | None:
-        found = self._columns("versions", VERSION, "WHERE version = (SELECT version FROM @newest WHERE scope = %s)",
+        found = self._select("versions", VERSION, "WHERE version = (SELECT version FROM @newest WHERE scope = %s)",
                               (str(scope),))
         return self._entry(found[0]) if found else None
 
     def version_position(self) -> int:
-        return self._log()[1]
+        return self._version_log()[1]
 
-    def standing(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
-        rows = self.sql(
+    def log_and_newest(self, scope: Scope) -> tuple[str, int, int, Entry | None]:
+        rows = self.execute(
             f"SELECT l.lineage, l.position, l.floor, {', '.join(f'v.{name}' for name in VERSION)} FROM @version_log"
             " AS l LEFT JOIN @newest AS n ON n.scope = %s LEFT JOIN @versions AS v ON v.version = n.version"
             " WHERE l.one = 1", (str(scope),))
@@ -349,13 +353,13 @@
         return self._published(f"WHERE version IN (SELECT version FROM @newest WHERE scope IN ({marks}))"
                                " ORDER BY version", list(map(str, scopes)))
 
-    def count_scopes(self) -> int:
-        return self._number("SELECT count(*) FROM @newest")
+    def count_scopes_in_force(self) -> int:
+        return self._query_number("SELECT count(*) FROM @newest")
 
-    def _published(self, behind: str, values: Sequence[Any]) -> list[Published]:
+    def _published(self, suffix: str, values: Sequence[Any]) -> list[Published]:
         newest = "(SELECT n.version FROM @newest AS n WHERE n.scope = @versions.scope)"
         return [Published(self._entry(row), row[7], row[8] == row[0])
-                for row in self._columns("versions", (*VERSION, newest), behind, values)]
+                for row in self._select("versions", (*VERSION, newest), suffix, values)]
 
     def version(self, number: int) -> Published | None:
         found = self._published("WHERE version = %s", (number,))
@@ -370,10 +374,10 @@
     def add_version(self, scope: Scope, overlay: Mapping[str, Any] | None, base: int, actor: str, at_ms: int,
                     restores: int = 0, note: str = "") -> Entry:
         one_more = "UPDATE @version_log SET position = position + 1 WHERE one = 1 RETURNING position"
-        found = self.sql(one_more)
+        found = self.execute(one_more)
         if not found:
             self.make_lineage()
-            found = self.sql(one_more)
+            found = self.execute(one_more)
         (number,), = found
         text = canonical_json(overlay).decode("ascii") if overlay is not None else ""
         row = (number, str(scope), text, base, restores, actor, at_ms, note)
@@ -382,28 +386,30 @@
         return Entry(number, scope, overlay, base, restores, actor, at_ms)
 
     def compact_versions(self, keep: int, before_ms: int) -> int:
-        _, position, floor = self._log()
+        _, position, floor = self._version_log()
         beyond, values = "(version <= %s OR at_ms < %s)", (position - keep, before_ms)
-        # what was in force when the kept history begins stays, so that what came before its first change is known
-        rows = self.sql(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
-                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s", (*values, SCOPES_AT_ONCE))
+        # Each scope keeps the version that was in force when the retained history begins, so that the state before
+        # the first retained change is known.
+        rows = self.execute(f"SELECT scope, max(version) FROM @versions WHERE {beyond} GROUP BY scope"
+                        " HAVING max(version) > min(version) ORDER BY scope LIMIT %s",
+                            (*values, MAX_SCOPES_PER_COMPACTION))
         gone = 0
         for scope, number in rows:
-            gone += len(self.sql("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
+            gone += len(self.execute("DELETE FROM @versions WHERE scope = %s AND version < %s RETURNING version",
                                  (scope, number)))
-        ends = self.sql("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version FROM"
-                        f" @newest) AND {beyond} ORDER BY version LIMIT %s",
-                        (*values, SCOPES_AT_ONCE))
+        ends = self.execute("SELECT scope, version FROM @versions WHERE overlay = '' AND version IN (SELECT version"
+                        f" FROM @newest) AND {beyond} ORDER BY version LIMIT %s",
+                        (*values, MAX_SCOPES_PER_COMPACTION))
         for scope, number in ends:
-            gone += len(self.sql("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
-            self.sql("DELETE FROM @newest WHERE scope = %s", (scope,))
+            gone += len(self.execute("DELETE FROM @versions WHERE scope = %s RETURNING version", (scope,)))
+            self.execute("DELETE FROM @newest WHERE scope = %s", (scope,))
             floor = max(floor, number)
         if ends:
-            self.sql("UPDATE @version_log SET floor = %s WHERE one = 1", (floor,))
+            self.execute("UPDATE @version_log SET floor = %s WHERE one = 1", (floor,))
         return gone
 
 
-# One statement each. The log can't be changed nor thinned out: what tries finds nothing done.
+# One statement per string. Rules turn every UPDATE and DELETE of the audit log into a no-op.
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
     (
         "CREATE TABLE agent_counters (name {TEXT} NOT NULL PRIMARY KEY, value {INTEGER} NOT NULL)",
@@ -438,7 +444,7 @@
         """CREATE TABLE agent_tokens (
             name {TEXT} NOT NULL PRIMARY KEY, role {TEXT} NOT NULL, digest {TEXT} NOT NULL,
             created_ms {INTEGER} NOT NULL, revoked_ms {INTEGER} NOT NULL)""",
-        # whose record it is: which claim counts, how far its writes have come, until when the holder is taken for alive
+        # The store's owner: the number of the valid claim (epoch), the last write (sequence), the end of the lease.
         """CREATE TABLE agent_owner (
             one {INTEGER} NOT NULL PRIMARY KEY, epoch {INTEGER} NOT NULL, sequence {INTEGER} NOT NULL,
             holder {TEXT} NOT NULL, place {TEXT} NOT NULL, until_ms {INTEGER} NOT NULL)""",
@@ -459,7 +465,7 @@
             base {INTEGER} NOT NULL, restores {INTEGER} NOT NULL, actor {TEXT} NOT NULL, at_ms {INTEGER} NOT NULL,
             note {TEXT} NOT NULL)""",
         "CREATE INDEX agent_versions_by_scope ON agent_versions (scope, version)",
-        # beside them, as a row that is updated is written anew, with its overlay
+        # A table of its own: PostgreSQL rewrites a whole row on update, which would include the overlay.
         "CREATE TABLE agent_newest (scope {TEXT} NOT NULL PRIMARY KEY, version {INTEGER} NOT NULL)",
         "CREATE UNIQUE INDEX agent_newest_by_version ON agent_newest (version)",
         """CREATE TABLE agent_version_log (
@@ -467,10 +473,10 @@
             floor {INTEGER} NOT NULL)""",
     ),
 )
-SCHEMA = len(MIGRATIONS)
+SCHEMA_VERSION = len(MIGRATIONS)
 
 
 def migrations(version: int) -> list[str]:
-    """What brings a PostgreSQL schema of `version` up to this program's."""
+    """The statements that upgrade a PostgreSQL schema from `version` to the current version."""
     return [typed(statement, "postgresql")
             for statements in MIGRATIONS[version:] for statement in statements]
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -1,4 +1,4 @@
-"""The record in SQLite, on the driver of `ironscale.record.database`; migrations with versions."""
+"""The agent's store in SQLite, on the driver of `ironscale.record.database`, with versioned schema migrations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import apsw
 
-from ironscale.agent.commit_tracking import KeptStore, told
+from ironscale.agent.commit_tracking import SequencedStore, to_store_error
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.store import StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
@@ -19,8 +19,8 @@
 from ironscale.record.errors import Step
 from ironscale.record.model import Cause, Knowledge, Trouble
 
-BUSY_MS = 2_000
-SEQUENCE = "sequence"  # of the last write
+BUSY_TIMEOUT_MS = 2_000
+SEQUENCE_COUNTER = "sequence"  # counter with the number of the last write
 MIGRATIONS = (
     """
     CREATE TABLE counters (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
@@ -84,50 +84,50 @@
         one INTEGER PRIMARY KEY, lineage TEXT NOT NULL, position INTEGER NOT NULL, floor INTEGER NOT NULL);
     """,
 )
-SCHEMA = len(MIGRATIONS)
+SCHEMA_VERSION = len(MIGRATIONS)
 
 
 def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
-    """Opens the file and brings its schema up to this program's. Raises StoreError."""
-    opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+    """Opens the file and upgrades its schema to the current version. Raises StoreError."""
+    opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
     try:
         return opener.open()
     except Trouble as found:
-        raise told(found) from found
+        raise to_store_error(found) from found
     except apsw.Error as error:
-        raise told(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(trouble(error, Step.WORK, path)) from error
 
 
 def migrate(connection: apsw.Connection) -> None:
-    database.migrate(connection, SCHEMA, lambda version: MIGRATIONS[version:], "name another data folder")
+    database.migrate(connection, SCHEMA_VERSION, lambda version: MIGRATIONS[version:], "name another data folder")
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What an agent writes into a record that it wants to lead on."""
+    """What an agent writes into a shared store to become its owner, and so the leader."""
 
     holder: str
     place: str
     lease_ms: int
 
 
-class SqliteStore(KeptStore[Transaction]):
-    """The record on the driver that stores of record have: one writer with group commit."""
+class SqliteStore(SequencedStore[Transaction]):
+    """The store on the same driver as the stores that hold records of requests: one writer with group commit."""
 
-    reaches_by_write = True
+    resolve_needs_write = True
 
     def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
-        """`opener`: tests open the file upon a disk of theirs. `claim`: several agents of this machine open the file,
-        and write it only once they have claimed it."""
-        self.path, self.claim_as = path, claim
-        opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+        """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
+        open the file; an agent then writes only after it has claimed the store."""
+        self.path, self.claim_identity = path, claim
+        opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
-        self.number = -1  # of the last write; the record's own until the first
+        self.last_number = -1  # number of the last write; -1 until it is read from the store
         super().__init__(self.writer, "sqlite")
         if claim is not None:
             self.term = Term(0, 0, claim.lease_ms)
 
-        self.marked_until_ms = 0
+        self.pending_until_ms = 0
         self.on_lost: Callable[[StoreError], None] = lambda error: None  # on the worker's thread
 
     @property
@@ -139,24 +139,24 @@
         try:
             return await self.worker.run(self._owner, writes=False)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
     @staticmethod
     def _owner(transaction: Transaction) -> Owner:
         (epoch, holder, place, on, until_ms), = transaction.execute(
             "SELECT epoch, holder, place, machine, until_ms FROM owner WHERE one = 1")
-        # a lease of before the machine's last start: its holder is no more, and the clock has begun anew
+        # A lease from before the last boot of the machine is void: its holder is gone and the clock has restarted.
         return Owner(epoch, holder, place, max(0, until_ms - clock_ms()) if on == machine_boot_id() else 0)
 
     async def claim(self) -> None:
-        claim = self.claim_as
+        claim = self.claim_identity
         assert claim is not None
 
         def job(transaction: Transaction) -> Term:
             owner, now_ms = self._owner(transaction), clock_ms()
             if owner.left_ms > 0 and owner.holder != claim.holder:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
-                              f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
+                raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} owns "
+                              f"this store, for at least {owner.left_ms / 1000:.1f} s more", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
                                 " WHERE one = 1",
                                  (claim.holder, claim.place, machine_boot_id(), now_ms + claim.lease_ms))
@@ -165,39 +165,42 @@
         try:
             self.term = await self.worker.run(job)
         except Trouble as found:
-            raise told(found) from found
+            raise to_store_error(found) from found
 
-    async def give_up(self) -> None:
-        """The next agent need not wait for the lease."""
+    async def release_ownership(self) -> None:
+        """Ends the lease, so that the next agent need not wait for it to expire."""
         epoch = self.term.epoch
         if epoch:
             with contextlib.suppress(Trouble):
                 await self.worker.run(lambda transaction: transaction.execute(
                     "UPDATE owner SET until_ms = 0 WHERE one = 1 AND epoch = ?", (epoch,)))
 
-    def mark(self, records: SqlRecords) -> int:
-        if self.claim_as is not None:
-            until_ms = clock_ms() + self.claim_as.lease_ms
+    def assign_sequence_number(self, records: SqlRecords) -> int:
+        if self.claim_identity is not None:
+            until_ms = clock_ms() + self.claim_identity.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
                 found = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
                                 "TAKEN")
-                self.on_lost(told(found))
+                self.on_lost(to_store_error(found))
                 raise found
-            self.marked_until_ms = until_ms
-        if self.number < 0:
-            self.number = records.counter(SEQUENCE)
-        # hazard: an agent that leads again would go on from numbers of its own that another has passed
-        self.number = max(self.number, records.counter(SEQUENCE) if self.claim_as is not None else 0) + 1
-        records.set_counter(SEQUENCE, self.number)
-        return self.number
-
-    def renewed(self) -> None:
-        if self.claim_as is not None:
-            self.term = replace(self.term, until_ms=self.marked_until_ms)
-
-    def reached(self, records: SqlRecords) -> int:
-        """Told only with a commit of its own: what a recovery found may lie in the log without having been synced.
-        Hazard: SQLite leaves a row alone that would get the value it has, and a commit of nothing syncs nothing."""
-        records.count("resolved")
-        return records.counter(SEQUENCE)
+            self.pending_until_ms = until_ms
+        if self.last_number < 0:
+            self.last_number = records.counter(SEQUENCE_COUNTER)
+        # Read again under a claim: an agent that leads a second time must not continue from its old number, as
+        # another leader has written higher ones meanwhile.
+        self.last_number = max(
+            self.last_number, records.counter(SEQUENCE_COUNTER) if self.claim_identity is not None else 0) + 1
+        records.set_counter(SEQUENCE_COUNTER, self.last_number)
+        return self.last_number
+
+    def on_write_confirmed(self) -> None:
+        if self.claim_identity is not None:
+            self.term = replace(self.term, until_ms=self.pending_until_ms)
+
+    def last_sequence_number(self, records: SqlRecords) -> int:
+        """Reads the number in a transaction that writes, because what a recovery found in the log may not have been
+        synced to disk yet. It increments a counter: SQLite skips an update that keeps the value of the row, and a
+        commit without changes syncs nothing."""
+        records.increment_counter("resolved")
+        return records.counter(SEQUENCE_COUNTER)
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -1,6 +1,6 @@
-"""From the operator file to the agent's record: SQLite in the data folder, or PostgreSQL; and from one to the other.
+"""Opens the agent's store as the operator file says, SQLite or PostgreSQL, and migrates data from SQLite to PostgreSQL.
 
-The libraries of PostgreSQL are loaded only where it is named.
+The libraries of PostgreSQL are imported only if the operator file names it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import apsw
 
 from ironscale.agent import sql
-from ironscale.agent.commit_tracking import told
+from ironscale.agent.commit_tracking import to_store_error
 from ironscale.agent.sqlite import Claim, SqliteStore, connect
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import describe_place, holder_id
@@ -34,13 +34,13 @@
           ("targets", sql.TARGET), ("configurations", sql.CONFIGURATION), ("mutations", sql.MUTATION),
           ("audit", sql.AUDIT), ("tokens", sql.TOKEN), ("permits", sql.PERMIT), ("halts", sql.HALT),
           ("versions", sql.VERSION), ("newest", sql.NEWEST), ("version_log", sql.VERSION_LOG))
-MOVE_S = 600.0  # the longest that a record's way to PostgreSQL may take
-AT_ONCE = 5_000  # rows read at a time
-MOVED = "moved"  # in both: the record has been brought over
-WAIT_S, AGAIN_S = 2.0, 0.5  # past the end of another agent's lease; between two looks
+COPY_TIMEOUT_S = 600.0  # time limit for copying a store to PostgreSQL
+COPY_BATCH_ROWS = 5_000  # rows read at a time
+COPIED_COUNTER = "moved"  # counter that is set in both databases once the data has been copied
+CLAIM_GRACE_S, CLAIM_RETRY_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
-def access_of(section: AgentSection) -> Access:
+def postgres_access(section: AgentSection) -> Access:
     """Raises OperatorFileError."""
     place = f"{section.file}: agent.postgresql"
     try:
@@ -58,16 +58,16 @@
 
 async def open_store(section: AgentSection, data: Path, on_lost: Callable[[StoreError], None],
                      log: Callable[[str], None], at: tuple[str, str] = ("", "")) -> SqliteStore | PostgresStore:
-    """The record, seen to be ours; with `standby` it is another's perhaps, and to be claimed. `on_lost` hears, on the
-    loop, that it is ours no longer. `at`: where this agent's API and its instances are. Raises StoreError or
-    OperatorFileError."""
+    """Opens the store and claims it; with `standby` it is not claimed, as another agent may own it. `on_lost` is called
+    on the event loop when this agent has lost the ownership. `at`: addresses of this agent's API and of its control
+    listener. Raises StoreError or OperatorFileError."""
     path = data / "agent.db"
     loop = asyncio.get_running_loop()
     place = describe_place(socket.gethostname(), data, *at)
     lease_ms = int(section.term_s * 1000)
 
     def lost(found: StoreError) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody has it any more
+        with contextlib.suppress(RuntimeError):  # the event loop has been closed: there is nobody to notify
             loop.call_soon_threadsafe(on_lost, found)
 
     if section.record is not None:
@@ -75,40 +75,41 @@
         shared.on_lost = lost
         if not section.standby:
             try:
-                await claimed(shared, lease_ms / 1000, log)
+                await claim_when_free(shared, lease_ms / 1000, log)
             except BaseException:
                 await asyncio.to_thread(shared.close)
                 raise
         return shared
     if not section.postgresql:
         store = SqliteStore(path)
-        if await store.read(lambda records: of_sql(records).counter(MOVED)):
+        if await store.read(lambda records: as_sql_records(records).counter(COPIED_COUNTER)):
             store.close()
-            raise StoreError("FAILED", f"{path}: expected a record in use, got one that was moved to PostgreSQL; name "
+            raise StoreError("FAILED", f"{path}: expected a store in use, got one that was moved to PostgreSQL; name "
                                        "agent.postgresql in the operator file, or another data folder")
         return store
-    access = access_of(section)  # first: it says in one line what is not installed
-    from ironscale.agent.postgres import Holder, PostgresStore
+    access = postgres_access(section)  # before the import: if packages are missing, it raises an error of one line
+    from ironscale.agent.postgres import OwnerWorker, PostgresStore
 
-    holder = Holder(access, holder_id(data), place, lease_ms=lease_ms)
-    holder.on_lost = lambda found: lost(told(found))
-    holder.follows = True
+    holder = OwnerWorker(access, holder_id(data), place, lease_ms=lease_ms)
+    holder.on_lost = lambda found: lost(to_store_error(found))
+    holder.is_read_only = True
     kept = PostgresStore(holder)
     try:
         if section.standby:
             return kept
-        await claimed(kept, holder.lease_ms / 1000, log)
+        await claim_when_free(kept, holder.lease_ms / 1000, log)
         if path.exists():
-            await moved(kept, path, log)
+            await copy_to_postgres(kept, path, log)
     except BaseException:
         await asyncio.to_thread(kept.close)
         raise
     return kept
 
 
-async def claimed(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
-    """Waits for the lease of an agent that may have gone; one that is there renews it. Raises StoreError."""
-    until, said = time.monotonic() + lease_s + WAIT_S, False
+async def claim_when_free(store: SqliteStore | PostgresStore, lease_s: float, log: Callable[[str], None]) -> None:
+    """Claims the store, waiting for the lease of an agent that may be gone; a live one renews its lease, and then this
+    fails. Raises StoreError."""
+    until, said = time.monotonic() + lease_s + CLAIM_GRACE_S, False
     while True:
         try:
             await store.claim()
@@ -119,68 +120,68 @@
             if not said:
                 log(f"waits: {error}")
             said = True
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(CLAIM_RETRY_S)
 
 
 # From SQLite to PostgreSQL
 
 
-async def moved(store: PostgresStore, path: Path, log: Callable[[str], None]) -> None:
-    """Brings the record of the data folder over, whole or not at all, where PostgreSQL has none; then it is marked, so
-    that no agent goes on from what it holds. Raises StoreError."""
+async def copy_to_postgres(store: PostgresStore, path: Path, log: Callable[[str], None]) -> None:
+    """Copies the SQLite store of the data folder to PostgreSQL, wholly or not at all, if PostgreSQL holds none yet.
+    Then the file is marked, so that no agent uses it any more. Raises StoreError."""
     source = connect(path)
     try:
         own = sql.SqlRecords(Transaction(source), "sqlite")
-        with reported(path):
-            if own.counter(MOVED):
+        with store_errors(path):
+            if own.counter(COPIED_COUNTER):
                 return
 
         def work(records: Records) -> int:
-            if of_sql(records).counter(MOVED):
-                return 0  # it was brought over by a start that ended before it had marked the file
+            if as_sql_records(records).counter(COPIED_COUNTER):
+                return 0  # an earlier start copied it and ended before it had marked the file
             if records.tokens() or records.last_event():
                 return -1
-            return copy(source, of_sql(records))
+            return copy_tables(source, as_sql_records(records))
 
-        limit_s, store.holder.limit_s = store.holder.limit_s, MOVE_S
+        limit_s, store.owner_worker.transaction_timeout_s = store.owner_worker.transaction_timeout_s, COPY_TIMEOUT_S
         try:
             count = await store.write(work)
         finally:
-            store.holder.limit_s = limit_s
+            store.owner_worker.transaction_timeout_s = limit_s
         if count < 0:
-            log(f"{path} is not used: {store.holder.name} has a record already")
+            log(f"{path} is not used: {store.owner_worker.name} holds a store already")
             return
-        with reported(path):
-            own.set_counter(MOVED, 1)
-        log(f"moved the record of {path} to {store.holder.name}, {count:,} rows")
+        with store_errors(path):
+            own.set_counter(COPIED_COUNTER, 1)
+        log(f"moved the store {path} to {store.owner_worker.name}, {count:,} rows")
     finally:
         source.close()
 
 
-def of_sql(records: Records) -> sql.SqlRecords:
+def as_sql_records(records: Records) -> sql.SqlRecords:
     assert isinstance(records, sql.SqlRecords)
     return records
 
 
 @contextlib.contextmanager
-def reported(path: Path) -> Iterator[None]:
+def store_errors(path: Path) -> Iterator[None]:
     try:
         yield
     except apsw.Error as error:
-        raise told(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(trouble(error, Step.WORK, path)) from error
 
 
-def copy(source: apsw.Connection, records: sql.SqlRecords) -> int:
-    """All rows, in the order that references ask for; how many."""
+def copy_tables(source: apsw.Connection, records: sql.SqlRecords) -> int:
+    """Copies all tables, in an order that satisfies the foreign keys. Returns the number of rows."""
     count = 0
     source.execute("BEGIN")
     try:
         for table, columns in TABLES:
             cursor = source.execute(f"SELECT {', '.join(columns)} FROM {table}")
-            while rows := list(islice(cursor, AT_ONCE)):
+            while rows := list(islice(cursor, COPY_BATCH_ROWS)):
                 records.insert(table, columns, rows)
                 count += len(rows)
     finally:
         source.execute("ROLLBACK")
-    records.set_counter(MOVED, 1)
+    records.set_counter(COPIED_COUNTER, 1)
     return count
--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -15,10 +15,10 @@
 
 from ironscale.agent import follower_connections as connections_module
 from ironscale.agent import versions_replica as replica_module
-from ironscale.agent.follower_connections import FollowerLink, Followers
+from ironscale.agent.follower_connections import FollowerConnection, FollowerConnections
 from ironscale.agent.store import Store, StoreError
 from ironscale.agent.terms import Term
-from ironscale.agent.versions_replica import Following
+from ironscale.agent.versions_replica import VersionsReplica
 from ironscale.control import follower as follower_module
 from ironscale.control.follower import Follower
 from ironscale.control.simulated_instance import SimulatedInstance, create_simulated_follower
@@ -95,22 +95,22 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.up = False
         self.down = 0  # faults that keep it from being started
-        self.followers: Followers
-        self.following: Following
+        self.followers: FollowerConnections
+        self.following: VersionsReplica
 
     def start(self) -> None:
         world, net = self.world, self.world.net
         serving = VersionDistributor(random.Random(world.random.random()))
-        following = Following(serving, self.folder, lambda text: None, random.Random(world.random.random()))
+        following = VersionsReplica(serving, self.folder, lambda text: None, random.Random(world.random.random()))
         following.files = cast(Any, _Files())
         following.load()
         if world.plant == "snapshot without its position" and serving.view.lineage:
             serving.view.position = len(world.record.entries)
-        followers = Followers(serving, lambda token: True, following.age_s, lambda text: None)
-        following.tells = followers
+        followers = FollowerConnections(serving, lambda token: True, following.age_s, lambda text: None)
+        following.listener = followers
         following.attach(cast(Store, _Store(world, self.name)))
         self.followers, self.following = followers, following
-        net.listen(self.port, self.name, lambda: FollowerLink(followers))
+        net.listen(self.port, self.name, lambda: FollowerConnection(followers))
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(work()) for work in (self.poll, self.tell, self.keep)]
         self.up = True
@@ -128,13 +128,13 @@
     async def tell(self) -> None:
         while True:
             await self.while_running()
-            await self.followers.tell()
+            await self.followers.send_due_updates()
 
     async def keep(self) -> None:
         while True:
             await asyncio.sleep(1.0)
             await self.while_running()
-            if self.following.is_sure:
+            if self.following.is_lineage_confirmed:
                 wall_ms = int(VirtualTime(self.world.loop).time() * 1000 - self.following.age_s() * 1000)
                 self.following.write(make_snapshot(self.following.serving.view, (), wall_ms))
 
@@ -144,7 +144,7 @@
         for task in self.tasks:
             task.cancel()
         self.world.net.kill(self.name)
-        path = self.folder / replica_module.FILE
+        path = self.folder / replica_module.SNAPSHOT_FILE
         if with_disk:
             path.unlink(missing_ok=True)
         elif path.exists() and self.world.random.random() < 0.3:
@@ -297,7 +297,7 @@
         leader, entry = able[0], self.drawn_entry()
         change = Change("log", entry.version, entry.version - 1, False, 0, (entry,))
         if self.plant == "served before commit" and leader.following.serving.view.position == entry.version - 1:
-            leader.following.published(change)
+            leader.following.on_published(change)
             if self.random.random() < 0.3:
                 return  # and the commit fails
         self.record.entries.append(entry)
@@ -306,7 +306,7 @@
         self.note("commit", version=entry.version, scope=str(entry.scope), overlay=entry.overlay)
         await asyncio.sleep(0.01 * self.random.random())  # in which it may be killed
         if leader.up and leader.name not in self.net.stopped:
-            leader.following.published(change)
+            leader.following.on_published(change)
 
     async def run(self, seconds: float, faults: int) -> list[Line]:
         for agent in self.agents:
--- a/tests/agent/killed_publisher.py
+++ b/tests/agent/killed_publisher.py
@@ -1,6 +1,6 @@
 """Publishes one version by a key and kills itself at its Nth step: `python -m tests.agent.killed_publisher DATA STEP`.
 
-It prints each change that is told, as soon as it is."""
+It prints the position of each change as soon as the change is sent to followers."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
         if steps == fatal:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    publisher.step = step
-    publisher.published = lambda change: print(change.position, flush=True)
+    publisher.test_hook = step
+    publisher.on_published = lambda change: print(change.position, flush=True)
     await publisher.load()
     await publisher.publish("ann", Draft(ALL, {"n": 1}, 0), "k")
 
--- a/tests/agent/test_leading.py
+++ b/tests/agent/test_leading.py
@@ -173,7 +173,7 @@
         async with agents(tmp_path, 2, fatal=fatal, how=how) as found:
             first = found.processes[0]
             applying = asyncio.create_task(found.apply("k"))
-            while how not in found.log(0) and "leads no longer" not in found.log(0):
+            while how not in found.log(0) and "no longer leads" not in found.log(0):
                 await asyncio.sleep(0.01)
             struck = how in found.log(0)  # else it got no CPU for a whole term, so another leads
             if struck:
@@ -188,7 +188,7 @@
             op = await found.until_ended(ident, but=0 if struck else -1)
             if struck and how == "STOP":
                 os.kill(first.pid, signal.SIGCONT)
-                while "leads no longer" not in found.log(0) and "follows the agent" not in found.log(0):
+                while "no longer leads" not in found.log(0) and "stands by for the agent" not in found.log(0):
                     await asyncio.sleep(0.01)
                 told = await found.ask(1, FLEET_QUERY)
                 assert told is not None and told["data"]["fleet"]["term"] >= 2
@@ -269,7 +269,7 @@
                     await stopped.wait()
                 other = await found.leader(but=leader, seeing=6)
                 os.kill(found.processes[leader].pid, signal.SIGCONT)
-                while "leads no longer" not in found.log(leader):
+                while "no longer leads" not in found.log(leader):
                     await asyncio.sleep(0.01)
                 told = await found.ask(other, FLEET_QUERY)
                 assert told is not None and told["data"]["fleet"]["ready"] == 6
@@ -323,7 +323,7 @@
                 await one.write(lambda records: records.next_fence())  # nobody leads yet
             await one.claim()
             assert await one.write(lambda records: records.next_fence()) == 1
-            with pytest.raises(StoreError, match="the agent of place a has this record"):
+            with pytest.raises(StoreError, match="the agent of place a owns this store"):
                 await two.claim()
             assert (await two.owner()).holder == "a" and one.term.is_held(clock_ms())
             while (await two.owner()).left_ms:
@@ -335,7 +335,7 @@
                 await one.write(lambda records: records.next_fence())
             assert refused.value.code == "TAKEN" and lost[-1] == "TAKEN"
             assert await two.write(lambda records: records.next_fence()) == 2
-            await two.give_up()
+            await two.release_ownership()
             await one.claim()  # possible at once, as the term was given up
             assert one.term.epoch == 3 and await one.write(lambda records: records.next_fence()) == 3
         finally:
