--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -1,4 +1,4 @@
-"""The record in PostgreSQL: kept once or known not to be, one agent at a time, and nothing behind its back."""
+"""The agent's store in PostgreSQL: each write is stored once or known to have failed, and only the owner writes."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 from ironscale.agent import commit_tracking, store_setup
 from ironscale.agent.model import Kind, Phase, Policy, State, Target
-from ironscale.agent.postgres import Holder, PostgresStore
+from ironscale.agent.postgres import OwnerWorker, PostgresStore
 from ironscale.agent.serve import Agent, AgentError, running
-from ironscale.agent.sql import SCHEMA
+from ironscale.agent.sql import SCHEMA_VERSION
 from ironscale.agent.sqlite import SqliteStore, connect
 from ironscale.agent.store import Configuration, Records, StoreError, TokenRow
 from ironscale.agent.store_setup import open_store
@@ -29,11 +29,20 @@
 from ironscale.record.postgres import Access
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
-from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
+from tests.agent.test_store import (
+    OP,
+    PUBLISHED,
+    TARGET,
+    ZONE_A,
+    fail_midway,
+    row,
+    violate_unique_key,
+    write_sample_rows,
+)
 from tests.record.postgres import Fault, Gate, dsn
 from tests.sockets import run as limited
 
-LIMIT_S = 0.4  # a transaction's, where a test lets one hang
+LIMIT_S = 0.4  # time limit of a transaction in tests that let one hang
 
 
 @contextlib.asynccontextmanager
@@ -49,10 +58,10 @@
 @contextlib.asynccontextmanager
 async def store_on(*on: Host, holder: str = "me", lease_ms: int = 10_000, limit_s: float = 5.0,
                    lost: Callable[[Any], None] = lambda found: None) -> AsyncIterator[PostgresStore]:
-    held = Holder(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
+    held = OwnerWorker(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
     held.on_lost = lost
     store = PostgresStore(held)
-    store.resolve_s = 5.0
+    store.resolve_timeout_s = 5.0
     try:
         yield store
     finally:
@@ -60,12 +69,13 @@
 
 
 def subjects(data: Data) -> list[str]:
-    """The lines of the log, each once if nothing was done twice."""
+    """The subjects in the audit log; a duplicate means that a write was stored twice."""
     return [subject for subject, in data.all("SELECT subject FROM agent_audit ORDER BY id")]
 
 
-class Vanishes:
-    """The server goes away at the COMMIT of what was written to a table, before or after it has taken it."""
+class ServerLostAtCommit:
+    """Makes the server unavailable at the COMMIT of a transaction that wrote to a table, before or after it has
+    committed."""
 
     def __init__(self, host: Host, table: str, stands: bool = True) -> None:
         self.host, self.table, self.stands = host, table, stands
@@ -82,7 +92,7 @@
             raise Drop
 
 
-def line(subject: str) -> Callable[[Records], str]:
+def audit_line(subject: str) -> Callable[[Records], str]:
     def work(records: Records) -> str:
         records.audit(1, "ann", "did", subject, "done")
         return subject
@@ -90,14 +100,14 @@
     return work
 
 
-# As it is kept
+# Stored data
 
 
-def test_everything_comes_back_as_it_was_also_for_the_next_agent() -> None:
+def test_all_data_is_read_back_unchanged_by_the_next_agent() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,):
             async with store_on(host) as store:
-                await store.write(fill)
+                await store.write(write_sample_rows)
                 await store.write(lambda r: r.set_desired([("i0", 9)]))
                 await store.write(lambda r: r.put_instances([row("i0", boot="c", desired=0)]))
             async with store_on(host, holder="another") as store:
@@ -121,7 +131,7 @@
     run(test)
 
 
-def test_more_rows_than_one_statement_takes() -> None:
+def test_writes_with_more_rows_than_one_statement_takes() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             rows = [row(f"i{n:04}") for n in range(1_201)]
@@ -133,14 +143,14 @@
     run(test)
 
 
-def test_a_piece_of_work_that_fails_leaves_nothing_and_takes_no_other_along() -> None:
+def test_a_failed_write_is_rolled_back_without_affecting_others_in_its_group() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
             gate = host.hook = Gate("begin")
-            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others wait behind it, as one group
+            first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
-                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), half, twice,
+                lambda r: r.put_token(TokenRow("first", "read", "d", 1)), fail_midway, violate_unique_key,
                 lambda r: r.put_token(TokenRow("last", "read", "d", 1)))]
             await asyncio.sleep(0)
             gate.go.set()
@@ -150,26 +160,27 @@
             assert isinstance(results[2], StoreError) and results[2].code == "FAILED" and "UNIQUE" in str(results[2])
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
             assert await store.read(lambda r: r.operation(1)) is None
-            assert store.holder.commits == 1
-            # alone in its group it is taken back as a whole
+            assert store.owner_worker.commits == 1
+            # Alone in its group, its whole transaction is rolled back.
             with pytest.raises(ValueError, match="in the middle"):
-                await store.write(half)
+                await store.write(fail_midway)
             assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
 
     run(test)
 
 
-def test_one_that_failed_by_itself_is_told_so_though_the_commit_of_its_group_fails_too() -> None:
+def test_a_failed_write_raises_its_own_error_even_if_the_group_commit_fails() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
-            others = [asyncio.create_task(store.write(work)) for work in (line("a"), half, line("b"))]
+            others = [asyncio.create_task(store.write(work))
+                      for work in (audit_line("a"), fail_midway, audit_line("b"))]
             await asyncio.sleep(0)
-            host.hook = Vanishes(host, "agent_audit", stands=False)
+            host.hook = ServerLostAtCommit(host, "agent_audit", stands=False)
             gate.go.set()
             await reading
             await until(lambda: host.starting)
@@ -181,108 +192,110 @@
     run(test)
 
 
-def test_the_log_can_not_be_changed() -> None:
+def test_the_audit_log_is_append_only() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             for statement in ("UPDATE agent_audit SET actor = 'bob'", "DELETE FROM agent_audit"):
-                await store.write(lambda r, s=statement: r.sql(s))  # type: ignore[misc]
+                await store.write(lambda r, s=statement: r.execute(s))  # type: ignore[misc]
             assert [(e.actor, e.subject) for e in await store.read(lambda r: r.events(0, 9))] == [("ann", "a")]
 
     run(test)
 
 
-def test_a_newer_schema_is_refused_and_left_as_it_is() -> None:
+def test_a_newer_schema_is_refused_and_left_unchanged() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host) as store:
-                await store.write(line("a"))
-            data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA + 4,))
+                await store.write(audit_line("a"))
+            data.db.execute("UPDATE agent_schema SET version = ?", (SCHEMA_VERSION + 4,))
             before = data.all("SELECT * FROM agent_owner")
             async with store_on(host) as store:
-                with pytest.raises(StoreError, match=f"expected schema {SCHEMA} or older, got {SCHEMA + 4}") as found:
-                    await store.write(line("b"))
+                expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
+                with pytest.raises(StoreError, match=expected) as found:
+                    await store.write(audit_line("b"))
             assert found.value.code == "NEWER" and data.all("SELECT * FROM agent_owner") == before
 
     run(test)
 
 
-def test_a_schema_that_could_not_be_made_is_not_there_by_half() -> None:
+def test_a_failed_schema_creation_leaves_no_tables() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             host.hook = Fault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
             for _ in range(4):
                 with pytest.raises(StoreError) as found:
-                    await store.write(line("a"))
+                    await store.write(audit_line("a"))
                 assert found.value.code == "FULL"
                 assert data.all("SELECT name FROM sqlite_schema WHERE name LIKE 'agent%'") == []
             host.hook = None
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             assert subjects(data) == ["a"]
 
     run(test)
 
 
-# Whose it is
+# Ownership
 
 
-def test_a_second_agent_is_refused_while_the_first_is_heard_and_follows_once_it_is_not() -> None:
+def test_a_second_agent_can_claim_the_store_only_after_the_lease_of_the_first_expired() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, holder="one") as first:
-            await first.write(line("a"))
+            await first.write(audit_line("a"))
             async with store_on(host, holder="two") as second:
-                with pytest.raises(StoreError, match="machine of one has this record, for [0-9.]+ s more") as found:
-                    await second.write(line("b"))
+                expected = "machine of one owns this store, for at least [0-9.]+ s more"
+                with pytest.raises(StoreError, match=expected) as found:
+                    await second.write(audit_line("b"))
                 assert found.value.code == "LOCKED"
                 data.skew_ms += 9_000
-                await first.write(line("c"))  # heard again
+                await first.write(audit_line("c"))  # renews the lease
                 data.skew_ms += 9_000
                 with pytest.raises(StoreError):
-                    await second.write(line("b"))
+                    await second.write(audit_line("b"))
                 data.skew_ms += 1_001
-                await second.write(line("d"))
-                with pytest.raises(StoreError, match="machine of two has taken this record over") as found:
-                    for _ in range(2):  # its claim is seen to be void, then whose it is
+                await second.write(audit_line("d"))
+                with pytest.raises(StoreError, match="machine of two has taken over this store") as found:
+                    for _ in range(2):  # first its claim is found void, then the new owner is read
                         with contextlib.suppress(StoreError):
-                            await first.write(line("e"))
-                    await first.write(line("e"))
+                            await first.write(audit_line("e"))
+                    await first.write(audit_line("e"))
                 assert found.value.code == "TAKEN"
                 with pytest.raises(StoreError):
-                    await first.read(lambda r: r.tokens())  # for good, though the other one may end
+                    await first.read(lambda r: r.tokens())  # permanent, even if the other agent ends
             assert subjects(data) == ["a", "c", "d"]
 
     run(test)
 
 
-def test_an_agent_that_ended_well_keeps_nobody_waiting_nor_one_that_was_killed_its_next() -> None:
+def test_no_wait_after_a_clean_shutdown_or_on_the_data_folder_of_a_killed_agent() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host, holder="one") as store:
-                await store.write(line("a"))
+                await store.write(audit_line("a"))
             async with store_on(host, holder="two") as store:
-                await store.write(line("b"))
-                async with store_on(host, holder="two") as again:  # the same folder: the lock says that it is gone
-                    await again.write(line("c"))
+                await store.write(audit_line("b"))
+                async with store_on(host, holder="two") as again:  # its data folder lock shows that the first has gone
+                    await again.write(audit_line("c"))
             assert subjects(data) == ["a", "b", "c"]
 
     run(test)
 
 
-def test_two_that_claim_at_the_same_moment_are_not_both_told_yes() -> None:
+def test_only_one_of_two_concurrent_claims_succeeds() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
             async with store_on(host, holder="none") as store:
-                await store.write(line("a"))
-            gate = host.hook = Gate("update", times=1)  # the first one's claim is held back on the way
+                await store.write(audit_line("a"))
+            gate = host.hook = Gate("update", times=1)  # delays the first agent's claim
             async with store_on(host, holder="one") as first, store_on(host, holder="two") as second:
-                slow = asyncio.create_task(first.write(line("one")))
+                slow = asyncio.create_task(first.write(audit_line("one")))
                 await gate.reached.wait()
-                await second.write(line("two"))
+                await second.write(audit_line("two"))
                 gate.go.set()
                 with pytest.raises(StoreError) as found:
                     await slow
@@ -295,43 +308,45 @@
 # Connections that break
 
 
-async def exchange(host: Host) -> tuple[int, int]:
-    """Bytes of a connection that opens, claims and writes a line: towards the server and from it."""
+async def measure_connection_bytes(host: Host) -> tuple[int, int]:
+    """Bytes sent to and received from the server by a connection that opens, claims the store and writes a line."""
     host.bytes.clear()
     async with store_on(host) as store:
-        await store.write(line("measured"))
+        await store.write(audit_line("measured"))
     return host.bytes[0]
 
 
 @pytest.mark.parametrize("direction", ["in", "out"])
-def test_cut_at_every_byte_a_write_is_kept_once_or_told_as_not_kept(direction: str) -> None:
-    """Each byte of the first write's connection, from the start-up on, the claim among it; the next connection asks."""
+def test_with_the_connection_cut_at_any_byte_a_write_is_stored_once_or_reported_as_failed(direction: str) -> None:
+    """Cuts the connection of the first write at every EVERY-th byte, from the start-up and the claim on. The next
+    connection has to find out whether the write was committed."""
     async def test() -> None:
         async with hosts(Data()) as (host,):
-            await exchange(host)
-            total = max(await exchange(host)) if direction == "out" else (await exchange(host))[0]
+            await measure_connection_bytes(host)
+            total = (max(await measure_connection_bytes(host)) if direction == "out"
+                     else (await measure_connection_bytes(host))[0])
         told: dict[str, int] = {"kept": 0, "not kept": 0, "kept, seen later": 0}
         step = int(os.environ.get("EVERY", "17"))
         for place in range(random.Random(place_seed := 5).randrange(step), total + 1, step):
             data = Data()
             async with hosts(data) as (host,):
                 async with store_on(host) as store:
-                    await store.write(line("before"))
+                    await store.write(audit_line("before"))
                 host.cut = lambda number, place=place: (direction, place) if number == 2 else None
                 async with store_on(host) as store:
                     try:
-                        assert await store.write(line("it")) == "it"
+                        assert await store.write(audit_line("it")) == "it"
                         kept = True
-                        told["kept, seen later" if store.holder.claims > 1 else "kept"] += 1
+                        told["kept, seen later" if store.owner_worker.claims > 1 else "kept"] += 1
                     except StoreError as error:
                         assert error.code in ("AWAY", "FAILED"), (place, error)
                         kept = False
                         told["not kept"] += 1
                     assert subjects(data) == ["before", *(["it"] if kept else [])], (place, place_seed)
                     try:
-                        await store.write(line("after"))
-                    except StoreError:  # the cut lay behind the first write
-                        await store.write(line("after"))
+                        await store.write(audit_line("after"))
+                    except StoreError:  # the connection was cut after the first write
+                        await store.write(audit_line("after"))
                 assert subjects(data) == ["before", *(["it"] if kept else []), "after"], place
         assert told["kept"] and told["not kept"], told
         assert direction == "in" or told["kept, seen later"], told
@@ -340,38 +355,39 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_a_write_told_as_not_known_is_heard_of_later_and_before_anything_else_is_written(stands: bool) -> None:
-    """The server goes away at COMMIT, before or after it has taken it, and is back only after the caller was told."""
+def test_the_outcome_of_an_unknown_write_is_reported_before_any_other_write(stands: bool) -> None:
+    """The server becomes unavailable at COMMIT, before or after it has committed, and returns only after the caller got
+    the error UNKNOWN."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
-            store.resolve_s = 0.1
+            await store.write(audit_line("before"))
+            store.resolve_timeout_s = 0.1
             heard: list[str] = []
 
-            host.hook = Vanishes(host, "agent_audit", stands)
-            with pytest.raises(StoreError, match="whether it stands is not known yet") as found:
-                await store.write(line("it"), heard.append)
+            host.hook = ServerLostAtCommit(host, "agent_audit", stands)
+            with pytest.raises(StoreError, match="whether it was committed is not known yet") as found:
+                await store.write(audit_line("it"), heard.append)
             assert found.value.code == "UNKNOWN" and heard == []
             host.hook = None
-            with pytest.raises(StoreError, match="nothing more is written till then") as found:
-                await store.write(line("next"))
+            with pytest.raises(StoreError, match="no writes are accepted until it is") as found:
+                await store.write(audit_line("next"))
             assert found.value.code == "AWAY"
             host.starting = False
             await until(lambda: store.resolving is None)
             assert heard == (["it"] if stands else [])
-            await store.write(line("after"))
-            assert subjects(data) == ["before", *heard, "after"] and store.stood == stands
+            await store.write(audit_line("after"))
+            assert subjects(data) == ["before", *heard, "after"] and store.late_commits == stands
 
     run(test)
 
 
-def test_a_write_that_waits_behind_one_that_broke_off_is_not_taken_for_it() -> None:
-    """Hazard: with a number above the open one's it would speak for it."""
+def test_a_write_queued_behind_an_interrupted_one_is_not_mistaken_for_it() -> None:
+    """If the queued write were run, its higher number would make the interrupted one look committed."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             reached, go = asyncio.Event(), asyncio.Event()
 
             async def script(session: Session, kind: str, after: bool) -> None:
@@ -381,26 +397,26 @@
                     raise Drop  # it never ran
 
             host.hook = script
-            first = asyncio.create_task(store.write(line("it")))
+            first = asyncio.create_task(store.write(audit_line("it")))
             await reached.wait()
-            behind = asyncio.create_task(store.write(line("behind")))  # in the queue, of the next group
+            behind = asyncio.create_task(store.write(audit_line("behind")))  # queued for the next group
             await asyncio.sleep(0)
             go.set()
             results = await asyncio.gather(first, behind, return_exceptions=True)
             assert [isinstance(r, StoreError) and r.code for r in results] == ["AWAY", "AWAY"], results
             assert "nothing more is written till then" in str(results[1])
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
             assert subjects(data) == ["before", "after"]
 
     run(test)
 
 
-def test_a_write_that_is_asked_for_while_an_outcome_is_open_is_refused_at_once() -> None:
-    """Hazard: it was made upon what was known before; carried out once the outcome is known, it would undo that."""
+def test_a_write_is_refused_at_once_while_an_outcome_is_unknown() -> None:
+    """Such a write was prepared without knowing the outcome, and could undo the earlier one if it ran later."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = Gate("update")
 
             async def script(session: Session, kind: str, after: bool) -> None:
@@ -412,10 +428,10 @@
 
             script_struck: list[int] = []
             host.hook = script
-            first = asyncio.create_task(store.write(line("it")))
-            await gate.reached.wait()  # the claim that will tell
-            with pytest.raises(StoreError, match="nothing more is written till then"):
-                await asyncio.wait_for(store.write(line("meanwhile")), 1.0)
+            first = asyncio.create_task(store.write(audit_line("it")))
+            await gate.reached.wait()  # the claim that finds out the outcome
+            with pytest.raises(StoreError, match="no writes are accepted until it is"):
+                await asyncio.wait_for(store.write(audit_line("meanwhile")), 1.0)
             gate.go.set()
             assert await first == "it"
             assert subjects(data) == ["before", "it"]
@@ -423,84 +439,84 @@
     run(test)
 
 
-def test_a_commit_that_is_still_on_its_way_is_waited_for_and_not_guessed() -> None:
-    """The server holds COMMIT past the agent's patience, and carries it out while the agent asks."""
+def test_the_outcome_of_a_delayed_commit_is_awaited() -> None:
+    """The server delays COMMIT past the agent's time limit, and commits while the agent resolves the outcome."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("commit")
-            writing = asyncio.create_task(store.write(line("it")))
+            writing = asyncio.create_task(store.write(audit_line("it")))
             await gate.reached.wait()
-            await until(lambda: store.holder.watch.cuts == 1)
+            await until(lambda: store.owner_worker.watchdog.timeouts == 1)
             assert not writing.done()
             gate.go.set()
             assert await writing == "it"
-            assert subjects(data) == ["before", "it"] and store.holder.claims == 2
+            assert subjects(data) == ["before", "it"] and store.owner_worker.claims == 2
 
     run(test)
 
 
-def test_a_transaction_that_is_held_up_before_its_claim_is_looked_at_changes_nothing_afterwards() -> None:
-    """Hazard: let go after the next claim, it would write behind our back."""
+def test_a_transaction_delayed_past_the_next_claim_changes_nothing() -> None:
+    """The server holds up the transaction before it has checked the epoch, and continues it after the next claim."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             gate = host.hook = Gate("update")
             with pytest.raises(StoreError) as found:
-                await store.write(line("it"))
+                await store.write(audit_line("it"))
             assert found.value.code == "AWAY"
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
             gate.go.set()
             await asyncio.sleep(0.05)
-            await store.write(line("last"))
+            await store.write(audit_line("last"))
             assert subjects(data) == ["before", "after", "last"]
 
     run(test)
 
 
-def test_a_server_that_does_not_answer_holds_up_no_one_for_ever() -> None:
+def test_a_hanging_server_ends_in_a_timeout() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             for kind in ("begin", "insert", "select"):
                 gate = host.hook = Gate(kind)
                 with pytest.raises(StoreError) as found:
-                    await store.write(line(kind))
+                    await store.write(audit_line(kind))
                 assert found.value.code == "AWAY", kind
                 gate.go.set()
             host.hook = None
-            await store.write(line("after"))
+            await store.write(audit_line("after"))
 
     run(test)
 
 
-def test_a_server_that_hangs_from_the_first_byte_is_told() -> None:
+def test_a_server_that_never_answers_is_reported() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as silent:
             host = Host()
             host.port = silent.getsockname()[1]
             async with store_on(host, limit_s=LIMIT_S) as store:
                 with pytest.raises(StoreError) as found:
-                    await store.write(line("it"))
+                    await store.write(audit_line("it"))
                 assert found.value.code == "AWAY" and f":{host.port}" in str(found.value)
 
     run(test)
 
 
-def test_the_claim_itself_may_lose_its_answer() -> None:
+def test_a_claim_whose_answer_is_lost_is_made_again() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            await store.write(line("before"))
+            await store.write(audit_line("before"))
             await host.end_sessions()
-            host.hook = Fault("update", after=True)  # carried out, and nobody hears of it
+            host.hook = Fault("update", after=True)  # executed, but the answer is lost
             with pytest.raises(StoreError):
-                await store.write(line("lost"))
-            await store.write(line("after"))
+                await store.write(audit_line("lost"))
+            await store.write(audit_line("after"))
             assert subjects(data) in (["before", "after"], ["before", "lost", "after"])
-            assert store.holder.epoch == data.all("SELECT epoch FROM agent_owner")[0][0]
+            assert store.owner_worker.epoch == data.all("SELECT epoch FROM agent_owner")[0][0]
 
     run(test)
 
@@ -508,22 +524,22 @@
 # Failover
 
 
-def test_a_server_that_takes_over_with_all_is_gone_on_with() -> None:
+def test_the_agent_continues_on_a_failover_server_with_all_writes() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, two), store_on(one, two) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             one.read_only = True
             with contextlib.suppress(StoreError):
-                await store.write(line("b"))
-            await store.write(line("c"))
-            assert subjects(data)[-1] == "c" and store.holder.lost is None
+                await store.write(audit_line("b"))
+            await store.write(audit_line("c"))
+            assert subjects(data)[-1] == "c" and store.owner_worker.ownership_loss is None
             assert len(two.sessions) == 1
 
     run(test)
 
 
-def test_a_server_that_takes_over_with_less_than_was_confirmed_ends_the_agent_and_raises_the_fences() -> None:
+def test_a_failover_that_lost_confirmed_writes_ends_the_agent_and_raises_the_fences() -> None:
     async def test() -> None:
         data = Data()
         lost: list[Any] = []
@@ -531,18 +547,18 @@
             fence = await store.write(lambda r: r.next_fence())
             lineage = await store.write(lambda r: r.make_lineage())
             late = data.copy()
-            assert await store.write(lambda r: r.next_fence()) == fence + 1  # confirmed, and not copied
+            assert await store.write(lambda r: r.next_fence()) == fence + 1  # confirmed after the copy was made
             await one.stop()
             two = await Host(late).start(one.port)
             try:
                 with pytest.raises(StoreError, match="expected 3 writes, as it had confirmed, got 2") as found:
-                    await store.write(line("b"))
+                    await store.write(audit_line("b"))
                 assert found.value.code == "LESS" and [str(f) for f in lost] == [str(found.value)]
                 with pytest.raises(StoreError):
-                    await store.write(line("c"))
-                async with store_on(two, holder="next") as following:  # need not wait
+                    await store.write(audit_line("c"))
+                async with store_on(two, holder="next") as following:  # the lease has ended
                     assert await following.write(lambda r: r.next_fence()) > fence + 1
-                    # a version that was told may be gone, and its number be given again: it is another log
+                    # A published version may be lost and its number issued again, so the log gets a new lineage.
                     assert await following.read(lambda r: r.lineage()) not in ("", lineage)
                 assert subjects(late) == []
             finally:
@@ -551,25 +567,25 @@
     run(test)
 
 
-def test_the_old_server_that_is_written_again_is_seen_to_have_less() -> None:
-    """Split brain: what was confirmed on the new one is not there."""
+def test_returning_to_the_old_server_after_a_failover_is_detected_as_data_loss() -> None:
+    """Split brain: writes confirmed by the new server are missing on the old one."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (old,), store_on(old) as store:
-            await store.write(line("a"))
+            await store.write(audit_line("a"))
             new = await Host(data.copy()).start()
             try:
-                store.holder.settings["port"] = str(new.port)
+                store.owner_worker.settings["port"] = str(new.port)
                 await old.end_sessions()
                 with contextlib.suppress(StoreError):
-                    await store.write(line("b"))
-                await store.write(line("c"))
+                    await store.write(audit_line("b"))
+                await store.write(audit_line("c"))
                 assert subjects(new.data)[-1] == "c"
-                store.holder.settings["port"] = str(old.port)
+                store.owner_worker.settings["port"] = str(old.port)
                 await new.end_sessions()
                 with pytest.raises(StoreError) as found:
                     for _ in range(2):
-                        await store.write(line("d"))
+                        await store.write(audit_line("d"))
                 assert found.value.code == "LESS" and subjects(data) == ["a"]
             finally:
                 await new.stop()
@@ -577,14 +593,15 @@
     run(test)
 
 
-# Random weather
+# Random faults
 
 
 @pytest.mark.parametrize("seed", [int(s) for s in os.environ.get("SEEDS", "1,2,3,4,5,6").split(",")])
-def test_in_any_weather_what_is_told_is_what_is_kept(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Cuts, stalls, errors, lost replies and restarts. Each write is told as kept, not kept or not known; the log holds
-    the first once, the second never, and of the third exactly those that were heard of later."""
-    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.01)
+def test_with_random_faults_reported_outcomes_match_the_stored_data(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Random disconnects, stalls, errors and lost replies. Each write is reported as committed, failed or unknown. The
+    audit log holds the committed ones once, none of the failed ones, and of the unknown ones exactly those that were
+    reported as committed later."""
+    monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.01)
 
     async def test() -> None:
         rng, data = random.Random(seed), Data()
@@ -605,8 +622,8 @@
                 await asyncio.sleep(1.2 * LIMIT_S)
 
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
-            store.resolve_s = 0.02
-            await store.write(line("first"))
+            store.resolve_timeout_s = 0.02
+            await store.write(audit_line("first"))
             host.hook = weather
 
             async def client(name: int) -> None:
@@ -616,7 +633,7 @@
                         return
                     subject = f"{name}.{n}"
                     try:
-                        await store.write(line(subject), heard.append)
+                        await store.write(audit_line(subject), heard.append)
                         kept.add(subject)
                         done += 1
                     except StoreError as error:
@@ -626,7 +643,7 @@
             await asyncio.gather(*(client(name) for name in range(4)))
             host.hook = None
             await until(lambda: store.resolving is None)
-            await store.write(line("last"))
+            await store.write(audit_line("last"))
         found = subjects(data)
         assert len(found) == len(set(found)), seed
         assert set(found) == {"first", "last"} | kept | set(heard), seed
@@ -636,20 +653,20 @@
     run(test)
 
 
-# The agent upon it
+# An agent on the store
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_an_operation_whose_beginning_is_not_known_goes_on_if_it_stands_and_is_nowhere_if_not(
+def test_an_operation_with_an_unknown_start_runs_only_if_it_was_committed(
     tmp_path: Path, stands: bool
 ) -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(3)
-            host.hook = Vanishes(host, "agent_operations", stands)
+            host.hook = ServerLostAtCommit(host, "agent_operations", stands)
             with pytest.raises(StoreError) as found:
                 await s.begin(key="k")
             assert found.value.code == "UNKNOWN"
@@ -657,7 +674,7 @@
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
             assert list(s.engine.live_operations) == ([1] if stands else [])
-            # asked again with its key it is one operation, whatever became of the first
+            # Repeated with its key there is one operation, whether or not the first attempt was committed.
             ident = await s.begin(key="k")
             op, targets = await s.end(ident)
             assert ident == 1 and op.phase is Phase.SUCCEEDED and {t.state for t in targets} == {State.APPLIED}
@@ -668,17 +685,17 @@
     run(test)
 
 
-def test_a_pause_whose_outcome_was_not_known_holds_once_it_stands(tmp_path: Path) -> None:
+def test_a_pause_with_an_unknown_outcome_takes_effect_once_it_proves_committed(tmp_path: Path) -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(2)
             s.instances["i0000"].open = 1  # the first wave does not end
             ident = await s.begin(Kind.DRAIN, policy=Policy(wave=1))
             await until(lambda: s.instances["i0000"].draining)
-            host.hook = Vanishes(host, "agent_operations")
+            host.hook = ServerLostAtCommit(host, "agent_operations")
             with pytest.raises(StoreError) as found:
                 await s.engine.control("ann", ident, "pause")
             assert found.value.code == "UNKNOWN"
@@ -691,13 +708,13 @@
     run(test)
 
 
-def test_operators_are_told_by_a_code_while_instances_go_on(tmp_path: Path) -> None:
-    """A server that is away, and one that went at a commit: what memory holds is answered all the same."""
+def test_operators_get_an_error_code_while_instances_continue(tmp_path: Path) -> None:
+    """With an unreachable server, or one lost during a commit, queries that need only memory are still answered."""
     async def test() -> None:
         async with hosts(Data()) as (host,), scene(tmp_path, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.1
+            store.resolve_timeout_s = 0.1
             await s.start_many(2)
             mutation = 'mutation { createToken(name: "t", role: READ) { secret } }'
 
@@ -705,7 +722,7 @@
                 found: str = (await s.ask(mutation))["errors"][0]["extensions"]["code"]
                 return found
 
-            gone = Vanishes(host, "agent_tokens")
+            gone = ServerLostAtCommit(host, "agent_tokens")
             host.starting = True
             await host.end_sessions()
             assert await code() == "STORE_AWAY"
@@ -718,18 +735,18 @@
             assert CODES["STORE_UNKNOWN"] is Exit.NO_AGENT
             host.hook, host.starting = None, False
             await until(lambda: store.resolving is None)
-            # it stands, and so it is known to the agent, though nobody has its secret
+            # The token was committed, so the agent knows it, although its secret was returned to nobody.
             await until(lambda: any(token.name == "t" for token in s.agent.tokens))
             assert await code() == "CONFLICT"
 
     run(test)
 
 
-def test_a_read_whose_commit_breaks_off_bars_no_write() -> None:
-    """Nothing of it can stand, so there is nothing to wait for."""
+def test_an_interrupted_commit_of_a_read_does_not_block_writes() -> None:
+    """A read changes nothing, so there is no outcome to resolve."""
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            await store.write(lambda r: r.set_alive(1))
+            await store.write(lambda r: r.set_alive_ms(1))
 
             async def cut(session: Session, kind: str, after: bool) -> None:
                 if kind == "commit":
@@ -739,14 +756,14 @@
             host.hook = cut
             with pytest.raises(StoreError):
                 await store.read(lambda r: r.alive_ms())
-            await store.write(lambda r: r.set_alive(2))
+            await store.write(lambda r: r.set_alive_ms(2))
             assert await store.read(lambda r: r.alive_ms()) == 2 and store.resolving is None
 
     run(test)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_rollout_in_bad_weather_has_every_effect_once_and_a_true_log(tmp_path: Path, seed: int) -> None:
+def test_a_rollout_with_random_faults_has_every_effect_once_and_a_correct_log(tmp_path: Path, seed: int) -> None:
     async def test() -> None:
         rng = random.Random(seed)
 
@@ -760,7 +777,7 @@
         async with hosts(Data()) as (host,), scene(tmp_path, seed, postgresql=dsn(host)) as s:
             store = s.engine.store
             assert isinstance(store, PostgresStore)
-            store.resolve_s = 0.01
+            store.resolve_timeout_s = 0.01
             await s.start_many(20)
             host.hook = weather
             ident = 0
@@ -779,13 +796,13 @@
             assert len(lines) == len(set(lines)) == 22, (seed, lines)
             kept = await store.read(lambda r: (r.operation(ident), r.targets(ident)))
             assert kept == (op, targets), seed
-            assert store.holder.claims > 1, seed
+            assert store.owner_worker.claims > 1, seed
 
     run(test)
 
 
-def test_the_next_agent_goes_on_where_one_that_lost_its_store_stopped(tmp_path: Path) -> None:
-    """It ends as soon as it is told that another has the record, and says whose that is."""
+def test_an_agent_that_loses_the_store_exits_and_names_the_new_owner(tmp_path: Path) -> None:
+    """The agent exits as soon as it learns that another agent owns the store, and names that agent."""
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
@@ -798,10 +815,10 @@
             data.skew_ms += 60_000
             async with store_on(host, holder="two") as store:
                 with contextlib.suppress(StoreError):
-                    await store.write(line("taken"))  # between two of its half seconds; else it was renewed
+                    await store.write(audit_line("taken"))  # fails if the first agent has just renewed its lease
                 data.skew_ms += 60_000
-                await store.write(line("taken"))
-                with pytest.raises(StoreError, match="the agent of machine of two has taken this record over") as found:
+                await store.write(audit_line("taken"))
+                with pytest.raises(StoreError, match="the agent of machine of two has taken over this store") as found:
                     await running_one
                 assert found.value.code == "TAKEN"
                 names = [t.name for t in await store.read(lambda r: r.tokens())]
@@ -810,27 +827,27 @@
     run(test)
 
 
-def test_an_agent_on_another_folder_waits_for_the_lease_and_wants_the_tokens_of_the_one_before(
+def test_an_agent_on_another_folder_waits_for_the_lease_and_needs_the_previous_tokens(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,):
             async with running(section(tmp_path / "one", postgresql=dsn(host))) as one:
-                monkeypatch.setattr(store_setup, "WAIT_S", -9.5)
-                with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one has this"):
+                monkeypatch.setattr(store_setup, "CLAIM_GRACE_S", -9.5)
+                with pytest.raises(StoreError, match=f"the agent of {socket.gethostname()}, {tmp_path}/one owns this"):
                     async with running(section(tmp_path / "two", postgresql=dsn(host))):
                         pass
                 said: list[str] = []
                 monkeypatch.setattr(Agent, "log", lambda agent, text: said.append(text))
                 assert one.ready.is_set()
-            # killed in place of ended: its lease runs on
+            # As after a kill: the lease has not ended yet.
             data.db.execute("UPDATE agent_owner SET until_ms = store_now_ms() + 1200")
-            monkeypatch.setattr(store_setup, "WAIT_S", 2.0)
+            monkeypatch.setattr(store_setup, "CLAIM_GRACE_S", 2.0)
             async with running(section(tmp_path / "two", postgresql=dsn(host))):
-                assert [text[:6] for text in said if "has this record" in text] == ["waits:"]
-                assert len([text for text in said if "expected the token that the record knows" in text]) == 2
-            with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the record knows"):
+                assert [text[:6] for text in said if "owns this store" in text] == ["waits:"]
+                assert len([text for text in said if "expected the token that the store knows" in text]) == 2
+            with pytest.raises(AgentError, match=r"two/instance\.token: expected the token that the store knows"):
                 service = ServiceConfig("app", 1, tmp_path / "app.json")
                 async with running(section(tmp_path / "two", postgresql=dsn(host), services=(service,))):
                     pass
@@ -838,10 +855,10 @@
     run(test)
 
 
-# From SQLite
+# Copying from SQLite
 
 
-async def filled(path: Path, count: int = 30) -> SqliteStore:
+async def filled_sqlite_store(path: Path, count: int = 30) -> SqliteStore:
     store = SqliteStore(path)
 
     def work(r: Records) -> None:
@@ -862,49 +879,49 @@
     return store
 
 
-def nobody(found: Any) -> None:
-    """Hears that the record is another's; here it stays ours."""
+def ignore_ownership_loss(found: Any) -> None:
+    """Callback for the loss of the ownership, which doesn't happen here."""
 
 
-def all_of(r: Records) -> list[Any]:
+def read_everything(r: Records) -> list[Any]:
     return [r.instances(), r.operations(99, 99), r.targets(1), r.configuration(1), r.mutation("ann", "k"),
             r.events(0, 99), r.tokens(), r.alive_ms(), r.current_generation(), r.versions(99, 9), r.lineage(),
             r.version_change(0, ""), r.version_change(1, r.lineage())]
 
 
-def test_the_record_of_the_folder_comes_along_once_and_is_not_gone_on_with_behind_its_back(tmp_path: Path) -> None:
+def test_the_sqlite_store_is_copied_once_and_not_used_afterwards(tmp_path: Path) -> None:
     said: list[str] = []
 
     async def test() -> None:
-        store = await filled(tmp_path / "agent.db")
-        before = await store.read(all_of)
+        store = await filled_sqlite_store(tmp_path / "agent.db")
+        before = await store.read(read_everything)
         store.close()
         async with hosts(Data()) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
-            for _ in range(2):  # the second time there is nothing to bring
-                moved = await open_store(where, tmp_path, nobody, said.append)
-                assert await moved.read(all_of) == before
+            for _ in range(2):  # the second time there is nothing to copy
+                moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
+                assert await moved.read(read_everything) == before
                 assert await moved.write(lambda r: r.next_fence()) > 41
                 await asyncio.to_thread(moved.close)
-            assert len(said) == 1 and said[0].startswith("moved the record of") and "72 rows" in said[0], said
-            with pytest.raises(StoreError, match=r"agent\.db: expected a record in use, got one that was moved"):
-                await open_store(section(tmp_path), tmp_path, nobody, said.append)
+            assert len(said) == 1 and said[0].startswith("moved the store ") and "72 rows" in said[0], said
+            with pytest.raises(StoreError, match=r"agent\.db: expected a store in use, got one that was moved"):
+                await open_store(section(tmp_path), tmp_path, ignore_ownership_loss, said.append)
 
     run(test)
 
 
-def test_a_move_that_fails_leaves_both_as_they_were_and_one_that_ended_early_is_not_done_again(
+def test_a_failed_copy_changes_nothing_and_an_interrupted_one_is_not_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(commit_tracking, "RESOLVE_S", 0.3)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_TIMEOUT_S", 0.3)
     said: list[str] = []
 
     async def test() -> None:
-        (await filled(tmp_path / "agent.db")).close()
+        (await filled_sqlite_store(tmp_path / "agent.db")).close()
         data = Data()
         async with hosts(data) as (host,):
             where = section(tmp_path, postgresql=dsn(host))
-            for kind, after, times in (("insert", True, 5), ("commit", False, 2)):  # the schema is there by then
+            for kind, after, times in (("insert", True, 5), ("commit", False, 2)):  # the schema exists by then
                 met = 0
 
                 async def fail(session: Session, what: str, later: bool, kind: str = kind, after: bool = after,
@@ -917,33 +934,33 @@
 
                 host.hook = fail
                 with pytest.raises(StoreError, match="no space left"):
-                    await open_store(where, tmp_path, nobody, said.append)
+                    await open_store(where, tmp_path, ignore_ownership_loss, said.append)
                 tables = [name for name, in data.all("SELECT name FROM sqlite_schema WHERE name = 'agent_tokens'")]
                 assert not tables or data.all("SELECT * FROM agent_tokens") == []
                 host.hook = None
                 store = SqliteStore(tmp_path / "agent.db")
                 assert len(await store.read(lambda r: r.instances())) == 30
                 store.close()
-            # killed after the commit and before the file was marked: it is there, and marked now
-            moved = await open_store(where, tmp_path, nobody, said.append)
+            # As after a kill between the commit and marking the file: it is not copied again, and marked now.
+            moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
             await asyncio.to_thread(moved.close)
             source = connect(tmp_path / "agent.db")
             source.execute("DELETE FROM counters WHERE name = 'moved'")
             source.close()
-            moved = await open_store(where, tmp_path, nobody, said.append)
+            moved = await open_store(where, tmp_path, ignore_ownership_loss, said.append)
             assert len(await moved.read(lambda r: r.events(0, 99))) == 30
             await asyncio.to_thread(moved.close)
             with pytest.raises(StoreError, match="was moved"):
-                await open_store(section(tmp_path), tmp_path, nobody, said.append)
-            # a folder with a record of its own, and a database with another
-            (await filled(tmp_path / "other.db")).close()
+                await open_store(section(tmp_path), tmp_path, ignore_ownership_loss, said.append)
+            # A folder with a SQLite store, and a database that holds another store already.
+            (await filled_sqlite_store(tmp_path / "other.db")).close()
             (tmp_path / "other").mkdir()
             (tmp_path / "other.db").rename(tmp_path / "other" / "agent.db")
             data.db.execute("DELETE FROM agent_counters WHERE name = 'moved'")
-            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other", nobody,
-                                     said.append)
+            moved = await open_store(section(tmp_path / "other", postgresql=dsn(host)), tmp_path / "other",
+                                     ignore_ownership_loss, said.append)
             await asyncio.to_thread(moved.close)
-            assert said[-1].endswith("has a record already") and "is not used" in said[-1]
+            assert said[-1].endswith("holds a store already") and "is not used" in said[-1]
 
     run(test)
 
@@ -959,25 +976,25 @@
      "F: agent.synchronous_commit: expected one of on, off, local, remote_write, remote_apply, got 'maybe'"),
     ('postgresql = "host=a"\npassword_file = "none"', "none: expected a token, got No such file"),
 ])
-def test_a_line_that_can_not_be_used_is_told_before_the_agent_starts(text: str, expected: str, tmp_path: Path) -> None:
+def test_invalid_settings_are_reported_before_the_agent_starts(text: str, expected: str, tmp_path: Path) -> None:
     with pytest.raises(OperatorFileError) as found:
         agent = parse(f"[agent]\n{text}\n", "F", tmp_path).agent
         assert agent is not None
-        store_setup.access_of(agent)
+        store_setup.postgres_access(agent)
     assert expected in str(found.value) and "\n" not in str(found.value)
 
 
-def test_without_the_packages_it_is_told_in_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_packages_are_reported_in_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in [name for name in sys.modules if name.startswith("psycopg") or name == "ironscale.record.postgres"]:
         monkeypatch.delitem(sys.modules, name)
     monkeypatch.setitem(sys.modules, "psycopg", None)
     section_ = parse('[agent]\npostgresql = "host=a"\n', "F", tmp_path).agent
     assert section_ is not None
     with pytest.raises(OperatorFileError, match=r"F: agent\.postgresql: expected the packages of ironscale\[record\]"):
-        store_setup.access_of(section_)
+        store_setup.postgres_access(section_)
 
 
-def test_who_holds_the_record_is_the_folder(tmp_path: Path) -> None:
+def test_the_lease_holder_is_identified_by_the_data_folder(tmp_path: Path) -> None:
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     one = holder_id(tmp_path / "a")
--- a/tests/agent/test_postgres_killed.py
+++ b/tests/agent/test_postgres_killed.py
@@ -1,4 +1,4 @@
-"""Agent processes on a PostgreSQL record that are killed: the next one has all that was told, and need not wait."""
+"""Agent processes on PostgreSQL that are killed: the next one has all confirmed writes and need not wait."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ironscale.agent.sql import SCHEMA
+from ironscale.agent.sql import SCHEMA_VERSION
 from ironscale.standins.postgres import Data, Host
 from tests.agent.agent_harness import run
 from tests.agent.test_killed import check, rollout
@@ -20,7 +20,7 @@
 from tests.record.postgres import dsn
 
 
-def test_what_was_told_as_kept_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
+def test_confirmed_writes_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     async def test() -> None:
         data = Data()
         host = await Host(data).start()
@@ -37,7 +37,7 @@
                 await writer.wait()
             found = [int(subject) for subject, in data.all("SELECT subject FROM agent_audit ORDER BY id")]
             assert set(told) <= set(found) and len(found) == len(set(found)) and found == sorted(found)
-            assert data.all("SELECT epoch FROM agent_owner") == [(5,)]  # each claimed once, and at once
+            assert data.all("SELECT epoch FROM agent_owner") == [(5,)]  # each process claimed once, without waiting
         finally:
             await host.stop()
 
@@ -52,8 +52,9 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-def test_the_commands_show_what_is_kept_and_say_what_is_wrong(tmp_path: Path) -> None:
-    """As an operator meets it: check, start, ask, stop; a database that is away; one that another agent has."""
+def test_commands_show_stored_data_and_report_errors(tmp_path: Path) -> None:
+    """The commands of an operator: check, start, query, stop; with a newer schema, a wrong password, and an unreachable
+    database."""
     async def test() -> None:
         data = Data()
         host = await Host(data, password="so secret").start()
@@ -92,14 +93,14 @@
             subjects: list[Any] = [json.loads(text)["subject"] for text in out.splitlines()]
             assert subjects == ["admin", "instance"]
             await ended(agent, signal.SIGKILL)
-            agent = await started("one")  # the lease of the one before runs, and keeps this one waiting for nothing
+            agent = await started("one")  # no wait, although the previous process's lease has not ended
             assert data.all("SELECT epoch FROM agent_owner") == [(2,)]
             said = await ended(agent, signal.SIGTERM)
             assert agent.returncode == 0 and "Traceback" not in said
             assert data.all("SELECT until_ms FROM agent_owner") == [(0,)]
             data.db.execute("UPDATE agent_schema SET version = 99")
             code, _, said = await ironscale("agent", str(file))
-            assert code == 2 and f"expected schema {SCHEMA} or older, got 99" in said and said.count("\n") == 1
+            assert code == 2 and f"expected schema {SCHEMA_VERSION} or older, got 99" in said and said.count("\n") == 1
             password.write_text("guessed\n")
             code, _, said = await ironscale("agent", str(file))
             assert code == 2 and "password authentication failed" in said and "guessed" not in said
@@ -112,7 +113,7 @@
 
 
 @pytest.mark.parametrize("fatal", [2, 3, 6, 9, 12])
-def test_an_agent_that_is_killed_at_a_step_is_gone_on_from(fatal: int, tmp_path: Path) -> None:
+def test_the_next_agent_continues_an_operation_of_an_agent_killed_at_any_step(fatal: int, tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host(Data()).start()
         try:
--- a/tests/agent/test_serving.py
+++ b/tests/agent/test_serving.py
@@ -1,4 +1,4 @@
-"""Agents that follow the record's log and serve it over loopback sockets, also when they are cut off from it."""
+"""Agents that replicate the version log and serve it over loopback sockets, also while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 TERM_S = 1.0
 
 
-class Raw:
-    """A follower that is a socket and a view."""
+class RawFollower:
+    """A minimal follower: a socket and a view of the versions."""
 
     def __init__(self, agent: Agent, name: str = "i0", token: str = "", zone: str = "", lineage: str = "",
                  position: int = 0) -> None:
@@ -84,7 +84,7 @@
         self.updates.append(update)
         self.heard_s = time.monotonic()
         if update.position < max(self.position, self.view.position):
-            assert not update.entries, "told what is older"
+            assert not update.entries, "an older position came with entries"
             return
         entries = tuple(Entry(layer.version, parse_scope(layer.scope), layer.overlay) for layer in update.entries)
         self.view.apply(Change(update.lineage, update.position, update.since if self.view.position else 0,
@@ -106,31 +106,31 @@
 TOKENS = [""]
 
 
-def standing(folder: Path, name: str, **changes: Any) -> Any:
+def standby_section(folder: Path, name: str, **changes: Any) -> Any:
     (folder / "r").mkdir(exist_ok=True)
     return section(folder / name, record=folder / "r" / "record.db", standby=True, term_s=TERM_S, **changes)
 
 
 @contextlib.asynccontextmanager
-async def two(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
-    """One that leads, and one that stands by."""
-    async with running(standing(folder, "a0")) as first:
+async def leader_and_standby(folder: Path, **changes: Any) -> AsyncIterator[tuple[Agent, Agent]]:
+    """Runs a leading agent and a standby agent."""
+    async with running(standby_section(folder, "a0")) as first:
         await first.leading.wait()
         TOKENS.append(read_secret(folder / "a0" / "instance.token"))
-        async with running(standing(folder, "a1", **changes)) as second:
+        async with running(standby_section(folder, "a1", **changes)) as second:
             yield first, second
 
 
 async def publish(agent: Agent, overlay: dict[str, Any] | None = None, scope: Scope = ALL) -> int:
-    newest = agent.following.serving.view.entries.get(scope)
+    newest = agent.replica.serving.view.entries.get(scope)
     draft = Draft(scope, overlay or {"settings": {"instances": 2}}, newest.version if newest else 0)
     return (await agent.engine.publisher.publish("ann", draft))[0].entry.version
 
 
-def test_one_that_stands_by_serves_what_the_other_publishes(tmp_path: Path) -> None:
+def test_a_standby_agent_serves_what_the_leader_publishes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
-            near, far = Raw(first, "i0"), Raw(second, "i1", zone="a")
+        async with leader_and_standby(tmp_path) as (first, second):
+            near, far = RawFollower(first, "i0"), RawFollower(second, "i1", zone="a")
             await until(lambda: near.updates and far.updates)
             assert await publish(first) == 1
             at_s = time.monotonic()
@@ -140,7 +140,7 @@
             await until(lambda: near.view.position == 2 and far.view.position == 2)
             assert near.view.entries.keys() == {ALL} and len(far.view.entries) == 2
             assert not second.leading.is_set() and far.updates[-1].age_ms < 2_500
-            # while nothing is published it says where it is, once a second and no more often
+            # Without new versions, the position is sent once a second.
             count = len(far.updates)
             await asyncio.sleep(2.2)
             assert 2 <= len(far.updates) - count <= 5
@@ -150,27 +150,27 @@
     run(test)
 
 
-def test_a_version_whose_publisher_ends_before_it_tells_is_heard_from_the_log(tmp_path: Path) -> None:
-    """And the follower's connection is the same when the agent that it follows leads in its place."""
+def test_a_version_is_read_from_the_log_if_its_publisher_fails_before_sending_it(tmp_path: Path) -> None:
+    """The follower's connection also survives its agent becoming the leader."""
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
-            async with running(standing(tmp_path, "a0")) as first:
+            async with running(standby_section(tmp_path, "a0")) as first:
                 await first.leading.wait()
                 TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
-                second = await later.enter_async_context(running(standing(tmp_path, "a1")))
-                follower = Raw(second)
+                second = await later.enter_async_context(running(standby_section(tmp_path, "a1")))
+                follower = RawFollower(second)
                 await until(lambda: follower.updates)
 
                 def step(where: str) -> None:
                     if where == "after a version's commit":
                         raise RuntimeError("gone")
 
-                first.following.attach(None)
-                first.engine.publisher.step = step
+                first.replica.attach(None)
+                first.engine.publisher.test_hook = step
                 with pytest.raises(RuntimeError):
                     await publish(first)
                 await until(lambda: follower.view.position == 1)
-                assert first.following.serving.view.position == 0
+                assert first.replica.serving.view.position == 0
             await second.leading.wait()
             await publish(second, {"settings": {"instances": 5}})
             await until(lambda: follower.view.position == 2)
@@ -180,14 +180,14 @@
     run(test)
 
 
-def test_without_the_record_it_goes_on_with_its_age_told_and_catches_up(tmp_path: Path,
+def test_without_the_store_an_agent_serves_its_replica_with_its_age_and_catches_up(tmp_path: Path,
                                                                          monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
+        async with leader_and_standby(tmp_path) as (first, second):
             await publish(first)
-            follower = Raw(second)
+            follower = RawFollower(second)
             await until(lambda: follower.view.position == 1)
-            store = second.following.store
+            store = second.replica.store
             assert store is not None
             read_was = store.read
 
@@ -198,7 +198,7 @@
             await publish(first, {"settings": {"instances": 4}})
             await until(lambda: follower.updates[-1].age_ms > 2_500)
             assert follower.view.position == 1
-            newcomer = Raw(second, "i9")  # one that starts there gets what there is
+            newcomer = RawFollower(second, "i9")  # a new follower gets what the replica holds
             await until(lambda: newcomer.view.position == 1)
             assert newcomer.updates[-1].age_ms > 2_500
             monkeypatch.setattr(store, "read", read_was)
@@ -211,33 +211,33 @@
     run(test)
 
 
-def test_a_leader_whose_term_is_not_sure_is_not_fresh(tmp_path: Path) -> None:
+def test_the_replica_of_a_leader_with_an_unconfirmed_term_grows_old(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(standing(tmp_path, "a0")) as agent:
+        async with running(standby_section(tmp_path, "a0")) as agent:
             await agent.leading.wait()
             TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
             await publish(agent)
-            store = agent.following.store
+            store = agent.replica.store
             assert store is not None
-            store.renewed = lambda: None  # type: ignore[attr-defined]
+            store.on_write_confirmed = lambda: None  # type: ignore[attr-defined]
             store.term = replace(store.term, until_ms=0)
-            at = agent.following.reached_ms
+            at = agent.replica.last_read_ms
             await asyncio.sleep(0.8)
-            assert agent.following.reached_ms == at
+            assert agent.replica.last_read_ms == at
 
     run(test)
 
 
-def kept(folder: Path, **changes: Any) -> Snapshot:
-    """What the agent's file holds once it has reached `position`."""
+def saved_snapshot(folder: Path, **changes: Any) -> Snapshot:
+    """The agent's snapshot, with `changes` to its fields."""
     return replace(decode((folder / "versions.snapshot").read_bytes()), **changes)
 
 
-async def saved(folder: Path, position: int) -> None:
+async def wait_until_saved(folder: Path, position: int) -> None:
     path = folder / "versions.snapshot"
 
     def there() -> bool:
-        with contextlib.suppress(SnapshotError):  # what a test has put there
+        with contextlib.suppress(SnapshotError):  # an invalid file written by a test
             return path.exists() and decode(path.read_bytes()).position == position
         return False
 
@@ -245,7 +245,7 @@
 
 
 @contextlib.contextmanager
-def record_away(folder: Path) -> Any:
+def store_unreachable(folder: Path) -> Any:
     (folder / "r").rename(folder / "elsewhere")
     try:
         yield
@@ -253,38 +253,38 @@
         (folder / "elsewhere").rename(folder / "r")
 
 
-def standing_section(folder: Path, name: str) -> Any:
+def unchanged_standby_section(folder: Path, name: str) -> Any:
     return section(folder / name, record=folder / "r" / "record.db", standby=True, term_s=TERM_S)
 
 
-async def one_version(folder: Path) -> None:
-    """Two agents ran, one version is published, and both have kept it."""
-    async with two(folder) as (first, second):
+async def publish_one_version(folder: Path) -> None:
+    """Runs two agents that publish one version and save it in their snapshots."""
+    async with leader_and_standby(folder) as (first, second):
         await publish(first)
-        await saved(folder / "a1", 1)
+        await wait_until_saved(folder / "a1", 1)
         assert (folder / "a1" / "versions.snapshot").stat().st_mode & 0o777 == 0o600
-        assert second.can_serve is False
+        assert second.has_snapshot is False
 
 
-def test_one_that_starts_without_the_record_serves_its_snapshot_and_catches_up(tmp_path: Path,
+def test_an_agent_started_without_the_store_serves_its_snapshot_and_catches_up(tmp_path: Path,
                                                                                 capsys: Any) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         now_ms = time.time_ns() // 1_000_000
-        path.write_bytes(to_bytes(kept(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
+        path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", reached_ms=now_ms - 86_400_000)))  # yesterday's
         async with contextlib.AsyncExitStack() as later:
-            with record_away(tmp_path):
-                agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
-                follower = Raw(agent)
+            with store_unreachable(tmp_path):
+                agent = await later.enter_async_context(running(unchanged_standby_section(tmp_path, "a1")))
+                follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 1)
                 assert 86_000_000 < follower.updates[-1].age_ms < 87_000_000
-                ahead = Raw(agent, "i1", lineage=follower.view.lineage, position=3)
+                ahead = RawFollower(agent, "i1", lineage=follower.view.lineage, position=3)
                 await until(lambda: len(ahead.updates) > 1)
-                stranger = Raw(agent, "i2", token="x" * 40)  # the tokens are those that it knew
+                stranger = RawFollower(agent, "i2", token="x" * 40)  # tokens are checked against those in the snapshot
                 await until(lambda: stranger.ended)
                 assert stranger.denied is not None and stranger.denied.code == "TOKEN"
-            await agent.leading.wait()  # the record is back: it goes on from there, on the same connections
+            await agent.leading.wait()  # the store is back, and the connections are still open
             await until(lambda: follower.updates[-1].age_ms < 2_500)
             for n in (2, 3, 4):
                 await publish(agent, {"settings": {"instances": n}})
@@ -300,69 +300,70 @@
 @pytest.mark.parametrize(("bytes_of", "told"), [
     (lambda data: data[:-9], "as its length says, got"), (lambda data: b"", "expected it to begin with"),
     (lambda data: assemble([], 9), "expected version 1 to 1, got 9: written by a newer program; not used")])
-def test_a_snapshot_that_can_t_be_used_is_told_and_not_served(tmp_path: Path, capsys: Any, told: str,
+def test_an_invalid_snapshot_is_logged_and_not_served(tmp_path: Path, capsys: Any, told: str,
                                                               bytes_of: Callable[[bytes], bytes]) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
         path.write_bytes(bytes_of(path.read_bytes()))
-        with record_away(tmp_path), pytest.raises((StoreError, AgentError)):
-            async with running(standing_section(tmp_path, "a1")):
+        with store_unreachable(tmp_path), pytest.raises((StoreError, AgentError)):
+            async with running(unchanged_standby_section(tmp_path, "a1")):
                 pass
         err = capsys.readouterr().err
         assert f"{path}: " in err and told in err
-        async with running(standing_section(tmp_path, "a1")) as agent:  # with the record it comes up, and keeps it anew
-            await until(lambda: agent.following.serving.view.position == 1)
-            await saved(tmp_path / "a1", 1)
+        async with running(unchanged_standby_section(tmp_path, "a1")) as agent:  # starts with the store
+            await until(lambda: agent.replica.serving.view.position == 1)
+            await wait_until_saved(tmp_path / "a1", 1)
 
     run(test)
 
 
-def test_a_snapshot_of_another_log_ends_when_the_record_is_reached_and_a_later_change_of_log_is_refused(
+def test_a_snapshot_of_another_lineage_is_dropped_and_later_changes_of_lineage_are_refused(
         tmp_path: Path, capsys: Any) -> None:
     async def test() -> None:
-        await one_version(tmp_path)
+        await publish_one_version(tmp_path)
         path = tmp_path / "a1" / "versions.snapshot"
-        path.write_bytes(to_bytes(kept(tmp_path / "a1", lineage="ffff", position=50)))
+        path.write_bytes(to_bytes(saved_snapshot(tmp_path / "a1", lineage="ffff", position=50)))
         async with contextlib.AsyncExitStack() as later:
-            with record_away(tmp_path):
-                agent = await later.enter_async_context(running(standing_section(tmp_path, "a1")))
-                follower = Raw(agent)
+            with store_unreachable(tmp_path):
+                agent = await later.enter_async_context(running(unchanged_standby_section(tmp_path, "a1")))
+                follower = RawFollower(agent)
                 await until(lambda: follower.view.position == 50)
             await until(lambda: follower.ended)
             assert follower.denied is not None and follower.denied.code == "LINEAGE"
-            again = Raw(agent)
+            again = RawFollower(agent)
             await until(lambda: again.view.position == 1)
-            lineage, reached = again.view.lineage, agent.following.reached_ms
-            agent.following.take(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
-            assert agent.following.serving.view.lineage == lineage and agent.following.reached_ms == reached
+            lineage, reached = again.view.lineage, agent.replica.last_read_ms
+            agent.replica.apply(Change("eeee", 9, 0, True, 0, (Entry(9, ALL, {"no": 1}),)), 1e15)
+            assert agent.replica.serving.view.lineage == lineage and agent.replica.last_read_ms == reached
             await again.close()
             await follower.close()
         err = capsys.readouterr().err
-        assert "it is of lineage ffff, the record of" in err and "got eeee: position 1 of the former is served" in err
+        assert "it is of lineage ffff, the store of" in err
+        assert "got eeee: still serving position 1 of the former" in err
 
     run(test)
 
 
-def test_it_never_goes_backwards(tmp_path: Path, capsys: Any) -> None:
+def test_the_served_position_never_goes_backwards(tmp_path: Path, capsys: Any) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             for n in (2, 3):
                 await publish(agent, {"settings": {"instances": n}})
-            view = agent.following.serving.view
-            reached = agent.following.reached_ms
-            agent.following.take(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
-            assert view.position == 2 and agent.following.reached_ms == reached
-        assert "the record is at position 1, behind 2 that is served" in capsys.readouterr().err
+            view = agent.replica.serving.view
+            reached = agent.replica.last_read_ms
+            agent.replica.apply(Change(view.lineage, 1, 0, True, 0, ()), 1e15)
+            assert view.position == 2 and agent.replica.last_read_ms == reached
+        assert "the store is at position 1, behind the served position 2" in capsys.readouterr().err
 
     run(test)
 
 
-def test_one_that_reads_nothing_holds_nobody_up_and_costs_little(tmp_path: Path) -> None:
+def test_a_follower_that_reads_nothing_delays_nobody_and_uses_little_memory(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
-            slow, other = Raw(agent, "i0"), Raw(agent, "i1")
+            slow, other = RawFollower(agent, "i0"), RawFollower(agent, "i1")
             await until(lambda: slow.updates and other.updates)
             slow.reads.clear()
             link = next(link for link in agent.followers.links.values() if link.name == "i0")
@@ -374,35 +375,35 @@
                 version = await publish(agent, {"settings": {"x": [f"{random.Random(n).random()}"] * 900}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert link.subscriber.slow_since_s >= 0, "it was never seen to be slow"
+            assert link.subscriber.slow_since_s >= 0, "it was never classified as slow"
             for n in range(5):
                 version = await publish(agent, {"settings": {"instances": n + 1}})
                 await until(lambda version=version: other.view.position == version)  # type: ignore[misc]
                 most = max(most, link.transport.get_write_buffer_size())
-            assert most < follower_connections.UNSENT_BYTES + (64 << 10)
+            assert most < follower_connections.WRITE_BUFFER_BYTES + (64 << 10)
             count = len(slow.updates)
             slow.reads.set()
             await until(lambda: slow.view.position == version)
-            assert len(slow.updates) - count < n + 200  # what it missed came as one
+            assert len(slow.updates) - count < n + 200  # the missed versions came in one update
             await slow.close()
             await other.close()
 
     run(test)
 
 
-def test_many_at_once_are_taken_on_at_the_rate_and_told_when_to_come_back(tmp_path: Path) -> None:
+def test_many_new_followers_are_admitted_at_a_limited_rate_and_told_when_to_retry(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             TOKENS.append(read_secret(tmp_path / "a" / "instance.token"))
             await publish(agent)
-            agent.following.serving.bucket = AdmissionBucket(100.0, 20.0)
+            agent.replica.serving.bucket = AdmissionBucket(100.0, 20.0)
             began_s, joined, tries = time.monotonic(), list[float](), 0
 
-            async def one(number: int) -> Raw:
+            async def one(number: int) -> RawFollower:
                 nonlocal tries
                 while True:
                     tries += 1
-                    raw = Raw(agent, f"i{number}")
+                    raw = RawFollower(agent, f"i{number}")
                     while not (raw.updates or raw.denied):
                         await asyncio.sleep(0.01)
                     if raw.denied is None:
@@ -416,22 +417,22 @@
             assert len(agent.followers.links) == 200
             assert joined[-1] >= 1.7  # 180 at 100 a second
             assert tries < 800
-            sent, made = agent.followers.sent, agent.followers.encoded.encoded_count
+            sent, made = agent.followers.frames_sent, agent.followers.encoded_updates.encoded_count
             await publish(agent, {"settings": {"instances": 3}})
             await until(lambda: all(raw.view.position == 2 for raw in found))
-            sent, made = agent.followers.sent - sent, agent.followers.encoded.encoded_count - made
-            assert sent >= 200 and made <= sent / 4  # one frame for many
+            sent, made = agent.followers.frames_sent - sent, agent.followers.encoded_updates.encoded_count - made
+            assert sent >= 200 and made <= sent / 4  # followers share encoded frames
             for raw in found:
                 await raw.close()
-            await until(lambda: not agent.followers.links and not agent.following.serving.subscribers)
+            await until(lambda: not agent.followers.links and not agent.replica.serving.subscribers)
 
     run(test)
 
 
-def test_a_burst_of_versions_is_told_as_few(tmp_path: Path) -> None:
+def test_a_burst_of_versions_is_sent_as_few_updates(tmp_path: Path) -> None:
     async def test() -> None:
-        async with two(tmp_path) as (first, second):
-            near, far = Raw(first, "i0"), Raw(second, "i1")
+        async with leader_and_standby(tmp_path) as (first, second):
+            near, far = RawFollower(first, "i0"), RawFollower(second, "i1")
             await until(lambda: near.updates and far.updates)
             counts = len(near.updates), len(far.updates)
             began_s = time.monotonic()
@@ -447,34 +448,34 @@
     run(test)
 
 
-def test_who_leads_is_told_who_runs_what_and_says_of_whom_it_does_not_know(tmp_path: Path,
+def test_the_leader_collects_summaries_of_followers_and_reports_which_are_too_old(tmp_path: Path,
                                                                           monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follower_connections, "SUM_OLD_S", 1.6)
+    monkeypatch.setattr(follower_connections, "MAX_SUMMARY_AGE_S", 1.6)
 
     async def test() -> None:
         async with contextlib.AsyncExitStack() as later:
-            first = await later.enter_async_context(running(standing(tmp_path, "a0")))
+            first = await later.enter_async_context(running(standby_section(tmp_path, "a0")))
             await first.leading.wait()
             TOKENS.append(read_secret(tmp_path / "a0" / "instance.token"))
-            with_token = standing(tmp_path, "a1", token_file=tmp_path / "a0" / "instance.token")
-            async with running(with_token) as second, running(standing(tmp_path, "a2")) as quiet:
+            with_token = standby_section(tmp_path, "a1", token_file=tmp_path / "a0" / "instance.token")
+            async with running(with_token) as second, running(standby_section(tmp_path, "a2")) as quiet:
                 await publish(first)
-                ones = [Raw(second, "i0"), Raw(second, "i1"), Raw(quiet, "i2")]
+                ones = [RawFollower(second, "i0"), RawFollower(second, "i1"), RawFollower(quiet, "i2")]
                 await until(lambda: all(one.view.position == 1 for one in ones))
                 ones[0].runs()
                 ones[1].runs("refused", running=0, detail="settings.no: what is it?")
 
                 def told() -> Any:
                     found = {one.agent: one for one in first.followers.summary()}
-                    return found.get(second.followers.agent)
+                    return found.get(second.followers.own_address)
 
                 await until(lambda: told() is not None and told().summary.counts == ((1, 1), (0, 1)))
                 assert told().known and told().age_ms < 3_000 and told().summary.position == 1
                 differs, = told().summary.differing
                 assert (differs.name, differs.status, differs.detail) == ("i1", "refused", "settings.no: what is it?")
-                # one without a token tells nothing, and who does not lead takes no sum
-                assert quiet.followers.agent not in [one.agent for one in first.followers.summary()]
-                assert [one.agent for one in second.followers.summary()] == [second.followers.agent]
+                # An agent without a token sends no summary, and one that doesn't lead accepts none.
+                assert quiet.followers.own_address not in [one.agent for one in first.followers.summary()]
+                assert [one.agent for one in second.followers.summary()] == [second.followers.own_address]
                 for one in ones:
                     await one.close()
             await until(lambda: not told().known)
@@ -482,7 +483,7 @@
     run(test)
 
 
-def test_followers_are_kept_apart_from_strangers_and_garbled_words(tmp_path: Path) -> None:
+def test_invalid_follow_requests_are_denied_with_a_code(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(section(tmp_path / "a")) as agent:
             token = read_secret(tmp_path / "a" / "instance.token")
@@ -494,7 +495,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", agent.control_port)
                 writer.write(b"".join(encode_frame(serialize_message(message)) for message in messages))
                 decoder = FrameDecoder()
-                decoder.feed(await reader.read())  # to its end: the agent closes it
+                decoder.feed(await reader.read())  # to the end, as the agent closes the connection
                 found = []
                 while (raw := decoder.next_message()) is not None:
                     found.append(parse_message(raw, TO_FOLLOWER))
@@ -505,6 +506,6 @@
     run(test)
 
 
-def test_a_token_that_was_kept_admits_no_more_than_it_did() -> None:
+def test_the_snapshot_keeps_when_a_token_was_revoked() -> None:
     token = Token("instance", "instance", "ab", 1, 5)
     assert decode(to_bytes(Snapshot("", 0, 0, (), (token,), 0))).tokens == (token,)
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -1,4 +1,4 @@
-"""The record in SQLite: what is told to be kept is kept, and what can't be kept is told."""
+"""The agent's store in SQLite: confirmed writes are durable, and failed writes are reported."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from ironscale.agent import sqlite as module
 from ironscale.agent.model import Kind, Operation, Phase, Policy, State, Target
 from ironscale.agent.sql import SqlRecords
-from ironscale.agent.sqlite import MIGRATIONS, SCHEMA, SqliteStore, connect
+from ironscale.agent.sqlite import MIGRATIONS, SCHEMA_VERSION, SqliteStore, connect
 from ironscale.agent.store import Configuration, InstanceRow, Published, Records, StoreError, TokenRow
 from ironscale.record.database import Opener, Transaction
 from ironscale.versions.model import Entry, parse_scope
@@ -45,8 +45,8 @@
 TARGET = Target("i0", 0, State.NO_ANSWER, "d", 9, "b", "1.0.1", 10, 2, "applied", True, True, 3)
 
 
-def fill(r: Records) -> None:
-    """A row of each kind."""
+def write_sample_rows(r: Records) -> None:
+    """Writes a row of each kind."""
     r.put_instances([row("i0", host="m", ticks=4, ended="exit 0"), row("i1", connected=False)])
     r.put_operation(OP)
     r.put_targets(1, [TARGET, Target("i1", 1)])
@@ -57,7 +57,7 @@
     r.add_version(parse_scope("zone=a"), {"settings": {"x": 1}}, 0, "ann", 7, note="first")
     r.add_version(parse_scope("zone=a"), None, 1, "ann", 8)
     r.add_version(parse_scope("zone=a"), {"settings": {"x": 1}}, 2, "bob", 9, restores=1)
-    r.set_alive(77)
+    r.set_alive_ms(77)
 
 
 ZONE_A = parse_scope("zone=a")
@@ -66,28 +66,28 @@
              Published(Entry(1, ZONE_A, {"settings": {"x": 1}}, 0, 0, "ann", 7), "first", False)]
 
 
-def half(records: Records) -> None:
+def fail_midway(records: Records) -> None:
     records.put_token(TokenRow("half", "read", "d", 1))
     raise ValueError("in the middle")
 
 
-def twice(records: Records) -> None:
-    """What a unique key forbids."""
+def violate_unique_key(records: Records) -> None:
+    """Violates a unique key."""
     records.put_operation(OP)
     for _ in range(2):
         records.add_configuration(Configuration(1, {}, "ann", 1, 1))
 
 
-def test_everything_comes_back_as_it_was_also_after_the_file_is_opened_anew(tmp_path: Path) -> None:
+def test_all_data_is_read_back_unchanged_after_reopening_the_file(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
-        await store.write(fill)
+        await store.write(write_sample_rows)
         await store.write(lambda r: r.set_desired([("i0", 9)]))
         await store.write(lambda r: r.put_instances([row("i0", boot="c", desired=0)]))
         store.close()
         store = SqliteStore(tmp_path / "a.db")
         found = await store.read(lambda r: r.instances())
-        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # only set_desired sets that
+        assert found == [row("i0", boot="c", desired=9), row("i1", connected=False)]  # only set_desired sets it
         assert await store.read(lambda r: r.operation(1)) == OP
         assert await store.read(lambda r: r.targets(1)) == [TARGET, Target("i1", 1)]
         kept = Configuration(1, {"settings": {"x": None}}, "ann", 5, 1)
@@ -105,12 +105,12 @@
     run(test())
 
 
-def test_a_piece_of_work_that_fails_leaves_nothing_and_takes_no_other_along(tmp_path: Path) -> None:
+def test_a_failed_write_is_rolled_back_without_affecting_others_in_its_group(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         results = await asyncio.gather(
-            store.write(lambda r: r.put_token(TokenRow("first", "read", "d", 1))), store.write(half),
-            store.write(twice), store.write(lambda r: r.put_token(TokenRow("last", "read", "d", 1))),
+            store.write(lambda r: r.put_token(TokenRow("first", "read", "d", 1))), store.write(fail_midway),
+            store.write(violate_unique_key), store.write(lambda r: r.put_token(TokenRow("last", "read", "d", 1))),
             return_exceptions=True)
         assert isinstance(results[1], ValueError) and isinstance(results[2], StoreError)
         assert [t.name for t in await store.read(lambda r: r.tokens())] == ["first", "last"]
@@ -120,7 +120,7 @@
     run(test())
 
 
-def test_what_is_asked_for_during_a_commit_shares_the_next(tmp_path: Path) -> None:
+def test_writes_requested_during_a_commit_share_the_next_one(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         await asyncio.gather(*(store.write(lambda r: r.next_fence()) for _ in range(500)))
@@ -135,14 +135,14 @@
     connection = connect(tmp_path / "a.db")
     records = SqlRecords(Transaction(connection), "sqlite")
     records.audit(1, "ann", "drain", "i0", "applied")
-    records.end()
+    records.write_pending_audit()
     for statement in ("UPDATE audit SET actor = 'bob'", "DELETE FROM audit"):
         with pytest.raises(apsw.ConstraintError, match="append-only"):
             connection.execute(statement)
     assert connection.execute("SELECT count(*) FROM audit").fetchone() == (1,)
 
 
-def test_files_are_for_the_owner_alone(tmp_path: Path) -> None:
+def test_files_are_readable_by_their_owner_only(tmp_path: Path) -> None:
     os.umask(0o022)
     connection = connect(tmp_path / "a.db")
     connection.execute("INSERT INTO counters VALUES ('x', 1)")
@@ -150,25 +150,26 @@
         "a.db": "0o600", "a.db-wal": "0o600", "a.db-shm": "0o600"}
 
 
-def test_a_newer_file_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
-    connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA + 4}")
-    with pytest.raises(StoreError, match=f"expected schema {SCHEMA} or older, got {SCHEMA + 4}") as found:
+def test_a_file_with_a_newer_schema_is_refused_and_left_unchanged(tmp_path: Path) -> None:
+    connect(tmp_path / "a.db").execute(f"PRAGMA user_version = {SCHEMA_VERSION + 4}")
+    expected = f"expected schema {SCHEMA_VERSION} or older, got {SCHEMA_VERSION + 4}"
+    with pytest.raises(StoreError, match=expected) as found:
         connect(tmp_path / "a.db")
     assert found.value.code == "NEWER"
-    assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA + 4,)
+    assert sqlite3.connect(tmp_path / "a.db").execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION + 4,)
 
 
-def test_an_older_file_is_brought_up_and_a_migration_that_fails_changes_nothing(
+def test_an_older_schema_is_migrated_and_a_failed_migration_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
-    monkeypatch.setattr(module, "SCHEMA", SCHEMA + 1)
+    monkeypatch.setattr(module, "SCHEMA_VERSION", SCHEMA_VERSION + 1)
     broken = "ALTER TABLE tokens ADD COLUMN note TEXT;\nINSERT INTO nowhere VALUES (1);\n"
     monkeypatch.setattr(module, "MIGRATIONS", (*MIGRATIONS, broken))
     with pytest.raises(StoreError, match="no such table"):
         connect(tmp_path / "a.db")
     plain = sqlite3.connect(tmp_path / "a.db")
-    assert plain.execute("PRAGMA user_version").fetchone() == (SCHEMA,)
+    assert plain.execute("PRAGMA user_version").fetchone() == (SCHEMA_VERSION,)
     assert "note" not in [r[1] for r in plain.execute("PRAGMA table_info(tokens)")]
     plain.close()
     monkeypatch.setattr(module, "MIGRATIONS", (*MIGRATIONS, "ALTER TABLE tokens ADD COLUMN note TEXT;\n"))
@@ -176,10 +177,10 @@
     assert migrated.execute("SELECT name, note FROM tokens").fetchall() == [("t", None)]
 
 
-def test_a_record_of_before_versions_is_brought_up_with_all_that_it_holds(
+def test_a_store_from_before_versions_is_migrated_with_its_data(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SCHEMA", 3)
+    monkeypatch.setattr(module, "SCHEMA_VERSION", 3)
     monkeypatch.setattr(module, "MIGRATIONS", MIGRATIONS[:3])
     SqlRecords(Transaction(connect(tmp_path / "a.db")), "sqlite").put_token(TokenRow("t", "read", "d", 1))
     monkeypatch.undo()
@@ -189,7 +190,7 @@
     assert records.add_version(ZONE_A, {}, 0, "ann", 1).version == 1
 
 
-def test_a_full_disk_is_told_nothing_is_half_kept_and_it_goes_on_when_there_is_room(tmp_path: Path) -> None:
+def test_a_full_disk_is_reported_without_partial_writes_and_writes_resume_with_space(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         await store.write(lambda r: r.audit(1, "ann", "a", "b", "c"))
@@ -210,8 +211,8 @@
     run(test())
 
 
-def test_a_file_that_another_process_holds_is_told_as_locked(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "BUSY_MS", 50)
+def test_a_file_locked_by_another_process_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(module, "BUSY_TIMEOUT_MS", 50)
 
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
@@ -228,7 +229,7 @@
 
 
 @pytest.mark.parametrize("damage", [b"not a database at all" * 100, b"SQLite format 3\0" + b"\xff" * 4000])
-def test_a_file_that_is_no_database_is_refused(damage: bytes, tmp_path: Path) -> None:
+def test_a_file_that_is_not_a_database_is_refused(damage: bytes, tmp_path: Path) -> None:
     (tmp_path / "a.db").write_bytes(damage)
     with pytest.raises(StoreError) as found:
         connect(tmp_path / "a.db")
@@ -236,14 +237,14 @@
     assert (tmp_path / "a.db").read_bytes() == damage
 
 
-def test_a_folder_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_a_missing_folder_is_reported(tmp_path: Path) -> None:
     with pytest.raises(StoreError, match="No such file") as found:
         connect(tmp_path / "none" / "a.db")
     assert found.value.code == "READ_ONLY"
 
 
-def test_a_file_that_can_not_be_written_is_told(tmp_path: Path) -> None:
-    """Run as root, permissions bind nobody: a connection that may only read stands for them."""
+def test_a_read_only_file_is_reported(tmp_path: Path) -> None:
+    """A read-only connection replaces file permissions here, because those don't apply to root."""
     async def test() -> None:
         store = SqliteStore(tmp_path / "a.db")
         store.connection.execute("PRAGMA query_only = 1")
@@ -257,19 +258,20 @@
 
 @pytest.mark.parametrize("fault", ["io", "sync", "full"])
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_disk_that_fails_at_any_change_leaves_what_was_told_as_kept_and_nothing_that_was_told_as_not(
+def test_after_a_disk_error_at_any_write_exactly_the_confirmed_writes_are_stored(
     fault: str, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Writes, a checkpoint among them; after each the log must hold what was told, also once the power has gone."""
+    """Injects a fault at each disk operation of twelve writes and a checkpoint. Afterwards the audit log must hold
+    exactly the confirmed writes, also after a simulated power failure."""
     names = itertools.count()
-    monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.002)
+    monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.002)
 
     async def day(disk: Disk) -> tuple[list[str], list[str], int]:
-        """Subjects that were kept, those that were not, and how many of the first were found out."""
+        """Returns the subjects that were written, those that were not, and the number of commits."""
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         opener = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
         fault, disk.fault = disk.fault, ""
-        store = SqliteStore(Path("/a.db"), opener)  # a start that fails is told at once
+        store = SqliteStore(Path("/a.db"), opener)  # opened without faults: only writes are tested
         disk.fault = fault
         store.writer.checkpoint_pages = store.writer.longest_log_pages = 20
         kept, never, late = [], [], []
@@ -313,15 +315,15 @@
     run(test())
 
 
-# Writes on and on, and prints what it was told is kept: WRITER DATA [DSN].
+# A program that writes in a loop and prints the number of each confirmed write: WRITER DATA [DSN].
 WRITER = """
 import asyncio, sys
 from pathlib import Path
 from ironscale.agent.store_setup import open_store
-from ironscale.operator_file import Agent
+from ironscale.operator_file import AgentConfig
 async def main():
     data = Path(sys.argv[1])
-    store = await open_store(Agent(data=data, postgresql="".join(sys.argv[2:])), data, print, print)
+    store = await open_store(AgentConfig(data=data, postgresql="".join(sys.argv[2:])), data, print, print)
     while True:
         n = await store.write(lambda r: r.next_fence())
         await store.write(lambda r: r.audit(n, "w", "step", str(n), "done"))
@@ -330,7 +332,7 @@
 """
 
 
-def test_what_was_told_as_kept_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
+def test_confirmed_writes_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     for turn in range(6):
         writer = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path)], cwd=ROOT,
                                   stdout=subprocess.PIPE, text=True)
--- a/tests/agent/test_upstream_polling.py
+++ b/tests/agent/test_upstream_polling.py
@@ -1,4 +1,4 @@
-"""Budgets of upstreams at the agent, by what its instances see of them."""
+"""Disruption budgets of upstreams at the agent, computed from what its instances report about them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 ONE = Budget("nodes", UnitKind.UPSTREAM, number=1)
 
 
-class Nodes:
-    """The truth of some upstreams, as all instances see it; `states` says otherwise of some."""
+class ReportedUpstreams:
+    """Upstreams as all instances report them. Tests change `states` and `warmth`."""
 
     def __init__(self, found: AgentScene, count: int = 4) -> None:
         self.states: dict[str, str] = {f"n{i}": "ready" for i in range(count)}
@@ -35,16 +35,16 @@
 
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_polling, "EVERY_S", 0.02)
+    monkeypatch.setattr(upstream_polling, "POLL_INTERVAL_S", 0.02)
     monkeypatch.setitem(ledger.SETTLE_MS, UnitKind.UPSTREAM, 100)
 
 
 @pytest.mark.usefixtures("soon")
-def test_one_upstream_at_a_time_goes_out_and_the_next_once_most_have_seen_it_back(tmp_path: Path) -> None:
+def test_one_upstream_is_out_at_a_time_and_the_next_waits_until_most_see_it_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(5)
-            nodes, permits = Nodes(found), found.engine.permits
+            nodes, permits = ReportedUpstreams(found), found.engine.permits
             await until(lambda: [s.out for s in permits.ledger.observations.values()].count(0.0) == 9)
             first = await permits.request("ann", "a", ["upstream/n0"], "disk", 0, 60_000)
             second = await permits.request("bob", "b", ["upstream/n1"], "", 0, 60_000)
@@ -52,7 +52,7 @@
             nodes.states["n0"] = "draining"
             await until(lambda: permits.ledger.observations["upstream/n0"].reason == "draining by 5 of 5")
             await permits.give_back("ann", first.id, False)
-            nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back, and cold: so much of it is still out
+            nodes.states["n0"], nodes.warmth["n0"] = "ready", 0.4  # back but cold: 60% still counts as out
             await until(lambda: permits.ledger.observations["upstream/n0"].reason == "cold, 40%")
             assert permits.ledger.permits[second.id].phase is Phase.WAITING
             nodes.warmth.clear()
@@ -63,18 +63,18 @@
 
 
 @pytest.mark.usefixtures("soon")
-def test_upstreams_lost_and_replaced_count_until_they_are_known_to_have_gone(tmp_path: Path) -> None:
+def test_lost_upstreams_count_against_the_budget_until_they_are_known_to_be_gone(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, budgets=(ONE,)) as found:
             await found.start_many(4)
-            nodes, engine = Nodes(found), found.engine
+            nodes, engine = ReportedUpstreams(found), found.engine
             sights = engine.permits.ledger.observations
             await until(lambda: "upstream/n3" in sights and sights["upstream/n3"].out == 0.0)
-            nodes.states["n0"] = "draining"  # told to go, then gone: none any more
+            nodes.states["n0"] = "draining"  # drained and then gone: no longer counted
             await until(lambda: sights["upstream/n0"].out == 1.0)
             del nodes.states["n0"]
             await until(lambda: "upstream/n0" not in sights)
-            del nodes.states["n1"]  # gone without being told
+            del nodes.states["n1"]  # gone without having drained
             await until(lambda: sights["upstream/n1"].reason == "not listed by 4 of 4")
             assert (await engine.permits.request("ann", "k", ["upstream/n2"], "", 0, 60_000)).phase is Phase.WAITING
             with pytest.raises(Refusal, match="it can be forgotten once it is gone there"):
@@ -89,7 +89,7 @@
     run(test)
 
 
-def test_a_real_sidecar_tells_what_an_agent_needs_of_each_upstream() -> None:
+def test_a_real_sidecar_reports_what_the_agent_needs_of_each_upstream() -> None:
     from ironscale.control.instance import SidecarInstance
     from ironscale.disruption.evidence import upstream_view
     from ironscale.standins.upstream import Peer
--- a/tests/agent/test_versions.py
+++ b/tests/agent/test_versions.py
@@ -1,4 +1,4 @@
-"""Published versions in the record of an agent, on both stores."""
+"""Published versions in the agent's store, in SQLite and in PostgreSQL."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import pytest
 
 from ironscale.agent.postgres import PostgresStore
-from ironscale.agent.publishing import AT_ONCE, Publisher
+from ironscale.agent.publishing import MAX_CONCURRENT_WRITES, Publisher
 from ironscale.agent.refusal import Refusal
 from ironscale.agent.sqlite import SqliteStore
 from ironscale.agent.store import Records, StoreError
@@ -36,7 +36,7 @@
 )
 from ironscale.versions.publishing import Draft
 from tests.agent.agent_harness import run, scene, until
-from tests.agent.test_postgres import Vanishes, hosts, store_on
+from tests.agent.test_postgres import ServerLostAtCommit, hosts, store_on
 from tests.deployed import ROOT
 
 SCOPES = [ALL, *map(parse_scope, ("region=r", "zone=a", "zone=b", "service=s", "instance=i"))]
@@ -72,7 +72,7 @@
 
 
 @both
-def test_numbers_have_no_holes_and_what_failed_leaves_none(kind: str, tmp_path: Path) -> None:
+def test_version_numbers_have_no_gaps_even_after_failed_writes(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             assert await store.read(lambda r: r.lineage()) == ""
@@ -94,10 +94,10 @@
 
 @both
 @pytest.mark.parametrize("seed", range(6))
-def test_who_follows_the_record_from_anywhere_has_what_the_whole_log_says(
+def test_a_follower_at_any_position_ends_with_the_state_of_the_whole_log(
     kind: str, seed: int, tmp_path: Path
 ) -> None:
-    """Versions, ends of scopes and compactions by chance; followers look now and then, some of them hardly ever."""
+    """Random versions, removals and compactions; followers read at random times, some of them rarely."""
     chance = random.Random(seed)
 
     async def test() -> None:
@@ -126,7 +126,7 @@
 
 
 @both
-def test_what_is_compacted_is_what_nothing_in_the_kept_history_needs(kind: str, tmp_path: Path) -> None:
+def test_compaction_deletes_only_what_the_retained_history_does_not_need(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             zone, service = parse_scope("zone=a"), parse_scope("service=s")
@@ -140,26 +140,26 @@
                 return [p.entry.version for p in await store.read(lambda r: r.versions(99, 99))]
 
             assert await store.write(lambda r: r.compact_versions(8, 0)) == 0
-            # six are kept: of before them what was in force then, as a way back from the first change needs it
+            # Six are retained, plus what was in force before them, which a restore of the first change needs.
             assert await store.write(lambda r: r.compact_versions(6, 0)) == 0 and 2 in await numbers()
             assert await store.write(lambda r: r.compact_versions(5, 0)) == 1
             assert await numbers() == [8, 7, 6, 5, 4, 3, 2]
             assert (await store.read(lambda r: r.version_change(3, lineage))).is_snapshot is False
-            # by age alike; that the service has none is no longer told, so who may not know gets the whole
+            # The same by age. The removal of the service's overlay is deleted, so an older follower gets a snapshot.
             assert await store.write(lambda r: r.compact_versions(99, 7)) == 3 and await numbers() == [8, 7, 6, 3]
             late = await store.read(lambda r: r.version_change(4, lineage))
             assert late.is_snapshot and late.floor == 5 and [e.version for e in late.entries] == [3, 8]
             fresh = await store.read(lambda r: r.version_change(5, lineage))
             assert not fresh.is_snapshot and [e.version for e in fresh.entries] == [8]
             assert await store.write(lambda r: r.compact_versions(0, 99)) == 2 and await numbers() == [8, 3]
-            assert (await store.write(add(service, {}))).version == 9  # a number is never given again
+            assert (await store.write(add(service, {}))).version == 9  # a number is never issued twice
             assert (await store.read(lambda r: r.version(9))).entry.base == 0  # type: ignore[union-attr]
 
     run(test)
 
 
 @both
-def test_of_another_lineage_or_ahead_of_the_log_everything_is_told(kind: str, tmp_path: Path) -> None:
+def test_a_follower_of_another_lineage_or_ahead_of_the_log_gets_a_snapshot(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             empty = await store.read(lambda r: r.version_change(0, ""))
@@ -177,11 +177,11 @@
     run(test)
 
 
-def test_a_commit_between_two_looks_of_a_follower_leaves_no_scope_out() -> None:
+def test_a_commit_between_two_reads_of_a_follower_omits_no_scope() -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
-            reader.holder.follows = True
+            reader.owner_worker.is_read_only = True
             for n in range(2):
                 await leader.write(add(ALL, {"n": n}))
             lineage = await leader.read(lambda r: r.lineage())
@@ -202,11 +202,11 @@
     run(test)
 
 
-def test_an_end_that_is_compacted_between_two_looks_of_a_follower_is_told_by_a_snapshot() -> None:
+def test_a_removal_compacted_between_two_reads_of_a_follower_leads_to_a_snapshot() -> None:
     async def test() -> None:
         data, zone = Data(), parse_scope("zone=a")
         async with hosts(data, data) as (one, other), store_on(one) as leader, store_on(other) as reader:
-            reader.holder.follows = True
+            reader.owner_worker.is_read_only = True
             for scope, overlay in ((ALL, {"n": 1}), (zone, {"n": 2}), (zone, None)):
                 await leader.write(add(scope, overlay))
             lineage = await leader.read(lambda r: r.lineage())
@@ -230,8 +230,8 @@
 # Publishing
 
 
-class Heard:
-    """Who serves: what it was told, and what the record had confirmed by then."""
+class RecordedChanges:
+    """Records the changes that the publisher sent, and what the store had confirmed by then."""
 
     def __init__(self) -> None:
         self.view, self.positions = View(), list[int]()
@@ -241,16 +241,16 @@
         self.positions.append(change.position)
 
 
-async def publisher_on(store: SqliteStore | PostgresStore) -> tuple[Publisher, Heard]:
-    made, heard = Publisher(store, lambda: 5_000, lambda text: None, lambda: None), Heard()
+async def publisher_on(store: SqliteStore | PostgresStore) -> tuple[Publisher, RecordedChanges]:
+    made, heard = Publisher(store, lambda: 5_000, lambda text: None, lambda: None), RecordedChanges()
     await made.load()
     heard(await store.read(lambda records: records.version_change(0, "")))
-    made.published = heard
+    made.on_published = heard
     return made, heard
 
 
 def commits(store: SqliteStore | PostgresStore) -> int:
-    return store.holder.commits if isinstance(store, PostgresStore) else store.writer.commits
+    return store.owner_worker.commits if isinstance(store, PostgresStore) else store.writer.commits
 
 
 def draft(scope: str, overlay: Any, base: int, **more: Any) -> Draft:
@@ -263,7 +263,7 @@
 
 
 @both
-def test_of_operators_upon_one_base_exactly_one_wins_and_the_others_are_told_who(kind: str, tmp_path: Path) -> None:
+def test_of_concurrent_publishes_on_one_base_exactly_one_succeeds(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -274,7 +274,7 @@
             assert {refusal_of(found) for found in results if isinstance(found, BaseException)} == {"CONFLICT"}
             problem = next(found for found in results if isinstance(found, Refusal))
             assert problem.details["newest"] == 1 and problem.details["actor"] == won[0][0].entry.actor
-            # another scope's base is its own
+            # Each scope has its own base.
             other, made = await publisher.publish("ann", draft("zone=b", {}, 0))
             assert made and other.entry.version == 2
 
@@ -282,15 +282,15 @@
 
 
 @both
-def test_fifty_in_a_second_are_fifty_versions_told_in_their_order(kind: str, tmp_path: Path) -> None:
+def test_fifty_concurrent_publishes_make_fifty_versions_sent_in_order(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
             before = commits(store)
             await asyncio.gather(*(publisher.publish("ann", draft(f"service=s{n}", {"n": n}, 0), f"key {n}")
                                    for n in range(50)))
-            # not as one transaction, which has an end of its own and would take them all along
-            assert commits(store) - before >= 50 // AT_ONCE
+            # Not in one transaction: that could exceed its time limit, and all of them would fail.
+            assert commits(store) - before >= 50 // MAX_CONCURRENT_WRITES
             assert heard.positions == list(range(51)) and len(heard.view.entries) == 50
             events = await store.read(lambda r: r.events(0, 99))
             assert [e.subject for e in events] == [f"version {n}" for n in range(1, 51)]
@@ -299,7 +299,7 @@
 
 
 @both
-def test_a_key_makes_one_version_and_no_other_mutation(kind: str, tmp_path: Path) -> None:
+def test_an_idempotency_key_makes_one_version_and_no_other_mutation(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -314,13 +314,13 @@
             with pytest.raises(Refusal) as found:
                 await publisher.restore("ann", 1, 2, "k")
             assert found.value.code == "KEY_REUSED"
-            assert (await publisher.publish("bob", draft("all", {"n": 1}, 2), "k"))[1]  # each has keys of their own
+            assert (await publisher.publish("bob", draft("all", {"n": 1}, 2), "k"))[1]  # keys are separate per actor
 
     run(test)
 
 
 @both
-def test_what_can_not_be_is_refused_in_one_line_and_leaves_nothing(kind: str, tmp_path: Path) -> None:
+def test_invalid_publishes_are_refused_in_one_line_and_change_nothing(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -353,7 +353,7 @@
 
 
 @both
-def test_a_halt_bars_what_is_new_and_lets_ways_back_through(kind: str, tmp_path: Path) -> None:
+def test_a_halt_blocks_new_versions_and_allows_restores(kind: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of(kind, tmp_path) as store:
             publisher, _ = await publisher_on(store)
@@ -367,7 +367,7 @@
                 assert found.value.code == "HALTED"
             back, _ = await publisher.restore("ann", 1, 2, note="bad")
             assert (back.entry.version, back.entry.overlay, back.entry.restores, back.entry.base) == (4, {"n": 1}, 1, 2)
-            none, _ = await publisher.publish("ann", draft("zone=a", None, 3))  # it had none before
+            none, _ = await publisher.publish("ann", draft("zone=a", None, 3))  # the scope had no overlay before
             assert none.entry.overlay is None
             with pytest.raises(Refusal, match="which is in force"):
                 await publisher.restore("ann", 4, 4)
@@ -376,7 +376,7 @@
     run(test)
 
 
-def test_what_an_instance_runs_is_told_with_what_it_comes_of(tmp_path: Path) -> None:
+def test_the_effective_configuration_is_returned_with_its_layers(tmp_path: Path) -> None:
     async def test() -> None:
         async with store_of("sqlite", tmp_path) as store:
             publisher, heard = await publisher_on(store)
@@ -394,14 +394,14 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_an_outcome_that_is_not_known_is_told_to_nobody_before_it_is_and_found_by_its_key(stands: bool) -> None:
+def test_a_version_with_an_unknown_outcome_is_sent_to_nobody_and_found_by_its_key(stands: bool) -> None:
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             publisher, heard = await publisher_on(store)
             await publisher.publish("ann", draft("all", {"n": 1}, 0))
-            store.resolve_s = 0.05
-            host.hook = Vanishes(host, "agent_versions", stands)
+            store.resolve_timeout_s = 0.05
+            host.hook = ServerLostAtCommit(host, "agent_versions", stands)
             with pytest.raises(StoreError) as found:
                 await publisher.publish("ann", draft("all", {"n": 2}, 1), "k")
             assert found.value.code == "UNKNOWN" and heard.positions == [0, 1]
@@ -418,10 +418,10 @@
 
 
 @pytest.mark.parametrize(("fatal", "kept", "told"), [(1, 0, 0), (2, 1, 0), (3, 1, 1), (4, 1, 1)])
-def test_killed_at_this_step_it_is_one_version_by_its_key_and_what_was_told_is_kept(
+def test_a_publisher_killed_at_any_step_makes_one_version_and_loses_none_that_was_sent(
     fatal: int, kept: int, told: int, tmp_path: Path
 ) -> None:
-    """The last one lives: every step has been one to die at."""
+    """The last case has no such step, so the publisher survives: every step is covered."""
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "tests.agent.killed_publisher", str(tmp_path), str(fatal), cwd=ROOT,
@@ -431,14 +431,14 @@
         async with store_of("sqlite", tmp_path) as store:
             assert len(await store.read(lambda r: r.versions(99, 9))) == kept
             publisher, heard = await publisher_on(store)
-            assert heard.view.position == kept  # who leads next tells it, though nobody was told before
+            assert heard.view.position == kept  # the next leader sends it, though nobody got it before
             again, made = await publisher.publish("ann", draft("all", {"n": 1}, 0), "k")
             assert (again.entry.version, made, heard.view.position) == (1, not kept, 1)
 
     run(test)
 
 
-def test_the_log_is_made_once_by_who_leads_and_goes_on_after_a_restart(tmp_path: Path) -> None:
+def test_the_leader_creates_the_log_once_and_continues_it_after_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         lineages = []
         for start in range(2):
@@ -452,7 +452,7 @@
     run(test)
 
 
-def test_the_history_is_bounded_and_a_scope_more_than_may_be_is_refused(
+def test_the_history_and_the_number_of_scopes_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -466,7 +466,7 @@
             assert found.value.code == "FULL"
             await publisher.publish("ann", draft("zone=0", None, 1))
             publisher.keep = 0
-            assert await publisher.compact() == 2  # the version and its end
+            assert await publisher.compact() == 2  # the version and its removal
             await publisher.publish("ann", draft("all", {}, 0))
 
     run(test)
@@ -481,7 +481,7 @@
     return str(body["errors"][0]["extensions"]["code"])
 
 
-def test_operators_publish_look_and_go_back_by_the_api(tmp_path: Path) -> None:
+def test_operators_publish_query_and_restore_through_the_api(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path / "data") as s:
             made = "mutation($i: PublishInput!) { publish(input: $i) { %s } }" % VERSION  # noqa: UP031
@@ -556,7 +556,7 @@
         return [One("h:1"), One("h:2", False, 9_000)]
 
 
-def test_who_serves_and_who_differs_is_told_also_while_the_record_is_away(tmp_path: Path) -> None:
+def test_served_and_differing_instances_are_reported_even_without_the_store(tmp_path: Path) -> None:
     query = ("{ served { position agents { agent known heardMs ageMs position instances more "
              "positions { position instances } differing { name running status detail } } } }")
 
