--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sql import SqlRecords, Transaction
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term
-from ironscale.record.model import Cause, Knowledge, Trouble
+from ironscale.record.model import Cause, WriteOutcome, Trouble
 from ironscale.record.worker import Worker
 
 T = TypeVar("T")
@@ -109,7 +109,7 @@
             self.renewed()
             return result
         except Trouble as found:
-            if found.knowledge is not Knowledge.NOT_KNOWN:
+            if found.knowledge is not WriteOutcome.NOT_KNOWN:
                 raise told(found) from found
             await self._settled(write, found)
             return write.result  # type: ignore[no-any-return]
@@ -132,7 +132,7 @@
             raise StoreError("UNKNOWN", f"{found}; whether it stands is not known yet; look again once the record is "
                                         "back") from found
         if not write.stands:
-            raise told(Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
+            raise told(Trouble(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
         """Asks until it is told, then tells all who wait, and lets writes go on."""
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -16,7 +16,7 @@
 import apsw
 
 from ironscale.record.errors import Step, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, Knowledge, Trouble
+from ironscale.record.model import Cause, WriteOutcome, Trouble
 from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
 from ironscale.threads import start_thread
 
@@ -62,10 +62,10 @@
         found = int(connection.pragma("application_id"))
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchall()[0][0]
         if owner and found != owner and (found or version or tables):
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE,
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
                           f"{path}: expected a store of record, got another program's database; {instead}", "FOREIGN")
         if version > schema:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
                           f"{version}; start the newer program, or {instead}", "NEWER")
         if version < schema:
             for statement in statements(version):
@@ -114,7 +114,7 @@
                 # 0600 from its first byte: SQLite gives its side files the mode of the database
                 os.close(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600))
         except OSError as error:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
                           f"{error.strerror}", "SQLITE_CANTOPEN") from error
         deadline = time.monotonic() + self.busy_ms / 1000
         while True:
@@ -133,7 +133,7 @@
             connection.create_scalar_function("now_ms", lambda *_: course_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
-                raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
+                raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
                               "got one that could be opened for reading only", "SQLITE_READONLY")
             if self.exclusive:
                 connection.execute("PRAGMA locking_mode = EXCLUSIVE").fetchall()
@@ -231,14 +231,14 @@
             if opened is not None:
                 self._after_error(opened, None)
             return fated(group, [], Trouble(
-                Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
+                WriteOutcome.NOT_KNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.opener.path}: {type(error).__name__}: {error}"))
 
     def _after_error(self, opened: apsw.Connection, found: Trouble | None) -> None:
         try:
             if opened.in_transaction:
                 opened.execute("ROLLBACK")
-            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.knowledge is Knowledge.NEVER_RAN
+            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.knowledge is WriteOutcome.NEVER_RAN
         except apsw.Error:
             keep = False
         if not keep:
--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -9,7 +9,7 @@
 
 import enum
 
-from ironscale.record.model import Cause, Knowledge
+from ironscale.record.model import Cause, WriteOutcome
 
 
 class Step(enum.Enum):
@@ -20,18 +20,18 @@
     COMMIT = "commit"  # COMMIT may have left this machine
 
 
-def knowledge(step: Step, sqlstate: str, severity: str) -> Knowledge:
+def knowledge(step: Step, sqlstate: str, severity: str) -> WriteOutcome:
     """PostgreSQL. Before COMMIT was sent nothing can be committed; what came after counts as not known unless the
     server says that it has rolled back. Unheard-of codes count as not known."""
     if step is not Step.COMMIT:
-        return Knowledge.NEVER_RAN
+        return WriteOutcome.NEVER_RAN
     # FATAL and PANIC end the connection: they may come behind the commit itself
     if severity != "ERROR" or not sqlstate:
-        return Knowledge.NOT_KNOWN
+        return WriteOutcome.NOT_KNOWN
     if sqlstate in ("40003", "08007"):  # statement completion unknown, transaction resolution unknown
-        return Knowledge.NOT_KNOWN
+        return WriteOutcome.NOT_KNOWN
     # 22, 23: checks made at the commit; 25: the transaction had failed; 40: rolled back, by the code's own word
-    return Knowledge.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else Knowledge.NOT_KNOWN
+    return WriteOutcome.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else WriteOutcome.NOT_KNOWN
 
 
 def cause(step: Step, sqlstate: str) -> Cause:
@@ -55,12 +55,12 @@
                              "SQLITE_SCHEMA", "SQLITE_ERROR", "SQLITE_MISMATCH", "SQLITE_TOOBIG"))
 
 
-def sqlite_knowledge(step: Step, name: str) -> Knowledge:
+def sqlite_knowledge(step: Step, name: str) -> WriteOutcome:
     """SQLite; `name` is the primary result code's. A busy COMMIT leaves the transaction open to be rolled back; any
     other error of a COMMIT may have left its frames in the log."""
     if step is not Step.COMMIT or name in ("SQLITE_BUSY", "SQLITE_CONSTRAINT"):
-        return Knowledge.NEVER_RAN
-    return Knowledge.NOT_KNOWN
+        return WriteOutcome.NEVER_RAN
+    return WriteOutcome.NOT_KNOWN
 
 
 def sqlite_cause(name: str) -> Cause:
--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -26,7 +26,7 @@
     FENCED = "fenced"  # a mark lies under its attempt: it was given up, and has never run
 
 
-class Knowledge(enum.Enum):
+class WriteOutcome(enum.Enum):
     """What is known of a write that ended in an error."""
 
     NEVER_RAN = "never ran"  # and never will
@@ -47,7 +47,7 @@
 class Trouble(Exception):
     """A store that did not do what it was asked; the text is one line without secrets."""
 
-    def __init__(self, knowledge: Knowledge, cause: Cause, text: str, code: str = "") -> None:
+    def __init__(self, knowledge: WriteOutcome, cause: Cause, text: str, code: str = "") -> None:
         super().__init__(" ".join(text.split()))
         self.knowledge = knowledge
         self.cause = cause
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -20,7 +20,7 @@
 from psycopg import conninfo
 
 from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Entry, Knowledge, Trouble, Verdict, Written, judge
+from ironscale.record.model import Cause, Entry, WriteOutcome, Trouble, Verdict, Written, judge
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
 T = TypeVar("T")
@@ -146,11 +146,11 @@
         """Raises Trouble where the server has rolled back in place of it."""
         assert self.connection is not None
         if self.given_up:  # hazard: who asked has been told that it never ran
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
         self.step = Step.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
-            raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
         self.step = Step.WORK
 
 
@@ -194,7 +194,7 @@
         ending = loop.create_task(self._end(turn, task))
         self.turns.add(ending)
         ending.add_done_callback(self.turns.discard)
-        known = Knowledge.NOT_KNOWN if turn.step is Step.COMMIT else Knowledge.NEVER_RAN
+        known = WriteOutcome.NOT_KNOWN if turn.step is Step.COMMIT else WriteOutcome.NEVER_RAN
         raise Trouble(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
@@ -202,7 +202,7 @@
         loop = asyncio.get_running_loop()
         async with self.connections.room:
             if turn.given_up:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
+                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
                               "TIMEOUT")
             try:
                 turn.connection = connection = await self.connections.take(until - loop.time())
@@ -277,7 +277,7 @@
                 return judge(entry, state, attempt, text, bytes(answer))
             await turn.execute(SQL.free_slot, (entry.slot,))
         await turn.execute("ROLLBACK")
-        raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
 
     async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
         if await turn.execute(SQL.void, (attempt,)):
@@ -286,7 +286,7 @@
         found = await turn.execute(SQL.by_attempt, (attempt,))
         await turn.execute("ROLLBACK")
         if not found:  # the mark of another question was rolled back, or pruned, in between
-            raise Trouble(Knowledge.NOT_KNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
+            raise Trouble(WriteOutcome.NOT_KNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from ironscale.record.journal import Journal, Open
-from ironscale.record.model import Cause, Entry, Knowledge, Store, Trouble
+from ironscale.record.model import Cause, Entry, WriteOutcome, Store, Trouble
 from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
 
 MOST_OPEN = 10_000  # attempts that are out or not known; what comes beyond is not begun
@@ -61,7 +61,7 @@
         handle = Handle(self, entry, Attempt(due), on_told)
         if len(self.handles) >= MOST_OPEN:
             handle.plan.failed(self.loop.time(), Trouble(
-                Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{MOST_OPEN} attempts are open already", "OPEN"))
+                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MOST_OPEN} attempts are open already", "OPEN"))
             self.loop.call_soon(handle.tell)
             return handle
         task = self.loop.create_task(self.run(handle))
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -12,7 +12,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from ironscale.record.model import Cause, Knowledge, Trouble, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict, Written
 
 RESERVE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
 MOST_RESERVE_S = 0.5
@@ -78,7 +78,7 @@
     def failed(self, now: float, trouble: Trouble) -> Next:
         """The write ended in an error."""
         self.note(trouble)
-        if trouble.knowledge is Knowledge.NEVER_RAN:
+        if trouble.knowledge is WriteOutcome.NEVER_RAN:
             self.told, self.cause, self.detail = Told.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
         self.cause = trouble.cause
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import history_check, recorder
-from ironscale.record.model import Cause, Entry, Knowledge, Row, Trouble, Written
+from ironscale.record.model import Cause, Entry, WriteOutcome, Row, Trouble, Written
 from ironscale.record.postgres import PostgresStore, Turn
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
@@ -188,7 +188,7 @@
         try:
             return await super().write(one, until)
         except Trouble as trouble:
-            raise Trouble(Knowledge.NEVER_RAN, trouble.cause, str(trouble)) from None
+            raise Trouble(WriteOutcome.NEVER_RAN, trouble.cause, str(trouble)) from None
 
 
 class RetriesAfterCommit(PostgresStore):
@@ -198,7 +198,7 @@
         try:
             return await super().write(one, until)
         except Trouble as trouble:
-            if trouble.knowledge is not Knowledge.NOT_KNOWN:
+            if trouble.knowledge is not WriteOutcome.NOT_KNOWN:
                 raise
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
@@ -292,7 +292,7 @@
 def test_a_store_that_turns_everything_away_is_told_at_once() -> None:
     class Away(PostgresStore):
         async def write(self, one: Entry, until: float) -> Written:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, "full")
+            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
 
     async def test() -> None:
         async with scene() as (plain, _):
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ironscale.record import history_check
-from ironscale.record.model import Entry, Knowledge, Row, Trouble
+from ironscale.record.model import Entry, WriteOutcome, Row, Trouble
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import SqliteStore
 from tests.record.disk import Disk, Vfs
@@ -102,7 +102,7 @@
         disk.fault, disk.at, disk.times = "sync", 0, 1
         with pytest.raises(Trouble, match="SQLITE_IOERR") as found:
             await store.write(entry("lost"))
-        assert found.value.knowledge is Knowledge.NOT_KNOWN
+        assert found.value.knowledge is WriteOutcome.NOT_KNOWN
         await store.write(entry())
         assert store.writer.connection is not before
         await store.close()
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -12,14 +12,14 @@
 import pytest
 
 from ironscale.record import postgres
-from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
+from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict
 from ironscale.record.postgres import Access, PostgresStore, SettingError, Turn, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import Fault, Gate, dsn, scene, written
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
-NEVER, UNKNOWN = Knowledge.NEVER_RAN, Knowledge.NOT_KNOWN
+NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.NOT_KNOWN
 LONG = 20.0
 
 
@@ -208,7 +208,7 @@
     ("insert", "57P01", "FATAL", NEVER, Cause.TURNED_AWAY), ("insert", "53100", "ERROR", NEVER, Cause.TURNED_AWAY),
     ("insert", "42501", "ERROR", NEVER, Cause.UNUSABLE), ("commit", "58030", "ERROR", UNKNOWN, Cause.BROKEN),
 ])
-def test_the_servers_word_is_judged_by_where_it_comes(kind: str, code: str, severity: str, known: Knowledge,
+def test_the_servers_word_is_judged_by_where_it_comes(kind: str, code: str, severity: str, known: WriteOutcome,
                                                       cause: Cause) -> None:
     async def test() -> None:
         async with scene() as (store, (host,)):
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -20,7 +20,7 @@
 
 from ironscale.record import database, sqlite
 from ironscale.record.database import Opener, Transaction
-from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
+from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
 from tests.record.samples import again, entry
@@ -151,10 +151,10 @@
         await reached(stalled)
         with pytest.raises(Trouble) as second:
             await store.write(waiting, await soon(0.05))
-        assert (second.value.knowledge, second.value.cause) == (Knowledge.NEVER_RAN, Cause.TIMEOUT)
+        assert (second.value.knowledge, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
         with pytest.raises(Trouble) as unknown:
             await first
-        assert unknown.value.knowledge is Knowledge.NOT_KNOWN
+        assert unknown.value.knowledge is WriteOutcome.NOT_KNOWN
         stalled.go.set()
         assert await store.ask(held.attempt) == held.answer  # it came late, and it did run
         assert await store.ask(waiting.attempt) is None
@@ -173,7 +173,7 @@
         await asyncio.sleep(0)
         with pytest.raises(Trouble, match="5 writes wait already") as full:
             await store.write(entry())
-        assert (full.value.knowledge, full.value.cause) == (Knowledge.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (full.value.knowledge, full.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         stalled.go.set()
         await first
         assert all(one.verdict is Verdict.WRITTEN for one in await asyncio.gather(*waiting))
@@ -190,7 +190,7 @@
         other.execute("BEGIN IMMEDIATE")
         with pytest.raises(Trouble, match="another process writes it") as busy:
             await store.write(entry("b"))
-        assert (busy.value.knowledge, busy.value.cause) == (Knowledge.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (busy.value.knowledge, busy.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         other.execute("ROLLBACK")
         assert (await store.write(entry("b"))).verdict is Verdict.WRITTEN
         other.close()
@@ -232,7 +232,7 @@
         store = SqliteStore(path)
         with pytest.raises(Trouble, match="r.db: ") as found:
             await store.write(entry())
-        assert found.value.code == code and found.value.knowledge is Knowledge.NEVER_RAN
+        assert found.value.code == code and found.value.knowledge is WriteOutcome.NEVER_RAN
         assert found.value.cause is Cause.UNUSABLE and "\n" not in str(found.value)
         await store.close()
 
@@ -453,7 +453,7 @@
         store.path.write_bytes(data)
         with pytest.raises(Trouble, match="SQLITE_CORRUPT") as found:
             if wrong := verify(store.path)[1]:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
+                raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
         assert found.value
 
     run(test())
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -8,11 +8,11 @@
 
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, Knowledge, Row, Trouble, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, Row, Trouble, Verdict, Written
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
 
-NEVER, UNKNOWN = Knowledge.NEVER_RAN, Knowledge.NOT_KNOWN
+NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.NOT_KNOWN
 
 
 @pytest.mark.parametrize(("step", "code", "severity", "expected"), [
@@ -26,7 +26,7 @@
     (Step.COMMIT, "40001", "ERROR", NEVER), (Step.COMMIT, "23505", "ERROR", NEVER),
     (Step.COMMIT, "25P02", "ERROR", NEVER), (Step.COMMIT, "40001", "FATAL", UNKNOWN),
 ])
-def test_what_an_sqlstate_says_of_a_write(step: Step, code: str, severity: str, expected: Knowledge) -> None:
+def test_what_an_sqlstate_says_of_a_write(step: Step, code: str, severity: str, expected: WriteOutcome) -> None:
     assert knowledge(step, code, severity) is expected
 
 
@@ -52,7 +52,7 @@
 # The plan
 
 
-def lost(what: Knowledge = UNKNOWN) -> Trouble:
+def lost(what: WriteOutcome = UNKNOWN) -> Trouble:
     return Trouble(what, Cause.BROKEN, "it broke\nin two lines", "X")
 
 
