--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -155,7 +155,7 @@
         except (psycopg.Error, OSError, Trouble) as error:
             found = error if isinstance(error, Trouble) else self._trouble(error, step)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
-            found = Trouble(WriteOutcome.NOT_KNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+            found = Trouble(WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
         return fated(group, done, found)
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -231,7 +231,7 @@
             if opened is not None:
                 self._after_error(opened, None)
             return fated(group, [], Trouble(
-                WriteOutcome.NOT_KNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+                WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.opener.path}: {type(error).__name__}: {error}"))
 
     def _after_error(self, opened: apsw.Connection, found: Trouble | None) -> None:
--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -27,11 +27,11 @@
         return WriteOutcome.NEVER_RAN
     # FATAL and PANIC end the connection: they may come behind the commit itself
     if severity != "ERROR" or not sqlstate:
-        return WriteOutcome.NOT_KNOWN
+        return WriteOutcome.UNKNOWN
     if sqlstate in ("40003", "08007"):  # statement completion unknown, transaction resolution unknown
-        return WriteOutcome.NOT_KNOWN
+        return WriteOutcome.UNKNOWN
     # 22, 23: checks made at the commit; 25: the transaction had failed; 40: rolled back, by the code's own word
-    return WriteOutcome.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else WriteOutcome.NOT_KNOWN
+    return WriteOutcome.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else WriteOutcome.UNKNOWN
 
 
 def cause(step: Step, sqlstate: str) -> Cause:
@@ -60,7 +60,7 @@
     other error of a COMMIT may have left its frames in the log."""
     if step is not Step.COMMIT or name in ("SQLITE_BUSY", "SQLITE_CONSTRAINT"):
         return WriteOutcome.NEVER_RAN
-    return WriteOutcome.NOT_KNOWN
+    return WriteOutcome.UNKNOWN
 
 
 def sqlite_cause(name: str) -> Cause:
--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -30,7 +30,7 @@
     """What is known of a write that ended in an error."""
 
     NEVER_RAN = "never ran"  # and never will
-    NOT_KNOWN = "not known"  # it may have been committed, or may yet be
+    UNKNOWN = "not known"  # it may have been committed, or may yet be
 
 
 class Cause(enum.Enum):
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -194,7 +194,7 @@
         ending = loop.create_task(self._end(turn, task))
         self.turns.add(ending)
         ending.add_done_callback(self.turns.discard)
-        known = WriteOutcome.NOT_KNOWN if turn.step is Step.COMMIT else WriteOutcome.NEVER_RAN
+        known = WriteOutcome.UNKNOWN if turn.step is Step.COMMIT else WriteOutcome.NEVER_RAN
         raise Trouble(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
@@ -286,7 +286,7 @@
         found = await turn.execute(SQL.by_attempt, (attempt,))
         await turn.execute("ROLLBACK")
         if not found:  # the mark of another question was rolled back, or pruned, in between
-            raise Trouble(WriteOutcome.NOT_KNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
+            raise Trouble(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -120,7 +120,7 @@
                 job.begun = True
                 raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: its turn did not come in time",
                               "TIMEOUT")
-        raise Trouble(WriteOutcome.NOT_KNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
+        raise Trouble(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
                       "TIMEOUT")
 
     def _run(self) -> None:
@@ -148,7 +148,7 @@
             done = self.commit(group)
             # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
             self.unknown |= self.stops_at_unknown and any(
-                job.writes and isinstance(problem, Trouble) and problem.knowledge is WriteOutcome.NOT_KNOWN
+                job.writes and isinstance(problem, Trouble) and problem.knowledge is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
             self.longest_s = max(self.longest_s, time.monotonic() - began)
             for job, result, problem in done:
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -198,7 +198,7 @@
         try:
             return await super().write(one, until)
         except Trouble as trouble:
-            if trouble.knowledge is not WriteOutcome.NOT_KNOWN:
+            if trouble.knowledge is not WriteOutcome.UNKNOWN:
                 raise
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -19,7 +19,7 @@
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
-NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.NOT_KNOWN
+NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
 LONG = 20.0
 
 
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -154,7 +154,7 @@
         assert (second.value.knowledge, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
         with pytest.raises(Trouble) as unknown:
             await first
-        assert unknown.value.knowledge is WriteOutcome.NOT_KNOWN
+        assert unknown.value.knowledge is WriteOutcome.UNKNOWN
         stalled.go.set()
         assert await store.ask(held.attempt) == held.answer  # it came late, and it did run
         assert await store.ask(waiting.attempt) is None
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -12,7 +12,7 @@
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
 
-NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.NOT_KNOWN
+NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
 
 
 @pytest.mark.parametrize(("step", "code", "severity", "expected"), [
