--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sql import SqlRecords, Transaction
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term
-from ironscale.record.model import Cause, WriteOutcome, Trouble
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.worker import Worker
 
 T = TypeVar("T")
@@ -32,7 +32,7 @@
 REFUSED = ("22", "23", "42")  # SQLSTATE classes of a statement that fails again
 
 
-def told(found: Trouble) -> StoreError:
+def told(found: StoreFailure) -> StoreError:
     """What the store says, under a stable code."""
     failed = found.code.startswith("SQLITE") or found.code[:2] in REFUSED or found.cause is Cause.UNUSABLE
     return StoreError(CODES.get(found.code) or ("FAILED" if failed else "AWAY"), str(found))
@@ -108,7 +108,7 @@
             result = await self.worker.run(job)
             self.renewed()
             return result
-        except Trouble as found:
+        except StoreFailure as found:
             if found.knowledge is not WriteOutcome.UNKNOWN:
                 raise told(found) from found
             await self._settled(write, found)
@@ -119,10 +119,10 @@
     async def read(self, work: Callable[[Records], T]) -> T:
         try:
             return await self.worker.run(lambda transaction: work(SqlRecords(transaction, self.dialect)), writes=False)
-        except Trouble as found:
+        except StoreFailure as found:
             raise told(found) from found
 
-    async def _settled(self, write: _Write, found: Trouble) -> None:
+    async def _settled(self, write: _Write, found: StoreFailure) -> None:
         """Returns once it is seen to stand. Raises StoreError."""
         if write.stands is None:
             if self.resolving is None:
@@ -132,12 +132,12 @@
             raise StoreError("UNKNOWN", f"{found}; whether it stands is not known yet; look again once the record is "
                                         "back") from found
         if not write.stands:
-            raise told(Trouble(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
+            raise told(StoreFailure(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
         """Asks until it is told, then tells all who wait, and lets writes go on."""
         while True:
-            with contextlib.suppress(Trouble):
+            with contextlib.suppress(StoreFailure):
                 reached = await self.worker.run(
                     lambda transaction: self.reached(SqlRecords(transaction, self.dialect)),
                     writes=self.reaches_by_write, resolves=True)
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -25,7 +25,7 @@
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, WriteOutcome, Trouble
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.postgres import Access, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, bring_up
 from ironscale.record.worker import Done, Job, Worker, fated
@@ -113,8 +113,8 @@
         self.number = 0  # of the last transaction that wrote, whatever became of it
         self.confirmed = 0  # of the last that was confirmed
         self.commits = self.claims = 0
-        self.lost: Trouble | None = None  # the record is no longer ours: for good
-        self.on_lost: Callable[[Trouble], None] = lambda found: None  # on the thread
+        self.lost: StoreFailure | None = None  # the record is no longer ours: for good
+        self.on_lost: Callable[[StoreFailure], None] = lambda found: None  # on the thread
         self.reopens = False  # the connection is due to be made anew, with a claim
         self.follows = False  # reads what another agent writes, and claims nothing
         self.until_ms = 0.0  # of the lease, on this machine's own clock and as of before it was asked for
@@ -145,17 +145,17 @@
                 step = Step.COMMIT
                 answer = connection.execute("COMMIT").statusmessage
                 if answer != "COMMIT":
-                    raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
+                    raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
                                   "ROLLBACK")
             if writes:
                 self.commits += 1
                 self.confirmed = held.number
                 self.until_ms = held.began_ms + self.lease_ms
             return done
-        except (psycopg.Error, OSError, Trouble) as error:
-            found = error if isinstance(error, Trouble) else self._trouble(error, step)
+        except (psycopg.Error, OSError, StoreFailure) as error:
+            found = error if isinstance(error, StoreFailure) else self._trouble(error, step)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
-            found = Trouble(WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+            found = StoreFailure(WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
         return fated(group, done, found)
@@ -182,18 +182,18 @@
     def _hold(self, connection: psycopg.Connection[Any]) -> int:
         """The transaction's number, under our claim; from here on the row is held until its end."""
         if self.follows:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
         self.number += 1
         rows = connection.execute(
             f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW} + %s WHERE one = %s AND epoch = %s"
             " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
             # ours it may be still, or be less than it was: the next claim tells
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim on it has to be renewed",
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim on it has to be renewed",
                           "CLAIM")
         return self.number
 
-    def _trouble(self, error: psycopg.Error | OSError, step: Step) -> Trouble:
+    def _trouble(self, error: psycopg.Error | OSError, step: Step) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
@@ -201,7 +201,7 @@
         text = " ".join((str(error) or type(error).__name__).split())
         if self.access.password:
             text = text.replace(self.access.password, "***")
-        return Trouble(knowledge(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
+        return StoreFailure(knowledge(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
 
     def _drop(self) -> None:
         connection, self.connection = self.connection, None
@@ -246,7 +246,7 @@
         except StopIteration as done:
             answer = connection.execute("COMMIT" if done.value else "ROLLBACK").statusmessage
             if done.value and answer != "COMMIT":
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
                               "ROLLBACK") from None
 
     def _claim(self, connection: psycopg.Connection[Any]) -> None:
@@ -255,7 +255,7 @@
         (epoch, sequence, holder, place, left_ms), = connection.execute(
             f"SELECT epoch, sequence, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} has this record, "
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} has this record, "
                           f"for {left_ms / 1000:.1f} s more at least; stop that agent, or name another database",
                           "LOCKED")
         if epoch < self.epoch or sequence < self.confirmed:
@@ -267,7 +267,7 @@
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent claims this record at "
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent claims this record at "
                           "the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.confirmed = rows[0]
         self.number = max(self.number, self.confirmed)
@@ -289,7 +289,7 @@
                       "server took over that had not got them all; look at `ironscale ops`, then start the agent again")
 
     def _give_up(self, code: str, text: str) -> None:
-        self.lost = Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, text, code)
+        self.lost = StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, text, code)
         self.on_lost(self.lost)
         raise self.lost
 
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -17,7 +17,7 @@
 from ironscale.record import database
 from ironscale.record.database import Opener, Transaction, Writer, trouble
 from ironscale.record.errors import Step
-from ironscale.record.model import Cause, WriteOutcome, Trouble
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 
 BUSY_MS = 2_000
 SEQUENCE = "sequence"  # of the last write
@@ -92,7 +92,7 @@
     opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
     try:
         return opener.open()
-    except Trouble as found:
+    except StoreFailure as found:
         raise told(found) from found
     except apsw.Error as error:
         raise told(trouble(error, Step.WORK, path)) from error
@@ -138,7 +138,7 @@
     async def owner(self) -> Owner:
         try:
             return await self.worker.run(self._owner, writes=False)
-        except Trouble as found:
+        except StoreFailure as found:
             raise told(found) from found
 
     @staticmethod
@@ -155,7 +155,7 @@
         def job(transaction: Transaction) -> Term:
             owner, now_ms = self._owner(transaction), clock_ms()
             if owner.left_ms > 0 and owner.holder != claim.holder:
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} has "
                               f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
                                 " WHERE one = 1", (claim.holder, claim.place, machine(), now_ms + claim.lease_ms))
@@ -163,14 +163,14 @@
 
         try:
             self.term = await self.worker.run(job)
-        except Trouble as found:
+        except StoreFailure as found:
             raise told(found) from found
 
     async def give_up(self) -> None:
         """The next agent need not wait for the lease."""
         epoch = self.term.epoch
         if epoch:
-            with contextlib.suppress(Trouble):
+            with contextlib.suppress(StoreFailure):
                 await self.worker.run(lambda transaction: transaction.execute(
                     "UPDATE owner SET until_ms = 0 WHERE one = 1 AND epoch = ?", (epoch,)))
 
@@ -179,7 +179,7 @@
             until_ms = clock_ms() + self.claim_as.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
-                found = Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
+                found = StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
                                 "TAKEN")
                 self.on_lost(told(found))
                 raise found
--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -15,7 +15,7 @@
 
 try:
     from ironscale.record import journal, operator_queries, sqlite, store_factory
-    from ironscale.record.model import Trouble
+    from ironscale.record.model import StoreFailure
 except ImportError as error:  # the extra is not installed
     missing: str | None = str(error)
 else:
@@ -126,7 +126,7 @@
         try:
             rows += [(target.name, kind or "-", "marks" if state == "void" else "records", count)
                      for state, kind, count in operator_queries.counts(target)]
-        except Trouble as trouble:
+        except StoreFailure as trouble:
             silent.append({"store": target.name, "why": str(trouble)})
     if output == "json":
         print_json({"counts": [{"store": s, "class": k, "what": w, "count": c} for s, k, w, c in rows],
@@ -150,7 +150,7 @@
         try:
             gone = operator_queries.prune(target, int(days * 86_400_000))
             out.print(f"{target.name}: {gone:,} marks deleted", markup=False)
-        except Trouble as trouble:
+        except StoreFailure as trouble:
             silent = True
             err.print(f"{target.name}: no answer: {trouble}", markup=False)
     raise SystemExit(Exit.PARTIAL if silent else Exit.DONE)
@@ -168,7 +168,7 @@
     try:
         for target in one_of(stores_of(operator), store):
             found += [(target.name, one) for one in operator_queries.records(target, request)]
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, str(trouble))
     if not found:
         fail(Exit.FAILED, f"{request}: no record of it stands; if it is open, `ironscale record open` lists it")
@@ -202,7 +202,7 @@
 
     try:
         seen, wrong = sqlite.verify(file, progress)
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, f"{trouble}")
     if output == "json":
         print_json({"file": str(file), "records": seen, "wrong": wrong})
@@ -230,7 +230,7 @@
     try:
         pages = sqlite.backup(file, to, progress)
         seen, wrong = sqlite.verify(to)
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, str(trouble))
     if wrong:
         fail(Exit.FAILED, f"{to}: the copy is not whole: {wrong[0]}")
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -16,7 +16,7 @@
 import apsw
 
 from ironscale.record.errors import Step, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, WriteOutcome, Trouble
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
 from ironscale.threads import start_thread
 
@@ -39,13 +39,13 @@
     return _NAMES.get(type(error)) or f"SQLITE_{type(error).__name__.removesuffix('Error').upper()}"
 
 
-def trouble(error: apsw.Error, step: Step, path: Path | str) -> Trouble:
+def trouble(error: apsw.Error, step: Step, path: Path | str) -> StoreFailure:
     name = name_of(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
             "SQLITE_NOTADB": "; restore a backup",
             "SQLITE_CANTOPEN": "; the folder must be there and writable"}.get(name, "")
-    return Trouble(sqlite_knowledge(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
+    return StoreFailure(sqlite_knowledge(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
 
 
 def migrate(connection: apsw.Connection, schema: int, statements: Callable[[int], Sequence[str]], instead: str,
@@ -62,10 +62,10 @@
         found = int(connection.pragma("application_id"))
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchall()[0][0]
         if owner and found != owner and (found or version or tables):
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
                           f"{path}: expected a store of record, got another program's database; {instead}", "FOREIGN")
         if version > schema:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
                           f"{version}; start the newer program, or {instead}", "NEWER")
         if version < schema:
             for statement in statements(version):
@@ -114,7 +114,7 @@
                 # 0600 from its first byte: SQLite gives its side files the mode of the database
                 os.close(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600))
         except OSError as error:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
                           f"{error.strerror}", "SQLITE_CANTOPEN") from error
         deadline = time.monotonic() + self.busy_ms / 1000
         while True:
@@ -133,7 +133,7 @@
             connection.create_scalar_function("now_ms", lambda *_: course_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
                               "got one that could be opened for reading only", "SQLITE_READONLY")
             if self.exclusive:
                 connection.execute("PRAGMA locking_mode = EXCLUSIVE").fetchall()
@@ -222,19 +222,19 @@
             self.commits += writes
             self.written += len(group) if writes else 0
             return done
-        except (apsw.Error, Trouble) as error:
-            found = error if isinstance(error, Trouble) else trouble(error, step, self.opener.path)
+        except (apsw.Error, StoreFailure) as error:
+            found = error if isinstance(error, StoreFailure) else trouble(error, step, self.opener.path)
             if opened is not None:
                 self._after_error(opened, found)
             return fated(group, done, found)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
             if opened is not None:
                 self._after_error(opened, None)
-            return fated(group, [], Trouble(
+            return fated(group, [], StoreFailure(
                 WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.opener.path}: {type(error).__name__}: {error}"))
 
-    def _after_error(self, opened: apsw.Connection, found: Trouble | None) -> None:
+    def _after_error(self, opened: apsw.Connection, found: StoreFailure | None) -> None:
         try:
             if opened.in_transaction:
                 opened.execute("ROLLBACK")
@@ -290,7 +290,7 @@
             if self.ending:
                 return
             # what fails leaves the log as it is; the writer's own turn comes once it is long
-            with contextlib.suppress(apsw.Error, Trouble):
+            with contextlib.suppress(apsw.Error, StoreFailure):
                 connection = Opener(self.opener.path, None, self.opener.vfs).open(create=False)
                 try:
                     with self.copying:
--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -44,7 +44,7 @@
     UNUSABLE = "unusable"  # wrong password, no such table: no try will help until someone acts
 
 
-class Trouble(Exception):
+class StoreFailure(Exception):
     """A store that did not do what it was asked; the text is one line without secrets."""
 
     def __init__(self, knowledge: WriteOutcome, cause: Cause, text: str, code: str = "") -> None:
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -8,7 +8,7 @@
 
 from ironscale.operator_file import StoreConfig
 from ironscale.record.journal import Open
-from ironscale.record.model import Row, Store, Trouble
+from ironscale.record.model import Row, Store, StoreFailure
 from ironscale.record.sql import Dialect, row
 from ironscale.record.store_factory import make
 
@@ -70,7 +70,7 @@
             try:
                 answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + LIMIT_S)
                 found[entry.attempt] = "never ran" if answer is None else "ran"
-            except Trouble as trouble:
+            except StoreFailure as trouble:
                 found[entry.attempt] = f"not known: {trouble}"
         return found
 
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -20,7 +20,7 @@
 from psycopg import conninfo
 
 from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Entry, WriteOutcome, Trouble, Verdict, Written, judge
+from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, Written, judge
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
 T = TypeVar("T")
@@ -146,11 +146,11 @@
         """Raises Trouble where the server has rolled back in place of it."""
         assert self.connection is not None
         if self.given_up:  # hazard: who asked has been told that it never ran
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
         self.step = Step.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
         self.step = Step.WORK
 
 
@@ -195,14 +195,14 @@
         self.turns.add(ending)
         ending.add_done_callback(self.turns.discard)
         known = WriteOutcome.UNKNOWN if turn.step is Step.COMMIT else WriteOutcome.NEVER_RAN
-        raise Trouble(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
+        raise StoreFailure(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
     async def _turn(self, turn: Turn, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
         async with self.connections.room:
             if turn.given_up:
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
                               "TIMEOUT")
             try:
                 turn.connection = connection = await self.connections.take(until - loop.time())
@@ -242,7 +242,7 @@
             task.cancel()
             await asyncio.wait([task], timeout=GRACE_S)
 
-    def _trouble(self, error: psycopg.Error | OSError, turn: Turn) -> Trouble:
+    def _trouble(self, error: psycopg.Error | OSError, turn: Turn) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
@@ -250,8 +250,8 @@
         text = self.connections.safe(str(error) or type(error).__name__)
         # one that was lost is no answer, whatever the client library makes of it
         if turn.step is not Step.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
-            return Trouble(knowledge(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
-        return Trouble(knowledge(turn.step, sqlstate, severity), cause(turn.step, sqlstate), f"{self.name}: {text}",
+            return StoreFailure(knowledge(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
+        return StoreFailure(knowledge(turn.step, sqlstate, severity), cause(turn.step, sqlstate), f"{self.name}: {text}",
                        sqlstate)
 
     # What is done within
@@ -277,7 +277,7 @@
                 return judge(entry, state, attempt, text, bytes(answer))
             await turn.execute(SQL.free_slot, (entry.slot,))
         await turn.execute("ROLLBACK")
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
 
     async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
         if await turn.execute(SQL.void, (attempt,)):
@@ -286,7 +286,7 @@
         found = await turn.execute(SQL.by_attempt, (attempt,))
         await turn.execute("ROLLBACK")
         if not found:  # the mark of another question was rolled back, or pruned, in between
-            raise Trouble(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
+            raise StoreFailure(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
@@ -302,7 +302,7 @@
                 await turn.commit()
             else:
                 await turn.execute("ROLLBACK")
-        except Trouble:
+        except StoreFailure:
             await turn.execute("ROLLBACK")
             raise
         self.connections.checked = True
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from ironscale.record.journal import Journal, Open
-from ironscale.record.model import Cause, Entry, WriteOutcome, Store, Trouble
+from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
 from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
 
 MOST_OPEN = 10_000  # attempts that are out or not known; what comes beyond is not begun
@@ -60,7 +60,7 @@
         """Begins one attempt; `due` is on the loop's clock."""
         handle = Handle(self, entry, Attempt(due), on_told)
         if len(self.handles) >= MOST_OPEN:
-            handle.plan.failed(self.loop.time(), Trouble(
+            handle.plan.failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MOST_OPEN} attempts are open already", "OPEN"))
             self.loop.call_soon(handle.tell)
             return handle
@@ -86,7 +86,7 @@
                     assert handle.entry is not None
                     try:
                         step = plan.written(await self.store.write(handle.entry, step.until))
-                    except Trouble as trouble:
+                    except StoreFailure as trouble:
                         self.say(trouble, self.loop.time())
                         step = plan.failed(self.loop.time(), trouble)
                     handle.entry = None
@@ -113,7 +113,7 @@
                 # whoever waited long for its turn has the same time as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
                 return plan.found(await self.store.ask(attempt, until))
-            except Trouble as trouble:
+            except StoreFailure as trouble:
                 self.say(trouble, self.loop.time())
                 return plan.not_found(self.loop.time(), trouble, self.rng.random())
 
@@ -130,7 +130,7 @@
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
 
-    def say(self, trouble: Trouble, now: float) -> None:
+    def say(self, trouble: StoreFailure, now: float) -> None:
         """A line now and then: a store that is away has much to complain of."""
         if now - self.said_at >= SAY_S:
             self.said_at = now
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Generator, Sequence
 from typing import Any
 
-from ironscale.record.model import Cause, WriteOutcome, Row, Trouble
+from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure
 
 COLUMNS = ("attempt", "state", "request", "kind", "tenant", "key", "effect", "target", "body", "fingerprint", "answer",
            "at_ms", "until_ms", "slot")
@@ -69,7 +69,7 @@
     found = yield f"SELECT version FROM {table} WHERE one = %s", (1,)
     version = found[0][0] if found else 0
     if version > schema:
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{name}: expected schema {schema} or older, got {version}; "
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{name}: expected schema {schema} or older, got {version}; "
                       "start the newer program, or name another database", "NEWER")
     if version == schema:
         return False
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -23,7 +23,7 @@
     Entry,
     WriteOutcome,
     Row,
-    Trouble,
+    StoreFailure,
     Verdict,
     Written,
     fingerprint,
@@ -50,7 +50,7 @@
     """For who only reads: the file is ours, and of this program's schema. Changes nothing."""
     version = int(connection.pragma("user_version"))
     if int(connection.pragma("application_id")) != APPLICATION_ID or version != SCHEMA:
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{connection.filename}: expected a store of record of "
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{connection.filename}: expected a store of record of "
                       f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}", "FOREIGN")
 
 
@@ -69,7 +69,7 @@
                 attempt, state, text, answer = standing[0]
                 return judge(entry, state, attempt, text, answer)
             transaction.execute(SQL.free_slot, (entry.slot,))
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
 
     return work
 
@@ -112,7 +112,7 @@
 def reader(path: Path) -> Reader:
     """Raises Trouble where there is no such file; creates nothing."""
     if not path.is_file():
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
                       "MISSING")
     return Reader(Opener(path, check, busy_ms=PATIENT_MS))
 
@@ -167,7 +167,7 @@
     Returns its pages. Raises Trouble.
     """
     if to.exists():
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
     reader(path).close()
     half = to.with_name(f"{to.name}.part")
     half.unlink(missing_ok=True)
@@ -192,7 +192,7 @@
         half.rename(to)
         return int(pages)
     except apsw.Error as error:
-        raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
     finally:
         database.close_tidily(source)
         half.unlink(missing_ok=True)
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Generic, TypeVar
 
-from ironscale.record.model import Cause, WriteOutcome, Trouble
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -51,11 +51,11 @@
 Done = tuple[Job[X, Any], Any, BaseException | None]
 
 
-def fated(group: list[Job[X, Any]], done: list[Done[X]], found: Trouble) -> list[Done[X]]:
+def fated(group: list[Job[X, Any]], done: list[Done[X]], found: StoreFailure) -> list[Done[X]]:
     """All of a group share its transaction's fate, but for those that had failed by themselves before."""
     failed = [entry for entry in done if entry[2] is not None]
     alone = {id(job) for job, _, _ in failed}
-    return failed + [(job, None, Trouble(found.knowledge, found.cause, str(found), found.code))
+    return failed + [(job, None, StoreFailure(found.knowledge, found.cause, str(found), found.code))
                      for job in group if id(job) not in alone]
 
 
@@ -102,9 +102,9 @@
         job = Job(work, until, writes, loop, resolves)
         with self.wake:
             if self.ending:
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: it is being closed", "CLOSED")
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: it is being closed", "CLOSED")
             if len(self.jobs) >= self.most_queued:
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
                               f"{self.name}: {self.most_queued} writes wait already", "QUEUE")
             self.jobs.append(job)
             self.wake.notify()
@@ -118,9 +118,9 @@
                 with contextlib.suppress(ValueError):
                     self.jobs.remove(job)
                 job.begun = True
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: its turn did not come in time",
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: its turn did not come in time",
                               "TIMEOUT")
-        raise Trouble(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
+        raise StoreFailure(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
                       "TIMEOUT")
 
     def _run(self) -> None:
@@ -140,7 +140,7 @@
                 # hazard: a write beside the open one would be told from the record as if it were that
                 for job in [job for job in group if job.writes and not job.resolves]:
                     group.remove(job)
-                    job.settle(None, Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: whether its last "
+                    job.settle(None, StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: whether its last "
                                              "write stands is not known yet; nothing more is written till then",
                                              "UNKNOWN_BEFORE"))
             if not group:
@@ -148,7 +148,7 @@
             done = self.commit(group)
             # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
             self.unknown |= self.stops_at_unknown and any(
-                job.writes and isinstance(problem, Trouble) and problem.knowledge is WriteOutcome.UNKNOWN
+                job.writes and isinstance(problem, StoreFailure) and problem.knowledge is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
             self.longest_s = max(self.longest_s, time.monotonic() - began)
             for job, result, problem in done:
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -12,7 +12,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, Written
 
 RESERVE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
 MOST_RESERVE_S = 0.5
@@ -75,7 +75,7 @@
             self.told, self.cause, self.detail = Told.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
         return Done()
 
-    def failed(self, now: float, trouble: Trouble) -> Next:
+    def failed(self, now: float, trouble: StoreFailure) -> Next:
         """The write ended in an error."""
         self.note(trouble)
         if trouble.knowledge is WriteOutcome.NEVER_RAN:
@@ -93,7 +93,7 @@
             self.told, self.answer = Told.RAN, answer
         return Done()
 
-    def not_found(self, now: float, trouble: Trouble, spread: float) -> Next:
+    def not_found(self, now: float, trouble: StoreFailure, spread: float) -> Next:
         """The question itself had no answer: nothing is known that was not known before.
 
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
@@ -108,5 +108,5 @@
         left = self.due - at
         return Ask(at, at + (max(ASK_S, left) if left > 0 else LONGEST_ASK_S))
 
-    def note(self, trouble: Trouble) -> None:
+    def note(self, trouble: StoreFailure) -> None:
         self.trouble = [*self.trouble[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import history_check, recorder
-from ironscale.record.model import Cause, Entry, WriteOutcome, Row, Trouble, Written
+from ironscale.record.model import Cause, Entry, WriteOutcome, Row, StoreFailure, Written
 from ironscale.record.postgres import PostgresStore, Turn
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
@@ -187,8 +187,8 @@
     async def write(self, one: Entry, until: float) -> Written:
         try:
             return await super().write(one, until)
-        except Trouble as trouble:
-            raise Trouble(WriteOutcome.NEVER_RAN, trouble.cause, str(trouble)) from None
+        except StoreFailure as trouble:
+            raise StoreFailure(WriteOutcome.NEVER_RAN, trouble.cause, str(trouble)) from None
 
 
 class RetriesAfterCommit(PostgresStore):
@@ -197,7 +197,7 @@
     async def write(self, one: Entry, until: float) -> Written:
         try:
             return await super().write(one, until)
-        except Trouble as trouble:
+        except StoreFailure as trouble:
             if trouble.knowledge is not WriteOutcome.UNKNOWN:
                 raise
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
@@ -292,7 +292,7 @@
 def test_a_store_that_turns_everything_away_is_told_at_once() -> None:
     class Away(PostgresStore):
         async def write(self, one: Entry, until: float) -> Written:
-            raise Trouble(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
 
     async def test() -> None:
         async with scene() as (plain, _):
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ironscale.record import history_check
-from ironscale.record.model import Entry, WriteOutcome, Row, Trouble
+from ironscale.record.model import Entry, WriteOutcome, Row, StoreFailure
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import SqliteStore
 from tests.record.disk import Disk, Vfs
@@ -100,7 +100,7 @@
         await store.write(entry())
         assert store.writer.connection is before
         disk.fault, disk.at, disk.times = "sync", 0, 1
-        with pytest.raises(Trouble, match="SQLITE_IOERR") as found:
+        with pytest.raises(StoreFailure, match="SQLITE_IOERR") as found:
             await store.write(entry("lost"))
         assert found.value.knowledge is WriteOutcome.UNKNOWN
         await store.write(entry())
@@ -126,7 +126,7 @@
                 store, vfs = opened(machine)
                 try:
                     rows = await standing(store)
-                except Trouble as trouble:
+                except StoreFailure as trouble:
                     assert str(trouble).count("no such table"), trouble  # not even the schema was written
                     rows = []
                 finally:
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import postgres
-from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.postgres import Access, PostgresStore, SettingError, Turn, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import Fault, Gate, dsn, scene, written
@@ -39,7 +39,7 @@
         assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
         await store.close()
         wrong = PostgresStore(Access(dsn(host), "wr0ng-word"))
-        with pytest.raises(Trouble, match="password authentication failed") as found:
+        with pytest.raises(StoreFailure, match="password authentication failed") as found:
             await wrong.write(entry("b"), by(LONG))
         assert (found.value.knowledge, found.value.cause, found.value.code) == (NEVER, Cause.UNREACHABLE, "") or (
             found.value.cause is Cause.UNUSABLE)
@@ -191,7 +191,7 @@
                                           ("commit", False, UNKNOWN), ("commit", True, UNKNOWN)):
                 one = entry(f"{kind} {after}")
                 host.hook = Fault(kind, after=after)
-                with pytest.raises(Trouble) as found:
+                with pytest.raises(StoreFailure) as found:
                     await store.write(one, by(LONG))
                 assert (found.value.knowledge, found.value.cause) == (expected, Cause.BROKEN), (kind, after)
                 host.hook = None
@@ -214,7 +214,7 @@
         async with scene() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             host.hook = Fault(kind, SqlError(code, "by the script", severity))
-            with pytest.raises(Trouble) as found:
+            with pytest.raises(StoreFailure) as found:
                 await store.write(entry("a"), by(LONG))
             assert (found.value.knowledge, found.value.cause, found.value.code) == (known, cause, code)
             # the connection is not used again, nor is what it held kept
@@ -235,7 +235,7 @@
                     await turn.execute("SELECT nothing_such FROM records")
                 await turn.commit()
 
-            with pytest.raises(Trouble, match="expected COMMIT, got ROLLBACK") as found:
+            with pytest.raises(StoreFailure, match="expected COMMIT, got ROLLBACK") as found:
                 await store.run(work, by(LONG))
             assert found.value.knowledge is NEVER
             assert host.data.all("SELECT count(*) FROM records WHERE attempt = 'kept'") == [(0,)]
@@ -253,7 +253,7 @@
             await store.write(entry("before"), by(LONG))
             late, gate = entry("late"), Gate("commit")
             host.hook = gate
-            with pytest.raises(Trouble) as found:
+            with pytest.raises(StoreFailure) as found:
                 await store.write(late, by(0.2))
             assert (found.value.knowledge, found.value.cause) == (UNKNOWN, Cause.TIMEOUT)
             question = asyncio.create_task(store.ask(late.attempt, by(LONG)))
@@ -289,7 +289,7 @@
             lost = entry("lost")
             for after in (False, True):
                 host.hook = Fault("commit", after=after)
-                with pytest.raises(Trouble):
+                with pytest.raises(StoreFailure):
                     await store.ask(lost.attempt, by(LONG))
             host.hook = None
             assert await store.ask(lost.attempt, by(LONG)) is None
@@ -309,7 +309,7 @@
             one = entry("a")
             await holder.execute("BEGIN")
             await holder.execute(postgres.SQL.void, (one.attempt,))
-            with pytest.raises(Trouble) as found:
+            with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
             assert (found.value.knowledge, found.value.cause) == (NEVER, Cause.TIMEOUT)
             await until(lambda: not store.turns)
@@ -329,7 +329,7 @@
             await store.write(entry("before"), by(LONG))
             one, gate = entry("a"), Gate("commit")
             host.hook = gate
-            with pytest.raises(Trouble) as found:
+            with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
             assert found.value.knowledge is UNKNOWN
             await until(lambda: host.cancels == 1)
@@ -347,7 +347,7 @@
             host.hook = gate
             began = time.monotonic()
             found = await asyncio.gather(*(store.write(entry(), by(0.3)) for _ in range(6)), return_exceptions=True)
-            assert [(type(one), one.knowledge) for one in found if isinstance(one, Trouble)] == [(Trouble, NEVER)] * 6
+            assert [(type(one), one.knowledge) for one in found if isinstance(one, StoreFailure)] == [(StoreFailure, NEVER)] * 6
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
@@ -368,7 +368,7 @@
             assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
             assert second.data.commits and not first.sessions
             first.read_only, second.read_only = False, True  # the standby is promoted, this one demoted
-            with pytest.raises(Trouble) as found:
+            with pytest.raises(StoreFailure) as found:
                 await store.write(entry("b"), by(LONG))
             assert (found.value.knowledge, found.value.cause, found.value.code) == (NEVER, Cause.TURNED_AWAY, "25006")
             assert (await store.write(entry("b"), by(LONG))).verdict is Verdict.WRITTEN
@@ -393,12 +393,12 @@
         host = Host()
         port = free_port()
         store = PostgresStore(Access(f"host=127.0.0.1 port={port} user=app"))
-        with pytest.raises(Trouble) as found:
+        with pytest.raises(StoreFailure) as found:
             await store.write(entry("a"), by(LONG))
         assert (found.value.knowledge, found.value.cause) == (NEVER, Cause.UNREACHABLE)
         host.starting = True
         await host.start(port)
-        with pytest.raises(Trouble) as found:
+        with pytest.raises(StoreFailure) as found:
             await store.write(entry("a"), by(LONG))
         assert found.value.knowledge is NEVER
         host.starting = False
@@ -432,7 +432,7 @@
     async def test() -> None:
         async with scene() as (_, (host,)):
             store = PostgresStore(Access(dsn(host, sslmode="require"), "s3cret-word"))
-            with pytest.raises(Trouble, match="does not support SSL") as found:
+            with pytest.raises(StoreFailure, match="does not support SSL") as found:
                 await store.write(entry(), by(LONG))
             assert found.value.knowledge is NEVER and "s3cret" not in str(found.value)
             await store.close()
@@ -454,7 +454,7 @@
                 await other.close()
             data.db.execute("UPDATE record_schema SET version = 99")
             newer = PostgresStore(Access(dsn(host)))
-            with pytest.raises(Trouble, match="expected schema 1 or older, got 99") as refused:
+            with pytest.raises(StoreFailure, match="expected schema 1 or older, got 99") as refused:
                 await newer.write(entry(), by(LONG))
             assert (refused.value.knowledge, refused.value.cause) == (NEVER, Cause.UNUSABLE)
             await newer.close()
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -20,7 +20,7 @@
 
 from ironscale.record import database, sqlite
 from ironscale.record.database import Opener, Transaction
-from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
 from tests.record.samples import again, entry
@@ -149,10 +149,10 @@
 
         first = asyncio.create_task(store.writer.run(work, await soon(0.3)))
         await reached(stalled)
-        with pytest.raises(Trouble) as second:
+        with pytest.raises(StoreFailure) as second:
             await store.write(waiting, await soon(0.05))
         assert (second.value.knowledge, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
-        with pytest.raises(Trouble) as unknown:
+        with pytest.raises(StoreFailure) as unknown:
             await first
         assert unknown.value.knowledge is WriteOutcome.UNKNOWN
         stalled.go.set()
@@ -171,7 +171,7 @@
         await reached(stalled)
         waiting = [asyncio.create_task(store.write(entry())) for _ in range(5)]
         await asyncio.sleep(0)
-        with pytest.raises(Trouble, match="5 writes wait already") as full:
+        with pytest.raises(StoreFailure, match="5 writes wait already") as full:
             await store.write(entry())
         assert (full.value.knowledge, full.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         stalled.go.set()
@@ -188,7 +188,7 @@
         await store.write(entry("a"))
         other = Opener(store.path).open()
         other.execute("BEGIN IMMEDIATE")
-        with pytest.raises(Trouble, match="another process writes it") as busy:
+        with pytest.raises(StoreFailure, match="another process writes it") as busy:
             await store.write(entry("b"))
         assert (busy.value.knowledge, busy.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         other.execute("ROLLBACK")
@@ -230,7 +230,7 @@
 
     async def test() -> None:
         store = SqliteStore(path)
-        with pytest.raises(Trouble, match="r.db: ") as found:
+        with pytest.raises(StoreFailure, match="r.db: ") as found:
             await store.write(entry())
         assert found.value.code == code and found.value.knowledge is WriteOutcome.NEVER_RAN
         assert found.value.cause is Cause.UNUSABLE and "\n" not in str(found.value)
@@ -410,7 +410,7 @@
         await store.close()
         count, wrong = verify(tmp_path / "copy.db")
         assert wrong == [] and len(before) <= count <= len(written)
-        with pytest.raises(Trouble, match="expected a name that is free"):
+        with pytest.raises(StoreFailure, match="expected a name that is free"):
             backup(store.path, tmp_path / "copy.db")
         restored = SqliteStore(tmp_path / "copy.db")
         copied = reader(tmp_path / "copy.db")
@@ -451,9 +451,9 @@
         data = bytearray(store.path.read_bytes())
         data[3 * 4096:3 * 4096 + 200] = bytes(200)
         store.path.write_bytes(data)
-        with pytest.raises(Trouble, match="SQLITE_CORRUPT") as found:
+        with pytest.raises(StoreFailure, match="SQLITE_CORRUPT") as found:
             if wrong := verify(store.path)[1]:
-                raise Trouble(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
         assert found.value
 
     run(test())
@@ -461,6 +461,6 @@
 
 def test_nothing_is_made_of_a_store_that_is_not_there(tmp_path: Path) -> None:
     for act in (reader, verify, lambda path: backup(path, tmp_path / "copy.db")):
-        with pytest.raises(Trouble, match="expected a store of record, got no file"):
+        with pytest.raises(StoreFailure, match="expected a store of record, got no file"):
             act(tmp_path / "none.db")
     assert list(tmp_path.iterdir()) == []
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ironscale.record.database import Opener, close_tidily, keep_log
-from ironscale.record.model import Trouble
+from ironscale.record.model import StoreFailure
 
 
 def opened(path: Path) -> apsw.Connection:
@@ -53,7 +53,7 @@
             super().__init__(name, flags=apsw.SQLITE_OPEN_READONLY, vfs=vfs)
 
     monkeypatch.setattr(apsw, "Connection", ReadOnly)
-    with pytest.raises(Trouble) as found:
+    with pytest.raises(StoreFailure) as found:
         opened(path)
     assert found.value.code == "SQLITE_READONLY"
     monkeypatch.undo()
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -26,7 +26,7 @@
 from ironscale.record import history_check
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import beside
-from ironscale.record.model import Cause, WriteOutcome, Trouble, Verdict
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
 from ironscale.record.store_dispatcher import Stores as Front
@@ -347,7 +347,7 @@
             play = Play(store)
             for at in (0.0, 0.1, 4.9, 5.1, 9.9, 10.2):
                 play.recorder.said_at = -5.0 if at == 0.0 else play.recorder.said_at
-                play.recorder.say(Trouble(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
+                play.recorder.say(StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
             assert play.lines == ["store s: never ran: gone"] * 3
 
     run(test)
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -8,7 +8,7 @@
 
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, WriteOutcome, Row, Trouble, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, Written
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
 
@@ -52,8 +52,8 @@
 # The plan
 
 
-def lost(what: WriteOutcome = UNKNOWN) -> Trouble:
-    return Trouble(what, Cause.BROKEN, "it broke\nin two lines", "X")
+def lost(what: WriteOutcome = UNKNOWN) -> StoreFailure:
+    return StoreFailure(what, Cause.BROKEN, "it broke\nin two lines", "X")
 
 
 def test_an_answered_write_is_done() -> None:
