--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -109,7 +109,7 @@
             self.renewed()
             return result
         except StoreFailure as found:
-            if found.knowledge is not WriteOutcome.UNKNOWN:
+            if found.outcome is not WriteOutcome.UNKNOWN:
                 raise told(found) from found
             await self._settled(write, found)
             return write.result  # type: ignore[no-any-return]
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -238,7 +238,7 @@
         try:
             if opened.in_transaction:
                 opened.execute("ROLLBACK")
-            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.knowledge is WriteOutcome.NEVER_RAN
+            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.outcome is WriteOutcome.NEVER_RAN
         except apsw.Error:
             keep = False
         if not keep:
--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -49,7 +49,7 @@
 
     def __init__(self, knowledge: WriteOutcome, cause: Cause, text: str, code: str = "") -> None:
         super().__init__(" ".join(text.split()))
-        self.knowledge = knowledge
+        self.outcome = knowledge
         self.cause = cause
         self.code = code  # the store's own: an SQLSTATE, or SQLite's name of the error
 
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -134,7 +134,7 @@
         """A line now and then: a store that is away has much to complain of."""
         if now - self.said_at >= SAY_S:
             self.said_at = now
-            self.log(f"store {self.name}: {trouble.knowledge.value}: {trouble}")
+            self.log(f"store {self.name}: {trouble.outcome.value}: {trouble}")
 
     async def close(self, wait_s: float) -> None:
         """What is open may end within `wait_s`; the rest stands in the journal."""
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -55,7 +55,7 @@
     """All of a group share its transaction's fate, but for those that had failed by themselves before."""
     failed = [entry for entry in done if entry[2] is not None]
     alone = {id(job) for job, _, _ in failed}
-    return failed + [(job, None, StoreFailure(found.knowledge, found.cause, str(found), found.code))
+    return failed + [(job, None, StoreFailure(found.outcome, found.cause, str(found), found.code))
                      for job in group if id(job) not in alone]
 
 
@@ -148,7 +148,7 @@
             done = self.commit(group)
             # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
             self.unknown |= self.stops_at_unknown and any(
-                job.writes and isinstance(problem, StoreFailure) and problem.knowledge is WriteOutcome.UNKNOWN
+                job.writes and isinstance(problem, StoreFailure) and problem.outcome is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
             self.longest_s = max(self.longest_s, time.monotonic() - began)
             for job, result, problem in done:
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -78,7 +78,7 @@
     def failed(self, now: float, trouble: StoreFailure) -> Next:
         """The write ended in an error."""
         self.note(trouble)
-        if trouble.knowledge is WriteOutcome.NEVER_RAN:
+        if trouble.outcome is WriteOutcome.NEVER_RAN:
             self.told, self.cause, self.detail = Told.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
         self.cause = trouble.cause
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -198,7 +198,7 @@
         try:
             return await super().write(one, until)
         except StoreFailure as trouble:
-            if trouble.knowledge is not WriteOutcome.UNKNOWN:
+            if trouble.outcome is not WriteOutcome.UNKNOWN:
                 raise
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -102,7 +102,7 @@
         disk.fault, disk.at, disk.times = "sync", 0, 1
         with pytest.raises(StoreFailure, match="SQLITE_IOERR") as found:
             await store.write(entry("lost"))
-        assert found.value.knowledge is WriteOutcome.UNKNOWN
+        assert found.value.outcome is WriteOutcome.UNKNOWN
         await store.write(entry())
         assert store.writer.connection is not before
         await store.close()
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -41,7 +41,7 @@
         wrong = PostgresStore(Access(dsn(host), "wr0ng-word"))
         with pytest.raises(StoreFailure, match="password authentication failed") as found:
             await wrong.write(entry("b"), by(LONG))
-        assert (found.value.knowledge, found.value.cause, found.value.code) == (NEVER, Cause.UNREACHABLE, "") or (
+        assert (found.value.outcome, found.value.cause, found.value.code) == (NEVER, Cause.UNREACHABLE, "") or (
             found.value.cause is Cause.UNUSABLE)
         assert "wr0ng" not in str(found.value) and "wr0ng" not in repr(found.value)
         await wrong.close()
@@ -193,7 +193,7 @@
                 host.hook = Fault(kind, after=after)
                 with pytest.raises(StoreFailure) as found:
                     await store.write(one, by(LONG))
-                assert (found.value.knowledge, found.value.cause) == (expected, Cause.BROKEN), (kind, after)
+                assert (found.value.outcome, found.value.cause) == (expected, Cause.BROKEN), (kind, after)
                 host.hook = None
                 answer = await store.ask(one.attempt, by(LONG))
                 assert (answer is not None) == ((kind, after) == ("commit", True))
@@ -216,7 +216,7 @@
             host.hook = Fault(kind, SqlError(code, "by the script", severity))
             with pytest.raises(StoreFailure) as found:
                 await store.write(entry("a"), by(LONG))
-            assert (found.value.knowledge, found.value.cause, found.value.code) == (known, cause, code)
+            assert (found.value.outcome, found.value.cause, found.value.code) == (known, cause, code)
             # the connection is not used again, nor is what it held kept
             assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
             assert written(host.data) == ["after", "before"]
@@ -237,7 +237,7 @@
 
             with pytest.raises(StoreFailure, match="expected COMMIT, got ROLLBACK") as found:
                 await store.run(work, by(LONG))
-            assert found.value.knowledge is NEVER
+            assert found.value.outcome is NEVER
             assert host.data.all("SELECT count(*) FROM records WHERE attempt = 'kept'") == [(0,)]
 
     run(test)
@@ -255,7 +255,7 @@
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
                 await store.write(late, by(0.2))
-            assert (found.value.knowledge, found.value.cause) == (UNKNOWN, Cause.TIMEOUT)
+            assert (found.value.outcome, found.value.cause) == (UNKNOWN, Cause.TIMEOUT)
             question = asyncio.create_task(store.ask(late.attempt, by(LONG)))
             await until(lambda: any(s.waits_for is not None for s in host.sessions.values()))
             assert not question.done()
@@ -311,7 +311,7 @@
             await holder.execute(postgres.SQL.void, (one.attempt,))
             with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
-            assert (found.value.knowledge, found.value.cause) == (NEVER, Cause.TIMEOUT)
+            assert (found.value.outcome, found.value.cause) == (NEVER, Cause.TIMEOUT)
             await until(lambda: not store.turns)
             assert host.cancels == 1 or found.value.code == "57014"  # or the deadline that went down came first
             await holder.execute("ROLLBACK")
@@ -331,7 +331,7 @@
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
-            assert found.value.knowledge is UNKNOWN
+            assert found.value.outcome is UNKNOWN
             await until(lambda: host.cancels == 1)
             gate.go.set()
             assert await store.ask(one.attempt, by(LONG)) == one.answer
@@ -347,7 +347,7 @@
             host.hook = gate
             began = time.monotonic()
             found = await asyncio.gather(*(store.write(entry(), by(0.3)) for _ in range(6)), return_exceptions=True)
-            assert [(type(one), one.knowledge) for one in found if isinstance(one, StoreFailure)] == [(StoreFailure, NEVER)] * 6
+            assert [(type(one), one.outcome) for one in found if isinstance(one, StoreFailure)] == [(StoreFailure, NEVER)] * 6
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
@@ -370,7 +370,7 @@
             first.read_only, second.read_only = False, True  # the standby is promoted, this one demoted
             with pytest.raises(StoreFailure) as found:
                 await store.write(entry("b"), by(LONG))
-            assert (found.value.knowledge, found.value.cause, found.value.code) == (NEVER, Cause.TURNED_AWAY, "25006")
+            assert (found.value.outcome, found.value.cause, found.value.code) == (NEVER, Cause.TURNED_AWAY, "25006")
             assert (await store.write(entry("b"), by(LONG))).verdict is Verdict.WRITTEN
             assert [len(first.sessions), len(second.sessions)] == [1, 0]
 
@@ -395,12 +395,12 @@
         store = PostgresStore(Access(f"host=127.0.0.1 port={port} user=app"))
         with pytest.raises(StoreFailure) as found:
             await store.write(entry("a"), by(LONG))
-        assert (found.value.knowledge, found.value.cause) == (NEVER, Cause.UNREACHABLE)
+        assert (found.value.outcome, found.value.cause) == (NEVER, Cause.UNREACHABLE)
         host.starting = True
         await host.start(port)
         with pytest.raises(StoreFailure) as found:
             await store.write(entry("a"), by(LONG))
-        assert found.value.knowledge is NEVER
+        assert found.value.outcome is NEVER
         host.starting = False
         assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
         await store.close()
@@ -434,7 +434,7 @@
             store = PostgresStore(Access(dsn(host, sslmode="require"), "s3cret-word"))
             with pytest.raises(StoreFailure, match="does not support SSL") as found:
                 await store.write(entry(), by(LONG))
-            assert found.value.knowledge is NEVER and "s3cret" not in str(found.value)
+            assert found.value.outcome is NEVER and "s3cret" not in str(found.value)
             await store.close()
 
     run(test)
@@ -456,7 +456,7 @@
             newer = PostgresStore(Access(dsn(host)))
             with pytest.raises(StoreFailure, match="expected schema 1 or older, got 99") as refused:
                 await newer.write(entry(), by(LONG))
-            assert (refused.value.knowledge, refused.value.cause) == (NEVER, Cause.UNUSABLE)
+            assert (refused.value.outcome, refused.value.cause) == (NEVER, Cause.UNUSABLE)
             await newer.close()
 
     run(test)
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -151,10 +151,10 @@
         await reached(stalled)
         with pytest.raises(StoreFailure) as second:
             await store.write(waiting, await soon(0.05))
-        assert (second.value.knowledge, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
+        assert (second.value.outcome, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
         with pytest.raises(StoreFailure) as unknown:
             await first
-        assert unknown.value.knowledge is WriteOutcome.UNKNOWN
+        assert unknown.value.outcome is WriteOutcome.UNKNOWN
         stalled.go.set()
         assert await store.ask(held.attempt) == held.answer  # it came late, and it did run
         assert await store.ask(waiting.attempt) is None
@@ -173,7 +173,7 @@
         await asyncio.sleep(0)
         with pytest.raises(StoreFailure, match="5 writes wait already") as full:
             await store.write(entry())
-        assert (full.value.knowledge, full.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (full.value.outcome, full.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         stalled.go.set()
         await first
         assert all(one.verdict is Verdict.WRITTEN for one in await asyncio.gather(*waiting))
@@ -190,7 +190,7 @@
         other.execute("BEGIN IMMEDIATE")
         with pytest.raises(StoreFailure, match="another process writes it") as busy:
             await store.write(entry("b"))
-        assert (busy.value.knowledge, busy.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (busy.value.outcome, busy.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         other.execute("ROLLBACK")
         assert (await store.write(entry("b"))).verdict is Verdict.WRITTEN
         other.close()
@@ -232,7 +232,7 @@
         store = SqliteStore(path)
         with pytest.raises(StoreFailure, match="r.db: ") as found:
             await store.write(entry())
-        assert found.value.code == code and found.value.knowledge is WriteOutcome.NEVER_RAN
+        assert found.value.code == code and found.value.outcome is WriteOutcome.NEVER_RAN
         assert found.value.cause is Cause.UNUSABLE and "\n" not in str(found.value)
         await store.close()
 
