--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class WriteResult:
     verdict: Verdict
     answer: bytes = b""  # of the record that stands
 
@@ -101,7 +101,7 @@
 class Store(Protocol):
     """One store of record. `until` is on the event loop's clock; after it, nobody waits any more."""
 
-    async def write(self, entry: Entry, until: float) -> Written:
+    async def write(self, entry: Entry, until: float) -> WriteResult:
         """Returns once the record is durable as the store promises it. Raises Trouble."""
 
     async def ask(self, attempt: str, until: float) -> bytes | None:
@@ -134,10 +134,10 @@
     return json.dumps({"recorded": request, "class": kind}, separators=(",", ":")).encode() + b"\n"
 
 
-def judge(entry: Entry, state: str, attempt: str, print_: str, answer: bytes) -> Written:
+def judge(entry: Entry, state: str, attempt: str, print_: str, answer: bytes) -> WriteResult:
     """What a row that stands in the way of a write makes of it."""
     if state == VOID_STATE:
-        return Written(Verdict.FENCED)
+        return WriteResult(Verdict.FENCED)
     if attempt == entry.attempt or print_ == entry.fingerprint:
-        return Written(Verdict.REPEAT, answer)
-    return Written(Verdict.CONFLICT)
+        return WriteResult(Verdict.REPEAT, answer)
+    return WriteResult(Verdict.CONFLICT)
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -20,7 +20,7 @@
 from psycopg import conninfo
 
 from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, Written, judge
+from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, judge
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
 T = TypeVar("T")
@@ -164,7 +164,7 @@
         settings = self.connections.settings
         self.name = f"postgresql {settings.get('host', 'localhost')}:{settings.get('port', 5432)}"
 
-    async def write(self, entry: Entry, until: float) -> Written:
+    async def write(self, entry: Entry, until: float) -> WriteResult:
         return await self.run(lambda turn: self._write(turn, entry), until)
 
     async def ask(self, attempt: str, until: float) -> bytes | None:
@@ -262,13 +262,13 @@
         await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
 
-    async def _write(self, turn: Turn, entry: Entry) -> Written:
+    async def _write(self, turn: Turn, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
                   entry.body, entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
         for _ in range(TURNS):
             if await turn.execute(SQL.write, values):
                 await turn.commit()
-                return Written(Verdict.WRITTEN, entry.answer)
+                return WriteResult(Verdict.WRITTEN, entry.answer)
             found = await turn.execute(SQL.in_the_way, (entry.attempt, entry.slot))
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -25,7 +25,7 @@
     Row,
     StoreFailure,
     Verdict,
-    Written,
+    WriteResult,
     fingerprint,
     judge,
 )
@@ -54,15 +54,15 @@
                       f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}", "FOREIGN")
 
 
-def write(entry: Entry) -> Callable[[Transaction], Written]:
+def write(entry: Entry) -> Callable[[Transaction], WriteResult]:
     """The work of one attempt, within a transaction that may hold others."""
     values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target, entry.body,
               entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
 
-    def work(transaction: Transaction) -> Written:
+    def work(transaction: Transaction) -> WriteResult:
         for _ in range(TURNS):
             if transaction.execute(SQL.write, values):
-                return Written(Verdict.WRITTEN, entry.answer)
+                return WriteResult(Verdict.WRITTEN, entry.answer)
             found = transaction.execute(SQL.in_the_way, (entry.attempt, entry.slot))
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
@@ -93,7 +93,7 @@
         self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
         self.writer = Writer(self.opener, most_queued, checkpoint_pages, longest_log_pages)
 
-    async def write(self, entry: Entry, until: float = NO_TIME) -> Written:
+    async def write(self, entry: Entry, until: float = NO_TIME) -> WriteResult:
         return await self.writer.run(write(entry), until)
 
     async def ask(self, attempt: str, until: float = NO_TIME) -> bytes | None:
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -12,7 +12,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, WriteResult
 
 RESERVE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
 MOST_RESERVE_S = 0.5
@@ -65,7 +65,7 @@
         left = max(0.0, self.due - now)
         return Write(self.due - min(left * RESERVE, MOST_RESERVE_S))
 
-    def written(self, result: Written) -> Next:
+    def written(self, result: WriteResult) -> Next:
         """The store has answered the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
             self.told, self.answer = Told.RAN, result.answer
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import history_check, recorder
-from ironscale.record.model import Cause, Entry, WriteOutcome, Row, StoreFailure, Written
+from ironscale.record.model import Cause, Entry, WriteOutcome, Row, StoreFailure, WriteResult
 from ironscale.record.postgres import PostgresStore, Turn
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
@@ -184,7 +184,7 @@
 class Guesses(PostgresStore):
     """Takes a time-out, or a connection that broke, for a write that never ran."""
 
-    async def write(self, one: Entry, until: float) -> Written:
+    async def write(self, one: Entry, until: float) -> WriteResult:
         try:
             return await super().write(one, until)
         except StoreFailure as trouble:
@@ -194,7 +194,7 @@
 class RetriesAfterCommit(PostgresStore):
     """Writes anew when the outcome of COMMIT is not known, under another name, and believes what comes of that."""
 
-    async def write(self, one: Entry, until: float) -> Written:
+    async def write(self, one: Entry, until: float) -> WriteResult:
         try:
             return await super().write(one, until)
         except StoreFailure as trouble:
@@ -291,7 +291,7 @@
 
 def test_a_store_that_turns_everything_away_is_told_at_once() -> None:
     class Away(PostgresStore):
-        async def write(self, one: Entry, until: float) -> Written:
+        async def write(self, one: Entry, until: float) -> WriteResult:
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
 
     async def test() -> None:
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -8,7 +8,7 @@
 
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, Written
+from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
 
@@ -62,7 +62,7 @@
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is kept for asking
-        assert isinstance(plan.written(Written(verdict, b"a")), Done)
+        assert isinstance(plan.written(WriteResult(verdict, b"a")), Done)
         assert plan.told is told and plan.answer == (b"a" if told is Told.RAN else b"")
 
 
