--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -134,7 +134,7 @@
     return json.dumps({"recorded": request, "class": kind}, separators=(",", ":")).encode() + b"\n"
 
 
-def judge(entry: Entry, state: str, attempt: str, print_: str, answer: bytes) -> WriteResult:
+def result_for_existing_row(entry: Entry, state: str, attempt: str, print_: str, answer: bytes) -> WriteResult:
     """What a row that stands in the way of a write makes of it."""
     if state == VOID_STATE:
         return WriteResult(Verdict.FENCED)
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -20,7 +20,7 @@
 from psycopg import conninfo
 
 from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, judge
+from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, result_for_existing_row
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
 T = TypeVar("T")
@@ -274,7 +274,7 @@
             if standing:
                 await turn.execute("ROLLBACK")
                 attempt, state, text, answer = standing[0]
-                return judge(entry, state, attempt, text, bytes(answer))
+                return result_for_existing_row(entry, state, attempt, text, bytes(answer))
             await turn.execute(SQL.free_slot, (entry.slot,))
         await turn.execute("ROLLBACK")
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -27,7 +27,7 @@
     Verdict,
     WriteResult,
     fingerprint,
-    judge,
+    result_for_existing_row,
 )
 from ironscale.record.sql import SCHEMA, Dialect, row
 from ironscale.record.worker import MOST_QUEUED, NO_TIME
@@ -67,7 +67,7 @@
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
                 attempt, state, text, answer = standing[0]
-                return judge(entry, state, attempt, text, answer)
+                return result_for_existing_row(entry, state, attempt, text, answer)
             transaction.execute(SQL.free_slot, (entry.slot,))
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
 
