--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Protocol
 
-MOST_KEY = 256  # characters of a client's key
+MAX_KEY_CHARS = 256  # characters of a client's key
 VOID_STATE = "void"  # of a mark; a record's is "written"
 
 
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -183,7 +183,7 @@
         request = self.host.requests[event.request]
         exchange = request.exchange
         tenant, key = exchange.header(b"x-org"), exchange.header(b"idempotency-key")
-        if len(key) > model.MOST_KEY or "\0" in tenant + key + request.txn or b"\0" in exchange.target:
+        if len(key) > model.MAX_KEY_CHARS or "\0" in tenant + key + request.txn or b"\0" in exchange.target:
             self.host.answer(event.request, 400, [])
             return
         about = routes.subject(self.by, tenant, key, request.txn)
