--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -134,10 +134,10 @@
     return json.dumps({"recorded": request, "class": kind}, separators=(",", ":")).encode() + b"\n"
 
 
-def result_for_existing_row(entry: Entry, state: str, attempt: str, print_: str, answer: bytes) -> WriteResult:
+def result_for_existing_row(entry: Entry, state: str, attempt: str, row_fingerprint: str, answer: bytes) -> WriteResult:
     """What a row that stands in the way of a write makes of it."""
     if state == VOID_STATE:
         return WriteResult(Verdict.FENCED)
-    if attempt == entry.attempt or print_ == entry.fingerprint:
+    if attempt == entry.attempt or row_fingerprint == entry.fingerprint:
         return WriteResult(Verdict.REPEAT, answer)
     return WriteResult(Verdict.CONFLICT)
