--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -20,7 +20,7 @@
     COMMIT = "commit"  # COMMIT may have left this machine
 
 
-def knowledge(step: Step, sqlstate: str, severity: str) -> WriteOutcome:
+def postgres_outcome(step: Step, sqlstate: str, severity: str) -> WriteOutcome:
     """PostgreSQL. Before COMMIT was sent nothing can be committed; what came after counts as not known unless the
     server says that it has rolled back. Unheard-of codes count as not known."""
     if step is not Step.COMMIT:
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.record import history_check, model, routes
-from ironscale.record.errors import Step, cause, knowledge, sqlite_cause, sqlite_knowledge
+from ironscale.record.errors import Step, cause, postgres_outcome, sqlite_cause, sqlite_knowledge
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
@@ -27,7 +27,7 @@
     (Step.COMMIT, "25P02", "ERROR", NEVER), (Step.COMMIT, "40001", "FATAL", UNKNOWN),
 ])
 def test_what_an_sqlstate_says_of_a_write(step: Step, code: str, severity: str, expected: WriteOutcome) -> None:
-    assert knowledge(step, code, severity) is expected
+    assert postgres_outcome(step, code, severity) is expected
 
 
 @pytest.mark.parametrize(("step", "code", "expected"), [
