--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -24,7 +24,7 @@
 from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
-from ironscale.record.errors import Step, cause, postgres_outcome
+from ironscale.record.errors import Step, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.postgres import Access, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, bring_up
@@ -201,7 +201,7 @@
         text = " ".join((str(error) or type(error).__name__).split())
         if self.access.password:
             text = text.replace(self.access.password, "***")
-        return StoreFailure(postgres_outcome(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
+        return StoreFailure(postgres_outcome(step, sqlstate, severity), postgres_cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
 
     def _drop(self) -> None:
         connection, self.connection = self.connection, None
--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -34,7 +34,7 @@
     return WriteOutcome.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else WriteOutcome.UNKNOWN
 
 
-def cause(step: Step, sqlstate: str) -> Cause:
+def postgres_cause(step: Step, sqlstate: str) -> Cause:
     """PostgreSQL. An empty code is a connection that never came up or broke."""
     if not sqlstate:
         return Cause.UNREACHABLE if step is Step.CONNECT else Cause.BROKEN
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -19,7 +19,7 @@
 import psycopg
 from psycopg import conninfo
 
-from ironscale.record.errors import Step, cause, postgres_outcome
+from ironscale.record.errors import Step, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, result_for_existing_row
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
@@ -251,7 +251,7 @@
         # one that was lost is no answer, whatever the client library makes of it
         if turn.step is not Step.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
             return StoreFailure(postgres_outcome(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
-        return StoreFailure(postgres_outcome(turn.step, sqlstate, severity), cause(turn.step, sqlstate), f"{self.name}: {text}",
+        return StoreFailure(postgres_outcome(turn.step, sqlstate, severity), postgres_cause(turn.step, sqlstate), f"{self.name}: {text}",
                        sqlstate)
 
     # What is done within
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.record import history_check, model, routes
-from ironscale.record.errors import Step, cause, postgres_outcome, sqlite_cause, sqlite_knowledge
+from ironscale.record.errors import Step, postgres_cause, postgres_outcome, sqlite_cause, sqlite_knowledge
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
@@ -37,7 +37,7 @@
     (Step.CONNECT, "28P01", Cause.UNUSABLE), (Step.WORK, "42P01", Cause.UNUSABLE), (Step.WORK, "XX000", Cause.BROKEN),
 ])
 def test_what_an_sqlstate_says_of_the_store(step: Step, code: str, expected: Cause) -> None:
-    assert cause(step, code) is expected
+    assert postgres_cause(step, code) is expected
 
 
 def test_what_sqlites_codes_say() -> None:
