--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -15,7 +15,7 @@
 
 import apsw
 
-from ironscale.record.errors import Step, sqlite_cause, sqlite_knowledge
+from ironscale.record.errors import Step, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
 from ironscale.threads import start_thread
@@ -45,7 +45,7 @@
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
             "SQLITE_NOTADB": "; restore a backup",
             "SQLITE_CANTOPEN": "; the folder must be there and writable"}.get(name, "")
-    return StoreFailure(sqlite_knowledge(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
+    return StoreFailure(sqlite_outcome(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
 
 
 def migrate(connection: apsw.Connection, schema: int, statements: Callable[[int], Sequence[str]], instead: str,
--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -55,7 +55,7 @@
                              "SQLITE_SCHEMA", "SQLITE_ERROR", "SQLITE_MISMATCH", "SQLITE_TOOBIG"))
 
 
-def sqlite_knowledge(step: Step, name: str) -> WriteOutcome:
+def sqlite_outcome(step: Step, name: str) -> WriteOutcome:
     """SQLite; `name` is the primary result code's. A busy COMMIT leaves the transaction open to be rolled back; any
     other error of a COMMIT may have left its frames in the log."""
     if step is not Step.COMMIT or name in ("SQLITE_BUSY", "SQLITE_CONSTRAINT"):
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.record import history_check, model, routes
-from ironscale.record.errors import Step, postgres_cause, postgres_outcome, sqlite_cause, sqlite_knowledge
+from ironscale.record.errors import Step, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
@@ -41,10 +41,10 @@
 
 
 def test_what_sqlites_codes_say() -> None:
-    assert sqlite_knowledge(Step.WORK, "SQLITE_IOERR") is NEVER
-    assert sqlite_knowledge(Step.COMMIT, "SQLITE_BUSY") is NEVER
+    assert sqlite_outcome(Step.WORK, "SQLITE_IOERR") is NEVER
+    assert sqlite_outcome(Step.COMMIT, "SQLITE_BUSY") is NEVER
     for name in ("SQLITE_IOERR", "SQLITE_FULL", "SQLITE_CORRUPT", "SQLITE_NOMEM"):
-        assert sqlite_knowledge(Step.COMMIT, name) is UNKNOWN
+        assert sqlite_outcome(Step.COMMIT, name) is UNKNOWN
     assert sqlite_cause("SQLITE_FULL") is Cause.TURNED_AWAY and sqlite_cause("SQLITE_NOTADB") is Cause.UNUSABLE
     assert sqlite_cause("SQLITE_IOERR") is Cause.BROKEN
 
