--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -24,7 +24,7 @@
 from ironscale.agent.sql import SCHEMA, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
-from ironscale.record.errors import Step, postgres_cause, postgres_outcome
+from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.postgres import Access, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, bring_up
@@ -124,14 +124,14 @@
 
     def commit(self, group: list[Job[Held, Any]]) -> list[Done[Held]]:
         done: list[Done[Held]] = []
-        step = Step.CONNECT
+        step = TransactionStep.CONNECT
         try:
             # hazard: a server that ended tells so on the idle connection; what is sent there may end as not known
             if self.connection is not None and (self.reopens or is_stale(self.connection)):
                 self._drop()
             self.reopens = False
             connection = self.connection or self._open()
-            step = Step.WORK
+            step = TransactionStep.WORK
             with self.watch.over(connection, self.limit_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
@@ -142,7 +142,7 @@
                 if all(problem is not None for _, _, problem in done):
                     connection.execute("ROLLBACK")
                     return done
-                step = Step.COMMIT
+                step = TransactionStep.COMMIT
                 answer = connection.execute("COMMIT").statusmessage
                 if answer != "COMMIT":
                     raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
@@ -155,7 +155,7 @@
         except (psycopg.Error, OSError, StoreFailure) as error:
             found = error if isinstance(error, StoreFailure) else self._trouble(error, step)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
-            found = StoreFailure(WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+            found = StoreFailure(WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
         return fated(group, done, found)
@@ -168,7 +168,7 @@
         try:
             done.append((job, job.work(held), None))
         except (psycopg.Error, OSError) as error:
-            found = self._trouble(error, Step.WORK)
+            found = self._trouble(error, TransactionStep.WORK)
             if connection.closed:
                 raise found from error
             done.append((job, None, found))
@@ -193,7 +193,7 @@
                           "CLAIM")
         return self.number
 
-    def _trouble(self, error: psycopg.Error | OSError, step: Step) -> StoreFailure:
+    def _trouble(self, error: psycopg.Error | OSError, step: TransactionStep) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -15,7 +15,7 @@
 
 import apsw
 
-from ironscale.record.errors import Step, sqlite_cause, sqlite_outcome
+from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
 from ironscale.threads import start_thread
@@ -39,7 +39,7 @@
     return _NAMES.get(type(error)) or f"SQLITE_{type(error).__name__.removesuffix('Error').upper()}"
 
 
-def trouble(error: apsw.Error, step: Step, path: Path | str) -> StoreFailure:
+def trouble(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
     name = name_of(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
@@ -195,12 +195,12 @@
 
     def commit(self, group: list[Job[Transaction, Any]]) -> list[Done[Transaction]]:
         done: list[Done[Transaction]] = []
-        step, opened = Step.CONNECT, self.connection
+        step, opened = TransactionStep.CONNECT, self.connection
         try:
             if opened is None:
                 opened = self.connection = self.opener.open()
                 opened.set_wal_hook(self._on_log)
-            step = Step.WORK
+            step = TransactionStep.WORK
             transaction = Transaction(opened)
             writes = any(job.writes for job in group)
             opened.execute("BEGIN IMMEDIATE" if writes else "BEGIN")
@@ -217,7 +217,7 @@
                     opened.execute("ROLLBACK TO job")
                     done.append((job, None, error))
                 opened.execute("RELEASE job")
-            step = Step.COMMIT
+            step = TransactionStep.COMMIT
             opened.execute("COMMIT")
             self.commits += writes
             self.written += len(group) if writes else 0
@@ -231,7 +231,7 @@
             if opened is not None:
                 self._after_error(opened, None)
             return fated(group, [], StoreFailure(
-                WriteOutcome.UNKNOWN if step is Step.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+                WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.opener.path}: {type(error).__name__}: {error}"))
 
     def _after_error(self, opened: apsw.Connection, found: StoreFailure | None) -> None:
@@ -335,7 +335,7 @@
                 if connection is not None:
                     with contextlib.suppress(apsw.Error):
                         connection.close(True)
-                raise trouble(error, Step.WORK, self.opener.path) from error
+                raise trouble(error, TransactionStep.WORK, self.opener.path) from error
 
     def close(self) -> None:
         with self.lock:
--- a/ironscale/record/errors.py
+++ b/ironscale/record/errors.py
@@ -12,7 +12,7 @@
 from ironscale.record.model import Cause, WriteOutcome
 
 
-class Step(enum.Enum):
+class TransactionStep(enum.Enum):
     """How far a write had come."""
 
     CONNECT = "connect"
@@ -20,10 +20,10 @@
     COMMIT = "commit"  # COMMIT may have left this machine
 
 
-def postgres_outcome(step: Step, sqlstate: str, severity: str) -> WriteOutcome:
+def postgres_outcome(step: TransactionStep, sqlstate: str, severity: str) -> WriteOutcome:
     """PostgreSQL. Before COMMIT was sent nothing can be committed; what came after counts as not known unless the
     server says that it has rolled back. Unheard-of codes count as not known."""
-    if step is not Step.COMMIT:
+    if step is not TransactionStep.COMMIT:
         return WriteOutcome.NEVER_RAN
     # FATAL and PANIC end the connection: they may come behind the commit itself
     if severity != "ERROR" or not sqlstate:
@@ -34,10 +34,10 @@
     return WriteOutcome.NEVER_RAN if sqlstate[:2] in ("22", "23", "25", "40") else WriteOutcome.UNKNOWN
 
 
-def postgres_cause(step: Step, sqlstate: str) -> Cause:
+def postgres_cause(step: TransactionStep, sqlstate: str) -> Cause:
     """PostgreSQL. An empty code is a connection that never came up or broke."""
     if not sqlstate:
-        return Cause.UNREACHABLE if step is Step.CONNECT else Cause.BROKEN
+        return Cause.UNREACHABLE if step is TransactionStep.CONNECT else Cause.BROKEN
     if sqlstate in ("40001", "40P01"):
         return Cause.RETRY
     if sqlstate == "57014":  # query cancelled: by us, or by the statement's own time
@@ -55,10 +55,10 @@
                              "SQLITE_SCHEMA", "SQLITE_ERROR", "SQLITE_MISMATCH", "SQLITE_TOOBIG"))
 
 
-def sqlite_outcome(step: Step, name: str) -> WriteOutcome:
+def sqlite_outcome(step: TransactionStep, name: str) -> WriteOutcome:
     """SQLite; `name` is the primary result code's. A busy COMMIT leaves the transaction open to be rolled back; any
     other error of a COMMIT may have left its frames in the log."""
-    if step is not Step.COMMIT or name in ("SQLITE_BUSY", "SQLITE_CONSTRAINT"):
+    if step is not TransactionStep.COMMIT or name in ("SQLITE_BUSY", "SQLITE_CONSTRAINT"):
         return WriteOutcome.NEVER_RAN
     return WriteOutcome.UNKNOWN
 
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -19,7 +19,7 @@
 import psycopg
 from psycopg import conninfo
 
-from ironscale.record.errors import Step, postgres_cause, postgres_outcome
+from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, result_for_existing_row
 from ironscale.record.sql import SCHEMA, Dialect, bring_up
 
@@ -133,7 +133,7 @@
     """One transaction on one connection, and how far it has come."""
 
     def __init__(self) -> None:
-        self.step = Step.CONNECT
+        self.step = TransactionStep.CONNECT
         self.connection: psycopg.AsyncConnection[Any] | None = None
         self.given_up = False
 
@@ -147,11 +147,11 @@
         assert self.connection is not None
         if self.given_up:  # hazard: who asked has been told that it never ran
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
-        self.step = Step.COMMIT
+        self.step = TransactionStep.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
-        self.step = Step.WORK
+        self.step = TransactionStep.WORK
 
 
 class PostgresStore:
@@ -194,8 +194,8 @@
         ending = loop.create_task(self._end(turn, task))
         self.turns.add(ending)
         ending.add_done_callback(self.turns.discard)
-        known = WriteOutcome.UNKNOWN if turn.step is Step.COMMIT else WriteOutcome.NEVER_RAN
-        raise StoreFailure(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
+        known = WriteOutcome.UNKNOWN if turn.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
+        raise StoreFailure(known, Cause.UNREACHABLE if turn.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
     async def _turn(self, turn: Turn, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
@@ -210,7 +210,7 @@
                 raise self._trouble(error, turn) from None
             whole = False
             try:
-                turn.step = Step.WORK
+                turn.step = TransactionStep.WORK
                 if not self.connections.checked:
                     await self._migrate(turn)
                 await self._begin(turn, until - loop.time())
@@ -249,7 +249,7 @@
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
         text = self.connections.safe(str(error) or type(error).__name__)
         # one that was lost is no answer, whatever the client library makes of it
-        if turn.step is not Step.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
+        if turn.step is not TransactionStep.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
             return StoreFailure(postgres_outcome(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
         return StoreFailure(postgres_outcome(turn.step, sqlstate, severity), postgres_cause(turn.step, sqlstate), f"{self.name}: {text}",
                        sqlstate)
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironscale.record import history_check, model, routes
-from ironscale.record.errors import Step, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
+from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
 from tests.record.samples import again, entry
@@ -16,35 +16,35 @@
 
 
 @pytest.mark.parametrize(("step", "code", "severity", "expected"), [
-    (Step.CONNECT, "", "", NEVER), (Step.WORK, "", "", NEVER), (Step.WORK, "57P01", "FATAL", NEVER),
-    (Step.WORK, "XX000", "ERROR", NEVER),
-    (Step.COMMIT, "", "", UNKNOWN),  # the connection broke
-    (Step.COMMIT, "57P01", "FATAL", UNKNOWN),  # told to end while it waits for a standby: committed here
-    (Step.COMMIT, "XX000", "PANIC", UNKNOWN), (Step.COMMIT, "40003", "ERROR", UNKNOWN),
-    (Step.COMMIT, "08007", "ERROR", UNKNOWN), (Step.COMMIT, "57014", "ERROR", UNKNOWN),
-    (Step.COMMIT, "58030", "ERROR", UNKNOWN), (Step.COMMIT, "ZZ999", "ERROR", UNKNOWN),
-    (Step.COMMIT, "40001", "ERROR", NEVER), (Step.COMMIT, "23505", "ERROR", NEVER),
-    (Step.COMMIT, "25P02", "ERROR", NEVER), (Step.COMMIT, "40001", "FATAL", UNKNOWN),
+    (TransactionStep.CONNECT, "", "", NEVER), (TransactionStep.WORK, "", "", NEVER), (TransactionStep.WORK, "57P01", "FATAL", NEVER),
+    (TransactionStep.WORK, "XX000", "ERROR", NEVER),
+    (TransactionStep.COMMIT, "", "", UNKNOWN),  # the connection broke
+    (TransactionStep.COMMIT, "57P01", "FATAL", UNKNOWN),  # told to end while it waits for a standby: committed here
+    (TransactionStep.COMMIT, "XX000", "PANIC", UNKNOWN), (TransactionStep.COMMIT, "40003", "ERROR", UNKNOWN),
+    (TransactionStep.COMMIT, "08007", "ERROR", UNKNOWN), (TransactionStep.COMMIT, "57014", "ERROR", UNKNOWN),
+    (TransactionStep.COMMIT, "58030", "ERROR", UNKNOWN), (TransactionStep.COMMIT, "ZZ999", "ERROR", UNKNOWN),
+    (TransactionStep.COMMIT, "40001", "ERROR", NEVER), (TransactionStep.COMMIT, "23505", "ERROR", NEVER),
+    (TransactionStep.COMMIT, "25P02", "ERROR", NEVER), (TransactionStep.COMMIT, "40001", "FATAL", UNKNOWN),
 ])
-def test_what_an_sqlstate_says_of_a_write(step: Step, code: str, severity: str, expected: WriteOutcome) -> None:
+def test_what_an_sqlstate_says_of_a_write(step: TransactionStep, code: str, severity: str, expected: WriteOutcome) -> None:
     assert postgres_outcome(step, code, severity) is expected
 
 
 @pytest.mark.parametrize(("step", "code", "expected"), [
-    (Step.CONNECT, "", Cause.UNREACHABLE), (Step.WORK, "", Cause.BROKEN), (Step.WORK, "25006", Cause.TURNED_AWAY),
-    (Step.CONNECT, "57P03", Cause.TURNED_AWAY), (Step.CONNECT, "53300", Cause.TURNED_AWAY),
-    (Step.WORK, "40P01", Cause.RETRY), (Step.COMMIT, "40001", Cause.RETRY), (Step.WORK, "57014", Cause.TIMEOUT),
-    (Step.CONNECT, "28P01", Cause.UNUSABLE), (Step.WORK, "42P01", Cause.UNUSABLE), (Step.WORK, "XX000", Cause.BROKEN),
+    (TransactionStep.CONNECT, "", Cause.UNREACHABLE), (TransactionStep.WORK, "", Cause.BROKEN), (TransactionStep.WORK, "25006", Cause.TURNED_AWAY),
+    (TransactionStep.CONNECT, "57P03", Cause.TURNED_AWAY), (TransactionStep.CONNECT, "53300", Cause.TURNED_AWAY),
+    (TransactionStep.WORK, "40P01", Cause.RETRY), (TransactionStep.COMMIT, "40001", Cause.RETRY), (TransactionStep.WORK, "57014", Cause.TIMEOUT),
+    (TransactionStep.CONNECT, "28P01", Cause.UNUSABLE), (TransactionStep.WORK, "42P01", Cause.UNUSABLE), (TransactionStep.WORK, "XX000", Cause.BROKEN),
 ])
-def test_what_an_sqlstate_says_of_the_store(step: Step, code: str, expected: Cause) -> None:
+def test_what_an_sqlstate_says_of_the_store(step: TransactionStep, code: str, expected: Cause) -> None:
     assert postgres_cause(step, code) is expected
 
 
 def test_what_sqlites_codes_say() -> None:
-    assert sqlite_outcome(Step.WORK, "SQLITE_IOERR") is NEVER
-    assert sqlite_outcome(Step.COMMIT, "SQLITE_BUSY") is NEVER
+    assert sqlite_outcome(TransactionStep.WORK, "SQLITE_IOERR") is NEVER
+    assert sqlite_outcome(TransactionStep.COMMIT, "SQLITE_BUSY") is NEVER
     for name in ("SQLITE_IOERR", "SQLITE_FULL", "SQLITE_CORRUPT", "SQLITE_NOMEM"):
-        assert sqlite_outcome(Step.COMMIT, name) is UNKNOWN
+        assert sqlite_outcome(TransactionStep.COMMIT, name) is UNKNOWN
     assert sqlite_cause("SQLITE_FULL") is Cause.TURNED_AWAY and sqlite_cause("SQLITE_NOTADB") is Cause.UNUSABLE
     assert sqlite_cause("SQLITE_IOERR") is Cause.BROKEN
 
