--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ClientReport:
     """What one client was told of one request."""
 
     request: str
@@ -29,7 +29,7 @@
     answer: bytes = b""
 
 
-def faults(clients: Iterable[Told], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
+def faults(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
     """A line for each break of a rule. `outcomes`: what was found out of each attempt, "ran" or "never ran"."""
     wrong: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -134,8 +134,8 @@
                one.fingerprint, one.answer, at_ms, at_ms + one.memory_ms if one.memory_ms else 0, one.slot)
 
 
-def told(one: model.Entry, what: str) -> history_check.Told:
-    return history_check.Told(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
+def told(one: model.Entry, what: str) -> history_check.ClientReport:
+    return history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
                               one.answer if what == history_check.SERVED else b"")
 
 
