--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -25,7 +25,7 @@
     key: str
     effect: str
     fingerprint: str
-    told: str
+    result: str
     answer: bytes = b""
 
 
@@ -49,13 +49,13 @@
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
         alike = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
-        if client.told == SERVED:
+        if client.result == SERVED:
             if not alike:
                 wrong.append(f"lost: {client.request} was told served, and no record of it stands")
             elif client.answer not in [one.answer for one in alike]:
                 wrong.append(f"answer: {client.request} was given {client.answer!r}, which is no record's")
-        elif client.told in (REFUSED, CONFLICT) and by_request[client.request]:
-            wrong.append(f"{client.told}: {client.request} was told so, and {by_request[client.request][0].attempt} "
+        elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
+            wrong.append(f"{client.result}: {client.request} was told so, and {by_request[client.request][0].attempt} "
                          "stands")
     for attempt, outcome in (outcomes or {}).items():
         if (outcome == "ran") != (states.get(attempt) == "written") and outcome in ("ran", "never ran"):
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -58,7 +58,7 @@
 async def changes() -> int:
     disk = Disk(1)
     play, _ = await day(disk)
-    assert Counter(one.told for one in play.clients) == {"served": REQUESTS}
+    assert Counter(one.result for one in play.clients) == {"served": REQUESTS}
     return disk.count
 
 
@@ -70,7 +70,7 @@
         for at in range(1, total + 1):
             disk = Disk(seed * 1000 + at, "power", at)
             play, asked = await day(disk)
-            told.update(one.told for one in play.clients)
+            told.update(one.result for one in play.clients)
             store, vfs = opened(disk.after_power())
             rows = await standing(store)
             # what was open when the power went is asked now, as the next start does
@@ -120,7 +120,7 @@
         for at in range(1, total + 1):
             disk = Disk(at, fault, at, times)
             play, _ = await day(disk)
-            told.update(one.told for one in play.clients)
+            told.update(one.result for one in play.clients)
             for machine in (disk, disk.after_power()):
                 machine.fault = ""
                 store, vfs = opened(machine)
