--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -29,7 +29,7 @@
     answer: bytes = b""
 
 
-def faults(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
+def find_violations(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
     """A line for each break of a rule. `outcomes`: what was found out of each attempt, "ran" or "never ran"."""
     wrong: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -457,7 +457,7 @@
         assert len(results) >= 300 and len({r for r, _ in rows_}) == len(rows_)
         standing = {request for request, _ in rows_}
         found = [row(values) for values in host.data.all(f"SELECT {', '.join(COLUMNS)} FROM records")]
-        assert history_check.faults([], found) == [], f"seed {seed}"
+        assert history_check.find_violations([], found) == [], f"seed {seed}"
         assert {one.key for one in found if one.kind == "mark"} == {str(i) for i in range(25)}, f"seed {seed}"
         counts = Counter(status for _, status in results.values())
         # each of 300 requests was served in the end, or, few of them, has failed
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -147,7 +147,7 @@
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
     clients = [told(first, "served"), told(mark, "served"), replace(told(repeat, "served"), answer=mark.answer),
                told(entry("e"), "refused"), told(entry("f"), "failed")]
-    assert history_check.faults(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
+    assert history_check.find_violations(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
 
 
 @pytest.mark.parametrize(("expected", "clients", "rows", "outcomes"), [
@@ -159,7 +159,7 @@
                                        outcomes: dict[int, str]) -> None:
     attempts = [entry("a")]
     attempts.append(again(attempts[0]))
-    (fault,) = history_check.faults([told(attempts[i], what) for what, i in clients],
+    (fault,) = history_check.find_violations([told(attempts[i], what) for what, i in clients],
                                     [stands(attempts[i], at) for i, at in rows],
                                     {attempts[i].attempt: what for i, what in outcomes.items()})
     assert fault.startswith(expected)
@@ -168,6 +168,6 @@
 def test_a_keyed_effect_written_twice_within_its_memory_and_a_wrong_answer_are_found() -> None:
     first = entry("a", "deduplicated")
     second = replace(again(first), request="b")
-    assert history_check.faults([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
-    assert history_check.faults([], [stands(first, 0), stands(second, 60_000)]) == []
-    assert history_check.faults([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
+    assert history_check.find_violations([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
+    assert history_check.find_violations([], [stands(first, 0), stands(second, 60_000)]) == []
+    assert history_check.find_violations([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
