--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -31,7 +31,7 @@
 
 def find_violations(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
     """A line for each break of a rule. `outcomes`: what was found out of each attempt, "ran" or "never ran"."""
-    wrong: list[str] = []
+    violations: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
     by_request: dict[str, list[Row]] = defaultdict(list)
     states: dict[str, str] = {}
@@ -45,23 +45,23 @@
         found.sort(key=lambda one: one.at_ms)
         for before, after in zip(found, found[1:], strict=False):
             if before.until_ms == 0 or after.at_ms < before.until_ms:
-                wrong.append(f"written twice: {slot} by {before.attempt} and {after.attempt}")
+                violations.append(f"written twice: {slot} by {before.attempt} and {after.attempt}")
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
         alike = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
         if client.result == SERVED:
             if not alike:
-                wrong.append(f"lost: {client.request} was told served, and no record of it stands")
+                violations.append(f"lost: {client.request} was told served, and no record of it stands")
             elif client.answer not in [one.answer for one in alike]:
-                wrong.append(f"answer: {client.request} was given {client.answer!r}, which is no record's")
+                violations.append(f"answer: {client.request} was given {client.answer!r}, which is no record's")
         elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
-            wrong.append(f"{client.result}: {client.request} was told so, and {by_request[client.request][0].attempt} "
+            violations.append(f"{client.result}: {client.request} was told so, and {by_request[client.request][0].attempt} "
                          "stands")
     for attempt, outcome in (outcomes or {}).items():
         if (outcome == "ran") != (states.get(attempt) == "written") and outcome in ("ran", "never ran"):
             # a repeat ran under the first one's attempt: its own name has no record
             if outcome == "ran" and attempt not in states:
                 continue
-            wrong.append(f"outcome: {attempt} was found to have {outcome}, and stands as "
+            violations.append(f"outcome: {attempt} was found to have {outcome}, and stands as "
                          f"{states.get(attempt, 'nothing')}")
-    return wrong
+    return violations
