--- a/ironscale/record/routes.py
+++ b/ironscale/record/routes.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 
 
-def subject(by: str, tenant: str, key: str, request: str) -> str:
+def routing_key(by: str, tenant: str, key: str, request: str) -> str:
     """What stays together: all of a tenant's, or what one key stands for (the request itself, where it has none)."""
     return tenant if by == "tenant" else f"{tenant}\0{key or request}"
 
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -186,7 +186,7 @@
         if len(key) > model.MAX_KEY_CHARS or "\0" in tenant + key + request.txn or b"\0" in exchange.target:
             self.host.answer(event.request, 400, [])
             return
-        about = routes.subject(self.by, tenant, key, request.txn)
+        about = routes.routing_key(self.by, tenant, key, request.txn)
         lane = self.lanes[routes.choose(self.names, about)]
 
         def to_upstream(answer: Answer | None) -> None:
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -121,9 +121,9 @@
     moved = [new for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {3} and 0.2 < len(moved) / 3_000 < 0.3
     assert min(before.count(i) for i in range(3)) > 900
-    assert routes.subject("tenant", "t", "k", "r") == routes.subject("tenant", "t", "other", "s")
-    assert routes.subject("key", "t", "k", "r") == routes.subject("key", "t", "k", "s")
-    assert routes.subject("key", "t", "", "r") != routes.subject("key", "t", "", "s")
+    assert routes.routing_key("tenant", "t", "k", "r") == routes.routing_key("tenant", "t", "other", "s")
+    assert routes.routing_key("key", "t", "k", "r") == routes.routing_key("key", "t", "k", "s")
+    assert routes.routing_key("key", "t", "", "r") != routes.routing_key("key", "t", "", "s")
 
 
 # The history checker
