--- a/ironscale/record/routes.py
+++ b/ironscale/record/routes.py
@@ -16,7 +16,7 @@
     return tenant if by == "tenant" else f"{tenant}\0{key or request}"
 
 
-def choose(stores: Sequence[str], about: str) -> int:
+def choose_store(stores: Sequence[str], about: str) -> int:
     """The index of the store that has what `about` names."""
     if len(stores) == 1:
         return 0
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -187,7 +187,7 @@
             self.host.answer(event.request, 400, [])
             return
         about = routes.routing_key(self.by, tenant, key, request.txn)
-        lane = self.lanes[routes.choose(self.names, about)]
+        lane = self.lanes[routes.choose_store(self.names, about)]
 
         def to_upstream(answer: Answer | None) -> None:
             request.dispatcher = self.host
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -116,8 +116,8 @@
 
 def test_another_store_takes_only_its_share() -> None:
     about = [f"t{i}" for i in range(3_000)]
-    before = [routes.choose(("a", "b", "c"), name) for name in about]
-    after = [routes.choose(("a", "b", "c", "d"), name) for name in about]
+    before = [routes.choose_store(("a", "b", "c"), name) for name in about]
+    after = [routes.choose_store(("a", "b", "c", "d"), name) for name in about]
     moved = [new for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {3} and 0.2 < len(moved) / 3_000 < 0.3
     assert min(before.count(i) for i in range(3)) > 900
