--- a/ironscale/record/routes.py
+++ b/ironscale/record/routes.py
@@ -16,11 +16,11 @@
     return tenant if by == "tenant" else f"{tenant}\0{key or request}"
 
 
-def choose_store(stores: Sequence[str], about: str) -> int:
+def choose_store(stores: Sequence[str], routing_key: str) -> int:
     """The index of the store that has what `about` names."""
     if len(stores) == 1:
         return 0
-    data = about.encode()
+    data = routing_key.encode()
 
     def draw(index: int) -> bytes:
         return blake2b(data, digest_size=8, key=blake2b(stores[index].encode(), digest_size=16).digest()).digest()
