--- a/ironscale/record/routes.py
+++ b/ironscale/record/routes.py
@@ -22,7 +22,7 @@
         return 0
     data = routing_key.encode()
 
-    def draw(index: int) -> bytes:
+    def score(index: int) -> bytes:
         return blake2b(data, digest_size=8, key=blake2b(stores[index].encode(), digest_size=16).digest()).digest()
 
-    return max(range(len(stores)), key=draw)
+    return max(range(len(stores)), key=score)
