--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -16,7 +16,7 @@
 LIMIT_S = 10.0
 
 
-def in_store(target: StoreConfig, act: Callable[[Store], Awaitable[T]]) -> T:
+def run_in_store(target: StoreConfig, act: Callable[[Store], Awaitable[T]]) -> T:
     """Opens the store for one piece of work."""
     opened = make(target, "the operator file", busy_ms=int(LIMIT_S * 1000))
 
@@ -50,7 +50,7 @@
         found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + LIMIT_S)
         return found
 
-    return in_store(target, ask)
+    return run_in_store(target, ask)
 
 
 def records(target: StoreConfig, request: str) -> list[Row]:
@@ -74,7 +74,7 @@
                 found[entry.attempt] = f"not known: {trouble}"
         return found
 
-    return in_store(target, ask)
+    return run_in_store(target, ask)
 
 
 def prune(target: StoreConfig, older_ms: int) -> int:
@@ -92,4 +92,4 @@
         found: int = await store.run(delete, asyncio.get_running_loop().time() + LIMIT_S)
         return found
 
-    return in_store(target, work)
+    return run_in_store(target, work)
