--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -16,14 +16,14 @@
 LIMIT_S = 10.0
 
 
-def run_in_store(target: StoreConfig, act: Callable[[Store], Awaitable[T]]) -> T:
+def run_in_store(target: StoreConfig, operation: Callable[[Store], Awaitable[T]]) -> T:
     """Opens the store for one piece of work."""
     opened = make(target, "the operator file", busy_ms=int(LIMIT_S * 1000))
 
     async def whole() -> T:
         store = opened()
         try:
-            return await act(store)
+            return await operation(store)
         finally:
             await store.close()
 
