--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -13,12 +13,12 @@
 from ironscale.record.store_factory import make
 
 T = TypeVar("T")
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
 def run_in_store(target: StoreConfig, operation: Callable[[Store], Awaitable[T]]) -> T:
     """Opens the store for one piece of work."""
-    opened = make(target, "the operator file", busy_ms=int(LIMIT_S * 1000))
+    opened = make(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
 
     async def whole() -> T:
         store = opened()
@@ -47,7 +47,7 @@
             await turn.execute("ROLLBACK")
             return rows
 
-        found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + LIMIT_S)
+        found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + TIMEOUT_S)
         return found
 
     return run_in_store(target, ask)
@@ -68,7 +68,7 @@
         found = {}
         for entry in entries:
             try:
-                answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + LIMIT_S)
+                answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + TIMEOUT_S)
                 found[entry.attempt] = "never ran" if answer is None else "ran"
             except StoreFailure as trouble:
                 found[entry.attempt] = f"not known: {trouble}"
@@ -89,7 +89,7 @@
             await turn.commit()
             return len(gone)
 
-        found: int = await store.run(delete, asyncio.get_running_loop().time() + LIMIT_S)
+        found: int = await store.run(delete, asyncio.get_running_loop().time() + TIMEOUT_S)
         return found
 
     return run_in_store(target, work)
