--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -102,7 +102,7 @@
     for target in one_of(stores, None):
         mine = [entry for entry in entries if entry.store == target.name]
         if mine:
-            found.update(operator_queries.find_out(target, mine))
+            found.update(operator_queries.resolve_attempts(target, mine))
     for entry in entries:
         found.setdefault(entry.attempt, f"not known: there is no store {entry.store!r} in {stores.file}")
     if output == "json":
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -62,7 +62,7 @@
     return [(str(state), str(kind), int(count)) for state, kind, count in select(target, "counts")]
 
 
-def find_out(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
+def resolve_attempts(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
     """Asks of each attempt, behind the fence: "ran", "never ran", or why that is still not known."""
     async def ask(store: Store) -> dict[str, str]:
         found = {}
