--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -27,7 +27,7 @@
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.postgres import Access, is_stale, settings_of
-from ironscale.record.sql import NOW_MS, bring_up
+from ironscale.record.sql import NOW_MS, schema_migration
 from ironscale.record.worker import Done, Job, Worker, fated
 from ironscale.threads import start_thread
 
@@ -238,7 +238,7 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = Held(connection, 0), bring_up(self.name, "agent_schema", LOCK, SCHEMA, migrations)
+        held, steps = Held(connection, 0), schema_migration(self.name, "agent_schema", LOCK, SCHEMA, migrations)
         try:
             asked = next(steps)
             while True:
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -21,7 +21,7 @@
 
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, result_for_existing_row
-from ironscale.record.sql import SCHEMA, Dialect, bring_up
+from ironscale.record.sql import SCHEMA, Dialect, schema_migration
 
 T = TypeVar("T")
 # What it would warn of on standard error is told in our own lines, without secrets.
@@ -292,7 +292,7 @@
 
     async def _migrate(self, turn: Turn) -> None:
         await turn.execute("BEGIN")
-        steps = bring_up(self.name, "record_schema", LOCK, SCHEMA, SQL.migrations)
+        steps = schema_migration(self.name, "record_schema", LOCK, SCHEMA, SQL.migrations)
         try:
             asked = next(steps)
             while True:
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -59,7 +59,7 @@
 Asked = tuple[str, tuple[object, ...]]
 
 
-def bring_up(name: str, table: str, lock: int, schema: int, statements: Callable[[int], Sequence[str]]
+def schema_migration(name: str, table: str, lock: int, schema: int, statements: Callable[[int], Sequence[str]]
              ) -> Generator[Asked, list[tuple[Any, ...]], bool]:
     """A PostgreSQL schema's way to this program's, within one transaction: gives statements, takes their rows, and says
     whether there is something to commit. Whoever drives it does so on a connection of either kind. Raises Trouble where
