--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -18,7 +18,7 @@
 from ironscale.agent.store import Configuration, Event, InstanceRow, Published, TokenRow
 from ironscale.disruption.model import Halt, Permit
 from ironscale.disruption.model import Phase as PermitPhase
-from ironscale.record.sql import typed
+from ironscale.record.sql import with_column_types
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope, canonical, read_scope
 
@@ -471,5 +471,5 @@
 
 def migrations(version: int) -> list[str]:
     """What brings a PostgreSQL schema of `version` up to this program's."""
-    return [typed(statement, "postgresql")
+    return [with_column_types(statement, "postgresql")
             for statements in MIGRATIONS[version:] for statement in statements]
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -50,7 +50,7 @@
 _EMPTY = {"postgresql": "''::bytea", "sqlite": "x''"}
 
 
-def typed(statement: str, dialect: str) -> str:
+def with_column_types(statement: str, dialect: str) -> str:
     for kind, text in TYPES[dialect].items():
         statement = statement.replace(f"{{{kind}}}", text)
     return statement
@@ -105,7 +105,7 @@
 
     def migrations(self, version: int) -> list[str]:
         """What brings a schema of `version` up to this program's."""
-        return [typed(statement, self.name) for statements in MIGRATIONS[version:] for statement in statements]
+        return [with_column_types(statement, self.name) for statements in MIGRATIONS[version:] for statement in statements]
 
 
 def row(values: tuple[object, ...]) -> Row:
