--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -56,11 +56,11 @@
     return statement
 
 
-Asked = tuple[str, tuple[object, ...]]
+Statement = tuple[str, tuple[object, ...]]
 
 
 def schema_migration(name: str, table: str, lock: int, schema: int, statements: Callable[[int], Sequence[str]]
-             ) -> Generator[Asked, list[tuple[Any, ...]], bool]:
+             ) -> Generator[Statement, list[tuple[Any, ...]], bool]:
     """A PostgreSQL schema's way to this program's, within one transaction: gives statements, takes their rows, and says
     whether there is something to commit. Whoever drives it does so on a connection of either kind. Raises Trouble where
     a newer program has written it."""
