--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -88,20 +88,20 @@
         mark: Callable[[str], str] = (lambda text: text) if name == "postgresql" else (
             lambda text: text.replace("%s", "?"))
 
-        def made(text: str) -> str:
+        def render(text: str) -> str:
             return mark(text.replace("{NOW}", NOW_MS[name]).replace("{EMPTY}", _EMPTY[name]))
 
-        self.write = made(_WRITE)
-        self.in_the_way = made(_IN_THE_WAY)
-        self.free_slot = made(_FREE_SLOT)
-        self.void = made(_VOID)
-        self.by_attempt = made(_BY_ATTEMPT)
+        self.write = render(_WRITE)
+        self.in_the_way = render(_IN_THE_WAY)
+        self.free_slot = render(_FREE_SLOT)
+        self.void = render(_VOID)
+        self.by_attempt = render(_BY_ATTEMPT)
         columns = ", ".join(COLUMNS)
-        self.by_request = made(f"SELECT {columns} FROM records WHERE request = %s ORDER BY attempt")
-        self.after = made(f"SELECT {columns} FROM records WHERE attempt > %s ORDER BY attempt LIMIT %s")
+        self.by_request = render(f"SELECT {columns} FROM records WHERE request = %s ORDER BY attempt")
+        self.after = render(f"SELECT {columns} FROM records WHERE attempt > %s ORDER BY attempt LIMIT %s")
         self.counts = "SELECT state, kind, count(*) FROM records GROUP BY state, kind ORDER BY state DESC, kind"
         # (now - age): marks may go once no connection of their time can still be open
-        self.prune = made("DELETE FROM records WHERE state = 'void' AND at_ms < {NOW} - %s RETURNING attempt")
+        self.prune = render("DELETE FROM records WHERE state = 'void' AND at_ms < {NOW} - %s RETURNING attempt")
 
     def migrations(self, version: int) -> list[str]:
         """What brings a schema of `version` up to this program's."""
