--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -85,11 +85,11 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        mark: Callable[[str], str] = (lambda text: text) if name == "postgresql" else (
+        placeholders: Callable[[str], str] = (lambda text: text) if name == "postgresql" else (
             lambda text: text.replace("%s", "?"))
 
         def render(text: str) -> str:
-            return mark(text.replace("{NOW}", NOW_MS[name]).replace("{EMPTY}", _EMPTY[name]))
+            return placeholders(text.replace("{NOW}", NOW_MS[name]).replace("{EMPTY}", _EMPTY[name]))
 
         self.write = render(_WRITE)
         self.in_the_way = render(_IN_THE_WAY)
