--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -38,7 +38,7 @@
 _WRITE = (_INSERT + "VALUES (%s, 'written', %s, %s, %s, %s, %s, %s, %s, %s, %s, {NOW},"
           " CASE WHEN %s = 0 THEN 0 ELSE {NOW} + %s END, %s) ON CONFLICT DO NOTHING RETURNING attempt")
 # (attempt, slot)
-_IN_THE_WAY = ("SELECT attempt, state, fingerprint, answer,"
+_CONFLICTING_ROWS = ("SELECT attempt, state, fingerprint, answer,"
                " CASE WHEN until_ms > 0 AND until_ms <= {NOW} THEN 1 ELSE 0 END FROM records"
                " WHERE attempt = %s OR slot = %s ORDER BY state DESC")
 # (slot)
@@ -92,7 +92,7 @@
             return placeholders(text.replace("{NOW}", NOW_MS[name]).replace("{EMPTY}", _EMPTY[name]))
 
         self.write = render(_WRITE)
-        self.in_the_way = render(_IN_THE_WAY)
+        self.in_the_way = render(_CONFLICTING_ROWS)
         self.free_slot = render(_FREE_SLOT)
         self.void = render(_VOID)
         self.by_attempt = render(_BY_ATTEMPT)
