--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -269,7 +269,7 @@
             if await turn.execute(SQL.write, values):
                 await turn.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
-            found = await turn.execute(SQL.in_the_way, (entry.attempt, entry.slot))
+            found = await turn.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
                 await turn.execute("ROLLBACK")
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -92,7 +92,7 @@
             return placeholders(text.replace("{NOW}", NOW_MS[name]).replace("{EMPTY}", _EMPTY[name]))
 
         self.write = render(_WRITE)
-        self.in_the_way = render(_CONFLICTING_ROWS)
+        self.conflicting_rows = render(_CONFLICTING_ROWS)
         self.free_slot = render(_FREE_SLOT)
         self.void = render(_VOID)
         self.by_attempt = render(_BY_ATTEMPT)
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -63,7 +63,7 @@
         for _ in range(TURNS):
             if transaction.execute(SQL.write, values):
                 return WriteResult(Verdict.WRITTEN, entry.answer)
-            found = transaction.execute(SQL.in_the_way, (entry.attempt, entry.slot))
+            found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
                 attempt, state, text, answer = standing[0]
