--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -9,7 +9,7 @@
 from ironscale.record.model import Store
 
 
-def check(stores: StoresConfig) -> None:
+def check_stores(stores: StoresConfig) -> None:
     """All that can be told without a sidecar or a store. Raises OperatorFileError."""
     for target in stores.to:
         make(target, stores.file)
