--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -16,7 +16,7 @@
 
 
 @contextlib.contextmanager
-def installed(file: str, place: str) -> Iterator[None]:
+def require_packages(file: str, place: str) -> Iterator[None]:
     try:
         yield
     except ImportError as error:
@@ -29,13 +29,13 @@
     from starting. `busy_ms`: how long SQLite waits for another process. Raises OperatorFileError."""
     place = f"store.to.{target.name}"
     if target.sqlite is not None:
-        with installed(file, f"{place}.sqlite"):
+        with require_packages(file, f"{place}.sqlite"):
             from ironscale.record.database import BUSY_MS
             from ironscale.record.sqlite import SqliteStore
 
         path, wait_ms = target.sqlite, BUSY_MS if busy_ms is None else busy_ms
         return lambda: SqliteStore(path, target.queue, busy_ms=wait_ms)
-    with installed(file, f"{place}.postgresql"):
+    with require_packages(file, f"{place}.postgresql"):
         from ironscale.record.postgres import Access, PostgresStore, SettingError, check_dsn
 
     try:
