--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -50,7 +50,7 @@
         fail(Exit.USAGE, f"--store: expected one of {', '.join(t.name for t in stores.to)}, got {name}")
     try:
         for target in found:
-            store_factory.make(target, stores.file)
+            store_factory.make_store(target, stores.file)
     except OperatorFileError as error:
         fail(Exit.USAGE, str(error))
     return found
--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -13,7 +13,7 @@
 from ironscale.record.journal import Journal, JournalError
 from ironscale.record.recorder import Recorder
 from ironscale.record.store_dispatcher import Stores as Front
-from ironscale.record.store_factory import make
+from ironscale.record.store_factory import make_store
 from ironscale.tasks import run_in_background
 
 CLOSE_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
@@ -39,7 +39,7 @@
 
 def beside(stores: StoresConfig) -> Extension:
     """Raises OperatorFileError."""
-    makers = [(target.name, make(target, stores.file)) for target in stores.to]
+    makers = [(target.name, make_store(target, stores.file)) for target in stores.to]
 
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -10,7 +10,7 @@
 from ironscale.record.journal import Open
 from ironscale.record.model import Row, Store, StoreFailure
 from ironscale.record.sql import Dialect, row
-from ironscale.record.store_factory import make
+from ironscale.record.store_factory import make_store
 
 T = TypeVar("T")
 TIMEOUT_S = 10.0
@@ -18,7 +18,7 @@
 
 def run_in_store(target: StoreConfig, operation: Callable[[Store], Awaitable[T]]) -> T:
     """Opens the store for one piece of work."""
-    opened = make(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
+    opened = make_store(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
 
     async def whole() -> T:
         store = opened()
--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -12,7 +12,7 @@
 def check_stores(stores: StoresConfig) -> None:
     """All that can be told without a sidecar or a store. Raises OperatorFileError."""
     for target in stores.to:
-        make(target, stores.file)
+        make_store(target, stores.file)
 
 
 @contextlib.contextmanager
@@ -24,7 +24,7 @@
                                 "pip install 'ironscale[record]'") from None
 
 
-def make(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
+def make_store(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
     """What makes the store within a running loop. It connects to nothing yet: a store that is away keeps no sidecar
     from starting. `busy_ms`: how long SQLite waits for another process. Raises OperatorFileError."""
     place = f"store.to.{target.name}"
