--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -13,7 +13,7 @@
 from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
 from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
 
-MOST_OPEN = 10_000  # attempts that are out or not known; what comes beyond is not begun
+MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
 ASKING = 8  # questions at a time: after an outage all that is open wants to be asked together
 SAY_S = 5.0
 
@@ -59,9 +59,9 @@
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> Handle:
         """Begins one attempt; `due` is on the loop's clock."""
         handle = Handle(self, entry, Attempt(due), on_told)
-        if len(self.handles) >= MOST_OPEN:
+        if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.plan.failed(self.loop.time(), StoreFailure(
-                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MOST_OPEN} attempts are open already", "OPEN"))
+                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are open already", "OPEN"))
             self.loop.call_soon(handle.tell)
             return handle
         task = self.loop.create_task(self.run(handle))
