--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -14,7 +14,7 @@
 from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
 
 MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
-ASKING = 8  # questions at a time: after an outage all that is open wants to be asked together
+MAX_CONCURRENT_QUERIES = 8  # questions at a time: after an outage all that is open wants to be asked together
 SAY_S = 5.0
 
 
@@ -53,7 +53,7 @@
         self.rng = rng or random.Random()
         self.loop = asyncio.get_running_loop()
         self.handles: dict[asyncio.Task[None], Handle | None] = {}
-        self.asking = asyncio.Semaphore(ASKING)
+        self.asking = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         self.said_at = -SAY_S
 
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> Handle:
