--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -15,7 +15,7 @@
 
 MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
 MAX_CONCURRENT_QUERIES = 8  # questions at a time: after an outage all that is open wants to be asked together
-SAY_S = 5.0
+LOG_INTERVAL_S = 5.0
 
 
 class Handle:
@@ -54,7 +54,7 @@
         self.loop = asyncio.get_running_loop()
         self.handles: dict[asyncio.Task[None], Handle | None] = {}
         self.asking = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
-        self.said_at = -SAY_S
+        self.said_at = -LOG_INTERVAL_S
 
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> Handle:
         """Begins one attempt; `due` is on the loop's clock."""
@@ -132,7 +132,7 @@
 
     def say(self, trouble: StoreFailure, now: float) -> None:
         """A line now and then: a store that is away has much to complain of."""
-        if now - self.said_at >= SAY_S:
+        if now - self.said_at >= LOG_INTERVAL_S:
             self.said_at = now
             self.log(f"store {self.name}: {trouble.outcome.value}: {trouble}")
 
