--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -18,7 +18,7 @@
 LOG_INTERVAL_S = 5.0
 
 
-class Handle:
+class AttemptHandle:
     """One attempt, as who began it sees it. `on_told` is called once: with what became of it, or with OPEN when it was
     given up on."""
 
@@ -52,13 +52,13 @@
         self.name, self.store, self.journal, self.log = name, store, journal, log
         self.rng = rng or random.Random()
         self.loop = asyncio.get_running_loop()
-        self.handles: dict[asyncio.Task[None], Handle | None] = {}
+        self.handles: dict[asyncio.Task[None], AttemptHandle | None] = {}
         self.asking = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         self.said_at = -LOG_INTERVAL_S
 
-    def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> Handle:
+    def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> AttemptHandle:
         """Begins one attempt; `due` is on the loop's clock."""
-        handle = Handle(self, entry, Attempt(due), on_told)
+        handle = AttemptHandle(self, entry, Attempt(due), on_told)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.plan.failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are open already", "OPEN"))
@@ -77,7 +77,7 @@
                 self.handles[task] = None
                 task.add_done_callback(self.handles.pop)
 
-    async def run(self, handle: Handle) -> None:
+    async def run(self, handle: AttemptHandle) -> None:
         plan = handle.plan
         step = plan.begin(self.loop.time())
         try:
@@ -125,7 +125,7 @@
             step = await self.ask(plan, entry.attempt, step)
         self.journal.closed(entry.attempt, plan.told.value)
 
-    def left_open(self, handle: Handle) -> None:
+    def left_open(self, handle: AttemptHandle) -> None:
         why = handle.plan.trouble[-1] if handle.plan.trouble else "no answer in time"
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -22,7 +22,7 @@
 from ironscale.net.upstream import Answer
 from ironscale.record import model, routes
 from ironscale.record.model import Cause
-from ironscale.record.recorder import Handle, Recorder
+from ironscale.record.recorder import AttemptHandle, Recorder
 from ironscale.record.write_attempt import Attempt, Told
 
 LEAST_DOORS = 2
@@ -51,7 +51,7 @@
     number: int
     door: int
     sent_us: int
-    handle: Handle | None = None
+    handle: AttemptHandle | None = None
     timer: Timer | None = None
     outcome: api.Outcome | None = None  # if it was given up on
 
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -9,7 +9,7 @@
 from ironscale.record import history_check
 from ironscale.record.journal import Journal
 from ironscale.record.model import Entry, Store
-from ironscale.record.recorder import Handle, Recorder
+from ironscale.record.recorder import AttemptHandle, Recorder
 from ironscale.record.write_attempt import Attempt, Told
 from tests.record.samples import again
 
@@ -25,7 +25,7 @@
         journal = Journal(None, "n", self.lines.append)
         self.recorder = Recorder("s", store, journal, self.lines.append, random.Random(seed))
         self.clients: list[history_check.ClientReport] = []
-        self.handles: list[Handle] = []
+        self.handles: list[AttemptHandle] = []
 
     async def submit(self, one: Entry, seconds: float, tries: int = 1) -> str:
         """One client's request, tried again only after what never ran; gives what the client was told."""
@@ -39,7 +39,7 @@
                                                word, handle.plan.answer if word == history_check.SERVED else b""))
         return word
 
-    async def attempt(self, one: Entry, seconds: float) -> Handle:
+    async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
         """Until it is told, by its outcome or by its time."""
         loop = asyncio.get_running_loop()
         told = asyncio.Event()
