--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -28,16 +28,16 @@
         self.entry: Entry | None = entry  # with its body, until the write has ended
         self.attempt, self.request, self.kind = entry.attempt, entry.request, entry.kind
         self.tenant, self.key = entry.tenant, entry.key
-        self.on_told: Callable[[Attempt], None] | None = on_told
+        self.on_result: Callable[[Attempt], None] | None = on_told
 
     def tell(self) -> None:
-        on_told, self.on_told = self.on_told, None
+        on_told, self.on_result = self.on_result, None
         if on_told is not None:
             on_told(self.plan)
 
     def give_up(self) -> None:
         """Nobody waits any more. What became of it is found out all the same."""
-        if self.on_told is None:
+        if self.on_result is None:
             return
         self.tell()
         if self.plan.told is Told.OPEN:
@@ -95,11 +95,11 @@
         except Exception:
             # hazard: an error of ours must neither leave its request without a word nor count as an outcome
             self.log(f"store {self.name}: attempt {handle.attempt} is left open\n{traceback.format_exc()}")
-            if handle.on_told is None:
+            if handle.on_result is None:
                 return
             handle.give_up()
             return
-        late = handle.on_told is None
+        late = handle.on_result is None
         handle.tell()
         if late:
             self.journal.closed(handle.attempt, plan.told.value)
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -129,7 +129,7 @@
             model.answer_of(request.txn, kind.name), max(1, kind.dedup_memory_us // 1000) if keyed else 0)
 
     def give_up(self, out: Out, outcome: api.Outcome) -> None:
-        if out.handle is not None and out.handle.on_told is not None:
+        if out.handle is not None and out.handle.on_result is not None:
             out.outcome = outcome
             out.handle.give_up()
 
