--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -30,7 +30,7 @@
         self.tenant, self.key = entry.tenant, entry.key
         self.on_result: Callable[[Attempt], None] | None = on_told
 
-    def tell(self) -> None:
+    def report_result(self) -> None:
         on_told, self.on_result = self.on_result, None
         if on_told is not None:
             on_told(self.plan)
@@ -39,7 +39,7 @@
         """Nobody waits any more. What became of it is found out all the same."""
         if self.on_result is None:
             return
-        self.tell()
+        self.report_result()
         if self.plan.told is Told.OPEN:
             self.recorder.left_open(self)
 
@@ -62,7 +62,7 @@
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.plan.failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are open already", "OPEN"))
-            self.loop.call_soon(handle.tell)
+            self.loop.call_soon(handle.report_result)
             return handle
         task = self.loop.create_task(self.run(handle))
         self.handles[task] = handle
@@ -100,7 +100,7 @@
             handle.give_up()
             return
         late = handle.on_result is None
-        handle.tell()
+        handle.report_result()
         if late:
             self.journal.closed(handle.attempt, plan.told.value)
 
