--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -41,7 +41,7 @@
             return
         self.report_result()
         if self.plan.told is Told.OPEN:
-            self.recorder.left_open(self)
+            self.recorder.journal_open_attempt(self)
 
 
 class Recorder:
@@ -125,7 +125,7 @@
             step = await self.ask(plan, entry.attempt, step)
         self.journal.closed(entry.attempt, plan.told.value)
 
-    def left_open(self, handle: AttemptHandle) -> None:
+    def journal_open_attempt(self, handle: AttemptHandle) -> None:
         why = handle.plan.trouble[-1] if handle.plan.trouble else "no answer in time"
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
