--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -87,7 +87,7 @@
                     try:
                         step = plan.written(await self.store.write(handle.entry, step.until))
                     except StoreFailure as trouble:
-                        self.say(trouble, self.loop.time())
+                        self.log_failure(trouble, self.loop.time())
                         step = plan.failed(self.loop.time(), trouble)
                     handle.entry = None
                 else:
@@ -114,7 +114,7 @@
                 until = max(step.until, self.loop.time() + (step.until - step.at))
                 return plan.found(await self.store.ask(attempt, until))
             except StoreFailure as trouble:
-                self.say(trouble, self.loop.time())
+                self.log_failure(trouble, self.loop.time())
                 return plan.not_found(self.loop.time(), trouble, self.rng.random())
 
     async def find_out(self, entry: Open) -> None:
@@ -130,7 +130,7 @@
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
 
-    def say(self, trouble: StoreFailure, now: float) -> None:
+    def log_failure(self, trouble: StoreFailure, now: float) -> None:
         """A line now and then: a store that is away has much to complain of."""
         if now - self.said_at >= LOG_INTERVAL_S:
             self.said_at = now
