--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -54,7 +54,7 @@
         self.loop = asyncio.get_running_loop()
         self.handles: dict[asyncio.Task[None], AttemptHandle | None] = {}
         self.asking = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
-        self.said_at = -LOG_INTERVAL_S
+        self.last_logged_at = -LOG_INTERVAL_S
 
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> AttemptHandle:
         """Begins one attempt; `due` is on the loop's clock."""
@@ -132,8 +132,8 @@
 
     def log_failure(self, trouble: StoreFailure, now: float) -> None:
         """A line now and then: a store that is away has much to complain of."""
-        if now - self.said_at >= LOG_INTERVAL_S:
-            self.said_at = now
+        if now - self.last_logged_at >= LOG_INTERVAL_S:
+            self.last_logged_at = now
             self.log(f"store {self.name}: {trouble.outcome.value}: {trouble}")
 
     async def close(self, wait_s: float) -> None:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -346,7 +346,7 @@
         async with store_scene() as (store, _):
             play = Play(store)
             for at in (0.0, 0.1, 4.9, 5.1, 9.9, 10.2):
-                play.recorder.said_at = -5.0 if at == 0.0 else play.recorder.said_at
+                play.recorder.last_logged_at = -5.0 if at == 0.0 else play.recorder.last_logged_at
                 play.recorder.log_failure(StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
             assert play.lines == ["store s: never ran: gone"] * 3
 
