--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -53,7 +53,7 @@
         self.rng = rng or random.Random()
         self.loop = asyncio.get_running_loop()
         self.handles: dict[asyncio.Task[None], AttemptHandle | None] = {}
-        self.asking = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+        self.query_semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         self.last_logged_at = -LOG_INTERVAL_S
 
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> AttemptHandle:
@@ -108,7 +108,7 @@
         now = self.loop.time()
         if step.at > now:
             await asyncio.sleep(step.at - now)
-        async with self.asking:
+        async with self.query_semaphore:
             try:
                 # whoever waited long for its turn has the same time as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
