--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -73,7 +73,7 @@
         """What a former process left open."""
         for entry in entries:
             if entry.store == self.name:
-                task = self.loop.create_task(self.find_out(entry))
+                task = self.loop.create_task(self.resolve_attempt(entry))
                 self.handles[task] = None
                 task.add_done_callback(self.handles.pop)
 
@@ -117,7 +117,7 @@
                 self.log_failure(trouble, self.loop.time())
                 return plan.not_found(self.loop.time(), trouble, self.rng.random())
 
-    async def find_out(self, entry: Open) -> None:
+    async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
         plan = Attempt(now)
         step: Next = plan.ask(now, now)
