--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -11,7 +11,7 @@
 
 from ironscale.record.journal import Journal, Open
 from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
-from ironscale.record.write_attempt import Ask, Attempt, Done, Next, Told, Write
+from ironscale.record.write_attempt import Ask, Attempt, Done, Next, AttemptOutcome, Write
 
 MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
 MAX_CONCURRENT_QUERIES = 8  # questions at a time: after an outage all that is open wants to be asked together
@@ -40,7 +40,7 @@
         if self.on_result is None:
             return
         self.report_result()
-        if self.plan.told is Told.OPEN:
+        if self.plan.told is AttemptOutcome.OPEN:
             self.recorder.journal_open_attempt(self)
 
 
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -21,7 +21,7 @@
 AGAIN_S, LONGEST_AGAIN_S = 0.05, 5.0  # between two questions: doubles, with a spread
 
 
-class Told(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """What becomes of an attempt, as far as is known."""
 
     OPEN = "open"  # not known
@@ -54,7 +54,7 @@
     """What is known of one attempt."""
 
     due: float  # who waits for it waits until then
-    told: Told = Told.OPEN
+    told: AttemptOutcome = AttemptOutcome.OPEN
     answer: bytes = b""
     cause: Cause | None = None  # why it never ran
     detail: str = ""
@@ -68,18 +68,18 @@
     def written(self, result: WriteResult) -> Next:
         """The store has answered the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
-            self.told, self.answer = Told.RAN, result.answer
+            self.told, self.answer = AttemptOutcome.RAN, result.answer
         elif result.verdict is Verdict.CONFLICT:
-            self.told = Told.CONFLICT
+            self.told = AttemptOutcome.CONFLICT
         else:
-            self.told, self.cause, self.detail = Told.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
+            self.told, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
         return Done()
 
     def failed(self, now: float, trouble: StoreFailure) -> Next:
         """The write ended in an error."""
         self.note(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
-            self.told, self.cause, self.detail = Told.NEVER_RAN, trouble.cause, str(trouble)
+            self.told, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
         self.cause = trouble.cause
         return self.ask(now, now)
@@ -87,10 +87,10 @@
     def found(self, answer: bytes | None) -> Next:
         """The store has said, behind the fence."""
         if answer is None:
-            self.told = Told.NEVER_RAN
+            self.told = AttemptOutcome.NEVER_RAN
             self.detail = self.trouble[-1] if self.trouble else ""
         else:
-            self.told, self.answer = Told.RAN, answer
+            self.told, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
     def not_found(self, now: float, trouble: StoreFailure, spread: float) -> Next:
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -10,11 +10,11 @@
 from ironscale.record.journal import Journal
 from ironscale.record.model import Entry, Store
 from ironscale.record.recorder import AttemptHandle, Recorder
-from ironscale.record.write_attempt import Attempt, Told
+from ironscale.record.write_attempt import Attempt, AttemptOutcome
 from tests.record.samples import again
 
-WORDS = {Told.RAN: history_check.SERVED, Told.NEVER_RAN: history_check.REFUSED, Told.CONFLICT: history_check.CONFLICT,
-         Told.OPEN: history_check.FAILED}
+WORDS = {AttemptOutcome.RAN: history_check.SERVED, AttemptOutcome.NEVER_RAN: history_check.REFUSED, AttemptOutcome.CONFLICT: history_check.CONFLICT,
+         AttemptOutcome.OPEN: history_check.FAILED}
 
 
 class Play:
@@ -32,7 +32,7 @@
         for turn in range(tries):
             handle = await self.attempt(again(one) if turn else one, seconds)
             told = handle.plan.told
-            if told is not Told.NEVER_RAN:
+            if told is not AttemptOutcome.NEVER_RAN:
                 break
         word = WORDS[told]
         self.clients.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -9,7 +9,7 @@
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
-from ironscale.record.write_attempt import Ask, Attempt, Done, Told, Write
+from ironscale.record.write_attempt import Ask, Attempt, Done, AttemptOutcome, Write
 from tests.record.samples import again, entry
 
 NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
@@ -57,20 +57,20 @@
 
 
 def test_an_answered_write_is_done() -> None:
-    for verdict, told in ((Verdict.WRITTEN, Told.RAN), (Verdict.REPEAT, Told.RAN), (Verdict.CONFLICT, Told.CONFLICT),
-                          (Verdict.FENCED, Told.NEVER_RAN)):
+    for verdict, told in ((Verdict.WRITTEN, AttemptOutcome.RAN), (Verdict.REPEAT, AttemptOutcome.RAN), (Verdict.CONFLICT, AttemptOutcome.CONFLICT),
+                          (Verdict.FENCED, AttemptOutcome.NEVER_RAN)):
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is kept for asking
         assert isinstance(plan.written(WriteResult(verdict, b"a")), Done)
-        assert plan.told is told and plan.answer == (b"a" if told is Told.RAN else b"")
+        assert plan.told is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
 
 
 def test_what_never_ran_is_told_and_not_asked() -> None:
     plan = Attempt(10.0)
     plan.begin(9.7)
     assert isinstance(plan.failed(9.8, lost(NEVER)), Done)
-    assert plan.told is Told.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
+    assert plan.told is AttemptOutcome.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
 
 
 def test_what_is_not_known_is_asked_until_the_store_says_also_after_its_time() -> None:
@@ -79,15 +79,15 @@
     step = plan.failed(9.5, lost())
     now, waits = 9.5, []
     for _ in range(40):
-        assert isinstance(step, Ask) and plan.told is Told.OPEN and step.at >= now and step.until > step.at
+        assert isinstance(step, Ask) and plan.told is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
         step = plan.not_found(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
-    assert isinstance(plan.found(b"a"), Done) and plan.told is Told.RAN
+    assert isinstance(plan.found(b"a"), Done) and plan.told is AttemptOutcome.RAN
     other = Attempt(1.0)
     other.failed(0.5, lost())
-    assert isinstance(other.found(None), Done) and other.told is Told.NEVER_RAN
+    assert isinstance(other.found(None), Done) and other.told is AttemptOutcome.NEVER_RAN
 
 
 def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
