--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class QueryOutcome:
     at: float  # no sooner
     until: float
 
@@ -46,7 +46,7 @@
     pass
 
 
-Next = Write | Ask | Done
+Next = Write | QueryOutcome | Done
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
         self.asked += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
         left = self.due - at
-        return Ask(at, at + (max(ASK_S, left) if left > 0 else LONGEST_ASK_S))
+        return QueryOutcome(at, at + (max(ASK_S, left) if left > 0 else LONGEST_ASK_S))
 
     def note(self, trouble: StoreFailure) -> None:
         self.trouble = [*self.trouble[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -9,7 +9,7 @@
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
-from ironscale.record.write_attempt import Ask, Attempt, Done, AttemptOutcome, Write
+from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, AttemptOutcome, Write
 from tests.record.samples import again, entry
 
 NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
@@ -79,7 +79,7 @@
     step = plan.failed(9.5, lost())
     now, waits = 9.5, []
     for _ in range(40):
-        assert isinstance(step, Ask) and plan.told is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
+        assert isinstance(step, QueryOutcome) and plan.told is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
         step = plan.not_found(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
@@ -93,9 +93,9 @@
 def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
     plan = Attempt(10.0)
     step = plan.failed(8.0, lost())
-    assert isinstance(step, Ask) and step.until == 10.0
+    assert isinstance(step, QueryOutcome) and step.until == 10.0
     step = plan.not_found(9.9, lost(), 0.0)
-    assert isinstance(step, Ask) and 9.9 < step.at < 10.0 and step.until - step.at == pytest.approx(0.25)
+    assert isinstance(step, QueryOutcome) and 9.9 < step.at < 10.0 and step.until - step.at == pytest.approx(0.25)
 
 
 # Names
