--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -11,7 +11,7 @@
 
 from ironscale.record.journal import Journal, Open
 from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
-from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, Next, AttemptOutcome, Write
+from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, NextStep, AttemptOutcome, Write
 
 MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
 MAX_CONCURRENT_QUERIES = 8  # questions at a time: after an outage all that is open wants to be asked together
@@ -104,7 +104,7 @@
         if late:
             self.journal.closed(handle.attempt, plan.told.value)
 
-    async def ask(self, plan: Attempt, attempt: str, step: QueryOutcome) -> Next:
+    async def ask(self, plan: Attempt, attempt: str, step: QueryOutcome) -> NextStep:
         now = self.loop.time()
         if step.at > now:
             await asyncio.sleep(step.at - now)
@@ -120,7 +120,7 @@
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
         plan = Attempt(now)
-        step: Next = plan.ask(now, now)
+        step: NextStep = plan.ask(now, now)
         while isinstance(step, QueryOutcome):
             step = await self.ask(plan, entry.attempt, step)
         self.journal.closed(entry.attempt, plan.told.value)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -46,7 +46,7 @@
     pass
 
 
-Next = Write | QueryOutcome | Done
+NextStep = Write | QueryOutcome | Done
 
 
 @dataclass(slots=True)
@@ -61,11 +61,11 @@
     asked: int = 0
     trouble: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
 
-    def begin(self, now: float) -> Next:
+    def begin(self, now: float) -> NextStep:
         left = max(0.0, self.due - now)
         return Write(self.due - min(left * RESERVE, MOST_RESERVE_S))
 
-    def written(self, result: WriteResult) -> Next:
+    def written(self, result: WriteResult) -> NextStep:
         """The store has answered the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
             self.told, self.answer = AttemptOutcome.RAN, result.answer
@@ -75,7 +75,7 @@
             self.told, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
         return Done()
 
-    def failed(self, now: float, trouble: StoreFailure) -> Next:
+    def failed(self, now: float, trouble: StoreFailure) -> NextStep:
         """The write ended in an error."""
         self.note(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
@@ -84,7 +84,7 @@
         self.cause = trouble.cause
         return self.ask(now, now)
 
-    def found(self, answer: bytes | None) -> Next:
+    def found(self, answer: bytes | None) -> NextStep:
         """The store has said, behind the fence."""
         if answer is None:
             self.told = AttemptOutcome.NEVER_RAN
@@ -93,7 +93,7 @@
             self.told, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
-    def not_found(self, now: float, trouble: StoreFailure, spread: float) -> Next:
+    def not_found(self, now: float, trouble: StoreFailure, spread: float) -> NextStep:
         """The question itself had no answer: nothing is known that was not known before.
 
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
@@ -102,7 +102,7 @@
         wait = min(LONGEST_AGAIN_S, AGAIN_S * 2 ** min(self.asked, 20))
         return self.ask(now, now + wait * (0.5 + spread / 2))
 
-    def ask(self, now: float, at: float) -> Next:
+    def ask(self, now: float, at: float) -> NextStep:
         self.asked += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
         left = self.due - at
