--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -15,7 +15,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, WriteResult
 
 QUERY_RESERVE_SHARE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
-MOST_RESERVE_S = 0.5
+MAX_QUERY_RESERVE_S = 0.5
 ASK_S = 0.25  # the first question may take so long at least
 LONGEST_ASK_S = 5.0
 AGAIN_S, LONGEST_AGAIN_S = 0.05, 5.0  # between two questions: doubles, with a spread
@@ -63,7 +63,7 @@
 
     def begin(self, now: float) -> NextStep:
         left = max(0.0, self.due - now)
-        return Write(self.due - min(left * QUERY_RESERVE_SHARE, MOST_RESERVE_S))
+        return Write(self.due - min(left * QUERY_RESERVE_SHARE, MAX_QUERY_RESERVE_S))
 
     def written(self, result: WriteResult) -> NextStep:
         """The store has answered the write."""
