--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -17,7 +17,7 @@
 QUERY_RESERVE_SHARE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
 MAX_QUERY_RESERVE_S = 0.5
 MIN_QUERY_TIMEOUT_S = 0.25  # the first question may take so long at least
-LONGEST_ASK_S = 5.0
+MAX_QUERY_TIMEOUT_S = 5.0
 AGAIN_S, LONGEST_AGAIN_S = 0.05, 5.0  # between two questions: doubles, with a spread
 
 
@@ -106,7 +106,7 @@
         self.asked += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
         left = self.due - at
-        return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else LONGEST_ASK_S))
+        return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
     def note(self, trouble: StoreFailure) -> None:
         self.trouble = [*self.trouble[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
