--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -18,7 +18,7 @@
 MAX_QUERY_RESERVE_S = 0.5
 MIN_QUERY_TIMEOUT_S = 0.25  # the first question may take so long at least
 MAX_QUERY_TIMEOUT_S = 5.0
-RETRY_DELAY_S, LONGEST_AGAIN_S = 0.05, 5.0  # between two questions: doubles, with a spread
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 5.0  # between two questions: doubles, with a spread
 
 
 class AttemptOutcome(enum.Enum):
@@ -99,7 +99,7 @@
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
         """
         self.note(trouble)
-        wait = min(LONGEST_AGAIN_S, RETRY_DELAY_S * 2 ** min(self.asked, 20))
+        wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.asked, 20))
         return self.ask(now, now + wait * (0.5 + spread / 2))
 
     def ask(self, now: float, at: float) -> NextStep:
