--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -40,7 +40,7 @@
         if self.on_result is None:
             return
         self.report_result()
-        if self.plan.told is AttemptOutcome.OPEN:
+        if self.plan.outcome is AttemptOutcome.OPEN:
             self.recorder.journal_open_attempt(self)
 
 
@@ -102,7 +102,7 @@
         late = handle.on_result is None
         handle.report_result()
         if late:
-            self.journal.closed(handle.attempt, plan.told.value)
+            self.journal.closed(handle.attempt, plan.outcome.value)
 
     async def ask(self, plan: Attempt, attempt: str, step: QueryOutcome) -> NextStep:
         now = self.loop.time()
@@ -123,7 +123,7 @@
         step: NextStep = plan.ask(now, now)
         while isinstance(step, QueryOutcome):
             step = await self.ask(plan, entry.attempt, step)
-        self.journal.closed(entry.attempt, plan.told.value)
+        self.journal.closed(entry.attempt, plan.outcome.value)
 
     def journal_open_attempt(self, handle: AttemptHandle) -> None:
         why = handle.plan.trouble[-1] if handle.plan.trouble else "no answer in time"
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -140,15 +140,15 @@
         del self.out[request.ident, out.number]
         request.attempts_in_flight -= 1
         onward = None
-        if plan.told in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
+        if plan.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
-                if plan.told is AttemptOutcome.RAN and request.forward_to is not None:
+                if plan.outcome is AttemptOutcome.RAN and request.forward_to is not None:
                     onward, request.forward_to, request.dispatcher, request.has_run = (
                         request.forward_to, None, None, True)
-                elif plan.told is AttemptOutcome.RAN and request.upstream_answer is not None:
+                elif plan.outcome is AttemptOutcome.RAN and request.upstream_answer is not None:
                     self.host.serve(request, request.upstream_answer)
-                elif plan.told is AttemptOutcome.RAN:
+                elif plan.outcome is AttemptOutcome.RAN:
                     request.exchange.answer(200, JSON, plan.answer)
                 elif request.has_run:  # an upstream has run what the store can't have
                     request.exchange.answer(502)
@@ -159,7 +159,7 @@
                     self.host.answers[request.class_index, "served"] += 1
                 if onward is None:
                     self.host.close(request)
-        elif plan.told is AttemptOutcome.NEVER_RAN:
+        elif plan.outcome is AttemptOutcome.NEVER_RAN:
             outcome = OUTCOMES[plan.cause]
         else:
             outcome = out.outcome or api.Outcome.TIMEOUT
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -54,7 +54,7 @@
     """What is known of one attempt."""
 
     due: float  # who waits for it waits until then
-    told: AttemptOutcome = AttemptOutcome.OPEN
+    outcome: AttemptOutcome = AttemptOutcome.OPEN
     answer: bytes = b""
     cause: Cause | None = None  # why it never ran
     detail: str = ""
@@ -68,18 +68,18 @@
     def written(self, result: WriteResult) -> NextStep:
         """The store has answered the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
-            self.told, self.answer = AttemptOutcome.RAN, result.answer
+            self.outcome, self.answer = AttemptOutcome.RAN, result.answer
         elif result.verdict is Verdict.CONFLICT:
-            self.told = AttemptOutcome.CONFLICT
+            self.outcome = AttemptOutcome.CONFLICT
         else:
-            self.told, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
+            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
         return Done()
 
     def failed(self, now: float, trouble: StoreFailure) -> NextStep:
         """The write ended in an error."""
         self.note(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
-            self.told, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
+            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
         self.cause = trouble.cause
         return self.ask(now, now)
@@ -87,10 +87,10 @@
     def found(self, answer: bytes | None) -> NextStep:
         """The store has said, behind the fence."""
         if answer is None:
-            self.told = AttemptOutcome.NEVER_RAN
+            self.outcome = AttemptOutcome.NEVER_RAN
             self.detail = self.trouble[-1] if self.trouble else ""
         else:
-            self.told, self.answer = AttemptOutcome.RAN, answer
+            self.outcome, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
     def not_found(self, now: float, trouble: StoreFailure, spread: float) -> NextStep:
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -31,7 +31,7 @@
         """One client's request, tried again only after what never ran; gives what the client was told."""
         for turn in range(tries):
             handle = await self.attempt(again(one) if turn else one, seconds)
-            told = handle.plan.told
+            told = handle.plan.outcome
             if told is not AttemptOutcome.NEVER_RAN:
                 break
         word = WORDS[told]
@@ -61,4 +61,4 @@
             await asyncio.wait(list(self.recorder.handles))
 
     def outcomes(self) -> dict[str, str]:
-        return {handle.attempt: handle.plan.told.value for handle in self.handles}
+        return {handle.attempt: handle.plan.outcome.value for handle in self.handles}
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -63,14 +63,14 @@
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is kept for asking
         assert isinstance(plan.written(WriteResult(verdict, b"a")), Done)
-        assert plan.told is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
+        assert plan.outcome is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
 
 
 def test_what_never_ran_is_told_and_not_asked() -> None:
     plan = Attempt(10.0)
     plan.begin(9.7)
     assert isinstance(plan.failed(9.8, lost(NEVER)), Done)
-    assert plan.told is AttemptOutcome.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
+    assert plan.outcome is AttemptOutcome.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
 
 
 def test_what_is_not_known_is_asked_until_the_store_says_also_after_its_time() -> None:
@@ -79,15 +79,15 @@
     step = plan.failed(9.5, lost())
     now, waits = 9.5, []
     for _ in range(40):
-        assert isinstance(step, QueryOutcome) and plan.told is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
+        assert isinstance(step, QueryOutcome) and plan.outcome is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
         step = plan.not_found(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
-    assert isinstance(plan.found(b"a"), Done) and plan.told is AttemptOutcome.RAN
+    assert isinstance(plan.found(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
     other = Attempt(1.0)
     other.failed(0.5, lost())
-    assert isinstance(other.found(None), Done) and other.told is AttemptOutcome.NEVER_RAN
+    assert isinstance(other.found(None), Done) and other.outcome is AttemptOutcome.NEVER_RAN
 
 
 def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
