--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -53,7 +53,7 @@
 class Attempt:
     """What is known of one attempt."""
 
-    due: float  # who waits for it waits until then
+    deadline: float  # who waits for it waits until then
     outcome: AttemptOutcome = AttemptOutcome.OPEN
     answer: bytes = b""
     cause: Cause | None = None  # why it never ran
@@ -62,8 +62,8 @@
     trouble: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
 
     def begin(self, now: float) -> NextStep:
-        left = max(0.0, self.due - now)
-        return Write(self.due - min(left * QUERY_RESERVE_SHARE, MAX_QUERY_RESERVE_S))
+        left = max(0.0, self.deadline - now)
+        return Write(self.deadline - min(left * QUERY_RESERVE_SHARE, MAX_QUERY_RESERVE_S))
 
     def written(self, result: WriteResult) -> NextStep:
         """The store has answered the write."""
@@ -105,7 +105,7 @@
     def ask(self, now: float, at: float) -> NextStep:
         self.asked += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
-        left = self.due - at
+        left = self.deadline - at
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
     def note(self, trouble: StoreFailure) -> None:
