--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -58,7 +58,7 @@
     answer: bytes = b""
     cause: Cause | None = None  # why it never ran
     detail: str = ""
-    asked: int = 0
+    queries: int = 0
     trouble: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
 
     def begin(self, now: float) -> NextStep:
@@ -99,11 +99,11 @@
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
         """
         self.note(trouble)
-        wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.asked, 20))
+        wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
         return self.ask(now, now + wait * (0.5 + spread / 2))
 
     def ask(self, now: float, at: float) -> NextStep:
-        self.asked += 1
+        self.queries += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
         left = self.deadline - at
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
