--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -126,7 +126,7 @@
         self.journal.closed(entry.attempt, plan.outcome.value)
 
     def journal_open_attempt(self, handle: AttemptHandle) -> None:
-        why = handle.plan.trouble[-1] if handle.plan.trouble else "no answer in time"
+        why = handle.plan.failures[-1] if handle.plan.failures else "no answer in time"
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
 
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -59,7 +59,7 @@
     cause: Cause | None = None  # why it never ran
     detail: str = ""
     queries: int = 0
-    trouble: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
+    failures: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
 
     def begin(self, now: float) -> NextStep:
         left = max(0.0, self.deadline - now)
@@ -88,7 +88,7 @@
         """The store has said, behind the fence."""
         if answer is None:
             self.outcome = AttemptOutcome.NEVER_RAN
-            self.detail = self.trouble[-1] if self.trouble else ""
+            self.detail = self.failures[-1] if self.failures else ""
         else:
             self.outcome, self.answer = AttemptOutcome.RAN, answer
         return Done()
@@ -109,4 +109,4 @@
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
     def note(self, trouble: StoreFailure) -> None:
-        self.trouble = [*self.trouble[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
+        self.failures = [*self.failures[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
