--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -77,7 +77,7 @@
 
     def failed(self, now: float, trouble: StoreFailure) -> NextStep:
         """The write ended in an error."""
-        self.note(trouble)
+        self.add_failure(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
             self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
@@ -98,7 +98,7 @@
 
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
         """
-        self.note(trouble)
+        self.add_failure(trouble)
         wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
         return self.ask(now, now + wait * (0.5 + spread / 2))
 
@@ -108,5 +108,5 @@
         left = self.deadline - at
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
-    def note(self, trouble: StoreFailure) -> None:
+    def add_failure(self, trouble: StoreFailure) -> None:
         self.failures = [*self.failures[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
