--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -85,7 +85,7 @@
                 if isinstance(step, Write):
                     assert handle.entry is not None
                     try:
-                        step = plan.written(await self.store.write(handle.entry, step.until))
+                        step = plan.write_answered(await self.store.write(handle.entry, step.until))
                     except StoreFailure as trouble:
                         self.log_failure(trouble, self.loop.time())
                         step = plan.failed(self.loop.time(), trouble)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -65,7 +65,7 @@
         left = max(0.0, self.deadline - now)
         return Write(self.deadline - min(left * QUERY_RESERVE_SHARE, MAX_QUERY_RESERVE_S))
 
-    def written(self, result: WriteResult) -> NextStep:
+    def write_answered(self, result: WriteResult) -> NextStep:
         """The store has answered the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
             self.outcome, self.answer = AttemptOutcome.RAN, result.answer
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -62,7 +62,7 @@
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is kept for asking
-        assert isinstance(plan.written(WriteResult(verdict, b"a")), Done)
+        assert isinstance(plan.write_answered(WriteResult(verdict, b"a")), Done)
         assert plan.outcome is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
 
 
