--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -60,7 +60,7 @@
         """Begins one attempt; `due` is on the loop's clock."""
         handle = AttemptHandle(self, entry, Attempt(due), on_told)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
-            handle.plan.failed(self.loop.time(), StoreFailure(
+            handle.plan.write_failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are open already", "OPEN"))
             self.loop.call_soon(handle.report_result)
             return handle
@@ -88,7 +88,7 @@
                         step = plan.write_answered(await self.store.write(handle.entry, step.until))
                     except StoreFailure as trouble:
                         self.log_failure(trouble, self.loop.time())
-                        step = plan.failed(self.loop.time(), trouble)
+                        step = plan.write_failed(self.loop.time(), trouble)
                     handle.entry = None
                 else:
                     step = await self.ask(plan, handle.attempt, step)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -75,7 +75,7 @@
             self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
         return Done()
 
-    def failed(self, now: float, trouble: StoreFailure) -> NextStep:
+    def write_failed(self, now: float, trouble: StoreFailure) -> NextStep:
         """The write ended in an error."""
         self.add_failure(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
