--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -112,7 +112,7 @@
             try:
                 # whoever waited long for its turn has the same time as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
-                return plan.found(await self.store.ask(attempt, until))
+                return plan.query_answered(await self.store.ask(attempt, until))
             except StoreFailure as trouble:
                 self.log_failure(trouble, self.loop.time())
                 return plan.not_found(self.loop.time(), trouble, self.rng.random())
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -84,7 +84,7 @@
         self.cause = trouble.cause
         return self.ask(now, now)
 
-    def found(self, answer: bytes | None) -> NextStep:
+    def query_answered(self, answer: bytes | None) -> NextStep:
         """The store has said, behind the fence."""
         if answer is None:
             self.outcome = AttemptOutcome.NEVER_RAN
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -84,10 +84,10 @@
         now = step.until
         step = plan.not_found(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
-    assert isinstance(plan.found(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
+    assert isinstance(plan.query_answered(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
     other = Attempt(1.0)
     other.write_failed(0.5, lost())
-    assert isinstance(other.found(None), Done) and other.outcome is AttemptOutcome.NEVER_RAN
+    assert isinstance(other.query_answered(None), Done) and other.outcome is AttemptOutcome.NEVER_RAN
 
 
 def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
