--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -115,7 +115,7 @@
                 return plan.query_answered(await self.store.ask(attempt, until))
             except StoreFailure as trouble:
                 self.log_failure(trouble, self.loop.time())
-                return plan.not_found(self.loop.time(), trouble, self.rng.random())
+                return plan.query_failed(self.loop.time(), trouble, self.rng.random())
 
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -93,7 +93,7 @@
             self.outcome, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
-    def not_found(self, now: float, trouble: StoreFailure, spread: float) -> NextStep:
+    def query_failed(self, now: float, trouble: StoreFailure, spread: float) -> NextStep:
         """The question itself had no answer: nothing is known that was not known before.
 
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -82,7 +82,7 @@
         assert isinstance(step, QueryOutcome) and plan.outcome is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
-        step = plan.not_found(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
+        step = plan.query_failed(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
     assert isinstance(plan.query_answered(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
     other = Attempt(1.0)
@@ -94,7 +94,7 @@
     plan = Attempt(10.0)
     step = plan.write_failed(8.0, lost())
     assert isinstance(step, QueryOutcome) and step.until == 10.0
-    step = plan.not_found(9.9, lost(), 0.0)
+    step = plan.query_failed(9.9, lost(), 0.0)
     assert isinstance(step, QueryOutcome) and 9.9 < step.at < 10.0 and step.until - step.at == pytest.approx(0.25)
 
 
