--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -120,7 +120,7 @@
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
         plan = Attempt(now)
-        step: NextStep = plan.ask(now, now)
+        step: NextStep = plan.next_query(now, now)
         while isinstance(step, QueryOutcome):
             step = await self.ask(plan, entry.attempt, step)
         self.journal.closed(entry.attempt, plan.outcome.value)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -82,7 +82,7 @@
             self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
             return Done()
         self.cause = trouble.cause
-        return self.ask(now, now)
+        return self.next_query(now, now)
 
     def query_answered(self, answer: bytes | None) -> NextStep:
         """The store has said, behind the fence."""
@@ -100,9 +100,9 @@
         """
         self.add_failure(trouble)
         wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
-        return self.ask(now, now + wait * (0.5 + spread / 2))
+        return self.next_query(now, now + wait * (0.5 + spread / 2))
 
-    def ask(self, now: float, at: float) -> NextStep:
+    def next_query(self, now: float, at: float) -> NextStep:
         self.queries += 1
         # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
         left = self.deadline - at
