--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -93,14 +93,14 @@
             self.outcome, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
-    def query_failed(self, now: float, trouble: StoreFailure, spread: float) -> NextStep:
+    def query_failed(self, now: float, trouble: StoreFailure, jitter: float) -> NextStep:
         """The question itself had no answer: nothing is known that was not known before.
 
         `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
         """
         self.add_failure(trouble)
         wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
-        return self.next_query(now, now + wait * (0.5 + spread / 2))
+        return self.next_query(now, now + wait * (0.5 + jitter / 2))
 
     def next_query(self, now: float, at: float) -> NextStep:
         self.queries += 1
