--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -28,7 +28,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 from ironscale.record.postgres import Access, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, schema_migration
-from ironscale.record.worker import Done, Job, Worker, fated
+from ironscale.record.worker import Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 NOW = NOW_MS["postgresql"]
@@ -158,7 +158,7 @@
             found = StoreFailure(WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                             f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
-        return fated(group, done, found)
+        return failed_group_results(group, done, found)
 
     def _do(self, held: Held, job: Job[Held, Any], done: list[Done[Held]], several: bool) -> None:
         """One job; what it has done is taken back if it fails. Raises what ends the whole transaction."""
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -17,7 +17,7 @@
 
 from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
-from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
+from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -226,11 +226,11 @@
             found = error if isinstance(error, StoreFailure) else trouble(error, step, self.opener.path)
             if opened is not None:
                 self._after_error(opened, found)
-            return fated(group, done, found)
+            return failed_group_results(group, done, found)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
             if opened is not None:
                 self._after_error(opened, None)
-            return fated(group, [], StoreFailure(
+            return failed_group_results(group, [], StoreFailure(
                 WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.opener.path}: {type(error).__name__}: {error}"))
 
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -51,7 +51,7 @@
 Done = tuple[Job[X, Any], Any, BaseException | None]
 
 
-def fated(group: list[Job[X, Any]], done: list[Done[X]], found: StoreFailure) -> list[Done[X]]:
+def failed_group_results(group: list[Job[X, Any]], done: list[Done[X]], found: StoreFailure) -> list[Done[X]]:
     """All of a group share its transaction's fate, but for those that had failed by themselves before."""
     failed = [entry for entry in done if entry[2] is not None]
     alone = {id(job) for job, _, _ in failed}
