--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -18,7 +18,7 @@
 
 T = TypeVar("T")
 X = TypeVar("X")  # what a piece of work is handed: the transaction that it shares
-GROUP = 256  # pieces of work in one commit at most
+MAX_GROUP_JOBS = 256  # pieces of work in one commit at most
 MOST_QUEUED = 4_096
 NO_TIME = float("inf")
 
@@ -131,7 +131,7 @@
                 if not self.jobs:
                     return
                 group: list[Job[X, Any]] = []
-                while self.jobs and len(group) < GROUP:
+                while self.jobs and len(group) < MAX_GROUP_JOBS:
                     job = self.jobs.popleft()
                     job.begun = True
                     group.append(job)
