--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -17,7 +17,7 @@
 
 from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
-from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, failed_group_results
+from ironscale.record.worker import MAX_QUEUED_JOBS, Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -174,7 +174,7 @@
 class Writer(Worker[Transaction]):
     """One connection on one thread."""
 
-    def __init__(self, opener: Opener, most_queued: int = MOST_QUEUED, checkpoint_pages: int = CHECKPOINT_PAGES,
+    def __init__(self, opener: Opener, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  longest_log_pages: int = LONGEST_LOG_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection`: one that the opener has opened already, and nobody else uses."""
         super().__init__(str(opener.path), most_queued)
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -30,7 +30,7 @@
     result_for_existing_row,
 )
 from ironscale.record.sql import SCHEMA, Dialect, row
-from ironscale.record.worker import MOST_QUEUED, NO_TIME
+from ironscale.record.worker import MAX_QUEUED_JOBS, NO_TIME
 from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
@@ -87,7 +87,7 @@
 class SqliteStore:
     """`Store` on one file. Several processes of one machine may share it."""
 
-    def __init__(self, path: Path, most_queued: int = MOST_QUEUED, vfs: str | None = None, busy_ms: int = BUSY_MS,
+    def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_MS,
                  checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = LONGEST_LOG_PAGES) -> None:
         self.path = path
         self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -19,7 +19,7 @@
 T = TypeVar("T")
 X = TypeVar("X")  # what a piece of work is handed: the transaction that it shares
 MAX_GROUP_JOBS = 256  # pieces of work in one commit at most
-MOST_QUEUED = 4_096
+MAX_QUEUED_JOBS = 4_096
 NO_TIME = float("inf")
 
 
@@ -62,7 +62,7 @@
 class Worker(abc.ABC, Generic[X]):
     """The queue and its thread; `commit` carries a group out."""
 
-    def __init__(self, name: str, most_queued: int = MOST_QUEUED) -> None:
+    def __init__(self, name: str, most_queued: int = MAX_QUEUED_JOBS) -> None:
         """`name`: the store's, as errors tell it."""
         self.name = name
         self.most_queued = most_queued
