--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -30,7 +30,7 @@
     result_for_existing_row,
 )
 from ironscale.record.sql import SCHEMA, Dialect, row
-from ironscale.record.worker import MAX_QUEUED_JOBS, NO_TIME
+from ironscale.record.worker import MAX_QUEUED_JOBS, NO_DEADLINE
 from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
@@ -93,10 +93,10 @@
         self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
         self.writer = Writer(self.opener, most_queued, checkpoint_pages, longest_log_pages)
 
-    async def write(self, entry: Entry, until: float = NO_TIME) -> WriteResult:
+    async def write(self, entry: Entry, until: float = NO_DEADLINE) -> WriteResult:
         return await self.writer.run(write(entry), until)
 
-    async def ask(self, attempt: str, until: float = NO_TIME) -> bytes | None:
+    async def ask(self, attempt: str, until: float = NO_DEADLINE) -> bytes | None:
         return await self.writer.run(ask(attempt), until)
 
     async def close(self) -> None:
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -20,7 +20,7 @@
 X = TypeVar("X")  # what a piece of work is handed: the transaction that it shares
 MAX_GROUP_JOBS = 256  # pieces of work in one commit at most
 MAX_QUEUED_JOBS = 4_096
-NO_TIME = float("inf")
+NO_DEADLINE = float("inf")
 
 
 class Job(Generic[X, T]):
@@ -94,7 +94,7 @@
     def stop(self, wait_s: float) -> None:
         """After all that was asked for. Blocks, so long at most."""
 
-    async def run(self, work: Callable[[X], T], until: float = NO_TIME, writes: bool = True,
+    async def run(self, work: Callable[[X], T], until: float = NO_DEADLINE, writes: bool = True,
                   resolves: bool = False) -> T:
         """The work's result, once it is durable. Raises Trouble, or what the work raised; then nothing of it was kept,
         unless a Trouble says that this is not known. A caller who is cancelled has not taken it back."""
@@ -109,7 +109,7 @@
             self.jobs.append(job)
             self.wake.notify()
         left = until - loop.time()
-        done, _ = await asyncio.wait([job.future], timeout=None if until == NO_TIME else max(0.0, left))
+        done, _ = await asyncio.wait([job.future], timeout=None if until == NO_DEADLINE else max(0.0, left))
         if done:
             return job.future.result()
         with self.wake:
