--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -152,7 +152,7 @@
                 if write.late is not None:
                     write.late(write.result)
         self.resolving = None
-        self.worker.unknown = False
+        self.worker.outcome_unknown = False
 
     def close(self, wait_s: float = CLOSE_S) -> None:
         if self.resolving is not None:
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -70,7 +70,7 @@
         self.wake = threading.Condition()
         self.ending = False
         self.stops_at_unknown = False  # once the outcome of a commit is not known, only what resolves it is written
-        self.unknown = False  # set on the thread, taken back by who has resolved it
+        self.outcome_unknown = False  # set on the thread, taken back by who has resolved it
         self.longest_s = 0.0  # a commit, from BEGIN on
         self.thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
 
@@ -136,7 +136,7 @@
                     job.begun = True
                     group.append(job)
             began = time.monotonic()
-            if self.unknown:
+            if self.outcome_unknown:
                 # hazard: a write beside the open one would be told from the record as if it were that
                 for job in [job for job in group if job.writes and not job.resolves]:
                     group.remove(job)
@@ -147,7 +147,7 @@
                 continue
             done = self.commit(group)
             # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
-            self.unknown |= self.stops_at_unknown and any(
+            self.outcome_unknown |= self.stops_at_unknown and any(
                 job.writes and isinstance(problem, StoreFailure) and problem.outcome is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
             self.longest_s = max(self.longest_s, time.monotonic() - began)
