--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -56,7 +56,7 @@
 
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
-        worker.stops_at_unknown = True
+        worker.blocks_writes_if_unknown = True
         self.group: X | None = None
         self.carried: list[_Write] = []  # of the group, on the worker's thread; it rests while an outcome is open
         self.resolving: asyncio.Task[None] | None = None
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -69,7 +69,7 @@
         self.jobs: deque[Job[X, Any]] = deque()
         self.wake = threading.Condition()
         self.ending = False
-        self.stops_at_unknown = False  # once the outcome of a commit is not known, only what resolves it is written
+        self.blocks_writes_if_unknown = False  # once the outcome of a commit is not known, only what resolves it is written
         self.outcome_unknown = False  # set on the thread, taken back by who has resolved it
         self.longest_s = 0.0  # a commit, from BEGIN on
         self.thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
@@ -147,7 +147,7 @@
                 continue
             done = self.commit(group)
             # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
-            self.outcome_unknown |= self.stops_at_unknown and any(
+            self.outcome_unknown |= self.blocks_writes_if_unknown and any(
                 job.writes and isinstance(problem, StoreFailure) and problem.outcome is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
             self.longest_s = max(self.longest_s, time.monotonic() - began)
