--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -71,7 +71,7 @@
         self.ending = False
         self.blocks_writes_if_unknown = False  # once the outcome of a commit is not known, only what resolves it is written
         self.outcome_unknown = False  # set on the thread, taken back by who has resolved it
-        self.longest_s = 0.0  # a commit, from BEGIN on
+        self.longest_commit_s = 0.0  # a commit, from BEGIN on
         self.thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
 
     @abc.abstractmethod
@@ -150,7 +150,7 @@
             self.outcome_unknown |= self.blocks_writes_if_unknown and any(
                 job.writes and isinstance(problem, StoreFailure) and problem.outcome is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
-            self.longest_s = max(self.longest_s, time.monotonic() - began)
+            self.longest_commit_s = max(self.longest_commit_s, time.monotonic() - began)
             for job, result, problem in done:
                 job.settle(result, problem)
             self.after()
