--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -21,7 +21,7 @@
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
-BUSY_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
+BUSY_TIMEOUT_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
 CHECKPOINT_PAGES = 1_000  # of the log, from where they are copied into the file beside the writer
 LONGEST_LOG_PAGES = 32_000  # past this the writer itself waits for the copying: else the log would grow for ever
 
@@ -102,7 +102,7 @@
     """Opens connections to one file, all alike. `vfs` names one that is registered with apsw; tests break it."""
 
     def __init__(self, path: Path, prepare: Callable[[apsw.Connection], None] | None = None, vfs: str | None = None,
-                 busy_ms: int = BUSY_MS, exclusive: bool = False) -> None:
+                 busy_ms: int = BUSY_TIMEOUT_MS, exclusive: bool = False) -> None:
         self.path, self.prepare, self.vfs, self.busy_ms = path, prepare, vfs, busy_ms
         self.exclusive = exclusive  # nobody else opens the file; needs no memory shared between processes
 
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -10,7 +10,7 @@
 
 from ironscale.record import database
 from ironscale.record.database import (
-    BUSY_MS,
+    BUSY_TIMEOUT_MS,
     CHECKPOINT_PAGES,
     LONGEST_LOG_PAGES,
     Opener,
@@ -87,7 +87,7 @@
 class SqliteStore:
     """`Store` on one file. Several processes of one machine may share it."""
 
-    def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_MS,
+    def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
                  checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = LONGEST_LOG_PAGES) -> None:
         self.path = path
         self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -30,10 +30,10 @@
     place = f"store.to.{target.name}"
     if target.sqlite is not None:
         with require_packages(file, f"{place}.sqlite"):
-            from ironscale.record.database import BUSY_MS
+            from ironscale.record.database import BUSY_TIMEOUT_MS
             from ironscale.record.sqlite import SqliteStore
 
-        path, wait_ms = target.sqlite, BUSY_MS if busy_ms is None else busy_ms
+        path, wait_ms = target.sqlite, BUSY_TIMEOUT_MS if busy_ms is None else busy_ms
         return lambda: SqliteStore(path, target.queue, busy_ms=wait_ms)
     with require_packages(file, f"{place}.postgresql"):
         from ironscale.record.postgres import Access, PostgresStore, SettingError, check_dsn
