--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -23,7 +23,7 @@
 T = TypeVar("T")
 BUSY_TIMEOUT_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
 CHECKPOINT_PAGES = 1_000  # of the log, from where they are copied into the file beside the writer
-LONGEST_LOG_PAGES = 32_000  # past this the writer itself waits for the copying: else the log would grow for ever
+MAX_WAL_PAGES = 32_000  # past this the writer itself waits for the copying: else the log would grow for ever
 
 
 # An error that a file system in Python raised has no code of its own, but its class.
@@ -175,7 +175,7 @@
     """One connection on one thread."""
 
     def __init__(self, opener: Opener, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
-                 longest_log_pages: int = LONGEST_LOG_PAGES, connection: apsw.Connection | None = None) -> None:
+                 longest_log_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection`: one that the opener has opened already, and nobody else uses."""
         super().__init__(str(opener.path), most_queued)
         self.opener = opener
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -12,7 +12,7 @@
 from ironscale.record.database import (
     BUSY_TIMEOUT_MS,
     CHECKPOINT_PAGES,
-    LONGEST_LOG_PAGES,
+    MAX_WAL_PAGES,
     Opener,
     Reader,
     Transaction,
@@ -88,7 +88,7 @@
     """`Store` on one file. Several processes of one machine may share it."""
 
     def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
-                 checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = LONGEST_LOG_PAGES) -> None:
+                 checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = MAX_WAL_PAGES) -> None:
         self.path = path
         self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
         self.writer = Writer(self.opener, most_queued, checkpoint_pages, longest_log_pages)
