--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -30,7 +30,7 @@
 _NAMES: dict[type[Exception], str] = {apsw.IOError: "SQLITE_IOERR", apsw.SQLError: "SQLITE_ERROR"}
 
 
-def name_of(error: apsw.Error) -> str:
+def result_code_name(error: apsw.Error) -> str:
     """The primary result code's name."""
     code = getattr(error, "result", None)
     found = apsw.mapping_result_codes.get(code) if isinstance(code, int) else None
@@ -40,7 +40,7 @@
 
 
 def trouble(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
-    name = name_of(error)
+    name = result_code_name(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
             "SQLITE_NOTADB": "; restore a backup",
