--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -15,7 +15,7 @@
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.control.processes import machine
 from ironscale.record import database
-from ironscale.record.database import Opener, Transaction, Writer, trouble
+from ironscale.record.database import Opener, Transaction, Writer, store_failure
 from ironscale.record.errors import TransactionStep
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 
@@ -95,7 +95,7 @@
     except StoreFailure as found:
         raise told(found) from found
     except apsw.Error as error:
-        raise told(trouble(error, TransactionStep.WORK, path)) from error
+        raise told(store_failure(error, TransactionStep.WORK, path)) from error
 
 
 def migrate(connection: apsw.Connection) -> None:
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -23,7 +23,7 @@
 from ironscale.agent.terms import holder_of, place_of
 from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
-from ironscale.record.database import Transaction, trouble
+from ironscale.record.database import Transaction, store_failure
 from ironscale.record.errors import TransactionStep
 
 if TYPE_CHECKING:
@@ -167,7 +167,7 @@
     try:
         yield
     except apsw.Error as error:
-        raise told(trouble(error, TransactionStep.WORK, path)) from error
+        raise told(store_failure(error, TransactionStep.WORK, path)) from error
 
 
 def copy(source: apsw.Connection, records: sql.SqlRecords) -> int:
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -39,7 +39,7 @@
     return _NAMES.get(type(error)) or f"SQLITE_{type(error).__name__.removesuffix('Error').upper()}"
 
 
-def trouble(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
+def store_failure(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
     name = result_code_name(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
@@ -212,7 +212,7 @@
                     if not opened.in_transaction:
                         raise  # it ended the whole transaction (a full disk does)
                     opened.execute("ROLLBACK TO job")
-                    done.append((job, None, trouble(error, step, self.opener.path)))
+                    done.append((job, None, store_failure(error, step, self.opener.path)))
                 except Exception as error:
                     opened.execute("ROLLBACK TO job")
                     done.append((job, None, error))
@@ -223,7 +223,7 @@
             self.written += len(group) if writes else 0
             return done
         except (apsw.Error, StoreFailure) as error:
-            found = error if isinstance(error, StoreFailure) else trouble(error, step, self.opener.path)
+            found = error if isinstance(error, StoreFailure) else store_failure(error, step, self.opener.path)
             if opened is not None:
                 self._after_error(opened, found)
             return failed_group_results(group, done, found)
@@ -335,7 +335,7 @@
                 if connection is not None:
                     with contextlib.suppress(apsw.Error):
                         connection.close(True)
-                raise trouble(error, TransactionStep.WORK, self.opener.path) from error
+                raise store_failure(error, TransactionStep.WORK, self.opener.path) from error
 
     def close(self) -> None:
         with self.lock:
