--- a/bench/record.py
+++ b/bench/record.py
@@ -24,7 +24,7 @@
 
 from ironscale.operator_file import StoreConfig, StoresConfig
 from ironscale.record import sqlite
-from ironscale.record.database import Opener
+from ironscale.record.database import ConnectionFactory
 from ironscale.record.extension import beside
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
 from ironscale.record.postgres import Access, PostgresStore
@@ -70,7 +70,7 @@
 
 def bare(path: Path, seconds: float, group: int) -> tuple[int, float, list[float]]:
     """A loop that does nothing but insert and commit, in the same file format, with the same sync."""
-    connection = Opener(path, migrate).open()
+    connection = ConnectionFactory(path, migrate).open()
     connection.execute("PRAGMA wal_autocheckpoint = 1000")
     took, began, count = [], time.monotonic(), 0
     while time.monotonic() - began < seconds:
@@ -190,7 +190,7 @@
 def bench_grow(to: int, seconds: float, folder: Path) -> None:
     """Single commits and lookups of a repeat at each size; filled by large commits in between."""
     path, size = folder / "grow.db", 0
-    connection = Opener(path, migrate).open()
+    connection = ConnectionFactory(path, migrate).open()
     # the filling is not what is measured: no syncs, and the indexes' pages kept at hand
     connection.execute("PRAGMA synchronous = OFF; PRAGMA cache_size = -2000000").fetchall()
     steps = [n for n in (10_000, 100_000, 1_000_000, 3_000_000, 10_000_000) if n <= to]
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -15,7 +15,7 @@
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.control.processes import machine
 from ironscale.record import database
-from ironscale.record.database import Opener, Transaction, Writer, store_failure
+from ironscale.record.database import ConnectionFactory, Transaction, Writer, store_failure
 from ironscale.record.errors import TransactionStep
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
 
@@ -87,9 +87,9 @@
 SCHEMA = len(MIGRATIONS)
 
 
-def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
+def connect(path: Path, opener: ConnectionFactory | None = None) -> apsw.Connection:
     """Opens the file and brings its schema up to this program's. Raises StoreError."""
-    opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+    opener = opener or ConnectionFactory(path, migrate, busy_ms=BUSY_MS)
     try:
         return opener.open()
     except StoreFailure as found:
@@ -116,11 +116,11 @@
 
     reaches_by_write = True
 
-    def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
+    def __init__(self, path: Path, opener: ConnectionFactory | None = None, claim: Claim | None = None) -> None:
         """`opener`: tests open the file upon a disk of theirs. `claim`: several agents of this machine open the file,
         and write it only once they have claimed it."""
         self.path, self.claim_as = path, claim
-        opener = opener or Opener(path, migrate, busy_ms=BUSY_MS)
+        opener = opener or ConnectionFactory(path, migrate, busy_ms=BUSY_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
         self.number = -1  # of the last write; the record's own until the first
         super().__init__(self.writer, "sqlite")
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -98,7 +98,7 @@
 _AHEAD_NS = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Opener:
+class ConnectionFactory:
     """Opens connections to one file, all alike. `vfs` names one that is registered with apsw; tests break it."""
 
     def __init__(self, path: Path, prepare: Callable[[apsw.Connection], None] | None = None, vfs: str | None = None,
@@ -174,7 +174,7 @@
 class Writer(Worker[Transaction]):
     """One connection on one thread."""
 
-    def __init__(self, opener: Opener, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
+    def __init__(self, opener: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  longest_log_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection`: one that the opener has opened already, and nobody else uses."""
         super().__init__(str(opener.path), most_queued)
@@ -291,7 +291,7 @@
                 return
             # what fails leaves the log as it is; the writer's own turn comes once it is long
             with contextlib.suppress(apsw.Error, StoreFailure):
-                connection = Opener(self.opener.path, None, self.opener.vfs).open(create=False)
+                connection = ConnectionFactory(self.opener.path, None, self.opener.vfs).open(create=False)
                 try:
                     with self.copying:
                         connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
@@ -313,7 +313,7 @@
 class Reader:
     """One connection for reading: a long listing keeps no write waiting."""
 
-    def __init__(self, opener: Opener) -> None:
+    def __init__(self, opener: ConnectionFactory) -> None:
         self.opener = opener
         self.lock = threading.Lock()
         self.connection: apsw.Connection | None = None
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -13,7 +13,7 @@
     BUSY_TIMEOUT_MS,
     CHECKPOINT_PAGES,
     MAX_WAL_PAGES,
-    Opener,
+    ConnectionFactory,
     Reader,
     Transaction,
     Writer,
@@ -90,7 +90,7 @@
     def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
                  checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = MAX_WAL_PAGES) -> None:
         self.path = path
-        self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
+        self.opener = ConnectionFactory(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
         self.writer = Writer(self.opener, most_queued, checkpoint_pages, longest_log_pages)
 
     async def write(self, entry: Entry, until: float = NO_DEADLINE) -> WriteResult:
@@ -114,7 +114,7 @@
     if not path.is_file():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
                       "MISSING")
-    return Reader(Opener(path, check, busy_ms=PATIENT_MS))
+    return Reader(ConnectionFactory(path, check, busy_ms=PATIENT_MS))
 
 
 def rows(found: Reader, after: str = "") -> Iterator[Row]:
@@ -171,9 +171,9 @@
     reader(path).close()
     half = to.with_name(f"{to.name}.part")
     half.unlink(missing_ok=True)
-    source = Opener(path, check, busy_ms=PATIENT_MS).open(create=False)
+    source = ConnectionFactory(path, check, busy_ms=PATIENT_MS).open(create=False)
     try:
-        target = Opener(half).open()
+        target = ConnectionFactory(half).open()
         try:
             with target.backup("main", source, "main") as copying:
                 while not copying.done:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -23,7 +23,7 @@
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.sqlite import MIGRATIONS, SCHEMA, SqliteStore, connect
 from ironscale.agent.store import Configuration, InstanceRow, Published, Records, StoreError, TokenRow
-from ironscale.record.database import Opener, Transaction
+from ironscale.record.database import ConnectionFactory, Transaction
 from ironscale.versions.model import Entry, read_scope
 from tests.deployed import ROOT
 from tests.record.disk import Disk, Vfs
@@ -267,7 +267,7 @@
     async def day(disk: Disk) -> tuple[list[str], list[str], int]:
         """Subjects that were kept, those that were not, and how many of the first were found out."""
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
-        opener = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
+        opener = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
         fault, disk.fault = disk.fault, ""
         store = SqliteStore(Path("/a.db"), opener)  # a start that fails is told at once
         disk.fault = fault
@@ -291,7 +291,7 @@
     def log(disk: Disk) -> list[str]:
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         disk.fault = ""
-        connection = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True).open()
+        connection = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True).open()
         found = [subject for subject, in connection.execute("SELECT subject FROM audit ORDER BY id")]
         connection.close()
         vfs.unregister()
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -19,7 +19,7 @@
 import pytest
 
 from ironscale.record import database, sqlite
-from ironscale.record.database import Opener, Transaction
+from ironscale.record.database import ConnectionFactory, Transaction
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
@@ -186,7 +186,7 @@
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", busy_ms=20)
         await store.write(entry("a"))
-        other = Opener(store.path).open()
+        other = ConnectionFactory(store.path).open()
         other.execute("BEGIN IMMEDIATE")
         with pytest.raises(StoreFailure, match="another process writes it") as busy:
             await store.write(entry("b"))
@@ -242,7 +242,7 @@
 
 
 def newer(path: Path) -> None:
-    connection = Opener(path, migrate).open()
+    connection = ConnectionFactory(path, migrate).open()
     connection.execute("PRAGMA user_version = 99")
     connection.close()
 
@@ -250,9 +250,9 @@
 def test_a_migration_that_is_cut_off_leaves_the_former_schema(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sqlite.SQL, "migrations", lambda version: ["CREATE TABLE records (x)", "no SQL at all"])
     with pytest.raises(apsw.SQLError):
-        Opener(tmp_path / "r.db", migrate).open()
+        ConnectionFactory(tmp_path / "r.db", migrate).open()
     monkeypatch.undo()
-    Opener(tmp_path / "r.db", migrate).open().close()
+    ConnectionFactory(tmp_path / "r.db", migrate).open().close()
     assert verify(tmp_path / "r.db") == (0, [])
 
 
@@ -353,7 +353,7 @@
 
     def copies() -> int:
         """As another process would, again and again, each a little while."""
-        other, count = Opener(tmp_path / "r.db", None, "slow").open(), 0
+        other, count = ConnectionFactory(tmp_path / "r.db", None, "slow").open(), 0
         while not over.wait(0.001):
             with contextlib.suppress(apsw.BusyError):
                 other.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
@@ -363,7 +363,7 @@
 
     async def test() -> None:
         if same_process:
-            monkeypatch.setattr(database, "Opener", lambda path, *more: Opener(path, None, "slow"))
+            monkeypatch.setattr(database, "Opener", lambda path, *more: ConnectionFactory(path, None, "slow"))
         longest = 400 if same_process else 200
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
                             longest_log_pages=longest, busy_ms=250 if same_process else 5_000)
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -7,12 +7,12 @@
 import apsw
 import pytest
 
-from ironscale.record.database import Opener, close_tidily, keep_log
+from ironscale.record.database import ConnectionFactory, close_tidily, keep_log
 from ironscale.record.model import StoreFailure
 
 
 def opened(path: Path) -> apsw.Connection:
-    return Opener(path).open()
+    return ConnectionFactory(path).open()
 
 
 def logged(path: Path) -> Path:
