--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -130,7 +130,7 @@
         connection = apsw.Connection(str(self.path), flags=flags, vfs=self.vfs)
         try:
             keep_log(connection)
-            connection.create_scalar_function("now_ms", lambda *_: course_ms(), 0)
+            connection.create_scalar_function("now_ms", lambda *_: steady_unix_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
@@ -149,7 +149,7 @@
         return connection
 
 
-def course_ms() -> int:
+def steady_unix_ms() -> int:
     """Unix time in milliseconds as of this process's start, and on by time that passed: memories of keyed requests go
     by it, and the wall clock may step."""
     return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _AHEAD_NS) // 1_000_000
