--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -95,7 +95,7 @@
 Work = Callable[[Transaction], T]
 
 
-_AHEAD_NS = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+_BOOTTIME_TO_UNIX_NS = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 class ConnectionFactory:
@@ -152,7 +152,7 @@
 def steady_unix_ms() -> int:
     """Unix time in milliseconds as of this process's start, and on by time that passed: memories of keyed requests go
     by it, and the wall clock may step."""
-    return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _AHEAD_NS) // 1_000_000
+    return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _BOOTTIME_TO_UNIX_NS) // 1_000_000
 
 
 def keep_log(connection: apsw.Connection, keeps: bool = True) -> None:
