--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -129,7 +129,7 @@
     def _opened(self, flags: int) -> apsw.Connection:
         connection = apsw.Connection(str(self.path), flags=flags, vfs=self.vfs)
         try:
-            keep_log(connection)
+            set_persistent_wal(connection)
             connection.create_scalar_function("now_ms", lambda *_: steady_unix_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
@@ -155,7 +155,7 @@
     return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _BOOTTIME_TO_UNIX_NS) // 1_000_000
 
 
-def keep_log(connection: apsw.Connection, keeps: bool = True) -> None:
+def set_persistent_wal(connection: apsw.Connection, keeps: bool = True) -> None:
     """Hazard: where the index beside the log could be opened for reading only, SQLite takes the log for empty and
     removes it as the last connection closes, with all that has not been copied into the file."""
     value = ctypes.c_int(keeps)
@@ -167,7 +167,7 @@
     with contextlib.suppress(apsw.Error):
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("ROLLBACK")
-        keep_log(connection, False)
+        set_persistent_wal(connection, False)
     connection.close(True)
 
 
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -183,7 +183,7 @@
                         continue  # a commit lay between: it goes on, or begins anew by itself
                     progress(copying.remaining, copying.page_count)
                 pages = copying.page_count
-            database.keep_log(target, False)
+            database.set_persistent_wal(target, False)
             target.execute("PRAGMA journal_mode = DELETE").fetchall()  # one file, without a log beside it
         finally:
             target.close(True)
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -7,7 +7,7 @@
 import apsw
 import pytest
 
-from ironscale.record.database import ConnectionFactory, close_tidily, keep_log
+from ironscale.record.database import ConnectionFactory, close_tidily, set_persistent_wal
 from ironscale.record.model import StoreFailure
 
 
@@ -22,7 +22,7 @@
 def committed(path: Path) -> None:
     connection = opened(path)
     connection.execute("CREATE TABLE a (b); INSERT INTO a VALUES (1)")
-    keep_log(connection)
+    set_persistent_wal(connection)
     connection.close(True)
 
 
