--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -162,7 +162,7 @@
     connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(value))
 
 
-def close_tidily(connection: apsw.Connection) -> None:
+def close_and_remove_wal(connection: apsw.Connection) -> None:
     """Closes it; its log goes if it may be written, as that needs the index to be whole."""
     with contextlib.suppress(apsw.Error):
         connection.execute("BEGIN IMMEDIATE")
@@ -307,7 +307,7 @@
         if not self.thread.is_alive() and self.connection is not None:
             connection, self.connection = self.connection, None
             with contextlib.suppress(apsw.Error):
-                close_tidily(connection)
+                close_and_remove_wal(connection)
 
 
 class Reader:
@@ -340,5 +340,5 @@
     def close(self) -> None:
         with self.lock:
             if self.connection is not None:
-                close_tidily(self.connection)
+                close_and_remove_wal(self.connection)
                 self.connection = None
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -194,5 +194,5 @@
     except apsw.Error as error:
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
     finally:
-        database.close_tidily(source)
+        database.close_and_remove_wal(source)
         half.unlink(missing_ok=True)
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -7,7 +7,7 @@
 import apsw
 import pytest
 
-from ironscale.record.database import ConnectionFactory, close_tidily, set_persistent_wal
+from ironscale.record.database import ConnectionFactory, close_and_remove_wal, set_persistent_wal
 from ironscale.record.model import StoreFailure
 
 
@@ -37,7 +37,7 @@
 def test_a_connection_that_ends_well_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     committed(path)
-    close_tidily(opened(path))
+    close_and_remove_wal(opened(path))
     assert [one.name for one in tmp_path.iterdir()] == ["r.db"]
     assert opened(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
