--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -187,7 +187,7 @@
         self.log_pages = 0
         self.commits = self.written = 0
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
-        self.to_copy = threading.Event()
+        self.checkpoint_requested = threading.Event()
         self.copying = threading.Lock()  # held by whoever of the two copies the log
         self.copier = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
         start_thread(self.copier)
@@ -253,7 +253,7 @@
 
     def after(self) -> None:
         if self.log_pages >= self.checkpoint_pages and not self.opener.exclusive:
-            self.to_copy.set()
+            self.checkpoint_requested.set()
         if self.log_pages >= self.longest_log_pages and self.connection is not None:
             began = time.monotonic()
             self._shorten(self.connection)
@@ -285,8 +285,8 @@
         Hazard: connections of one process share what they have opened; one that is kept would keep a log's index that
         could be opened for reading only, and no write would succeed any more."""
         while True:
-            self.to_copy.wait()
-            self.to_copy.clear()
+            self.checkpoint_requested.wait()
+            self.checkpoint_requested.clear()
             if self.ending:
                 return
             # what fails leaves the log as it is; the writer's own turn comes once it is long
@@ -301,7 +301,7 @@
     def stop(self, wait_s: float) -> None:
         """After all that was asked for. Blocks; hazard: a disk that hangs must not keep the process for ever."""
         self.end()
-        self.to_copy.set()
+        self.checkpoint_requested.set()
         self.copier.join(wait_s)
         self.thread.join(wait_s)
         if not self.thread.is_alive() and self.connection is not None:
