--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -188,7 +188,7 @@
         self.commits = self.written = 0
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
         self.checkpoint_requested = threading.Event()
-        self.copying = threading.Lock()  # held by whoever of the two copies the log
+        self.checkpoint_lock = threading.Lock()  # held by whoever of the two copies the log
         self.copier = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
         start_thread(self.copier)
         self.start()
@@ -266,7 +266,7 @@
         Hazard: while another one copies, SQLite refuses a checkpoint at once and waits for nobody. The copier of this
         process is waited for to its end, that of another process for the busy time; a reader holds it up as long at
         most, and then it is tried again after the next commit."""
-        with self.copying:
+        with self.checkpoint_lock:
             deadline_s = time.monotonic() + self.opener.busy_ms / 1000
             while True:
                 try:
@@ -293,7 +293,7 @@
             with contextlib.suppress(apsw.Error, StoreFailure):
                 connection = ConnectionFactory(self.opener.path, None, self.opener.vfs).open(create=False)
                 try:
-                    with self.copying:
+                    with self.checkpoint_lock:
                         connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
                 finally:
                     connection.close(True)
