--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -189,8 +189,8 @@
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
         self.checkpoint_requested = threading.Event()
         self.checkpoint_lock = threading.Lock()  # held by whoever of the two copies the log
-        self.copier = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
-        start_thread(self.copier)
+        self.checkpoint_thread = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
+        start_thread(self.checkpoint_thread)
         self.start()
 
     def commit(self, group: list[Job[Transaction, Any]]) -> list[Done[Transaction]]:
@@ -302,7 +302,7 @@
         """After all that was asked for. Blocks; hazard: a disk that hangs must not keep the process for ever."""
         self.end()
         self.checkpoint_requested.set()
-        self.copier.join(wait_s)
+        self.checkpoint_thread.join(wait_s)
         self.thread.join(wait_s)
         if not self.thread.is_alive() and self.connection is not None:
             connection, self.connection = self.connection, None
