--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -189,7 +189,7 @@
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
         self.checkpoint_requested = threading.Event()
         self.checkpoint_lock = threading.Lock()  # held by whoever of the two copies the log
-        self.checkpoint_thread = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
+        self.checkpoint_thread = threading.Thread(target=self._run_checkpoints, name="record-checkpoints", daemon=True)
         start_thread(self.checkpoint_thread)
         self.start()
 
@@ -279,7 +279,7 @@
                 except apsw.Error:
                     return  # the next commit meets it, and tells it
 
-    def _copy(self) -> None:
+    def _run_checkpoints(self) -> None:
         """Copies the log into the file on a connection of its own: a passive checkpoint keeps no writer waiting.
 
         Hazard: connections of one process share what they have opened; one that is kept would keep a log's index that
