--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -183,7 +183,7 @@
         self.longest_log_pages = checkpoint_pages if opener.exclusive else longest_log_pages
         self.connection = connection
         if connection is not None:
-            connection.set_wal_hook(self._on_log)
+            connection.set_wal_hook(self._on_wal_commit)
         self.log_pages = 0
         self.commits = self.written = 0
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
@@ -199,7 +199,7 @@
         try:
             if opened is None:
                 opened = self.connection = self.opener.open()
-                opened.set_wal_hook(self._on_log)
+                opened.set_wal_hook(self._on_wal_commit)
             step = TransactionStep.WORK
             transaction = Transaction(opened)
             writes = any(job.writes for job in group)
@@ -247,7 +247,7 @@
             with contextlib.suppress(apsw.Error):
                 opened.close(True)
 
-    def _on_log(self, connection: apsw.Connection, database: str, pages: int) -> int:
+    def _on_wal_commit(self, connection: apsw.Connection, database: str, pages: int) -> int:
         self.log_pages = pages
         return 0
 
