--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -184,7 +184,7 @@
         self.connection = connection
         if connection is not None:
             connection.set_wal_hook(self._on_wal_commit)
-        self.log_pages = 0
+        self.wal_pages = 0
         self.commits = self.written = 0
         self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
         self.checkpoint_requested = threading.Event()
@@ -248,16 +248,16 @@
                 opened.close(True)
 
     def _on_wal_commit(self, connection: apsw.Connection, database: str, pages: int) -> int:
-        self.log_pages = pages
+        self.wal_pages = pages
         return 0
 
     def after(self) -> None:
-        if self.log_pages >= self.checkpoint_pages and not self.opener.exclusive:
+        if self.wal_pages >= self.checkpoint_pages and not self.opener.exclusive:
             self.checkpoint_requested.set()
-        if self.log_pages >= self.longest_log_pages and self.connection is not None:
+        if self.wal_pages >= self.longest_log_pages and self.connection is not None:
             began = time.monotonic()
             self._shorten(self.connection)
-            self.log_pages = 0
+            self.wal_pages = 0
             self.checkpoint_s = max(self.checkpoint_s, time.monotonic() - began)
 
     def _shorten(self, connection: apsw.Connection) -> None:
