--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -256,11 +256,11 @@
             self.checkpoint_requested.set()
         if self.wal_pages >= self.longest_log_pages and self.connection is not None:
             began = time.monotonic()
-            self._shorten(self.connection)
+            self._restart_wal(self.connection)
             self.wal_pages = 0
             self.checkpoint_s = max(self.checkpoint_s, time.monotonic() - began)
 
-    def _shorten(self, connection: apsw.Connection) -> None:
+    def _restart_wal(self, connection: apsw.Connection) -> None:
         """Copies all that the log holds, so that what is written next stands at its beginning.
 
         Hazard: while another one copies, SQLite refuses a checkpoint at once and waits for nobody. The copier of this
