--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -186,7 +186,7 @@
             connection.set_wal_hook(self._on_wal_commit)
         self.wal_pages = 0
         self.commits = self.written = 0
-        self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
+        self.longest_checkpoint_s = 0.0  # the longest that the writer itself waited for copying
         self.checkpoint_requested = threading.Event()
         self.checkpoint_lock = threading.Lock()  # held by whoever of the two copies the log
         self.checkpoint_thread = threading.Thread(target=self._run_checkpoints, name="record-checkpoints", daemon=True)
@@ -258,7 +258,7 @@
             began = time.monotonic()
             self._restart_wal(self.connection)
             self.wal_pages = 0
-            self.checkpoint_s = max(self.checkpoint_s, time.monotonic() - began)
+            self.longest_checkpoint_s = max(self.longest_checkpoint_s, time.monotonic() - began)
 
     def _restart_wal(self, connection: apsw.Connection) -> None:
         """Copies all that the log holds, so that what is written next stands at its beginning.
