--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -175,12 +175,12 @@
     """One connection on one thread."""
 
     def __init__(self, opener: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
-                 longest_log_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
+                 max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection`: one that the opener has opened already, and nobody else uses."""
         super().__init__(str(opener.path), most_queued)
         self.opener = opener
         self.checkpoint_pages = checkpoint_pages
-        self.longest_log_pages = checkpoint_pages if opener.exclusive else longest_log_pages
+        self.longest_log_pages = checkpoint_pages if opener.exclusive else max_wal_pages
         self.connection = connection
         if connection is not None:
             connection.set_wal_hook(self._on_wal_commit)
