--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -318,7 +318,7 @@
         self.lock = threading.Lock()
         self.connection: apsw.Connection | None = None
 
-    def now(self, work: Work[T]) -> T:
+    def read(self, work: Work[T]) -> T:
         """On the caller's own thread. Raises Trouble."""
         with self.lock:
             try:
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -37,7 +37,7 @@
 
         found = reader(target.sqlite)
         try:
-            return found.now(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
+            return found.read(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
         finally:
             found.close()
 
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -120,7 +120,7 @@
 def rows(found: Reader, after: str = "") -> Iterator[Row]:
     """All records in the order of their attempts, each page within a transaction of its own."""
     while True:
-        page = found.now(lambda transaction, start=after: [  # type: ignore[misc]
+        page = found.read(lambda transaction, start=after: [  # type: ignore[misc]
             row(values) for values in transaction.execute(SQL.after, (start, PAGE))])
         yield from page
         if len(page) < PAGE:
@@ -132,7 +132,7 @@
     """Rows seen, and what is wrong with the file or with a record, a line each. Raises Trouble."""
     found = reader(path)
     try:
-        lines = found.now(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
+        lines = found.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
         wrong = [f"file: {line}" for line, in lines if line != "ok"]
         seen = 0
         for one in [] if wrong else rows(found):
