--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -35,7 +35,7 @@
 
 SQL = Dialect("sqlite")
 APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
-TURNS = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
+MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 PAGE = 1_000  # rows read at a time
 STOP_S = 5.0
 PATIENT_MS = 5_000  # an operator's commands wait so long for a writer
@@ -60,7 +60,7 @@
               entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
 
     def work(transaction: Transaction) -> WriteResult:
-        for _ in range(TURNS):
+        for _ in range(MAX_SLOT_TRIES):
             if transaction.execute(SQL.write, values):
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
