--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -36,7 +36,7 @@
 SQL = Dialect("sqlite")
 APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
-PAGE = 1_000  # rows read at a time
+PAGE_ROWS = 1_000  # rows read at a time
 STOP_S = 5.0
 PATIENT_MS = 5_000  # an operator's commands wait so long for a writer
 
@@ -121,9 +121,9 @@
     """All records in the order of their attempts, each page within a transaction of its own."""
     while True:
         page = found.read(lambda transaction, start=after: [  # type: ignore[misc]
-            row(values) for values in transaction.execute(SQL.after, (start, PAGE))])
+            row(values) for values in transaction.execute(SQL.after, (start, PAGE_ROWS))])
         yield from page
-        if len(page) < PAGE:
+        if len(page) < PAGE_ROWS:
             return
         after = page[-1].attempt
 
@@ -138,7 +138,7 @@
         for one in [] if wrong else rows(found):
             seen += 1
             wrong += [f"record {one.attempt}: {text}" for text in faults(one)]
-            if seen % PAGE == 0:
+            if seen % PAGE_ROWS == 0:
                 progress(seen)
             if len(wrong) >= 100:
                 break
@@ -178,7 +178,7 @@
             with target.backup("main", source, "main") as copying:
                 while not copying.done:
                     try:
-                        copying.step(PAGE)
+                        copying.step(PAGE_ROWS)
                     except (apsw.BusyError, apsw.LockedError):
                         continue  # a commit lay between: it goes on, or begins anew by itself
                     progress(copying.remaining, copying.page_count)
