--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -37,7 +37,7 @@
 APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 PAGE_ROWS = 1_000  # rows read at a time
-STOP_S = 5.0
+STOP_TIMEOUT_S = 5.0
 PATIENT_MS = 5_000  # an operator's commands wait so long for a writer
 
 
@@ -101,9 +101,9 @@
 
     async def close(self) -> None:
         try:
-            await run_in_thread(lambda: self.writer.stop(STOP_S))
+            await run_in_thread(lambda: self.writer.stop(STOP_TIMEOUT_S))
         except OSError:  # no thread to wait in
-            self.writer.stop(STOP_S)
+            self.writer.stop(STOP_TIMEOUT_S)
 
 
 # For operators: a file that a sidecar may be writing at the same time
