--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -38,7 +38,7 @@
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 PAGE_ROWS = 1_000  # rows read at a time
 STOP_TIMEOUT_S = 5.0
-PATIENT_MS = 5_000  # an operator's commands wait so long for a writer
+OPERATOR_BUSY_TIMEOUT_MS = 5_000  # an operator's commands wait so long for a writer
 
 
 def migrate(connection: apsw.Connection) -> None:
@@ -114,7 +114,7 @@
     if not path.is_file():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
                       "MISSING")
-    return Reader(ConnectionFactory(path, check, busy_ms=PATIENT_MS))
+    return Reader(ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS))
 
 
 def rows(found: Reader, after: str = "") -> Iterator[Row]:
@@ -171,7 +171,7 @@
     reader(path).close()
     half = to.with_name(f"{to.name}.part")
     half.unlink(missing_ok=True)
-    source = ConnectionFactory(path, check, busy_ms=PATIENT_MS).open(create=False)
+    source = ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS).open(create=False)
     try:
         target = ConnectionFactory(half).open()
         try:
