--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -137,7 +137,7 @@
         seen = 0
         for one in [] if wrong else rows(found):
             seen += 1
-            wrong += [f"record {one.attempt}: {text}" for text in faults(one)]
+            wrong += [f"record {one.attempt}: {text}" for text in row_faults(one)]
             if seen % PAGE_ROWS == 0:
                 progress(seen)
             if len(wrong) >= 100:
@@ -147,7 +147,7 @@
         found.close()
 
 
-def faults(one: Row) -> list[str]:
+def row_faults(one: Row) -> list[str]:
     """What is wrong with one record."""
     if one.state == "void":
         return ["a mark with a slot"] if one.slot is not None else []
