--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -27,7 +27,7 @@
 # What it would warn of on standard error is told in our own lines, without secrets.
 logging.getLogger("psycopg").addHandler(logging.NullHandler())
 SQL = Dialect("postgresql")
-TURNS = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
+MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 CONNECT_S = 2.0
 STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
 GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
@@ -265,7 +265,7 @@
     async def _write(self, turn: Turn, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
                   entry.body, entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
-        for _ in range(TURNS):
+        for _ in range(MAX_SLOT_TRIES):
             if await turn.execute(SQL.write, values):
                 await turn.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
