--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -28,7 +28,7 @@
 logging.getLogger("psycopg").addHandler(logging.NullHandler())
 SQL = Dialect("postgresql")
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
 GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
 IDLE_S = 60.0
@@ -50,7 +50,7 @@
     password: str = ""
     most: int = 8  # open connections
     synchronous_commit: str = "on"
-    connect_s: float = CONNECT_S
+    connect_s: float = CONNECT_TIMEOUT_S
 
 
 def check_dsn(dsn: str) -> dict[str, Any]:
