--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -29,7 +29,7 @@
 SQL = Dialect("postgresql")
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 CONNECT_TIMEOUT_S = 2.0
-STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
+MAX_STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
 GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
 IDLE_S = 60.0
 LOCK = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
@@ -258,7 +258,7 @@
 
     async def _begin(self, turn: Turn, left_s: float) -> None:
         """The deadline goes down as the statements' own time; whole numbers and a checked word, no text of others."""
-        ms = max(1, int(min(left_s, STATEMENT_S) * 1000))
+        ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
         await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
 
