--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -30,7 +30,7 @@
 MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
 CONNECT_TIMEOUT_S = 2.0
 MAX_STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
-GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
+CANCEL_GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
 IDLE_S = 60.0
 LOCK = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
 # Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
@@ -119,7 +119,7 @@
         for connection, _ in idle:
             await connection.close()
         if self.closing:
-            await asyncio.wait(self.closing, timeout=2 * GRACE_S)
+            await asyncio.wait(self.closing, timeout=2 * CANCEL_GRACE_S)
 
 
 def is_stale(connection: psycopg.AsyncConnection[Any] | psycopg.Connection[Any]) -> bool:
@@ -174,7 +174,7 @@
         for task in list(self.turns):
             task.cancel()
         if self.turns:
-            await asyncio.wait(self.turns, timeout=2 * GRACE_S)
+            await asyncio.wait(self.turns, timeout=2 * CANCEL_GRACE_S)
         await self.connections.close()
 
     # A transaction and its end
@@ -232,15 +232,15 @@
         connection = turn.connection
         if connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError, TimeoutError):
-                await asyncio.wait_for(connection.cancel_safe(timeout=GRACE_S), GRACE_S)
-        await asyncio.wait([task], timeout=GRACE_S)
+                await asyncio.wait_for(connection.cancel_safe(timeout=CANCEL_GRACE_S), CANCEL_GRACE_S)
+        await asyncio.wait([task], timeout=CANCEL_GRACE_S)
         if not task.done() and connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError), socket.socket(
                     fileno=os.dup(connection.pgconn.socket)) as end:
                 end.shutdown(socket.SHUT_RDWR)  # psycopg, which waits for an answer, sees its end
         if not task.done():
             task.cancel()
-            await asyncio.wait([task], timeout=GRACE_S)
+            await asyncio.wait([task], timeout=CANCEL_GRACE_S)
 
     def _trouble(self, error: psycopg.Error | OSError, turn: Turn) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
