--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -31,7 +31,7 @@
 CONNECT_TIMEOUT_S = 2.0
 MAX_STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
 CANCEL_GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
-IDLE_S = 60.0
+MAX_IDLE_S = 60.0
 LOCK = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
 # Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
 QUICK = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
@@ -95,7 +95,7 @@
         while self.idle:
             connection, since = self.idle.pop()
             # hazard: a server that ended tells so on the idle connection; a write sent to it may end as not known
-            if now - since < IDLE_S and not connection.closed and not is_stale(connection):
+            if now - since < MAX_IDLE_S and not connection.closed and not is_stale(connection):
                 return connection
             await connection.close()
         self.opened += 1
