--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -32,7 +32,7 @@
 MAX_STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
 CANCEL_GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
 MAX_IDLE_S = 60.0
-LOCK = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
+MIGRATION_LOCK_ID = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
 # Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
 QUICK = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
          "tcp_user_timeout": "10000", "application_name": "ironscale"}
@@ -292,7 +292,7 @@
 
     async def _migrate(self, turn: Turn) -> None:
         await turn.execute("BEGIN")
-        steps = schema_migration(self.name, "record_schema", LOCK, SCHEMA, SQL.migrations)
+        steps = schema_migration(self.name, "record_schema", MIGRATION_LOCK_ID, SCHEMA, SQL.migrations)
         try:
             asked = next(steps)
             while True:
