--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -34,7 +34,7 @@
 MAX_IDLE_S = 60.0
 MIGRATION_LOCK_ID = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
 # Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
-QUICK = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
+CONNECTION_DEFAULTS = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
          "tcp_user_timeout": "10000", "application_name": "ironscale"}
 
 
@@ -70,7 +70,7 @@
     """What libpq is given: the operator's word before ours; a host that takes writes. Raises SettingError."""
     found = check_dsn(access.dsn)
     found.setdefault("target_session_attrs", "read-write")
-    return {**QUICK, **found, **({"password": access.password} if access.password else {})}
+    return {**CONNECTION_DEFAULTS, **found, **({"password": access.password} if access.password else {})}
 
 
 class Connections:
