--- a/bench/record.py
+++ b/bench/record.py
@@ -27,7 +27,7 @@
 from ironscale.record.database import ConnectionFactory
 from ironscale.record.extension import beside
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
-from ironscale.record.postgres import Access, PostgresStore
+from ironscale.record.postgres import ConnectionOptions, PostgresStore
 from ironscale.record.sqlite import SqliteStore, migrate
 from ironscale.standins.postgres import Host, Session, SqlError
 
@@ -112,7 +112,7 @@
     async def main() -> None:
         host = await Host().start()
         for count in (1, 8, 32):
-            store = PostgresStore(Access(f"host=127.0.0.1 port={host.port} user=app"))
+            store = PostgresStore(ConnectionOptions(f"host=127.0.0.1 port={host.port} user=app"))
             await store.write(entry(), asyncio.get_running_loop().time() + 10)
             line(f"psycopg and stand-in, {count} clients", *await many(store, count, seconds))
             await store.close()
@@ -253,7 +253,7 @@
         dsn = f"host=127.0.0.1 port={host.port} user=app"
         store = AgentOnSqlite(folder / "agent.db")
         await figures("SQLite", store, 32)
-        held = Holder(Access(dsn), "bench", "here")
+        held = Holder(ConnectionOptions(dsn), "bench", "here")
         on = AgentOnPostgres(held)
         await figures("stand-in", on, 1)  # it plays a long transaction again for each statement
 
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -26,7 +26,7 @@
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
-from ironscale.record.postgres import Access, is_stale, settings_of
+from ironscale.record.postgres import ConnectionOptions, is_stale, settings_of
 from ironscale.record.sql import NOW_MS, schema_migration
 from ironscale.record.worker import Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
@@ -101,7 +101,7 @@
 class Holder(Worker[Held]):
     """One connection on one thread, and the claim on the record."""
 
-    def __init__(self, access: Access, holder: str, place: str, limit_s: float = LIMIT_S,
+    def __init__(self, access: ConnectionOptions, holder: str, place: str, limit_s: float = LIMIT_S,
                  lease_ms: int = LEASE_MS) -> None:
         """`holder`: who claims, the same for the next process on the same data folder; `place`: where, for people."""
         self.settings = settings_of(access)
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from ironscale.agent.postgres import PostgresStore
-    from ironscale.record.postgres import Access
+    from ironscale.record.postgres import ConnectionOptions
 
 TABLES = (("counters", sql.COUNTER), ("instances", sql.INSTANCE), ("operations", sql.OPERATION),
           ("targets", sql.TARGET), ("configurations", sql.CONFIGURATION), ("mutations", sql.MUTATION),
@@ -40,11 +40,11 @@
 WAIT_S, AGAIN_S = 2.0, 0.5  # past the end of another agent's lease; between two looks
 
 
-def access_of(section: AgentSection) -> Access:
+def access_of(section: AgentSection) -> ConnectionOptions:
     """Raises OperatorFileError."""
     place = f"{section.file}: agent.postgresql"
     try:
-        from ironscale.record.postgres import Access, SettingError, check_dsn
+        from ironscale.record.postgres import ConnectionOptions, SettingError, check_dsn
     except ImportError as error:
         raise OperatorFileError(f"{place}: expected the packages of ironscale[record], got {error}; "
                                 "pip install 'ironscale[record]'") from None
@@ -53,7 +53,7 @@
     except SettingError as error:
         raise OperatorFileError(f"{place}: expected {error}") from None
     password = read_secret(section.password_file) if section.password_file is not None else ""
-    return Access(section.postgresql, password, 1, section.synchronous_commit)
+    return ConnectionOptions(section.postgresql, password, 1, section.synchronous_commit)
 
 
 async def open_store(section: AgentSection, data: Path, on_lost: Callable[[StoreError], None],
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Access:
+class ConnectionOptions:
     """How the store is reached."""
 
     dsn: str  # a URL or key=value pairs as libpq reads them; without a password
@@ -66,7 +66,7 @@
     return found
 
 
-def settings_of(access: Access) -> dict[str, Any]:
+def settings_of(access: ConnectionOptions) -> dict[str, Any]:
     """What libpq is given: the operator's word before ours; a host that takes writes. Raises SettingError."""
     found = check_dsn(access.dsn)
     found.setdefault("target_session_attrs", "read-write")
@@ -77,7 +77,7 @@
     """Connections to the one host of several that takes writes. Opened when they are needed and none is idle, so a
     store that is back is used at the next try; whose turn that is, the decision module says."""
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
         self.settings = settings_of(access)
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
@@ -157,7 +157,7 @@
 class PostgresStore:
     """`Store` on a PostgreSQL server, or on the one of several that takes writes."""
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
         self.connections = Connections(access)
         self.turns: set[asyncio.Task[Any]] = set()
--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -36,12 +36,12 @@
         path, wait_ms = target.sqlite, BUSY_TIMEOUT_MS if busy_ms is None else busy_ms
         return lambda: SqliteStore(path, target.queue, busy_ms=wait_ms)
     with require_packages(file, f"{place}.postgresql"):
-        from ironscale.record.postgres import Access, PostgresStore, SettingError, check_dsn
+        from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, check_dsn
 
     try:
         check_dsn(target.postgresql)
     except SettingError as error:
         raise OperatorFileError(f"{file}: {place}.postgresql: expected {error}") from None
     password = read_secret(target.password_file) if target.password_file is not None else ""
-    access = Access(target.postgresql, password, target.connections, target.synchronous_commit)
+    access = ConnectionOptions(target.postgresql, password, target.connections, target.synchronous_commit)
     return lambda: PostgresStore(access)
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -26,7 +26,7 @@
 from ironscale.agent.terms import holder_of
 from ironscale.cli.output import CODES, Exit
 from ironscale.operator_file import OperatorFileError, ServiceConfig, parse
-from ironscale.record.postgres import Access
+from ironscale.record.postgres import ConnectionOptions
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
@@ -49,7 +49,7 @@
 @contextlib.asynccontextmanager
 async def store_on(*on: Host, holder: str = "me", lease_ms: int = 10_000, limit_s: float = 5.0,
                    lost: Callable[[Any], None] = lambda found: None) -> AsyncIterator[PostgresStore]:
-    held = Holder(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
+    held = Holder(ConnectionOptions(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
     held.on_lost = lost
     store = PostgresStore(held)
     store.resolve_s = 5.0
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from typing import Any
 
-from ironscale.record.postgres import Access, PostgresStore
+from ironscale.record.postgres import ConnectionOptions, PostgresStore
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 
 
@@ -24,7 +24,7 @@
     """A store on so many hosts that share a disk."""
     data = data or Data()
     hosts = [await Host(data).start() for _ in range(count)]
-    store = PostgresStore(Access(dsn(*hosts), **changes))
+    store = PostgresStore(ConnectionOptions(dsn(*hosts), **changes))
     try:
         yield store, hosts
     finally:
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -13,7 +13,7 @@
 
 from ironscale.record import postgres
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
-from ironscale.record.postgres import Access, PostgresStore, SettingError, Turn, check_dsn
+from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, Turn, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import Fault, Gate, dsn, scene, written
 from tests.record.samples import again, entry
@@ -35,10 +35,10 @@
 
     async def test() -> None:
         host = await Host(password="s3cret-word").start()
-        store = PostgresStore(Access(dsn(host), "s3cret-word"))
+        store = PostgresStore(ConnectionOptions(dsn(host), "s3cret-word"))
         assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
         await store.close()
-        wrong = PostgresStore(Access(dsn(host), "wr0ng-word"))
+        wrong = PostgresStore(ConnectionOptions(dsn(host), "wr0ng-word"))
         with pytest.raises(StoreFailure, match="password authentication failed") as found:
             await wrong.write(entry("b"), by(LONG))
         assert (found.value.outcome, found.value.cause, found.value.code) == (NEVER, Cause.UNREACHABLE, "") or (
@@ -157,7 +157,7 @@
 def test_two_sidecars_with_one_key_at_one_moment_write_it_once() -> None:
     async def test() -> None:
         async with scene() as (store, (host,)):
-            other = PostgresStore(Access(dsn(host)))
+            other = PostgresStore(ConnectionOptions(dsn(host)))
             for i in range(40):
                 found = await asyncio.gather(*(one.write(entry("", "deduplicated", key=f"k{i}"), by(LONG))
                                                for one in (store, other)))
@@ -392,7 +392,7 @@
     async def test() -> None:
         host = Host()
         port = free_port()
-        store = PostgresStore(Access(f"host=127.0.0.1 port={port} user=app"))
+        store = PostgresStore(ConnectionOptions(f"host=127.0.0.1 port={port} user=app"))
         with pytest.raises(StoreFailure) as found:
             await store.write(entry("a"), by(LONG))
         assert (found.value.outcome, found.value.cause) == (NEVER, Cause.UNREACHABLE)
@@ -418,7 +418,7 @@
             await store.write(entry("both"), by(LONG))
             standby = await Host(old.data.copy()).start()
             assert (await store.write(confirmed, by(LONG))).verdict is Verdict.WRITTEN
-            promoted = PostgresStore(Access(dsn(standby)))
+            promoted = PostgresStore(ConnectionOptions(dsn(standby)))
             assert await promoted.ask(confirmed.attempt, by(LONG)) is None
             assert (await promoted.write(confirmed, by(LONG))).verdict is Verdict.FENCED
             assert written(old.data) == ["both", "confirmed"] and written(standby.data) == ["both"]
@@ -431,7 +431,7 @@
 def test_a_server_without_tls_is_told_where_tls_is_asked_for() -> None:
     async def test() -> None:
         async with scene() as (_, (host,)):
-            store = PostgresStore(Access(dsn(host, sslmode="require"), "s3cret-word"))
+            store = PostgresStore(ConnectionOptions(dsn(host, sslmode="require"), "s3cret-word"))
             with pytest.raises(StoreFailure, match="does not support SSL") as found:
                 await store.write(entry(), by(LONG))
             assert found.value.outcome is NEVER and "s3cret" not in str(found.value)
@@ -447,13 +447,13 @@
     async def test() -> None:
         data = Data()
         async with scene(data=data) as (store, (host,)):
-            others = [PostgresStore(Access(dsn(host))) for _ in range(4)]
+            others = [PostgresStore(ConnectionOptions(dsn(host))) for _ in range(4)]
             found = await asyncio.gather(*(one.write(entry(), by(LONG)) for one in (store, *others)))
             assert {one.verdict for one in found} == {Verdict.WRITTEN}
             for other in others:
                 await other.close()
             data.db.execute("UPDATE record_schema SET version = 99")
-            newer = PostgresStore(Access(dsn(host)))
+            newer = PostgresStore(ConnectionOptions(dsn(host)))
             with pytest.raises(StoreFailure, match="expected schema 1 or older, got 99") as refused:
                 await newer.write(entry(), by(LONG))
             assert (refused.value.outcome, refused.value.cause) == (NEVER, Cause.UNUSABLE)
