--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -48,7 +48,7 @@
 
     dsn: str  # a URL or key=value pairs as libpq reads them; without a password
     password: str = ""
-    most: int = 8  # open connections
+    max_connections: int = 8  # open connections
     synchronous_commit: str = "on"
     connect_s: float = CONNECT_TIMEOUT_S
 
@@ -81,7 +81,7 @@
         self.access = access
         self.settings = settings_of(access)
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
-        self.room = asyncio.Semaphore(access.most)
+        self.room = asyncio.Semaphore(access.max_connections)
         self.opened = 0
         self.checked = False  # the schema has been seen to be ours
         self.closing: set[asyncio.Task[None]] = set()
