--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -26,7 +26,7 @@
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure
-from ironscale.record.postgres import ConnectionOptions, is_stale, settings_of
+from ironscale.record.postgres import ConnectionOptions, is_stale, libpq_settings
 from ironscale.record.sql import NOW_MS, schema_migration
 from ironscale.record.worker import Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
@@ -104,7 +104,7 @@
     def __init__(self, access: ConnectionOptions, holder: str, place: str, limit_s: float = LIMIT_S,
                  lease_ms: int = LEASE_MS) -> None:
         """`holder`: who claims, the same for the next process on the same data folder; `place`: where, for people."""
-        self.settings = settings_of(access)
+        self.settings = libpq_settings(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
         self.limit_s, self.lease_ms = limit_s, lease_ms
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -66,7 +66,7 @@
     return found
 
 
-def settings_of(access: ConnectionOptions) -> dict[str, Any]:
+def libpq_settings(access: ConnectionOptions) -> dict[str, Any]:
     """What libpq is given: the operator's word before ours; a host that takes writes. Raises SettingError."""
     found = check_dsn(access.dsn)
     found.setdefault("target_session_attrs", "read-write")
@@ -79,7 +79,7 @@
 
     def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
-        self.settings = settings_of(access)
+        self.settings = libpq_settings(access)
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
         self.room = asyncio.Semaphore(access.max_connections)
         self.opened = 0
