--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -73,7 +73,7 @@
     return {**CONNECTION_DEFAULTS, **found, **({"password": access.password} if access.password else {})}
 
 
-class Connections:
+class ConnectionPool:
     """Connections to the one host of several that takes writes. Opened when they are needed and none is idle, so a
     store that is back is used at the next try; whose turn that is, the decision module says."""
 
@@ -159,7 +159,7 @@
 
     def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
-        self.connections = Connections(access)
+        self.connections = ConnectionPool(access)
         self.turns: set[asyncio.Task[Any]] = set()
         settings = self.connections.settings
         self.name = f"postgresql {settings.get('host', 'localhost')}:{settings.get('port', 5432)}"
