--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -81,7 +81,7 @@
         self.access = access
         self.settings = libpq_settings(access)
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
-        self.room = asyncio.Semaphore(access.max_connections)
+        self.permits = asyncio.Semaphore(access.max_connections)
         self.opened = 0
         self.checked = False  # the schema has been seen to be ours
         self.closing: set[asyncio.Task[None]] = set()
@@ -200,7 +200,7 @@
 
     async def _turn(self, turn: Turn, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
-        async with self.connections.room:
+        async with self.connections.permits:
             if turn.given_up:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
                               "TIMEOUT")
