--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -83,7 +83,7 @@
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
         self.permits = asyncio.Semaphore(access.max_connections)
         self.opened = 0
-        self.checked = False  # the schema has been seen to be ours
+        self.schema_checked = False  # the schema has been seen to be ours
         self.closing: set[asyncio.Task[None]] = set()
 
     def safe(self, text: str) -> str:
@@ -211,7 +211,7 @@
             whole = False
             try:
                 turn.step = TransactionStep.WORK
-                if not self.connections.checked:
+                if not self.connections.schema_checked:
                     await self._migrate(turn)
                 await self._begin(turn, until - loop.time())
                 result = await work(turn)
@@ -305,4 +305,4 @@
         except StoreFailure:
             await turn.execute("ROLLBACK")
             raise
-        self.connections.checked = True
+        self.connections.schema_checked = True
