--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -86,7 +86,7 @@
         self.schema_checked = False  # the schema has been seen to be ours
         self.closing: set[asyncio.Task[None]] = set()
 
-    def safe(self, text: str) -> str:
+    def redact(self, text: str) -> str:
         return text.replace(self.access.password, "***") if self.access.password else text
 
     async def take(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
@@ -247,7 +247,7 @@
         severity = ""
         if isinstance(error, psycopg.Error):
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
-        text = self.connections.safe(str(error) or type(error).__name__)
+        text = self.connections.redact(str(error) or type(error).__name__)
         # one that was lost is no answer, whatever the client library makes of it
         if turn.step is not TransactionStep.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
             return StoreFailure(postgres_outcome(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
