--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -89,7 +89,7 @@
     def redact(self, text: str) -> str:
         return text.replace(self.access.password, "***") if self.access.password else text
 
-    async def take(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
+    async def acquire(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
         """An idle one that is still alive, or a new one. Raises psycopg.Error."""
         now = asyncio.get_running_loop().time()
         while self.idle:
@@ -205,7 +205,7 @@
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
                               "TIMEOUT")
             try:
-                turn.connection = connection = await self.connections.take(until - loop.time())
+                turn.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
                 raise self._trouble(error, turn) from None
             whole = False
