--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -105,7 +105,7 @@
         return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": each}, autocommit=True,
                                                       prepare_threshold=None)
 
-    def give(self, connection: psycopg.AsyncConnection[Any]) -> None:
+    def release(self, connection: psycopg.AsyncConnection[Any]) -> None:
         """Back, after a transaction that ended well."""
         self.idle.append((connection, asyncio.get_running_loop().time()))
 
@@ -222,7 +222,7 @@
             finally:
                 # hazard: a cancel request that comes late would strike the next transaction
                 if whole and not turn.given_up:
-                    self.connections.give(connection)
+                    self.connections.release(connection)
                 else:
                     self.connections.drop(connection)
 
