--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -109,7 +109,7 @@
         """Back, after a transaction that ended well."""
         self.idle.append((connection, asyncio.get_running_loop().time()))
 
-    def drop(self, connection: psycopg.AsyncConnection[Any]) -> None:
+    def discard(self, connection: psycopg.AsyncConnection[Any]) -> None:
         task = asyncio.get_running_loop().create_task(connection.close())
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
@@ -224,7 +224,7 @@
                 if whole and not turn.given_up:
                     self.connections.release(connection)
                 else:
-                    self.connections.drop(connection)
+                    self.connections.discard(connection)
 
     async def _end(self, turn: Turn, task: asyncio.Task[Any]) -> None:
         """Nobody waits any more: the server is asked to cancel, then the connection is closed. Whatever the cancel does
