--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -129,7 +129,7 @@
     return bool(poll.poll(0))
 
 
-class Turn:
+class TransactionRun:
     """One transaction on one connection, and how far it has come."""
 
     def __init__(self) -> None:
@@ -179,10 +179,10 @@
 
     # A transaction and its end
 
-    async def run(self, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
+    async def run(self, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
         """`work` within a transaction. Raises Trouble. What is given up on ends in the background."""
         loop = asyncio.get_running_loop()
-        turn = Turn()
+        turn = TransactionRun()
         task = loop.create_task(self._turn(turn, work, until))
         self.turns.add(task)
         task.add_done_callback(self.turns.discard)
@@ -198,7 +198,7 @@
         raise StoreFailure(known, Cause.UNREACHABLE if turn.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
-    async def _turn(self, turn: Turn, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
+    async def _turn(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
         async with self.connections.permits:
             if turn.given_up:
@@ -226,7 +226,7 @@
                 else:
                     self.connections.discard(connection)
 
-    async def _end(self, turn: Turn, task: asyncio.Task[Any]) -> None:
+    async def _end(self, turn: TransactionRun, task: asyncio.Task[Any]) -> None:
         """Nobody waits any more: the server is asked to cancel, then the connection is closed. Whatever the cancel does
         is not taken for an outcome."""
         connection = turn.connection
@@ -242,7 +242,7 @@
             task.cancel()
             await asyncio.wait([task], timeout=CANCEL_GRACE_S)
 
-    def _trouble(self, error: psycopg.Error | OSError, turn: Turn) -> StoreFailure:
+    def _trouble(self, error: psycopg.Error | OSError, turn: TransactionRun) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
@@ -256,13 +256,13 @@
 
     # What is done within
 
-    async def _begin(self, turn: Turn, left_s: float) -> None:
+    async def _begin(self, turn: TransactionRun, left_s: float) -> None:
         """The deadline goes down as the statements' own time; whole numbers and a checked word, no text of others."""
         ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
         await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
 
-    async def _write(self, turn: Turn, entry: Entry) -> WriteResult:
+    async def _write(self, turn: TransactionRun, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
                   entry.body, entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
         for _ in range(MAX_SLOT_TRIES):
@@ -279,7 +279,7 @@
         await turn.execute("ROLLBACK")
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
 
-    async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
+    async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
         if await turn.execute(SQL.void, (attempt,)):
             await turn.commit()  # only once it is committed, the attempt can't be any more
             return None
@@ -290,7 +290,7 @@
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
-    async def _migrate(self, turn: Turn) -> None:
+    async def _migrate(self, turn: TransactionRun) -> None:
         await turn.execute("BEGIN")
         steps = schema_migration(self.name, "record_schema", MIGRATION_LOCK_ID, SCHEMA, SQL.migrations)
         try:
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -13,7 +13,7 @@
 
 from ironscale.record import history_check, recorder
 from ironscale.record.model import Cause, Entry, WriteOutcome, Row, StoreFailure, WriteResult
-from ironscale.record.postgres import PostgresStore, Turn
+from ironscale.record.postgres import PostgresStore, TransactionRun
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.record.postgres import Gate, scene
@@ -175,7 +175,7 @@
 class NoFence(PostgresStore):
     """Asks by looking only."""
 
-    async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
+    async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
         found = await turn.execute("SELECT state, answer FROM records WHERE attempt = %s", (attempt,))
         await turn.execute("ROLLBACK")
         return bytes(found[0][1]) if found else None
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -13,7 +13,7 @@
 
 from ironscale.record import postgres
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
-from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, Turn, check_dsn
+from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import Fault, Gate, dsn, scene, written
 from tests.record.samples import again, entry
@@ -229,7 +229,7 @@
         async with scene() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
 
-            async def work(turn: Turn) -> None:
+            async def work(turn: TransactionRun) -> None:
                 await turn.execute(postgres.SQL.void, ("kept",))
                 with contextlib.suppress(psycopg.Error):
                     await turn.execute("SELECT nothing_such FROM records")
