--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -160,7 +160,7 @@
     def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
         self.connections = ConnectionPool(access)
-        self.turns: set[asyncio.Task[Any]] = set()
+        self.tasks: set[asyncio.Task[Any]] = set()
         settings = self.connections.settings
         self.name = f"postgresql {settings.get('host', 'localhost')}:{settings.get('port', 5432)}"
 
@@ -171,10 +171,10 @@
         return await self.run(lambda turn: self._ask(turn, attempt), until)
 
     async def close(self) -> None:
-        for task in list(self.turns):
+        for task in list(self.tasks):
             task.cancel()
-        if self.turns:
-            await asyncio.wait(self.turns, timeout=2 * CANCEL_GRACE_S)
+        if self.tasks:
+            await asyncio.wait(self.tasks, timeout=2 * CANCEL_GRACE_S)
         await self.connections.close()
 
     # A transaction and its end
@@ -184,16 +184,16 @@
         loop = asyncio.get_running_loop()
         turn = TransactionRun()
         task = loop.create_task(self._turn(turn, work, until))
-        self.turns.add(task)
-        task.add_done_callback(self.turns.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())  # it may be told to nobody
         done, _ = await asyncio.wait([task], timeout=max(0.0, until - loop.time()))
         if done:
             return task.result()
         turn.given_up = True
         ending = loop.create_task(self._end(turn, task))
-        self.turns.add(ending)
-        ending.add_done_callback(self.turns.discard)
+        self.tasks.add(ending)
+        ending.add_done_callback(self.tasks.discard)
         known = WriteOutcome.UNKNOWN if turn.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
         raise StoreFailure(known, Cause.UNREACHABLE if turn.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -312,7 +312,7 @@
             with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
             assert (found.value.outcome, found.value.cause) == (NEVER, Cause.TIMEOUT)
-            await until(lambda: not store.turns)
+            await until(lambda: not store.tasks)
             assert host.cancels == 1 or found.value.code == "57014"  # or the deadline that went down came first
             await holder.execute("ROLLBACK")
             await holder.close()
@@ -351,7 +351,7 @@
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
-            await until(lambda: not store.turns)  # nothing is left running
+            await until(lambda: not store.tasks)  # nothing is left running
             assert len(host.sessions) <= 2
             assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
 
