--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -183,7 +183,7 @@
         """`work` within a transaction. Raises Trouble. What is given up on ends in the background."""
         loop = asyncio.get_running_loop()
         turn = TransactionRun()
-        task = loop.create_task(self._turn(turn, work, until))
+        task = loop.create_task(self._run_transaction(turn, work, until))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())  # it may be told to nobody
@@ -198,7 +198,7 @@
         raise StoreFailure(known, Cause.UNREACHABLE if turn.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
 
-    async def _turn(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
+    async def _run_transaction(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
         async with self.connections.permits:
             if turn.given_up:
