--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -191,7 +191,7 @@
         if done:
             return task.result()
         turn.given_up = True
-        ending = loop.create_task(self._end(turn, task))
+        ending = loop.create_task(self._cancel(turn, task))
         self.tasks.add(ending)
         ending.add_done_callback(self.tasks.discard)
         known = WriteOutcome.UNKNOWN if turn.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
@@ -226,7 +226,7 @@
                 else:
                     self.connections.discard(connection)
 
-    async def _end(self, turn: TransactionRun, task: asyncio.Task[Any]) -> None:
+    async def _cancel(self, turn: TransactionRun, task: asyncio.Task[Any]) -> None:
         """Nobody waits any more: the server is asked to cancel, then the connection is closed. Whatever the cancel does
         is not taken for an outcome."""
         connection = turn.connection
