--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -207,7 +207,7 @@
             try:
                 turn.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
-                raise self._trouble(error, turn) from None
+                raise self._store_failure(error, turn) from None
             whole = False
             try:
                 turn.step = TransactionStep.WORK
@@ -218,7 +218,7 @@
                 whole = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
                 return result
             except (psycopg.Error, OSError) as error:
-                raise self._trouble(error, turn) from None
+                raise self._store_failure(error, turn) from None
             finally:
                 # hazard: a cancel request that comes late would strike the next transaction
                 if whole and not turn.given_up:
@@ -242,7 +242,7 @@
             task.cancel()
             await asyncio.wait([task], timeout=CANCEL_GRACE_S)
 
-    def _trouble(self, error: psycopg.Error | OSError, turn: TransactionRun) -> StoreFailure:
+    def _store_failure(self, error: psycopg.Error | OSError, turn: TransactionRun) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
