--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -25,7 +25,7 @@
 from ironscale.record.recorder import AttemptHandle, Recorder
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
 
-LEAST_DOORS = 2
+MIN_PATHS = 2
 DOOR = re.compile(r"\bupstream (\d+)")
 JSON = [(b"content-type", b"application/json")]
 CONFLICT = b'{"error":"CONFLICT","message":"this %s was used before for another request; nothing was written"}\n'
@@ -63,7 +63,7 @@
         self.host, self.name, self.recorder = host, name, recorder
         self.out: dict[tuple[int, int], Out] = {}  # by request and number
         self.numbers: dict[int, int] = {}  # attempts so far of requests that are open
-        doors = max(LEAST_DOORS, settings.max_attempts)
+        doors = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
                                                            for i in range(1, doors + 1)]))
 
