--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -26,7 +26,7 @@
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
 
 MIN_PATHS = 2
-DOOR = re.compile(r"\bupstream (\d+)")
+UPSTREAM_IN_LOG = re.compile(r"\bupstream (\d+)")
 JSON = [(b"content-type", b"application/json")]
 CONFLICT = b'{"error":"CONFLICT","message":"this %s was used before for another request; nothing was written"}\n'
 # What the decisions hear of an attempt that is known not to have run
@@ -75,7 +75,7 @@
         self.host.fail(ident)
 
     def log(self, text: str) -> None:
-        self.host.log(DOOR.sub(rf"store {self.name} way \1", text))
+        self.host.log(UPSTREAM_IN_LOG.sub(rf"store {self.name} way \1", text))
 
     def execute_action(self, action: api.Action) -> None:
         match action:
