--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -30,7 +30,7 @@
 JSON = [(b"content-type", b"application/json")]
 CONFLICT = b'{"error":"CONFLICT","message":"this %s was used before for another request; nothing was written"}\n'
 # What the decisions hear of an attempt that is known not to have run
-OUTCOMES = {Cause.UNREACHABLE: api.Outcome.CONNECT_FAILED, Cause.BROKEN: api.Outcome.CONNECT_FAILED,
+OUTCOME_OF_CAUSE = {Cause.UNREACHABLE: api.Outcome.CONNECT_FAILED, Cause.BROKEN: api.Outcome.CONNECT_FAILED,
             Cause.TURNED_AWAY: api.Outcome.FULL, Cause.RETRY: api.Outcome.FULL, Cause.TIMEOUT: api.Outcome.FULL,
             Cause.UNUSABLE: api.Outcome.FULL, None: api.Outcome.FULL}
 
@@ -160,7 +160,7 @@
                 if onward is None:
                     self.host.close(request)
         elif plan.outcome is AttemptOutcome.NEVER_RAN:
-            outcome = OUTCOMES[plan.cause]
+            outcome = OUTCOME_OF_CAUSE[plan.cause]
         else:
             outcome = out.outcome or api.Outcome.TIMEOUT
         self.host.forget(request)
