--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -35,7 +35,7 @@
             Cause.UNUSABLE: api.Outcome.FULL, None: api.Outcome.FULL}
 
 
-def settings_for(settings: api.Settings) -> api.Settings:
+def store_settings(settings: api.Settings) -> api.Settings:
     """What holds towards a store. Its doors are one cell: what may have run through one is dropped through another. A
     keyed request that may have run is not refused, though its repeats are: a refusal says that nothing is there."""
     return replace(
@@ -58,7 +58,7 @@
 
 class StoreLane(EventDispatcher):
     def __init__(self, host: Sidecar, name: str, recorder: Recorder) -> None:
-        settings = settings_for(host.config.settings)
+        settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
         self.host, self.name, self.recorder = host, name, recorder
         self.out: dict[tuple[int, int], Out] = {}  # by request and number
@@ -211,7 +211,7 @@
 
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
-            event = api.SettingsChanged(settings_for(event.settings))
+            event = api.SettingsChanged(store_settings(event.settings))
         for lane in self.lanes:
             lane.dispatch(event)
 
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -30,7 +30,7 @@
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
 from ironscale.record.store_dispatcher import Stores as Front
-from ironscale.record.store_dispatcher import settings_for
+from ironscale.record.store_dispatcher import store_settings
 from ironscale.standins.http import TURNED_AWAY, Message
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
@@ -530,6 +530,6 @@
     settings = api.Settings(classes=[api.RequestClass("m", 1, 2, effect="deduplicated", group="all",
                                                       dedup_memory_us=5)],
                             hedging=True, list_on_request=True, probes=True, cold_share=0.1, warm_up_us=5)
-    found = settings_for(settings)
+    found = store_settings(settings)
     assert found.classes[0].group == "cell" and found.classes[0].dedup_memory_us == 5
     assert not (found.hedging or found.list_on_request or found.probes) and found.cold_share == 1.0
