--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Out:
+class AttemptInFlight:
     """An attempt that is out."""
 
     number: int
@@ -61,7 +61,7 @@
         settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
         self.host, self.name, self.recorder = host, name, recorder
-        self.out: dict[tuple[int, int], Out] = {}  # by request and number
+        self.out: dict[tuple[int, int], AttemptInFlight] = {}  # by request and number
         self.numbers: dict[int, int] = {}  # attempts so far of requests that are open
         doors = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
@@ -106,7 +106,7 @@
         left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
-        out = self.out[action.request, number] = Out(number, action.upstream, now_us)
+        out = self.out[action.request, number] = AttemptInFlight(number, action.upstream, now_us)
         request.attempts_in_flight += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
         out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
@@ -128,12 +128,12 @@
             model.fingerprint(target, exchange.body),
             model.answer_of(request.txn, kind.name), max(1, kind.dedup_memory_us // 1000) if keyed else 0)
 
-    def give_up(self, out: Out, outcome: api.Outcome) -> None:
+    def give_up(self, out: AttemptInFlight, outcome: api.Outcome) -> None:
         if out.handle is not None and out.handle.on_result is not None:
             out.outcome = outcome
             out.handle.give_up()
 
-    def on_told(self, request: Request, out: Out, plan: Attempt) -> None:
+    def on_told(self, request: Request, out: AttemptInFlight, plan: Attempt) -> None:
         """The one way in which an attempt ends."""
         if out.timer is not None:
             out.timer.cancel()
