--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -49,7 +49,7 @@
     """An attempt that is out."""
 
     number: int
-    door: int
+    path: int
     sent_us: int
     handle: AttemptHandle | None = None
     timer: Timer | None = None
@@ -166,7 +166,7 @@
         self.host.forget(request)
         if not self.is_open(request.ident):
             self.numbers.pop(request.ident, None)
-        self.dispatch(api.AttemptEnded(request.ident, out.number, out.door, outcome, self.now_us() - out.sent_us))
+        self.dispatch(api.AttemptEnded(request.ident, out.number, out.path, outcome, self.now_us() - out.sent_us))
         if onward is not None:
             onward(None)
 
