--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -56,7 +56,7 @@
     outcome: api.Outcome | None = None  # if it was given up on
 
 
-class StoreLane(EventDispatcher):
+class StoreDispatcher(EventDispatcher):
     def __init__(self, host: Sidecar, name: str, recorder: Recorder) -> None:
         settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
@@ -177,7 +177,7 @@
     def __init__(self, host: Sidecar, by: str, recorders: Sequence[Recorder], upstreams: str = "none") -> None:
         self.host, self.by, self.upstreams = host, by, upstreams
         self.names = [recorder.name for recorder in recorders]
-        self.lanes = [StoreLane(host, recorder.name, recorder) for recorder in recorders]
+        self.lanes = [StoreDispatcher(host, recorder.name, recorder) for recorder in recorders]
 
     def handle_request(self, event: api.RequestArrived) -> None:
         request = self.host.requests[event.request]
