--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -61,7 +61,7 @@
         settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
         self.host, self.name, self.recorder = host, name, recorder
-        self.out: dict[tuple[int, int], AttemptInFlight] = {}  # by request and number
+        self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and number
         self.numbers: dict[int, int] = {}  # attempts so far of requests that are open
         doors = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
@@ -85,7 +85,7 @@
                 self.numbers.pop(action.request, None)
                 self.host.execute_action(action)
             case api.Cancel():
-                out = self.out.get((action.request, action.attempt))
+                out = self.in_flight.get((action.request, action.attempt))
                 if out is not None:
                     self.give_up(out, api.Outcome.CANCELLED)
             case api.SetTimer():
@@ -106,7 +106,7 @@
         left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
-        out = self.out[action.request, number] = AttemptInFlight(number, action.upstream, now_us)
+        out = self.in_flight[action.request, number] = AttemptInFlight(number, action.upstream, now_us)
         request.attempts_in_flight += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
         out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
@@ -137,7 +137,7 @@
         """The one way in which an attempt ends."""
         if out.timer is not None:
             out.timer.cancel()
-        del self.out[request.ident, out.number]
+        del self.in_flight[request.ident, out.number]
         request.attempts_in_flight -= 1
         onward = None
         if plan.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
