--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -62,7 +62,7 @@
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
         self.host, self.name, self.recorder = host, name, recorder
         self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and number
-        self.numbers: dict[int, int] = {}  # attempts so far of requests that are open
+        self.attempt_counts: dict[int, int] = {}  # attempts so far of requests that are open
         doors = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
                                                            for i in range(1, doors + 1)]))
@@ -82,7 +82,7 @@
             case api.Send():
                 self.send(action)
             case api.Refuse() | api.Fail():
-                self.numbers.pop(action.request, None)
+                self.attempt_counts.pop(action.request, None)
                 self.host.execute_action(action)
             case api.Cancel():
                 out = self.in_flight.get((action.request, action.attempt))
@@ -97,12 +97,12 @@
 
     def send(self, action: api.Send) -> None:
         now_us = self.now_us()
-        number = self.numbers.get(action.request, 0)
+        number = self.attempt_counts.get(action.request, 0)
         request = self.host.requests.get(action.request)
         if request is None or not self.is_open(action.request) or not self.may_write(request):
             self.dispatch(api.AttemptEnded(action.request, number, action.upstream, api.Outcome.NOT_SENT))
             return
-        self.numbers[action.request] = number + 1
+        self.attempt_counts[action.request] = number + 1
         left_us = request.deadline_us - now_us
         timeout_us = min(action.timeout_us or left_us, left_us)
         request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
@@ -165,7 +165,7 @@
             outcome = out.outcome or api.Outcome.TIMEOUT
         self.host.forget(request)
         if not self.is_open(request.ident):
-            self.numbers.pop(request.ident, None)
+            self.attempt_counts.pop(request.ident, None)
         self.dispatch(api.AttemptEnded(request.ident, out.number, out.path, outcome, self.now_us() - out.sent_us))
         if onward is not None:
             onward(None)
@@ -206,7 +206,7 @@
 
     def request_abandoned(self, ident: int) -> None:
         for lane in self.lanes:  # those that don't know it take no notice
-            lane.numbers.pop(ident, None)
+            lane.attempt_counts.pop(ident, None)
             lane.dispatch(api.RequestAbandoned(ident))
 
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -111,7 +111,7 @@
             assert len(peer.got) == 1
             assert (await scene.send(asked(scene, "mark", b"A", key="k" * 257))).status == 400
             lane = front.lanes[0]
-            assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.in_flight and not lane.numbers
+            assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.in_flight and not lane.attempt_counts
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
             ("t1", "north", 64_000), ("t2", "north", 1), ("t5", "south", 1)]
@@ -384,7 +384,7 @@
             await until(lambda: not scene.sidecar.by_txn)
             gate.go.set()
             lane = front.lanes[0]
-            await until(lambda: not lane.in_flight and not lane.numbers and not scene.sidecar.requests)
+            await until(lambda: not lane.in_flight and not lane.attempt_counts and not scene.sidecar.requests)
             assert written(host.data) == ["t1", "t2"] and not lane.balancer.requests
 
     run(test)
@@ -502,7 +502,7 @@
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
             lane_ = front.lanes[0]
             await until(lambda: not scene.sidecar.requests and not lane_.in_flight)
-            assert not lane_.numbers and not lane_.balancer.requests and not scene.sidecar.balancer.requests
+            assert not lane_.attempt_counts and not lane_.balancer.requests and not scene.sidecar.balancer.requests
 
     run(test)
 
