--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -110,7 +110,7 @@
         request.attempts_in_flight += 1
         due = self.recorder.loop.time() + timeout_us / 1e6
         out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
-        out.handle = self.recorder.write(self.entry(request), due, partial(self.on_told, request, out))
+        out.handle = self.recorder.write(self.entry(request), due, partial(self.on_result, request, out))
 
     def may_write(self, request: Request) -> bool:
         exchange = request.exchange
@@ -133,7 +133,7 @@
             out.outcome = outcome
             out.handle.give_up()
 
-    def on_told(self, request: Request, out: AttemptInFlight, plan: Attempt) -> None:
+    def on_result(self, request: Request, out: AttemptInFlight, plan: Attempt) -> None:
         """The one way in which an attempt ends."""
         if out.timer is not None:
             out.timer.cancel()
