--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -12,7 +12,7 @@
 from ironscale.operator_file import OperatorFileError, StoresConfig
 from ironscale.record.journal import Journal, JournalError
 from ironscale.record.recorder import Recorder
-from ironscale.record.store_dispatcher import Stores as Front
+from ironscale.record.store_dispatcher import StoreRequestHandler as Front
 from ironscale.record.store_factory import make_store
 from ironscale.tasks import run_in_background
 
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -171,7 +171,7 @@
             onward(None)
 
 
-class Stores:
+class StoreRequestHandler:
     """The front: which store has a request, and all of them together."""
 
     def __init__(self, host: Sidecar, by: str, recorders: Sequence[Recorder], upstreams: str = "none") -> None:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -29,7 +29,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
-from ironscale.record.store_dispatcher import Stores as Front
+from ironscale.record.store_dispatcher import StoreRequestHandler as Front
 from ironscale.record.store_dispatcher import store_settings
 from ironscale.standins.http import TURNED_AWAY, Message
 from ironscale.standins.postgres import Data, Drop, Host, Session
