--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -177,7 +177,7 @@
     def __init__(self, host: Sidecar, by: str, recorders: Sequence[Recorder], upstreams: str = "none") -> None:
         self.host, self.by, self.upstreams = host, by, upstreams
         self.names = [recorder.name for recorder in recorders]
-        self.lanes = [StoreDispatcher(host, recorder.name, recorder) for recorder in recorders]
+        self.dispatchers = [StoreDispatcher(host, recorder.name, recorder) for recorder in recorders]
 
     def handle_request(self, event: api.RequestArrived) -> None:
         request = self.host.requests[event.request]
@@ -187,7 +187,7 @@
             self.host.answer(event.request, 400, [])
             return
         about = routes.routing_key(self.by, tenant, key, request.txn)
-        lane = self.lanes[routes.choose_store(self.names, about)]
+        lane = self.dispatchers[routes.choose_store(self.names, about)]
 
         def to_upstream(answer: Answer | None) -> None:
             request.dispatcher = self.host
@@ -205,17 +205,17 @@
             to_store(None)
 
     def request_abandoned(self, ident: int) -> None:
-        for lane in self.lanes:  # those that don't know it take no notice
+        for lane in self.dispatchers:  # those that don't know it take no notice
             lane.attempt_counts.pop(ident, None)
             lane.dispatch(api.RequestAbandoned(ident))
 
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
             event = api.SettingsChanged(store_settings(event.settings))
-        for lane in self.lanes:
+        for lane in self.dispatchers:
             lane.dispatch(event)
 
     async def close(self, wait_s: float) -> None:
         async with asyncio.TaskGroup() as group:
-            for lane in self.lanes:
+            for lane in self.dispatchers:
                 group.create_task(lane.recorder.close(wait_s))
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -110,7 +110,7 @@
             assert (await scene.call("view")).body == b"done"
             assert len(peer.got) == 1
             assert (await scene.send(asked(scene, "mark", b"A", key="k" * 257))).status == 400
-            lane = front.lanes[0]
+            lane = front.dispatchers[0]
             assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.in_flight and not lane.attempt_counts
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
@@ -199,7 +199,7 @@
             began = time.monotonic()
             assert (await scene.send(asked(scene, "pay", remaining="600m"))).status == 502
             assert 0.3 < time.monotonic() - began < 0.6 + 0.05 - ANSWER_MARGIN_US / 1e6 + 0.2
-            journal = front.lanes[0].recorder.journal
+            journal = front.dispatchers[0].recorder.journal
             await until(lambda: journal.writing is None and journal.open)
             (one,), damaged = journal_module.read_all(tmp_path / "open")
             assert damaged == 0 and (one.request, one.kind, one.store, one.tenant) == ("t2", "pay", "main", "north")
@@ -226,7 +226,7 @@
             host.hook = None
             gate.go.set()
             async with running(section) as (scene, _, front):
-                journal = front.lanes[0].recorder.journal
+                journal = front.dispatchers[0].recorder.journal
                 await until(lambda: not journal.open and journal.writing is None)
                 assert journal_module.read_all(tmp_path / "open") == ([], 0)
 
@@ -238,7 +238,7 @@
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section, 3, QUICK) as (scene, peers, front)):
-            lane, results = front.lanes[0], Counter[str]()
+            lane, results = front.dispatchers[0], Counter[str]()
             took: dict[bool, list[float]] = {False: [], True: []}
             phase = {"stalled": False, "end": False, "most_out": 0}
 
@@ -319,9 +319,9 @@
             await until(lambda: former.writing is None)
             os.close(former.fd)  # it has ended
             await until(lambda: former.path is not None and not former.path.exists())
-            journal = front.lanes[0].recorder.journal
+            journal = front.dispatchers[0].recorder.journal
             await until(lambda: not journal.open and journal.writing is None)
-            found = await front.lanes[0].recorder.store.write(lost, asyncio.get_running_loop().time() + 10)
+            found = await front.dispatchers[0].recorder.store.write(lost, asyncio.get_running_loop().time() + 10)
             assert found.verdict is Verdict.FENCED  # it was asked
 
     run(test)
@@ -363,8 +363,8 @@
             assert (await scene.send(asked(scene, "pay"))).status == 200
             changed = [{**kind, "deadline": 9_000_000} for kind in SETTINGS["request-classes"]]
             scene.sidecar.reconfigure(1, {"settings": {"request-classes": changed}})
-            assert front.lanes[0].balancer.settings.classes[1].deadline_us == 9_000_000
-            assert front.lanes[0].balancer.settings.classes[2].group == "cell"
+            assert front.dispatchers[0].balancer.settings.classes[1].deadline_us == 9_000_000
+            assert front.dispatchers[0].balancer.settings.classes[2].group == "cell"
             assert (await scene.send(asked(scene, "mark"))).status == 200
 
     run(test)
@@ -383,7 +383,7 @@
             writer.close()
             await until(lambda: not scene.sidecar.by_txn)
             gate.go.set()
-            lane = front.lanes[0]
+            lane = front.dispatchers[0]
             await until(lambda: not lane.in_flight and not lane.attempt_counts and not scene.sidecar.requests)
             assert written(host.data) == ["t1", "t2"] and not lane.balancer.requests
 
@@ -395,7 +395,7 @@
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            balancer, gate = front.lanes[0].balancer, Gate("insert", times=1_000)
+            balancer, gate = front.dispatchers[0].balancer, Gate("insert", times=1_000)
             host.hook = gate
             writers = []
             while balancer.buffer is None:
@@ -500,7 +500,7 @@
             assert (await scene.send(asked(scene, "pay"))).status == 200
             assert written(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
-            lane_ = front.lanes[0]
+            lane_ = front.dispatchers[0]
             await until(lambda: not scene.sidecar.requests and not lane_.in_flight)
             assert not lane_.attempt_counts and not lane_.balancer.requests and not scene.sidecar.balancer.requests
 
