--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -16,7 +16,7 @@
 from ironscale.record.store_factory import make_store
 from ironscale.tasks import run_in_background
 
-CLOSE_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
+CLOSE_TIMEOUT_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
 TAKE_OVER_S = 5.0  # how often is looked for what a process of the same name has left
 
 
@@ -73,7 +73,7 @@
         finally:
             for index in indexes:
                 sidecar.request_handlers.pop(index, None)
-            await front.close(CLOSE_S)
-            await journal.settle(CLOSE_S)
+            await front.close(CLOSE_TIMEOUT_S)
+            await journal.settle(CLOSE_TIMEOUT_S)
 
     return running
