--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -17,7 +17,7 @@
 from ironscale.tasks import run_in_background
 
 CLOSE_TIMEOUT_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
-TAKE_OVER_S = 5.0  # how often is looked for what a process of the same name has left
+TAKE_OVER_INTERVAL_S = 5.0  # how often is looked for what a process of the same name has left
 
 
 def check_classes(stores: StoresConfig, settings: Settings) -> dict[int, str]:
@@ -58,7 +58,7 @@
 
         async def take_over() -> None:
             while True:
-                await asyncio.sleep(TAKE_OVER_S)
+                await asyncio.sleep(TAKE_OVER_INTERVAL_S)
                 try:
                     found = await journal.take_over()
                 except Exception as error:  # hazard: what a former process left open would never be found out
