--- a/bench/record.py
+++ b/bench/record.py
@@ -25,7 +25,7 @@
 from ironscale.operator_file import StoreConfig, StoresConfig
 from ironscale.record import sqlite
 from ironscale.record.database import ConnectionFactory
-from ironscale.record.extension import beside
+from ironscale.record.extension import store_extension
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
 from ironscale.record.postgres import ConnectionOptions, PostgresStore
 from ironscale.record.sqlite import SqliteStore, migrate
@@ -140,7 +140,7 @@
         async def hook(session: Session, kind: str, after: bool) -> None:
             await stalled.wait()
 
-        async with beside(section)(scene.sidecar, lambda: None):
+        async with store_extension(section)(scene.sidecar, lambda: None):
             began = loop.time()
 
             async def pay(at: float) -> None:
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -99,7 +99,7 @@
         extensions: list[Extension] = []
         channel = None
         if options.store is not None:  # started first, so that no request can bypass the stores
-            from ironscale.record.extension import beside as store_beside
+            from ironscale.record.extension import store_extension as store_beside
 
             extensions.append(store_beside(options.store))
         if options.learned is not None:
--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -37,7 +37,7 @@
     return found
 
 
-def beside(stores: StoresConfig) -> Extension:
+def store_extension(stores: StoresConfig) -> Extension:
     """Raises OperatorFileError."""
     makers = [(target.name, make_store(target, stores.file)) for target in stores.to]
 
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -25,7 +25,7 @@
 from ironscale.record import extension as extension_module
 from ironscale.record import history_check
 from ironscale.record import journal as journal_module
-from ironscale.record.extension import beside
+from ironscale.record.extension import store_extension
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
@@ -60,7 +60,7 @@
     entries = [peer.entry(f"up-{i}") for i, peer in enumerate(found)]
     scene = await Scene().start(*entries, **{"request-classes": classes})
     try:
-        async with beside(section)(scene.sidecar, lambda: None):
+        async with store_extension(section)(scene.sidecar, lambda: None):
             front = next(iter(scene.sidecar.request_handlers.values()))
             assert isinstance(front, Front)
             yield scene, found, front
@@ -144,13 +144,13 @@
             section = StoresConfig("op.toml", classes=classes, to=(StoreConfig("main", sqlite=Path("/nowhere/r.db")),))
             scene = await Scene().start()
             with pytest.raises(ConfigError) as found:
-                async with beside(section)(scene.sidecar, lambda: None):
+                async with store_extension(section)(scene.sidecar, lambda: None):
                     pass
             assert text in str(found.value) and str(found.value).startswith("op.toml: store.classes: ")
             assert not scene.sidecar.request_handlers
             await scene.sidecar.stop()
         with pytest.raises(OperatorFileError, match="without a password"):
-            beside(StoresConfig("op.toml", ("pay",), (StoreConfig("main", postgresql="host=h password=x"),)))
+            store_extension(StoresConfig("op.toml", ("pay",), (StoreConfig("main", postgresql="host=h password=x"),)))
 
     run(test)
 
