--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -24,7 +24,7 @@
 
 VERSION = 1
 SUFFIX = ".open"
-AGAIN_S, MOST_AGAIN_S = 0.1, 2.0  # after a write that failed; twice as long each time, up to the latter
+RETRY_DELAY_S, MOST_AGAIN_S = 0.1, 2.0  # after a write that failed; twice as long each time, up to the latter
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,7 +221,7 @@
 
     async def write(self) -> None:
         """Everything that waits, in one piece; a disk that hangs holds up nothing else."""
-        again_s = AGAIN_S
+        again_s = RETRY_DELAY_S
         try:
             while self.lines or self.spoilt:
                 lines, self.lines = self.lines, []
@@ -232,7 +232,7 @@
                 try:
                     await run_in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
-                    self.spoilt, again_s = False, AGAIN_S
+                    self.spoilt, again_s = False, RETRY_DELAY_S
                 except OSError as error:
                     if not self.spoilt:
                         self.log(f"{self.path}: open outcomes could not be written: {error.strerror}; "
