--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -24,7 +24,7 @@
 
 VERSION = 1
 SUFFIX = ".open"
-RETRY_DELAY_S, MOST_AGAIN_S = 0.1, 2.0  # after a write that failed; twice as long each time, up to the latter
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # after a write that failed; twice as long each time, up to the latter
 
 
 @dataclass(frozen=True, slots=True)
@@ -240,7 +240,7 @@
                     self.spoilt = True  # hazard: after a failed sync the kernel may have dropped what it held
                     self.taken_over += gone
                     await asyncio.sleep(again_s)
-                    again_s = min(2 * again_s, MOST_AGAIN_S)
+                    again_s = min(2 * again_s, MAX_RETRY_DELAY_S)
         finally:
             self.writing = None
 
