--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -118,7 +118,7 @@
         self.taken_over: list[Path] = []  # to be removed once their lines stand in this file
         self.writing: asyncio.Task[None] | None = None
         self.lines_in_file = 0
-        self.spoilt = False  # a write failed: the whole file is written anew at the next occasion
+        self.rewrite_needed = False  # a write failed: the whole file is written anew at the next occasion
 
     def begin(self) -> list[Open]:
         """Opens this process's file and takes over what others left. Raises JournalError."""
@@ -137,7 +137,7 @@
                     f"{self.folder}: expected a folder that can be written, got {error.strerror}") from error
             self.log(f"{self.folder}: {error.strerror}; written again until it stands")
             self.taken_over += paths
-            self.spoilt = True
+            self.rewrite_needed = True
             self.put("")
         return left
 
@@ -171,7 +171,7 @@
         """What others have left since; it stands in this file before it goes from theirs."""
         if self.folder is None:
             return []
-        if self.spoilt:
+        if self.rewrite_needed:
             self.put("")
         try:
             left, paths = await run_in_thread(self.left_by_others)
@@ -223,21 +223,21 @@
         """Everything that waits, in one piece; a disk that hangs holds up nothing else."""
         again_s = RETRY_DELAY_S
         try:
-            while self.lines or self.spoilt:
+            while self.lines or self.rewrite_needed:
                 lines, self.lines = self.lines, []
                 gone, self.taken_over = self.taken_over, []
                 # hazard: closed lines of a long life would fill the disk
                 long = self.lines_in_file > 1_000 + 4 * len(self.open)
-                anew = list(self.open.values()) if long or self.spoilt else None
+                anew = list(self.open.values()) if long or self.rewrite_needed else None
                 try:
                     await run_in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
-                    self.spoilt, again_s = False, RETRY_DELAY_S
+                    self.rewrite_needed, again_s = False, RETRY_DELAY_S
                 except OSError as error:
-                    if not self.spoilt:
+                    if not self.rewrite_needed:
                         self.log(f"{self.path}: open outcomes could not be written: {error.strerror}; "
                                  f"they are written again until they stand")
-                    self.spoilt = True  # hazard: after a failed sync the kernel may have dropped what it held
+                    self.rewrite_needed = True  # hazard: after a failed sync the kernel may have dropped what it held
                     self.taken_over += gone
                     await asyncio.sleep(again_s)
                     again_s = min(2 * again_s, MAX_RETRY_DELAY_S)
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -87,7 +87,7 @@
         monkeypatch.setattr(os, "write", lambda fd, data: real(fd, bytes(data)[:max(1, len(data) // 2)]))
         for name in "abc":
             journal.opened(left(name))
-        journal.spoilt = spoilt
+        journal.rewrite_needed = spoilt
         await written(journal)
         assert journal.path is not None
         assert read(journal.path) == ({name: left(name) for name in "abc"}, 0)
