--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -110,8 +110,8 @@
 
     def __init__(self, folder: Path | None, name: str, log: Callable[[str], None]) -> None:
         self.folder, self.log = folder, log
-        self.quoted = quote(name, safe="")
-        self.path = folder / f"{self.quoted}.{secrets.token_hex(4)}{SUFFIX}" if folder is not None else None
+        self.quoted_name = quote(name, safe="")
+        self.path = folder / f"{self.quoted_name}.{secrets.token_hex(4)}{SUFFIX}" if folder is not None else None
         self.fd = -1  # open, locked; closed with the process
         self.open: dict[str, Open] = {}
         self.lines: list[str] = []
@@ -147,8 +147,8 @@
         found: dict[str, Open] = {}
         paths = []
         for path in sorted(self.folder.iterdir()):
-            token = path.name.removeprefix(f"{self.quoted}.").removesuffix(SUFFIX)
-            if path == self.path or path.name != f"{self.quoted}.{token}{SUFFIX}" or not token.isalnum():
+            token = path.name.removeprefix(f"{self.quoted_name}.").removesuffix(SUFFIX)
+            if path == self.path or path.name != f"{self.quoted_name}.{token}{SUFFIX}" or not token.isalnum():
                 continue
             try:
                 with path.open("rb") as file:
