--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -212,7 +212,7 @@
     # A connection and the claim
 
     def _open(self) -> psycopg.Connection[Any]:
-        """Raises psycopg.Error, OSError or Trouble."""
+        """Raises psycopg.Error, OSError or StoreFailure."""
         if self.lost is not None:
             raise self.lost
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_S)},
--- a/ironscale/record/__init__.py
+++ b/ironscale/record/__init__.py
@@ -1,1 +1,1 @@
-"""SQLite or PostgreSQL as the store of record: written once, answered once."""
+"""Stores of record in SQLite or PostgreSQL: each write runs once and is kept together with its answer."""
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -1,5 +1,5 @@
-"""SQLite off the event loop: one writer with group commit, a reader and a checkpointer beside it. What is asked for
-while a commit is under way shares the next one. Knows nothing of what is written: work is handed in.
+"""SQLite off the event loop: a writer thread with group commit, a checkpoint thread and a separate reader. Jobs submitted
+during a commit share the next one. The work itself is supplied by the callers.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
-BUSY_TIMEOUT_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
-CHECKPOINT_PAGES = 1_000  # of the log, from where they are copied into the file beside the writer
-MAX_WAL_PAGES = 32_000  # past this the writer itself waits for the copying: else the log would grow for ever
+BUSY_TIMEOUT_MS = 250  # how long SQLite waits for a lock of another process before it reports SQLITE_BUSY; callers may retry
+CHECKPOINT_PAGES = 1_000  # size of the write-ahead log from which the checkpoint thread copies it into the database
+MAX_WAL_PAGES = 32_000  # beyond this the writer itself waits for a checkpoint, so that the log cannot grow without bound
 
 
-# An error that a file system in Python raised has no code of its own, but its class.
+# Errors raised by a VFS written in Python have no result code, only a class.
 _NAMES: dict[type[Exception], str] = {apsw.IOError: "SQLITE_IOERR", apsw.SQLError: "SQLITE_ERROR"}
 
 
 def result_code_name(error: apsw.Error) -> str:
-    """The primary result code's name."""
+    """The name of the error's primary result code."""
     code = getattr(error, "result", None)
     found = apsw.mapping_result_codes.get(code) if isinstance(code, int) else None
     if found is not None:
@@ -50,13 +50,13 @@
 
 def migrate(connection: apsw.Connection, schema: int, statements: Callable[[int], Sequence[str]], instead: str,
             owner: int = 0) -> None:
-    """Brings the file up to `schema`, whole or not at all; `statements` gives what is missing from a version on.
+    """Migrates the file to `schema` in one transaction; `statements` returns the statements needed from a version on.
 
-    `owner`, if it is not 0, marks the file as one program's. Raises Trouble where a newer program, or another one, has
-    written it; `instead` says what else can be named. Raises apsw.Error.
+    `owner`, if not 0, is the application id that marks the file as this program's. Raises StoreFailure if a newer or
+    another program has written the file; `instead` is the advice in that message. Raises apsw.Error.
     """
     path = connection.filename
-    connection.execute("BEGIN IMMEDIATE")  # two that start at once: the second finds it done
+    connection.execute("BEGIN IMMEDIATE")  # of two that start at once, the second finds the work done
     try:
         version = int(connection.pragma("user_version"))
         found = int(connection.pragma("application_id"))
@@ -81,7 +81,7 @@
 
 
 class Transaction:
-    """What a piece of work may do within its transaction."""
+    """The transaction that a job runs in."""
 
     __slots__ = ("connection",)
 
@@ -99,19 +99,19 @@
 
 
 class ConnectionFactory:
-    """Opens connections to one file, all alike. `vfs` names one that is registered with apsw; tests break it."""
+    """Opens connections to one file with the same settings. `vfs` names a VFS registered with apsw (for fault tests)."""
 
     def __init__(self, path: Path, prepare: Callable[[apsw.Connection], None] | None = None, vfs: str | None = None,
                  busy_ms: int = BUSY_TIMEOUT_MS, exclusive: bool = False) -> None:
         self.path, self.prepare, self.vfs, self.busy_ms = path, prepare, vfs, busy_ms
-        self.exclusive = exclusive  # nobody else opens the file; needs no memory shared between processes
+        self.exclusive = exclusive  # only one connection; needs no shared-memory index
 
     def open(self, create: bool = True) -> apsw.Connection:
-        """Raises apsw.Error or Trouble."""
+        """Raises apsw.Error or StoreFailure."""
         flags = apsw.SQLITE_OPEN_READWRITE | (apsw.SQLITE_OPEN_CREATE if create else 0)
         try:
             if create and self.vfs is None:
-                # 0600 from its first byte: SQLite gives its side files the mode of the database
+                # created with mode 0600; SQLite gives its WAL and index files the mode of the database
                 os.close(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600))
         except OSError as error:
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
@@ -121,7 +121,7 @@
             try:
                 return self._opened(flags)
             except apsw.BusyError:
-                # hazard: while another one changes the journal's mode, SQLite does not wait by itself
+                # SQLite's busy timeout does not apply while another connection changes the journal mode
                 if time.monotonic() > deadline:
                     raise
                 time.sleep(0.005)
@@ -150,20 +150,20 @@
 
 
 def steady_unix_ms() -> int:
-    """Unix time in milliseconds as of this process's start, and on by time that passed: memories of keyed requests go
-    by it, and the wall clock may step."""
+    """Unix time in milliseconds, read once at the start of the process and advanced by the boot-time clock. Idempotency
+    keys expire by it, and the wall clock may jump."""
     return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _BOOTTIME_TO_UNIX_NS) // 1_000_000
 
 
 def set_persistent_wal(connection: apsw.Connection, keeps: bool = True) -> None:
-    """Hazard: where the index beside the log could be opened for reading only, SQLite takes the log for empty and
-    removes it as the last connection closes, with all that has not been copied into the file."""
+    """Sets whether SQLite keeps the write-ahead log when the last connection closes. If the shared-memory index could
+    only be opened read-only, SQLite takes the log for empty and would delete it with all commits not yet checkpointed."""
     value = ctypes.c_int(keeps)
     connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(value))
 
 
 def close_and_remove_wal(connection: apsw.Connection) -> None:
-    """Closes it; its log goes if it may be written, as that needs the index to be whole."""
+    """Closes the connection and lets SQLite delete the log, if a write lock can be taken, which needs an intact index."""
     with contextlib.suppress(apsw.Error):
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("ROLLBACK")
@@ -172,11 +172,11 @@
 
 
 class Writer(Worker[Transaction]):
-    """One connection on one thread."""
+    """Writes on one connection, on one thread."""
 
     def __init__(self, opener: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
-        """`connection`: one that the opener has opened already, and nobody else uses."""
+        """`connection` is one that `opener` has already opened and nobody else uses."""
         super().__init__(str(opener.path), most_queued)
         self.opener = opener
         self.checkpoint_pages = checkpoint_pages
@@ -186,9 +186,9 @@
             connection.set_wal_hook(self._on_wal_commit)
         self.wal_pages = 0
         self.commits = self.written = 0
-        self.longest_checkpoint_s = 0.0  # the longest that the writer itself waited for copying
+        self.longest_checkpoint_s = 0.0  # the longest time that the writer itself waited for a checkpoint
         self.checkpoint_requested = threading.Event()
-        self.checkpoint_lock = threading.Lock()  # held by whoever of the two copies the log
+        self.checkpoint_lock = threading.Lock()  # held by the writer or the checkpoint thread while it checkpoints
         self.checkpoint_thread = threading.Thread(target=self._run_checkpoints, name="record-checkpoints", daemon=True)
         start_thread(self.checkpoint_thread)
         self.start()
@@ -210,7 +210,7 @@
                     done.append((job, job.work(transaction), None))
                 except apsw.Error as error:
                     if not opened.in_transaction:
-                        raise  # it ended the whole transaction (a full disk does)
+                        raise  # SQLite rolled back the whole transaction, as on a full disk
                     opened.execute("ROLLBACK TO job")
                     done.append((job, None, store_failure(error, step, self.opener.path)))
                 except Exception as error:
@@ -227,7 +227,7 @@
             if opened is not None:
                 self._after_error(opened, found)
             return failed_group_results(group, done, found)
-        except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
+        except Exception as error:  # if this thread died, its callers would wait for ever
             if opened is not None:
                 self._after_error(opened, None)
             return failed_group_results(group, [], StoreFailure(
@@ -242,7 +242,7 @@
         except apsw.Error:
             keep = False
         if not keep:
-            # hazard: after an error of a sync this connection's view of the log may differ from what a recovery finds
+            # after a failed sync this connection's view of the log may differ from what a recovery finds
             self.connection = None
             with contextlib.suppress(apsw.Error):
                 opened.close(True)
@@ -261,11 +261,11 @@
             self.longest_checkpoint_s = max(self.longest_checkpoint_s, time.monotonic() - began)
 
     def _restart_wal(self, connection: apsw.Connection) -> None:
-        """Copies all that the log holds, so that what is written next stands at its beginning.
+        """Checkpoints the whole log, so that the next write starts at its beginning.
 
-        Hazard: while another one copies, SQLite refuses a checkpoint at once and waits for nobody. The copier of this
-        process is waited for to its end, that of another process for the busy time; a reader holds it up as long at
-        most, and then it is tried again after the next commit."""
+        While another checkpoint runs, SQLite fails with SQLITE_BUSY at once, without the busy timeout. A checkpoint of
+        this process is waited for to its end, one of another process or a reader for the busy timeout; after that it is
+        retried after the next commit."""
         with self.checkpoint_lock:
             deadline_s = time.monotonic() + self.opener.busy_ms / 1000
             while True:
@@ -277,19 +277,19 @@
                         return
                     time.sleep(0.005)
                 except apsw.Error:
-                    return  # the next commit meets it, and tells it
+                    return  # the next commit meets the same error and reports it
 
     def _run_checkpoints(self) -> None:
-        """Copies the log into the file on a connection of its own: a passive checkpoint keeps no writer waiting.
+        """Checkpoints the log on a connection of its own: a passive checkpoint does not block the writer.
 
-        Hazard: connections of one process share what they have opened; one that is kept would keep a log's index that
-        could be opened for reading only, and no write would succeed any more."""
+        The connection is opened anew each time. Connections of one process share the shared-memory index; one that was
+        kept open could hold an index that was opened read-only, and all writes would fail."""
         while True:
             self.checkpoint_requested.wait()
             self.checkpoint_requested.clear()
             if self.ending:
                 return
-            # what fails leaves the log as it is; the writer's own turn comes once it is long
+            # a failure leaves the log unchanged; the writer checkpoints it once it is too long
             with contextlib.suppress(apsw.Error, StoreFailure):
                 connection = ConnectionFactory(self.opener.path, None, self.opener.vfs).open(create=False)
                 try:
@@ -299,7 +299,7 @@
                     connection.close(True)
 
     def stop(self, wait_s: float) -> None:
-        """After all that was asked for. Blocks; hazard: a disk that hangs must not keep the process for ever."""
+        """Stops after the queued jobs. The wait is bounded, as a hanging disk must not keep the process from ending."""
         self.end()
         self.checkpoint_requested.set()
         self.checkpoint_thread.join(wait_s)
@@ -311,7 +311,7 @@
 
 
 class Reader:
-    """One connection for reading: a long listing keeps no write waiting."""
+    """A separate connection for reading, so that a long listing does not block writes."""
 
     def __init__(self, opener: ConnectionFactory) -> None:
         self.opener = opener
@@ -319,7 +319,7 @@
         self.connection: apsw.Connection | None = None
 
     def read(self, work: Work[T]) -> T:
-        """On the caller's own thread. Raises Trouble."""
+        """Runs `work` in a read transaction on the calling thread. Raises StoreFailure."""
         with self.lock:
             try:
                 if self.connection is None:
--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -1,4 +1,4 @@
-"""Puts stores of record into a started sidecar, as `[store]` of the operator file says."""
+"""The sidecar extension that adds the stores of record configured in `[store]` of the operator file."""
 
 from __future__ import annotations
 
@@ -12,17 +12,16 @@
 from ironscale.operator_file import OperatorFileError, StoresConfig
 from ironscale.record.journal import Journal, JournalError
 from ironscale.record.recorder import Recorder
-from ironscale.record.store_dispatcher import StoreRequestHandler as Front
+from ironscale.record.store_dispatcher import StoreRequestHandler
 from ironscale.record.store_factory import make_store
 from ironscale.tasks import run_in_background
 
-CLOSE_TIMEOUT_S = 2.0  # what is open at the end has so long to be found out; the rest the next start finds out
-TAKE_OVER_INTERVAL_S = 5.0  # how often is looked for what a process of the same name has left
+CLOSE_TIMEOUT_S = 2.0  # at shutdown, for resolving open attempts; the rest is left to the next process
+TAKE_OVER_INTERVAL_S = 5.0  # between two looks for journals of ended processes of this name
 
 
 def check_classes(stores: StoresConfig, settings: Settings) -> dict[int, str]:
-    """The classes by their index. Raises OperatorFileError where one is not known, or is of requests that write
-    nothing."""
+    """The names of the configured classes by index. Raises OperatorFileError if a class is unknown or idempotent."""
     known = {kind.name: (index, kind) for index, kind in enumerate(settings.classes)}
     found = {}
     for name in stores.classes:
@@ -38,12 +37,12 @@
 
 
 def store_extension(stores: StoresConfig) -> Extension:
-    """Raises OperatorFileError."""
+    """The extension for the configured stores. Raises OperatorFileError."""
     makers = [(target.name, make_store(target, stores.file)) for target in stores.to]
 
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
-        # nothing here waits: not one request may pass by the stores
+        # no await before the handlers are registered: no request may bypass the stores
         journal = Journal(stores.journal, sidecar.config.name, sidecar.log)
         try:
             indexes = check_classes(stores, sidecar.config.settings)
@@ -51,7 +50,7 @@
         except (OperatorFileError, JournalError) as error:
             raise ConfigError(str(error)) from error
         recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in makers]
-        front = Front(sidecar, stores.by, recorders, stores.upstreams)
+        front = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
         sidecar.request_handlers.update(dict.fromkeys(indexes, front))
         for recorder in recorders:
             recorder.resume(left)
@@ -61,8 +60,8 @@
                 await asyncio.sleep(TAKE_OVER_INTERVAL_S)
                 try:
                     found = await journal.take_over()
-                except Exception as error:  # hazard: what a former process left open would never be found out
-                    sidecar.log(f"{stores.journal}: {type(error).__name__}: {error}; looked at again later")
+                except Exception as error:  # otherwise attempts left open by a former process would never be resolved
+                    sidecar.log(f"{stores.journal}: {type(error).__name__}: {error}; it will be tried again later")
                     continue
                 for recorder in recorders:
                     recorder.resume(found)
--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -1,7 +1,7 @@
-"""Whether what clients were told and what a store holds agree. Pure; reads logs, decides nothing.
+"""Checks the results that clients received against the content of a store. Pure; used on logs after a run.
 
-Four rules: an effect is written once; who was told "served" finds its record, with the answer that it was given; who
-was told "refused" finds none; of "failed" nothing is promised. And what a recorder found out stands so in the store.
+Rules: each effect is written once; for "served" a record with the client's answer exists; for "refused" no record
+exists; "failed" guarantees nothing. The outcome that a recorder determined for an attempt must match the store, too.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientReport:
-    """What one client was told of one request."""
+    """The result that a client received for one request."""
 
     request: str
     kind: str
@@ -30,7 +30,7 @@
 
 
 def find_violations(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
-    """A line for each break of a rule. `outcomes`: what was found out of each attempt, "ran" or "never ran"."""
+    """One line for each violated rule. `outcomes` maps attempts to the determined outcome, "ran" or "never ran"."""
     violations: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
     by_request: dict[str, list[Row]] = defaultdict(list)
@@ -51,17 +51,17 @@
         alike = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
         if client.result == SERVED:
             if not alike:
-                violations.append(f"lost: {client.request} was told served, and no record of it stands")
+                violations.append(f"lost: {client.request} was told served, but no record of it exists")
             elif client.answer not in [one.answer for one in alike]:
-                violations.append(f"answer: {client.request} was given {client.answer!r}, which is no record's")
+                violations.append(f"answer: {client.request} was given {client.answer!r}, which no record of it holds")
         elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
-            violations.append(f"{client.result}: {client.request} was told so, and {by_request[client.request][0].attempt} "
-                         "stands")
+            violations.append(f"{client.result}: {client.request} was told so, but {by_request[client.request][0].attempt} "
+                         "is in the store")
     for attempt, outcome in (outcomes or {}).items():
         if (outcome == "ran") != (states.get(attempt) == "written") and outcome in ("ran", "never ran"):
-            # a repeat ran under the first one's attempt: its own name has no record
+            # a repeat is answered from the record of the first attempt, so its own attempt has none
             if outcome == "ran" and attempt not in states:
                 continue
-            violations.append(f"outcome: {attempt} was found to have {outcome}, and stands as "
+            violations.append(f"outcome: {attempt} was found to have {outcome}, but its state in the store is "
                          f"{states.get(attempt, 'nothing')}")
     return violations
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -1,9 +1,10 @@
-"""Outcomes that were left open, on the sidecar's own disk: what an operator can list, and the next start goes on with.
+"""The journal of attempts with an unknown outcome, on the sidecar's disk. Operators can list it, and the next process
+resolves what it lists.
 
-Each process writes a file of its own in one folder, NAME.TOKEN.open, and holds its lock. A process of the same name
-takes over the files of those that have ended, while it runs too: with make before break the former one ends after its
-successor has started. One JSON object a line; a line counts once its line break stands. Off the event loop but for the
-start.
+Each process writes its own file NAME.TOKEN.open in a common folder and holds a lock on it. A process of the same name
+takes over the files of processes that have ended, at its start and later: in a make-before-break restart the old process
+ends after its successor has started. A file has one JSON object per line; a line without its line break is ignored.
+Except at the start, files are accessed off the event loop.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 VERSION = 1
 SUFFIX = ".open"
-RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # after a write that failed; twice as long each time, up to the latter
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # after a failed write; doubles up to the maximum
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,11 +43,12 @@
 
 
 class JournalError(Exception):
-    """A journal that can't be used; the text is one line."""
+    """The journal cannot be used; the text is one line."""
 
 
 def read(path: Path) -> tuple[dict[str, Open], int]:
-    """What is open, oldest first, and how many lines could not be read (a torn last one among them)."""
+    """The open attempts of a file, oldest first, and the number of unreadable lines, an incomplete last one included.
+    Raises JournalError."""
     found: dict[str, Open] = {}
     damaged = 0
     try:
@@ -73,7 +75,7 @@
 
 
 def read_all(folder: Path) -> tuple[list[Open], int]:
-    """What all sidecars have left open, and how many damaged lines there are. Raises JournalError."""
+    """The open attempts of all sidecars, oldest first, and the number of damaged lines. Raises JournalError."""
     if not folder.is_dir():
         raise JournalError(f"{folder}: expected the folder of the journals, got nothing; has a sidecar run with it?")
     found: dict[str, Open] = {}
@@ -86,14 +88,14 @@
 
 
 def write_all(fd: int, data: bytes) -> None:
-    """Hazard: the system may take a part, as a disk that is nearly full does."""
+    """Writes all of `data`: one write() may be partial, for instance on a nearly full disk."""
     view = memoryview(data)
     while view:
         view = view[os.write(fd, view):]
 
 
 def sync_folder(folder: Path) -> None:
-    """The names in it last."""
+    """Makes the directory entries durable."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(fd)
@@ -102,26 +104,27 @@
 
 
 def line_of(entry: Open) -> str:
+    """The line that records an attempt as open."""
     return json.dumps({"open": asdict(entry)}, separators=(",", ":")) + "\n"
 
 
 class Journal:
-    """This process's file. What can't be written is said, and stays known in memory."""
+    """The journal file of this process. Entries that cannot be written are logged, kept in memory and retried."""
 
     def __init__(self, folder: Path | None, name: str, log: Callable[[str], None]) -> None:
         self.folder, self.log = folder, log
         self.quoted_name = quote(name, safe="")
         self.path = folder / f"{self.quoted_name}.{secrets.token_hex(4)}{SUFFIX}" if folder is not None else None
-        self.fd = -1  # open, locked; closed with the process
+        self.fd = -1  # open and locked until the process ends
         self.open: dict[str, Open] = {}
         self.lines: list[str] = []
-        self.taken_over: list[Path] = []  # to be removed once their lines stand in this file
+        self.taken_over: list[Path] = []  # files to remove once their entries are in this file
         self.writing: asyncio.Task[None] | None = None
         self.lines_in_file = 0
-        self.rewrite_needed = False  # a write failed: the whole file is written anew at the next occasion
+        self.rewrite_needed = False  # after a failed write the whole file is rewritten
 
     def begin(self) -> list[Open]:
-        """Opens this process's file and takes over what others left. Raises JournalError."""
+        """Opens this process's file and takes over the entries of ended processes. Raises JournalError."""
         if self.folder is None:
             return []
         left: list[Open] = []
@@ -135,14 +138,14 @@
             if not is_transient(error):
                 raise JournalError(
                     f"{self.folder}: expected a folder that can be written, got {error.strerror}") from error
-            self.log(f"{self.folder}: {error.strerror}; written again until it stands")
+            self.log(f"{self.folder}: {error.strerror}; the write is retried until it succeeds")
             self.taken_over += paths
             self.rewrite_needed = True
             self.put("")
         return left
 
     def left_by_others(self) -> tuple[list[Open], list[Path]]:
-        """Of processes of this name that have ended."""
+        """The entries and files of ended processes of this name."""
         assert self.folder is not None
         found: dict[str, Open] = {}
         paths = []
@@ -155,11 +158,11 @@
                     fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     entries, damaged = read(path)
             except (BlockingIOError, FileNotFoundError):
-                continue  # it runs, or another one was quicker
+                continue  # its process is running, or another process took it over first
             except (OSError, JournalError) as error:
                 if not is_transient(error):
                     raise
-                self.log(f"{path}: {error}; looked at again later")
+                self.log(f"{path}: {error}; it will be read again later")
                 continue
             if damaged:
                 self.log(f"{path}: {damaged} damaged lines were left out")
@@ -168,7 +171,7 @@
         return list(found.values()), paths
 
     async def take_over(self) -> list[Open]:
-        """What others have left since; it stands in this file before it goes from theirs."""
+        """Takes over entries of processes that ended since. They are written to this file before the old files are removed."""
         if self.folder is None:
             return []
         if self.rewrite_needed:
@@ -176,7 +179,7 @@
         try:
             left, paths = await run_in_thread(self.left_by_others)
         except (OSError, JournalError) as error:
-            self.log(f"{self.folder}: can't look for what others left open: {error}")
+            self.log(f"{self.folder}: cannot look for entries left by other processes: {error}")
             return []
         new = [entry for entry in left if entry.attempt not in self.open]
         for entry in new:
@@ -220,13 +223,13 @@
             self.writing = asyncio.get_running_loop().create_task(self.write())
 
     async def write(self) -> None:
-        """Everything that waits, in one piece; a disk that hangs holds up nothing else."""
+        """Writes all queued lines at once, on a thread, so that a hanging disk blocks nothing else."""
         again_s = RETRY_DELAY_S
         try:
             while self.lines or self.rewrite_needed:
                 lines, self.lines = self.lines, []
                 gone, self.taken_over = self.taken_over, []
-                # hazard: closed lines of a long life would fill the disk
+                # without compaction, lines of closed attempts would fill the disk
                 long = self.lines_in_file > 1_000 + 4 * len(self.open)
                 anew = list(self.open.values()) if long or self.rewrite_needed else None
                 try:
@@ -235,9 +238,9 @@
                     self.rewrite_needed, again_s = False, RETRY_DELAY_S
                 except OSError as error:
                     if not self.rewrite_needed:
-                        self.log(f"{self.path}: open outcomes could not be written: {error.strerror}; "
-                                 f"they are written again until they stand")
-                    self.rewrite_needed = True  # hazard: after a failed sync the kernel may have dropped what it held
+                        self.log(f"{self.path}: open attempts could not be written: {error.strerror}; "
+                                 f"the write is retried until it succeeds")
+                    self.rewrite_needed = True  # after a failed fsync the kernel may have dropped the unwritten data
                     self.taken_over += gone
                     await asyncio.sleep(again_s)
                     again_s = min(2 * again_s, MAX_RETRY_DELAY_S)
@@ -251,7 +254,7 @@
             self.rewrite(anew)
         else:
             size = os.fstat(self.fd).st_size
-            torn = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # a full disk left half a line
+            torn = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # ends a line that a full disk cut off
             write_all(self.fd, torn + "".join(lines).encode())
             os.fsync(self.fd)
             self.lines_in_file += len(lines)
@@ -259,7 +262,7 @@
             path.unlink(missing_ok=True)
 
     async def settle(self, limit_s: float) -> None:
-        """At the end: what waits is written, and a file that lists nothing is removed."""
+        """Called at shutdown: waits up to `limit_s` for queued writes and removes the file if it lists nothing."""
         if self.writing is not None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(limit_s):
--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -1,8 +1,9 @@
-"""What is written to a store of record, and what can be known of a write. Pure: no I/O, no clock.
+"""The data model of a store of record: entries, rows, and the results and errors of a write. Pure: no I/O, no clock.
 
-A record is unique in two ways. `attempt` names one try to write it, and `slot` the effect that must happen once: the
-request's id for a class that is unsafe to repeat, the client's key for a keyed one. A mark (`VOID`) under an attempt's
-name is the fence: once it is committed, that attempt can never be committed any more (docs/design/004-record.md).
+A record has two unique columns. `attempt` identifies one attempt to write it. `slot` identifies the effect that must
+happen once: the request id for at_most_once classes, the client's idempotency key for deduplicated ones. A void marker,
+a row with the state `VOID_STATE` under the name of an attempt, fences that attempt: once the marker is committed, the
+attempt can never be committed (docs/design/004-record.md).
 """
 
 from __future__ import annotations
@@ -13,74 +14,76 @@
 from hashlib import blake2b
 from typing import Protocol
 
-MAX_KEY_CHARS = 256  # characters of a client's key
-VOID_STATE = "void"  # of a mark; a record's is "written"
+MAX_KEY_CHARS = 256  # of an idempotency key
+VOID_STATE = "void"  # the state of a void marker; that of a record is "written"
 
 
 class Verdict(enum.Enum):
-    """How a write that was answered ended."""
+    """The result of a write that the store answered."""
 
     WRITTEN = "written"
-    REPEAT = "repeat"  # the effect had happened before; the answer is the first one's
-    CONFLICT = "conflict"  # its slot holds something else: the same key or id with other content
-    FENCED = "fenced"  # a mark lies under its attempt: it was given up, and has never run
+    REPEAT = "repeat"  # the effect happened before; the answer is the one stored then
+    CONFLICT = "conflict"  # the slot is taken by a request with the same key or id but other content
+    FENCED = "fenced"  # a void marker exists for the attempt: it was abandoned and never ran
 
 
 class WriteOutcome(enum.Enum):
-    """What is known of a write that ended in an error."""
+    """Whether a write that ended in an error may have run."""
 
-    NEVER_RAN = "never ran"  # and never will
-    UNKNOWN = "not known"  # it may have been committed, or may yet be
+    NEVER_RAN = "never ran"  # and cannot run later
+    UNKNOWN = "not known"  # it may have been committed, or may still be
 
 
 class Cause(enum.Enum):
-    """What an error tells of the store."""
+    """The cause of a store error."""
 
-    UNREACHABLE = "unreachable"  # no connection
-    TURNED_AWAY = "turned away"  # it answered that it can't: full, busy, read-only, ending
-    BROKEN = "broken"  # the connection broke, or the store answered with a fault
-    TIMEOUT = "timeout"  # no answer in time
-    RETRY = "retry"  # a deadlock or a serialization failure: the whole transaction may be tried again
-    UNUSABLE = "unusable"  # wrong password, no such table: no try will help until someone acts
+    UNREACHABLE = "unreachable"  # no connection could be opened
+    TURNED_AWAY = "turned away"  # the store refused: full, busy, read-only, shutting down
+    BROKEN = "broken"  # the connection was lost, or the store reported a fault
+    TIMEOUT = "timeout"  # no answer before the deadline
+    RETRY = "retry"  # a deadlock or a serialization failure: the whole transaction may be retried
+    UNUSABLE = "unusable"  # wrong password, missing table: retries fail until an operator intervenes
 
 
 class StoreFailure(Exception):
-    """A store that did not do what it was asked; the text is one line without secrets."""
+    """An operation on a store failed. The text is one line and contains no secrets."""
 
     def __init__(self, knowledge: WriteOutcome, cause: Cause, text: str, code: str = "") -> None:
         super().__init__(" ".join(text.split()))
         self.outcome = knowledge
         self.cause = cause
-        self.code = code  # the store's own: an SQLSTATE, or SQLite's name of the error
+        self.code = code  # an SQLSTATE, or the name of a SQLite result code
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One attempt to write one record."""
+    """One attempt to write one record, with everything that is stored."""
 
     attempt: str
     slot: str
-    request: str  # the client's id of the request
-    kind: str  # its class
+    request: str  # the request id given by the client
+    kind: str  # the request class
     tenant: str
-    key: str  # the client's idempotency key; empty for a class without
+    key: str  # the client's idempotency key; empty if the class has none
     effect: str
     target: str
     body: bytes
-    fingerprint: str  # of target and body: what tells a repeat from another request under the same slot
+    fingerprint: str  # of target and body; distinguishes a repeat from another request with the same slot
     answer: bytes
-    memory_ms: int  # a keyed slot is remembered for so long by the store's own clock; 0 = for ever
+    memory_ms: int  # how long a key is remembered, by the store's clock; 0 means for ever
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
+    """The store's answer to a write."""
+
     verdict: Verdict
-    answer: bytes = b""  # of the record that stands
+    answer: bytes = b""  # the answer stored with the existing or new record
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A record as it stands in a store."""
+    """A row of the records table: a record or a void marker."""
 
     attempt: str
     state: str
@@ -93,49 +96,49 @@
     body: bytes
     fingerprint: str
     answer: bytes
-    at_ms: int  # by the store's clock
-    until_ms: int  # 0 = for ever
-    slot: str | None  # None once its memory has run out and the key was used anew, and for marks
+    at_ms: int  # creation time, by the store's clock
+    until_ms: int  # expiry of the idempotency key; 0 means never
+    slot: str | None  # None for void markers, and after the key expired and was reused
 
 
 class Store(Protocol):
-    """One store of record. `until` is on the event loop's clock; after it, nobody waits any more."""
+    """One store of record. `until` is a deadline on the event loop's clock."""
 
     async def write(self, entry: Entry, until: float) -> WriteResult:
-        """Returns once the record is durable as the store promises it. Raises Trouble."""
+        """Writes a record and returns once it is durable by the store's own guarantee. Raises StoreFailure."""
 
     async def ask(self, attempt: str, until: float) -> bytes | None:
-        """Whether the attempt has run: its answer, or None once a mark makes sure that it never will. Raises Trouble;
-        asking again is always harmless."""
+        """Determines whether the attempt ran. Returns its stored answer, or commits a void marker, which ensures that
+        the attempt never runs, and returns None. Idempotent. Raises StoreFailure."""
 
     async def close(self) -> None: ...
 
 
 def fingerprint(target: str, body: bytes) -> str:
-    """A digest of what is asked, whoever asks and however often."""
+    """A digest of the content of a request; equal for repeats of the same request."""
     head = target.encode()
     return blake2b(len(head).to_bytes(8, "big") + head + body, digest_size=16).hexdigest()
 
 
 def slot_of(effect: str, kind: str, tenant: str, key: str, request: str) -> str:
-    """The unique name of an effect. Lengths stand before the parts: no two different effects share a name."""
+    """The unique name of an effect. The parts are prefixed by their lengths, so different effects cannot collide."""
     if effect == "deduplicated":
         return f"k{len(kind)}.{len(tenant)}:{kind}{tenant}{key}"
     return f"r:{request}"
 
 
 def attempt_name(now_ms: int, noise: bytes) -> str:
-    """48 bits of time and 80 of noise: unique, and later ones sort later, which keeps an index dense."""
+    """A unique name from 48 bits of time and 80 random bits. Names sort by time, which keeps the index dense."""
     return f"{now_ms & (1 << 48) - 1:012x}{noise[:10].hex()}"
 
 
 def answer_of(request: str, kind: str) -> bytes:
-    """What a client is answered, and what is kept for its repeats."""
+    """The response body for the client, which is also stored for repeats of the request."""
     return json.dumps({"recorded": request, "class": kind}, separators=(",", ":")).encode() + b"\n"
 
 
 def result_for_existing_row(entry: Entry, state: str, attempt: str, row_fingerprint: str, answer: bytes) -> WriteResult:
-    """What a row that stands in the way of a write makes of it."""
+    """The result of a write that conflicts with an existing row in its attempt or its slot."""
     if state == VOID_STATE:
         return WriteResult(Verdict.FENCED)
     if attempt == entry.attempt or row_fingerprint == entry.fingerprint:
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -1,4 +1,4 @@
-"""What operators ask of a store, whichever of the two it is. Raises Trouble."""
+"""Operator commands on a store of record, in SQLite or PostgreSQL. The functions raise StoreFailure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run_in_store(target: StoreConfig, operation: Callable[[Store], Awaitable[T]]) -> T:
-    """Opens the store for one piece of work."""
+    """Opens the store, runs one operation on it and closes it."""
     opened = make_store(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
 
     async def whole() -> T:
@@ -31,7 +31,7 @@
 
 
 def select(target: StoreConfig, statement: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-    """One of the statements of `Dialect`, by its name."""
+    """The rows of a statement of `Dialect`, given by its attribute name."""
     if target.sqlite is not None:
         from ironscale.record.sqlite import reader
 
@@ -54,16 +54,17 @@
 
 
 def records(target: StoreConfig, request: str) -> list[Row]:
+    """The records of a request id."""
     return [row(values) for values in select(target, "by_request", (request,))]
 
 
 def counts(target: StoreConfig) -> list[tuple[str, str, int]]:
-    """(state, class, how many)."""
+    """The number of rows per state and class, as (state, class, count)."""
     return [(str(state), str(kind), int(count)) for state, kind, count in select(target, "counts")]
 
 
 def resolve_attempts(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
-    """Asks of each attempt, behind the fence: "ran", "never ran", or why that is still not known."""
+    """The outcome of each attempt, fencing those without a record: "ran", "never ran", or why it is still unknown."""
     async def ask(store: Store) -> dict[str, str]:
         found = {}
         for entry in entries:
@@ -78,7 +79,7 @@
 
 
 def prune(target: StoreConfig, older_ms: int) -> int:
-    """Deletes marks that are older by the store's clock; gives how many there were."""
+    """Deletes void markers older than `older_ms` by the store's clock. Returns their number."""
     async def work(store: Any) -> int:
         if target.sqlite is not None:
             return len(await store.writer.run(lambda transaction: transaction.execute(
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -1,6 +1,6 @@
 """The store of record in PostgreSQL, through psycopg and libpq.
 
-Every write is one transaction at READ COMMITTED, with its COMMIT sent by itself: until it leaves this machine, nothing
+Every write is one transaction at READ COMMITTED. COMMIT is sent as a separate statement: before it is sent, nothing
 can be committed. docs/design/004-record.md argues why the fence holds at this level.
 """
 
@@ -24,37 +24,37 @@
 from ironscale.record.sql import SCHEMA, Dialect, schema_migration
 
 T = TypeVar("T")
-# What it would warn of on standard error is told in our own lines, without secrets.
+# psycopg would print warnings to standard error; failures are logged here instead, without secrets.
 logging.getLogger("psycopg").addHandler(logging.NullHandler())
 SQL = Dialect("postgresql")
-MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
+MAX_SLOT_TRIES = 4  # tries in one transaction to free a slot whose key has expired and write again
 CONNECT_TIMEOUT_S = 2.0
-MAX_STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
-CANCEL_GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
+MAX_STATEMENT_S = 30.0  # upper bound of statement_timeout
+CANCEL_GRACE_S = 0.5  # for a cancel request of an abandoned transaction; then its connection is closed
 MAX_IDLE_S = 60.0
-MIGRATION_LOCK_ID = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
-# Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
+MIGRATION_LOCK_ID = 0x69726F6E  # advisory lock: one process at a time migrates the schema
+# libpq settings: keepalives detect a vanished peer on an idle connection, tcp_user_timeout unacknowledged data.
 CONNECTION_DEFAULTS = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
          "tcp_user_timeout": "10000", "application_name": "ironscale"}
 
 
 class SettingError(Exception):
-    """A connection string that cannot be used; the text is one line."""
+    """An unusable connection string; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOptions:
-    """How the store is reached."""
+    """How to connect to the store."""
 
-    dsn: str  # a URL or key=value pairs as libpq reads them; without a password
+    dsn: str  # a libpq URL or key=value string, without a password
     password: str = ""
-    max_connections: int = 8  # open connections
+    max_connections: int = 8  # most open connections
     synchronous_commit: str = "on"
     connect_s: float = CONNECT_TIMEOUT_S
 
 
 def check_dsn(dsn: str) -> dict[str, Any]:
-    """The connection string's settings. Raises SettingError; the text holds nothing of a password."""
+    """Parses the connection string. Raises SettingError, whose text contains no password."""
     try:
         found = conninfo.conninfo_to_dict(dsn)
     except psycopg.Error as error:
@@ -67,15 +67,16 @@
 
 
 def libpq_settings(access: ConnectionOptions) -> dict[str, Any]:
-    """What libpq is given: the operator's word before ours; a host that takes writes. Raises SettingError."""
+    """The libpq settings: defaults, overridden by the connection string; by default only a writable host is accepted.
+    Raises SettingError."""
     found = check_dsn(access.dsn)
     found.setdefault("target_session_attrs", "read-write")
     return {**CONNECTION_DEFAULTS, **found, **({"password": access.password} if access.password else {})}
 
 
 class ConnectionPool:
-    """Connections to the one host of several that takes writes. Opened when they are needed and none is idle, so a
-    store that is back is used at the next try; whose turn that is, the decision module says."""
+    """A pool of connections to the writable host. A connection is opened when one is needed and none is idle, so a
+    recovered store is used at the next attempt; the load balancer decides when that is."""
 
     def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
@@ -83,30 +84,30 @@
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
         self.permits = asyncio.Semaphore(access.max_connections)
         self.opened = 0
-        self.schema_checked = False  # the schema has been seen to be ours
+        self.schema_checked = False  # the schema is known to be current
         self.closing: set[asyncio.Task[None]] = set()
 
     def redact(self, text: str) -> str:
         return text.replace(self.access.password, "***") if self.access.password else text
 
     async def acquire(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
-        """An idle one that is still alive, or a new one. Raises psycopg.Error."""
+        """Returns an idle connection that is still alive, or a new one. Raises psycopg.Error."""
         now = asyncio.get_running_loop().time()
         while self.idle:
             connection, since = self.idle.pop()
-            # hazard: a server that ended tells so on the idle connection; a write sent to it may end as not known
+            # a server that shut down says so on the idle connection; a write sent on it could end with an unknown outcome
             if now - since < MAX_IDLE_S and not connection.closed and not is_stale(connection):
                 return connection
             await connection.close()
         self.opened += 1
-        # hazard: with prepared statements psycopg sends DEALLOCATE by itself, and a pooler in between may not know them
-        # libpq counts in whole seconds, and for each host anew
+        # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them
+        # libpq takes whole seconds and applies them to each host
         each = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
         return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": each}, autocommit=True,
                                                       prepare_threshold=None)
 
     def release(self, connection: psycopg.AsyncConnection[Any]) -> None:
-        """Back, after a transaction that ended well."""
+        """Returns a connection to the pool after a clean transaction."""
         self.idle.append((connection, asyncio.get_running_loop().time()))
 
     def discard(self, connection: psycopg.AsyncConnection[Any]) -> None:
@@ -123,14 +124,14 @@
 
 
 def is_stale(connection: psycopg.AsyncConnection[Any] | psycopg.Connection[Any]) -> bool:
-    """Whether something came that nobody asked for: an end, or the word that the server is ending."""
+    """Whether an idle connection is readable, which means that it was closed or the server announced a shutdown."""
     poll = select.poll()
     poll.register(connection.pgconn.socket, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class TransactionRun:
-    """One transaction on one connection, and how far it has come."""
+    """One transaction on one connection, and the step that it has reached."""
 
     def __init__(self) -> None:
         self.step = TransactionStep.CONNECT
@@ -143,10 +144,10 @@
         return await cursor.fetchall() if cursor.description is not None else []
 
     async def commit(self) -> None:
-        """Raises Trouble where the server has rolled back in place of it."""
+        """Raises StoreFailure if the server rolled back instead, or the transaction was given up."""
         assert self.connection is not None
-        if self.given_up:  # hazard: who asked has been told that it never ran
-            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
+        if self.given_up:  # the caller was already told that it never ran
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "the deadline passed before COMMIT", "TIMEOUT")
         self.step = TransactionStep.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
@@ -155,7 +156,7 @@
 
 
 class PostgresStore:
-    """`Store` on a PostgreSQL server, or on the one of several that takes writes."""
+    """`Store` on a PostgreSQL server, or on the writable one of several hosts."""
 
     def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
@@ -177,16 +178,17 @@
             await asyncio.wait(self.tasks, timeout=2 * CANCEL_GRACE_S)
         await self.connections.close()
 
-    # A transaction and its end
+    # Running and cancelling transactions
 
     async def run(self, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
-        """`work` within a transaction. Raises Trouble. What is given up on ends in the background."""
+        """Runs `work` in a transaction. Raises StoreFailure. After the deadline the transaction is cancelled in the
+        background."""
         loop = asyncio.get_running_loop()
         turn = TransactionRun()
         task = loop.create_task(self._run_transaction(turn, work, until))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        task.add_done_callback(lambda done: done.cancelled() or done.exception())  # it may be told to nobody
+        task.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
         done, _ = await asyncio.wait([task], timeout=max(0.0, until - loop.time()))
         if done:
             return task.result()
@@ -220,15 +222,15 @@
             except (psycopg.Error, OSError) as error:
                 raise self._store_failure(error, turn) from None
             finally:
-                # hazard: a cancel request that comes late would strike the next transaction
+                # a late cancel request would cancel the next transaction on this connection
                 if whole and not turn.given_up:
                     self.connections.release(connection)
                 else:
                     self.connections.discard(connection)
 
     async def _cancel(self, turn: TransactionRun, task: asyncio.Task[Any]) -> None:
-        """Nobody waits any more: the server is asked to cancel, then the connection is closed. Whatever the cancel does
-        is not taken for an outcome."""
+        """Cancels an abandoned transaction on the server, then closes the connection. The result of the cancel request
+        says nothing about the outcome of the transaction."""
         connection = turn.connection
         if connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError, TimeoutError):
@@ -237,7 +239,7 @@
         if not task.done() and connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError), socket.socket(
                     fileno=os.dup(connection.pgconn.socket)) as end:
-                end.shutdown(socket.SHUT_RDWR)  # psycopg, which waits for an answer, sees its end
+                end.shutdown(socket.SHUT_RDWR)  # psycopg, waiting for an answer, sees end of file
         if not task.done():
             task.cancel()
             await asyncio.wait([task], timeout=CANCEL_GRACE_S)
@@ -248,16 +250,16 @@
         if isinstance(error, psycopg.Error):
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
         text = self.connections.redact(str(error) or type(error).__name__)
-        # one that was lost is no answer, whatever the client library makes of it
+        # a lost connection is not an answer of the server, whatever error psycopg reports
         if turn.step is not TransactionStep.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
             return StoreFailure(postgres_outcome(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
         return StoreFailure(postgres_outcome(turn.step, sqlstate, severity), postgres_cause(turn.step, sqlstate), f"{self.name}: {text}",
                        sqlstate)
 
-    # What is done within
+    # The work of a transaction
 
     async def _begin(self, turn: TransactionRun, left_s: float) -> None:
-        """The deadline goes down as the statements' own time; whole numbers and a checked word, no text of others."""
+        """Begins with the deadline as statement_timeout. Only an integer and a validated word are put into the text."""
         ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
         await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
@@ -277,16 +279,16 @@
                 return result_for_existing_row(entry, state, attempt, text, bytes(answer))
             await turn.execute(SQL.free_slot, (entry.slot,))
         await turn.execute("ROLLBACK")
-        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
 
     async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
         if await turn.execute(SQL.void, (attempt,)):
-            await turn.commit()  # only once it is committed, the attempt can't be any more
+            await turn.commit()  # the attempt is fenced only once the marker is committed
             return None
         found = await turn.execute(SQL.by_attempt, (attempt,))
         await turn.execute("ROLLBACK")
-        if not found:  # the mark of another question was rolled back, or pruned, in between
-            raise StoreFailure(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
+        if not found:  # the conflicting void marker was rolled back or pruned in between
+            raise StoreFailure(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: the conflicting row has gone")
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -1,5 +1,5 @@
-"""Carries out `write_attempt.Attempt` on one store, and goes on with what is open after nobody waits for it any
-more."""
+"""Runs write attempts (`write_attempt.Attempt`) against one store. Attempts with an unknown outcome are queried until it
+is known, even after the client has been answered."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
 from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, NextStep, AttemptOutcome, Write
 
-MAX_OPEN_ATTEMPTS = 10_000  # attempts that are out or not known; what comes beyond is not begun
-MAX_CONCURRENT_QUERIES = 8  # questions at a time: after an outage all that is open wants to be asked together
+MAX_OPEN_ATTEMPTS = 10_000  # running or of unknown outcome; further ones are refused
+MAX_CONCURRENT_QUERIES = 8  # after an outage all open attempts are queried at the same time
 LOG_INTERVAL_S = 5.0
 
 
 class AttemptHandle:
-    """One attempt, as who began it sees it. `on_told` is called once: with what became of it, or with OPEN when it was
-    given up on."""
+    """The caller's handle of one attempt. `on_result` is called once: with the outcome, or with OPEN if the caller gave
+    up."""
 
     def __init__(self, recorder: Recorder, entry: Entry, plan: Attempt,
                  on_told: Callable[[Attempt], None]) -> None:
         self.recorder, self.plan = recorder, plan
-        self.entry: Entry | None = entry  # with its body, until the write has ended
+        self.entry: Entry | None = entry  # released with its body once the write has ended
         self.attempt, self.request, self.kind = entry.attempt, entry.request, entry.kind
         self.tenant, self.key = entry.tenant, entry.key
         self.on_result: Callable[[Attempt], None] | None = on_told
@@ -36,7 +36,7 @@
             on_told(self.plan)
 
     def give_up(self) -> None:
-        """Nobody waits any more. What became of it is found out all the same."""
+        """Stops waiting. The recorder still determines the outcome in the background."""
         if self.on_result is None:
             return
         self.report_result()
@@ -45,7 +45,7 @@
 
 
 class Recorder:
-    """All attempts at one store."""
+    """All attempts on one store."""
 
     def __init__(self, name: str, store: Store, journal: Journal, log: Callable[[str], None],
                  rng: random.Random | None = None) -> None:
@@ -57,11 +57,11 @@
         self.last_logged_at = -LOG_INTERVAL_S
 
     def write(self, entry: Entry, due: float, on_told: Callable[[Attempt], None]) -> AttemptHandle:
-        """Begins one attempt; `due` is on the loop's clock."""
+        """Begins one attempt; `due` is the deadline on the loop's clock."""
         handle = AttemptHandle(self, entry, Attempt(due), on_told)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.plan.write_failed(self.loop.time(), StoreFailure(
-                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are open already", "OPEN"))
+                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are already open", "OPEN"))
             self.loop.call_soon(handle.report_result)
             return handle
         task = self.loop.create_task(self.run(handle))
@@ -70,7 +70,7 @@
         return handle
 
     def resume(self, entries: list[Open]) -> None:
-        """What a former process left open."""
+        """Determines the outcomes that a former process left open."""
         for entry in entries:
             if entry.store == self.name:
                 task = self.loop.create_task(self.resolve_attempt(entry))
@@ -93,8 +93,8 @@
                 else:
                     step = await self.ask(plan, handle.attempt, step)
         except Exception:
-            # hazard: an error of ours must neither leave its request without a word nor count as an outcome
-            self.log(f"store {self.name}: attempt {handle.attempt} is left open\n{traceback.format_exc()}")
+            # a bug in this process must not leave the request unanswered, nor be taken for an outcome
+            self.log(f"store {self.name}: attempt {handle.attempt} stays open after an internal error\n{traceback.format_exc()}")
             if handle.on_result is None:
                 return
             handle.give_up()
@@ -110,7 +110,7 @@
             await asyncio.sleep(step.at - now)
         async with self.query_semaphore:
             try:
-                # whoever waited long for its turn has the same time as the others
+                # a query that waited for the semaphore gets the same timeout as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
                 return plan.query_answered(await self.store.ask(attempt, until))
             except StoreFailure as trouble:
@@ -131,13 +131,13 @@
                                  time.time_ns() // 1_000_000, why))
 
     def log_failure(self, trouble: StoreFailure, now: float) -> None:
-        """A line now and then: a store that is away has much to complain of."""
+        """Logs a failure, rate-limited: an unreachable store fails every attempt."""
         if now - self.last_logged_at >= LOG_INTERVAL_S:
             self.last_logged_at = now
             self.log(f"store {self.name}: {trouble.outcome.value}: {trouble}")
 
     async def close(self, wait_s: float) -> None:
-        """What is open may end within `wait_s`; the rest stands in the journal."""
+        """Waits up to `wait_s` for open attempts; the rest is left in the journal."""
         if self.handles:
             await asyncio.wait(list(self.handles), timeout=wait_s)
         for task, handle in list(self.handles.items()):
--- a/ironscale/record/routes.py
+++ b/ironscale/record/routes.py
@@ -1,8 +1,8 @@
-"""Which store a record goes to, where there are several. Pure.
+"""Chooses the store of a record when several are configured. Pure.
 
-Rendezvous hashing: each store draws a number for the subject and the highest has it, so another store takes over its
-own share and nothing else moves (Thaler and Ravishankar, 1998). Every sidecar that is told the same names chooses the
-same.
+Rendezvous hashing: each store gets a score for the routing key and the highest score wins, so adding a store moves only
+its own share of the keys (Thaler and Ravishankar, 1998). Sidecars configured with the same store names make the same
+choice.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 def routing_key(by: str, tenant: str, key: str, request: str) -> str:
-    """What stays together: all of a tenant's, or what one key stands for (the request itself, where it has none)."""
+    """The key that decides the store: the tenant, or tenant and idempotency key (the request id if it has none)."""
     return tenant if by == "tenant" else f"{tenant}\0{key or request}"
 
 
 def choose_store(stores: Sequence[str], routing_key: str) -> int:
-    """The index of the store that has what `about` names."""
+    """The index of the store for a routing key."""
     if len(stores) == 1:
         return 0
     data = routing_key.encode()
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -1,4 +1,4 @@
-"""The statements of a store of record, once for both dialects. Values go in as parameters only, never as text."""
+"""The SQL statements of a store of record for both dialects. Values are only passed as parameters, never as text."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 COLUMNS = ("attempt", "state", "request", "kind", "tenant", "key", "effect", "target", "body", "fingerprint", "answer",
            "at_ms", "until_ms", "slot")
 
-# Milliseconds of Unix time on the store's own clock: sidecars' clocks may differ, the store's is one.
+# Unix time in milliseconds by the store's clock, as the clocks of the sidecars may differ.
 NOW_MS = {
     "postgresql": "(extract(epoch FROM clock_timestamp()) * 1000)::bigint",
-    "sqlite": "now_ms()",  # a function of each connection (record/database.py): the wall clock may step
+    "sqlite": "now_ms()",  # registered on each connection (record/database.py), as the wall clock may jump
 }
 TYPES = {
     "postgresql": {"TEXT": "text COLLATE \"C\"", "INTEGER": "bigint", "BLOB": "bytea"},
@@ -43,7 +43,7 @@
                " WHERE attempt = %s OR slot = %s ORDER BY state DESC")
 # (slot)
 _FREE_SLOT = "UPDATE records SET slot = NULL WHERE slot = %s AND until_ms > 0 AND until_ms <= {NOW}"
-# (attempt): the fence. It conflicts with the record that it asks about, as both have the attempt's name.
+# (attempt): inserts the void marker. It conflicts with a record of the attempt, as both have the same primary key.
 _VOID = (_INSERT + "VALUES (%s, 'void', '', '', '', '', '', '', {EMPTY}, '', {EMPTY}, {NOW}, 0, NULL)"
          " ON CONFLICT DO NOTHING RETURNING attempt")
 _BY_ATTEMPT = "SELECT state, answer FROM records WHERE attempt = %s"
@@ -51,6 +51,7 @@
 
 
 def with_column_types(statement: str, dialect: str) -> str:
+    """The statement with the column types of the dialect filled in."""
     for kind, text in TYPES[dialect].items():
         statement = statement.replace(f"{{{kind}}}", text)
     return statement
@@ -61,10 +62,10 @@
 
 def schema_migration(name: str, table: str, lock: int, schema: int, statements: Callable[[int], Sequence[str]]
              ) -> Generator[Statement, list[tuple[Any, ...]], bool]:
-    """A PostgreSQL schema's way to this program's, within one transaction: gives statements, takes their rows, and says
-    whether there is something to commit. Whoever drives it does so on a connection of either kind. Raises Trouble where
-    a newer program has written it."""
-    yield "SELECT pg_advisory_xact_lock(%s)", (lock,)  # two that start at once: the second finds it done
+    """Migrates a PostgreSQL schema to this program's version, within one transaction of the caller. The generator yields
+    statements, is sent their rows and returns whether there is something to commit, so it serves synchronous and
+    asynchronous connections. Raises StoreFailure if a newer program has written the schema."""
+    yield "SELECT pg_advisory_xact_lock(%s)", (lock,)  # of two that start at once, the second finds the work done
     yield f"CREATE TABLE IF NOT EXISTS {table} (one bigint NOT NULL PRIMARY KEY, version bigint NOT NULL)", ()
     found = yield f"SELECT version FROM {table} WHERE one = %s", (1,)
     version = found[0][0] if found else 0
@@ -81,7 +82,7 @@
 
 
 class Dialect:
-    """The statements of one of the two."""
+    """The statements in one dialect, "sqlite" or "postgresql"."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -100,15 +101,15 @@
         self.by_request = render(f"SELECT {columns} FROM records WHERE request = %s ORDER BY attempt")
         self.after = render(f"SELECT {columns} FROM records WHERE attempt > %s ORDER BY attempt LIMIT %s")
         self.counts = "SELECT state, kind, count(*) FROM records GROUP BY state, kind ORDER BY state DESC, kind"
-        # (now - age): marks may go once no connection of their time can still be open
+        # (age): a void marker may be deleted once no connection from its time can still be open
         self.prune = render("DELETE FROM records WHERE state = 'void' AND at_ms < {NOW} - %s RETURNING attempt")
 
     def migrations(self, version: int) -> list[str]:
-        """What brings a schema of `version` up to this program's."""
+        """The statements that migrate a schema from `version` to the current one."""
         return [with_column_types(statement, self.name) for statements in MIGRATIONS[version:] for statement in statements]
 
 
 def row(values: tuple[object, ...]) -> Row:
-    """A record from its columns in the order of COLUMNS."""
+    """A Row from values in the order of COLUMNS."""
     plain = [bytes(v) if isinstance(v, memoryview) else v for v in values]
     return Row(*plain)  # type: ignore[arg-type]
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -34,20 +34,20 @@
 from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
-APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
-MAX_SLOT_TRIES = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
-PAGE_ROWS = 1_000  # rows read at a time
+APPLICATION_ID = 0x69726F6E  # marks the file as a store of record, for file(1) and against opening another database by mistake
+MAX_SLOT_TRIES = 4  # tries in one transaction to free a slot whose key has expired and write again
+PAGE_ROWS = 1_000  # rows or pages per step
 STOP_TIMEOUT_S = 5.0
-OPERATOR_BUSY_TIMEOUT_MS = 5_000  # an operator's commands wait so long for a writer
+OPERATOR_BUSY_TIMEOUT_MS = 5_000  # how long operator commands wait for a writer
 
 
 def migrate(connection: apsw.Connection) -> None:
-    """Raises Trouble where a newer program, or another one, has written the file."""
+    """Migrates the file. Raises StoreFailure if a newer or another program has written it."""
     database.migrate(connection, SCHEMA, SQL.migrations, "name another file", APPLICATION_ID)
 
 
 def check(connection: apsw.Connection) -> None:
-    """For who only reads: the file is ours, and of this program's schema. Changes nothing."""
+    """Checks, for readers, that the file is a store of record of the current schema. Changes nothing."""
     version = int(connection.pragma("user_version"))
     if int(connection.pragma("application_id")) != APPLICATION_ID or version != SCHEMA:
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{connection.filename}: expected a store of record of "
@@ -55,7 +55,7 @@
 
 
 def write(entry: Entry) -> Callable[[Transaction], WriteResult]:
-    """The work of one attempt, within a transaction that may hold others."""
+    """The job that writes one attempt, in a transaction that may hold other jobs."""
     values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target, entry.body,
               entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
 
@@ -69,12 +69,13 @@
                 attempt, state, text, answer = standing[0]
                 return result_for_existing_row(entry, state, attempt, text, answer)
             transaction.execute(SQL.free_slot, (entry.slot,))
-        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
 
     return work
 
 
 def ask(attempt: str) -> Callable[[Transaction], bytes | None]:
+    """The job of `Store.ask`."""
     def work(transaction: Transaction) -> bytes | None:
         if transaction.execute(SQL.void, (attempt,)):
             return None
@@ -85,7 +86,7 @@
 
 
 class SqliteStore:
-    """`Store` on one file. Several processes of one machine may share it."""
+    """`Store` in one file, which several processes of one machine may share."""
 
     def __init__(self, path: Path, most_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
                  checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = MAX_WAL_PAGES) -> None:
@@ -102,15 +103,15 @@
     async def close(self) -> None:
         try:
             await run_in_thread(lambda: self.writer.stop(STOP_TIMEOUT_S))
-        except OSError:  # no thread to wait in
+        except OSError:  # no thread could be started
             self.writer.stop(STOP_TIMEOUT_S)
 
 
-# For operators: a file that a sidecar may be writing at the same time
+# For operator commands, on a file that a sidecar may be writing at the same time
 
 
 def reader(path: Path) -> Reader:
-    """Raises Trouble where there is no such file; creates nothing."""
+    """Opens a file for reading. Raises StoreFailure if it does not exist; creates nothing."""
     if not path.is_file():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
                       "MISSING")
@@ -118,7 +119,7 @@
 
 
 def rows(found: Reader, after: str = "") -> Iterator[Row]:
-    """All records in the order of their attempts, each page within a transaction of its own."""
+    """All rows ordered by attempt, each page read in its own transaction."""
     while True:
         page = found.read(lambda transaction, start=after: [  # type: ignore[misc]
             row(values) for values in transaction.execute(SQL.after, (start, PAGE_ROWS))])
@@ -129,7 +130,7 @@
 
 
 def verify(path: Path, progress: Callable[[int], None] = lambda done: None) -> tuple[int, list[str]]:
-    """Rows seen, and what is wrong with the file or with a record, a line each. Raises Trouble."""
+    """Returns the number of rows read and one line for each fault of the file or a record. Raises StoreFailure."""
     found = reader(path)
     try:
         lines = found.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
@@ -148,23 +149,23 @@
 
 
 def row_faults(one: Row) -> list[str]:
-    """What is wrong with one record."""
+    """The faults of one row."""
     if one.state == "void":
-        return ["a mark with a slot"] if one.slot is not None else []
+        return ["a void marker with a slot"] if one.slot is not None else []
     wrong = []
     if fingerprint(one.target, one.body) != one.fingerprint:
-        wrong.append("its fingerprint is not that of its target and body")
+        wrong.append("its fingerprint does not match its target and body")
     if one.slot is None and one.until_ms == 0:
-        wrong.append("it has lost its slot, though it is remembered for ever")
+        wrong.append("it has no slot, though its key never expires")
     if one.until_ms and one.until_ms < one.at_ms:
-        wrong.append(f"it is remembered until {one.until_ms}, before it was written at {one.at_ms}")
+        wrong.append(f"it expires at {one.until_ms}, before it was written at {one.at_ms}")
     return wrong
 
 
 def backup(path: Path, to: Path, progress: Callable[[int, int], None] = lambda left, pages: None) -> int:
-    """A copy of one moment, made while sidecars write. The copy appears whole under its name or not at all.
+    """Makes a consistent copy while sidecars write. It appears under its name only when it is complete.
 
-    Returns its pages. Raises Trouble.
+    Returns its number of pages. Raises StoreFailure.
     """
     if to.exists():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
@@ -180,11 +181,11 @@
                     try:
                         copying.step(PAGE_ROWS)
                     except (apsw.BusyError, apsw.LockedError):
-                        continue  # a commit lay between: it goes on, or begins anew by itself
+                        continue  # a commit came in between; SQLite continues or restarts the copy
                     progress(copying.remaining, copying.page_count)
                 pages = copying.page_count
             database.set_persistent_wal(target, False)
-            target.execute("PRAGMA journal_mode = DELETE").fetchall()  # one file, without a log beside it
+            target.execute("PRAGMA journal_mode = DELETE").fetchall()  # a single file without a write-ahead log
         finally:
             target.close(True)
         with half.open("rb+") as file:
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -1,8 +1,8 @@
-"""Requests of some classes are written to stores of record in place of being sent to upstreams.
+"""Writes requests of the configured classes to stores of record instead of sending them to upstreams, or in addition.
 
-Each store has a balancer of its own: its slots, its buffer, its refusals. A store that stalls shuts its own slots; what
-goes elsewhere shares nothing with it but the process. The balancer sees a store as a few equal ways to it (`doors`), so
-that an attempt that never ran can be tried again through another slot.
+Each store has its own load balancer with its own slots, buffer and refusals, so a stalled store closes only its own
+slots and affects no other destination. The balancer sees a store as a few equivalent upstreams (paths), so that an
+attempt that never ran can be retried through the slot of another path.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 UPSTREAM_IN_LOG = re.compile(r"\bupstream (\d+)")
 JSON = [(b"content-type", b"application/json")]
 CONFLICT = b'{"error":"CONFLICT","message":"this %s was used before for another request; nothing was written"}\n'
-# What the decisions hear of an attempt that is known not to have run
+# The outcome reported to the balancer for an attempt that never ran
 OUTCOME_OF_CAUSE = {Cause.UNREACHABLE: api.Outcome.CONNECT_FAILED, Cause.BROKEN: api.Outcome.CONNECT_FAILED,
             Cause.TURNED_AWAY: api.Outcome.FULL, Cause.RETRY: api.Outcome.FULL, Cause.TIMEOUT: api.Outcome.FULL,
             Cause.UNUSABLE: api.Outcome.FULL, None: api.Outcome.FULL}
 
 
 def store_settings(settings: api.Settings) -> api.Settings:
-    """What holds towards a store. Its doors are one cell: what may have run through one is dropped through another. A
-    keyed request that may have run is not refused, though its repeats are: a refusal says that nothing is there."""
+    """The balancer settings for a store. All its paths form one deduplication group: a repeat through another path is
+    dropped if the first one ran. A deduplicated request that may have run is failed, not refused, as a refusal means
+    that nothing was written."""
     return replace(
         settings, list_on_request=False, list_by_watch=False, ask_within_us=0, probes=False, weighted=False,
         report_names=[], hedging=False, cold_share=1.0, warm_up_us=0, cross_zone_fee=0.0,
@@ -46,14 +47,14 @@
 
 @dataclass(slots=True)
 class AttemptInFlight:
-    """An attempt that is out."""
+    """An attempt in flight."""
 
     number: int
     path: int
     sent_us: int
     handle: AttemptHandle | None = None
     timer: Timer | None = None
-    outcome: api.Outcome | None = None  # if it was given up on
+    outcome: api.Outcome | None = None  # set when the attempt is given up
 
 
 class StoreDispatcher(EventDispatcher):
@@ -61,8 +62,8 @@
         settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
         self.host, self.name, self.recorder = host, name, recorder
-        self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and number
-        self.attempt_counts: dict[int, int] = {}  # attempts so far of requests that are open
+        self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and attempt number
+        self.attempt_counts: dict[int, int] = {}  # attempts so far of each open request
         doors = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
                                                            for i in range(1, doors + 1)]))
@@ -75,7 +76,7 @@
         self.host.fail(ident)
 
     def log(self, text: str) -> None:
-        self.host.log(UPSTREAM_IN_LOG.sub(rf"store {self.name} way \1", text))
+        self.host.log(UPSTREAM_IN_LOG.sub(rf"store {self.name} path \1", text))
 
     def execute_action(self, action: api.Action) -> None:
         match action:
@@ -93,7 +94,7 @@
             case api.Log():
                 self.log(action.text)
             case _:
-                pass  # a store has no list, no probes and no peers
+                pass  # stores have no discovery, no probes and no peers
 
     def send(self, action: api.Send) -> None:
         now_us = self.now_us()
@@ -134,7 +135,7 @@
             out.handle.give_up()
 
     def on_result(self, request: Request, out: AttemptInFlight, plan: Attempt) -> None:
-        """The one way in which an attempt ends."""
+        """Ends an attempt, whatever its outcome."""
         if out.timer is not None:
             out.timer.cancel()
         del self.in_flight[request.ident, out.number]
@@ -150,9 +151,9 @@
                     self.host.serve(request, request.upstream_answer)
                 elif plan.outcome is AttemptOutcome.RAN:
                     request.exchange.answer(200, JSON, plan.answer)
-                elif request.has_run:  # an upstream has run what the store can't have
+                elif request.has_run:  # an upstream has run the request, but the store cannot accept it
                     request.exchange.answer(502)
-                else:  # the store has answered, and nothing that could be sent again would be answered otherwise
+                else:  # the store's answer is final: a retry would get the same conflict
                     keyed = b"key" if request.exchange.header(b"idempotency-key") else b"id"
                     request.exchange.answer(422, JSON, CONFLICT % keyed)
                 if onward is None and request.upstream_answer is None:
@@ -172,7 +173,7 @@
 
 
 class StoreRequestHandler:
-    """The front: which store has a request, and all of them together."""
+    """The request handler of the classes with a store: chooses the store of each request and manages all stores."""
 
     def __init__(self, host: Sidecar, by: str, recorders: Sequence[Recorder], upstreams: str = "none") -> None:
         self.host, self.by, self.upstreams = host, by, upstreams
@@ -205,7 +206,7 @@
             to_store(None)
 
     def request_abandoned(self, ident: int) -> None:
-        for lane in self.dispatchers:  # those that don't know it take no notice
+        for lane in self.dispatchers:  # dispatchers that do not know the request ignore it
             lane.attempt_counts.pop(ident, None)
             lane.dispatch(api.RequestAbandoned(ident))
 
--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -1,4 +1,4 @@
-"""From a table of the operator file to a store. The libraries are loaded only for the kind that is named."""
+"""Creates stores from the operator file. The database libraries are imported only for the configured kind."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 def check_stores(stores: StoresConfig) -> None:
-    """All that can be told without a sidecar or a store. Raises OperatorFileError."""
+    """Checks everything that needs no running sidecar and no reachable store. Raises OperatorFileError."""
     for target in stores.to:
         make_store(target, stores.file)
 
 
 @contextlib.contextmanager
 def require_packages(file: str, place: str) -> Iterator[None]:
+    """Turns an ImportError into an OperatorFileError that names the packages to install."""
     try:
         yield
     except ImportError as error:
@@ -25,8 +26,9 @@
 
 
 def make_store(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
-    """What makes the store within a running loop. It connects to nothing yet: a store that is away keeps no sidecar
-    from starting. `busy_ms`: how long SQLite waits for another process. Raises OperatorFileError."""
+    """Returns a factory for the store, to be called in a running event loop. Nothing is connected yet, so a store
+    that is down does not keep a sidecar from starting. `busy_ms` is how long SQLite waits for a lock that another
+    process holds. Raises OperatorFileError."""
     place = f"store.to.{target.name}"
     if target.sqlite is not None:
         with require_packages(file, f"{place}.sqlite"):
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -1,5 +1,5 @@
-"""One thread that carries out pieces of work in groups: what is asked for while a group is under way shares the next
-one's commit. Knows neither the store nor what is written; both are handed in.
+"""Group commit on one thread: jobs submitted while a group is being committed share the next commit. The store and the
+work itself are supplied by subclasses and callers.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
-X = TypeVar("X")  # what a piece of work is handed: the transaction that it shares
-MAX_GROUP_JOBS = 256  # pieces of work in one commit at most
+X = TypeVar("X")  # the transaction that a job gets, shared by its group
+MAX_GROUP_JOBS = 256  # in one commit
 MAX_QUEUED_JOBS = 4_096
 NO_DEADLINE = float("inf")
 
 
 class Job(Generic[X, T]):
-    """Waits in the queue until it is taken, or withdrawn by who asked for it."""
+    """One piece of work: queued until the worker takes it or its caller withdraws it."""
 
     __slots__ = ("begun", "future", "loop", "resolves", "until", "work", "writes")
 
@@ -33,7 +33,7 @@
         self.work, self.until, self.writes, self.loop, self.resolves = work, until, writes, loop, resolves
         self.begun = False
         self.future: asyncio.Future[T] = loop.create_future()
-        self.future.add_done_callback(lambda done: done.cancelled() or done.exception())  # it may be told to nobody
+        self.future.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
 
     def settle(self, result: Any, error: BaseException | None) -> None:
         def now() -> None:
@@ -44,7 +44,7 @@
             else:
                 self.future.set_result(result)
 
-        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits
+        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits
             self.loop.call_soon_threadsafe(now)
 
 
@@ -52,7 +52,7 @@
 
 
 def failed_group_results(group: list[Job[X, Any]], done: list[Done[X]], found: StoreFailure) -> list[Done[X]]:
-    """All of a group share its transaction's fate, but for those that had failed by themselves before."""
+    """The results after the group's transaction failed: all jobs share its error, except those that failed before."""
     failed = [entry for entry in done if entry[2] is not None]
     alone = {id(job) for job, _, _ in failed}
     return failed + [(job, None, StoreFailure(found.outcome, found.cause, str(found), found.code))
@@ -60,49 +60,50 @@
 
 
 class Worker(abc.ABC, Generic[X]):
-    """The queue and its thread; `commit` carries a group out."""
+    """The queue and its thread; `commit` runs one group of jobs."""
 
     def __init__(self, name: str, most_queued: int = MAX_QUEUED_JOBS) -> None:
-        """`name`: the store's, as errors tell it."""
+        """`name` is the store's name in error messages."""
         self.name = name
         self.most_queued = most_queued
         self.jobs: deque[Job[X, Any]] = deque()
         self.wake = threading.Condition()
         self.ending = False
-        self.blocks_writes_if_unknown = False  # once the outcome of a commit is not known, only what resolves it is written
-        self.outcome_unknown = False  # set on the thread, taken back by who has resolved it
-        self.longest_commit_s = 0.0  # a commit, from BEGIN on
+        self.blocks_writes_if_unknown = False  # after a commit of unknown outcome only jobs that resolve it may write
+        self.outcome_unknown = False  # set on the thread, reset by whoever resolves the outcome
+        self.longest_commit_s = 0.0  # the longest commit, from BEGIN on
         self.thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
 
     @abc.abstractmethod
     def commit(self, group: list[Job[X, Any]]) -> list[Done[X]]:
-        """Each job of the group with its result, or the error. Raises nothing."""
+        """Runs and commits a group. Returns each job with its result or its error; never raises."""
 
-    def after(self) -> None:  # noqa: B027 (not every store has something to see to)
-        """On the thread, once the results of a group are told."""
+    def after(self) -> None:  # noqa: B027 (an optional hook)
+        """Called on the thread after the results of a group were delivered."""
 
     def start(self) -> None:
         start_thread(self.thread)
 
     def end(self) -> None:
-        """Nothing more is taken; what waits is still carried out."""
+        """Refuses new jobs; queued ones are still run."""
         with self.wake:
             self.ending = True
             self.wake.notify()
 
     @abc.abstractmethod
     def stop(self, wait_s: float) -> None:
-        """After all that was asked for. Blocks, so long at most."""
+        """Stops after the queued jobs. Blocks for at most `wait_s`."""
 
     async def run(self, work: Callable[[X], T], until: float = NO_DEADLINE, writes: bool = True,
                   resolves: bool = False) -> T:
-        """The work's result, once it is durable. Raises Trouble, or what the work raised; then nothing of it was kept,
-        unless a Trouble says that this is not known. A caller who is cancelled has not taken it back."""
+        """Runs a job and returns its result once it is durable. Raises StoreFailure or the exception of the work. Nothing
+        was kept then, unless a StoreFailure says that the outcome is unknown. Cancelling the caller does not withdraw
+        the job."""
         loop = asyncio.get_running_loop()
         job = Job(work, until, writes, loop, resolves)
         with self.wake:
             if self.ending:
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: it is being closed", "CLOSED")
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the store is being closed", "CLOSED")
             if len(self.jobs) >= self.most_queued:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
                               f"{self.name}: {self.most_queued} writes wait already", "QUEUE")
@@ -114,11 +115,11 @@
             return job.future.result()
         with self.wake:
             if not job.begun:
-                # withdrawn before it was taken: it never runs
+                # withdrawn before the worker took it: it never runs
                 with contextlib.suppress(ValueError):
                     self.jobs.remove(job)
                 job.begun = True
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: its turn did not come in time",
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: the write was not started in time",
                               "TIMEOUT")
         raise StoreFailure(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
                       "TIMEOUT")
@@ -137,7 +138,7 @@
                     group.append(job)
             began = time.monotonic()
             if self.outcome_unknown:
-                # hazard: a write beside the open one would be told from the record as if it were that
+                # whether the open write stands is read from the store, where another write would be mistaken for it
                 for job in [job for job in group if job.writes and not job.resolves]:
                     group.remove(job)
                     job.settle(None, StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: whether its last "
@@ -146,7 +147,7 @@
             if not group:
                 continue
             done = self.commit(group)
-            # hazard: nobody resolves what a group of reads left open, so it would bar all writes for good
+            # only writes count: nobody resolves a group of reads, so it would block all writes for good
             self.outcome_unknown |= self.blocks_writes_if_unknown and any(
                 job.writes and isinstance(problem, StoreFailure) and problem.outcome is WriteOutcome.UNKNOWN
                 for job, _, problem in done)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -1,10 +1,10 @@
-"""One attempt to write a record, from its begin to where nothing of it is open: what to do next. Pure.
+"""State machine of one attempt to write a record, from its start until its outcome is known. Pure.
 
-An attempt is written once. If it ends without it being known whether it ran, the store is asked, behind the fence,
-again and again until it says. The decision module hears of it once: `ran`, `never ran`, or, when its time is up, that
-it is late. Whatever is told, asking goes on until the outcome is known.
+An attempt is written once. If the write ends with an unknown outcome, the store is queried, which also fences the
+attempt, until it answers. The load balancer is notified once: that the attempt ran, that it never ran, or that it timed
+out. Queries continue after a timeout until the outcome is known.
 
-Times are seconds on one clock that only moves forward.
+Times are seconds on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,36 +14,40 @@
 
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, WriteResult
 
-QUERY_RESERVE_SHARE = 1 / 3  # of an attempt's time kept for asking, if the write is not answered in the rest
+QUERY_RESERVE_SHARE = 1 / 3  # of an attempt's time, reserved for a query if the write is not answered
 MAX_QUERY_RESERVE_S = 0.5
-MIN_QUERY_TIMEOUT_S = 0.25  # the first question may take so long at least
+MIN_QUERY_TIMEOUT_S = 0.25  # for queries before the attempt's deadline
 MAX_QUERY_TIMEOUT_S = 5.0
-RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 5.0  # between two questions: doubles, with a spread
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 5.0  # between two queries: doubles, with jitter
 
 
 class AttemptOutcome(enum.Enum):
-    """What becomes of an attempt, as far as is known."""
+    """What is known of the outcome of an attempt."""
 
-    OPEN = "open"  # not known
+    OPEN = "open"  # unknown
     RAN = "ran"
     NEVER_RAN = "never ran"
-    CONFLICT = "conflict"  # never ran, and never can: its slot is taken by something else
+    CONFLICT = "conflict"  # never ran and cannot run: its slot is taken by another request
 
 
 @dataclass(slots=True)
 class Write:
+    """Send the write."""
+
     until: float
 
 
 @dataclass(slots=True)
 class QueryOutcome:
-    at: float  # no sooner
+    """Query the outcome of the attempt, and fence it."""
+
+    at: float  # not before
     until: float
 
 
 @dataclass(slots=True)
 class Done:
-    pass
+    pass  # the outcome is known
 
 
 NextStep = Write | QueryOutcome | Done
@@ -51,32 +55,32 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """What is known of one attempt."""
+    """The state of one attempt."""
 
-    deadline: float  # who waits for it waits until then
+    deadline: float  # of the caller; queries continue after it
     outcome: AttemptOutcome = AttemptOutcome.OPEN
     answer: bytes = b""
-    cause: Cause | None = None  # why it never ran
+    cause: Cause | None = None  # why it never ran, if it did not
     detail: str = ""
     queries: int = 0
-    failures: list[str] = field(default_factory=list)  # the last few, for who looks at what is open
+    failures: list[str] = field(default_factory=list)  # the last five, shown to operators in the list of open attempts
 
     def begin(self, now: float) -> NextStep:
         left = max(0.0, self.deadline - now)
         return Write(self.deadline - min(left * QUERY_RESERVE_SHARE, MAX_QUERY_RESERVE_S))
 
     def write_answered(self, result: WriteResult) -> NextStep:
-        """The store has answered the write."""
+        """Handles the store's answer to the write."""
         if result.verdict in (Verdict.WRITTEN, Verdict.REPEAT):
             self.outcome, self.answer = AttemptOutcome.RAN, result.answer
         elif result.verdict is Verdict.CONFLICT:
             self.outcome = AttemptOutcome.CONFLICT
         else:
-            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a mark lay under it"
+            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a void marker exists for this attempt"
         return Done()
 
     def write_failed(self, now: float, trouble: StoreFailure) -> NextStep:
-        """The write ended in an error."""
+        """Handles an error of the write."""
         self.add_failure(trouble)
         if trouble.outcome is WriteOutcome.NEVER_RAN:
             self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
@@ -85,7 +89,7 @@
         return self.next_query(now, now)
 
     def query_answered(self, answer: bytes | None) -> NextStep:
-        """The store has said, behind the fence."""
+        """Handles the answer to a query: the stored answer, or None if the attempt is now fenced."""
         if answer is None:
             self.outcome = AttemptOutcome.NEVER_RAN
             self.detail = self.failures[-1] if self.failures else ""
@@ -94,9 +98,9 @@
         return Done()
 
     def query_failed(self, now: float, trouble: StoreFailure, jitter: float) -> NextStep:
-        """The question itself had no answer: nothing is known that was not known before.
+        """Handles a failed query; the outcome is still unknown.
 
-        `spread` from 0 to 1 is drawn by the caller: sidecars that lost one store together must not ask it together.
+        `jitter` from 0 to 1 is drawn by the caller: sidecars that lost a store together must not query it together.
         """
         self.add_failure(trouble)
         wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
@@ -104,7 +108,7 @@
 
     def next_query(self, now: float, at: float) -> NextStep:
         self.queries += 1
-        # before its time is up it matters when the answer comes; later only that it comes, and the store may be slow
+        # before the deadline the answer is needed quickly; after it the query may take long, as the store may be slow
         left = self.deadline - at
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -271,7 +271,7 @@
 
 
 def test_no_more_than_so_many_attempts_are_out_and_the_rest_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recorder, "MOST_OPEN", 3)
+    monkeypatch.setattr(recorder, "MAX_OPEN_ATTEMPTS", 3)
 
     async def test() -> None:
         async with scene() as (store, (host,)):
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -29,7 +29,7 @@
 
 
 async def standing(store: SqliteStore) -> list[Row]:
-    """Raises Trouble where the file can't be read."""
+    """Raises StoreFailure where the file can't be read."""
     found = await store.writer.run(lambda t: [t.execute("PRAGMA integrity_check"),
                                               t.execute(f"SELECT {', '.join(COLUMNS)} FROM records")])
     assert found[0] == [("ok",)], found[0]
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -49,7 +49,7 @@
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "AGAIN_S", 0.001)
+    monkeypatch.setattr(module, "RETRY_DELAY_S", 0.001)
 
 
 # Guards against an entry that was taken and never comes to the disk, as a call failed once or for a while.
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -113,7 +113,7 @@
 
         results = await asyncio.gather(*(store.write(entry()) for _ in range(300)), store.writer.run(bad),
                                        store.writer.run(worse), return_exceptions=True)
-        assert [type(r).__name__ for r in results[300:]] == ["Trouble", "ValueError"]
+        assert [type(r).__name__ for r in results[300:]] == ["StoreFailure", "ValueError"]
         assert store.writer.commits < 60
         assert (await store.writer.run(lambda t: t.execute("SELECT count(*) FROM records")))[0][0] == 301
         await store.close()
@@ -363,7 +363,7 @@
 
     async def test() -> None:
         if same_process:
-            monkeypatch.setattr(database, "Opener", lambda path, *more: ConnectionFactory(path, None, "slow"))
+            monkeypatch.setattr(database, "ConnectionFactory", lambda path, *more: ConnectionFactory(path, None, "slow"))
         longest = 400 if same_process else 200
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
                             longest_log_pages=longest, busy_ms=250 if same_process else 5_000)
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -29,7 +29,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
-from ironscale.record.store_dispatcher import StoreRequestHandler as Front
+from ironscale.record.store_dispatcher import StoreRequestHandler
 from ironscale.record.store_dispatcher import store_settings
 from ironscale.standins.http import TURNED_AWAY, Message
 from ironscale.standins.postgres import Data, Drop, Host, Session
@@ -55,14 +55,14 @@
 
 @contextlib.asynccontextmanager
 async def running(section: StoresConfig, peers: int = 1, classes: Any = SETTINGS["request-classes"]
-                  ) -> AsyncIterator[tuple[Scene, list[Peer], Front]]:
+                  ) -> AsyncIterator[tuple[Scene, list[Peer], StoreRequestHandler]]:
     found = [await Peer().start() for _ in range(peers)]
     entries = [peer.entry(f"up-{i}") for i, peer in enumerate(found)]
     scene = await Scene().start(*entries, **{"request-classes": classes})
     try:
         async with store_extension(section)(scene.sidecar, lambda: None):
             front = next(iter(scene.sidecar.request_handlers.values()))
-            assert isinstance(front, Front)
+            assert isinstance(front, StoreRequestHandler)
             yield scene, found, front
     finally:
         await scene.sidecar.stop()
@@ -307,7 +307,7 @@
 
 def test_what_a_process_of_the_same_name_leaves_while_this_one_runs_is_found_out_too(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(extension_module, "TAKE_OVER_S", 0.02)
+    monkeypatch.setattr(extension_module, "TAKE_OVER_INTERVAL_S", 0.02)
 
     async def test() -> None:
         section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
