--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -38,7 +38,7 @@
 
 def store_extension(stores: StoresConfig) -> Extension:
     """The extension for the configured stores. Raises OperatorFileError."""
-    makers = [(target.name, make_store(target, stores.file)) for target in stores.to]
+    factories = [(target.name, make_store(target, stores.file)) for target in stores.to]
 
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
@@ -49,7 +49,7 @@
             left = journal.begin()
         except (OperatorFileError, JournalError) as error:
             raise ConfigError(str(error)) from error
-        recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in makers]
+        recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in factories]
         front = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
         sidecar.request_handlers.update(dict.fromkeys(indexes, front))
         for recorder in recorders:
