--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -50,8 +50,8 @@
         except (OperatorFileError, JournalError) as error:
             raise ConfigError(str(error)) from error
         recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in factories]
-        front = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
-        sidecar.request_handlers.update(dict.fromkeys(indexes, front))
+        handler = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
+        sidecar.request_handlers.update(dict.fromkeys(indexes, handler))
         for recorder in recorders:
             recorder.resume(left)
 
@@ -72,7 +72,7 @@
         finally:
             for index in indexes:
                 sidecar.request_handlers.pop(index, None)
-            await front.close(CLOSE_TIMEOUT_S)
+            await handler.close(CLOSE_TIMEOUT_S)
             await journal.settle(CLOSE_TIMEOUT_S)
 
     return running
