--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -46,14 +46,14 @@
         journal = Journal(stores.journal, sidecar.config.name, sidecar.log)
         try:
             indexes = check_classes(stores, sidecar.config.settings)
-            left = journal.begin()
+            open_attempts = journal.begin()
         except (OperatorFileError, JournalError) as error:
             raise ConfigError(str(error)) from error
         recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in factories]
         handler = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
         sidecar.request_handlers.update(dict.fromkeys(indexes, handler))
         for recorder in recorders:
-            recorder.resume(left)
+            recorder.resume(open_attempts)
 
         async def take_over() -> None:
             while True:
