--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -48,11 +48,11 @@
                 violations.append(f"written twice: {slot} by {before.attempt} and {after.attempt}")
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
-        alike = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
+        matching = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
         if client.result == SERVED:
-            if not alike:
+            if not matching:
                 violations.append(f"lost: {client.request} was told served, but no record of it exists")
-            elif client.answer not in [one.answer for one in alike]:
+            elif client.answer not in [one.answer for one in matching]:
                 violations.append(f"answer: {client.request} was given {client.answer!r}, which no record of it holds")
         elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
             violations.append(f"{client.result}: {client.request} was told so, but {by_request[client.request][0].attempt} "
