--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -43,9 +43,9 @@
         by_request[one.request].append(one)
     for slot, found in by_slot.items():
         found.sort(key=lambda one: one.at_ms)
-        for earlier, after in zip(found, found[1:], strict=False):
-            if earlier.until_ms == 0 or after.at_ms < earlier.until_ms:
-                violations.append(f"written twice: {slot} by {earlier.attempt} and {after.attempt}")
+        for earlier, later in zip(found, found[1:], strict=False):
+            if earlier.until_ms == 0 or later.at_ms < earlier.until_ms:
+                violations.append(f"written twice: {slot} by {earlier.attempt} and {later.attempt}")
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
         matching = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
