--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -57,8 +57,8 @@
         return found, 0
     except OSError as error:
         raise JournalError(f"{path}: expected a journal that can be read, got {error.strerror}") from error
-    *lines, rest = data.split(b"\n")
-    damaged += bool(rest)
+    *lines, incomplete = data.split(b"\n")
+    damaged += bool(incomplete)
     for line in lines:
         try:
             one = json.loads(line)
