--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -191,13 +191,13 @@
 
     def rewrite(self, entries: list[Open]) -> None:
         assert self.path is not None
-        half = self.path.with_name(f"{self.path.name}.new")
-        fd = os.open(half, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+        temporary = self.path.with_name(f"{self.path.name}.new")
+        fd = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX)
             write_all(fd, (json.dumps({"version": VERSION}) + "\n" + "".join(map(line_of, entries))).encode())
             os.fsync(fd)
-            os.replace(half, self.path)
+            os.replace(temporary, self.path)
             sync_folder(self.path.parent)
         except OSError:
             os.close(fd)
