--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -202,9 +202,9 @@
         except OSError:
             os.close(fd)
             raise
-        before, self.fd = self.fd, fd
-        if before >= 0:
-            os.close(before)
+        previous_fd, self.fd = self.fd, fd
+        if previous_fd >= 0:
+            os.close(previous_fd)
         self.lines_in_file = len(entries) + 1
 
     def opened(self, entry: Open) -> None:
