--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -224,7 +224,7 @@
 
     async def write(self) -> None:
         """Writes all queued lines at once, on a thread, so that a hanging disk blocks nothing else."""
-        again_s = RETRY_DELAY_S
+        delay_s = RETRY_DELAY_S
         try:
             while self.lines or self.rewrite_needed:
                 lines, self.lines = self.lines, []
@@ -235,15 +235,15 @@
                 try:
                     await run_in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
-                    self.rewrite_needed, again_s = False, RETRY_DELAY_S
+                    self.rewrite_needed, delay_s = False, RETRY_DELAY_S
                 except OSError as error:
                     if not self.rewrite_needed:
                         self.log(f"{self.path}: open attempts could not be written: {error.strerror}; "
                                  f"the write is retried until it succeeds")
                     self.rewrite_needed = True  # after a failed fsync the kernel may have dropped the unwritten data
                     self.taken_over += gone
-                    await asyncio.sleep(again_s)
-                    again_s = min(2 * again_s, MAX_RETRY_DELAY_S)
+                    await asyncio.sleep(delay_s)
+                    delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
         finally:
             self.writing = None
 
