--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -228,12 +228,12 @@
         try:
             while self.lines or self.rewrite_needed:
                 lines, self.lines = self.lines, []
-                gone, self.taken_over = self.taken_over, []
+                obsolete, self.taken_over = self.taken_over, []
                 # without compaction, lines of closed attempts would fill the disk
                 long = self.lines_in_file > 1_000 + 4 * len(self.open)
                 anew = list(self.open.values()) if long or self.rewrite_needed else None
                 try:
-                    await run_in_thread(lambda lines=lines, anew=anew, gone=gone: self.to_disk(  # type: ignore[misc]
+                    await run_in_thread(lambda lines=lines, anew=anew, gone=obsolete: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
                     self.rewrite_needed, delay_s = False, RETRY_DELAY_S
                 except OSError as error:
@@ -241,7 +241,7 @@
                         self.log(f"{self.path}: open attempts could not be written: {error.strerror}; "
                                  f"the write is retried until it succeeds")
                     self.rewrite_needed = True  # after a failed fsync the kernel may have dropped the unwritten data
-                    self.taken_over += gone
+                    self.taken_over += obsolete
                     await asyncio.sleep(delay_s)
                     delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
         finally:
