--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -230,8 +230,8 @@
                 lines, self.lines = self.lines, []
                 obsolete, self.taken_over = self.taken_over, []
                 # without compaction, lines of closed attempts would fill the disk
-                long = self.lines_in_file > 1_000 + 4 * len(self.open)
-                anew = list(self.open.values()) if long or self.rewrite_needed else None
+                needs_compaction = self.lines_in_file > 1_000 + 4 * len(self.open)
+                anew = list(self.open.values()) if needs_compaction or self.rewrite_needed else None
                 try:
                     await run_in_thread(lambda lines=lines, anew=anew, gone=obsolete: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
