--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -231,9 +231,9 @@
                 obsolete, self.taken_over = self.taken_over, []
                 # without compaction, lines of closed attempts would fill the disk
                 needs_compaction = self.lines_in_file > 1_000 + 4 * len(self.open)
-                anew = list(self.open.values()) if needs_compaction or self.rewrite_needed else None
+                entries = list(self.open.values()) if needs_compaction or self.rewrite_needed else None
                 try:
-                    await run_in_thread(lambda lines=lines, anew=anew, gone=obsolete: self.to_disk(  # type: ignore[misc]
+                    await run_in_thread(lambda lines=lines, anew=entries, gone=obsolete: self.to_disk(  # type: ignore[misc]
                         lines, anew, gone))
                     self.rewrite_needed, delay_s = False, RETRY_DELAY_S
                 except OSError as error:
