--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -247,11 +247,11 @@
         finally:
             self.writing = None
 
-    def to_disk(self, lines: list[str], anew: list[Open] | None, gone: list[Path]) -> None:
+    def to_disk(self, lines: list[str], entries: list[Open] | None, gone: list[Path]) -> None:
         assert self.path is not None
-        if anew is not None:
+        if entries is not None:
             self.path.parent.mkdir(parents=True, exist_ok=True, mode=0o700)
-            self.rewrite(anew)
+            self.rewrite(entries)
         else:
             size = os.fstat(self.fd).st_size
             torn = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # ends a line that a full disk cut off
