--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -247,7 +247,7 @@
         finally:
             self.writing = None
 
-    def to_disk(self, lines: list[str], entries: list[Open] | None, gone: list[Path]) -> None:
+    def to_disk(self, lines: list[str], entries: list[Open] | None, obsolete: list[Path]) -> None:
         assert self.path is not None
         if entries is not None:
             self.path.parent.mkdir(parents=True, exist_ok=True, mode=0o700)
@@ -258,7 +258,7 @@
             write_all(self.fd, torn + "".join(lines).encode())
             os.fsync(self.fd)
             self.lines_in_file += len(lines)
-        for path in gone:
+        for path in obsolete:
             path.unlink(missing_ok=True)
 
     async def settle(self, limit_s: float) -> None:
