--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -254,8 +254,8 @@
             self.rewrite(entries)
         else:
             size = os.fstat(self.fd).st_size
-            torn = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # ends a line that a full disk cut off
-            write_all(self.fd, torn + "".join(lines).encode())
+            line_end = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # ends a line that a full disk cut off
+            write_all(self.fd, line_end + "".join(lines).encode())
             os.fsync(self.fd)
             self.lines_in_file += len(lines)
         for path in obsolete:
