--- a/ironscale/record/model.py
+++ b/ironscale/record/model.py
@@ -127,9 +127,9 @@
     return f"r:{request}"
 
 
-def attempt_name(now_ms: int, noise: bytes) -> str:
+def attempt_name(now_ms: int, random_bytes: bytes) -> str:
     """A unique name from 48 bits of time and 80 random bits. Names sort by time, which keeps the index dense."""
-    return f"{now_ms & (1 << 48) - 1:012x}{noise[:10].hex()}"
+    return f"{now_ms & (1 << 48) - 1:012x}{random_bytes[:10].hex()}"
 
 
 def answer_of(request: str, kind: str) -> bytes:
