--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -20,14 +20,14 @@
     """Opens the store, runs one operation on it and closes it."""
     opened = make_store(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
 
-    async def whole() -> T:
+    async def run() -> T:
         store = opened()
         try:
             return await operation(store)
         finally:
             await store.close()
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
 def select(target: StoreConfig, statement: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
