--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -42,9 +42,9 @@
             found.close()
 
     async def ask(store: Any) -> list[tuple[Any, ...]]:
-        async def work(turn: Any) -> list[tuple[Any, ...]]:
-            rows: list[tuple[Any, ...]] = await turn.execute(getattr(Dialect("postgresql"), statement), tuple(values))
-            await turn.execute("ROLLBACK")
+        async def work(transaction: Any) -> list[tuple[Any, ...]]:
+            rows: list[tuple[Any, ...]] = await transaction.execute(getattr(Dialect("postgresql"), statement), tuple(values))
+            await transaction.execute("ROLLBACK")
             return rows
 
         found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + TIMEOUT_S)
