--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -85,9 +85,9 @@
             return len(await store.writer.run(lambda transaction: transaction.execute(
                 Dialect("sqlite").prune, (older_ms,))))
 
-        async def delete(turn: Any) -> int:
-            gone = await turn.execute(Dialect("postgresql").prune, (older_ms,))
-            await turn.commit()
+        async def delete(transaction: Any) -> int:
+            gone = await transaction.execute(Dialect("postgresql").prune, (older_ms,))
+            await transaction.commit()
             return len(gone)
 
         found: int = await store.run(delete, asyncio.get_running_loop().time() + TIMEOUT_S)
