--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -86,9 +86,9 @@
                 Dialect("sqlite").prune, (older_ms,))))
 
         async def delete(transaction: Any) -> int:
-            gone = await transaction.execute(Dialect("postgresql").prune, (older_ms,))
+            deleted = await transaction.execute(Dialect("postgresql").prune, (older_ms,))
             await transaction.commit()
-            return len(gone)
+            return len(deleted)
 
         found: int = await store.run(delete, asyncio.get_running_loop().time() + TIMEOUT_S)
         return found
