--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -102,8 +102,8 @@
         self.opened += 1
         # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them
         # libpq takes whole seconds and applies them to each host
-        each = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
-        return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": each}, autocommit=True,
+        per_host_s = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
+        return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": per_host_s}, autocommit=True,
                                                       prepare_threshold=None)
 
     def release(self, connection: psycopg.AsyncConnection[Any]) -> None:
