--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -184,21 +184,21 @@
         """Runs `work` in a transaction. Raises StoreFailure. After the deadline the transaction is cancelled in the
         background."""
         loop = asyncio.get_running_loop()
-        turn = TransactionRun()
-        task = loop.create_task(self._run_transaction(turn, work, until))
+        transaction = TransactionRun()
+        task = loop.create_task(self._run_transaction(transaction, work, until))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
         done, _ = await asyncio.wait([task], timeout=max(0.0, until - loop.time()))
         if done:
             return task.result()
-        turn.given_up = True
-        ending = loop.create_task(self._cancel(turn, task))
+        transaction.given_up = True
+        ending = loop.create_task(self._cancel(transaction, task))
         self.tasks.add(ending)
         ending.add_done_callback(self.tasks.discard)
-        known = WriteOutcome.UNKNOWN if turn.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
-        raise StoreFailure(known, Cause.UNREACHABLE if turn.step is TransactionStep.CONNECT else Cause.TIMEOUT,
-                      f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
+        known = WriteOutcome.UNKNOWN if transaction.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
+        raise StoreFailure(known, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
+                      f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
 
     async def _run_transaction(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
