--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -196,8 +196,8 @@
         ending = loop.create_task(self._cancel(transaction, task))
         self.tasks.add(ending)
         ending.add_done_callback(self.tasks.discard)
-        known = WriteOutcome.UNKNOWN if transaction.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
-        raise StoreFailure(known, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
+        outcome = WriteOutcome.UNKNOWN if transaction.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
+        raise StoreFailure(outcome, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
 
     async def _run_transaction(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
