--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -200,30 +200,30 @@
         raise StoreFailure(outcome, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
 
-    async def _run_transaction(self, turn: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
+    async def _run_transaction(self, transaction: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
         loop = asyncio.get_running_loop()
         async with self.connections.permits:
-            if turn.given_up:
+            if transaction.given_up:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
                               "TIMEOUT")
             try:
-                turn.connection = connection = await self.connections.acquire(until - loop.time())
+                transaction.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
-                raise self._store_failure(error, turn) from None
+                raise self._store_failure(error, transaction) from None
             whole = False
             try:
-                turn.step = TransactionStep.WORK
+                transaction.step = TransactionStep.WORK
                 if not self.connections.schema_checked:
-                    await self._migrate(turn)
-                await self._begin(turn, until - loop.time())
-                result = await work(turn)
+                    await self._migrate(transaction)
+                await self._begin(transaction, until - loop.time())
+                result = await work(transaction)
                 whole = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
                 return result
             except (psycopg.Error, OSError) as error:
-                raise self._store_failure(error, turn) from None
+                raise self._store_failure(error, transaction) from None
             finally:
                 # a late cancel request would cancel the next transaction on this connection
-                if whole and not turn.given_up:
+                if whole and not transaction.given_up:
                     self.connections.release(connection)
                 else:
                     self.connections.discard(connection)
