--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -210,20 +210,20 @@
                 transaction.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
                 raise self._store_failure(error, transaction) from None
-            whole = False
+            is_clean = False
             try:
                 transaction.step = TransactionStep.WORK
                 if not self.connections.schema_checked:
                     await self._migrate(transaction)
                 await self._begin(transaction, until - loop.time())
                 result = await work(transaction)
-                whole = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
+                is_clean = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
                 return result
             except (psycopg.Error, OSError) as error:
                 raise self._store_failure(error, transaction) from None
             finally:
                 # a late cancel request would cancel the next transaction on this connection
-                if whole and not transaction.given_up:
+                if is_clean and not transaction.given_up:
                     self.connections.release(connection)
                 else:
                     self.connections.discard(connection)
