--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -228,10 +228,10 @@
                 else:
                     self.connections.discard(connection)
 
-    async def _cancel(self, turn: TransactionRun, task: asyncio.Task[Any]) -> None:
+    async def _cancel(self, transaction: TransactionRun, task: asyncio.Task[Any]) -> None:
         """Cancels an abandoned transaction on the server, then closes the connection. The result of the cancel request
         says nothing about the outcome of the transaction."""
-        connection = turn.connection
+        connection = transaction.connection
         if connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError, TimeoutError):
                 await asyncio.wait_for(connection.cancel_safe(timeout=CANCEL_GRACE_S), CANCEL_GRACE_S)
