--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -244,16 +244,16 @@
             task.cancel()
             await asyncio.wait([task], timeout=CANCEL_GRACE_S)
 
-    def _store_failure(self, error: psycopg.Error | OSError, turn: TransactionRun) -> StoreFailure:
+    def _store_failure(self, error: psycopg.Error | OSError, transaction: TransactionRun) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
         text = self.connections.redact(str(error) or type(error).__name__)
         # a lost connection is not an answer of the server, whatever error psycopg reports
-        if turn.step is not TransactionStep.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
-            return StoreFailure(postgres_outcome(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
-        return StoreFailure(postgres_outcome(turn.step, sqlstate, severity), postgres_cause(turn.step, sqlstate), f"{self.name}: {text}",
+        if transaction.step is not TransactionStep.CONNECT and transaction.connection is not None and transaction.connection.closed and not sqlstate:
+            return StoreFailure(postgres_outcome(transaction.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
+        return StoreFailure(postgres_outcome(transaction.step, sqlstate, severity), postgres_cause(transaction.step, sqlstate), f"{self.name}: {text}",
                        sqlstate)
 
     # The work of a transaction
