--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -258,10 +258,10 @@
 
     # The work of a transaction
 
-    async def _begin(self, turn: TransactionRun, left_s: float) -> None:
+    async def _begin(self, transaction: TransactionRun, left_s: float) -> None:
         """Begins with the deadline as statement_timeout. Only an integer and a validated word are put into the text."""
         ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
-        await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
+        await transaction.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
 
     async def _write(self, turn: TransactionRun, entry: Entry) -> WriteResult:
