--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -264,21 +264,21 @@
         await transaction.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
                            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
 
-    async def _write(self, turn: TransactionRun, entry: Entry) -> WriteResult:
+    async def _write(self, transaction: TransactionRun, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
                   entry.body, entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
         for _ in range(MAX_SLOT_TRIES):
-            if await turn.execute(SQL.write, values):
-                await turn.commit()
+            if await transaction.execute(SQL.write, values):
+                await transaction.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
-            found = await turn.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
+            found = await transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
             standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
             if standing:
-                await turn.execute("ROLLBACK")
+                await transaction.execute("ROLLBACK")
                 attempt, state, text, answer = standing[0]
                 return result_for_existing_row(entry, state, attempt, text, bytes(answer))
-            await turn.execute(SQL.free_slot, (entry.slot,))
-        await turn.execute("ROLLBACK")
+            await transaction.execute(SQL.free_slot, (entry.slot,))
+        await transaction.execute("ROLLBACK")
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
 
     async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
