--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -272,10 +272,10 @@
                 await transaction.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = await transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
-            if standing:
+            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
+            if live_rows:
                 await transaction.execute("ROLLBACK")
-                attempt, state, text, answer = standing[0]
+                attempt, state, text, answer = live_rows[0]
                 return result_for_existing_row(entry, state, attempt, text, bytes(answer))
             await transaction.execute(SQL.free_slot, (entry.slot,))
         await transaction.execute("ROLLBACK")
