--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -272,7 +272,7 @@
                 await transaction.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = await transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
+            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired]
             if live_rows:
                 await transaction.execute("ROLLBACK")
                 attempt, state, text, answer = live_rows[0]
