--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -281,12 +281,12 @@
         await transaction.execute("ROLLBACK")
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
 
-    async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
-        if await turn.execute(SQL.void, (attempt,)):
-            await turn.commit()  # the attempt is fenced only once the marker is committed
+    async def _ask(self, transaction: TransactionRun, attempt: str) -> bytes | None:
+        if await transaction.execute(SQL.void, (attempt,)):
+            await transaction.commit()  # the attempt is fenced only once the marker is committed
             return None
-        found = await turn.execute(SQL.by_attempt, (attempt,))
-        await turn.execute("ROLLBACK")
+        found = await transaction.execute(SQL.by_attempt, (attempt,))
+        await transaction.execute("ROLLBACK")
         if not found:  # the conflicting void marker was rolled back or pruned in between
             raise StoreFailure(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: the conflicting row has gone")
         (state, answer), = found
