--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -292,19 +292,19 @@
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
-    async def _migrate(self, turn: TransactionRun) -> None:
-        await turn.execute("BEGIN")
+    async def _migrate(self, transaction: TransactionRun) -> None:
+        await transaction.execute("BEGIN")
         steps = schema_migration(self.name, "record_schema", MIGRATION_LOCK_ID, SCHEMA, SQL.migrations)
         try:
             asked = next(steps)
             while True:
-                asked = steps.send(await turn.execute(*asked))
+                asked = steps.send(await transaction.execute(*asked))
         except StopIteration as done:
             if done.value:
-                await turn.commit()
+                await transaction.commit()
             else:
-                await turn.execute("ROLLBACK")
+                await transaction.execute("ROLLBACK")
         except StoreFailure:
-            await turn.execute("ROLLBACK")
+            await transaction.execute("ROLLBACK")
             raise
         self.connections.schema_checked = True
