--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -296,9 +296,9 @@
         await transaction.execute("BEGIN")
         steps = schema_migration(self.name, "record_schema", MIGRATION_LOCK_ID, SCHEMA, SQL.migrations)
         try:
-            asked = next(steps)
+            statement = next(steps)
             while True:
-                asked = steps.send(await transaction.execute(*asked))
+                statement = steps.send(await transaction.execute(*statement))
         except StopIteration as done:
             if done.value:
                 await transaction.commit()
