--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -64,9 +64,9 @@
             if transaction.execute(SQL.write, values):
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
-            if standing:
-                attempt, state, text, answer = standing[0]
+            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
+            if live_rows:
+                attempt, state, text, answer = live_rows[0]
                 return result_for_existing_row(entry, state, attempt, text, answer)
             transaction.execute(SQL.free_slot, (entry.slot,))
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
