--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -64,7 +64,7 @@
             if transaction.execute(SQL.write, values):
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
+            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired]
             if live_rows:
                 attempt, state, text, answer = live_rows[0]
                 return result_for_existing_row(entry, state, attempt, text, answer)
