--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -170,11 +170,11 @@
     if to.exists():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
     reader(path).close()
-    half = to.with_name(f"{to.name}.part")
-    half.unlink(missing_ok=True)
+    partial = to.with_name(f"{to.name}.part")
+    partial.unlink(missing_ok=True)
     source = ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS).open(create=False)
     try:
-        target = ConnectionFactory(half).open()
+        target = ConnectionFactory(partial).open()
         try:
             with target.backup("main", source, "main") as copying:
                 while not copying.done:
@@ -188,12 +188,12 @@
             target.execute("PRAGMA journal_mode = DELETE").fetchall()  # a single file without a write-ahead log
         finally:
             target.close(True)
-        with half.open("rb+") as file:
+        with partial.open("rb+") as file:
             os.fsync(file.fileno())
-        half.rename(to)
+        partial.rename(to)
         return int(pages)
     except apsw.Error as error:
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
     finally:
         database.close_and_remove_wal(source)
-        half.unlink(missing_ok=True)
+        partial.unlink(missing_ok=True)
