--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -78,20 +78,20 @@
                 task.add_done_callback(self.handles.pop)
 
     async def run(self, handle: AttemptHandle) -> None:
-        plan = handle.plan
-        step = plan.begin(self.loop.time())
+        state = handle.plan
+        step = state.begin(self.loop.time())
         try:
             while not isinstance(step, Done):
                 if isinstance(step, Write):
                     assert handle.entry is not None
                     try:
-                        step = plan.write_answered(await self.store.write(handle.entry, step.until))
+                        step = state.write_answered(await self.store.write(handle.entry, step.until))
                     except StoreFailure as trouble:
                         self.log_failure(trouble, self.loop.time())
-                        step = plan.write_failed(self.loop.time(), trouble)
+                        step = state.write_failed(self.loop.time(), trouble)
                     handle.entry = None
                 else:
-                    step = await self.ask(plan, handle.attempt, step)
+                    step = await self.ask(state, handle.attempt, step)
         except Exception:
             # a bug in this process must not leave the request unanswered, nor be taken for an outcome
             self.log(f"store {self.name}: attempt {handle.attempt} stays open after an internal error\n{traceback.format_exc()}")
@@ -102,7 +102,7 @@
         late = handle.on_result is None
         handle.report_result()
         if late:
-            self.journal.closed(handle.attempt, plan.outcome.value)
+            self.journal.closed(handle.attempt, state.outcome.value)
 
     async def ask(self, plan: Attempt, attempt: str, step: QueryOutcome) -> NextStep:
         now = self.loop.time()
