--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -22,9 +22,9 @@
     """The caller's handle of one attempt. `on_result` is called once: with the outcome, or with OPEN if the caller gave
     up."""
 
-    def __init__(self, recorder: Recorder, entry: Entry, plan: Attempt,
+    def __init__(self, recorder: Recorder, entry: Entry, state: Attempt,
                  on_told: Callable[[Attempt], None]) -> None:
-        self.recorder, self.plan = recorder, plan
+        self.recorder, self.plan = recorder, state
         self.entry: Entry | None = entry  # released with its body once the write has ended
         self.attempt, self.request, self.kind = entry.attempt, entry.request, entry.kind
         self.tenant, self.key = entry.tenant, entry.key
