--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -23,12 +23,12 @@
     up."""
 
     def __init__(self, recorder: Recorder, entry: Entry, state: Attempt,
-                 on_told: Callable[[Attempt], None]) -> None:
+                 on_result: Callable[[Attempt], None]) -> None:
         self.recorder, self.plan = recorder, state
         self.entry: Entry | None = entry  # released with its body once the write has ended
         self.attempt, self.request, self.kind = entry.attempt, entry.request, entry.kind
         self.tenant, self.key = entry.tenant, entry.key
-        self.on_result: Callable[[Attempt], None] | None = on_told
+        self.on_result: Callable[[Attempt], None] | None = on_result
 
     def report_result(self) -> None:
         on_told, self.on_result = self.on_result, None
