--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -56,9 +56,9 @@
         self.query_semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         self.last_logged_at = -LOG_INTERVAL_S
 
-    def write(self, entry: Entry, deadline: float, on_told: Callable[[Attempt], None]) -> AttemptHandle:
+    def write(self, entry: Entry, deadline: float, on_result: Callable[[Attempt], None]) -> AttemptHandle:
         """Begins one attempt; `due` is the deadline on the loop's clock."""
-        handle = AttemptHandle(self, entry, Attempt(deadline), on_told)
+        handle = AttemptHandle(self, entry, Attempt(deadline), on_result)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.plan.write_failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are already open", "OPEN"))
