--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -24,7 +24,7 @@
 
     def __init__(self, recorder: Recorder, entry: Entry, state: Attempt,
                  on_result: Callable[[Attempt], None]) -> None:
-        self.recorder, self.plan = recorder, state
+        self.recorder, self.state = recorder, state
         self.entry: Entry | None = entry  # released with its body once the write has ended
         self.attempt, self.request, self.kind = entry.attempt, entry.request, entry.kind
         self.tenant, self.key = entry.tenant, entry.key
@@ -33,14 +33,14 @@
     def report_result(self) -> None:
         on_told, self.on_result = self.on_result, None
         if on_told is not None:
-            on_told(self.plan)
+            on_told(self.state)
 
     def give_up(self) -> None:
         """Stops waiting. The recorder still determines the outcome in the background."""
         if self.on_result is None:
             return
         self.report_result()
-        if self.plan.outcome is AttemptOutcome.OPEN:
+        if self.state.outcome is AttemptOutcome.OPEN:
             self.recorder.journal_open_attempt(self)
 
 
@@ -60,7 +60,7 @@
         """Begins one attempt; `due` is the deadline on the loop's clock."""
         handle = AttemptHandle(self, entry, Attempt(deadline), on_result)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
-            handle.plan.write_failed(self.loop.time(), StoreFailure(
+            handle.state.write_failed(self.loop.time(), StoreFailure(
                 WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{MAX_OPEN_ATTEMPTS} attempts are already open", "OPEN"))
             self.loop.call_soon(handle.report_result)
             return handle
@@ -78,7 +78,7 @@
                 task.add_done_callback(self.handles.pop)
 
     async def run(self, handle: AttemptHandle) -> None:
-        state = handle.plan
+        state = handle.state
         step = state.begin(self.loop.time())
         try:
             while not isinstance(step, Done):
@@ -126,7 +126,7 @@
         self.journal.closed(entry.attempt, plan.outcome.value)
 
     def journal_open_attempt(self, handle: AttemptHandle) -> None:
-        why = handle.plan.failures[-1] if handle.plan.failures else "no answer in time"
+        why = handle.state.failures[-1] if handle.state.failures else "no answer in time"
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
 
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -31,12 +31,12 @@
         """One client's request, tried again only after what never ran; gives what the client was told."""
         for turn in range(tries):
             handle = await self.attempt(again(one) if turn else one, seconds)
-            told = handle.plan.outcome
+            told = handle.state.outcome
             if told is not AttemptOutcome.NEVER_RAN:
                 break
         word = WORDS[told]
         self.clients.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
-                                               word, handle.plan.answer if word == history_check.SERVED else b""))
+                                               word, handle.state.answer if word == history_check.SERVED else b""))
         return word
 
     async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
@@ -61,4 +61,4 @@
             await asyncio.wait(list(self.recorder.handles))
 
     def outcomes(self) -> dict[str, str]:
-        return {handle.attempt: handle.plan.outcome.value for handle in self.handles}
+        return {handle.attempt: handle.state.outcome.value for handle in self.handles}
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -76,7 +76,7 @@
             # what was open when the power went is asked now, as the next start does
             outcomes = {}
             for handle in play.handles:
-                if handle.plan.outcome.value == "open":
+                if handle.state.outcome.value == "open":
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
             faults = history_check.find_violations(play.clients, await standing(store), {**play.outcomes(), **outcomes})
