--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -104,7 +104,7 @@
         if late:
             self.journal.closed(handle.attempt, state.outcome.value)
 
-    async def ask(self, plan: Attempt, attempt: str, step: QueryOutcome) -> NextStep:
+    async def ask(self, state: Attempt, attempt: str, step: QueryOutcome) -> NextStep:
         now = self.loop.time()
         if step.at > now:
             await asyncio.sleep(step.at - now)
@@ -112,10 +112,10 @@
             try:
                 # a query that waited for the semaphore gets the same timeout as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
-                return plan.query_answered(await self.store.ask(attempt, until))
+                return state.query_answered(await self.store.ask(attempt, until))
             except StoreFailure as trouble:
                 self.log_failure(trouble, self.loop.time())
-                return plan.query_failed(self.loop.time(), trouble, self.rng.random())
+                return state.query_failed(self.loop.time(), trouble, self.rng.random())
 
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
