--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -119,11 +119,11 @@
 
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
-        plan = Attempt(now)
-        step: NextStep = plan.next_query(now, now)
+        state = Attempt(now)
+        step: NextStep = state.next_query(now, now)
         while isinstance(step, QueryOutcome):
-            step = await self.ask(plan, entry.attempt, step)
-        self.journal.closed(entry.attempt, plan.outcome.value)
+            step = await self.ask(state, entry.attempt, step)
+        self.journal.closed(entry.attempt, state.outcome.value)
 
     def journal_open_attempt(self, handle: AttemptHandle) -> None:
         why = handle.state.failures[-1] if handle.state.failures else "no answer in time"
