--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -64,9 +64,9 @@
         self.host, self.name, self.recorder = host, name, recorder
         self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and attempt number
         self.attempt_counts: dict[int, int] = {}  # attempts so far of each open request
-        doors = max(MIN_PATHS, settings.max_attempts)
+        paths = max(MIN_PATHS, settings.max_attempts)
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(i, zone=settings.zone)
-                                                           for i in range(1, doors + 1)]))
+                                                           for i in range(1, paths + 1)]))
 
     def is_open(self, ident: int) -> bool:
         request = self.host.requests.get(ident)
