--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -109,9 +109,9 @@
         request.exchange.lifecycle.attempt_begun(max(0, timeout_us))
         out = self.in_flight[action.request, number] = AttemptInFlight(number, action.upstream, now_us)
         request.attempts_in_flight += 1
-        due = self.recorder.loop.time() + timeout_us / 1e6
+        deadline = self.recorder.loop.time() + timeout_us / 1e6
         out.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, out, api.Outcome.TIMEOUT))
-        out.handle = self.recorder.write(self.entry(request), due, partial(self.on_result, request, out))
+        out.handle = self.recorder.write(self.entry(request), deadline, partial(self.on_result, request, out))
 
     def may_write(self, request: Request) -> bool:
         exchange = request.exchange
