--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -134,23 +134,23 @@
             out.outcome = outcome
             out.handle.give_up()
 
-    def on_result(self, request: Request, out: AttemptInFlight, plan: Attempt) -> None:
+    def on_result(self, request: Request, out: AttemptInFlight, state: Attempt) -> None:
         """Ends an attempt, whatever its outcome."""
         if out.timer is not None:
             out.timer.cancel()
         del self.in_flight[request.ident, out.number]
         request.attempts_in_flight -= 1
         onward = None
-        if plan.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
+        if state.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
-                if plan.outcome is AttemptOutcome.RAN and request.forward_to is not None:
+                if state.outcome is AttemptOutcome.RAN and request.forward_to is not None:
                     onward, request.forward_to, request.dispatcher, request.has_run = (
                         request.forward_to, None, None, True)
-                elif plan.outcome is AttemptOutcome.RAN and request.upstream_answer is not None:
+                elif state.outcome is AttemptOutcome.RAN and request.upstream_answer is not None:
                     self.host.serve(request, request.upstream_answer)
-                elif plan.outcome is AttemptOutcome.RAN:
-                    request.exchange.answer(200, JSON, plan.answer)
+                elif state.outcome is AttemptOutcome.RAN:
+                    request.exchange.answer(200, JSON, state.answer)
                 elif request.has_run:  # an upstream has run the request, but the store cannot accept it
                     request.exchange.answer(502)
                 else:  # the store's answer is final: a retry would get the same conflict
@@ -160,8 +160,8 @@
                     self.host.answers[request.class_index, "served"] += 1
                 if onward is None:
                     self.host.close(request)
-        elif plan.outcome is AttemptOutcome.NEVER_RAN:
-            outcome = OUTCOME_OF_CAUSE[plan.cause]
+        elif state.outcome is AttemptOutcome.NEVER_RAN:
+            outcome = OUTCOME_OF_CAUSE[state.cause]
         else:
             outcome = out.outcome or api.Outcome.TIMEOUT
         self.host.forget(request)
