--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -140,12 +140,12 @@
             out.timer.cancel()
         del self.in_flight[request.ident, out.number]
         request.attempts_in_flight -= 1
-        onward = None
+        forward_to = None
         if state.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
             outcome = api.Outcome.OK
             if self.is_open(request.ident):
                 if state.outcome is AttemptOutcome.RAN and request.forward_to is not None:
-                    onward, request.forward_to, request.dispatcher, request.has_run = (
+                    forward_to, request.forward_to, request.dispatcher, request.has_run = (
                         request.forward_to, None, None, True)
                 elif state.outcome is AttemptOutcome.RAN and request.upstream_answer is not None:
                     self.host.serve(request, request.upstream_answer)
@@ -156,9 +156,9 @@
                 else:  # the store's answer is final: a retry would get the same conflict
                     keyed = b"key" if request.exchange.header(b"idempotency-key") else b"id"
                     request.exchange.answer(422, JSON, CONFLICT % keyed)
-                if onward is None and request.upstream_answer is None:
+                if forward_to is None and request.upstream_answer is None:
                     self.host.answers[request.class_index, "served"] += 1
-                if onward is None:
+                if forward_to is None:
                     self.host.close(request)
         elif state.outcome is AttemptOutcome.NEVER_RAN:
             outcome = OUTCOME_OF_CAUSE[state.cause]
@@ -168,8 +168,8 @@
         if not self.is_open(request.ident):
             self.attempt_counts.pop(request.ident, None)
         self.dispatch(api.AttemptEnded(request.ident, out.number, out.path, outcome, self.now_us() - out.sent_us))
-        if onward is not None:
-            onward(None)
+        if forward_to is not None:
+            forward_to(None)
 
 
 class StoreRequestHandler:
