--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -187,8 +187,8 @@
         if len(key) > model.MAX_KEY_CHARS or "\0" in tenant + key + request.txn or b"\0" in exchange.target:
             self.host.answer(event.request, 400, [])
             return
-        about = routes.routing_key(self.by, tenant, key, request.txn)
-        lane = self.dispatchers[routes.choose_store(self.names, about)]
+        routing_key = routes.routing_key(self.by, tenant, key, request.txn)
+        lane = self.dispatchers[routes.choose_store(self.names, routing_key)]
 
         def to_upstream(answer: Answer | None) -> None:
             request.dispatcher = self.host
