--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -188,15 +188,15 @@
             self.host.answer(event.request, 400, [])
             return
         routing_key = routes.routing_key(self.by, tenant, key, request.txn)
-        lane = self.dispatchers[routes.choose_store(self.names, routing_key)]
+        dispatcher = self.dispatchers[routes.choose_store(self.names, routing_key)]
 
         def to_upstream(answer: Answer | None) -> None:
             request.dispatcher = self.host
             self.host.dispatch(replace(event))
 
         def to_store(answer: Answer | None) -> None:
-            request.dispatcher, request.upstream_answer = lane, answer
-            lane.dispatch(replace(event))
+            request.dispatcher, request.upstream_answer = dispatcher, answer
+            dispatcher.dispatch(replace(event))
 
         if self.upstreams == "first":
             request.forward_to = to_store
