--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -206,9 +206,9 @@
             to_store(None)
 
     def request_abandoned(self, ident: int) -> None:
-        for lane in self.dispatchers:  # dispatchers that do not know the request ignore it
-            lane.attempt_counts.pop(ident, None)
-            lane.dispatch(api.RequestAbandoned(ident))
+        for dispatcher in self.dispatchers:  # dispatchers that do not know the request ignore it
+            dispatcher.attempt_counts.pop(ident, None)
+            dispatcher.dispatch(api.RequestAbandoned(ident))
 
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
