--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -213,8 +213,8 @@
     def notify(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         if isinstance(event, api.SettingsChanged):
             event = api.SettingsChanged(store_settings(event.settings))
-        for lane in self.dispatchers:
-            lane.dispatch(event)
+        for dispatcher in self.dispatchers:
+            dispatcher.dispatch(event)
 
     async def close(self, wait_s: float) -> None:
         async with asyncio.TaskGroup() as group:
