--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -218,5 +218,5 @@
 
     async def close(self, wait_s: float) -> None:
         async with asyncio.TaskGroup() as group:
-            for lane in self.dispatchers:
-                group.create_task(lane.recorder.close(wait_s))
+            for dispatcher in self.dispatchers:
+                group.create_task(dispatcher.recorder.close(wait_s))
