--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -26,12 +26,12 @@
 class Job(Generic[X, T]):
     """One piece of work: queued until the worker takes it or its caller withdraws it."""
 
-    __slots__ = ("begun", "future", "loop", "resolves", "until", "work", "writes")
+    __slots__ = ("started", "future", "loop", "resolves", "until", "work", "writes")
 
     def __init__(self, work: Callable[[X], T], until: float, writes: bool, loop: asyncio.AbstractEventLoop,
                  resolves: bool = False) -> None:
         self.work, self.until, self.writes, self.loop, self.resolves = work, until, writes, loop, resolves
-        self.begun = False
+        self.started = False
         self.future: asyncio.Future[T] = loop.create_future()
         self.future.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
 
@@ -114,11 +114,11 @@
         if done:
             return job.future.result()
         with self.wake:
-            if not job.begun:
+            if not job.started:
                 # withdrawn before the worker took it: it never runs
                 with contextlib.suppress(ValueError):
                     self.jobs.remove(job)
-                job.begun = True
+                job.started = True
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: the write was not started in time",
                               "TIMEOUT")
         raise StoreFailure(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
@@ -134,7 +134,7 @@
                 group: list[Job[X, Any]] = []
                 while self.jobs and len(group) < MAX_GROUP_JOBS:
                     job = self.jobs.popleft()
-                    job.begun = True
+                    job.started = True
                     group.append(job)
             began = time.monotonic()
             if self.outcome_unknown:
