--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -17,7 +17,7 @@
     pass
 
 
-class File:
+class SimulatedFile:
     def __init__(self) -> None:
         self.synced = bytearray()
         self.seen = bytearray()  # as this machine reads it
@@ -39,7 +39,7 @@
     def __init__(self, seed: int, fault: str = "", at: int = 0, times: int = 1) -> None:
         self.random = random.Random(seed)
         self.fault, self.at, self.times = fault, at, times
-        self.files: dict[str, File] = {}
+        self.files: dict[str, SimulatedFile] = {}
         self.count = 0  # writes, syncs, truncations and deletions so far
         self.dead = False
         self.struck = ""  # what the fault struck
@@ -63,7 +63,7 @@
         """What a machine finds that starts again."""
         other = Disk(self.random.randrange(1 << 30))
         for name, file in self.files.items():
-            found = File()
+            found = SimulatedFile()
             data = bytearray(file.synced)
             pending = list(file.pending)
             self.random.shuffle(pending)
@@ -83,7 +83,7 @@
 class Handle:
     """An open file."""
 
-    def __init__(self, disk: Disk, name: str, file: File, delete: bool) -> None:
+    def __init__(self, disk: Disk, name: str, file: SimulatedFile, delete: bool) -> None:
         self.disk, self.name, self.file, self.delete = disk, name, file, delete
 
     def xRead(self, amount: int, offset: int) -> bytes:
@@ -147,7 +147,7 @@
         if text not in self.disk.files:
             if not flags[0] & apsw.SQLITE_OPEN_CREATE:
                 raise apsw.CantOpenError(text)
-            self.disk.files[text] = File()
+            self.disk.files[text] = SimulatedFile()
         flags[1] = flags[0]
         return Handle(self.disk, text, self.disk.files[text], bool(flags[0] & apsw.SQLITE_OPEN_DELETEONCLOSE))
 
