--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -20,7 +20,7 @@
 class SimulatedFile:
     def __init__(self) -> None:
         self.synced = bytearray()
-        self.seen = bytearray()  # as this machine reads it
+        self.content = bytearray()  # as this machine reads it
         self.pending: list[tuple[int, bytes | None]] = []  # (offset, data), or (size, None) for a truncation
 
 
@@ -75,7 +75,7 @@
                 for start in range(0, len(piece), SECTOR):  # torn at sectors
                     if self.random.random() < 0.5:
                         apply(data, offset + start, piece[start:start + SECTOR])
-            found.synced, found.seen = bytearray(data), bytearray(data)
+            found.synced, found.content = bytearray(data), bytearray(data)
             other.files[name] = found
         return other
 
@@ -89,26 +89,26 @@
     def xRead(self, amount: int, offset: int) -> bytes:
         if self.disk.dead:
             raise PowerLost("the power is gone")
-        return bytes(self.file.seen[offset:offset + amount])
+        return bytes(self.file.content[offset:offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
         self.disk.step("write")
         piece = bytes(data)
-        apply(self.file.seen, offset, piece)
+        apply(self.file.content, offset, piece)
         self.file.pending.append((offset, piece))
 
     def xTruncate(self, size: int) -> None:
         self.disk.step("truncate")
-        apply(self.file.seen, size, None)
+        apply(self.file.content, size, None)
         self.file.pending.append((size, None))
 
     def xSync(self, flags: int) -> None:
         self.disk.step("sync")
-        self.file.synced = bytearray(self.file.seen)
+        self.file.synced = bytearray(self.file.content)
         self.file.pending.clear()
 
     def xFileSize(self) -> int:
-        return len(self.file.seen)
+        return len(self.file.content)
 
     def xClose(self) -> None:
         if self.delete:
