--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -26,7 +26,7 @@
 from ironscale.record.database import ConnectionFactory, Transaction
 from ironscale.versions.model import Entry, read_scope
 from tests.deployed import ROOT
-from tests.record.disk import Disk, Vfs
+from tests.record.disk import SimulatedDisk, Vfs
 from tests.sockets import until
 
 
@@ -264,7 +264,7 @@
     names = itertools.count()
     monkeypatch.setattr(commit_tracking, "AGAIN_S", 0.002)
 
-    async def day(disk: Disk) -> tuple[list[str], list[str], int]:
+    async def day(disk: SimulatedDisk) -> tuple[list[str], list[str], int]:
         """Subjects that were kept, those that were not, and how many of the first were found out."""
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         opener = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
@@ -288,7 +288,7 @@
         vfs.unregister()
         return kept + late, never, store.writer.commits
 
-    def log(disk: Disk) -> list[str]:
+    def log(disk: SimulatedDisk) -> list[str]:
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         disk.fault = ""
         connection = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True).open()
@@ -298,12 +298,12 @@
         return found
 
     async def test() -> None:
-        whole = Disk(1)
+        whole = SimulatedDisk(1)
         kept, never, _ = await day(whole)
         assert never == [] and len(kept) == 12 and whole.count > 30
         told = 0
         for at in range(1, whole.count + 1):
-            disk = Disk(at, fault, at, times)
+            disk = SimulatedDisk(at, fault, at, times)
             kept, never, _ = await day(disk)
             told += len(never)
             for machine in (disk, disk.after_power()):
--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -33,7 +33,7 @@
     data[offset:offset + len(piece)] = piece
 
 
-class Disk:
+class SimulatedDisk:
     """All files, a count of what changed them, and the fault that comes at one of these."""
 
     def __init__(self, seed: int, fault: str = "", at: int = 0, times: int = 1) -> None:
@@ -59,9 +59,9 @@
             self.struck = what
             raise apsw.FullError("no space") if self.fault == "full" else apsw.IOError("by the script")
 
-    def after_power(self) -> Disk:
+    def after_power(self) -> SimulatedDisk:
         """What a machine finds that starts again."""
-        other = Disk(self.random.randrange(1 << 30))
+        other = SimulatedDisk(self.random.randrange(1 << 30))
         for name, file in self.files.items():
             found = SimulatedFile()
             data = bytearray(file.synced)
@@ -83,7 +83,7 @@
 class Handle:
     """An open file."""
 
-    def __init__(self, disk: Disk, name: str, file: SimulatedFile, delete: bool) -> None:
+    def __init__(self, disk: SimulatedDisk, name: str, file: SimulatedFile, delete: bool) -> None:
         self.disk, self.name, self.file, self.delete = disk, name, file, delete
 
     def xRead(self, amount: int, offset: int) -> bytes:
@@ -136,7 +136,7 @@
 class Vfs(apsw.VFS):
     """The disk, under a name that connections are opened with."""
 
-    def __init__(self, name: str, disk: Disk) -> None:
+    def __init__(self, name: str, disk: SimulatedDisk) -> None:
         self.name, self.disk = name, disk
         super().__init__(name, "")
 
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -14,7 +14,7 @@
 from ironscale.record.model import Entry, WriteOutcome, Row, StoreFailure
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import SqliteStore
-from tests.record.disk import Disk, Vfs
+from tests.record.disk import SimulatedDisk, Vfs
 from tests.record.samples import entry
 from tests.record.store_clients import Play
 
@@ -22,7 +22,7 @@
 _names = itertools.count(1)
 
 
-def opened(disk: Disk, checkpoint_pages: int = 12) -> tuple[SqliteStore, Vfs]:
+def opened(disk: SimulatedDisk, checkpoint_pages: int = 12) -> tuple[SqliteStore, Vfs]:
     name = f"broken{next(_names)}"
     vfs = Vfs(name, disk)
     return SqliteStore(Path("/r.db"), vfs=name, checkpoint_pages=checkpoint_pages), vfs
@@ -36,7 +36,7 @@
     return [row(values) for values in found[1]]
 
 
-async def day(disk: Disk, most_s: float = 5.0) -> tuple[Play, list[Entry]]:
+async def day(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[Play, list[Entry]]:
     """Submissions alone and together, repeats among them; the disk may die within."""
     store, vfs = opened(disk)
     play, asked = Play(store), []
@@ -56,7 +56,7 @@
 
 
 async def changes() -> int:
-    disk = Disk(1)
+    disk = SimulatedDisk(1)
     play, _ = await day(disk)
     assert Counter(one.result for one in play.clients) == {"served": REQUESTS}
     return disk.count
@@ -68,7 +68,7 @@
         total, told = await changes(), Counter[str]()
         assert total > 40
         for at in range(1, total + 1):
-            disk = Disk(seed * 1000 + at, "power", at)
+            disk = SimulatedDisk(seed * 1000 + at, "power", at)
             play, asked = await day(disk)
             told.update(one.result for one in play.clients)
             store, vfs = opened(disk.after_power())
@@ -93,7 +93,7 @@
 def test_after_an_error_of_a_sync_the_connection_is_not_used_again() -> None:
     """Its view of the log may differ from what a recovery finds; the disk here keeps both alike, so it is looked at."""
     async def test() -> None:
-        disk = Disk(1)
+        disk = SimulatedDisk(1)
         store, vfs = opened(disk, 10_000)
         await store.write(entry())
         before = store.writer.connection
@@ -118,7 +118,7 @@
     async def test() -> None:
         total, told = await changes(), Counter[str]()
         for at in range(1, total + 1):
-            disk = Disk(at, fault, at, times)
+            disk = SimulatedDisk(at, fault, at, times)
             play, _ = await day(disk)
             told.update(one.result for one in play.clients)
             for machine in (disk, disk.after_power()):
