--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -307,7 +307,7 @@
             kept, never, _ = await day(disk)
             told += len(never)
             for machine in (disk, disk.after_power()):
-                assert log(machine) == kept, (at, disk.struck, kept, never)
+                assert log(machine) == kept, (at, disk.failed_operation, kept, never)
         assert told > 0
 
     run(test())
--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -42,7 +42,7 @@
         self.files: dict[str, SimulatedFile] = {}
         self.count = 0  # writes, syncs, truncations and deletions so far
         self.dead = False
-        self.struck = ""  # what the fault struck
+        self.failed_operation = ""  # what the fault struck
 
     def step(self, what: str) -> None:
         """Counts one change; raises where the fault comes."""
@@ -52,11 +52,11 @@
         if not self.fault or self.count < self.at or self.times <= 0:
             return
         if self.fault == "power":
-            self.dead, self.struck = True, what
+            self.dead, self.failed_operation = True, what
             raise PowerLost("the power goes")
         if (self.fault == "full") == (what == "write") and (self.fault != "sync" or what == "sync"):
             self.times -= 1
-            self.struck = what
+            self.failed_operation = what
             raise apsw.FullError("no space") if self.fault == "full" else apsw.IOError("by the script")
 
     def after_power(self) -> SimulatedDisk:
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -80,7 +80,7 @@
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
             faults = history_check.find_violations(play.clients, await standing(store), {**play.outcomes(), **outcomes})
-            assert faults == [], f"seed {seed}, change {at} ({disk.struck})"
+            assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
             assert len(rows) <= len(asked)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
             await store.close()
@@ -133,7 +133,7 @@
                     await store.close()
                     vfs.unregister()
                 faults = history_check.find_violations(play.clients, rows, play.outcomes())
-                assert faults == [], f"change {at} ({disk.struck})"
+                assert faults == [], f"change {at} ({disk.failed_operation})"
             assert "Traceback" not in "".join(play.lines), play.lines
         assert told["served"] > 2 * told["refused"] > 0 and told["failed"] == 0, told
 
