--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -41,18 +41,18 @@
         self.fault, self.at, self.times = fault, at, times
         self.files: dict[str, SimulatedFile] = {}
         self.count = 0  # writes, syncs, truncations and deletions so far
-        self.dead = False
+        self.powered_off = False
         self.failed_operation = ""  # what the fault struck
 
     def step(self, what: str) -> None:
         """Counts one change; raises where the fault comes."""
-        if self.dead:
+        if self.powered_off:
             raise PowerLost("the power is gone")
         self.count += 1
         if not self.fault or self.count < self.at or self.times <= 0:
             return
         if self.fault == "power":
-            self.dead, self.failed_operation = True, what
+            self.powered_off, self.failed_operation = True, what
             raise PowerLost("the power goes")
         if (self.fault == "full") == (what == "write") and (self.fault != "sync" or what == "sync"):
             self.times -= 1
@@ -87,7 +87,7 @@
         self.disk, self.name, self.file, self.delete = disk, name, file, delete
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        if self.disk.dead:
+        if self.disk.powered_off:
             raise PowerLost("the power is gone")
         return bytes(self.file.content[offset:offset + amount])
 
@@ -141,7 +141,7 @@
         super().__init__(name, "")
 
     def xOpen(self, name: Any, flags: list[int]) -> Any:
-        if self.disk.dead:
+        if self.disk.powered_off:
             raise PowerLost("the power is gone")
         text = str(name.filename() if hasattr(name, "filename") else name or f"temporary {id(flags)}")
         if text not in self.disk.files:
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -44,10 +44,10 @@
         several = [entry(f"{i}.{k}", "deduplicated" if k == 1 else "at_most_once", body=bytes(700 * k),
                          **({"key": f"k{i // 2}"} if k == 1 else {})) for k in range(3)]
         asked += several
-        if disk.dead:
+        if disk.powered_off:
             break
         await asyncio.gather(*(play.submit(one, most_s if disk.fault != "power" else 0.05) for one in several))
-    if not disk.dead:
+    if not disk.powered_off:
         async with asyncio.timeout(20):
             await play.settled()
     await play.recorder.close(0.0)
