--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -44,7 +44,7 @@
         self.powered_off = False
         self.failed_operation = ""  # what the fault struck
 
-    def step(self, what: str) -> None:
+    def count_change(self, what: str) -> None:
         """Counts one change; raises where the fault comes."""
         if self.powered_off:
             raise PowerLost("the power is gone")
@@ -92,18 +92,18 @@
         return bytes(self.file.content[offset:offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
-        self.disk.step("write")
+        self.disk.count_change("write")
         piece = bytes(data)
         apply(self.file.content, offset, piece)
         self.file.pending.append((offset, piece))
 
     def xTruncate(self, size: int) -> None:
-        self.disk.step("truncate")
+        self.disk.count_change("truncate")
         apply(self.file.content, size, None)
         self.file.pending.append((size, None))
 
     def xSync(self, flags: int) -> None:
-        self.disk.step("sync")
+        self.disk.count_change("sync")
         self.file.synced = bytearray(self.file.content)
         self.file.pending.clear()
 
@@ -152,7 +152,7 @@
         return Handle(self.disk, text, self.disk.files[text], bool(flags[0] & apsw.SQLITE_OPEN_DELETEONCLOSE))
 
     def xDelete(self, name: str, sync: bool) -> None:
-        self.disk.step("delete")
+        self.disk.count_change("delete")
         self.disk.files.pop(name, None)
 
     def xAccess(self, name: str, flags: int) -> bool:
