--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -306,7 +306,7 @@
             disk = SimulatedDisk(at, fault, at, times)
             kept, never, _ = await day(disk)
             told += len(never)
-            for machine in (disk, disk.after_power()):
+            for machine in (disk, disk.after_power_loss()):
                 assert log(machine) == kept, (at, disk.failed_operation, kept, never)
         assert told > 0
 
--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -59,7 +59,7 @@
             self.failed_operation = what
             raise apsw.FullError("no space") if self.fault == "full" else apsw.IOError("by the script")
 
-    def after_power(self) -> SimulatedDisk:
+    def after_power_loss(self) -> SimulatedDisk:
         """What a machine finds that starts again."""
         other = SimulatedDisk(self.random.randrange(1 << 30))
         for name, file in self.files.items():
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -71,7 +71,7 @@
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
             play, asked = await day(disk)
             told.update(one.result for one in play.clients)
-            store, vfs = opened(disk.after_power())
+            store, vfs = opened(disk.after_power_loss())
             rows = await standing(store)
             # what was open when the power went is asked now, as the next start does
             outcomes = {}
@@ -121,7 +121,7 @@
             disk = SimulatedDisk(at, fault, at, times)
             play, _ = await day(disk)
             told.update(one.result for one in play.clients)
-            for machine in (disk, disk.after_power()):
+            for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
                 store, vfs = opened(machine)
                 try:
