--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -80,7 +80,7 @@
         return other
 
 
-class Handle:
+class FileHandle:
     """An open file."""
 
     def __init__(self, disk: SimulatedDisk, name: str, file: SimulatedFile, delete: bool) -> None:
@@ -149,7 +149,7 @@
                 raise apsw.CantOpenError(text)
             self.disk.files[text] = SimulatedFile()
         flags[1] = flags[0]
-        return Handle(self.disk, text, self.disk.files[text], bool(flags[0] & apsw.SQLITE_OPEN_DELETEONCLOSE))
+        return FileHandle(self.disk, text, self.disk.files[text], bool(flags[0] & apsw.SQLITE_OPEN_DELETEONCLOSE))
 
     def xDelete(self, name: str, sync: bool) -> None:
         self.disk.count_change("delete")
