--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -24,7 +24,7 @@
         self.pending: list[tuple[int, bytes | None]] = []  # (offset, data), or (size, None) for a truncation
 
 
-def apply(data: bytearray, offset: int, piece: bytes | None) -> None:
+def apply_write(data: bytearray, offset: int, piece: bytes | None) -> None:
     if piece is None:
         del data[offset:]
         return
@@ -70,11 +70,11 @@
             for offset, piece in pending:
                 if piece is None:
                     if self.random.random() < 0.5:
-                        apply(data, offset, None)
+                        apply_write(data, offset, None)
                     continue
                 for start in range(0, len(piece), SECTOR):  # torn at sectors
                     if self.random.random() < 0.5:
-                        apply(data, offset + start, piece[start:start + SECTOR])
+                        apply_write(data, offset + start, piece[start:start + SECTOR])
             found.synced, found.content = bytearray(data), bytearray(data)
             other.files[name] = found
         return other
@@ -94,12 +94,12 @@
     def xWrite(self, data: bytes, offset: int) -> None:
         self.disk.count_change("write")
         piece = bytes(data)
-        apply(self.file.content, offset, piece)
+        apply_write(self.file.content, offset, piece)
         self.file.pending.append((offset, piece))
 
     def xTruncate(self, size: int) -> None:
         self.disk.count_change("truncate")
-        apply(self.file.content, size, None)
+        apply_write(self.file.content, size, None)
         self.file.pending.append((size, None))
 
     def xSync(self, flags: int) -> None:
