--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -19,7 +19,7 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(count: int = 1, data: Data | None = None, **changes: Any
+async def postgres_store(count: int = 1, data: Data | None = None, **changes: Any
                 ) -> AsyncIterator[tuple[PostgresStore, list[Host]]]:
     """A store on so many hosts that share a disk."""
     data = data or Data()
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -16,7 +16,7 @@
 from ironscale.record.postgres import PostgresStore, TransactionRun
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.record.postgres import Gate, scene
+from tests.record.postgres import Gate, postgres_store
 from tests.record.samples import entry
 from tests.record.store_clients import Play
 from tests.sockets import run, until
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("direction", ["in", "out"])
 def test_cut_at_every_byte(direction: str, effect: str) -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             play, told = Play(store), Counter[str]()
             await play.submit(entry(), WORD_S)
             came, went = await exchange(store, host)
@@ -77,7 +77,7 @@
 def test_cut_again_while_it_is_asked() -> None:
     """The first connection is cut behind the commit, and the second, which asks, at every byte."""
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             play = Play(store)
             await play.submit(entry(), WORD_S)
             came, went = await exchange(store, host)
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_random_weather(seed: int) -> None:
     async def test() -> None:
-        async with scene(most=4) as (store, (host,)):
+        async with postgres_store(most=4) as (store, (host,)):
             play = Play(store, seed)
             faults = await storm(play, host, seed)
             assert faults == [], f"seed {seed}"
@@ -243,7 +243,7 @@
 ])
 def test_planted_bugs_are_found(kind: type[PostgresStore], script: str, fault: str) -> None:
     async def test() -> None:
-        async with scene() as (plain, (host,)):
+        async with postgres_store() as (plain, (host,)):
             store = kind(plain.access)
             play = Play(store)
             await SCRIPTS[script](store, host, play)
@@ -259,7 +259,7 @@
     """So the random runs above can fail: within so many seeds each bug shows."""
     async def test() -> None:
         for seed in range(1, 30):
-            async with scene(most=4) as (plain, (host,)):
+            async with postgres_store(most=4) as (plain, (host,)):
                 store = kind(plain.access)
                 faults = await storm(Play(store, seed), host, seed)
                 await store.close()
@@ -274,7 +274,7 @@
     monkeypatch.setattr(recorder, "MAX_OPEN_ATTEMPTS", 3)
 
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             play = Play(store)
             await play.submit(entry(), WORD_S)
             gate = Gate("insert", times=10)
@@ -295,7 +295,7 @@
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
 
     async def test() -> None:
-        async with scene() as (plain, _):
+        async with postgres_store() as (plain, _):
             store = Away(plain.access)
             assert await Play(store).submit(entry(), WORD_S) == "refused"
             await store.close()
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -15,7 +15,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
-from tests.record.postgres import Fault, Gate, dsn, scene, written
+from tests.record.postgres import Fault, Gate, dsn, postgres_store, written
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
@@ -61,7 +61,7 @@
 
 def test_the_stand_in_refuses_what_it_does_not_know_and_keeps_to_the_protocol() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("a"), by(LONG))
             connection = await psycopg.AsyncConnection.connect(dsn(host), autocommit=True)
             for sql, code in (("VACUUM", "0A000"), ("SELECT x FROM missing", "42P01"), ("SELEC", "0A000"),
@@ -90,7 +90,7 @@
 
 def test_an_insert_waits_for_an_open_transaction_on_the_same_value_and_a_deadlock_is_found() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("first"), by(LONG))
             one, two = [await psycopg.AsyncConnection.connect(dsn(host), autocommit=True) for _ in range(2)]
             insert = store_sql = postgres.SQL.void
@@ -116,7 +116,7 @@
 
 def test_written_once_repeated_conflicting_and_keyed_as_in_sqlite() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             first = entry("a", body=bytes(range(256)) * 256)
             assert (await store.write(first, by(LONG))).verdict is Verdict.WRITTEN
             assert (await store.write(again(first), by(LONG))).verdict is Verdict.REPEAT
@@ -137,7 +137,7 @@
 def test_a_key_that_another_used_anew_meanwhile_is_not_freed_under_it() -> None:
     """One has seen that the key's memory ran out; before it frees the slot, another has freed and used it."""
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("first", "deduplicated", memory_ms=1_000), by(LONG))
             host.data.skew_ms = 1_001
             gate = Gate("update")
@@ -156,7 +156,7 @@
 
 def test_two_sidecars_with_one_key_at_one_moment_write_it_once() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             other = PostgresStore(ConnectionOptions(dsn(host)))
             for i in range(40):
                 found = await asyncio.gather(*(one.write(entry("", "deduplicated", key=f"k{i}"), by(LONG))
@@ -173,7 +173,7 @@
     text = "'); DROP TABLE records; --\" \\ % %s $1 ; COMMIT"
 
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             changes: dict[str, object] = {field: text.encode() if field == "body" else text}
             one = entry(**{"request": "r", "effect": "deduplicated", **changes})  # type: ignore[arg-type]
             assert (await store.write(one, by(LONG))).verdict is Verdict.WRITTEN
@@ -186,7 +186,7 @@
 
 def test_a_connection_lost_before_commit_never_ran_and_after_it_is_not_known() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             for kind, after, expected in (("begin", False, NEVER), ("insert", False, NEVER), ("insert", True, NEVER),
                                           ("commit", False, UNKNOWN), ("commit", True, UNKNOWN)):
                 one = entry(f"{kind} {after}")
@@ -211,7 +211,7 @@
 def test_the_servers_word_is_judged_by_where_it_comes(kind: str, code: str, severity: str, known: WriteOutcome,
                                                       cause: Cause) -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             host.hook = Fault(kind, SqlError(code, "by the script", severity))
             with pytest.raises(StoreFailure) as found:
@@ -226,7 +226,7 @@
 
 def test_a_commit_that_the_server_turns_into_a_rollback_is_no_commit() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
 
             async def work(turn: TransactionRun) -> None:
@@ -249,7 +249,7 @@
 def test_a_commit_that_arrives_late_loses_against_the_mark() -> None:
     """The COMMIT is held by the server past the client's time; the question waits for it, then says what it did."""
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             late, gate = entry("late"), Gate("commit")
             host.hook = gate
@@ -268,7 +268,7 @@
 
 def test_an_insert_that_arrives_after_the_mark_finds_it() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             late, gate = entry("late"), Gate("insert")
             host.hook = gate
@@ -284,7 +284,7 @@
 
 def test_a_question_whose_own_outcome_is_not_known_can_be_asked_again() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             lost = entry("lost")
             for after in (False, True):
@@ -303,7 +303,7 @@
 
 def test_a_stalled_statement_is_cancelled_and_its_connection_never_used_again() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             holder = await psycopg.AsyncConnection.connect(dsn(host), autocommit=True)
             one = entry("a")
@@ -325,7 +325,7 @@
 def test_a_cancel_that_comes_late_is_not_taken_for_an_outcome() -> None:
     """The server has the COMMIT and carries it out; the cancel request reaches it meanwhile."""
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             one, gate = entry("a"), Gate("commit")
             host.hook = gate
@@ -341,7 +341,7 @@
 
 def test_a_server_that_says_nothing_more_holds_up_nothing_past_its_time() -> None:
     async def test() -> None:
-        async with scene(most=2) as (store, (host,)):
+        async with postgres_store(most=2) as (store, (host,)):
             await store.write(entry("before"), by(LONG))
             gate = Gate("insert", times=100)
             host.hook = gate
@@ -363,7 +363,7 @@
 
 def test_the_host_that_takes_writes_is_found_and_the_other_after_a_failover() -> None:
     async def test() -> None:
-        async with scene(2) as (store, (first, second)):
+        async with postgres_store(2) as (store, (first, second)):
             first.read_only = True
             assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
             assert second.data.commits and not first.sessions
@@ -379,7 +379,7 @@
 
 def test_an_idle_connection_that_was_ended_is_not_written_to() -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
+        async with postgres_store() as (store, (host,)):
             await store.write(entry("a"), by(LONG))
             await host.end_sessions()
             await until(lambda: postgres.is_stale(store.connections.idle[0][0]))
@@ -413,7 +413,7 @@
     """What an asynchronous standby lacks is lost with its primary: that is said in the operators' page, not hidden.
     What is promised: on the host that is asked, an attempt found to have never run does not run later."""
     async def test() -> None:
-        async with scene() as (store, (old,)):
+        async with postgres_store() as (store, (old,)):
             confirmed = entry("confirmed")
             await store.write(entry("both"), by(LONG))
             standby = await Host(old.data.copy()).start()
@@ -430,7 +430,7 @@
 
 def test_a_server_without_tls_is_told_where_tls_is_asked_for() -> None:
     async def test() -> None:
-        async with scene() as (_, (host,)):
+        async with postgres_store() as (_, (host,)):
             store = PostgresStore(ConnectionOptions(dsn(host, sslmode="require"), "s3cret-word"))
             with pytest.raises(StoreFailure, match="does not support SSL") as found:
                 await store.write(entry(), by(LONG))
@@ -446,7 +446,7 @@
 def test_two_that_start_at_once_make_the_schema_once_and_a_newer_one_is_refused() -> None:
     async def test() -> None:
         data = Data()
-        async with scene(data=data) as (store, (host,)):
+        async with postgres_store(data=data) as (store, (host,)):
             others = [PostgresStore(ConnectionOptions(dsn(host))) for _ in range(4)]
             found = await asyncio.gather(*(one.write(entry(), by(LONG)) for one in (store, *others)))
             assert {one.verdict for one in found} == {Verdict.WRITTEN}
@@ -470,7 +470,7 @@
             if kind == "insert" and "statement_timeout" in session.settings:  # type: ignore[attr-defined]
                 seen.append(dict(session.settings))  # type: ignore[attr-defined]
 
-        async with scene(synchronous_commit="remote_apply") as (store, (host,)):
+        async with postgres_store(synchronous_commit="remote_apply") as (store, (host,)):
             host.hook = look
             await store.write(replace(entry("a")), by(2.0))
         assert {one.get("synchronous_commit") for one in seen} == {"remote_apply"}
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -36,7 +36,7 @@
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
 from tests.record.postgres import Fault, Gate, dsn, written
-from tests.record.postgres import scene as store_scene
+from tests.record.postgres import postgres_store as store_scene
 from tests.record.samples import entry
 from tests.record.store_clients import Play
 from tests.sockets import Scene, run, until
