--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -30,7 +30,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
-from tests.record.postgres import Fault, Gate, dsn
+from tests.record.postgres import Fault, StatementGate, dsn
 from tests.sockets import run as limited
 
 LIMIT_S = 0.4  # a transaction's, where a test lets one hang
@@ -136,7 +136,7 @@
 def test_a_piece_of_work_that_fails_leaves_nothing_and_takes_no_other_along() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            gate = host.hook = Gate("begin")
+            gate = host.hook = StatementGate("begin")
             first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others wait behind it, as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
@@ -164,7 +164,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(line("before"))
-            gate = host.hook = Gate("begin")
+            gate = host.hook = StatementGate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (line("a"), half, line("b"))]
@@ -278,7 +278,7 @@
         async with hosts(data) as (host,):
             async with store_on(host, holder="none") as store:
                 await store.write(line("a"))
-            gate = host.hook = Gate("update", times=1)  # the first one's claim is held back on the way
+            gate = host.hook = StatementGate("update", times=1)  # the first one's claim is held back on the way
             async with store_on(host, holder="one") as first, store_on(host, holder="two") as second:
                 slow = asyncio.create_task(first.write(line("one")))
                 await gate.reached.wait()
@@ -401,7 +401,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(line("before"))
-            gate = Gate("update")
+            gate = StatementGate("update")
 
             async def script(session: Session, kind: str, after: bool) -> None:
                 if kind == "commit" and after and not script_struck:
@@ -429,7 +429,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(line("before"))
-            gate = host.hook = Gate("commit")
+            gate = host.hook = StatementGate("commit")
             writing = asyncio.create_task(store.write(line("it")))
             await gate.reached.wait()
             await until(lambda: store.holder.watch.cuts == 1)
@@ -447,7 +447,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(line("before"))
-            gate = host.hook = Gate("update")
+            gate = host.hook = StatementGate("update")
             with pytest.raises(StoreError) as found:
                 await store.write(line("it"))
             assert found.value.code == "AWAY"
@@ -465,7 +465,7 @@
         async with hosts(Data()) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(line("before"))
             for kind in ("begin", "insert", "select"):
-                gate = host.hook = Gate(kind)
+                gate = host.hook = StatementGate(kind)
                 with pytest.raises(StoreError) as found:
                     await store.write(line(kind))
                 assert found.value.code == "AWAY", kind
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -33,7 +33,7 @@
             await host.stop()
 
 
-class Gate:
+class StatementGate:
     """Holds each statement of one kind, before or after it is carried out, until it is opened."""
 
     def __init__(self, kind: str, after: bool = False, times: int = 1) -> None:
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -16,7 +16,7 @@
 from ironscale.record.postgres import PostgresStore, TransactionRun
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.record.postgres import Gate, postgres_store
+from tests.record.postgres import StatementGate, postgres_store
 from tests.record.samples import entry
 from tests.record.store_clients import Play
 from tests.sockets import run, until
@@ -206,7 +206,7 @@
 async def late_commit(store: PostgresStore, host: Host, play: Play) -> None:
     """COMMIT is held past the client's time, its reply is lost, and then it goes through."""
     await play.submit(entry(), WORD_S)
-    gate = Gate("commit")
+    gate = StatementGate("commit")
     host.hook = gate
     submitted = asyncio.create_task(play.submit(entry("late"), 0.4))
     await gate.reached.wait()
@@ -277,7 +277,7 @@
         async with postgres_store() as (store, (host,)):
             play = Play(store)
             await play.submit(entry(), WORD_S)
-            gate = Gate("insert", times=10)
+            gate = StatementGate("insert", times=10)
             host.hook = gate
             held = [asyncio.create_task(play.submit(entry(), WORD_S)) for _ in range(3)]
             await gate.reached.wait()
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -15,7 +15,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
-from tests.record.postgres import Fault, Gate, dsn, postgres_store, written
+from tests.record.postgres import Fault, StatementGate, dsn, postgres_store, written
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
@@ -140,7 +140,7 @@
         async with postgres_store() as (store, (host,)):
             await store.write(entry("first", "deduplicated", memory_ms=1_000), by(LONG))
             host.data.skew_ms = 1_001
-            gate = Gate("update")
+            gate = StatementGate("update")
             host.hook = gate
             slow = asyncio.create_task(store.write(entry("slow", "deduplicated"), by(LONG)))
             await gate.reached.wait()
@@ -251,7 +251,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
-            late, gate = entry("late"), Gate("commit")
+            late, gate = entry("late"), StatementGate("commit")
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
                 await store.write(late, by(0.2))
@@ -270,7 +270,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
-            late, gate = entry("late"), Gate("insert")
+            late, gate = entry("late"), StatementGate("insert")
             host.hook = gate
             writing = asyncio.create_task(store.write(late, by(LONG)))
             await gate.reached.wait()
@@ -327,7 +327,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
-            one, gate = entry("a"), Gate("commit")
+            one, gate = entry("a"), StatementGate("commit")
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
                 await store.write(one, by(0.2))
@@ -343,7 +343,7 @@
     async def test() -> None:
         async with postgres_store(most=2) as (store, (host,)):
             await store.write(entry("before"), by(LONG))
-            gate = Gate("insert", times=100)
+            gate = StatementGate("insert", times=100)
             host.hook = gate
             began = time.monotonic()
             found = await asyncio.gather(*(store.write(entry(), by(0.3)) for _ in range(6)), return_exceptions=True)
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -35,7 +35,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from tests.record.postgres import Fault, Gate, dsn, written
+from tests.record.postgres import Fault, StatementGate, dsn, written
 from tests.record.postgres import postgres_store as store_scene
 from tests.record.samples import entry
 from tests.record.store_clients import Play
@@ -194,7 +194,7 @@
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section), running(section) as (scene, _, front):
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            gate = Gate("commit", times=1000)
+            gate = StatementGate("commit", times=1000)
             host.hook = gate
             began = time.monotonic()
             assert (await scene.send(asked(scene, "pay", remaining="600m"))).status == 502
@@ -217,7 +217,7 @@
         async with on_postgres(tmp_path) as (host, section):
             async with running(section) as (scene, _, front):
                 assert (await scene.send(asked(scene, "pay"))).status == 200
-                gate = Gate("commit", times=1000)
+                gate = StatementGate("commit", times=1000)
                 host.hook = gate
                 assert (await scene.send(asked(scene, "pay", remaining="500m"))).status == 502
             assert len(journal_module.read_all(tmp_path / "open")[0]) == 1
@@ -264,7 +264,7 @@
                 group.create_task(views())
                 group.create_task(pays(group))
                 await until(lambda: results["200"] > 100)
-                gate = Gate("insert", times=1_000_000)
+                gate = StatementGate("insert", times=1_000_000)
                 host.hook, phase["stalled"] = gate, True
                 await asyncio.sleep(3.0)
                 host.hook, phase["stalled"] = None, False
@@ -291,7 +291,7 @@
                 assert (await scene.send(asked(scene, "pay", org=f"org{i % 10}"))).status == 200
             by_host = [{t for t, in host.data.all("SELECT DISTINCT tenant FROM records")} for host in hosts]
             assert by_host[0] and by_host[1] and not by_host[0] & by_host[1]
-            gate = Gate("insert", times=1000)
+            gate = StatementGate("insert", times=1000)
             hosts[0].hook = gate
             held = [asyncio.create_task(scene.send(asked(scene, "pay", org=min(by_host[0])))) for _ in range(5)]
             await gate.reached.wait()
@@ -375,7 +375,7 @@
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            gate = Gate("insert")
+            gate = StatementGate("insert")
             host.hook = gate
             reader_, writer = await asyncio.open_connection("127.0.0.1", scene.port)
             writer.write(asked(scene, "pay"))
@@ -395,7 +395,7 @@
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            balancer, gate = front.dispatchers[0].balancer, Gate("insert", times=1_000)
+            balancer, gate = front.dispatchers[0].balancer, StatementGate("insert", times=1_000)
             host.hook = gate
             writers = []
             while balancer.buffer is None:
