--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -30,7 +30,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import OP, PUBLISHED, TARGET, ZONE_A, fill, half, row, twice
-from tests.record.postgres import Fault, StatementGate, dsn
+from tests.record.postgres import StatementFault, StatementGate, dsn
 from tests.sockets import run as limited
 
 LIMIT_S = 0.4  # a transaction's, where a test lets one hang
@@ -212,7 +212,7 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            host.hook = Fault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
+            host.hook = StatementFault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
             for _ in range(4):
                 with pytest.raises(StoreError) as found:
                     await store.write(line("a"))
@@ -495,7 +495,7 @@
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(line("before"))
             await host.end_sessions()
-            host.hook = Fault("update", after=True)  # carried out, and nobody hears of it
+            host.hook = StatementFault("update", after=True)  # carried out, and nobody hears of it
             with pytest.raises(StoreError):
                 await store.write(line("lost"))
             await store.write(line("after"))
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -47,7 +47,7 @@
             await self.go.wait()
 
 
-class Fault:
+class StatementFault:
     """Answers a statement of one kind with an error, or drops its connection, so many times."""
 
     def __init__(self, kind: str, error: SqlError | None = None, after: bool = False, times: int = 1) -> None:
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -15,7 +15,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
-from tests.record.postgres import Fault, StatementGate, dsn, postgres_store, written
+from tests.record.postgres import StatementFault, StatementGate, dsn, postgres_store, written
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
@@ -190,7 +190,7 @@
             for kind, after, expected in (("begin", False, NEVER), ("insert", False, NEVER), ("insert", True, NEVER),
                                           ("commit", False, UNKNOWN), ("commit", True, UNKNOWN)):
                 one = entry(f"{kind} {after}")
-                host.hook = Fault(kind, after=after)
+                host.hook = StatementFault(kind, after=after)
                 with pytest.raises(StoreFailure) as found:
                     await store.write(one, by(LONG))
                 assert (found.value.outcome, found.value.cause) == (expected, Cause.BROKEN), (kind, after)
@@ -213,7 +213,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), by(LONG))
-            host.hook = Fault(kind, SqlError(code, "by the script", severity))
+            host.hook = StatementFault(kind, SqlError(code, "by the script", severity))
             with pytest.raises(StoreFailure) as found:
                 await store.write(entry("a"), by(LONG))
             assert (found.value.outcome, found.value.cause, found.value.code) == (known, cause, code)
@@ -288,7 +288,7 @@
             await store.write(entry("before"), by(LONG))
             lost = entry("lost")
             for after in (False, True):
-                host.hook = Fault("commit", after=after)
+                host.hook = StatementFault("commit", after=after)
                 with pytest.raises(StoreFailure):
                     await store.ask(lost.attempt, by(LONG))
             host.hook = None
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -35,7 +35,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from tests.record.postgres import Fault, StatementGate, dsn, written
+from tests.record.postgres import StatementFault, StatementGate, dsn, written
 from tests.record.postgres import postgres_store as store_scene
 from tests.record.samples import entry
 from tests.record.store_clients import Play
@@ -179,11 +179,11 @@
                     running(section) as (scene, _, front)):
             assert (await scene.send(asked(scene, "pay"))).status == 200
             for lane in ("pay", "mark"):
-                host.hook = Fault("commit", after=True)
+                host.hook = StatementFault("commit", after=True)
                 assert (await scene.send(asked(scene, lane))).status == 200
             assert written(host.data) == ["t1", "t2", "t3"]
             # a connection lost before COMMIT never ran: it is tried again through another slot
-            host.hook = Fault("insert")
+            host.hook = StatementFault("insert")
             assert (await scene.send(asked(scene, "pay"))).status == 200
             assert written(host.data) == ["t1", "t2", "t3", "t4"]
 
@@ -496,7 +496,7 @@
                 wanted = ["upstream", "store"] if order == "first" else ["store", "upstream"]
                 assert [one for i, one in enumerate(seen) if one not in seen[:i]] == wanted
             # the store's reply is lost: found out, and each of the two has it once
-            host.hook = Fault("commit", after=True)
+            host.hook = StatementFault("commit", after=True)
             assert (await scene.send(asked(scene, "pay"))).status == 200
             assert written(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
