--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -23,7 +23,7 @@
 from ironscale.record.model import Entry
 from ironscale.record.sqlite import SqliteStore
 from ironscale.standins.postgres import Host
-from tests.record.postgres import dsn, written
+from tests.record.postgres import dsn, written_requests
 from tests.record.samples import entry
 
 
@@ -143,7 +143,7 @@
     leave_open(tmp_path / "open", lost, store="up")
     result = call("ask", "-f", str(path))
     assert result.exit_code == 0 and "never ran" in result.output
-    assert written(host.data) == [] and host.data.all("SELECT attempt FROM records") == [(lost.attempt,)]
+    assert written_requests(host.data) == [] and host.data.all("SELECT attempt FROM records") == [(lost.attempt,)]
     result = call("status", "-f", str(path))
     assert result.exit_code == Exit.PARTIAL and "marks" in result.output
     assert json.loads(call("status", "-f", str(path), "-o", "json").output)["silent"][0]["store"] == "away"
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -59,5 +59,5 @@
             raise self.error or Drop
 
 
-def written(data: Data) -> list[str]:
+def written_requests(data: Data) -> list[str]:
     return [request for request, in data.all("SELECT request FROM records WHERE state = 'written' ORDER BY request")]
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -15,7 +15,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
-from tests.record.postgres import StatementFault, StatementGate, dsn, postgres_store, written
+from tests.record.postgres import StatementFault, StatementGate, dsn, postgres_store, written_requests
 from tests.record.samples import again, entry
 from tests.sockets import free_port, run, until
 
@@ -46,7 +46,7 @@
         assert "wr0ng" not in str(found.value) and "wr0ng" not in repr(found.value)
         await wrong.close()
         await host.stop()
-        assert written(host.data) == ["a"]
+        assert written_requests(host.data) == ["a"]
 
     run(test)
     assert "s3cret" not in caplog.text and "wr0ng" not in caplog.text
@@ -128,7 +128,7 @@
             host.data.skew_ms = 60_001  # its memory has run out by the store's clock, which alone counts
             assert (await store.write(entry("d", "deduplicated", body=b"new"), by(LONG))).verdict is Verdict.WRITTEN
             assert await store.ask(mark.attempt, by(LONG)) == mark.answer
-            assert written(host.data) == ["a", "b", "d"]
+            assert written_requests(host.data) == ["a", "b", "d"]
             assert store.connections.opened == 1
 
     run(test)
@@ -149,7 +149,7 @@
             gate.go.set()
             found = await slow
             assert found.verdict is Verdict.REPEAT and found.answer == quick.answer
-            assert written(host.data) == ["first", "quick"]
+            assert written_requests(host.data) == ["first", "quick"]
 
     run(test)
 
@@ -162,7 +162,7 @@
                 found = await asyncio.gather(*(one.write(entry("", "deduplicated", key=f"k{i}"), by(LONG))
                                                for one in (store, other)))
                 assert sorted(one.verdict.value for one in found) == ["repeat", "written"]
-            assert len(written(host.data)) == 40
+            assert len(written_requests(host.data)) == 40
             await other.close()
 
     run(test)
@@ -197,7 +197,7 @@
                 host.hook = None
                 answer = await store.ask(one.attempt, by(LONG))
                 assert (answer is not None) == ((kind, after) == ("commit", True))
-            assert written(host.data) == ["commit True"]
+            assert written_requests(host.data) == ["commit True"]
 
     run(test)
 
@@ -219,7 +219,7 @@
             assert (found.value.outcome, found.value.cause, found.value.code) == (known, cause, code)
             # the connection is not used again, nor is what it held kept
             assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
-            assert written(host.data) == ["after", "before"]
+            assert written_requests(host.data) == ["after", "before"]
 
     run(test)
 
@@ -261,7 +261,7 @@
             assert not question.done()
             gate.go.set()  # it comes through after all
             assert await question == late.answer
-            assert written(host.data) == ["before", "late"]
+            assert written_requests(host.data) == ["before", "late"]
 
     run(test)
 
@@ -277,7 +277,7 @@
             assert await store.ask(late.attempt, by(LONG)) is None
             gate.go.set()
             assert (await writing).verdict is Verdict.FENCED
-            assert written(host.data) == ["before"]
+            assert written_requests(host.data) == ["before"]
 
     run(test)
 
@@ -317,7 +317,7 @@
             await holder.execute("ROLLBACK")
             await holder.close()
             assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
-            assert written(host.data) == ["after", "before"] and store.connections.opened == 2
+            assert written_requests(host.data) == ["after", "before"] and store.connections.opened == 2
 
     run(test)
 
@@ -421,7 +421,7 @@
             promoted = PostgresStore(ConnectionOptions(dsn(standby)))
             assert await promoted.ask(confirmed.attempt, by(LONG)) is None
             assert (await promoted.write(confirmed, by(LONG))).verdict is Verdict.FENCED
-            assert written(old.data) == ["both", "confirmed"] and written(standby.data) == ["both"]
+            assert written_requests(old.data) == ["both", "confirmed"] and written_requests(standby.data) == ["both"]
             await promoted.close()
             await standby.stop()
 
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -35,7 +35,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer, reply, serve_ok
-from tests.record.postgres import StatementFault, StatementGate, dsn, written
+from tests.record.postgres import StatementFault, StatementGate, dsn, written_requests
 from tests.record.postgres import postgres_store as store_scene
 from tests.record.samples import entry
 from tests.record.store_clients import Play
@@ -181,11 +181,11 @@
             for lane in ("pay", "mark"):
                 host.hook = StatementFault("commit", after=True)
                 assert (await scene.send(asked(scene, lane))).status == 200
-            assert written(host.data) == ["t1", "t2", "t3"]
+            assert written_requests(host.data) == ["t1", "t2", "t3"]
             # a connection lost before COMMIT never ran: it is tried again through another slot
             host.hook = StatementFault("insert")
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            assert written(host.data) == ["t1", "t2", "t3", "t4"]
+            assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
 
     run(test)
 
@@ -207,7 +207,7 @@
             gate.go.set()
             await until(lambda: not journal.open and journal.writing is None)
             assert journal_module.read_all(tmp_path / "open") == ([], 0)
-            assert written(host.data) == ["t1", "t2"]  # it had run; its client was promised nothing
+            assert written_requests(host.data) == ["t1", "t2"]  # it had run; its client was promised nothing
 
     run(test)
 
@@ -277,7 +277,7 @@
             assert set(results) <= {"200", "503", "502"} and results["503"] > 100, results
             usual, beside_it = (statistics.median(took[key]) for key in (False, True))
             assert beside_it < 3 * usual + 0.005, (usual, beside_it)
-            assert len(written(host.data)) >= results["200"]
+            assert len(written_requests(host.data)) >= results["200"]
 
     run(test, 60)
 
@@ -385,7 +385,7 @@
             gate.go.set()
             lane = front.dispatchers[0]
             await until(lambda: not lane.in_flight and not lane.attempt_counts and not scene.sidecar.requests)
-            assert written(host.data) == ["t1", "t2"] and not lane.balancer.requests
+            assert written_requests(host.data) == ["t1", "t2"] and not lane.balancer.requests
 
     run(test)
 
@@ -411,7 +411,7 @@
             assert not waiting.attempts and waiting.done and not scene.sidecar.refusals["waited"]
             gate.go.set()
             await until(lambda: not scene.sidecar.requests and not balancer.requests)
-            assert f"t{scene.count}" not in written(host.data)
+            assert f"t{scene.count}" not in written_requests(host.data)
 
     run(test)
 
@@ -498,7 +498,7 @@
             # the store's reply is lost: found out, and each of the two has it once
             host.hook = StatementFault("commit", after=True)
             assert (await scene.send(asked(scene, "pay"))).status == 200
-            assert written(host.data) == ["t1", "t2", "t3", "t4"]
+            assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
             lane_ = front.dispatchers[0]
             await until(lambda: not scene.sidecar.requests and not lane_.in_flight)
@@ -514,7 +514,7 @@
         async with running(stores(tmp_path / "a", to_postgres(host), upstreams="last")) as (scene, (peer,), _):
             peer.behave = reply(TURNED_AWAY)
             assert (await scene.send(asked(scene, "pay"))).status == 502
-            assert written(host.data) == ["t1"]
+            assert written_requests(host.data) == ["t1"]
         await host.stop()
         (tmp_path / "b").mkdir()
         async with running(stores(tmp_path / "b", to_postgres(host), upstreams="first")) as (scene, (peer,), _):
