--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -17,7 +17,7 @@
          AttemptOutcome.OPEN: history_check.FAILED}
 
 
-class Play:
+class StoreClients:
     """One recorder, its clients, and the log of both."""
 
     def __init__(self, store: Store, seed: int = 1) -> None:
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -18,7 +18,7 @@
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.record.postgres import StatementGate, postgres_store
 from tests.record.samples import entry
-from tests.record.store_clients import Play
+from tests.record.store_clients import StoreClients
 from tests.sockets import run, until
 
 WORD_S = 5.0
@@ -43,7 +43,7 @@
     """Bytes that one submission on a new connection takes, in and out."""
     await store.connections.close()
     seen = len(host.bytes)
-    assert await Play(store).submit(entry(body=b"measured"), WORD_S) == "served"
+    assert await StoreClients(store).submit(entry(body=b"measured"), WORD_S) == "served"
     await store.connections.close()
     await until(lambda: len(host.bytes) > seen)
     return host.bytes[-1]
@@ -54,7 +54,7 @@
 def test_cut_at_every_byte(direction: str, effect: str) -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play, told = Play(store), Counter[str]()
+            play, told = StoreClients(store), Counter[str]()
             await play.submit(entry(), WORD_S)
             came, went = await exchange(store, host)
             total = came if direction == "in" else went
@@ -78,7 +78,7 @@
     """The first connection is cut behind the commit, and the second, which asks, at every byte."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play = Play(store)
+            play = StoreClients(store)
             await play.submit(entry(), WORD_S)
             came, went = await exchange(store, host)
             for direction, total in (("in", came), ("out", went)):
@@ -135,7 +135,7 @@
         return self.random.choice(("in", "out")), 300 + self.random.randrange(2_000)
 
 
-async def storm(play: Play, host: Host, seed: int, requests: int = 60) -> list[str]:
+async def storm(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
     await play.submit(entry(), WORD_S)  # the schema stands
     weather = Weather(seed)
@@ -161,7 +161,7 @@
 def test_random_weather(seed: int) -> None:
     async def test() -> None:
         async with postgres_store(most=4) as (store, (host,)):
-            play = Play(store, seed)
+            play = StoreClients(store, seed)
             faults = await storm(play, host, seed)
             assert faults == [], f"seed {seed}"
             assert len(play.clients) == 61 and "Traceback" not in "".join(play.lines)
@@ -203,7 +203,7 @@
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
 
-async def late_commit(store: PostgresStore, host: Host, play: Play) -> None:
+async def late_commit(store: PostgresStore, host: Host, play: StoreClients) -> None:
     """COMMIT is held past the client's time, its reply is lost, and then it goes through."""
     await play.submit(entry(), WORD_S)
     gate = StatementGate("commit")
@@ -219,7 +219,7 @@
     await until(lambda: not host.data.owners)
 
 
-async def lost_reply(store: PostgresStore, host: Host, play: Play) -> None:
+async def lost_reply(store: PostgresStore, host: Host, play: StoreClients) -> None:
     """COMMIT is carried out, and its reply cut."""
     await play.submit(entry(), WORD_S)
 
@@ -245,7 +245,7 @@
     async def test() -> None:
         async with postgres_store() as (plain, (host,)):
             store = kind(plain.access)
-            play = Play(store)
+            play = StoreClients(store)
             await SCRIPTS[script](store, host, play)
             found = history_check.find_violations(play.clients, standing(host.data), play.outcomes())
             assert bool(found) == bool(fault) and any(line.startswith(fault) for line in found or [""]), found
@@ -261,7 +261,7 @@
         for seed in range(1, 30):
             async with postgres_store(most=4) as (plain, (host,)):
                 store = kind(plain.access)
-                faults = await storm(Play(store, seed), host, seed)
+                faults = await storm(StoreClients(store, seed), host, seed)
                 await store.close()
                 if faults:
                     return
@@ -275,7 +275,7 @@
 
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play = Play(store)
+            play = StoreClients(store)
             await play.submit(entry(), WORD_S)
             gate = StatementGate("insert", times=10)
             host.hook = gate
@@ -297,7 +297,7 @@
     async def test() -> None:
         async with postgres_store() as (plain, _):
             store = Away(plain.access)
-            assert await Play(store).submit(entry(), WORD_S) == "refused"
+            assert await StoreClients(store).submit(entry(), WORD_S) == "refused"
             await store.close()
 
     run(test)
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -16,7 +16,7 @@
 from ironscale.record.sqlite import SqliteStore
 from tests.record.disk import SimulatedDisk, Vfs
 from tests.record.samples import entry
-from tests.record.store_clients import Play
+from tests.record.store_clients import StoreClients
 
 REQUESTS = 12
 _names = itertools.count(1)
@@ -36,10 +36,10 @@
     return [row(values) for values in found[1]]
 
 
-async def day(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[Play, list[Entry]]:
+async def day(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
     """Submissions alone and together, repeats among them; the disk may die within."""
     store, vfs = opened(disk)
-    play, asked = Play(store), []
+    play, asked = StoreClients(store), []
     for i in range(REQUESTS // 3):
         several = [entry(f"{i}.{k}", "deduplicated" if k == 1 else "at_most_once", body=bytes(700 * k),
                          **({"key": f"k{i // 2}"} if k == 1 else {})) for k in range(3)]
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -38,7 +38,7 @@
 from tests.record.postgres import StatementFault, StatementGate, dsn, written_requests
 from tests.record.postgres import postgres_store as store_scene
 from tests.record.samples import entry
-from tests.record.store_clients import Play
+from tests.record.store_clients import StoreClients
 from tests.sockets import Scene, run, until
 
 QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
@@ -344,7 +344,7 @@
 def test_a_store_that_is_away_is_said_now_and_then_and_not_for_each_request() -> None:
     async def test() -> None:
         async with store_scene() as (store, _):
-            play = Play(store)
+            play = StoreClients(store)
             for at in (0.0, 0.1, 4.9, 5.1, 9.9, 10.2):
                 play.recorder.last_logged_at = -5.0 if at == 0.0 else play.recorder.last_logged_at
                 play.recorder.log_failure(StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
