--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -24,7 +24,7 @@
         self.lines: list[str] = []
         journal = Journal(None, "n", self.lines.append)
         self.recorder = Recorder("s", store, journal, self.lines.append, random.Random(seed))
-        self.clients: list[history_check.ClientReport] = []
+        self.reports: list[history_check.ClientReport] = []
         self.handles: list[AttemptHandle] = []
 
     async def submit(self, one: Entry, seconds: float, tries: int = 1) -> str:
@@ -35,7 +35,7 @@
             if told is not AttemptOutcome.NEVER_RAN:
                 break
         word = WORDS[told]
-        self.clients.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
+        self.reports.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
                                                word, handle.state.answer if word == history_check.SERVED else b""))
         return word
 
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -67,7 +67,7 @@
             host.cut = None
             await play.settled()
             rows = standing(host.data)
-            assert history_check.find_violations(play.clients, rows, play.outcomes()) == []
+            assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
             # every outcome is found out within its time; a cut of the reply alone is served
             assert set(told) == {"served", "refused"} and min(told.values()) > 5, told
 
@@ -98,7 +98,7 @@
                     assert await play.submit(entry(), WORD_S) == "refused"
             host.hook = host.cut = None
             await play.settled()
-            assert history_check.find_violations(play.clients, standing(host.data), play.outcomes()) == []
+            assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
 
     run(test, 120)
 
@@ -154,7 +154,7 @@
     weather.calm = True
     async with asyncio.timeout(40):
         await play.settled()
-    return history_check.find_violations(play.clients, standing(host.data), play.outcomes())
+    return history_check.find_violations(play.reports, standing(host.data), play.outcomes())
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -164,7 +164,7 @@
             play = StoreClients(store, seed)
             faults = await storm(play, host, seed)
             assert faults == [], f"seed {seed}"
-            assert len(play.clients) == 61 and "Traceback" not in "".join(play.lines)
+            assert len(play.reports) == 61 and "Traceback" not in "".join(play.lines)
 
     run(test, 120)
 
@@ -247,7 +247,7 @@
             store = kind(plain.access)
             play = StoreClients(store)
             await SCRIPTS[script](store, host, play)
-            found = history_check.find_violations(play.clients, standing(host.data), play.outcomes())
+            found = history_check.find_violations(play.reports, standing(host.data), play.outcomes())
             assert bool(found) == bool(fault) and any(line.startswith(fault) for line in found or [""]), found
             await store.close()
 
@@ -284,7 +284,7 @@
             assert await play.submit(entry("beyond"), WORD_S) == "refused"
             gate.go.set()
             assert [await one for one in held] == ["served"] * 3
-            assert history_check.find_violations(play.clients, standing(host.data), play.outcomes()) == []
+            assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
 
     run(test)
 
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -58,7 +58,7 @@
 async def changes() -> int:
     disk = SimulatedDisk(1)
     play, _ = await day(disk)
-    assert Counter(one.result for one in play.clients) == {"served": REQUESTS}
+    assert Counter(one.result for one in play.reports) == {"served": REQUESTS}
     return disk.count
 
 
@@ -70,7 +70,7 @@
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
             play, asked = await day(disk)
-            told.update(one.result for one in play.clients)
+            told.update(one.result for one in play.reports)
             store, vfs = opened(disk.after_power_loss())
             rows = await standing(store)
             # what was open when the power went is asked now, as the next start does
@@ -79,7 +79,7 @@
                 if handle.state.outcome.value == "open":
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
-            faults = history_check.find_violations(play.clients, await standing(store), {**play.outcomes(), **outcomes})
+            faults = history_check.find_violations(play.reports, await standing(store), {**play.outcomes(), **outcomes})
             assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
             assert len(rows) <= len(asked)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
@@ -120,7 +120,7 @@
         for at in range(1, total + 1):
             disk = SimulatedDisk(at, fault, at, times)
             play, _ = await day(disk)
-            told.update(one.result for one in play.clients)
+            told.update(one.result for one in play.reports)
             for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
                 store, vfs = opened(machine)
@@ -132,7 +132,7 @@
                 finally:
                     await store.close()
                     vfs.unregister()
-                faults = history_check.find_violations(play.clients, rows, play.outcomes())
+                faults = history_check.find_violations(play.reports, rows, play.outcomes())
                 assert faults == [], f"change {at} ({disk.failed_operation})"
             assert "Traceback" not in "".join(play.lines), play.lines
         assert told["served"] > 2 * told["refused"] > 0 and told["failed"] == 0, told
