--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -55,7 +55,7 @@
         timer.cancel()
         return handle
 
-    async def settled(self) -> None:
+    async def wait_until_resolved(self) -> None:
         """Until nothing is open any more."""
         while self.recorder.handles:
             await asyncio.wait(list(self.recorder.handles))
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -65,7 +65,7 @@
                 one = entry(effect=effect, key=f"k{at}" if effect == "deduplicated" else "")
                 told[await play.submit(one, WORD_S)] += 1
             host.cut = None
-            await play.settled()
+            await play.wait_until_resolved()
             rows = standing(host.data)
             assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
             # every outcome is found out within its time; a cut of the reply alone is served
@@ -97,7 +97,7 @@
                     host.hook = drop
                     assert await play.submit(entry(), WORD_S) == "refused"
             host.hook = host.cut = None
-            await play.settled()
+            await play.wait_until_resolved()
             assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
 
     run(test, 120)
@@ -153,7 +153,7 @@
             group.create_task(client(number))
     weather.calm = True
     async with asyncio.timeout(40):
-        await play.settled()
+        await play.wait_until_resolved()
     return history_check.find_violations(play.reports, standing(host.data), play.outcomes())
 
 
@@ -215,7 +215,7 @@
     await submitted
     gate.go.set()
     host.hook = None
-    await play.settled()
+    await play.wait_until_resolved()
     await until(lambda: not host.data.owners)
 
 
@@ -230,7 +230,7 @@
 
     host.hook = drop
     await play.submit(entry("lost"), WORD_S)
-    await play.settled()
+    await play.wait_until_resolved()
 
 
 SCRIPTS: dict[str, Any] = {"late commit": late_commit, "lost reply": lost_reply}
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -49,7 +49,7 @@
         await asyncio.gather(*(play.submit(one, most_s if disk.fault != "power" else 0.05) for one in several))
     if not disk.powered_off:
         async with asyncio.timeout(20):
-            await play.settled()
+            await play.wait_until_resolved()
     await play.recorder.close(0.0)
     vfs.unregister()
     return play, asked
