--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -13,7 +13,7 @@
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
 from tests.record.samples import again
 
-WORDS = {AttemptOutcome.RAN: history_check.SERVED, AttemptOutcome.NEVER_RAN: history_check.REFUSED, AttemptOutcome.CONFLICT: history_check.CONFLICT,
+RESULT_OF_OUTCOME = {AttemptOutcome.RAN: history_check.SERVED, AttemptOutcome.NEVER_RAN: history_check.REFUSED, AttemptOutcome.CONFLICT: history_check.CONFLICT,
          AttemptOutcome.OPEN: history_check.FAILED}
 
 
@@ -34,7 +34,7 @@
             told = handle.state.outcome
             if told is not AttemptOutcome.NEVER_RAN:
                 break
-        word = WORDS[told]
+        word = RESULT_OF_OUTCOME[told]
         self.reports.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
                                                word, handle.state.answer if word == history_check.SERVED else b""))
         return word
