--- a/tests/record/samples.py
+++ b/tests/record/samples.py
@@ -27,6 +27,6 @@
                  answer=model.answer_of(request, values["kind"]), **values)
 
 
-def again(first: Entry) -> Entry:
+def another_attempt(first: Entry) -> Entry:
     """Another attempt at the same request."""
     return replace(first, attempt=model.attempt_name(2_000, secrets.token_bytes(10)))
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -11,7 +11,7 @@
 from ironscale.record.model import Entry, Store
 from ironscale.record.recorder import AttemptHandle, Recorder
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
-from tests.record.samples import again
+from tests.record.samples import another_attempt
 
 RESULT_OF_OUTCOME = {AttemptOutcome.RAN: history_check.SERVED, AttemptOutcome.NEVER_RAN: history_check.REFUSED, AttemptOutcome.CONFLICT: history_check.CONFLICT,
          AttemptOutcome.OPEN: history_check.FAILED}
@@ -30,7 +30,7 @@
     async def submit(self, one: Entry, seconds: float, tries: int = 1) -> str:
         """One client's request, tried again only after what never ran; gives what the client was told."""
         for turn in range(tries):
-            handle = await self.attempt(again(one) if turn else one, seconds)
+            handle = await self.attempt(another_attempt(one) if turn else one, seconds)
             told = handle.state.outcome
             if told is not AttemptOutcome.NEVER_RAN:
                 break
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -16,7 +16,7 @@
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import StatementFault, StatementGate, dsn, postgres_store, written_requests
-from tests.record.samples import again, entry
+from tests.record.samples import another_attempt, entry
 from tests.sockets import free_port, run, until
 
 NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
@@ -119,7 +119,7 @@
         async with postgres_store() as (store, (host,)):
             first = entry("a", body=bytes(range(256)) * 256)
             assert (await store.write(first, by(LONG))).verdict is Verdict.WRITTEN
-            assert (await store.write(again(first), by(LONG))).verdict is Verdict.REPEAT
+            assert (await store.write(another_attempt(first), by(LONG))).verdict is Verdict.REPEAT
             assert (await store.write(entry("a", body=b"other"), by(LONG))).verdict is Verdict.CONFLICT
             mark = entry("b", "deduplicated", memory_ms=60_000)
             await store.write(mark, by(LONG))
@@ -177,7 +177,7 @@
             changes: dict[str, object] = {field: text.encode() if field == "body" else text}
             one = entry(**{"request": "r", "effect": "deduplicated", **changes})  # type: ignore[arg-type]
             assert (await store.write(one, by(LONG))).verdict is Verdict.WRITTEN
-            assert (await store.write(again(one), by(LONG))).verdict is Verdict.REPEAT
+            assert (await store.write(another_attempt(one), by(LONG))).verdict is Verdict.REPEAT
             (found,), = host.data.all(f"SELECT {field} FROM records WHERE state = 'written'")
             assert found == changes[field]
 
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -23,7 +23,7 @@
 from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
-from tests.record.samples import again, entry
+from tests.record.samples import another_attempt, entry
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
@@ -39,7 +39,7 @@
         store = SqliteStore(tmp_path / "r.db")
         first = entry("a", body=bytes(range(256)) * 256)  # 64 KiB
         assert (await store.write(first)).verdict is Verdict.WRITTEN
-        repeat = await store.write(again(first))
+        repeat = await store.write(another_attempt(first))
         assert repeat.verdict is Verdict.REPEAT and repeat.answer == first.answer
         other = await store.write(entry("a", body=b"other"))
         assert other.verdict is Verdict.CONFLICT and other.answer == b""
@@ -89,7 +89,7 @@
         assert await store.ask(late.attempt) is None
         assert await store.ask(late.attempt) is None
         assert (await store.write(late)).verdict is Verdict.FENCED
-        second = again(late)
+        second = another_attempt(late)
         assert (await store.write(second)).verdict is Verdict.WRITTEN  # another attempt at it is free to run
         assert (await store.write(late)).verdict is Verdict.REPEAT  # and answers for the first
         assert await store.ask(second.attempt) == second.answer
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -10,7 +10,7 @@
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
 from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, AttemptOutcome, Write
-from tests.record.samples import again, entry
+from tests.record.samples import another_attempt, entry
 
 NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
 
@@ -141,9 +141,9 @@
 
 def test_a_history_that_keeps_the_rules_has_no_faults() -> None:
     first, mark = entry("a"), entry("b", "deduplicated")
-    repeat = replace(again(mark), request="c")
-    fenced = again(first)
-    rows = [stands(first), stands(mark), stands(replace(again(mark), request="d"), 60_000),
+    repeat = replace(another_attempt(mark), request="c")
+    fenced = another_attempt(first)
+    rows = [stands(first), stands(mark), stands(replace(another_attempt(mark), request="d"), 60_000),
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
     clients = [told(first, "served"), told(mark, "served"), replace(told(repeat, "served"), answer=mark.answer),
                told(entry("e"), "refused"), told(entry("f"), "failed")]
@@ -158,7 +158,7 @@
 def test_each_break_of_a_rule_is_found(expected: str, clients: list[tuple[str, int]], rows: list[tuple[int, int]],
                                        outcomes: dict[int, str]) -> None:
     attempts = [entry("a")]
-    attempts.append(again(attempts[0]))
+    attempts.append(another_attempt(attempts[0]))
     (fault,) = history_check.find_violations([told(attempts[i], what) for what, i in clients],
                                     [stands(attempts[i], at) for i, at in rows],
                                     {attempts[i].attempt: what for i, what in outcomes.items()})
@@ -167,7 +167,7 @@
 
 def test_a_keyed_effect_written_twice_within_its_memory_and_a_wrong_answer_are_found() -> None:
     first = entry("a", "deduplicated")
-    second = replace(again(first), request="b")
+    second = replace(another_attempt(first), request="b")
     assert history_check.find_violations([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
     assert history_check.find_violations([], [stands(first, 0), stands(second, 60_000)]) == []
     assert history_check.find_violations([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
