--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -21,7 +21,7 @@
 from tests.record.store_clients import StoreClients
 from tests.sockets import run, until
 
-WORD_S = 5.0
+TIMEOUT_S = 5.0
 
 
 def standing(data: Data) -> list[Row]:
@@ -43,7 +43,7 @@
     """Bytes that one submission on a new connection takes, in and out."""
     await store.connections.close()
     seen = len(host.bytes)
-    assert await StoreClients(store).submit(entry(body=b"measured"), WORD_S) == "served"
+    assert await StoreClients(store).submit(entry(body=b"measured"), TIMEOUT_S) == "served"
     await store.connections.close()
     await until(lambda: len(host.bytes) > seen)
     return host.bytes[-1]
@@ -55,7 +55,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             play, told = StoreClients(store), Counter[str]()
-            await play.submit(entry(), WORD_S)
+            await play.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             total = came if direction == "in" else went
             assert total > 400
@@ -63,7 +63,7 @@
                 await store.connections.close()
                 host.cut = OneCut(direction, at)
                 one = entry(effect=effect, key=f"k{at}" if effect == "deduplicated" else "")
-                told[await play.submit(one, WORD_S)] += 1
+                told[await play.submit(one, TIMEOUT_S)] += 1
             host.cut = None
             await play.wait_until_resolved()
             rows = standing(host.data)
@@ -79,7 +79,7 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             play = StoreClients(store)
-            await play.submit(entry(), WORD_S)
+            await play.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             for direction, total in (("in", came), ("out", went)):
                 for at in range(0, total, 12):
@@ -95,7 +95,7 @@
                             raise Drop
 
                     host.hook = drop
-                    assert await play.submit(entry(), WORD_S) == "refused"
+                    assert await play.submit(entry(), TIMEOUT_S) == "refused"
             host.hook = host.cut = None
             await play.wait_until_resolved()
             assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
@@ -137,7 +137,7 @@
 
 async def storm(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
-    await play.submit(entry(), WORD_S)  # the schema stands
+    await play.submit(entry(), TIMEOUT_S)  # the schema stands
     weather = Weather(seed)
     host.hook, host.cut = weather, weather.cut
     draw = random.Random(seed * 7 + 1)
@@ -205,7 +205,7 @@
 
 async def late_commit(store: PostgresStore, host: Host, play: StoreClients) -> None:
     """COMMIT is held past the client's time, its reply is lost, and then it goes through."""
-    await play.submit(entry(), WORD_S)
+    await play.submit(entry(), TIMEOUT_S)
     gate = StatementGate("commit")
     host.hook = gate
     submitted = asyncio.create_task(play.submit(entry("late"), 0.4))
@@ -221,7 +221,7 @@
 
 async def lost_reply(store: PostgresStore, host: Host, play: StoreClients) -> None:
     """COMMIT is carried out, and its reply cut."""
-    await play.submit(entry(), WORD_S)
+    await play.submit(entry(), TIMEOUT_S)
 
     async def drop(session: Session, kind: str, after: bool) -> None:
         if kind == "commit" and after:
@@ -229,7 +229,7 @@
             raise Drop
 
     host.hook = drop
-    await play.submit(entry("lost"), WORD_S)
+    await play.submit(entry("lost"), TIMEOUT_S)
     await play.wait_until_resolved()
 
 
@@ -276,12 +276,12 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             play = StoreClients(store)
-            await play.submit(entry(), WORD_S)
+            await play.submit(entry(), TIMEOUT_S)
             gate = StatementGate("insert", times=10)
             host.hook = gate
-            held = [asyncio.create_task(play.submit(entry(), WORD_S)) for _ in range(3)]
+            held = [asyncio.create_task(play.submit(entry(), TIMEOUT_S)) for _ in range(3)]
             await gate.reached.wait()
-            assert await play.submit(entry("beyond"), WORD_S) == "refused"
+            assert await play.submit(entry("beyond"), TIMEOUT_S) == "refused"
             gate.go.set()
             assert [await one for one in held] == ["served"] * 3
             assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
@@ -297,7 +297,7 @@
     async def test() -> None:
         async with postgres_store() as (plain, _):
             store = Away(plain.access)
-            assert await StoreClients(store).submit(entry(), WORD_S) == "refused"
+            assert await StoreClients(store).submit(entry(), TIMEOUT_S) == "refused"
             await store.close()
 
     run(test)
