--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -24,7 +24,7 @@
 TIMEOUT_S = 5.0
 
 
-def standing(data: Data) -> list[Row]:
+def stored_rows(data: Data) -> list[Row]:
     return [row(values) for values in data.all(f"SELECT {', '.join(COLUMNS)} FROM records")]
 
 
@@ -66,7 +66,7 @@
                 told[await play.submit(one, TIMEOUT_S)] += 1
             host.cut = None
             await play.wait_until_resolved()
-            rows = standing(host.data)
+            rows = stored_rows(host.data)
             assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
             # every outcome is found out within its time; a cut of the reply alone is served
             assert set(told) == {"served", "refused"} and min(told.values()) > 5, told
@@ -98,7 +98,7 @@
                     assert await play.submit(entry(), TIMEOUT_S) == "refused"
             host.hook = host.cut = None
             await play.wait_until_resolved()
-            assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
+            assert history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes()) == []
 
     run(test, 120)
 
@@ -154,7 +154,7 @@
     weather.calm = True
     async with asyncio.timeout(40):
         await play.wait_until_resolved()
-    return history_check.find_violations(play.reports, standing(host.data), play.outcomes())
+    return history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes())
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -247,7 +247,7 @@
             store = kind(plain.access)
             play = StoreClients(store)
             await SCRIPTS[script](store, host, play)
-            found = history_check.find_violations(play.reports, standing(host.data), play.outcomes())
+            found = history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes())
             assert bool(found) == bool(fault) and any(line.startswith(fault) for line in found or [""]), found
             await store.close()
 
@@ -284,7 +284,7 @@
             assert await play.submit(entry("beyond"), TIMEOUT_S) == "refused"
             gate.go.set()
             assert [await one for one in held] == ["served"] * 3
-            assert history_check.find_violations(play.reports, standing(host.data), play.outcomes()) == []
+            assert history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes()) == []
 
     run(test)
 
