--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -103,7 +103,7 @@
     run(test, 120)
 
 
-class Weather:
+class RandomFaults:
     """What goes wrong at random, from one seed."""
 
     def __init__(self, seed: int) -> None:
@@ -138,7 +138,7 @@
 async def storm(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
     await play.submit(entry(), TIMEOUT_S)  # the schema stands
-    weather = Weather(seed)
+    weather = RandomFaults(seed)
     host.hook, host.cut = weather, weather.cut
     draw = random.Random(seed * 7 + 1)
 
