--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -135,7 +135,7 @@
         return self.random.choice(("in", "out")), 300 + self.random.randrange(2_000)
 
 
-async def storm(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
+async def run_with_random_faults(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
     await play.submit(entry(), TIMEOUT_S)  # the schema stands
     weather = RandomFaults(seed)
@@ -162,7 +162,7 @@
     async def test() -> None:
         async with postgres_store(most=4) as (store, (host,)):
             play = StoreClients(store, seed)
-            faults = await storm(play, host, seed)
+            faults = await run_with_random_faults(play, host, seed)
             assert faults == [], f"seed {seed}"
             assert len(play.reports) == 61 and "Traceback" not in "".join(play.lines)
 
@@ -261,7 +261,7 @@
         for seed in range(1, 30):
             async with postgres_store(most=4) as (plain, (host,)):
                 store = kind(plain.access)
-                faults = await storm(StoreClients(store, seed), host, seed)
+                faults = await run_with_random_faults(StoreClients(store, seed), host, seed)
                 await store.close()
                 if faults:
                     return
