--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -172,7 +172,7 @@
 # Bugs, planted
 
 
-class NoFence(PostgresStore):
+class QueriesWithoutFence(PostgresStore):
     """Asks by looking only."""
 
     async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
@@ -238,7 +238,7 @@
 
 @pytest.mark.parametrize(("kind", "script", "fault"), [
     (PostgresStore, "late commit", ""), (PostgresStore, "lost reply", ""),
-    (NoFence, "late commit", "refused: late"), (Guesses, "lost reply", "refused: lost"),
+    (QueriesWithoutFence, "late commit", "refused: late"), (Guesses, "lost reply", "refused: lost"),
     (Guesses, "late commit", "refused: late"), (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
 ])
 def test_planted_bugs_are_found(kind: type[PostgresStore], script: str, fault: str) -> None:
@@ -254,7 +254,7 @@
     run(test, 60)
 
 
-@pytest.mark.parametrize("kind", [NoFence, Guesses, RetriesAfterCommit])
+@pytest.mark.parametrize("kind", [QueriesWithoutFence, Guesses, RetriesAfterCommit])
 def test_random_weather_finds_planted_bugs(kind: type[PostgresStore]) -> None:
     """So the random runs above can fail: within so many seeds each bug shows."""
     async def test() -> None:
