--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -181,7 +181,7 @@
         return bytes(found[0][1]) if found else None
 
 
-class Guesses(PostgresStore):
+class TakesTimeoutForNeverRan(PostgresStore):
     """Takes a time-out, or a connection that broke, for a write that never ran."""
 
     async def write(self, one: Entry, until: float) -> WriteResult:
@@ -238,8 +238,8 @@
 
 @pytest.mark.parametrize(("kind", "script", "fault"), [
     (PostgresStore, "late commit", ""), (PostgresStore, "lost reply", ""),
-    (QueriesWithoutFence, "late commit", "refused: late"), (Guesses, "lost reply", "refused: lost"),
-    (Guesses, "late commit", "refused: late"), (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
+    (QueriesWithoutFence, "late commit", "refused: late"), (TakesTimeoutForNeverRan, "lost reply", "refused: lost"),
+    (TakesTimeoutForNeverRan, "late commit", "refused: late"), (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
 ])
 def test_planted_bugs_are_found(kind: type[PostgresStore], script: str, fault: str) -> None:
     async def test() -> None:
@@ -254,7 +254,7 @@
     run(test, 60)
 
 
-@pytest.mark.parametrize("kind", [QueriesWithoutFence, Guesses, RetriesAfterCommit])
+@pytest.mark.parametrize("kind", [QueriesWithoutFence, TakesTimeoutForNeverRan, RetriesAfterCommit])
 def test_random_weather_finds_planted_bugs(kind: type[PostgresStore]) -> None:
     """So the random runs above can fail: within so many seeds each bug shows."""
     async def test() -> None:
