--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -74,7 +74,7 @@
     run(test, 120)
 
 
-def test_cut_again_while_it_is_asked() -> None:
+def test_second_cut_during_the_outcome_query() -> None:
     """The first connection is cut behind the commit, and the second, which asks, at every byte."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
