--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_random_weather(seed: int) -> None:
+def test_random_faults(seed: int) -> None:
     async def test() -> None:
         async with postgres_store(most=4) as (store, (host,)):
             play = StoreClients(store, seed)
