--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize("kind", [QueriesWithoutFence, TakesTimeoutForNeverRan, RetriesAfterCommit])
-def test_random_weather_finds_planted_bugs(kind: type[PostgresStore]) -> None:
+def test_random_faults_find_planted_bugs(kind: type[PostgresStore]) -> None:
     """So the random runs above can fail: within so many seeds each bug shows."""
     async def test() -> None:
         for seed in range(1, 30):
