--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -270,7 +270,7 @@
     run(test, 200)
 
 
-def test_no_more_than_so_many_attempts_are_out_and_the_rest_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempts_beyond_the_limit_are_refused_and_never_run(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(recorder, "MAX_OPEN_ATTEMPTS", 3)
 
     async def test() -> None:
