--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -289,7 +289,7 @@
     run(test)
 
 
-def test_a_store_that_turns_everything_away_is_told_at_once() -> None:
+def test_a_store_that_refuses_everything_is_reported_at_once() -> None:
     class Away(PostgresStore):
         async def write(self, one: Entry, until: float) -> WriteResult:
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
