--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -22,7 +22,7 @@
 _names = itertools.count(1)
 
 
-def opened(disk: SimulatedDisk, checkpoint_pages: int = 12) -> tuple[SqliteStore, Vfs]:
+def open_store(disk: SimulatedDisk, checkpoint_pages: int = 12) -> tuple[SqliteStore, Vfs]:
     name = f"broken{next(_names)}"
     vfs = Vfs(name, disk)
     return SqliteStore(Path("/r.db"), vfs=name, checkpoint_pages=checkpoint_pages), vfs
@@ -38,7 +38,7 @@
 
 async def day(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
     """Submissions alone and together, repeats among them; the disk may die within."""
-    store, vfs = opened(disk)
+    store, vfs = open_store(disk)
     play, asked = StoreClients(store), []
     for i in range(REQUESTS // 3):
         several = [entry(f"{i}.{k}", "deduplicated" if k == 1 else "at_most_once", body=bytes(700 * k),
@@ -71,7 +71,7 @@
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
             play, asked = await day(disk)
             told.update(one.result for one in play.reports)
-            store, vfs = opened(disk.after_power_loss())
+            store, vfs = open_store(disk.after_power_loss())
             rows = await standing(store)
             # what was open when the power went is asked now, as the next start does
             outcomes = {}
@@ -94,7 +94,7 @@
     """Its view of the log may differ from what a recovery finds; the disk here keeps both alike, so it is looked at."""
     async def test() -> None:
         disk = SimulatedDisk(1)
-        store, vfs = opened(disk, 10_000)
+        store, vfs = open_store(disk, 10_000)
         await store.write(entry())
         before = store.writer.connection
         await store.write(entry())
@@ -123,7 +123,7 @@
             told.update(one.result for one in play.reports)
             for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
-                store, vfs = opened(machine)
+                store, vfs = open_store(machine)
                 try:
                     rows = await standing(store)
                 except StoreFailure as trouble:
