--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -28,7 +28,7 @@
     return SqliteStore(Path("/r.db"), vfs=name, checkpoint_pages=checkpoint_pages), vfs
 
 
-async def standing(store: SqliteStore) -> list[Row]:
+async def stored_rows(store: SqliteStore) -> list[Row]:
     """Raises StoreFailure where the file can't be read."""
     found = await store.writer.run(lambda t: [t.execute("PRAGMA integrity_check"),
                                               t.execute(f"SELECT {', '.join(COLUMNS)} FROM records")])
@@ -72,14 +72,14 @@
             play, asked = await day(disk)
             told.update(one.result for one in play.reports)
             store, vfs = open_store(disk.after_power_loss())
-            rows = await standing(store)
+            rows = await stored_rows(store)
             # what was open when the power went is asked now, as the next start does
             outcomes = {}
             for handle in play.handles:
                 if handle.state.outcome.value == "open":
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
-            faults = history_check.find_violations(play.reports, await standing(store), {**play.outcomes(), **outcomes})
+            faults = history_check.find_violations(play.reports, await stored_rows(store), {**play.outcomes(), **outcomes})
             assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
             assert len(rows) <= len(asked)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
@@ -125,7 +125,7 @@
                 machine.fault = ""
                 store, vfs = open_store(machine)
                 try:
-                    rows = await standing(store)
+                    rows = await stored_rows(store)
                 except StoreFailure as trouble:
                     assert str(trouble).count("no such table"), trouble  # not even the schema was written
                     rows = []
