--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -36,7 +36,7 @@
     return [row(values) for values in found[1]]
 
 
-async def day(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
+async def run_workload(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
     """Submissions alone and together, repeats among them; the disk may die within."""
     store, vfs = open_store(disk)
     play, asked = StoreClients(store), []
@@ -57,7 +57,7 @@
 
 async def changes() -> int:
     disk = SimulatedDisk(1)
-    play, _ = await day(disk)
+    play, _ = await run_workload(disk)
     assert Counter(one.result for one in play.reports) == {"served": REQUESTS}
     return disk.count
 
@@ -69,7 +69,7 @@
         assert total > 40
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
-            play, asked = await day(disk)
+            play, asked = await run_workload(disk)
             told.update(one.result for one in play.reports)
             store, vfs = open_store(disk.after_power_loss())
             rows = await stored_rows(store)
@@ -119,7 +119,7 @@
         total, told = await changes(), Counter[str]()
         for at in range(1, total + 1):
             disk = SimulatedDisk(at, fault, at, times)
-            play, _ = await day(disk)
+            play, _ = await run_workload(disk)
             told.update(one.result for one in play.reports)
             for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
