--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -55,7 +55,7 @@
     return play, asked
 
 
-async def changes() -> int:
+async def count_changes() -> int:
     disk = SimulatedDisk(1)
     play, _ = await run_workload(disk)
     assert Counter(one.result for one in play.reports) == {"served": REQUESTS}
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_power_lost_at_every_change(seed: int) -> None:
     async def test() -> None:
-        total, told = await changes(), Counter[str]()
+        total, told = await count_changes(), Counter[str]()
         assert total > 40
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
@@ -116,7 +116,7 @@
 def test_a_full_disk_and_errors_at_every_change(fault: str, times: int) -> None:
     """The process goes on; each outcome is found out, and stands so also if the power goes afterwards."""
     async def test() -> None:
-        total, told = await changes(), Counter[str]()
+        total, told = await count_changes(), Counter[str]()
         for at in range(1, total + 1):
             disk = SimulatedDisk(at, fault, at, times)
             play, _ = await run_workload(disk)
