--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -90,7 +90,7 @@
     asyncio.run(asyncio.wait_for(test(), 200))
 
 
-def test_after_an_error_of_a_sync_the_connection_is_not_used_again() -> None:
+def test_a_connection_is_not_reused_after_a_failed_sync() -> None:
     """Its view of the log may differ from what a recovery finds; the disk here keeps both alike, so it is looked at."""
     async def test() -> None:
         disk = SimulatedDisk(1)
