--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -18,7 +18,7 @@
     asyncio.run(asyncio.wait_for(work, 30))
 
 
-def left(name: str, since_ms: int = 1) -> Open:
+def open_entry(name: str, since_ms: int = 1) -> Open:
     return Open(name, "main", f"q-{name}", "submit", "north", "", since_ms, "why")
 
 
@@ -38,7 +38,7 @@
         journal = Journal(tmp_path / "open", "n/0 ü", print)
         assert journal.begin() == []
         for name in ("b", "a", "c"):
-            journal.opened(left(name, ord(name)))
+            journal.opened(open_entry(name, ord(name)))
         journal.closed("c", "ran")
         journal.closed("never opened", "ran")
         await written(journal)
@@ -55,7 +55,7 @@
     async def test() -> None:
         journal = Journal(tmp_path / "open", "n0", print)
         journal.begin()
-        journal.opened(left("a"))
+        journal.opened(open_entry("a"))
         journal.closed("a", "ran")
         await journal.settle(5)
         assert list((tmp_path / "open").iterdir()) == []
@@ -68,13 +68,13 @@
         former, other = Journal(tmp_path, "n0", print), Journal(tmp_path, "n0.x", print)
         former.begin()
         other.begin()
-        former.opened(left("a"))
-        other.opened(left("other's"))
+        former.opened(open_entry("a"))
+        other.opened(open_entry("other's"))
         await written(former)
         await written(other)
         successor = Journal(tmp_path, "n0", print)
         assert successor.begin() == []  # make before break: the former still runs, and has its lock
-        former.opened(left("late"))
+        former.opened(open_entry("late"))
         await written(former)
         assert await successor.take_over() == []
         end(former)
@@ -99,7 +99,7 @@
         former = Journal(tmp_path, "n0", print)
         former.begin()
         for name in "abc":
-            former.opened(left(name))
+            former.opened(open_entry(name))
         await written(former)
         assert former.path is not None
         data = former.path.read_bytes().replace(b'"b"', b'"b')
@@ -117,10 +117,10 @@
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
-        journal.opened(left("stays"))
+        journal.opened(open_entry("stays"))
         assert journal.path is not None
         for i in range(3_000):
-            journal.opened(left(f"a{i}"))
+            journal.opened(open_entry(f"a{i}"))
             journal.closed(f"a{i}", "ran")
             if i % 100 == 0:
                 await written(journal)
@@ -149,7 +149,7 @@
             return plain(fd, data)
 
         monkeypatch.setattr(os, "write", full)
-        journal.opened(left("a"))
+        journal.opened(open_entry("a"))
         await written(journal)
         assert "could not be written: No space left on device" in lines[0] and "a" in journal.open
         monkeypatch.undo()
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -14,7 +14,7 @@
 
 from ironscale.record import journal as module
 from ironscale.record.journal import Journal, JournalError, read, read_all
-from tests.record.test_journal import end, left, run, written
+from tests.record.test_journal import end, open_entry, run, written
 
 CALLS = ("open", "write", "fsync", "replace")
 ERRORS = (errno.ENOSPC, errno.EIO, errno.ENFILE)
@@ -65,7 +65,7 @@
         journal.begin()
         faults.arm(first, count)
         for name in "abcde":
-            journal.opened(left(name))
+            journal.opened(open_entry(name))
             await asyncio.sleep(0.003)
         journal.closed("b", "ran")
         await written(journal)
@@ -86,11 +86,11 @@
         real = os.write
         monkeypatch.setattr(os, "write", lambda fd, data: real(fd, bytes(data)[:max(1, len(data) // 2)]))
         for name in "abc":
-            journal.opened(left(name))
+            journal.opened(open_entry(name))
         journal.rewrite_needed = spoilt
         await written(journal)
         assert journal.path is not None
-        assert read(journal.path) == ({name: left(name) for name in "abc"}, 0)
+        assert read(journal.path) == ({name: open_entry(name) for name in "abc"}, 0)
         await journal.settle(5)
 
     run(test())
@@ -101,11 +101,11 @@
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
-        journal.opened(left("a"))
+        journal.opened(open_entry("a"))
         await written(journal)
         faults = Faults(monkeypatch, "write", errno.ENOSPC, half=True)
         faults.arm(0, 1)
-        journal.opened(left("b"))
+        journal.opened(open_entry("b"))
         while faults.left != 0:
             await asyncio.sleep(0.001)
         assert "a" in attempts(tmp_path), "as a process that is killed here leaves it"
@@ -124,7 +124,7 @@
     async def test() -> None:
         former = Journal(tmp_path, "n0", print)
         former.begin()
-        former.opened(left("a"))
+        former.opened(open_entry("a"))
         await written(former)
         end(former)
         faults = Faults(monkeypatch, call, number)
@@ -163,7 +163,7 @@
             real(thread)
 
         monkeypatch.setattr(threading.Thread, "start", start)
-        journal.opened(left("a"))
+        journal.opened(open_entry("a"))
         await written(journal)
         assert attempts(tmp_path) == {"a"} and failures < 0
         end(journal)
