--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -27,7 +27,7 @@
         await asyncio.sleep(0.001)
 
 
-def end(journal: Journal) -> None:
+def end_process(journal: Journal) -> None:
     """As its process's end does: the lock goes, the file stays."""
     os.close(journal.fd)
     journal.fd = -1
@@ -77,18 +77,18 @@
         former.opened(open_entry("late"))
         await written(former)
         assert await successor.take_over() == []
-        end(former)
+        end_process(former)
         assert [entry.attempt for entry in await successor.take_over()] == ["a", "late"]
         assert await successor.take_over() == []
         await written(successor)
         assert successor.path is not None and former.path is not None
         assert list(read(successor.path)[0]) == ["a", "late"] and not former.path.exists()
-        end(other)
+        end_process(other)
         third = Journal(tmp_path, "n0", print)
-        end(successor)
+        end_process(successor)
         assert {entry.attempt for entry in third.begin()} == {"a", "late"}  # never those of another name
         assert {entry.attempt for entry in read_all(tmp_path)[0]} == {"a", "late", "other's"}
-        end(third)
+        end_process(third)
 
     run(test())
 
@@ -104,11 +104,11 @@
         assert former.path is not None
         data = former.path.read_bytes().replace(b'"b"', b'"b')
         former.path.write_bytes(data[:-4])
-        end(former)
+        end_process(former)
         journal = Journal(tmp_path, "n0", lines.append)
         assert [entry.attempt for entry in journal.begin()] == ["a"]
         assert "2 damaged lines were left out" in lines[0]
-        end(journal)
+        end_process(journal)
 
     run(test())
 
@@ -129,7 +129,7 @@
         assert list(read(journal.path)[0]) == ["stays"]
         # and its lock has moved along with it
         assert Journal(tmp_path, "n0", print).left_by_others() == ([], [])
-        end(journal)
+        end_process(journal)
 
     run(test())
 
@@ -157,7 +157,7 @@
         await written(journal)
         assert journal.path is not None
         assert (list(read(journal.path)[0]), read(journal.path)[1]) == (["a"], 0)
-        end(journal)
+        end_process(journal)
 
     run(test())
 
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -14,7 +14,7 @@
 
 from ironscale.record import journal as module
 from ironscale.record.journal import Journal, JournalError, read, read_all
-from tests.record.test_journal import end, open_entry, run, written
+from tests.record.test_journal import end_process, open_entry, run, written
 
 CALLS = ("open", "write", "fsync", "replace")
 ERRORS = (errno.ENOSPC, errno.EIO, errno.ENFILE)
@@ -111,7 +111,7 @@
         assert "a" in attempts(tmp_path), "as a process that is killed here leaves it"
         await written(journal)
         assert attempts(tmp_path) == {"a", "b"}
-        end(journal)
+        end_process(journal)
 
     run(test())
 
@@ -126,7 +126,7 @@
         former.begin()
         former.opened(open_entry("a"))
         await written(former)
-        end(former)
+        end_process(former)
         faults = Faults(monkeypatch, call, number)
         faults.arm(0, 3)
         journal = Journal(tmp_path, "n0", print)
@@ -137,7 +137,7 @@
         await written(journal)
         assert [entry.attempt for entry in found] == ["a"] and attempts(tmp_path) == {"a"}
         assert len(list(tmp_path.glob("*.open"))) == 1
-        end(journal)
+        end_process(journal)
 
     run(test())
 
@@ -166,6 +166,6 @@
         journal.opened(open_entry("a"))
         await written(journal)
         assert attempts(tmp_path) == {"a"} and failures < 0
-        end(journal)
+        end_process(journal)
 
     run(test())
