--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -22,7 +22,7 @@
     return Open(name, "main", f"q-{name}", "submit", "north", "", since_ms, "why")
 
 
-async def written(journal: Journal) -> None:
+async def wait_until_written(journal: Journal) -> None:
     while journal.writing is not None:
         await asyncio.sleep(0.001)
 
@@ -41,7 +41,7 @@
             journal.opened(open_entry(name, ord(name)))
         journal.closed("c", "ran")
         journal.closed("never opened", "ran")
-        await written(journal)
+        await wait_until_written(journal)
         assert [entry.attempt for entry in read_all(tmp_path / "open")[0]] == ["a", "b"]
         (path,) = (tmp_path / "open").iterdir()
         assert path.stat().st_mode & 0o777 == 0o600 and (tmp_path / "open").stat().st_mode & 0o777 == 0o700
@@ -70,17 +70,17 @@
         other.begin()
         former.opened(open_entry("a"))
         other.opened(open_entry("other's"))
-        await written(former)
-        await written(other)
+        await wait_until_written(former)
+        await wait_until_written(other)
         successor = Journal(tmp_path, "n0", print)
         assert successor.begin() == []  # make before break: the former still runs, and has its lock
         former.opened(open_entry("late"))
-        await written(former)
+        await wait_until_written(former)
         assert await successor.take_over() == []
         end_process(former)
         assert [entry.attempt for entry in await successor.take_over()] == ["a", "late"]
         assert await successor.take_over() == []
-        await written(successor)
+        await wait_until_written(successor)
         assert successor.path is not None and former.path is not None
         assert list(read(successor.path)[0]) == ["a", "late"] and not former.path.exists()
         end_process(other)
@@ -100,7 +100,7 @@
         former.begin()
         for name in "abc":
             former.opened(open_entry(name))
-        await written(former)
+        await wait_until_written(former)
         assert former.path is not None
         data = former.path.read_bytes().replace(b'"b"', b'"b')
         former.path.write_bytes(data[:-4])
@@ -123,8 +123,8 @@
             journal.opened(open_entry(f"a{i}"))
             journal.closed(f"a{i}", "ran")
             if i % 100 == 0:
-                await written(journal)
-        await written(journal)
+                await wait_until_written(journal)
+        await wait_until_written(journal)
         assert len(journal.path.read_bytes().splitlines()) < 1_700
         assert list(read(journal.path)[0]) == ["stays"]
         # and its lock has moved along with it
@@ -150,11 +150,11 @@
 
         monkeypatch.setattr(os, "write", full)
         journal.opened(open_entry("a"))
-        await written(journal)
+        await wait_until_written(journal)
         assert "could not be written: No space left on device" in lines[0] and "a" in journal.open
         monkeypatch.undo()
         assert await journal.take_over() == []  # which comes by every few seconds
-        await written(journal)
+        await wait_until_written(journal)
         assert journal.path is not None
         assert (list(read(journal.path)[0]), read(journal.path)[1]) == (["a"], 0)
         end_process(journal)
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -14,7 +14,7 @@
 
 from ironscale.record import journal as module
 from ironscale.record.journal import Journal, JournalError, read, read_all
-from tests.record.test_journal import end_process, open_entry, run, written
+from tests.record.test_journal import end_process, open_entry, run, wait_until_written
 
 CALLS = ("open", "write", "fsync", "replace")
 ERRORS = (errno.ENOSPC, errno.EIO, errno.ENFILE)
@@ -68,7 +68,7 @@
             journal.opened(open_entry(name))
             await asyncio.sleep(0.003)
         journal.closed("b", "ran")
-        await written(journal)
+        await wait_until_written(journal)
         faults.arm(0, 0)
         assert attempts(tmp_path) == set("acde")
         await journal.settle(5)
@@ -88,7 +88,7 @@
         for name in "abc":
             journal.opened(open_entry(name))
         journal.rewrite_needed = spoilt
-        await written(journal)
+        await wait_until_written(journal)
         assert journal.path is not None
         assert read(journal.path) == ({name: open_entry(name) for name in "abc"}, 0)
         await journal.settle(5)
@@ -102,14 +102,14 @@
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
         journal.opened(open_entry("a"))
-        await written(journal)
+        await wait_until_written(journal)
         faults = Faults(monkeypatch, "write", errno.ENOSPC, half=True)
         faults.arm(0, 1)
         journal.opened(open_entry("b"))
         while faults.left != 0:
             await asyncio.sleep(0.001)
         assert "a" in attempts(tmp_path), "as a process that is killed here leaves it"
-        await written(journal)
+        await wait_until_written(journal)
         assert attempts(tmp_path) == {"a", "b"}
         end_process(journal)
 
@@ -125,16 +125,16 @@
         former = Journal(tmp_path, "n0", print)
         former.begin()
         former.opened(open_entry("a"))
-        await written(former)
+        await wait_until_written(former)
         end_process(former)
         faults = Faults(monkeypatch, call, number)
         faults.arm(0, 3)
         journal = Journal(tmp_path, "n0", print)
         found = journal.begin()
         assert "a" in attempts(tmp_path), "the former file stays until this one stands"
-        await written(journal)
+        await wait_until_written(journal)
         found += await journal.take_over()
-        await written(journal)
+        await wait_until_written(journal)
         assert [entry.attempt for entry in found] == ["a"] and attempts(tmp_path) == {"a"}
         assert len(list(tmp_path.glob("*.open"))) == 1
         end_process(journal)
@@ -164,7 +164,7 @@
 
         monkeypatch.setattr(threading.Thread, "start", start)
         journal.opened(open_entry("a"))
-        await written(journal)
+        await wait_until_written(journal)
         assert attempts(tmp_path) == {"a"} and failures < 0
         end_process(journal)
 
