--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -63,7 +63,7 @@
     run(test())
 
 
-def test_a_successor_takes_over_what_the_former_left_once_that_has_ended(tmp_path: Path) -> None:
+def test_a_successor_takes_over_entries_once_the_former_process_has_ended(tmp_path: Path) -> None:
     async def test() -> None:
         former, other = Journal(tmp_path, "n0", print), Journal(tmp_path, "n0.x", print)
         former.begin()
