--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -93,7 +93,7 @@
     run(test())
 
 
-def test_a_torn_line_and_damage_are_left_out_and_said(tmp_path: Path) -> None:
+def test_incomplete_and_damaged_lines_are_skipped_and_logged(tmp_path: Path) -> None:
     async def test() -> None:
         lines: list[str] = []
         former = Journal(tmp_path, "n0", print)
