--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -134,7 +134,7 @@
     run(test())
 
 
-def test_a_disk_that_is_full_is_said_and_the_line_is_written_once_there_is_room(
+def test_a_full_disk_is_logged_and_the_line_is_written_once_there_is_space(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         lines: list[str] = []
