--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -162,7 +162,7 @@
     run(test())
 
 
-def test_a_newer_journal_and_a_folder_that_is_none_are_named(tmp_path: Path) -> None:
+def test_a_newer_journal_and_an_unusable_folder_are_reported(tmp_path: Path) -> None:
     (tmp_path / "n0.abcd.open").write_text('{"version": 2}\n')
     with pytest.raises(JournalError, match="expected version 1, got 2"):
         Journal(tmp_path, "n0", print).begin()
