--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -20,7 +20,7 @@
 ERRORS = (errno.ENOSPC, errno.EIO, errno.ENFILE)
 
 
-class Faults:
+class FailingCalls:
     """From the `first` call of a kind on, `count` of them fail; one that fails half writes a half first."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, number: int, half: bool = False) -> None:
@@ -60,7 +60,7 @@
 def test_what_is_taken_stands_once_calls_succeed(
         call: str, number: int, first: int, count: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        faults = Faults(monkeypatch, call, number)
+        faults = FailingCalls(monkeypatch, call, number)
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
         faults.arm(first, count)
@@ -103,7 +103,7 @@
         journal.begin()
         journal.opened(open_entry("a"))
         await wait_until_written(journal)
-        faults = Faults(monkeypatch, "write", errno.ENOSPC, half=True)
+        faults = FailingCalls(monkeypatch, "write", errno.ENOSPC, half=True)
         faults.arm(0, 1)
         journal.opened(open_entry("b"))
         while faults.left != 0:
@@ -127,7 +127,7 @@
         former.opened(open_entry("a"))
         await wait_until_written(former)
         end_process(former)
-        faults = Faults(monkeypatch, call, number)
+        faults = FailingCalls(monkeypatch, call, number)
         faults.arm(0, 3)
         journal = Journal(tmp_path, "n0", print)
         found = journal.begin()
