--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -48,7 +48,7 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.001)
 
 
