--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("first", range(4))
 @pytest.mark.parametrize("number", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_what_is_taken_stands_once_calls_succeed(
+def test_accepted_entries_are_on_disk_once_calls_succeed(
         call: str, number: int, first: int, count: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         faults = FailingCalls(monkeypatch, call, number)
