--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -79,7 +79,7 @@
 
 # Guards against lines that are cut off where the system takes a part of a write, in an append and in a rewrite.
 @pytest.mark.parametrize("spoilt", [False, True])
-def test_a_short_write_goes_on(spoilt: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partial_write_is_completed(spoilt: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
