--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -97,7 +97,7 @@
 
 
 # Guards against half a line that makes those behind it unreadable, and a process killed before it is written again.
-def test_half_a_line_costs_no_other_and_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_line_damages_no_other_and_is_rewritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
