--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -119,7 +119,7 @@
 # Guards against a process that does not start as the disk is full or fails just then.
 @pytest.mark.parametrize("number", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_a_start_on_a_disk_that_fails_for_a_moment_takes_over_what_was_left(
+def test_a_start_during_a_transient_disk_fault_takes_over_open_entries(
         call: str, number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         former = Journal(tmp_path, "n0", print)
