--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -142,7 +142,7 @@
     run(test())
 
 
-def test_a_folder_that_will_not_do_still_ends_the_start(tmp_path: Path) -> None:
+def test_an_unusable_folder_makes_the_start_fail(tmp_path: Path) -> None:
     (tmp_path / "a file").touch()
     with pytest.raises(JournalError):
         Journal(tmp_path / "a file" / "open", "n0", print).begin()
