--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -149,7 +149,7 @@
 
 
 # Guards against entries that are forgotten where the system has no thread to give.
-def test_no_thread_for_a_moment_loses_no_entry(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_transient_lack_of_threads_loses_no_entry(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
