--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -11,7 +11,7 @@
 from ironscale.record.model import StoreFailure
 
 
-def opened(path: Path) -> apsw.Connection:
+def open_connection(path: Path) -> apsw.Connection:
     return ConnectionFactory(path).open()
 
 
@@ -20,7 +20,7 @@
 
 
 def committed(path: Path) -> None:
-    connection = opened(path)
+    connection = open_connection(path)
     connection.execute("CREATE TABLE a (b); INSERT INTO a VALUES (1)")
     set_persistent_wal(connection)
     connection.close(True)
@@ -31,15 +31,15 @@
     path = tmp_path / "r.db"
     committed(path)
     assert logged(path).exists()
-    assert opened(path).execute("SELECT b FROM a").fetchall() == [(1,)]
+    assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
 def test_a_connection_that_ends_well_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     committed(path)
-    close_and_remove_wal(opened(path))
+    close_and_remove_wal(open_connection(path))
     assert [one.name for one in tmp_path.iterdir()] == ["r.db"]
-    assert opened(path).execute("SELECT b FROM a").fetchall() == [(1,)]
+    assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
 # Guards against a store that reads its file and refuses every write until the process ends.
@@ -54,7 +54,7 @@
 
     monkeypatch.setattr(apsw, "Connection", ReadOnly)
     with pytest.raises(StoreFailure) as found:
-        opened(path)
+        open_connection(path)
     assert found.value.code == "SQLITE_READONLY"
     monkeypatch.undo()
-    opened(path).execute("INSERT INTO a VALUES (2)")
+    open_connection(path).execute("INSERT INTO a VALUES (2)")
