--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -15,7 +15,7 @@
     return ConnectionFactory(path).open()
 
 
-def logged(path: Path) -> Path:
+def database_with_log(path: Path) -> Path:
     return path.with_name(f"{path.name}-wal")
 
 
@@ -30,7 +30,7 @@
 def test_a_connection_that_ends_by_an_error_leaves_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     committed(path)
-    assert logged(path).exists()
+    assert database_with_log(path).exists()
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
