--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -19,7 +19,7 @@
     return path.with_name(f"{path.name}-wal")
 
 
-def committed(path: Path) -> None:
+def assert_committed(path: Path) -> None:
     connection = open_connection(path)
     connection.execute("CREATE TABLE a (b); INSERT INTO a VALUES (1)")
     set_persistent_wal(connection)
@@ -29,14 +29,14 @@
 # Guards against a log that is removed with what has not been copied, as the index beside it was read only.
 def test_a_connection_that_ends_by_an_error_leaves_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    committed(path)
+    assert_committed(path)
     assert database_with_log(path).exists()
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
 def test_a_connection_that_ends_well_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    committed(path)
+    assert_committed(path)
     close_and_remove_wal(open_connection(path))
     assert [one.name for one in tmp_path.iterdir()] == ["r.db"]
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
@@ -46,7 +46,7 @@
 def test_a_file_that_could_be_opened_for_reading_only_is_no_connection(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "r.db"
-    committed(path)
+    assert_committed(path)
 
     class ReadOnly(apsw.Connection):
         def __init__(self, name: str, flags: int = 0, vfs: str | None = None) -> None:
