--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -27,7 +27,7 @@
 
 
 # Guards against a log that is removed with what has not been copied, as the index beside it was read only.
-def test_a_connection_that_ends_by_an_error_leaves_the_log(tmp_path: Path) -> None:
+def test_a_connection_closed_after_an_error_keeps_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     assert_committed(path)
     assert database_with_log(path).exists()
