--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -34,7 +34,7 @@
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
-def test_a_connection_that_ends_well_leaves_one_file(tmp_path: Path) -> None:
+def test_a_connection_closed_cleanly_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     assert_committed(path)
     close_and_remove_wal(open_connection(path))
