--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -43,7 +43,7 @@
 
 
 # Guards against a store that reads its file and refuses every write until the process ends.
-def test_a_file_that_could_be_opened_for_reading_only_is_no_connection(
+def test_a_file_that_opens_read_only_is_rejected(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "r.db"
     assert_committed(path)
