--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -26,7 +26,7 @@
     (TransactionStep.COMMIT, "40001", "ERROR", NEVER), (TransactionStep.COMMIT, "23505", "ERROR", NEVER),
     (TransactionStep.COMMIT, "25P02", "ERROR", NEVER), (TransactionStep.COMMIT, "40001", "FATAL", UNKNOWN),
 ])
-def test_what_an_sqlstate_says_of_a_write(step: TransactionStep, code: str, severity: str, expected: WriteOutcome) -> None:
+def test_sqlstate_to_write_outcome(step: TransactionStep, code: str, severity: str, expected: WriteOutcome) -> None:
     assert postgres_outcome(step, code, severity) is expected
 
 
