--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -36,7 +36,7 @@
     (TransactionStep.WORK, "40P01", Cause.RETRY), (TransactionStep.COMMIT, "40001", Cause.RETRY), (TransactionStep.WORK, "57014", Cause.TIMEOUT),
     (TransactionStep.CONNECT, "28P01", Cause.UNUSABLE), (TransactionStep.WORK, "42P01", Cause.UNUSABLE), (TransactionStep.WORK, "XX000", Cause.BROKEN),
 ])
-def test_what_an_sqlstate_says_of_the_store(step: TransactionStep, code: str, expected: Cause) -> None:
+def test_sqlstate_to_cause(step: TransactionStep, code: str, expected: Cause) -> None:
     assert postgres_cause(step, code) is expected
 
 
