--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -40,7 +40,7 @@
     assert postgres_cause(step, code) is expected
 
 
-def test_what_sqlites_codes_say() -> None:
+def test_sqlite_result_codes() -> None:
     assert sqlite_outcome(TransactionStep.WORK, "SQLITE_IOERR") is NEVER
     assert sqlite_outcome(TransactionStep.COMMIT, "SQLITE_BUSY") is NEVER
     for name in ("SQLITE_IOERR", "SQLITE_FULL", "SQLITE_CORRUPT", "SQLITE_NOMEM"):
