--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -52,7 +52,7 @@
 # The plan
 
 
-def lost(what: WriteOutcome = UNKNOWN) -> StoreFailure:
+def failure(what: WriteOutcome = UNKNOWN) -> StoreFailure:
     return StoreFailure(what, Cause.BROKEN, "it broke\nin two lines", "X")
 
 
@@ -69,32 +69,32 @@
 def test_what_never_ran_is_told_and_not_asked() -> None:
     plan = Attempt(10.0)
     plan.begin(9.7)
-    assert isinstance(plan.write_failed(9.8, lost(NEVER)), Done)
+    assert isinstance(plan.write_failed(9.8, failure(NEVER)), Done)
     assert plan.outcome is AttemptOutcome.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
 
 
 def test_what_is_not_known_is_asked_until_the_store_says_also_after_its_time() -> None:
     plan = Attempt(10.0)
     plan.begin(9.0)
-    step = plan.write_failed(9.5, lost())
+    step = plan.write_failed(9.5, failure())
     now, waits = 9.5, []
     for _ in range(40):
         assert isinstance(step, QueryOutcome) and plan.outcome is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
-        step = plan.query_failed(now, lost(NEVER), 1.0)  # a question that never ran says nothing of the attempt
+        step = plan.query_failed(now, failure(NEVER), 1.0)  # a question that never ran says nothing of the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
     assert isinstance(plan.query_answered(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
     other = Attempt(1.0)
-    other.write_failed(0.5, lost())
+    other.write_failed(0.5, failure())
     assert isinstance(other.query_answered(None), Done) and other.outcome is AttemptOutcome.NEVER_RAN
 
 
 def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
     plan = Attempt(10.0)
-    step = plan.write_failed(8.0, lost())
+    step = plan.write_failed(8.0, failure())
     assert isinstance(step, QueryOutcome) and step.until == 10.0
-    step = plan.query_failed(9.9, lost(), 0.0)
+    step = plan.query_failed(9.9, failure(), 0.0)
     assert isinstance(step, QueryOutcome) and 9.9 < step.at < 10.0 and step.until - step.at == pytest.approx(0.25)
 
 
