--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -129,7 +129,7 @@
 # The history checker
 
 
-def stands(one: model.Entry, at_ms: int = 0, state: str = "written") -> Row:
+def row_of(one: model.Entry, at_ms: int = 0, state: str = "written") -> Row:
     return Row(one.attempt, state, one.request, one.kind, one.tenant, one.key, one.effect, one.target, one.body,
                one.fingerprint, one.answer, at_ms, at_ms + one.memory_ms if one.memory_ms else 0, one.slot)
 
@@ -143,7 +143,7 @@
     first, mark = entry("a"), entry("b", "deduplicated")
     repeat = replace(another_attempt(mark), request="c")
     fenced = another_attempt(first)
-    rows = [stands(first), stands(mark), stands(replace(another_attempt(mark), request="d"), 60_000),
+    rows = [row_of(first), row_of(mark), row_of(replace(another_attempt(mark), request="d"), 60_000),
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
     clients = [told(first, "served"), told(mark, "served"), replace(told(repeat, "served"), answer=mark.answer),
                told(entry("e"), "refused"), told(entry("f"), "failed")]
@@ -160,7 +160,7 @@
     attempts = [entry("a")]
     attempts.append(another_attempt(attempts[0]))
     (fault,) = history_check.find_violations([told(attempts[i], what) for what, i in clients],
-                                    [stands(attempts[i], at) for i, at in rows],
+                                    [row_of(attempts[i], at) for i, at in rows],
                                     {attempts[i].attempt: what for i, what in outcomes.items()})
     assert fault.startswith(expected)
 
@@ -168,6 +168,6 @@
 def test_a_keyed_effect_written_twice_within_its_memory_and_a_wrong_answer_are_found() -> None:
     first = entry("a", "deduplicated")
     second = replace(another_attempt(first), request="b")
-    assert history_check.find_violations([], [stands(first, 0), stands(second, 59_999)])[0].startswith("written twice")
-    assert history_check.find_violations([], [stands(first, 0), stands(second, 60_000)]) == []
-    assert history_check.find_violations([replace(told(first, "served"), answer=b"x")], [stands(first)])[0].startswith("answer")
+    assert history_check.find_violations([], [row_of(first, 0), row_of(second, 59_999)])[0].startswith("written twice")
+    assert history_check.find_violations([], [row_of(first, 0), row_of(second, 60_000)]) == []
+    assert history_check.find_violations([replace(told(first, "served"), answer=b"x")], [row_of(first)])[0].startswith("answer")
