--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -134,7 +134,7 @@
                one.fingerprint, one.answer, at_ms, at_ms + one.memory_ms if one.memory_ms else 0, one.slot)
 
 
-def told(one: model.Entry, what: str) -> history_check.ClientReport:
+def report_of(one: model.Entry, what: str) -> history_check.ClientReport:
     return history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint, what,
                               one.answer if what == history_check.SERVED else b"")
 
@@ -145,8 +145,8 @@
     fenced = another_attempt(first)
     rows = [row_of(first), row_of(mark), row_of(replace(another_attempt(mark), request="d"), 60_000),
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
-    clients = [told(first, "served"), told(mark, "served"), replace(told(repeat, "served"), answer=mark.answer),
-               told(entry("e"), "refused"), told(entry("f"), "failed")]
+    clients = [report_of(first, "served"), report_of(mark, "served"), replace(report_of(repeat, "served"), answer=mark.answer),
+               report_of(entry("e"), "refused"), report_of(entry("f"), "failed")]
     assert history_check.find_violations(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
 
 
@@ -159,7 +159,7 @@
                                        outcomes: dict[int, str]) -> None:
     attempts = [entry("a")]
     attempts.append(another_attempt(attempts[0]))
-    (fault,) = history_check.find_violations([told(attempts[i], what) for what, i in clients],
+    (fault,) = history_check.find_violations([report_of(attempts[i], what) for what, i in clients],
                                     [row_of(attempts[i], at) for i, at in rows],
                                     {attempts[i].attempt: what for i, what in outcomes.items()})
     assert fault.startswith(expected)
@@ -170,4 +170,4 @@
     second = replace(another_attempt(first), request="b")
     assert history_check.find_violations([], [row_of(first, 0), row_of(second, 59_999)])[0].startswith("written twice")
     assert history_check.find_violations([], [row_of(first, 0), row_of(second, 60_000)]) == []
-    assert history_check.find_violations([replace(told(first, "served"), answer=b"x")], [row_of(first)])[0].startswith("answer")
+    assert history_check.find_violations([replace(report_of(first, "served"), answer=b"x")], [row_of(first)])[0].startswith("answer")
