--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -66,7 +66,7 @@
         assert plan.outcome is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
 
 
-def test_what_never_ran_is_told_and_not_asked() -> None:
+def test_a_write_that_never_ran_is_reported_without_a_query() -> None:
     plan = Attempt(10.0)
     plan.begin(9.7)
     assert isinstance(plan.write_failed(9.8, failure(NEVER)), Done)
