--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -73,7 +73,7 @@
     assert plan.outcome is AttemptOutcome.NEVER_RAN and plan.cause is Cause.BROKEN and "\n" not in plan.detail
 
 
-def test_what_is_not_known_is_asked_until_the_store_says_also_after_its_time() -> None:
+def test_an_unknown_outcome_is_queried_until_known_even_after_the_deadline() -> None:
     plan = Attempt(10.0)
     plan.begin(9.0)
     step = plan.write_failed(9.5, failure())
