--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -90,7 +90,7 @@
     assert isinstance(other.query_answered(None), Done) and other.outcome is AttemptOutcome.NEVER_RAN
 
 
-def test_the_time_for_a_question_ends_with_the_request_while_that_is_open() -> None:
+def test_a_query_before_the_deadline_times_out_at_the_deadline() -> None:
     plan = Attempt(10.0)
     step = plan.write_failed(8.0, failure())
     assert isinstance(step, QueryOutcome) and step.until == 10.0
