--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -114,7 +114,7 @@
     assert names == sorted(names) and len(set(names)) == 6 and {len(name) for name in names} == {32}
 
 
-def test_another_store_takes_only_its_share() -> None:
+def test_an_added_store_takes_over_only_its_own_share() -> None:
     about = [f"t{i}" for i in range(3_000)]
     before = [routes.choose_store(("a", "b", "c"), name) for name in about]
     after = [routes.choose_store(("a", "b", "c", "d"), name) for name in about]
