--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -139,7 +139,7 @@
                               one.answer if what == history_check.SERVED else b"")
 
 
-def test_a_history_that_keeps_the_rules_has_no_faults() -> None:
+def test_a_consistent_history_has_no_violations() -> None:
     first, mark = entry("a"), entry("b", "deduplicated")
     repeat = replace(another_attempt(mark), request="c")
     fenced = another_attempt(first)
