--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -155,7 +155,7 @@
     ("refused", [("refused", 0)], [(0, 0)], {}), ("conflict", [("conflict", 0)], [(0, 0)], {}),
     ("outcome", [], [(0, 0)], {0: "never ran"}),
 ])
-def test_each_break_of_a_rule_is_found(expected: str, clients: list[tuple[str, int]], rows: list[tuple[int, int]],
+def test_each_violated_rule_is_found(expected: str, clients: list[tuple[str, int]], rows: list[tuple[int, int]],
                                        outcomes: dict[int, str]) -> None:
     attempts = [entry("a")]
     attempts.append(another_attempt(attempts[0]))
