--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -165,7 +165,7 @@
     assert fault.startswith(expected)
 
 
-def test_a_keyed_effect_written_twice_within_its_memory_and_a_wrong_answer_are_found() -> None:
+def test_a_key_written_twice_before_its_expiry_and_a_wrong_answer_are_found() -> None:
     first = entry("a", "deduplicated")
     second = replace(another_attempt(first), request="b")
     assert history_check.find_violations([], [row_of(first, 0), row_of(second, 59_999)])[0].startswith("written twice")
