--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -30,7 +30,7 @@
     asyncio.run(asyncio.wait_for(work, 60))
 
 
-async def soon(seconds: float) -> float:
+async def deadline_in(seconds: float) -> float:
     return asyncio.get_running_loop().time() + seconds
 
 
@@ -147,10 +147,10 @@
             stalled(transaction)
             return found
 
-        first = asyncio.create_task(store.writer.run(work, await soon(0.3)))
+        first = asyncio.create_task(store.writer.run(work, await deadline_in(0.3)))
         await reached(stalled)
         with pytest.raises(StoreFailure) as second:
-            await store.write(waiting, await soon(0.05))
+            await store.write(waiting, await deadline_in(0.05))
         assert (second.value.outcome, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
         with pytest.raises(StoreFailure) as unknown:
             await first
