--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -121,7 +121,7 @@
     run(test())
 
 
-class Stalled:
+class StalledJob:
     """Holds the writer's thread within a piece of work, as a disk that hangs would."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         assert self.go.wait(30)
 
 
-async def reached(stalled: Stalled) -> None:
+async def reached(stalled: StalledJob) -> None:
     while not stalled.reached.is_set():
         await asyncio.sleep(0.001)
 
@@ -140,7 +140,7 @@
 def test_what_has_not_begun_in_time_never_runs_and_what_has_is_not_known(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
-        held, stalled, waiting = entry("held"), Stalled(), entry("waiting")
+        held, stalled, waiting = entry("held"), StalledJob(), entry("waiting")
 
         def work(transaction: Transaction) -> object:
             found = sqlite.write(held)(transaction)
@@ -166,7 +166,7 @@
 def test_the_queue_is_bounded_and_says_so_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", most_queued=5)
-        stalled = Stalled()
+        stalled = StalledJob()
         first = asyncio.create_task(store.writer.run(stalled))
         await reached(stalled)
         waiting = [asyncio.create_task(store.write(entry())) for _ in range(5)]
