--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -132,7 +132,7 @@
         assert self.go.wait(30)
 
 
-async def reached(stalled: StalledJob) -> None:
+async def wait_until_stalled(stalled: StalledJob) -> None:
     while not stalled.reached.is_set():
         await asyncio.sleep(0.001)
 
@@ -148,7 +148,7 @@
             return found
 
         first = asyncio.create_task(store.writer.run(work, await deadline_in(0.3)))
-        await reached(stalled)
+        await wait_until_stalled(stalled)
         with pytest.raises(StoreFailure) as second:
             await store.write(waiting, await deadline_in(0.05))
         assert (second.value.outcome, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
@@ -168,7 +168,7 @@
         store = SqliteStore(tmp_path / "r.db", most_queued=5)
         stalled = StalledJob()
         first = asyncio.create_task(store.writer.run(stalled))
-        await reached(stalled)
+        await wait_until_stalled(stalled)
         waiting = [asyncio.create_task(store.write(entry())) for _ in range(5)]
         await asyncio.sleep(0)
         with pytest.raises(StoreFailure, match="5 writes wait already") as full:
