--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize(("make", "code"), [
     (lambda path: path.write_bytes(b"no database" * 1000), "SQLITE_NOTADB"),
     (lambda path: sqlite3.connect(path).execute("CREATE TABLE other (x)"), "FOREIGN"),
-    (lambda path: newer(path), "NEWER"), (lambda path: path.mkdir(), "SQLITE_CANTOPEN"),
+    (lambda path: make_newer(path), "NEWER"), (lambda path: path.mkdir(), "SQLITE_CANTOPEN"),
 ])
 def test_a_file_that_is_not_ours_is_named_and_left_as_it_was(
         make: Callable[[Path], object], code: str, tmp_path: Path) -> None:
@@ -241,7 +241,7 @@
         assert path.read_bytes() == before
 
 
-def newer(path: Path) -> None:
+def make_newer(path: Path) -> None:
     connection = ConnectionFactory(path, migrate).open()
     connection.execute("PRAGMA user_version = 99")
     connection.close()
