--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -60,7 +60,7 @@
     run(test())
 
 
-def test_a_key_is_free_again_once_its_memory_ran_out_and_the_old_record_stays(tmp_path: Path) -> None:
+def test_an_expired_key_can_be_reused_and_the_old_record_stays(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         first = entry("a", "deduplicated", memory_ms=30)
