--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -82,7 +82,7 @@
     run(test())
 
 
-def test_the_fence_keeps_a_late_write_out_and_asking_twice_is_harmless(tmp_path: Path) -> None:
+def test_the_fence_blocks_a_late_write_and_queries_are_idempotent(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         late = entry("a")
