--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -99,7 +99,7 @@
     run(test())
 
 
-def test_what_waits_shares_a_commit_and_one_bad_piece_of_work_spoils_no_other(tmp_path: Path) -> None:
+def test_queued_jobs_share_a_commit_and_a_failing_job_affects_no_other(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         await store.write(entry())
