--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -137,7 +137,7 @@
         await asyncio.sleep(0.001)
 
 
-def test_what_has_not_begun_in_time_never_runs_and_what_has_is_not_known(tmp_path: Path) -> None:
+def test_at_the_deadline_a_queued_write_never_runs_and_a_started_one_is_unknown(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         held, stalled, waiting = entry("held"), StalledJob(), entry("waiting")
