--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -163,7 +163,7 @@
     run(test())
 
 
-def test_the_queue_is_bounded_and_says_so_at_once(tmp_path: Path) -> None:
+def test_a_full_queue_refuses_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", most_queued=5)
         stalled = StalledJob()
