--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -182,7 +182,7 @@
     run(test())
 
 
-def test_a_busy_file_is_told_as_a_refusal_and_used_again(tmp_path: Path) -> None:
+def test_a_locked_file_refuses_writes_and_is_used_again(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", busy_ms=20)
         await store.write(entry("a"))
