--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -222,7 +222,7 @@
     (lambda path: sqlite3.connect(path).execute("CREATE TABLE other (x)"), "FOREIGN"),
     (lambda path: make_newer(path), "NEWER"), (lambda path: path.mkdir(), "SQLITE_CANTOPEN"),
 ])
-def test_a_file_that_is_not_ours_is_named_and_left_as_it_was(
+def test_a_foreign_file_is_reported_and_left_unchanged(
         make: Callable[[Path], object], code: str, tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     make(path)
