--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -247,7 +247,7 @@
     connection.close()
 
 
-def test_a_migration_that_is_cut_off_leaves_the_former_schema(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_interrupted_migration_leaves_the_old_schema(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sqlite.SQL, "migrations", lambda version: ["CREATE TABLE records (x)", "no SQL at all"])
     with pytest.raises(apsw.SQLError):
         ConnectionFactory(tmp_path / "r.db", migrate).open()
