--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -288,7 +288,7 @@
 """
 
 
-def test_killed_at_any_moment_what_was_confirmed_is_there(tmp_path: Path) -> None:
+def test_confirmed_records_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     path, confirmed = tmp_path / "r.db", set()
     for turn in range(6):
         process = subprocess.Popen([sys.executable, "-c", WRITING, str(path), str(turn)], cwd=ROOT,
