--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -311,7 +311,7 @@
 # Checkpoints, backup, verify
 
 
-def test_the_log_is_copied_beside_the_writer_and_stays_bounded(tmp_path: Path) -> None:
+def test_checkpoints_run_in_parallel_to_the_writer_and_bound_the_log(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50, longest_log_pages=400)
         for _ in range(300):
