--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -346,7 +346,7 @@
 
 
 @pytest.mark.parametrize("same_process", [True, False])
-def test_the_log_stays_bounded_while_another_one_copies_it_slowly(
+def test_the_log_stays_bounded_during_slow_checkpoints_of_others(
         same_process: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A checkpoint is under way whenever the writer comes to the bound: its own copier's, or another process's."""
     slow, over = SlowDisk(), threading.Event()
