--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -385,7 +385,7 @@
     slow.unregister()
 
 
-def test_a_backup_made_while_it_is_written_is_whole_and_can_be_restored(tmp_path: Path) -> None:
+def test_a_backup_during_writes_is_complete_and_can_be_restored(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         written: list[str] = []
