--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -427,7 +427,7 @@
     ("UPDATE records SET body = x'00'", "fingerprint"), ("UPDATE records SET slot = NULL", "lost its slot"),
     ("UPDATE records SET until_ms = 5", "remembered until"),
 ])
-def test_verify_names_what_was_changed_behind_its_back(sql: str, text: str, tmp_path: Path) -> None:
+def test_verify_reports_external_changes(sql: str, text: str, tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         one = entry()
