--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -459,7 +459,7 @@
     run(test())
 
 
-def test_nothing_is_made_of_a_store_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_store_is_not_created(tmp_path: Path) -> None:
     for act in (reader, verify, lambda path: backup(path, tmp_path / "copy.db")):
         with pytest.raises(StoreFailure, match="expected a store of record, got no file"):
             act(tmp_path / "none.db")
