--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -23,7 +23,7 @@
 LONG = 20.0
 
 
-def by(seconds: float) -> float:
+def deadline_in(seconds: float) -> float:
     return asyncio.get_running_loop().time() + seconds
 
 
@@ -36,11 +36,11 @@
     async def test() -> None:
         host = await Host(password="s3cret-word").start()
         store = PostgresStore(ConnectionOptions(dsn(host), "s3cret-word"))
-        assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
+        assert (await store.write(entry("a"), deadline_in(LONG))).verdict is Verdict.WRITTEN
         await store.close()
         wrong = PostgresStore(ConnectionOptions(dsn(host), "wr0ng-word"))
         with pytest.raises(StoreFailure, match="password authentication failed") as found:
-            await wrong.write(entry("b"), by(LONG))
+            await wrong.write(entry("b"), deadline_in(LONG))
         assert (found.value.outcome, found.value.cause, found.value.code) == (NEVER, Cause.UNREACHABLE, "") or (
             found.value.cause is Cause.UNUSABLE)
         assert "wr0ng" not in str(found.value) and "wr0ng" not in repr(found.value)
@@ -62,7 +62,7 @@
 def test_the_stand_in_refuses_what_it_does_not_know_and_keeps_to_the_protocol() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("a"), by(LONG))
+            await store.write(entry("a"), deadline_in(LONG))
             connection = await psycopg.AsyncConnection.connect(dsn(host), autocommit=True)
             for sql, code in (("VACUUM", "0A000"), ("SELECT x FROM missing", "42P01"), ("SELEC", "0A000"),
                               ("BEGIN ISOLATION LEVEL SERIALIZABLE", "0A000"), ("SHOW shared_buffers", "42704")):
@@ -91,7 +91,7 @@
 def test_an_insert_waits_for_an_open_transaction_on_the_same_value_and_a_deadlock_is_found() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("first"), by(LONG))
+            await store.write(entry("first"), deadline_in(LONG))
             one, two = [await psycopg.AsyncConnection.connect(dsn(host), autocommit=True) for _ in range(2)]
             insert = store_sql = postgres.SQL.void
             for connection in (one, two):
@@ -118,16 +118,16 @@
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             first = entry("a", body=bytes(range(256)) * 256)
-            assert (await store.write(first, by(LONG))).verdict is Verdict.WRITTEN
-            assert (await store.write(another_attempt(first), by(LONG))).verdict is Verdict.REPEAT
-            assert (await store.write(entry("a", body=b"other"), by(LONG))).verdict is Verdict.CONFLICT
+            assert (await store.write(first, deadline_in(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(another_attempt(first), deadline_in(LONG))).verdict is Verdict.REPEAT
+            assert (await store.write(entry("a", body=b"other"), deadline_in(LONG))).verdict is Verdict.CONFLICT
             mark = entry("b", "deduplicated", memory_ms=60_000)
-            await store.write(mark, by(LONG))
-            repeat = await store.write(entry("c", "deduplicated"), by(LONG))
+            await store.write(mark, deadline_in(LONG))
+            repeat = await store.write(entry("c", "deduplicated"), deadline_in(LONG))
             assert repeat.verdict is Verdict.REPEAT and repeat.answer == mark.answer
             host.data.skew_ms = 60_001  # its memory has run out by the store's clock, which alone counts
-            assert (await store.write(entry("d", "deduplicated", body=b"new"), by(LONG))).verdict is Verdict.WRITTEN
-            assert await store.ask(mark.attempt, by(LONG)) == mark.answer
+            assert (await store.write(entry("d", "deduplicated", body=b"new"), deadline_in(LONG))).verdict is Verdict.WRITTEN
+            assert await store.ask(mark.attempt, deadline_in(LONG)) == mark.answer
             assert written_requests(host.data) == ["a", "b", "d"]
             assert store.connections.opened == 1
 
@@ -138,13 +138,13 @@
     """One has seen that the key's memory ran out; before it frees the slot, another has freed and used it."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("first", "deduplicated", memory_ms=1_000), by(LONG))
+            await store.write(entry("first", "deduplicated", memory_ms=1_000), deadline_in(LONG))
             host.data.skew_ms = 1_001
             gate = StatementGate("update")
             host.hook = gate
-            slow = asyncio.create_task(store.write(entry("slow", "deduplicated"), by(LONG)))
+            slow = asyncio.create_task(store.write(entry("slow", "deduplicated"), deadline_in(LONG)))
             await gate.reached.wait()
-            quick = await store.write(entry("quick", "deduplicated", memory_ms=60_000), by(LONG))
+            quick = await store.write(entry("quick", "deduplicated", memory_ms=60_000), deadline_in(LONG))
             assert quick.verdict is Verdict.WRITTEN
             gate.go.set()
             found = await slow
@@ -159,7 +159,7 @@
         async with postgres_store() as (store, (host,)):
             other = PostgresStore(ConnectionOptions(dsn(host)))
             for i in range(40):
-                found = await asyncio.gather(*(one.write(entry("", "deduplicated", key=f"k{i}"), by(LONG))
+                found = await asyncio.gather(*(one.write(entry("", "deduplicated", key=f"k{i}"), deadline_in(LONG))
                                                for one in (store, other)))
                 assert sorted(one.verdict.value for one in found) == ["repeat", "written"]
             assert len(written_requests(host.data)) == 40
@@ -176,8 +176,8 @@
         async with postgres_store() as (store, (host,)):
             changes: dict[str, object] = {field: text.encode() if field == "body" else text}
             one = entry(**{"request": "r", "effect": "deduplicated", **changes})  # type: ignore[arg-type]
-            assert (await store.write(one, by(LONG))).verdict is Verdict.WRITTEN
-            assert (await store.write(another_attempt(one), by(LONG))).verdict is Verdict.REPEAT
+            assert (await store.write(one, deadline_in(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(another_attempt(one), deadline_in(LONG))).verdict is Verdict.REPEAT
             (found,), = host.data.all(f"SELECT {field} FROM records WHERE state = 'written'")
             assert found == changes[field]
 
@@ -192,10 +192,10 @@
                 one = entry(f"{kind} {after}")
                 host.hook = StatementFault(kind, after=after)
                 with pytest.raises(StoreFailure) as found:
-                    await store.write(one, by(LONG))
+                    await store.write(one, deadline_in(LONG))
                 assert (found.value.outcome, found.value.cause) == (expected, Cause.BROKEN), (kind, after)
                 host.hook = None
-                answer = await store.ask(one.attempt, by(LONG))
+                answer = await store.ask(one.attempt, deadline_in(LONG))
                 assert (answer is not None) == ((kind, after) == ("commit", True))
             assert written_requests(host.data) == ["commit True"]
 
@@ -212,13 +212,13 @@
                                                       cause: Cause) -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             host.hook = StatementFault(kind, SqlError(code, "by the script", severity))
             with pytest.raises(StoreFailure) as found:
-                await store.write(entry("a"), by(LONG))
+                await store.write(entry("a"), deadline_in(LONG))
             assert (found.value.outcome, found.value.cause, found.value.code) == (known, cause, code)
             # the connection is not used again, nor is what it held kept
-            assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert written_requests(host.data) == ["after", "before"]
 
     run(test)
@@ -227,7 +227,7 @@
 def test_a_commit_that_the_server_turns_into_a_rollback_is_no_commit() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
 
             async def work(turn: TransactionRun) -> None:
                 await turn.execute(postgres.SQL.void, ("kept",))
@@ -236,7 +236,7 @@
                 await turn.commit()
 
             with pytest.raises(StoreFailure, match="expected COMMIT, got ROLLBACK") as found:
-                await store.run(work, by(LONG))
+                await store.run(work, deadline_in(LONG))
             assert found.value.outcome is NEVER
             assert host.data.all("SELECT count(*) FROM records WHERE attempt = 'kept'") == [(0,)]
 
@@ -250,13 +250,13 @@
     """The COMMIT is held by the server past the client's time; the question waits for it, then says what it did."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             late, gate = entry("late"), StatementGate("commit")
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
-                await store.write(late, by(0.2))
+                await store.write(late, deadline_in(0.2))
             assert (found.value.outcome, found.value.cause) == (UNKNOWN, Cause.TIMEOUT)
-            question = asyncio.create_task(store.ask(late.attempt, by(LONG)))
+            question = asyncio.create_task(store.ask(late.attempt, deadline_in(LONG)))
             await until(lambda: any(s.waits_for is not None for s in host.sessions.values()))
             assert not question.done()
             gate.go.set()  # it comes through after all
@@ -269,12 +269,12 @@
 def test_an_insert_that_arrives_after_the_mark_finds_it() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             late, gate = entry("late"), StatementGate("insert")
             host.hook = gate
-            writing = asyncio.create_task(store.write(late, by(LONG)))
+            writing = asyncio.create_task(store.write(late, deadline_in(LONG)))
             await gate.reached.wait()
-            assert await store.ask(late.attempt, by(LONG)) is None
+            assert await store.ask(late.attempt, deadline_in(LONG)) is None
             gate.go.set()
             assert (await writing).verdict is Verdict.FENCED
             assert written_requests(host.data) == ["before"]
@@ -285,15 +285,15 @@
 def test_a_question_whose_own_outcome_is_not_known_can_be_asked_again() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             lost = entry("lost")
             for after in (False, True):
                 host.hook = StatementFault("commit", after=after)
                 with pytest.raises(StoreFailure):
-                    await store.ask(lost.attempt, by(LONG))
+                    await store.ask(lost.attempt, deadline_in(LONG))
             host.hook = None
-            assert await store.ask(lost.attempt, by(LONG)) is None
-            assert (await store.write(lost, by(LONG))).verdict is Verdict.FENCED
+            assert await store.ask(lost.attempt, deadline_in(LONG)) is None
+            assert (await store.write(lost, deadline_in(LONG))).verdict is Verdict.FENCED
 
     run(test)
 
@@ -304,19 +304,19 @@
 def test_a_stalled_statement_is_cancelled_and_its_connection_never_used_again() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             holder = await psycopg.AsyncConnection.connect(dsn(host), autocommit=True)
             one = entry("a")
             await holder.execute("BEGIN")
             await holder.execute(postgres.SQL.void, (one.attempt,))
             with pytest.raises(StoreFailure) as found:
-                await store.write(one, by(0.2))
+                await store.write(one, deadline_in(0.2))
             assert (found.value.outcome, found.value.cause) == (NEVER, Cause.TIMEOUT)
             await until(lambda: not store.tasks)
             assert host.cancels == 1 or found.value.code == "57014"  # or the deadline that went down came first
             await holder.execute("ROLLBACK")
             await holder.close()
-            assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert written_requests(host.data) == ["after", "before"] and store.connections.opened == 2
 
     run(test)
@@ -326,15 +326,15 @@
     """The server has the COMMIT and carries it out; the cancel request reaches it meanwhile."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             one, gate = entry("a"), StatementGate("commit")
             host.hook = gate
             with pytest.raises(StoreFailure) as found:
-                await store.write(one, by(0.2))
+                await store.write(one, deadline_in(0.2))
             assert found.value.outcome is UNKNOWN
             await until(lambda: host.cancels == 1)
             gate.go.set()
-            assert await store.ask(one.attempt, by(LONG)) == one.answer
+            assert await store.ask(one.attempt, deadline_in(LONG)) == one.answer
 
     run(test)
 
@@ -342,18 +342,18 @@
 def test_a_server_that_says_nothing_more_holds_up_nothing_past_its_time() -> None:
     async def test() -> None:
         async with postgres_store(most=2) as (store, (host,)):
-            await store.write(entry("before"), by(LONG))
+            await store.write(entry("before"), deadline_in(LONG))
             gate = StatementGate("insert", times=100)
             host.hook = gate
             began = time.monotonic()
-            found = await asyncio.gather(*(store.write(entry(), by(0.3)) for _ in range(6)), return_exceptions=True)
+            found = await asyncio.gather(*(store.write(entry(), deadline_in(0.3)) for _ in range(6)), return_exceptions=True)
             assert [(type(one), one.outcome) for one in found if isinstance(one, StoreFailure)] == [(StoreFailure, NEVER)] * 6
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
             await until(lambda: not store.tasks)  # nothing is left running
             assert len(host.sessions) <= 2
-            assert (await store.write(entry("after"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
 
     run(test)
 
@@ -365,13 +365,13 @@
     async def test() -> None:
         async with postgres_store(2) as (store, (first, second)):
             first.read_only = True
-            assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("a"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert second.data.commits and not first.sessions
             first.read_only, second.read_only = False, True  # the standby is promoted, this one demoted
             with pytest.raises(StoreFailure) as found:
-                await store.write(entry("b"), by(LONG))
+                await store.write(entry("b"), deadline_in(LONG))
             assert (found.value.outcome, found.value.cause, found.value.code) == (NEVER, Cause.TURNED_AWAY, "25006")
-            assert (await store.write(entry("b"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("b"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert [len(first.sessions), len(second.sessions)] == [1, 0]
 
     run(test)
@@ -380,10 +380,10 @@
 def test_an_idle_connection_that_was_ended_is_not_written_to() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            await store.write(entry("a"), by(LONG))
+            await store.write(entry("a"), deadline_in(LONG))
             await host.end_sessions()
             await until(lambda: postgres.is_stale(store.connections.idle[0][0]))
-            assert (await store.write(entry("b"), by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(entry("b"), deadline_in(LONG))).verdict is Verdict.WRITTEN
 
     run(test)
 
@@ -394,15 +394,15 @@
         port = free_port()
         store = PostgresStore(ConnectionOptions(f"host=127.0.0.1 port={port} user=app"))
         with pytest.raises(StoreFailure) as found:
-            await store.write(entry("a"), by(LONG))
+            await store.write(entry("a"), deadline_in(LONG))
         assert (found.value.outcome, found.value.cause) == (NEVER, Cause.UNREACHABLE)
         host.starting = True
         await host.start(port)
         with pytest.raises(StoreFailure) as found:
-            await store.write(entry("a"), by(LONG))
+            await store.write(entry("a"), deadline_in(LONG))
         assert found.value.outcome is NEVER
         host.starting = False
-        assert (await store.write(entry("a"), by(LONG))).verdict is Verdict.WRITTEN
+        assert (await store.write(entry("a"), deadline_in(LONG))).verdict is Verdict.WRITTEN
         await store.close()
         await host.stop()
 
@@ -415,12 +415,12 @@
     async def test() -> None:
         async with postgres_store() as (store, (old,)):
             confirmed = entry("confirmed")
-            await store.write(entry("both"), by(LONG))
+            await store.write(entry("both"), deadline_in(LONG))
             standby = await Host(old.data.copy()).start()
-            assert (await store.write(confirmed, by(LONG))).verdict is Verdict.WRITTEN
+            assert (await store.write(confirmed, deadline_in(LONG))).verdict is Verdict.WRITTEN
             promoted = PostgresStore(ConnectionOptions(dsn(standby)))
-            assert await promoted.ask(confirmed.attempt, by(LONG)) is None
-            assert (await promoted.write(confirmed, by(LONG))).verdict is Verdict.FENCED
+            assert await promoted.ask(confirmed.attempt, deadline_in(LONG)) is None
+            assert (await promoted.write(confirmed, deadline_in(LONG))).verdict is Verdict.FENCED
             assert written_requests(old.data) == ["both", "confirmed"] and written_requests(standby.data) == ["both"]
             await promoted.close()
             await standby.stop()
@@ -433,7 +433,7 @@
         async with postgres_store() as (_, (host,)):
             store = PostgresStore(ConnectionOptions(dsn(host, sslmode="require"), "s3cret-word"))
             with pytest.raises(StoreFailure, match="does not support SSL") as found:
-                await store.write(entry(), by(LONG))
+                await store.write(entry(), deadline_in(LONG))
             assert found.value.outcome is NEVER and "s3cret" not in str(found.value)
             await store.close()
 
@@ -448,14 +448,14 @@
         data = Data()
         async with postgres_store(data=data) as (store, (host,)):
             others = [PostgresStore(ConnectionOptions(dsn(host))) for _ in range(4)]
-            found = await asyncio.gather(*(one.write(entry(), by(LONG)) for one in (store, *others)))
+            found = await asyncio.gather(*(one.write(entry(), deadline_in(LONG)) for one in (store, *others)))
             assert {one.verdict for one in found} == {Verdict.WRITTEN}
             for other in others:
                 await other.close()
             data.db.execute("UPDATE record_schema SET version = 99")
             newer = PostgresStore(ConnectionOptions(dsn(host)))
             with pytest.raises(StoreFailure, match="expected schema 1 or older, got 99") as refused:
-                await newer.write(entry(), by(LONG))
+                await newer.write(entry(), deadline_in(LONG))
             assert (refused.value.outcome, refused.value.cause) == (NEVER, Cause.UNUSABLE)
             await newer.close()
 
@@ -472,7 +472,7 @@
 
         async with postgres_store(synchronous_commit="remote_apply") as (store, (host,)):
             host.hook = look
-            await store.write(replace(entry("a")), by(2.0))
+            await store.write(replace(entry("a")), deadline_in(2.0))
         assert {one.get("synchronous_commit") for one in seen} == {"remote_apply"}
         assert 0 < int(seen[-1]["statement_timeout"]) <= 2_000
 
