--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -30,7 +30,7 @@
 # The stand-in against the client library
 
 
-def test_password_is_proved_by_scram_and_stands_in_no_error(caplog: pytest.LogCaptureFixture) -> None:
+def test_scram_authentication_and_no_password_in_errors(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG)
 
     async def test() -> None:
