--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -59,7 +59,7 @@
         assert "s3cret" not in str(found.value)
 
 
-def test_the_stand_in_refuses_what_it_does_not_know_and_keeps_to_the_protocol() -> None:
+def test_the_stand_in_refuses_unknown_statements_and_follows_the_protocol() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("a"), deadline_in(LONG))
