--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -134,7 +134,7 @@
     run(test)
 
 
-def test_a_key_that_another_used_anew_meanwhile_is_not_freed_under_it() -> None:
+def test_a_key_reused_concurrently_is_not_freed() -> None:
     """One has seen that the key's memory ran out; before it frees the slot, another has freed and used it."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
