--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -154,7 +154,7 @@
     run(test)
 
 
-def test_two_sidecars_with_one_key_at_one_moment_write_it_once() -> None:
+def test_two_concurrent_sidecars_write_a_key_once() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             other = PostgresStore(ConnectionOptions(dsn(host)))
