--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -184,7 +184,7 @@
     run(test)
 
 
-def test_a_connection_lost_before_commit_never_ran_and_after_it_is_not_known() -> None:
+def test_a_connection_lost_before_commit_never_ran_and_after_it_is_unknown() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             for kind, after, expected in (("begin", False, NEVER), ("insert", False, NEVER), ("insert", True, NEVER),
