--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -208,7 +208,7 @@
     ("insert", "57P01", "FATAL", NEVER, Cause.TURNED_AWAY), ("insert", "53100", "ERROR", NEVER, Cause.TURNED_AWAY),
     ("insert", "42501", "ERROR", NEVER, Cause.UNUSABLE), ("commit", "58030", "ERROR", UNKNOWN, Cause.BROKEN),
 ])
-def test_the_servers_word_is_judged_by_where_it_comes(kind: str, code: str, severity: str, known: WriteOutcome,
+def test_a_server_error_is_classified_by_its_step(kind: str, code: str, severity: str, known: WriteOutcome,
                                                       cause: Cause) -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
