--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -224,7 +224,7 @@
     run(test)
 
 
-def test_a_commit_that_the_server_turns_into_a_rollback_is_no_commit() -> None:
+def test_a_commit_answered_by_rollback_never_ran() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
