--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -246,7 +246,7 @@
 # The fence
 
 
-def test_a_commit_that_arrives_late_loses_against_the_mark() -> None:
+def test_a_late_commit_loses_against_the_void_marker() -> None:
     """The COMMIT is held by the server past the client's time; the question waits for it, then says what it did."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
