--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -266,7 +266,7 @@
     run(test)
 
 
-def test_an_insert_that_arrives_after_the_mark_finds_it() -> None:
+def test_an_insert_after_the_void_marker_is_fenced() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
