--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -282,7 +282,7 @@
     run(test)
 
 
-def test_a_question_whose_own_outcome_is_not_known_can_be_asked_again() -> None:
+def test_a_query_of_unknown_outcome_can_be_repeated() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
