--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -322,7 +322,7 @@
     run(test)
 
 
-def test_a_cancel_that_comes_late_is_not_taken_for_an_outcome() -> None:
+def test_a_late_cancel_request_is_not_taken_for_an_outcome() -> None:
     """The server has the COMMIT and carries it out; the cancel request reaches it meanwhile."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
