--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -339,7 +339,7 @@
     run(test)
 
 
-def test_a_server_that_says_nothing_more_holds_up_nothing_past_its_time() -> None:
+def test_a_silent_server_delays_nothing_beyond_the_deadline() -> None:
     async def test() -> None:
         async with postgres_store(most=2) as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
