--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -361,7 +361,7 @@
 # Hosts that come and go
 
 
-def test_the_host_that_takes_writes_is_found_and_the_other_after_a_failover() -> None:
+def test_the_writable_host_is_found_before_and_after_a_failover() -> None:
     async def test() -> None:
         async with postgres_store(2) as (store, (first, second)):
             first.read_only = True
