--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -377,7 +377,7 @@
     run(test)
 
 
-def test_an_idle_connection_that_was_ended_is_not_written_to() -> None:
+def test_an_idle_connection_closed_by_the_server_is_not_used() -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("a"), deadline_in(LONG))
