--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -388,7 +388,7 @@
     run(test)
 
 
-def test_a_server_that_is_away_or_starting_never_ran_it_and_is_used_as_soon_as_it_is_back() -> None:
+def test_an_unavailable_server_never_ran_the_write_and_is_used_once_it_is_back() -> None:
     async def test() -> None:
         host = Host()
         port = free_port()
