--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -409,7 +409,7 @@
     run(test)
 
 
-def test_split_brain_the_newer_host_has_less_than_was_confirmed_and_what_is_asked_there_is_fenced_there() -> None:
+def test_split_brain_attempts_queried_on_the_promoted_host_are_fenced_there() -> None:
     """What an asynchronous standby lacks is lost with its primary: that is said in the operators' page, not hidden.
     What is promised: on the host that is asked, an attempt found to have never run does not run later."""
     async def test() -> None:
