--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -428,7 +428,7 @@
     run(test)
 
 
-def test_a_server_without_tls_is_told_where_tls_is_asked_for() -> None:
+def test_a_server_without_tls_is_rejected_if_tls_is_required() -> None:
     async def test() -> None:
         async with postgres_store() as (_, (host,)):
             store = PostgresStore(ConnectionOptions(dsn(host, sslmode="require"), "s3cret-word"))
