--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -443,7 +443,7 @@
 # Schema
 
 
-def test_two_that_start_at_once_make_the_schema_once_and_a_newer_one_is_refused() -> None:
+def test_concurrent_starts_create_the_schema_once_and_a_newer_schema_is_refused() -> None:
     async def test() -> None:
         data = Data()
         async with postgres_store(data=data) as (store, (host,)):
