--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -462,7 +462,7 @@
     run(test)
 
 
-def test_the_promise_asked_for_goes_down_with_each_transaction() -> None:
+def test_synchronous_commit_is_set_in_each_transaction() -> None:
     async def test() -> None:
         seen: list[dict[str, str]] = []
 
