--- a/bench/record.py
+++ b/bench/record.py
@@ -125,12 +125,12 @@
 def bench_back(stall_s: float, rate: float, folder: Path) -> None:
     """Open loop through a sidecar on a store that stops answering and comes back."""
     from ironscale.standins.upstream import Peer
-    from tests.record.test_store_dispatcher import QUICK, asked
+    from tests.record.test_store_dispatcher import SHORT_DEADLINE_CLASSES, asked
     from tests.sockets import Scene
 
     async def main() -> None:
         host, peer = await Host().start(), await Peer().start()
-        scene = await Scene().start(peer.entry("up-0"), **{"request-classes": QUICK})
+        scene = await Scene().start(peer.entry("up-0"), **{"request-classes": SHORT_DEADLINE_CLASSES})
         target = StoreConfig("main", postgresql=f"host=127.0.0.1 port={host.port} user=app")
         section = StoresConfig("bench", ("pay",), (target,))
         loop, outcomes, views = asyncio.get_running_loop(), [], []
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -41,7 +41,7 @@
 from tests.record.store_clients import StoreClients
 from tests.sockets import Scene, run, until
 
-QUICK = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
+SHORT_DEADLINE_CLASSES = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
 
 
 def to_postgres(*hosts: Host, name: str = "main", **changes: Any) -> StoreConfig:
@@ -237,7 +237,7 @@
     """The store stalls for 3 s under 200 submissions a second; then it is back without a rush."""
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
-                    running(section, 3, QUICK) as (scene, peers, front)):
+                    running(section, 3, SHORT_DEADLINE_CLASSES) as (scene, peers, front)):
             lane, results = front.dispatchers[0], Counter[str]()
             took: dict[bool, list[float]] = {False: [], True: []}
             phase = {"stalled": False, "end": False, "most_out": 0}
@@ -435,7 +435,7 @@
             for i in range(2):
                 (tmp_path / str(i)).mkdir()
                 scenes.append((await stack.enter_async_context(running(
-                    stores(tmp_path / str(i), to_postgres(host)), classes=QUICK)))[0])
+                    stores(tmp_path / str(i), to_postgres(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
             scenes[1].count = 100_000
             host.hook = weather
 
