--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -44,7 +44,7 @@
 SHORT_DEADLINE_CLASSES = [{**kind, "aim": 400_000, "deadline": 2_000_000} for kind in SETTINGS["request-classes"]]
 
 
-def to_postgres(*hosts: Host, name: str = "main", **changes: Any) -> StoreConfig:
+def postgres_config(*hosts: Host, name: str = "main", **changes: Any) -> StoreConfig:
     return StoreConfig(name, postgresql=dsn(*hosts), **changes)
 
 
@@ -75,7 +75,7 @@
     """One host, and a section that writes to it."""
     host = await Host().start()
     try:
-        yield host, stores(tmp_path, to_postgres(host), **changes)
+        yield host, stores(tmp_path, postgres_config(host), **changes)
     finally:
         await host.stop()
 
@@ -285,7 +285,7 @@
 def test_two_stores_share_by_tenant_and_one_that_stalls_holds_up_the_other_no_more_than_itself(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host().start() for _ in range(2)]
-        section = stores(tmp_path, *(to_postgres(host, name=f"s{i}") for i, host in enumerate(hosts)))
+        section = stores(tmp_path, *(postgres_config(host, name=f"s{i}") for i, host in enumerate(hosts)))
         async with running(section) as (scene, _, front):
             for i in range(40):
                 assert (await scene.send(asked(scene, "pay", org=f"org{i % 10}"))).status == 200
@@ -435,7 +435,7 @@
             for i in range(2):
                 (tmp_path / str(i)).mkdir()
                 scenes.append((await stack.enter_async_context(running(
-                    stores(tmp_path / str(i), to_postgres(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
+                    stores(tmp_path / str(i), postgres_config(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
             scenes[1].count = 100_000
             host.hook = weather
 
@@ -511,13 +511,13 @@
     async def test() -> None:
         host = await Host().start()
         (tmp_path / "a").mkdir()
-        async with running(stores(tmp_path / "a", to_postgres(host), upstreams="last")) as (scene, (peer,), _):
+        async with running(stores(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
             peer.behave = reply(TURNED_AWAY)
             assert (await scene.send(asked(scene, "pay"))).status == 502
             assert written_requests(host.data) == ["t1"]
         await host.stop()
         (tmp_path / "b").mkdir()
-        async with running(stores(tmp_path / "b", to_postgres(host), upstreams="first")) as (scene, (peer,), _):
+        async with running(stores(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
             assert (await scene.send(asked(scene, "pay"))).status == 502  # the store is away, and the upstream ran it
             assert peer.executions["t1"] == 1
             peer.behave = reply(TURNED_AWAY)
