--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -48,7 +48,7 @@
     return StoreConfig(name, postgresql=dsn(*hosts), **changes)
 
 
-def stores(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> StoresConfig:
+def stores_config(tmp_path: Path, *targets: StoreConfig, **changes: Any) -> StoresConfig:
     return StoresConfig("op.toml", **{
         "classes": ("pay", "mark"), "to": targets, "journal": tmp_path / "open", **changes})
 
@@ -75,7 +75,7 @@
     """One host, and a section that writes to it."""
     host = await Host().start()
     try:
-        yield host, stores(tmp_path, postgres_config(host), **changes)
+        yield host, stores_config(tmp_path, postgres_config(host), **changes)
     finally:
         await host.stop()
 
@@ -96,7 +96,7 @@
 
 def test_what_writes_goes_to_the_store_and_what_reads_to_the_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, (peer,), front):
             paid = await scene.send(asked(scene, "pay", b"homework" * 8000))
             assert paid.status == 200 and answered(paid) == {"recorded": "t1", "class": "pay"}
@@ -123,7 +123,7 @@
 def test_what_a_client_sent_before_it_left_is_not_written_if_its_end_has_come(tmp_path: Path) -> None:
     """Both have come before the loop reads either."""
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             with socket.create_connection(("127.0.0.1", scene.port)) as client:
                 client.sendall(asked(scene, "pay"))
@@ -157,7 +157,7 @@
 
 def test_a_store_that_cannot_be_opened_refuses_and_says_when_to_return(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "no" / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "no" / "r.db"))
         async with running(section) as (scene, _, front):
             began = time.monotonic()
             paid = await scene.send(asked(scene, "pay", b"x"))
@@ -285,7 +285,7 @@
 def test_two_stores_share_by_tenant_and_one_that_stalls_holds_up_the_other_no_more_than_itself(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host().start() for _ in range(2)]
-        section = stores(tmp_path, *(postgres_config(host, name=f"s{i}") for i, host in enumerate(hosts)))
+        section = stores_config(tmp_path, *(postgres_config(host, name=f"s{i}") for i, host in enumerate(hosts)))
         async with running(section) as (scene, _, front):
             for i in range(40):
                 assert (await scene.send(asked(scene, "pay", org=f"org{i % 10}"))).status == 200
@@ -310,7 +310,7 @@
     monkeypatch.setattr(extension_module, "TAKE_OVER_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             former = journal_module.Journal(tmp_path / "open", scene.sidecar.config.name, print)
             former.begin()
@@ -331,7 +331,7 @@
     classes = [{**kind, "memory-span": 0} if kind["name"] == "mark" else kind for kind in SETTINGS["request-classes"]]
 
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section, classes=classes) as (scene, _, front):
             assert (await scene.send(asked(scene, "mark", b"A"))).status == 200
             deadline = time.monotonic() + 20
@@ -355,7 +355,7 @@
 
 def test_drained_and_reconfigured_the_front_follows(tmp_path: Path) -> None:
     async def test() -> None:
-        section = stores(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
+        section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             scene.sidecar.drain(True)
             assert (await scene.send(asked(scene, "pay"))).status == 503
@@ -435,7 +435,7 @@
             for i in range(2):
                 (tmp_path / str(i)).mkdir()
                 scenes.append((await stack.enter_async_context(running(
-                    stores(tmp_path / str(i), postgres_config(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
+                    stores_config(tmp_path / str(i), postgres_config(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
             scenes[1].count = 100_000
             host.hook = weather
 
@@ -511,13 +511,13 @@
     async def test() -> None:
         host = await Host().start()
         (tmp_path / "a").mkdir()
-        async with running(stores(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
+        async with running(stores_config(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
             peer.behave = reply(TURNED_AWAY)
             assert (await scene.send(asked(scene, "pay"))).status == 502
             assert written_requests(host.data) == ["t1"]
         await host.stop()
         (tmp_path / "b").mkdir()
-        async with running(stores(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
+        async with running(stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
             assert (await scene.send(asked(scene, "pay"))).status == 502  # the store is away, and the upstream ran it
             assert peer.executions["t1"] == 1
             peer.behave = reply(TURNED_AWAY)
