--- a/bench/record.py
+++ b/bench/record.py
@@ -125,7 +125,7 @@
 def bench_back(stall_s: float, rate: float, folder: Path) -> None:
     """Open loop through a sidecar on a store that stops answering and comes back."""
     from ironscale.standins.upstream import Peer
-    from tests.record.test_store_dispatcher import SHORT_DEADLINE_CLASSES, asked
+    from tests.record.test_store_dispatcher import SHORT_DEADLINE_CLASSES, request_message
     from tests.sockets import Scene
 
     async def main() -> None:
@@ -144,7 +144,7 @@
             began = loop.time()
 
             async def pay(at: float) -> None:
-                status = (await scene.send(asked(scene, "pay", BODY, remaining="2000m"))).status
+                status = (await scene.send(request_message(scene, "pay", BODY, remaining="2000m"))).status
                 outcomes.append((at, status, loop.time() - began))
 
             async def view(at: float) -> None:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -80,7 +80,7 @@
         await host.stop()
 
 
-def asked(scene: Scene, lane: str, body: bytes = b"", key: str = "k", org: str = "north",
+def request_message(scene: Scene, lane: str, body: bytes = b"", key: str = "k", org: str = "north",
           remaining: str = "8000m") -> bytes:
     scene.count += 1
     keyed = f"Idempotency-Key: {key}\r\n" if lane == "mark" else ""
@@ -98,18 +98,18 @@
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, (peer,), front):
-            paid = await scene.send(asked(scene, "pay", b"homework" * 8000))
+            paid = await scene.send(request_message(scene, "pay", b"homework" * 8000))
             assert paid.status == 200 and answered(paid) == {"recorded": "t1", "class": "pay"}
-            mark = await scene.send(asked(scene, "mark", b"A"))
-            repeat = await scene.send(asked(scene, "mark", b"A"))
+            mark = await scene.send(request_message(scene, "mark", b"A"))
+            repeat = await scene.send(request_message(scene, "mark", b"A"))
             assert (mark.status, repeat.status) == (200, 200) and repeat.body == mark.body
-            other = await scene.send(asked(scene, "mark", b"B"))
+            other = await scene.send(request_message(scene, "mark", b"B"))
             assert other.status == 422 and answered(other)["error"] == "CONFLICT"
             assert "key" in answered(other)["message"]
-            assert (await scene.send(asked(scene, "mark", b"B", org="south"))).status == 200
+            assert (await scene.send(request_message(scene, "mark", b"B", org="south"))).status == 200
             assert (await scene.call("view")).body == b"done"
             assert len(peer.got) == 1
-            assert (await scene.send(asked(scene, "mark", b"A", key="k" * 257))).status == 400
+            assert (await scene.send(request_message(scene, "mark", b"A", key="k" * 257))).status == 400
             lane = front.dispatchers[0]
             assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.in_flight and not lane.attempt_counts
         found = reader(tmp_path / "r.db")
@@ -126,10 +126,10 @@
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             with socket.create_connection(("127.0.0.1", scene.port)) as client:
-                client.sendall(asked(scene, "pay"))
+                client.sendall(request_message(scene, "pay"))
                 client.shutdown(socket.SHUT_WR)
                 assert await asyncio.get_running_loop().run_in_executor(None, client.recv, 10) == b""
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
         found = reader(tmp_path / "r.db")
         assert [one.request for one in rows(found)] == ["t2"]
         found.close()
@@ -160,13 +160,13 @@
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "no" / "r.db"))
         async with running(section) as (scene, _, front):
             began = time.monotonic()
-            paid = await scene.send(asked(scene, "pay", b"x"))
+            paid = await scene.send(request_message(scene, "pay", b"x"))
             assert paid.status == 503 and float(paid.headers["retry-after"]) > 0
             assert time.monotonic() - began < 3.0  # at once, and not near its deadline of 8 s
             assert (await scene.call("view")).status == 200
             (tmp_path / "no").mkdir()  # someone acts
             deadline = time.monotonic() + 20
-            while (await scene.send(asked(scene, "pay", b"x"))).status != 200:
+            while (await scene.send(request_message(scene, "pay", b"x"))).status != 200:
                 assert time.monotonic() < deadline
                 await asyncio.sleep(0.01)
 
@@ -177,14 +177,14 @@
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             for lane in ("pay", "mark"):
                 host.hook = StatementFault("commit", after=True)
-                assert (await scene.send(asked(scene, lane))).status == 200
+                assert (await scene.send(request_message(scene, lane))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3"]
             # a connection lost before COMMIT never ran: it is tried again through another slot
             host.hook = StatementFault("insert")
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
 
     run(test)
@@ -193,11 +193,11 @@
 def test_what_is_not_known_when_its_time_is_up_has_failed_and_is_found_out_and_listed(tmp_path: Path) -> None:
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section), running(section) as (scene, _, front):
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             gate = StatementGate("commit", times=1000)
             host.hook = gate
             began = time.monotonic()
-            assert (await scene.send(asked(scene, "pay", remaining="600m"))).status == 502
+            assert (await scene.send(request_message(scene, "pay", remaining="600m"))).status == 502
             assert 0.3 < time.monotonic() - began < 0.6 + 0.05 - ANSWER_MARGIN_US / 1e6 + 0.2
             journal = front.dispatchers[0].recorder.journal
             await until(lambda: journal.writing is None and journal.open)
@@ -216,10 +216,10 @@
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section):
             async with running(section) as (scene, _, front):
-                assert (await scene.send(asked(scene, "pay"))).status == 200
+                assert (await scene.send(request_message(scene, "pay"))).status == 200
                 gate = StatementGate("commit", times=1000)
                 host.hook = gate
-                assert (await scene.send(asked(scene, "pay", remaining="500m"))).status == 502
+                assert (await scene.send(request_message(scene, "pay", remaining="500m"))).status == 502
             assert len(journal_module.read_all(tmp_path / "open")[0]) == 1
             with next((tmp_path / "open").iterdir()).open("ab") as file:
                 file.write(b'{"open":{"attempt":"torn')
@@ -250,7 +250,7 @@
                     await asyncio.sleep(0.002)
 
             async def pay() -> None:
-                answer = await scene.send(asked(scene, "pay", remaining="2000m"))
+                answer = await scene.send(request_message(scene, "pay", remaining="2000m"))
                 told = answer.status != 503 or "retry-after" in answer.headers
                 results[f"{answer.status}{'' if told else ' without word'}"] += 1
 
@@ -288,14 +288,14 @@
         section = stores_config(tmp_path, *(postgres_config(host, name=f"s{i}") for i, host in enumerate(hosts)))
         async with running(section) as (scene, _, front):
             for i in range(40):
-                assert (await scene.send(asked(scene, "pay", org=f"org{i % 10}"))).status == 200
+                assert (await scene.send(request_message(scene, "pay", org=f"org{i % 10}"))).status == 200
             by_host = [{t for t, in host.data.all("SELECT DISTINCT tenant FROM records")} for host in hosts]
             assert by_host[0] and by_host[1] and not by_host[0] & by_host[1]
             gate = StatementGate("insert", times=1000)
             hosts[0].hook = gate
-            held = [asyncio.create_task(scene.send(asked(scene, "pay", org=min(by_host[0])))) for _ in range(5)]
+            held = [asyncio.create_task(scene.send(request_message(scene, "pay", org=min(by_host[0])))) for _ in range(5)]
             await gate.reached.wait()
-            assert (await scene.send(asked(scene, "pay", org=min(by_host[1])))).status == 200
+            assert (await scene.send(request_message(scene, "pay", org=min(by_host[1])))).status == 200
             hosts[0].hook = None
             gate.go.set()
             assert {(await one).status for one in held} <= {200, 503}
@@ -333,9 +333,9 @@
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section, classes=classes) as (scene, _, front):
-            assert (await scene.send(asked(scene, "mark", b"A"))).status == 200
+            assert (await scene.send(request_message(scene, "mark", b"A"))).status == 200
             deadline = time.monotonic() + 20
-            while (await scene.send(asked(scene, "mark", b"B"))).status != 200:
+            while (await scene.send(request_message(scene, "mark", b"B"))).status != 200:
                 assert time.monotonic() < deadline
 
     run(test)
@@ -358,14 +358,14 @@
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
             scene.sidecar.drain(True)
-            assert (await scene.send(asked(scene, "pay"))).status == 503
+            assert (await scene.send(request_message(scene, "pay"))).status == 503
             scene.sidecar.drain(False)
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             changed = [{**kind, "deadline": 9_000_000} for kind in SETTINGS["request-classes"]]
             scene.sidecar.reconfigure(1, {"settings": {"request-classes": changed}})
             assert front.dispatchers[0].balancer.settings.classes[1].deadline_us == 9_000_000
             assert front.dispatchers[0].balancer.settings.classes[2].group == "cell"
-            assert (await scene.send(asked(scene, "mark"))).status == 200
+            assert (await scene.send(request_message(scene, "mark"))).status == 200
 
     run(test)
 
@@ -374,11 +374,11 @@
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             gate = StatementGate("insert")
             host.hook = gate
             reader_, writer = await asyncio.open_connection("127.0.0.1", scene.port)
-            writer.write(asked(scene, "pay"))
+            writer.write(request_message(scene, "pay"))
             await gate.reached.wait()
             writer.close()
             await until(lambda: not scene.sidecar.by_txn)
@@ -394,14 +394,14 @@
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             balancer, gate = front.dispatchers[0].balancer, StatementGate("insert", times=1_000)
             host.hook = gate
             writers = []
             while balancer.buffer is None:
                 _, writer = await asyncio.open_connection("127.0.0.1", scene.port)
                 writers.append(writer)
-                writer.write(asked(scene, "pay"))
+                writer.write(request_message(scene, "pay"))
                 await until(lambda: scene.count in {int(txn[1:]) for txn in scene.sidecar.by_txn})
             waiting = balancer.buffer
             for writer in writers:
@@ -443,7 +443,7 @@
                 for i in range(25):
                     lane = "pay" if number % 2 else "mark"
                     for _ in range(200):  # comes again after a refusal, as it is told
-                        request = asked(scene, lane, b"x", key=f"{i}", remaining="1500m")
+                        request = request_message(scene, lane, b"x", key=f"{i}", remaining="1500m")
                         txn = request.split(b"X-Txn: ")[1].split(b"\r\n")[0].decode()
                         answer = await scene.send(request)
                         results[txn] = lane, answer.status
@@ -491,13 +491,13 @@
             host.hook, peer.behave = hook, behave
             for lane in ("pay", "mark", "pay"):
                 seen.clear()
-                answer = await scene.send(asked(scene, lane))
+                answer = await scene.send(request_message(scene, lane))
                 assert (answer.status, answer.body) == (200, b"done")
                 wanted = ["upstream", "store"] if order == "first" else ["store", "upstream"]
                 assert [one for i, one in enumerate(seen) if one not in seen[:i]] == wanted
             # the store's reply is lost: found out, and each of the two has it once
             host.hook = StatementFault("commit", after=True)
-            assert (await scene.send(asked(scene, "pay"))).status == 200
+            assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
             lane_ = front.dispatchers[0]
@@ -513,15 +513,15 @@
         (tmp_path / "a").mkdir()
         async with running(stores_config(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
             peer.behave = reply(TURNED_AWAY)
-            assert (await scene.send(asked(scene, "pay"))).status == 502
+            assert (await scene.send(request_message(scene, "pay"))).status == 502
             assert written_requests(host.data) == ["t1"]
         await host.stop()
         (tmp_path / "b").mkdir()
         async with running(stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
-            assert (await scene.send(asked(scene, "pay"))).status == 502  # the store is away, and the upstream ran it
+            assert (await scene.send(request_message(scene, "pay"))).status == 502  # the store is away, and the upstream ran it
             assert peer.executions["t1"] == 1
             peer.behave = reply(TURNED_AWAY)
-            assert (await scene.send(asked(scene, "pay"))).status == 503  # neither has it
+            assert (await scene.send(request_message(scene, "pay"))).status == 503  # neither has it
 
     run(test)
 
