--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -88,7 +88,7 @@
             f"X-Remaining: {remaining}\r\n{keyed}Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-def answered(message: Message) -> dict[str, Any]:
+def answer_json(message: Message) -> dict[str, Any]:
     found = json.loads(message.body)
     assert isinstance(found, dict)
     return found
@@ -99,13 +99,13 @@
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, (peer,), front):
             paid = await scene.send(request_message(scene, "pay", b"homework" * 8000))
-            assert paid.status == 200 and answered(paid) == {"recorded": "t1", "class": "pay"}
+            assert paid.status == 200 and answer_json(paid) == {"recorded": "t1", "class": "pay"}
             mark = await scene.send(request_message(scene, "mark", b"A"))
             repeat = await scene.send(request_message(scene, "mark", b"A"))
             assert (mark.status, repeat.status) == (200, 200) and repeat.body == mark.body
             other = await scene.send(request_message(scene, "mark", b"B"))
-            assert other.status == 422 and answered(other)["error"] == "CONFLICT"
-            assert "key" in answered(other)["message"]
+            assert other.status == 422 and answer_json(other)["error"] == "CONFLICT"
+            assert "key" in answer_json(other)["message"]
             assert (await scene.send(request_message(scene, "mark", b"B", org="south"))).status == 200
             assert (await scene.call("view")).body == b"done"
             assert len(peer.got) == 1
