--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -94,7 +94,7 @@
     return found
 
 
-def test_what_writes_goes_to_the_store_and_what_reads_to_the_upstreams(tmp_path: Path) -> None:
+def test_writes_go_to_the_store_and_reads_to_the_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, (peer,), front):
