--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -120,7 +120,7 @@
     run(test)
 
 
-def test_what_a_client_sent_before_it_left_is_not_written_if_its_end_has_come(tmp_path: Path) -> None:
+def test_a_request_is_not_written_if_its_client_has_already_closed(tmp_path: Path) -> None:
     """Both have come before the loop reads either."""
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
