--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -137,7 +137,7 @@
     run(test)
 
 
-def test_off_on_an_error_in_the_file_nothing_is_served() -> None:
+def test_nothing_is_served_if_the_file_has_an_error() -> None:
     async def test() -> None:
         for classes, text in ((("pay", "nope"), "expected classes of the configuration (view, pay, mark), got 'nope'"),
                               (("view",), "expected classes whose requests write, got 'view', which is safe to re")):
