--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -190,7 +190,7 @@
     run(test)
 
 
-def test_what_is_not_known_when_its_time_is_up_has_failed_and_is_found_out_and_listed(tmp_path: Path) -> None:
+def test_an_outcome_unknown_at_the_deadline_fails_is_listed_and_later_resolved(tmp_path: Path) -> None:
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section), running(section) as (scene, _, front):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
