--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -212,7 +212,7 @@
     run(test)
 
 
-def test_the_next_start_finds_out_what_the_former_left_open(tmp_path: Path) -> None:
+def test_the_next_process_resolves_attempts_left_open(tmp_path: Path) -> None:
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section):
             async with running(section) as (scene, _, front):
