--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -233,7 +233,7 @@
     run(test)
 
 
-def test_views_beside_a_stalled_store_notice_nothing_and_what_it_holds_is_bounded(tmp_path: Path) -> None:
+def test_a_stalled_store_does_not_affect_reads_and_holds_a_bounded_number_of_requests(tmp_path: Path) -> None:
     """The store stalls for 3 s under 200 submissions a second; then it is back without a rush."""
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
