--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -305,7 +305,7 @@
     run(test)
 
 
-def test_what_a_process_of_the_same_name_leaves_while_this_one_runs_is_found_out_too(
+def test_entries_left_by_another_process_at_run_time_are_resolved(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(extension_module, "TAKE_OVER_INTERVAL_S", 0.02)
 
