--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -327,7 +327,7 @@
     run(test)
 
 
-def test_a_key_without_memory_is_free_at_once(tmp_path: Path) -> None:
+def test_a_key_without_retention_can_be_reused_at_once(tmp_path: Path) -> None:
     classes = [{**kind, "memory-span": 0} if kind["name"] == "mark" else kind for kind in SETTINGS["request-classes"]]
 
     async def test() -> None:
