--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -341,7 +341,7 @@
     run(test)
 
 
-def test_a_store_that_is_away_is_said_now_and_then_and_not_for_each_request() -> None:
+def test_failures_of_an_unreachable_store_are_logged_with_a_rate_limit() -> None:
     async def test() -> None:
         async with store_scene() as (store, _):
             play = StoreClients(store)
