--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -353,7 +353,7 @@
     run(test)
 
 
-def test_drained_and_reconfigured_the_front_follows(tmp_path: Path) -> None:
+def test_drain_and_new_settings_reach_the_store_dispatchers(tmp_path: Path) -> None:
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
