--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -370,7 +370,7 @@
     run(test)
 
 
-def test_a_client_that_goes_leaves_nothing_behind_and_its_record_is_whole(tmp_path: Path) -> None:
+def test_a_client_that_leaves_frees_its_state_and_its_record_is_complete(tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
