--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -390,7 +390,7 @@
     run(test)
 
 
-def test_a_client_that_goes_while_its_request_waits_frees_the_buffer_at_once(tmp_path: Path) -> None:
+def test_a_client_that_leaves_while_buffered_frees_its_place_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
