--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -474,7 +474,7 @@
 
 
 @pytest.mark.parametrize("order", ["first", "last"])
-def test_to_both_in_the_order_that_is_stated(order: str, tmp_path: Path) -> None:
+def test_store_and_upstream_in_the_configured_order(order: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path, upstreams=order) as (host, section),
                     running(section) as (scene, (peer,), front)):
