--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -507,7 +507,7 @@
     run(test)
 
 
-def test_what_ran_in_one_and_is_refused_by_the_other_has_failed_and_is_not_called_harmless(tmp_path: Path) -> None:
+def test_a_request_that_ran_in_one_place_and_was_refused_by_the_other_fails(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host().start()
         (tmp_path / "a").mkdir()
