--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -526,7 +526,7 @@
     run(test)
 
 
-def test_the_decisions_settings_for_a_store() -> None:
+def test_balancer_settings_of_a_store() -> None:
     settings = api.Settings(classes=[api.RequestClass("m", 1, 2, effect="deduplicated", group="all",
                                                       dedup_memory_us=5)],
                             hedging=True, list_on_request=True, probes=True, cold_share=0.1, warm_up_us=5)
