--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -31,9 +31,9 @@
         self.on_result: Callable[[Attempt], None] | None = on_result
 
     def report_result(self) -> None:
-        on_told, self.on_result = self.on_result, None
-        if on_told is not None:
-            on_told(self.state)
+        on_result, self.on_result = self.on_result, None
+        if on_result is not None:
+            on_result(self.state)
 
     def give_up(self) -> None:
         """Stops waiting. The recorder still determines the outcome in the background."""
--- a/tests/record/disk.py
+++ b/tests/record/disk.py
@@ -1,6 +1,6 @@
-"""A disk in memory under SQLite that loses power, fills up and fails at any write or sync, as an apsw VFS.
+"""An in-memory disk for SQLite, as an apsw VFS, that can lose power, fill up or fail at any write or sync.
 
-What was written and not synced when the power goes is lost, kept or torn at sectors, each by chance, in any order.
+At a power loss each unsynced write is randomly lost, kept or torn at sector boundaries, in random order.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class SimulatedFile:
     def __init__(self) -> None:
         self.synced = bytearray()
-        self.content = bytearray()  # as this machine reads it
+        self.content = bytearray()  # as read before a power loss
         self.pending: list[tuple[int, bytes | None]] = []  # (offset, data), or (size, None) for a truncation
 
 
@@ -34,7 +34,7 @@
 
 
 class SimulatedDisk:
-    """All files, a count of what changed them, and the fault that comes at one of these."""
+    """All files, the number of changes to them, and the fault to inject at one of the changes."""
 
     def __init__(self, seed: int, fault: str = "", at: int = 0, times: int = 1) -> None:
         self.random = random.Random(seed)
@@ -42,10 +42,10 @@
         self.files: dict[str, SimulatedFile] = {}
         self.count = 0  # writes, syncs, truncations and deletions so far
         self.powered_off = False
-        self.failed_operation = ""  # what the fault struck
+        self.failed_operation = ""  # the kind of change that the fault hit
 
     def count_change(self, what: str) -> None:
-        """Counts one change; raises where the fault comes."""
+        """Counts one change; raises if the fault is due."""
         if self.powered_off:
             raise PowerLost("the power is gone")
         self.count += 1
@@ -53,14 +53,14 @@
             return
         if self.fault == "power":
             self.powered_off, self.failed_operation = True, what
-            raise PowerLost("the power goes")
+            raise PowerLost("the power fails")
         if (self.fault == "full") == (what == "write") and (self.fault != "sync" or what == "sync"):
             self.times -= 1
             self.failed_operation = what
-            raise apsw.FullError("no space") if self.fault == "full" else apsw.IOError("by the script")
+            raise apsw.FullError("no space") if self.fault == "full" else apsw.IOError("injected")
 
     def after_power_loss(self) -> SimulatedDisk:
-        """What a machine finds that starts again."""
+        """The disk as found after a restart."""
         other = SimulatedDisk(self.random.randrange(1 << 30))
         for name, file in self.files.items():
             found = SimulatedFile()
@@ -72,7 +72,7 @@
                     if self.random.random() < 0.5:
                         apply_write(data, offset, None)
                     continue
-                for start in range(0, len(piece), SECTOR):  # torn at sectors
+                for start in range(0, len(piece), SECTOR):  # each sector is written or not
                     if self.random.random() < 0.5:
                         apply_write(data, offset + start, piece[start:start + SECTOR])
             found.synced, found.content = bytearray(data), bytearray(data)
@@ -134,7 +134,7 @@
 
 
 class Vfs(apsw.VFS):
-    """The disk, under a name that connections are opened with."""
+    """Registers the disk as a VFS under the name that connections use."""
 
     def __init__(self, name: str, disk: SimulatedDisk) -> None:
         self.name, self.disk = name, disk
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -1,4 +1,4 @@
-"""A store on stand-in hosts, and what scripts do to them."""
+"""A PostgreSQL store on stand-in hosts, and hooks that hold or fail statements."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @contextlib.asynccontextmanager
 async def postgres_store(count: int = 1, data: Data | None = None, **changes: Any
                 ) -> AsyncIterator[tuple[PostgresStore, list[Host]]]:
-    """A store on so many hosts that share a disk."""
+    """A store on `count` hosts that share their data. `changes` are fields of ConnectionOptions."""
     data = data or Data()
     hosts = [await Host(data).start() for _ in range(count)]
     store = PostgresStore(ConnectionOptions(dsn(*hosts), **changes))
@@ -34,7 +34,7 @@
 
 
 class StatementGate:
-    """Holds each statement of one kind, before or after it is carried out, until it is opened."""
+    """Holds statements of one kind, before or after their execution, until `go` is set."""
 
     def __init__(self, kind: str, after: bool = False, times: int = 1) -> None:
         self.kind, self.after, self.times = kind, after, times
@@ -48,7 +48,7 @@
 
 
 class StatementFault:
-    """Answers a statement of one kind with an error, or drops its connection, so many times."""
+    """Answers `times` statements of one kind with an error, or drops their connections."""
 
     def __init__(self, kind: str, error: SqlError | None = None, after: bool = False, times: int = 1) -> None:
         self.kind, self.error, self.after, self.times = kind, error, after, times
--- a/tests/record/samples.py
+++ b/tests/record/samples.py
@@ -1,4 +1,4 @@
-"""Records as the tests write them."""
+"""Sample records for the tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def entry(request: str = "", effect: str = "at_most_once", body: bytes = b"work", **changes: Any) -> Entry:
-    """One attempt to write one record; each call another attempt."""
+    """One attempt to write one record; each call returns a new attempt."""
     request = request or f"q{next(_names)}"
     keyed = effect == "deduplicated"
     values: dict[str, Any] = {
@@ -28,5 +28,5 @@
 
 
 def another_attempt(first: Entry) -> Entry:
-    """Another attempt at the same request."""
+    """Another attempt for the same request."""
     return replace(first, attempt=model.attempt_name(2_000, secrets.token_bytes(10)))
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a store of record as tests play them, and what they were told: the input of
+"""Simulated clients of a store of record, and the results they received: the input of
 `ironscale.record.history_check`."""
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class StoreClients:
-    """One recorder, its clients, and the log of both."""
+    """One recorder, its clients, their results and the log."""
 
     def __init__(self, store: Store, seed: int = 1) -> None:
         self.lines: list[str] = []
@@ -28,7 +28,7 @@
         self.handles: list[AttemptHandle] = []
 
     async def submit(self, one: Entry, seconds: float, tries: int = 1) -> str:
-        """One client's request, tried again only after what never ran; gives what the client was told."""
+        """Submits one request, retried only after attempts that never ran; returns the client's result."""
         for turn in range(tries):
             handle = await self.attempt(another_attempt(one) if turn else one, seconds)
             told = handle.state.outcome
@@ -40,7 +40,7 @@
         return word
 
     async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
-        """Until it is told, by its outcome or by its time."""
+        """Runs one attempt until its outcome is known or its time is up."""
         loop = asyncio.get_running_loop()
         told = asyncio.Event()
 
@@ -56,7 +56,7 @@
         return handle
 
     async def wait_until_resolved(self) -> None:
-        """Until nothing is open any more."""
+        """Waits until no attempt is open."""
         while self.recorder.handles:
             await asyncio.wait(list(self.recorder.handles))
 
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -1,5 +1,5 @@
-"""Connections cut at every byte of a submission's exchange, and at random under load: what clients were told and what
-the store holds agree. Each bug that is planted on purpose is found by the same histories."""
+"""Connections cut at every byte of a write, and at random under load: the results of the clients match the store.
+The same checks find each of several deliberately planted bugs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class OneCut:
-    """Cuts the next connection that is opened, and no other."""
+    """Cuts only the next connection that is opened."""
 
     def __init__(self, direction: str, after: int) -> None:
         self.plan: tuple[str, int] | None = (direction, after)
@@ -40,7 +40,7 @@
 
 
 async def exchange(store: PostgresStore, host: Host) -> tuple[int, int]:
-    """Bytes that one submission on a new connection takes, in and out."""
+    """The number of bytes of one write on a new connection, in and out."""
     await store.connections.close()
     seen = len(host.bytes)
     assert await StoreClients(store).submit(entry(body=b"measured"), TIMEOUT_S) == "served"
@@ -68,14 +68,14 @@
             await play.wait_until_resolved()
             rows = stored_rows(host.data)
             assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
-            # every outcome is found out within its time; a cut of the reply alone is served
+            # every outcome is known before the deadline; if only the reply was cut, the request is served
             assert set(told) == {"served", "refused"} and min(told.values()) > 5, told
 
     run(test, 120)
 
 
 def test_second_cut_during_the_outcome_query() -> None:
-    """The first connection is cut behind the commit, and the second, which asks, at every byte."""
+    """The first connection is cut after the commit, and the second, which queries the outcome, at every byte."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             play = StoreClients(store)
@@ -104,7 +104,7 @@
 
 
 class RandomFaults:
-    """What goes wrong at random, from one seed."""
+    """Random faults from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -113,7 +113,7 @@
 
     async def __call__(self, session: Session, kind: str, after: bool) -> None:
         draw = self.random.random
-        # most comes at COMMIT, where outcomes are lost
+        # mostly at COMMIT, where outcomes become unknown
         if self.calm or draw() > (self.share if kind == "commit" else self.share / 6):
             return
         what = self.random.choice(("drop", "late", "late", "end") if kind == "commit" else (
@@ -122,10 +122,10 @@
             raise Drop
         if what == "slow":
             await asyncio.sleep(draw() * 0.05)
-        elif what == "late":  # past the client's time, and then it goes on
+        elif what == "late":  # later than the client's deadline, then continued
             await asyncio.sleep(0.1 + draw() * 0.3)
         elif what == "error" and not (kind == "commit" and after):
-            raise SqlError(self.random.choice(("40001", "40P01", "53300", "57014", "XX000")), "by the script")
+            raise SqlError(self.random.choice(("40001", "40P01", "53300", "57014", "XX000")), "injected")
         elif what == "end":
             raise SqlError("57P01", "terminating connection due to administrator command", "FATAL")
 
@@ -136,8 +136,8 @@
 
 
 async def run_with_random_faults(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
-    """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
-    await play.submit(entry(), TIMEOUT_S)  # the schema stands
+    """Runs many clients under random faults, then without faults until nothing is open; returns the violations."""
+    await play.submit(entry(), TIMEOUT_S)  # creates the schema
     weather = RandomFaults(seed)
     host.hook, host.cut = weather, weather.cut
     draw = random.Random(seed * 7 + 1)
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_random_faults(seed: int) -> None:
     async def test() -> None:
-        async with postgres_store(most=4) as (store, (host,)):
+        async with postgres_store(max_connections=4) as (store, (host,)):
             play = StoreClients(store, seed)
             faults = await run_with_random_faults(play, host, seed)
             assert faults == [], f"seed {seed}"
@@ -169,11 +169,11 @@
     run(test, 120)
 
 
-# Bugs, planted
+# Deliberately planted bugs
 
 
 class QueriesWithoutFence(PostgresStore):
-    """Asks by looking only."""
+    """Queries the outcome without inserting a void marker."""
 
     async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
         found = await turn.execute("SELECT state, answer FROM records WHERE attempt = %s", (attempt,))
@@ -182,7 +182,7 @@
 
 
 class TakesTimeoutForNeverRan(PostgresStore):
-    """Takes a time-out, or a connection that broke, for a write that never ran."""
+    """Treats a timeout or a lost connection as a write that never ran."""
 
     async def write(self, one: Entry, until: float) -> WriteResult:
         try:
@@ -192,7 +192,7 @@
 
 
 class RetriesAfterCommit(PostgresStore):
-    """Writes anew when the outcome of COMMIT is not known, under another name, and believes what comes of that."""
+    """After a COMMIT of unknown outcome, writes again as another attempt and reports the result of that."""
 
     async def write(self, one: Entry, until: float) -> WriteResult:
         try:
@@ -204,7 +204,7 @@
 
 
 async def late_commit(store: PostgresStore, host: Host, play: StoreClients) -> None:
-    """COMMIT is held past the client's time, its reply is lost, and then it goes through."""
+    """COMMIT is held past the client's deadline, its reply is lost, and then it succeeds."""
     await play.submit(entry(), TIMEOUT_S)
     gate = StatementGate("commit")
     host.hook = gate
@@ -220,7 +220,7 @@
 
 
 async def lost_reply(store: PostgresStore, host: Host, play: StoreClients) -> None:
-    """COMMIT is carried out, and its reply cut."""
+    """COMMIT succeeds, but its reply is lost."""
     await play.submit(entry(), TIMEOUT_S)
 
     async def drop(session: Session, kind: str, after: bool) -> None:
@@ -256,10 +256,10 @@
 
 @pytest.mark.parametrize("kind", [QueriesWithoutFence, TakesTimeoutForNeverRan, RetriesAfterCommit])
 def test_random_faults_find_planted_bugs(kind: type[PostgresStore]) -> None:
-    """So the random runs above can fail: within so many seeds each bug shows."""
+    """Shows that the random test above can fail: it finds each bug within a limited number of seeds."""
     async def test() -> None:
         for seed in range(1, 30):
-            async with postgres_store(most=4) as (plain, (host,)):
+            async with postgres_store(max_connections=4) as (plain, (host,)):
                 store = kind(plain.access)
                 faults = await run_with_random_faults(StoreClients(store, seed), host, seed)
                 await store.close()
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -1,5 +1,5 @@
-"""A disk that loses power, fills up or fails, at every single write and sync: nothing confirmed is lost, nothing
-refused is there, and the file opens again."""
+"""A power loss, a full disk or an I/O error at every single write and sync: no confirmed record is lost, no refused one
+exists, and the file can be opened again."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def stored_rows(store: SqliteStore) -> list[Row]:
-    """Raises StoreFailure where the file can't be read."""
+    """All rows. Raises StoreFailure if the file cannot be read."""
     found = await store.writer.run(lambda t: [t.execute("PRAGMA integrity_check"),
                                               t.execute(f"SELECT {', '.join(COLUMNS)} FROM records")])
     assert found[0] == [("ok",)], found[0]
@@ -37,7 +37,7 @@
 
 
 async def run_workload(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
-    """Submissions alone and together, repeats among them; the disk may die within."""
+    """Submits requests in parallel, including repeats; the disk may lose power meanwhile."""
     store, vfs = open_store(disk)
     play, asked = StoreClients(store), []
     for i in range(REQUESTS // 3):
@@ -73,7 +73,7 @@
             told.update(one.result for one in play.reports)
             store, vfs = open_store(disk.after_power_loss())
             rows = await stored_rows(store)
-            # what was open when the power went is asked now, as the next start does
+            # query the attempts that were open at the power loss, as the next process does
             outcomes = {}
             for handle in play.handles:
                 if handle.state.outcome.value == "open":
@@ -91,7 +91,8 @@
 
 
 def test_a_connection_is_not_reused_after_a_failed_sync() -> None:
-    """Its view of the log may differ from what a recovery finds; the disk here keeps both alike, so it is looked at."""
+    """After a failed sync its view of the log may differ from what a recovery finds. The simulated disk keeps both equal,
+    so the test checks the connection itself."""
     async def test() -> None:
         disk = SimulatedDisk(1)
         store, vfs = open_store(disk, 10_000)
@@ -114,7 +115,7 @@
 @pytest.mark.parametrize("fault", ["full", "io", "sync"])
 @pytest.mark.parametrize("times", [1, 3])
 def test_a_full_disk_and_errors_at_every_change(fault: str, times: int) -> None:
-    """The process goes on; each outcome is found out, and stands so also if the power goes afterwards."""
+    """The process continues; each outcome becomes known, and still holds if the power fails afterwards."""
     async def test() -> None:
         total, told = await count_changes(), Counter[str]()
         for at in range(1, total + 1):
@@ -127,7 +128,7 @@
                 try:
                     rows = await stored_rows(store)
                 except StoreFailure as trouble:
-                    assert str(trouble).count("no such table"), trouble  # not even the schema was written
+                    assert str(trouble).count("no such table"), trouble  # the schema could not be created either
                     rows = []
                 finally:
                     await store.close()
--- a/tests/record/test_journal.py
+++ b/tests/record/test_journal.py
@@ -1,4 +1,4 @@
-"""Outcomes left open, on disk: nothing listed is lost, nothing damaged is believed, a successor takes over."""
+"""The journal of open attempts: no listed entry is lost, damaged lines are skipped, a successor takes entries over."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def end_process(journal: Journal) -> None:
-    """As its process's end does: the lock goes, the file stays."""
+    """Simulates the end of the process: the lock is released, the file stays."""
     os.close(journal.fd)
     journal.fd = -1
 
@@ -73,7 +73,7 @@
         await wait_until_written(former)
         await wait_until_written(other)
         successor = Journal(tmp_path, "n0", print)
-        assert successor.begin() == []  # make before break: the former still runs, and has its lock
+        assert successor.begin() == []  # make before break: the former process still runs and holds its lock
         former.opened(open_entry("late"))
         await wait_until_written(former)
         assert await successor.take_over() == []
@@ -86,7 +86,7 @@
         end_process(other)
         third = Journal(tmp_path, "n0", print)
         end_process(successor)
-        assert {entry.attempt for entry in third.begin()} == {"a", "late"}  # never those of another name
+        assert {entry.attempt for entry in third.begin()} == {"a", "late"}  # never entries of another name
         assert {entry.attempt for entry in read_all(tmp_path)[0]} == {"a", "late", "other's"}
         end_process(third)
 
@@ -127,7 +127,7 @@
         await wait_until_written(journal)
         assert len(journal.path.read_bytes().splitlines()) < 1_700
         assert list(read(journal.path)[0]) == ["stays"]
-        # and its lock has moved along with it
+        # the rewritten file is locked, too
         assert Journal(tmp_path, "n0", print).left_by_others() == ([], [])
         end_process(journal)
 
@@ -153,7 +153,7 @@
         await wait_until_written(journal)
         assert "could not be written: No space left on device" in lines[0] and "a" in journal.open
         monkeypatch.undo()
-        assert await journal.take_over() == []  # which comes by every few seconds
+        assert await journal.take_over() == []  # called every few seconds by the extension
         await wait_until_written(journal)
         assert journal.path is not None
         assert (list(read(journal.path)[0]), read(journal.path)[1]) == (["a"], 0)
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -1,4 +1,4 @@
-"""The journal of open outcomes while calls fail: what it has taken stands on the disk, soon after and at the end."""
+"""The journal of open attempts while system calls fail: accepted entries reach the disk once the calls succeed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FailingCalls:
-    """From the `first` call of a kind on, `count` of them fail; one that fails half writes a half first."""
+    """Makes `count` calls of one kind fail after the first `first`; with `half`, half of the data is written before."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, number: int, half: bool = False) -> None:
         self.left, self.skipped = 0, 0
@@ -52,7 +52,7 @@
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.001)
 
 
-# Guards against an entry that was taken and never comes to the disk, as a call failed once or for a while.
+# Guards against an accepted entry that never reaches the disk because a call failed once or for a while.
 @pytest.mark.parametrize("count", [1, 5])
 @pytest.mark.parametrize("first", range(4))
 @pytest.mark.parametrize("number", ERRORS)
@@ -77,7 +77,7 @@
     run(test())
 
 
-# Guards against lines that are cut off where the system takes a part of a write, in an append and in a rewrite.
+# Guards against truncated lines after a partial write(), in an append and in a rewrite.
 @pytest.mark.parametrize("spoilt", [False, True])
 def test_a_partial_write_is_completed(spoilt: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
@@ -96,7 +96,7 @@
     run(test())
 
 
-# Guards against half a line that makes those behind it unreadable, and a process killed before it is written again.
+# Guards against an incomplete line that makes the next ones unreadable, also if the process is killed before a rewrite.
 def test_an_incomplete_line_damages_no_other_and_is_rewritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
@@ -116,7 +116,7 @@
     run(test())
 
 
-# Guards against a process that does not start as the disk is full or fails just then.
+# Guards against a process that cannot start because the disk is full or fails at that moment.
 @pytest.mark.parametrize("number", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
 def test_a_start_during_a_transient_disk_fault_takes_over_open_entries(
@@ -148,7 +148,7 @@
         Journal(tmp_path / "a file" / "open", "n0", print).begin()
 
 
-# Guards against entries that are forgotten where the system has no thread to give.
+# Guards against entries lost because the system could not start a thread.
 def test_a_transient_lack_of_threads_loses_no_entry(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -1,4 +1,4 @@
-"""The store of record in PostgreSQL: the real client library against a stand-in server that fails on purpose."""
+"""The store of record in PostgreSQL: the real client library against a stand-in server with injected faults."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return asyncio.get_running_loop().time() + seconds
 
 
-# The stand-in against the client library
+# The stand-in server with the client library
 
 
 def test_scram_authentication_and_no_password_in_errors(caplog: pytest.LogCaptureFixture) -> None:
@@ -81,7 +81,7 @@
             with pytest.raises(psycopg.errors.InFailedSqlTransaction):
                 await connection.execute("SELECT request FROM records")
             assert (await connection.execute("COMMIT")).statusmessage == "ROLLBACK"
-            for _ in range(8):  # past the client's threshold for prepared statements
+            for _ in range(8):  # more often than psycopg's threshold for prepared statements
                 await connection.execute("SELECT request FROM records WHERE request = %s", ("a",))
             await connection.close()
 
@@ -111,7 +111,7 @@
     run(test)
 
 
-# What a write can meet
+# Writes
 
 
 def test_written_once_repeated_conflicting_and_keyed_as_in_sqlite() -> None:
@@ -125,7 +125,7 @@
             await store.write(mark, deadline_in(LONG))
             repeat = await store.write(entry("c", "deduplicated"), deadline_in(LONG))
             assert repeat.verdict is Verdict.REPEAT and repeat.answer == mark.answer
-            host.data.skew_ms = 60_001  # its memory has run out by the store's clock, which alone counts
+            host.data.skew_ms = 60_001  # the key has expired by the store's clock, the only one that counts
             assert (await store.write(entry("d", "deduplicated", body=b"new"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert await store.ask(mark.attempt, deadline_in(LONG)) == mark.answer
             assert written_requests(host.data) == ["a", "b", "d"]
@@ -135,7 +135,7 @@
 
 
 def test_a_key_reused_concurrently_is_not_freed() -> None:
-    """One has seen that the key's memory ran out; before it frees the slot, another has freed and used it."""
+    """After a writer sees that the key has expired and before it frees the slot, another writer frees and reuses it."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("first", "deduplicated", memory_ms=1_000), deadline_in(LONG))
@@ -217,7 +217,7 @@
             with pytest.raises(StoreFailure) as found:
                 await store.write(entry("a"), deadline_in(LONG))
             assert (found.value.outcome, found.value.cause, found.value.code) == (known, cause, code)
-            # the connection is not used again, nor is what it held kept
+            # the connection is not reused, and its transaction is not kept
             assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
             assert written_requests(host.data) == ["after", "before"]
 
@@ -243,11 +243,11 @@
     run(test)
 
 
-# The fence
+# Fencing
 
 
 def test_a_late_commit_loses_against_the_void_marker() -> None:
-    """The COMMIT is held by the server past the client's time; the question waits for it, then says what it did."""
+    """The server holds COMMIT past the client's deadline; the query waits for it and reports its outcome."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
@@ -259,7 +259,7 @@
             question = asyncio.create_task(store.ask(late.attempt, deadline_in(LONG)))
             await until(lambda: any(s.waits_for is not None for s in host.sessions.values()))
             assert not question.done()
-            gate.go.set()  # it comes through after all
+            gate.go.set()  # the COMMIT is executed after all
             assert await question == late.answer
             assert written_requests(host.data) == ["before", "late"]
 
@@ -298,7 +298,7 @@
     run(test)
 
 
-# Time, and cancel requests
+# Deadlines and cancel requests
 
 
 def test_a_stalled_statement_is_cancelled_and_its_connection_never_used_again() -> None:
@@ -313,7 +313,7 @@
                 await store.write(one, deadline_in(0.2))
             assert (found.value.outcome, found.value.cause) == (NEVER, Cause.TIMEOUT)
             await until(lambda: not store.tasks)
-            assert host.cancels == 1 or found.value.code == "57014"  # or the deadline that went down came first
+            assert host.cancels == 1 or found.value.code == "57014"  # or statement_timeout expired first
             await holder.execute("ROLLBACK")
             await holder.close()
             assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
@@ -323,7 +323,7 @@
 
 
 def test_a_late_cancel_request_is_not_taken_for_an_outcome() -> None:
-    """The server has the COMMIT and carries it out; the cancel request reaches it meanwhile."""
+    """The cancel request arrives while the server executes the COMMIT."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
@@ -341,7 +341,7 @@
 
 def test_a_silent_server_delays_nothing_beyond_the_deadline() -> None:
     async def test() -> None:
-        async with postgres_store(most=2) as (store, (host,)):
+        async with postgres_store(max_connections=2) as (store, (host,)):
             await store.write(entry("before"), deadline_in(LONG))
             gate = StatementGate("insert", times=100)
             host.hook = gate
@@ -351,14 +351,14 @@
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
-            await until(lambda: not store.tasks)  # nothing is left running
+            await until(lambda: not store.tasks)  # no task is left running
             assert len(host.sessions) <= 2
             assert (await store.write(entry("after"), deadline_in(LONG))).verdict is Verdict.WRITTEN
 
     run(test)
 
 
-# Hosts that come and go
+# Failover and unavailable hosts
 
 
 def test_the_writable_host_is_found_before_and_after_a_failover() -> None:
@@ -410,8 +410,8 @@
 
 
 def test_split_brain_attempts_queried_on_the_promoted_host_are_fenced_there() -> None:
-    """What an asynchronous standby lacks is lost with its primary: that is said in the operators' page, not hidden.
-    What is promised: on the host that is asked, an attempt found to have never run does not run later."""
+    """Records that an asynchronous standby lacks are lost with its primary, as documented for operators. The guarantee
+    tested here: an attempt that a host reported as never run does not run later on that host."""
     async def test() -> None:
         async with postgres_store() as (store, (old,)):
             confirmed = entry("confirmed")
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -1,4 +1,4 @@
-"""The store of record in SQLite, as one process and as several use it."""
+"""The store of record in SQLite, used by one process and by several."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
         assert sorted((one.request, one.body, one.slot is None) for one in rows(found)) == [
             ("a", b"work", True), ("b", b"new", False)]
         found.close()
-        # asked of the first attempt: it ran, though its slot is another's by now
+        # the first attempt ran, though its slot now belongs to another
         assert await store.ask(first.attempt) == first.answer
         await store.close()
         assert verify(store.path) == (2, [])
@@ -90,8 +90,8 @@
         assert await store.ask(late.attempt) is None
         assert (await store.write(late)).verdict is Verdict.FENCED
         second = another_attempt(late)
-        assert (await store.write(second)).verdict is Verdict.WRITTEN  # another attempt at it is free to run
-        assert (await store.write(late)).verdict is Verdict.REPEAT  # and answers for the first
+        assert (await store.write(second)).verdict is Verdict.WRITTEN  # another attempt for the same request may run
+        assert (await store.write(late)).verdict is Verdict.REPEAT  # and its answer is returned for the first one
         assert await store.ask(second.attempt) == second.answer
         assert await store.ask(late.attempt) is None
         await store.close()
@@ -122,7 +122,7 @@
 
 
 class StalledJob:
-    """Holds the writer's thread within a piece of work, as a disk that hangs would."""
+    """Blocks the writer thread within a job, as a hanging disk would."""
 
     def __init__(self) -> None:
         self.reached, self.go = threading.Event(), threading.Event()
@@ -156,7 +156,7 @@
             await first
         assert unknown.value.outcome is WriteOutcome.UNKNOWN
         stalled.go.set()
-        assert await store.ask(held.attempt) == held.answer  # it came late, and it did run
+        assert await store.ask(held.attempt) == held.answer  # it was late, but it ran
         assert await store.ask(waiting.attempt) is None
         await store.close()
 
@@ -200,7 +200,7 @@
 
 
 def test_two_processes_sharing_a_file_write_a_key_once(tmp_path: Path) -> None:
-    """Both at the same moment, again and again."""
+    """Both write at the same time, repeatedly."""
     async def test() -> None:
         stores = [SqliteStore(tmp_path / "r.db", busy_ms=5_000) for _ in range(2)]
         for i in range(40):
@@ -214,7 +214,7 @@
     run(test())
 
 
-# Files that can't be used
+# Unusable files
 
 
 @pytest.mark.parametrize(("make", "code"), [
@@ -318,7 +318,7 @@
             await store.write(entry(body=bytes(8_000)))
         log = (tmp_path / "r.db-wal").stat().st_size
         assert log < 4_200 * (400 + 40), log
-        assert (tmp_path / "r.db").stat().st_size > 100 * 8_000  # some has been copied
+        assert (tmp_path / "r.db").stat().st_size > 100 * 8_000  # part of the log was checkpointed
         await store.close()
         assert verify(store.path)[1] == []
 
@@ -326,7 +326,7 @@
 
 
 class SlowFile(apsw.VFSFile):
-    """A page takes a while to be written; the log's own files are as quick as ever."""
+    """Writes to the database file are slow; the log and its index are not."""
 
     def __init__(self, vfs: str, name: Any, flags: Any) -> None:
         super().__init__(vfs, name, flags)
@@ -348,11 +348,11 @@
 @pytest.mark.parametrize("same_process", [True, False])
 def test_the_log_stays_bounded_during_slow_checkpoints_of_others(
         same_process: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A checkpoint is under way whenever the writer comes to the bound: its own copier's, or another process's."""
+    """A checkpoint by the checkpoint thread or another process is running whenever the log reaches its limit."""
     slow, over = SlowDisk(), threading.Event()
 
     def copies() -> int:
-        """As another process would, again and again, each a little while."""
+        """Checkpoints repeatedly, as another process would."""
         other, count = ConnectionFactory(tmp_path / "r.db", None, "slow").open(), 0
         while not over.wait(0.001):
             with contextlib.suppress(apsw.BusyError):
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -1,4 +1,4 @@
-"""Files of the store of record that cannot be opened for a moment: what was committed stays, and writing goes on."""
+"""Files that temporarily cannot be opened for writing: committed data stays, and writing continues."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     connection.close(True)
 
 
-# Guards against a log that is removed with what has not been copied, as the index beside it was read only.
+# Guards against deletion of a log with commits not yet checkpointed, because the shared-memory index was read-only.
 def test_a_connection_closed_after_an_error_keeps_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     assert_committed(path)
@@ -42,7 +42,7 @@
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
-# Guards against a store that reads its file and refuses every write until the process ends.
+# Guards against a store that opened its file read-only and refuses every write until the process ends.
 def test_a_file_that_opens_read_only_is_rejected(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "r.db"
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -1,4 +1,4 @@
-"""A sidecar whose submissions and marks go to a store of record: the four rules hold, and nothing else notices."""
+"""A sidecar that writes some classes to a store of record: the rules of history_check hold, other classes are unaffected."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 @contextlib.asynccontextmanager
 async def on_postgres(tmp_path: Path, **changes: Any) -> AsyncIterator[tuple[Host, StoresConfig]]:
-    """One host, and a section that writes to it."""
+    """One stand-in host and the `[store]` configuration for it."""
     host = await Host().start()
     try:
         yield host, stores_config(tmp_path, postgres_config(host), **changes)
@@ -121,7 +121,7 @@
 
 
 def test_a_request_is_not_written_if_its_client_has_already_closed(tmp_path: Path) -> None:
-    """Both have come before the loop reads either."""
+    """The request and the end of file have both arrived before the event loop reads either."""
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
         async with running(section) as (scene, _, front):
@@ -162,9 +162,9 @@
             began = time.monotonic()
             paid = await scene.send(request_message(scene, "pay", b"x"))
             assert paid.status == 503 and float(paid.headers["retry-after"]) > 0
-            assert time.monotonic() - began < 3.0  # at once, and not near its deadline of 8 s
+            assert time.monotonic() - began < 3.0  # at once, long before the deadline of 8 s
             assert (await scene.call("view")).status == 200
-            (tmp_path / "no").mkdir()  # someone acts
+            (tmp_path / "no").mkdir()  # an operator intervenes
             deadline = time.monotonic() + 20
             while (await scene.send(request_message(scene, "pay", b"x"))).status != 200:
                 assert time.monotonic() < deadline
@@ -182,7 +182,7 @@
                 host.hook = StatementFault("commit", after=True)
                 assert (await scene.send(request_message(scene, lane))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3"]
-            # a connection lost before COMMIT never ran: it is tried again through another slot
+            # a write whose connection is lost before COMMIT never ran, so it is retried through another slot
             host.hook = StatementFault("insert")
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
@@ -207,7 +207,7 @@
             gate.go.set()
             await until(lambda: not journal.open and journal.writing is None)
             assert journal_module.read_all(tmp_path / "open") == ([], 0)
-            assert written_requests(host.data) == ["t1", "t2"]  # it had run; its client was promised nothing
+            assert written_requests(host.data) == ["t1", "t2"]  # it had run; "failed" guarantees nothing to the client
 
     run(test)
 
@@ -234,7 +234,7 @@
 
 
 def test_a_stalled_store_does_not_affect_reads_and_holds_a_bounded_number_of_requests(tmp_path: Path) -> None:
-    """The store stalls for 3 s under 200 submissions a second; then it is back without a rush."""
+    """The store stalls for 3 s under 200 writes per second, then recovers without a burst."""
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section, 3, SHORT_DEADLINE_CLASSES) as (scene, peers, front)):
@@ -272,7 +272,7 @@
                 served = results["200"]
                 await until(lambda: results["200"] > served + 200)
                 phase["end"] = True
-            # out: slots of all ways and what came due late, never all that arrived
+            # in flight: the slots of all paths and attempts past their deadline, never all requests that arrived
             assert int(phase["most_out"]) < 100, phase
             assert set(results) <= {"200", "503", "502"} and results["503"] > 100, results
             usual, beside_it = (statistics.median(took[key]) for key in (False, True))
@@ -317,12 +317,12 @@
             lost = entry("lost")
             former.opened(journal_module.Open(lost.attempt, "main", "lost", "pay", "north", "", 1))
             await until(lambda: former.writing is None)
-            os.close(former.fd)  # it has ended
+            os.close(former.fd)  # the former process has ended
             await until(lambda: former.path is not None and not former.path.exists())
             journal = front.dispatchers[0].recorder.journal
             await until(lambda: not journal.open and journal.writing is None)
             found = await front.dispatchers[0].recorder.store.write(lost, asyncio.get_running_loop().time() + 10)
-            assert found.verdict is Verdict.FENCED  # it was asked
+            assert found.verdict is Verdict.FENCED  # its outcome was queried, which fenced it
 
     run(test)
 
@@ -407,7 +407,7 @@
             for writer in writers:
                 writer.close()
             await until(lambda: balancer.buffer is None)
-            # by the client's going, and not by its time in the buffer
+            # because the client left, not because the buffer timeout expired
             assert not waiting.attempts and waiting.done and not scene.sidecar.refusals["waited"]
             gate.go.set()
             await until(lambda: not scene.sidecar.requests and not balancer.requests)
@@ -418,7 +418,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_under_faults_each_client_has_one_answer_and_the_store_agrees(seed: int, tmp_path: Path) -> None:
-    """Two sidecars on one store, connections lost at random: counted on both sides."""
+    """Two sidecars on one store with randomly lost connections; results are counted on both sides."""
     draw = random.Random(seed)
 
     async def weather(session: Session, kind: str, after: bool) -> None:
@@ -442,7 +442,7 @@
             async def client(scene: Scene, number: int) -> None:
                 for i in range(25):
                     lane = "pay" if number % 2 else "mark"
-                    for _ in range(200):  # comes again after a refusal, as it is told
+                    for _ in range(200):  # retries after a refusal, as instructed
                         request = request_message(scene, lane, b"x", key=f"{i}", remaining="1500m")
                         txn = request.split(b"X-Txn: ")[1].split(b"\r\n")[0].decode()
                         answer = await scene.send(request)
@@ -460,7 +460,7 @@
         assert history_check.find_violations([], found) == [], f"seed {seed}"
         assert {one.key for one in found if one.kind == "mark"} == {str(i) for i in range(25)}, f"seed {seed}"
         counts = Counter(status for _, status in results.values())
-        # each of 300 requests was served in the end, or, few of them, has failed
+        # each of the 300 requests was finally served, or, in a few cases, failed
         assert counts[200] + counts[502] == 300 and counts[502] < 30, f"seed {seed}: {counts}"
         assert set(counts) <= {200, 502, 503}
         for txn, (lane, status) in results.items():
@@ -495,7 +495,7 @@
                 assert (answer.status, answer.body) == (200, b"done")
                 wanted = ["upstream", "store"] if order == "first" else ["store", "upstream"]
                 assert [one for i, one in enumerate(seen) if one not in seen[:i]] == wanted
-            # the store's reply is lost: found out, and each of the two has it once
+            # the store's reply is lost; the outcome is queried, and both places have the request once
             host.hook = StatementFault("commit", after=True)
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
@@ -518,10 +518,10 @@
         await host.stop()
         (tmp_path / "b").mkdir()
         async with running(stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
-            assert (await scene.send(request_message(scene, "pay"))).status == 502  # the store is away, and the upstream ran it
+            assert (await scene.send(request_message(scene, "pay"))).status == 502  # the store is down, and the upstream ran it
             assert peer.executions["t1"] == 1
             peer.behave = reply(TURNED_AWAY)
-            assert (await scene.send(request_message(scene, "pay"))).status == 503  # neither has it
+            assert (await scene.send(request_message(scene, "pay"))).status == 503  # it ran nowhere
 
     run(test)
 
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -1,4 +1,4 @@
-"""The decisions of a write: what an error means, what is done next, which store has it, what a history shows."""
+"""Pure parts of a store of record: error classification, write attempts, choice of a store, the history check."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize(("step", "code", "severity", "expected"), [
     (TransactionStep.CONNECT, "", "", NEVER), (TransactionStep.WORK, "", "", NEVER), (TransactionStep.WORK, "57P01", "FATAL", NEVER),
     (TransactionStep.WORK, "XX000", "ERROR", NEVER),
-    (TransactionStep.COMMIT, "", "", UNKNOWN),  # the connection broke
-    (TransactionStep.COMMIT, "57P01", "FATAL", UNKNOWN),  # told to end while it waits for a standby: committed here
+    (TransactionStep.COMMIT, "", "", UNKNOWN),  # the connection was lost
+    (TransactionStep.COMMIT, "57P01", "FATAL", UNKNOWN),  # terminated while waiting for a standby: committed locally
     (TransactionStep.COMMIT, "XX000", "PANIC", UNKNOWN), (TransactionStep.COMMIT, "40003", "ERROR", UNKNOWN),
     (TransactionStep.COMMIT, "08007", "ERROR", UNKNOWN), (TransactionStep.COMMIT, "57014", "ERROR", UNKNOWN),
     (TransactionStep.COMMIT, "58030", "ERROR", UNKNOWN), (TransactionStep.COMMIT, "ZZ999", "ERROR", UNKNOWN),
@@ -49,7 +49,7 @@
     assert sqlite_cause("SQLITE_IOERR") is Cause.BROKEN
 
 
-# The plan
+# Write attempts
 
 
 def failure(what: WriteOutcome = UNKNOWN) -> StoreFailure:
@@ -61,7 +61,7 @@
                           (Verdict.FENCED, AttemptOutcome.NEVER_RAN)):
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
-        assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is kept for asking
+        assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is reserved for a query
         assert isinstance(plan.write_answered(WriteResult(verdict, b"a")), Done)
         assert plan.outcome is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
 
@@ -82,7 +82,7 @@
         assert isinstance(step, QueryOutcome) and plan.outcome is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
         waits.append(step.at - now)
         now = step.until
-        step = plan.query_failed(now, failure(NEVER), 1.0)  # a question that never ran says nothing of the attempt
+        step = plan.query_failed(now, failure(NEVER), 1.0)  # a query that never ran says nothing about the attempt
     assert waits[0] == 0.0 and max(waits) == pytest.approx(5.0) and now > 60.0
     assert isinstance(plan.query_answered(b"a"), Done) and plan.outcome is AttemptOutcome.RAN
     other = Attempt(1.0)
