--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sql import SqlRecords, Transaction
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.worker import Worker
 
 T = TypeVar("T")
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -25,7 +25,7 @@
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.postgres import ConnectionOptions, is_stale, libpq_settings
 from ironscale.record.sql import NOW_MS, schema_migration
 from ironscale.record.worker import Done, Job, Worker, failed_group_results
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -17,7 +17,7 @@
 from ironscale.record import database
 from ironscale.record.database import ConnectionFactory, Transaction, Writer, store_failure
 from ironscale.record.errors import TransactionStep
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 
 BUSY_MS = 2_000
 SEQUENCE = "sequence"  # of the last write
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -1,5 +1,5 @@
-"""SQLite off the event loop: a writer thread with group commit, a checkpoint thread and a separate reader. Jobs submitted
-during a commit share the next one. The work itself is supplied by the callers.
+"""SQLite off the event loop: a writer thread with group commit, a checkpoint thread and a separate reader. Jobs
+submitted during a commit share the next one. The work itself is supplied by the callers.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import apsw
 
 from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.worker import MAX_QUEUED_JOBS, Done, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
@@ -99,7 +99,8 @@
 
 
 class ConnectionFactory:
-    """Opens connections to one file with the same settings. `vfs` names a VFS registered with apsw (for fault tests)."""
+    """Opens connections to one file with the same settings. `vfs` names a VFS registered with apsw (for fault
+    tests)."""
 
     def __init__(self, path: Path, prepare: Callable[[apsw.Connection], None] | None = None, vfs: str | None = None,
                  busy_ms: int = BUSY_TIMEOUT_MS, exclusive: bool = False) -> None:
@@ -157,13 +158,15 @@
 
 def set_persistent_wal(connection: apsw.Connection, keeps: bool = True) -> None:
     """Sets whether SQLite keeps the write-ahead log when the last connection closes. If the shared-memory index could
-    only be opened read-only, SQLite takes the log for empty and would delete it with all commits not yet checkpointed."""
+    only be opened read-only, SQLite takes the log for empty and would delete it with all commits not yet
+    checkpointed."""
     value = ctypes.c_int(keeps)
     connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(value))
 
 
 def close_and_remove_wal(connection: apsw.Connection) -> None:
-    """Closes the connection and lets SQLite delete the log, if a write lock can be taken, which needs an intact index."""
+    """Closes the connection and lets SQLite delete the log, if a write lock can be taken, which needs an intact
+    index."""
     with contextlib.suppress(apsw.Error):
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("ROLLBACK")
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -2,9 +2,9 @@
 resolves what it lists.
 
 Each process writes its own file NAME.TOKEN.open in a common folder and holds a lock on it. A process of the same name
-takes over the files of processes that have ended, at its start and later: in a make-before-break restart the old process
-ends after its successor has started. A file has one JSON object per line; a line without its line break is ignored.
-Except at the start, files are accessed off the event loop.
+takes over the files of processes that have ended, at its start and later: in a make-before-break restart the old
+process ends after its successor has started. A file has one JSON object per line; a line without its line break is
+ignored. Except at the start, files are accessed off the event loop.
 """
 
 from __future__ import annotations
@@ -171,7 +171,8 @@
         return list(found.values()), paths
 
     async def take_over(self) -> list[Open]:
-        """Takes over entries of processes that ended since. They are written to this file before the old files are removed."""
+        """Takes over entries of processes that ended since. They are written to this file before the old files are
+        removed."""
         if self.folder is None:
             return []
         if self.rewrite_needed:
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -20,7 +20,15 @@
 from psycopg import conninfo
 
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
-from ironscale.record.model import Cause, Entry, WriteOutcome, StoreFailure, Verdict, WriteResult, result_for_existing_row
+from ironscale.record.model import (
+    Cause,
+    Entry,
+    StoreFailure,
+    Verdict,
+    WriteOutcome,
+    WriteResult,
+    result_for_existing_row,
+)
 from ironscale.record.sql import SCHEMA, Dialect, schema_migration
 
 T = TypeVar("T")
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -1,5 +1,5 @@
-"""Runs write attempts (`write_attempt.Attempt`) against one store. Attempts with an unknown outcome are queried until it
-is known, even after the client has been answered."""
+"""Runs write attempts (`write_attempt.Attempt`) against one store. Attempts with an unknown outcome are queried until
+it is known, even after the client has been answered."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from ironscale.record.journal import Journal, Open
-from ironscale.record.model import Cause, Entry, WriteOutcome, Store, StoreFailure
-from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, NextStep, AttemptOutcome, Write
+from ironscale.record.model import Cause, Entry, Store, StoreFailure, WriteOutcome
+from ironscale.record.write_attempt import Attempt, AttemptOutcome, Done, NextStep, QueryOutcome, Write
 
 MAX_OPEN_ATTEMPTS = 10_000  # running or of unknown outcome; further ones are refused
 MAX_CONCURRENT_QUERIES = 8  # after an outage all open attempts are queried at the same time
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Generator, Sequence
 from typing import Any
 
-from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure
+from ironscale.record.model import Cause, Row, StoreFailure, WriteOutcome
 
 COLUMNS = ("attempt", "state", "request", "kind", "tenant", "key", "effect", "target", "body", "fingerprint", "answer",
            "at_ms", "until_ms", "slot")
@@ -62,8 +62,8 @@
 
 def schema_migration(name: str, table: str, lock: int, schema: int, statements: Callable[[int], Sequence[str]]
              ) -> Generator[Statement, list[tuple[Any, ...]], bool]:
-    """Migrates a PostgreSQL schema to this program's version, within one transaction of the caller. The generator yields
-    statements, is sent their rows and returns whether there is something to commit, so it serves synchronous and
+    """Migrates a PostgreSQL schema to this program's version, within one transaction of the caller. The generator
+    yields statements, is sent their rows and returns whether there is something to commit, so it serves synchronous and
     asynchronous connections. Raises StoreFailure if a newer program has written the schema."""
     yield "SELECT pg_advisory_xact_lock(%s)", (lock,)  # of two that start at once, the second finds the work done
     yield f"CREATE TABLE IF NOT EXISTS {table} (one bigint NOT NULL PRIMARY KEY, version bigint NOT NULL)", ()
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -21,10 +21,10 @@
 from ironscale.record.model import (
     Cause,
     Entry,
-    WriteOutcome,
     Row,
     StoreFailure,
     Verdict,
+    WriteOutcome,
     WriteResult,
     fingerprint,
     result_for_existing_row,
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Generic, TypeVar
 
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -96,9 +96,9 @@
 
     async def run(self, work: Callable[[X], T], until: float = NO_DEADLINE, writes: bool = True,
                   resolves: bool = False) -> T:
-        """Runs a job and returns its result once it is durable. Raises StoreFailure or the exception of the work. Nothing
-        was kept then, unless a StoreFailure says that the outcome is unknown. Cancelling the caller does not withdraw
-        the job."""
+        """Runs a job and returns its result once it is durable. Raises StoreFailure or the exception of the work.
+        Nothing was kept then, unless a StoreFailure says that the outcome is unknown. Cancelling the caller does not
+        withdraw the job."""
         loop = asyncio.get_running_loop()
         job = Job(work, until, writes, loop, resolves)
         with self.wake:
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -12,7 +12,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict, WriteResult
+from ironscale.record.model import Cause, StoreFailure, Verdict, WriteOutcome, WriteResult
 
 QUERY_RESERVE_SHARE = 1 / 3  # of an attempt's time, reserved for a query if the write is not answered
 MAX_QUERY_RESERVE_S = 0.5
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import history_check, recorder
-from ironscale.record.model import Cause, Entry, WriteOutcome, Row, StoreFailure, WriteResult
+from ironscale.record.model import Cause, Entry, Row, StoreFailure, WriteOutcome, WriteResult
 from ironscale.record.postgres import PostgresStore, TransactionRun
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ironscale.record import history_check
-from ironscale.record.model import Entry, WriteOutcome, Row, StoreFailure
+from ironscale.record.model import Entry, Row, StoreFailure, WriteOutcome
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import SqliteStore
 from tests.record.disk import SimulatedDisk, Vfs
@@ -91,8 +91,8 @@
 
 
 def test_a_connection_is_not_reused_after_a_failed_sync() -> None:
-    """After a failed sync its view of the log may differ from what a recovery finds. The simulated disk keeps both equal,
-    so the test checks the connection itself."""
+    """After a failed sync its view of the log may differ from what a recovery finds. The simulated disk keeps both
+    equal, so the test checks the connection itself."""
     async def test() -> None:
         disk = SimulatedDisk(1)
         store, vfs = open_store(disk, 10_000)
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ironscale.record import postgres
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
+from ironscale.record.model import Cause, StoreFailure, Verdict, WriteOutcome
 from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, TransactionRun, check_dsn
 from ironscale.standins.postgres import Data, Host, SqlError
 from tests.record.postgres import StatementFault, StatementGate, dsn, postgres_store, written_requests
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -20,7 +20,7 @@
 
 from ironscale.record import database, sqlite
 from ironscale.record.database import ConnectionFactory, Transaction
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
+from ironscale.record.model import Cause, StoreFailure, Verdict, WriteOutcome
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
 from tests.record.samples import another_attempt, entry
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -1,4 +1,5 @@
-"""A sidecar that writes some classes to a store of record: the rules of history_check hold, other classes are unaffected."""
+"""A sidecar that writes some classes to a store of record: the rules of history_check hold, other classes are
+unaffected."""
 
 from __future__ import annotations
 
@@ -26,11 +27,10 @@
 from ironscale.record import history_check
 from ironscale.record import journal as journal_module
 from ironscale.record.extension import store_extension
-from ironscale.record.model import Cause, WriteOutcome, StoreFailure, Verdict
+from ironscale.record.model import Cause, StoreFailure, Verdict, WriteOutcome
 from ironscale.record.sql import COLUMNS, row
 from ironscale.record.sqlite import reader, rows
-from ironscale.record.store_dispatcher import StoreRequestHandler
-from ironscale.record.store_dispatcher import store_settings
+from ironscale.record.store_dispatcher import StoreRequestHandler, store_settings
 from ironscale.standins.http import TURNED_AWAY, Message
 from ironscale.standins.postgres import Data, Drop, Host, Session
 from ironscale.standins.settings import SETTINGS
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -8,8 +8,8 @@
 
 from ironscale.record import history_check, model, routes
 from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome, sqlite_cause, sqlite_outcome
-from ironscale.record.model import Cause, WriteOutcome, Row, StoreFailure, Verdict, WriteResult
-from ironscale.record.write_attempt import QueryOutcome, Attempt, Done, AttemptOutcome, Write
+from ironscale.record.model import Cause, Row, StoreFailure, Verdict, WriteOutcome, WriteResult
+from ironscale.record.write_attempt import Attempt, AttemptOutcome, Done, QueryOutcome, Write
 from tests.record.samples import another_attempt, entry
 
 NEVER, UNKNOWN = WriteOutcome.NEVER_RAN, WriteOutcome.UNKNOWN
