--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -177,13 +177,13 @@
 class Writer(Worker[Transaction]):
     """Writes on one connection, on one thread."""
 
-    def __init__(self, opener: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
+    def __init__(self, factory: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection` is one that `opener` has already opened and nobody else uses."""
-        super().__init__(str(opener.path), most_queued)
-        self.opener = opener
+        super().__init__(str(factory.path), most_queued)
+        self.opener = factory
         self.checkpoint_pages = checkpoint_pages
-        self.longest_log_pages = checkpoint_pages if opener.exclusive else max_wal_pages
+        self.longest_log_pages = checkpoint_pages if factory.exclusive else max_wal_pages
         self.connection = connection
         if connection is not None:
             connection.set_wal_hook(self._on_wal_commit)
