--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -177,10 +177,10 @@
 class Writer(Worker[Transaction]):
     """Writes on one connection, on one thread."""
 
-    def __init__(self, factory: ConnectionFactory, most_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
+    def __init__(self, factory: ConnectionFactory, max_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection` is one that `opener` has already opened and nobody else uses."""
-        super().__init__(str(factory.path), most_queued)
+        super().__init__(str(factory.path), max_queued)
         self.opener = factory
         self.checkpoint_pages = checkpoint_pages
         self.longest_log_pages = checkpoint_pages if factory.exclusive else max_wal_pages
