--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -181,7 +181,7 @@
                  max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
         """`connection` is one that `opener` has already opened and nobody else uses."""
         super().__init__(str(factory.path), max_queued)
-        self.opener = factory
+        self.factory = factory
         self.checkpoint_pages = checkpoint_pages
         self.longest_log_pages = checkpoint_pages if factory.exclusive else max_wal_pages
         self.connection = connection
@@ -201,7 +201,7 @@
         step, opened = TransactionStep.CONNECT, self.connection
         try:
             if opened is None:
-                opened = self.connection = self.opener.open()
+                opened = self.connection = self.factory.open()
                 opened.set_wal_hook(self._on_wal_commit)
             step = TransactionStep.WORK
             transaction = Transaction(opened)
@@ -215,7 +215,7 @@
                     if not opened.in_transaction:
                         raise  # SQLite rolled back the whole transaction, as on a full disk
                     opened.execute("ROLLBACK TO job")
-                    done.append((job, None, store_failure(error, step, self.opener.path)))
+                    done.append((job, None, store_failure(error, step, self.factory.path)))
                 except Exception as error:
                     opened.execute("ROLLBACK TO job")
                     done.append((job, None, error))
@@ -226,7 +226,7 @@
             self.written += len(group) if writes else 0
             return done
         except (apsw.Error, StoreFailure) as error:
-            found = error if isinstance(error, StoreFailure) else store_failure(error, step, self.opener.path)
+            found = error if isinstance(error, StoreFailure) else store_failure(error, step, self.factory.path)
             if opened is not None:
                 self._after_error(opened, found)
             return failed_group_results(group, done, found)
@@ -235,7 +235,7 @@
                 self._after_error(opened, None)
             return failed_group_results(group, [], StoreFailure(
                 WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
-                f"{self.opener.path}: {type(error).__name__}: {error}"))
+                f"{self.factory.path}: {type(error).__name__}: {error}"))
 
     def _after_error(self, opened: apsw.Connection, found: StoreFailure | None) -> None:
         try:
@@ -255,7 +255,7 @@
         return 0
 
     def after(self) -> None:
-        if self.wal_pages >= self.checkpoint_pages and not self.opener.exclusive:
+        if self.wal_pages >= self.checkpoint_pages and not self.factory.exclusive:
             self.checkpoint_requested.set()
         if self.wal_pages >= self.longest_log_pages and self.connection is not None:
             began = time.monotonic()
@@ -270,7 +270,7 @@
         this process is waited for to its end, one of another process or a reader for the busy timeout; after that it is
         retried after the next commit."""
         with self.checkpoint_lock:
-            deadline_s = time.monotonic() + self.opener.busy_ms / 1000
+            deadline_s = time.monotonic() + self.factory.busy_ms / 1000
             while True:
                 try:
                     connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_RESTART)
@@ -294,7 +294,7 @@
                 return
             # a failure leaves the log unchanged; the writer checkpoints it once it is too long
             with contextlib.suppress(apsw.Error, StoreFailure):
-                connection = ConnectionFactory(self.opener.path, None, self.opener.vfs).open(create=False)
+                connection = ConnectionFactory(self.factory.path, None, self.factory.vfs).open(create=False)
                 try:
                     with self.checkpoint_lock:
                         connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
