--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -183,7 +183,7 @@
         super().__init__(str(factory.path), max_queued)
         self.factory = factory
         self.checkpoint_pages = checkpoint_pages
-        self.longest_log_pages = checkpoint_pages if factory.exclusive else max_wal_pages
+        self.max_wal_pages = checkpoint_pages if factory.exclusive else max_wal_pages
         self.connection = connection
         if connection is not None:
             connection.set_wal_hook(self._on_wal_commit)
@@ -257,7 +257,7 @@
     def after(self) -> None:
         if self.wal_pages >= self.checkpoint_pages and not self.factory.exclusive:
             self.checkpoint_requested.set()
-        if self.wal_pages >= self.longest_log_pages and self.connection is not None:
+        if self.wal_pages >= self.max_wal_pages and self.connection is not None:
             began = time.monotonic()
             self._restart_wal(self.connection)
             self.wal_pages = 0
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -271,7 +271,7 @@
         fault, disk.fault = disk.fault, ""
         store = SqliteStore(Path("/a.db"), opener)  # a start that fails is told at once
         disk.fault = fault
-        store.writer.checkpoint_pages = store.writer.longest_log_pages = 20
+        store.writer.checkpoint_pages = store.writer.max_wal_pages = 20
         kept, never, late = [], [], []
         for n in range(12):
             def work(r: Records, n: int = n) -> None:
