--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -316,8 +316,8 @@
 class Reader:
     """A separate connection for reading, so that a long listing does not block writes."""
 
-    def __init__(self, opener: ConnectionFactory) -> None:
-        self.opener = opener
+    def __init__(self, factory: ConnectionFactory) -> None:
+        self.opener = factory
         self.lock = threading.Lock()
         self.connection: apsw.Connection | None = None
 
