--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -317,7 +317,7 @@
     """A separate connection for reading, so that a long listing does not block writes."""
 
     def __init__(self, factory: ConnectionFactory) -> None:
-        self.opener = factory
+        self.factory = factory
         self.lock = threading.Lock()
         self.connection: apsw.Connection | None = None
 
@@ -326,7 +326,7 @@
         with self.lock:
             try:
                 if self.connection is None:
-                    self.connection = self.opener.open(create=False)
+                    self.connection = self.factory.open(create=False)
                 self.connection.execute("BEGIN")
                 try:
                     return work(Transaction(self.connection))
@@ -338,7 +338,7 @@
                 if connection is not None:
                     with contextlib.suppress(apsw.Error):
                         connection.close(True)
-                raise store_failure(error, TransactionStep.WORK, self.opener.path) from error
+                raise store_failure(error, TransactionStep.WORK, self.factory.path) from error
 
     def close(self) -> None:
         with self.lock:
