--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -165,7 +165,7 @@
 
 def test_a_full_queue_refuses_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        store = SqliteStore(tmp_path / "r.db", most_queued=5)
+        store = SqliteStore(tmp_path / "r.db", max_queued=5)
         stalled = StalledJob()
         first = asyncio.create_task(store.writer.run(stalled))
         await wait_until_stalled(stalled)
