--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -313,7 +313,7 @@
 
 def test_checkpoints_run_in_parallel_to_the_writer_and_bound_the_log(tmp_path: Path) -> None:
     async def test() -> None:
-        store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50, longest_log_pages=400)
+        store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50, max_wal_pages=400)
         for _ in range(300):
             await store.write(entry(body=bytes(8_000)))
         log = (tmp_path / "r.db-wal").stat().st_size
@@ -366,7 +366,7 @@
             monkeypatch.setattr(database, "ConnectionFactory", lambda path, *more: ConnectionFactory(path, None, "slow"))
         longest = 400 if same_process else 200
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
-                            longest_log_pages=longest, busy_ms=250 if same_process else 5_000)
+                            max_wal_pages=longest, busy_ms=250 if same_process else 5_000)
         await store.write(entry())
         other = None if same_process else asyncio.get_running_loop().run_in_executor(None, copies)
         try:
