--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -91,8 +91,8 @@
     def __init__(self, path: Path, max_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
                  checkpoint_pages: int = CHECKPOINT_PAGES, max_wal_pages: int = MAX_WAL_PAGES) -> None:
         self.path = path
-        self.opener = ConnectionFactory(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
-        self.writer = Writer(self.opener, max_queued, checkpoint_pages, max_wal_pages)
+        self.factory = ConnectionFactory(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
+        self.writer = Writer(self.factory, max_queued, checkpoint_pages, max_wal_pages)
 
     async def write(self, entry: Entry, until: float = NO_DEADLINE) -> WriteResult:
         return await self.writer.run(write(entry), until)
