--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -62,10 +62,10 @@
 class Worker(abc.ABC, Generic[X]):
     """The queue and its thread; `commit` runs one group of jobs."""
 
-    def __init__(self, name: str, most_queued: int = MAX_QUEUED_JOBS) -> None:
+    def __init__(self, name: str, max_queued: int = MAX_QUEUED_JOBS) -> None:
         """`name` is the store's name in error messages."""
         self.name = name
-        self.most_queued = most_queued
+        self.most_queued = max_queued
         self.jobs: deque[Job[X, Any]] = deque()
         self.wake = threading.Condition()
         self.ending = False
