--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -65,7 +65,7 @@
     def __init__(self, name: str, max_queued: int = MAX_QUEUED_JOBS) -> None:
         """`name` is the store's name in error messages."""
         self.name = name
-        self.most_queued = max_queued
+        self.max_queued = max_queued
         self.jobs: deque[Job[X, Any]] = deque()
         self.wake = threading.Condition()
         self.ending = False
@@ -104,9 +104,9 @@
         with self.wake:
             if self.ending:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the store is being closed", "CLOSED")
-            if len(self.jobs) >= self.most_queued:
+            if len(self.jobs) >= self.max_queued:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
-                              f"{self.name}: {self.most_queued} writes wait already", "QUEUE")
+                              f"{self.name}: {self.max_queued} writes wait already", "QUEUE")
             self.jobs.append(job)
             self.wake.notify()
         left = until - loop.time()
