--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -71,8 +71,8 @@
             try:
                 answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + TIMEOUT_S)
                 found[entry.attempt] = "never ran" if answer is None else "ran"
-            except StoreFailure as trouble:
-                found[entry.attempt] = f"not known: {trouble}"
+            except StoreFailure as failure:
+                found[entry.attempt] = f"not known: {failure}"
         return found
 
     return run_in_store(target, ask)
