--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -86,9 +86,9 @@
                     assert handle.entry is not None
                     try:
                         step = state.write_answered(await self.store.write(handle.entry, step.until))
-                    except StoreFailure as trouble:
-                        self.log_failure(trouble, self.loop.time())
-                        step = state.write_failed(self.loop.time(), trouble)
+                    except StoreFailure as failure:
+                        self.log_failure(failure, self.loop.time())
+                        step = state.write_failed(self.loop.time(), failure)
                     handle.entry = None
                 else:
                     step = await self.ask(state, handle.attempt, step)
