--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -113,9 +113,9 @@
                 # a query that waited for the semaphore gets the same timeout as the others
                 until = max(step.until, self.loop.time() + (step.until - step.at))
                 return state.query_answered(await self.store.ask(attempt, until))
-            except StoreFailure as trouble:
-                self.log_failure(trouble, self.loop.time())
-                return state.query_failed(self.loop.time(), trouble, self.rng.random())
+            except StoreFailure as failure:
+                self.log_failure(failure, self.loop.time())
+                return state.query_failed(self.loop.time(), failure, self.rng.random())
 
     async def resolve_attempt(self, entry: Open) -> None:
         now = self.loop.time()
