--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -130,11 +130,11 @@
         self.journal.opened(Open(handle.attempt, self.name, handle.request, handle.kind, handle.tenant, handle.key,
                                  time.time_ns() // 1_000_000, why))
 
-    def log_failure(self, trouble: StoreFailure, now: float) -> None:
+    def log_failure(self, failure: StoreFailure, now: float) -> None:
         """Logs a failure, rate-limited: an unreachable store fails every attempt."""
         if now - self.last_logged_at >= LOG_INTERVAL_S:
             self.last_logged_at = now
-            self.log(f"store {self.name}: {trouble.outcome.value}: {trouble}")
+            self.log(f"store {self.name}: {failure.outcome.value}: {failure}")
 
     async def close(self, wait_s: float) -> None:
         """Waits up to `wait_s` for open attempts; the rest is left in the journal."""
