--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -79,13 +79,13 @@
             self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a void marker exists for this attempt"
         return Done()
 
-    def write_failed(self, now: float, trouble: StoreFailure) -> NextStep:
+    def write_failed(self, now: float, failure: StoreFailure) -> NextStep:
         """Handles an error of the write."""
-        self.add_failure(trouble)
-        if trouble.outcome is WriteOutcome.NEVER_RAN:
-            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, trouble.cause, str(trouble)
+        self.add_failure(failure)
+        if failure.outcome is WriteOutcome.NEVER_RAN:
+            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, failure.cause, str(failure)
             return Done()
-        self.cause = trouble.cause
+        self.cause = failure.cause
         return self.next_query(now, now)
 
     def query_answered(self, answer: bytes | None) -> NextStep:
