--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -97,12 +97,12 @@
             self.outcome, self.answer = AttemptOutcome.RAN, answer
         return Done()
 
-    def query_failed(self, now: float, trouble: StoreFailure, jitter: float) -> NextStep:
+    def query_failed(self, now: float, failure: StoreFailure, jitter: float) -> NextStep:
         """Handles a failed query; the outcome is still unknown.
 
         `jitter` from 0 to 1 is drawn by the caller: sidecars that lost a store together must not query it together.
         """
-        self.add_failure(trouble)
+        self.add_failure(failure)
         wait = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(self.queries, 20))
         return self.next_query(now, now + wait * (0.5 + jitter / 2))
 
