--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -112,5 +112,5 @@
         left = self.deadline - at
         return QueryOutcome(at, at + (max(MIN_QUERY_TIMEOUT_S, left) if left > 0 else MAX_QUERY_TIMEOUT_S))
 
-    def add_failure(self, trouble: StoreFailure) -> None:
-        self.failures = [*self.failures[-4:], f"{trouble.code or trouble.cause.value}: {trouble}"]
+    def add_failure(self, failure: StoreFailure) -> None:
+        self.failures = [*self.failures[-4:], f"{failure.code or failure.cause.value}: {failure}"]
