--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -19,7 +19,7 @@
     return path.with_name(f"{path.name}-wal")
 
 
-def assert_committed(path: Path) -> None:
+def commit_row(path: Path) -> None:
     connection = open_connection(path)
     connection.execute("CREATE TABLE a (b); INSERT INTO a VALUES (1)")
     set_persistent_wal(connection)
@@ -29,14 +29,14 @@
 # Guards against deletion of a log with commits not yet checkpointed, because the shared-memory index was read-only.
 def test_a_connection_closed_after_an_error_keeps_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    assert_committed(path)
+    commit_row(path)
     assert log_path(path).exists()
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
 def test_a_connection_closed_cleanly_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    assert_committed(path)
+    commit_row(path)
     close_and_remove_wal(open_connection(path))
     assert [one.name for one in tmp_path.iterdir()] == ["r.db"]
     assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
@@ -46,7 +46,7 @@
 def test_a_file_that_opens_read_only_is_rejected(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "r.db"
-    assert_committed(path)
+    commit_row(path)
 
     class ReadOnly(apsw.Connection):
         def __init__(self, name: str, flags: int = 0, vfs: str | None = None) -> None:
