--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -31,10 +31,10 @@
         """Submits one request, retried only after attempts that never ran; returns the client's result."""
         for turn in range(tries):
             handle = await self.attempt(another_attempt(one) if turn else one, seconds)
-            told = handle.state.outcome
-            if told is not AttemptOutcome.NEVER_RAN:
+            outcome = handle.state.outcome
+            if outcome is not AttemptOutcome.NEVER_RAN:
                 break
-        word = RESULT_OF_OUTCOME[told]
+        word = RESULT_OF_OUTCOME[outcome]
         self.reports.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
                                                word, handle.state.answer if word == history_check.SERVED else b""))
         return word
