--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -34,10 +34,10 @@
             outcome = handle.state.outcome
             if outcome is not AttemptOutcome.NEVER_RAN:
                 break
-        word = RESULT_OF_OUTCOME[outcome]
+        result = RESULT_OF_OUTCOME[outcome]
         self.reports.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
-                                               word, handle.state.answer if word == history_check.SERVED else b""))
-        return word
+                                               result, handle.state.answer if result == history_check.SERVED else b""))
+        return result
 
     async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
         """Runs one attempt until its outcome is known or its time is up."""
