--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -42,16 +42,16 @@
     async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
         """Runs one attempt until its outcome is known or its time is up."""
         loop = asyncio.get_running_loop()
-        told = asyncio.Event()
+        finished = asyncio.Event()
 
         def on_told(plan: Attempt) -> None:
-            told.set()
+            finished.set()
 
         due = loop.time() + seconds
         handle = self.recorder.write(one, due, on_told)
         self.handles.append(handle)
         timer = loop.call_at(due, handle.give_up)
-        await told.wait()
+        await finished.wait()
         timer.cancel()
         return handle
 
