--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -44,11 +44,11 @@
         loop = asyncio.get_running_loop()
         finished = asyncio.Event()
 
-        def on_told(plan: Attempt) -> None:
+        def on_result(plan: Attempt) -> None:
             finished.set()
 
         due = loop.time() + seconds
-        handle = self.recorder.write(one, due, on_told)
+        handle = self.recorder.write(one, due, on_result)
         self.handles.append(handle)
         timer = loop.call_at(due, handle.give_up)
         await finished.wait()
