--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -47,10 +47,10 @@
         def on_result(plan: Attempt) -> None:
             finished.set()
 
-        due = loop.time() + seconds
-        handle = self.recorder.write(one, due, on_result)
+        deadline = loop.time() + seconds
+        handle = self.recorder.write(one, deadline, on_result)
         self.handles.append(handle)
-        timer = loop.call_at(due, handle.give_up)
+        timer = loop.call_at(deadline, handle.give_up)
         await finished.wait()
         timer.cancel()
         return handle
