--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -138,8 +138,8 @@
 async def run_with_random_faults(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Runs many clients under random faults, then without faults until nothing is open; returns the violations."""
     await play.submit(entry(), TIMEOUT_S)  # creates the schema
-    weather = RandomFaults(seed)
-    host.hook, host.cut = weather, weather.cut
+    faults = RandomFaults(seed)
+    host.hook, host.cut = faults, faults.cut
     draw = random.Random(seed * 7 + 1)
 
     async def client(number: int) -> None:
@@ -151,7 +151,7 @@
     async with asyncio.TaskGroup() as group:
         for number in range(6):
             group.create_task(client(number))
-    weather.calm = True
+    faults.calm = True
     async with asyncio.timeout(40):
         await play.wait_until_resolved()
     return history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes())
