--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -54,7 +54,7 @@
 def test_cut_at_every_byte(direction: str, effect: str) -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play, told = StoreClients(store), Counter[str]()
+            play, results = StoreClients(store), Counter[str]()
             await play.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             total = came if direction == "in" else went
@@ -63,13 +63,13 @@
                 await store.connections.close()
                 host.cut = OneCut(direction, at)
                 one = entry(effect=effect, key=f"k{at}" if effect == "deduplicated" else "")
-                told[await play.submit(one, TIMEOUT_S)] += 1
+                results[await play.submit(one, TIMEOUT_S)] += 1
             host.cut = None
             await play.wait_until_resolved()
             rows = stored_rows(host.data)
             assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
             # every outcome is known before the deadline; if only the reply was cut, the request is served
-            assert set(told) == {"served", "refused"} and min(told.values()) > 5, told
+            assert set(results) == {"served", "refused"} and min(results.values()) > 5, results
 
     run(test, 120)
 
