--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -65,12 +65,12 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_power_lost_at_every_change(seed: int) -> None:
     async def test() -> None:
-        total, told = await count_changes(), Counter[str]()
+        total, results = await count_changes(), Counter[str]()
         assert total > 40
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
             play, asked = await run_workload(disk)
-            told.update(one.result for one in play.reports)
+            results.update(one.result for one in play.reports)
             store, vfs = open_store(disk.after_power_loss())
             rows = await stored_rows(store)
             # query the attempts that were open at the power loss, as the next process does
@@ -85,7 +85,7 @@
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
             await store.close()
             vfs.unregister()
-        assert told["served"] > total and told["failed"] > 0
+        assert results["served"] > total and results["failed"] > 0
 
     asyncio.run(asyncio.wait_for(test(), 200))
 
