--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -117,11 +117,11 @@
 def test_a_full_disk_and_errors_at_every_change(fault: str, times: int) -> None:
     """The process continues; each outcome becomes known, and still holds if the power fails afterwards."""
     async def test() -> None:
-        total, told = await count_changes(), Counter[str]()
+        total, results = await count_changes(), Counter[str]()
         for at in range(1, total + 1):
             disk = SimulatedDisk(at, fault, at, times)
             play, _ = await run_workload(disk)
-            told.update(one.result for one in play.reports)
+            results.update(one.result for one in play.reports)
             for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
                 store, vfs = open_store(machine)
@@ -136,6 +136,6 @@
                 faults = history_check.find_violations(play.reports, rows, play.outcomes())
                 assert faults == [], f"change {at} ({disk.failed_operation})"
             assert "Traceback" not in "".join(play.lines), play.lines
-        assert told["served"] > 2 * told["refused"] > 0 and told["failed"] == 0, told
+        assert results["served"] > 2 * results["refused"] > 0 and results["failed"] == 0, results
 
     asyncio.run(asyncio.wait_for(test(), 200))
