--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -39,11 +39,11 @@
 async def run_workload(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
     """Submits requests in parallel, including repeats; the disk may lose power meanwhile."""
     store, vfs = open_store(disk)
-    play, asked = StoreClients(store), []
+    play, entries = StoreClients(store), []
     for i in range(REQUESTS // 3):
         several = [entry(f"{i}.{k}", "deduplicated" if k == 1 else "at_most_once", body=bytes(700 * k),
                          **({"key": f"k{i // 2}"} if k == 1 else {})) for k in range(3)]
-        asked += several
+        entries += several
         if disk.powered_off:
             break
         await asyncio.gather(*(play.submit(one, most_s if disk.fault != "power" else 0.05) for one in several))
@@ -52,7 +52,7 @@
             await play.wait_until_resolved()
     await play.recorder.close(0.0)
     vfs.unregister()
-    return play, asked
+    return play, entries
 
 
 async def count_changes() -> int:
