--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -69,7 +69,7 @@
         assert total > 40
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
-            play, asked = await run_workload(disk)
+            play, entries = await run_workload(disk)
             results.update(one.result for one in play.reports)
             store, vfs = open_store(disk.after_power_loss())
             rows = await stored_rows(store)
@@ -81,7 +81,7 @@
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
             faults = history_check.find_violations(play.reports, await stored_rows(store), {**play.outcomes(), **outcomes})
             assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
-            assert len(rows) <= len(asked)
+            assert len(rows) <= len(entries)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
             await store.close()
             vfs.unregister()
