--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -349,12 +349,12 @@
 def test_the_log_stays_bounded_during_slow_checkpoints_of_others(
         same_process: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A checkpoint by the checkpoint thread or another process is running whenever the log reaches its limit."""
-    slow, over = SlowDisk(), threading.Event()
+    slow, finished = SlowDisk(), threading.Event()
 
     def copies() -> int:
         """Checkpoints repeatedly, as another process would."""
         other, count = ConnectionFactory(tmp_path / "r.db", None, "slow").open(), 0
-        while not over.wait(0.001):
+        while not finished.wait(0.001):
             with contextlib.suppress(apsw.BusyError):
                 other.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
                 count += 1
@@ -375,7 +375,7 @@
                 log = (tmp_path / "r.db-wal").stat().st_size
                 assert log < 4_200 * (longest + 40), log
         finally:
-            over.set()
+            finished.set()
             copied = await other if other is not None else 1
             await store.close()
         assert copied
