--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -351,7 +351,7 @@
     """A checkpoint by the checkpoint thread or another process is running whenever the log reaches its limit."""
     slow, finished = SlowDisk(), threading.Event()
 
-    def copies() -> int:
+    def run_checkpoints() -> int:
         """Checkpoints repeatedly, as another process would."""
         other, count = ConnectionFactory(tmp_path / "r.db", None, "slow").open(), 0
         while not finished.wait(0.001):
@@ -368,7 +368,7 @@
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
                             max_wal_pages=longest, busy_ms=250 if same_process else 5_000)
         await store.write(entry())
-        other = None if same_process else asyncio.get_running_loop().run_in_executor(None, copies)
+        other = None if same_process else asyncio.get_running_loop().run_in_executor(None, run_checkpoints)
         try:
             for _ in range(300):
                 await store.write(entry(body=bytes(8_000)))
