--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -57,13 +57,13 @@
 
 
 def test_an_answered_write_is_done() -> None:
-    for verdict, told in ((Verdict.WRITTEN, AttemptOutcome.RAN), (Verdict.REPEAT, AttemptOutcome.RAN), (Verdict.CONFLICT, AttemptOutcome.CONFLICT),
+    for verdict, outcome in ((Verdict.WRITTEN, AttemptOutcome.RAN), (Verdict.REPEAT, AttemptOutcome.RAN), (Verdict.CONFLICT, AttemptOutcome.CONFLICT),
                           (Verdict.FENCED, AttemptOutcome.NEVER_RAN)):
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is reserved for a query
         assert isinstance(plan.write_answered(WriteResult(verdict, b"a")), Done)
-        assert plan.outcome is told and plan.answer == (b"a" if told is AttemptOutcome.RAN else b"")
+        assert plan.outcome is outcome and plan.answer == (b"a" if outcome is AttemptOutcome.RAN else b"")
 
 
 def test_a_write_that_never_ran_is_reported_without_a_query() -> None:
