--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -80,11 +80,11 @@
         await host.stop()
 
 
-def request_message(scene: Scene, lane: str, body: bytes = b"", key: str = "k", org: str = "north",
+def request_message(scene: Scene, class_name: str, body: bytes = b"", key: str = "k", org: str = "north",
           remaining: str = "8000m") -> bytes:
     scene.count += 1
-    keyed = f"Idempotency-Key: {key}\r\n" if lane == "mark" else ""
-    return (f"POST /api?sid=7f HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {lane}\r\nX-Org: {org}\r\n"
+    keyed = f"Idempotency-Key: {key}\r\n" if class_name == "mark" else ""
+    return (f"POST /api?sid=7f HTTP/1.1\r\nHost: x\r\nX-Txn: t{scene.count}\r\nX-Lane: {class_name}\r\nX-Org: {org}\r\n"
             f"X-Remaining: {remaining}\r\n{keyed}Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
