--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -110,8 +110,8 @@
             assert (await scene.call("view")).body == b"done"
             assert len(peer.got) == 1
             assert (await scene.send(request_message(scene, "mark", b"A", key="k" * 257))).status == 400
-            lane = front.dispatchers[0]
-            assert {one.used for one in upstream_views(lane.balancer)} == {0} and not lane.in_flight and not lane.attempt_counts
+            dispatcher = front.dispatchers[0]
+            assert {one.used for one in upstream_views(dispatcher.balancer)} == {0} and not dispatcher.in_flight and not dispatcher.attempt_counts
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
             ("t1", "north", 64_000), ("t2", "north", 1), ("t5", "south", 1)]
