--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -178,9 +178,9 @@
         async with (on_postgres(tmp_path) as (host, section),
                     running(section) as (scene, _, front)):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
-            for lane in ("pay", "mark"):
+            for class_name in ("pay", "mark"):
                 host.hook = StatementFault("commit", after=True)
-                assert (await scene.send(request_message(scene, lane))).status == 200
+                assert (await scene.send(request_message(scene, class_name))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3"]
             # a write whose connection is lost before COMMIT never ran, so it is retried through another slot
             host.hook = StatementFault("insert")
