--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -238,7 +238,7 @@
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
                     running(section, 3, SHORT_DEADLINE_CLASSES) as (scene, peers, front)):
-            lane, results = front.dispatchers[0], Counter[str]()
+            dispatcher, results = front.dispatchers[0], Counter[str]()
             took: dict[bool, list[float]] = {False: [], True: []}
             phase = {"stalled": False, "end": False, "most_out": 0}
 
@@ -257,7 +257,7 @@
             async def pays(group: asyncio.TaskGroup) -> None:
                 while not phase["end"]:
                     group.create_task(pay())
-                    phase["most_out"] = max(int(phase["most_out"]), len(lane.in_flight))
+                    phase["most_out"] = max(int(phase["most_out"]), len(dispatcher.in_flight))
                     await asyncio.sleep(0.005)
 
             async with asyncio.TaskGroup() as group:
