--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -383,9 +383,9 @@
             writer.close()
             await until(lambda: not scene.sidecar.by_txn)
             gate.go.set()
-            lane = front.dispatchers[0]
-            await until(lambda: not lane.in_flight and not lane.attempt_counts and not scene.sidecar.requests)
-            assert written_requests(host.data) == ["t1", "t2"] and not lane.balancer.requests
+            dispatcher = front.dispatchers[0]
+            await until(lambda: not dispatcher.in_flight and not dispatcher.attempt_counts and not scene.sidecar.requests)
+            assert written_requests(host.data) == ["t1", "t2"] and not dispatcher.balancer.requests
 
     run(test)
 
