--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -441,12 +441,12 @@
 
             async def client(scene: Scene, number: int) -> None:
                 for i in range(25):
-                    lane = "pay" if number % 2 else "mark"
+                    class_name = "pay" if number % 2 else "mark"
                     for _ in range(200):  # retries after a refusal, as instructed
-                        request = request_message(scene, lane, b"x", key=f"{i}", remaining="1500m")
+                        request = request_message(scene, class_name, b"x", key=f"{i}", remaining="1500m")
                         txn = request.split(b"X-Txn: ")[1].split(b"\r\n")[0].decode()
                         answer = await scene.send(request)
-                        results[txn] = lane, answer.status
+                        results[txn] = class_name, answer.status
                         if answer.status != 503:
                             break
                         await asyncio.sleep(float(answer.headers["retry-after"]))
