--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -463,10 +463,10 @@
         # each of the 300 requests was finally served, or, in a few cases, failed
         assert counts[200] + counts[502] == 300 and counts[502] < 30, f"seed {seed}: {counts}"
         assert set(counts) <= {200, 502, 503}
-        for txn, (lane, status) in results.items():
+        for txn, (class_name, status) in results.items():
             if status == 503:
                 assert txn not in standing, f"seed {seed}: {txn} was refused, and stands"
-            if status == 200 and lane == "pay":
+            if status == 200 and class_name == "pay":
                 assert txn in standing, f"seed {seed}: {txn} was served, and is lost"
         await host.stop()
 
