--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -489,9 +489,9 @@
                 await serve_ok(peer, message, writer)
 
             host.hook, peer.behave = hook, behave
-            for lane in ("pay", "mark", "pay"):
+            for class_name in ("pay", "mark", "pay"):
                 seen.clear()
-                answer = await scene.send(request_message(scene, lane))
+                answer = await scene.send(request_message(scene, class_name))
                 assert (answer.status, answer.body) == (200, b"done")
                 wanted = ["upstream", "store"] if order == "first" else ["store", "upstream"]
                 assert [one for i, one in enumerate(seen) if one not in seen[:i]] == wanted
