--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -500,9 +500,9 @@
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
-            lane_ = front.dispatchers[0]
-            await until(lambda: not scene.sidecar.requests and not lane_.in_flight)
-            assert not lane_.attempt_counts and not lane_.balancer.requests and not scene.sidecar.balancer.requests
+            dispatcher = front.dispatchers[0]
+            await until(lambda: not scene.sidecar.requests and not dispatcher.in_flight)
+            assert not dispatcher.attempt_counts and not dispatcher.balancer.requests and not scene.sidecar.balancer.requests
 
     run(test)
 
