--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -275,8 +275,8 @@
             # in flight: the slots of all paths and attempts past their deadline, never all requests that arrived
             assert int(phase["most_out"]) < 100, phase
             assert set(results) <= {"200", "503", "502"} and results["503"] > 100, results
-            usual, beside_it = (statistics.median(took[key]) for key in (False, True))
-            assert beside_it < 3 * usual + 0.005, (usual, beside_it)
+            usual, during_stall = (statistics.median(took[key]) for key in (False, True))
+            assert during_stall < 3 * usual + 0.005, (usual, during_stall)
             assert len(written_requests(host.data)) >= results["200"]
 
     run(test, 60)
