--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -421,7 +421,7 @@
     """Two sidecars on one store with randomly lost connections; results are counted on both sides."""
     draw = random.Random(seed)
 
-    async def weather(session: Session, kind: str, after: bool) -> None:
+    async def drop_connections(session: Session, kind: str, after: bool) -> None:
         if draw.random() < 0.02:
             raise Drop
         if draw.random() < 0.05:
@@ -437,7 +437,7 @@
                 scenes.append((await stack.enter_async_context(running(
                     stores_config(tmp_path / str(i), postgres_config(host)), classes=SHORT_DEADLINE_CLASSES)))[0])
             scenes[1].count = 100_000
-            host.hook = weather
+            host.hook = drop_connections
 
             async def client(scene: Scene, number: int) -> None:
                 for i in range(25):
