--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -179,7 +179,7 @@
 
     def __init__(self, factory: ConnectionFactory, max_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
                  max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
-        """`connection` is one that `opener` has already opened and nobody else uses."""
+        """`connection` is one that `factory` has already opened and nobody else uses."""
         super().__init__(str(factory.path), max_queued)
         self.factory = factory
         self.checkpoint_pages = checkpoint_pages
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -54,8 +54,8 @@
 def test_cut_at_every_byte(direction: str, effect: str) -> None:
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play, results = StoreClients(store), Counter[str]()
-            await play.submit(entry(), TIMEOUT_S)
+            clients, results = StoreClients(store), Counter[str]()
+            await clients.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             total = came if direction == "in" else went
             assert total > 400
@@ -63,11 +63,11 @@
                 await store.connections.close()
                 host.cut = OneCut(direction, at)
                 one = entry(effect=effect, key=f"k{at}" if effect == "deduplicated" else "")
-                results[await play.submit(one, TIMEOUT_S)] += 1
+                results[await clients.submit(one, TIMEOUT_S)] += 1
             host.cut = None
-            await play.wait_until_resolved()
+            await clients.wait_until_resolved()
             rows = stored_rows(host.data)
-            assert history_check.find_violations(play.reports, rows, play.outcomes()) == []
+            assert history_check.find_violations(clients.reports, rows, clients.outcomes()) == []
             # every outcome is known before the deadline; if only the reply was cut, the request is served
             assert set(results) == {"served", "refused"} and min(results.values()) > 5, results
 
@@ -78,8 +78,8 @@
     """The first connection is cut after the commit, and the second, which queries the outcome, at every byte."""
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play = StoreClients(store)
-            await play.submit(entry(), TIMEOUT_S)
+            clients = StoreClients(store)
+            await clients.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             for direction, total in (("in", came), ("out", went)):
                 for at in range(0, total, 12):
@@ -95,10 +95,10 @@
                             raise Drop
 
                     host.hook = drop
-                    assert await play.submit(entry(), TIMEOUT_S) == "refused"
+                    assert await clients.submit(entry(), TIMEOUT_S) == "refused"
             host.hook = host.cut = None
-            await play.wait_until_resolved()
-            assert history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes()) == []
+            await clients.wait_until_resolved()
+            assert history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes()) == []
 
     run(test, 120)
 
@@ -135,9 +135,9 @@
         return self.random.choice(("in", "out")), 300 + self.random.randrange(2_000)
 
 
-async def run_with_random_faults(play: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
+async def run_with_random_faults(clients: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
     """Runs many clients under random faults, then without faults until nothing is open; returns the violations."""
-    await play.submit(entry(), TIMEOUT_S)  # creates the schema
+    await clients.submit(entry(), TIMEOUT_S)  # creates the schema
     faults = RandomFaults(seed)
     host.hook, host.cut = faults, faults.cut
     draw = random.Random(seed * 7 + 1)
@@ -146,25 +146,25 @@
         for i in range(requests // 6):
             name, key = f"{seed}.{number}.{i}", f"{seed}.{draw.randrange(8)}"
             one = entry(name, "deduplicated", key=key) if draw.random() < 0.5 else entry(name)
-            await play.submit(one, 0.05 + draw.random() * 0.3, tries=2)
+            await clients.submit(one, 0.05 + draw.random() * 0.3, tries=2)
 
     async with asyncio.TaskGroup() as group:
         for number in range(6):
             group.create_task(client(number))
     faults.calm = True
     async with asyncio.timeout(40):
-        await play.wait_until_resolved()
-    return history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes())
+        await clients.wait_until_resolved()
+    return history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes())
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_random_faults(seed: int) -> None:
     async def test() -> None:
         async with postgres_store(max_connections=4) as (store, (host,)):
-            play = StoreClients(store, seed)
-            faults = await run_with_random_faults(play, host, seed)
+            clients = StoreClients(store, seed)
+            faults = await run_with_random_faults(clients, host, seed)
             assert faults == [], f"seed {seed}"
-            assert len(play.reports) == 61 and "Traceback" not in "".join(play.lines)
+            assert len(clients.reports) == 61 and "Traceback" not in "".join(clients.lines)
 
     run(test, 120)
 
@@ -203,25 +203,25 @@
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
 
-async def late_commit(store: PostgresStore, host: Host, play: StoreClients) -> None:
+async def late_commit(store: PostgresStore, host: Host, clients: StoreClients) -> None:
     """COMMIT is held past the client's deadline, its reply is lost, and then it succeeds."""
-    await play.submit(entry(), TIMEOUT_S)
+    await clients.submit(entry(), TIMEOUT_S)
     gate = StatementGate("commit")
     host.hook = gate
-    submitted = asyncio.create_task(play.submit(entry("late"), 0.4))
+    submitted = asyncio.create_task(clients.submit(entry("late"), 0.4))
     await gate.reached.wait()
     for wire in host.wires.values():
         wire.writer.transport.abort()
     await submitted
     gate.go.set()
     host.hook = None
-    await play.wait_until_resolved()
+    await clients.wait_until_resolved()
     await until(lambda: not host.data.owners)
 
 
-async def lost_reply(store: PostgresStore, host: Host, play: StoreClients) -> None:
+async def lost_reply(store: PostgresStore, host: Host, clients: StoreClients) -> None:
     """COMMIT succeeds, but its reply is lost."""
-    await play.submit(entry(), TIMEOUT_S)
+    await clients.submit(entry(), TIMEOUT_S)
 
     async def drop(session: Session, kind: str, after: bool) -> None:
         if kind == "commit" and after:
@@ -229,8 +229,8 @@
             raise Drop
 
     host.hook = drop
-    await play.submit(entry("lost"), TIMEOUT_S)
-    await play.wait_until_resolved()
+    await clients.submit(entry("lost"), TIMEOUT_S)
+    await clients.wait_until_resolved()
 
 
 SCRIPTS: dict[str, Any] = {"late commit": late_commit, "lost reply": lost_reply}
@@ -245,9 +245,9 @@
     async def test() -> None:
         async with postgres_store() as (plain, (host,)):
             store = kind(plain.access)
-            play = StoreClients(store)
-            await SCRIPTS[script](store, host, play)
-            found = history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes())
+            clients = StoreClients(store)
+            await SCRIPTS[script](store, host, clients)
+            found = history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes())
             assert bool(found) == bool(fault) and any(line.startswith(fault) for line in found or [""]), found
             await store.close()
 
@@ -275,16 +275,16 @@
 
     async def test() -> None:
         async with postgres_store() as (store, (host,)):
-            play = StoreClients(store)
-            await play.submit(entry(), TIMEOUT_S)
+            clients = StoreClients(store)
+            await clients.submit(entry(), TIMEOUT_S)
             gate = StatementGate("insert", times=10)
             host.hook = gate
-            held = [asyncio.create_task(play.submit(entry(), TIMEOUT_S)) for _ in range(3)]
+            held = [asyncio.create_task(clients.submit(entry(), TIMEOUT_S)) for _ in range(3)]
             await gate.reached.wait()
-            assert await play.submit(entry("beyond"), TIMEOUT_S) == "refused"
+            assert await clients.submit(entry("beyond"), TIMEOUT_S) == "refused"
             gate.go.set()
             assert [await one for one in held] == ["served"] * 3
-            assert history_check.find_violations(play.reports, stored_rows(host.data), play.outcomes()) == []
+            assert history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes()) == []
 
     run(test)
 
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -39,26 +39,26 @@
 async def run_workload(disk: SimulatedDisk, most_s: float = 5.0) -> tuple[StoreClients, list[Entry]]:
     """Submits requests in parallel, including repeats; the disk may lose power meanwhile."""
     store, vfs = open_store(disk)
-    play, entries = StoreClients(store), []
+    clients, entries = StoreClients(store), []
     for i in range(REQUESTS // 3):
         several = [entry(f"{i}.{k}", "deduplicated" if k == 1 else "at_most_once", body=bytes(700 * k),
                          **({"key": f"k{i // 2}"} if k == 1 else {})) for k in range(3)]
         entries += several
         if disk.powered_off:
             break
-        await asyncio.gather(*(play.submit(one, most_s if disk.fault != "power" else 0.05) for one in several))
+        await asyncio.gather(*(clients.submit(one, most_s if disk.fault != "power" else 0.05) for one in several))
     if not disk.powered_off:
         async with asyncio.timeout(20):
-            await play.wait_until_resolved()
-    await play.recorder.close(0.0)
+            await clients.wait_until_resolved()
+    await clients.recorder.close(0.0)
     vfs.unregister()
-    return play, entries
+    return clients, entries
 
 
 async def count_changes() -> int:
     disk = SimulatedDisk(1)
-    play, _ = await run_workload(disk)
-    assert Counter(one.result for one in play.reports) == {"served": REQUESTS}
+    clients, _ = await run_workload(disk)
+    assert Counter(one.result for one in clients.reports) == {"served": REQUESTS}
     return disk.count
 
 
@@ -69,17 +69,17 @@
         assert total > 40
         for at in range(1, total + 1):
             disk = SimulatedDisk(seed * 1000 + at, "power", at)
-            play, entries = await run_workload(disk)
-            results.update(one.result for one in play.reports)
+            clients, entries = await run_workload(disk)
+            results.update(one.result for one in clients.reports)
             store, vfs = open_store(disk.after_power_loss())
             rows = await stored_rows(store)
             # query the attempts that were open at the power loss, as the next process does
             outcomes = {}
-            for handle in play.handles:
+            for handle in clients.handles:
                 if handle.state.outcome.value == "open":
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
-            faults = history_check.find_violations(play.reports, await stored_rows(store), {**play.outcomes(), **outcomes})
+            faults = history_check.find_violations(clients.reports, await stored_rows(store), {**clients.outcomes(), **outcomes})
             assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
             assert len(rows) <= len(entries)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
@@ -120,8 +120,8 @@
         total, results = await count_changes(), Counter[str]()
         for at in range(1, total + 1):
             disk = SimulatedDisk(at, fault, at, times)
-            play, _ = await run_workload(disk)
-            results.update(one.result for one in play.reports)
+            clients, _ = await run_workload(disk)
+            results.update(one.result for one in clients.reports)
             for machine in (disk, disk.after_power_loss()):
                 machine.fault = ""
                 store, vfs = open_store(machine)
@@ -133,9 +133,9 @@
                 finally:
                     await store.close()
                     vfs.unregister()
-                faults = history_check.find_violations(play.reports, rows, play.outcomes())
+                faults = history_check.find_violations(clients.reports, rows, clients.outcomes())
                 assert faults == [], f"change {at} ({disk.failed_operation})"
-            assert "Traceback" not in "".join(play.lines), play.lines
+            assert "Traceback" not in "".join(clients.lines), clients.lines
         assert results["served"] > 2 * results["refused"] > 0 and results["failed"] == 0, results
 
     asyncio.run(asyncio.wait_for(test(), 200))
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -61,9 +61,9 @@
     scene = await Scene().start(*entries, **{"request-classes": classes})
     try:
         async with store_extension(section)(scene.sidecar, lambda: None):
-            front = next(iter(scene.sidecar.request_handlers.values()))
-            assert isinstance(front, StoreRequestHandler)
-            yield scene, found, front
+            handler = next(iter(scene.sidecar.request_handlers.values()))
+            assert isinstance(handler, StoreRequestHandler)
+            yield scene, found, handler
     finally:
         await scene.sidecar.stop()
         for peer in found:
@@ -97,7 +97,7 @@
 def test_writes_go_to_the_store_and_reads_to_the_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
-        async with running(section) as (scene, (peer,), front):
+        async with running(section) as (scene, (peer,), handler):
             paid = await scene.send(request_message(scene, "pay", b"homework" * 8000))
             assert paid.status == 200 and answer_json(paid) == {"recorded": "t1", "class": "pay"}
             mark = await scene.send(request_message(scene, "mark", b"A"))
@@ -110,7 +110,7 @@
             assert (await scene.call("view")).body == b"done"
             assert len(peer.got) == 1
             assert (await scene.send(request_message(scene, "mark", b"A", key="k" * 257))).status == 400
-            dispatcher = front.dispatchers[0]
+            dispatcher = handler.dispatchers[0]
             assert {one.used for one in upstream_views(dispatcher.balancer)} == {0} and not dispatcher.in_flight and not dispatcher.attempt_counts
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
@@ -124,7 +124,7 @@
     """The request and the end of file have both arrived before the event loop reads either."""
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
-        async with running(section) as (scene, _, front):
+        async with running(section) as (scene, _, handler):
             with socket.create_connection(("127.0.0.1", scene.port)) as client:
                 client.sendall(request_message(scene, "pay"))
                 client.shutdown(socket.SHUT_WR)
@@ -158,7 +158,7 @@
 def test_a_store_that_cannot_be_opened_refuses_and_says_when_to_return(tmp_path: Path) -> None:
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "no" / "r.db"))
-        async with running(section) as (scene, _, front):
+        async with running(section) as (scene, _, handler):
             began = time.monotonic()
             paid = await scene.send(request_message(scene, "pay", b"x"))
             assert paid.status == 503 and float(paid.headers["retry-after"]) > 0
@@ -176,7 +176,7 @@
 def test_a_commit_whose_reply_is_lost_is_served_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
-                    running(section) as (scene, _, front)):
+                    running(section) as (scene, _, handler)):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             for class_name in ("pay", "mark"):
                 host.hook = StatementFault("commit", after=True)
@@ -192,14 +192,14 @@
 
 def test_an_outcome_unknown_at_the_deadline_fails_is_listed_and_later_resolved(tmp_path: Path) -> None:
     async def test() -> None:
-        async with on_postgres(tmp_path) as (host, section), running(section) as (scene, _, front):
+        async with on_postgres(tmp_path) as (host, section), running(section) as (scene, _, handler):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             gate = StatementGate("commit", times=1000)
             host.hook = gate
             began = time.monotonic()
             assert (await scene.send(request_message(scene, "pay", remaining="600m"))).status == 502
             assert 0.3 < time.monotonic() - began < 0.6 + 0.05 - ANSWER_MARGIN_US / 1e6 + 0.2
-            journal = front.dispatchers[0].recorder.journal
+            journal = handler.dispatchers[0].recorder.journal
             await until(lambda: journal.writing is None and journal.open)
             (one,), damaged = journal_module.read_all(tmp_path / "open")
             assert damaged == 0 and (one.request, one.kind, one.store, one.tenant) == ("t2", "pay", "main", "north")
@@ -215,7 +215,7 @@
 def test_the_next_process_resolves_attempts_left_open(tmp_path: Path) -> None:
     async def test() -> None:
         async with on_postgres(tmp_path) as (host, section):
-            async with running(section) as (scene, _, front):
+            async with running(section) as (scene, _, handler):
                 assert (await scene.send(request_message(scene, "pay"))).status == 200
                 gate = StatementGate("commit", times=1000)
                 host.hook = gate
@@ -225,8 +225,8 @@
                 file.write(b'{"open":{"attempt":"torn')
             host.hook = None
             gate.go.set()
-            async with running(section) as (scene, _, front):
-                journal = front.dispatchers[0].recorder.journal
+            async with running(section) as (scene, _, handler):
+                journal = handler.dispatchers[0].recorder.journal
                 await until(lambda: not journal.open and journal.writing is None)
                 assert journal_module.read_all(tmp_path / "open") == ([], 0)
 
@@ -237,8 +237,8 @@
     """The store stalls for 3 s under 200 writes per second, then recovers without a burst."""
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
-                    running(section, 3, SHORT_DEADLINE_CLASSES) as (scene, peers, front)):
-            dispatcher, results = front.dispatchers[0], Counter[str]()
+                    running(section, 3, SHORT_DEADLINE_CLASSES) as (scene, peers, handler)):
+            dispatcher, results = handler.dispatchers[0], Counter[str]()
             took: dict[bool, list[float]] = {False: [], True: []}
             phase = {"stalled": False, "end": False, "most_out": 0}
 
@@ -286,7 +286,7 @@
     async def test() -> None:
         hosts = [await Host().start() for _ in range(2)]
         section = stores_config(tmp_path, *(postgres_config(host, name=f"s{i}") for i, host in enumerate(hosts)))
-        async with running(section) as (scene, _, front):
+        async with running(section) as (scene, _, handler):
             for i in range(40):
                 assert (await scene.send(request_message(scene, "pay", org=f"org{i % 10}"))).status == 200
             by_host = [{t for t, in host.data.all("SELECT DISTINCT tenant FROM records")} for host in hosts]
@@ -311,7 +311,7 @@
 
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
-        async with running(section) as (scene, _, front):
+        async with running(section) as (scene, _, handler):
             former = journal_module.Journal(tmp_path / "open", scene.sidecar.config.name, print)
             former.begin()
             lost = entry("lost")
@@ -319,9 +319,9 @@
             await until(lambda: former.writing is None)
             os.close(former.fd)  # the former process has ended
             await until(lambda: former.path is not None and not former.path.exists())
-            journal = front.dispatchers[0].recorder.journal
+            journal = handler.dispatchers[0].recorder.journal
             await until(lambda: not journal.open and journal.writing is None)
-            found = await front.dispatchers[0].recorder.store.write(lost, asyncio.get_running_loop().time() + 10)
+            found = await handler.dispatchers[0].recorder.store.write(lost, asyncio.get_running_loop().time() + 10)
             assert found.verdict is Verdict.FENCED  # its outcome was queried, which fenced it
 
     run(test)
@@ -332,7 +332,7 @@
 
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
-        async with running(section, classes=classes) as (scene, _, front):
+        async with running(section, classes=classes) as (scene, _, handler):
             assert (await scene.send(request_message(scene, "mark", b"A"))).status == 200
             deadline = time.monotonic() + 20
             while (await scene.send(request_message(scene, "mark", b"B"))).status != 200:
@@ -344,11 +344,11 @@
 def test_failures_of_an_unreachable_store_are_logged_with_a_rate_limit() -> None:
     async def test() -> None:
         async with store_scene() as (store, _):
-            play = StoreClients(store)
+            clients = StoreClients(store)
             for at in (0.0, 0.1, 4.9, 5.1, 9.9, 10.2):
-                play.recorder.last_logged_at = -5.0 if at == 0.0 else play.recorder.last_logged_at
-                play.recorder.log_failure(StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
-            assert play.lines == ["store s: never ran: gone"] * 3
+                clients.recorder.last_logged_at = -5.0 if at == 0.0 else clients.recorder.last_logged_at
+                clients.recorder.log_failure(StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNREACHABLE, "gone"), at)
+            assert clients.lines == ["store s: never ran: gone"] * 3
 
     run(test)
 
@@ -356,15 +356,15 @@
 def test_drain_and_new_settings_reach_the_store_dispatchers(tmp_path: Path) -> None:
     async def test() -> None:
         section = stores_config(tmp_path, StoreConfig("main", sqlite=tmp_path / "r.db"))
-        async with running(section) as (scene, _, front):
+        async with running(section) as (scene, _, handler):
             scene.sidecar.drain(True)
             assert (await scene.send(request_message(scene, "pay"))).status == 503
             scene.sidecar.drain(False)
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             changed = [{**kind, "deadline": 9_000_000} for kind in SETTINGS["request-classes"]]
             scene.sidecar.reconfigure(1, {"settings": {"request-classes": changed}})
-            assert front.dispatchers[0].balancer.settings.classes[1].deadline_us == 9_000_000
-            assert front.dispatchers[0].balancer.settings.classes[2].group == "cell"
+            assert handler.dispatchers[0].balancer.settings.classes[1].deadline_us == 9_000_000
+            assert handler.dispatchers[0].balancer.settings.classes[2].group == "cell"
             assert (await scene.send(request_message(scene, "mark"))).status == 200
 
     run(test)
@@ -373,7 +373,7 @@
 def test_a_client_that_leaves_frees_its_state_and_its_record_is_complete(tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
-                    running(section) as (scene, _, front)):
+                    running(section) as (scene, _, handler)):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             gate = StatementGate("insert")
             host.hook = gate
@@ -383,7 +383,7 @@
             writer.close()
             await until(lambda: not scene.sidecar.by_txn)
             gate.go.set()
-            dispatcher = front.dispatchers[0]
+            dispatcher = handler.dispatchers[0]
             await until(lambda: not dispatcher.in_flight and not dispatcher.attempt_counts and not scene.sidecar.requests)
             assert written_requests(host.data) == ["t1", "t2"] and not dispatcher.balancer.requests
 
@@ -393,9 +393,9 @@
 def test_a_client_that_leaves_while_buffered_frees_its_place_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path) as (host, section),
-                    running(section) as (scene, _, front)):
+                    running(section) as (scene, _, handler)):
             assert (await scene.send(request_message(scene, "pay"))).status == 200
-            balancer, gate = front.dispatchers[0].balancer, StatementGate("insert", times=1_000)
+            balancer, gate = handler.dispatchers[0].balancer, StatementGate("insert", times=1_000)
             host.hook = gate
             writers = []
             while balancer.buffer is None:
@@ -477,7 +477,7 @@
 def test_store_and_upstream_in_the_configured_order(order: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with (on_postgres(tmp_path, upstreams=order) as (host, section),
-                    running(section) as (scene, (peer,), front)):
+                    running(section) as (scene, (peer,), handler)):
             seen: list[str] = []
 
             async def hook(session: Session, kind: str, after: bool) -> None:
@@ -500,7 +500,7 @@
             assert (await scene.send(request_message(scene, "pay"))).status == 200
             assert written_requests(host.data) == ["t1", "t2", "t3", "t4"]
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
-            dispatcher = front.dispatchers[0]
+            dispatcher = handler.dispatchers[0]
             await until(lambda: not scene.sidecar.requests and not dispatcher.in_flight)
             assert not dispatcher.attempt_counts and not dispatcher.balancer.requests and not scene.sidecar.balancer.requests
 
