--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -21,9 +21,11 @@
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
-BUSY_TIMEOUT_MS = 250  # how long SQLite waits for a lock of another process before it reports SQLITE_BUSY; callers may retry
+# how long SQLite waits for a lock of another process before it reports SQLITE_BUSY; callers may retry
+BUSY_TIMEOUT_MS = 250
 CHECKPOINT_PAGES = 1_000  # size of the write-ahead log from which the checkpoint thread copies it into the database
-MAX_WAL_PAGES = 32_000  # beyond this the writer itself waits for a checkpoint, so that the log cannot grow without bound
+# beyond this the writer itself waits for a checkpoint, so that the log cannot grow without bound
+MAX_WAL_PAGES = 32_000
 
 
 # Errors raised by a VFS written in Python have no result code, only a class.
@@ -65,8 +67,12 @@
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
                           f"{path}: expected a store of record, got another program's database; {instead}", "FOREIGN")
         if version > schema:
-            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
-                          f"{version}; start the newer program, or {instead}", "NEWER")
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN,
+                Cause.UNUSABLE,
+                f"{path}: expected schema {schema} or older, got {version}; start the newer program, or {instead}",
+                "NEWER",
+            )
         if version < schema:
             for statement in statements(version):
                 connection.execute(statement)
@@ -115,8 +121,12 @@
                 # created with mode 0600; SQLite gives its WAL and index files the mode of the database
                 os.close(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600))
         except OSError as error:
-            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
-                          f"{error.strerror}", "SQLITE_CANTOPEN") from error
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN,
+                Cause.UNUSABLE,
+                f"{self.path}: expected a file that can be written, got {error.strerror}",
+                "SQLITE_CANTOPEN",
+            ) from error
         deadline = time.monotonic() + self.busy_ms / 1000
         while True:
             try:
@@ -134,8 +144,12 @@
             connection.create_scalar_function("now_ms", lambda *_: steady_unix_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
-                              "got one that could be opened for reading only", "SQLITE_READONLY")
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN,
+                    Cause.UNUSABLE,
+                    f"{self.path}: expected a file that can be written, got one that could be opened for reading only",
+                    "SQLITE_READONLY",
+                )
             if self.exclusive:
                 connection.execute("PRAGMA locking_mode = EXCLUSIVE").fetchall()
             connection.execute("PRAGMA journal_mode = WAL").fetchall()
@@ -177,8 +191,14 @@
 class Writer(Worker[Transaction]):
     """Writes on one connection, on one thread."""
 
-    def __init__(self, factory: ConnectionFactory, max_queued: int = MAX_QUEUED_JOBS, checkpoint_pages: int = CHECKPOINT_PAGES,
-                 max_wal_pages: int = MAX_WAL_PAGES, connection: apsw.Connection | None = None) -> None:
+    def __init__(
+        self,
+        factory: ConnectionFactory,
+        max_queued: int = MAX_QUEUED_JOBS,
+        checkpoint_pages: int = CHECKPOINT_PAGES,
+        max_wal_pages: int = MAX_WAL_PAGES,
+        connection: apsw.Connection | None = None,
+    ) -> None:
         """`connection` is one that `factory` has already opened and nobody else uses."""
         super().__init__(str(factory.path), max_queued)
         self.factory = factory
--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -29,7 +29,9 @@
     answer: bytes = b""
 
 
-def find_violations(clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
+def find_violations(
+    clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None
+) -> list[str]:
     """One line for each violated rule. `outcomes` maps attempts to the determined outcome, "ran" or "never ran"."""
     violations: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
@@ -55,8 +57,10 @@
             elif client.answer not in [one.answer for one in matching]:
                 violations.append(f"answer: {client.request} was given {client.answer!r}, which no record of it holds")
         elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
-            violations.append(f"{client.result}: {client.request} was told so, but {by_request[client.request][0].attempt} "
-                         "is in the store")
+            violations.append(
+                f"{client.result}: {client.request} was told so, but {by_request[client.request][0].attempt} "
+                "is in the store"
+            )
     for attempt, outcome in (outcomes or {}).items():
         if (outcome == "ran") != (states.get(attempt) == "written") and outcome in ("ran", "never ran"):
             # a repeat is answered from the record of the first attempt, so its own attempt has none
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -255,7 +255,8 @@
             self.rewrite(entries)
         else:
             size = os.fstat(self.fd).st_size
-            line_end = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""  # ends a line that a full disk cut off
+            # ends a line that a full disk cut off
+            line_end = b"\n" if size and os.pread(self.fd, 1, size - 1) != b"\n" else b""
             write_all(self.fd, line_end + "".join(lines).encode())
             os.fsync(self.fd)
             self.lines_in_file += len(lines)
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -43,7 +43,9 @@
 
     async def ask(store: Any) -> list[tuple[Any, ...]]:
         async def work(transaction: Any) -> list[tuple[Any, ...]]:
-            rows: list[tuple[Any, ...]] = await transaction.execute(getattr(Dialect("postgresql"), statement), tuple(values))
+            rows: list[tuple[Any, ...]] = await transaction.execute(
+                getattr(Dialect("postgresql"), statement), tuple(values)
+            )
             await transaction.execute("ROLLBACK")
             return rows
 
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -103,7 +103,8 @@
         now = asyncio.get_running_loop().time()
         while self.idle:
             connection, since = self.idle.pop()
-            # a server that shut down says so on the idle connection; a write sent on it could end with an unknown outcome
+            # a server that shut down says so on the idle connection; a write sent on it could end with an unknown
+            # outcome
             if now - since < MAX_IDLE_S and not connection.closed and not is_stale(connection):
                 return connection
             await connection.close()
@@ -111,8 +112,9 @@
         # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them
         # libpq takes whole seconds and applies them to each host
         per_host_s = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
-        return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": per_host_s}, autocommit=True,
-                                                      prepare_threshold=None)
+        return await psycopg.AsyncConnection.connect(
+            **{**self.settings, "connect_timeout": per_host_s}, autocommit=True, prepare_threshold=None
+        )
 
     def release(self, connection: psycopg.AsyncConnection[Any]) -> None:
         """Returns a connection to the pool after a clean transaction."""
@@ -159,7 +161,9 @@
         self.step = TransactionStep.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
-            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK"
+            )
         self.step = TransactionStep.WORK
 
 
@@ -196,7 +200,8 @@
         task = loop.create_task(self._run_transaction(transaction, work, until))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        task.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
+        # avoids the warning about an exception that nobody retrieved
+        task.add_done_callback(lambda done: done.cancelled() or done.exception())
         done, _ = await asyncio.wait([task], timeout=max(0.0, until - loop.time()))
         if done:
             return task.result()
@@ -208,12 +213,15 @@
         raise StoreFailure(outcome, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
                       f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
 
-    async def _run_transaction(self, transaction: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
+    async def _run_transaction(
+        self, transaction: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float
+    ) -> T:
         loop = asyncio.get_running_loop()
         async with self.connections.permits:
             if transaction.given_up:
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
-                              "TIMEOUT")
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time", "TIMEOUT"
+                )
             try:
                 transaction.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
@@ -261,16 +269,22 @@
         # a lost connection is not an answer of the server, whatever error psycopg reports
         if transaction.step is not TransactionStep.CONNECT and transaction.connection is not None and transaction.connection.closed and not sqlstate:
             return StoreFailure(postgres_outcome(transaction.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
-        return StoreFailure(postgres_outcome(transaction.step, sqlstate, severity), postgres_cause(transaction.step, sqlstate), f"{self.name}: {text}",
-                       sqlstate)
+        return StoreFailure(
+            postgres_outcome(transaction.step, sqlstate, severity),
+            postgres_cause(transaction.step, sqlstate),
+            f"{self.name}: {text}",
+            sqlstate,
+        )
 
     # The work of a transaction
 
     async def _begin(self, transaction: TransactionRun, left_s: float) -> None:
         """Begins with the deadline as statement_timeout. Only an integer and a validated word are put into the text."""
         ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
-        await transaction.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
-                           f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
+        await transaction.execute(
+            f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
+            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}"
+        )
 
     async def _write(self, transaction: TransactionRun, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
@@ -280,7 +294,9 @@
                 await transaction.commit()
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = await transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired]
+            live_rows = [
+                (attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired
+            ]
             if live_rows:
                 await transaction.execute("ROLLBACK")
                 attempt, state, text, answer = live_rows[0]
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -94,7 +94,9 @@
                     step = await self.ask(state, handle.attempt, step)
         except Exception:
             # a bug in this process must not leave the request unanswered, nor be taken for an outcome
-            self.log(f"store {self.name}: attempt {handle.attempt} stays open after an internal error\n{traceback.format_exc()}")
+            self.log(
+                f"store {self.name}: attempt {handle.attempt} stays open after an internal error\n{traceback.format_exc()}"
+            )
             if handle.on_result is None:
                 return
             handle.give_up()
--- a/ironscale/record/sql.py
+++ b/ironscale/record/sql.py
@@ -70,8 +70,13 @@
     found = yield f"SELECT version FROM {table} WHERE one = %s", (1,)
     version = found[0][0] if found else 0
     if version > schema:
-        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{name}: expected schema {schema} or older, got {version}; "
-                      "start the newer program, or name another database", "NEWER")
+        raise StoreFailure(
+            WriteOutcome.NEVER_RAN,
+            Cause.UNUSABLE,
+            f"{name}: expected schema {schema} or older, got {version}; "
+            "start the newer program, or name another database",
+            "NEWER",
+        )
     if version == schema:
         return False
     for statement in statements(version):
@@ -106,7 +111,9 @@
 
     def migrations(self, version: int) -> list[str]:
         """The statements that migrate a schema from `version` to the current one."""
-        return [with_column_types(statement, self.name) for statements in MIGRATIONS[version:] for statement in statements]
+        return [
+            with_column_types(statement, self.name) for statements in MIGRATIONS[version:] for statement in statements
+        ]
 
 
 def row(values: tuple[object, ...]) -> Row:
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -34,7 +34,8 @@
 from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
-APPLICATION_ID = 0x69726F6E  # marks the file as a store of record, for file(1) and against opening another database by mistake
+# marks the file as a store of record, for file(1) and against opening another database by mistake
+APPLICATION_ID = 0x69726F6E
 MAX_SLOT_TRIES = 4  # tries in one transaction to free a slot whose key has expired and write again
 PAGE_ROWS = 1_000  # rows or pages per step
 STOP_TIMEOUT_S = 5.0
@@ -50,8 +51,13 @@
     """Checks, for readers, that the file is a store of record of the current schema. Changes nothing."""
     version = int(connection.pragma("user_version"))
     if int(connection.pragma("application_id")) != APPLICATION_ID or version != SCHEMA:
-        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{connection.filename}: expected a store of record of "
-                      f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}", "FOREIGN")
+        raise StoreFailure(
+            WriteOutcome.NEVER_RAN,
+            Cause.UNUSABLE,
+            f"{connection.filename}: expected a store of record of "
+            f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}",
+            "FOREIGN",
+        )
 
 
 def write(entry: Entry) -> Callable[[Transaction], WriteResult]:
@@ -64,7 +70,9 @@
             if transaction.execute(SQL.write, values):
                 return WriteResult(Verdict.WRITTEN, entry.answer)
             found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
-            live_rows = [(attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired]
+            live_rows = [
+                (attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired
+            ]
             if live_rows:
                 attempt, state, text, answer = live_rows[0]
                 return result_for_existing_row(entry, state, attempt, text, answer)
@@ -88,8 +96,15 @@
 class SqliteStore:
     """`Store` in one file, which several processes of one machine may share."""
 
-    def __init__(self, path: Path, max_queued: int = MAX_QUEUED_JOBS, vfs: str | None = None, busy_ms: int = BUSY_TIMEOUT_MS,
-                 checkpoint_pages: int = CHECKPOINT_PAGES, max_wal_pages: int = MAX_WAL_PAGES) -> None:
+    def __init__(
+        self,
+        path: Path,
+        max_queued: int = MAX_QUEUED_JOBS,
+        vfs: str | None = None,
+        busy_ms: int = BUSY_TIMEOUT_MS,
+        checkpoint_pages: int = CHECKPOINT_PAGES,
+        max_wal_pages: int = MAX_WAL_PAGES,
+    ) -> None:
         self.path = path
         self.factory = ConnectionFactory(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
         self.writer = Writer(self.factory, max_queued, checkpoint_pages, max_wal_pages)
@@ -168,7 +183,9 @@
     Returns its number of pages. Raises StoreFailure.
     """
     if to.exists():
-        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
+        raise StoreFailure(
+            WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS"
+        )
     reader(path).close()
     partial = to.with_name(f"{to.name}.part")
     partial.unlink(missing_ok=True)
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -33,7 +33,8 @@
         self.work, self.until, self.writes, self.loop, self.resolves = work, until, writes, loop, resolves
         self.started = False
         self.future: asyncio.Future[T] = loop.create_future()
-        self.future.add_done_callback(lambda done: done.cancelled() or done.exception())  # avoids the warning about an exception that nobody retrieved
+        # avoids the warning about an exception that nobody retrieved
+        self.future.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     def settle(self, result: Any, error: BaseException | None) -> None:
         def now() -> None:
@@ -103,7 +104,9 @@
         job = Job(work, until, writes, loop, resolves)
         with self.wake:
             if self.ending:
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the store is being closed", "CLOSED")
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the store is being closed", "CLOSED"
+                )
             if len(self.jobs) >= self.max_queued:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
                               f"{self.name}: {self.max_queued} writes wait already", "QUEUE")
@@ -119,8 +122,9 @@
                 with contextlib.suppress(ValueError):
                     self.jobs.remove(job)
                 job.started = True
-                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: the write was not started in time",
-                              "TIMEOUT")
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: the write was not started in time", "TIMEOUT"
+                )
         raise StoreFailure(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
                       "TIMEOUT")
 
@@ -141,9 +145,16 @@
                 # whether the open write stands is read from the store, where another write would be mistaken for it
                 for job in [job for job in group if job.writes and not job.resolves]:
                     group.remove(job)
-                    job.settle(None, StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: whether its last "
-                                             "write stands is not known yet; nothing more is written till then",
-                                             "UNKNOWN_BEFORE"))
+                    job.settle(
+                        None,
+                        StoreFailure(
+                            WriteOutcome.NEVER_RAN,
+                            Cause.TURNED_AWAY,
+                            f"{self.name}: whether its last "
+                            "write stands is not known yet; nothing more is written till then",
+                            "UNKNOWN_BEFORE",
+                        ),
+                    )
             if not group:
                 continue
             done = self.commit(group)
--- a/ironscale/record/write_attempt.py
+++ b/ironscale/record/write_attempt.py
@@ -76,7 +76,11 @@
         elif result.verdict is Verdict.CONFLICT:
             self.outcome = AttemptOutcome.CONFLICT
         else:
-            self.outcome, self.cause, self.detail = AttemptOutcome.NEVER_RAN, Cause.TIMEOUT, "a void marker exists for this attempt"
+            self.outcome, self.cause, self.detail = (
+                AttemptOutcome.NEVER_RAN,
+                Cause.TIMEOUT,
+                "a void marker exists for this attempt",
+            )
         return Done()
 
     def write_failed(self, now: float, failure: StoreFailure) -> NextStep:
--- a/tests/record/store_clients.py
+++ b/tests/record/store_clients.py
@@ -13,8 +13,12 @@
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
 from tests.record.samples import another_attempt
 
-RESULT_OF_OUTCOME = {AttemptOutcome.RAN: history_check.SERVED, AttemptOutcome.NEVER_RAN: history_check.REFUSED, AttemptOutcome.CONFLICT: history_check.CONFLICT,
-         AttemptOutcome.OPEN: history_check.FAILED}
+RESULT_OF_OUTCOME = {
+    AttemptOutcome.RAN: history_check.SERVED,
+    AttemptOutcome.NEVER_RAN: history_check.REFUSED,
+    AttemptOutcome.CONFLICT: history_check.CONFLICT,
+    AttemptOutcome.OPEN: history_check.FAILED,
+}
 
 
 class StoreClients:
@@ -35,8 +39,18 @@
             if outcome is not AttemptOutcome.NEVER_RAN:
                 break
         result = RESULT_OF_OUTCOME[outcome]
-        self.reports.append(history_check.ClientReport(one.request, one.kind, one.tenant, one.key, one.effect, one.fingerprint,
-                                               result, handle.state.answer if result == history_check.SERVED else b""))
+        self.reports.append(
+            history_check.ClientReport(
+                one.request,
+                one.kind,
+                one.tenant,
+                one.key,
+                one.effect,
+                one.fingerprint,
+                result,
+                handle.state.answer if result == history_check.SERVED else b"",
+            )
+        )
         return result
 
     async def attempt(self, one: Entry, seconds: float) -> AttemptHandle:
--- a/tests/record/test_disk.py
+++ b/tests/record/test_disk.py
@@ -79,7 +79,9 @@
                 if handle.state.outcome.value == "open":
                     found = await store.ask(handle.attempt)
                     outcomes[handle.attempt] = "never ran" if found is None else "ran"
-            faults = history_check.find_violations(clients.reports, await stored_rows(store), {**clients.outcomes(), **outcomes})
+            faults = history_check.find_violations(
+                clients.reports, await stored_rows(store), {**clients.outcomes(), **outcomes}
+            )
             assert faults == [], f"seed {seed}, change {at} ({disk.failed_operation})"
             assert len(rows) <= len(entries)
             assert (await store.write(entry("afterwards"))).verdict.value == "written"
--- a/tests/record/test_postgres.py
+++ b/tests/record/test_postgres.py
@@ -126,7 +126,9 @@
             repeat = await store.write(entry("c", "deduplicated"), deadline_in(LONG))
             assert repeat.verdict is Verdict.REPEAT and repeat.answer == mark.answer
             host.data.skew_ms = 60_001  # the key has expired by the store's clock, the only one that counts
-            assert (await store.write(entry("d", "deduplicated", body=b"new"), deadline_in(LONG))).verdict is Verdict.WRITTEN
+            assert (
+                await store.write(entry("d", "deduplicated", body=b"new"), deadline_in(LONG))
+            ).verdict is Verdict.WRITTEN
             assert await store.ask(mark.attempt, deadline_in(LONG)) == mark.answer
             assert written_requests(host.data) == ["a", "b", "d"]
             assert store.connections.opened == 1
@@ -346,8 +348,12 @@
             gate = StatementGate("insert", times=100)
             host.hook = gate
             began = time.monotonic()
-            found = await asyncio.gather(*(store.write(entry(), deadline_in(0.3)) for _ in range(6)), return_exceptions=True)
-            assert [(type(one), one.outcome) for one in found if isinstance(one, StoreFailure)] == [(StoreFailure, NEVER)] * 6
+            found = await asyncio.gather(
+                *(store.write(entry(), deadline_in(0.3)) for _ in range(6)), return_exceptions=True
+            )
+            assert [(type(one), one.outcome) for one in found if isinstance(one, StoreFailure)] == [
+                (StoreFailure, NEVER)
+            ] * 6
             assert time.monotonic() - began < 10
             host.hook = None
             gate.go.set()
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -363,7 +363,9 @@
 
     async def test() -> None:
         if same_process:
-            monkeypatch.setattr(database, "ConnectionFactory", lambda path, *more: ConnectionFactory(path, None, "slow"))
+            monkeypatch.setattr(
+                database, "ConnectionFactory", lambda path, *more: ConnectionFactory(path, None, "slow")
+            )
         longest = 400 if same_process else 200
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
                             max_wal_pages=longest, busy_ms=250 if same_process else 5_000)
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -111,7 +111,11 @@
             assert len(peer.got) == 1
             assert (await scene.send(request_message(scene, "mark", b"A", key="k" * 257))).status == 400
             dispatcher = handler.dispatchers[0]
-            assert {one.used for one in upstream_views(dispatcher.balancer)} == {0} and not dispatcher.in_flight and not dispatcher.attempt_counts
+            assert (
+                {one.used for one in upstream_views(dispatcher.balancer)} == {0}
+                and not dispatcher.in_flight
+                and not dispatcher.attempt_counts
+            )
         found = reader(tmp_path / "r.db")
         assert [(one.request, one.tenant, len(one.body)) for one in rows(found)] == [
             ("t1", "north", 64_000), ("t2", "north", 1), ("t5", "south", 1)]
@@ -293,7 +297,9 @@
             assert by_host[0] and by_host[1] and not by_host[0] & by_host[1]
             gate = StatementGate("insert", times=1000)
             hosts[0].hook = gate
-            held = [asyncio.create_task(scene.send(request_message(scene, "pay", org=min(by_host[0])))) for _ in range(5)]
+            held = [
+                asyncio.create_task(scene.send(request_message(scene, "pay", org=min(by_host[0])))) for _ in range(5)
+            ]
             await gate.reached.wait()
             assert (await scene.send(request_message(scene, "pay", org=min(by_host[1])))).status == 200
             hosts[0].hook = None
@@ -384,7 +390,9 @@
             await until(lambda: not scene.sidecar.by_txn)
             gate.go.set()
             dispatcher = handler.dispatchers[0]
-            await until(lambda: not dispatcher.in_flight and not dispatcher.attempt_counts and not scene.sidecar.requests)
+            await until(
+                lambda: not dispatcher.in_flight and not dispatcher.attempt_counts and not scene.sidecar.requests
+            )
             assert written_requests(host.data) == ["t1", "t2"] and not dispatcher.balancer.requests
 
     run(test)
@@ -502,7 +510,11 @@
             assert {peer.executions[f"t{i}"] for i in range(1, 5)} == {1}
             dispatcher = handler.dispatchers[0]
             await until(lambda: not scene.sidecar.requests and not dispatcher.in_flight)
-            assert not dispatcher.attempt_counts and not dispatcher.balancer.requests and not scene.sidecar.balancer.requests
+            assert (
+                not dispatcher.attempt_counts
+                and not dispatcher.balancer.requests
+                and not scene.sidecar.balancer.requests
+            )
 
     run(test)
 
@@ -518,7 +530,8 @@
         await host.stop()
         (tmp_path / "b").mkdir()
         async with running(stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
-            assert (await scene.send(request_message(scene, "pay"))).status == 502  # the store is down, and the upstream ran it
+            # the store is down, and the upstream ran it
+            assert (await scene.send(request_message(scene, "pay"))).status == 502
             assert peer.executions["t1"] == 1
             peer.behave = reply(TURNED_AWAY)
             assert (await scene.send(request_message(scene, "pay"))).status == 503  # it ran nowhere
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -79,7 +79,12 @@
     step = plan.write_failed(9.5, failure())
     now, waits = 9.5, []
     for _ in range(40):
-        assert isinstance(step, QueryOutcome) and plan.outcome is AttemptOutcome.OPEN and step.at >= now and step.until > step.at
+        assert (
+            isinstance(step, QueryOutcome)
+            and plan.outcome is AttemptOutcome.OPEN
+            and step.at >= now
+            and step.until > step.at
+        )
         waits.append(step.at - now)
         now = step.until
         step = plan.query_failed(now, failure(NEVER), 1.0)  # a query that never ran says nothing about the attempt
@@ -145,8 +150,13 @@
     fenced = another_attempt(first)
     rows = [row_of(first), row_of(mark), row_of(replace(another_attempt(mark), request="d"), 60_000),
             Row(fenced.attempt, "void", "", "", "", "", "", "", b"", "", b"", 0, 0, None)]
-    clients = [report_of(first, "served"), report_of(mark, "served"), replace(report_of(repeat, "served"), answer=mark.answer),
-               report_of(entry("e"), "refused"), report_of(entry("f"), "failed")]
+    clients = [
+        report_of(first, "served"),
+        report_of(mark, "served"),
+        replace(report_of(repeat, "served"), answer=mark.answer),
+        report_of(entry("e"), "refused"),
+        report_of(entry("f"), "failed"),
+    ]
     assert history_check.find_violations(clients, rows, {first.attempt: "ran", fenced.attempt: "never ran"}) == []
 
 
@@ -170,4 +180,6 @@
     second = replace(another_attempt(first), request="b")
     assert history_check.find_violations([], [row_of(first, 0), row_of(second, 59_999)])[0].startswith("written twice")
     assert history_check.find_violations([], [row_of(first, 0), row_of(second, 60_000)]) == []
-    assert history_check.find_violations([replace(report_of(first, "served"), answer=b"x")], [row_of(first)])[0].startswith("answer")
+    assert history_check.find_violations([replace(report_of(first, "served"), answer=b"x")], [row_of(first)])[
+        0
+    ].startswith("answer")
