--- a/bench/record.py
+++ b/bench/record.py
@@ -99,10 +99,9 @@
             await store.write(entry())
             line(f"store, {count} clients", *await many(store, count, seconds), best)
             writer = store.writer
-            print(
-                f"{'':34} {writer.written / writer.commits:9.1f} records a commit; the writer itself waited for "
-                f"copying {writer.longest_checkpoint_s * 1e3:.1f} ms at most, longest commit {writer.longest_commit_s * 1e3:.1f} ms"
-            )
+            print(f"{'':34} {writer.written / writer.commits:9.1f} records a commit; the writer itself waited for "
+                  f"copying {writer.longest_checkpoint_s * 1e3:.1f} ms at most, longest commit "
+                  f"{writer.longest_commit_s * 1e3:.1f} ms")
             await store.close()
 
         for count in (1, 16, 256):
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -267,7 +267,8 @@
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
         text = self.connections.redact(str(error) or type(error).__name__)
         # a lost connection is not an answer of the server, whatever error psycopg reports
-        if transaction.step is not TransactionStep.CONNECT and transaction.connection is not None and transaction.connection.closed and not sqlstate:
+        if (transaction.step is not TransactionStep.CONNECT and transaction.connection is not None
+                and transaction.connection.closed and not sqlstate):
             return StoreFailure(postgres_outcome(transaction.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
         return StoreFailure(
             postgres_outcome(transaction.step, sqlstate, severity),
--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -95,7 +95,7 @@
         except Exception:
             # a bug in this process must not leave the request unanswered, nor be taken for an outcome
             self.log(
-                f"store {self.name}: attempt {handle.attempt} stays open after an internal error\n{traceback.format_exc()}"
+                f"store {self.name}: attempt {handle.attempt} stays open: internal error\n{traceback.format_exc()}"
             )
             if handle.on_result is None:
                 return
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -239,7 +239,8 @@
 @pytest.mark.parametrize(("kind", "script", "fault"), [
     (PostgresStore, "late commit", ""), (PostgresStore, "lost reply", ""),
     (QueriesWithoutFence, "late commit", "refused: late"), (TakesTimeoutForNeverRan, "lost reply", "refused: lost"),
-    (TakesTimeoutForNeverRan, "late commit", "refused: late"), (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
+    (TakesTimeoutForNeverRan, "late commit", "refused: late"),
+    (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
 ])
 def test_planted_bugs_are_found(kind: type[PostgresStore], script: str, fault: str) -> None:
     async def test() -> None:
--- a/tests/record/test_store_dispatcher.py
+++ b/tests/record/test_store_dispatcher.py
@@ -523,13 +523,15 @@
     async def test() -> None:
         host = await Host().start()
         (tmp_path / "a").mkdir()
-        async with running(stores_config(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
+        async with running(
+                stores_config(tmp_path / "a", postgres_config(host), upstreams="last")) as (scene, (peer,), _):
             peer.behave = reply(TURNED_AWAY)
             assert (await scene.send(request_message(scene, "pay"))).status == 502
             assert written_requests(host.data) == ["t1"]
         await host.stop()
         (tmp_path / "b").mkdir()
-        async with running(stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
+        async with running(
+                stores_config(tmp_path / "b", postgres_config(host), upstreams="first")) as (scene, (peer,), _):
             # the store is down, and the upstream ran it
             assert (await scene.send(request_message(scene, "pay"))).status == 502
             assert peer.executions["t1"] == 1
--- a/tests/record/test_write_attempt.py
+++ b/tests/record/test_write_attempt.py
@@ -16,7 +16,8 @@
 
 
 @pytest.mark.parametrize(("step", "code", "severity", "expected"), [
-    (TransactionStep.CONNECT, "", "", NEVER), (TransactionStep.WORK, "", "", NEVER), (TransactionStep.WORK, "57P01", "FATAL", NEVER),
+    (TransactionStep.CONNECT, "", "", NEVER), (TransactionStep.WORK, "", "", NEVER),
+    (TransactionStep.WORK, "57P01", "FATAL", NEVER),
     (TransactionStep.WORK, "XX000", "ERROR", NEVER),
     (TransactionStep.COMMIT, "", "", UNKNOWN),  # the connection was lost
     (TransactionStep.COMMIT, "57P01", "FATAL", UNKNOWN),  # terminated while waiting for a standby: committed locally
@@ -31,10 +32,13 @@
 
 
 @pytest.mark.parametrize(("step", "code", "expected"), [
-    (TransactionStep.CONNECT, "", Cause.UNREACHABLE), (TransactionStep.WORK, "", Cause.BROKEN), (TransactionStep.WORK, "25006", Cause.TURNED_AWAY),
+    (TransactionStep.CONNECT, "", Cause.UNREACHABLE), (TransactionStep.WORK, "", Cause.BROKEN),
+    (TransactionStep.WORK, "25006", Cause.TURNED_AWAY),
     (TransactionStep.CONNECT, "57P03", Cause.TURNED_AWAY), (TransactionStep.CONNECT, "53300", Cause.TURNED_AWAY),
-    (TransactionStep.WORK, "40P01", Cause.RETRY), (TransactionStep.COMMIT, "40001", Cause.RETRY), (TransactionStep.WORK, "57014", Cause.TIMEOUT),
-    (TransactionStep.CONNECT, "28P01", Cause.UNUSABLE), (TransactionStep.WORK, "42P01", Cause.UNUSABLE), (TransactionStep.WORK, "XX000", Cause.BROKEN),
+    (TransactionStep.WORK, "40P01", Cause.RETRY), (TransactionStep.COMMIT, "40001", Cause.RETRY),
+    (TransactionStep.WORK, "57014", Cause.TIMEOUT),
+    (TransactionStep.CONNECT, "28P01", Cause.UNUSABLE),
+    (TransactionStep.WORK, "42P01", Cause.UNUSABLE), (TransactionStep.WORK, "XX000", Cause.BROKEN),
 ])
 def test_sqlstate_to_cause(step: TransactionStep, code: str, expected: Cause) -> None:
     assert postgres_cause(step, code) is expected
@@ -57,8 +61,9 @@
 
 
 def test_an_answered_write_is_done() -> None:
-    for verdict, outcome in ((Verdict.WRITTEN, AttemptOutcome.RAN), (Verdict.REPEAT, AttemptOutcome.RAN), (Verdict.CONFLICT, AttemptOutcome.CONFLICT),
-                          (Verdict.FENCED, AttemptOutcome.NEVER_RAN)):
+    for verdict, outcome in ((Verdict.WRITTEN, AttemptOutcome.RAN), (Verdict.REPEAT, AttemptOutcome.RAN),
+                             (Verdict.CONFLICT, AttemptOutcome.CONFLICT),
+                             (Verdict.FENCED, AttemptOutcome.NEVER_RAN)):
         plan = Attempt(10.0)
         begun = plan.begin(4.0)
         assert isinstance(begun, Write) and begun.until == pytest.approx(9.5)  # time is reserved for a query
