--- a/ironscale/record/recorder.py
+++ b/ironscale/record/recorder.py
@@ -57,7 +57,7 @@
         self.last_logged_at = -LOG_INTERVAL_S
 
     def write(self, entry: Entry, deadline: float, on_result: Callable[[Attempt], None]) -> AttemptHandle:
-        """Begins one attempt; `due` is the deadline on the loop's clock."""
+        """Begins one attempt; `deadline` is on the loop's clock."""
         handle = AttemptHandle(self, entry, Attempt(deadline), on_result)
         if len(self.handles) >= MAX_OPEN_ATTEMPTS:
             handle.state.write_failed(self.loop.time(), StoreFailure(
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -26,19 +26,20 @@
 from ironscale.record.write_attempt import Attempt, AttemptOutcome
 
 MIN_PATHS = 2
-UPSTREAM_IN_LOG = re.compile(r"\bupstream (\d+)")
+UPSTREAM_IN_LOG = re.compile(r"\bupstream (\d+)")  # how the balancer's log lines name a path
 JSON = [(b"content-type", b"application/json")]
 CONFLICT = b'{"error":"CONFLICT","message":"this %s was used before for another request; nothing was written"}\n'
 # The outcome reported to the balancer for an attempt that never ran
-OUTCOME_OF_CAUSE = {Cause.UNREACHABLE: api.Outcome.CONNECT_FAILED, Cause.BROKEN: api.Outcome.CONNECT_FAILED,
-            Cause.TURNED_AWAY: api.Outcome.FULL, Cause.RETRY: api.Outcome.FULL, Cause.TIMEOUT: api.Outcome.FULL,
-            Cause.UNUSABLE: api.Outcome.FULL, None: api.Outcome.FULL}
+OUTCOME_OF_CAUSE = {
+    Cause.UNREACHABLE: api.Outcome.CONNECT_FAILED, Cause.BROKEN: api.Outcome.CONNECT_FAILED,
+    Cause.TURNED_AWAY: api.Outcome.FULL, Cause.RETRY: api.Outcome.FULL, Cause.TIMEOUT: api.Outcome.FULL,
+    Cause.UNUSABLE: api.Outcome.FULL, None: api.Outcome.FULL}
 
 
 def store_settings(settings: api.Settings) -> api.Settings:
     """The balancer settings for a store. All its paths form one deduplication group: a repeat through another path is
-    dropped if the first one ran. A deduplicated request that may have run is failed, not refused, as a refusal means
-    that nothing was written."""
+    dropped if the first one ran. A deduplicated request that may have run is not refused, even if its repeats are
+    refused, as a refusal states that nothing was written."""
     return replace(
         settings, list_on_request=False, list_by_watch=False, ask_within_us=0, probes=False, weighted=False,
         report_names=[], hedging=False, cold_share=1.0, warm_up_us=0, cross_zone_fee=0.0,
@@ -58,6 +59,8 @@
 
 
 class StoreDispatcher(EventDispatcher):
+    """The dispatcher of one store: carries out the actions of its balancer as write attempts on that store."""
+
     def __init__(self, host: Sidecar, name: str, recorder: Recorder) -> None:
         settings = store_settings(host.config.settings)
         super().__init__(Balancer(settings, secrets.randbits(32), host.clock.now_us()), host.clock.now_us)
