--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -42,6 +42,7 @@
 
 
 def store_failure(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
+    """The StoreFailure for an error of apsw, with advice for the operator."""
     name = result_code_name(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
--- a/ironscale/record/extension.py
+++ b/ironscale/record/extension.py
@@ -49,7 +49,7 @@
             open_attempts = journal.begin()
         except (OperatorFileError, JournalError) as error:
             raise ConfigError(str(error)) from error
-        recorders = [Recorder(name, make(), journal, sidecar.log) for name, make in factories]
+        recorders = [Recorder(name, factory(), journal, sidecar.log) for name, factory in factories]
         handler = StoreRequestHandler(sidecar, stores.by, recorders, stores.upstreams)
         sidecar.request_handlers.update(dict.fromkeys(indexes, handler))
         for recorder in recorders:
--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -37,24 +37,24 @@
     by_slot: dict[str, list[Row]] = defaultdict(list)
     by_request: dict[str, list[Row]] = defaultdict(list)
     states: dict[str, str] = {}
-    for one in rows:
-        states[one.attempt] = one.state
-        if one.state == VOID_STATE:
+    for row in rows:
+        states[row.attempt] = row.state
+        if row.state == VOID_STATE:
             continue
-        by_slot[slot_of(one.effect, one.kind, one.tenant, one.key, one.request)].append(one)
-        by_request[one.request].append(one)
+        by_slot[slot_of(row.effect, row.kind, row.tenant, row.key, row.request)].append(row)
+        by_request[row.request].append(row)
     for slot, found in by_slot.items():
-        found.sort(key=lambda one: one.at_ms)
+        found.sort(key=lambda row: row.at_ms)
         for earlier, later in zip(found, found[1:], strict=False):
             if earlier.until_ms == 0 or later.at_ms < earlier.until_ms:
                 violations.append(f"written twice: {slot} by {earlier.attempt} and {later.attempt}")
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
-        matching = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
+        matching = [row for row in by_slot[slot] if row.fingerprint == client.fingerprint]
         if client.result == SERVED:
             if not matching:
                 violations.append(f"lost: {client.request} was told served, but no record of it exists")
-            elif client.answer not in [one.answer for one in matching]:
+            elif client.answer not in [row.answer for row in matching]:
                 violations.append(f"answer: {client.request} was given {client.answer!r}, which no record of it holds")
         elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
             violations.append(
--- a/ironscale/record/journal.py
+++ b/ironscale/record/journal.py
@@ -191,6 +191,7 @@
         return new
 
     def rewrite(self, entries: list[Open]) -> None:
+        """Replaces the file by one that lists only `entries`, and moves the lock to it."""
         assert self.path is not None
         temporary = self.path.with_name(f"{self.path.name}.new")
         fd = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
@@ -209,10 +210,12 @@
         self.lines_in_file = len(entries) + 1
 
     def opened(self, entry: Open) -> None:
+        """Lists an attempt as open; the line is written in the background."""
         self.open[entry.attempt] = entry
         self.put(line_of(entry))
 
     def closed(self, attempt: str, told: str) -> None:
+        """Removes an attempt from the list once its outcome, `told`, is known."""
         if self.open.pop(attempt, None) is not None:
             self.put(json.dumps({"closed": attempt, "told": told}, separators=(",", ":")) + "\n")
 
@@ -234,8 +237,9 @@
                 needs_compaction = self.lines_in_file > 1_000 + 4 * len(self.open)
                 entries = list(self.open.values()) if needs_compaction or self.rewrite_needed else None
                 try:
-                    await run_in_thread(lambda lines=lines, anew=entries, gone=obsolete: self.to_disk(  # type: ignore[misc]
-                        lines, anew, gone))
+                    await run_in_thread(
+                        lambda lines=lines, entries=entries, obsolete=obsolete: self.to_disk(  # type: ignore[misc]
+                            lines, entries, obsolete))
                     self.rewrite_needed, delay_s = False, RETRY_DELAY_S
                 except OSError as error:
                     if not self.rewrite_needed:
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -109,7 +109,7 @@
                 return connection
             await connection.close()
         self.opened += 1
-        # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them
+        # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them;
         # libpq takes whole seconds and applies them to each host
         per_host_s = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
         return await psycopg.AsyncConnection.connect(
