--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -133,10 +133,10 @@
     return Reader(ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS))
 
 
-def rows(found: Reader, after: str = "") -> Iterator[Row]:
+def rows(source: Reader, after: str = "") -> Iterator[Row]:
     """All rows ordered by attempt, each page read in its own transaction."""
     while True:
-        page = found.read(lambda transaction, start=after: [  # type: ignore[misc]
+        page = source.read(lambda transaction, start=after: [  # type: ignore[misc]
             row(values) for values in transaction.execute(SQL.after, (start, PAGE_ROWS))])
         yield from page
         if len(page) < PAGE_ROWS:
