--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -146,12 +146,12 @@
 
 def verify(path: Path, progress: Callable[[int], None] = lambda done: None) -> tuple[int, list[str]]:
     """Returns the number of rows read and one line for each fault of the file or a record. Raises StoreFailure."""
-    found = reader(path)
+    source = reader(path)
     try:
-        lines = found.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
+        lines = source.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
         wrong = [f"file: {line}" for line, in lines if line != "ok"]
         seen = 0
-        for one in [] if wrong else rows(found):
+        for one in [] if wrong else rows(source):
             seen += 1
             wrong += [f"record {one.attempt}: {text}" for text in row_faults(one)]
             if seen % PAGE_ROWS == 0:
@@ -160,7 +160,7 @@
                 break
         return seen, wrong
     finally:
-        found.close()
+        source.close()
 
 
 def row_faults(one: Row) -> list[str]:
