--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -149,16 +149,16 @@
     source = reader(path)
     try:
         lines = source.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
-        wrong = [f"file: {line}" for line, in lines if line != "ok"]
+        faults = [f"file: {line}" for line, in lines if line != "ok"]
         seen = 0
-        for one in [] if wrong else rows(source):
+        for one in [] if faults else rows(source):
             seen += 1
-            wrong += [f"record {one.attempt}: {text}" for text in row_faults(one)]
+            faults += [f"record {one.attempt}: {text}" for text in row_faults(one)]
             if seen % PAGE_ROWS == 0:
                 progress(seen)
-            if len(wrong) >= 100:
+            if len(faults) >= 100:
                 break
-        return seen, wrong
+        return seen, faults
     finally:
         source.close()
 
