--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -151,9 +151,9 @@
         lines = source.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
         faults = [f"file: {line}" for line, in lines if line != "ok"]
         seen = 0
-        for one in [] if faults else rows(source):
+        for record in [] if faults else rows(source):
             seen += 1
-            faults += [f"record {one.attempt}: {text}" for text in row_faults(one)]
+            faults += [f"record {record.attempt}: {text}" for text in row_faults(record)]
             if seen % PAGE_ROWS == 0:
                 progress(seen)
             if len(faults) >= 100:
