--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -163,17 +163,17 @@
         source.close()
 
 
-def row_faults(one: Row) -> list[str]:
+def row_faults(record: Row) -> list[str]:
     """The faults of one row."""
-    if one.state == "void":
-        return ["a void marker with a slot"] if one.slot is not None else []
+    if record.state == "void":
+        return ["a void marker with a slot"] if record.slot is not None else []
     wrong = []
-    if fingerprint(one.target, one.body) != one.fingerprint:
+    if fingerprint(record.target, record.body) != record.fingerprint:
         wrong.append("its fingerprint does not match its target and body")
-    if one.slot is None and one.until_ms == 0:
+    if record.slot is None and record.until_ms == 0:
         wrong.append("it has no slot, though its key never expires")
-    if one.until_ms and one.until_ms < one.at_ms:
-        wrong.append(f"it expires at {one.until_ms}, before it was written at {one.at_ms}")
+    if record.until_ms and record.until_ms < record.at_ms:
+        wrong.append(f"it expires at {record.until_ms}, before it was written at {record.at_ms}")
     return wrong
 
 
