--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -167,14 +167,14 @@
     """The faults of one row."""
     if record.state == "void":
         return ["a void marker with a slot"] if record.slot is not None else []
-    wrong = []
+    faults = []
     if fingerprint(record.target, record.body) != record.fingerprint:
-        wrong.append("its fingerprint does not match its target and body")
+        faults.append("its fingerprint does not match its target and body")
     if record.slot is None and record.until_ms == 0:
-        wrong.append("it has no slot, though its key never expires")
+        faults.append("it has no slot, though its key never expires")
     if record.until_ms and record.until_ms < record.at_ms:
-        wrong.append(f"it expires at {record.until_ms}, before it was written at {record.at_ms}")
-    return wrong
+        faults.append(f"it expires at {record.until_ms}, before it was written at {record.at_ms}")
+    return faults
 
 
 def backup(path: Path, to: Path, progress: Callable[[int, int], None] = lambda left, pages: None) -> int:
