--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -35,11 +35,11 @@
     if target.sqlite is not None:
         from ironscale.record.sqlite import reader
 
-        found = reader(target.sqlite)
+        source = reader(target.sqlite)
         try:
-            return found.read(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
+            return source.read(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
         finally:
-            found.close()
+            source.close()
 
     async def ask(store: Any) -> list[tuple[Any, ...]]:
         async def work(transaction: Any) -> list[tuple[Any, ...]]:
