--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -89,9 +89,9 @@
                 self.attempt_counts.pop(action.request, None)
                 self.host.execute_action(action)
             case api.Cancel():
-                out = self.in_flight.get((action.request, action.attempt))
-                if out is not None:
-                    self.give_up(out, api.Outcome.CANCELLED)
+                attempt = self.in_flight.get((action.request, action.attempt))
+                if attempt is not None:
+                    self.give_up(attempt, api.Outcome.CANCELLED)
             case api.SetTimer():
                 self.host.schedule(action.at_us, partial(self.dispatch, api.TimerFired(action.token)))
             case api.Log():
