--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -132,10 +132,10 @@
             model.fingerprint(target, exchange.body),
             model.answer_of(request.txn, kind.name), max(1, kind.dedup_memory_us // 1000) if keyed else 0)
 
-    def give_up(self, out: AttemptInFlight, outcome: api.Outcome) -> None:
-        if out.handle is not None and out.handle.on_result is not None:
-            out.outcome = outcome
-            out.handle.give_up()
+    def give_up(self, attempt: AttemptInFlight, outcome: api.Outcome) -> None:
+        if attempt.handle is not None and attempt.handle.on_result is not None:
+            attempt.outcome = outcome
+            attempt.handle.give_up()
 
     def on_result(self, request: Request, out: AttemptInFlight, state: Attempt) -> None:
         """Ends an attempt, whatever its outcome."""
