--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -137,11 +137,11 @@
             attempt.outcome = outcome
             attempt.handle.give_up()
 
-    def on_result(self, request: Request, out: AttemptInFlight, state: Attempt) -> None:
+    def on_result(self, request: Request, attempt: AttemptInFlight, state: Attempt) -> None:
         """Ends an attempt, whatever its outcome."""
-        if out.timer is not None:
-            out.timer.cancel()
-        del self.in_flight[request.ident, out.number]
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        del self.in_flight[request.ident, attempt.number]
         request.attempts_in_flight -= 1
         forward_to = None
         if state.outcome in (AttemptOutcome.RAN, AttemptOutcome.CONFLICT):
@@ -166,11 +166,11 @@
         elif state.outcome is AttemptOutcome.NEVER_RAN:
             outcome = OUTCOME_OF_CAUSE[state.cause]
         else:
-            outcome = out.outcome or api.Outcome.TIMEOUT
+            outcome = attempt.outcome or api.Outcome.TIMEOUT
         self.host.forget(request)
         if not self.is_open(request.ident):
             self.attempt_counts.pop(request.ident, None)
-        self.dispatch(api.AttemptEnded(request.ident, out.number, out.path, outcome, self.now_us() - out.sent_us))
+        self.dispatch(api.AttemptEnded(request.ident, attempt.number, attempt.path, outcome, self.now_us() - attempt.sent_us))
         if forward_to is not None:
             forward_to(None)
 
