--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -37,7 +37,7 @@
         self.future.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     def settle(self, result: Any, error: BaseException | None) -> None:
-        def now() -> None:
+        def deliver() -> None:
             if self.future.done():
                 return
             if error is not None:
@@ -46,7 +46,7 @@
                 self.future.set_result(result)
 
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits
-            self.loop.call_soon_threadsafe(now)
+            self.loop.call_soon_threadsafe(deliver)
 
 
 Done = tuple[Job[X, Any], Any, BaseException | None]
