--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -28,7 +28,7 @@
 from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.postgres import ConnectionOptions, is_stale, libpq_settings
 from ironscale.record.sql import NOW_MS, schema_migration
-from ironscale.record.worker import Done, Job, Worker, failed_group_results
+from ironscale.record.worker import JobResult, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 NOW = NOW_MS["postgresql"]
@@ -122,8 +122,8 @@
 
     # A group
 
-    def commit(self, group: list[Job[Held, Any]]) -> list[Done[Held]]:
-        done: list[Done[Held]] = []
+    def commit(self, group: list[Job[Held, Any]]) -> list[JobResult[Held]]:
+        done: list[JobResult[Held]] = []
         step = TransactionStep.CONNECT
         try:
             # hazard: a server that ended tells so on the idle connection; what is sent there may end as not known
@@ -164,7 +164,7 @@
         self._drop()
         return failed_group_results(group, done, found)
 
-    def _do(self, held: Held, job: Job[Held, Any], done: list[Done[Held]], several: bool) -> None:
+    def _do(self, held: Held, job: Job[Held, Any], done: list[JobResult[Held]], several: bool) -> None:
         """One job; what it has done is taken back if it fails. Raises what ends the whole transaction."""
         connection = held.connection
         if several:
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -17,7 +17,7 @@
 
 from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, StoreFailure, WriteOutcome
-from ironscale.record.worker import MAX_QUEUED_JOBS, Done, Job, Worker, failed_group_results
+from ironscale.record.worker import MAX_QUEUED_JOBS, JobResult, Job, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -217,8 +217,8 @@
         start_thread(self.checkpoint_thread)
         self.start()
 
-    def commit(self, group: list[Job[Transaction, Any]]) -> list[Done[Transaction]]:
-        done: list[Done[Transaction]] = []
+    def commit(self, group: list[Job[Transaction, Any]]) -> list[JobResult[Transaction]]:
+        done: list[JobResult[Transaction]] = []
         step, opened = TransactionStep.CONNECT, self.connection
         try:
             if opened is None:
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -49,10 +49,10 @@
             self.loop.call_soon_threadsafe(deliver)
 
 
-Done = tuple[Job[X, Any], Any, BaseException | None]
+JobResult = tuple[Job[X, Any], Any, BaseException | None]
 
 
-def failed_group_results(group: list[Job[X, Any]], done: list[Done[X]], found: StoreFailure) -> list[Done[X]]:
+def failed_group_results(group: list[Job[X, Any]], done: list[JobResult[X]], found: StoreFailure) -> list[JobResult[X]]:
     """The results after the group's transaction failed: all jobs share its error, except those that failed before."""
     failed = [entry for entry in done if entry[2] is not None]
     alone = {id(job) for job, _, _ in failed}
@@ -76,7 +76,7 @@
         self.thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
 
     @abc.abstractmethod
-    def commit(self, group: list[Job[X, Any]]) -> list[Done[X]]:
+    def commit(self, group: list[Job[X, Any]]) -> list[JobResult[X]]:
         """Runs and commits a group. Returns each job with its result or its error; never raises."""
 
     def after(self) -> None:  # noqa: B027 (an optional hook)
