--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -52,9 +52,9 @@
 JobResult = tuple[Job[X, Any], Any, BaseException | None]
 
 
-def failed_group_results(group: list[Job[X, Any]], done: list[JobResult[X]], failure: StoreFailure) -> list[JobResult[X]]:
+def failed_group_results(group: list[Job[X, Any]], results: list[JobResult[X]], failure: StoreFailure) -> list[JobResult[X]]:
     """The results after the group's transaction failed: all jobs share its error, except those that failed before."""
-    failed = [entry for entry in done if entry[2] is not None]
+    failed = [entry for entry in results if entry[2] is not None]
     failed_alone = {id(job) for job, _, _ in failed}
     return failed + [(job, None, StoreFailure(failure.outcome, failure.cause, str(failure), failure.code))
                      for job in group if id(job) not in failed_alone]
