--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -62,9 +62,9 @@
     connection.execute("BEGIN IMMEDIATE")  # of two that start at once, the second finds the work done
     try:
         version = int(connection.pragma("user_version"))
-        found = int(connection.pragma("application_id"))
+        found_owner = int(connection.pragma("application_id"))
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchall()[0][0]
-        if owner and found != owner and (found or version or tables):
+        if owner and found_owner != owner and (found_owner or version or tables):
             raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
                           f"{path}: expected a store of record, got another program's database; {instead}", "FOREIGN")
         if version > schema:
