--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -258,10 +258,10 @@
                 WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.factory.path}: {type(error).__name__}: {error}"))
 
-    def _after_error(self, opened: apsw.Connection, found: StoreFailure | None) -> None:
+    def _after_error(self, connection: apsw.Connection, found: StoreFailure | None) -> None:
         try:
-            if opened.in_transaction:
-                opened.execute("ROLLBACK")
+            if connection.in_transaction:
+                connection.execute("ROLLBACK")
             keep = found is not None and found.cause is Cause.TURNED_AWAY and found.outcome is WriteOutcome.NEVER_RAN
         except apsw.Error:
             keep = False
@@ -269,7 +269,7 @@
             # after a failed sync this connection's view of the log may differ from what a recovery finds
             self.connection = None
             with contextlib.suppress(apsw.Error):
-                opened.close(True)
+                connection.close(True)
 
     def _on_wal_commit(self, connection: apsw.Connection, database: str, pages: int) -> int:
         self.wal_pages = pages
