--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -258,11 +258,11 @@
                 WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
                 f"{self.factory.path}: {type(error).__name__}: {error}"))
 
-    def _after_error(self, connection: apsw.Connection, found: StoreFailure | None) -> None:
+    def _after_error(self, connection: apsw.Connection, failure: StoreFailure | None) -> None:
         try:
             if connection.in_transaction:
                 connection.execute("ROLLBACK")
-            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.outcome is WriteOutcome.NEVER_RAN
+            keep = failure is not None and failure.cause is Cause.TURNED_AWAY and failure.outcome is WriteOutcome.NEVER_RAN
         except apsw.Error:
             keep = False
         if not keep:
