--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -28,7 +28,7 @@
 from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.postgres import ConnectionOptions, is_stale, libpq_settings
 from ironscale.record.sql import NOW_MS, schema_migration
-from ironscale.record.worker import JobResult, Job, Worker, failed_group_results
+from ironscale.record.worker import Job, JobResult, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 NOW = NOW_MS["postgresql"]
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -17,7 +17,7 @@
 
 from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
 from ironscale.record.model import Cause, StoreFailure, WriteOutcome
-from ironscale.record.worker import MAX_QUEUED_JOBS, JobResult, Job, Worker, failed_group_results
+from ironscale.record.worker import MAX_QUEUED_JOBS, Job, JobResult, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
@@ -262,7 +262,8 @@
         try:
             if connection.in_transaction:
                 connection.execute("ROLLBACK")
-            keep = failure is not None and failure.cause is Cause.TURNED_AWAY and failure.outcome is WriteOutcome.NEVER_RAN
+            keep = (failure is not None and failure.cause is Cause.TURNED_AWAY
+                    and failure.outcome is WriteOutcome.NEVER_RAN)
         except apsw.Error:
             keep = False
         if not keep:
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -171,9 +171,9 @@
     if fingerprint(record.target, record.body) != record.fingerprint:
         faults.append("its fingerprint does not match its target and body")
     if record.slot is None and record.until_ms == 0:
-        faults.append("it has no slot, though its key never expires")
+        faults.append("it has lost its slot, though its key never expires")
     if record.until_ms and record.until_ms < record.at_ms:
-        faults.append(f"it expires at {record.until_ms}, before it was written at {record.at_ms}")
+        faults.append(f"it is remembered until {record.until_ms}, before it was written at {record.at_ms}")
     return faults
 
 
--- a/ironscale/record/store_dispatcher.py
+++ b/ironscale/record/store_dispatcher.py
@@ -113,7 +113,8 @@
         attempt = self.in_flight[action.request, number] = AttemptInFlight(number, action.upstream, now_us)
         request.attempts_in_flight += 1
         deadline = self.recorder.loop.time() + timeout_us / 1e6
-        attempt.timer = self.host.schedule(now_us + max(0, timeout_us), partial(self.give_up, attempt, api.Outcome.TIMEOUT))
+        attempt.timer = self.host.schedule(now_us + max(0, timeout_us),
+                                           partial(self.give_up, attempt, api.Outcome.TIMEOUT))
         attempt.handle = self.recorder.write(self.entry(request), deadline, partial(self.on_result, request, attempt))
 
     def may_write(self, request: Request) -> bool:
@@ -170,7 +171,8 @@
         self.host.forget(request)
         if not self.is_open(request.ident):
             self.attempt_counts.pop(request.ident, None)
-        self.dispatch(api.AttemptEnded(request.ident, attempt.number, attempt.path, outcome, self.now_us() - attempt.sent_us))
+        self.dispatch(api.AttemptEnded(
+            request.ident, attempt.number, attempt.path, outcome, self.now_us() - attempt.sent_us))
         if forward_to is not None:
             forward_to(None)
 
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -52,7 +52,8 @@
 JobResult = tuple[Job[X, Any], Any, BaseException | None]
 
 
-def failed_group_results(group: list[Job[X, Any]], results: list[JobResult[X]], failure: StoreFailure) -> list[JobResult[X]]:
+def failed_group_results(group: list[Job[X, Any]], results: list[JobResult[X]], failure: StoreFailure
+                         ) -> list[JobResult[X]]:
     """The results after the group's transaction failed: all jobs share its error, except those that failed before."""
     failed = [entry for entry in results if entry[2] is not None]
     failed_alone = {id(job) for job, _, _ in failed}
