--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -132,9 +132,8 @@
             raise StoreError("UNKNOWN", f"{found}; whether it stands is not known yet; look again once the record is "
                                         "back") from found
         if not write.stands:
-            raise told(
-                StoreFailure(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not kept", found.code)
-            ) from found
+            raise told(StoreFailure(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not kept",
+                                    found.code)) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
         """Asks until it is told, then tells all who wait, and lets writes go on."""
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -145,9 +145,9 @@
                 step = TransactionStep.COMMIT
                 answer = connection.execute("COMMIT").statusmessage
                 if answer != "COMMIT":
-                    raise StoreFailure(
-                        WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}", "ROLLBACK"
-                    )
+                    raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN,
+                                       f"{self.name}: expected COMMIT, got {answer}",
+                                       "ROLLBACK")
             if writes:
                 self.commits += 1
                 self.confirmed = held.number
@@ -156,11 +156,9 @@
         except (psycopg.Error, OSError, StoreFailure) as error:
             found = error if isinstance(error, StoreFailure) else self._trouble(error, step)
         except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
-            found = StoreFailure(
-                WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN,
-                Cause.BROKEN,
-                f"{self.name}: {type(error).__name__}: {error}",
-            )
+            found = StoreFailure(WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN,
+                                 Cause.BROKEN,
+                                 f"{self.name}: {type(error).__name__}: {error}")
         self._drop()
         return failed_group_results(group, done, found)
 
@@ -186,18 +184,17 @@
     def _hold(self, connection: psycopg.Connection[Any]) -> int:
         """The transaction's number, under our claim; from here on the row is held until its end."""
         if self.follows:
-            raise StoreFailure(
-                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED"
-            )
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead",
+                               "LOCKED")
         self.number += 1
         rows = connection.execute(
             f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW} + %s WHERE one = %s AND epoch = %s"
             " RETURNING sequence", (self.number, self.lease_ms, 1, self.epoch)).fetchall()
         if not rows:
             # ours it may be still, or be less than it was: the next claim tells
-            raise StoreFailure(
-                WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim on it has to be renewed", "CLAIM"
-            )
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: the claim on it has to be renewed",
+                               "CLAIM")
         return self.number
 
     def _trouble(self, error: psycopg.Error | OSError, step: TransactionStep) -> StoreFailure:
@@ -208,9 +205,8 @@
         text = " ".join((str(error) or type(error).__name__).split())
         if self.access.password:
             text = text.replace(self.access.password, "***")
-        return StoreFailure(
-            postgres_outcome(step, sqlstate, severity), postgres_cause(step, sqlstate), f"{self.name}: {text}", sqlstate
-        )
+        return StoreFailure(postgres_outcome(step, sqlstate, severity), postgres_cause(step, sqlstate),
+                            f"{self.name}: {text}", sqlstate)
 
     def _drop(self) -> None:
         connection, self.connection = self.connection, None
@@ -256,7 +252,7 @@
             answer = connection.execute("COMMIT" if done.value else "ROLLBACK").statusmessage
             if done.value and answer != "COMMIT":
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
-                              "ROLLBACK") from None
+                                   "ROLLBACK") from None
 
     def _claim(self, connection: psycopg.Connection[Any]) -> None:
         """Makes the record ours, or ours again. Waits for what an earlier transaction of ours still does."""
@@ -264,13 +260,10 @@
         (epoch, sequence, holder, place, left_ms), = connection.execute(
             f"SELECT epoch, sequence, holder, place, until_ms - {NOW} FROM agent_owner WHERE one = %s", (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
-            raise StoreFailure(
-                WriteOutcome.NEVER_RAN,
-                Cause.TURNED_AWAY,
-                f"{self.name}: the agent of {place} has this record, "
-                f"for {left_ms / 1000:.1f} s more at least; stop that agent, or name another database",
-                "LOCKED",
-            )
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: the agent of {place} has this record, "
+                               f"for {left_ms / 1000:.1f} s more at least; stop that agent, or name another database",
+                               "LOCKED")
         if epoch < self.epoch or sequence < self.confirmed:
             self._less(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
@@ -280,12 +273,9 @@
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise StoreFailure(
-                WriteOutcome.NEVER_RAN,
-                Cause.TURNED_AWAY,
-                f"{self.name}: another agent claims this record at the same moment",
-                "LOCKED" if self.epoch == 0 else "CLAIM",
-            )
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: another agent claims this record at "
+                               "the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.confirmed = rows[0]
         self.number = max(self.number, self.confirmed)
         self.until_ms = began_ms + self.lease_ms
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -155,13 +155,9 @@
         def job(transaction: Transaction) -> Term:
             owner, now_ms = self._owner(transaction), clock_ms()
             if owner.left_ms > 0 and owner.holder != claim.holder:
-                raise StoreFailure(
-                    WriteOutcome.NEVER_RAN,
-                    Cause.TURNED_AWAY,
-                    f"{self.path}: the agent of {owner.place} has "
-                    f"this record, for {owner.left_ms / 1000:.1f} s more at least",
-                    "LOCKED",
-                )
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                                   f"{self.path}: the agent of {owner.place} has "
+                                   f"this record, for {owner.left_ms / 1000:.1f} s more at least", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
                                 " WHERE one = 1", (claim.holder, claim.place, machine(), now_ms + claim.lease_ms))
             return Term(owner.epoch + 1, now_ms + claim.lease_ms, claim.lease_ms)
@@ -184,9 +180,9 @@
             until_ms = clock_ms() + self.claim_as.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
-                found = StoreFailure(
-                    WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it", "TAKEN"
-                )
+                found = StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
+                                     f"{self.path}: another agent has claimed it",
+                                     "TAKEN")
                 self.on_lost(told(found))
                 raise found
             self.marked_until_ms = until_ms
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -211,7 +211,7 @@
         ending.add_done_callback(self.tasks.discard)
         outcome = WriteOutcome.UNKNOWN if transaction.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
         raise StoreFailure(outcome, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
-                      f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
+                           f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
 
     async def _run_transaction(
         self, transaction: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -129,7 +129,7 @@
     """Opens a file for reading. Raises StoreFailure if it does not exist; creates nothing."""
     if not path.is_file():
         raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
-                      "MISSING")
+                           "MISSING")
     return Reader(ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS))
 
 
--- a/ironscale/record/worker.py
+++ b/ironscale/record/worker.py
@@ -110,7 +110,7 @@
                 )
             if len(self.jobs) >= self.max_queued:
                 raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
-                              f"{self.name}: {self.max_queued} writes wait already", "QUEUE")
+                                   f"{self.name}: {self.max_queued} writes wait already", "QUEUE")
             self.jobs.append(job)
             self.wake.notify()
         left = until - loop.time()
@@ -127,7 +127,7 @@
                     WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: the write was not started in time", "TIMEOUT"
                 )
         raise StoreFailure(WriteOutcome.UNKNOWN, Cause.TIMEOUT, f"{self.name}: its commit was not answered in time",
-                      "TIMEOUT")
+                           "TIMEOUT")
 
     def _run(self) -> None:
         while True:
