--- a/ironscale/cli/processes.py
+++ b/ironscale/cli/processes.py
@@ -63,7 +63,7 @@
     try:
         found = load(file)
         if found.store is not None:
-            from ironscale.record.store_factory import check_stores as check_stores
+            from ironscale.record.store_factory import check_stores
 
             check_stores(found.store)
         if found.agent is not None and found.agent.postgresql:
