--- a/bench/record.py
+++ b/bench/record.py
@@ -24,10 +24,10 @@
 
 from ironscale.operator_file import StoreConfig, StoresConfig
 from ironscale.record import sqlite
-from ironscale.record.database import Opener
-from ironscale.record.extension import beside
+from ironscale.record.database import ConnectionFactory
+from ironscale.record.extension import store_extension
 from ironscale.record.model import Entry, attempt_name, fingerprint, slot_of
-from ironscale.record.postgres import Access, PostgresStore
+from ironscale.record.postgres import ConnectionOptions, PostgresStore
 from ironscale.record.sqlite import SqliteStore, migrate
 from ironscale.standins.postgres import Host, Session, SqlError
 
@@ -70,7 +70,7 @@
 
 def bare(path: Path, seconds: float, group: int) -> tuple[int, float, list[float]]:
     """A loop that does nothing but insert and commit, in the same file format, with the same sync."""
-    connection = Opener(path, migrate).open()
+    connection = ConnectionFactory(path, migrate).open()
     connection.execute("PRAGMA wal_autocheckpoint = 1000")
     took, began, count = [], time.monotonic(), 0
     while time.monotonic() - began < seconds:
@@ -100,7 +100,8 @@
             line(f"store, {count} clients", *await many(store, count, seconds), best)
             writer = store.writer
             print(f"{'':34} {writer.written / writer.commits:9.1f} records a commit; the writer itself waited for "
-                  f"copying {writer.checkpoint_s * 1e3:.1f} ms at most, longest commit {writer.longest_s * 1e3:.1f} ms")
+                  f"copying {writer.longest_checkpoint_s * 1e3:.1f} ms at most, longest commit "
+                  f"{writer.longest_commit_s * 1e3:.1f} ms")
             await store.close()
 
         for count in (1, 16, 256):
@@ -112,7 +113,7 @@
     async def main() -> None:
         host = await Host().start()
         for count in (1, 8, 32):
-            store = PostgresStore(Access(f"host=127.0.0.1 port={host.port} user=app"))
+            store = PostgresStore(ConnectionOptions(f"host=127.0.0.1 port={host.port} user=app"))
             await store.write(entry(), asyncio.get_running_loop().time() + 10)
             line(f"psycopg and stand-in, {count} clients", *await many(store, count, seconds))
             await store.close()
@@ -125,12 +126,12 @@
 def bench_back(stall_s: float, rate: float, folder: Path) -> None:
     """Open loop through a sidecar on a store that stops answering and comes back."""
     from ironscale.standins.upstream import Peer
-    from tests.record.test_store_dispatcher import QUICK, asked
+    from tests.record.test_store_dispatcher import SHORT_DEADLINE_CLASSES, request_message
     from tests.sockets import Scene
 
     async def main() -> None:
         host, peer = await Host().start(), await Peer().start()
-        scene = await Scene().start(peer.entry("up-0"), **{"request-classes": QUICK})
+        scene = await Scene().start(peer.entry("up-0"), **{"request-classes": SHORT_DEADLINE_CLASSES})
         target = StoreConfig("main", postgresql=f"host=127.0.0.1 port={host.port} user=app")
         section = StoresConfig("bench", ("pay",), (target,))
         loop, outcomes, views = asyncio.get_running_loop(), [], []
@@ -140,11 +141,11 @@
         async def hook(session: Session, kind: str, after: bool) -> None:
             await stalled.wait()
 
-        async with beside(section)(scene.sidecar, lambda: None):
+        async with store_extension(section)(scene.sidecar, lambda: None):
             began = loop.time()
 
             async def pay(at: float) -> None:
-                status = (await scene.send(asked(scene, "pay", BODY, remaining="2000m"))).status
+                status = (await scene.send(request_message(scene, "pay", BODY, remaining="2000m"))).status
                 outcomes.append((at, status, loop.time() - began))
 
             async def view(at: float) -> None:
@@ -190,7 +191,7 @@
 def bench_grow(to: int, seconds: float, folder: Path) -> None:
     """Single commits and lookups of a repeat at each size; filled by large commits in between."""
     path, size = folder / "grow.db", 0
-    connection = Opener(path, migrate).open()
+    connection = ConnectionFactory(path, migrate).open()
     # the filling is not what is measured: no syncs, and the indexes' pages kept at hand
     connection.execute("PRAGMA synchronous = OFF; PRAGMA cache_size = -2000000").fetchall()
     steps = [n for n in (10_000, 100_000, 1_000_000, 3_000_000, 10_000_000) if n <= to]
@@ -253,7 +254,7 @@
         dsn = f"host=127.0.0.1 port={host.port} user=app"
         store = AgentOnSqlite(folder / "agent.db")
         await figures("SQLite", store, 32)
-        held = OwnerWorker(Access(dsn), "bench", "here")
+        held = OwnerWorker(ConnectionOptions(dsn), "bench", "here")
         on = AgentOnPostgres(held)
         await figures("stand-in", on, 1)  # it plays a long transaction again for each statement
 
--- a/ironscale/agent/commit_tracking.py
+++ b/ironscale/agent/commit_tracking.py
@@ -17,7 +17,7 @@
 from ironscale.agent.sql import SqlRecords, Transaction
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term
-from ironscale.record.model import Cause, Knowledge, Trouble
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 from ironscale.record.worker import Worker
 
 T = TypeVar("T")
@@ -33,7 +33,7 @@
 PERMANENT_SQLSTATE_CLASSES = ("22", "23", "42")  # a retry of the statement would raise the same error
 
 
-def to_store_error(found: Trouble) -> StoreError:
+def to_store_error(found: StoreFailure) -> StoreError:
     """Converts a database error to a StoreError with a stable code."""
     failed = (found.code.startswith("SQLITE") or found.code[:2] in PERMANENT_SQLSTATE_CLASSES
               or found.cause is Cause.UNUSABLE)
@@ -58,7 +58,7 @@
 
     def __init__(self, worker: Worker[X], dialect: str) -> None:
         self.worker, self.dialect = worker, dialect
-        worker.stops_at_unknown = True
+        worker.blocks_writes_if_unknown = True
         self.current_group: X | None = None
         # Writes of the current group commit. Changed on the worker's thread, which is idle while an outcome is open.
         self.group_writes: list[_Write] = []
@@ -111,8 +111,8 @@
             result = await self.worker.run(job)
             self.on_write_confirmed()
             return result
-        except Trouble as found:
-            if found.knowledge is not Knowledge.NOT_KNOWN:
+        except StoreFailure as found:
+            if found.outcome is not WriteOutcome.UNKNOWN:
                 raise to_store_error(found) from found
             await self._wait_for_outcome(write, found)
             return write.result  # type: ignore[no-any-return]
@@ -122,10 +122,10 @@
     async def read(self, work: Callable[[Records], T]) -> T:
         try:
             return await self.worker.run(lambda transaction: work(SqlRecords(transaction, self.dialect)), writes=False)
-        except Trouble as found:
+        except StoreFailure as found:
             raise to_store_error(found) from found
 
-    async def _wait_for_outcome(self, write: _Write, found: Trouble) -> None:
+    async def _wait_for_outcome(self, write: _Write, found: StoreFailure) -> None:
         """Returns once the write is known to be committed. Raises StoreError otherwise."""
         if write.is_committed is None:
             if self.resolving is None:
@@ -136,12 +136,13 @@
                                         "store is reachable") from found
         if not write.is_committed:
             raise to_store_error(
-                Trouble(Knowledge.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)) from found
+                StoreFailure(WriteOutcome.NEVER_RAN, found.cause, f"{found}; it was not committed", found.code)
+            ) from found
 
     async def _resolve(self, writes: list[_Write]) -> None:
         """Retries until the store has answered, passes the outcome to the callers, and allows writes again."""
         while True:
-            with contextlib.suppress(Trouble):
+            with contextlib.suppress(StoreFailure):
                 reached = await self.worker.run(
                     lambda transaction: self.last_sequence_number(SqlRecords(transaction, self.dialect)),
                     writes=self.resolve_needs_write, resolves=True)
@@ -156,7 +157,7 @@
                 if write.on_late_commit is not None:
                     write.on_late_commit(write.result)
         self.resolving = None
-        self.worker.unknown = False
+        self.worker.outcome_unknown = False
 
     def close(self, wait_s: float = CLOSE_TIMEOUT_S) -> None:
         if self.resolving is not None:
--- a/ironscale/agent/postgres.py
+++ b/ironscale/agent/postgres.py
@@ -24,11 +24,11 @@
 from ironscale.agent.sql import SCHEMA_VERSION, SqlRecords, migrations
 from ironscale.agent.store import Records, StoreError
 from ironscale.agent.terms import Owner, Term, clock_ms
-from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Knowledge, Trouble
-from ironscale.record.postgres import Access, is_stale, settings_of
-from ironscale.record.sql import NOW_MS, bring_up
-from ironscale.record.worker import Done, Job, Worker, fated
+from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
+from ironscale.record.postgres import ConnectionOptions, is_stale, libpq_settings
+from ironscale.record.sql import NOW_MS, schema_migration
+from ironscale.record.worker import Job, JobResult, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 NOW_MS_SQL = NOW_MS["postgresql"]
@@ -103,11 +103,17 @@
 class OwnerWorker(Worker[GroupTransaction]):
     """Runs transactions on one connection in one thread, and holds the claim on the store."""
 
-    def __init__(self, access: Access, holder: str, place: str, transaction_timeout_s: float = TRANSACTION_TIMEOUT_S,
-                 lease_ms: int = LEASE_MS) -> None:
+    def __init__(
+        self,
+        access: ConnectionOptions,
+        holder: str,
+        place: str,
+        transaction_timeout_s: float = TRANSACTION_TIMEOUT_S,
+        lease_ms: int = LEASE_MS,
+    ) -> None:
         """`holder`: identifies the claimant, and is the same for the next process on the same data folder. `place`:
         where the agent runs, for error messages."""
-        self.settings = settings_of(access)
+        self.settings = libpq_settings(access)
         super().__init__(f"postgresql {self.settings.get('host', 'localhost')}:{self.settings.get('port', 5432)}")
         self.access, self.holder, self.place = access, holder, place
         self.transaction_timeout_s, self.lease_ms = transaction_timeout_s, lease_ms
@@ -116,8 +122,8 @@
         self.last_number = 0  # sequence number of the last transaction that wrote, whatever its outcome
         self.last_confirmed = 0  # sequence number of the last transaction whose commit was confirmed
         self.commits = self.claims = 0
-        self.ownership_loss: Trouble | None = None  # why this agent doesn't own the store any more; never reset
-        self.on_lost: Callable[[Trouble], None] = lambda found: None  # called on the worker's thread
+        self.ownership_loss: StoreFailure | None = None  # why this agent doesn't own the store any more; never reset
+        self.on_lost: Callable[[StoreFailure], None] = lambda found: None  # called on the worker's thread
         self.needs_reconnect = False  # the connection has to be opened again, with a claim
         self.is_read_only = False  # reads what another agent writes, and doesn't claim the store
         self.until_ms = 0.0  # end of the lease on this machine's clock, counted from before it was requested
@@ -125,9 +131,9 @@
 
     # Group commit
 
-    def commit(self, group: list[Job[GroupTransaction, Any]]) -> list[Done[GroupTransaction]]:
-        done: list[Done[GroupTransaction]] = []
-        step = Step.CONNECT
+    def commit(self, group: list[Job[GroupTransaction, Any]]) -> list[JobResult[GroupTransaction]]:
+        done: list[JobResult[GroupTransaction]] = []
+        step = TransactionStep.CONNECT
         try:
             # A server that shut down has closed the idle connection. A transaction sent on it could end with an
             # unknown outcome, so a stale connection is replaced before it is used.
@@ -135,7 +141,7 @@
                 self._close_connection()
             self.needs_reconnect = False
             connection = self.connection or self._open()
-            step = Step.WORK
+            step = TransactionStep.WORK
             with self.watchdog.time_limit(connection, self.transaction_timeout_s):
                 writes = any(job.writes for job in group)
                 connection.execute("BEGIN ISOLATION LEVEL READ COMMITTED")
@@ -146,25 +152,27 @@
                 if all(problem is not None for _, _, problem in done):
                     connection.execute("ROLLBACK")
                     return done
-                step = Step.COMMIT
+                step = TransactionStep.COMMIT
                 answer = connection.execute("COMMIT").statusmessage
                 if answer != "COMMIT":
-                    raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
-                                  "ROLLBACK")
+                    raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN,
+                                       f"{self.name}: expected COMMIT, got {answer}",
+                                       "ROLLBACK")
             if writes:
                 self.commits += 1
                 self.last_confirmed = held.number
                 self.until_ms = held.began_ms + self.lease_ms
             return done
-        except (psycopg.Error, OSError, Trouble) as error:
-            found = error if isinstance(error, Trouble) else self._trouble(error, step)
+        except (psycopg.Error, OSError, StoreFailure) as error:
+            found = error if isinstance(error, StoreFailure) else self._trouble(error, step)
         except Exception as error:  # callers would wait forever if the thread died
-            found = Trouble(Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
-                            f"{self.name}: {type(error).__name__}: {error}")
+            found = StoreFailure(WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN,
+                                 Cause.BROKEN,
+                                 f"{self.name}: {type(error).__name__}: {error}")
         self._close_connection()
-        return fated(group, done, found)
+        return failed_group_results(group, done, found)
 
-    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[Done[GroupTransaction]],
+    def _run_job(self, held: GroupTransaction, job: Job[GroupTransaction, Any], done: list[JobResult[GroupTransaction]],
                  several: bool) -> None:
         """Runs one job and rolls back its changes if it fails. Raises errors that end the whole transaction."""
         connection = held.connection
@@ -173,7 +181,7 @@
         try:
             done.append((job, job.work(held), None))
         except (psycopg.Error, OSError) as error:
-            found = self._trouble(error, Step.WORK)
+            found = self._trouble(error, TransactionStep.WORK)
             if connection.closed:
                 raise found from error
             done.append((job, None, found))
@@ -188,7 +196,8 @@
         """Assigns the transaction's sequence number under this agent's claim. This locks the owner's row until the
         transaction ends."""
         if self.is_read_only:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead", "LOCKED")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: this agent does not lead",
+                               "LOCKED")
         self.last_number += 1
         rows = connection.execute(
             f"UPDATE agent_owner SET sequence = %s, until_ms = {NOW_MS_SQL} + %s WHERE one = %s AND epoch = %s"
@@ -196,11 +205,12 @@
         if not rows:
             # The epoch has changed: either a claim of this agent went unnoticed, another agent owns the store, or the
             # store has lost writes. The next claim finds out which.
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the claim has to be renewed",
-                          "CLAIM")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: the claim has to be renewed",
+                               "CLAIM")
         return self.last_number
 
-    def _trouble(self, error: psycopg.Error | OSError, step: Step) -> Trouble:
+    def _trouble(self, error: psycopg.Error | OSError, step: TransactionStep) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
@@ -208,7 +218,8 @@
         text = " ".join((str(error) or type(error).__name__).split())
         if self.access.password:
             text = text.replace(self.access.password, "***")
-        return Trouble(knowledge(step, sqlstate, severity), cause(step, sqlstate), f"{self.name}: {text}", sqlstate)
+        return StoreFailure(postgres_outcome(step, sqlstate, severity), postgres_cause(step, sqlstate),
+                            f"{self.name}: {text}", sqlstate)
 
     def _close_connection(self) -> None:
         connection, self.connection = self.connection, None
@@ -219,7 +230,7 @@
     # Connection and claim
 
     def _open(self) -> psycopg.Connection[Any]:
-        """Raises psycopg.Error, OSError or Trouble."""
+        """Raises psycopg.Error, OSError or StoreFailure."""
         if self.ownership_loss is not None:
             raise self.ownership_loss
         connection = psycopg.Connection.connect(**{**self.settings, "connect_timeout": int(CONNECT_TIMEOUT_S)},
@@ -246,7 +257,7 @@
 
     def _migrate(self, connection: psycopg.Connection[Any]) -> None:
         connection.execute("BEGIN")
-        held, steps = GroupTransaction(connection, 0), bring_up(self.name, "agent_schema", MIGRATION_LOCK_KEY,
+        held, steps = GroupTransaction(connection, 0), schema_migration(self.name, "agent_schema", MIGRATION_LOCK_KEY,
                                                                 SCHEMA_VERSION, migrations)
         try:
             asked = next(steps)
@@ -255,8 +266,8 @@
         except StopIteration as done:
             answer = connection.execute("COMMIT" if done.value else "ROLLBACK").statusmessage
             if done.value and answer != "COMMIT":
-                raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
-                              "ROLLBACK") from None
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{self.name}: expected COMMIT, got {answer}",
+                                   "ROLLBACK") from None
 
     def _claim(self, connection: psycopg.Connection[Any]) -> None:
         """Claims the store, or renews the claim. Waits for earlier transactions of this agent that are in progress."""
@@ -265,9 +276,10 @@
             f"SELECT epoch, sequence, holder, place, until_ms - {NOW_MS_SQL} FROM agent_owner WHERE one = %s",
             (1,)).fetchall()
         if self.epoch == 0 and holder != self.holder and left_ms > 0:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: the agent of {place} owns this store, "
-                          f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
-                          "LOCKED")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: the agent of {place} owns this store, "
+                               f"for at least {left_ms / 1000:.1f} s more; stop that agent, or name another database",
+                               "LOCKED")
         if epoch < self.epoch or sequence < self.last_confirmed:
             self._abandon_after_data_loss(connection, epoch, sequence)
         if self.epoch and holder != self.holder:
@@ -277,8 +289,9 @@
             " WHERE one = %s AND epoch = %s RETURNING epoch, sequence",
             (self.holder, self.place, self.lease_ms, 1, epoch)).fetchall()
         if not rows:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.name}: another agent is claiming this store "
-                          "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                               f"{self.name}: another agent is claiming this store "
+                               "at the same moment", "LOCKED" if self.epoch == 0 else "CLAIM")
         self.epoch, self.last_confirmed = rows[0]
         self.last_number = max(self.last_number, self.last_confirmed)
         self.until_ms = began_ms + self.lease_ms
@@ -302,7 +315,7 @@
                              "`ironscale ops`, then start the agent again")
 
     def _lose_ownership(self, code: str, text: str) -> None:
-        self.ownership_loss = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, text, code)
+        self.ownership_loss = StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, text, code)
         self.on_lost(self.ownership_loss)
         raise self.ownership_loss
 
--- a/ironscale/agent/schema.py
+++ b/ironscale/agent/schema.py
@@ -361,7 +361,7 @@
             "inForce": published.in_force}
 
 
-def parse_scope(text: str) -> Scope:
+def scope_from_input(text: str) -> Scope:
     try:
         return parse_scope(text)
     except ScopeError as problem:
@@ -372,7 +372,7 @@
     engine, before = require_role(info, "read").engine, decode_cursor_number(after) or 2**62
     if not 0 <= first <= MAX_VERSIONS_PAGE:
         raise graphql_error("BAD_INPUT", f"first: expected 0 to {MAX_VERSIONS_PAGE}, got {first}")
-    wanted = parse_scope(scope) if scope else None
+    wanted = scope_from_input(scope) if scope else None
     found = await engine.store.read(lambda records: records.versions(before, first + 1, wanted))
     page = found[:first]
     return connection([version_object(p) for p in page], [encode_cursor(p.entry.version) for p in page],
@@ -520,7 +520,7 @@
         raise graphql_error("BAD_INPUT",
                             "overlay: expected an object, or null to take away what the scope has, got nothing")
     overlay = input["overlay"]
-    draft = Draft(parse_scope(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
+    draft = Draft(scope_from_input(input["scope"]), None if overlay is None else overlay_object(overlay), input["base"],
                   input.get("note") or "")
     return version_object((await context.engine.publisher.publish(
         context.caller.name, draft, idempotency_key(input)))[0])
--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -19,7 +19,7 @@
 from ironscale.agent.store import Configuration, Event, InstanceRow, Published, TokenRow
 from ironscale.disruption.model import Halt, Permit
 from ironscale.disruption.model import Phase as PermitPhase
-from ironscale.record.sql import typed
+from ironscale.record.sql import with_column_types
 from ironscale.versions.compacted_log import Change
 from ironscale.versions.model import Entry, Scope, canonical_json, parse_scope
 
@@ -478,5 +478,5 @@
 
 def migrations(version: int) -> list[str]:
     """The statements that upgrade a PostgreSQL schema from `version` to the current version."""
-    return [typed(statement, "postgresql")
+    return [with_column_types(statement, "postgresql")
             for statements in MIGRATIONS[version:] for statement in statements]
--- a/ironscale/agent/sqlite.py
+++ b/ironscale/agent/sqlite.py
@@ -15,9 +15,9 @@
 from ironscale.agent.terms import Owner, Term, clock_ms
 from ironscale.control.processes import machine_boot_id
 from ironscale.record import database
-from ironscale.record.database import Opener, Transaction, Writer, trouble
-from ironscale.record.errors import Step
-from ironscale.record.model import Cause, Knowledge, Trouble
+from ironscale.record.database import ConnectionFactory, Transaction, Writer, store_failure
+from ironscale.record.errors import TransactionStep
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
 
 BUSY_TIMEOUT_MS = 2_000
 SEQUENCE_COUNTER = "sequence"  # counter with the number of the last write
@@ -87,15 +87,15 @@
 SCHEMA_VERSION = len(MIGRATIONS)
 
 
-def connect(path: Path, opener: Opener | None = None) -> apsw.Connection:
+def connect(path: Path, opener: ConnectionFactory | None = None) -> apsw.Connection:
     """Opens the file and upgrades its schema to the current version. Raises StoreError."""
-    opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
+    opener = opener or ConnectionFactory(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
     try:
         return opener.open()
-    except Trouble as found:
+    except StoreFailure as found:
         raise to_store_error(found) from found
     except apsw.Error as error:
-        raise to_store_error(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(store_failure(error, TransactionStep.WORK, path)) from error
 
 
 def migrate(connection: apsw.Connection) -> None:
@@ -116,11 +116,11 @@
 
     resolve_needs_write = True
 
-    def __init__(self, path: Path, opener: Opener | None = None, claim: Claim | None = None) -> None:
+    def __init__(self, path: Path, opener: ConnectionFactory | None = None, claim: Claim | None = None) -> None:
         """`opener`: lets tests open the file on a simulated disk. `claim`: set when several agents of this machine
         open the file; an agent then writes only after it has claimed the store."""
         self.path, self.claim_identity = path, claim
-        opener = opener or Opener(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
+        opener = opener or ConnectionFactory(path, migrate, busy_ms=BUSY_TIMEOUT_MS)
         self.writer = Writer(opener, connection=connect(path, opener))
         self.last_number = -1  # number of the last write; -1 until it is read from the store
         super().__init__(self.writer, "sqlite")
@@ -138,7 +138,7 @@
     async def owner(self) -> Owner:
         try:
             return await self.worker.run(self._owner, writes=False)
-        except Trouble as found:
+        except StoreFailure as found:
             raise to_store_error(found) from found
 
     @staticmethod
@@ -155,8 +155,9 @@
         def job(transaction: Transaction) -> Term:
             owner, now_ms = self._owner(transaction), clock_ms()
             if owner.left_ms > 0 and owner.holder != claim.holder:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, f"{self.path}: the agent of {owner.place} owns "
-                              f"this store, for at least {owner.left_ms / 1000:.1f} s more", "LOCKED")
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY,
+                                   f"{self.path}: the agent of {owner.place} owns "
+                                   f"this store, for at least {owner.left_ms / 1000:.1f} s more", "LOCKED")
             transaction.execute("UPDATE owner SET epoch = epoch + 1, holder = ?, place = ?, machine = ?, until_ms = ?"
                                 " WHERE one = 1",
                                  (claim.holder, claim.place, machine_boot_id(), now_ms + claim.lease_ms))
@@ -164,14 +165,14 @@
 
         try:
             self.term = await self.worker.run(job)
-        except Trouble as found:
+        except StoreFailure as found:
             raise to_store_error(found) from found
 
     async def release_ownership(self) -> None:
         """Ends the lease, so that the next agent need not wait for it to expire."""
         epoch = self.term.epoch
         if epoch:
-            with contextlib.suppress(Trouble):
+            with contextlib.suppress(StoreFailure):
                 await self.worker.run(lambda transaction: transaction.execute(
                     "UPDATE owner SET until_ms = 0 WHERE one = 1 AND epoch = ?", (epoch,)))
 
@@ -180,8 +181,9 @@
             until_ms = clock_ms() + self.claim_identity.lease_ms
             if not records.transaction.execute("UPDATE owner SET until_ms = ? WHERE one = 1 AND epoch = ?"
                                                " RETURNING one", (until_ms, self.term.epoch or -1)):
-                found = Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: another agent has claimed it",
-                                "TAKEN")
+                found = StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
+                                     f"{self.path}: another agent has claimed it",
+                                     "TAKEN")
                 self.on_lost(to_store_error(found))
                 raise found
             self.pending_until_ms = until_ms
--- a/ironscale/agent/store_setup.py
+++ b/ironscale/agent/store_setup.py
@@ -23,12 +23,12 @@
 from ironscale.agent.terms import describe_place, holder_id
 from ironscale.operator_file import AgentConfig as AgentSection
 from ironscale.operator_file import OperatorFileError, read_secret
-from ironscale.record.database import Transaction, trouble
-from ironscale.record.errors import Step
+from ironscale.record.database import Transaction, store_failure
+from ironscale.record.errors import TransactionStep
 
 if TYPE_CHECKING:
     from ironscale.agent.postgres import PostgresStore
-    from ironscale.record.postgres import Access
+    from ironscale.record.postgres import ConnectionOptions
 
 TABLES = (("counters", sql.COUNTER), ("instances", sql.INSTANCE), ("operations", sql.OPERATION),
           ("targets", sql.TARGET), ("configurations", sql.CONFIGURATION), ("mutations", sql.MUTATION),
@@ -40,11 +40,11 @@
 CLAIM_GRACE_S, CLAIM_RETRY_S = 2.0, 0.5  # how long to wait past the end of another agent's lease; between two attempts
 
 
-def postgres_access(section: AgentSection) -> Access:
+def postgres_access(section: AgentSection) -> ConnectionOptions:
     """Raises OperatorFileError."""
     place = f"{section.file}: agent.postgresql"
     try:
-        from ironscale.record.postgres import Access, SettingError, check_dsn
+        from ironscale.record.postgres import ConnectionOptions, SettingError, check_dsn
     except ImportError as error:
         raise OperatorFileError(f"{place}: expected the packages of ironscale[record], got {error}; "
                                 "pip install 'ironscale[record]'") from None
@@ -53,7 +53,7 @@
     except SettingError as error:
         raise OperatorFileError(f"{place}: expected {error}") from None
     password = read_secret(section.password_file) if section.password_file is not None else ""
-    return Access(section.postgresql, password, 1, section.synchronous_commit)
+    return ConnectionOptions(section.postgresql, password, 1, section.synchronous_commit)
 
 
 async def open_store(section: AgentSection, data: Path, on_lost: Callable[[StoreError], None],
@@ -168,7 +168,7 @@
     try:
         yield
     except apsw.Error as error:
-        raise to_store_error(trouble(error, Step.WORK, path)) from error
+        raise to_store_error(store_failure(error, TransactionStep.WORK, path)) from error
 
 
 def copy_tables(source: apsw.Connection, records: sql.SqlRecords) -> int:
--- a/ironscale/cli/record.py
+++ b/ironscale/cli/record.py
@@ -15,7 +15,7 @@
 
 try:
     from ironscale.record import journal, operator_queries, sqlite, store_factory
-    from ironscale.record.model import Trouble
+    from ironscale.record.model import StoreFailure
 except ImportError as error:  # the extra is not installed
     missing: str | None = str(error)
 else:
@@ -50,7 +50,7 @@
         fail(Exit.USAGE, f"--store: expected one of {', '.join(t.name for t in stores.to)}, got {name}")
     try:
         for target in found:
-            store_factory.make(target, stores.file)
+            store_factory.make_store(target, stores.file)
     except OperatorFileError as error:
         fail(Exit.USAGE, str(error))
     return found
@@ -102,7 +102,7 @@
     for target in one_of(stores, None):
         mine = [entry for entry in entries if entry.store == target.name]
         if mine:
-            found.update(operator_queries.find_out(target, mine))
+            found.update(operator_queries.resolve_attempts(target, mine))
     for entry in entries:
         found.setdefault(entry.attempt, f"not known: there is no store {entry.store!r} in {stores.file}")
     if output == "json":
@@ -126,7 +126,7 @@
         try:
             rows += [(target.name, kind or "-", "marks" if state == "void" else "records", count)
                      for state, kind, count in operator_queries.counts(target)]
-        except Trouble as trouble:
+        except StoreFailure as trouble:
             silent.append({"store": target.name, "why": str(trouble)})
     if output == "json":
         print_json({"counts": [{"store": s, "class": k, "what": w, "count": c} for s, k, w, c in rows],
@@ -150,7 +150,7 @@
         try:
             gone = operator_queries.prune(target, int(days * 86_400_000))
             out.print(f"{target.name}: {gone:,} marks deleted", markup=False)
-        except Trouble as trouble:
+        except StoreFailure as trouble:
             silent = True
             err.print(f"{target.name}: no answer: {trouble}", markup=False)
     raise SystemExit(Exit.PARTIAL if silent else Exit.DONE)
@@ -168,7 +168,7 @@
     try:
         for target in one_of(stores_of(operator), store):
             found += [(target.name, one) for one in operator_queries.records(target, request)]
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, str(trouble))
     if not found:
         fail(Exit.FAILED, f"{request}: no record of it stands; if it is open, `ironscale record open` lists it")
@@ -202,7 +202,7 @@
 
     try:
         seen, wrong = sqlite.verify(file, progress)
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, f"{trouble}")
     if output == "json":
         print_json({"file": str(file), "records": seen, "wrong": wrong})
@@ -230,7 +230,7 @@
     try:
         pages = sqlite.backup(file, to, progress)
         seen, wrong = sqlite.verify(to)
-    except Trouble as trouble:
+    except StoreFailure as trouble:
         fail(Exit.FAILED, str(trouble))
     if wrong:
         fail(Exit.FAILED, f"{to}: the copy is not whole: {wrong[0]}")
--- a/ironscale/record/database.py
+++ b/ironscale/record/database.py
@@ -1,5 +1,5 @@
-"""SQLite off the event loop: one writer with group commit, a reader and a checkpointer beside it. What is asked for
-while a commit is under way shares the next one. Knows nothing of what is written: work is handed in.
+"""SQLite off the event loop: a writer thread with group commit, a checkpoint thread and a separate reader. Jobs
+submitted during a commit share the next one. The work itself is supplied by the callers.
 """
 
 from __future__ import annotations
@@ -15,23 +15,25 @@
 
 import apsw
 
-from ironscale.record.errors import Step, sqlite_cause, sqlite_knowledge
-from ironscale.record.model import Cause, Knowledge, Trouble
-from ironscale.record.worker import MOST_QUEUED, Done, Job, Worker, fated
+from ironscale.record.errors import TransactionStep, sqlite_cause, sqlite_outcome
+from ironscale.record.model import Cause, StoreFailure, WriteOutcome
+from ironscale.record.worker import MAX_QUEUED_JOBS, Job, JobResult, Worker, failed_group_results
 from ironscale.threads import start_thread
 
 T = TypeVar("T")
-BUSY_MS = 250  # another process writes: so long at a time, then it is told; who asked may ask again
-CHECKPOINT_PAGES = 1_000  # of the log, from where they are copied into the file beside the writer
-LONGEST_LOG_PAGES = 32_000  # past this the writer itself waits for the copying: else the log would grow for ever
+# how long SQLite waits for a lock of another process before it reports SQLITE_BUSY; callers may retry
+BUSY_TIMEOUT_MS = 250
+CHECKPOINT_PAGES = 1_000  # size of the write-ahead log from which the checkpoint thread copies it into the database
+# beyond this the writer itself waits for a checkpoint, so that the log cannot grow without bound
+MAX_WAL_PAGES = 32_000
 
 
-# An error that a file system in Python raised has no code of its own, but its class.
+# Errors raised by a VFS written in Python have no result code, only a class.
 _NAMES: dict[type[Exception], str] = {apsw.IOError: "SQLITE_IOERR", apsw.SQLError: "SQLITE_ERROR"}
 
 
-def name_of(error: apsw.Error) -> str:
-    """The primary result code's name."""
+def result_code_name(error: apsw.Error) -> str:
+    """The name of the error's primary result code."""
     code = getattr(error, "result", None)
     found = apsw.mapping_result_codes.get(code) if isinstance(code, int) else None
     if found is not None:
@@ -39,34 +41,39 @@
     return _NAMES.get(type(error)) or f"SQLITE_{type(error).__name__.removesuffix('Error').upper()}"
 
 
-def trouble(error: apsw.Error, step: Step, path: Path | str) -> Trouble:
-    name = name_of(error)
+def store_failure(error: apsw.Error, step: TransactionStep, path: Path | str) -> StoreFailure:
+    """The StoreFailure for an error of apsw, with advice for the operator."""
+    name = result_code_name(error)
     hint = {"SQLITE_FULL": "; free space", "SQLITE_BUSY": "; another process writes it",
             "SQLITE_READONLY": "; the file or its folder can't be written", "SQLITE_CORRUPT": "; restore a backup",
             "SQLITE_NOTADB": "; restore a backup",
             "SQLITE_CANTOPEN": "; the folder must be there and writable"}.get(name, "")
-    return Trouble(sqlite_knowledge(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
+    return StoreFailure(sqlite_outcome(step, name), sqlite_cause(name), f"{path}: {name}: {error}{hint}", name)
 
 
 def migrate(connection: apsw.Connection, schema: int, statements: Callable[[int], Sequence[str]], instead: str,
             owner: int = 0) -> None:
-    """Brings the file up to `schema`, whole or not at all; `statements` gives what is missing from a version on.
+    """Migrates the file to `schema` in one transaction; `statements` returns the statements needed from a version on.
 
-    `owner`, if it is not 0, marks the file as one program's. Raises Trouble where a newer program, or another one, has
-    written it; `instead` says what else can be named. Raises apsw.Error.
+    `owner`, if not 0, is the application id that marks the file as this program's. Raises StoreFailure if a newer or
+    another program has written the file; `instead` is the advice in that message. Raises apsw.Error.
     """
     path = connection.filename
-    connection.execute("BEGIN IMMEDIATE")  # two that start at once: the second finds it done
+    connection.execute("BEGIN IMMEDIATE")  # of two that start at once, the second finds the work done
     try:
         version = int(connection.pragma("user_version"))
-        found = int(connection.pragma("application_id"))
+        found_owner = int(connection.pragma("application_id"))
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchall()[0][0]
-        if owner and found != owner and (found or version or tables):
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE,
+        if owner and found_owner != owner and (found_owner or version or tables):
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE,
                           f"{path}: expected a store of record, got another program's database; {instead}", "FOREIGN")
         if version > schema:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected schema {schema} or older, got "
-                          f"{version}; start the newer program, or {instead}", "NEWER")
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN,
+                Cause.UNUSABLE,
+                f"{path}: expected schema {schema} or older, got {version}; start the newer program, or {instead}",
+                "NEWER",
+            )
         if version < schema:
             for statement in statements(version):
                 connection.execute(statement)
@@ -81,7 +88,7 @@
 
 
 class Transaction:
-    """What a piece of work may do within its transaction."""
+    """The transaction that a job runs in."""
 
     __slots__ = ("connection",)
 
@@ -95,33 +102,38 @@
 Work = Callable[[Transaction], T]
 
 
-_AHEAD_NS = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+_BOOTTIME_TO_UNIX_NS = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Opener:
-    """Opens connections to one file, all alike. `vfs` names one that is registered with apsw; tests break it."""
+class ConnectionFactory:
+    """Opens connections to one file with the same settings. `vfs` names a VFS registered with apsw (for fault
+    tests)."""
 
     def __init__(self, path: Path, prepare: Callable[[apsw.Connection], None] | None = None, vfs: str | None = None,
-                 busy_ms: int = BUSY_MS, exclusive: bool = False) -> None:
+                 busy_ms: int = BUSY_TIMEOUT_MS, exclusive: bool = False) -> None:
         self.path, self.prepare, self.vfs, self.busy_ms = path, prepare, vfs, busy_ms
-        self.exclusive = exclusive  # nobody else opens the file; needs no memory shared between processes
+        self.exclusive = exclusive  # only one connection; needs no shared-memory index
 
     def open(self, create: bool = True) -> apsw.Connection:
-        """Raises apsw.Error or Trouble."""
+        """Raises apsw.Error or StoreFailure."""
         flags = apsw.SQLITE_OPEN_READWRITE | (apsw.SQLITE_OPEN_CREATE if create else 0)
         try:
             if create and self.vfs is None:
-                # 0600 from its first byte: SQLite gives its side files the mode of the database
+                # created with mode 0600; SQLite gives its WAL and index files the mode of the database
                 os.close(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600))
         except OSError as error:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, got "
-                          f"{error.strerror}", "SQLITE_CANTOPEN") from error
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN,
+                Cause.UNUSABLE,
+                f"{self.path}: expected a file that can be written, got {error.strerror}",
+                "SQLITE_CANTOPEN",
+            ) from error
         deadline = time.monotonic() + self.busy_ms / 1000
         while True:
             try:
                 return self._opened(flags)
             except apsw.BusyError:
-                # hazard: while another one changes the journal's mode, SQLite does not wait by itself
+                # SQLite's busy timeout does not apply while another connection changes the journal mode
                 if time.monotonic() > deadline:
                     raise
                 time.sleep(0.005)
@@ -129,12 +141,16 @@
     def _opened(self, flags: int) -> apsw.Connection:
         connection = apsw.Connection(str(self.path), flags=flags, vfs=self.vfs)
         try:
-            keep_log(connection)
-            connection.create_scalar_function("now_ms", lambda *_: course_ms(), 0)
+            set_persistent_wal(connection)
+            connection.create_scalar_function("now_ms", lambda *_: steady_unix_ms(), 0)
             connection.set_busy_timeout(self.busy_ms)
             if connection.readonly("main"):
-                raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{self.path}: expected a file that can be written, "
-                              "got one that could be opened for reading only", "SQLITE_READONLY")
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN,
+                    Cause.UNUSABLE,
+                    f"{self.path}: expected a file that can be written, got one that could be opened for reading only",
+                    "SQLITE_READONLY",
+                )
             if self.exclusive:
                 connection.execute("PRAGMA locking_mode = EXCLUSIVE").fetchall()
             connection.execute("PRAGMA journal_mode = WAL").fetchall()
@@ -149,58 +165,66 @@
         return connection
 
 
-def course_ms() -> int:
-    """Unix time in milliseconds as of this process's start, and on by time that passed: memories of keyed requests go
-    by it, and the wall clock may step."""
-    return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _AHEAD_NS) // 1_000_000
+def steady_unix_ms() -> int:
+    """Unix time in milliseconds, read once at the start of the process and advanced by the boot-time clock. Idempotency
+    keys expire by it, and the wall clock may jump."""
+    return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) + _BOOTTIME_TO_UNIX_NS) // 1_000_000
 
 
-def keep_log(connection: apsw.Connection, keeps: bool = True) -> None:
-    """Hazard: where the index beside the log could be opened for reading only, SQLite takes the log for empty and
-    removes it as the last connection closes, with all that has not been copied into the file."""
+def set_persistent_wal(connection: apsw.Connection, keeps: bool = True) -> None:
+    """Sets whether SQLite keeps the write-ahead log when the last connection closes. If the shared-memory index could
+    only be opened read-only, SQLite takes the log for empty and would delete it with all commits not yet
+    checkpointed."""
     value = ctypes.c_int(keeps)
     connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(value))
 
 
-def close_tidily(connection: apsw.Connection) -> None:
-    """Closes it; its log goes if it may be written, as that needs the index to be whole."""
+def close_and_remove_wal(connection: apsw.Connection) -> None:
+    """Closes the connection and lets SQLite delete the log, if a write lock can be taken, which needs an intact
+    index."""
     with contextlib.suppress(apsw.Error):
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("ROLLBACK")
-        keep_log(connection, False)
+        set_persistent_wal(connection, False)
     connection.close(True)
 
 
 class Writer(Worker[Transaction]):
-    """One connection on one thread."""
-
-    def __init__(self, opener: Opener, most_queued: int = MOST_QUEUED, checkpoint_pages: int = CHECKPOINT_PAGES,
-                 longest_log_pages: int = LONGEST_LOG_PAGES, connection: apsw.Connection | None = None) -> None:
-        """`connection`: one that the opener has opened already, and nobody else uses."""
-        super().__init__(str(opener.path), most_queued)
-        self.opener = opener
+    """Writes on one connection, on one thread."""
+
+    def __init__(
+        self,
+        factory: ConnectionFactory,
+        max_queued: int = MAX_QUEUED_JOBS,
+        checkpoint_pages: int = CHECKPOINT_PAGES,
+        max_wal_pages: int = MAX_WAL_PAGES,
+        connection: apsw.Connection | None = None,
+    ) -> None:
+        """`connection` is one that `factory` has already opened and nobody else uses."""
+        super().__init__(str(factory.path), max_queued)
+        self.factory = factory
         self.checkpoint_pages = checkpoint_pages
-        self.longest_log_pages = checkpoint_pages if opener.exclusive else longest_log_pages
+        self.max_wal_pages = checkpoint_pages if factory.exclusive else max_wal_pages
         self.connection = connection
         if connection is not None:
-            connection.set_wal_hook(self._on_log)
-        self.log_pages = 0
+            connection.set_wal_hook(self._on_wal_commit)
+        self.wal_pages = 0
         self.commits = self.written = 0
-        self.checkpoint_s = 0.0  # the longest that the writer itself waited for copying
-        self.to_copy = threading.Event()
-        self.copying = threading.Lock()  # held by whoever of the two copies the log
-        self.copier = threading.Thread(target=self._copy, name="record-checkpoints", daemon=True)
-        start_thread(self.copier)
+        self.longest_checkpoint_s = 0.0  # the longest time that the writer itself waited for a checkpoint
+        self.checkpoint_requested = threading.Event()
+        self.checkpoint_lock = threading.Lock()  # held by the writer or the checkpoint thread while it checkpoints
+        self.checkpoint_thread = threading.Thread(target=self._run_checkpoints, name="record-checkpoints", daemon=True)
+        start_thread(self.checkpoint_thread)
         self.start()
 
-    def commit(self, group: list[Job[Transaction, Any]]) -> list[Done[Transaction]]:
-        done: list[Done[Transaction]] = []
-        step, opened = Step.CONNECT, self.connection
+    def commit(self, group: list[Job[Transaction, Any]]) -> list[JobResult[Transaction]]:
+        done: list[JobResult[Transaction]] = []
+        step, opened = TransactionStep.CONNECT, self.connection
         try:
             if opened is None:
-                opened = self.connection = self.opener.open()
-                opened.set_wal_hook(self._on_log)
-            step = Step.WORK
+                opened = self.connection = self.factory.open()
+                opened.set_wal_hook(self._on_wal_commit)
+            step = TransactionStep.WORK
             transaction = Transaction(opened)
             writes = any(job.writes for job in group)
             opened.execute("BEGIN IMMEDIATE" if writes else "BEGIN")
@@ -210,64 +234,65 @@
                     done.append((job, job.work(transaction), None))
                 except apsw.Error as error:
                     if not opened.in_transaction:
-                        raise  # it ended the whole transaction (a full disk does)
+                        raise  # SQLite rolled back the whole transaction, as on a full disk
                     opened.execute("ROLLBACK TO job")
-                    done.append((job, None, trouble(error, step, self.opener.path)))
+                    done.append((job, None, store_failure(error, step, self.factory.path)))
                 except Exception as error:
                     opened.execute("ROLLBACK TO job")
                     done.append((job, None, error))
                 opened.execute("RELEASE job")
-            step = Step.COMMIT
+            step = TransactionStep.COMMIT
             opened.execute("COMMIT")
             self.commits += writes
             self.written += len(group) if writes else 0
             return done
-        except (apsw.Error, Trouble) as error:
-            found = error if isinstance(error, Trouble) else trouble(error, step, self.opener.path)
+        except (apsw.Error, StoreFailure) as error:
+            found = error if isinstance(error, StoreFailure) else store_failure(error, step, self.factory.path)
             if opened is not None:
                 self._after_error(opened, found)
-            return fated(group, done, found)
-        except Exception as error:  # hazard: a thread that died would leave all that wait for it without a word
+            return failed_group_results(group, done, found)
+        except Exception as error:  # if this thread died, its callers would wait for ever
             if opened is not None:
                 self._after_error(opened, None)
-            return fated(group, [], Trouble(
-                Knowledge.NOT_KNOWN if step is Step.COMMIT else Knowledge.NEVER_RAN, Cause.BROKEN,
-                f"{self.opener.path}: {type(error).__name__}: {error}"))
+            return failed_group_results(group, [], StoreFailure(
+                WriteOutcome.UNKNOWN if step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN, Cause.BROKEN,
+                f"{self.factory.path}: {type(error).__name__}: {error}"))
 
-    def _after_error(self, opened: apsw.Connection, found: Trouble | None) -> None:
+    def _after_error(self, connection: apsw.Connection, failure: StoreFailure | None) -> None:
         try:
-            if opened.in_transaction:
-                opened.execute("ROLLBACK")
-            keep = found is not None and found.cause is Cause.TURNED_AWAY and found.knowledge is Knowledge.NEVER_RAN
+            if connection.in_transaction:
+                connection.execute("ROLLBACK")
+            keep = (failure is not None and failure.cause is Cause.TURNED_AWAY
+                    and failure.outcome is WriteOutcome.NEVER_RAN)
         except apsw.Error:
             keep = False
         if not keep:
-            # hazard: after an error of a sync this connection's view of the log may differ from what a recovery finds
+            # after a failed sync this connection's view of the log may differ from what a recovery finds
             self.connection = None
             with contextlib.suppress(apsw.Error):
-                opened.close(True)
+                connection.close(True)
 
-    def _on_log(self, connection: apsw.Connection, database: str, pages: int) -> int:
-        self.log_pages = pages
+    def _on_wal_commit(self, connection: apsw.Connection, database: str, pages: int) -> int:
+        self.wal_pages = pages
         return 0
 
     def after(self) -> None:
-        if self.log_pages >= self.checkpoint_pages and not self.opener.exclusive:
-            self.to_copy.set()
-        if self.log_pages >= self.longest_log_pages and self.connection is not None:
+        if self.wal_pages >= self.checkpoint_pages and not self.factory.exclusive:
+            self.checkpoint_requested.set()
+        if self.wal_pages >= self.max_wal_pages and self.connection is not None:
             began = time.monotonic()
-            self._shorten(self.connection)
-            self.log_pages = 0
-            self.checkpoint_s = max(self.checkpoint_s, time.monotonic() - began)
-
-    def _shorten(self, connection: apsw.Connection) -> None:
-        """Copies all that the log holds, so that what is written next stands at its beginning.
-
-        Hazard: while another one copies, SQLite refuses a checkpoint at once and waits for nobody. The copier of this
-        process is waited for to its end, that of another process for the busy time; a reader holds it up as long at
-        most, and then it is tried again after the next commit."""
-        with self.copying:
-            deadline_s = time.monotonic() + self.opener.busy_ms / 1000
+            self._restart_wal(self.connection)
+            self.wal_pages = 0
+            self.longest_checkpoint_s = max(self.longest_checkpoint_s, time.monotonic() - began)
+
+    def _restart_wal(self, connection: apsw.Connection) -> None:
+        """Checkpoints the whole log, so that the next write starts at its beginning.
+
+        While another checkpoint runs, SQLite fails with SQLITE_BUSY at once, without the busy timeout. A checkpoint of
+        this process is waited for to its end, one of another process or a reader for the busy timeout; after that it is
+        retried after the next commit."""
+        with self.checkpoint_lock:
+            deadline_s = time.monotonic() + self.factory.busy_ms / 1000
             while True:
                 try:
                     connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_RESTART)
@@ -277,53 +302,53 @@
                         return
                     time.sleep(0.005)
                 except apsw.Error:
-                    return  # the next commit meets it, and tells it
+                    return  # the next commit meets the same error and reports it
 
-    def _copy(self) -> None:
-        """Copies the log into the file on a connection of its own: a passive checkpoint keeps no writer waiting.
+    def _run_checkpoints(self) -> None:
+        """Checkpoints the log on a connection of its own: a passive checkpoint does not block the writer.
 
-        Hazard: connections of one process share what they have opened; one that is kept would keep a log's index that
-        could be opened for reading only, and no write would succeed any more."""
+        The connection is opened anew each time. Connections of one process share the shared-memory index; one that was
+        kept open could hold an index that was opened read-only, and all writes would fail."""
         while True:
-            self.to_copy.wait()
-            self.to_copy.clear()
+            self.checkpoint_requested.wait()
+            self.checkpoint_requested.clear()
             if self.ending:
                 return
-            # what fails leaves the log as it is; the writer's own turn comes once it is long
-            with contextlib.suppress(apsw.Error, Trouble):
-                connection = Opener(self.opener.path, None, self.opener.vfs).open(create=False)
+            # a failure leaves the log unchanged; the writer checkpoints it once it is too long
+            with contextlib.suppress(apsw.Error, StoreFailure):
+                connection = ConnectionFactory(self.factory.path, None, self.factory.vfs).open(create=False)
                 try:
-                    with self.copying:
+                    with self.checkpoint_lock:
                         connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
                 finally:
                     connection.close(True)
 
     def stop(self, wait_s: float) -> None:
-        """After all that was asked for. Blocks; hazard: a disk that hangs must not keep the process for ever."""
+        """Stops after the queued jobs. The wait is bounded, as a hanging disk must not keep the process from ending."""
         self.end()
-        self.to_copy.set()
-        self.copier.join(wait_s)
+        self.checkpoint_requested.set()
+        self.checkpoint_thread.join(wait_s)
         self.thread.join(wait_s)
         if not self.thread.is_alive() and self.connection is not None:
             connection, self.connection = self.connection, None
             with contextlib.suppress(apsw.Error):
-                close_tidily(connection)
+                close_and_remove_wal(connection)
 
 
 class Reader:
-    """One connection for reading: a long listing keeps no write waiting."""
+    """A separate connection for reading, so that a long listing does not block writes."""
 
-    def __init__(self, opener: Opener) -> None:
-        self.opener = opener
+    def __init__(self, factory: ConnectionFactory) -> None:
+        self.factory = factory
         self.lock = threading.Lock()
         self.connection: apsw.Connection | None = None
 
-    def now(self, work: Work[T]) -> T:
-        """On the caller's own thread. Raises Trouble."""
+    def read(self, work: Work[T]) -> T:
+        """Runs `work` in a read transaction on the calling thread. Raises StoreFailure."""
         with self.lock:
             try:
                 if self.connection is None:
-                    self.connection = self.opener.open(create=False)
+                    self.connection = self.factory.open(create=False)
                 self.connection.execute("BEGIN")
                 try:
                     return work(Transaction(self.connection))
@@ -335,10 +360,10 @@
                 if connection is not None:
                     with contextlib.suppress(apsw.Error):
                         connection.close(True)
-                raise trouble(error, Step.WORK, self.opener.path) from error
+                raise store_failure(error, TransactionStep.WORK, self.factory.path) from error
 
     def close(self) -> None:
         with self.lock:
             if self.connection is not None:
-                close_tidily(self.connection)
+                close_and_remove_wal(self.connection)
                 self.connection = None
--- a/ironscale/record/history_check.py
+++ b/ironscale/record/history_check.py
@@ -1,7 +1,7 @@
-"""Whether what clients were told and what a store holds agree. Pure; reads logs, decides nothing.
+"""Checks the results that clients received against the content of a store. Pure; used on logs after a run.
 
-Four rules: an effect is written once; who was told "served" finds its record, with the answer that it was given; who
-was told "refused" finds none; of "failed" nothing is promised. And what a recorder found out stands so in the store.
+Rules: each effect is written once; for "served" a record with the client's answer exists; for "refused" no record
+exists; "failed" guarantees nothing. The outcome that a recorder determined for an attempt must match the store, too.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What one client was told of one request."""
+class ClientReport:
+    """The result that a client received for one request."""
 
     request: str
     kind: str
@@ -25,43 +25,47 @@
     key: str
     effect: str
     fingerprint: str
-    told: str
+    result: str
     answer: bytes = b""
 
 
-def faults(clients: Iterable[Told], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None) -> list[str]:
-    """A line for each break of a rule. `outcomes`: what was found out of each attempt, "ran" or "never ran"."""
-    wrong: list[str] = []
+def find_violations(
+    clients: Iterable[ClientReport], rows: Iterable[Row], outcomes: Mapping[str, str] | None = None
+) -> list[str]:
+    """One line for each violated rule. `outcomes` maps attempts to the determined outcome, "ran" or "never ran"."""
+    violations: list[str] = []
     by_slot: dict[str, list[Row]] = defaultdict(list)
     by_request: dict[str, list[Row]] = defaultdict(list)
     states: dict[str, str] = {}
-    for one in rows:
-        states[one.attempt] = one.state
-        if one.state == VOID_STATE:
+    for row in rows:
+        states[row.attempt] = row.state
+        if row.state == VOID_STATE:
             continue
-        by_slot[slot_of(one.effect, one.kind, one.tenant, one.key, one.request)].append(one)
-        by_request[one.request].append(one)
+        by_slot[slot_of(row.effect, row.kind, row.tenant, row.key, row.request)].append(row)
+        by_request[row.request].append(row)
     for slot, found in by_slot.items():
-        found.sort(key=lambda one: one.at_ms)
-        for before, after in zip(found, found[1:], strict=False):
-            if before.until_ms == 0 or after.at_ms < before.until_ms:
-                wrong.append(f"written twice: {slot} by {before.attempt} and {after.attempt}")
+        found.sort(key=lambda row: row.at_ms)
+        for earlier, later in zip(found, found[1:], strict=False):
+            if earlier.until_ms == 0 or later.at_ms < earlier.until_ms:
+                violations.append(f"written twice: {slot} by {earlier.attempt} and {later.attempt}")
     for client in clients:
         slot = slot_of(client.effect, client.kind, client.tenant, client.key, client.request)
-        alike = [one for one in by_slot[slot] if one.fingerprint == client.fingerprint]
-        if client.told == SERVED:
-            if not alike:
-                wrong.append(f"lost: {client.request} was told served, and no record of it stands")
-            elif client.answer not in [one.answer for one in alike]:
-                wrong.append(f"answer: {client.request} was given {client.answer!r}, which is no record's")
-        elif client.told in (REFUSED, CONFLICT) and by_request[client.request]:
-            wrong.append(f"{client.told}: {client.request} was told so, and {by_request[client.request][0].attempt} "
-                         "stands")
+        matching = [row for row in by_slot[slot] if row.fingerprint == client.fingerprint]
+        if client.result == SERVED:
+            if not matching:
+                violations.append(f"lost: {client.request} was told served, but no record of it exists")
+            elif client.answer not in [row.answer for row in matching]:
+                violations.append(f"answer: {client.request} was given {client.answer!r}, which no record of it holds")
+        elif client.result in (REFUSED, CONFLICT) and by_request[client.request]:
+            violations.append(
+                f"{client.result}: {client.request} was told so, but {by_request[client.request][0].attempt} "
+                "is in the store"
+            )
     for attempt, outcome in (outcomes or {}).items():
         if (outcome == "ran") != (states.get(attempt) == "written") and outcome in ("ran", "never ran"):
-            # a repeat ran under the first one's attempt: its own name has no record
+            # a repeat is answered from the record of the first attempt, so its own attempt has none
             if outcome == "ran" and attempt not in states:
                 continue
-            wrong.append(f"outcome: {attempt} was found to have {outcome}, and stands as "
+            violations.append(f"outcome: {attempt} was found to have {outcome}, but its state in the store is "
                          f"{states.get(attempt, 'nothing')}")
-    return wrong
+    return violations
--- a/ironscale/record/operator_queries.py
+++ b/ironscale/record/operator_queries.py
@@ -1,4 +1,4 @@
-"""What operators ask of a store, whichever of the two it is. Raises Trouble."""
+"""Operator commands on a store of record, in SQLite or PostgreSQL. The functions raise StoreFailure."""
 
 from __future__ import annotations
 
@@ -8,88 +8,91 @@
 
 from ironscale.operator_file import StoreConfig
 from ironscale.record.journal import Open
-from ironscale.record.model import Row, Store, Trouble
+from ironscale.record.model import Row, Store, StoreFailure
 from ironscale.record.sql import Dialect, row
-from ironscale.record.store_factory import make
+from ironscale.record.store_factory import make_store
 
 T = TypeVar("T")
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def in_store(target: StoreConfig, act: Callable[[Store], Awaitable[T]]) -> T:
-    """Opens the store for one piece of work."""
-    opened = make(target, "the operator file", busy_ms=int(LIMIT_S * 1000))
+def run_in_store(target: StoreConfig, operation: Callable[[Store], Awaitable[T]]) -> T:
+    """Opens the store, runs one operation on it and closes it."""
+    opened = make_store(target, "the operator file", busy_ms=int(TIMEOUT_S * 1000))
 
-    async def whole() -> T:
+    async def run() -> T:
         store = opened()
         try:
-            return await act(store)
+            return await operation(store)
         finally:
             await store.close()
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
 def select(target: StoreConfig, statement: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-    """One of the statements of `Dialect`, by its name."""
+    """The rows of a statement of `Dialect`, given by its attribute name."""
     if target.sqlite is not None:
         from ironscale.record.sqlite import reader
 
-        found = reader(target.sqlite)
+        source = reader(target.sqlite)
         try:
-            return found.now(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
+            return source.read(lambda transaction: transaction.execute(getattr(Dialect("sqlite"), statement), values))
         finally:
-            found.close()
+            source.close()
 
     async def ask(store: Any) -> list[tuple[Any, ...]]:
-        async def work(turn: Any) -> list[tuple[Any, ...]]:
-            rows: list[tuple[Any, ...]] = await turn.execute(getattr(Dialect("postgresql"), statement), tuple(values))
-            await turn.execute("ROLLBACK")
+        async def work(transaction: Any) -> list[tuple[Any, ...]]:
+            rows: list[tuple[Any, ...]] = await transaction.execute(
+                getattr(Dialect("postgresql"), statement), tuple(values)
+            )
+            await transaction.execute("ROLLBACK")
             return rows
 
-        found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + LIMIT_S)
+        found: list[tuple[Any, ...]] = await store.run(work, asyncio.get_running_loop().time() + TIMEOUT_S)
         return found
 
-    return in_store(target, ask)
+    return run_in_store(target, ask)
 
 
 def records(target: StoreConfig, request: str) -> list[Row]:
+    """The records of a request id."""
     return [row(values) for values in select(target, "by_request", (request,))]
 
 
 def counts(target: StoreConfig) -> list[tuple[str, str, int]]:
-    """(state, class, how many)."""
+    """The number of rows per state and class, as (state, class, count)."""
     return [(str(state), str(kind), int(count)) for state, kind, count in select(target, "counts")]
 
 
-def find_out(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
-    """Asks of each attempt, behind the fence: "ran", "never ran", or why that is still not known."""
+def resolve_attempts(target: StoreConfig, entries: Sequence[Open]) -> dict[str, str]:
+    """The outcome of each attempt, fencing those without a record: "ran", "never ran", or why it is still unknown."""
     async def ask(store: Store) -> dict[str, str]:
         found = {}
         for entry in entries:
             try:
-                answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + LIMIT_S)
+                answer = await store.ask(entry.attempt, asyncio.get_running_loop().time() + TIMEOUT_S)
                 found[entry.attempt] = "never ran" if answer is None else "ran"
-            except Trouble as trouble:
-                found[entry.attempt] = f"not known: {trouble}"
+            except StoreFailure as failure:
+                found[entry.attempt] = f"not known: {failure}"
         return found
 
-    return in_store(target, ask)
+    return run_in_store(target, ask)
 
 
 def prune(target: StoreConfig, older_ms: int) -> int:
-    """Deletes marks that are older by the store's clock; gives how many there were."""
+    """Deletes void markers older than `older_ms` by the store's clock. Returns their number."""
     async def work(store: Any) -> int:
         if target.sqlite is not None:
             return len(await store.writer.run(lambda transaction: transaction.execute(
                 Dialect("sqlite").prune, (older_ms,))))
 
-        async def delete(turn: Any) -> int:
-            gone = await turn.execute(Dialect("postgresql").prune, (older_ms,))
-            await turn.commit()
-            return len(gone)
+        async def delete(transaction: Any) -> int:
+            deleted = await transaction.execute(Dialect("postgresql").prune, (older_ms,))
+            await transaction.commit()
+            return len(deleted)
 
-        found: int = await store.run(delete, asyncio.get_running_loop().time() + LIMIT_S)
+        found: int = await store.run(delete, asyncio.get_running_loop().time() + TIMEOUT_S)
         return found
 
-    return in_store(target, work)
+    return run_in_store(target, work)
--- a/ironscale/record/postgres.py
+++ b/ironscale/record/postgres.py
@@ -1,6 +1,6 @@
 """The store of record in PostgreSQL, through psycopg and libpq.
 
-Every write is one transaction at READ COMMITTED, with its COMMIT sent by itself: until it leaves this machine, nothing
+Every write is one transaction at READ COMMITTED. COMMIT is sent as a separate statement: before it is sent, nothing
 can be committed. docs/design/004-record.md argues why the fence holds at this level.
 """
 
@@ -19,42 +19,50 @@
 import psycopg
 from psycopg import conninfo
 
-from ironscale.record.errors import Step, cause, knowledge
-from ironscale.record.model import Cause, Entry, Knowledge, Trouble, Verdict, Written, judge
-from ironscale.record.sql import SCHEMA, Dialect, bring_up
+from ironscale.record.errors import TransactionStep, postgres_cause, postgres_outcome
+from ironscale.record.model import (
+    Cause,
+    Entry,
+    StoreFailure,
+    Verdict,
+    WriteOutcome,
+    WriteResult,
+    result_for_existing_row,
+)
+from ironscale.record.sql import SCHEMA, Dialect, schema_migration
 
 T = TypeVar("T")
-# What it would warn of on standard error is told in our own lines, without secrets.
+# psycopg would print warnings to standard error; failures are logged here instead, without secrets.
 logging.getLogger("psycopg").addHandler(logging.NullHandler())
 SQL = Dialect("postgresql")
-TURNS = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
-CONNECT_S = 2.0
-STATEMENT_S = 30.0  # the longest that a statement may take where nobody's time is shorter
-GRACE_S = 0.5  # given up on, a connection has so long to take its cancel request; then it is closed
-IDLE_S = 60.0
-LOCK = 0x69726F6E  # advisory: one sidecar at a time brings the schema up
-# Of libpq's: a peer that vanished is noticed though nothing is sent, and bytes that nobody confirms end the connection.
-QUICK = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
+MAX_SLOT_TRIES = 4  # tries in one transaction to free a slot whose key has expired and write again
+CONNECT_TIMEOUT_S = 2.0
+MAX_STATEMENT_S = 30.0  # upper bound of statement_timeout
+CANCEL_GRACE_S = 0.5  # for a cancel request of an abandoned transaction; then its connection is closed
+MAX_IDLE_S = 60.0
+MIGRATION_LOCK_ID = 0x69726F6E  # advisory lock: one process at a time migrates the schema
+# libpq settings: keepalives detect a vanished peer on an idle connection, tcp_user_timeout unacknowledged data.
+CONNECTION_DEFAULTS = {"keepalives": "1", "keepalives_idle": "10", "keepalives_interval": "5", "keepalives_count": "3",
          "tcp_user_timeout": "10000", "application_name": "ironscale"}
 
 
 class SettingError(Exception):
-    """A connection string that cannot be used; the text is one line."""
+    """An unusable connection string; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Access:
-    """How the store is reached."""
+class ConnectionOptions:
+    """How to connect to the store."""
 
-    dsn: str  # a URL or key=value pairs as libpq reads them; without a password
+    dsn: str  # a libpq URL or key=value string, without a password
     password: str = ""
-    most: int = 8  # open connections
+    max_connections: int = 8  # most open connections
     synchronous_commit: str = "on"
-    connect_s: float = CONNECT_S
+    connect_s: float = CONNECT_TIMEOUT_S
 
 
 def check_dsn(dsn: str) -> dict[str, Any]:
-    """The connection string's settings. Raises SettingError; the text holds nothing of a password."""
+    """Parses the connection string. Raises SettingError, whose text contains no password."""
     try:
         found = conninfo.conninfo_to_dict(dsn)
     except psycopg.Error as error:
@@ -66,50 +74,53 @@
     return found
 
 
-def settings_of(access: Access) -> dict[str, Any]:
-    """What libpq is given: the operator's word before ours; a host that takes writes. Raises SettingError."""
+def libpq_settings(access: ConnectionOptions) -> dict[str, Any]:
+    """The libpq settings: defaults, overridden by the connection string; by default only a writable host is accepted.
+    Raises SettingError."""
     found = check_dsn(access.dsn)
     found.setdefault("target_session_attrs", "read-write")
-    return {**QUICK, **found, **({"password": access.password} if access.password else {})}
+    return {**CONNECTION_DEFAULTS, **found, **({"password": access.password} if access.password else {})}
 
 
-class Connections:
-    """Connections to the one host of several that takes writes. Opened when they are needed and none is idle, so a
-    store that is back is used at the next try; whose turn that is, the decision module says."""
+class ConnectionPool:
+    """A pool of connections to the writable host. A connection is opened when one is needed and none is idle, so a
+    recovered store is used at the next attempt; the load balancer decides when that is."""
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
-        self.settings = settings_of(access)
+        self.settings = libpq_settings(access)
         self.idle: list[tuple[psycopg.AsyncConnection[Any], float]] = []
-        self.room = asyncio.Semaphore(access.most)
+        self.permits = asyncio.Semaphore(access.max_connections)
         self.opened = 0
-        self.checked = False  # the schema has been seen to be ours
+        self.schema_checked = False  # the schema is known to be current
         self.closing: set[asyncio.Task[None]] = set()
 
-    def safe(self, text: str) -> str:
+    def redact(self, text: str) -> str:
         return text.replace(self.access.password, "***") if self.access.password else text
 
-    async def take(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
-        """An idle one that is still alive, or a new one. Raises psycopg.Error."""
+    async def acquire(self, timeout_s: float) -> psycopg.AsyncConnection[Any]:
+        """Returns an idle connection that is still alive, or a new one. Raises psycopg.Error."""
         now = asyncio.get_running_loop().time()
         while self.idle:
             connection, since = self.idle.pop()
-            # hazard: a server that ended tells so on the idle connection; a write sent to it may end as not known
-            if now - since < IDLE_S and not connection.closed and not is_stale(connection):
+            # a server that shut down says so on the idle connection; a write sent on it could end with an unknown
+            # outcome
+            if now - since < MAX_IDLE_S and not connection.closed and not is_stale(connection):
                 return connection
             await connection.close()
         self.opened += 1
-        # hazard: with prepared statements psycopg sends DEALLOCATE by itself, and a pooler in between may not know them
-        # libpq counts in whole seconds, and for each host anew
-        each = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
-        return await psycopg.AsyncConnection.connect(**{**self.settings, "connect_timeout": each}, autocommit=True,
-                                                      prepare_threshold=None)
-
-    def give(self, connection: psycopg.AsyncConnection[Any]) -> None:
-        """Back, after a transaction that ended well."""
+        # no prepared statements: psycopg sends DEALLOCATE for them, and a pooler in between may not know them;
+        # libpq takes whole seconds and applies them to each host
+        per_host_s = max(1, min(int(self.access.connect_s + 0.999), int(timeout_s + 0.999)))
+        return await psycopg.AsyncConnection.connect(
+            **{**self.settings, "connect_timeout": per_host_s}, autocommit=True, prepare_threshold=None
+        )
+
+    def release(self, connection: psycopg.AsyncConnection[Any]) -> None:
+        """Returns a connection to the pool after a clean transaction."""
         self.idle.append((connection, asyncio.get_running_loop().time()))
 
-    def drop(self, connection: psycopg.AsyncConnection[Any]) -> None:
+    def discard(self, connection: psycopg.AsyncConnection[Any]) -> None:
         task = asyncio.get_running_loop().create_task(connection.close())
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
@@ -119,21 +130,21 @@
         for connection, _ in idle:
             await connection.close()
         if self.closing:
-            await asyncio.wait(self.closing, timeout=2 * GRACE_S)
+            await asyncio.wait(self.closing, timeout=2 * CANCEL_GRACE_S)
 
 
 def is_stale(connection: psycopg.AsyncConnection[Any] | psycopg.Connection[Any]) -> bool:
-    """Whether something came that nobody asked for: an end, or the word that the server is ending."""
+    """Whether an idle connection is readable, which means that it was closed or the server announced a shutdown."""
     poll = select.poll()
     poll.register(connection.pgconn.socket, select.POLLIN)
     return bool(poll.poll(0))
 
 
-class Turn:
-    """One transaction on one connection, and how far it has come."""
+class TransactionRun:
+    """One transaction on one connection, and the step that it has reached."""
 
     def __init__(self) -> None:
-        self.step = Step.CONNECT
+        self.step = TransactionStep.CONNECT
         self.connection: psycopg.AsyncConnection[Any] | None = None
         self.given_up = False
 
@@ -143,166 +154,182 @@
         return await cursor.fetchall() if cursor.description is not None else []
 
     async def commit(self) -> None:
-        """Raises Trouble where the server has rolled back in place of it."""
+        """Raises StoreFailure if the server rolled back instead, or the transaction was given up."""
         assert self.connection is not None
-        if self.given_up:  # hazard: who asked has been told that it never ran
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TIMEOUT, "its time was up before COMMIT", "TIMEOUT")
-        self.step = Step.COMMIT
+        if self.given_up:  # the caller was already told that it never ran
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TIMEOUT, "the deadline passed before COMMIT", "TIMEOUT")
+        self.step = TransactionStep.COMMIT
         cursor = await self.connection.execute("COMMIT")
         if cursor.statusmessage != "COMMIT":
-            raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK")
-        self.step = Step.WORK
+            raise StoreFailure(
+                WriteOutcome.NEVER_RAN, Cause.BROKEN, f"expected COMMIT, got {cursor.statusmessage}", "ROLLBACK"
+            )
+        self.step = TransactionStep.WORK
 
 
 class PostgresStore:
-    """`Store` on a PostgreSQL server, or on the one of several that takes writes."""
+    """`Store` on a PostgreSQL server, or on the writable one of several hosts."""
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ConnectionOptions) -> None:
         self.access = access
-        self.connections = Connections(access)
-        self.turns: set[asyncio.Task[Any]] = set()
+        self.connections = ConnectionPool(access)
+        self.tasks: set[asyncio.Task[Any]] = set()
         settings = self.connections.settings
         self.name = f"postgresql {settings.get('host', 'localhost')}:{settings.get('port', 5432)}"
 
-    async def write(self, entry: Entry, until: float) -> Written:
+    async def write(self, entry: Entry, until: float) -> WriteResult:
         return await self.run(lambda turn: self._write(turn, entry), until)
 
     async def ask(self, attempt: str, until: float) -> bytes | None:
         return await self.run(lambda turn: self._ask(turn, attempt), until)
 
     async def close(self) -> None:
-        for task in list(self.turns):
+        for task in list(self.tasks):
             task.cancel()
-        if self.turns:
-            await asyncio.wait(self.turns, timeout=2 * GRACE_S)
+        if self.tasks:
+            await asyncio.wait(self.tasks, timeout=2 * CANCEL_GRACE_S)
         await self.connections.close()
 
-    # A transaction and its end
+    # Running and cancelling transactions
 
-    async def run(self, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
-        """`work` within a transaction. Raises Trouble. What is given up on ends in the background."""
+    async def run(self, work: Callable[[TransactionRun], Awaitable[T]], until: float) -> T:
+        """Runs `work` in a transaction. Raises StoreFailure. After the deadline the transaction is cancelled in the
+        background."""
         loop = asyncio.get_running_loop()
-        turn = Turn()
-        task = loop.create_task(self._turn(turn, work, until))
-        self.turns.add(task)
-        task.add_done_callback(self.turns.discard)
-        task.add_done_callback(lambda done: done.cancelled() or done.exception())  # it may be told to nobody
+        transaction = TransactionRun()
+        task = loop.create_task(self._run_transaction(transaction, work, until))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+        # avoids the warning about an exception that nobody retrieved
+        task.add_done_callback(lambda done: done.cancelled() or done.exception())
         done, _ = await asyncio.wait([task], timeout=max(0.0, until - loop.time()))
         if done:
             return task.result()
-        turn.given_up = True
-        ending = loop.create_task(self._end(turn, task))
-        self.turns.add(ending)
-        ending.add_done_callback(self.turns.discard)
-        known = Knowledge.NOT_KNOWN if turn.step is Step.COMMIT else Knowledge.NEVER_RAN
-        raise Trouble(known, Cause.UNREACHABLE if turn.step is Step.CONNECT else Cause.TIMEOUT,
-                      f"{self.name}: no answer in time to {turn.step.value}", "TIMEOUT")
-
-    async def _turn(self, turn: Turn, work: Callable[[Turn], Awaitable[T]], until: float) -> T:
+        transaction.given_up = True
+        ending = loop.create_task(self._cancel(transaction, task))
+        self.tasks.add(ending)
+        ending.add_done_callback(self.tasks.discard)
+        outcome = WriteOutcome.UNKNOWN if transaction.step is TransactionStep.COMMIT else WriteOutcome.NEVER_RAN
+        raise StoreFailure(outcome, Cause.UNREACHABLE if transaction.step is TransactionStep.CONNECT else Cause.TIMEOUT,
+                           f"{self.name}: no answer in time to {transaction.step.value}", "TIMEOUT")
+
+    async def _run_transaction(
+        self, transaction: TransactionRun, work: Callable[[TransactionRun], Awaitable[T]], until: float
+    ) -> T:
         loop = asyncio.get_running_loop()
-        async with self.connections.room:
-            if turn.given_up:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time",
-                              "TIMEOUT")
+        async with self.connections.permits:
+            if transaction.given_up:
+                raise StoreFailure(
+                    WriteOutcome.NEVER_RAN, Cause.TIMEOUT, f"{self.name}: no connection was free in time", "TIMEOUT"
+                )
             try:
-                turn.connection = connection = await self.connections.take(until - loop.time())
+                transaction.connection = connection = await self.connections.acquire(until - loop.time())
             except (psycopg.Error, OSError) as error:
-                raise self._trouble(error, turn) from None
-            whole = False
+                raise self._store_failure(error, transaction) from None
+            is_clean = False
             try:
-                turn.step = Step.WORK
-                if not self.connections.checked:
-                    await self._migrate(turn)
-                await self._begin(turn, until - loop.time())
-                result = await work(turn)
-                whole = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
+                transaction.step = TransactionStep.WORK
+                if not self.connections.schema_checked:
+                    await self._migrate(transaction)
+                await self._begin(transaction, until - loop.time())
+                result = await work(transaction)
+                is_clean = connection.info.transaction_status is psycopg.pq.TransactionStatus.IDLE
                 return result
             except (psycopg.Error, OSError) as error:
-                raise self._trouble(error, turn) from None
+                raise self._store_failure(error, transaction) from None
             finally:
-                # hazard: a cancel request that comes late would strike the next transaction
-                if whole and not turn.given_up:
-                    self.connections.give(connection)
+                # a late cancel request would cancel the next transaction on this connection
+                if is_clean and not transaction.given_up:
+                    self.connections.release(connection)
                 else:
-                    self.connections.drop(connection)
+                    self.connections.discard(connection)
 
-    async def _end(self, turn: Turn, task: asyncio.Task[Any]) -> None:
-        """Nobody waits any more: the server is asked to cancel, then the connection is closed. Whatever the cancel does
-        is not taken for an outcome."""
-        connection = turn.connection
+    async def _cancel(self, transaction: TransactionRun, task: asyncio.Task[Any]) -> None:
+        """Cancels an abandoned transaction on the server, then closes the connection. The result of the cancel request
+        says nothing about the outcome of the transaction."""
+        connection = transaction.connection
         if connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError, TimeoutError):
-                await asyncio.wait_for(connection.cancel_safe(timeout=GRACE_S), GRACE_S)
-        await asyncio.wait([task], timeout=GRACE_S)
+                await asyncio.wait_for(connection.cancel_safe(timeout=CANCEL_GRACE_S), CANCEL_GRACE_S)
+        await asyncio.wait([task], timeout=CANCEL_GRACE_S)
         if not task.done() and connection is not None and not connection.closed:
             with contextlib.suppress(psycopg.Error, OSError), socket.socket(
                     fileno=os.dup(connection.pgconn.socket)) as end:
-                end.shutdown(socket.SHUT_RDWR)  # psycopg, which waits for an answer, sees its end
+                end.shutdown(socket.SHUT_RDWR)  # psycopg, waiting for an answer, sees end of file
         if not task.done():
             task.cancel()
-            await asyncio.wait([task], timeout=GRACE_S)
+            await asyncio.wait([task], timeout=CANCEL_GRACE_S)
 
-    def _trouble(self, error: psycopg.Error | OSError, turn: Turn) -> Trouble:
+    def _store_failure(self, error: psycopg.Error | OSError, transaction: TransactionRun) -> StoreFailure:
         sqlstate = getattr(error, "sqlstate", None) or ""
         severity = ""
         if isinstance(error, psycopg.Error):
             severity = error.diag.severity_nonlocalized or error.diag.severity or ""
-        text = self.connections.safe(str(error) or type(error).__name__)
-        # one that was lost is no answer, whatever the client library makes of it
-        if turn.step is not Step.CONNECT and turn.connection is not None and turn.connection.closed and not sqlstate:
-            return Trouble(knowledge(turn.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
-        return Trouble(knowledge(turn.step, sqlstate, severity), cause(turn.step, sqlstate), f"{self.name}: {text}",
-                       sqlstate)
-
-    # What is done within
-
-    async def _begin(self, turn: Turn, left_s: float) -> None:
-        """The deadline goes down as the statements' own time; whole numbers and a checked word, no text of others."""
-        ms = max(1, int(min(left_s, STATEMENT_S) * 1000))
-        await turn.execute(f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
-                           f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}")
-
-    async def _write(self, turn: Turn, entry: Entry) -> Written:
+        text = self.connections.redact(str(error) or type(error).__name__)
+        # a lost connection is not an answer of the server, whatever error psycopg reports
+        if (transaction.step is not TransactionStep.CONNECT and transaction.connection is not None
+                and transaction.connection.closed and not sqlstate):
+            return StoreFailure(postgres_outcome(transaction.step, "", ""), Cause.BROKEN, f"{self.name}: {text}")
+        return StoreFailure(
+            postgres_outcome(transaction.step, sqlstate, severity),
+            postgres_cause(transaction.step, sqlstate),
+            f"{self.name}: {text}",
+            sqlstate,
+        )
+
+    # The work of a transaction
+
+    async def _begin(self, transaction: TransactionRun, left_s: float) -> None:
+        """Begins with the deadline as statement_timeout. Only an integer and a validated word are put into the text."""
+        ms = max(1, int(min(left_s, MAX_STATEMENT_S) * 1000))
+        await transaction.execute(
+            f"BEGIN ISOLATION LEVEL READ COMMITTED READ WRITE; SET LOCAL statement_timeout = {ms}; "
+            f"SET LOCAL synchronous_commit = {self.access.synchronous_commit}"
+        )
+
+    async def _write(self, transaction: TransactionRun, entry: Entry) -> WriteResult:
         values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target,
                   entry.body, entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
-        for _ in range(TURNS):
-            if await turn.execute(SQL.write, values):
-                await turn.commit()
-                return Written(Verdict.WRITTEN, entry.answer)
-            found = await turn.execute(SQL.in_the_way, (entry.attempt, entry.slot))
-            standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
-            if standing:
-                await turn.execute("ROLLBACK")
-                attempt, state, text, answer = standing[0]
-                return judge(entry, state, attempt, text, bytes(answer))
-            await turn.execute(SQL.free_slot, (entry.slot,))
-        await turn.execute("ROLLBACK")
-        raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
-
-    async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
-        if await turn.execute(SQL.void, (attempt,)):
-            await turn.commit()  # only once it is committed, the attempt can't be any more
+        for _ in range(MAX_SLOT_TRIES):
+            if await transaction.execute(SQL.write, values):
+                await transaction.commit()
+                return WriteResult(Verdict.WRITTEN, entry.answer)
+            found = await transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
+            live_rows = [
+                (attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired
+            ]
+            if live_rows:
+                await transaction.execute("ROLLBACK")
+                attempt, state, text, answer = live_rows[0]
+                return result_for_existing_row(entry, state, attempt, text, bytes(answer))
+            await transaction.execute(SQL.free_slot, (entry.slot,))
+        await transaction.execute("ROLLBACK")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
+
+    async def _ask(self, transaction: TransactionRun, attempt: str) -> bytes | None:
+        if await transaction.execute(SQL.void, (attempt,)):
+            await transaction.commit()  # the attempt is fenced only once the marker is committed
             return None
-        found = await turn.execute(SQL.by_attempt, (attempt,))
-        await turn.execute("ROLLBACK")
-        if not found:  # the mark of another question was rolled back, or pruned, in between
-            raise Trouble(Knowledge.NOT_KNOWN, Cause.RETRY, f"{self.name}: what stood in the way has gone")
+        found = await transaction.execute(SQL.by_attempt, (attempt,))
+        await transaction.execute("ROLLBACK")
+        if not found:  # the conflicting void marker was rolled back or pruned in between
+            raise StoreFailure(WriteOutcome.UNKNOWN, Cause.RETRY, f"{self.name}: the conflicting row has gone")
         (state, answer), = found
         return bytes(answer) if state == "written" else None
 
-    async def _migrate(self, turn: Turn) -> None:
-        await turn.execute("BEGIN")
-        steps = bring_up(self.name, "record_schema", LOCK, SCHEMA, SQL.migrations)
+    async def _migrate(self, transaction: TransactionRun) -> None:
+        await transaction.execute("BEGIN")
+        steps = schema_migration(self.name, "record_schema", MIGRATION_LOCK_ID, SCHEMA, SQL.migrations)
         try:
-            asked = next(steps)
+            statement = next(steps)
             while True:
-                asked = steps.send(await turn.execute(*asked))
+                statement = steps.send(await transaction.execute(*statement))
         except StopIteration as done:
             if done.value:
-                await turn.commit()
+                await transaction.commit()
             else:
-                await turn.execute("ROLLBACK")
-        except Trouble:
-            await turn.execute("ROLLBACK")
+                await transaction.execute("ROLLBACK")
+        except StoreFailure:
+            await transaction.execute("ROLLBACK")
             raise
-        self.connections.checked = True
+        self.connections.schema_checked = True
--- a/ironscale/record/sqlite.py
+++ b/ironscale/record/sqlite.py
@@ -10,10 +10,10 @@
 
 from ironscale.record import database
 from ironscale.record.database import (
-    BUSY_MS,
+    BUSY_TIMEOUT_MS,
     CHECKPOINT_PAGES,
-    LONGEST_LOG_PAGES,
-    Opener,
+    MAX_WAL_PAGES,
+    ConnectionFactory,
     Reader,
     Transaction,
     Writer,
@@ -21,60 +21,69 @@
 from ironscale.record.model import (
     Cause,
     Entry,
-    Knowledge,
     Row,
-    Trouble,
+    StoreFailure,
     Verdict,
-    Written,
+    WriteOutcome,
+    WriteResult,
     fingerprint,
-    judge,
+    result_for_existing_row,
 )
 from ironscale.record.sql import SCHEMA, Dialect, row
-from ironscale.record.worker import MOST_QUEUED, NO_TIME
+from ironscale.record.worker import MAX_QUEUED_JOBS, NO_DEADLINE
 from ironscale.threads import run_in_thread
 
 SQL = Dialect("sqlite")
-APPLICATION_ID = 0x69726F6E  # marks the file as ours, for `file` and for who opens another by mistake
-TURNS = 4  # a slot whose memory ran out is freed and the write tried anew so often in one transaction
-PAGE = 1_000  # rows read at a time
-STOP_S = 5.0
-PATIENT_MS = 5_000  # an operator's commands wait so long for a writer
+# marks the file as a store of record, for file(1) and against opening another database by mistake
+APPLICATION_ID = 0x69726F6E
+MAX_SLOT_TRIES = 4  # tries in one transaction to free a slot whose key has expired and write again
+PAGE_ROWS = 1_000  # rows or pages per step
+STOP_TIMEOUT_S = 5.0
+OPERATOR_BUSY_TIMEOUT_MS = 5_000  # how long operator commands wait for a writer
 
 
 def migrate(connection: apsw.Connection) -> None:
-    """Raises Trouble where a newer program, or another one, has written the file."""
+    """Migrates the file. Raises StoreFailure if a newer or another program has written it."""
     database.migrate(connection, SCHEMA, SQL.migrations, "name another file", APPLICATION_ID)
 
 
 def check(connection: apsw.Connection) -> None:
-    """For who only reads: the file is ours, and of this program's schema. Changes nothing."""
+    """Checks, for readers, that the file is a store of record of the current schema. Changes nothing."""
     version = int(connection.pragma("user_version"))
     if int(connection.pragma("application_id")) != APPLICATION_ID or version != SCHEMA:
-        raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{connection.filename}: expected a store of record of "
-                      f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}", "FOREIGN")
+        raise StoreFailure(
+            WriteOutcome.NEVER_RAN,
+            Cause.UNUSABLE,
+            f"{connection.filename}: expected a store of record of "
+            f"schema {SCHEMA}, got {'schema ' + str(version) if version else 'another database'}",
+            "FOREIGN",
+        )
 
 
-def write(entry: Entry) -> Callable[[Transaction], Written]:
-    """The work of one attempt, within a transaction that may hold others."""
+def write(entry: Entry) -> Callable[[Transaction], WriteResult]:
+    """The job that writes one attempt, in a transaction that may hold other jobs."""
     values = (entry.attempt, entry.request, entry.kind, entry.tenant, entry.key, entry.effect, entry.target, entry.body,
               entry.fingerprint, entry.answer, entry.memory_ms, entry.memory_ms, entry.slot)
 
-    def work(transaction: Transaction) -> Written:
-        for _ in range(TURNS):
+    def work(transaction: Transaction) -> WriteResult:
+        for _ in range(MAX_SLOT_TRIES):
             if transaction.execute(SQL.write, values):
-                return Written(Verdict.WRITTEN, entry.answer)
-            found = transaction.execute(SQL.in_the_way, (entry.attempt, entry.slot))
-            standing = [(attempt, state, text, answer) for attempt, state, text, answer, over in found if not over]
-            if standing:
-                attempt, state, text, answer = standing[0]
-                return judge(entry, state, attempt, text, answer)
+                return WriteResult(Verdict.WRITTEN, entry.answer)
+            found = transaction.execute(SQL.conflicting_rows, (entry.attempt, entry.slot))
+            live_rows = [
+                (attempt, state, text, answer) for attempt, state, text, answer, expired in found if not expired
+            ]
+            if live_rows:
+                attempt, state, text, answer = live_rows[0]
+                return result_for_existing_row(entry, state, attempt, text, answer)
             transaction.execute(SQL.free_slot, (entry.slot,))
-        raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time that it was freed")
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "its slot was taken again each time it was freed")
 
     return work
 
 
 def ask(attempt: str) -> Callable[[Transaction], bytes | None]:
+    """The job of `Store.ask`."""
     def work(transaction: Transaction) -> bytes | None:
         if transaction.execute(SQL.void, (attempt,)):
             return None
@@ -85,114 +94,123 @@
 
 
 class SqliteStore:
-    """`Store` on one file. Several processes of one machine may share it."""
-
-    def __init__(self, path: Path, most_queued: int = MOST_QUEUED, vfs: str | None = None, busy_ms: int = BUSY_MS,
-                 checkpoint_pages: int = CHECKPOINT_PAGES, longest_log_pages: int = LONGEST_LOG_PAGES) -> None:
+    """`Store` in one file, which several processes of one machine may share."""
+
+    def __init__(
+        self,
+        path: Path,
+        max_queued: int = MAX_QUEUED_JOBS,
+        vfs: str | None = None,
+        busy_ms: int = BUSY_TIMEOUT_MS,
+        checkpoint_pages: int = CHECKPOINT_PAGES,
+        max_wal_pages: int = MAX_WAL_PAGES,
+    ) -> None:
         self.path = path
-        self.opener = Opener(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
-        self.writer = Writer(self.opener, most_queued, checkpoint_pages, longest_log_pages)
+        self.factory = ConnectionFactory(path, migrate, vfs, busy_ms, exclusive=vfs is not None)
+        self.writer = Writer(self.factory, max_queued, checkpoint_pages, max_wal_pages)
 
-    async def write(self, entry: Entry, until: float = NO_TIME) -> Written:
+    async def write(self, entry: Entry, until: float = NO_DEADLINE) -> WriteResult:
         return await self.writer.run(write(entry), until)
 
-    async def ask(self, attempt: str, until: float = NO_TIME) -> bytes | None:
+    async def ask(self, attempt: str, until: float = NO_DEADLINE) -> bytes | None:
         return await self.writer.run(ask(attempt), until)
 
     async def close(self) -> None:
         try:
-            await run_in_thread(lambda: self.writer.stop(STOP_S))
-        except OSError:  # no thread to wait in
-            self.writer.stop(STOP_S)
+            await run_in_thread(lambda: self.writer.stop(STOP_TIMEOUT_S))
+        except OSError:  # no thread could be started
+            self.writer.stop(STOP_TIMEOUT_S)
 
 
-# For operators: a file that a sidecar may be writing at the same time
+# For operator commands, on a file that a sidecar may be writing at the same time
 
 
 def reader(path: Path) -> Reader:
-    """Raises Trouble where there is no such file; creates nothing."""
+    """Opens a file for reading. Raises StoreFailure if it does not exist; creates nothing."""
     if not path.is_file():
-        raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
-                      "MISSING")
-    return Reader(Opener(path, check, busy_ms=PATIENT_MS))
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{path}: expected a store of record, got no file",
+                           "MISSING")
+    return Reader(ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS))
 
 
-def rows(found: Reader, after: str = "") -> Iterator[Row]:
-    """All records in the order of their attempts, each page within a transaction of its own."""
+def rows(source: Reader, after: str = "") -> Iterator[Row]:
+    """All rows ordered by attempt, each page read in its own transaction."""
     while True:
-        page = found.now(lambda transaction, start=after: [  # type: ignore[misc]
-            row(values) for values in transaction.execute(SQL.after, (start, PAGE))])
+        page = source.read(lambda transaction, start=after: [  # type: ignore[misc]
+            row(values) for values in transaction.execute(SQL.after, (start, PAGE_ROWS))])
         yield from page
-        if len(page) < PAGE:
+        if len(page) < PAGE_ROWS:
             return
         after = page[-1].attempt
 
 
 def verify(path: Path, progress: Callable[[int], None] = lambda done: None) -> tuple[int, list[str]]:
-    """Rows seen, and what is wrong with the file or with a record, a line each. Raises Trouble."""
-    found = reader(path)
+    """Returns the number of rows read and one line for each fault of the file or a record. Raises StoreFailure."""
+    source = reader(path)
     try:
-        lines = found.now(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
-        wrong = [f"file: {line}" for line, in lines if line != "ok"]
+        lines = source.read(lambda transaction: transaction.execute("PRAGMA integrity_check(20)"))
+        faults = [f"file: {line}" for line, in lines if line != "ok"]
         seen = 0
-        for one in [] if wrong else rows(found):
+        for record in [] if faults else rows(source):
             seen += 1
-            wrong += [f"record {one.attempt}: {text}" for text in faults(one)]
-            if seen % PAGE == 0:
+            faults += [f"record {record.attempt}: {text}" for text in row_faults(record)]
+            if seen % PAGE_ROWS == 0:
                 progress(seen)
-            if len(wrong) >= 100:
+            if len(faults) >= 100:
                 break
-        return seen, wrong
+        return seen, faults
     finally:
-        found.close()
+        source.close()
 
 
-def faults(one: Row) -> list[str]:
-    """What is wrong with one record."""
-    if one.state == "void":
-        return ["a mark with a slot"] if one.slot is not None else []
-    wrong = []
-    if fingerprint(one.target, one.body) != one.fingerprint:
-        wrong.append("its fingerprint is not that of its target and body")
-    if one.slot is None and one.until_ms == 0:
-        wrong.append("it has lost its slot, though it is remembered for ever")
-    if one.until_ms and one.until_ms < one.at_ms:
-        wrong.append(f"it is remembered until {one.until_ms}, before it was written at {one.at_ms}")
-    return wrong
+def row_faults(record: Row) -> list[str]:
+    """The faults of one row."""
+    if record.state == "void":
+        return ["a void marker with a slot"] if record.slot is not None else []
+    faults = []
+    if fingerprint(record.target, record.body) != record.fingerprint:
+        faults.append("its fingerprint does not match its target and body")
+    if record.slot is None and record.until_ms == 0:
+        faults.append("it has lost its slot, though its key never expires")
+    if record.until_ms and record.until_ms < record.at_ms:
+        faults.append(f"it is remembered until {record.until_ms}, before it was written at {record.at_ms}")
+    return faults
 
 
 def backup(path: Path, to: Path, progress: Callable[[int, int], None] = lambda left, pages: None) -> int:
-    """A copy of one moment, made while sidecars write. The copy appears whole under its name or not at all.
+    """Makes a consistent copy while sidecars write. It appears under its name only when it is complete.
 
-    Returns its pages. Raises Trouble.
+    Returns its number of pages. Raises StoreFailure.
     """
     if to.exists():
-        raise Trouble(Knowledge.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS")
+        raise StoreFailure(
+            WriteOutcome.NEVER_RAN, Cause.UNUSABLE, f"{to}: expected a name that is free, got a file", "EXISTS"
+        )
     reader(path).close()
-    half = to.with_name(f"{to.name}.part")
-    half.unlink(missing_ok=True)
-    source = Opener(path, check, busy_ms=PATIENT_MS).open(create=False)
+    partial = to.with_name(f"{to.name}.part")
+    partial.unlink(missing_ok=True)
+    source = ConnectionFactory(path, check, busy_ms=OPERATOR_BUSY_TIMEOUT_MS).open(create=False)
     try:
-        target = Opener(half).open()
+        target = ConnectionFactory(partial).open()
         try:
             with target.backup("main", source, "main") as copying:
                 while not copying.done:
                     try:
-                        copying.step(PAGE)
+                        copying.step(PAGE_ROWS)
                     except (apsw.BusyError, apsw.LockedError):
-                        continue  # a commit lay between: it goes on, or begins anew by itself
+                        continue  # a commit came in between; SQLite continues or restarts the copy
                     progress(copying.remaining, copying.page_count)
                 pages = copying.page_count
-            database.keep_log(target, False)
-            target.execute("PRAGMA journal_mode = DELETE").fetchall()  # one file, without a log beside it
+            database.set_persistent_wal(target, False)
+            target.execute("PRAGMA journal_mode = DELETE").fetchall()  # a single file without a write-ahead log
         finally:
             target.close(True)
-        with half.open("rb+") as file:
+        with partial.open("rb+") as file:
             os.fsync(file.fileno())
-        half.rename(to)
+        partial.rename(to)
         return int(pages)
     except apsw.Error as error:
-        raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
+        raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"{to}: the copy was not made: {error}") from error
     finally:
-        database.close_tidily(source)
-        half.unlink(missing_ok=True)
+        database.close_and_remove_wal(source)
+        partial.unlink(missing_ok=True)
--- a/ironscale/record/store_factory.py
+++ b/ironscale/record/store_factory.py
@@ -1,4 +1,4 @@
-"""From a table of the operator file to a store. The libraries are loaded only for the kind that is named."""
+"""Creates stores from the operator file. The database libraries are imported only for the configured kind."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from ironscale.record.model import Store
 
 
-def check(stores: StoresConfig) -> None:
-    """All that can be told without a sidecar or a store. Raises OperatorFileError."""
+def check_stores(stores: StoresConfig) -> None:
+    """Checks everything that needs no running sidecar and no reachable store. Raises OperatorFileError."""
     for target in stores.to:
-        make(target, stores.file)
+        make_store(target, stores.file)
 
 
 @contextlib.contextmanager
-def installed(file: str, place: str) -> Iterator[None]:
+def require_packages(file: str, place: str) -> Iterator[None]:
+    """Turns an ImportError into an OperatorFileError that names the packages to install."""
     try:
         yield
     except ImportError as error:
@@ -24,24 +25,25 @@
                                 "pip install 'ironscale[record]'") from None
 
 
-def make(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
-    """What makes the store within a running loop. It connects to nothing yet: a store that is away keeps no sidecar
-    from starting. `busy_ms`: how long SQLite waits for another process. Raises OperatorFileError."""
+def make_store(target: StoreConfig, file: str, busy_ms: int | None = None) -> Callable[[], Store]:
+    """Returns a factory for the store, to be called in a running event loop. Nothing is connected yet, so a store
+    that is down does not keep a sidecar from starting. `busy_ms` is how long SQLite waits for a lock that another
+    process holds. Raises OperatorFileError."""
     place = f"store.to.{target.name}"
     if target.sqlite is not None:
-        with installed(file, f"{place}.sqlite"):
-            from ironscale.record.database import BUSY_MS
+        with require_packages(file, f"{place}.sqlite"):
+            from ironscale.record.database import BUSY_TIMEOUT_MS
             from ironscale.record.sqlite import SqliteStore
 
-        path, wait_ms = target.sqlite, BUSY_MS if busy_ms is None else busy_ms
+        path, wait_ms = target.sqlite, BUSY_TIMEOUT_MS if busy_ms is None else busy_ms
         return lambda: SqliteStore(path, target.queue, busy_ms=wait_ms)
-    with installed(file, f"{place}.postgresql"):
-        from ironscale.record.postgres import Access, PostgresStore, SettingError, check_dsn
+    with require_packages(file, f"{place}.postgresql"):
+        from ironscale.record.postgres import ConnectionOptions, PostgresStore, SettingError, check_dsn
 
     try:
         check_dsn(target.postgresql)
     except SettingError as error:
         raise OperatorFileError(f"{file}: {place}.postgresql: expected {error}") from None
     password = read_secret(target.password_file) if target.password_file is not None else ""
-    access = Access(target.postgresql, password, target.connections, target.synchronous_commit)
+    access = ConnectionOptions(target.postgresql, password, target.connections, target.synchronous_commit)
     return lambda: PostgresStore(access)
--- a/tests/agent/test_postgres.py
+++ b/tests/agent/test_postgres.py
@@ -26,7 +26,7 @@
 from ironscale.agent.terms import holder_id
 from ironscale.cli.output import CODES, Exit
 from ironscale.operator_file import OperatorFileError, ServiceConfig, parse
-from ironscale.record.postgres import Access
+from ironscale.record.postgres import ConnectionOptions
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 from tests.agent.agent_harness import run, scene, section, until
 from tests.agent.test_store import (
@@ -39,7 +39,7 @@
     violate_unique_key,
     write_sample_rows,
 )
-from tests.record.postgres import Fault, Gate, dsn
+from tests.record.postgres import StatementFault, StatementGate, dsn
 from tests.sockets import run as limited
 
 LIMIT_S = 0.4  # time limit of a transaction in tests that let one hang
@@ -58,7 +58,7 @@
 @contextlib.asynccontextmanager
 async def store_on(*on: Host, holder: str = "me", lease_ms: int = 10_000, limit_s: float = 5.0,
                    lost: Callable[[Any], None] = lambda found: None) -> AsyncIterator[PostgresStore]:
-    held = OwnerWorker(Access(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
+    held = OwnerWorker(ConnectionOptions(dsn(*on)), holder, f"machine of {holder}", limit_s, lease_ms)
     held.on_lost = lost
     store = PostgresStore(held)
     store.resolve_timeout_s = 5.0
@@ -146,7 +146,7 @@
 def test_a_failed_write_is_rolled_back_without_affecting_others_in_its_group() -> None:
     async def test() -> None:
         async with hosts(Data()) as (host,), store_on(host) as store:
-            gate = host.hook = Gate("begin")
+            gate = host.hook = StatementGate("begin")
             first = asyncio.create_task(store.read(lambda r: r.tokens()))  # the others queue up as one group
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work)) for work in (
@@ -174,7 +174,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(audit_line("before"))
-            gate = host.hook = Gate("begin")
+            gate = host.hook = StatementGate("begin")
             reading = asyncio.create_task(store.read(lambda r: r.tokens()))
             await gate.reached.wait()
             others = [asyncio.create_task(store.write(work))
@@ -224,7 +224,7 @@
     async def test() -> None:
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
-            host.hook = Fault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
+            host.hook = StatementFault("ddl", SqlError("53100", "no space left on device"), after=True, times=5)
             for _ in range(4):
                 with pytest.raises(StoreError) as found:
                     await store.write(audit_line("a"))
@@ -291,7 +291,7 @@
         async with hosts(data) as (host,):
             async with store_on(host, holder="none") as store:
                 await store.write(audit_line("a"))
-            gate = host.hook = Gate("update", times=1)  # delays the first agent's claim
+            gate = host.hook = StatementGate("update", times=1)  # delays the first agent's claim
             async with store_on(host, holder="one") as first, store_on(host, holder="two") as second:
                 slow = asyncio.create_task(first.write(audit_line("one")))
                 await gate.reached.wait()
@@ -417,7 +417,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(audit_line("before"))
-            gate = Gate("update")
+            gate = StatementGate("update")
 
             async def script(session: Session, kind: str, after: bool) -> None:
                 if kind == "commit" and after and not script_struck:
@@ -445,7 +445,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(audit_line("before"))
-            gate = host.hook = Gate("commit")
+            gate = host.hook = StatementGate("commit")
             writing = asyncio.create_task(store.write(audit_line("it")))
             await gate.reached.wait()
             await until(lambda: store.owner_worker.watchdog.timeouts == 1)
@@ -463,7 +463,7 @@
         data = Data()
         async with hosts(data) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(audit_line("before"))
-            gate = host.hook = Gate("update")
+            gate = host.hook = StatementGate("update")
             with pytest.raises(StoreError) as found:
                 await store.write(audit_line("it"))
             assert found.value.code == "AWAY"
@@ -481,7 +481,7 @@
         async with hosts(Data()) as (host,), store_on(host, limit_s=LIMIT_S) as store:
             await store.write(audit_line("before"))
             for kind in ("begin", "insert", "select"):
-                gate = host.hook = Gate(kind)
+                gate = host.hook = StatementGate(kind)
                 with pytest.raises(StoreError) as found:
                     await store.write(audit_line(kind))
                 assert found.value.code == "AWAY", kind
@@ -511,7 +511,7 @@
         async with hosts(data) as (host,), store_on(host) as store:
             await store.write(audit_line("before"))
             await host.end_sessions()
-            host.hook = Fault("update", after=True)  # executed, but the answer is lost
+            host.hook = StatementFault("update", after=True)  # executed, but the answer is lost
             with pytest.raises(StoreError):
                 await store.write(audit_line("lost"))
             await store.write(audit_line("after"))
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -23,10 +23,10 @@
 from ironscale.agent.sql import SqlRecords
 from ironscale.agent.sqlite import MIGRATIONS, SCHEMA_VERSION, SqliteStore, connect
 from ironscale.agent.store import Configuration, InstanceRow, Published, Records, StoreError, TokenRow
-from ironscale.record.database import Opener, Transaction
+from ironscale.record.database import ConnectionFactory, Transaction
 from ironscale.versions.model import Entry, parse_scope
 from tests.deployed import ROOT
-from tests.record.disk import Disk, Vfs
+from tests.record.disk import SimulatedDisk, Vfs
 from tests.sockets import until
 
 
@@ -266,14 +266,14 @@
     names = itertools.count()
     monkeypatch.setattr(commit_tracking, "RESOLVE_RETRY_S", 0.002)
 
-    async def day(disk: Disk) -> tuple[list[str], list[str], int]:
+    async def day(disk: SimulatedDisk) -> tuple[list[str], list[str], int]:
         """Returns the subjects that were written, those that were not, and the number of commits."""
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
-        opener = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
+        opener = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True)
         fault, disk.fault = disk.fault, ""
         store = SqliteStore(Path("/a.db"), opener)  # opened without faults: only writes are tested
         disk.fault = fault
-        store.writer.checkpoint_pages = store.writer.longest_log_pages = 20
+        store.writer.checkpoint_pages = store.writer.max_wal_pages = 20
         kept, never, late = [], [], []
         for n in range(12):
             def work(r: Records, n: int = n) -> None:
@@ -290,26 +290,26 @@
         vfs.unregister()
         return kept + late, never, store.writer.commits
 
-    def log(disk: Disk) -> list[str]:
+    def log(disk: SimulatedDisk) -> list[str]:
         vfs = Vfs(f"agent{os.getpid()}.{next(names)}", disk)
         disk.fault = ""
-        connection = Opener(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True).open()
+        connection = ConnectionFactory(Path("/a.db"), module.migrate, vfs=vfs.name, exclusive=True).open()
         found = [subject for subject, in connection.execute("SELECT subject FROM audit ORDER BY id")]
         connection.close()
         vfs.unregister()
         return found
 
     async def test() -> None:
-        whole = Disk(1)
+        whole = SimulatedDisk(1)
         kept, never, _ = await day(whole)
         assert never == [] and len(kept) == 12 and whole.count > 30
         told = 0
         for at in range(1, whole.count + 1):
-            disk = Disk(at, fault, at, times)
+            disk = SimulatedDisk(at, fault, at, times)
             kept, never, _ = await day(disk)
             told += len(never)
-            for machine in (disk, disk.after_power()):
-                assert log(machine) == kept, (at, disk.struck, kept, never)
+            for machine in (disk, disk.after_power_loss()):
+                assert log(machine) == kept, (at, disk.failed_operation, kept, never)
         assert told > 0
 
     run(test())
--- a/tests/record/postgres.py
+++ b/tests/record/postgres.py
@@ -1,4 +1,4 @@
-"""A store on stand-in hosts, and what scripts do to them."""
+"""A PostgreSQL store on stand-in hosts, and hooks that hold or fail statements."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from typing import Any
 
-from ironscale.record.postgres import Access, PostgresStore
+from ironscale.record.postgres import ConnectionOptions, PostgresStore
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
 
 
@@ -19,12 +19,12 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(count: int = 1, data: Data | None = None, **changes: Any
+async def postgres_store(count: int = 1, data: Data | None = None, **changes: Any
                 ) -> AsyncIterator[tuple[PostgresStore, list[Host]]]:
-    """A store on so many hosts that share a disk."""
+    """A store on `count` hosts that share their data. `changes` are fields of ConnectionOptions."""
     data = data or Data()
     hosts = [await Host(data).start() for _ in range(count)]
-    store = PostgresStore(Access(dsn(*hosts), **changes))
+    store = PostgresStore(ConnectionOptions(dsn(*hosts), **changes))
     try:
         yield store, hosts
     finally:
@@ -33,8 +33,8 @@
             await host.stop()
 
 
-class Gate:
-    """Holds each statement of one kind, before or after it is carried out, until it is opened."""
+class StatementGate:
+    """Holds statements of one kind, before or after their execution, until `go` is set."""
 
     def __init__(self, kind: str, after: bool = False, times: int = 1) -> None:
         self.kind, self.after, self.times = kind, after, times
@@ -47,8 +47,8 @@
             await self.go.wait()
 
 
-class Fault:
-    """Answers a statement of one kind with an error, or drops its connection, so many times."""
+class StatementFault:
+    """Answers `times` statements of one kind with an error, or drops their connections."""
 
     def __init__(self, kind: str, error: SqlError | None = None, after: bool = False, times: int = 1) -> None:
         self.kind, self.error, self.after, self.times = kind, error, after, times
@@ -59,5 +59,5 @@
             raise self.error or Drop
 
 
-def written(data: Data) -> list[str]:
+def written_requests(data: Data) -> list[str]:
     return [request for request, in data.all("SELECT request FROM records WHERE state = 'written' ORDER BY request")]
--- a/tests/record/test_cuts.py
+++ b/tests/record/test_cuts.py
@@ -1,5 +1,5 @@
-"""Connections cut at every byte of a submission's exchange, and at random under load: what clients were told and what
-the store holds agree. Each bug that is planted on purpose is found by the same histories."""
+"""Connections cut at every byte of a write, and at random under load: the results of the clients match the store.
+The same checks find each of several deliberately planted bugs."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 import pytest
 
 from ironscale.record import history_check, recorder
-from ironscale.record.model import Cause, Entry, Knowledge, Row, Trouble, Written
-from ironscale.record.postgres import PostgresStore, Turn
+from ironscale.record.model import Cause, Entry, Row, StoreFailure, WriteOutcome, WriteResult
+from ironscale.record.postgres import PostgresStore, TransactionRun
 from ironscale.record.sql import COLUMNS, row
 from ironscale.standins.postgres import Data, Drop, Host, Session, SqlError
-from tests.record.postgres import Gate, scene
+from tests.record.postgres import StatementGate, postgres_store
 from tests.record.samples import entry
-from tests.record.store_clients import Play
+from tests.record.store_clients import StoreClients
 from tests.sockets import run, until
 
-WORD_S = 5.0
+TIMEOUT_S = 5.0
 
 
-def standing(data: Data) -> list[Row]:
+def stored_rows(data: Data) -> list[Row]:
     return [row(values) for values in data.all(f"SELECT {', '.join(COLUMNS)} FROM records")]
 
 
 class OneCut:
-    """Cuts the next connection that is opened, and no other."""
+    """Cuts only the next connection that is opened."""
 
     def __init__(self, direction: str, after: int) -> None:
         self.plan: tuple[str, int] | None = (direction, after)
@@ -40,10 +40,10 @@
 
 
 async def exchange(store: PostgresStore, host: Host) -> tuple[int, int]:
-    """Bytes that one submission on a new connection takes, in and out."""
+    """The number of bytes of one write on a new connection, in and out."""
     await store.connections.close()
     seen = len(host.bytes)
-    assert await Play(store).submit(entry(body=b"measured"), WORD_S) == "served"
+    assert await StoreClients(store).submit(entry(body=b"measured"), TIMEOUT_S) == "served"
     await store.connections.close()
     await until(lambda: len(host.bytes) > seen)
     return host.bytes[-1]
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize("direction", ["in", "out"])
 def test_cut_at_every_byte(direction: str, effect: str) -> None:
     async def test() -> None:
-        async with scene() as (store, (host,)):
-            play, told = Play(store), Counter[str]()
-            await play.submit(entry(), WORD_S)
+        async with postgres_store() as (store, (host,)):
+            clients, results = StoreClients(store), Counter[str]()
+            await clients.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             total = came if direction == "in" else went
             assert total > 400
@@ -63,23 +63,23 @@
                 await store.connections.close()
                 host.cut = OneCut(direction, at)
                 one = entry(effect=effect, key=f"k{at}" if effect == "deduplicated" else "")
-                told[await play.submit(one, WORD_S)] += 1
+                results[await clients.submit(one, TIMEOUT_S)] += 1
             host.cut = None
-            await play.settled()
-            rows = standing(host.data)
-            assert history_check.faults(play.clients, rows, play.outcomes()) == []
-            # every outcome is found out within its time; a cut of the reply alone is served
-            assert set(told) == {"served", "refused"} and min(told.values()) > 5, told
+            await clients.wait_until_resolved()
+            rows = stored_rows(host.data)
+            assert history_check.find_violations(clients.reports, rows, clients.outcomes()) == []
+            # every outcome is known before the deadline; if only the reply was cut, the request is served
+            assert set(results) == {"served", "refused"} and min(results.values()) > 5, results
 
     run(test, 120)
 
 
-def test_cut_again_while_it_is_asked() -> None:
-    """The first connection is cut behind the commit, and the second, which asks, at every byte."""
+def test_second_cut_during_the_outcome_query() -> None:
+    """The first connection is cut after the commit, and the second, which queries the outcome, at every byte."""
     async def test() -> None:
-        async with scene() as (store, (host,)):
-            play = Play(store)
-            await play.submit(entry(), WORD_S)
+        async with postgres_store() as (store, (host,)):
+            clients = StoreClients(store)
+            await clients.submit(entry(), TIMEOUT_S)
             came, went = await exchange(store, host)
             for direction, total in (("in", came), ("out", went)):
                 for at in range(0, total, 12):
@@ -95,16 +95,16 @@
                             raise Drop
 
                     host.hook = drop
-                    assert await play.submit(entry(), WORD_S) == "refused"
+                    assert await clients.submit(entry(), TIMEOUT_S) == "refused"
             host.hook = host.cut = None
-            await play.settled()
-            assert history_check.faults(play.clients, standing(host.data), play.outcomes()) == []
+            await clients.wait_until_resolved()
+            assert history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes()) == []
 
     run(test, 120)
 
 
-class Weather:
-    """What goes wrong at random, from one seed."""
+class RandomFaults:
+    """Random faults from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -113,7 +113,7 @@
 
     async def __call__(self, session: Session, kind: str, after: bool) -> None:
         draw = self.random.random
-        # most comes at COMMIT, where outcomes are lost
+        # mostly at COMMIT, where outcomes become unknown
         if self.calm or draw() > (self.share if kind == "commit" else self.share / 6):
             return
         what = self.random.choice(("drop", "late", "late", "end") if kind == "commit" else (
@@ -122,10 +122,10 @@
             raise Drop
         if what == "slow":
             await asyncio.sleep(draw() * 0.05)
-        elif what == "late":  # past the client's time, and then it goes on
+        elif what == "late":  # later than the client's deadline, then continued
             await asyncio.sleep(0.1 + draw() * 0.3)
         elif what == "error" and not (kind == "commit" and after):
-            raise SqlError(self.random.choice(("40001", "40P01", "53300", "57014", "XX000")), "by the script")
+            raise SqlError(self.random.choice(("40001", "40P01", "53300", "57014", "XX000")), "injected")
         elif what == "end":
             raise SqlError("57P01", "terminating connection due to administrator command", "FATAL")
 
@@ -135,93 +135,93 @@
         return self.random.choice(("in", "out")), 300 + self.random.randrange(2_000)
 
 
-async def storm(play: Play, host: Host, seed: int, requests: int = 60) -> list[str]:
-    """Many clients under one seed's weather, then calm until nothing is open; gives the faults."""
-    await play.submit(entry(), WORD_S)  # the schema stands
-    weather = Weather(seed)
-    host.hook, host.cut = weather, weather.cut
+async def run_with_random_faults(clients: StoreClients, host: Host, seed: int, requests: int = 60) -> list[str]:
+    """Runs many clients under random faults, then without faults until nothing is open; returns the violations."""
+    await clients.submit(entry(), TIMEOUT_S)  # creates the schema
+    faults = RandomFaults(seed)
+    host.hook, host.cut = faults, faults.cut
     draw = random.Random(seed * 7 + 1)
 
     async def client(number: int) -> None:
         for i in range(requests // 6):
             name, key = f"{seed}.{number}.{i}", f"{seed}.{draw.randrange(8)}"
             one = entry(name, "deduplicated", key=key) if draw.random() < 0.5 else entry(name)
-            await play.submit(one, 0.05 + draw.random() * 0.3, tries=2)
+            await clients.submit(one, 0.05 + draw.random() * 0.3, tries=2)
 
     async with asyncio.TaskGroup() as group:
         for number in range(6):
             group.create_task(client(number))
-    weather.calm = True
+    faults.calm = True
     async with asyncio.timeout(40):
-        await play.settled()
-    return history_check.faults(play.clients, standing(host.data), play.outcomes())
+        await clients.wait_until_resolved()
+    return history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes())
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_random_weather(seed: int) -> None:
+def test_random_faults(seed: int) -> None:
     async def test() -> None:
-        async with scene(most=4) as (store, (host,)):
-            play = Play(store, seed)
-            faults = await storm(play, host, seed)
+        async with postgres_store(max_connections=4) as (store, (host,)):
+            clients = StoreClients(store, seed)
+            faults = await run_with_random_faults(clients, host, seed)
             assert faults == [], f"seed {seed}"
-            assert len(play.clients) == 61 and "Traceback" not in "".join(play.lines)
+            assert len(clients.reports) == 61 and "Traceback" not in "".join(clients.lines)
 
     run(test, 120)
 
 
-# Bugs, planted
+# Deliberately planted bugs
 
 
-class NoFence(PostgresStore):
-    """Asks by looking only."""
+class QueriesWithoutFence(PostgresStore):
+    """Queries the outcome without inserting a void marker."""
 
-    async def _ask(self, turn: Turn, attempt: str) -> bytes | None:
+    async def _ask(self, turn: TransactionRun, attempt: str) -> bytes | None:
         found = await turn.execute("SELECT state, answer FROM records WHERE attempt = %s", (attempt,))
         await turn.execute("ROLLBACK")
         return bytes(found[0][1]) if found else None
 
 
-class Guesses(PostgresStore):
-    """Takes a time-out, or a connection that broke, for a write that never ran."""
+class TakesTimeoutForNeverRan(PostgresStore):
+    """Treats a timeout or a lost connection as a write that never ran."""
 
-    async def write(self, one: Entry, until: float) -> Written:
+    async def write(self, one: Entry, until: float) -> WriteResult:
         try:
             return await super().write(one, until)
-        except Trouble as trouble:
-            raise Trouble(Knowledge.NEVER_RAN, trouble.cause, str(trouble)) from None
+        except StoreFailure as trouble:
+            raise StoreFailure(WriteOutcome.NEVER_RAN, trouble.cause, str(trouble)) from None
 
 
 class RetriesAfterCommit(PostgresStore):
-    """Writes anew when the outcome of COMMIT is not known, under another name, and believes what comes of that."""
+    """After a COMMIT of unknown outcome, writes again as another attempt and reports the result of that."""
 
-    async def write(self, one: Entry, until: float) -> Written:
+    async def write(self, one: Entry, until: float) -> WriteResult:
         try:
             return await super().write(one, until)
-        except Trouble as trouble:
-            if trouble.knowledge is not Knowledge.NOT_KNOWN:
+        except StoreFailure as trouble:
+            if trouble.outcome is not WriteOutcome.UNKNOWN:
                 raise
             return await super().write(replace(one, attempt=one.attempt[:-4] + "beef", slot=f"{one.slot} again"), until)
 
 
-async def late_commit(store: PostgresStore, host: Host, play: Play) -> None:
-    """COMMIT is held past the client's time, its reply is lost, and then it goes through."""
-    await play.submit(entry(), WORD_S)
-    gate = Gate("commit")
+async def late_commit(store: PostgresStore, host: Host, clients: StoreClients) -> None:
+    """COMMIT is held past the client's deadline, its reply is lost, and then it succeeds."""
+    await clients.submit(entry(), TIMEOUT_S)
+    gate = StatementGate("commit")
     host.hook = gate
-    submitted = asyncio.create_task(play.submit(entry("late"), 0.4))
+    submitted = asyncio.create_task(clients.submit(entry("late"), 0.4))
     await gate.reached.wait()
     for wire in host.wires.values():
         wire.writer.transport.abort()
     await submitted
     gate.go.set()
     host.hook = None
-    await play.settled()
+    await clients.wait_until_resolved()
     await until(lambda: not host.data.owners)
 
 
-async def lost_reply(store: PostgresStore, host: Host, play: Play) -> None:
-    """COMMIT is carried out, and its reply cut."""
-    await play.submit(entry(), WORD_S)
+async def lost_reply(store: PostgresStore, host: Host, clients: StoreClients) -> None:
+    """COMMIT succeeds, but its reply is lost."""
+    await clients.submit(entry(), TIMEOUT_S)
 
     async def drop(session: Session, kind: str, after: bool) -> None:
         if kind == "commit" and after:
@@ -229,8 +229,8 @@
             raise Drop
 
     host.hook = drop
-    await play.submit(entry("lost"), WORD_S)
-    await play.settled()
+    await clients.submit(entry("lost"), TIMEOUT_S)
+    await clients.wait_until_resolved()
 
 
 SCRIPTS: dict[str, Any] = {"late commit": late_commit, "lost reply": lost_reply}
@@ -238,30 +238,31 @@
 
 @pytest.mark.parametrize(("kind", "script", "fault"), [
     (PostgresStore, "late commit", ""), (PostgresStore, "lost reply", ""),
-    (NoFence, "late commit", "refused: late"), (Guesses, "lost reply", "refused: lost"),
-    (Guesses, "late commit", "refused: late"), (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
+    (QueriesWithoutFence, "late commit", "refused: late"), (TakesTimeoutForNeverRan, "lost reply", "refused: lost"),
+    (TakesTimeoutForNeverRan, "late commit", "refused: late"),
+    (RetriesAfterCommit, "lost reply", "written twice: r:lost"),
 ])
 def test_planted_bugs_are_found(kind: type[PostgresStore], script: str, fault: str) -> None:
     async def test() -> None:
-        async with scene() as (plain, (host,)):
+        async with postgres_store() as (plain, (host,)):
             store = kind(plain.access)
-            play = Play(store)
-            await SCRIPTS[script](store, host, play)
-            found = history_check.faults(play.clients, standing(host.data), play.outcomes())
+            clients = StoreClients(store)
+            await SCRIPTS[script](store, host, clients)
+            found = history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes())
             assert bool(found) == bool(fault) and any(line.startswith(fault) for line in found or [""]), found
             await store.close()
 
     run(test, 60)
 
 
-@pytest.mark.parametrize("kind", [NoFence, Guesses, RetriesAfterCommit])
-def test_random_weather_finds_planted_bugs(kind: type[PostgresStore]) -> None:
-    """So the random runs above can fail: within so many seeds each bug shows."""
+@pytest.mark.parametrize("kind", [QueriesWithoutFence, TakesTimeoutForNeverRan, RetriesAfterCommit])
+def test_random_faults_find_planted_bugs(kind: type[PostgresStore]) -> None:
+    """Shows that the random test above can fail: it finds each bug within a limited number of seeds."""
     async def test() -> None:
         for seed in range(1, 30):
-            async with scene(most=4) as (plain, (host,)):
+            async with postgres_store(max_connections=4) as (plain, (host,)):
                 store = kind(plain.access)
-                faults = await storm(Play(store, seed), host, seed)
+                faults = await run_with_random_faults(StoreClients(store, seed), host, seed)
                 await store.close()
                 if faults:
                     return
@@ -270,34 +271,34 @@
     run(test, 200)
 
 
-def test_no_more_than_so_many_attempts_are_out_and_the_rest_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recorder, "MOST_OPEN", 3)
+def test_attempts_beyond_the_limit_are_refused_and_never_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(recorder, "MAX_OPEN_ATTEMPTS", 3)
 
     async def test() -> None:
-        async with scene() as (store, (host,)):
-            play = Play(store)
-            await play.submit(entry(), WORD_S)
-            gate = Gate("insert", times=10)
+        async with postgres_store() as (store, (host,)):
+            clients = StoreClients(store)
+            await clients.submit(entry(), TIMEOUT_S)
+            gate = StatementGate("insert", times=10)
             host.hook = gate
-            held = [asyncio.create_task(play.submit(entry(), WORD_S)) for _ in range(3)]
+            held = [asyncio.create_task(clients.submit(entry(), TIMEOUT_S)) for _ in range(3)]
             await gate.reached.wait()
-            assert await play.submit(entry("beyond"), WORD_S) == "refused"
+            assert await clients.submit(entry("beyond"), TIMEOUT_S) == "refused"
             gate.go.set()
             assert [await one for one in held] == ["served"] * 3
-            assert history_check.faults(play.clients, standing(host.data), play.outcomes()) == []
+            assert history_check.find_violations(clients.reports, stored_rows(host.data), clients.outcomes()) == []
 
     run(test)
 
 
-def test_a_store_that_turns_everything_away_is_told_at_once() -> None:
+def test_a_store_that_refuses_everything_is_reported_at_once() -> None:
     class Away(PostgresStore):
-        async def write(self, one: Entry, until: float) -> Written:
-            raise Trouble(Knowledge.NEVER_RAN, Cause.TURNED_AWAY, "full")
+        async def write(self, one: Entry, until: float) -> WriteResult:
+            raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY, "full")
 
     async def test() -> None:
-        async with scene() as (plain, _):
+        async with postgres_store() as (plain, _):
             store = Away(plain.access)
-            assert await Play(store).submit(entry(), WORD_S) == "refused"
+            assert await StoreClients(store).submit(entry(), TIMEOUT_S) == "refused"
             await store.close()
 
     run(test)
--- a/tests/record/test_journal_faults.py
+++ b/tests/record/test_journal_faults.py
@@ -1,4 +1,4 @@
-"""The journal of open outcomes while calls fail: what it has taken stands on the disk, soon after and at the end."""
+"""The journal of open attempts while system calls fail: accepted entries reach the disk once the calls succeed."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 from ironscale.record import journal as module
 from ironscale.record.journal import Journal, JournalError, read, read_all
-from tests.record.test_journal import end, left, run, written
+from tests.record.test_journal import end_process, open_entry, run, wait_until_written
 
 CALLS = ("open", "write", "fsync", "replace")
 ERRORS = (errno.ENOSPC, errno.EIO, errno.ENFILE)
 
 
-class Faults:
-    """From the `first` call of a kind on, `count` of them fail; one that fails half writes a half first."""
+class FailingCalls:
+    """Makes `count` calls of one kind fail after the first `first`; with `half`, half of the data is written before."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, number: int, half: bool = False) -> None:
         self.left, self.skipped = 0, 0
@@ -48,27 +48,27 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "AGAIN_S", 0.001)
+def short_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(module, "RETRY_DELAY_S", 0.001)
 
 
-# Guards against an entry that was taken and never comes to the disk, as a call failed once or for a while.
+# Guards against an accepted entry that never reaches the disk because a call failed once or for a while.
 @pytest.mark.parametrize("count", [1, 5])
 @pytest.mark.parametrize("first", range(4))
 @pytest.mark.parametrize("number", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_what_is_taken_stands_once_calls_succeed(
+def test_accepted_entries_are_on_disk_once_calls_succeed(
         call: str, number: int, first: int, count: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        faults = Faults(monkeypatch, call, number)
+        faults = FailingCalls(monkeypatch, call, number)
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
         faults.arm(first, count)
         for name in "abcde":
-            journal.opened(left(name))
+            journal.opened(open_entry(name))
             await asyncio.sleep(0.003)
         journal.closed("b", "ran")
-        await written(journal)
+        await wait_until_written(journal)
         faults.arm(0, 0)
         assert attempts(tmp_path) == set("acde")
         await journal.settle(5)
@@ -77,79 +77,79 @@
     run(test())
 
 
-# Guards against lines that are cut off where the system takes a part of a write, in an append and in a rewrite.
+# Guards against truncated lines after a partial write(), in an append and in a rewrite.
 @pytest.mark.parametrize("spoilt", [False, True])
-def test_a_short_write_goes_on(spoilt: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partial_write_is_completed(spoilt: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
         real = os.write
         monkeypatch.setattr(os, "write", lambda fd, data: real(fd, bytes(data)[:max(1, len(data) // 2)]))
         for name in "abc":
-            journal.opened(left(name))
-        journal.spoilt = spoilt
-        await written(journal)
+            journal.opened(open_entry(name))
+        journal.rewrite_needed = spoilt
+        await wait_until_written(journal)
         assert journal.path is not None
-        assert read(journal.path) == ({name: left(name) for name in "abc"}, 0)
+        assert read(journal.path) == ({name: open_entry(name) for name in "abc"}, 0)
         await journal.settle(5)
 
     run(test())
 
 
-# Guards against half a line that makes those behind it unreadable, and a process killed before it is written again.
-def test_half_a_line_costs_no_other_and_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+# Guards against an incomplete line that makes the next ones unreadable, also if the process is killed before a rewrite.
+def test_an_incomplete_line_damages_no_other_and_is_rewritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
-        journal.opened(left("a"))
-        await written(journal)
-        faults = Faults(monkeypatch, "write", errno.ENOSPC, half=True)
+        journal.opened(open_entry("a"))
+        await wait_until_written(journal)
+        faults = FailingCalls(monkeypatch, "write", errno.ENOSPC, half=True)
         faults.arm(0, 1)
-        journal.opened(left("b"))
+        journal.opened(open_entry("b"))
         while faults.left != 0:
             await asyncio.sleep(0.001)
         assert "a" in attempts(tmp_path), "as a process that is killed here leaves it"
-        await written(journal)
+        await wait_until_written(journal)
         assert attempts(tmp_path) == {"a", "b"}
-        end(journal)
+        end_process(journal)
 
     run(test())
 
 
-# Guards against a process that does not start as the disk is full or fails just then.
+# Guards against a process that cannot start because the disk is full or fails at that moment.
 @pytest.mark.parametrize("number", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_a_start_on_a_disk_that_fails_for_a_moment_takes_over_what_was_left(
+def test_a_start_during_a_transient_disk_fault_takes_over_open_entries(
         call: str, number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         former = Journal(tmp_path, "n0", print)
         former.begin()
-        former.opened(left("a"))
-        await written(former)
-        end(former)
-        faults = Faults(monkeypatch, call, number)
+        former.opened(open_entry("a"))
+        await wait_until_written(former)
+        end_process(former)
+        faults = FailingCalls(monkeypatch, call, number)
         faults.arm(0, 3)
         journal = Journal(tmp_path, "n0", print)
         found = journal.begin()
         assert "a" in attempts(tmp_path), "the former file stays until this one stands"
-        await written(journal)
+        await wait_until_written(journal)
         found += await journal.take_over()
-        await written(journal)
+        await wait_until_written(journal)
         assert [entry.attempt for entry in found] == ["a"] and attempts(tmp_path) == {"a"}
         assert len(list(tmp_path.glob("*.open"))) == 1
-        end(journal)
+        end_process(journal)
 
     run(test())
 
 
-def test_a_folder_that_will_not_do_still_ends_the_start(tmp_path: Path) -> None:
+def test_an_unusable_folder_makes_the_start_fail(tmp_path: Path) -> None:
     (tmp_path / "a file").touch()
     with pytest.raises(JournalError):
         Journal(tmp_path / "a file" / "open", "n0", print).begin()
 
 
-# Guards against entries that are forgotten where the system has no thread to give.
-def test_no_thread_for_a_moment_loses_no_entry(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+# Guards against entries lost because the system could not start a thread.
+def test_a_transient_lack_of_threads_loses_no_entry(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         journal = Journal(tmp_path, "n0", print)
         journal.begin()
@@ -163,9 +163,9 @@
             real(thread)
 
         monkeypatch.setattr(threading.Thread, "start", start)
-        journal.opened(left("a"))
-        await written(journal)
+        journal.opened(open_entry("a"))
+        await wait_until_written(journal)
         assert attempts(tmp_path) == {"a"} and failures < 0
-        end(journal)
+        end_process(journal)
 
     run(test())
--- a/tests/record/test_sqlite.py
+++ b/tests/record/test_sqlite.py
@@ -1,4 +1,4 @@
-"""The store of record in SQLite, as one process and as several use it."""
+"""The store of record in SQLite, used by one process and by several."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 import pytest
 
 from ironscale.record import database, sqlite
-from ironscale.record.database import Opener, Transaction
-from ironscale.record.model import Cause, Knowledge, Trouble, Verdict
+from ironscale.record.database import ConnectionFactory, Transaction
+from ironscale.record.model import Cause, StoreFailure, Verdict, WriteOutcome
 from ironscale.record.sqlite import SqliteStore, backup, migrate, reader, rows, verify
 from tests.deployed import ROOT
-from tests.record.samples import again, entry
+from tests.record.samples import another_attempt, entry
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
     asyncio.run(asyncio.wait_for(work, 60))
 
 
-async def soon(seconds: float) -> float:
+async def deadline_in(seconds: float) -> float:
     return asyncio.get_running_loop().time() + seconds
 
 
@@ -39,7 +39,7 @@
         store = SqliteStore(tmp_path / "r.db")
         first = entry("a", body=bytes(range(256)) * 256)  # 64 KiB
         assert (await store.write(first)).verdict is Verdict.WRITTEN
-        repeat = await store.write(again(first))
+        repeat = await store.write(another_attempt(first))
         assert repeat.verdict is Verdict.REPEAT and repeat.answer == first.answer
         other = await store.write(entry("a", body=b"other"))
         assert other.verdict is Verdict.CONFLICT and other.answer == b""
@@ -60,7 +60,7 @@
     run(test())
 
 
-def test_a_key_is_free_again_once_its_memory_ran_out_and_the_old_record_stays(tmp_path: Path) -> None:
+def test_an_expired_key_can_be_reused_and_the_old_record_stays(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         first = entry("a", "deduplicated", memory_ms=30)
@@ -74,7 +74,7 @@
         assert sorted((one.request, one.body, one.slot is None) for one in rows(found)) == [
             ("a", b"work", True), ("b", b"new", False)]
         found.close()
-        # asked of the first attempt: it ran, though its slot is another's by now
+        # the first attempt ran, though its slot now belongs to another
         assert await store.ask(first.attempt) == first.answer
         await store.close()
         assert verify(store.path) == (2, [])
@@ -82,16 +82,16 @@
     run(test())
 
 
-def test_the_fence_keeps_a_late_write_out_and_asking_twice_is_harmless(tmp_path: Path) -> None:
+def test_the_fence_blocks_a_late_write_and_queries_are_idempotent(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         late = entry("a")
         assert await store.ask(late.attempt) is None
         assert await store.ask(late.attempt) is None
         assert (await store.write(late)).verdict is Verdict.FENCED
-        second = again(late)
-        assert (await store.write(second)).verdict is Verdict.WRITTEN  # another attempt at it is free to run
-        assert (await store.write(late)).verdict is Verdict.REPEAT  # and answers for the first
+        second = another_attempt(late)
+        assert (await store.write(second)).verdict is Verdict.WRITTEN  # another attempt for the same request may run
+        assert (await store.write(late)).verdict is Verdict.REPEAT  # and its answer is returned for the first one
         assert await store.ask(second.attempt) == second.answer
         assert await store.ask(late.attempt) is None
         await store.close()
@@ -99,7 +99,7 @@
     run(test())
 
 
-def test_what_waits_shares_a_commit_and_one_bad_piece_of_work_spoils_no_other(tmp_path: Path) -> None:
+def test_queued_jobs_share_a_commit_and_a_failing_job_affects_no_other(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         await store.write(entry())
@@ -113,7 +113,7 @@
 
         results = await asyncio.gather(*(store.write(entry()) for _ in range(300)), store.writer.run(bad),
                                        store.writer.run(worse), return_exceptions=True)
-        assert [type(r).__name__ for r in results[300:]] == ["Trouble", "ValueError"]
+        assert [type(r).__name__ for r in results[300:]] == ["StoreFailure", "ValueError"]
         assert store.writer.commits < 60
         assert (await store.writer.run(lambda t: t.execute("SELECT count(*) FROM records")))[0][0] == 301
         await store.close()
@@ -121,8 +121,8 @@
     run(test())
 
 
-class Stalled:
-    """Holds the writer's thread within a piece of work, as a disk that hangs would."""
+class StalledJob:
+    """Blocks the writer thread within a job, as a hanging disk would."""
 
     def __init__(self) -> None:
         self.reached, self.go = threading.Event(), threading.Event()
@@ -132,48 +132,48 @@
         assert self.go.wait(30)
 
 
-async def reached(stalled: Stalled) -> None:
+async def wait_until_stalled(stalled: StalledJob) -> None:
     while not stalled.reached.is_set():
         await asyncio.sleep(0.001)
 
 
-def test_what_has_not_begun_in_time_never_runs_and_what_has_is_not_known(tmp_path: Path) -> None:
+def test_at_the_deadline_a_queued_write_never_runs_and_a_started_one_is_unknown(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
-        held, stalled, waiting = entry("held"), Stalled(), entry("waiting")
+        held, stalled, waiting = entry("held"), StalledJob(), entry("waiting")
 
         def work(transaction: Transaction) -> object:
             found = sqlite.write(held)(transaction)
             stalled(transaction)
             return found
 
-        first = asyncio.create_task(store.writer.run(work, await soon(0.3)))
-        await reached(stalled)
-        with pytest.raises(Trouble) as second:
-            await store.write(waiting, await soon(0.05))
-        assert (second.value.knowledge, second.value.cause) == (Knowledge.NEVER_RAN, Cause.TIMEOUT)
-        with pytest.raises(Trouble) as unknown:
+        first = asyncio.create_task(store.writer.run(work, await deadline_in(0.3)))
+        await wait_until_stalled(stalled)
+        with pytest.raises(StoreFailure) as second:
+            await store.write(waiting, await deadline_in(0.05))
+        assert (second.value.outcome, second.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TIMEOUT)
+        with pytest.raises(StoreFailure) as unknown:
             await first
-        assert unknown.value.knowledge is Knowledge.NOT_KNOWN
+        assert unknown.value.outcome is WriteOutcome.UNKNOWN
         stalled.go.set()
-        assert await store.ask(held.attempt) == held.answer  # it came late, and it did run
+        assert await store.ask(held.attempt) == held.answer  # it was late, but it ran
         assert await store.ask(waiting.attempt) is None
         await store.close()
 
     run(test())
 
 
-def test_the_queue_is_bounded_and_says_so_at_once(tmp_path: Path) -> None:
+def test_a_full_queue_refuses_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        store = SqliteStore(tmp_path / "r.db", most_queued=5)
-        stalled = Stalled()
+        store = SqliteStore(tmp_path / "r.db", max_queued=5)
+        stalled = StalledJob()
         first = asyncio.create_task(store.writer.run(stalled))
-        await reached(stalled)
+        await wait_until_stalled(stalled)
         waiting = [asyncio.create_task(store.write(entry())) for _ in range(5)]
         await asyncio.sleep(0)
-        with pytest.raises(Trouble, match="5 writes wait already") as full:
+        with pytest.raises(StoreFailure, match="5 writes wait already") as full:
             await store.write(entry())
-        assert (full.value.knowledge, full.value.cause) == (Knowledge.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (full.value.outcome, full.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         stalled.go.set()
         await first
         assert all(one.verdict is Verdict.WRITTEN for one in await asyncio.gather(*waiting))
@@ -182,15 +182,15 @@
     run(test())
 
 
-def test_a_busy_file_is_told_as_a_refusal_and_used_again(tmp_path: Path) -> None:
+def test_a_locked_file_refuses_writes_and_is_used_again(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db", busy_ms=20)
         await store.write(entry("a"))
-        other = Opener(store.path).open()
+        other = ConnectionFactory(store.path).open()
         other.execute("BEGIN IMMEDIATE")
-        with pytest.raises(Trouble, match="another process writes it") as busy:
+        with pytest.raises(StoreFailure, match="another process writes it") as busy:
             await store.write(entry("b"))
-        assert (busy.value.knowledge, busy.value.cause) == (Knowledge.NEVER_RAN, Cause.TURNED_AWAY)
+        assert (busy.value.outcome, busy.value.cause) == (WriteOutcome.NEVER_RAN, Cause.TURNED_AWAY)
         other.execute("ROLLBACK")
         assert (await store.write(entry("b"))).verdict is Verdict.WRITTEN
         other.close()
@@ -200,7 +200,7 @@
 
 
 def test_two_processes_sharing_a_file_write_a_key_once(tmp_path: Path) -> None:
-    """Both at the same moment, again and again."""
+    """Both write at the same time, repeatedly."""
     async def test() -> None:
         stores = [SqliteStore(tmp_path / "r.db", busy_ms=5_000) for _ in range(2)]
         for i in range(40):
@@ -214,15 +214,15 @@
     run(test())
 
 
-# Files that can't be used
+# Unusable files
 
 
 @pytest.mark.parametrize(("make", "code"), [
     (lambda path: path.write_bytes(b"no database" * 1000), "SQLITE_NOTADB"),
     (lambda path: sqlite3.connect(path).execute("CREATE TABLE other (x)"), "FOREIGN"),
-    (lambda path: newer(path), "NEWER"), (lambda path: path.mkdir(), "SQLITE_CANTOPEN"),
+    (lambda path: make_newer(path), "NEWER"), (lambda path: path.mkdir(), "SQLITE_CANTOPEN"),
 ])
-def test_a_file_that_is_not_ours_is_named_and_left_as_it_was(
+def test_a_foreign_file_is_reported_and_left_unchanged(
         make: Callable[[Path], object], code: str, tmp_path: Path) -> None:
     path = tmp_path / "r.db"
     make(path)
@@ -230,9 +230,9 @@
 
     async def test() -> None:
         store = SqliteStore(path)
-        with pytest.raises(Trouble, match="r.db: ") as found:
+        with pytest.raises(StoreFailure, match="r.db: ") as found:
             await store.write(entry())
-        assert found.value.code == code and found.value.knowledge is Knowledge.NEVER_RAN
+        assert found.value.code == code and found.value.outcome is WriteOutcome.NEVER_RAN
         assert found.value.cause is Cause.UNUSABLE and "\n" not in str(found.value)
         await store.close()
 
@@ -241,18 +241,18 @@
         assert path.read_bytes() == before
 
 
-def newer(path: Path) -> None:
-    connection = Opener(path, migrate).open()
+def make_newer(path: Path) -> None:
+    connection = ConnectionFactory(path, migrate).open()
     connection.execute("PRAGMA user_version = 99")
     connection.close()
 
 
-def test_a_migration_that_is_cut_off_leaves_the_former_schema(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_interrupted_migration_leaves_the_old_schema(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sqlite.SQL, "migrations", lambda version: ["CREATE TABLE records (x)", "no SQL at all"])
     with pytest.raises(apsw.SQLError):
-        Opener(tmp_path / "r.db", migrate).open()
+        ConnectionFactory(tmp_path / "r.db", migrate).open()
     monkeypatch.undo()
-    Opener(tmp_path / "r.db", migrate).open().close()
+    ConnectionFactory(tmp_path / "r.db", migrate).open().close()
     assert verify(tmp_path / "r.db") == (0, [])
 
 
@@ -288,7 +288,7 @@
 """
 
 
-def test_killed_at_any_moment_what_was_confirmed_is_there(tmp_path: Path) -> None:
+def test_confirmed_records_survive_a_kill_at_any_moment(tmp_path: Path) -> None:
     path, confirmed = tmp_path / "r.db", set()
     for turn in range(6):
         process = subprocess.Popen([sys.executable, "-c", WRITING, str(path), str(turn)], cwd=ROOT,
@@ -311,14 +311,14 @@
 # Checkpoints, backup, verify
 
 
-def test_the_log_is_copied_beside_the_writer_and_stays_bounded(tmp_path: Path) -> None:
+def test_checkpoints_run_in_parallel_to_the_writer_and_bound_the_log(tmp_path: Path) -> None:
     async def test() -> None:
-        store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50, longest_log_pages=400)
+        store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50, max_wal_pages=400)
         for _ in range(300):
             await store.write(entry(body=bytes(8_000)))
         log = (tmp_path / "r.db-wal").stat().st_size
         assert log < 4_200 * (400 + 40), log
-        assert (tmp_path / "r.db").stat().st_size > 100 * 8_000  # some has been copied
+        assert (tmp_path / "r.db").stat().st_size > 100 * 8_000  # part of the log was checkpointed
         await store.close()
         assert verify(store.path)[1] == []
 
@@ -326,7 +326,7 @@
 
 
 class SlowFile(apsw.VFSFile):
-    """A page takes a while to be written; the log's own files are as quick as ever."""
+    """Writes to the database file are slow; the log and its index are not."""
 
     def __init__(self, vfs: str, name: Any, flags: Any) -> None:
         super().__init__(vfs, name, flags)
@@ -346,15 +346,15 @@
 
 
 @pytest.mark.parametrize("same_process", [True, False])
-def test_the_log_stays_bounded_while_another_one_copies_it_slowly(
+def test_the_log_stays_bounded_during_slow_checkpoints_of_others(
         same_process: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A checkpoint is under way whenever the writer comes to the bound: its own copier's, or another process's."""
-    slow, over = SlowDisk(), threading.Event()
+    """A checkpoint by the checkpoint thread or another process is running whenever the log reaches its limit."""
+    slow, finished = SlowDisk(), threading.Event()
 
-    def copies() -> int:
-        """As another process would, again and again, each a little while."""
-        other, count = Opener(tmp_path / "r.db", None, "slow").open(), 0
-        while not over.wait(0.001):
+    def run_checkpoints() -> int:
+        """Checkpoints repeatedly, as another process would."""
+        other, count = ConnectionFactory(tmp_path / "r.db", None, "slow").open(), 0
+        while not finished.wait(0.001):
             with contextlib.suppress(apsw.BusyError):
                 other.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
                 count += 1
@@ -363,19 +363,21 @@
 
     async def test() -> None:
         if same_process:
-            monkeypatch.setattr(database, "Opener", lambda path, *more: Opener(path, None, "slow"))
+            monkeypatch.setattr(
+                database, "ConnectionFactory", lambda path, *more: ConnectionFactory(path, None, "slow")
+            )
         longest = 400 if same_process else 200
         store = SqliteStore(tmp_path / "r.db", checkpoint_pages=50 if same_process else 10**9,
-                            longest_log_pages=longest, busy_ms=250 if same_process else 5_000)
+                            max_wal_pages=longest, busy_ms=250 if same_process else 5_000)
         await store.write(entry())
-        other = None if same_process else asyncio.get_running_loop().run_in_executor(None, copies)
+        other = None if same_process else asyncio.get_running_loop().run_in_executor(None, run_checkpoints)
         try:
             for _ in range(300):
                 await store.write(entry(body=bytes(8_000)))
                 log = (tmp_path / "r.db-wal").stat().st_size
                 assert log < 4_200 * (longest + 40), log
         finally:
-            over.set()
+            finished.set()
             copied = await other if other is not None else 1
             await store.close()
         assert copied
@@ -385,7 +387,7 @@
     slow.unregister()
 
 
-def test_a_backup_made_while_it_is_written_is_whole_and_can_be_restored(tmp_path: Path) -> None:
+def test_a_backup_during_writes_is_complete_and_can_be_restored(tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         written: list[str] = []
@@ -410,7 +412,7 @@
         await store.close()
         count, wrong = verify(tmp_path / "copy.db")
         assert wrong == [] and len(before) <= count <= len(written)
-        with pytest.raises(Trouble, match="expected a name that is free"):
+        with pytest.raises(StoreFailure, match="expected a name that is free"):
             backup(store.path, tmp_path / "copy.db")
         restored = SqliteStore(tmp_path / "copy.db")
         copied = reader(tmp_path / "copy.db")
@@ -427,7 +429,7 @@
     ("UPDATE records SET body = x'00'", "fingerprint"), ("UPDATE records SET slot = NULL", "lost its slot"),
     ("UPDATE records SET until_ms = 5", "remembered until"),
 ])
-def test_verify_names_what_was_changed_behind_its_back(sql: str, text: str, tmp_path: Path) -> None:
+def test_verify_reports_external_changes(sql: str, text: str, tmp_path: Path) -> None:
     async def test() -> None:
         store = SqliteStore(tmp_path / "r.db")
         one = entry()
@@ -451,16 +453,16 @@
         data = bytearray(store.path.read_bytes())
         data[3 * 4096:3 * 4096 + 200] = bytes(200)
         store.path.write_bytes(data)
-        with pytest.raises(Trouble, match="SQLITE_CORRUPT") as found:
+        with pytest.raises(StoreFailure, match="SQLITE_CORRUPT") as found:
             if wrong := verify(store.path)[1]:
-                raise Trouble(Knowledge.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
+                raise StoreFailure(WriteOutcome.NEVER_RAN, Cause.BROKEN, f"SQLITE_CORRUPT {wrong[0]}")
         assert found.value
 
     run(test())
 
 
-def test_nothing_is_made_of_a_store_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_store_is_not_created(tmp_path: Path) -> None:
     for act in (reader, verify, lambda path: backup(path, tmp_path / "copy.db")):
-        with pytest.raises(Trouble, match="expected a store of record, got no file"):
+        with pytest.raises(StoreFailure, match="expected a store of record, got no file"):
             act(tmp_path / "none.db")
     assert list(tmp_path.iterdir()) == []
--- a/tests/record/test_sqlite_open.py
+++ b/tests/record/test_sqlite_open.py
@@ -1,4 +1,4 @@
-"""Files of the store of record that cannot be opened for a moment: what was committed stays, and writing goes on."""
+"""Files that temporarily cannot be opened for writing: committed data stays, and writing continues."""
 
 from __future__ import annotations
 
@@ -7,54 +7,54 @@
 import apsw
 import pytest
 
-from ironscale.record.database import Opener, close_tidily, keep_log
-from ironscale.record.model import Trouble
+from ironscale.record.database import ConnectionFactory, close_and_remove_wal, set_persistent_wal
+from ironscale.record.model import StoreFailure
 
 
-def opened(path: Path) -> apsw.Connection:
-    return Opener(path).open()
+def open_connection(path: Path) -> apsw.Connection:
+    return ConnectionFactory(path).open()
 
 
-def logged(path: Path) -> Path:
+def log_path(path: Path) -> Path:
     return path.with_name(f"{path.name}-wal")
 
 
-def committed(path: Path) -> None:
-    connection = opened(path)
+def commit_row(path: Path) -> None:
+    connection = open_connection(path)
     connection.execute("CREATE TABLE a (b); INSERT INTO a VALUES (1)")
-    keep_log(connection)
+    set_persistent_wal(connection)
     connection.close(True)
 
 
-# Guards against a log that is removed with what has not been copied, as the index beside it was read only.
-def test_a_connection_that_ends_by_an_error_leaves_the_log(tmp_path: Path) -> None:
+# Guards against deletion of a log with commits not yet checkpointed, because the shared-memory index was read-only.
+def test_a_connection_closed_after_an_error_keeps_the_log(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    committed(path)
-    assert logged(path).exists()
-    assert opened(path).execute("SELECT b FROM a").fetchall() == [(1,)]
+    commit_row(path)
+    assert log_path(path).exists()
+    assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
-def test_a_connection_that_ends_well_leaves_one_file(tmp_path: Path) -> None:
+def test_a_connection_closed_cleanly_leaves_one_file(tmp_path: Path) -> None:
     path = tmp_path / "r.db"
-    committed(path)
-    close_tidily(opened(path))
+    commit_row(path)
+    close_and_remove_wal(open_connection(path))
     assert [one.name for one in tmp_path.iterdir()] == ["r.db"]
-    assert opened(path).execute("SELECT b FROM a").fetchall() == [(1,)]
+    assert open_connection(path).execute("SELECT b FROM a").fetchall() == [(1,)]
 
 
-# Guards against a store that reads its file and refuses every write until the process ends.
-def test_a_file_that_could_be_opened_for_reading_only_is_no_connection(
+# Guards against a store that opened its file read-only and refuses every write until the process ends.
+def test_a_file_that_opens_read_only_is_rejected(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "r.db"
-    committed(path)
+    commit_row(path)
 
     class ReadOnly(apsw.Connection):
         def __init__(self, name: str, flags: int = 0, vfs: str | None = None) -> None:
             super().__init__(name, flags=apsw.SQLITE_OPEN_READONLY, vfs=vfs)
 
     monkeypatch.setattr(apsw, "Connection", ReadOnly)
-    with pytest.raises(Trouble) as found:
-        opened(path)
+    with pytest.raises(StoreFailure) as found:
+        open_connection(path)
     assert found.value.code == "SQLITE_READONLY"
     monkeypatch.undo()
-    opened(path).execute("INSERT INTO a VALUES (2)")
+    open_connection(path).execute("INSERT INTO a VALUES (2)")
