--- a/ironscale/learned/__init__.py
+++ b/ironscale/learned/__init__.py
@@ -1,1 +1,4 @@
-"""What a sidecar has learned outlives it: a file, and running instances that teach newcomers. Off unless named."""
+"""Keeps what a sidecar has measured across restarts: saved to a file, and sent by running instances to starting ones.
+
+Off unless the operator file has a `[learned]` section.
+"""
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -1,13 +1,13 @@
-"""A snapshot as bytes, the same for the file and the wire: versioned, with length and checksum. No I/O.
+"""Encodes snapshots of learned state as bytes, in the same format for the file and the network. No I/O.
 
     8 bytes   b"ISLEARN\n"
-    2 bytes   version, big-endian, as all numbers here
+    2 bytes   version; all numbers are big-endian
     4 bytes   length of the body
-    body      lines of JSON, ASCII, without spaces: one header, then one line an upstream, by name
+    body      lines of JSON, ASCII, without spaces: one header, then one line for each upstream, sorted by name
     16 bytes  BLAKE2b of everything before it
 
-All values are whole numbers and texts: times are microseconds before the snapshot was taken, slots and shares are
-millionths. There is one encoding of a snapshot and no other is read.
+All values are integers and strings: ages are in microseconds before the snapshot was taken, slots and shares in
+millionths. Each snapshot has exactly one encoding, and the decoder rejects every other.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 MAX_BYTES = 4 << 20
 MOST_UPSTREAMS, MOST_CLASSES, MOST_TENANTS = 10_000, 256, 1_000
 MAX_NAME = 256
-MAX_TIME_US = 2**53  # whole numbers past this are not the same in every JSON reader
-LONGEST_US = 400 * 86_400_000_000  # no value is older than this
+MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
+LONGEST_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
 MOST_MILLIONTHS = 10**12
-SLICE = 10  # upstreams in one step: some 0.1 ms
+SLICE = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
 AGES = 65
 T = TypeVar("T")
 
 
 class CodecError(Exception):
-    """Bytes that are no snapshot; the text is one line: where, what was expected, what stood there."""
+    """The bytes are not a valid snapshot. The message is one line: where the error is, what was expected and found."""
 
 
 @dataclass(frozen=True, slots=True)
 class NamedLesson:
-    """An upstream's lesson under its `instanceId`, ages in place of times."""
+    """What was learned about one upstream, named by its `instanceId`, with ages in place of absolute times."""
 
     name: str
     started_us: int
@@ -50,25 +50,25 @@
     least_us: int
     failing: bool
     mute: int
-    cold_for_us: int  # no send to it for so long, while it is cold
+    cold_for_us: int  # how much longer no request is sent to it while it is cold
     first_hand: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What one sidecar had learned at one moment."""
+    """What one sidecar had learned at the time when the snapshot was taken."""
 
-    name: str  # of the sidecar
+    name: str  # the sidecar's
     taken: Moment
-    up_us: int  # since its start
+    up_us: int  # the sidecar's uptime
     resting: bool
-    cut_off: bool  # from discovery
+    cut_off: bool  # the last discovery call had failed
     zone: str
     slots: float
-    age_us: int  # of what it says of the sidecar itself
-    classes: tuple[tuple[str, int, float, float], ...]  # name, age, mean and least time
+    age_us: int  # age of `slots` and `zone`, which describe the sidecar itself
+    classes: tuple[tuple[str, int, float, float], ...]  # name, age, mean and base latency in microseconds
     tenants: tuple[tuple[str, float], ...]
-    ages: tuple[float, ...]  # share of kept connections that failed, by bits of their idle time
+    ages: tuple[float, ...]  # share of reused idle connections that failed, by bit length of the idle time
     upstreams: tuple[NamedLesson, ...]
 
 
@@ -84,7 +84,7 @@
 
 
 def header_line(snapshot: Snapshot) -> bytes:
-    """The first line: all but the upstreams."""
+    """The first line of the body: everything except the upstreams."""
     return line({
         "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
         "wall_us": snapshot.taken.wall_us, "up_us": snapshot.up_us, "resting": int(snapshot.resting),
@@ -108,7 +108,7 @@
 
 
 def encoding(snapshot: Snapshot) -> Generator[None, None, bytes]:
-    """Encodes in steps, one at each `next`: a long list must not hold up a loop. The bytes are its return value."""
+    """Encodes one step at each `next`, so that a long list does not block the event loop. Returns the bytes."""
     ordered = sorted(snapshot.upstreams, key=lambda one: one.name)
     lines = [header_line(snapshot)]
     for start in range(0, len(ordered), SLICE):
@@ -185,7 +185,7 @@
 
 
 def body_of(data: bytes) -> tuple[int, bytes]:
-    """Version and body of whole bytes; everything about the frame round them is checked here."""
+    """Checks size, magic, version, length and checksum, and returns the version and the body. Raises CodecError."""
     if len(data) > MAX_BYTES:
         raise CodecError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
     if data[:len(MAGIC)] != MAGIC[:len(data)] or len(data) < len(MAGIC):
@@ -204,8 +204,8 @@
 
 
 def migrated(version: int, header: dict[str, Any], rows: list[bytes]) -> list[bytes]:
-    """A version 1 body as version 2. Version 1 had no `ages`, no `tenants` and no mark of whose word a value was: so
-    it counts as another's."""
+    """Converts the body of version 1 to version 2. Version 1 had no `ages`, no `tenants`, and did not say whether a
+    sidecar had measured a value itself: all of its values count as learned from another sidecar."""
     if version == 1:
         header.update({"ages": [0] * AGES, "tenants": []})
         found = []
@@ -219,7 +219,7 @@
 
 
 def decoding(data: bytes) -> Generator[None, None, Snapshot]:
-    """Decodes in steps, one at each `next`. Raises CodecError; gives the whole snapshot or nothing."""
+    """Decodes one step at each `next` and returns the whole snapshot. Raises CodecError."""
     version, body = body_of(data)
     first, *rows = body.split(b"\n")
     header = _json(first, "header")
@@ -257,7 +257,7 @@
 
 
 def finish(steps: Generator[None, None, T]) -> T:
-    """All steps at once."""
+    """Runs a generator to its end and returns its value."""
     while True:
         try:
             next(steps)
@@ -274,22 +274,22 @@
     return finish(decoding(data))
 
 
-# From and to the decisions' own types
+# Conversion from and to the balancer's types
 
 
 def named(lesson: LearnedUpstream, name: str, told_us: int) -> NamedLesson:
-    def ago(at_us: int) -> int:
+    def age_us_at(at_us: int) -> int:
         return max(0, min(LONGEST_US, told_us - at_us))
 
     return NamedLesson(
-        name, lesson.started_us, ago(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
+        name, lesson.started_us, age_us_at(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
         lesson.failing, min(64, lesson.timeout_doublings),
         max(0, min(3_600_000_000, lesson.next_cold_us - told_us)), lesson.first_hand)
 
 
 def lessons_of(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
-    """The snapshot for the decisions: `taken_us` is when it was taken on their clock, `ident` makes an upstream's
-    number of its name."""
+    """Converts a snapshot for the balancer. `taken_us` is when it was taken by the balancer's clock; `ident` maps an
+    upstream's name to its number."""
     return LearnedState(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
         tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -1,4 +1,4 @@
-"""Runs file and teaching beside a started sidecar, as the operator file says."""
+"""Sidecar extension that saves learned state to a file and exchanges it with peers, as the operator file configures."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from ironscale.toml_tables import read_address
 
 MOST_OFFERED = 20
-AGAIN_S = (1.0, 4.0)  # none of the donors had anything to teach: they may have just started as well
+AGAIN_S = (1.0, 4.0)  # waits before asking again: the donors may have only just started too
 
 
 class Running:
-    """What runs beside one sidecar."""
+    """The background tasks that save, serve and fetch one sidecar's learned state."""
 
     def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
         self.sidecar = sidecar
@@ -46,18 +46,19 @@
                 return
 
     async def learn_from_offers(self) -> None:
-        """An agent names its donors each time that it is dialled."""
+        """Learns from the donors that an agent names each time that the sidecar connects to it."""
         while not self.pupil.learned:
             await self.learn(await self.offered.get())
 
     async def run(self) -> None:
-        """Hazard: a fault in here must neither end the sidecar nor go unsaid."""
+        """Runs until cancelled. An error is logged, and does not end the sidecar."""
         try:
             await self.all()
         except Exception:
-            self.sidecar.log(f"learned: it has ended, serving goes on\n{traceback.format_exc()}")
+            self.sidecar.log(f"learned: the extension has failed, serving goes on\n{traceback.format_exc()}")
 
     async def all(self) -> None:
+        """Runs all configured tasks until they end or one of them fails."""
         async with asyncio.TaskGroup() as group:
             if self.keeper is not None:
                 group.create_task(self.keeper.run())
@@ -70,24 +71,27 @@
 
 
 class Channel:
-    """What an agent's client needs of the subsystem (ironscale.control.extension.LearnedStateExchange)."""
+    """Connects the agent's client to this extension; implements ironscale.control.extension.LearnedStateExchange."""
 
     def __init__(self) -> None:
         self.running: Running | None = None
 
     def teaches(self) -> str:
+        """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
         teacher = self.running.teacher if self.running is not None else None
         return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
 
     def offer(self, donors: list[str]) -> None:
+        """Takes the addresses of donors that the agent names."""
         found = [address for text in donors[:MOST_OFFERED] if (address := read_address(text)) is not None]
-        # hazard: an agent that is wrong must not make sidecars dial other machines
+        # a faulty agent must not make sidecars connect to other machines
         near = tuple(address for address in found if is_loopback(address))
         if self.running is not None and near and not self.running.offered.full():
             self.running.offered.put_nowait(near)
 
 
 def beside(learned: LearnedConfig, channel: Channel | None = None) -> Extension:
+    """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
     async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = Running(sidecar, learned)
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -1,11 +1,11 @@
-"""Running instances teach newcomers: one line asked, one snapshot answered, on loopback addresses of their own.
+"""Sends snapshots of learned state from running instances (donors) to starting ones, over loopback connections.
 
-    newcomer   b"ironscale learned 1\n"
-    donor      8 bytes, microseconds since the snapshot was taken, big-endian; 4 bytes, its length; the snapshot
+    client     b"ironscale learned 1\n"
+    donor      8 bytes: microseconds since the snapshot was taken; 4 bytes: its length (both big-endian); the snapshot
 
-The donor takes connections one after the other, RATE a second at most, and the others wait in the kernel; what it
-answers with is collected once in FRESH_S, however many ask. A newcomer serves meanwhile; after ASK_S it goes on
-without.
+A donor accepts at most RATE connections a second; further ones wait in the kernel's backlog. It takes a new snapshot
+at most every FRESH_S, however many clients ask. A starting instance serves requests meanwhile, and stops waiting for
+donors after ASK_S.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 RATE, MOST_OPEN, BACKLOG = 200, 16, 1024
 FRESH_S = 1.0
 AGAIN_S = 5.0
-PATIENCE_S = 2.0  # a newcomer has this long to ask and to take the answer
-ASK_S, ENOUGH_S = 3.0, 0.5  # all answers are in by the first, or this long after the first of them
+PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
+ASK_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MOST_DONORS = 5
-LONGEST_AGE_US = 60_000_000  # of a donor's snapshot: more is no answer to "now"
+LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
 
 def agreed_ages(donors: Sequence[confidence.Donor]) -> list[float]:
-    """At which ages kept connections fail, by the donors' median."""
+    """The weighted median of the donors' failure shares of reused idle connections, for each idle time."""
     weighed = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
     count = min((len(ages) for ages, _ in weighed), default=0)
     return [confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
 
 
 class Teacher:
-    """Answers newcomers with what this sidecar has learned."""
+    """Serves snapshots of what this sidecar has learned to starting instances."""
 
     def __init__(self, collector: Collector, address: Address) -> None:
         self.collector = collector
@@ -55,24 +55,24 @@
         self.collected = 0
 
     def listen(self) -> None:
-        """Raises OSError."""
+        """Opens the listening socket. Raises OSError."""
         self.listener = socket.create_server(self.address, backlog=BACKLOG)
         self.listener.setblocking(False)
 
     def port(self) -> int:
-        """That it listens on; 0 while it does not."""
+        """The port of the listening socket; 0 while it is not open."""
         return int(self.listener.getsockname()[1]) if self.listener is not None else 0
 
     async def run(self) -> None:
-        """Until cancelled; then it listens no more."""
+        """Serves until cancelled, then closes the listening socket."""
         loop = asyncio.get_running_loop()
         while self.listener is None:
             try:
                 self.listen()
             except OSError as error:
-                # the process that this one is to replace may still have the address
+                # the process that this one replaces may still use the address
                 host, port = self.address
-                self.collector.sidecar.log(f"learned: can't teach at {host}:{port}: {error.strerror}; tries again")
+                self.collector.sidecar.log(f"learned: can't listen at {host}:{port}: {error.strerror}; retrying")
                 await asyncio.sleep(AGAIN_S)
         assert self.listener is not None
         try:
@@ -81,7 +81,7 @@
                     await self.open.acquire()
                     try:
                         sock, _ = await loop.sock_accept(self.listener)
-                    except OSError:  # out of descriptors: those are the data path's
+                    except OSError:  # out of descriptors; the data path needs the ones that become free
                         self.open.release()
                         await asyncio.sleep(0.1)
                         continue
@@ -91,7 +91,7 @@
             self.listener.close()
 
     async def fresh(self) -> tuple[int, bytes]:
-        """Age in microseconds, and the snapshot; collected anew where it is older than FRESH_S."""
+        """The age in microseconds and the encoded snapshot, taken anew if the last one is older than FRESH_S."""
         loop = asyncio.get_running_loop()
         async with self.collecting:
             if loop.time() - self.taken_s >= FRESH_S:
@@ -118,17 +118,17 @@
                 await loop.sock_sendall(sock, age_us.to_bytes(8) + len(data).to_bytes(4) + data)
                 self.taught += 1
         except (OSError, TimeoutError):
-            pass  # the newcomer's own affair
-        except Exception as error:  # hazard: one fault in here would end all teaching
-            self.collector.sidecar.log(f"learned: can't teach: {type(error).__name__}: {error}")
+            pass  # the client has disconnected or is too slow
+        except Exception as error:  # an error with one client must not end the server
+            self.collector.sidecar.log(f"learned: can't send a snapshot: {type(error).__name__}: {error}")
         finally:
             sock.close()
             self.open.release()
 
 
 async def ask(address: Address) -> tuple[int, bytes]:
-    """A donor's snapshot and its age in microseconds, the call's own time counted in. Raises OSError, TimeoutError,
-    EOFError or CodecError."""
+    """A donor's age of its snapshot in microseconds, including the duration of this call, and the encoded snapshot.
+    Raises OSError, TimeoutError, EOFError or CodecError."""
     loop = asyncio.get_running_loop()
     asked_s = loop.time()
     reader, writer = await asyncio.open_connection(*address, limit=1 << 16)
@@ -145,14 +145,14 @@
 
 
 class Pupil:
-    """A newcomer: asks several donors at once, and takes in what they agree on."""
+    """Asks several donors at once, and restores the combination of their snapshots in a starting sidecar."""
 
     def __init__(self, sidecar: Sidecar, collector: Collector, rng: random.Random) -> None:
         self.sidecar = sidecar
         self.collector = collector
         self.random = rng
         self.learned = False
-        self.upstreams = 0  # that were told of
+        self.upstreams = 0  # how many the combined state covers
 
     async def donor(self, address: Address) -> confidence.Donor:
         async with asyncio.timeout(ASK_S):
@@ -162,12 +162,12 @@
         age_us += self.sidecar.clock.now_us() - received_us
         known = self.sidecar.balancer.upstreams
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
-            raise CodecError(f"expected lessons on upstreams of ours, got {len(snapshot.upstreams)} of others")
+            raise CodecError(f"expected upstreams of this sidecar, got {len(snapshot.upstreams)} others")
         return confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.up_us, snapshot.resting,
                                 snapshot.cut_off, snapshot.ages)
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
-        """Whether there was something to learn. One that fails, lies or is late costs only what it knows."""
+        """Returns whether learned state was received. Donors that fail, send invalid data or are late are left out."""
         chosen = self.random.sample(list(addresses), min(MOST_DONORS, len(addresses)))
         tasks = {asyncio.create_task(self.donor(address)): address for address in chosen}
         donors: list[confidence.Donor] = []
@@ -183,11 +183,11 @@
                         donors.append(task.result())
                     except (OSError, TimeoutError, EOFError, CodecError, ValueError) as error:
                         reason = getattr(error, "strerror", None) or str(error) or "no answer in time"
-                        self.sidecar.log(f"learned: {host}:{port}: {reason}; not taught by it")
+                        self.sidecar.log(f"learned: {host}:{port}: {reason}; this donor is not used")
                 limit_s = ENOUGH_S if donors else limit_s
             for task in waiting:
                 host, port = tasks[task]
-                self.sidecar.log(f"learned: {host}:{port}: no answer in time; not taught by it")
+                self.sidecar.log(f"learned: {host}:{port}: no answer in time; this donor is not used")
         finally:
             for task in tasks:
                 task.cancel()
@@ -199,5 +199,5 @@
         self.sidecar.upstreams.idle_failures.restore(agreed_ages(donors), 0)
         self.sidecar.balancer.recall(now_us, lessons)
         self.learned, self.upstreams = True, len(lessons.upstreams)
-        self.sidecar.log(f"learned: taught of {len(lessons.upstreams)} upstreams by {len(donors)} of {len(chosen)}")
+        self.sidecar.log(f"learned: got {len(lessons.upstreams)} upstreams from {len(donors)} of {len(chosen)} donors")
         return True
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -1,7 +1,7 @@
-"""Beside a sidecar: recalls its file at the start, and writes it every few seconds and at the end.
+"""Loads a sidecar's learned state from its file at the start, and saves it every few seconds and at the end.
 
-The loop only collects and encodes, in steps under a millisecond; whatever touches the file system happens in a thread
-that nobody waits for, as a disk may block for seconds.
+The event loop only collects and encodes, in steps under a millisecond. All access to the file system happens in a
+thread, because a disk may block for seconds; serving never waits for it.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
 T = TypeVar("T")
 SLICE_S = 0.0005
-LAST_S = 1.0  # the end of the process waits so long for its last snapshot, and no longer
-READ_S = 5.0  # what comes later is older than what the sidecar has seen itself
+LAST_S = 1.0  # limit for the last write, which delays the end of the process
+READ_S = 5.0  # after this the sidecar's own measurements are newer than the file
 LOG_GAP_S = 60.0
 
 
 async def in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
-    """Runs `steps` for SLICE_S at a time with the loop between; `spent` hears how long each time was, in seconds."""
+    """Runs `steps` for SLICE_S at a time and lets the event loop run between; `spent` is given the seconds of each."""
     while True:
         start_s = time.perf_counter()
         try:
@@ -57,28 +57,28 @@
 
 
 class Collector:
-    """Takes snapshots of a running sidecar."""
+    """Takes snapshots of what a running sidecar has learned."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
         self.boot = machine_boot()
         self.started_us = sidecar.clock.now_us()
         self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
-        self.longest_s = 0.0  # step on the loop since the start
+        self.longest_s = 0.0  # longest slice on the event loop since the start
 
     def spent(self, took_s: float) -> None:
         self.longest_s = max(self.longest_s, took_s)
 
     def collecting(self) -> Generator[None, None, Snapshot]:
-        """In steps: what the sidecar knows now."""
+        """Collects the snapshot in steps, one at each `next`, and returns it."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         told_us, taken = sidecar.clock.now_us(), now(self.boot)
         idents = list(balancer.upstreams)
         found: list[NamedLesson] = []
         for start in range(0, len(idents), SLICE):
             for lesson in learned_state(balancer, idents[start:start + SLICE]).upstreams:
-                pool = sidecar.upstreams.pools.get(lesson.id)  # it knows the name that the number was made of
-                # hazard: one entry of discovery's that no reader takes would cost the whole snapshot
+                pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
+                # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
                 if pool is not None and is_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
                     found.append(named(lesson, pool.member.name, told_us))
             yield
@@ -99,27 +99,29 @@
         return await in_slices(encoding(snapshot), self.spent)
 
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
-        """A snapshot of that age for this sidecar's decisions."""
+        """Converts a snapshot of the given age for this sidecar's balancer."""
         now_us = self.sidecar.clock.now_us()
         zone = self.sidecar.config.directory.zones.configured.get(snapshot.zone, -1)
         return lessons_of(snapshot, now_us - age_us, now_us, zone, upstream_id)
 
 
 class Keeper:
+    """Loads the file of one sidecar at the start and saves it regularly."""
+
     def __init__(self, sidecar: Sidecar, store: Store, every_s: float, collector: Collector) -> None:
         self.sidecar = sidecar
         self.store = store
         self.every_s = every_s
         self.collector = collector
         self.writing: asyncio.Future[None] | None = None
-        self.written_us = 0  # state of the decisions that the last snapshot held
-        self.writes = 0  # that have lasted
-        self.skipped = 0  # moments at which the one before was still being written
-        self.reading = asyncio.Event()  # set once the start has been dealt with
+        self.written_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
+        self.writes = 0  # that succeeded
+        self.skipped = 0  # writes left out because the one before had not ended
+        self.reading = asyncio.Event()  # set once the file was loaded or given up at the start
         self.said: dict[str, float] = {}
 
     def log(self, text: str) -> None:
-        """The same line once in LOG_GAP_S: a full disk must not fill the log as well."""
+        """Logs the same line at most once in LOG_GAP_S, so that a full disk does not also fill the log."""
         at_s = time.monotonic()
         if self.said.get(text, -LOG_GAP_S) + LOG_GAP_S <= at_s:
             if len(self.said) > 100:
@@ -128,7 +130,7 @@
             self.sidecar.log(f"learned: {text}")
 
     async def recall(self) -> None:
-        """Takes the file in, if it comes in time and can be used."""
+        """Loads the file into the balancer if it can be read in time and is valid."""
         try:
             async with asyncio.timeout(READ_S):
                 found = await run_in_thread(self.store.read)
@@ -142,23 +144,23 @@
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
-            self.log(f"{self.store.path}: expected it within {READ_S:g} s, got nothing; the start is cold")
-        except Exception as error:  # hazard: nothing that lies in a folder may end the sidecar
-            self.log(f"{self.store.path}: {type(error).__name__}: {error}; the start is cold")
+            self.log(f"{self.store.path}: expected it within {READ_S:g} s, got nothing; starting without learned state")
+        except Exception as error:  # no content of the folder may end the sidecar
+            self.log(f"{self.store.path}: {type(error).__name__}: {error}; starting without learned state")
         finally:
             self.reading.set()
 
     def save(self, data: bytes) -> None:
-        """In the thread."""
+        """Saves the encoded snapshot; blocks, so it is called in the thread. Raises OSError."""
         if not self.store.acquire():
-            raise BlockingIOError("another process holds it; this one does not write")
+            raise BlockingIOError("another process holds the lock; this one does not write")
         self.store.save(data)
 
     async def write(self) -> None:
-        """Begins to write what is known now, unless the last is not done or nothing has changed."""
+        """Starts to write the current state, unless the last write is still running or nothing has changed."""
         if self.writing is not None and not self.writing.done():
             self.skipped += 1
-            self.log(f"{self.store.path}: still being written after {self.every_s:g} s; serving goes on without it")
+            self.log(f"{self.store.path}: still being written after {self.every_s:g} s; this write is skipped")
             return
         state_us = self.sidecar.balancer.last_observed_us
         if state_us == self.written_us:
@@ -190,7 +192,7 @@
                 self.log(f"{self.store.path}: can't collect: {type(error).__name__}: {error}")
 
     async def last(self) -> None:
-        """The last snapshot, as far as it comes within LAST_S."""
+        """Writes the last snapshot before the process ends; gives up after LAST_S."""
         try:
             async with asyncio.timeout(LAST_S):
                 if self.writing is not None and not self.writing.done():
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -1,4 +1,7 @@
-"""One sidecar's file: written aside, synced, renamed, two generations kept. Blocking; runs in a thread of its own."""
+"""The snapshot file of one sidecar. Blocking; called in a thread.
+
+Each snapshot is written to a temporary file, synced and renamed; the one before it is kept.
+"""
 
 from __future__ import annotations
 
@@ -17,39 +20,39 @@
 
 
 class Files(Protocol):
-    """What the store needs of a file system. Every call may block, and may raise OSError."""
+    """The file system operations that the store uses. Every call may block, and may raise OSError."""
 
     def read(self, path: str) -> bytes | None:
-        """At most MAX_BYTES + 1 of it; None if there is no such file."""
+        """The first MAX_BYTES + 1 bytes at most; None if there is no such file."""
 
     def write(self, path: str, data: bytes) -> None:
-        """Makes or replaces the file; when it returns, what it holds lasts, though maybe not its name."""
+        """Creates or overwrites the file and syncs its data; its name may still be lost in a power failure."""
 
     def rename(self, old: str, new: str) -> None:
-        """In one step, in place of `new`; nothing is sure to last."""
+        """Replaces `new` atomically; durable only after `sync_folder`."""
 
     def sync_folder(self, path: str) -> None:
-        """The names in it last."""
+        """Makes the names in the folder durable."""
 
 
 class OsFiles:
     def read(self, path: str) -> bytes | None:
         try:
-            # hazard: a pipe or a device under that name would block or never end
+            # without O_NONBLOCK, a pipe or a device under that name could block for ever
             with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
                 return file.read(MAX_BYTES + 1)
         except FileNotFoundError:
             return None
 
     def write(self, path: str, data: bytes) -> None:
-        # hazard: a link left under this name would lead the write elsewhere
+        # O_NOFOLLOW: a symbolic link under this name would redirect the write
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
         handle = os.open(path, flags, MODE)
         try:
             view = memoryview(data)
             while view:
                 view = view[os.write(handle, view):]
-            self.fsync(handle)  # hazard: on another handle the error of an earlier write may not be told
+            self.fsync(handle)  # another handle may not report an earlier write's error
         finally:
             os.close(handle)
 
@@ -73,7 +76,8 @@
 
 
 class Store:
-    """`path` is the last snapshot, `path.1` the one before; `path.new` is being written, `path.lock` held."""
+    """Saves and reads snapshots. `path` is the last one, `path.1` the one before, `path.new` the temporary file, and
+    `path.lock` the lock file."""
 
     def __init__(self, path: Path, files: Files | None = None) -> None:
         self.path = path
@@ -82,7 +86,8 @@
         self.lock: int | None = None
 
     def acquire(self) -> bool:
-        """Makes the folder and takes the lock that only one process has; the kernel frees it with the process."""
+        """Creates the folder and takes the lock, which the kernel frees when the process ends; False if another process
+        holds it. Raises OSError."""
         if self.lock is None:
             self.path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
             handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, MODE)
@@ -103,16 +108,16 @@
             os.close(handle)
 
     def save(self, data: bytes) -> None:
-        """When it returns, `data` lasts; when it fails or is cut off, what was there before does."""
+        """Saves `data` durably. If it fails or is interrupted, the previous snapshot remains. Raises OSError."""
         files = self.files
         files.write(self.aside, data)
-        with contextlib.suppress(FileNotFoundError):  # the first write, or one cut off between the renames
+        with contextlib.suppress(FileNotFoundError):  # the first save, or an earlier one stopped between the renames
             files.rename(self.current, self.previous)
         files.rename(self.aside, self.current)
         files.sync_folder(str(self.path.parent))
 
     def read(self) -> list[tuple[str, bytes | OSError]]:
-        """What lies there, the newest first."""
+        """Path and content, or the error, of each file that exists; the newest first."""
         found: list[tuple[str, bytes | OSError]] = []
         for path in (self.current, self.previous):
             try:
@@ -125,7 +130,7 @@
         return found
 
     def forget(self) -> list[str]:
-        """Removes all of its files but the lock, which a running process may hold; gives the names."""
+        """Deletes all files but the lock, which a running process may hold; returns the paths deleted."""
         gone = []
         for path in (self.current, self.previous, self.aside):
             with contextlib.suppress(FileNotFoundError):
@@ -136,7 +141,8 @@
 
 def choose(found: list[tuple[str, bytes | OSError]], name: str, now: Moment
            ) -> Generator[None, None, tuple[Snapshot | None, int, list[str]]]:
-    """In steps: the newest snapshot that can be used, its age in microseconds, and a line on each thing amiss."""
+    """Decodes in steps, one at each `next`; returns the newest usable snapshot, its age in microseconds, and a line for
+    each problem found. Without a usable snapshot it returns None and 0."""
     lines: list[str] = []
     for path, data in found:
         try:
@@ -144,13 +150,13 @@
                 raise CodecError(f"expected a file that can be read, got {data.strerror or data}")
             snapshot = yield from decoding(data)
             if snapshot.name != name:
-                raise CodecError(f"expected what {name!r} learned, got another sidecar's, {snapshot.name!r}")
+                raise CodecError(f"expected what {name!r} learned, got that of another sidecar, {snapshot.name!r}")
             age_us, note = between(snapshot.taken, now)
         except (CodecError, MomentError) as error:
             lines.append(f"{path}: {error}; not used")
             continue
         if note:
-            lines.append(f"{path}: {note}; its age goes by running time")
+            lines.append(f"{path}: {note}; its age is computed from the machine's running time")
         return snapshot, age_us, lines
     return None, 0, lines
 
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -1,4 +1,4 @@
-"""When something was written, on clocks that may step: pure, but for `now`."""
+"""Timestamps that allow computing an age although the wall clock may step. Only `now` and `machine_boot` do I/O."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-STEP_US = 2_000_000  # wall and running time may drift apart by less than this without a word
+STEP_US = 2_000_000  # smaller differences between wall and running time are not reported as a step
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
 class MomentError(Exception):
-    """A moment that can't be placed; the text is a phrase."""
+    """A timestamp that is invalid or lies in the future; the message is a phrase."""
 
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """One moment on three clocks."""
+    """One point in time on the clocks of a machine."""
 
-    boot: str  # of the machine; running time counts from it
-    running_us: int  # CLOCK_BOOTTIME: never steps, counts suspension too
-    wall_us: int  # may step
+    boot: str  # the boot id of the machine; the running time counts from this boot
+    running_us: int  # CLOCK_BOOTTIME: never steps, includes time suspended
+    wall_us: int  # Unix time, may step
 
     def __post_init__(self) -> None:
         if min(self.running_us, self.wall_us) < 0:
@@ -31,7 +31,7 @@
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
-        return ""  # as if every process had its own machine: the wall clock decides
+        return ""  # an unknown boot matches no other, so the wall clock is used
 
 
 def now(boot: str) -> Moment:
@@ -39,11 +39,11 @@
 
 
 def between(then: Moment, later: Moment) -> tuple[int, str]:
-    """Microseconds from one to the other, and a phrase on a clock that stepped meanwhile, if it can be told.
+    """Microseconds from `then` to `later`, and a phrase if the wall clock is known to have stepped in between.
 
-    Within one boot of the machine the running time is exact. Across boots only the wall clock is there: a step forward
-    makes things older than they are, which does no harm; one backward shows only where it goes before `then`.
-    Raises MomentError where `later` is not later.
+    Within one boot of the machine the running time is exact. Across boots only the wall clock is available: a step
+    forward makes values look older than they are, which does no harm; a step backward is noticed only if it goes back
+    before `then`. Raises MomentError if `later` is before `then`.
     """
     wall_us = later.wall_us - then.wall_us
     if then.boot and then.boot == later.boot:
@@ -53,5 +53,5 @@
         stepped_us = wall_us - passed_us
         return passed_us, f"the clock stepped by {stepped_us / 1e6:+.1f} s since" if abs(stepped_us) > STEP_US else ""
     if wall_us < 0:
-        raise MomentError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or it is not ours")
+        raise MomentError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or is not ours")
     return wall_us, ""
--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that stops at any point and then forgets any part of what was not synced."""
+"""An in-memory disk that simulates power loss at any point, with any part of the unsynced changes lost."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Stopped(Exception):
-    """The power went."""
+    """The simulated power failure."""
 
 
 @dataclass
 class Disk:
-    """`Files` in memory. Each operation, and each byte written, is a step; at step `stop_at` it stops."""
+    """`Files` in memory. Each operation and each byte written is a step; step `stop_at` raises Stopped."""
 
     names: dict[str, int] = field(default_factory=dict)  # as a running process sees them
     data: dict[int, bytes] = field(default_factory=dict)
@@ -70,8 +70,8 @@
         self.pending = []
 
     def after_power_loss(self, rng: random.Random) -> Disk:
-        """What may be found then: of unsynced data any beginning, or noise; of unsynced names any part, by renames in
-        whole (a rename is one change) and in any order that keeps each name's own."""
+        """The disk as it may be after a power failure. Unsynced data may be complete, cut short, padded with zeros,
+        or as it was at the last sync. Any part of the unsynced names may be lost, but a rename only as a whole."""
         names = dict(self.lasting_names)
         changes = self.pending
         i = 0
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -19,7 +19,7 @@
 
 
 def snapshot(count: int = 3, serial: int = 0, **changes: object) -> Snapshot:
-    """`serial` tells two snapshots apart."""
+    """`serial` becomes the age, so that a test can tell two snapshots apart."""
     values: dict[str, object] = {
         "name": "n0", "taken": NOW, "up_us": 60_000_000, "resting": False, "cut_off": False, "zone": "a",
         "slots": 12.0, "age_us": serial, "classes": (("view", 1_000, 30_000.0, 10_000.0),),
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -1,4 +1,4 @@
-"""Bytes in, a whole snapshot or one line out."""
+"""Tests of the codec: bytes decode to a whole snapshot or are rejected with one line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def changed(change: Callable[[Any], Any], at: int = 0) -> bytes:
-    """The snapshot with one line changed, and a checksum that fits."""
+    """The snapshot with one line changed, and a valid checksum."""
     lines = body()
     value = json.loads(lines[at])
     lines[at] = line(change(value) or value)
@@ -45,18 +45,18 @@
     return text
 
 
-def test_what_is_written_is_read() -> None:
+def test_decode_returns_what_was_encoded() -> None:
     for count in (0, 1, 3, 250):
         assert decode(encode(snapshot(count))) == snapshot(count)
 
 
-def test_the_encoding_does_not_hang_on_the_order() -> None:
+def test_encoding_is_independent_of_the_order_of_upstreams() -> None:
     one = snapshot(5)
     other = snapshot(5, upstreams=tuple(reversed(one.upstreams)))
     assert encode(one) == encode(other)
 
 
-def test_every_flipped_bit_is_refused() -> None:
+def test_every_flipped_bit_is_rejected() -> None:
     for at in range(len(WHOLE)):
         for bit in range(8):
             damaged = bytearray(WHOLE)
@@ -64,20 +64,20 @@
             refusal(bytes(damaged))
 
 
-def test_every_other_length_is_refused() -> None:
+def test_every_other_length_is_rejected() -> None:
     for size in range(len(WHOLE)):
         refusal(WHOLE[:size])
     refusal(WHOLE + b"\0")
 
 
 @given(st.binary(max_size=400))
-def test_noise_is_refused(data: bytes) -> None:
+def test_random_bytes_are_rejected(data: bytes) -> None:
     refusal(data)
     refusal(MAGIC + data)
 
 
 @given(st.lists(st.binary(max_size=80), max_size=6), st.integers(1, codec.VERSION))
-def test_noise_with_a_checksum_that_fits_is_refused(lines: list[bytes], version: int) -> None:
+def test_random_bytes_with_a_valid_checksum_are_rejected(lines: list[bytes], version: int) -> None:
     refusal(assemble(lines, version))
 
 
@@ -113,12 +113,12 @@
     (assemble([*body(), b"[" * 5000]), "upstream"),
     (bytes(codec.MAX_BYTES + 1), f"expected {codec.MAX_BYTES} bytes at most"),
 ])
-def test_refused_with_one_line_that_says_what_and_why(data: bytes, words: str) -> None:
+def test_rejected_with_one_line_that_says_what_and_why(data: bytes, words: str) -> None:
     assert words in refusal(data)
 
 
-def test_version_1_is_read_as_another_s_word() -> None:
-    """It had no ages, no tenants, and did not say whose word a value was."""
+def test_values_of_version_1_count_as_learned_from_another_sidecar() -> None:
+    """It had no ages, no tenants, and did not say whether a sidecar had measured a value itself."""
     header = json.loads(body()[0])
     del header["ages"], header["tenants"]
     old = assemble([line(header), *(line(json.loads(raw)[:8]) for raw in body()[1:])], 1)
@@ -129,7 +129,7 @@
     assert "upstream 0: expected 8 values" in refusal(assemble(body(), 1))
 
 
-def test_its_size_is_bounded_at_the_most_that_it_may_hold() -> None:
+def test_the_largest_snapshot_fits_the_size_limit() -> None:
     long = tuple(lesson(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.LONGEST_US, slots=1e6)
                  for i in range(codec.MOST_UPSTREAMS))
     data = encode(snapshot(0, upstreams=long))
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -1,4 +1,4 @@
-"""File and teaching beside a real sidecar: slow, full and missing folders, donors that lie, hang or are many."""
+"""Tests of file and peer transfer with a real sidecar: slow, full and missing folders; faulty and many donors."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         return "127.0.0.1", int(found.getsockname()[1])
 
 
-def test_what_was_learned_is_written_while_it_serves_and_recalled_by_the_next(tmp_path: Path) -> None:
+def test_state_is_saved_while_serving_and_loaded_by_the_next_process(tmp_path: Path) -> None:
     async def test() -> None:
         peers = await peers_of(3)
         scene = await scene_with(peers)
@@ -84,12 +84,12 @@
                 assert server.lesson is not None and server.lesson.min_latency_us == told[ident].min_latency_us
             await until(lambda: other.discovery.writers)
             other.discovery.line(listing(*(peer.entry(f"up-{i}") for i, peer in enumerate(peers))))
-            await until(lambda: other.sidecar.balancer.latency[0].has_samples)  # once discovery itself has spoken
+            await until(lambda: other.sidecar.balancer.latency[0].has_samples)  # after a list from discovery itself
 
     run(test)
 
 
-def test_nothing_changed_is_not_written_again(tmp_path: Path) -> None:
+def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         keeper = keeper_of(scene, Store(path_for(tmp_path, "n0")))
@@ -106,7 +106,7 @@
 
 
 class Blocked(OsFiles):
-    """Its sync blocks until it is let go, as on a disk that hangs."""
+    """Its sync blocks until `let_go` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
         self.let_go = threading.Event()
@@ -118,8 +118,8 @@
         super().fsync(handle)
 
 
-def test_a_sync_that_blocks_holds_up_neither_serving_nor_the_end(tmp_path: Path, capfd: pytest.CaptureFixture[str],
-                                                                 monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_blocking_sync_delays_neither_serving_nor_shutdown(tmp_path: Path, capfd: pytest.CaptureFixture[str],
+                                                             monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(persistence, "LAST_S", 0.2)
 
     async def test() -> None:
@@ -156,8 +156,8 @@
         return super().read(path)
 
 
-def test_a_read_that_blocks_does_not_hold_up_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                       capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_blocking_read_does_not_delay_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+                                                  capfd: pytest.CaptureFixture[str]) -> None:
     monkeypatch.setattr(persistence, "READ_S", 0.2)
 
     async def test() -> None:
@@ -172,7 +172,7 @@
             event.set()
 
     run(test)
-    assert "got nothing; the start is cold" in capfd.readouterr().err
+    assert "got nothing; starting without learned state" in capfd.readouterr().err
 
 
 class Failing(OsFiles):
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EROFS, errno.EIO])
-def test_a_folder_that_can_not_be_written_is_said_once_and_tried_again(
+def test_a_failing_write_is_logged_once_and_retried(
         code: int, tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -201,7 +201,7 @@
     assert capfd.readouterr().err.count(f"can't write: {errno.errorcode[code]}") == 1
 
 
-def test_a_folder_that_can_not_be_made_is_said(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_folder_that_can_not_be_created_is_logged(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "file").write_text("")
 
     async def test() -> None:
@@ -217,8 +217,8 @@
     assert "Not a directory" in text and "can't write: File exists" in text
 
 
-def test_the_second_process_with_one_file_says_so_and_writes_nothing(tmp_path: Path,
-                                                                     capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_second_process_with_the_same_file_logs_it_and_writes_nothing(tmp_path: Path,
+                                                                        capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         peers = await peers_of(1)
         first, second = await scene_with(peers), await scene_with(peers)
@@ -234,10 +234,10 @@
         assert keepers[1].writes == 1
 
     run(test)
-    assert "another process holds it; this one does not write" in capfd.readouterr().err
+    assert "another process holds the lock; this one does not write" in capfd.readouterr().err
 
 
-def test_rubbish_in_the_folder_is_a_line_and_a_cold_start(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_file_is_logged_and_the_start_is_cold(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     path = path_for(tmp_path, "n0")
     path.write_bytes(b"rubbish")
 
@@ -252,8 +252,8 @@
     assert "expected it to begin with b'ISLEARN\\n', got b'rubbish'; not used" in capfd.readouterr().err
 
 
-def test_a_thread_outlived_by_nobody_is_harmless() -> None:
-    """The process may end while the write is still out: no word of it comes to a loop that is closed."""
+def test_a_thread_that_outlives_the_event_loop_is_harmless() -> None:
+    """The process may end during a write, whose result must not be reported to a closed event loop."""
     event, done = threading.Event(), threading.Event()
 
     def slow() -> None:
@@ -268,16 +268,16 @@
     assert done.wait(30)
 
 
-# Teaching
+# Transfer between peers
 
 
-def test_a_newcomer_is_taught_by_a_running_one() -> None:
+def test_a_starting_sidecar_learns_from_a_running_one() -> None:
     async def test() -> None:
         peers = await peers_of(4)
         peers[0].behave = reset
         old, new = await scene_with(peers), await scene_with(peers)
         teacher = Teacher(Collector(old.sidecar), ("127.0.0.1", 0))
-        teacher.collector.started_us -= 60_000_000  # it has run for a minute
+        teacher.collector.started_us -= 60_000_000  # as if it had run for a minute
         async with running(asyncio.create_task(teacher.run())):
             while (old.sidecar.balancer.upstreams[upstream_id("up-0")].window.slots > 0.2
                    or len(learned_state(old.sidecar.balancer).upstreams) < 4):
@@ -308,8 +308,8 @@
     return age_us.to_bytes(8) + len(data).to_bytes(4) + data
 
 
-def test_donors_that_lie_hang_or_are_not_there_cost_a_bounded_time(monkeypatch: pytest.MonkeyPatch,
-                                                                   capfd: pytest.CaptureFixture[str]) -> None:
+def test_donors_that_are_faulty_hang_or_are_unreachable_cost_a_bounded_time(monkeypatch: pytest.MonkeyPatch,
+                                                                            capfd: pytest.CaptureFixture[str]) -> None:
     monkeypatch.setattr(peer_transfer, "ASK_S", 0.5)
 
     async def test() -> None:
@@ -326,7 +326,7 @@
         assert not await pupil.learn(donors)
         assert asyncio.get_running_loop().time() - started_s < 10
         assert (await scene.call()).status == 200
-        assert await pupil.learn([*donors, await liar(told(data))])  # one that is right is enough
+        assert await pupil.learn([*donors, await liar(told(data))])  # one valid donor is enough
 
     run(test)
     text = capfd.readouterr().err
@@ -335,7 +335,7 @@
         assert words in text, words
 
 
-def test_nobody_is_waited_for_once_most_have_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_after_the_first_answer_other_donors_are_not_waited_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transfer, "ASK_S", 20.0)
     monkeypatch.setattr(peer_transfer, "ENOUGH_S", 0.1)
 
@@ -349,7 +349,7 @@
 
 
 @pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", ASKED[:5], b"\0" * 5000])
-def test_who_asks_for_something_else_gets_nothing(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_invalid_request_gets_no_answer(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transfer, "PATIENCE_S", 0.2)
 
     async def test() -> None:
@@ -362,12 +362,12 @@
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-            assert (await ask(("127.0.0.1", teacher.port())))[1]  # and the next is taught
+            assert (await ask(("127.0.0.1", teacher.port())))[1]  # the next client is still served
 
     run(test)
 
 
-def test_five_hundred_newcomers_at_once_are_taught_from_few_collections() -> None:
+def test_five_hundred_clients_at_once_are_served_from_few_snapshots() -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(3))
         for _ in range(20):
@@ -390,14 +390,14 @@
             taught = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
-        assert took_s >= 500 / peer_transfer.RATE * 0.9  # paced
+        assert took_s >= 500 / peer_transfer.RATE * 0.9  # accepted at the limited rate
         assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MOST_OPEN
 
     run(test)
 
 
-def test_a_teaching_address_that_is_taken_is_tried_again(monkeypatch: pytest.MonkeyPatch,
-                                                        capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_listening_address_in_use_is_retried(monkeypatch: pytest.MonkeyPatch,
+                                               capfd: pytest.CaptureFixture[str]) -> None:
     monkeypatch.setattr(peer_transfer, "AGAIN_S", 0.05)
 
     async def test() -> None:
@@ -411,10 +411,10 @@
             await until(teacher.port)
 
     run(test)
-    assert "can't teach at 127.0.0.1" in capfd.readouterr().err
+    assert "can't listen at 127.0.0.1" in capfd.readouterr().err
 
 
-def test_all_of_it_runs_beside_a_sidecar_and_writes_at_its_end(tmp_path: Path) -> None:
+def test_the_extension_runs_with_a_sidecar_and_writes_at_its_end(tmp_path: Path) -> None:
     async def test() -> None:
         peers = await peers_of(2)
         donor = await liar(told(encode(snapshot(0, taken=now(machine_boot()),
@@ -431,8 +431,8 @@
     run(test)
 
 
-def test_a_fault_in_it_ends_neither_the_sidecar_nor_in_silence(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                               capfd: pytest.CaptureFixture[str]) -> None:
+def test_an_extension_error_is_logged_and_does_not_end_the_sidecar(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+                                                                   capfd: pytest.CaptureFixture[str]) -> None:
     async def broken(self: object) -> None:
         raise RuntimeError("broken on purpose")
 
@@ -446,10 +446,10 @@
 
     run(test)
     text = capfd.readouterr().err
-    assert "learned: it has ended, serving goes on" in text and "broken on purpose" in text
+    assert "learned: the extension has failed, serving goes on" in text and "broken on purpose" in text
 
 
-def test_ages_of_kept_connections_fade_by_their_age_and_shut_nothing_for_long() -> None:
+def test_restored_failure_shares_of_idle_connections_decay() -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         ages = scene.sidecar.upstreams.idle_failures
@@ -467,8 +467,8 @@
     run(test)
 
 
-def test_an_agent_tells_a_newcomer_who_teaches(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two sidecars beside each other, each with its client; the second is taught by the first."""
+def test_an_agent_names_donors_to_a_starting_sidecar(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two sidecars, each with its agent client; the second learns from the first."""
     monkeypatch.setattr(fleet, "SETTLED_MS", 0)
     monkeypatch.setattr(confidence, "MIN_DONOR_UPTIME_US", 0)
 
@@ -498,7 +498,7 @@
     run(test)
 
 
-def test_an_agent_can_not_make_a_sidecar_dial_elsewhere() -> None:
+def test_an_agent_can_not_make_a_sidecar_connect_to_other_machines() -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         channel = Channel()
@@ -512,7 +512,7 @@
     run(test)
 
 
-def test_lessons_on_others_upstreams_are_not_taken(capfd: pytest.CaptureFixture[str]) -> None:
+def test_learned_state_of_unknown_upstreams_is_rejected(capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         others = snapshot(0, taken=now(machine_boot()), upstreams=(lesson("another-service-0"),))
@@ -521,10 +521,10 @@
         assert not scene.sidecar.balancer.latency[0].has_samples
 
     run(test)
-    assert "expected lessons on upstreams of ours, got 1 of others" in capfd.readouterr().err
+    assert "expected upstreams of this sidecar, got 1 others" in capfd.readouterr().err
 
 
-def test_an_entry_that_no_reader_takes_does_not_cost_the_snapshot() -> None:
+def test_a_discovery_entry_that_the_decoder_rejects_is_left_out() -> None:
     async def test() -> None:
         peers = await peers_of(4)
         scene = await Scene().start(
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -1,4 +1,4 @@
-"""Real processes, killed and ended under load, with clients that retry; paired starts on staged faults."""
+"""Restarts with learned state: real processes killed and terminated under load, and simulated starts during faults."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Site:
-    """Upstreams, discovery, and one sidecar process that is started again and again."""
+    """Upstreams, discovery, and one sidecar process that is restarted repeatedly."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -74,7 +74,7 @@
         return await asyncio.wait_for(self.process.wait(), 20)
 
     async def ask(self, lane: str, txn: str) -> str:
-        """One answer, or `lost` once the request was on its way, or `unreached` if it never was."""
+        """The status; or `lost` (the connection failed), `unreached` (it was refused) or `silent` (timeout)."""
         key = "Idempotency-Key: k\r\n" if lane == "mark" else ""
         method = "GET" if lane == "view" else "POST"
         request = (f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Org: north\r\n"
@@ -96,7 +96,7 @@
             writer.close()
 
     async def client(self, stop: asyncio.Event, lane: str) -> None:
-        """Asks again what it may: what never reached the process, what was refused, reads that were lost."""
+        """Retries what is safe: requests that never reached the process or were refused, and lost reads."""
         while not stop.is_set():
             self.count += 1
             txn = f"t{self.count}"
@@ -121,14 +121,14 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL])
 def test_restarted_under_load_with_clients_that_retry(number: signal.Signals, tmp_path: Path) -> None:
-    """What the killed one held is its client's to know; everything else gets its answer, and no unsafe request ran
-    twice. The next process knows the silent zone."""
+    """Only requests that a killed process held are lost; all others are answered, and no unsafe request runs twice.
+    The next process knows from its file which upstreams are silent."""
     async def test() -> None:
         site = await Site(tmp_path).start()
         store = Store(path_for(tmp_path / "learned", "n0"))
         stop = asyncio.Event()
 
-        def knows() -> bool:
+        def file_marks_silent_upstreams() -> bool:
             found, _, _ = load(store, "n0", now(machine_boot()))
             return found is not None and sum(one.mute > 1 for one in found.upstreams) == 3
 
@@ -139,7 +139,7 @@
                 await until(lambda: site.results["view 200"] > 100)
                 for peer in site.peers[1::2]:
                     peer.behave = hang
-                await until(knows)
+                await until(file_marks_silent_upstreams)
                 code = await site.end(number)
                 assert code == (0 if number is signal.SIGTERM else -signal.SIGKILL)
                 silent_before = sum(len(peer.held) for peer in site.peers)
@@ -150,7 +150,7 @@
                 for peer in site.peers[1::2]:
                     peer.answer_held(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 stop.set()
-            assert tried <= 2 * 3 + 6, f"the silent ones were sent {tried} of some 100 requests"
+            assert tried <= 2 * 3 + 6, f"{tried} of some 100 requests were sent to silent upstreams"
         finally:
             stop.set()
             await site.close()
@@ -160,7 +160,7 @@
         if number is signal.SIGTERM:
             assert not lost, site.results
         else:
-            # one each can be open, and one each have come to its listener and not yet to the process
+            # of each class one request can be open, and one can wait in the listener's backlog
             assert sum(site.results[f"{lane} lost"] for lane in ("pay", "mark")) <= 4, site.results
         assert sum(site.results[f"{lane} 200"] for lane in ("view", "pay", "mark")) > 200
         for peer in site.peers:
@@ -169,7 +169,7 @@
     run(test, 60)
 
 
-# Paired on the same seeds, in virtual time
+# Simulated starts in virtual time, compared on the same seeds
 
 
 def donors(stage: Stage) -> list[confidence.Donor]:
@@ -188,10 +188,10 @@
 
 
 def play(fault: str, seed: int) -> dict[str, Stage]:
-    """One seed's variants, from one moment: the instance was killed and starts again in many ways."""
+    """Kills one instance and restarts it from the same state in several ways; returns the stage after each."""
     stage = Stage(seed, sides=3, nodes=9, rate_per_s=90.0, faults=FAULTS[fault])
     stage.run(4 * S + 500_000)
-    # as they were before they had seen much of the fault, and as if they had run for long
+    # donors from before most of the fault, with an uptime as if they had run for long
     early = [replace(one, uptime_us=60 * S) for one in donors(stage)]
     stage.run(STOP_US)
     own = learned_state(stage.sides[0].balancer)
@@ -219,9 +219,9 @@
 
 
 @pytest.mark.parametrize("fault", sorted(FAULTS))
-def test_taught_and_restarted_do_no_worse_than_cold_and_reach_warm_within_3_s(fault: str) -> None:
-    """Noise: cold starts that differ in the seed of their draws alone lie up to 4 points apart in 3 s (270 requests);
-    `bench.learned starts` plays many more seeds."""
+def test_starts_with_learned_state_are_no_worse_than_cold_and_as_good_as_warm_within_3_s(fault: str) -> None:
+    """Allows for noise: cold starts that differ only in their random seed are up to 4 percentage points apart in 3 s
+    (270 requests). `bench.learned starts` runs many more seeds."""
     for seed in (1, 2):
         played = play(fault, seed)
         first = {name: stage.served(0, START_AGAIN_US, END_US) for name, stage in played.items()}
@@ -233,7 +233,7 @@
             assert last[name] >= last["warm"] - 0.05, f"{fault}, seed {seed}: {name} {last}"
 
 
-def test_what_replaced_all_upstreams_meanwhile_is_not_pushed_over() -> None:
+def test_outdated_state_does_not_overload_upstreams_that_replaced_all_others() -> None:
     for seed in (1, 2):
         stage = Stage(seed, sides=3, nodes=9, rate_per_s=20.0)
         stage.run(STOP_US)
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -1,4 +1,4 @@
-"""The file under power loss, full and read-only folders, clocks that step, and two processes."""
+"""Tests of the snapshot file: power loss, failing and full disks, clocks that step, and two processes."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def serial(disk: Disk) -> int | None:
-    """Of the snapshot that is found, after its age; None: none, refused cleanly."""
+    """The serial number of the snapshot that is found; None if there is no usable one."""
     found, _, _ = load(Store(PATH, disk), "n0", LATER)
     return None if found is None else found.age_us
 
 
-def test_stopped_after_every_step_each_load_is_the_last_or_the_one_before() -> None:
-    """Every byte, write, sync and rename of the third write is the last; then unsynced parts are lost in many ways."""
+def test_after_an_interruption_at_any_step_the_last_or_previous_snapshot_is_loaded() -> None:
+    """Stops the third save at each byte, write, sync and rename, then loses unsynced parts in many ways."""
     saved = [encode(snapshot(1, serial=i)) for i in range(3)]
     whole = Disk()
     for data in saved:
@@ -47,7 +47,7 @@
             done = True
         except Stopped:
             done = False
-        assert serial(disk) in (1, 2), f"killed at step {stop}"  # a process killed: nothing that was written is lost
+        assert serial(disk) in (1, 2), f"killed at step {stop}"  # a killed process loses nothing that was written
         for seed in range(8):
             found = serial(disk.after_power_loss(random.Random(stop * 100 + seed)))
             assert found == 2 if done else found in (1, 2), f"power lost at step {stop}, seed {seed}: {found}"
@@ -55,7 +55,7 @@
     assert outcomes == {1, 2}
 
 
-def test_the_first_write_cut_off_leaves_nothing_or_all_of_it() -> None:
+def test_an_interrupted_first_write_leaves_nothing_or_all_of_it() -> None:
     data = encode(snapshot(1, serial=7))
     whole = Disk()
     Store(PATH, whole).save(data)
@@ -67,8 +67,8 @@
             assert serial(disk.after_power_loss(random.Random(stop * 100 + seed))) in (None, 7)
 
 
-def test_a_write_goes_on_from_whatever_the_last_one_left() -> None:
-    """Cut off at any step, started again, cut off again."""
+def test_a_save_succeeds_whatever_an_interrupted_one_left() -> None:
+    """Interrupted at a random step, restarted and interrupted again."""
     saved = [encode(snapshot(1, serial=i)) for i in range(4)]
     rng = random.Random(5)
     for case in range(300):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("what", ["write", "sync", "rename", "sync_folder"])
-def test_a_failing_disk_leaves_what_was_there(what: str) -> None:
+def test_a_failing_disk_keeps_the_previous_snapshot(what: str) -> None:
     disk = Disk()
     Store(PATH, disk).save(encode(snapshot(1, serial=1)))
     disk.fail[what] = OSError(5, "Input/output error")
@@ -97,7 +97,7 @@
         assert serial(disk.after_power_loss(random.Random(seed))) in (1, 2)
 
 
-def test_a_full_disk_leaves_what_was_there_at_every_byte() -> None:
+def test_a_disk_full_at_any_byte_keeps_the_previous_snapshot() -> None:
     disk = Disk()
     Store(PATH, disk).save(encode(snapshot(1, serial=1)))
     data = encode(snapshot(1, serial=2))
@@ -111,7 +111,7 @@
     assert serial(disk) == 2
 
 
-def test_a_real_folder_gives_back_what_was_written(tmp_path: Path) -> None:
+def test_a_real_folder_returns_what_was_saved(tmp_path: Path) -> None:
     path = path_for(tmp_path / "deep" / "er", "a/../b c")
     assert path.parent == tmp_path / "deep" / "er"
     store = Store(path)
@@ -126,11 +126,11 @@
 
 
 @pytest.mark.parametrize(("name", "moment", "words"), [
-    ("n1", LATER, "expected what 'n1' learned, got another sidecar's, 'n0'"),
+    ("n1", LATER, "expected what 'n1' learned, got that of another sidecar, 'n0'"),
     ("n0", replace(NOW, running_us=NOW.running_us - 1_500_000), "a time in the future, by 1.5 s of the machine's"),
     ("n0", Moment("boot-b", 5, NOW.wall_us - 60_000_000), "a time in the future, by 60.0 s; the clock stepped back"),
 ])
-def test_both_generations_are_refused_with_a_line_each(tmp_path: Path, name: str, moment: Moment, words: str) -> None:
+def test_both_generations_are_rejected_with_a_line_each(tmp_path: Path, name: str, moment: Moment, words: str) -> None:
     store = Store(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
@@ -148,7 +148,7 @@
     assert found is not None and found.age_us == 0 and "expected it to begin with" in lines[0]
 
 
-def test_whatever_lies_under_its_name_is_one_line(tmp_path: Path) -> None:
+def test_a_pipe_a_folder_or_a_huge_file_under_the_name_is_rejected_with_one_line(tmp_path: Path) -> None:
     store = Store(tmp_path / "n0.learned")
     os.mkfifo(store.current)
     os.mkdir(store.previous)
@@ -160,7 +160,7 @@
     assert f"expected {MAX_BYTES} bytes at most" in load(store, "n0", LATER)[2][0]
 
 
-def test_a_link_under_the_name_of_the_write_leads_nowhere(tmp_path: Path) -> None:
+def test_a_symbolic_link_under_the_temporary_name_is_not_followed(tmp_path: Path) -> None:
     victim = tmp_path / "victim"
     victim.write_text("mine")
     store = Store(tmp_path / "n0.learned")
@@ -170,7 +170,7 @@
     assert victim.read_text() == "mine"
 
 
-def test_within_one_boot_the_running_time_counts_and_a_step_is_told() -> None:
+def test_within_one_boot_the_running_time_counts_and_a_step_is_reported() -> None:
     back = replace(LATER, wall_us=LATER.wall_us - 3_600_000_000)
     assert between(NOW, back) == (2_000_000, "the clock stepped by -3600.0 s since")
     ahead = replace(LATER, wall_us=LATER.wall_us + 86_400_000_000)
@@ -185,7 +185,7 @@
         between(NOW, Moment("boot-b", 9 * 10**12, NOW.wall_us - 1))
 
 
-def test_one_process_has_the_file_and_the_kernel_frees_it(tmp_path: Path) -> None:
+def test_only_one_process_holds_the_lock(tmp_path: Path) -> None:
     first, second = Store(tmp_path / "n0.learned"), Store(tmp_path / "n0.learned")
     assert first.acquire() and first.acquire() and not second.acquire()
     first.release()
@@ -211,7 +211,7 @@
 
 
 def test_killed_at_random_instants_while_it_writes(tmp_path: Path) -> None:
-    """KILLS processes, each killed within its writes; thousands: `python -m bench.learned kills`."""
+    """Kills KILLS processes, each while it saves. For thousands of them: `python -m bench.learned kills`."""
     seed = int(os.environ.get("KILLS_SEED", "1"))
     print("seed", seed)
     rng, path, last = random.Random(seed), tmp_path / "n0.learned", 0
@@ -226,7 +226,7 @@
         child.wait()
         found, _, lines = load(Store(path), "n0", LATER)
         acknowledged = max([last, *told])
-        # a save that was acknowledged is found, or the one that had begun after it
+        # the last acknowledged save is found, or the one that had begun after it
         assert lines == []
         assert (found.age_us if found is not None else 0) in (acknowledged, acknowledged + 1)
         last = found.age_us if found is not None else 0
