--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -23,7 +23,7 @@
 
 MAGIC = b"ISLEARN\n"
 VERSION = 2
-HEADER_BYTES, DIGEST = len(MAGIC) + 2 + 4, 16
+HEADER_BYTES, DIGEST_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 4 << 20
 MOST_UPSTREAMS, MOST_CLASSES, MOST_TENANTS = 10_000, 256, 1_000
 MAX_NAME = 256
@@ -104,7 +104,7 @@
 def assemble(lines: Sequence[bytes], version: int = VERSION) -> bytes:
     body = b"\n".join(lines)
     head = MAGIC + version.to_bytes(2) + len(body).to_bytes(4) + body
-    return head + blake2b(head, digest_size=DIGEST).digest()
+    return head + blake2b(head, digest_size=DIGEST_BYTES).digest()
 
 
 def encoding(snapshot: Snapshot) -> Generator[None, None, bytes]:
@@ -190,17 +190,17 @@
         raise CodecError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
     if data[:len(MAGIC)] != MAGIC[:len(data)] or len(data) < len(MAGIC):
         raise CodecError(f"expected it to begin with {MAGIC!r}, got {data[:len(MAGIC)]!r}")
-    if len(data) < HEADER_BYTES + DIGEST:
-        raise CodecError(f"expected {HEADER_BYTES + DIGEST} bytes or more, got {len(data)}")
+    if len(data) < HEADER_BYTES + DIGEST_BYTES:
+        raise CodecError(f"expected {HEADER_BYTES + DIGEST_BYTES} bytes or more, got {len(data)}")
     version = int.from_bytes(data[len(MAGIC):len(MAGIC) + 2])
     if not 1 <= version <= VERSION:
         raise CodecError(f"expected version 1 to {VERSION}, got {version}: written by a newer program")
     size = int.from_bytes(data[HEADER_BYTES - 4:HEADER_BYTES])
-    if len(data) != HEADER_BYTES + size + DIGEST:
-        raise CodecError(f"expected {HEADER_BYTES + size + DIGEST} bytes, as its length says, got {len(data)}")
-    if blake2b(data[:-DIGEST], digest_size=DIGEST).digest() != data[-DIGEST:]:
+    if len(data) != HEADER_BYTES + size + DIGEST_BYTES:
+        raise CodecError(f"expected {HEADER_BYTES + size + DIGEST_BYTES} bytes, as its length says, got {len(data)}")
+    if blake2b(data[:-DIGEST_BYTES], digest_size=DIGEST_BYTES).digest() != data[-DIGEST_BYTES:]:
         raise CodecError("expected its checksum to fit, got another: it is damaged")
-    return version, data[HEADER_BYTES:-DIGEST]
+    return version, data[HEADER_BYTES:-DIGEST_BYTES]
 
 
 def migrated(version: int, header: dict[str, Any], rows: list[bytes]) -> list[bytes]:
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from ironscale.learned import codec
-from ironscale.learned.codec import DIGEST, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, line
+from ironscale.learned.codec import DIGEST_BYTES, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, line
 from tests.learned.samples import lesson, snapshot
 
 WHOLE = encode(snapshot())
 
 
 def body() -> list[bytes]:
-    return WHOLE[HEADER_BYTES:-DIGEST].split(b"\n")
+    return WHOLE[HEADER_BYTES:-DIGEST_BYTES].split(b"\n")
 
 
 def changed(change: Callable[[Any], Any], at: int = 0) -> bytes:
