--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -25,7 +25,7 @@
 VERSION = 2
 HEADER_BYTES, DIGEST_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 4 << 20
-MOST_UPSTREAMS, MOST_CLASSES, MOST_TENANTS = 10_000, 256, 1_000
+MAX_UPSTREAMS, MOST_CLASSES, MOST_TENANTS = 10_000, 256, 1_000
 MAX_NAME = 256
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
 LONGEST_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
@@ -228,7 +228,7 @@
     rows = migrated(version, header, rows)
     if header.keys() != KEYS:
         _wrong("header", f"the keys {', '.join(sorted(KEYS))}", ", ".join(sorted(header)))
-    if _whole(header["upstreams"], "header.upstreams", MOST_UPSTREAMS) != len(rows):
+    if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
         _wrong("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[NamedLesson] = []
     for start in range(0, len(rows), SLICE):
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -18,7 +18,7 @@
     MAX_TIME_US,
     MOST_CLASSES,
     MOST_TENANTS,
-    MOST_UPSTREAMS,
+    MAX_UPSTREAMS,
     SLICE,
     CodecError,
     NamedLesson,
@@ -82,8 +82,8 @@
                 if pool is not None and is_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
                     found.append(named(lesson, pool.member.name, told_us))
             yield
-        if len(found) > MOST_UPSTREAMS:
-            found = sorted(found, key=lambda one: one.age_us)[:MOST_UPSTREAMS]
+        if len(found) > MAX_UPSTREAMS:
+            found = sorted(found, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
         whole = learned_state(balancer, [])
         return Snapshot(
             sidecar.config.name, taken, told_us - self.started_us, resting=balancer.window.slots < 1.0,
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -131,6 +131,6 @@
 
 def test_the_largest_snapshot_fits_the_size_limit() -> None:
     long = tuple(lesson(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.LONGEST_US, slots=1e6)
-                 for i in range(codec.MOST_UPSTREAMS))
+                 for i in range(codec.MAX_UPSTREAMS))
     data = encode(snapshot(0, upstreams=long))
-    assert len(data) < codec.MAX_BYTES and len(decode(data).upstreams) == codec.MOST_UPSTREAMS
+    assert len(data) < codec.MAX_BYTES and len(decode(data).upstreams) == codec.MAX_UPSTREAMS
