--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -16,7 +16,7 @@
 from ironscale.learned.codec import (
     MAX_BYTES,
     MAX_TIME_US,
-    MOST_CLASSES,
+    MAX_CLASSES,
     MOST_TENANTS,
     MAX_UPSTREAMS,
     SLICE,
@@ -90,7 +90,7 @@
             cut_off=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
             slots=whole.slots, age_us=max(0, told_us - whole.confirmed_us) if whole.confirmed_us else 0,
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
-                          for c in whole.classes[:MOST_CLASSES] if is_name(c.name)),
+                          for c in whole.classes[:MAX_CLASSES] if is_name(c.name)),
             tenants=tuple(t for t in whole.tenants[:MOST_TENANTS] if is_name(t[0])),
             ages=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
