--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -25,7 +25,7 @@
 VERSION = 2
 HEADER_BYTES, DIGEST_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 4 << 20
-MAX_UPSTREAMS, MAX_CLASSES, MOST_TENANTS = 10_000, 256, 1_000
+MAX_UPSTREAMS, MAX_CLASSES, MAX_TENANTS = 10_000, 256, 1_000
 MAX_NAME = 256
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
 LONGEST_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
@@ -252,7 +252,7 @@
                float(_whole(base, "header.classes.base", LONGEST_US, 1)))
               for name, age_us, mean, base in _rows(header["classes"], "header.classes", MAX_CLASSES, 4)),
         tuple((_name(name, "header.tenants.name"), _whole(share, "header.tenants.share", 10**6) / 1e6)
-              for name, share in _rows(header["tenants"], "header.tenants", MOST_TENANTS, 2)),
+              for name, share in _rows(header["tenants"], "header.tenants", MAX_TENANTS, 2)),
         tuple(_whole(share, "header.ages", 10**6) / 1e6 for share in header["ages"]), tuple(upstreams))
 
 
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -17,7 +17,7 @@
     MAX_BYTES,
     MAX_TIME_US,
     MAX_CLASSES,
-    MOST_TENANTS,
+    MAX_TENANTS,
     MAX_UPSTREAMS,
     SLICE,
     CodecError,
@@ -91,7 +91,7 @@
             slots=whole.slots, age_us=max(0, told_us - whole.confirmed_us) if whole.confirmed_us else 0,
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MAX_CLASSES] if is_name(c.name)),
-            tenants=tuple(t for t in whole.tenants[:MOST_TENANTS] if is_name(t[0])),
+            tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_name(t[0])),
             ages=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
