--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -26,7 +26,7 @@
 HEADER_BYTES, DIGEST_BYTES = len(MAGIC) + 2 + 4, 16
 MAX_BYTES = 4 << 20
 MAX_UPSTREAMS, MAX_CLASSES, MAX_TENANTS = 10_000, 256, 1_000
-MAX_NAME = 256
+MAX_NAME_LENGTH = 256
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
 LONGEST_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
 MOST_MILLIONTHS = 10**12
@@ -135,12 +135,12 @@
 
 
 def is_name(value: Any, least: int = 1) -> bool:
-    return type(value) is str and least <= len(value) <= MAX_NAME and value.isprintable()
+    return type(value) is str and least <= len(value) <= MAX_NAME_LENGTH and value.isprintable()
 
 
 def _name(value: Any, where: str, least: int = 1) -> str:
     if not is_name(value, least):
-        _wrong(where, f"{least} to {MAX_NAME} printable characters", value)
+        _wrong(where, f"{least} to {MAX_NAME_LENGTH} printable characters", value)
     return str(value)
 
 
