--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -28,7 +28,7 @@
 MAX_UPSTREAMS, MAX_CLASSES, MAX_TENANTS = 10_000, 256, 1_000
 MAX_NAME_LENGTH = 256
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
-LONGEST_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
+MAX_AGE_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
 MOST_MILLIONTHS = 10**12
 SLICE = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
 AGES = 65
@@ -173,9 +173,9 @@
     name, started_us, age_us, slots, least_us, failing, mute, cold_for_us, first_hand = row
     return NamedLesson(
         _name(name, f"{where}.name"), _whole(started_us, f"{where}.started_us", MAX_TIME_US),
-        _whole(age_us, f"{where}.age_us", LONGEST_US),
+        _whole(age_us, f"{where}.age_us", MAX_AGE_US),
         _whole(slots, f"{where}.slots", MOST_MILLIONTHS, 1) / 1e6,
-        _whole(least_us, f"{where}.least_us", LONGEST_US), _flag(failing, f"{where}.failing"),
+        _whole(least_us, f"{where}.least_us", MAX_AGE_US), _flag(failing, f"{where}.failing"),
         _whole(mute, f"{where}.mute", 64, 1), _whole(cold_for_us, f"{where}.cold_for_us", 3_600_000_000),
         _flag(first_hand, f"{where}.first_hand"))
 
@@ -246,10 +246,10 @@
         _name(header["name"], "header.name"), taken, _whole(header["up_us"], "header.up_us", MAX_TIME_US),
         _flag(header["resting"], "header.resting"), _flag(header["cut_off"], "header.cut_off"),
         _name(header["zone"], "header.zone", 0), _whole(header["slots"], "header.slots", MOST_MILLIONTHS) / 1e6,
-        _whole(header["age_us"], "header.age_us", LONGEST_US),
-        tuple((_name(name, "header.classes.name"), _whole(age_us, "header.classes.age_us", LONGEST_US),
-               float(_whole(mean, "header.classes.mean", LONGEST_US, 1)),
-               float(_whole(base, "header.classes.base", LONGEST_US, 1)))
+        _whole(header["age_us"], "header.age_us", MAX_AGE_US),
+        tuple((_name(name, "header.classes.name"), _whole(age_us, "header.classes.age_us", MAX_AGE_US),
+               float(_whole(mean, "header.classes.mean", MAX_AGE_US, 1)),
+               float(_whole(base, "header.classes.base", MAX_AGE_US, 1)))
               for name, age_us, mean, base in _rows(header["classes"], "header.classes", MAX_CLASSES, 4)),
         tuple((_name(name, "header.tenants.name"), _whole(share, "header.tenants.share", 10**6) / 1e6)
               for name, share in _rows(header["tenants"], "header.tenants", MAX_TENANTS, 2)),
@@ -279,7 +279,7 @@
 
 def named(lesson: LearnedUpstream, name: str, told_us: int) -> NamedLesson:
     def age_us_at(at_us: int) -> int:
-        return max(0, min(LONGEST_US, told_us - at_us))
+        return max(0, min(MAX_AGE_US, told_us - at_us))
 
     return NamedLesson(
         name, lesson.started_us, age_us_at(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -92,7 +92,7 @@
     (changed(put("slots", -1)), "header.slots: expected a whole number from 0"),
     (changed(put("slots", True)), "header.slots"),
     (changed(put("slots", 1.5)), "header.slots"),
-    (changed(put("age_us", codec.LONGEST_US + 1)), "header.age_us"),
+    (changed(put("age_us", codec.MAX_AGE_US + 1)), "header.age_us"),
     (changed(put("name", "")), "header.name"),
     (changed(put("name", "a\x1bb")), "header.name"),
     (changed(put("more", 1)), "the keys"),
@@ -130,7 +130,7 @@
 
 
 def test_the_largest_snapshot_fits_the_size_limit() -> None:
-    long = tuple(lesson(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.LONGEST_US, slots=1e6)
+    long = tuple(lesson(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.MAX_AGE_US, slots=1e6)
                  for i in range(codec.MAX_UPSTREAMS))
     data = encode(snapshot(0, upstreams=long))
     assert len(data) < codec.MAX_BYTES and len(decode(data).upstreams) == codec.MAX_UPSTREAMS
