--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -29,7 +29,7 @@
 MAX_NAME_LENGTH = 256
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
 MAX_AGE_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
-MOST_MILLIONTHS = 10**12
+MAX_MILLIONTHS = 10**12
 SLICE = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
 AGES = 65
 T = TypeVar("T")
@@ -76,7 +76,7 @@
 
 
 def millionths(value: float) -> int:
-    return max(0, min(MOST_MILLIONTHS, round(value * 1e6)))
+    return max(0, min(MAX_MILLIONTHS, round(value * 1e6)))
 
 
 def line(value: Any) -> bytes:
@@ -174,7 +174,7 @@
     return NamedLesson(
         _name(name, f"{where}.name"), _whole(started_us, f"{where}.started_us", MAX_TIME_US),
         _whole(age_us, f"{where}.age_us", MAX_AGE_US),
-        _whole(slots, f"{where}.slots", MOST_MILLIONTHS, 1) / 1e6,
+        _whole(slots, f"{where}.slots", MAX_MILLIONTHS, 1) / 1e6,
         _whole(least_us, f"{where}.least_us", MAX_AGE_US), _flag(failing, f"{where}.failing"),
         _whole(mute, f"{where}.mute", 64, 1), _whole(cold_for_us, f"{where}.cold_for_us", 3_600_000_000),
         _flag(first_hand, f"{where}.first_hand"))
@@ -245,7 +245,7 @@
     return Snapshot(
         _name(header["name"], "header.name"), taken, _whole(header["up_us"], "header.up_us", MAX_TIME_US),
         _flag(header["resting"], "header.resting"), _flag(header["cut_off"], "header.cut_off"),
-        _name(header["zone"], "header.zone", 0), _whole(header["slots"], "header.slots", MOST_MILLIONTHS) / 1e6,
+        _name(header["zone"], "header.zone", 0), _whole(header["slots"], "header.slots", MAX_MILLIONTHS) / 1e6,
         _whole(header["age_us"], "header.age_us", MAX_AGE_US),
         tuple((_name(name, "header.classes.name"), _whole(age_us, "header.classes.age_us", MAX_AGE_US),
                float(_whole(mean, "header.classes.mean", MAX_AGE_US, 1)),
