--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -30,7 +30,7 @@
 MAX_TIME_US = 2**53  # larger integers lose precision in JSON readers that use floating point
 MAX_AGE_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
 MAX_MILLIONTHS = 10**12
-SLICE = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
+UPSTREAMS_PER_STEP = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
 AGES = 65
 T = TypeVar("T")
 
@@ -111,8 +111,8 @@
     """Encodes one step at each `next`, so that a long list does not block the event loop. Returns the bytes."""
     ordered = sorted(snapshot.upstreams, key=lambda one: one.name)
     lines = [header_line(snapshot)]
-    for start in range(0, len(ordered), SLICE):
-        lines += map(upstream_line, ordered[start:start + SLICE])
+    for start in range(0, len(ordered), UPSTREAMS_PER_STEP):
+        lines += map(upstream_line, ordered[start:start + UPSTREAMS_PER_STEP])
         yield
     return assemble(lines)
 
@@ -231,8 +231,8 @@
     if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
         _wrong("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[NamedLesson] = []
-    for start in range(0, len(rows), SLICE):
-        upstreams += [_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + SLICE])]
+    for start in range(0, len(rows), UPSTREAMS_PER_STEP):
+        upstreams += [_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
         yield
     names = [one.name for one in upstreams]
     if any(a >= b for a, b in zip(names, names[1:], strict=False)):
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -19,7 +19,7 @@
     MAX_CLASSES,
     MAX_TENANTS,
     MAX_UPSTREAMS,
-    SLICE,
+    UPSTREAMS_PER_STEP,
     CodecError,
     NamedLesson,
     Snapshot,
@@ -75,8 +75,8 @@
         told_us, taken = sidecar.clock.now_us(), now(self.boot)
         idents = list(balancer.upstreams)
         found: list[NamedLesson] = []
-        for start in range(0, len(idents), SLICE):
-            for lesson in learned_state(balancer, idents[start:start + SLICE]).upstreams:
+        for start in range(0, len(idents), UPSTREAMS_PER_STEP):
+            for lesson in learned_state(balancer, idents[start:start + UPSTREAMS_PER_STEP]).upstreams:
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
                 # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
                 if pool is not None and is_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
