--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -31,7 +31,7 @@
 MAX_AGE_US = 400 * 86_400_000_000  # 400 days; larger ages are rejected
 MAX_MILLIONTHS = 10**12
 UPSTREAMS_PER_STEP = 10  # upstreams encoded or decoded in one step, which takes about 0.1 ms
-AGES = 65
+IDLE_TIME_BUCKETS = 65
 T = TypeVar("T")
 
 
@@ -207,7 +207,7 @@
     """Converts the body of version 1 to version 2. Version 1 had no `ages`, no `tenants`, and did not say whether a
     sidecar had measured a value itself: all of its values count as learned from another sidecar."""
     if version == 1:
-        header.update({"ages": [0] * AGES, "tenants": []})
+        header.update({"ages": [0] * IDLE_TIME_BUCKETS, "tenants": []})
         found = []
         for i, raw in enumerate(rows):
             row = _json(raw, f"upstream {i}")
@@ -237,8 +237,8 @@
     names = [one.name for one in upstreams]
     if any(a >= b for a, b in zip(names, names[1:], strict=False)):
         raise CodecError("expected upstreams in the order of their names, each once, got another order")
-    if type(header["ages"]) is not list or len(header["ages"]) != AGES:
-        _wrong("header.ages", f"{AGES} shares", header["ages"])
+    if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
+        _wrong("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
     taken = Moment(_name(header["boot"], "header.boot", 0),
                    _whole(header["running_us"], "header.running_us", MAX_TIME_US),
                    _whole(header["wall_us"], "header.wall_us", MAX_TIME_US))
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ironscale.learned.codec import AGES, NamedLesson, Snapshot
+from ironscale.learned.codec import IDLE_TIME_BUCKETS, NamedLesson, Snapshot
 from ironscale.learned.timestamps import Moment
 
 NOW = Moment("boot-a", 5_000_000_000, 1_790_000_000_000_000)
@@ -23,6 +23,6 @@
     values: dict[str, object] = {
         "name": "n0", "taken": NOW, "up_us": 60_000_000, "resting": False, "cut_off": False, "zone": "a",
         "slots": 12.0, "age_us": serial, "classes": (("view", 1_000, 30_000.0, 10_000.0),),
-        "tenants": (("north", 0.25),), "ages": (0.0,) * AGES,
+        "tenants": (("north", 0.25),), "ages": (0.0,) * IDLE_TIME_BUCKETS,
         "upstreams": tuple(lesson(f"up-{i:04}") for i in range(count)), **changes}
     return Snapshot(**values)  # type: ignore[arg-type]
