--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -180,7 +180,7 @@
         _flag(first_hand, f"{where}.first_hand"))
 
 
-KEYS = {"name", "boot", "running_us", "wall_us", "up_us", "resting", "cut_off", "zone", "slots", "age_us", "classes",
+HEADER_KEYS = {"name", "boot", "running_us", "wall_us", "up_us", "resting", "cut_off", "zone", "slots", "age_us", "classes",
         "tenants", "ages", "upstreams"}
 
 
@@ -226,8 +226,8 @@
     if type(header) is not dict:
         _wrong("header", "an object", header)
     rows = migrated(version, header, rows)
-    if header.keys() != KEYS:
-        _wrong("header", f"the keys {', '.join(sorted(KEYS))}", ", ".join(sorted(header)))
+    if header.keys() != HEADER_KEYS:
+        _wrong("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
     if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
         _wrong("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[NamedLesson] = []
