--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -47,7 +47,7 @@
     started_us: int
     age_us: int
     slots: float
-    least_us: int
+    min_latency_us: int
     failing: bool
     mute: int
     cold_for_us: int  # how much longer no request is sent to it while it is cold
@@ -97,7 +97,7 @@
 
 
 def upstream_line(one: NamedLesson) -> bytes:
-    return line([one.name, one.started_us, one.age_us, millionths(one.slots), one.least_us, int(one.failing),
+    return line([one.name, one.started_us, one.age_us, millionths(one.slots), one.min_latency_us, int(one.failing),
                  one.mute, one.cold_for_us, int(one.first_hand)])
 
 
@@ -292,7 +292,7 @@
     upstream's name to its number."""
     return LearnedState(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
-        tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.least_us,
+        tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.min_latency_us,
                              one.failing, one.mute, taken_us + one.cold_for_us, one.first_hand)
               for one in snapshot.upstreams),
         tuple(LearnedClass(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
