--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -49,7 +49,7 @@
     slots: float
     min_latency_us: int
     failing: bool
-    mute: int
+    timeout_doublings: int
     cold_for_us: int  # how much longer no request is sent to it while it is cold
     first_hand: bool
 
@@ -98,7 +98,7 @@
 
 def upstream_line(one: NamedLesson) -> bytes:
     return line([one.name, one.started_us, one.age_us, millionths(one.slots), one.min_latency_us, int(one.failing),
-                 one.mute, one.cold_for_us, int(one.first_hand)])
+                 one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
 
 
 def assemble(lines: Sequence[bytes], version: int = VERSION) -> bytes:
@@ -293,7 +293,7 @@
     return LearnedState(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
         tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.min_latency_us,
-                             one.failing, one.mute, taken_us + one.cold_for_us, one.first_hand)
+                             one.failing, one.timeout_doublings, taken_us + one.cold_for_us, one.first_hand)
               for one in snapshot.upstreams),
         tuple(LearnedClass(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
         snapshot.tenants)
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -130,7 +130,7 @@
 
         def file_marks_silent_upstreams() -> bool:
             found, _, _ = load(store, "n0", now(machine_boot()))
-            return found is not None and sum(one.mute > 1 for one in found.upstreams) == 3
+            return found is not None and sum(one.timeout_doublings > 1 for one in found.upstreams) == 3
 
         try:
             async with asyncio.TaskGroup() as group:
