--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLesson:
+class UpstreamSnapshot:
     """What was learned about one upstream, named by its `instanceId`, with ages in place of absolute times."""
 
     name: str
@@ -69,7 +69,7 @@
     classes: tuple[tuple[str, int, float, float], ...]  # name, age, mean and base latency in microseconds
     tenants: tuple[tuple[str, float], ...]
     ages: tuple[float, ...]  # share of reused idle connections that failed, by bit length of the idle time
-    upstreams: tuple[NamedLesson, ...]
+    upstreams: tuple[UpstreamSnapshot, ...]
 
 
 # Writing
@@ -96,7 +96,7 @@
     })
 
 
-def upstream_line(one: NamedLesson) -> bytes:
+def upstream_line(one: UpstreamSnapshot) -> bytes:
     return line([one.name, one.started_us, one.age_us, millionths(one.slots), one.min_latency_us, int(one.failing),
                  one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
 
@@ -166,12 +166,12 @@
     return value
 
 
-def _upstream(raw: bytes, where: str) -> NamedLesson:
+def _upstream(raw: bytes, where: str) -> UpstreamSnapshot:
     row = _json(raw, where)
     if type(row) is not list or len(row) != 9:
         _wrong(where, "9 values", row)
     name, started_us, age_us, slots, least_us, failing, mute, cold_for_us, first_hand = row
-    return NamedLesson(
+    return UpstreamSnapshot(
         _name(name, f"{where}.name"), _whole(started_us, f"{where}.started_us", MAX_TIME_US),
         _whole(age_us, f"{where}.age_us", MAX_AGE_US),
         _whole(slots, f"{where}.slots", MAX_MILLIONTHS, 1) / 1e6,
@@ -230,7 +230,7 @@
         _wrong("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
     if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
         _wrong("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
-    upstreams: list[NamedLesson] = []
+    upstreams: list[UpstreamSnapshot] = []
     for start in range(0, len(rows), UPSTREAMS_PER_STEP):
         upstreams += [_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
         yield
@@ -277,11 +277,11 @@
 # Conversion from and to the balancer's types
 
 
-def named(lesson: LearnedUpstream, name: str, told_us: int) -> NamedLesson:
+def named(lesson: LearnedUpstream, name: str, told_us: int) -> UpstreamSnapshot:
     def age_us_at(at_us: int) -> int:
         return max(0, min(MAX_AGE_US, told_us - at_us))
 
-    return NamedLesson(
+    return UpstreamSnapshot(
         name, lesson.started_us, age_us_at(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
         lesson.failing, min(64, lesson.timeout_doublings),
         max(0, min(3_600_000_000, lesson.next_cold_us - told_us)), lesson.first_hand)
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -21,7 +21,7 @@
     MAX_UPSTREAMS,
     UPSTREAMS_PER_STEP,
     CodecError,
-    NamedLesson,
+    UpstreamSnapshot,
     Snapshot,
     encoding,
     is_name,
@@ -74,7 +74,7 @@
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         told_us, taken = sidecar.clock.now_us(), now(self.boot)
         idents = list(balancer.upstreams)
-        found: list[NamedLesson] = []
+        found: list[UpstreamSnapshot] = []
         for start in range(0, len(idents), UPSTREAMS_PER_STEP):
             for lesson in learned_state(balancer, idents[start:start + UPSTREAMS_PER_STEP]).upstreams:
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -4,18 +4,18 @@
 
 import random
 
-from ironscale.learned.codec import IDLE_TIME_BUCKETS, NamedLesson, Snapshot
+from ironscale.learned.codec import IDLE_TIME_BUCKETS, UpstreamSnapshot, Snapshot
 from ironscale.learned.timestamps import Moment
 
 NOW = Moment("boot-a", 5_000_000_000, 1_790_000_000_000_000)
 
 
-def lesson(name: str, rng: random.Random | None = None, **changes: object) -> NamedLesson:
+def lesson(name: str, rng: random.Random | None = None, **changes: object) -> UpstreamSnapshot:
     rng = rng or random.Random(name)
     values: dict[str, object] = {
         "name": name, "started_us": rng.randrange(10**15), "age_us": rng.randrange(10**7), "slots": 2.5,
         "least_us": rng.randrange(10**6), "failing": False, "mute": 1, "cold_for_us": 0, "first_hand": True, **changes}
-    return NamedLesson(**values)  # type: ignore[arg-type]
+    return UpstreamSnapshot(**values)  # type: ignore[arg-type]
 
 
 def snapshot(count: int = 3, serial: int = 0, **changes: object) -> Snapshot:
