--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -65,7 +65,7 @@
         "file": str(path), "version": body_of(data)[0], "bytes": len(data), "sidecar": snapshot.name,
         "written": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(snapshot.taken.wall_us / 1e6)),
         "ageSeconds": None if age_us is None else round(age_us / 1e6, 3), "note": note,
-        "upSeconds": round(snapshot.up_us / 1e6, 3), "zone": snapshot.zone, "resting": snapshot.resting,
+        "upSeconds": round(snapshot.uptime_us / 1e6, 3), "zone": snapshot.zone, "resting": snapshot.resting,
         "cutOff": snapshot.cut_off, "slots": snapshot.slots,
         "classes": [{"name": name, "ageSeconds": round(since / 1e6, 3), "meanMs": mean / 1e3, "leastMs": base / 1e3}
                     for name, since, mean, base in snapshot.classes],
@@ -100,7 +100,7 @@
         out.print(found["note"], markup=False)
     state = ", ".join(text for text, on in (("resting", found["resting"]), ("cut off from discovery", found["cutOff"]))
                       if on) or "well"
-    out.print(f"zone {found['zone'] or '-'}; it had run for {span(snapshot.up_us)}, {state}; "
+    out.print(f"zone {found['zone'] or '-'}; it had run for {span(snapshot.uptime_us)}, {state}; "
               f"{found['slots']:.1f} slots", markup=False)
     out.print(table(("CLASS", "AGE", "MEAN MS", "LEAST MS"), [
         (c["name"], span(int(c["ageSeconds"] * 1e6)), f"{c['meanMs']:.1f}", f"{c['leastMs']:.1f}")
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -60,7 +60,7 @@
 
     name: str  # the sidecar's
     taken: Moment
-    up_us: int  # the sidecar's uptime
+    uptime_us: int  # the sidecar's uptime
     resting: bool
     cut_off: bool  # the last discovery call had failed
     zone: str
@@ -87,7 +87,7 @@
     """The first line of the body: everything except the upstreams."""
     return line({
         "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
-        "wall_us": snapshot.taken.wall_us, "up_us": snapshot.up_us, "resting": int(snapshot.resting),
+        "wall_us": snapshot.taken.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
         "cut_off": int(snapshot.cut_off), "zone": snapshot.zone, "slots": millionths(snapshot.slots),
         "age_us": snapshot.age_us,
         "classes": [[name, age_us, round(mean), round(base)] for name, age_us, mean, base in snapshot.classes],
