--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -68,7 +68,7 @@
     age_us: int  # age of `slots` and `zone`, which describe the sidecar itself
     classes: tuple[tuple[str, int, float, float], ...]  # name, age, mean and base latency in microseconds
     tenants: tuple[tuple[str, float], ...]
-    ages: tuple[float, ...]  # share of reused idle connections that failed, by bit length of the idle time
+    idle_failure_shares: tuple[float, ...]  # share of reused idle connections that failed, by bit length of the idle time
     upstreams: tuple[UpstreamSnapshot, ...]
 
 
@@ -92,7 +92,7 @@
         "age_us": snapshot.age_us,
         "classes": [[name, age_us, round(mean), round(base)] for name, age_us, mean, base in snapshot.classes],
         "tenants": [[name, millionths(share)] for name, share in snapshot.tenants],
-        "ages": [millionths(share) for share in snapshot.ages], "upstreams": len(snapshot.upstreams),
+        "ages": [millionths(share) for share in snapshot.idle_failure_shares], "upstreams": len(snapshot.upstreams),
     })
 
 
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -92,7 +92,7 @@
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MAX_CLASSES] if is_name(c.name)),
             tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_name(t[0])),
-            ages=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
+            idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
         snapshot = await in_slices(self.collecting(), self.spent)
@@ -140,7 +140,7 @@
             for text in lines:
                 self.log(text)
             if snapshot is not None:
-                self.sidecar.upstreams.idle_failures.restore(snapshot.ages, age_us)
+                self.sidecar.upstreams.idle_failures.restore(snapshot.idle_failure_shares, age_us)
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -124,7 +124,7 @@
     old = assemble([line(header), *(line(json.loads(raw)[:8]) for raw in body()[1:])], 1)
     found = decode(old)
     assert [one.first_hand for one in found.upstreams] == [False] * 3
-    assert found.ages == (0.0,) * codec.IDLE_TIME_BUCKETS and found.tenants == ()
+    assert found.idle_failure_shares == (0.0,) * codec.IDLE_TIME_BUCKETS and found.tenants == ()
     assert [one.slots for one in found.upstreams] == [2.5] * 3
     assert "upstream 0: expected 8 values" in refusal(assemble(body(), 1))
 
