--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -66,7 +66,7 @@
         "written": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(snapshot.taken.wall_us / 1e6)),
         "ageSeconds": None if age_us is None else round(age_us / 1e6, 3), "note": note,
         "upSeconds": round(snapshot.uptime_us / 1e6, 3), "zone": snapshot.zone, "resting": snapshot.resting,
-        "cutOff": snapshot.cut_off, "slots": snapshot.slots,
+        "cutOff": snapshot.discovery_failed, "slots": snapshot.slots,
         "classes": [{"name": name, "ageSeconds": round(since / 1e6, 3), "meanMs": mean / 1e3, "leastMs": base / 1e3}
                     for name, since, mean, base in snapshot.classes],
         "tenants": dict(snapshot.tenants),
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -62,7 +62,7 @@
     taken: Moment
     uptime_us: int  # the sidecar's uptime
     resting: bool
-    cut_off: bool  # the last discovery call had failed
+    discovery_failed: bool  # the last discovery call had failed
     zone: str
     slots: float
     age_us: int  # age of `slots` and `zone`, which describe the sidecar itself
@@ -88,7 +88,7 @@
     return line({
         "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
         "wall_us": snapshot.taken.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
-        "cut_off": int(snapshot.cut_off), "zone": snapshot.zone, "slots": millionths(snapshot.slots),
+        "cut_off": int(snapshot.discovery_failed), "zone": snapshot.zone, "slots": millionths(snapshot.slots),
         "age_us": snapshot.age_us,
         "classes": [[name, age_us, round(mean), round(base)] for name, age_us, mean, base in snapshot.classes],
         "tenants": [[name, millionths(share)] for name, share in snapshot.tenants],
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -164,7 +164,7 @@
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
             raise CodecError(f"expected upstreams of this sidecar, got {len(snapshot.upstreams)} others")
         return confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.uptime_us, snapshot.resting,
-                                snapshot.cut_off, snapshot.idle_failure_shares)
+                                snapshot.discovery_failed, snapshot.idle_failure_shares)
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
         """Returns whether learned state was received. Donors that fail, send invalid data or are late are left out."""
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -87,7 +87,7 @@
         whole = learned_state(balancer, [])
         return Snapshot(
             sidecar.config.name, taken, told_us - self.started_us, resting=balancer.window.slots < 1.0,
-            cut_off=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
+            discovery_failed=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
             slots=whole.slots, age_us=max(0, told_us - whole.confirmed_us) if whole.confirmed_us else 0,
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MAX_CLASSES] if is_name(c.name)),
