--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -239,11 +239,11 @@
         raise CodecError("expected upstreams in the order of their names, each once, got another order")
     if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
         _wrong("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
-    taken = Moment(_name(header["boot"], "header.boot", 0),
+    taken_at = Moment(_name(header["boot"], "header.boot", 0),
                    _whole(header["running_us"], "header.running_us", MAX_TIME_US),
                    _whole(header["wall_us"], "header.wall_us", MAX_TIME_US))
     return Snapshot(
-        _name(header["name"], "header.name"), taken, _whole(header["up_us"], "header.up_us", MAX_TIME_US),
+        _name(header["name"], "header.name"), taken_at, _whole(header["up_us"], "header.up_us", MAX_TIME_US),
         _flag(header["resting"], "header.resting"), _flag(header["cut_off"], "header.cut_off"),
         _name(header["zone"], "header.zone", 0), _whole(header["slots"], "header.slots", MAX_MILLIONTHS) / 1e6,
         _whole(header["age_us"], "header.age_us", MAX_AGE_US),
