--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -75,7 +75,7 @@
 # Writing
 
 
-def millionths(value: float) -> int:
+def to_millionths(value: float) -> int:
     return max(0, min(MAX_MILLIONTHS, round(value * 1e6)))
 
 
@@ -88,16 +88,16 @@
     return line({
         "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
         "wall_us": snapshot.taken.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
-        "cut_off": int(snapshot.discovery_failed), "zone": snapshot.zone, "slots": millionths(snapshot.slots),
+        "cut_off": int(snapshot.discovery_failed), "zone": snapshot.zone, "slots": to_millionths(snapshot.slots),
         "age_us": snapshot.age_us,
         "classes": [[name, age_us, round(mean), round(base)] for name, age_us, mean, base in snapshot.classes],
-        "tenants": [[name, millionths(share)] for name, share in snapshot.tenants],
-        "ages": [millionths(share) for share in snapshot.idle_failure_shares], "upstreams": len(snapshot.upstreams),
+        "tenants": [[name, to_millionths(share)] for name, share in snapshot.tenants],
+        "ages": [to_millionths(share) for share in snapshot.idle_failure_shares], "upstreams": len(snapshot.upstreams),
     })
 
 
 def upstream_line(one: UpstreamSnapshot) -> bytes:
-    return line([one.name, one.started_us, one.age_us, millionths(one.slots), one.min_latency_us, int(one.failing),
+    return line([one.name, one.started_us, one.age_us, to_millionths(one.slots), one.min_latency_us, int(one.failing),
                  one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
 
 
