--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -79,13 +79,13 @@
     return max(0, min(MAX_MILLIONTHS, round(value * 1e6)))
 
 
-def line(value: Any) -> bytes:
+def json_line(value: Any) -> bytes:
     return json.dumps(value, separators=(",", ":"), sort_keys=True, ensure_ascii=True, allow_nan=False).encode()
 
 
 def header_line(snapshot: Snapshot) -> bytes:
     """The first line of the body: everything except the upstreams."""
-    return line({
+    return json_line({
         "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
         "wall_us": snapshot.taken.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
         "cut_off": int(snapshot.discovery_failed), "zone": snapshot.zone, "slots": to_millionths(snapshot.slots),
@@ -97,7 +97,7 @@
 
 
 def upstream_line(one: UpstreamSnapshot) -> bytes:
-    return line([one.name, one.started_us, one.age_us, to_millionths(one.slots), one.min_latency_us, int(one.failing),
+    return json_line([one.name, one.started_us, one.age_us, to_millionths(one.slots), one.min_latency_us, int(one.failing),
                  one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
 
 
@@ -159,7 +159,7 @@
 
     try:
         value = json.loads(raw, parse_constant=no_constant)
-        if line(value) != raw:
+        if json_line(value) != raw:
             raise ValueError("another encoding of the same")
     except (ValueError, RecursionError) as error:
         raise CodecError(f"{where}: expected one line of canonical JSON, got {raw[:40]!r}: {error}") from error
@@ -213,7 +213,7 @@
             row = _json(raw, f"upstream {i}")
             if type(row) is not list or len(row) != 8:
                 _wrong(f"upstream {i}", "8 values", row)
-            found.append(line([*row, 0]))
+            found.append(json_line([*row, 0]))
         return found
     return rows
 
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ironscale.learned import codec
-from ironscale.learned.codec import DIGEST_BYTES, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, line
+from ironscale.learned.codec import DIGEST_BYTES, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, json_line
 from tests.learned.samples import lesson, snapshot
 
 WHOLE = encode(snapshot())
@@ -25,7 +25,7 @@
     """The snapshot with one line changed, and a valid checksum."""
     lines = body()
     value = json.loads(lines[at])
-    lines[at] = line(change(value) or value)
+    lines[at] = json_line(change(value) or value)
     return assemble(lines)
 
 
@@ -121,7 +121,7 @@
     """It had no ages, no tenants, and did not say whether a sidecar had measured a value itself."""
     header = json.loads(body()[0])
     del header["ages"], header["tenants"]
-    old = assemble([line(header), *(line(json.loads(raw)[:8]) for raw in body()[1:])], 1)
+    old = assemble([json_line(header), *(json_line(json.loads(raw)[:8]) for raw in body()[1:])], 1)
     found = decode(old)
     assert [one.first_hand for one in found.upstreams] == [False] * 3
     assert found.idle_failure_shares == (0.0,) * codec.IDLE_TIME_BUCKETS and found.tenants == ()
