--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -107,7 +107,7 @@
     return head + blake2b(head, digest_size=DIGEST_BYTES).digest()
 
 
-def encoding(snapshot: Snapshot) -> Generator[None, None, bytes]:
+def encode_steps(snapshot: Snapshot) -> Generator[None, None, bytes]:
     """Encodes one step at each `next`, so that a long list does not block the event loop. Returns the bytes."""
     ordered = sorted(snapshot.upstreams, key=lambda one: one.name)
     lines = [header_line(snapshot)]
@@ -267,7 +267,7 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    return finish(encoding(snapshot))
+    return finish(encode_steps(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -23,7 +23,7 @@
     CodecError,
     UpstreamSnapshot,
     Snapshot,
-    encoding,
+    encode_steps,
     is_name,
     lessons_of,
     named,
@@ -96,7 +96,7 @@
 
     async def collect(self) -> bytes:
         snapshot = await in_slices(self.collecting(), self.spent)
-        return await in_slices(encoding(snapshot), self.spent)
+        return await in_slices(encode_steps(snapshot), self.spent)
 
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """Converts a snapshot of the given age for this sidecar's balancer."""
