--- a/bench/learned.py
+++ b/bench/learned.py
@@ -34,7 +34,7 @@
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.codec import decode, decoding, encode_steps
+from ironscale.learned.codec import decode, decode_steps, encode_steps
 from ironscale.learned.persistence import Collector, Keeper, in_slices
 from ironscale.learned.store import Store, load, path_for
 from ironscale.net.config import parse
@@ -248,7 +248,7 @@
     data = await in_slices(encode_steps(snapshot), collector.spent)
     found["encode ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
-    await in_slices(decoding(data), collector.spent)
+    await in_slices(decode_steps(data), collector.spent)
     found["decode ms"] = (time.perf_counter() - start_s) * 1e3
     found["bytes"] = len(data)
     for what in ("quiet", "writing"):
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -218,7 +218,7 @@
     return rows
 
 
-def decoding(data: bytes) -> Generator[None, None, Snapshot]:
+def decode_steps(data: bytes) -> Generator[None, None, Snapshot]:
     """Decodes one step at each `next` and returns the whole snapshot. Raises CodecError."""
     version, body = body_of(data)
     first, *rows = body.split(b"\n")
@@ -271,7 +271,7 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    return finish(decoding(data))
+    return finish(decode_steps(data))
 
 
 # Conversion from and to the balancer's types
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 from urllib.parse import quote
 
-from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decoding, finish
+from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, finish
 from ironscale.learned.timestamps import Moment, MomentError, between
 
 MODE = 0o600
@@ -148,7 +148,7 @@
         try:
             if isinstance(data, OSError):
                 raise CodecError(f"expected a file that can be read, got {data.strerror or data}")
-            snapshot = yield from decoding(data)
+            snapshot = yield from decode_steps(data)
             if snapshot.name != name:
                 raise CodecError(f"expected what {name!r} learned, got that of another sidecar, {snapshot.name!r}")
             age_us, note = between(snapshot.taken, now)
