--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -120,13 +120,13 @@
 # Reading
 
 
-def _wrong(where: str, expected: str, got: object) -> NoReturn:
+def _raise_unexpected(where: str, expected: str, got: object) -> NoReturn:
     raise CodecError(f"{where}: expected {expected}, got {str(got)[:60]!r}")
 
 
 def _whole(value: Any, where: str, most: int, least: int = 0) -> int:
     if type(value) is not int or not least <= value <= most:
-        _wrong(where, f"a whole number from {least} to {most}", value)
+        _raise_unexpected(where, f"a whole number from {least} to {most}", value)
     return int(value)
 
 
@@ -140,16 +140,16 @@
 
 def _name(value: Any, where: str, least: int = 1) -> str:
     if not is_name(value, least):
-        _wrong(where, f"{least} to {MAX_NAME_LENGTH} printable characters", value)
+        _raise_unexpected(where, f"{least} to {MAX_NAME_LENGTH} printable characters", value)
     return str(value)
 
 
 def _rows(value: Any, where: str, most: int, width: int) -> list[list[Any]]:
     if type(value) is not list or len(value) > most:
-        _wrong(where, f"a list of {most} at most", value)
+        _raise_unexpected(where, f"a list of {most} at most", value)
     for i, row in enumerate(value):
         if type(row) is not list or len(row) != width:
-            _wrong(f"{where}[{i}]", f"{width} values", row)
+            _raise_unexpected(f"{where}[{i}]", f"{width} values", row)
     return list(value)
 
 
@@ -169,7 +169,7 @@
 def _upstream(raw: bytes, where: str) -> UpstreamSnapshot:
     row = _json(raw, where)
     if type(row) is not list or len(row) != 9:
-        _wrong(where, "9 values", row)
+        _raise_unexpected(where, "9 values", row)
     name, started_us, age_us, slots, least_us, failing, mute, cold_for_us, first_hand = row
     return UpstreamSnapshot(
         _name(name, f"{where}.name"), _whole(started_us, f"{where}.started_us", MAX_TIME_US),
@@ -212,7 +212,7 @@
         for i, raw in enumerate(rows):
             row = _json(raw, f"upstream {i}")
             if type(row) is not list or len(row) != 8:
-                _wrong(f"upstream {i}", "8 values", row)
+                _raise_unexpected(f"upstream {i}", "8 values", row)
             found.append(json_line([*row, 0]))
         return found
     return rows
@@ -224,12 +224,12 @@
     first, *rows = body.split(b"\n")
     header = _json(first, "header")
     if type(header) is not dict:
-        _wrong("header", "an object", header)
+        _raise_unexpected("header", "an object", header)
     rows = migrated(version, header, rows)
     if header.keys() != HEADER_KEYS:
-        _wrong("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
+        _raise_unexpected("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
     if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
-        _wrong("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
+        _raise_unexpected("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[UpstreamSnapshot] = []
     for start in range(0, len(rows), UPSTREAMS_PER_STEP):
         upstreams += [_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
@@ -238,7 +238,7 @@
     if any(a >= b for a, b in zip(names, names[1:], strict=False)):
         raise CodecError("expected upstreams in the order of their names, each once, got another order")
     if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
-        _wrong("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
+        _raise_unexpected("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
     taken_at = Moment(_name(header["boot"], "header.boot", 0),
                    _whole(header["running_us"], "header.running_us", MAX_TIME_US),
                    _whole(header["wall_us"], "header.wall_us", MAX_TIME_US))
