--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -124,14 +124,14 @@
     raise CodecError(f"{where}: expected {expected}, got {str(got)[:60]!r}")
 
 
-def _whole(value: Any, where: str, most: int, least: int = 0) -> int:
+def _integer(value: Any, where: str, most: int, least: int = 0) -> int:
     if type(value) is not int or not least <= value <= most:
         _raise_unexpected(where, f"a whole number from {least} to {most}", value)
     return int(value)
 
 
 def _flag(value: Any, where: str) -> bool:
-    return _whole(value, where, 1) == 1
+    return _integer(value, where, 1) == 1
 
 
 def is_name(value: Any, least: int = 1) -> bool:
@@ -172,11 +172,11 @@
         _raise_unexpected(where, "9 values", row)
     name, started_us, age_us, slots, least_us, failing, mute, cold_for_us, first_hand = row
     return UpstreamSnapshot(
-        _name(name, f"{where}.name"), _whole(started_us, f"{where}.started_us", MAX_TIME_US),
-        _whole(age_us, f"{where}.age_us", MAX_AGE_US),
-        _whole(slots, f"{where}.slots", MAX_MILLIONTHS, 1) / 1e6,
-        _whole(least_us, f"{where}.least_us", MAX_AGE_US), _flag(failing, f"{where}.failing"),
-        _whole(mute, f"{where}.mute", 64, 1), _whole(cold_for_us, f"{where}.cold_for_us", 3_600_000_000),
+        _name(name, f"{where}.name"), _integer(started_us, f"{where}.started_us", MAX_TIME_US),
+        _integer(age_us, f"{where}.age_us", MAX_AGE_US),
+        _integer(slots, f"{where}.slots", MAX_MILLIONTHS, 1) / 1e6,
+        _integer(least_us, f"{where}.least_us", MAX_AGE_US), _flag(failing, f"{where}.failing"),
+        _integer(mute, f"{where}.mute", 64, 1), _integer(cold_for_us, f"{where}.cold_for_us", 3_600_000_000),
         _flag(first_hand, f"{where}.first_hand"))
 
 
@@ -228,7 +228,7 @@
     rows = migrated(version, header, rows)
     if header.keys() != HEADER_KEYS:
         _raise_unexpected("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
-    if _whole(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
+    if _integer(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
         _raise_unexpected("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[UpstreamSnapshot] = []
     for start in range(0, len(rows), UPSTREAMS_PER_STEP):
@@ -240,20 +240,20 @@
     if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
         _raise_unexpected("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
     taken_at = Moment(_name(header["boot"], "header.boot", 0),
-                   _whole(header["running_us"], "header.running_us", MAX_TIME_US),
-                   _whole(header["wall_us"], "header.wall_us", MAX_TIME_US))
+                   _integer(header["running_us"], "header.running_us", MAX_TIME_US),
+                   _integer(header["wall_us"], "header.wall_us", MAX_TIME_US))
     return Snapshot(
-        _name(header["name"], "header.name"), taken_at, _whole(header["up_us"], "header.up_us", MAX_TIME_US),
+        _name(header["name"], "header.name"), taken_at, _integer(header["up_us"], "header.up_us", MAX_TIME_US),
         _flag(header["resting"], "header.resting"), _flag(header["cut_off"], "header.cut_off"),
-        _name(header["zone"], "header.zone", 0), _whole(header["slots"], "header.slots", MAX_MILLIONTHS) / 1e6,
-        _whole(header["age_us"], "header.age_us", MAX_AGE_US),
-        tuple((_name(name, "header.classes.name"), _whole(age_us, "header.classes.age_us", MAX_AGE_US),
-               float(_whole(mean, "header.classes.mean", MAX_AGE_US, 1)),
-               float(_whole(base, "header.classes.base", MAX_AGE_US, 1)))
+        _name(header["zone"], "header.zone", 0), _integer(header["slots"], "header.slots", MAX_MILLIONTHS) / 1e6,
+        _integer(header["age_us"], "header.age_us", MAX_AGE_US),
+        tuple((_name(name, "header.classes.name"), _integer(age_us, "header.classes.age_us", MAX_AGE_US),
+               float(_integer(mean, "header.classes.mean", MAX_AGE_US, 1)),
+               float(_integer(base, "header.classes.base", MAX_AGE_US, 1)))
               for name, age_us, mean, base in _rows(header["classes"], "header.classes", MAX_CLASSES, 4)),
-        tuple((_name(name, "header.tenants.name"), _whole(share, "header.tenants.share", 10**6) / 1e6)
+        tuple((_name(name, "header.tenants.name"), _integer(share, "header.tenants.share", 10**6) / 1e6)
               for name, share in _rows(header["tenants"], "header.tenants", MAX_TENANTS, 2)),
-        tuple(_whole(share, "header.ages", 10**6) / 1e6 for share in header["ages"]), tuple(upstreams))
+        tuple(_integer(share, "header.ages", 10**6) / 1e6 for share in header["ages"]), tuple(upstreams))
 
 
 def finish(steps: Generator[None, None, T]) -> T:
