--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -153,7 +153,7 @@
     return list(value)
 
 
-def _json(raw: bytes, where: str) -> Any:
+def _parse_json_line(raw: bytes, where: str) -> Any:
     def no_constant(name: str) -> Any:
         raise ValueError(f"{name} is no number")
 
@@ -167,7 +167,7 @@
 
 
 def _upstream(raw: bytes, where: str) -> UpstreamSnapshot:
-    row = _json(raw, where)
+    row = _parse_json_line(raw, where)
     if type(row) is not list or len(row) != 9:
         _raise_unexpected(where, "9 values", row)
     name, started_us, age_us, slots, least_us, failing, mute, cold_for_us, first_hand = row
@@ -210,7 +210,7 @@
         header.update({"ages": [0] * IDLE_TIME_BUCKETS, "tenants": []})
         found = []
         for i, raw in enumerate(rows):
-            row = _json(raw, f"upstream {i}")
+            row = _parse_json_line(raw, f"upstream {i}")
             if type(row) is not list or len(row) != 8:
                 _raise_unexpected(f"upstream {i}", "8 values", row)
             found.append(json_line([*row, 0]))
@@ -222,7 +222,7 @@
     """Decodes one step at each `next` and returns the whole snapshot. Raises CodecError."""
     version, body = body_of(data)
     first, *rows = body.split(b"\n")
-    header = _json(first, "header")
+    header = _parse_json_line(first, "header")
     if type(header) is not dict:
         _raise_unexpected("header", "an object", header)
     rows = migrated(version, header, rows)
