--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -166,7 +166,7 @@
     return value
 
 
-def _upstream(raw: bytes, where: str) -> UpstreamSnapshot:
+def _parse_upstream(raw: bytes, where: str) -> UpstreamSnapshot:
     row = _parse_json_line(raw, where)
     if type(row) is not list or len(row) != 9:
         _raise_unexpected(where, "9 values", row)
@@ -232,7 +232,7 @@
         _raise_unexpected("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[UpstreamSnapshot] = []
     for start in range(0, len(rows), UPSTREAMS_PER_STEP):
-        upstreams += [_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
+        upstreams += [_parse_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
         yield
     names = [one.name for one in upstreams]
     if any(a >= b for a, b in zip(names, names[1:], strict=False)):
