--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -134,12 +134,12 @@
     return _integer(value, where, 1) == 1
 
 
-def is_name(value: Any, least: int = 1) -> bool:
+def is_valid_name(value: Any, least: int = 1) -> bool:
     return type(value) is str and least <= len(value) <= MAX_NAME_LENGTH and value.isprintable()
 
 
 def _name(value: Any, where: str, least: int = 1) -> str:
-    if not is_name(value, least):
+    if not is_valid_name(value, least):
         _raise_unexpected(where, f"{least} to {MAX_NAME_LENGTH} printable characters", value)
     return str(value)
 
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -24,7 +24,7 @@
     UpstreamSnapshot,
     Snapshot,
     encode_steps,
-    is_name,
+    is_valid_name,
     lessons_of,
     named,
 )
@@ -79,7 +79,7 @@
             for lesson in learned_state(balancer, idents[start:start + UPSTREAMS_PER_STEP]).upstreams:
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
                 # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
-                if pool is not None and is_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
+                if pool is not None and is_valid_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
                     found.append(named(lesson, pool.member.name, told_us))
             yield
         if len(found) > MAX_UPSTREAMS:
@@ -90,8 +90,8 @@
             discovery_failed=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
             slots=whole.slots, age_us=max(0, told_us - whole.confirmed_us) if whole.confirmed_us else 0,
             classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
-                          for c in whole.classes[:MAX_CLASSES] if is_name(c.name)),
-            tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_name(t[0])),
+                          for c in whole.classes[:MAX_CLASSES] if is_valid_name(c.name)),
+            tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_valid_name(t[0])),
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
