--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -11,7 +11,7 @@
 from ironscale import confidence
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.learned.codec import CodecError, Snapshot, body_of, decode, lessons_of
+from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, lessons_of
 from ironscale.learned.store import OsFiles, Store
 from ironscale.learned.timestamps import MomentError, between, machine_boot, now
 
@@ -62,7 +62,7 @@
             faded = confidence.decayed_lesson(one, now_us)
             worth[names[one.id]] = round(faded.slots, 3) if faded is not None else None
     return {
-        "file": str(path), "version": body_of(data)[0], "bytes": len(data), "sidecar": snapshot.name,
+        "file": str(path), "version": unpack_body(data)[0], "bytes": len(data), "sidecar": snapshot.name,
         "written": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(snapshot.taken.wall_us / 1e6)),
         "ageSeconds": None if age_us is None else round(age_us / 1e6, 3), "note": note,
         "upSeconds": round(snapshot.uptime_us / 1e6, 3), "zone": snapshot.zone, "resting": snapshot.resting,
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -184,7 +184,7 @@
         "tenants", "ages", "upstreams"}
 
 
-def body_of(data: bytes) -> tuple[int, bytes]:
+def unpack_body(data: bytes) -> tuple[int, bytes]:
     """Checks size, magic, version, length and checksum, and returns the version and the body. Raises CodecError."""
     if len(data) > MAX_BYTES:
         raise CodecError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
@@ -220,7 +220,7 @@
 
 def decode_steps(data: bytes) -> Generator[None, None, Snapshot]:
     """Decodes one step at each `next` and returns the whole snapshot. Raises CodecError."""
-    version, body = body_of(data)
+    version, body = unpack_body(data)
     first, *rows = body.split(b"\n")
     header = _parse_json_line(first, "header")
     if type(header) is not dict:
