--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -203,7 +203,7 @@
     return version, data[HEADER_BYTES:-DIGEST_BYTES]
 
 
-def migrated(version: int, header: dict[str, Any], rows: list[bytes]) -> list[bytes]:
+def migrate_rows(version: int, header: dict[str, Any], rows: list[bytes]) -> list[bytes]:
     """Converts the body of version 1 to version 2. Version 1 had no `ages`, no `tenants`, and did not say whether a
     sidecar had measured a value itself: all of its values count as learned from another sidecar."""
     if version == 1:
@@ -225,7 +225,7 @@
     header = _parse_json_line(first, "header")
     if type(header) is not dict:
         _raise_unexpected("header", "an object", header)
-    rows = migrated(version, header, rows)
+    rows = migrate_rows(version, header, rows)
     if header.keys() != HEADER_KEYS:
         _raise_unexpected("header", f"the keys {', '.join(sorted(HEADER_KEYS))}", ", ".join(sorted(header)))
     if _integer(header["upstreams"], "header.upstreams", MAX_UPSTREAMS) != len(rows):
