--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -256,7 +256,7 @@
         tuple(_integer(share, "header.ages", 10**6) / 1e6 for share in header["ages"]), tuple(upstreams))
 
 
-def finish(steps: Generator[None, None, T]) -> T:
+def run_steps(steps: Generator[None, None, T]) -> T:
     """Runs a generator to its end and returns its value."""
     while True:
         try:
@@ -267,11 +267,11 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    return finish(encode_steps(snapshot))
+    return run_steps(encode_steps(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
-    return finish(decode_steps(data))
+    return run_steps(decode_steps(data))
 
 
 # Conversion from and to the balancer's types
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 from urllib.parse import quote
 
-from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, finish
+from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, run_steps
 from ironscale.learned.timestamps import Moment, MomentError, between
 
 MODE = 0o600
@@ -162,4 +162,4 @@
 
 
 def load(store: Store, name: str, now: Moment) -> tuple[Snapshot | None, int, list[str]]:
-    return finish(choose(store.read(), name, now))
+    return run_steps(choose(store.read(), name, now))
