--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -277,7 +277,7 @@
 # Conversion from and to the balancer's types
 
 
-def named(lesson: LearnedUpstream, name: str, told_us: int) -> UpstreamSnapshot:
+def upstream_snapshot(lesson: LearnedUpstream, name: str, told_us: int) -> UpstreamSnapshot:
     def age_us_at(at_us: int) -> int:
         return max(0, min(MAX_AGE_US, told_us - at_us))
 
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -26,7 +26,7 @@
     encode_steps,
     is_valid_name,
     lessons_of,
-    named,
+    upstream_snapshot,
 )
 from ironscale.learned.store import Store, choose
 from ironscale.learned.timestamps import machine_boot, now
@@ -80,7 +80,7 @@
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
                 # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
                 if pool is not None and is_valid_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
-                    found.append(named(lesson, pool.member.name, told_us))
+                    found.append(upstream_snapshot(lesson, pool.member.name, told_us))
             yield
         if len(found) > MAX_UPSTREAMS:
             found = sorted(found, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
