--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -11,7 +11,7 @@
 from ironscale import confidence
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, lessons_of
+from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, to_learned_state
 from ironscale.learned.store import OsFiles, Store
 from ironscale.learned.timestamps import MomentError, between, machine_boot, now
 
@@ -58,7 +58,7 @@
     now_us = 2**60
     worth: dict[str, float | None] = {}
     if age_us is not None:
-        for one in lessons_of(snapshot, now_us - age_us, now_us, 0, number).upstreams:
+        for one in to_learned_state(snapshot, now_us - age_us, now_us, 0, number).upstreams:
             faded = confidence.decayed_lesson(one, now_us)
             worth[names[one.id]] = round(faded.slots, 3) if faded is not None else None
     return {
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -287,7 +287,7 @@
         max(0, min(3_600_000_000, lesson.next_cold_us - told_us)), lesson.first_hand)
 
 
-def lessons_of(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
+def to_learned_state(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
     """Converts a snapshot for the balancer. `taken_us` is when it was taken by the balancer's clock; `ident` maps an
     upstream's name to its number."""
     return LearnedState(
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -25,7 +25,7 @@
     Snapshot,
     encode_steps,
     is_valid_name,
-    lessons_of,
+    to_learned_state,
     upstream_snapshot,
 )
 from ironscale.learned.store import Store, choose
@@ -102,7 +102,7 @@
         """Converts a snapshot of the given age for this sidecar's balancer."""
         now_us = self.sidecar.clock.now_us()
         zone = self.sidecar.config.directory.zones.configured.get(snapshot.zone, -1)
-        return lessons_of(snapshot, now_us - age_us, now_us, zone, upstream_id)
+        return to_learned_state(snapshot, now_us - age_us, now_us, zone, upstream_id)
 
 
 class Keeper:
