--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-STEP_US = 2_000_000  # smaller differences between wall and running time are not reported as a step
+STEP_TOLERANCE_US = 2_000_000  # smaller differences between wall and running time are not reported as a step
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -51,7 +51,7 @@
         if passed_us < 0:
             raise MomentError(f"a time in the future, by {-passed_us / 1e6:.1f} s of the machine's running time")
         stepped_us = wall_us - passed_us
-        return passed_us, f"the clock stepped by {stepped_us / 1e6:+.1f} s since" if abs(stepped_us) > STEP_US else ""
+        return passed_us, f"the clock stepped by {stepped_us / 1e6:+.1f} s since" if abs(stepped_us) > STEP_TOLERANCE_US else ""
     if wall_us < 0:
         raise MomentError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or is not ours")
     return wall_us, ""
