--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 STEP_TOLERANCE_US = 2_000_000  # smaller differences between wall and running time are not reported as a step
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
 class MomentError(Exception):
@@ -29,7 +29,7 @@
 
 def machine_boot() -> str:
     try:
-        return BOOT_ID.read_text().strip()
+        return BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""  # an unknown boot matches no other, so the wall clock is used
 
