--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -14,7 +14,7 @@
 from urllib.parse import quote
 
 from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, run_steps
-from ironscale.learned.timestamps import Moment, MomentError, between
+from ironscale.learned.timestamps import Moment, TimestampError, between
 
 MODE = 0o600
 
@@ -152,7 +152,7 @@
             if snapshot.name != name:
                 raise CodecError(f"expected what {name!r} learned, got that of another sidecar, {snapshot.name!r}")
             age_us, note = between(snapshot.taken, now)
-        except (CodecError, MomentError) as error:
+        except (CodecError, TimestampError) as error:
             lines.append(f"{path}: {error}; not used")
             continue
         if note:
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -10,7 +10,7 @@
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
-class MomentError(Exception):
+class TimestampError(Exception):
     """A timestamp that is invalid or lies in the future; the message is a phrase."""
 
 
@@ -24,7 +24,7 @@
 
     def __post_init__(self) -> None:
         if min(self.running_us, self.wall_us) < 0:
-            raise MomentError(f"expected times of 0 or more, got {self.running_us} and {self.wall_us}")
+            raise TimestampError(f"expected times of 0 or more, got {self.running_us} and {self.wall_us}")
 
 
 def machine_boot() -> str:
@@ -49,9 +49,9 @@
     if then.boot and then.boot == later.boot:
         passed_us = later.running_us - then.running_us
         if passed_us < 0:
-            raise MomentError(f"a time in the future, by {-passed_us / 1e6:.1f} s of the machine's running time")
+            raise TimestampError(f"a time in the future, by {-passed_us / 1e6:.1f} s of the machine's running time")
         stepped_us = wall_us - passed_us
         return passed_us, f"the clock stepped by {stepped_us / 1e6:+.1f} s since" if abs(stepped_us) > STEP_TOLERANCE_US else ""
     if wall_us < 0:
-        raise MomentError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or is not ours")
+        raise TimestampError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or is not ours")
     return wall_us, ""
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -14,7 +14,7 @@
 
 from ironscale.learned.codec import MAX_BYTES, encode
 from ironscale.learned.store import Store, load, path_for
-from ironscale.learned.timestamps import Moment, MomentError, between
+from ironscale.learned.timestamps import Moment, TimestampError, between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
 from tests.learned.samples import NOW, snapshot
@@ -181,7 +181,7 @@
 def test_across_boots_the_wall_clock_counts() -> None:
     assert between(NOW, Moment("boot-b", 1, NOW.wall_us + 5)) == (5, "")
     assert between(replace(NOW, boot=""), replace(NOW, boot="", wall_us=NOW.wall_us + 7)) == (7, "")
-    with pytest.raises(MomentError, match="future"):
+    with pytest.raises(TimestampError, match="future"):
         between(NOW, Moment("boot-b", 9 * 10**12, NOW.wall_us - 1))
 
 
