--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -19,7 +19,7 @@
 from typing import Any, NoReturn, TypeVar
 
 from ironscale.interface import LearnedClass, LearnedState, LearnedUpstream
-from ironscale.learned.timestamps import Moment
+from ironscale.learned.timestamps import Timestamp
 
 MAGIC = b"ISLEARN\n"
 VERSION = 2
@@ -59,7 +59,7 @@
     """What one sidecar had learned at the time when the snapshot was taken."""
 
     name: str  # the sidecar's
-    taken: Moment
+    taken: Timestamp
     uptime_us: int  # the sidecar's uptime
     resting: bool
     discovery_failed: bool  # the last discovery call had failed
@@ -239,7 +239,7 @@
         raise CodecError("expected upstreams in the order of their names, each once, got another order")
     if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
         _raise_unexpected("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
-    taken_at = Moment(_name(header["boot"], "header.boot", 0),
+    taken_at = Timestamp(_name(header["boot"], "header.boot", 0),
                    _integer(header["running_us"], "header.running_us", MAX_TIME_US),
                    _integer(header["wall_us"], "header.wall_us", MAX_TIME_US))
     return Snapshot(
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -14,7 +14,7 @@
 from urllib.parse import quote
 
 from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, run_steps
-from ironscale.learned.timestamps import Moment, TimestampError, between
+from ironscale.learned.timestamps import Timestamp, TimestampError, between
 
 MODE = 0o600
 
@@ -139,7 +139,7 @@
         return gone
 
 
-def choose(found: list[tuple[str, bytes | OSError]], name: str, now: Moment
+def choose(found: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
            ) -> Generator[None, None, tuple[Snapshot | None, int, list[str]]]:
     """Decodes in steps, one at each `next`; returns the newest usable snapshot, its age in microseconds, and a line for
     each problem found. Without a usable snapshot it returns None and 0."""
@@ -161,5 +161,5 @@
     return None, 0, lines
 
 
-def load(store: Store, name: str, now: Moment) -> tuple[Snapshot | None, int, list[str]]:
+def load(store: Store, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
     return run_steps(choose(store.read(), name, now))
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class Timestamp:
     """One point in time on the clocks of a machine."""
 
     boot: str  # the boot id of the machine; the running time counts from this boot
@@ -34,11 +34,11 @@
         return ""  # an unknown boot matches no other, so the wall clock is used
 
 
-def now(boot: str) -> Moment:
-    return Moment(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000, time.time_ns() // 1000)
+def now(boot: str) -> Timestamp:
+    return Timestamp(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000, time.time_ns() // 1000)
 
 
-def between(then: Moment, later: Moment) -> tuple[int, str]:
+def between(then: Timestamp, later: Timestamp) -> tuple[int, str]:
     """Microseconds from `then` to `later`, and a phrase if the wall clock is known to have stepped in between.
 
     Within one boot of the machine the running time is exact. Across boots only the wall clock is available: a step
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -5,9 +5,9 @@
 import random
 
 from ironscale.learned.codec import IDLE_TIME_BUCKETS, UpstreamSnapshot, Snapshot
-from ironscale.learned.timestamps import Moment
+from ironscale.learned.timestamps import Timestamp
 
-NOW = Moment("boot-a", 5_000_000_000, 1_790_000_000_000_000)
+NOW = Timestamp("boot-a", 5_000_000_000, 1_790_000_000_000_000)
 
 
 def lesson(name: str, rng: random.Random | None = None, **changes: object) -> UpstreamSnapshot:
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -14,7 +14,7 @@
 
 from ironscale.learned.codec import MAX_BYTES, encode
 from ironscale.learned.store import Store, load, path_for
-from ironscale.learned.timestamps import Moment, TimestampError, between
+from ironscale.learned.timestamps import Timestamp, TimestampError, between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
 from tests.learned.samples import NOW, snapshot
@@ -128,9 +128,9 @@
 @pytest.mark.parametrize(("name", "moment", "words"), [
     ("n1", LATER, "expected what 'n1' learned, got that of another sidecar, 'n0'"),
     ("n0", replace(NOW, running_us=NOW.running_us - 1_500_000), "a time in the future, by 1.5 s of the machine's"),
-    ("n0", Moment("boot-b", 5, NOW.wall_us - 60_000_000), "a time in the future, by 60.0 s; the clock stepped back"),
+    ("n0", Timestamp("boot-b", 5, NOW.wall_us - 60_000_000), "a time in the future, by 60.0 s; the clock stepped back"),
 ])
-def test_both_generations_are_rejected_with_a_line_each(tmp_path: Path, name: str, moment: Moment, words: str) -> None:
+def test_both_generations_are_rejected_with_a_line_each(tmp_path: Path, name: str, moment: Timestamp, words: str) -> None:
     store = Store(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
@@ -179,10 +179,10 @@
 
 
 def test_across_boots_the_wall_clock_counts() -> None:
-    assert between(NOW, Moment("boot-b", 1, NOW.wall_us + 5)) == (5, "")
+    assert between(NOW, Timestamp("boot-b", 1, NOW.wall_us + 5)) == (5, "")
     assert between(replace(NOW, boot=""), replace(NOW, boot="", wall_us=NOW.wall_us + 7)) == (7, "")
     with pytest.raises(TimestampError, match="future"):
-        between(NOW, Moment("boot-b", 9 * 10**12, NOW.wall_us - 1))
+        between(NOW, Timestamp("boot-b", 9 * 10**12, NOW.wall_us - 1))
 
 
 def test_only_one_process_holds_the_lock(tmp_path: Path) -> None:
