--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -29,7 +29,7 @@
     upstream_snapshot,
 )
 from ironscale.learned.store import Store, choose
-from ironscale.learned.timestamps import machine_boot, now
+from ironscale.learned.timestamps import machine_boot_id, now
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.threads import run_in_thread
@@ -61,7 +61,7 @@
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
-        self.boot = machine_boot()
+        self.boot = machine_boot_id()
         self.started_us = sidecar.clock.now_us()
         self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
         self.longest_s = 0.0  # longest slice on the event loop since the start
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -27,7 +27,7 @@
             raise TimestampError(f"expected times of 0 or more, got {self.running_us} and {self.wall_us}")
 
 
-def machine_boot() -> str:
+def machine_boot_id() -> str:
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
