--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -29,7 +29,7 @@
     upstream_snapshot,
 )
 from ironscale.learned.store import Store, choose
-from ironscale.learned.timestamps import machine_boot_id, now
+from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.threads import run_in_thread
@@ -72,7 +72,7 @@
     def collecting(self) -> Generator[None, None, Snapshot]:
         """Collects the snapshot in steps, one at each `next`, and returns it."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
-        told_us, taken = sidecar.clock.now_us(), now(self.boot)
+        told_us, taken = sidecar.clock.now_us(), current_timestamp(self.boot)
         idents = list(balancer.upstreams)
         found: list[UpstreamSnapshot] = []
         for start in range(0, len(idents), UPSTREAMS_PER_STEP):
@@ -134,7 +134,7 @@
         try:
             async with asyncio.timeout(READ_S):
                 found = await run_in_thread(self.store.read)
-            moment = now(self.collector.boot)
+            moment = current_timestamp(self.collector.boot)
             snapshot, age_us, lines = await in_slices(
                 choose(found, self.sidecar.config.name, moment), self.collector.spent)
             for text in lines:
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -34,7 +34,7 @@
         return ""  # an unknown boot matches no other, so the wall clock is used
 
 
-def now(boot: str) -> Timestamp:
+def current_timestamp(boot: str) -> Timestamp:
     return Timestamp(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000, time.time_ns() // 1000)
 
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -25,7 +25,7 @@
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
 from ironscale.learned.persistence import Collector, Keeper
 from ironscale.learned.store import OsFiles, Store, load, path_for
-from ironscale.learned.timestamps import machine_boot_id, now
+from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import ControlConfig, LearnedConfig
 from ironscale.standins.discovery import listing
@@ -314,7 +314,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
-        data = encode(snapshot(0, taken=now(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         donors = [
             await liar(b"", hold=True), await liar(b"\xff" * 12), await liar(told(data)[:-3]),
             await liar(told(data, 10**9)), await liar(told(b"x" + data[1:])),
@@ -342,7 +342,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
-        data = encode(snapshot(0, taken=now(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         assert await pupil.learn([await liar(b"", hold=True), await liar(told(data))])
 
     run(test, 10)
@@ -417,7 +417,7 @@
 def test_the_extension_runs_with_a_sidecar_and_writes_at_its_end(tmp_path: Path) -> None:
     async def test() -> None:
         peers = await peers_of(2)
-        donor = await liar(told(encode(snapshot(0, taken=now(machine_boot_id()),
+        donor = await liar(told(encode(snapshot(0, taken=current_timestamp(machine_boot_id()),
                                                 upstreams=(lesson("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
@@ -425,7 +425,7 @@
             await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
             await scene.call()
-        found, _, lines = load(Store(path_for(tmp_path, "n0")), "n0", now(machine_boot_id()))
+        found, _, lines = load(Store(path_for(tmp_path, "n0")), "n0", current_timestamp(machine_boot_id()))
         assert found is not None and lines == [] and any(one.first_hand for one in found.upstreams)
 
     run(test)
@@ -515,7 +515,7 @@
 def test_learned_state_of_unknown_upstreams_is_rejected(capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        others = snapshot(0, taken=now(machine_boot_id()), upstreams=(lesson("another-service-0"),))
+        others = snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
         pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
