--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -13,7 +13,7 @@
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, to_learned_state
 from ironscale.learned.store import OsFiles, Store
-from ironscale.learned.timestamps import TimestampError, between, machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import TimestampError, elapsed_between, machine_boot_id, current_timestamp
 
 
 @click.group()
@@ -46,7 +46,7 @@
 def facts(path: Path, data: bytes, snapshot: Snapshot) -> dict[str, Any]:
     """All of it, with what each upstream's lesson is still worth now."""
     try:
-        age_us, note = between(snapshot.taken, current_timestamp(machine_boot_id()))
+        age_us, note = elapsed_between(snapshot.taken, current_timestamp(machine_boot_id()))
     except TimestampError as error:
         age_us, note = None, f"{error}; a sidecar would not use it"
     names: dict[int, str] = {}
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -14,7 +14,7 @@
 from urllib.parse import quote
 
 from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, run_steps
-from ironscale.learned.timestamps import Timestamp, TimestampError, between
+from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 
 MODE = 0o600
 
@@ -151,7 +151,7 @@
             snapshot = yield from decode_steps(data)
             if snapshot.name != name:
                 raise CodecError(f"expected what {name!r} learned, got that of another sidecar, {snapshot.name!r}")
-            age_us, note = between(snapshot.taken, now)
+            age_us, note = elapsed_between(snapshot.taken, now)
         except (CodecError, TimestampError) as error:
             lines.append(f"{path}: {error}; not used")
             continue
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -38,7 +38,7 @@
     return Timestamp(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000, time.time_ns() // 1000)
 
 
-def between(then: Timestamp, later: Timestamp) -> tuple[int, str]:
+def elapsed_between(then: Timestamp, later: Timestamp) -> tuple[int, str]:
     """Microseconds from `then` to `later`, and a phrase if the wall clock is known to have stepped in between.
 
     Within one boot of the machine the running time is exact. Across boots only the wall clock is available: a step
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -14,7 +14,7 @@
 
 from ironscale.learned.codec import MAX_BYTES, encode
 from ironscale.learned.store import Store, load, path_for
-from ironscale.learned.timestamps import Timestamp, TimestampError, between
+from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
 from tests.learned.samples import NOW, snapshot
@@ -172,17 +172,17 @@
 
 def test_within_one_boot_the_running_time_counts_and_a_step_is_reported() -> None:
     back = replace(LATER, wall_us=LATER.wall_us - 3_600_000_000)
-    assert between(NOW, back) == (2_000_000, "the clock stepped by -3600.0 s since")
+    assert elapsed_between(NOW, back) == (2_000_000, "the clock stepped by -3600.0 s since")
     ahead = replace(LATER, wall_us=LATER.wall_us + 86_400_000_000)
-    assert between(NOW, ahead) == (2_000_000, "the clock stepped by +86400.0 s since")
-    assert between(NOW, LATER) == (2_000_000, "")
+    assert elapsed_between(NOW, ahead) == (2_000_000, "the clock stepped by +86400.0 s since")
+    assert elapsed_between(NOW, LATER) == (2_000_000, "")
 
 
 def test_across_boots_the_wall_clock_counts() -> None:
-    assert between(NOW, Timestamp("boot-b", 1, NOW.wall_us + 5)) == (5, "")
-    assert between(replace(NOW, boot=""), replace(NOW, boot="", wall_us=NOW.wall_us + 7)) == (7, "")
+    assert elapsed_between(NOW, Timestamp("boot-b", 1, NOW.wall_us + 5)) == (5, "")
+    assert elapsed_between(replace(NOW, boot=""), replace(NOW, boot="", wall_us=NOW.wall_us + 7)) == (7, "")
     with pytest.raises(TimestampError, match="future"):
-        between(NOW, Timestamp("boot-b", 9 * 10**12, NOW.wall_us - 1))
+        elapsed_between(NOW, Timestamp("boot-b", 9 * 10**12, NOW.wall_us - 1))
 
 
 def test_only_one_process_holds_the_lock(tmp_path: Path) -> None:
