--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -16,7 +16,7 @@
 from ironscale.learned.codec import MAX_BYTES, CodecError, Snapshot, decode_steps, run_steps
 from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 
-MODE = 0o600
+FILE_MODE = 0o600
 
 
 class Files(Protocol):
@@ -47,7 +47,7 @@
     def write(self, path: str, data: bytes) -> None:
         # O_NOFOLLOW: a symbolic link under this name would redirect the write
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
-        handle = os.open(path, flags, MODE)
+        handle = os.open(path, flags, FILE_MODE)
         try:
             view = memoryview(data)
             while view:
@@ -90,7 +90,7 @@
         holds it. Raises OSError."""
         if self.lock is None:
             self.path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
-            handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, MODE)
+            handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
             try:
                 fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
