--- a/ironscale/agent/versions_replica.py
+++ b/ironscale/agent/versions_replica.py
@@ -14,7 +14,7 @@
 
 from ironscale.agent.store import Store, StoreError, TokenRow
 from ironscale.agent.terms import clock_ms
-from ironscale.learned.store import OsFiles
+from ironscale.learned.store import OsFileSystem
 from ironscale.versions.compacted_log import Change, View, ViewError
 from ironscale.versions.serving import Serving, Subscriber
 from ironscale.versions.snapshot import (
@@ -66,7 +66,7 @@
         self.loaded = ""  # what the file held at the start; told by one that serves it before it has the record
         self.saved: tuple[str, int, int, tuple[Token, ...]] | None = None
         self.saved_s = 0.0
-        self.files = OsFiles()
+        self.files = OsFileSystem()
 
     def age_s(self) -> float:
         """Of the view: since the record was last reached."""
--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -12,7 +12,7 @@
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, to_learned_state
-from ironscale.learned.store import OsFiles, Store
+from ironscale.learned.store import OsFileSystem, Store
 from ironscale.learned.timestamps import TimestampError, elapsed_between, machine_boot_id, current_timestamp
 
 
@@ -23,7 +23,7 @@
 
 def read(path: Path) -> tuple[bytes, Snapshot]:
     try:
-        data = OsFiles().read(str(path))
+        data = OsFileSystem().read(str(path))
     except OSError as error:
         fail(Exit.USAGE, f"{path}: expected a file that can be read, got {error.strerror}")
     if data is None:
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -35,7 +35,7 @@
         """Makes the names in the folder durable."""
 
 
-class OsFiles:
+class OsFileSystem:
     def read(self, path: str) -> bytes | None:
         try:
             # without O_NONBLOCK, a pipe or a device under that name could block for ever
@@ -82,7 +82,7 @@
     def __init__(self, path: Path, files: Files | None = None) -> None:
         self.path = path
         self.current, self.previous, self.aside = str(path), f"{path}.1", f"{path}.new"
-        self.files = files or OsFiles()
+        self.files = files or OsFileSystem()
         self.lock: int | None = None
 
     def acquire(self) -> bool:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -24,7 +24,7 @@
 from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
 from ironscale.learned.persistence import Collector, Keeper
-from ironscale.learned.store import OsFiles, Store, load, path_for
+from ironscale.learned.store import OsFileSystem, Store, load, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import ControlConfig, LearnedConfig
@@ -105,7 +105,7 @@
     run(test)
 
 
-class Blocked(OsFiles):
+class Blocked(OsFileSystem):
     """Its sync blocks until `let_go` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
@@ -147,7 +147,7 @@
     assert text.count("still being written") == 1 and "was not written within 0.2 s" in text
 
 
-class SlowRead(OsFiles):
+class SlowRead(OsFileSystem):
     def __init__(self, event: threading.Event) -> None:
         self.event = event
 
@@ -175,7 +175,7 @@
     assert "got nothing; starting without learned state" in capfd.readouterr().err
 
 
-class Failing(OsFiles):
+class Failing(OsFileSystem):
     def __init__(self, code: int) -> None:
         self.code = code
         self.tries = 0
