--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -19,7 +19,7 @@
 FILE_MODE = 0o600
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """The file system operations that the store uses. Every call may block, and may raise OSError."""
 
     def read(self, path: str) -> bytes | None:
@@ -79,7 +79,7 @@
     """Saves and reads snapshots. `path` is the last one, `path.1` the one before, `path.new` the temporary file, and
     `path.lock` the lock file."""
 
-    def __init__(self, path: Path, files: Files | None = None) -> None:
+    def __init__(self, path: Path, files: FileSystem | None = None) -> None:
         self.path = path
         self.current, self.previous, self.aside = str(path), f"{path}.1", f"{path}.new"
         self.files = files or OsFileSystem()
