--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -81,7 +81,7 @@
 
     def __init__(self, path: Path, files: FileSystem | None = None) -> None:
         self.path = path
-        self.current, self.previous, self.aside = str(path), f"{path}.1", f"{path}.new"
+        self.current, self.previous, self.temporary = str(path), f"{path}.1", f"{path}.new"
         self.files = files or OsFileSystem()
         self.lock: int | None = None
 
@@ -110,10 +110,10 @@
     def save(self, data: bytes) -> None:
         """Saves `data` durably. If it fails or is interrupted, the previous snapshot remains. Raises OSError."""
         files = self.files
-        files.write(self.aside, data)
+        files.write(self.temporary, data)
         with contextlib.suppress(FileNotFoundError):  # the first save, or an earlier one stopped between the renames
             files.rename(self.current, self.previous)
-        files.rename(self.aside, self.current)
+        files.rename(self.temporary, self.current)
         files.sync_folder(str(self.path.parent))
 
     def read(self) -> list[tuple[str, bytes | OSError]]:
@@ -132,7 +132,7 @@
     def forget(self) -> list[str]:
         """Deletes all files but the lock, which a running process may hold; returns the paths deleted."""
         gone = []
-        for path in (self.current, self.previous, self.aside):
+        for path in (self.current, self.previous, self.temporary):
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
                 gone.append(path)
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -164,7 +164,7 @@
     victim = tmp_path / "victim"
     victim.write_text("mine")
     store = Store(tmp_path / "n0.learned")
-    os.symlink(victim, store.aside)
+    os.symlink(victim, store.temporary)
     with pytest.raises(OSError):
         store.save(encode(snapshot(1)))
     assert victim.read_text() == "mine"
