--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -125,7 +125,7 @@
     try:
         if not store.acquire() and not force:
             fail(Exit.CONFLICT, f"{file}: a running sidecar holds it and writes it again; end it first, or --force")
-        gone = store.forget()
+        gone = store.delete()
     except OSError as error:
         fail(Exit.FAILED, f"{file}: can't remove it: {error.strerror}")
     finally:
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -129,7 +129,7 @@
                 found.append((path, data))
         return found
 
-    def forget(self) -> list[str]:
+    def delete(self) -> list[str]:
         """Deletes all files but the lock, which a running process may hold; returns the paths deleted."""
         gone = []
         for path in (self.current, self.previous, self.temporary):
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -121,7 +121,7 @@
     found, age_us, lines = load(store, "n0", LATER)
     assert found == snapshot(2, serial=2) and age_us == 2_000_000 and lines == []
     assert (path.stat().st_mode & 0o777, path.parent.stat().st_mode & 0o777) == (0o600, 0o700)
-    assert sorted(store.forget()) == [str(path), f"{path}.1"]
+    assert sorted(store.delete()) == [str(path), f"{path}.1"]
     assert load(store, "n0", LATER) == (None, 0, [])
 
 
