--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -12,7 +12,7 @@
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
 from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, to_learned_state
-from ironscale.learned.store import OsFileSystem, Store
+from ironscale.learned.store import OsFileSystem, SnapshotFile
 from ironscale.learned.timestamps import TimestampError, elapsed_between, machine_boot_id, current_timestamp
 
 
@@ -121,7 +121,7 @@
         fail(Exit.USAGE, f"{file}: expected a file NAME.learned, got another name; nothing was removed")
     if not file.parent.is_dir():
         fail(Exit.USAGE, f"{file.parent}: expected a folder, got nothing")
-    store = Store(file)
+    store = SnapshotFile(file)
     try:
         if not store.acquire() and not force:
             fail(Exit.CONFLICT, f"{file}: a running sidecar holds it and writes it again; end it first, or --force")
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -11,7 +11,7 @@
 
 from ironscale.learned.peer_transfer import Address, Pupil, Teacher
 from ironscale.learned.persistence import Collector, Keeper
-from ironscale.learned.store import Store, path_for
+from ironscale.learned.store import SnapshotFile, path_for
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import LearnedConfig, is_loopback
 from ironscale.tasks import run_in_background
@@ -29,7 +29,7 @@
         self.collector = Collector(sidecar)
         self.keeper: Keeper | None = None
         if learned.folder is not None:
-            store = Store(path_for(learned.folder, sidecar.config.name))
+            store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
             self.keeper = Keeper(sidecar, store, learned.every_s, self.collector)
         self.teacher: Teacher | None = None
         if learned.teach is not None:
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -28,7 +28,7 @@
     to_learned_state,
     upstream_snapshot,
 )
-from ironscale.learned.store import Store, choose
+from ironscale.learned.store import SnapshotFile, choose
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
@@ -108,7 +108,7 @@
 class Keeper:
     """Loads the file of one sidecar at the start and saves it regularly."""
 
-    def __init__(self, sidecar: Sidecar, store: Store, every_s: float, collector: Collector) -> None:
+    def __init__(self, sidecar: Sidecar, store: SnapshotFile, every_s: float, collector: Collector) -> None:
         self.sidecar = sidecar
         self.store = store
         self.every_s = every_s
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -75,7 +75,7 @@
     return folder / f"{quote(name, safe='')}.learned"
 
 
-class Store:
+class SnapshotFile:
     """Saves and reads snapshots. `path` is the last one, `path.1` the one before, `path.new` the temporary file, and
     `path.lock` the lock file."""
 
@@ -161,5 +161,5 @@
     return None, 0, lines
 
 
-def load(store: Store, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
+def load(store: SnapshotFile, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
     return run_steps(choose(store.read(), name, now))
--- a/tests/cli/test_learned.py
+++ b/tests/cli/test_learned.py
@@ -12,7 +12,7 @@
 from ironscale.cli.learned import learned
 from ironscale.cli.output import CliError, Exit
 from ironscale.learned.codec import encode
-from ironscale.learned.store import Store
+from ironscale.learned.store import SnapshotFile
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from tests.learned.samples import lesson, snapshot
 
@@ -31,7 +31,7 @@
     taken = current_timestamp(machine_boot_id())
     upstreams = (lesson("up-0", age_us=0), lesson("up-1", slots=0.9, mute=3, age_us=0, first_hand=False),
                  lesson("up-2", slots=1 / 64, age_us=20_000_000), lesson("up-3", age_us=7 * 86_400_000_000))
-    store = Store(tmp_path / "n0.learned")
+    store = SnapshotFile(tmp_path / "n0.learned")
     store.save(encode(snapshot(0, taken=replace(taken, wall_us=taken.wall_us - 3_600_000_000), upstreams=upstreams)))
     return tmp_path / "n0.learned"
 
@@ -75,7 +75,7 @@
 
 
 def test_thrown_away_with_the_one_before(file: Path) -> None:
-    Store(file).save(file.read_bytes())
+    SnapshotFile(file).save(file.read_bytes())
     result = call("forget", str(file))
     assert result.exit_code == 0 and str(file) in result.output
     assert not file.exists() and not Path(f"{file}.1").exists()
@@ -83,7 +83,7 @@
 
 
 def test_what_a_running_sidecar_holds_is_kept(file: Path) -> None:
-    held = Store(file)
+    held = SnapshotFile(file)
     assert held.acquire()
     assert "a running sidecar holds it" in error_of(call("forget", str(file)), Exit.CONFLICT)
     assert file.exists()
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -18,7 +18,7 @@
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.store import Store, load, path_for
+from ironscale.learned.store import SnapshotFile, load, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
@@ -125,7 +125,7 @@
     The next process knows from its file which upstreams are silent."""
     async def test() -> None:
         site = await Site(tmp_path).start()
-        store = Store(path_for(tmp_path / "learned", "n0"))
+        store = SnapshotFile(path_for(tmp_path / "learned", "n0"))
         stop = asyncio.Event()
 
         def file_marks_silent_upstreams() -> bool:
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironscale.learned.codec import MAX_BYTES, encode
-from ironscale.learned.store import Store, load, path_for
+from ironscale.learned.store import SnapshotFile, load, path_for
 from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
@@ -25,7 +25,7 @@
 
 def serial(disk: Disk) -> int | None:
     """The serial number of the snapshot that is found; None if there is no usable one."""
-    found, _, _ = load(Store(PATH, disk), "n0", LATER)
+    found, _, _ = load(SnapshotFile(PATH, disk), "n0", LATER)
     return None if found is None else found.age_us
 
 
@@ -34,16 +34,16 @@
     saved = [encode(snapshot(1, serial=i)) for i in range(3)]
     whole = Disk()
     for data in saved:
-        Store(PATH, whole).save(data)
+        SnapshotFile(PATH, whole).save(data)
     before = Disk()
     for data in saved[:2]:
-        Store(PATH, before).save(data)
+        SnapshotFile(PATH, before).save(data)
     outcomes = set()
     for stop in range(before.steps, whole.steps + 1):
         disk = Disk(stop_at=stop)
         try:
             for data in saved:
-                Store(PATH, disk).save(data)
+                SnapshotFile(PATH, disk).save(data)
             done = True
         except Stopped:
             done = False
@@ -58,11 +58,11 @@
 def test_an_interrupted_first_write_leaves_nothing_or_all_of_it() -> None:
     data = encode(snapshot(1, serial=7))
     whole = Disk()
-    Store(PATH, whole).save(data)
+    SnapshotFile(PATH, whole).save(data)
     for stop in range(whole.steps):
         disk = Disk(stop_at=stop)
         with pytest.raises(Stopped):
-            Store(PATH, disk).save(data)
+            SnapshotFile(PATH, disk).save(data)
         for seed in range(8):
             assert serial(disk.after_power_loss(random.Random(stop * 100 + seed))) in (None, 7)
 
@@ -76,7 +76,7 @@
         for i, data in enumerate(saved):
             disk.stop_at = disk.steps + rng.randrange(2 * len(data))
             try:
-                Store(PATH, disk).save(data)
+                SnapshotFile(PATH, disk).save(data)
                 last = i
             except Stopped:
                 disk = disk.after_power_loss(rng)
@@ -88,10 +88,10 @@
 @pytest.mark.parametrize("what", ["write", "sync", "rename", "sync_folder"])
 def test_a_failing_disk_keeps_the_previous_snapshot(what: str) -> None:
     disk = Disk()
-    Store(PATH, disk).save(encode(snapshot(1, serial=1)))
+    SnapshotFile(PATH, disk).save(encode(snapshot(1, serial=1)))
     disk.fail[what] = OSError(5, "Input/output error")
     with pytest.raises(OSError, match="Input/output"):
-        Store(PATH, disk).save(encode(snapshot(1, serial=2)))
+        SnapshotFile(PATH, disk).save(encode(snapshot(1, serial=2)))
     assert serial(disk) in ((1,) if what != "sync_folder" else (1, 2))
     for seed in range(8):
         assert serial(disk.after_power_loss(random.Random(seed))) in (1, 2)
@@ -99,22 +99,22 @@
 
 def test_a_disk_full_at_any_byte_keeps_the_previous_snapshot() -> None:
     disk = Disk()
-    Store(PATH, disk).save(encode(snapshot(1, serial=1)))
+    SnapshotFile(PATH, disk).save(encode(snapshot(1, serial=1)))
     data = encode(snapshot(1, serial=2))
     for room in range(len(data)):
         disk.room = room
         with pytest.raises(OSError, match="No space"):
-            Store(PATH, disk).save(data)
+            SnapshotFile(PATH, disk).save(data)
         assert serial(disk) == 1
     disk.room = 1 << 20
-    Store(PATH, disk).save(data)
+    SnapshotFile(PATH, disk).save(data)
     assert serial(disk) == 2
 
 
 def test_a_real_folder_returns_what_was_saved(tmp_path: Path) -> None:
     path = path_for(tmp_path / "deep" / "er", "a/../b c")
     assert path.parent == tmp_path / "deep" / "er"
-    store = Store(path)
+    store = SnapshotFile(path)
     assert store.acquire()
     for i in range(3):
         store.save(encode(snapshot(2, serial=i)))
@@ -131,7 +131,7 @@
     ("n0", Timestamp("boot-b", 5, NOW.wall_us - 60_000_000), "a time in the future, by 60.0 s; the clock stepped back"),
 ])
 def test_both_generations_are_rejected_with_a_line_each(tmp_path: Path, name: str, moment: Timestamp, words: str) -> None:
-    store = Store(tmp_path / "n0.learned")
+    store = SnapshotFile(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
     found, _, lines = load(store, name, moment)
@@ -140,7 +140,7 @@
 
 
 def test_a_damaged_file_falls_back_on_the_one_before(tmp_path: Path) -> None:
-    store = Store(tmp_path / "n0.learned")
+    store = SnapshotFile(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
     Path(store.current).write_bytes(b"rubbish")
@@ -149,7 +149,7 @@
 
 
 def test_a_pipe_a_folder_or_a_huge_file_under_the_name_is_rejected_with_one_line(tmp_path: Path) -> None:
-    store = Store(tmp_path / "n0.learned")
+    store = SnapshotFile(tmp_path / "n0.learned")
     os.mkfifo(store.current)
     os.mkdir(store.previous)
     found, _, lines = load(store, "n0", LATER)
@@ -163,7 +163,7 @@
 def test_a_symbolic_link_under_the_temporary_name_is_not_followed(tmp_path: Path) -> None:
     victim = tmp_path / "victim"
     victim.write_text("mine")
-    store = Store(tmp_path / "n0.learned")
+    store = SnapshotFile(tmp_path / "n0.learned")
     os.symlink(victim, store.temporary)
     with pytest.raises(OSError):
         store.save(encode(snapshot(1)))
@@ -186,7 +186,7 @@
 
 
 def test_only_one_process_holds_the_lock(tmp_path: Path) -> None:
-    first, second = Store(tmp_path / "n0.learned"), Store(tmp_path / "n0.learned")
+    first, second = SnapshotFile(tmp_path / "n0.learned"), SnapshotFile(tmp_path / "n0.learned")
     assert first.acquire() and first.acquire() and not second.acquire()
     first.release()
     assert second.acquire()
@@ -224,7 +224,7 @@
         told = [int(text) for text in child.stdout.read().splitlines() if text]
         child.stdout.close()
         child.wait()
-        found, _, lines = load(Store(path), "n0", LATER)
+        found, _, lines = load(SnapshotFile(path), "n0", LATER)
         acknowledged = max([last, *told])
         # the last acknowledged save is found, or the one that had begun after it
         assert lines == []
