--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -28,7 +28,7 @@
     to_learned_state,
     upstream_snapshot,
 )
-from ironscale.learned.store import SnapshotFile, choose
+from ironscale.learned.store import SnapshotFile, choose_snapshot
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
@@ -136,7 +136,7 @@
                 found = await run_in_thread(self.store.read)
             moment = current_timestamp(self.collector.boot)
             snapshot, age_us, lines = await in_slices(
-                choose(found, self.sidecar.config.name, moment), self.collector.spent)
+                choose_snapshot(found, self.sidecar.config.name, moment), self.collector.spent)
             for text in lines:
                 self.log(text)
             if snapshot is not None:
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -139,7 +139,7 @@
         return gone
 
 
-def choose(found: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
+def choose_snapshot(found: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
            ) -> Generator[None, None, tuple[Snapshot | None, int, list[str]]]:
     """Decodes in steps, one at each `next`; returns the newest usable snapshot, its age in microseconds, and a line for
     each problem found. Without a usable snapshot it returns None and 0."""
@@ -162,4 +162,4 @@
 
 
 def load(store: SnapshotFile, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
-    return run_steps(choose(store.read(), name, now))
+    return run_steps(choose_snapshot(store.read(), name, now))
