--- a/bench/learned.py
+++ b/bench/learned.py
@@ -36,7 +36,7 @@
 from ironscale.introspection import learned_state
 from ironscale.learned.codec import decode, decode_steps, encode_steps
 from ironscale.learned.persistence import Collector, Keeper, in_slices
-from ironscale.learned.store import SnapshotFile, load, path_for
+from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
@@ -394,7 +394,7 @@
             told = bytes.fromhex(herder.stdout.readline().strip())
             told = told[:len(told) // 2 * 2]
             done = int.from_bytes(told[-2:]) if told else last % 400
-            found, _, lines = load(SnapshotFile(path), "n0", NOW)
+            found, _, lines = load_snapshot(SnapshotFile(path), "n0", NOW)
             serial = found.age_us if found is not None else 0
             right = not lines and serial in (done, (done + 1) % 400)
             assert right, f"kill {i}, seed {seed}: found {serial}, {done} was acknowledged, {lines}"
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -161,5 +161,5 @@
     return None, 0, lines
 
 
-def load(store: SnapshotFile, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
+def load_snapshot(store: SnapshotFile, name: str, now: Timestamp) -> tuple[Snapshot | None, int, list[str]]:
     return run_steps(choose_snapshot(store.read(), name, now))
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -24,7 +24,7 @@
 from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
 from ironscale.learned.persistence import Collector, Keeper
-from ironscale.learned.store import OsFileSystem, SnapshotFile, load, path_for
+from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import ControlConfig, LearnedConfig
@@ -425,7 +425,7 @@
             await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
             await scene.call()
-        found, _, lines = load(SnapshotFile(path_for(tmp_path, "n0")), "n0", current_timestamp(machine_boot_id()))
+        found, _, lines = load_snapshot(SnapshotFile(path_for(tmp_path, "n0")), "n0", current_timestamp(machine_boot_id()))
         assert found is not None and lines == [] and any(one.first_hand for one in found.upstreams)
 
     run(test)
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -18,7 +18,7 @@
 from ironscale import confidence
 from ironscale import interface as api
 from ironscale.introspection import learned_state
-from ironscale.learned.store import SnapshotFile, load, path_for
+from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
@@ -129,7 +129,7 @@
         stop = asyncio.Event()
 
         def file_marks_silent_upstreams() -> bool:
-            found, _, _ = load(store, "n0", current_timestamp(machine_boot_id()))
+            found, _, _ = load_snapshot(store, "n0", current_timestamp(machine_boot_id()))
             return found is not None and sum(one.timeout_doublings > 1 for one in found.upstreams) == 3
 
         try:
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironscale.learned.codec import MAX_BYTES, encode
-from ironscale.learned.store import SnapshotFile, load, path_for
+from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 from tests.deployed import ROOT
 from tests.learned.disk import Disk, Stopped
@@ -25,7 +25,7 @@
 
 def serial(disk: Disk) -> int | None:
     """The serial number of the snapshot that is found; None if there is no usable one."""
-    found, _, _ = load(SnapshotFile(PATH, disk), "n0", LATER)
+    found, _, _ = load_snapshot(SnapshotFile(PATH, disk), "n0", LATER)
     return None if found is None else found.age_us
 
 
@@ -118,11 +118,11 @@
     assert store.acquire()
     for i in range(3):
         store.save(encode(snapshot(2, serial=i)))
-    found, age_us, lines = load(store, "n0", LATER)
+    found, age_us, lines = load_snapshot(store, "n0", LATER)
     assert found == snapshot(2, serial=2) and age_us == 2_000_000 and lines == []
     assert (path.stat().st_mode & 0o777, path.parent.stat().st_mode & 0o777) == (0o600, 0o700)
     assert sorted(store.delete()) == [str(path), f"{path}.1"]
-    assert load(store, "n0", LATER) == (None, 0, [])
+    assert load_snapshot(store, "n0", LATER) == (None, 0, [])
 
 
 @pytest.mark.parametrize(("name", "moment", "words"), [
@@ -134,7 +134,7 @@
     store = SnapshotFile(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
-    found, _, lines = load(store, name, moment)
+    found, _, lines = load_snapshot(store, name, moment)
     assert found is None and len(lines) == 2
     assert all(words in text and text.endswith("not used") and "\n" not in text for text in lines)
 
@@ -144,7 +144,7 @@
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
     Path(store.current).write_bytes(b"rubbish")
-    found, _, lines = load(store, "n0", LATER)
+    found, _, lines = load_snapshot(store, "n0", LATER)
     assert found is not None and found.age_us == 0 and "expected it to begin with" in lines[0]
 
 
@@ -152,12 +152,12 @@
     store = SnapshotFile(tmp_path / "n0.learned")
     os.mkfifo(store.current)
     os.mkdir(store.previous)
-    found, _, lines = load(store, "n0", LATER)
+    found, _, lines = load_snapshot(store, "n0", LATER)
     assert found is None and len(lines) == 2 and "Is a directory" in lines[1]
     os.unlink(store.current)
     with open(store.current, "wb") as file:
         file.truncate(MAX_BYTES * 100)
-    assert f"expected {MAX_BYTES} bytes at most" in load(store, "n0", LATER)[2][0]
+    assert f"expected {MAX_BYTES} bytes at most" in load_snapshot(store, "n0", LATER)[2][0]
 
 
 def test_a_symbolic_link_under_the_temporary_name_is_not_followed(tmp_path: Path) -> None:
@@ -224,7 +224,7 @@
         told = [int(text) for text in child.stdout.read().splitlines() if text]
         child.stdout.close()
         child.wait()
-        found, _, lines = load(SnapshotFile(path), "n0", LATER)
+        found, _, lines = load_snapshot(SnapshotFile(path), "n0", LATER)
         acknowledged = max([last, *told])
         # the last acknowledged save is found, or the one that had begun after it
         assert lines == []
