--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -35,7 +35,7 @@
 from ironscale.threads import run_in_thread
 
 T = TypeVar("T")
-SLICE_S = 0.0005
+MAX_SLICE_S = 0.0005
 LAST_S = 1.0  # limit for the last write, which delays the end of the process
 READ_S = 5.0  # after this the sidecar's own measurements are newer than the file
 LOG_GAP_S = 60.0
@@ -46,7 +46,7 @@
     while True:
         start_s = time.perf_counter()
         try:
-            while time.perf_counter() - start_s < SLICE_S:
+            while time.perf_counter() - start_s < MAX_SLICE_S:
                 next(steps)
         except StopIteration as stop:
             value: T = stop.value
