--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -36,7 +36,7 @@
 
 T = TypeVar("T")
 MAX_SLICE_S = 0.0005
-LAST_S = 1.0  # limit for the last write, which delays the end of the process
+FINAL_WRITE_TIMEOUT_S = 1.0  # limit for the last write, which delays the end of the process
 READ_S = 5.0  # after this the sidecar's own measurements are newer than the file
 LOG_GAP_S = 60.0
 
@@ -194,13 +194,13 @@
     async def last(self) -> None:
         """Writes the last snapshot before the process ends; gives up after LAST_S."""
         try:
-            async with asyncio.timeout(LAST_S):
+            async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 if self.writing is not None and not self.writing.done():
                     await asyncio.wait([self.writing])
                 await self.write()
                 if self.writing is not None:
                     await asyncio.wait([self.writing])
         except TimeoutError:
-            self.log(f"{self.store.path}: the last snapshot was not written within {LAST_S:g} s")
+            self.log(f"{self.store.path}: the last snapshot was not written within {FINAL_WRITE_TIMEOUT_S:g} s")
         except Exception as error:
             self.log(f"{self.store.path}: can't collect: {type(error).__name__}: {error}")
