--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -37,7 +37,7 @@
 T = TypeVar("T")
 MAX_SLICE_S = 0.0005
 FINAL_WRITE_TIMEOUT_S = 1.0  # limit for the last write, which delays the end of the process
-READ_S = 5.0  # after this the sidecar's own measurements are newer than the file
+READ_TIMEOUT_S = 5.0  # after this the sidecar's own measurements are newer than the file
 LOG_GAP_S = 60.0
 
 
@@ -132,7 +132,7 @@
     async def recall(self) -> None:
         """Loads the file into the balancer if it can be read in time and is valid."""
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await run_in_thread(self.store.read)
             moment = current_timestamp(self.collector.boot)
             snapshot, age_us, lines = await in_slices(
@@ -144,7 +144,7 @@
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
-            self.log(f"{self.store.path}: expected it within {READ_S:g} s, got nothing; starting without learned state")
+            self.log(f"{self.store.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; starting without learned state")
         except Exception as error:  # no content of the folder may end the sidecar
             self.log(f"{self.store.path}: {type(error).__name__}: {error}; starting without learned state")
         finally:
