--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -38,7 +38,7 @@
 MAX_SLICE_S = 0.0005
 FINAL_WRITE_TIMEOUT_S = 1.0  # limit for the last write, which delays the end of the process
 READ_TIMEOUT_S = 5.0  # after this the sidecar's own measurements are newer than the file
-LOG_GAP_S = 60.0
+LOG_REPEAT_INTERVAL_S = 60.0
 
 
 async def in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
@@ -123,7 +123,7 @@
     def log(self, text: str) -> None:
         """Logs the same line at most once in LOG_GAP_S, so that a full disk does not also fill the log."""
         at_s = time.monotonic()
-        if self.said.get(text, -LOG_GAP_S) + LOG_GAP_S <= at_s:
+        if self.said.get(text, -LOG_REPEAT_INTERVAL_S) + LOG_REPEAT_INTERVAL_S <= at_s:
             if len(self.said) > 100:
                 self.said.clear()
             self.said[text] = at_s
