--- a/bench/learned.py
+++ b/bench/learned.py
@@ -35,7 +35,7 @@
 from ironscale import interface as api
 from ironscale.introspection import learned_state
 from ironscale.learned.codec import decode, decode_steps, encode_steps
-from ironscale.learned.persistence import Collector, Keeper, in_slices
+from ironscale.learned.persistence import Collector, Keeper, run_in_slices
 from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
@@ -242,13 +242,13 @@
     keeper = Keeper(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
     found: dict[str, float] = {}
     start_s = time.perf_counter()
-    snapshot = await in_slices(collector.collecting(), collector.spent)
+    snapshot = await run_in_slices(collector.collecting(), collector.spent)
     found["collect ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
-    data = await in_slices(encode_steps(snapshot), collector.spent)
+    data = await run_in_slices(encode_steps(snapshot), collector.spent)
     found["encode ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
-    await in_slices(decode_steps(data), collector.spent)
+    await run_in_slices(decode_steps(data), collector.spent)
     found["decode ms"] = (time.perf_counter() - start_s) * 1e3
     found["bytes"] = len(data)
     for what in ("quiet", "writing"):
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -17,7 +17,7 @@
 
 from ironscale import confidence
 from ironscale.learned.codec import MAX_BYTES, CodecError, decode_steps
-from ironscale.learned.persistence import Collector, in_slices
+from ironscale.learned.persistence import Collector, run_in_slices
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 
@@ -158,7 +158,7 @@
         async with asyncio.timeout(ASK_S):
             age_us, data = await ask(address)
         received_us = self.sidecar.clock.now_us()
-        snapshot = await in_slices(decode_steps(data), self.collector.spent)
+        snapshot = await run_in_slices(decode_steps(data), self.collector.spent)
         age_us += self.sidecar.clock.now_us() - received_us
         known = self.sidecar.balancer.upstreams
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -41,7 +41,7 @@
 LOG_REPEAT_INTERVAL_S = 60.0
 
 
-async def in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
+async def run_in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
     """Runs `steps` for SLICE_S at a time and lets the event loop run between; `spent` is given the seconds of each."""
     while True:
         start_s = time.perf_counter()
@@ -95,8 +95,8 @@
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
-        snapshot = await in_slices(self.collecting(), self.spent)
-        return await in_slices(encode_steps(snapshot), self.spent)
+        snapshot = await run_in_slices(self.collecting(), self.spent)
+        return await run_in_slices(encode_steps(snapshot), self.spent)
 
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """Converts a snapshot of the given age for this sidecar's balancer."""
@@ -135,7 +135,7 @@
             async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await run_in_thread(self.store.read)
             moment = current_timestamp(self.collector.boot)
-            snapshot, age_us, lines = await in_slices(
+            snapshot, age_us, lines = await run_in_slices(
                 choose_snapshot(found, self.sidecar.config.name, moment), self.collector.spent)
             for text in lines:
                 self.log(text)
