--- a/bench/learned.py
+++ b/bench/learned.py
@@ -242,7 +242,7 @@
     keeper = Keeper(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
     found: dict[str, float] = {}
     start_s = time.perf_counter()
-    snapshot = await run_in_slices(collector.collecting(), collector.spent)
+    snapshot = await run_in_slices(collector.collect_steps(), collector.spent)
     found["collect ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
     data = await run_in_slices(encode_steps(snapshot), collector.spent)
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -69,7 +69,7 @@
     def spent(self, took_s: float) -> None:
         self.longest_s = max(self.longest_s, took_s)
 
-    def collecting(self) -> Generator[None, None, Snapshot]:
+    def collect_steps(self) -> Generator[None, None, Snapshot]:
         """Collects the snapshot in steps, one at each `next`, and returns it."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         told_us, taken = sidecar.clock.now_us(), current_timestamp(self.boot)
@@ -95,7 +95,7 @@
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
-        snapshot = await run_in_slices(self.collecting(), self.spent)
+        snapshot = await run_in_slices(self.collect_steps(), self.spent)
         return await run_in_slices(encode_steps(snapshot), self.spent)
 
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
