--- a/bench/learned.py
+++ b/bench/learned.py
@@ -242,13 +242,13 @@
     keeper = Keeper(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
     found: dict[str, float] = {}
     start_s = time.perf_counter()
-    snapshot = await run_in_slices(collector.collect_steps(), collector.spent)
+    snapshot = await run_in_slices(collector.collect_steps(), collector.record_slice_time)
     found["collect ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
-    data = await run_in_slices(encode_steps(snapshot), collector.spent)
+    data = await run_in_slices(encode_steps(snapshot), collector.record_slice_time)
     found["encode ms"] = (time.perf_counter() - start_s) * 1e3
     start_s = time.perf_counter()
-    await run_in_slices(decode_steps(data), collector.spent)
+    await run_in_slices(decode_steps(data), collector.record_slice_time)
     found["decode ms"] = (time.perf_counter() - start_s) * 1e3
     found["bytes"] = len(data)
     for what in ("quiet", "writing"):
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -158,7 +158,7 @@
         async with asyncio.timeout(ASK_S):
             age_us, data = await ask(address)
         received_us = self.sidecar.clock.now_us()
-        snapshot = await run_in_slices(decode_steps(data), self.collector.spent)
+        snapshot = await run_in_slices(decode_steps(data), self.collector.record_slice_time)
         age_us += self.sidecar.clock.now_us() - received_us
         known = self.sidecar.balancer.upstreams
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -66,7 +66,7 @@
         self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
         self.longest_s = 0.0  # longest slice on the event loop since the start
 
-    def spent(self, took_s: float) -> None:
+    def record_slice_time(self, took_s: float) -> None:
         self.longest_s = max(self.longest_s, took_s)
 
     def collect_steps(self) -> Generator[None, None, Snapshot]:
@@ -95,8 +95,8 @@
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
-        snapshot = await run_in_slices(self.collect_steps(), self.spent)
-        return await run_in_slices(encode_steps(snapshot), self.spent)
+        snapshot = await run_in_slices(self.collect_steps(), self.record_slice_time)
+        return await run_in_slices(encode_steps(snapshot), self.record_slice_time)
 
     def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """Converts a snapshot of the given age for this sidecar's balancer."""
@@ -136,7 +136,7 @@
                 found = await run_in_thread(self.store.read)
             moment = current_timestamp(self.collector.boot)
             snapshot, age_us, lines = await run_in_slices(
-                choose_snapshot(found, self.sidecar.config.name, moment), self.collector.spent)
+                choose_snapshot(found, self.sidecar.config.name, moment), self.collector.record_slice_time)
             for text in lines:
                 self.log(text)
             if snapshot is not None:
