--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -64,10 +64,10 @@
         self.boot = machine_boot_id()
         self.started_us = sidecar.clock.now_us()
         self.zones = {index: name for name, index in sidecar.config.directory.zones.configured.items()}
-        self.longest_s = 0.0  # longest slice on the event loop since the start
+        self.longest_slice_s = 0.0  # longest slice on the event loop since the start
 
     def record_slice_time(self, took_s: float) -> None:
-        self.longest_s = max(self.longest_s, took_s)
+        self.longest_slice_s = max(self.longest_slice_s, took_s)
 
     def collect_steps(self) -> Generator[None, None, Snapshot]:
         """Collects the snapshot in steps, one at each `next`, and returns it."""
