--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -163,7 +163,7 @@
         known = self.sidecar.balancer.upstreams
         if known and not any(upstream_id(one.name) in known for one in snapshot.upstreams):
             raise CodecError(f"expected upstreams of this sidecar, got {len(snapshot.upstreams)} others")
-        return confidence.Donor(self.collector.lessons(snapshot, age_us), snapshot.uptime_us, snapshot.resting,
+        return confidence.Donor(self.collector.to_learned_state(snapshot, age_us), snapshot.uptime_us, snapshot.resting,
                                 snapshot.discovery_failed, snapshot.idle_failure_shares)
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -98,7 +98,7 @@
         snapshot = await run_in_slices(self.collect_steps(), self.record_slice_time)
         return await run_in_slices(encode_steps(snapshot), self.record_slice_time)
 
-    def lessons(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
+    def to_learned_state(self, snapshot: Snapshot, age_us: int) -> api.LearnedState:
         """Converts a snapshot of the given age for this sidecar's balancer."""
         now_us = self.sidecar.clock.now_us()
         zone = self.sidecar.config.directory.zones.configured.get(snapshot.zone, -1)
@@ -141,7 +141,7 @@
                 self.log(text)
             if snapshot is not None:
                 self.sidecar.upstreams.idle_failures.restore(snapshot.idle_failure_shares, age_us)
-                self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.lessons(snapshot, age_us))
+                self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.to_learned_state(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
             self.log(f"{self.store.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; starting without learned state")
