--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator, Callable
 
 from ironscale.learned.peer_transfer import Address, Pupil, Teacher
-from ironscale.learned.persistence import Collector, Keeper
+from ironscale.learned.persistence import SnapshotCollector, Keeper
 from ironscale.learned.store import SnapshotFile, path_for
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import LearnedConfig, is_loopback
@@ -26,7 +26,7 @@
 
     def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
         self.sidecar = sidecar
-        self.collector = Collector(sidecar)
+        self.collector = SnapshotCollector(sidecar)
         self.keeper: Keeper | None = None
         if learned.folder is not None:
             store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -17,7 +17,7 @@
 
 from ironscale import confidence
 from ironscale.learned.codec import MAX_BYTES, CodecError, decode_steps
-from ironscale.learned.persistence import Collector, run_in_slices
+from ironscale.learned.persistence import SnapshotCollector, run_in_slices
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 
@@ -43,7 +43,7 @@
 class Teacher:
     """Serves snapshots of what this sidecar has learned to starting instances."""
 
-    def __init__(self, collector: Collector, address: Address) -> None:
+    def __init__(self, collector: SnapshotCollector, address: Address) -> None:
         self.collector = collector
         self.address = address
         self.listener: socket.socket | None = None
@@ -147,7 +147,7 @@
 class Pupil:
     """Asks several donors at once, and restores the combination of their snapshots in a starting sidecar."""
 
-    def __init__(self, sidecar: Sidecar, collector: Collector, rng: random.Random) -> None:
+    def __init__(self, sidecar: Sidecar, collector: SnapshotCollector, rng: random.Random) -> None:
         self.sidecar = sidecar
         self.collector = collector
         self.random = rng
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(0)
 
 
-class Collector:
+class SnapshotCollector:
     """Takes snapshots of what a running sidecar has learned."""
 
     def __init__(self, sidecar: Sidecar) -> None:
@@ -108,7 +108,7 @@
 class Keeper:
     """Loads the file of one sidecar at the start and saves it regularly."""
 
-    def __init__(self, sidecar: Sidecar, store: SnapshotFile, every_s: float, collector: Collector) -> None:
+    def __init__(self, sidecar: Sidecar, store: SnapshotFile, every_s: float, collector: SnapshotCollector) -> None:
         self.sidecar = sidecar
         self.store = store
         self.every_s = every_s
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -23,7 +23,7 @@
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
-from ironscale.learned.persistence import Collector, Keeper
+from ironscale.learned.persistence import SnapshotCollector, Keeper
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
@@ -45,7 +45,7 @@
 
 
 def keeper_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> Keeper:
-    return Keeper(scene.sidecar, store, every_s, Collector(scene.sidecar))
+    return Keeper(scene.sidecar, store, every_s, SnapshotCollector(scene.sidecar))
 
 
 @contextlib.asynccontextmanager
@@ -276,14 +276,14 @@
         peers = await peers_of(4)
         peers[0].behave = reset
         old, new = await scene_with(peers), await scene_with(peers)
-        teacher = Teacher(Collector(old.sidecar), ("127.0.0.1", 0))
+        teacher = Teacher(SnapshotCollector(old.sidecar), ("127.0.0.1", 0))
         teacher.collector.started_us -= 60_000_000  # as if it had run for a minute
         async with running(asyncio.create_task(teacher.run())):
             while (old.sidecar.balancer.upstreams[upstream_id("up-0")].window.slots > 0.2
                    or len(learned_state(old.sidecar.balancer).upstreams) < 4):
                 await old.call()
             await until(teacher.port)
-            pupil = Pupil(new.sidecar, Collector(new.sidecar), random.Random(1))
+            pupil = Pupil(new.sidecar, SnapshotCollector(new.sidecar), random.Random(1))
             assert await pupil.learn([("127.0.0.1", teacher.port())])
         bad = new.sidecar.balancer.upstreams[upstream_id("up-0")]
         assert bad.lesson is not None and not bad.lesson.first_hand and bad.window.slots < 0.5
@@ -321,7 +321,7 @@
             await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
         monkeypatch.setattr(peer_transfer, "MOST_DONORS", 10)
-        pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
+        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
         assert not await pupil.learn(donors)
         assert asyncio.get_running_loop().time() - started_s < 10
@@ -341,7 +341,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
+        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         assert await pupil.learn([await liar(b"", hold=True), await liar(told(data))])
 
@@ -354,7 +354,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        teacher = Teacher(Collector(scene.sidecar), ("127.0.0.1", 0))
+        teacher = Teacher(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
         async with running(asyncio.create_task(teacher.run())):
             await until(teacher.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", teacher.port())
@@ -372,7 +372,7 @@
         scene = await scene_with(await peers_of(3))
         for _ in range(20):
             await scene.call()
-        teacher = Teacher(Collector(scene.sidecar), ("127.0.0.1", 0))
+        teacher = Teacher(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
         most_open = 0
 
         async def newcomer() -> bytes:
@@ -403,7 +403,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         taken = socket.create_server(("127.0.0.1", 0))
-        teacher = Teacher(Collector(scene.sidecar), taken.getsockname())
+        teacher = Teacher(SnapshotCollector(scene.sidecar), taken.getsockname())
         async with running(asyncio.create_task(teacher.run())):
             await asyncio.sleep(0.1)
             assert teacher.port() == 0 and (await scene.call()).status == 200
@@ -516,7 +516,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         others = snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
-        pupil = Pupil(scene.sidecar, Collector(scene.sidecar), random.Random(1))
+        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
 
@@ -532,7 +532,7 @@
             peers[3].entry("up-3", startedAtMs=-10**15))
         while any(server.last_observed_us == 0 for server in scene.sidecar.balancer.upstreams.values()):
             await scene.call()
-        found = decode(await Collector(scene.sidecar).collect())
+        found = decode(await SnapshotCollector(scene.sidecar).collect())
         assert [one.name for one in found.upstreams] == ["up-0"]
 
     run(test)
