--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -113,7 +113,7 @@
         self.store = store
         self.every_s = every_s
         self.collector = collector
-        self.writing: asyncio.Future[None] | None = None
+        self.write_in_progress: asyncio.Future[None] | None = None
         self.written_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
         self.writes = 0  # that succeeded
         self.skipped = 0  # writes left out because the one before had not ended
@@ -158,7 +158,7 @@
 
     async def write(self) -> None:
         """Starts to write the current state, unless the last write is still running or nothing has changed."""
-        if self.writing is not None and not self.writing.done():
+        if self.write_in_progress is not None and not self.write_in_progress.done():
             self.skipped += 1
             self.log(f"{self.store.path}: still being written after {self.every_s:g} s; this write is skipped")
             return
@@ -168,8 +168,8 @@
         data = await self.collector.collect()
         if len(data) > MAX_BYTES:
             raise CodecError(f"expected {MAX_BYTES} bytes at most, got {len(data)}")
-        self.writing = run_in_thread(lambda: self.save(data))
-        self.writing.add_done_callback(lambda done: self.on_written(done, state_us))
+        self.write_in_progress = run_in_thread(lambda: self.save(data))
+        self.write_in_progress.add_done_callback(lambda done: self.on_written(done, state_us))
 
     def on_written(self, done: asyncio.Future[None], state_us: int) -> None:
         if done.cancelled():
@@ -195,11 +195,11 @@
         """Writes the last snapshot before the process ends; gives up after LAST_S."""
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
-                if self.writing is not None and not self.writing.done():
-                    await asyncio.wait([self.writing])
+                if self.write_in_progress is not None and not self.write_in_progress.done():
+                    await asyncio.wait([self.write_in_progress])
                 await self.write()
-                if self.writing is not None:
-                    await asyncio.wait([self.writing])
+                if self.write_in_progress is not None:
+                    await asyncio.wait([self.write_in_progress])
         except TimeoutError:
             self.log(f"{self.store.path}: the last snapshot was not written within {FINAL_WRITE_TIMEOUT_S:g} s")
         except Exception as error:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -94,12 +94,12 @@
         scene = await scene_with(await peers_of(1))
         keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
         await keeper.write()
-        assert keeper.writing is None
+        assert keeper.write_in_progress is None
         await scene.call()
         for _ in range(3):
             await keeper.write()
-            assert keeper.writing is not None
-            await keeper.writing
+            assert keeper.write_in_progress is not None
+            await keeper.write_in_progress
         assert keeper.writes == 1
 
     run(test)
