--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -114,7 +114,7 @@
         self.every_s = every_s
         self.collector = collector
         self.write_in_progress: asyncio.Future[None] | None = None
-        self.written_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
+        self.written_state_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
         self.writes = 0  # that succeeded
         self.skipped = 0  # writes left out because the one before had not ended
         self.reading = asyncio.Event()  # set once the file was loaded or given up at the start
@@ -163,7 +163,7 @@
             self.log(f"{self.store.path}: still being written after {self.every_s:g} s; this write is skipped")
             return
         state_us = self.sidecar.balancer.last_observed_us
-        if state_us == self.written_us:
+        if state_us == self.written_state_us:
             return
         data = await self.collector.collect()
         if len(data) > MAX_BYTES:
@@ -176,7 +176,7 @@
             return
         error = done.exception()
         if error is None:
-            self.written_us = state_us
+            self.written_state_us = state_us
             self.writes += 1
         else:
             reason = getattr(error, "strerror", None) or error
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -71,7 +71,7 @@
         async with running(asyncio.create_task(keeper.run())):
             for _ in range(30):
                 assert (await scene.call()).status == 200
-            await until(lambda: keeper.written_us == scene.sidecar.balancer.last_observed_us)
+            await until(lambda: keeper.written_state_us == scene.sidecar.balancer.last_observed_us)
         keeper.store.release()
         writes = keeper.writes
         assert writes >= 1
