--- a/bench/learned.py
+++ b/bench/learned.py
@@ -263,7 +263,7 @@
         until.set()
         late = await task
         found[f"late {what} p99 ms"], found[f"late {what} max ms"] = late[int(0.99 * len(late))], late[-1]
-    found["writes"] = keeper.writes
+    found["writes"] = keeper.write_count
     found["longest step ms"] = collector.longest_slice_s * 1e3
     assert len(decode(data).upstreams) == count
     sidecar.upstreams.close()
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -115,7 +115,7 @@
         self.collector = collector
         self.write_in_progress: asyncio.Future[None] | None = None
         self.written_state_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
-        self.writes = 0  # that succeeded
+        self.write_count = 0  # that succeeded
         self.skipped = 0  # writes left out because the one before had not ended
         self.reading = asyncio.Event()  # set once the file was loaded or given up at the start
         self.said: dict[str, float] = {}
@@ -177,7 +177,7 @@
         error = done.exception()
         if error is None:
             self.written_state_us = state_us
-            self.writes += 1
+            self.write_count += 1
         else:
             reason = getattr(error, "strerror", None) or error
             self.log(f"{self.store.path}: can't write: {reason}")
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -73,7 +73,7 @@
                 assert (await scene.call()).status == 200
             await until(lambda: keeper.written_state_us == scene.sidecar.balancer.last_observed_us)
         keeper.store.release()
-        writes = keeper.writes
+        writes = keeper.write_count
         assert writes >= 1
         told = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
         other = await scene_with(peers)
@@ -100,7 +100,7 @@
             await keeper.write()
             assert keeper.write_in_progress is not None
             await keeper.write_in_progress
-        assert keeper.writes == 1
+        assert keeper.write_count == 1
 
     run(test)
 
@@ -133,12 +133,12 @@
                 for _ in range(50):
                     assert (await scene.call()).status == 200
                 await until(lambda: keeper.skipped > 0)
-                assert keeper.writes == 0 and files.waits == 1  # one at a time
+                assert keeper.write_count == 0 and files.waits == 1  # one at a time
             started_s = asyncio.get_running_loop().time()
             await keeper.last()
             assert asyncio.get_running_loop().time() - started_s < 5
             files.let_go.set()
-            await until(lambda: keeper.writes == 1)
+            await until(lambda: keeper.write_count == 1)
         finally:
             files.let_go.set()
 
@@ -195,7 +195,7 @@
         async with running(asyncio.create_task(keeper.run())):
             while files.tries < 3:
                 assert (await scene.call()).status == 200
-        assert keeper.writes == 0
+        assert keeper.write_count == 0
 
     run(test)
     assert capfd.readouterr().err.count(f"can't write: {errno.errorcode[code]}") == 1
@@ -228,10 +228,10 @@
         before = Path(keepers[0].store.current).read_bytes()
         await second.call()
         await keepers[1].last()
-        assert keepers[1].writes == 0 and Path(keepers[0].store.current).read_bytes() == before
+        assert keepers[1].write_count == 0 and Path(keepers[0].store.current).read_bytes() == before
         keepers[0].store.release()  # as when its process ends
         await keepers[1].last()
-        assert keepers[1].writes == 1
+        assert keepers[1].write_count == 1
 
     run(test)
     assert "another process holds the lock; this one does not write" in capfd.readouterr().err
