--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -116,7 +116,7 @@
         self.write_in_progress: asyncio.Future[None] | None = None
         self.written_state_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
         self.write_count = 0  # that succeeded
-        self.skipped = 0  # writes left out because the one before had not ended
+        self.skipped_writes = 0  # writes left out because the one before had not ended
         self.reading = asyncio.Event()  # set once the file was loaded or given up at the start
         self.said: dict[str, float] = {}
 
@@ -159,7 +159,7 @@
     async def write(self) -> None:
         """Starts to write the current state, unless the last write is still running or nothing has changed."""
         if self.write_in_progress is not None and not self.write_in_progress.done():
-            self.skipped += 1
+            self.skipped_writes += 1
             self.log(f"{self.store.path}: still being written after {self.every_s:g} s; this write is skipped")
             return
         state_us = self.sidecar.balancer.last_observed_us
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -132,7 +132,7 @@
                 await until(lambda: files.waits == 1)
                 for _ in range(50):
                     assert (await scene.call()).status == 200
-                await until(lambda: keeper.skipped > 0)
+                await until(lambda: keeper.skipped_writes > 0)
                 assert keeper.write_count == 0 and files.waits == 1  # one at a time
             started_s = asyncio.get_running_loop().time()
             await keeper.last()
