--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -117,7 +117,7 @@
         self.written_state_us = 0  # the balancer's `last_observed_us` in the last saved snapshot
         self.write_count = 0  # that succeeded
         self.skipped_writes = 0  # writes left out because the one before had not ended
-        self.reading = asyncio.Event()  # set once the file was loaded or given up at the start
+        self.read_done = asyncio.Event()  # set once the file was loaded or given up at the start
         self.said: dict[str, float] = {}
 
     def log(self, text: str) -> None:
@@ -148,7 +148,7 @@
         except Exception as error:  # no content of the folder may end the sidecar
             self.log(f"{self.store.path}: {type(error).__name__}: {error}; starting without learned state")
         finally:
-            self.reading.set()
+            self.read_done.set()
 
     def save(self, data: bytes) -> None:
         """Saves the encoded snapshot; blocks, so it is called in the thread. Raises OSError."""
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -79,7 +79,7 @@
         other = await scene_with(peers)
         again = keeper_of(other, SnapshotFile(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(again.run())):
-            await again.reading.wait()
+            await again.read_done.wait()
             for ident, server in other.sidecar.balancer.upstreams.items():
                 assert server.lesson is not None and server.lesson.min_latency_us == told[ident].min_latency_us
             await until(lambda: other.discovery.writers)
@@ -167,7 +167,7 @@
         try:
             async with running(asyncio.create_task(keeper.run())):
                 assert (await scene.call()).status == 200
-                await keeper.reading.wait()
+                await keeper.read_done.wait()
         finally:
             event.set()
 
