--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -118,15 +118,15 @@
         self.write_count = 0  # that succeeded
         self.skipped_writes = 0  # writes left out because the one before had not ended
         self.read_done = asyncio.Event()  # set once the file was loaded or given up at the start
-        self.said: dict[str, float] = {}
+        self.logged_at_s: dict[str, float] = {}
 
     def log(self, text: str) -> None:
         """Logs the same line at most once in LOG_GAP_S, so that a full disk does not also fill the log."""
         at_s = time.monotonic()
-        if self.said.get(text, -LOG_REPEAT_INTERVAL_S) + LOG_REPEAT_INTERVAL_S <= at_s:
-            if len(self.said) > 100:
-                self.said.clear()
-            self.said[text] = at_s
+        if self.logged_at_s.get(text, -LOG_REPEAT_INTERVAL_S) + LOG_REPEAT_INTERVAL_S <= at_s:
+            if len(self.logged_at_s) > 100:
+                self.logged_at_s.clear()
+            self.logged_at_s[text] = at_s
             self.sidecar.log(f"learned: {text}")
 
     async def recall(self) -> None:
