--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -102,6 +102,6 @@
                 yield
         finally:
             if found.keeper is not None:
-                await found.keeper.last()
+                await found.keeper.write_final()
 
     return running
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -191,7 +191,7 @@
             except Exception as error:
                 self.log(f"{self.store.path}: can't collect: {type(error).__name__}: {error}")
 
-    async def last(self) -> None:
+    async def write_final(self) -> None:
         """Writes the last snapshot before the process ends; gives up after LAST_S."""
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -135,7 +135,7 @@
                 await until(lambda: keeper.skipped_writes > 0)
                 assert keeper.write_count == 0 and files.waits == 1  # one at a time
             started_s = asyncio.get_running_loop().time()
-            await keeper.last()
+            await keeper.write_final()
             assert asyncio.get_running_loop().time() - started_s < 5
             files.let_go.set()
             await until(lambda: keeper.write_count == 1)
@@ -209,7 +209,7 @@
         keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path / "file", "n0")))
         await keeper.recall()
         assert (await scene.call()).status == 200
-        await keeper.last()
+        await keeper.write_final()
         assert (await scene.call()).status == 200
 
     run(test)
@@ -224,13 +224,13 @@
         first, second = await scene_with(peers), await scene_with(peers)
         keepers = [keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
         await first.call()
-        await keepers[0].last()
+        await keepers[0].write_final()
         before = Path(keepers[0].store.current).read_bytes()
         await second.call()
-        await keepers[1].last()
+        await keepers[1].write_final()
         assert keepers[1].write_count == 0 and Path(keepers[0].store.current).read_bytes() == before
         keepers[0].store.release()  # as when its process ends
-        await keepers[1].last()
+        await keepers[1].write_final()
         assert keepers[1].write_count == 1
 
     run(test)
