--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -110,7 +110,7 @@
 
     def __init__(self, sidecar: Sidecar, store: SnapshotFile, every_s: float, collector: SnapshotCollector) -> None:
         self.sidecar = sidecar
-        self.store = store
+        self.file = store
         self.every_s = every_s
         self.collector = collector
         self.write_in_progress: asyncio.Future[None] | None = None
@@ -133,7 +133,7 @@
         """Loads the file into the balancer if it can be read in time and is valid."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
-                found = await run_in_thread(self.store.read)
+                found = await run_in_thread(self.file.read)
             moment = current_timestamp(self.collector.boot)
             snapshot, age_us, lines = await run_in_slices(
                 choose_snapshot(found, self.sidecar.config.name, moment), self.collector.record_slice_time)
@@ -144,23 +144,23 @@
                 self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.to_learned_state(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
-            self.log(f"{self.store.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; starting without learned state")
+            self.log(f"{self.file.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; starting without learned state")
         except Exception as error:  # no content of the folder may end the sidecar
-            self.log(f"{self.store.path}: {type(error).__name__}: {error}; starting without learned state")
+            self.log(f"{self.file.path}: {type(error).__name__}: {error}; starting without learned state")
         finally:
             self.read_done.set()
 
     def save(self, data: bytes) -> None:
         """Saves the encoded snapshot; blocks, so it is called in the thread. Raises OSError."""
-        if not self.store.acquire():
+        if not self.file.acquire():
             raise BlockingIOError("another process holds the lock; this one does not write")
-        self.store.save(data)
+        self.file.save(data)
 
     async def write(self) -> None:
         """Starts to write the current state, unless the last write is still running or nothing has changed."""
         if self.write_in_progress is not None and not self.write_in_progress.done():
             self.skipped_writes += 1
-            self.log(f"{self.store.path}: still being written after {self.every_s:g} s; this write is skipped")
+            self.log(f"{self.file.path}: still being written after {self.every_s:g} s; this write is skipped")
             return
         state_us = self.sidecar.balancer.last_observed_us
         if state_us == self.written_state_us:
@@ -180,7 +180,7 @@
             self.write_count += 1
         else:
             reason = getattr(error, "strerror", None) or error
-            self.log(f"{self.store.path}: can't write: {reason}")
+            self.log(f"{self.file.path}: can't write: {reason}")
 
     async def run(self) -> None:
         await self.recall()
@@ -189,7 +189,7 @@
             try:
                 await self.write()
             except Exception as error:
-                self.log(f"{self.store.path}: can't collect: {type(error).__name__}: {error}")
+                self.log(f"{self.file.path}: can't collect: {type(error).__name__}: {error}")
 
     async def write_final(self) -> None:
         """Writes the last snapshot before the process ends; gives up after LAST_S."""
@@ -201,6 +201,6 @@
                 if self.write_in_progress is not None:
                     await asyncio.wait([self.write_in_progress])
         except TimeoutError:
-            self.log(f"{self.store.path}: the last snapshot was not written within {FINAL_WRITE_TIMEOUT_S:g} s")
+            self.log(f"{self.file.path}: the last snapshot was not written within {FINAL_WRITE_TIMEOUT_S:g} s")
         except Exception as error:
-            self.log(f"{self.store.path}: can't collect: {type(error).__name__}: {error}")
+            self.log(f"{self.file.path}: can't collect: {type(error).__name__}: {error}")
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -72,7 +72,7 @@
             for _ in range(30):
                 assert (await scene.call()).status == 200
             await until(lambda: keeper.written_state_us == scene.sidecar.balancer.last_observed_us)
-        keeper.store.release()
+        keeper.file.release()
         writes = keeper.write_count
         assert writes >= 1
         told = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
@@ -225,11 +225,11 @@
         keepers = [keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
         await first.call()
         await keepers[0].write_final()
-        before = Path(keepers[0].store.current).read_bytes()
+        before = Path(keepers[0].file.current).read_bytes()
         await second.call()
         await keepers[1].write_final()
-        assert keepers[1].write_count == 0 and Path(keepers[0].store.current).read_bytes() == before
-        keepers[0].store.release()  # as when its process ends
+        assert keepers[1].write_count == 0 and Path(keepers[0].file.current).read_bytes() == before
+        keepers[0].file.release()  # as when its process ends
         await keepers[1].write_final()
         assert keepers[1].write_count == 1
 
