--- a/bench/learned.py
+++ b/bench/learned.py
@@ -35,7 +35,7 @@
 from ironscale import interface as api
 from ironscale.introspection import learned_state
 from ironscale.learned.codec import decode, decode_steps, encode_steps
-from ironscale.learned.persistence import SnapshotCollector, Keeper, run_in_slices
+from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence, run_in_slices
 from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.net.config import parse
 from ironscale.net.discovery import upstream_id
@@ -239,7 +239,7 @@
     gc.collect()
     gc.freeze()  # as a sidecar does at its start
     collector = SnapshotCollector(sidecar)
-    keeper = Keeper(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
+    keeper = SnapshotPersistence(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
     found: dict[str, float] = {}
     start_s = time.perf_counter()
     snapshot = await run_in_slices(collector.collect_steps(), collector.record_slice_time)
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator, Callable
 
 from ironscale.learned.peer_transfer import Address, Pupil, Teacher
-from ironscale.learned.persistence import SnapshotCollector, Keeper
+from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import SnapshotFile, path_for
 from ironscale.net.sidecar import Extension, Sidecar
 from ironscale.operator_file import LearnedConfig, is_loopback
@@ -27,10 +27,10 @@
     def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
         self.sidecar = sidecar
         self.collector = SnapshotCollector(sidecar)
-        self.keeper: Keeper | None = None
+        self.keeper: SnapshotPersistence | None = None
         if learned.folder is not None:
             store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
-            self.keeper = Keeper(sidecar, store, learned.every_s, self.collector)
+            self.keeper = SnapshotPersistence(sidecar, store, learned.every_s, self.collector)
         self.teacher: Teacher | None = None
         if learned.teach is not None:
             self.teacher = Teacher(self.collector, learned.teach)
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -105,7 +105,7 @@
         return to_learned_state(snapshot, now_us - age_us, now_us, zone, upstream_id)
 
 
-class Keeper:
+class SnapshotPersistence:
     """Loads the file of one sidecar at the start and saves it regularly."""
 
     def __init__(self, sidecar: Sidecar, store: SnapshotFile, every_s: float, collector: SnapshotCollector) -> None:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -23,7 +23,7 @@
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
 from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
-from ironscale.learned.persistence import SnapshotCollector, Keeper
+from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
 from ironscale.net.discovery import upstream_id
@@ -44,8 +44,8 @@
     return [await Peer().start() for _ in range(count)]
 
 
-def keeper_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> Keeper:
-    return Keeper(scene.sidecar, store, every_s, SnapshotCollector(scene.sidecar))
+def keeper_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> SnapshotPersistence:
+    return SnapshotPersistence(scene.sidecar, store, every_s, SnapshotCollector(scene.sidecar))
 
 
 @contextlib.asynccontextmanager
