--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -22,7 +22,7 @@
 from ironscale.net.sidecar import Sidecar
 
 Address = tuple[str, int]
-ASKED = b"ironscale learned 1\n"
+REQUEST_LINE = b"ironscale learned 1\n"
 PREFIX = 12
 RATE, MOST_OPEN, BACKLOG = 200, 16, 1024
 FRESH_S = 1.0
@@ -107,12 +107,12 @@
             sock.setblocking(False)
             async with asyncio.timeout(PATIENCE_S):
                 asked = b""
-                while len(asked) < len(ASKED) and ASKED.startswith(asked):
-                    more = await loop.sock_recv(sock, len(ASKED) - len(asked))
+                while len(asked) < len(REQUEST_LINE) and REQUEST_LINE.startswith(asked):
+                    more = await loop.sock_recv(sock, len(REQUEST_LINE) - len(asked))
                     if not more:
                         return
                     asked += more
-                if asked != ASKED:
+                if asked != REQUEST_LINE:
                     return
                 age_us, data = await self.fresh()
                 await loop.sock_sendall(sock, age_us.to_bytes(8) + len(data).to_bytes(4) + data)
@@ -133,7 +133,7 @@
     asked_s = loop.time()
     reader, writer = await asyncio.open_connection(*address, limit=1 << 16)
     try:
-        writer.write(ASKED)
+        writer.write(REQUEST_LINE)
         prefix = await reader.readexactly(PREFIX)
         age_us, size = int.from_bytes(prefix[:8]), int.from_bytes(prefix[8:])
         if size > MAX_BYTES or age_us > LONGEST_AGE_US:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -22,7 +22,7 @@
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.peer_transfer import ASKED, Pupil, Teacher, ask
+from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, Teacher, ask
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
@@ -294,7 +294,7 @@
 
 async def liar(answer: bytes, hold: bool = False) -> tuple[str, int]:
     async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readexactly(len(ASKED))
+        await reader.readexactly(len(REQUEST_LINE))
         writer.write(answer)
         if hold:
             await reader.read()
@@ -348,7 +348,7 @@
     run(test, 10)
 
 
-@pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", ASKED[:5], b"\0" * 5000])
+@pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", REQUEST_LINE[:5], b"\0" * 5000])
 def test_an_invalid_request_gets_no_answer(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transfer, "PATIENCE_S", 0.2)
 
