--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -23,7 +23,7 @@
 
 Address = tuple[str, int]
 REQUEST_LINE = b"ironscale learned 1\n"
-PREFIX = 12
+PREFIX_BYTES = 12
 RATE, MOST_OPEN, BACKLOG = 200, 16, 1024
 FRESH_S = 1.0
 AGAIN_S = 5.0
@@ -134,7 +134,7 @@
     reader, writer = await asyncio.open_connection(*address, limit=1 << 16)
     try:
         writer.write(REQUEST_LINE)
-        prefix = await reader.readexactly(PREFIX)
+        prefix = await reader.readexactly(PREFIX_BYTES)
         age_us, size = int.from_bytes(prefix[:8]), int.from_bytes(prefix[8:])
         if size > MAX_BYTES or age_us > LONGEST_AGE_US:
             raise CodecError(f"expected {MAX_BYTES} bytes at most, of the last {LONGEST_AGE_US // 1_000_000} s, "
