--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 REQUEST_LINE = b"ironscale learned 1\n"
 PREFIX_BYTES = 12
-RATE, MOST_OPEN, BACKLOG = 200, 16, 1024
+MAX_ACCEPTS_PER_S, MOST_OPEN, BACKLOG = 200, 16, 1024
 FRESH_S = 1.0
 AGAIN_S = 5.0
 PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
@@ -86,7 +86,7 @@
                         await asyncio.sleep(0.1)
                         continue
                     group.create_task(self.answer(sock))
-                    await asyncio.sleep(1 / RATE)
+                    await asyncio.sleep(1 / MAX_ACCEPTS_PER_S)
         finally:
             self.listener.close()
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -390,7 +390,7 @@
             taught = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
-        assert took_s >= 500 / peer_transfer.RATE * 0.9  # accepted at the limited rate
+        assert took_s >= 500 / peer_transfer.MAX_ACCEPTS_PER_S * 0.9  # accepted at the limited rate
         assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MOST_OPEN
 
     run(test)
