--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 REQUEST_LINE = b"ironscale learned 1\n"
 PREFIX_BYTES = 12
-MAX_ACCEPTS_PER_S, MOST_OPEN, BACKLOG = 200, 16, 1024
+MAX_ACCEPTS_PER_S, MAX_OPEN, BACKLOG = 200, 16, 1024
 FRESH_S = 1.0
 AGAIN_S = 5.0
 PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
@@ -50,7 +50,7 @@
         self.data = b""
         self.taken_s = -FRESH_S
         self.collecting: asyncio.Lock = asyncio.Lock()
-        self.open = asyncio.Semaphore(MOST_OPEN)
+        self.open = asyncio.Semaphore(MAX_OPEN)
         self.taught = 0
         self.collected = 0
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -384,14 +384,14 @@
             started_s = asyncio.get_running_loop().time()
             waiting = [asyncio.create_task(newcomer()) for _ in range(500)]
             while not all(task.done() for task in waiting):
-                most_open = max(most_open, peer_transfer.MOST_OPEN - teacher.open._value)
+                most_open = max(most_open, peer_transfer.MAX_OPEN - teacher.open._value)
                 assert (await scene.call()).status == 200
                 await asyncio.sleep(0.01)
             taught = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
         assert took_s >= 500 / peer_transfer.MAX_ACCEPTS_PER_S * 0.9  # accepted at the limited rate
-        assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MOST_OPEN
+        assert teacher.collected <= took_s / peer_transfer.FRESH_S + 2 and most_open <= peer_transfer.MAX_OPEN
 
     run(test)
 
