--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -25,7 +25,7 @@
 REQUEST_LINE = b"ironscale learned 1\n"
 PREFIX_BYTES = 12
 MAX_ACCEPTS_PER_S, MAX_OPEN, BACKLOG = 200, 16, 1024
-FRESH_S = 1.0
+SNAPSHOT_INTERVAL_S = 1.0
 AGAIN_S = 5.0
 PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
 ASK_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
@@ -48,7 +48,7 @@
         self.address = address
         self.listener: socket.socket | None = None
         self.data = b""
-        self.taken_s = -FRESH_S
+        self.taken_s = -SNAPSHOT_INTERVAL_S
         self.collecting: asyncio.Lock = asyncio.Lock()
         self.open = asyncio.Semaphore(MAX_OPEN)
         self.taught = 0
@@ -94,7 +94,7 @@
         """The age in microseconds and the encoded snapshot, taken anew if the last one is older than FRESH_S."""
         loop = asyncio.get_running_loop()
         async with self.collecting:
-            if loop.time() - self.taken_s >= FRESH_S:
+            if loop.time() - self.taken_s >= SNAPSHOT_INTERVAL_S:
                 taken_s = loop.time()
                 self.data = await self.collector.collect()
                 self.taken_s = taken_s
