--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -26,7 +26,7 @@
 PREFIX_BYTES = 12
 MAX_ACCEPTS_PER_S, MAX_OPEN, BACKLOG = 200, 16, 1024
 SNAPSHOT_INTERVAL_S = 1.0
-AGAIN_S = 5.0
+LISTEN_RETRY_S = 5.0
 PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
 ASK_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MOST_DONORS = 5
@@ -73,7 +73,7 @@
                 # the process that this one replaces may still use the address
                 host, port = self.address
                 self.collector.sidecar.log(f"learned: can't listen at {host}:{port}: {error.strerror}; retrying")
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(LISTEN_RETRY_S)
         assert self.listener is not None
         try:
             async with asyncio.TaskGroup() as group:
