--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -27,7 +27,7 @@
 MAX_ACCEPTS_PER_S, MAX_OPEN, BACKLOG = 200, 16, 1024
 SNAPSHOT_INTERVAL_S = 1.0
 LISTEN_RETRY_S = 5.0
-PATIENCE_S = 2.0  # limit for a client to send its request and read the answer
+CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
 ASK_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MOST_DONORS = 5
 LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
@@ -105,7 +105,7 @@
         loop = asyncio.get_running_loop()
         try:
             sock.setblocking(False)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CONNECTION_TIMEOUT_S):
                 asked = b""
                 while len(asked) < len(REQUEST_LINE) and REQUEST_LINE.startswith(asked):
                     more = await loop.sock_recv(sock, len(REQUEST_LINE) - len(asked))
