--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -28,7 +28,7 @@
 SNAPSHOT_INTERVAL_S = 1.0
 LISTEN_RETRY_S = 5.0
 CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
-ASK_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
+DONORS_TIMEOUT_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MOST_DONORS = 5
 LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
@@ -155,7 +155,7 @@
         self.upstreams = 0  # how many the combined state covers
 
     async def donor(self, address: Address) -> confidence.Donor:
-        async with asyncio.timeout(ASK_S):
+        async with asyncio.timeout(DONORS_TIMEOUT_S):
             age_us, data = await ask(address)
         received_us = self.sidecar.clock.now_us()
         snapshot = await run_in_slices(decode_steps(data), self.collector.record_slice_time)
@@ -172,7 +172,7 @@
         tasks = {asyncio.create_task(self.donor(address)): address for address in chosen}
         donors: list[confidence.Donor] = []
         try:
-            waiting, limit_s = set(tasks), ASK_S
+            waiting, limit_s = set(tasks), DONORS_TIMEOUT_S
             while waiting:
                 done, waiting = await asyncio.wait(waiting, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
