--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -28,7 +28,7 @@
 SNAPSHOT_INTERVAL_S = 1.0
 LISTEN_RETRY_S = 5.0
 CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
-DONORS_TIMEOUT_S, ENOUGH_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
+DONORS_TIMEOUT_S, AFTER_FIRST_TIMEOUT_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MOST_DONORS = 5
 LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
@@ -184,7 +184,7 @@
                     except (OSError, TimeoutError, EOFError, CodecError, ValueError) as error:
                         reason = getattr(error, "strerror", None) or str(error) or "no answer in time"
                         self.sidecar.log(f"learned: {host}:{port}: {reason}; this donor is not used")
-                limit_s = ENOUGH_S if donors else limit_s
+                limit_s = AFTER_FIRST_TIMEOUT_S if donors else limit_s
             for task in waiting:
                 host, port = tasks[task]
                 self.sidecar.log(f"learned: {host}:{port}: no answer in time; this donor is not used")
