--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -29,7 +29,7 @@
 LISTEN_RETRY_S = 5.0
 CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
 DONORS_TIMEOUT_S, AFTER_FIRST_TIMEOUT_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
-MOST_DONORS = 5
+MAX_DONORS = 5
 LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
 
@@ -168,7 +168,7 @@
 
     async def learn(self, addresses: Sequence[Address]) -> bool:
         """Returns whether learned state was received. Donors that fail, send invalid data or are late are left out."""
-        chosen = self.random.sample(list(addresses), min(MOST_DONORS, len(addresses)))
+        chosen = self.random.sample(list(addresses), min(MAX_DONORS, len(addresses)))
         tasks = {asyncio.create_task(self.donor(address)): address for address in chosen}
         donors: list[confidence.Donor] = []
         try:
