--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -30,7 +30,7 @@
 CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
 DONORS_TIMEOUT_S, AFTER_FIRST_TIMEOUT_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
 MAX_DONORS = 5
-LONGEST_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
+MAX_SNAPSHOT_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
 
 def agreed_ages(donors: Sequence[confidence.Donor]) -> list[float]:
@@ -136,8 +136,8 @@
         writer.write(REQUEST_LINE)
         prefix = await reader.readexactly(PREFIX_BYTES)
         age_us, size = int.from_bytes(prefix[:8]), int.from_bytes(prefix[8:])
-        if size > MAX_BYTES or age_us > LONGEST_AGE_US:
-            raise CodecError(f"expected {MAX_BYTES} bytes at most, of the last {LONGEST_AGE_US // 1_000_000} s, "
+        if size > MAX_BYTES or age_us > MAX_SNAPSHOT_AGE_US:
+            raise CodecError(f"expected {MAX_BYTES} bytes at most, of the last {MAX_SNAPSHOT_AGE_US // 1_000_000} s, "
                              f"got {size} bytes, {age_us / 1e6:g} s old")
         return age_us + int((loop.time() - asked_s) * 1e6), await reader.readexactly(size)
     finally:
