--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -33,7 +33,7 @@
 MAX_SNAPSHOT_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
 
-def agreed_ages(donors: Sequence[confidence.Donor]) -> list[float]:
+def median_idle_failures(donors: Sequence[confidence.Donor]) -> list[float]:
     """The weighted median of the donors' failure shares of reused idle connections, for each idle time."""
     weighed = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
     count = min((len(ages) for ages, _ in weighed), default=0)
@@ -196,7 +196,7 @@
         lessons = confidence.combined_lessons(donors, now_us, self.sidecar.config.settings.zone)
         if lessons is None:
             return False
-        self.sidecar.upstreams.idle_failures.restore(agreed_ages(donors), 0)
+        self.sidecar.upstreams.idle_failures.restore(median_idle_failures(donors), 0)
         self.sidecar.balancer.recall(now_us, lessons)
         self.learned, self.upstreams = True, len(lessons.upstreams)
         self.sidecar.log(f"learned: got {len(lessons.upstreams)} upstreams from {len(donors)} of {len(chosen)} donors")
