--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -47,7 +47,7 @@
         self.collector = collector
         self.address = address
         self.listener: socket.socket | None = None
-        self.data = b""
+        self.snapshot_bytes = b""
         self.taken_s = -SNAPSHOT_INTERVAL_S
         self.collecting: asyncio.Lock = asyncio.Lock()
         self.open = asyncio.Semaphore(MAX_OPEN)
@@ -96,10 +96,10 @@
         async with self.collecting:
             if loop.time() - self.taken_s >= SNAPSHOT_INTERVAL_S:
                 taken_s = loop.time()
-                self.data = await self.collector.collect()
+                self.snapshot_bytes = await self.collector.collect()
                 self.taken_s = taken_s
                 self.collected += 1
-        return int((loop.time() - self.taken_s) * 1e6), self.data
+        return int((loop.time() - self.taken_s) * 1e6), self.snapshot_bytes
 
     async def answer(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
