--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -49,7 +49,7 @@
         self.listener: socket.socket | None = None
         self.snapshot_bytes = b""
         self.taken_s = -SNAPSHOT_INTERVAL_S
-        self.collecting: asyncio.Lock = asyncio.Lock()
+        self.collect_lock: asyncio.Lock = asyncio.Lock()
         self.open = asyncio.Semaphore(MAX_OPEN)
         self.taught = 0
         self.collected = 0
@@ -93,7 +93,7 @@
     async def fresh(self) -> tuple[int, bytes]:
         """The age in microseconds and the encoded snapshot, taken anew if the last one is older than FRESH_S."""
         loop = asyncio.get_running_loop()
-        async with self.collecting:
+        async with self.collect_lock:
             if loop.time() - self.taken_s >= SNAPSHOT_INTERVAL_S:
                 taken_s = loop.time()
                 self.snapshot_bytes = await self.collector.collect()
