--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -50,7 +50,7 @@
         self.snapshot_bytes = b""
         self.taken_s = -SNAPSHOT_INTERVAL_S
         self.collect_lock: asyncio.Lock = asyncio.Lock()
-        self.open = asyncio.Semaphore(MAX_OPEN)
+        self.free_slots = asyncio.Semaphore(MAX_OPEN)
         self.taught = 0
         self.collected = 0
 
@@ -78,11 +78,11 @@
         try:
             async with asyncio.TaskGroup() as group:
                 while True:
-                    await self.open.acquire()
+                    await self.free_slots.acquire()
                     try:
                         sock, _ = await loop.sock_accept(self.listener)
                     except OSError:  # out of descriptors; the data path needs the ones that become free
-                        self.open.release()
+                        self.free_slots.release()
                         await asyncio.sleep(0.1)
                         continue
                     group.create_task(self.answer(sock))
@@ -123,7 +123,7 @@
             self.collector.sidecar.log(f"learned: can't send a snapshot: {type(error).__name__}: {error}")
         finally:
             sock.close()
-            self.open.release()
+            self.free_slots.release()
 
 
 async def ask(address: Address) -> tuple[int, bytes]:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -384,7 +384,7 @@
             started_s = asyncio.get_running_loop().time()
             waiting = [asyncio.create_task(newcomer()) for _ in range(500)]
             while not all(task.done() for task in waiting):
-                most_open = max(most_open, peer_transfer.MAX_OPEN - teacher.open._value)
+                most_open = max(most_open, peer_transfer.MAX_OPEN - teacher.free_slots._value)
                 assert (await scene.call()).status == 200
                 await asyncio.sleep(0.01)
             taught = [task.result() for task in waiting]
