--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -51,7 +51,7 @@
         self.taken_s = -SNAPSHOT_INTERVAL_S
         self.collect_lock: asyncio.Lock = asyncio.Lock()
         self.free_slots = asyncio.Semaphore(MAX_OPEN)
-        self.taught = 0
+        self.answered_count = 0
         self.collected = 0
 
     def listen(self) -> None:
@@ -116,7 +116,7 @@
                     return
                 age_us, data = await self.fresh()
                 await loop.sock_sendall(sock, age_us.to_bytes(8) + len(data).to_bytes(4) + data)
-                self.taught += 1
+                self.answered_count += 1
         except (OSError, TimeoutError):
             pass  # the client has disconnected or is too slow
         except Exception as error:  # an error with one client must not end the server
