--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -52,7 +52,7 @@
         self.collect_lock: asyncio.Lock = asyncio.Lock()
         self.free_slots = asyncio.Semaphore(MAX_OPEN)
         self.answered_count = 0
-        self.collected = 0
+        self.collected_count = 0
 
     def listen(self) -> None:
         """Opens the listening socket. Raises OSError."""
@@ -98,7 +98,7 @@
                 taken_s = loop.time()
                 self.snapshot_bytes = await self.collector.collect()
                 self.taken_s = taken_s
-                self.collected += 1
+                self.collected_count += 1
         return int((loop.time() - self.taken_s) * 1e6), self.snapshot_bytes
 
     async def answer(self, sock: socket.socket) -> None:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -391,7 +391,7 @@
             took_s = asyncio.get_running_loop().time() - started_s
         assert len(decode(taught[0]).upstreams) == 3
         assert took_s >= 500 / peer_transfer.MAX_ACCEPTS_PER_S * 0.9  # accepted at the limited rate
-        assert teacher.collected <= took_s / peer_transfer.SNAPSHOT_INTERVAL_S + 2 and most_open <= peer_transfer.MAX_OPEN
+        assert teacher.collected_count <= took_s / peer_transfer.SNAPSHOT_INTERVAL_S + 2 and most_open <= peer_transfer.MAX_OPEN
 
     run(test)
 
