--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -90,7 +90,7 @@
         finally:
             self.listener.close()
 
-    async def fresh(self) -> tuple[int, bytes]:
+    async def recent_snapshot(self) -> tuple[int, bytes]:
         """The age in microseconds and the encoded snapshot, taken anew if the last one is older than FRESH_S."""
         loop = asyncio.get_running_loop()
         async with self.collect_lock:
@@ -114,7 +114,7 @@
                     asked += more
                 if asked != REQUEST_LINE:
                     return
-                age_us, data = await self.fresh()
+                age_us, data = await self.recent_snapshot()
                 await loop.sock_sendall(sock, age_us.to_bytes(8) + len(data).to_bytes(4) + data)
                 self.answered_count += 1
         except (OSError, TimeoutError):
