--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -85,7 +85,7 @@
                         self.free_slots.release()
                         await asyncio.sleep(0.1)
                         continue
-                    group.create_task(self.answer(sock))
+                    group.create_task(self.handle_connection(sock))
                     await asyncio.sleep(1 / MAX_ACCEPTS_PER_S)
         finally:
             self.listener.close()
@@ -101,7 +101,7 @@
                 self.collected_count += 1
         return int((loop.time() - self.taken_s) * 1e6), self.snapshot_bytes
 
-    async def answer(self, sock: socket.socket) -> None:
+    async def handle_connection(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
             sock.setblocking(False)
