--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -9,7 +9,7 @@
 import traceback
 from collections.abc import AsyncIterator, Callable
 
-from ironscale.learned.peer_transfer import Address, Pupil, Teacher
+from ironscale.learned.peer_transfer import Address, Pupil, DonorServer
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import SnapshotFile, path_for
 from ironscale.net.sidecar import Extension, Sidecar
@@ -31,9 +31,9 @@
         if learned.folder is not None:
             store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
             self.keeper = SnapshotPersistence(sidecar, store, learned.every_s, self.collector)
-        self.teacher: Teacher | None = None
+        self.teacher: DonorServer | None = None
         if learned.teach is not None:
-            self.teacher = Teacher(self.collector, learned.teach)
+            self.teacher = DonorServer(self.collector, learned.teach)
         self.pupil = Pupil(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
         self.offered: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -40,7 +40,7 @@
     return [confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
 
 
-class Teacher:
+class DonorServer:
     """Serves snapshots of what this sidecar has learned to starting instances."""
 
     def __init__(self, collector: SnapshotCollector, address: Address) -> None:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -22,7 +22,7 @@
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, Teacher, ask
+from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, DonorServer, ask
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
@@ -276,7 +276,7 @@
         peers = await peers_of(4)
         peers[0].behave = reset
         old, new = await scene_with(peers), await scene_with(peers)
-        teacher = Teacher(SnapshotCollector(old.sidecar), ("127.0.0.1", 0))
+        teacher = DonorServer(SnapshotCollector(old.sidecar), ("127.0.0.1", 0))
         teacher.collector.started_us -= 60_000_000  # as if it had run for a minute
         async with running(asyncio.create_task(teacher.run())):
             while (old.sidecar.balancer.upstreams[upstream_id("up-0")].window.slots > 0.2
@@ -354,7 +354,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        teacher = Teacher(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
+        teacher = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
         async with running(asyncio.create_task(teacher.run())):
             await until(teacher.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", teacher.port())
@@ -372,7 +372,7 @@
         scene = await scene_with(await peers_of(3))
         for _ in range(20):
             await scene.call()
-        teacher = Teacher(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
+        teacher = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
         most_open = 0
 
         async def newcomer() -> bytes:
@@ -403,7 +403,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         taken = socket.create_server(("127.0.0.1", 0))
-        teacher = Teacher(SnapshotCollector(scene.sidecar), taken.getsockname())
+        teacher = DonorServer(SnapshotCollector(scene.sidecar), taken.getsockname())
         async with running(asyncio.create_task(teacher.run())):
             await asyncio.sleep(0.1)
             assert teacher.port() == 0 and (await scene.call()).status == 200
