--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -126,7 +126,7 @@
             self.free_slots.release()
 
 
-async def ask(address: Address) -> tuple[int, bytes]:
+async def fetch_snapshot(address: Address) -> tuple[int, bytes]:
     """A donor's age of its snapshot in microseconds, including the duration of this call, and the encoded snapshot.
     Raises OSError, TimeoutError, EOFError or CodecError."""
     loop = asyncio.get_running_loop()
@@ -156,7 +156,7 @@
 
     async def donor(self, address: Address) -> confidence.Donor:
         async with asyncio.timeout(DONORS_TIMEOUT_S):
-            age_us, data = await ask(address)
+            age_us, data = await fetch_snapshot(address)
         received_us = self.sidecar.clock.now_us()
         snapshot = await run_in_slices(decode_steps(data), self.collector.record_slice_time)
         age_us += self.sidecar.clock.now_us() - received_us
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -22,7 +22,7 @@
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, DonorServer, ask
+from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
@@ -362,7 +362,7 @@
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-            assert (await ask(("127.0.0.1", teacher.port())))[1]  # the next client is still served
+            assert (await fetch_snapshot(("127.0.0.1", teacher.port())))[1]  # the next client is still served
 
     run(test)
 
@@ -377,7 +377,7 @@
 
         async def newcomer() -> bytes:
             async with asyncio.timeout(30):
-                return (await ask(("127.0.0.1", teacher.port())))[1]
+                return (await fetch_snapshot(("127.0.0.1", teacher.port())))[1]
 
         async with running(asyncio.create_task(teacher.run())):
             await until(teacher.port)
