--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -42,12 +42,12 @@
     async def learn(self, donors: tuple[Address, ...]) -> None:
         for wait_s in (0.0, *AGAIN_S):
             await asyncio.sleep(wait_s)
-            if self.pupil.learned or await self.pupil.learn(donors):
+            if self.pupil.has_learned or await self.pupil.learn(donors):
                 return
 
     async def learn_from_offers(self) -> None:
         """Learns from the donors that an agent names each time that the sidecar connects to it."""
-        while not self.pupil.learned:
+        while not self.pupil.has_learned:
             await self.learn(await self.offered.get())
 
     async def run(self) -> None:
