--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -152,7 +152,7 @@
         self.collector = collector
         self.random = rng
         self.has_learned = False
-        self.upstreams = 0  # how many the combined state covers
+        self.upstream_count = 0  # how many the combined state covers
 
     async def donor(self, address: Address) -> confidence.Donor:
         async with asyncio.timeout(DONORS_TIMEOUT_S):
@@ -198,6 +198,6 @@
             return False
         self.sidecar.upstreams.idle_failures.restore(median_idle_failures(donors), 0)
         self.sidecar.balancer.recall(now_us, lessons)
-        self.has_learned, self.upstreams = True, len(lessons.upstreams)
+        self.has_learned, self.upstream_count = True, len(lessons.upstreams)
         self.sidecar.log(f"learned: got {len(lessons.upstreams)} upstreams from {len(donors)} of {len(chosen)} donors")
         return True
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -287,7 +287,7 @@
             assert await pupil.learn([("127.0.0.1", teacher.port())])
         bad = new.sidecar.balancer.upstreams[upstream_id("up-0")]
         assert bad.lesson is not None and not bad.lesson.first_hand and bad.window.slots < 0.5
-        assert pupil.upstreams == 4 and teacher.answered_count == 1
+        assert pupil.upstream_count == 4 and teacher.answered_count == 1
 
     run(test)
 
