--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -154,7 +154,7 @@
         self.has_learned = False
         self.upstream_count = 0  # how many the combined state covers
 
-    async def donor(self, address: Address) -> confidence.Donor:
+    async def fetch_from(self, address: Address) -> confidence.Donor:
         async with asyncio.timeout(DONORS_TIMEOUT_S):
             age_us, data = await fetch_snapshot(address)
         received_us = self.sidecar.clock.now_us()
@@ -169,7 +169,7 @@
     async def learn(self, addresses: Sequence[Address]) -> bool:
         """Returns whether learned state was received. Donors that fail, send invalid data or are late are left out."""
         chosen = self.random.sample(list(addresses), min(MAX_DONORS, len(addresses)))
-        tasks = {asyncio.create_task(self.donor(address)): address for address in chosen}
+        tasks = {asyncio.create_task(self.fetch_from(address)): address for address in chosen}
         donors: list[confidence.Donor] = []
         try:
             waiting, limit_s = set(tasks), DONORS_TIMEOUT_S
