--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -9,7 +9,7 @@
 import traceback
 from collections.abc import AsyncIterator, Callable
 
-from ironscale.learned.peer_transfer import Address, Pupil, DonorServer
+from ironscale.learned.peer_transfer import Address, DonorClient, DonorServer
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import SnapshotFile, path_for
 from ironscale.net.sidecar import Extension, Sidecar
@@ -34,7 +34,7 @@
         self.teacher: DonorServer | None = None
         if learned.teach is not None:
             self.teacher = DonorServer(self.collector, learned.teach)
-        self.pupil = Pupil(sidecar, self.collector, random.Random(secrets.randbits(64)))
+        self.pupil = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
         self.offered: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
         self.from_agent = learned.from_agent
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -144,7 +144,7 @@
         writer.close()
 
 
-class Pupil:
+class DonorClient:
     """Asks several donors at once, and restores the combination of their snapshots in a starting sidecar."""
 
     def __init__(self, sidecar: Sidecar, collector: SnapshotCollector, rng: random.Random) -> None:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -22,7 +22,7 @@
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
 from ironscale.learned.extension import Channel, Running, beside
-from ironscale.learned.peer_transfer import REQUEST_LINE, Pupil, DonorServer, fetch_snapshot
+from ironscale.learned.peer_transfer import REQUEST_LINE, DonorClient, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import machine_boot_id, current_timestamp
@@ -283,7 +283,7 @@
                    or len(learned_state(old.sidecar.balancer).upstreams) < 4):
                 await old.call()
             await until(teacher.port)
-            pupil = Pupil(new.sidecar, SnapshotCollector(new.sidecar), random.Random(1))
+            pupil = DonorClient(new.sidecar, SnapshotCollector(new.sidecar), random.Random(1))
             assert await pupil.learn([("127.0.0.1", teacher.port())])
         bad = new.sidecar.balancer.upstreams[upstream_id("up-0")]
         assert bad.lesson is not None and not bad.lesson.first_hand and bad.window.slots < 0.5
@@ -321,7 +321,7 @@
             await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
         monkeypatch.setattr(peer_transfer, "MOST_DONORS", 10)
-        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
         assert not await pupil.learn(donors)
         assert asyncio.get_running_loop().time() - started_s < 10
@@ -341,7 +341,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         assert await pupil.learn([await liar(b"", hold=True), await liar(told(data))])
 
@@ -516,7 +516,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         others = snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
-        pupil = Pupil(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
 
