--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -17,7 +17,7 @@
 from ironscale.tasks import run_in_background
 from ironscale.toml_tables import read_address
 
-MOST_OFFERED = 20
+MAX_OFFERED_DONORS = 20
 AGAIN_S = (1.0, 4.0)  # waits before asking again: the donors may have only just started too
 
 
@@ -83,7 +83,7 @@
 
     def offer(self, donors: list[str]) -> None:
         """Takes the addresses of donors that the agent names."""
-        found = [address for text in donors[:MOST_OFFERED] if (address := read_address(text)) is not None]
+        found = [address for text in donors[:MAX_OFFERED_DONORS] if (address := read_address(text)) is not None]
         # a faulty agent must not make sidecars connect to other machines
         near = tuple(address for address in found if is_loopback(address))
         if self.running is not None and near and not self.running.offered.full():
