--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -18,7 +18,7 @@
 from ironscale.toml_tables import read_address
 
 MAX_OFFERED_DONORS = 20
-AGAIN_S = (1.0, 4.0)  # waits before asking again: the donors may have only just started too
+RETRY_DELAYS_S = (1.0, 4.0)  # waits before asking again: the donors may have only just started too
 
 
 class Running:
@@ -40,7 +40,7 @@
         self.from_agent = learned.from_agent
 
     async def learn(self, donors: tuple[Address, ...]) -> None:
-        for wait_s in (0.0, *AGAIN_S):
+        for wait_s in (0.0, *RETRY_DELAYS_S):
             await asyncio.sleep(wait_s)
             if self.pupil.has_learned or await self.pupil.learn(donors):
                 return
