--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -27,10 +27,10 @@
     def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
         self.sidecar = sidecar
         self.collector = SnapshotCollector(sidecar)
-        self.keeper: SnapshotPersistence | None = None
+        self.persistence: SnapshotPersistence | None = None
         if learned.folder is not None:
             store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
-            self.keeper = SnapshotPersistence(sidecar, store, learned.every_s, self.collector)
+            self.persistence = SnapshotPersistence(sidecar, store, learned.every_s, self.collector)
         self.teacher: DonorServer | None = None
         if learned.teach is not None:
             self.teacher = DonorServer(self.collector, learned.teach)
@@ -60,8 +60,8 @@
     async def all(self) -> None:
         """Runs all configured tasks until they end or one of them fails."""
         async with asyncio.TaskGroup() as group:
-            if self.keeper is not None:
-                group.create_task(self.keeper.run())
+            if self.persistence is not None:
+                group.create_task(self.persistence.run())
             if self.teacher is not None:
                 group.create_task(self.teacher.run())
             if self.donors:
@@ -101,7 +101,7 @@
             async with run_in_background(found.run()):
                 yield
         finally:
-            if found.keeper is not None:
-                await found.keeper.write_final()
+            if found.persistence is not None:
+                await found.persistence.write_final()
 
     return running
