--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -31,9 +31,9 @@
         if learned.folder is not None:
             store = SnapshotFile(path_for(learned.folder, sidecar.config.name))
             self.persistence = SnapshotPersistence(sidecar, store, learned.every_s, self.collector)
-        self.teacher: DonorServer | None = None
+        self.donor_server: DonorServer | None = None
         if learned.teach is not None:
-            self.teacher = DonorServer(self.collector, learned.teach)
+            self.donor_server = DonorServer(self.collector, learned.teach)
         self.pupil = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
         self.offered: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
@@ -62,8 +62,8 @@
         async with asyncio.TaskGroup() as group:
             if self.persistence is not None:
                 group.create_task(self.persistence.run())
-            if self.teacher is not None:
-                group.create_task(self.teacher.run())
+            if self.donor_server is not None:
+                group.create_task(self.donor_server.run())
             if self.donors:
                 group.create_task(self.learn(self.donors))
             if self.from_agent:
@@ -78,7 +78,7 @@
 
     def teaches(self) -> str:
         """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
-        teacher = self.running.teacher if self.running is not None else None
+        teacher = self.running.donor_server if self.running is not None else None
         return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
 
     def offer(self, donors: list[str]) -> None:
