--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -34,7 +34,7 @@
         self.donor_server: DonorServer | None = None
         if learned.teach is not None:
             self.donor_server = DonorServer(self.collector, learned.teach)
-        self.pupil = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
+        self.donor_client = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
         self.offered: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
         self.from_agent = learned.from_agent
@@ -42,12 +42,12 @@
     async def learn(self, donors: tuple[Address, ...]) -> None:
         for wait_s in (0.0, *RETRY_DELAYS_S):
             await asyncio.sleep(wait_s)
-            if self.pupil.has_learned or await self.pupil.learn(donors):
+            if self.donor_client.has_learned or await self.donor_client.learn(donors):
                 return
 
     async def learn_from_offers(self) -> None:
         """Learns from the donors that an agent names each time that the sidecar connects to it."""
-        while not self.pupil.has_learned:
+        while not self.donor_client.has_learned:
             await self.learn(await self.offered.get())
 
     async def run(self) -> None:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -492,7 +492,7 @@
                     await old.call()
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
                 async with one(new, "new", LearnedConfig(from_agent=True)) as channel:
-                    await until(lambda: channel.running is not None and channel.running.pupil.has_learned)
+                    await until(lambda: channel.running is not None and channel.running.donor_client.has_learned)
                     assert all(server.lesson for server in new.sidecar.balancer.upstreams.values())
 
     run(test)
