--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -36,7 +36,7 @@
             self.donor_server = DonorServer(self.collector, learned.teach)
         self.donor_client = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
-        self.offered: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
+        self.offered_donors: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
         self.from_agent = learned.from_agent
 
     async def learn(self, donors: tuple[Address, ...]) -> None:
@@ -48,7 +48,7 @@
     async def learn_from_offers(self) -> None:
         """Learns from the donors that an agent names each time that the sidecar connects to it."""
         while not self.donor_client.has_learned:
-            await self.learn(await self.offered.get())
+            await self.learn(await self.offered_donors.get())
 
     async def run(self) -> None:
         """Runs until cancelled. An error is logged, and does not end the sidecar."""
@@ -86,8 +86,8 @@
         found = [address for text in donors[:MAX_OFFERED_DONORS] if (address := read_address(text)) is not None]
         # a faulty agent must not make sidecars connect to other machines
         near = tuple(address for address in found if is_loopback(address))
-        if self.running is not None and near and not self.running.offered.full():
-            self.running.offered.put_nowait(near)
+        if self.running is not None and near and not self.running.offered_donors.full():
+            self.running.offered_donors.put_nowait(near)
 
 
 def beside(learned: LearnedConfig, channel: Channel | None = None) -> Extension:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -505,9 +505,9 @@
         async with beside(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.running is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
-            assert channel.running.offered.empty()
+            assert channel.running.offered_donors.empty()
             channel.offer(["10.0.0.1:80", "127.0.0.1:9"])
-            assert channel.running.offered.get_nowait() == (("127.0.0.1", 9),)
+            assert channel.running.offered_donors.get_nowait() == (("127.0.0.1", 9),)
 
     run(test)
 
