--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -53,11 +53,11 @@
     async def run(self) -> None:
         """Runs until cancelled. An error is logged, and does not end the sidecar."""
         try:
-            await self.all()
+            await self.run_all()
         except Exception:
             self.sidecar.log(f"learned: the extension has failed, serving goes on\n{traceback.format_exc()}")
 
-    async def all(self) -> None:
+    async def run_all(self) -> None:
         """Runs all configured tasks until they end or one of them fails."""
         async with asyncio.TaskGroup() as group:
             if self.persistence is not None:
