--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -93,7 +93,7 @@
 def beside(learned: LearnedConfig, channel: Channel | None = None) -> Extension:
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
-    async def running(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+    async def tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = Running(sidecar, learned)
         if channel is not None:
             channel.running = found
@@ -104,4 +104,4 @@
             if found.persistence is not None:
                 await found.persistence.write_final()
 
-    return running
+    return tasks
