--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -21,7 +21,7 @@
 RETRY_DELAYS_S = (1.0, 4.0)  # waits before asking again: the donors may have only just started too
 
 
-class Running:
+class LearnedStateTasks:
     """The background tasks that save, serve and fetch one sidecar's learned state."""
 
     def __init__(self, sidecar: Sidecar, learned: LearnedConfig) -> None:
@@ -74,7 +74,7 @@
     """Connects the agent's client to this extension; implements ironscale.control.extension.LearnedStateExchange."""
 
     def __init__(self) -> None:
-        self.running: Running | None = None
+        self.running: LearnedStateTasks | None = None
 
     def teaches(self) -> str:
         """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
@@ -94,7 +94,7 @@
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
     async def tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
-        found = Running(sidecar, learned)
+        found = LearnedStateTasks(sidecar, learned)
         if channel is not None:
             channel.running = found
         try:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -21,7 +21,7 @@
 from ironscale.introspection import learned_state, upstream_views
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
-from ironscale.learned.extension import Channel, Running, beside
+from ironscale.learned.extension import Channel, LearnedStateTasks, beside
 from ironscale.learned.peer_transfer import REQUEST_LINE, DonorClient, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
@@ -436,7 +436,7 @@
     async def broken(self: object) -> None:
         raise RuntimeError("broken on purpose")
 
-    monkeypatch.setattr(Running, "all", broken)
+    monkeypatch.setattr(LearnedStateTasks, "all", broken)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
