--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -70,7 +70,7 @@
                 group.create_task(self.learn_from_offers())
 
 
-class Channel:
+class AgentChannel:
     """Connects the agent's client to this extension; implements ironscale.control.extension.LearnedStateExchange."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
             self.running.offered_donors.put_nowait(near)
 
 
-def beside(learned: LearnedConfig, channel: Channel | None = None) -> Extension:
+def beside(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
     async def tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -21,7 +21,7 @@
 from ironscale.introspection import learned_state, upstream_views
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
-from ironscale.learned.extension import Channel, LearnedStateTasks, beside
+from ironscale.learned.extension import AgentChannel, LearnedStateTasks, beside
 from ironscale.learned.peer_transfer import REQUEST_LINE, DonorClient, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
@@ -479,9 +479,9 @@
             control = ControlConfig((("127.0.0.1", agent.control_port),), tmp_path / "agent" / "instance.token")
 
             @contextlib.asynccontextmanager
-            async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[Channel]:
+            async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[AgentChannel]:
                 scene.sidecar.config.name = name
-                channel = Channel()
+                channel = AgentChannel()
                 both = combine_extensions([beside(learned, channel), control_beside(control, {}, channel)])
                 assert both is not None
                 async with both(scene.sidecar, lambda: None):
@@ -501,7 +501,7 @@
 def test_an_agent_can_not_make_a_sidecar_connect_to_other_machines() -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        channel = Channel()
+        channel = AgentChannel()
         async with beside(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.running is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
