--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -104,7 +104,7 @@
             extensions.append(store_beside(options.store))
         if options.learned is not None:
             from ironscale.learned.extension import AgentChannel
-            from ironscale.learned.extension import beside as learned_beside
+            from ironscale.learned.extension import learned_state_extension as learned_beside
 
             channel = AgentChannel()
             extensions.append(learned_beside(options.learned, channel))
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -90,7 +90,7 @@
             self.running.offered_donors.put_nowait(near)
 
 
-def beside(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
+def learned_state_extension(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
     async def tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -21,7 +21,7 @@
 from ironscale.introspection import learned_state, upstream_views
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
-from ironscale.learned.extension import AgentChannel, LearnedStateTasks, beside
+from ironscale.learned.extension import AgentChannel, LearnedStateTasks, learned_state_extension
 from ironscale.learned.peer_transfer import REQUEST_LINE, DonorClient, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
@@ -421,7 +421,7 @@
                                                 upstreams=(lesson("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
-        async with beside(learned)(scene.sidecar, lambda: None):
+        async with learned_state_extension(learned)(scene.sidecar, lambda: None):
             await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
             await scene.call()
@@ -440,7 +440,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        async with beside(LearnedConfig(tmp_path))(scene.sidecar, lambda: None):
+        async with learned_state_extension(LearnedConfig(tmp_path))(scene.sidecar, lambda: None):
             await asyncio.sleep(0)
             assert (await scene.call()).status == 200
 
@@ -482,7 +482,7 @@
             async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[AgentChannel]:
                 scene.sidecar.config.name = name
                 channel = AgentChannel()
-                both = combine_extensions([beside(learned, channel), control_beside(control, {}, channel)])
+                both = combine_extensions([learned_state_extension(learned, channel), control_beside(control, {}, channel)])
                 assert both is not None
                 async with both(scene.sidecar, lambda: None):
                     yield channel
@@ -502,7 +502,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         channel = AgentChannel()
-        async with beside(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
+        async with learned_state_extension(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.running is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
             assert channel.running.offered_donors.empty()
