--- a/bench/learned.py
+++ b/bench/learned.py
@@ -349,7 +349,7 @@
 import os, sys
 from pathlib import Path
 from ironscale.learned.codec import encode
-from ironscale.learned.store import Store
+from ironscale.learned.store import SnapshotFile
 from tests.learned.samples import snapshot
 
 path, data = Path(sys.argv[1]), [encode(snapshot(40, serial=s)) for s in range(400)]
@@ -358,7 +358,7 @@
     reader, writer = os.pipe()
     pid = os.fork()
     if pid == 0:
-        store = Store(path)
+        store = SnapshotFile(path)
         assert store.acquire()
         os.write(writer, b"r")
         for s in range(first, first + 150):
--- a/ironscale/__main__.py
+++ b/ironscale/__main__.py
@@ -103,11 +103,10 @@
 
             extensions.append(store_beside(options.store))
         if options.learned is not None:
-            from ironscale.learned.extension import AgentChannel
-            from ironscale.learned.extension import learned_state_extension as learned_beside
+            from ironscale.learned.extension import AgentChannel, learned_state_extension
 
             channel = AgentChannel()
-            extensions.append(learned_beside(options.learned, channel))
+            extensions.append(learned_state_extension(options.learned, channel))
         if options.record is not None:
             from ironscale.load.recording import beside as record_beside
 
--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -11,9 +11,9 @@
 from ironscale import confidence
 from ironscale.cli.common import output_option
 from ironscale.cli.output import Exit, err, fail, out, print_json, table
-from ironscale.learned.codec import CodecError, Snapshot, unpack_body, decode, to_learned_state
+from ironscale.learned.codec import CodecError, Snapshot, decode, to_learned_state, unpack_body
 from ironscale.learned.store import OsFileSystem, SnapshotFile
-from ironscale.learned.timestamps import TimestampError, elapsed_between, machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import TimestampError, current_timestamp, elapsed_between, machine_boot_id
 
 
 @click.group()
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -93,7 +93,7 @@
 def learned_state_extension(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
-    async def tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
+    async def run_tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = LearnedStateTasks(sidecar, learned)
         if channel is not None:
             channel.running = found
@@ -104,4 +104,4 @@
             if found.persistence is not None:
                 await found.persistence.write_final()
 
-    return tasks
+    return run_tasks
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -3,9 +3,9 @@
     client     b"ironscale learned 1\n"
     donor      8 bytes: microseconds since the snapshot was taken; 4 bytes: its length (both big-endian); the snapshot
 
-A donor accepts at most RATE connections a second; further ones wait in the kernel's backlog. It takes a new snapshot
-at most every FRESH_S, however many clients ask. A starting instance serves requests meanwhile, and stops waiting for
-donors after ASK_S.
+A donor accepts at most MAX_ACCEPTS_PER_S connections a second; further ones wait in the kernel's backlog. It takes a
+new snapshot at most every SNAPSHOT_INTERVAL_S, however many clients ask. A starting instance serves requests
+meanwhile, and stops waiting for donors after DONORS_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
             self.listener.close()
 
     async def recent_snapshot(self) -> tuple[int, bytes]:
-        """The age in microseconds and the encoded snapshot, taken anew if the last one is older than FRESH_S."""
+        """The age in microseconds and the encoded snapshot, taken anew if it is older than SNAPSHOT_INTERVAL_S."""
         loop = asyncio.get_running_loop()
         async with self.collect_lock:
             if loop.time() - self.taken_s >= SNAPSHOT_INTERVAL_S:
@@ -127,7 +127,7 @@
 
 
 async def fetch_snapshot(address: Address) -> tuple[int, bytes]:
-    """A donor's age of its snapshot in microseconds, including the duration of this call, and the encoded snapshot.
+    """The age of a donor's snapshot in microseconds, including the duration of this call, and the encoded snapshot.
     Raises OSError, TimeoutError, EOFError or CodecError."""
     loop = asyncio.get_running_loop()
     asked_s = loop.time()
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -15,21 +15,21 @@
 from ironscale.introspection import learned_state
 from ironscale.learned.codec import (
     MAX_BYTES,
-    MAX_TIME_US,
     MAX_CLASSES,
     MAX_TENANTS,
+    MAX_TIME_US,
     MAX_UPSTREAMS,
     UPSTREAMS_PER_STEP,
     CodecError,
-    UpstreamSnapshot,
     Snapshot,
+    UpstreamSnapshot,
     encode_steps,
     is_valid_name,
     to_learned_state,
     upstream_snapshot,
 )
 from ironscale.learned.store import SnapshotFile, choose_snapshot
-from ironscale.learned.timestamps import machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import current_timestamp, machine_boot_id
 from ironscale.net.discovery import upstream_id
 from ironscale.net.sidecar import Sidecar
 from ironscale.threads import run_in_thread
@@ -42,7 +42,7 @@
 
 
 async def run_in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
-    """Runs `steps` for SLICE_S at a time and lets the event loop run between; `spent` is given the seconds of each."""
+    """Runs `steps` for MAX_SLICE_S at a time and lets the event loop run between; `spent` gets the seconds of each."""
     while True:
         start_s = time.perf_counter()
         try:
@@ -121,7 +121,7 @@
         self.logged_at_s: dict[str, float] = {}
 
     def log(self, text: str) -> None:
-        """Logs the same line at most once in LOG_GAP_S, so that a full disk does not also fill the log."""
+        """Logs the same line at most once in LOG_REPEAT_INTERVAL_S, so that a full disk does not also fill the log."""
         at_s = time.monotonic()
         if self.logged_at_s.get(text, -LOG_REPEAT_INTERVAL_S) + LOG_REPEAT_INTERVAL_S <= at_s:
             if len(self.logged_at_s) > 100:
@@ -192,7 +192,7 @@
                 self.log(f"{self.file.path}: can't collect: {type(error).__name__}: {error}")
 
     async def write_final(self) -> None:
-        """Writes the last snapshot before the process ends; gives up after LAST_S."""
+        """Writes the last snapshot before the process ends; gives up after FINAL_WRITE_TIMEOUT_S."""
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 if self.write_in_progress is not None and not self.write_in_progress.done():
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -43,7 +43,7 @@
 
     Within one boot of the machine the running time is exact. Across boots only the wall clock is available: a step
     forward makes values look older than they are, which does no harm; a step backward is noticed only if it goes back
-    before `then`. Raises MomentError if `later` is before `then`.
+    before `then`. Raises TimestampError if `later` is before `then`.
     """
     wall_us = later.wall_us - then.wall_us
     if then.boot and then.boot == later.boot:
--- a/tests/cli/test_learned.py
+++ b/tests/cli/test_learned.py
@@ -13,7 +13,7 @@
 from ironscale.cli.output import CliError, Exit
 from ironscale.learned.codec import encode
 from ironscale.learned.store import SnapshotFile
-from ironscale.learned.timestamps import machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import current_timestamp, machine_boot_id
 from tests.learned.samples import lesson, snapshot
 
 
@@ -29,10 +29,10 @@
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
     taken = current_timestamp(machine_boot_id())
-    upstreams = (lesson("up-0", age_us=0), lesson("up-1", slots=0.9, mute=3, age_us=0, first_hand=False),
+    upstreams = (lesson("up-0", age_us=0), lesson("up-1", slots=0.9, timeout_doublings=3, age_us=0, first_hand=False),
                  lesson("up-2", slots=1 / 64, age_us=20_000_000), lesson("up-3", age_us=7 * 86_400_000_000))
     store = SnapshotFile(tmp_path / "n0.learned")
-    store.save(encode(snapshot(0, taken=replace(taken, wall_us=taken.wall_us - 3_600_000_000), upstreams=upstreams)))
+    store.save(encode(snapshot(0, taken_at=replace(taken, wall_us=taken.wall_us - 3_600_000_000), upstreams=upstreams)))
     return tmp_path / "n0.learned"
 
 
@@ -68,7 +68,7 @@
 def test_a_time_in_the_future_is_shown_and_said(tmp_path: Path) -> None:
     taken = current_timestamp(machine_boot_id())
     path = tmp_path / "n0.learned"
-    path.write_bytes(encode(snapshot(taken=replace(taken, running_us=taken.running_us + 10**10))))
+    path.write_bytes(encode(snapshot(taken_at=replace(taken, running_us=taken.running_us + 10**10))))
     found = json.loads(call("show", str(path), "-o", "json").output)
     assert found["ageSeconds"] is None and "a sidecar would not use it" in found["note"]
     assert found["upstreams"][0]["worthNow"] is None
--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -12,7 +12,7 @@
 
 @dataclass
 class Disk:
-    """`Files` in memory. Each operation and each byte written is a step; step `stop_at` raises Stopped."""
+    """`FileSystem` in memory. Each operation and each byte written is a step; step `stop_at` raises Stopped."""
 
     names: dict[str, int] = field(default_factory=dict)  # as a running process sees them
     data: dict[int, bytes] = field(default_factory=dict)
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -25,7 +25,7 @@
 from ironscale.learned.peer_transfer import REQUEST_LINE, DonorClient, DonorServer, fetch_snapshot
 from ironscale.learned.persistence import SnapshotCollector, SnapshotPersistence
 from ironscale.learned.store import OsFileSystem, SnapshotFile, load_snapshot, path_for
-from ironscale.learned.timestamps import machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import current_timestamp, machine_boot_id
 from ironscale.net.discovery import upstream_id
 from ironscale.operator_file import ControlConfig, LearnedConfig
 from ironscale.standins.discovery import listing
@@ -120,7 +120,7 @@
 
 def test_a_blocking_sync_delays_neither_serving_nor_shutdown(tmp_path: Path, capfd: pytest.CaptureFixture[str],
                                                              monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(persistence, "LAST_S", 0.2)
+    monkeypatch.setattr(persistence, "FINAL_WRITE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
@@ -158,7 +158,7 @@
 
 def test_a_blocking_read_does_not_delay_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                                   capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(persistence, "READ_S", 0.2)
+    monkeypatch.setattr(persistence, "READ_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         event = threading.Event()
@@ -310,17 +310,17 @@
 
 def test_donors_that_are_faulty_hang_or_are_unreachable_cost_a_bounded_time(monkeypatch: pytest.MonkeyPatch,
                                                                             capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(peer_transfer, "ASK_S", 0.5)
+    monkeypatch.setattr(peer_transfer, "DONORS_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
-        data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         donors = [
             await liar(b"", hold=True), await liar(b"\xff" * 12), await liar(told(data)[:-3]),
             await liar(told(data, 10**9)), await liar(told(b"x" + data[1:])),
             await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
-        monkeypatch.setattr(peer_transfer, "MOST_DONORS", 10)
+        monkeypatch.setattr(peer_transfer, "MAX_DONORS", 10)
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
         assert not await pupil.learn(donors)
@@ -336,13 +336,13 @@
 
 
 def test_after_the_first_answer_other_donors_are_not_waited_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transfer, "ASK_S", 20.0)
-    monkeypatch.setattr(peer_transfer, "ENOUGH_S", 0.1)
+    monkeypatch.setattr(peer_transfer, "DONORS_TIMEOUT_S", 20.0)
+    monkeypatch.setattr(peer_transfer, "AFTER_FIRST_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
-        data = encode(snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
         assert await pupil.learn([await liar(b"", hold=True), await liar(told(data))])
 
     run(test, 10)
@@ -350,7 +350,7 @@
 
 @pytest.mark.parametrize("asked", [b"", b"GET / HTTP/1.1\r\n\r\n", REQUEST_LINE[:5], b"\0" * 5000])
 def test_an_invalid_request_gets_no_answer(asked: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transfer, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(peer_transfer, "CONNECTION_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -398,7 +398,7 @@
 
 def test_a_listening_address_in_use_is_retried(monkeypatch: pytest.MonkeyPatch,
                                                capfd: pytest.CaptureFixture[str]) -> None:
-    monkeypatch.setattr(peer_transfer, "AGAIN_S", 0.05)
+    monkeypatch.setattr(peer_transfer, "LISTEN_RETRY_S", 0.05)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -417,7 +417,7 @@
 def test_the_extension_runs_with_a_sidecar_and_writes_at_its_end(tmp_path: Path) -> None:
     async def test() -> None:
         peers = await peers_of(2)
-        donor = await liar(told(encode(snapshot(0, taken=current_timestamp(machine_boot_id()),
+        donor = await liar(told(encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()),
                                                 upstreams=(lesson("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
@@ -436,7 +436,7 @@
     async def broken(self: object) -> None:
         raise RuntimeError("broken on purpose")
 
-    monkeypatch.setattr(LearnedStateTasks, "all", broken)
+    monkeypatch.setattr(LearnedStateTasks, "run_all", broken)
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
@@ -515,7 +515,7 @@
 def test_learned_state_of_unknown_upstreams_is_rejected(capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        others = snapshot(0, taken=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
+        others = snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -19,7 +19,7 @@
 from ironscale import interface as api
 from ironscale.introspection import learned_state
 from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
-from ironscale.learned.timestamps import machine_boot_id, current_timestamp
+from ironscale.learned.timestamps import current_timestamp, machine_boot_id
 from ironscale.standins.discovery import ListedDiscovery
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -196,10 +196,10 @@
 import sys
 from pathlib import Path
 from ironscale.learned.codec import encode
-from ironscale.learned.store import Store
+from ironscale.learned.store import SnapshotFile
 from tests.learned.samples import snapshot
 
-store = Store(Path(sys.argv[1]))
+store = SnapshotFile(Path(sys.argv[1]))
 assert store.acquire()
 serial = int(sys.argv[2])
 data = [encode(snapshot(40, serial=s)) for s in range(serial + 1, serial + 400)]
