--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -46,7 +46,7 @@
 def facts(path: Path, data: bytes, snapshot: Snapshot) -> dict[str, Any]:
     """All of it, with what each upstream's lesson is still worth now."""
     try:
-        age_us, note = elapsed_between(snapshot.taken, current_timestamp(machine_boot_id()))
+        age_us, note = elapsed_between(snapshot.taken_at, current_timestamp(machine_boot_id()))
     except TimestampError as error:
         age_us, note = None, f"{error}; a sidecar would not use it"
     names: dict[int, str] = {}
@@ -63,7 +63,7 @@
             worth[names[one.id]] = round(faded.slots, 3) if faded is not None else None
     return {
         "file": str(path), "version": unpack_body(data)[0], "bytes": len(data), "sidecar": snapshot.name,
-        "written": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(snapshot.taken.wall_us / 1e6)),
+        "written": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(snapshot.taken_at.wall_us / 1e6)),
         "ageSeconds": None if age_us is None else round(age_us / 1e6, 3), "note": note,
         "upSeconds": round(snapshot.uptime_us / 1e6, 3), "zone": snapshot.zone, "resting": snapshot.resting,
         "cutOff": snapshot.discovery_failed, "slots": snapshot.slots,
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -59,7 +59,7 @@
     """What one sidecar had learned at the time when the snapshot was taken."""
 
     name: str  # the sidecar's
-    taken: Timestamp
+    taken_at: Timestamp
     uptime_us: int  # the sidecar's uptime
     resting: bool
     discovery_failed: bool  # the last discovery call had failed
@@ -86,8 +86,8 @@
 def header_line(snapshot: Snapshot) -> bytes:
     """The first line of the body: everything except the upstreams."""
     return json_line({
-        "name": snapshot.name, "boot": snapshot.taken.boot, "running_us": snapshot.taken.running_us,
-        "wall_us": snapshot.taken.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
+        "name": snapshot.name, "boot": snapshot.taken_at.boot, "running_us": snapshot.taken_at.running_us,
+        "wall_us": snapshot.taken_at.wall_us, "up_us": snapshot.uptime_us, "resting": int(snapshot.resting),
         "cut_off": int(snapshot.discovery_failed), "zone": snapshot.zone, "slots": to_millionths(snapshot.slots),
         "age_us": snapshot.age_us,
         "classes": [[name, age_us, round(mean), round(base)] for name, age_us, mean, base in snapshot.classes],
--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -151,7 +151,7 @@
             snapshot = yield from decode_steps(data)
             if snapshot.name != name:
                 raise CodecError(f"expected what {name!r} learned, got that of another sidecar, {snapshot.name!r}")
-            age_us, note = elapsed_between(snapshot.taken, now)
+            age_us, note = elapsed_between(snapshot.taken_at, now)
         except (CodecError, TimestampError) as error:
             lines.append(f"{path}: {error}; not used")
             continue
