--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -74,11 +74,11 @@
     """Connects the agent's client to this extension; implements ironscale.control.extension.LearnedStateExchange."""
 
     def __init__(self) -> None:
-        self.running: LearnedStateTasks | None = None
+        self.tasks: LearnedStateTasks | None = None
 
     def teaches(self) -> str:
         """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
-        teacher = self.running.donor_server if self.running is not None else None
+        teacher = self.tasks.donor_server if self.tasks is not None else None
         return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
 
     def offer(self, donors: list[str]) -> None:
@@ -86,8 +86,8 @@
         found = [address for text in donors[:MAX_OFFERED_DONORS] if (address := read_address(text)) is not None]
         # a faulty agent must not make sidecars connect to other machines
         near = tuple(address for address in found if is_loopback(address))
-        if self.running is not None and near and not self.running.offered_donors.full():
-            self.running.offered_donors.put_nowait(near)
+        if self.tasks is not None and near and not self.tasks.offered_donors.full():
+            self.tasks.offered_donors.put_nowait(near)
 
 
 def learned_state_extension(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
@@ -96,7 +96,7 @@
     async def run_tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         found = LearnedStateTasks(sidecar, learned)
         if channel is not None:
-            channel.running = found
+            channel.tasks = found
         try:
             async with run_in_background(found.run()):
                 yield
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -492,7 +492,7 @@
                     await old.call()
                 await until(lambda: "old" in agent.fleet.teaching and agent.fleet.members["old"].report)
                 async with one(new, "new", LearnedConfig(from_agent=True)) as channel:
-                    await until(lambda: channel.running is not None and channel.running.donor_client.has_learned)
+                    await until(lambda: channel.tasks is not None and channel.tasks.donor_client.has_learned)
                     assert all(server.lesson for server in new.sidecar.balancer.upstreams.values())
 
     run(test)
@@ -503,11 +503,11 @@
         scene = await scene_with(await peers_of(1))
         channel = AgentChannel()
         async with learned_state_extension(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
-            assert channel.running is not None
+            assert channel.tasks is not None
             channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
-            assert channel.running.offered_donors.empty()
+            assert channel.tasks.offered_donors.empty()
             channel.offer(["10.0.0.1:80", "127.0.0.1:9"])
-            assert channel.running.offered_donors.get_nowait() == (("127.0.0.1", 9),)
+            assert channel.tasks.offered_donors.get_nowait() == (("127.0.0.1", 9),)
 
     run(test)
 
