--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -81,7 +81,7 @@
         teacher = self.tasks.donor_server if self.tasks is not None else None
         return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
 
-    def offer(self, donors: list[str]) -> None:
+    def offer_donors(self, donors: list[str]) -> None:
         """Takes the addresses of donors that the agent names."""
         found = [address for text in donors[:MAX_OFFERED_DONORS] if (address := read_address(text)) is not None]
         # a faulty agent must not make sidecars connect to other machines
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -504,9 +504,9 @@
         channel = AgentChannel()
         async with learned_state_extension(LearnedConfig(from_agent=True), channel)(scene.sidecar, lambda: None):
             assert channel.tasks is not None
-            channel.offer(["10.0.0.1:80", "example.org:443", "nonsense", ""])
+            channel.offer_donors(["10.0.0.1:80", "example.org:443", "nonsense", ""])
             assert channel.tasks.offered_donors.empty()
-            channel.offer(["10.0.0.1:80", "127.0.0.1:9"])
+            channel.offer_donors(["10.0.0.1:80", "127.0.0.1:9"])
             assert channel.tasks.offered_donors.get_nowait() == (("127.0.0.1", 9),)
 
     run(test)
