--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self.tasks: LearnedStateTasks | None = None
 
-    def teaches(self) -> str:
+    def serving_address(self) -> str:
         """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
         teacher = self.tasks.donor_server if self.tasks is not None else None
         return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
