--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -37,7 +37,7 @@
         self.donor_client = DonorClient(sidecar, self.collector, random.Random(secrets.randbits(64)))
         self.donors = learned.ask
         self.offered_donors: asyncio.Queue[tuple[Address, ...]] = asyncio.Queue(1)
-        self.from_agent = learned.from_agent
+        self.learns_from_agent = learned.from_agent
 
     async def learn(self, donors: tuple[Address, ...]) -> None:
         for wait_s in (0.0, *RETRY_DELAYS_S):
@@ -66,7 +66,7 @@
                 group.create_task(self.donor_server.run())
             if self.donors:
                 group.create_task(self.learn(self.donors))
-            if self.from_agent:
+            if self.learns_from_agent:
                 group.create_task(self.learn_from_offers())
 
 
