--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -70,7 +70,7 @@
     def teaches(self) -> str:
         """HOST:PORT where new instances can fetch this instance's learned state; empty if it is not served."""
 
-    def offer(self, donors: list[str]) -> None:
+    def offer_donors(self, donors: list[str]) -> None:
         """Receives the HOST:PORT of instances that serve their learned state."""
 
 
@@ -90,7 +90,7 @@
     async def run_client(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         client, layered = create_client(sidecar, control, token, environ, end)
         if learned_state is not None:
-            client.learned_state_address, client.on_donors = learned_state.teaches, learned_state.offer
+            client.learned_state_address, client.on_donors = learned_state.teaches, learned_state.offer_donors
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
             tasks.append(asyncio.create_task(log_failure(create_follower(layered, client.identity, versions).run())))
