--- a/ironscale/control/extension.py
+++ b/ironscale/control/extension.py
@@ -67,7 +67,7 @@
 class LearnedStateExchange(Protocol):
     """Exchange of learned state between sidecars: the agent tells new instances which others hand out theirs."""
 
-    def teaches(self) -> str:
+    def serving_address(self) -> str:
         """HOST:PORT where new instances can fetch this instance's learned state; empty if it is not served."""
 
     def offer_donors(self, donors: list[str]) -> None:
@@ -90,7 +90,7 @@
     async def run_client(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
         client, layered = create_client(sidecar, control, token, environ, end)
         if learned_state is not None:
-            client.learned_state_address, client.on_donors = learned_state.teaches, learned_state.offer_donors
+            client.learned_state_address, client.on_donors = learned_state.serving_address, learned_state.offer_donors
         tasks = [asyncio.create_task(log_failure(client.run()))]
         if versions is not None:
             tasks.append(asyncio.create_task(log_failure(create_follower(layered, client.identity, versions).run())))
