--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -85,9 +85,9 @@
         """Takes the addresses of donors that the agent names."""
         found = [address for text in donors[:MAX_OFFERED_DONORS] if (address := read_address(text)) is not None]
         # a faulty agent must not make sidecars connect to other machines
-        near = tuple(address for address in found if is_loopback(address))
-        if self.tasks is not None and near and not self.tasks.offered_donors.full():
-            self.tasks.offered_donors.put_nowait(near)
+        loopback_donors = tuple(address for address in found if is_loopback(address))
+        if self.tasks is not None and loopback_donors and not self.tasks.offered_donors.full():
+            self.tasks.offered_donors.put_nowait(loopback_donors)
 
 
 def learned_state_extension(learned: LearnedConfig, channel: AgentChannel | None = None) -> Extension:
