--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -277,14 +277,14 @@
 # Conversion from and to the balancer's types
 
 
-def upstream_snapshot(lesson: LearnedUpstream, name: str, told_us: int) -> UpstreamSnapshot:
+def upstream_snapshot(lesson: LearnedUpstream, name: str, now_us: int) -> UpstreamSnapshot:
     def age_us_at(at_us: int) -> int:
-        return max(0, min(MAX_AGE_US, told_us - at_us))
+        return max(0, min(MAX_AGE_US, now_us - at_us))
 
     return UpstreamSnapshot(
         name, lesson.started_us, age_us_at(lesson.confirmed_us), max(1e-6, lesson.slots), lesson.min_latency_us,
         lesson.failing, min(64, lesson.timeout_doublings),
-        max(0, min(3_600_000_000, lesson.next_cold_us - told_us)), lesson.first_hand)
+        max(0, min(3_600_000_000, lesson.next_cold_us - now_us)), lesson.first_hand)
 
 
 def to_learned_state(snapshot: Snapshot, taken_us: int, now_us: int, zone: int, ident: Any) -> LearnedState:
