--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -72,7 +72,7 @@
     def collect_steps(self) -> Generator[None, None, Snapshot]:
         """Collects the snapshot in steps, one at each `next`, and returns it."""
         balancer, sidecar = self.sidecar.balancer, self.sidecar
-        told_us, taken = sidecar.clock.now_us(), current_timestamp(self.boot)
+        now_us, taken = sidecar.clock.now_us(), current_timestamp(self.boot)
         idents = list(balancer.upstreams)
         found: list[UpstreamSnapshot] = []
         for start in range(0, len(idents), UPSTREAMS_PER_STEP):
@@ -80,16 +80,16 @@
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
                 # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
                 if pool is not None and is_valid_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
-                    found.append(upstream_snapshot(lesson, pool.member.name, told_us))
+                    found.append(upstream_snapshot(lesson, pool.member.name, now_us))
             yield
         if len(found) > MAX_UPSTREAMS:
             found = sorted(found, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
         whole = learned_state(balancer, [])
         return Snapshot(
-            sidecar.config.name, taken, told_us - self.started_us, resting=balancer.window.slots < 1.0,
+            sidecar.config.name, taken, now_us - self.started_us, resting=balancer.window.slots < 1.0,
             discovery_failed=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
-            slots=whole.slots, age_us=max(0, told_us - whole.confirmed_us) if whole.confirmed_us else 0,
-            classes=tuple((c.name, max(0, told_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
+            slots=whole.slots, age_us=max(0, now_us - whole.confirmed_us) if whole.confirmed_us else 0,
+            classes=tuple((c.name, max(0, now_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in whole.classes[:MAX_CLASSES] if is_valid_name(c.name)),
             tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_valid_name(t[0])),
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
