--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -41,7 +41,7 @@
 LOG_REPEAT_INTERVAL_S = 60.0
 
 
-async def run_in_slices(steps: Generator[None, None, T], spent: Callable[[float], None] = lambda s: None) -> T:
+async def run_in_slices(steps: Generator[None, None, T], on_slice: Callable[[float], None] = lambda s: None) -> T:
     """Runs `steps` for MAX_SLICE_S at a time and lets the event loop run between; `spent` gets the seconds of each."""
     while True:
         start_s = time.perf_counter()
@@ -52,7 +52,7 @@
             value: T = stop.value
             return value
         finally:
-            spent(time.perf_counter() - start_s)
+            on_slice(time.perf_counter() - start_s)
         await asyncio.sleep(0)
 
 
