--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -84,14 +84,14 @@
             yield
         if len(found) > MAX_UPSTREAMS:
             found = sorted(found, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
-        whole = learned_state(balancer, [])
+        own_state = learned_state(balancer, [])
         return Snapshot(
             sidecar.config.name, taken, now_us - self.started_us, resting=balancer.window.slots < 1.0,
-            discovery_failed=sidecar.discovery_failed, zone=self.zones.get(whole.zone, ""),
-            slots=whole.slots, age_us=max(0, now_us - whole.confirmed_us) if whole.confirmed_us else 0,
+            discovery_failed=sidecar.discovery_failed, zone=self.zones.get(own_state.zone, ""),
+            slots=own_state.slots, age_us=max(0, now_us - own_state.confirmed_us) if own_state.confirmed_us else 0,
             classes=tuple((c.name, max(0, now_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
-                          for c in whole.classes[:MAX_CLASSES] if is_valid_name(c.name)),
-            tenants=tuple(t for t in whole.tenants[:MAX_TENANTS] if is_valid_name(t[0])),
+                          for c in own_state.classes[:MAX_CLASSES] if is_valid_name(c.name)),
+            tenants=tuple(t for t in own_state.tenants[:MAX_TENANTS] if is_valid_name(t[0])),
             idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
 
     async def collect(self) -> bytes:
