--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -131,12 +131,12 @@
 
     def delete(self) -> list[str]:
         """Deletes all files but the lock, which a running process may hold; returns the paths deleted."""
-        gone = []
+        deleted = []
         for path in (self.current, self.previous, self.temporary):
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
-                gone.append(path)
-        return gone
+                deleted.append(path)
+        return deleted
 
 
 def choose_snapshot(found: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
