--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -106,13 +106,13 @@
         try:
             sock.setblocking(False)
             async with asyncio.timeout(CONNECTION_TIMEOUT_S):
-                asked = b""
-                while len(asked) < len(REQUEST_LINE) and REQUEST_LINE.startswith(asked):
-                    more = await loop.sock_recv(sock, len(REQUEST_LINE) - len(asked))
+                request = b""
+                while len(request) < len(REQUEST_LINE) and REQUEST_LINE.startswith(request):
+                    more = await loop.sock_recv(sock, len(REQUEST_LINE) - len(request))
                     if not more:
                         return
-                    asked += more
-                if asked != REQUEST_LINE:
+                    request += more
+                if request != REQUEST_LINE:
                     return
                 age_us, data = await self.recent_snapshot()
                 await loop.sock_sendall(sock, age_us.to_bytes(8) + len(data).to_bytes(4) + data)
