--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -35,9 +35,9 @@
 
 def median_idle_failures(donors: Sequence[confidence.Donor]) -> list[float]:
     """The weighted median of the donors' failure shares of reused idle connections, for each idle time."""
-    weighed = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
-    count = min((len(ages) for ages, _ in weighed), default=0)
-    return [confidence.median([(ages[i], weight) for ages, weight in weighed]) for i in range(count)]
+    weighted = [(donor.ages, donor.weight()) for donor in donors if donor.weight() > 0.0]
+    count = min((len(ages) for ages, _ in weighted), default=0)
+    return [confidence.median([(ages[i], weight) for ages, weight in weighted]) for i in range(count)]
 
 
 class DonorServer:
