--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -12,7 +12,7 @@
 
 from ironscale.learned import codec
 from ironscale.learned.codec import DIGEST_BYTES, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, json_line
-from tests.learned.samples import lesson, snapshot
+from tests.learned.samples import upstream_sample, snapshot
 
 WHOLE = encode(snapshot())
 
@@ -130,7 +130,7 @@
 
 
 def test_the_largest_snapshot_fits_the_size_limit() -> None:
-    long = tuple(lesson(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.MAX_AGE_US, slots=1e6)
+    long = tuple(upstream_sample(f"{i:05}" + "x" * 40, started_us=codec.MAX_TIME_US, age_us=codec.MAX_AGE_US, slots=1e6)
                  for i in range(codec.MAX_UPSTREAMS))
     data = encode(snapshot(0, upstreams=long))
     assert len(data) < codec.MAX_BYTES and len(decode(data).upstreams) == codec.MAX_UPSTREAMS
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -32,7 +32,7 @@
 from ironscale.standins.upstream import Peer, reset
 from ironscale.threads import run_in_thread
 from tests.agent.agent_harness import section
-from tests.learned.samples import lesson, snapshot
+from tests.learned.samples import upstream_sample, snapshot
 from tests.sockets import Scene, run, until
 
 
@@ -314,7 +314,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
-        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("up-0"),)))
         donors = [
             await liar(b"", hold=True), await liar(b"\xff" * 12), await liar(told(data)[:-3]),
             await liar(told(data, 10**9)), await liar(told(b"x" + data[1:])),
@@ -342,7 +342,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
-        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("up-0"),)))
+        data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("up-0"),)))
         assert await pupil.learn([await liar(b"", hold=True), await liar(told(data))])
 
     run(test, 10)
@@ -418,7 +418,7 @@
     async def test() -> None:
         peers = await peers_of(2)
         donor = await liar(told(encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()),
-                                                upstreams=(lesson("up-0", started_us=0),)))))
+                                                upstreams=(upstream_sample("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
         async with learned_state_extension(learned)(scene.sidecar, lambda: None):
@@ -515,7 +515,7 @@
 def test_learned_state_of_unknown_upstreams_is_rejected(capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        others = snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(lesson("another-service-0"),))
+        others = snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("another-service-0"),))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         assert not await pupil.learn([await liar(told(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
