--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 
-class Stopped(Exception):
+class PowerLoss(Exception):
     """The simulated power failure."""
 
 
@@ -26,7 +26,7 @@
 
     def step(self) -> None:
         if self.steps == self.stop_at:
-            raise Stopped
+            raise PowerLoss
         self.steps += 1
 
     def check(self, what: str) -> None:
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -16,7 +16,7 @@
 from ironscale.learned.store import SnapshotFile, load_snapshot, path_for
 from ironscale.learned.timestamps import Timestamp, TimestampError, elapsed_between
 from tests.deployed import ROOT
-from tests.learned.disk import Disk, Stopped
+from tests.learned.disk import Disk, PowerLoss
 from tests.learned.samples import NOW, snapshot
 
 LATER = replace(NOW, running_us=NOW.running_us + 2_000_000, wall_us=NOW.wall_us + 2_000_000)
@@ -45,7 +45,7 @@
             for data in saved:
                 SnapshotFile(PATH, disk).save(data)
             done = True
-        except Stopped:
+        except PowerLoss:
             done = False
         assert serial(disk) in (1, 2), f"killed at step {stop}"  # a killed process loses nothing that was written
         for seed in range(8):
@@ -61,7 +61,7 @@
     SnapshotFile(PATH, whole).save(data)
     for stop in range(whole.steps):
         disk = Disk(stop_at=stop)
-        with pytest.raises(Stopped):
+        with pytest.raises(PowerLoss):
             SnapshotFile(PATH, disk).save(data)
         for seed in range(8):
             assert serial(disk.after_power_loss(random.Random(stop * 100 + seed))) in (None, 7)
@@ -78,7 +78,7 @@
             try:
                 SnapshotFile(PATH, disk).save(data)
                 last = i
-            except Stopped:
+            except PowerLoss:
                 disk = disk.after_power_loss(rng)
             found = serial(disk)
             assert (found is None and last < 0) or (found is not None and last <= found <= i), f"case {case}"
