--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -22,7 +22,7 @@
     stop_at: int = -1
     steps: int = 0
     fail: dict[str, OSError] = field(default_factory=dict)
-    room: int = 1 << 30
+    capacity: int = 1 << 30
 
     def step(self) -> None:
         if self.steps == self.stop_at:
@@ -47,7 +47,7 @@
         self.data[inode] = b""
         for i in range(len(data)):
             self.step()
-            if i >= self.room:
+            if i >= self.capacity:
                 raise OSError(28, "No space left on device")
             self.data[inode] = data[:i + 1]
         self.step()
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -102,11 +102,11 @@
     SnapshotFile(PATH, disk).save(encode(snapshot(1, serial=1)))
     data = encode(snapshot(1, serial=2))
     for room in range(len(data)):
-        disk.room = room
+        disk.capacity = room
         with pytest.raises(OSError, match="No space"):
             SnapshotFile(PATH, disk).save(data)
         assert serial(disk) == 1
-    disk.room = 1 << 20
+    disk.capacity = 1 << 20
     SnapshotFile(PATH, disk).save(data)
     assert serial(disk) == 2
 
