--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -16,7 +16,7 @@
 
     names: dict[str, int] = field(default_factory=dict)  # as a running process sees them
     data: dict[int, bytes] = field(default_factory=dict)
-    lasting_names: dict[str, int] = field(default_factory=dict)
+    durable_names: dict[str, int] = field(default_factory=dict)
     lasting_data: dict[int, bytes] = field(default_factory=dict)
     pending: list[tuple[str, int | None]] = field(default_factory=list)  # changes of names since the last sync
     stop_at: int = -1
@@ -66,13 +66,13 @@
     def sync_folder(self, path: str) -> None:
         self.step()
         self.check("sync_folder")
-        self.lasting_names = dict(self.names)
+        self.durable_names = dict(self.names)
         self.pending = []
 
     def after_power_loss(self, rng: random.Random) -> Disk:
         """The disk as it may be after a power failure. Unsynced data may be complete, cut short, padded with zeros,
         or as it was at the last sync. Any part of the unsynced names may be lost, but a rename only as a whole."""
-        names = dict(self.lasting_names)
+        names = dict(self.durable_names)
         changes = self.pending
         i = 0
         while i < len(changes):
@@ -96,4 +96,4 @@
             else:
                 cut = now[:rng.randrange(len(now) + 1)]
                 data[inode] = rng.choice([cut, cut + bytes(len(now) - len(cut)), lasting or b"", now])
-        return Disk(names=dict(names), data=dict(data), lasting_names=dict(names), lasting_data=dict(data))
+        return Disk(names=dict(names), data=dict(data), durable_names=dict(names), lasting_data=dict(data))
