--- a/tests/learned/disk.py
+++ b/tests/learned/disk.py
@@ -17,7 +17,7 @@
     names: dict[str, int] = field(default_factory=dict)  # as a running process sees them
     data: dict[int, bytes] = field(default_factory=dict)
     durable_names: dict[str, int] = field(default_factory=dict)
-    lasting_data: dict[int, bytes] = field(default_factory=dict)
+    durable_data: dict[int, bytes] = field(default_factory=dict)
     pending: list[tuple[str, int | None]] = field(default_factory=list)  # changes of names since the last sync
     stop_at: int = -1
     steps: int = 0
@@ -52,7 +52,7 @@
             self.data[inode] = data[:i + 1]
         self.step()
         self.check("sync")
-        self.lasting_data[inode] = self.data[inode]
+        self.durable_data[inode] = self.data[inode]
 
     def rename(self, old: str, new: str) -> None:
         self.step()
@@ -90,10 +90,10 @@
                     names[path] = inode
         data: dict[int, bytes] = {}
         for inode in names.values():
-            lasting, now = self.lasting_data.get(inode), self.data[inode]
+            lasting, now = self.durable_data.get(inode), self.data[inode]
             if lasting == now:
                 data[inode] = now
             else:
                 cut = now[:rng.randrange(len(now) + 1)]
                 data[inode] = rng.choice([cut, cut + bytes(len(now) - len(cut)), lasting or b"", now])
-        return Disk(names=dict(names), data=dict(data), durable_names=dict(names), lasting_data=dict(data))
+        return Disk(names=dict(names), data=dict(data), durable_names=dict(names), durable_data=dict(data))
