--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -292,7 +292,7 @@
     run(test)
 
 
-async def liar(answer: bytes, hold: bool = False) -> tuple[str, int]:
+async def start_donor(answer: bytes, hold: bool = False) -> tuple[str, int]:
     async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(len(REQUEST_LINE))
         writer.write(answer)
@@ -316,9 +316,9 @@
         scene = await scene_with(await peers_of(2))
         data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("up-0"),)))
         donors = [
-            await liar(b"", hold=True), await liar(b"\xff" * 12), await liar(framed(data)[:-3]),
-            await liar(framed(data, 10**9)), await liar(framed(b"x" + data[1:])),
-            await liar((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
+            await start_donor(b"", hold=True), await start_donor(b"\xff" * 12), await start_donor(framed(data)[:-3]),
+            await start_donor(framed(data, 10**9)), await start_donor(framed(b"x" + data[1:])),
+            await start_donor((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
         monkeypatch.setattr(peer_transfer, "MAX_DONORS", 10)
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
@@ -326,7 +326,7 @@
         assert not await pupil.learn(donors)
         assert asyncio.get_running_loop().time() - started_s < 10
         assert (await scene.call()).status == 200
-        assert await pupil.learn([*donors, await liar(framed(data))])  # one valid donor is enough
+        assert await pupil.learn([*donors, await start_donor(framed(data))])  # one valid donor is enough
 
     run(test)
     text = capfd.readouterr().err
@@ -343,7 +343,7 @@
         scene = await scene_with(await peers_of(1))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("up-0"),)))
-        assert await pupil.learn([await liar(b"", hold=True), await liar(framed(data))])
+        assert await pupil.learn([await start_donor(b"", hold=True), await start_donor(framed(data))])
 
     run(test, 10)
 
@@ -417,7 +417,7 @@
 def test_the_extension_runs_with_a_sidecar_and_writes_at_its_end(tmp_path: Path) -> None:
     async def test() -> None:
         peers = await peers_of(2)
-        donor = await liar(framed(encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()),
+        donor = await start_donor(framed(encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()),
                                                 upstreams=(upstream_sample("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
@@ -517,7 +517,7 @@
         scene = await scene_with(await peers_of(1))
         others = snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("another-service-0"),))
         pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
-        assert not await pupil.learn([await liar(framed(encode(others)))])
+        assert not await pupil.learn([await start_donor(framed(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
 
     run(test)
