--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -44,7 +44,7 @@
     return [await Peer().start() for _ in range(count)]
 
 
-def keeper_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> SnapshotPersistence:
+def persistence_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> SnapshotPersistence:
     return SnapshotPersistence(scene.sidecar, store, every_s, SnapshotCollector(scene.sidecar))
 
 
@@ -67,7 +67,7 @@
     async def test() -> None:
         peers = await peers_of(3)
         scene = await scene_with(peers)
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(keeper.run())):
             for _ in range(30):
                 assert (await scene.call()).status == 200
@@ -77,7 +77,7 @@
         assert writes >= 1
         told = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
         other = await scene_with(peers)
-        again = keeper_of(other, SnapshotFile(path_for(tmp_path, "n0")))
+        again = persistence_of(other, SnapshotFile(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(again.run())):
             await again.read_done.wait()
             for ident, server in other.sidecar.balancer.upstreams.items():
@@ -92,7 +92,7 @@
 def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
         await keeper.write()
         assert keeper.write_in_progress is None
         await scene.call()
@@ -125,7 +125,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
         files = Blocked()
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
         try:
             async with running(asyncio.create_task(keeper.run())):
                 await scene.call()
@@ -163,7 +163,7 @@
     async def test() -> None:
         event = threading.Event()
         scene = await scene_with(await peers_of(2))
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"), SlowRead(event)))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), SlowRead(event)))
         try:
             async with running(asyncio.create_task(keeper.run())):
                 assert (await scene.call()).status == 200
@@ -191,7 +191,7 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         files = Failing(code)
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
         async with running(asyncio.create_task(keeper.run())):
             while files.tries < 3:
                 assert (await scene.call()).status == 200
@@ -206,7 +206,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = keeper_of(scene, SnapshotFile(path_for(tmp_path / "file", "n0")))
+        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path / "file", "n0")))
         await keeper.recall()
         assert (await scene.call()).status == 200
         await keeper.write_final()
@@ -222,7 +222,7 @@
     async def test() -> None:
         peers = await peers_of(1)
         first, second = await scene_with(peers), await scene_with(peers)
-        keepers = [keeper_of(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
+        keepers = [persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
         await first.call()
         await keepers[0].write_final()
         before = Path(keepers[0].file.current).read_bytes()
@@ -243,7 +243,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = keeper_of(scene, SnapshotFile(path))
+        keeper = persistence_of(scene, SnapshotFile(path))
         await keeper.recall()
         assert (await scene.call()).status == 200
         assert not scene.sidecar.balancer.lessons
