--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -105,7 +105,7 @@
     run(test)
 
 
-class Blocked(OsFileSystem):
+class BlockingSync(OsFileSystem):
     """Its sync blocks until `let_go` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
-        files = Blocked()
+        files = BlockingSync()
         keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
         try:
             async with running(asyncio.create_task(keeper.run())):
