--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -109,12 +109,12 @@
     """Its sync blocks until `let_go` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
-        self.let_go = threading.Event()
+        self.unblock = threading.Event()
         self.waits = 0
 
     def fsync(self, handle: int) -> None:
         self.waits += 1
-        assert self.let_go.wait(60)
+        assert self.unblock.wait(60)
         super().fsync(handle)
 
 
@@ -137,10 +137,10 @@
             started_s = asyncio.get_running_loop().time()
             await keeper.write_final()
             assert asyncio.get_running_loop().time() - started_s < 5
-            files.let_go.set()
+            files.unblock.set()
             await until(lambda: keeper.write_count == 1)
         finally:
-            files.let_go.set()
+            files.unblock.set()
 
     run(test)
     text = capfd.readouterr().err
