--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -187,7 +187,7 @@
 STOP_US, START_AGAIN_US, END_US = 11 * S, 12 * S, 15 * S
 
 
-def play(fault: str, seed: int) -> dict[str, Stage]:
+def run_variants(fault: str, seed: int) -> dict[str, Stage]:
     """Kills one instance and restarts it from the same state in several ways; returns the stage after each."""
     stage = Stage(seed, sides=3, nodes=9, rate_per_s=90.0, faults=FAULTS[fault])
     stage.run(4 * S + 500_000)
@@ -223,7 +223,7 @@
     """Allows for noise: cold starts that differ only in their random seed are up to 4 percentage points apart in 3 s
     (270 requests). `bench.learned starts` runs many more seeds."""
     for seed in (1, 2):
-        played = play(fault, seed)
+        played = run_variants(fault, seed)
         first = {name: stage.served(0, START_AGAIN_US, END_US) for name, stage in played.items()}
         last = {name: stage.served(0, END_US - S, END_US) for name, stage in played.items()}
         for name in played:
