--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -29,7 +29,7 @@
     return assemble(lines)
 
 
-def put(key: str, value: Any) -> Callable[[Any], Any]:
+def with_key(key: str, value: Any) -> Callable[[Any], Any]:
     return lambda header: {**header, key: value}
 
 
@@ -89,20 +89,20 @@
     (assemble([body()[0].replace(b'"slots":12000000', b'"slots":NaN'), *body()[1:]]), "NaN is no number"),
     (assemble([body()[0].replace(b'"slots":12000000', b'"slots":1e999'), *body()[1:]]), "canonical"),
     (assemble([body()[0].replace(b'"slots":', b'"slots": '), *body()[1:]]), "another encoding of the same"),
-    (changed(put("slots", -1)), "header.slots: expected a whole number from 0"),
-    (changed(put("slots", True)), "header.slots"),
-    (changed(put("slots", 1.5)), "header.slots"),
-    (changed(put("age_us", codec.MAX_AGE_US + 1)), "header.age_us"),
-    (changed(put("name", "")), "header.name"),
-    (changed(put("name", "a\x1bb")), "header.name"),
-    (changed(put("more", 1)), "the keys"),
-    (changed(put("upstreams", 4)), "header.upstreams: expected 3"),
-    (changed(put("upstreams", 10**9)), "header.upstreams"),
-    (changed(put("ages", [0] * 64)), "65 shares"),
-    (changed(put("ages", [2_000_000] + [0] * 64)), "header.ages"),
-    (changed(put("classes", [["view", 1, 0, 1]])), "header.classes.mean"),
-    (changed(put("classes", [["view", 1, 1]])), "header.classes[0]: expected 4 values"),
-    (changed(put("tenants", [["t", 1]] * 1001)), "a list of 1000 at most"),
+    (changed(with_key("slots", -1)), "header.slots: expected a whole number from 0"),
+    (changed(with_key("slots", True)), "header.slots"),
+    (changed(with_key("slots", 1.5)), "header.slots"),
+    (changed(with_key("age_us", codec.MAX_AGE_US + 1)), "header.age_us"),
+    (changed(with_key("name", "")), "header.name"),
+    (changed(with_key("name", "a\x1bb")), "header.name"),
+    (changed(with_key("more", 1)), "the keys"),
+    (changed(with_key("upstreams", 4)), "header.upstreams: expected 3"),
+    (changed(with_key("upstreams", 10**9)), "header.upstreams"),
+    (changed(with_key("ages", [0] * 64)), "65 shares"),
+    (changed(with_key("ages", [2_000_000] + [0] * 64)), "header.ages"),
+    (changed(with_key("classes", [["view", 1, 0, 1]])), "header.classes.mean"),
+    (changed(with_key("classes", [["view", 1, 1]])), "header.classes[0]: expected 4 values"),
+    (changed(with_key("tenants", [["t", 1]] * 1001)), "a list of 1000 at most"),
     (changed(cell(2, -1), 1), "upstream 0.age_us"),
     (changed(cell(3, 0), 1), "upstream 0.slots"),
     (changed(cell(6, 65), 2), "upstream 1.mute"),
