--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -33,7 +33,7 @@
     return lambda header: {**header, key: value}
 
 
-def cell(index: int, value: Any) -> Callable[[Any], Any]:
+def with_value(index: int, value: Any) -> Callable[[Any], Any]:
     return lambda row: [*row[:index], value, *row[index + 1:]]
 
 
@@ -103,12 +103,12 @@
     (changed(with_key("classes", [["view", 1, 0, 1]])), "header.classes.mean"),
     (changed(with_key("classes", [["view", 1, 1]])), "header.classes[0]: expected 4 values"),
     (changed(with_key("tenants", [["t", 1]] * 1001)), "a list of 1000 at most"),
-    (changed(cell(2, -1), 1), "upstream 0.age_us"),
-    (changed(cell(3, 0), 1), "upstream 0.slots"),
-    (changed(cell(6, 65), 2), "upstream 1.mute"),
-    (changed(cell(7, 10**13), 1), "upstream 0.cold_for_us"),
-    (changed(cell(8, 2), 1), "upstream 0.first_hand"),
-    (changed(cell(0, "up-0001"), 1), "order of their names"),
+    (changed(with_value(2, -1), 1), "upstream 0.age_us"),
+    (changed(with_value(3, 0), 1), "upstream 0.slots"),
+    (changed(with_value(6, 65), 2), "upstream 1.mute"),
+    (changed(with_value(7, 10**13), 1), "upstream 0.cold_for_us"),
+    (changed(with_value(8, 2), 1), "upstream 0.first_hand"),
+    (changed(with_value(0, "up-0001"), 1), "order of their names"),
     (changed(lambda row: row[:8], 1), "upstream 0: expected 9 values"),
     (assemble([*body(), b"[" * 5000]), "upstream"),
     (bytes(codec.MAX_BYTES + 1), f"expected {codec.MAX_BYTES} bytes at most"),
