--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -37,7 +37,7 @@
     return lambda row: [*row[:index], value, *row[index + 1:]]
 
 
-def refusal(data: bytes) -> str:
+def decode_error(data: bytes) -> str:
     with pytest.raises(CodecError) as found:
         decode(data)
     text = str(found.value)
@@ -61,24 +61,24 @@
         for bit in range(8):
             damaged = bytearray(WHOLE)
             damaged[at] ^= 1 << bit
-            refusal(bytes(damaged))
+            decode_error(bytes(damaged))
 
 
 def test_every_other_length_is_rejected() -> None:
     for size in range(len(WHOLE)):
-        refusal(WHOLE[:size])
-    refusal(WHOLE + b"\0")
+        decode_error(WHOLE[:size])
+    decode_error(WHOLE + b"\0")
 
 
 @given(st.binary(max_size=400))
 def test_random_bytes_are_rejected(data: bytes) -> None:
-    refusal(data)
-    refusal(MAGIC + data)
+    decode_error(data)
+    decode_error(MAGIC + data)
 
 
 @given(st.lists(st.binary(max_size=80), max_size=6), st.integers(1, codec.VERSION))
 def test_random_bytes_with_a_valid_checksum_are_rejected(lines: list[bytes], version: int) -> None:
-    refusal(assemble(lines, version))
+    decode_error(assemble(lines, version))
 
 
 @pytest.mark.parametrize(("data", "words"), [
@@ -114,7 +114,7 @@
     (bytes(codec.MAX_BYTES + 1), f"expected {codec.MAX_BYTES} bytes at most"),
 ])
 def test_rejected_with_one_line_that_says_what_and_why(data: bytes, words: str) -> None:
-    assert words in refusal(data)
+    assert words in decode_error(data)
 
 
 def test_values_of_version_1_count_as_learned_from_another_sidecar() -> None:
@@ -126,7 +126,7 @@
     assert [one.first_hand for one in found.upstreams] == [False] * 3
     assert found.idle_failure_shares == (0.0,) * codec.IDLE_TIME_BUCKETS and found.tenants == ()
     assert [one.slots for one in found.upstreams] == [2.5] * 3
-    assert "upstream 0: expected 8 values" in refusal(assemble(body(), 1))
+    assert "upstream 0: expected 8 values" in decode_error(assemble(body(), 1))
 
 
 def test_the_largest_snapshot_fits_the_size_limit() -> None:
