--- a/bench/learned.py
+++ b/bench/learned.py
@@ -239,7 +239,7 @@
     gc.collect()
     gc.freeze()  # as a sidecar does at its start
     collector = SnapshotCollector(sidecar)
-    keeper = SnapshotPersistence(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
+    persistence = SnapshotPersistence(sidecar, SnapshotFile(path_for(folder, f"n{count}")), 0.05, collector)
     found: dict[str, float] = {}
     start_s = time.perf_counter()
     snapshot = await run_in_slices(collector.collect_steps(), collector.record_slice_time)
@@ -258,12 +258,12 @@
         while time.monotonic() < end_s:
             if what == "writing":
                 sidecar.balancer.last_observed_us += 1
-                await keeper.write()
+                await persistence.write()
             await asyncio.sleep(0.05)
         until.set()
         late = await task
         found[f"late {what} p99 ms"], found[f"late {what} max ms"] = late[int(0.99 * len(late))], late[-1]
-    found["writes"] = keeper.write_count
+    found["writes"] = persistence.write_count
     found["longest step ms"] = collector.longest_slice_s * 1e3
     assert len(decode(data).upstreams) == count
     sidecar.upstreams.close()
--- a/ironscale/cli/learned.py
+++ b/ironscale/cli/learned.py
@@ -73,7 +73,8 @@
         "upstreams": [{
             "name": one.name, "startedMs": one.started_us // 1000, "ageSeconds": round(one.age_us / 1e6, 3),
             "slots": one.slots, "worthNow": worth.get(one.name), "leastMs": one.min_latency_us / 1e3,
-            "failing": one.failing, "mute": one.timeout_doublings, "firstHand": one.first_hand} for one in snapshot.upstreams],
+            "failing": one.failing, "mute": one.timeout_doublings, "firstHand": one.first_hand}
+            for one in snapshot.upstreams],
     }
 
 
--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -68,7 +68,7 @@
     age_us: int  # age of `slots` and `zone`, which describe the sidecar itself
     classes: tuple[tuple[str, int, float, float], ...]  # name, age, mean and base latency in microseconds
     tenants: tuple[tuple[str, float], ...]
-    idle_failure_shares: tuple[float, ...]  # share of reused idle connections that failed, by bit length of the idle time
+    idle_failure_shares: tuple[float, ...]  # of reused idle connections, by bit length of their idle time
     upstreams: tuple[UpstreamSnapshot, ...]
 
 
@@ -97,8 +97,8 @@
 
 
 def upstream_line(one: UpstreamSnapshot) -> bytes:
-    return json_line([one.name, one.started_us, one.age_us, to_millionths(one.slots), one.min_latency_us, int(one.failing),
-                 one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
+    return json_line([one.name, one.started_us, one.age_us, to_millionths(one.slots), one.min_latency_us,
+                      int(one.failing), one.timeout_doublings, one.cold_for_us, int(one.first_hand)])
 
 
 def assemble(lines: Sequence[bytes], version: int = VERSION) -> bytes:
@@ -180,8 +180,8 @@
         _flag(first_hand, f"{where}.first_hand"))
 
 
-HEADER_KEYS = {"name", "boot", "running_us", "wall_us", "up_us", "resting", "cut_off", "zone", "slots", "age_us", "classes",
-        "tenants", "ages", "upstreams"}
+HEADER_KEYS = {"name", "boot", "running_us", "wall_us", "up_us", "resting", "cut_off", "zone", "slots", "age_us",
+               "classes", "tenants", "ages", "upstreams"}
 
 
 def unpack_body(data: bytes) -> tuple[int, bytes]:
@@ -232,7 +232,8 @@
         _raise_unexpected("header.upstreams", f"{len(rows)}, as there are lines", header["upstreams"])
     upstreams: list[UpstreamSnapshot] = []
     for start in range(0, len(rows), UPSTREAMS_PER_STEP):
-        upstreams += [_parse_upstream(raw, f"upstream {start + i}") for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
+        upstreams += [_parse_upstream(raw, f"upstream {start + i}")
+                      for i, raw in enumerate(rows[start:start + UPSTREAMS_PER_STEP])]
         yield
     names = [one.name for one in upstreams]
     if any(a >= b for a, b in zip(names, names[1:], strict=False)):
--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -78,8 +78,8 @@
 
     def serving_address(self) -> str:
         """The address where this sidecar serves its snapshot, for the agent to pass on; empty if it serves none."""
-        teacher = self.tasks.donor_server if self.tasks is not None else None
-        return f"{teacher.address[0]}:{teacher.port()}" if teacher is not None and teacher.port() else ""
+        server = self.tasks.donor_server if self.tasks is not None else None
+        return f"{server.address[0]}:{server.port()}" if server is not None and server.port() else ""
 
     def offer_donors(self, donors: list[str]) -> None:
         """Takes the addresses of donors that the agent names."""
--- a/ironscale/learned/peer_transfer.py
+++ b/ironscale/learned/peer_transfer.py
@@ -28,7 +28,7 @@
 SNAPSHOT_INTERVAL_S = 1.0
 LISTEN_RETRY_S = 5.0
 CONNECTION_TIMEOUT_S = 2.0  # limit for a client to send its request and read the answer
-DONORS_TIMEOUT_S, AFTER_FIRST_TIMEOUT_S = 3.0, 0.5  # limit for all answers, and limit for the others after the first one
+DONORS_TIMEOUT_S, AFTER_FIRST_TIMEOUT_S = 3.0, 0.5  # for all answers; for the others after the first one
 MAX_DONORS = 5
 MAX_SNAPSHOT_AGE_US = 60_000_000  # an older snapshot from a donor does not describe the present state
 
--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -141,10 +141,12 @@
                 self.log(text)
             if snapshot is not None:
                 self.sidecar.upstreams.idle_failures.restore(snapshot.idle_failure_shares, age_us)
-                self.sidecar.balancer.recall(self.sidecar.clock.now_us(), self.collector.to_learned_state(snapshot, age_us))
+                self.sidecar.balancer.recall(self.sidecar.clock.now_us(),
+                                             self.collector.to_learned_state(snapshot, age_us))
                 self.log(f"recalled {len(snapshot.upstreams)} upstreams, written {age_us / 1e6:.1f} s ago")
         except TimeoutError:
-            self.log(f"{self.file.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; starting without learned state")
+            self.log(f"{self.file.path}: expected it within {READ_TIMEOUT_S:g} s, got nothing; "
+                     "starting without learned state")
         except Exception as error:  # no content of the folder may end the sidecar
             self.log(f"{self.file.path}: {type(error).__name__}: {error}; starting without learned state")
         finally:
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -51,7 +51,8 @@
         if passed_us < 0:
             raise TimestampError(f"a time in the future, by {-passed_us / 1e6:.1f} s of the machine's running time")
         stepped_us = wall_us - passed_us
-        return passed_us, f"the clock stepped by {stepped_us / 1e6:+.1f} s since" if abs(stepped_us) > STEP_TOLERANCE_US else ""
+        return passed_us, (f"the clock stepped by {stepped_us / 1e6:+.1f} s since"
+                           if abs(stepped_us) > STEP_TOLERANCE_US else "")
     if wall_us < 0:
         raise TimestampError(f"a time in the future, by {-wall_us / 1e6:.1f} s; the clock stepped back or is not ours")
     return wall_us, ""
--- a/tests/cli/test_learned.py
+++ b/tests/cli/test_learned.py
@@ -14,7 +14,7 @@
 from ironscale.learned.codec import encode
 from ironscale.learned.store import SnapshotFile
 from ironscale.learned.timestamps import current_timestamp, machine_boot_id
-from tests.learned.samples import upstream_sample, snapshot
+from tests.learned.samples import snapshot, upstream_sample
 
 
 def call(*arguments: str) -> Result:
@@ -29,8 +29,10 @@
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
     taken = current_timestamp(machine_boot_id())
-    upstreams = (upstream_sample("up-0", age_us=0), upstream_sample("up-1", slots=0.9, timeout_doublings=3, age_us=0, first_hand=False),
-                 upstream_sample("up-2", slots=1 / 64, age_us=20_000_000), upstream_sample("up-3", age_us=7 * 86_400_000_000))
+    upstreams = (upstream_sample("up-0", age_us=0),
+                 upstream_sample("up-1", slots=0.9, timeout_doublings=3, age_us=0, first_hand=False),
+                 upstream_sample("up-2", slots=1 / 64, age_us=20_000_000),
+                 upstream_sample("up-3", age_us=7 * 86_400_000_000))
     store = SnapshotFile(tmp_path / "n0.learned")
     store.save(encode(snapshot(0, taken_at=replace(taken, wall_us=taken.wall_us - 3_600_000_000), upstreams=upstreams)))
     return tmp_path / "n0.learned"
--- a/tests/learned/samples.py
+++ b/tests/learned/samples.py
@@ -22,8 +22,8 @@
 def snapshot(count: int = 3, serial: int = 0, **changes: object) -> Snapshot:
     """`serial` becomes the age, so that a test can tell two snapshots apart."""
     values: dict[str, object] = {
-        "name": "n0", "taken_at": NOW, "uptime_us": 60_000_000, "resting": False, "discovery_failed": False, "zone": "a",
-        "slots": 12.0, "age_us": serial, "classes": (("view", 1_000, 30_000.0, 10_000.0),),
+        "name": "n0", "taken_at": NOW, "uptime_us": 60_000_000, "resting": False, "discovery_failed": False,
+        "zone": "a", "slots": 12.0, "age_us": serial, "classes": (("view", 1_000, 30_000.0, 10_000.0),),
         "tenants": (("north", 0.25),), "idle_failure_shares": (0.0,) * IDLE_TIME_BUCKETS,
         "upstreams": tuple(upstream_sample(f"up-{i:04}") for i in range(count)), **changes}
     return Snapshot(**values)  # type: ignore[arg-type]
--- a/tests/learned/test_codec.py
+++ b/tests/learned/test_codec.py
@@ -12,7 +12,7 @@
 
 from ironscale.learned import codec
 from ironscale.learned.codec import DIGEST_BYTES, HEADER_BYTES, MAGIC, CodecError, assemble, decode, encode, json_line
-from tests.learned.samples import upstream_sample, snapshot
+from tests.learned.samples import snapshot, upstream_sample
 
 WHOLE = encode(snapshot())
 
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -17,7 +17,7 @@
 from ironscale.__main__ import combine_extensions
 from ironscale.agent import fleet
 from ironscale.agent.serve import running as agent_running
-from ironscale.control.extension import control_extension as control_beside
+from ironscale.control.extension import control_extension
 from ironscale.introspection import learned_state, upstream_views
 from ironscale.learned import peer_transfer, persistence
 from ironscale.learned.codec import MAX_BYTES, decode, encode
@@ -32,7 +32,7 @@
 from ironscale.standins.upstream import Peer, reset
 from ironscale.threads import run_in_thread
 from tests.agent.agent_harness import section
-from tests.learned.samples import upstream_sample, snapshot
+from tests.learned.samples import snapshot, upstream_sample
 from tests.sockets import Scene, run, until
 
 
@@ -44,7 +44,7 @@
     return [await Peer().start() for _ in range(count)]
 
 
-def persistence_of(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> SnapshotPersistence:
+def make_saver(scene: Scene, store: SnapshotFile, every_s: float = 0.05) -> SnapshotPersistence:
     return SnapshotPersistence(scene.sidecar, store, every_s, SnapshotCollector(scene.sidecar))
 
 
@@ -67,21 +67,21 @@
     async def test() -> None:
         peers = await peers_of(3)
         scene = await scene_with(peers)
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
-        async with running(asyncio.create_task(keeper.run())):
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path, "n0")))
+        async with running(asyncio.create_task(saver.run())):
             for _ in range(30):
                 assert (await scene.call()).status == 200
-            await until(lambda: keeper.written_state_us == scene.sidecar.balancer.last_observed_us)
-        keeper.file.release()
-        writes = keeper.write_count
+            await until(lambda: saver.written_state_us == scene.sidecar.balancer.last_observed_us)
+        saver.file.release()
+        writes = saver.write_count
         assert writes >= 1
-        told = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
+        views = {view.id: view for view in upstream_views(scene.sidecar.balancer)}
         other = await scene_with(peers)
-        again = persistence_of(other, SnapshotFile(path_for(tmp_path, "n0")))
+        again = make_saver(other, SnapshotFile(path_for(tmp_path, "n0")))
         async with running(asyncio.create_task(again.run())):
             await again.read_done.wait()
             for ident, server in other.sidecar.balancer.upstreams.items():
-                assert server.lesson is not None and server.lesson.min_latency_us == told[ident].min_latency_us
+                assert server.lesson is not None and server.lesson.min_latency_us == views[ident].min_latency_us
             await until(lambda: other.discovery.writers)
             other.discovery.line(listing(*(peer.entry(f"up-{i}") for i, peer in enumerate(peers))))
             await until(lambda: other.sidecar.balancer.latency[0].has_samples)  # after a list from discovery itself
@@ -92,21 +92,21 @@
 def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0")))
-        await keeper.write()
-        assert keeper.write_in_progress is None
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path, "n0")))
+        await saver.write()
+        assert saver.write_in_progress is None
         await scene.call()
         for _ in range(3):
-            await keeper.write()
-            assert keeper.write_in_progress is not None
-            await keeper.write_in_progress
-        assert keeper.write_count == 1
+            await saver.write()
+            assert saver.write_in_progress is not None
+            await saver.write_in_progress
+        assert saver.write_count == 1
 
     run(test)
 
 
 class BlockingSync(OsFileSystem):
-    """Its sync blocks until `let_go` is set, as on a disk that hangs."""
+    """Its sync blocks until `unblock` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
         self.unblock = threading.Event()
@@ -125,20 +125,20 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(2))
         files = BlockingSync()
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
         try:
-            async with running(asyncio.create_task(keeper.run())):
+            async with running(asyncio.create_task(saver.run())):
                 await scene.call()
                 await until(lambda: files.waits == 1)
                 for _ in range(50):
                     assert (await scene.call()).status == 200
-                await until(lambda: keeper.skipped_writes > 0)
-                assert keeper.write_count == 0 and files.waits == 1  # one at a time
+                await until(lambda: saver.skipped_writes > 0)
+                assert saver.write_count == 0 and files.waits == 1  # one at a time
             started_s = asyncio.get_running_loop().time()
-            await keeper.write_final()
+            await saver.write_final()
             assert asyncio.get_running_loop().time() - started_s < 5
             files.unblock.set()
-            await until(lambda: keeper.write_count == 1)
+            await until(lambda: saver.write_count == 1)
         finally:
             files.unblock.set()
 
@@ -163,11 +163,11 @@
     async def test() -> None:
         event = threading.Event()
         scene = await scene_with(await peers_of(2))
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), SlowRead(event)))
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path, "n0"), SlowRead(event)))
         try:
-            async with running(asyncio.create_task(keeper.run())):
+            async with running(asyncio.create_task(saver.run())):
                 assert (await scene.call()).status == 200
-                await keeper.read_done.wait()
+                await saver.read_done.wait()
         finally:
             event.set()
 
@@ -191,11 +191,11 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         files = Failing(code)
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
-        async with running(asyncio.create_task(keeper.run())):
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path, "n0"), files))
+        async with running(asyncio.create_task(saver.run())):
             while files.tries < 3:
                 assert (await scene.call()).status == 200
-        assert keeper.write_count == 0
+        assert saver.write_count == 0
 
     run(test)
     assert capfd.readouterr().err.count(f"can't write: {errno.errorcode[code]}") == 1
@@ -206,10 +206,10 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = persistence_of(scene, SnapshotFile(path_for(tmp_path / "file", "n0")))
-        await keeper.recall()
+        saver = make_saver(scene, SnapshotFile(path_for(tmp_path / "file", "n0")))
+        await saver.recall()
         assert (await scene.call()).status == 200
-        await keeper.write_final()
+        await saver.write_final()
         assert (await scene.call()).status == 200
 
     run(test)
@@ -222,16 +222,16 @@
     async def test() -> None:
         peers = await peers_of(1)
         first, second = await scene_with(peers), await scene_with(peers)
-        keepers = [persistence_of(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
+        savers = [make_saver(scene, SnapshotFile(path_for(tmp_path, "n0"))) for scene in (first, second)]
         await first.call()
-        await keepers[0].write_final()
-        before = Path(keepers[0].file.current).read_bytes()
+        await savers[0].write_final()
+        before = Path(savers[0].file.current).read_bytes()
         await second.call()
-        await keepers[1].write_final()
-        assert keepers[1].write_count == 0 and Path(keepers[0].file.current).read_bytes() == before
-        keepers[0].file.release()  # as when its process ends
-        await keepers[1].write_final()
-        assert keepers[1].write_count == 1
+        await savers[1].write_final()
+        assert savers[1].write_count == 0 and Path(savers[0].file.current).read_bytes() == before
+        savers[0].file.release()  # as when its process ends
+        await savers[1].write_final()
+        assert savers[1].write_count == 1
 
     run(test)
     assert "another process holds the lock; this one does not write" in capfd.readouterr().err
@@ -243,8 +243,8 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        keeper = persistence_of(scene, SnapshotFile(path))
-        await keeper.recall()
+        saver = make_saver(scene, SnapshotFile(path))
+        await saver.recall()
         assert (await scene.call()).status == 200
         assert not scene.sidecar.balancer.lessons
 
@@ -276,18 +276,18 @@
         peers = await peers_of(4)
         peers[0].behave = reset
         old, new = await scene_with(peers), await scene_with(peers)
-        teacher = DonorServer(SnapshotCollector(old.sidecar), ("127.0.0.1", 0))
-        teacher.collector.started_us -= 60_000_000  # as if it had run for a minute
-        async with running(asyncio.create_task(teacher.run())):
+        donor_server = DonorServer(SnapshotCollector(old.sidecar), ("127.0.0.1", 0))
+        donor_server.collector.started_us -= 60_000_000  # as if it had run for a minute
+        async with running(asyncio.create_task(donor_server.run())):
             while (old.sidecar.balancer.upstreams[upstream_id("up-0")].window.slots > 0.2
                    or len(learned_state(old.sidecar.balancer).upstreams) < 4):
                 await old.call()
-            await until(teacher.port)
-            pupil = DonorClient(new.sidecar, SnapshotCollector(new.sidecar), random.Random(1))
-            assert await pupil.learn([("127.0.0.1", teacher.port())])
+            await until(donor_server.port)
+            donor_client = DonorClient(new.sidecar, SnapshotCollector(new.sidecar), random.Random(1))
+            assert await donor_client.learn([("127.0.0.1", donor_server.port())])
         bad = new.sidecar.balancer.upstreams[upstream_id("up-0")]
         assert bad.lesson is not None and not bad.lesson.first_hand and bad.window.slots < 0.5
-        assert pupil.upstream_count == 4 and teacher.answered_count == 1
+        assert donor_client.upstream_count == 4 and donor_server.answered_count == 1
 
     run(test)
 
@@ -321,12 +321,12 @@
             await start_donor((0).to_bytes(8) + (MAX_BYTES + 1).to_bytes(4)), free_address(),
         ]
         monkeypatch.setattr(peer_transfer, "MAX_DONORS", 10)
-        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        donor_client = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         started_s = asyncio.get_running_loop().time()
-        assert not await pupil.learn(donors)
+        assert not await donor_client.learn(donors)
         assert asyncio.get_running_loop().time() - started_s < 10
         assert (await scene.call()).status == 200
-        assert await pupil.learn([*donors, await start_donor(framed(data))])  # one valid donor is enough
+        assert await donor_client.learn([*donors, await start_donor(framed(data))])  # one valid donor is enough
 
     run(test)
     text = capfd.readouterr().err
@@ -341,9 +341,9 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        donor_client = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
         data = encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("up-0"),)))
-        assert await pupil.learn([await start_donor(b"", hold=True), await start_donor(framed(data))])
+        assert await donor_client.learn([await start_donor(b"", hold=True), await start_donor(framed(data))])
 
     run(test, 10)
 
@@ -354,15 +354,15 @@
 
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        teacher = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
-        async with running(asyncio.create_task(teacher.run())):
-            await until(teacher.port)
-            reader, writer = await asyncio.open_connection("127.0.0.1", teacher.port())
+        donor_server = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
+        async with running(asyncio.create_task(donor_server.run())):
+            await until(donor_server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", donor_server.port())
             writer.write(asked)
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-            assert (await fetch_snapshot(("127.0.0.1", teacher.port())))[1]  # the next client is still served
+            assert (await fetch_snapshot(("127.0.0.1", donor_server.port())))[1]  # the next client is still served
 
     run(test)
 
@@ -372,26 +372,27 @@
         scene = await scene_with(await peers_of(3))
         for _ in range(20):
             await scene.call()
-        teacher = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
+        donor_server = DonorServer(SnapshotCollector(scene.sidecar), ("127.0.0.1", 0))
         most_open = 0
 
-        async def newcomer() -> bytes:
+        async def fetch() -> bytes:
             async with asyncio.timeout(30):
-                return (await fetch_snapshot(("127.0.0.1", teacher.port())))[1]
+                return (await fetch_snapshot(("127.0.0.1", donor_server.port())))[1]
 
-        async with running(asyncio.create_task(teacher.run())):
-            await until(teacher.port)
+        async with running(asyncio.create_task(donor_server.run())):
+            await until(donor_server.port)
             started_s = asyncio.get_running_loop().time()
-            waiting = [asyncio.create_task(newcomer()) for _ in range(500)]
+            waiting = [asyncio.create_task(fetch()) for _ in range(500)]
             while not all(task.done() for task in waiting):
-                most_open = max(most_open, peer_transfer.MAX_OPEN - teacher.free_slots._value)
+                most_open = max(most_open, peer_transfer.MAX_OPEN - donor_server.free_slots._value)
                 assert (await scene.call()).status == 200
                 await asyncio.sleep(0.01)
-            taught = [task.result() for task in waiting]
+            received = [task.result() for task in waiting]
             took_s = asyncio.get_running_loop().time() - started_s
-        assert len(decode(taught[0]).upstreams) == 3
+        assert len(decode(received[0]).upstreams) == 3
         assert took_s >= 500 / peer_transfer.MAX_ACCEPTS_PER_S * 0.9  # accepted at the limited rate
-        assert teacher.collected_count <= took_s / peer_transfer.SNAPSHOT_INTERVAL_S + 2 and most_open <= peer_transfer.MAX_OPEN
+        assert (donor_server.collected_count <= took_s / peer_transfer.SNAPSHOT_INTERVAL_S + 2
+                and most_open <= peer_transfer.MAX_OPEN)
 
     run(test)
 
@@ -403,12 +404,12 @@
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
         taken = socket.create_server(("127.0.0.1", 0))
-        teacher = DonorServer(SnapshotCollector(scene.sidecar), taken.getsockname())
-        async with running(asyncio.create_task(teacher.run())):
+        donor_server = DonorServer(SnapshotCollector(scene.sidecar), taken.getsockname())
+        async with running(asyncio.create_task(donor_server.run())):
             await asyncio.sleep(0.1)
-            assert teacher.port() == 0 and (await scene.call()).status == 200
+            assert donor_server.port() == 0 and (await scene.call()).status == 200
             taken.close()
-            await until(teacher.port)
+            await until(donor_server.port)
 
     run(test)
     assert "can't listen at 127.0.0.1" in capfd.readouterr().err
@@ -425,7 +426,8 @@
             await until(lambda: scene.sidecar.balancer.upstreams[upstream_id("up-0")].lesson)
             await scene.call()
             await scene.call()
-        found, _, lines = load_snapshot(SnapshotFile(path_for(tmp_path, "n0")), "n0", current_timestamp(machine_boot_id()))
+        found, _, lines = load_snapshot(SnapshotFile(path_for(tmp_path, "n0")), "n0",
+                                        current_timestamp(machine_boot_id()))
         assert found is not None and lines == [] and any(one.first_hand for one in found.upstreams)
 
     run(test)
@@ -482,7 +484,8 @@
             async def one(scene: Scene, name: str, learned: LearnedConfig) -> AsyncIterator[AgentChannel]:
                 scene.sidecar.config.name = name
                 channel = AgentChannel()
-                both = combine_extensions([learned_state_extension(learned, channel), control_beside(control, {}, channel)])
+                both = combine_extensions([learned_state_extension(learned, channel),
+                                           control_extension(control, {}, channel)])
                 assert both is not None
                 async with both(scene.sidecar, lambda: None):
                     yield channel
@@ -515,9 +518,10 @@
 def test_learned_state_of_unknown_upstreams_is_rejected(capfd: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         scene = await scene_with(await peers_of(1))
-        others = snapshot(0, taken_at=current_timestamp(machine_boot_id()), upstreams=(upstream_sample("another-service-0"),))
-        pupil = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
-        assert not await pupil.learn([await start_donor(framed(encode(others)))])
+        others = snapshot(0, taken_at=current_timestamp(machine_boot_id()),
+                          upstreams=(upstream_sample("another-service-0"),))
+        donor_client = DonorClient(scene.sidecar, SnapshotCollector(scene.sidecar), random.Random(1))
+        assert not await donor_client.learn([await start_donor(framed(encode(others)))])
         assert not scene.sidecar.balancer.latency[0].has_samples
 
     run(test)
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -130,7 +130,8 @@
     ("n0", replace(NOW, running_us=NOW.running_us - 1_500_000), "a time in the future, by 1.5 s of the machine's"),
     ("n0", Timestamp("boot-b", 5, NOW.wall_us - 60_000_000), "a time in the future, by 60.0 s; the clock stepped back"),
 ])
-def test_both_generations_are_rejected_with_a_line_each(tmp_path: Path, name: str, moment: Timestamp, words: str) -> None:
+def test_both_generations_are_rejected_with_a_line_each(
+        tmp_path: Path, name: str, moment: Timestamp, words: str) -> None:
     store = SnapshotFile(tmp_path / "n0.learned")
     for i in range(2):
         store.save(encode(snapshot(1, serial=i)))
