--- a/ironscale/balance.py
+++ b/ironscale/balance.py
@@ -80,7 +80,7 @@
 # and soon forgotten.
 TENANT_MEMORY_ARRIVALS = 200
 MIN_LOG_INTERVAL_US = 1_000_000  # at most one log line a second, however many upstreams change
-# First backoff of discovery calls: long beside one call, short beside a drain.
+# First backoff of discovery calls: long compared with one call, short compared with a drain.
 FIRST_LIST_RETRY_US = 250_000
 # Discovery's time for one sidecar's list in a large fleet, whose sidecars share discovery.
 LIST_CALL_US = 150_000
@@ -178,8 +178,8 @@
     def __init__(self, aim_us: int) -> None:
         # half the aim, until there is a sample
         self.initial_us = self.mean_us = self.base_us = aim_us / 2
-        # `recall_doubt`: the least weight of a new sample beside a value that was learned elsewhere; halves
-        # with each sample.
+        # `recall_doubt`: the minimum weight of a new sample against a value that was learned elsewhere;
+        # halves with each sample.
         self.has_samples, self.last_observed_us, self.recall_doubt = False, 0, 0.0
 
     def add(self, sample_us: float) -> None:
--- a/ironscale/net/event_dispatcher.py
+++ b/ironscale/net/event_dispatcher.py
@@ -12,7 +12,7 @@
 
 
 class EventDispatcher:
-    """The event loop around a balancer, shared by the sidecar and by the fronts of subsystems. Subclasses carry out the
+    """Dispatches events to a balancer. Base class of the sidecar and of dispatchers in extensions, which carry out the
     actions."""
 
     def __init__(self, balancer: Balancer, now_us: Callable[[], int]) -> None:
@@ -60,7 +60,7 @@
         raise NotImplementedError
 
     def fail(self, ident: int) -> None:
-        """Answers the request as failed, because the balancer gave no answer. It may have run at an upstream."""
+        """Answers the request as failed, because the balancer gave no answer. An upstream may have run it."""
         raise NotImplementedError
 
     def log(self, text: str) -> None:
@@ -68,8 +68,8 @@
 
 
 class RequestHandler(Protocol):
-    """Handles the requests of some classes elsewhere than at the listed upstreams. A subsystem provides it, with
-    balancers of its own."""
+    """Handles the requests of some classes in place of the sidecar's balancer. An extension provides it, with balancers
+    of its own, and registers it in `Sidecar.request_handlers`."""
 
     def handle_request(self, event: api.RequestArrived) -> None: ...
 
--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -75,7 +75,7 @@
 
 
 class Timer:
-    """Calls `act` once, never before its time."""
+    """Calls `callback` once, never before its time."""
 
     __slots__ = ("callback", "at_us", "timers")
 
@@ -157,7 +157,7 @@
 
     def __init__(self, ident: int, index: int, txn: str, exchange: Exchange, due_us: int) -> None:
         self.ident = ident
-        self.class_index = index  # of its class
+        self.class_index = index  # index of its class in the settings
         self.txn = txn
         self.exchange = exchange
         self.deadline_us = due_us
@@ -165,10 +165,10 @@
         self.attempts_in_flight = 0
         self.backstop: Timer | None = None
         self.dispatcher: EventDispatcher | None = None  # the one whose balancer decides on it now
-        self.has_run = False  # an earlier lane has run it, which the next balancer does not know: it may not be refused
-        # takes the request on once this dispatcher has served it
+        self.has_run = False  # an earlier dispatcher has run it, so the next one's balancer may not refuse it
+        # continues with the next dispatcher once the current one has served the request
         self.forward_to: Callable[[Answer | None], None] | None = None
-        self.upstream_answer: Answer | None = None  # an upstream's answer, held back until the next lane is done
+        self.upstream_answer: Answer | None = None  # an upstream's answer, held back until the next dispatcher is done
 
     def is_open(self) -> bool:
         return not self.exchange.lifecycle.is_over
@@ -294,8 +294,8 @@
     def reconfigure(self, generation: int, overlay: Mapping[str, Any]) -> None:
         """Applies the file's configuration with `overlay` (a JSON merge patch) on top, all of it or nothing.
 
-        Raises ConfigError if the result is not a valid configuration, and NeedsRestart if only a new process can run
-        it. It is called between two events, so no request sees a part of the change.
+        Raises ConfigError if the result is not a valid configuration, and RestartRequired if only a new process can
+        run it. It is called between two events, so no request sees a part of the change.
         """
         base, old = self.base, self.config
         new = parse(apply_merge_patch(base, overlay), self.environ)
@@ -341,7 +341,7 @@
     def fail_open_requests(self) -> None:
         """Called as the process ends: all open requests are answered now, and later ones at once."""
         self.notify_all(api.DrainChanged(True, shutting_down=True))
-        for request in list(self.by_txn.values()):  # between two lanes, or lost by a balancer
+        for request in list(self.by_txn.values()):  # passed from one dispatcher to the next, or lost by a balancer
             self.fail(request.ident)
 
     # Events
@@ -365,10 +365,10 @@
         exchange.lifecycle.begin(txn, exchange.arrived_us + remaining_us)
         ident = self.next_request
         self.next_request += 1
-        # counted from the arrival: a pipelined request that waited behind another would else be answered too late
+        # counted from the arrival, or a pipelined request that waited behind another would be answered too late
         request = Request(ident, index, txn, exchange, exchange.arrived_us + remaining_us - ANSWER_MARGIN_US)
         self.requests[ident] = self.by_txn[txn] = request
-        # answers the request even if the balancer loses it
+        # answers the request even if the balancer never does
         request.backstop = self.schedule(request.deadline_us + BACKSTOP_DELAY_US, partial(self.fail, ident))
         estimate = exchange.header(b"x-estimate")
         event = api.RequestArrived(
@@ -391,7 +391,7 @@
             front.handle_request(event)
 
     def matches_effect(self, exchange: Exchange, index: int) -> bool:
-        """Whether method, body and idempotency key match the effect of the class; else a retry may not be safe."""
+        """Whether method, body and idempotency key match the effect of the class; if not, a retry may not be safe."""
         effect = self.config.settings.classes[index].effect
         keys = [value for name, value in exchange.headers if name == b"idempotency-key"]
         if effect == "idempotent":
@@ -406,7 +406,7 @@
             self.notify_abandoned(request)
 
     def on_list(self, kind: api.ListKind, listing: Listing | None) -> None:
-        """Takes a list of upstreams from discovery, or with None the news that a call has failed."""
+        """Handles a list of upstreams from discovery; None means that the call has failed."""
         if kind is not api.ListKind.CACHED:
             self.discovery_failed = kind is api.ListKind.FAILED
         if listing is None:
@@ -536,7 +536,7 @@
             self.close(request)
 
     def fail(self, ident: int) -> None:
-        """Answers 502 to a request that the balancer has left without an answer, whatever has run."""
+        """Answers 502 to a request that the balancer has left without an answer, even if an upstream has run it."""
         request = self.requests.get(ident)
         if request is not None and request.is_open():
             self.log(f"request {ident}: the balancer gave no answer; it fails with status 502")
@@ -544,21 +544,21 @@
             self.notify_abandoned(request)
 
     def notify_abandoned(self, request: Request) -> None:
-        """Tells all balancers that decide on the request, or did, that it needs no answer any more."""
+        """Tells every balancer that decides or has decided on the request that it no longer needs an answer."""
         front = self.request_handlers.get(request.class_index)
         self.dispatch(api.RequestAbandoned(request.ident))
         if front is not None:
             front.request_abandoned(request.ident)
 
     def notify_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
-        """Hands an event to this balancer and to those of all fronts."""
+        """Passes an event to this balancer and to all request handlers."""
         self.dispatch(event)
         for front in dict.fromkeys(self.request_handlers.values()):
             front.notify(event)
 
     def close(self, request: Request) -> None:
-        """Called once the request is answered or cancelled. It stays known while attempts are still out, as they may be
-        cancelled yet."""
+        """Called once the request is answered or cancelled. It stays in `requests` while attempts are in flight,
+        because they may still be cancelled."""
         if self.by_txn.get(request.txn) is request:
             del self.by_txn[request.txn]
         if request.backstop is not None:
@@ -568,7 +568,7 @@
         self.forget(request)
 
     def forget(self, request: Request) -> None:
-        """Drops the request if it is over and no attempt is out."""
+        """Drops the request if it is over and no attempt is in flight."""
         if request.attempts_in_flight == 0 and not request.is_open():
             self.requests.pop(request.ident, None)
 
@@ -594,7 +594,7 @@
 
 async def serve(environ: Mapping[str, str], extension: Extension | None = None,
                 reuse_port: bool = False) -> None:
-    """Runs one sidecar until a signal, or `beside`, ends it. Raises StartFailed if it can't start to listen."""
+    """Runs one sidecar until a signal or the extension ends it. Raises StartFailed if it can't start to listen."""
     stopped = asyncio.Event()
     running: list[Sidecar] = []
 
@@ -616,12 +616,12 @@
         await sidecar.start(reuse_port)
     except (OSError, ConfigError) as error:
         for number in STOP_SIGNALS:
-            signal.signal(number, signal.SIG_DFL)  # between two starts the process may simply be killed
+            signal.signal(number, signal.SIG_DFL)  # until the next start, the process may simply be killed
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signals.close()
         raise StartFailed from error
     gc.collect()
-    gc.freeze()  # the objects of the start live on: the collector need not scan them again
+    gc.freeze()  # objects created at the start stay alive, so the collector need not scan them again
     gc.set_threshold(GC_YOUNG_THRESHOLD, *gc.get_threshold()[1:])
     async with extension(sidecar, stopped.set) if extension is not None else nullcontext():
         await stopped.wait()
