--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -383,12 +383,12 @@
         )
         if self.arrival_observer is not None:
             self.arrival_observer(event, len(exchange.body))
-        front = self.request_handlers.get(index)
-        if front is None:
+        handler = self.request_handlers.get(index)
+        if handler is None:
             request.dispatcher = self
             self.dispatch(event)
         else:
-            front.handle_request(event)
+            handler.handle_request(event)
 
     def matches_effect(self, exchange: Exchange, index: int) -> bool:
         """Whether method, body and idempotency key match the effect of the class; if not, a retry may not be safe."""
