--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -545,10 +545,10 @@
 
     def notify_abandoned(self, request: Request) -> None:
         """Tells every balancer that decides or has decided on the request that it no longer needs an answer."""
-        front = self.request_handlers.get(request.class_index)
+        handler = self.request_handlers.get(request.class_index)
         self.dispatch(api.RequestAbandoned(request.ident))
-        if front is not None:
-            front.request_abandoned(request.ident)
+        if handler is not None:
+            handler.request_abandoned(request.ident)
 
     def notify_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         """Passes an event to this balancer and to all request handlers."""
