--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -553,8 +553,8 @@
     def notify_all(self, event: api.DrainChanged | api.SettingsChanged) -> None:
         """Passes an event to this balancer and to all request handlers."""
         self.dispatch(event)
-        for front in dict.fromkeys(self.request_handlers.values()):
-            front.notify(event)
+        for handler in dict.fromkeys(self.request_handlers.values()):
+            handler.notify(event)
 
     def close(self, request: Request) -> None:
         """Called once the request is answered or cancelled. It stays in `requests` while attempts are in flight,
