--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -430,17 +430,17 @@
         request.attempts_in_flight -= 1
         request.exchange.lifecycle.attempt_ended(outcome.value)
         self.forget(request)
-        onward = None
+        forward_to = None
         if outcome is api.Outcome.OK and answer is not None and request.is_open() and request.dispatcher is self:
             if request.forward_to is None:
                 self.serve(request, answer)
             else:
-                onward, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
+                forward_to, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
         elapsed_us = self.clock.now_us() - sent_us
         report = parse_load_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
-        if onward is not None:
-            onward(answer)
+        if forward_to is not None:
+            forward_to(answer)
 
     def serve(self, request: Request, answer: Answer) -> None:
         headers = [h for h in answer.headers if h[0] not in HOP_BY_HOP]
