--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -79,9 +79,9 @@
 
     __slots__ = ("callback", "at_us", "timers")
 
-    def __init__(self, timers: TimerQueue, at_us: int, act: Callable[[], None]) -> None:
+    def __init__(self, timers: TimerQueue, at_us: int, callback: Callable[[], None]) -> None:
         self.timers, self.at_us = timers, at_us
-        self.callback: Callable[[], None] | None = act  # None once it has been called or cancelled
+        self.callback: Callable[[], None] | None = callback  # None once it has been called or cancelled
 
     def cancel(self) -> None:
         if self.callback is not None:
