--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -102,8 +102,8 @@
         self.armed_us = 0  # when the loop's timer fires; 0 if it is not set
         self.handle: asyncio.TimerHandle | None = None
 
-    def schedule(self, at_us: int, act: Callable[[], None]) -> Timer:
-        timer = Timer(self, at_us, act)
+    def schedule(self, at_us: int, callback: Callable[[], None]) -> Timer:
+        timer = Timer(self, at_us, callback)
         self.sequence += 1
         heapq.heappush(self.heap, (at_us, self.sequence, timer))
         if not self.armed_us or at_us < self.armed_us:
