--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -137,12 +137,12 @@
         while heap and heap[0][0] <= now_us:
             due.append(heapq.heappop(heap)[2])
         for timer in due:
-            act, timer.callback = timer.callback, None
-            if act is None:  # cancelled, possibly by a timer called in this loop
+            callback, timer.callback = timer.callback, None
+            if callback is None:  # cancelled, possibly by a timer called in this loop
                 self.cancelled = max(0, self.cancelled - 1)
                 continue
             try:
-                act()
+                callback()
             except Exception as error:  # the other timers must still be called
                 self.loop.call_exception_handler({"message": "a timer's callback failed", "exception": error})
         self.arm()
