--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -572,8 +572,8 @@
         if request.attempts_in_flight == 0 and not request.is_open():
             self.requests.pop(request.ident, None)
 
-    def schedule(self, at_us: int, act: Callable[[], None]) -> Timer:
-        return self.timers.schedule(at_us, act)
+    def schedule(self, at_us: int, callback: Callable[[], None]) -> Timer:
+        return self.timers.schedule(at_us, callback)
 
     def upstream_name(self, found: re.Match[str]) -> str:
         """Replaces the number by which the balancer knows an upstream with its name in discovery."""
