--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -155,12 +155,12 @@
 class Request:
     """An accepted request, kept until it is answered and all its attempts have ended."""
 
-    def __init__(self, ident: int, index: int, txn: str, exchange: Exchange, due_us: int) -> None:
+    def __init__(self, ident: int, index: int, txn: str, exchange: Exchange, deadline_us: int) -> None:
         self.ident = ident
         self.class_index = index  # index of its class in the settings
         self.txn = txn
         self.exchange = exchange
-        self.deadline_us = due_us
+        self.deadline_us = deadline_us
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.backstop: Timer | None = None
