--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -599,8 +599,8 @@
     running: list[Sidecar] = []
 
     def reload() -> None:
-        for one in running:
-            one.reload(environ)
+        for running_sidecar in running:
+            running_sidecar.reload(environ)
 
     try:
         signals = Signals()
