--- a/ironscale/learned/extension.py
+++ b/ironscale/learned/extension.py
@@ -94,14 +94,14 @@
     """The extension that the operator file configures; `channel`, if given, connects it to the agent's client."""
     @contextlib.asynccontextmanager
     async def run_tasks(sidecar: Sidecar, end: Callable[[], None]) -> AsyncIterator[None]:
-        found = LearnedStateTasks(sidecar, learned)
+        tasks = LearnedStateTasks(sidecar, learned)
         if channel is not None:
-            channel.tasks = found
+            channel.tasks = tasks
         try:
-            async with run_in_background(found.run()):
+            async with run_in_background(tasks.run()):
                 yield
         finally:
-            if found.persistence is not None:
-                await found.persistence.write_final()
+            if tasks.persistence is not None:
+                await tasks.persistence.write_final()
 
     return run_tasks
