--- a/ironscale/learned/persistence.py
+++ b/ironscale/learned/persistence.py
@@ -74,16 +74,16 @@
         balancer, sidecar = self.sidecar.balancer, self.sidecar
         now_us, taken = sidecar.clock.now_us(), current_timestamp(self.boot)
         idents = list(balancer.upstreams)
-        found: list[UpstreamSnapshot] = []
+        upstreams: list[UpstreamSnapshot] = []
         for start in range(0, len(idents), UPSTREAMS_PER_STEP):
             for lesson in learned_state(balancer, idents[start:start + UPSTREAMS_PER_STEP]).upstreams:
                 pool = sidecar.upstreams.pools.get(lesson.id)  # holds the name from which the number was computed
                 # one entry of discovery that the decoder rejects would make the whole snapshot unreadable
                 if pool is not None and is_valid_name(pool.member.name) and 0 <= lesson.started_us <= MAX_TIME_US:
-                    found.append(upstream_snapshot(lesson, pool.member.name, now_us))
+                    upstreams.append(upstream_snapshot(lesson, pool.member.name, now_us))
             yield
-        if len(found) > MAX_UPSTREAMS:
-            found = sorted(found, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
+        if len(upstreams) > MAX_UPSTREAMS:
+            upstreams = sorted(upstreams, key=lambda one: one.age_us)[:MAX_UPSTREAMS]
         own_state = learned_state(balancer, [])
         return Snapshot(
             sidecar.config.name, taken, now_us - self.started_us, resting=balancer.window.slots < 1.0,
@@ -92,7 +92,7 @@
             classes=tuple((c.name, max(0, now_us - c.confirmed_us), max(1.0, c.mean_us), max(1.0, c.base_us))
                           for c in own_state.classes[:MAX_CLASSES] if is_valid_name(c.name)),
             tenants=tuple(t for t in own_state.tenants[:MAX_TENANTS] if is_valid_name(t[0])),
-            idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(found))
+            idle_failure_shares=tuple(sidecar.upstreams.idle_failures.shares), upstreams=tuple(upstreams))
 
     async def collect(self) -> bytes:
         snapshot = await run_in_slices(self.collect_steps(), self.record_slice_time)
