--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -118,16 +118,16 @@
 
     def read(self) -> list[tuple[str, bytes | OSError]]:
         """Path and content, or the error, of each file that exists; the newest first."""
-        found: list[tuple[str, bytes | OSError]] = []
+        files: list[tuple[str, bytes | OSError]] = []
         for path in (self.current, self.previous):
             try:
                 data = self.files.read(path)
             except OSError as error:
-                found.append((path, error))
+                files.append((path, error))
                 continue
             if data is not None:
-                found.append((path, data))
-        return found
+                files.append((path, data))
+        return files
 
     def delete(self) -> list[str]:
         """Deletes all files but the lock, which a running process may hold; returns the paths deleted."""
