--- a/ironscale/net/sidecar.py
+++ b/ironscale/net/sidecar.py
@@ -435,7 +435,8 @@
             if request.forward_to is None:
                 self.serve(request, answer)
             else:
-                forward_to, request.forward_to, request.dispatcher, request.has_run = request.forward_to, None, None, True
+                forward_to, request.forward_to, request.dispatcher, request.has_run = (
+                    request.forward_to, None, None, True)
         elapsed_us = self.clock.now_us() - sent_us
         report = parse_load_report(answer.headers, self.config.report_fields) if answer is not None else []
         self.dispatch(api.AttemptEnded(request.ident, number, upstream, outcome, elapsed_us, report=report))
