--- a/ironscale/learned/store.py
+++ b/ironscale/learned/store.py
@@ -139,12 +139,12 @@
         return deleted
 
 
-def choose_snapshot(found: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
+def choose_snapshot(files: list[tuple[str, bytes | OSError]], name: str, now: Timestamp
            ) -> Generator[None, None, tuple[Snapshot | None, int, list[str]]]:
     """Decodes in steps, one at each `next`; returns the newest usable snapshot, its age in microseconds, and a line for
     each problem found. Without a usable snapshot it returns None and 0."""
     lines: list[str] = []
-    for path, data in found:
+    for path, data in files:
         try:
             if isinstance(data, OSError):
                 raise CodecError(f"expected a file that can be read, got {data.strerror or data}")
