--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -446,15 +446,15 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", scene.port)
         writer.write(scene.request())
         assert (await read_message(reader)).status == 200
-        crowd = [await asyncio.open_connection("127.0.0.1", scene.port) for _ in range(12)]
-        for _, other in crowd:
+        probes = [await asyncio.open_connection("127.0.0.1", scene.port) for _ in range(12)]
+        for _, other in probes:
             other.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-        assert [(await read_message(other)).status for other, _ in crowd] == [200] * 12
+        assert [(await read_message(other)).status for other, _ in probes] == [200] * 12
         assert (await scene.call()).status == 200
         writer.write(scene.request())  # the client that had sent a request before is still connected
         assert (await read_message(reader)).status == 200
         assert len(scene.sidecar.server.connections) <= 4
-        for _, other in crowd:
+        for _, other in probes:
             other.close()
         writer.close()
 
