--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -73,11 +73,11 @@
         self.process.send_signal(number)
         return await asyncio.wait_for(self.process.wait(), 20)
 
-    async def ask(self, lane: str, txn: str) -> str:
+    async def ask(self, class_name: str, txn: str) -> str:
         """The status; or `lost` (the connection failed), `unreached` (it was refused) or `silent` (timeout)."""
-        key = "Idempotency-Key: k\r\n" if lane == "mark" else ""
-        method = "GET" if lane == "view" else "POST"
-        request = (f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Org: north\r\n"
+        key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
+        method = "GET" if class_name == "view" else "POST"
+        request = (f"{method} / HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Org: north\r\n"
                    f"X-Remaining: 3000m\r\n{key}Content-Length: 0\r\n\r\n").encode()
         try:
             reader, writer = await open_with_request(self.port, request)
