--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -95,20 +95,20 @@
         finally:
             writer.close()
 
-    async def client(self, stop: asyncio.Event, lane: str) -> None:
+    async def client(self, stop: asyncio.Event, class_name: str) -> None:
         """Retries what is safe: requests that never reached the process or were refused, and lost reads."""
         while not stop.is_set():
             self.count += 1
             txn = f"t{self.count}"
             for attempt in range(200):
-                found = await self.ask(lane, f"{txn}.{attempt}")
-                if found not in ("unreached", "503") and not (found == "lost" and lane == "view"):
+                found = await self.ask(class_name, f"{txn}.{attempt}")
+                if found not in ("unreached", "503") and not (found == "lost" and class_name == "view"):
                     break
                 self.results[f"{found} again"] += 1
                 if stop.is_set():
                     return
                 await asyncio.sleep(0.02)
-            self.results[f"{lane} {found}"] += 1
+            self.results[f"{class_name} {found}"] += 1
 
     async def close(self) -> None:
         if self.process is not None and self.process.returncode is None:
