--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -134,8 +134,8 @@
 
         try:
             async with asyncio.TaskGroup() as group:
-                for lane in ("view", "view", "view", "pay", "mark"):
-                    group.create_task(site.client(stop, lane))
+                for class_name in ("view", "view", "view", "pay", "mark"):
+                    group.create_task(site.client(stop, class_name))
                 await until(lambda: site.results["view 200"] > 100)
                 for peer in site.peers[1::2]:
                     peer.behave = hang
