--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -82,12 +82,12 @@
         self.port = await self.sidecar.start()
         return self
 
-    def request(self, lane: str = "view", body: bytes = b"", remaining: str = "8000m") -> bytes:
+    def request(self, class_name: str = "view", body: bytes = b"", remaining: str = "8000m") -> bytes:
         self.count += 1
-        method = "GET" if lane == "view" else "POST"
-        key = "Idempotency-Key: k\r\n" if lane == "mark" else ""
+        method = "GET" if class_name == "view" else "POST"
+        key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
         return (f"{method} /api?sid=7f HTTP/1.1\r\nHost: service.internal\r\nX-Txn: t{self.count}\r\n"
-                f"X-Lane: {lane}\r\nX-Org: north\r\nX-Remaining: {remaining}\r\n{key}"
+                f"X-Lane: {class_name}\r\nX-Org: north\r\nX-Remaining: {remaining}\r\n{key}"
                 f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
     async def call(self, lane: str = "view", body: bytes = b"", remaining: str = "8000m") -> Message:
