--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -90,8 +90,8 @@
                 f"X-Lane: {class_name}\r\nX-Org: north\r\nX-Remaining: {remaining}\r\n{key}"
                 f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
-    async def call(self, lane: str = "view", body: bytes = b"", remaining: str = "8000m") -> Message:
-        return await self.send(self.request(lane, body, remaining))
+    async def call(self, class_name: str = "view", body: bytes = b"", remaining: str = "8000m") -> Message:
+        return await self.send(self.request(class_name, body, remaining))
 
     async def send(self, data: bytes) -> Message:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
