--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -73,7 +73,7 @@
         self.process.send_signal(number)
         return await asyncio.wait_for(self.process.wait(), 20)
 
-    async def ask(self, class_name: str, txn: str) -> str:
+    async def send_request(self, class_name: str, txn: str) -> str:
         """The status; or `lost` (the connection failed), `unreached` (it was refused) or `silent` (timeout)."""
         key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
         method = "GET" if class_name == "view" else "POST"
@@ -101,7 +101,7 @@
             self.count += 1
             txn = f"t{self.count}"
             for attempt in range(200):
-                found = await self.ask(class_name, f"{txn}.{attempt}")
+                found = await self.send_request(class_name, f"{txn}.{attempt}")
                 if found not in ("unreached", "503") and not (found == "lost" and class_name == "view"):
                     break
                 self.results[f"{found} again"] += 1
