--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -68,7 +68,7 @@
             except OSError:
                 await asyncio.sleep(0.01)
 
-    async def end(self, number: signal.Signals) -> int:
+    async def end_process(self, number: signal.Signals) -> int:
         assert self.process is not None
         self.process.send_signal(number)
         return await asyncio.wait_for(self.process.wait(), 20)
@@ -140,7 +140,7 @@
                 for peer in site.peers[1::2]:
                     peer.behave = hang
                 await until(file_marks_silent_upstreams)
-                code = await site.end(number)
+                code = await site.end_process(number)
                 assert code == (0 if number is signal.SIGTERM else -signal.SIGKILL)
                 silent_before = sum(len(peer.held) for peer in site.peers)
                 served = site.results["view 200"]
