--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -51,10 +51,10 @@
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{self.discovery.port}",
             "seed": "1f", "limits": {"sockets": 512}, "settings": {**SETTINGS, "request-classes": classes}}))
         (self.folder / "operator.toml").write_text('[learned]\nfolder = "learned"\nevery_s = 0.1\n')
-        await self.launch()
+        await self.start_process()
         return self
 
-    async def launch(self) -> None:
+    async def start_process(self) -> None:
         environ = {**os.environ, "GW_CONFIG": str(self.folder / "c.json"),
                    "GW_OPERATOR": str(self.folder / "operator.toml")}
         with (self.folder / "log").open("ab") as log:
@@ -144,7 +144,7 @@
                 assert code == (0 if number is signal.SIGTERM else -signal.SIGKILL)
                 silent_before = sum(len(peer.held) for peer in site.peers)
                 served = site.results["view 200"]
-                await site.launch()
+                await site.start_process()
                 await until(lambda: site.results["view 200"] > served + 100)
                 tried = sum(len(peer.held) for peer in site.peers) - silent_before
                 for peer in site.peers[1::2]:
