--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -201,7 +201,7 @@
     stage.run(START_AGAIN_US)
     three = donors(stage)
     liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
-    taught: dict[str, api.LearnedState | None] = {
+    variants: dict[str, api.LearnedState | None] = {
         "cold": None, "file": own,
         "donors": confidence.combined_lessons(three, stage.now_us, 0),
         "all shut": lie(stage, lambda i: 1 / 64), "half shut": lie(stage, lambda i: 1 / 64 if i % 2 else 1e5),
@@ -210,7 +210,7 @@
         "mixed donors": confidence.combined_lessons([*three, liar], stage.now_us, 0),
     }
     found = {"warm": warm}
-    for name, lessons in taught.items():
+    for name, lessons in variants.items():
         one = stage.copy()
         one.start(0, seed * 7 + 1, lessons)
         one.run(END_US)
