--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -184,7 +184,7 @@
     "over while it was down": (Fault("silent", 4 * S, 11_500_000, zone=1),),
     "none": (),
 }
-STOP_US, START_AGAIN_US, END_US = 11 * S, 12 * S, 15 * S
+STOP_US, RESTART_US, END_US = 11 * S, 12 * S, 15 * S
 
 
 def run_variants(fault: str, seed: int) -> dict[str, Stage]:
@@ -198,7 +198,7 @@
     warm = stage.copy()
     warm.run(END_US)
     stage.stop(0)
-    stage.run(START_AGAIN_US)
+    stage.run(RESTART_US)
     three = donors(stage)
     liar = confidence.Donor(lie(stage, lambda i: 1 / 64), 60 * S, False, False)
     variants: dict[str, api.LearnedState | None] = {
@@ -224,7 +224,7 @@
     (270 requests). `bench.learned starts` runs many more seeds."""
     for seed in (1, 2):
         played = run_variants(fault, seed)
-        first = {name: stage.served(0, START_AGAIN_US, END_US) for name, stage in played.items()}
+        first = {name: stage.served(0, RESTART_US, END_US) for name, stage in played.items()}
         last = {name: stage.served(0, END_US - S, END_US) for name, stage in played.items()}
         for name in played:
             assert first[name] >= first["cold"] - 0.04, f"{fault}, seed {seed}: {name} {first}"
@@ -241,7 +241,7 @@
         stage.stop(0)
         stage.run(STOP_US + S // 2)
         stage.replace_all()
-        stage.run(START_AGAIN_US)
+        stage.run(RESTART_US)
         falls = []
         for lessons in (None, own, lie(stage, lambda i: 1e5)):
             one = stage.copy()
