--- a/ironscale/learned/codec.py
+++ b/ironscale/learned/codec.py
@@ -241,8 +241,8 @@
     if type(header["ages"]) is not list or len(header["ages"]) != IDLE_TIME_BUCKETS:
         _raise_unexpected("header.ages", f"{IDLE_TIME_BUCKETS} shares", header["ages"])
     taken_at = Timestamp(_name(header["boot"], "header.boot", 0),
-                   _integer(header["running_us"], "header.running_us", MAX_TIME_US),
-                   _integer(header["wall_us"], "header.wall_us", MAX_TIME_US))
+                         _integer(header["running_us"], "header.running_us", MAX_TIME_US),
+                         _integer(header["wall_us"], "header.wall_us", MAX_TIME_US))
     return Snapshot(
         _name(header["name"], "header.name"), taken_at, _integer(header["up_us"], "header.up_us", MAX_TIME_US),
         _flag(header["resting"], "header.resting"), _flag(header["cut_off"], "header.cut_off"),
@@ -294,7 +294,7 @@
     return LearnedState(
         now_us, zone, snapshot.slots, taken_us - snapshot.age_us,
         tuple(LearnedUpstream(ident(one.name), one.started_us, taken_us - one.age_us, one.slots, one.min_latency_us,
-                             one.failing, one.timeout_doublings, taken_us + one.cold_for_us, one.first_hand)
+                              one.failing, one.timeout_doublings, taken_us + one.cold_for_us, one.first_hand)
               for one in snapshot.upstreams),
         tuple(LearnedClass(name, taken_us - age_us, mean, base) for name, age_us, mean, base in snapshot.classes),
         snapshot.tenants)
--- a/tests/learned/test_extension.py
+++ b/tests/learned/test_extension.py
@@ -419,7 +419,7 @@
     async def test() -> None:
         peers = await peers_of(2)
         donor = await start_donor(framed(encode(snapshot(0, taken_at=current_timestamp(machine_boot_id()),
-                                                upstreams=(upstream_sample("up-0", started_us=0),)))))
+                                                         upstreams=(upstream_sample("up-0", started_us=0),)))))
         scene = await scene_with(peers)
         learned = LearnedConfig(tmp_path, 3600.0, ("127.0.0.1", 0), (donor,))
         async with learned_state_extension(learned)(scene.sidecar, lambda: None):
--- a/tests/learned/test_restart.py
+++ b/tests/learned/test_restart.py
@@ -161,8 +161,8 @@
             assert not lost, site.results
         else:
             # of each class one request can be open, and one can wait in the listener's backlog
-            assert sum(site.results[f"{lane} lost"] for lane in ("pay", "mark")) <= 4, site.results
-        assert sum(site.results[f"{lane} 200"] for lane in ("view", "pay", "mark")) > 200
+            assert sum(site.results[f"{class_name} lost"] for class_name in ("pay", "mark")) <= 4, site.results
+        assert sum(site.results[f"{class_name} 200"] for class_name in ("view", "pay", "mark")) > 200
         for peer in site.peers:
             assert all(count == 1 for txn, count in peer.executions.items() if txn)
 
--- a/tests/test_fleet_estimates.py
+++ b/tests/test_fleet_estimates.py
@@ -388,7 +388,7 @@
     world = one_of_many(zone=0, cross_zone_fee=0.03)
     elsewhere = [server for server in world.balancer.draw_order if server.entry.zone == 1]
     before, other_zone_weight = ([weight(world, s) for s in world.balancer.draw_order if s.entry.zone == 0],
-                      weight(world, elsewhere[0]))
+                                 weight(world, elsewhere[0]))
     untried = fail_in_zone(world, 0, 6)
     assert all(weight(world, server) < max(before) / 100 for server in untried)  # no longer preferred by zone
     assert weight(world, elsewhere[0]) == other_zone_weight
