--- a/ironscale/scale/__init__.py
+++ b/ironscale/scale/__init__.py
@@ -1,1 +1,2 @@
-"""The size that is coming, on one machine: hollow instances beside real ones, and the slopes of what they cost."""
+"""Measures on one machine what a larger fleet will cost, with many simulated and some real instances, and fits
+trends to the measurements."""
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -1,4 +1,4 @@
-"""The agent that leads: what it costs at rest and by change, and how soon a change is in force; also after its loss."""
+"""Measures the leading agent: its cost at rest and per change, and how soon a change is in force, also after a crash."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ironscale.scale.simulated_instances import Hollows
 
 LEADS, CONTROL, X = "agent that leads", "sidecar control", "instances"
-BACK = 2  # times that it is killed
-OVERLAPPING = 5  # changes, each before the one before has come to all
+BACK = 2  # kills of the agent
+OVERLAPPING = 5  # changes, each made before the previous one has reached all instances
 Points = dict[str, dict[int, list[float]]]
 
 
@@ -19,7 +19,7 @@
     found: Points = {}
     play = scene.size.play
     for count in play.sizes:
-        # tens of real ones beside the largest: what is told of all is told of them too
+        # the largest size includes the real sidecars, so its results cover them too
         real = play.real if count == play.sizes[-1] else 0
         scene.progress(f"agent: {count} instances, {real} of them real")
         async with scene.fleet(count - real, real=real) as (agents, hollows):
@@ -65,10 +65,10 @@
     def add(name: str, value: float) -> None:
         found[name].append(value)
 
-    await agents.change(hollows)  # the first of a process takes longer: imports, plans
+    await agents.change(hollows)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
     rest_cpu = hollow_cpu = 0.0
-    whole = count / hollows.count  # bytes are counted at the hollow ones
+    whole = count / hollows.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
         before, writes, started_s = await hollows.total(), agents.record_state()["writes"], time.monotonic()
         percent, megabytes, written = await at_rest(agents.pid(), 2 * play.heartbeat_s)
@@ -90,7 +90,7 @@
         change = await agents.change(hollows)
         used, after = Spent.of(agents.pid()), await hollows.total()
         took_s = used.at_s - spent.at_s
-        # less what it takes at rest: the change's own
+        # subtract the use at rest to get the cost of the change alone
         cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
         add("agent.change.cpu_ms", cpu_ms)
         rest_sent, rest_received = found["agent.rest.sent_bytes_s"][-1], found["agent.rest.received_bytes_s"][-1]
@@ -113,7 +113,7 @@
 
 
 async def overlapping(agents: Agents, hollows: Hollows, add: object) -> None:
-    """Several at once, each taking the place of the one before; until all have the last."""
+    """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = Spent.of(agents.pid())
     for number in range(OVERLAPPING):
@@ -127,7 +127,7 @@
 
 
 async def back(agents: Agents, hollows: Hollows, add: object, count: int) -> None:
-    """SIGKILL, an immediate start, and a change as soon as it is taken."""
+    """Kills the agent, restarts it at once and makes a change as soon as it is accepted."""
     assert callable(add)
     killed_s = agents.kill(0)
     (agents.folder / "agent-0" / "address").unlink(missing_ok=True)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -1,4 +1,4 @@
-"""The agents of a scale run: processes on ports of their own, their API, and changes until the last instance."""
+"""Runs the agents of a scale run as processes, calls their API, and makes changes and waits for all instances."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 class AgentsError(Exception):
-    """Agents that don't do what was asked; the text is one line."""
+    """An agent that failed or didn't answer in time; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spent:
-    """What a process has used by a moment."""
+    """Resources that a process has used up to a moment."""
 
     at_s: float
     cpu_s: float
@@ -54,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of configuration, as the instances saw it. Seconds from the moment it was asked for."""
+    """One configuration change, as the instances saw it. Times are seconds since the change was requested."""
 
     generation: int
     operation: int
-    asked_s: float  # by the machine's monotonic clock
-    told_s: float  # until the agent had committed it and said so
-    latencies_s: tuple[float, ...]  # until each hollow instance had it in force, the first first
-    closed_s: float  # until the agent had heard so of all, real ones too
+    asked_s: float  # on the machine's monotonic clock
+    told_s: float  # until the agent answered that it is committed
+    latencies_s: tuple[float, ...]  # until each simulated instance applied it, in ascending order
+    closed_s: float  # until all instances, real ones too, had reported it to the agent
 
     def p(self, share: float) -> float:
         return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))]
 
 
 class Agents:
-    """One leads; with more than one, they share a record and the others stand by."""
+    """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
     def __init__(self, crew: Crew, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
         self.crew, self.folder, self.count = crew, folder, count
@@ -103,13 +103,13 @@
         return found.pid
 
     def launch(self, number: int) -> None:
-        """Starts one and doesn't wait."""
+        """Starts an agent's process without waiting for it to answer."""
         self.running[number] = self.crew.start(
             f"agent-{number}", "ironscale.cli", "agent", str(self.folder / f"agent-{number}.toml"),
             environ=dict(os.environ), log=self.folder / f"agent-{number}.log")
 
     async def start(self) -> None:
-        """The first, until it leads; then the others. Raises AgentsError."""
+        """Starts the first agent, waits until it leads, then launches the others. Raises AgentsError."""
         self.launch(0)
         await self.until(lambda: (self.folder / "agent-0" / "address").exists(), "agent-0 did not start")
         for number in range(1, self.count):
@@ -134,10 +134,10 @@
             lines = (self.folder / f"agent-{number}.log").read_text(encoding="utf-8").splitlines()
         except OSError:
             lines = []
-        return lines[-1][:200] if lines else "it said nothing"
+        return lines[-1][:200] if lines else "its log is empty"
 
     def kill(self, number: int) -> float:
-        """SIGKILL; the moment it was sent."""
+        """Kills an agent with SIGKILL. Returns the moment of the kill."""
         process, self.running[number] = self.running[number], None
         assert process is not None
         at_s = time.monotonic()
@@ -145,7 +145,8 @@
         return at_s
 
     async def post(self, number: int, query: str, variables: Mapping[str, Any]) -> dict[str, Any]:
-        """Raises httpx errors, OSError and ValueError where it doesn't answer, AgentsError where it refuses."""
+        """Sends one query to one agent. Raises httpx errors, OSError or ValueError if it doesn't answer, AgentsError if it
+        refuses."""
         url = (self.folder / f"agent-{number}" / "address").read_text(encoding="ascii").strip()
         token = (self.folder / "agent-0" / "admin.token").read_text(encoding="ascii").strip()
         answer = await self.client.post(f"{url}/graphql", headers={"Authorization": f"Bearer {token}"},
@@ -156,7 +157,7 @@
         return dict(body["data"])
 
     async def call(self, query: str, within_s: float = START_S, **variables: Any) -> dict[str, Any]:
-        """To whichever leads, again and again. Raises AgentsError."""
+        """Sends a query to each agent in turn until the one that leads accepts it. Raises AgentsError."""
         problem: Exception | None = None
         until_s = time.monotonic() + within_s
         while time.monotonic() < until_s:
@@ -167,10 +168,10 @@
                     problem = error
             self.turn = (self.turn + 1) % self.count
             await asyncio.sleep(LOOK_S)
-        raise AgentsError(f"no agent did it within {within_s:g} s: {problem}")
+        raise AgentsError(f"no agent accepted the request within {within_s:g} s: {problem}")
 
     async def until_ready(self, count: int, within_s: float = START_S) -> float:
-        """The moment when the agent that leads sees so many ready. Raises AgentsError."""
+        """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
         until_s, seen = time.monotonic() + within_s, -1
         while time.monotonic() < until_s:
             seen = (await self.call(FLEET, within_s))["fleet"]["ready"]
@@ -183,10 +184,10 @@
 
     async def apply(self, within_s: float = START_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
                     ) -> tuple[int, int, float, float]:
-        """Generation and operation, the moment the first try was made, and the one it was told as committed."""
+        """Makes a change. Returns its generation and operation, the moment of the request and that of the answer."""
         generation = (await self.call(FLEET, within_s))["fleet"]["generation"]
         asked_s = time.monotonic()
-        # a value of its own each time, of which every sidecar can be told
+        # a new value each time, so that every sidecar has a change to apply
         overlay = {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * generation}}}
         told = await self.call(APPLY, within_s, input={"overlay": overlay, "expectGeneration": generation,
                                                        "supersede": supersede,
@@ -205,7 +206,8 @@
         raise AgentsError(f"operation {operation} was not over within {within_s:g} s")
 
     async def change(self, hollows: Hollows, since_s: float | None = None) -> Change:
-        """One change to all, until the last has it in force. `since_s`: count from there. Raises AgentsError."""
+        """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
+        AgentsError."""
         generation, operation, asked_s, told_s = await self.apply()
         closed_s = await self.closed(operation)
         times = await self.in_force(hollows, generation)
@@ -223,7 +225,8 @@
         raise AgentsError(f"generation {generation}: {len(times)} of {hollows.count} had it within {START_S:g} s")
 
     async def publish(self, within_s: float = START_S) -> tuple[int, float, float]:
-        """A version for all: its number, the moment the first try was made, and the one it was told as committed."""
+        """Publishes a version for all instances. Returns its number, the moment of the request and that of the
+        answer."""
         found = (await self.call(VERSIONS, within_s))["versions"]["edges"]
         base = found[0]["node"]["number"] if found else 0
         asked_s = time.monotonic()
@@ -233,7 +236,7 @@
         return told["publish"]["number"], asked_s, time.monotonic()
 
     async def held(self, hollows: Hollows, version: int, count: int | None = None) -> list[float]:
-        """When each follower had it, the first first. Raises AgentsError."""
+        """When each follower received the version, in ascending order. Raises AgentsError."""
         until_s, times = time.monotonic() + START_S, list[float]()
         while time.monotonic() < until_s:
             times = await hollows.times("held", version)
@@ -242,10 +245,10 @@
             await asyncio.sleep(0.1)
         raise AgentsError(f"version {version}: {len(times)} of {hollows.count} had it within {START_S:g} s")
 
-    # The record
+    # The database
 
     def record_state(self) -> dict[str, float]:
-        """Its bytes (pages in use, the log's too), and the rows of its tables."""
+        """Bytes of the pages in use (also those still in the write-ahead log), and the row count of each table."""
         with contextlib.closing(sqlite3.connect(f"file:{self.record}?mode=ro", uri=True, timeout=5.0)) as found:
             def one(text: str) -> int:
                 return int(found.execute(text).fetchone()[0])
@@ -267,7 +270,7 @@
 
 
 async def at_rest(pid: int, seconds: float) -> tuple[float, float, float]:
-    """Percent of a core, MB resident, bytes written to disk a second, over so many seconds."""
+    """Percent of a core, resident MB and bytes written to disk per second, measured for `seconds`."""
     before = Spent.of(pid)
     await asyncio.sleep(seconds)
     after = Spent.of(pid)
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -1,4 +1,4 @@
-"""What a scale run may take of this machine, and the end of all that it started, on every way out."""
+"""Limits on the resources that a scale run uses, and the termination of every process it started."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 from ironscale.load import parent_death
 
-LOOK_S = 0.25
+LOOK_S = 0.25  # between two checks of the memory
 END_S = 5.0  # from SIGTERM to SIGKILL
 PAGE = os.sysconf("SC_PAGE_SIZE")
-# What a process of each kind takes at most, by measurement of this program: for the check before the start.
+# The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
 AGENT_MB, REAL_MB, HERDER_MB, HOLLOW_MB = 60.0, 45.0, 45.0, 0.15
-AGENT_HOLLOW_MB = 0.06  # of the agent, for an instance
+AGENT_HOLLOW_MB = 0.06  # in the agent, for each instance
 SPARE_FILES = 100
 
 
 class BoundsError(Exception):
-    """The run would take, or took, more than it may; the text is one line."""
+    """The run would exceed, or has exceeded, its limits; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a piece of a run will start at the same time, at its largest."""
+    """The most that one measurement runs at the same time."""
 
     hollow: int
     hollow_each: int
     agents: int
     real: int = 0
-    others: int = 0  # processes besides: relays, upstreams
+    others: int = 0  # other processes: relays, upstreams
 
     @property
     def processes(self) -> int:
@@ -67,7 +67,7 @@
 
     @property
     def descriptors(self) -> int:
-        """Of the process that opens most."""
+        """The largest number of file descriptors that any one process opens."""
         instances = self.hollow + self.real if self.agents else 0
         return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_FILES
 
@@ -78,12 +78,12 @@
     most_memory_share: float
 
     def memory_mb(self, found: Machine) -> float:
-        """Of all that is started: a share of the machine, and no more than is there to be had."""
+        """The limit for all started processes together: a share of the machine's memory, at most what is available."""
         return min(found.memory_mb * self.most_memory_share, found.available_mb)
 
     def check(self, plan: Plan, found: Machine | None = None) -> None:
-        """Before anything is started. The soft limit of open files is raised as far as the hard one allows. Raises
-        BoundsError."""
+        """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
+        hard limit allows it. Raises BoundsError."""
         found = found or machine()
         if plan.processes > self.most_processes:
             raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
@@ -100,7 +100,7 @@
 
 
 def memory_mb(pid: int) -> float:
-    """Resident; 0 where the process is gone."""
+    """Resident memory; 0 if the process has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE / 2**20
     except (OSError, IndexError):
@@ -108,7 +108,8 @@
 
 
 class Crew:
-    """Everything that a run has started. Each process is tied to this one by the kernel, and ended by id."""
+    """All processes that a run has started. The kernel kills each of them if this process dies; otherwise each is ended
+    by its process id."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -117,7 +118,8 @@
 
     def start(self, name: str, module: str, *args: str, environ: Mapping[str, str] | None = None,
               log: Path | None = None, keep: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
-        """`python -m module args`, in a session of its own: Ctrl-C is for us alone. Raises BoundsError."""
+        """Starts `python -m module args` in a new session, so that Ctrl-C reaches only this process. Raises
+        BoundsError."""
         self.forget_ended()
         if len(self.running) >= self.bounds.most_processes:
             raise BoundsError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
@@ -136,7 +138,7 @@
                 del self.running[pid]
 
     def end(self, *some: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = END_S) -> None:
-        """Those named, or all; returns when they are gone."""
+        """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `within_s`."""
         ending = list(some or self.running.values())
         for process in ending:
             for signal_number in (number, signal.SIGCONT):
@@ -155,7 +157,7 @@
         return sum(memory_mb(pid) for pid in self.running)
 
     async def watch(self) -> None:
-        """For as long as the run runs; raises BoundsError when it takes more than it may."""
+        """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
         start = machine()
         most_mb = self.bounds.memory_mb(start)
         while True:
--- a/ironscale/scale/chart.py
+++ b/ironscale/scale/chart.py
@@ -1,4 +1,4 @@
-"""A chart a slope, as SVG. Its library is loaded only here."""
+"""Draws one SVG chart for each slope. matplotlib is imported only here, as it is optional."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class ChartError(Exception):
-    """Charts that can't be drawn; the text is one line."""
+    """Charts that can't be drawn; the message is a single line."""
 
 
 def draw(slope: Slope, folder: Path) -> Path:
-    """The points, each repeat one, and the line; the same bytes for the same slope. Raises ChartError."""
+    """Draws every repetition as a point, and the fitted line. The same slope gives the same bytes. Raises
+    ChartError."""
     try:
         import matplotlib
     except ImportError as error:
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -1,4 +1,5 @@
-"""What control costs a sidecar: real ones with an agent beside others without, with lists of several lengths."""
+"""Measures what the control channel costs a sidecar: real sidecars with an agent are compared to others without, for
+lists of several lengths."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 from ironscale.scale.run import Scene
 
 ROLE, LIST = "sidecar control", "upstreams in the list"
-EACH = 4  # sidecars with an agent, and as many without
+EACH = 4  # sidecars with an agent, and the same number without
 LISTS, ENTRIES, CHANGES = 4, 40, 6
 QUIET_S = 0.7
 UNITS = {
@@ -74,7 +75,7 @@
     }
 
     async def cost(times: int, pause_s: float, work: object) -> list[float]:
-        """CPU seconds each of the sidecars without an agent took for one, less what it takes at rest."""
+        """CPU seconds that each sidecar without an agent used for one call of `work`, less its use at rest."""
         assert callable(work)
         before, began_s = [process_cpu_s(p.pid) for p in without], asyncio.get_running_loop().time()
         for _ in range(times):
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -1,4 +1,4 @@
-"""A region whose link is cut and mended: when its instances have the change that was made meanwhile."""
+"""Cuts and restores a region's link, and measures when its instances receive a change made in the meantime."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ironscale.stage.relay import Relay
 
 ROLE = "agent that leads"
-CUT_S = 75.0  # long enough for the longest wait between two dials
+CUT_S = 75.0  # longer than the longest wait between two connection attempts
 WAIT_S = 60.0
 
 
--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -1,4 +1,4 @@
-"""What a figure does as the size grows: a line through measured points, its scatter, and the verdict in words. Pure."""
+"""Fits a line to a metric measured at several sizes and classifies how the metric grows. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 LEAST_SIZES = 3
 FLAT, PROPORTIONAL, WITH_BASE, FASTER, FALLS = (
     "flat", "proportional", "proportional with a base", "grows faster", "falls")
-# Over the measured sizes the line moves by less than this share of its middle, or by less than its scatter.
+# A metric is flat if its line changes over the measured sizes by at most this share of the mean, or by at most the scatter.
 FLAT_SHARE = 0.1
-# The base's share of the value at the largest size under which there is no base to speak of.
+# An intercept up to this share of the value at the largest size is ignored: the metric counts as proportional.
 BASE_SHARE = 0.1
-# From the first stretch between sizes to the last, the steepness grows by more than this.
+# A metric grows faster than in proportion only if its last segment is more than this many times as steep as its first.
 STEEPER = 1.5
 
 
 class FitError(Exception):
-    """Points that no line can be put through; the text is one line."""
+    """Points that no line can be fitted to; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
     intercept: float
-    slope: float  # of the value, for one more
-    slope_error: float  # its standard error
+    slope: float  # change of the value per unit of size
+    slope_error: float  # standard error of the slope
     r2: float
-    exponent: float | None  # of a line through the logarithms; None where a value is not above 0
+    exponent: float | None  # slope of the log-log fit; None if a size or value is not above 0
     mean: float
     verdict: str
 
     def at(self, size: float) -> float:
-        """The value at a size: of what is flat, its mean."""
+        """The value that the fit predicts at a size; the mean if the metric is flat."""
         return self.mean if self.verdict == FLAT else self.intercept + self.slope * size
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """Points of (size, value), each repeat one of its own. Raises FitError under three sizes."""
+    """Fits points of (size, value), one for each repetition. Raises FitError for fewer than three sizes."""
     sizes = sorted({size for size, _ in points})
     if len(sizes) < LEAST_SIZES:
         raise FitError(f"expected points at {LEAST_SIZES} sizes at least, got {len(sizes)}")
@@ -67,8 +67,8 @@
         return FALLS
     first = (middles[1] - middles[0]) / (sizes[1] - sizes[0])
     last = (middles[-1] - middles[-2]) / (sizes[-1] - sizes[-2])
-    # faster than in proportion: the last stretch is steeper than the first, multiplies the value by more than the size,
-    # and lifts the end by more than repeats at one size differ
+    # Faster than in proportion: the last segment is steeper than the first, the value grows by a larger factor in it
+    # than the size, and the extra rise exceeds the scatter of repetitions at one size.
     grown = middles[-1] * sizes[-2] > middles[-2] * sizes[-1]
     if grown and last > STEEPER * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
             scatter, FLAT_SHARE * abs(middles[-1])):
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -1,5 +1,5 @@
-"""How attempts multiply over hops that each repeat by a budget of their own: the law, and what was measured carried on
-to depths that nobody could start. Pure."""
+"""How attempts multiply along a chain of hops that each retry within their own budget: the formula, and extrapolation of
+measurements to depths that are too large to run. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from ironscale.scale.fit import fit
 
-SURE = 2.0  # standard errors to each side that are told
+SURE = 2.0  # half width of a reported interval, in standard errors
 
 
 def one_hop(failing: float, share: float, most: int) -> tuple[float, float]:
-    """(attempts a request, share of the requests that fail in the end) of a hop of which each attempt fails with the
-    chance `failing`, that may repeat so large a `share` of its requests, and sends each `most` times at most.
+    """Returns (attempts per request, share of the requests that finally fail) for one hop. Each attempt fails with
+    probability `failing`; the hop may retry at most `share` of its requests and sends each at most `most` times.
 
-    An attempt that is granted succeeds as often as any other, so what comes through is attempts x (1 - failing),
-    whatever the budget leaves out.
+    Every attempt is equally likely to succeed, whether it is a first one or a retry. So the share of requests that
+    succeed is attempts x (1 - failing), however many retries the budget refuses.
     """
     wanted = float(most) if failing >= 1.0 else (1.0 - failing**most) / (1.0 - failing)
     attempts = min(wanted, 1.0 + share)
@@ -25,10 +25,11 @@
 
 
 def bottom(failing: float, hops: int, share: float, most: int) -> list[float]:
-    """Attempts at the bottom for one call at the top, for 1 to so many hops, where the bottom fails that often.
+    """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the bottom
+    fails with probability `failing`.
 
-    Their product with (1 - failing) is what succeeds at the top, so they never pass 1 / (1 - failing): only where
-    hardly anything succeeds do they grow as (1 + share) ** hops.
+    Attempts x (1 - failing) is the share of calls that succeed at the top, so there are never more than
+    1 / (1 - failing) attempts. They grow as (1 + share) ** hops only if hardly any attempt succeeds.
     """
     found, product = [], 1.0
     for _ in range(hops):
@@ -40,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """What a figure comes to at a depth, by a line through its logarithms (`growth`) or through itself."""
+    """A metric extrapolated to a depth, by a line fitted to its logarithms or to its values."""
 
     depth: int
     value: float
     low: float
     high: float
-    growth: float  # by hop: a factor, or what is added
+    growth: float  # per hop: a factor, or an increment
     growth_low: float
     growth_high: float
 
 
 def carry(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Carried:
-    """(hops, value) to a depth, with SURE standard errors of the line's steepness to each side. `by_factor`: each hop
-    multiplies; else each hop adds. Raises FitError under three lengths, ValueError for a factor of what is not above
-    0."""
+    """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each side.
+    With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
+    chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
     if by_factor and min(value for _, value in points) <= 0:
         raise ValueError("expected values above 0, as each hop multiplies")
     through = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -1,4 +1,4 @@
-"""What operators' commands take: listing and inspecting instances, and a release in ten waves."""
+"""Measures how long operators' commands take: listing and inspecting instances, and a release in ten waves."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 async def one(agents: Agents, count: int, repeats: int) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
-    await agents.apply()  # so that a generation is there
+    await agents.apply()  # creates the first generation
     names = await listed(agents)
     for turn in range(repeats):
         start_s = time.monotonic()
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -1,4 +1,4 @@
-"""The record: what a change leaves in it, what that comes to, and what a restart reads."""
+"""Measures how much each change adds to the agent's database, and how much of it a restart reads."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 async def settled(agents: Agents) -> None:
-    """Until nothing but marks is written: what instances showed is saved a little after they did."""
+    """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
     was, until_s = -1.0, time.monotonic() + 10
     while time.monotonic() < until_s:
         state = agents.record_state()
@@ -59,7 +59,7 @@
 
 
 async def restarted(agents: Agents) -> tuple[float, float]:
-    """Seconds from the start of the next process until it answers, and bytes that it had read by then."""
+    """Restarts the agent. Returns the seconds until the new process answers, and the bytes it has read by then."""
     process = agents.running[0]
     assert process is not None
     agents.crew.end(process, number=signal.SIGTERM, within_s=10)
@@ -72,7 +72,7 @@
 
 
 async def longer(scene: Scene, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
-    """The same instances after more changes: does a restart read the whole history?"""
+    """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.until_ready(hollows_count)
     for _ in range(MANY):
         _, operation, _, _ = await agents.apply()
--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -1,4 +1,4 @@
-"""What a scale run found: slopes, single readings, and the machine, moment and size file that they belong to."""
+"""The result file of a scale run: slopes and single readings, with the machine, time and size file they belong to."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ResultError(Exception):
-    """A result file that can't be used; the text is one line."""
+    """A result file that can't be used; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,21 +33,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A figure at several sizes, and the line through it."""
+    """A metric measured at several sizes, and the line fitted to it."""
 
-    name: str  # dotted and stable: `agent.rest.cpu_percent`
+    name: str  # dotted metric name that never changes, such as `agent.rest.cpu_percent`
     role: str
-    x: str  # what the size counts
+    x: str  # what the size counts: the label of the x axis
     unit: str
     points: tuple[Point, ...]
     fit: Fit
-    at: str  # when it was measured, UTC
+    at: str  # time of the measurement, UTC
     note: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A figure that is no slope."""
+    """A metric that was not measured over several sizes."""
 
     name: str
     role: str
@@ -62,13 +62,13 @@
 
     @property
     def scatter(self) -> float:
-        """From the least of its repeats to the largest."""
+        """The difference between the largest and the smallest repetition."""
         return max(self.repeats) - min(self.repeats)
 
 
 def slope(name: str, role: str, x: str, unit: str, points: Mapping[float, Iterable[float]], at: str,
           note: str = "") -> Slope:
-    """Raises FitError under three sizes."""
+    """Builds a slope from the repetitions at each size. Raises FitError for fewer than three sizes."""
     found = tuple(Point(float(size), tuple(float(v) for v in values)) for size, values in sorted(points.items()))
     return Slope(name, role, x, unit, found, fit([(p.size, v) for p in found for v in p.repeats]), at, note)
 
@@ -81,7 +81,7 @@
     readings: dict[str, Reading] = field(default_factory=dict)
 
     def add(self, *found: Slope | Reading) -> None:
-        """One of the same name goes."""
+        """Adds entries; each replaces an earlier slope or reading of the same name."""
         for entry in found:
             (self.slopes if isinstance(entry, Slope) else self.readings).pop(entry.name, None)
             if isinstance(entry, Slope):
@@ -95,7 +95,7 @@
         def plain(entry: Slope) -> dict[str, Any]:
             return {"name": entry.name, "role": entry.role, "x": entry.x, "unit": entry.unit, "at": entry.at,
                     "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
-                    # for other readers; the verdict is no figure: it follows from the points by the rule of the day
+                    # Written for other programs. The verdict is left out: it is derived from the points on each load.
                     "fit": {key: getattr(entry.fit, key) for key in Fit.__slots__ if key != "verdict"}}
 
         return json.dumps({
@@ -106,14 +106,14 @@
         }, indent=1, allow_nan=False) + "\n"
 
     def write(self, path: Path) -> None:
-        """Beside it first: a run that is ended leaves the file before whole."""
+        """Writes a temporary file and renames it, so that an interrupted run leaves the previous file intact."""
         aside = path.with_name(f".{path.name}.new")
         aside.write_text(self.text(), encoding="utf-8")
         aside.replace(path)
 
 
 class _Reader:
-    """Checks by path, one style of error."""
+    """Validates parsed JSON; each error names the path of the wrong value."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -160,7 +160,7 @@
                           self.text(value, "at", at), self.text(value, "note", at, empty=True))
         except FitError as error:
             raise ResultError(f"{self.file}: {at}.points: {error}") from error
-        # hazard: a fit that was edited by hand would go into the page; it follows from the points
+        # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
         for key in ("intercept", "slope", "mean"):
             was = self.number(self.get(told, key, f"{at}.fit"), f"{at}.fit.{key}")
             if not math.isclose(was, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
@@ -169,7 +169,7 @@
 
 
 def parse(text: str, file: str) -> Result:
-    """Raises ResultError."""
+    """Parses and validates the text of a result file. Raises ResultError."""
     reader = _Reader(file)
     try:
         value = json.loads(text)
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -1,4 +1,4 @@
-"""The size that a system is heading for, and how a scale run plays it: one checked TOML file."""
+"""The size file: the planned size of the fleet and how a scale run simulates it, as validated TOML."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class SizeError(TableError):
-    """A size file that can't be used; the text is one line."""
+    """A size file that can't be used; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many there are, and what they carry."""
+    """The size of the fleet, and its load."""
 
     upstreams: int
     sidecars: int
@@ -24,19 +24,21 @@
     regions: int
     zones: int
     calls_per_s: float
-    depth: int  # calls below one another, at most
+    depth: int  # longest chain of nested calls
 
 
 @dataclass(frozen=True, slots=True)
 class Promises:
-    added_p99_ms: float  # to a call, for 99 in 100
+    """The limits that the fleet has to keep at this size."""
+
+    added_p99_ms: float  # 99th percentile of the latency added to a call
     changes_per_day: float
-    force_s: float  # from a change's commit until it is in force everywhere
+    force_s: float  # from the commit of a change until all instances apply it
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one sidecar may spend on control, and the machines that are set aside for it."""
+    """Resources that one sidecar may use for the control channel, and the machines reserved for control."""
 
     cpu_percent: float  # of a core
     memory_mb: float
@@ -46,30 +48,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Failures:
-    """Those of an ordinary day, and the rarer ones."""
+    """Rates of common failures per day, and mean days between rare ones."""
 
     machines_per_day: float
     replaced_per_day: float
     rack_each_days: float
     zone_each_days: float
-    link_cut_s: float  # how long two regions lose each other
+    link_cut_s: float  # how long two regions can't reach each other
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """What a scale run starts, and what it may take of this machine."""
-
-    sizes: tuple[int, ...]  # hollow instances
-    lists: tuple[int, ...]  # upstreams in a sidecar's list
-    real: int  # sidecars with a data path, beside the largest
-    agents: int  # one leads, the others stand by
-    hollow_each: int  # hollow instances that share a process
-    repeats: int  # of each measurement
+    """What a scale run starts, and how much of this machine it may use."""
+
+    sizes: tuple[int, ...]  # numbers of simulated instances
+    lists: tuple[int, ...]  # numbers of upstreams in a sidecar's list
+    real: int  # real sidecars, included at the largest size
+    agents: int  # one leader, the others are standbys
+    hollow_each: int  # simulated instances per process
+    repeats: int  # repetitions of each measurement
     heartbeat_s: float
-    lease_s: float  # of an instance
-    term_s: float  # of the agent that leads
+    lease_s: float  # an instance's lease
+    term_s: float  # the leading agent's term
     most_processes: int
-    most_memory_share: float  # of the machine's
+    most_memory_share: float  # of the machine's memory
     seed: int
 
 
@@ -84,13 +86,14 @@
 
     @property
     def digest(self) -> str:
-        """Of all that a figure depends on: a result belongs to it. How much is started and how often is not in it."""
+        """A hash of all settings that influence a measured value; a result file names it. The numbers of instances and
+        repetitions are left out."""
         play = self.play
         what = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
         return hashlib.sha256(repr(what).encode()).hexdigest()[:16]
 
     def figure(self, key: str) -> float:
-        """By its path in the file, as `fleet.sidecars`. Raises KeyError."""
+        """The value at a dotted path in the file, such as `fleet.sidecars`. Raises KeyError."""
         section, _, name = key.partition(".")
         if section not in ("fleet", "promises", "budget", "failures"):
             raise KeyError(key)
@@ -101,7 +104,7 @@
 
     @property
     def calls_each(self) -> float:
-        """Calls a second through one sidecar."""
+        """Calls per second through one sidecar."""
         return self.fleet.calls_per_s / self.fleet.sidecars
 
 
@@ -141,7 +144,7 @@
 def _play(table: Table) -> Play:
     beat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
     found = Play(
-        # a line through two points says nothing of its scatter
+        # two points would always lie on the line, so the scatter would be unknown
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
         table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3),
@@ -156,7 +159,7 @@
 
 
 def parse(text: str, file: str) -> Size:
-    """Checks the whole file. Raises SizeError."""
+    """Parses and validates a size file. Raises SizeError."""
     root = read_toml(text, file, Path("."), SizeError)
     title = root.string("title")
     names = ("fleet", "promises", "budget", "failures")
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -1,4 +1,4 @@
-"""An agent that stands by, and the fleet when the one that leads is killed and doesn't come back."""
+"""Measures a standby agent at rest, and how the fleet recovers after the leader is killed and not restarted."""
 
 from __future__ import annotations
 
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -1,4 +1,5 @@
-"""Published versions beside operations: a change until the last instance, whoever is lost; its cost to the record."""
+"""Measures published versions: the time until every instance has one, also when agents are lost, and the cost to the
+database."""
 
 from __future__ import annotations
 
@@ -84,14 +85,14 @@
 
 
 def lost(agents: Agents, number: int) -> float:
-    """An agent, and what it had on disk of the versions."""
+    """Kills an agent and removes its snapshot of the versions from disk. Returns the moment of the kill."""
     at_s = agents.kill(number)
     (agents.folder / f"agent-{number}" / "versions.snapshot").unlink(missing_ok=True)
     return at_s
 
 
 async def cut(scene: Scene) -> None:
-    """A region of instances that no agent can be reached from, as `cut` does it for operations."""
+    """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
     size = scene.size
     count = size.play.sizes[-1]
     away, for_s = count // size.fleet.regions, 20.0
