--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,8 +1,8 @@
-"""How an agent fares as the fleet grows: `python -m bench.fleet [--counts 200,1000,5000] [--json FILE]`.
+"""Measures what an agent costs as the fleet grows: `python -m bench.fleet [--counts 200,1000,5000] [--json FILE]`.
 
-Hollow instances of `ironscale.scale` (the real protocol, many in a few processes) are listed, inspected and taken
-through a whole release; the agent's processor and memory at rest. Printed: each figure at each count, and what it does
-as the count grows. For slopes beside a size file: `ironscale scale run`.
+Simulated instances of `ironscale.scale` (the real protocol, many in a few processes) are listed, inspected and taken
+through a whole release; the agent's CPU time and memory are measured at rest. Prints each metric at each count, and how
+it grows with the count. `ironscale scale run` measures the same and more for a size file.
 """
 
 from __future__ import annotations
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -1,4 +1,5 @@
-"""Measures the leading agent: its cost at rest and per change, and how soon a change is in force, also after a crash."""
+"""Measures the leading agent: its cost at rest and per change, and the time until a change is in force, also after a
+crash."""
 
 from __future__ import annotations
 
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -145,8 +145,8 @@
         return at_s
 
     async def post(self, number: int, query: str, variables: Mapping[str, Any]) -> dict[str, Any]:
-        """Sends one query to one agent. Raises httpx errors, OSError or ValueError if it doesn't answer, AgentsError if it
-        refuses."""
+        """Sends one query to one agent. Raises httpx errors, OSError or ValueError if it doesn't answer, AgentsError if
+        it refuses."""
         url = (self.folder / f"agent-{number}" / "address").read_text(encoding="ascii").strip()
         token = (self.folder / "agent-0" / "admin.token").read_text(encoding="ascii").strip()
         answer = await self.client.post(f"{url}/graphql", headers={"Authorization": f"Bearer {token}"},
--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -1,4 +1,5 @@
-"""The tables of the capacity page: each figure slope x size with both named, and needs beside budgets. Pure."""
+"""Renders the tables of the capacity page: measured metrics extrapolated to the planned size, and needs compared to
+budgets. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,17 +13,17 @@
 from ironscale.scale.size import Size
 
 DAY_S, MONTH_DAYS = 86_400, 30
-# What a slope's sizes count, and the figure of the size file that it is taken to.
+# What the sizes of a slope count -> the key in the size file of the value that the slope is extrapolated to.
 AXES = {"instances": "fleet.sidecars", "real sidecars": "fleet.sidecars", "upstreams in the list": "fleet.upstreams",
         "sidecars": "fleet.sidecars", "hops": "fleet.depth"}
 
 
 class PageError(Exception):
-    """A page whose tables can't be written, or aren't those of the result; the text is one line."""
+    """A page whose tables can't be filled in from the result; the message is a single line."""
 
 
 def number(value: float) -> str:
-    """Three digits that count, and thousands parted."""
+    """Formats with three significant digits and thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 100:
@@ -31,7 +32,7 @@
 
 
 def scaled(value: float, unit: str) -> str:
-    """Bytes in the unit that fits."""
+    """Formats a value with its unit; bytes become KB, MB, GB or TB."""
     if unit.startswith("bytes"):
         for factor, name in ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
             if abs(value) >= factor:
@@ -49,7 +50,7 @@
 
 
 def figures(size: Size, result: Result, role: str) -> str:
-    """All that was measured of a role."""
+    """A table of all that was measured for a role."""
     rows = []
     for entry in sorted(result.slopes.values(), key=lambda s: s.name):
         if entry.role == role:
@@ -80,23 +81,23 @@
 
 
 def value_at(entry: Slope, wanted: float) -> float:
-    """What was measured where the size itself was; else what the line says, which is too little for what grows
-    faster."""
+    """The measured value if this size was measured, else the fitted line's, which is too low for a metric that grows
+    faster than in proportion."""
     reached = next((p.value for p in entry.points if p.size == wanted), None)
     return reached if reached is not None else entry.fit.at(wanted)
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A row of the table of needs: a measured figure, and the budget that it is held by."""
+    """A row of the table of needs: a measured metric, and the budget that it must stay within."""
 
     role: str
     what: str
     name: str  # of the slope or reading
-    budget: str  # its key in the size file, or what it is in words
+    budget: str  # key in the size file, or a description
     unit: str
-    most: Callable[[Size], float] | None = None  # the budget, where it is no figure of the size file
-    at: Callable[[Size], float] | None = None  # the size that it is taken to, where it is not that of the slope's axis
+    most: Callable[[Size], float] | None = None  # the budget, if it is not a value of the size file
+    at: Callable[[Size], float] | None = None  # the size to extrapolate to, if not the one in AXES
 
 
 VERSIONS = "published versions"
@@ -139,8 +140,8 @@
 
 
 def value_of(size: Size, result: Result, name: str, at: float | None = None) -> float | None:
-    """At the size file's figure for the slope's axis, or at another; None where it was not measured. Raises KeyError
-    where the size file has no such figure."""
+    """A metric at the planned size of the slope's axis, or at size `at`; None if it was not measured. Raises KeyError
+    if the size file has no such value."""
     if name in result.slopes:
         entry = result.slopes[name]
         return value_at(entry, size.figure(AXES[entry.x]) if at is None else at)
@@ -148,13 +149,13 @@
 
 
 def trial(result: Result, name: str) -> str:
-    """A figure whose note says that it is a trial is told as one wherever it goes."""
+    """The mark for a metric whose note says that it comes from a trial run; empty for others."""
     entry = result.slopes.get(name) or result.readings.get(name)
     return " (trial)" if entry is not None and entry.note.startswith("trial") else ""
 
 
 def needs(size: Size, result: Result) -> str:
-    """The largest ratio of need to budget first; what was not measured last."""
+    """A table of needs and budgets, by falling ratio of need to budget; needs that were not measured come last."""
     found: list[tuple[float, tuple[str, ...]]] = []
     for need in NEEDS:
         at = need.at(size) if need.at is not None else None
@@ -174,7 +175,7 @@
 
 
 def day(size: Size, result: Result) -> str:
-    """What an ordinary day comes to: the figure of one change or heartbeat, times how many there are."""
+    """A table of the cost of an ordinary day: the cost of one change or heartbeat, times their number."""
     changes = size.promises.changes_per_day
     rows = []
 
@@ -229,7 +230,7 @@
 
 
 def tables(size: Size, result: Result) -> dict[str, str]:
-    """By the name that the page's markers have."""
+    """All tables, by the names used in the page's markers."""
     found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs(size, result),
              "day": day(size, result)}
     found.update({role_name(role): figures(size, result, role) for role in ROLES})
@@ -241,7 +242,7 @@
 
 
 def filled(text: str, size: Size, result: Result, file: str) -> str:
-    """The page with its tables as the result has them. Raises PageError."""
+    """The page with its tables rendered from the result. Raises PageError."""
     if result.size_digest != size.digest:
         raise PageError(f"{file}: expected a result of size file {size.digest}, got one of {result.size_digest}")
     found = tables(size, result)
@@ -259,6 +260,6 @@
 
 
 def drift(text: str, size: Size, result: Result, file: str) -> list[str]:
-    """Names of the tables in the page that aren't those of the result. Raises PageError."""
+    """Names of the tables in the page that differ from those rendered from the result. Raises PageError."""
     now = dict(MARK.findall(filled(text, size, result, file)))
     return [name for name, was in MARK.findall(text) if was != now[name]]
--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -1,14 +1,15 @@
-"""Calls through a chain of real sidecars: attempts at the bottom for one at the top, what is left of the deadline.
-
-Each hop is a sidecar of its own and an application that does nothing but ask the next sidecar; the last asks the
-bottom, a stand-in that is well, slow, or fails a drawn share. The same applications without sidecars between them say
-what they take themselves. No application repeats a call: all repeats are the sidecars' own. An application answers 500
-for what was not served to it, passes on what is left of its caller's deadline less its own time, and lets its call go
-when its caller has gone.
-
-`python -m ironscale.scale.chain` is the process of the applications and the bottom: in, a JSON object (`hops`,
-`copies`, `seed`), then a line each of `{"sidecars": [port, ...]}`, `{"bottom": {...}}`, `{"look": true}`; out, where it
-listens, and at a look what it counted since the one before, by run.
+"""Measures calls through a chain of real sidecars: the attempts at the bottom for one call at the top, and how much of
+the deadline remains at each hop.
+
+Each hop is a real sidecar and an application that only calls the next sidecar. The bottom is the last application, a
+stand-in that is healthy, slow, or fails a random share of calls. The same applications are also called without
+sidecars in between, to measure their own share of the latency. Applications never retry: all retries come from
+sidecars. An application answers 500 if its own call fails, passes on the rest of its caller's deadline less its own
+time, and cancels its call when its caller disconnects.
+
+`python -m ironscale.scale.chain` is the process of the applications and the bottom. It reads a JSON object (`hops`,
+`copies`, `seed`), then lines of `{"sidecars": [port, ...]}`, `{"bottom": {...}}` or `{"look": true}`. It writes the
+ports that it listens on, and for each look the counts since the previous one, by run.
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
 
 KIND = KindSpec("view", "idempotent", 1_000_000, False)
 AIM_MS = 300
-COPIES = 3  # of each application: upstreams in each list
+COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
 LEAD_S = 0.2
 NOTE = (f"{COPIES} copies of each application, aim {AIM_MS} ms, deadline {KIND.deadline_us // 1000} ms; applications "
         "answer 500 for what was not served to them, and repeat nothing")
-# `first`: so many attempts of each call fail for sure
+# `first`: the number of attempts of each call that always fail
 WELL: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
 BOTTOMS: dict[str, Mapping[str, Any]] = {
     "well": WELL,
@@ -60,22 +61,22 @@
 
 
 def left_us_of(value: bytes) -> int:
-    """`480m` or `480000u`; 0 for what is neither."""
+    """Parses `480m` (milliseconds) or `480000u` (microseconds); 0 for any other unit or an empty value."""
     number, unit = value[:-1], value[-1:]
     return int(float(number) * {b"m": 1_000, b"u": 1}.get(unit, 0)) if number else 0
 
 
 class Seen:
-    """What one level counts of one run."""
+    """The counts of one level in one run."""
 
     def __init__(self) -> None:
-        self.calls: Counter[str] = Counter()  # by the call at the top that they are for
+        self.calls: Counter[str] = Counter()  # attempts, by the call at the top that they belong to
         self.left_us: list[int] = []
-        self.got: Counter[str] = Counter()  # what the next level answered to this one's application
+        self.got: Counter[str] = Counter()  # statuses that the next level answered to this level's application
 
 
 class Caller(asyncio.Protocol):
-    """One connection from an application to the next sidecar, a call at a time."""
+    """A connection from an application to the next sidecar; it carries one call at a time."""
 
     def __init__(self, level: Level) -> None:
         self.level = level
@@ -117,7 +118,7 @@
 
 
 class Served(asyncio.Protocol):
-    """One connection to an application or to the bottom."""
+    """An accepted connection at an application or the bottom."""
 
     def __init__(self, level: Level) -> None:
         self.level = level
@@ -153,7 +154,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
         calling, self.calling = self.calling, None
-        if isinstance(calling, Caller):  # its caller has gone, and so goes what it asked for
+        if isinstance(calling, Caller):  # the caller has disconnected, so its call is cancelled
             calling.on_end = None
             calling.drop()
         elif calling is not None:
@@ -161,7 +162,8 @@
 
 
 class Level:
-    """All copies of the application at one depth, or the bottom; `following` is where it asks on."""
+    """All copies of the application at one depth, or the bottom. `following` is the address that the application calls;
+    the bottom has none."""
 
     def __init__(self, world: World, depth: int) -> None:
         self.world, self.depth = world, depth
@@ -221,7 +223,7 @@
             self.ask(caller, served, payload(), on_end)
 
     def told(self) -> dict[str, Any]:
-        """What it counted since it told last, by run."""
+        """The counts since the previous call of this method, by run."""
         found, self.seen = self.seen, defaultdict(Seen)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
                       "left_ms": [percentile(s.left_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
@@ -229,7 +231,7 @@
 
 
 class World:
-    """The applications and the bottom of a chain, twice: below sidecars, and without any."""
+    """The applications and the bottom of two chains: one with sidecars, one without."""
 
     def __init__(self, hops: int, copies: int, seed: str) -> None:
         self.random = Random(seed)
@@ -260,7 +262,7 @@
             served.say(status)
 
     def hear(self, told: dict[str, Any]) -> dict[str, Any] | None:
-        if "sidecars" in told:  # the first is asked from outside
+        if "sidecars" in told:  # the first sidecar is called by the load generator
             for level, port in zip(self.levels, told["sidecars"][1:], strict=False):
                 level.following = ("127.0.0.1", port)
         elif "bottom" in told:
@@ -272,7 +274,7 @@
 
 @dataclass(slots=True)
 class Chain:
-    """A chain that stands: its process of applications, and each sidecar's address from the top on."""
+    """A running chain: the process of the applications, and the addresses of the sidecars from the top down."""
 
     process: asyncio.subprocess.Process
     sidecars: list[Address]
@@ -292,7 +294,7 @@
 @contextlib.asynccontextmanager
 async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = KIND,
                   aim_ms: int = AIM_MS) -> AsyncIterator[Chain]:
-    """So many real sidecars, each with a list of the applications below it."""
+    """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
         process = await stack.enter_async_context(
             child("ironscale.scale.chain", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE))
@@ -311,19 +313,19 @@
 
 @dataclass(slots=True)
 class Turn:
-    """Calls into a chain while the bottom did one thing: from its first moment on (`onset`), or once that had lasted
-    a while."""
+    """Calls into a chain while the bottom behaved in one way: from the start of that behaviour (`onset`), or after it
+    has lasted a while."""
 
     bottom: str
     hops: int
     onset: bool
     calls: int
-    took_us: list[int]  # of those that were served
-    bare_us: list[int]  # without sidecars
-    attempts: list[float]  # at each level from the top, for one call at the top
-    most: int  # at the bottom, for one call
-    left_ms: list[list[float]]  # of the deadline, at each level: of 1 in 100, the middle, of 99 in 100
-    got: list[dict[str, int]]  # what each application was answered
+    took_us: list[int]  # latencies of the served calls
+    bare_us: list[int]  # latencies without sidecars
+    attempts: list[float]  # at each level from the top, per call at the top
+    most: int  # most attempts at the bottom for one call
+    left_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
+    got: list[dict[str, int]]  # number of answers to each application, by status
 
     def served(self) -> float:
         return len(self.took_us) / max(1, self.calls)
@@ -333,7 +335,7 @@
 
 
 async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = KIND) -> list[Sample]:
-    """Paced calls to there, until all have ended."""
+    """Sends calls at a rate and waits until all have ended."""
     part = paced(rate, seconds, run, kind.deadline_us)
     client, samples = client_of(run, address, part, seconds, kind)
     client.start(time.monotonic_ns() + round(LEAD_S * 1e9))
@@ -343,10 +345,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How long each part of a turn lasts, in seconds, at so many calls a second."""
+    """The call rate per second, and how long each part of a chain's run lasts."""
 
     rate: float = 60.0
-    well_s: float = 2.0  # before the bottom does what it does
+    well_s: float = 2.0  # before the bottom changes its behaviour
     onset_s: float = 1.0
     settle_s: float = 2.0
     lasting_s: float = 4.0
@@ -365,7 +367,8 @@
 
 
 async def play(name: str, hops: int, plan: Plan, seed: str) -> list[Turn]:
-    """A new chain: well at first, then as `name` says; the onset and the time after it."""
+    """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
+    onset and of the time after it."""
     async with started(hops, rate=plan.rate, seed=seed) as chain:
         await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
         chain.say({"bottom": BOTTOMS[name]})
@@ -376,8 +379,8 @@
 
 async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOMS), plan: Plan | None = None,
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[Turn]:
-    """Latencies are measured where the bottom is well, one chain after another; for the other bottoms, which are
-    there for counts, chains of all lengths run beside one another."""
+    """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
+    one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
     found: list[Turn] = []
     for number in range(rounds):
         for name in bottoms:
@@ -391,7 +394,7 @@
 
 
 def record(scene: Scene, turns: Sequence[Turn], depth: int) -> None:
-    """Slopes by hops (three lengths at least), and what they come to at `depth`."""
+    """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
     for turn in turns:
         phase = f"{turn.bottom.replace(' ', '_')}.{'onset' if turn.onset else 'lasting'}"
@@ -416,7 +419,7 @@
 
 
 async def measure(scene: Scene) -> None:
-    """For a scale run: chains of 1 to 8, carried to the size's depth."""
+    """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
     scene.check(0, 0, real=sum(LENGTHS), others=len(LENGTHS))
     try:
         turns = await play_all(LENGTHS, rounds=scene.size.play.repeats, tell=scene.progress)
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -17,7 +17,7 @@
     size = scene.size
     count, regions = size.play.sizes[-1], size.fleet.regions
     away = count // regions
-    scene.progress(f"cut: {away} of {count} hollow instances for {CUT_S:g} s")
+    scene.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
     async with scene.fleet(count - away) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = hollows.herders[:]
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -1,9 +1,11 @@
-"""What sidecars ask of discovery and are told, by their number, by the length of the list, by what changes.
-
-Hollow watches: each the real client of discovery and the real decision when to ask, with no data path, hundreds in a
-process; and the stand-in discovery in a process of its own, which counts its calls and bytes. It may be told to work
-through calls in turn, so long each, as a shared one does. `python -m ironscale.scale.discovery` is either process: in,
-a JSON object, then a line for each thing to do; out, a JSON line for each of them.
+"""Measures the traffic between sidecars and discovery, by the number of sidecars, the length of the list and the kind
+of change.
+
+A simulated watch combines the real discovery client with the real decision when to ask, without a data path; hundreds
+share a process. The stand-in discovery runs in a process of its own and counts calls and bytes. It can be made to
+serve calls one at a time, each for a given time, as a discovery that is shared by many clients does.
+`python -m ironscale.scale.discovery` is either kind of process: it reads a JSON object, then a JSON line for each
+command, and writes a JSON line as the answer to each.
 """
 
 from __future__ import annotations
@@ -35,30 +37,31 @@
 from ironscale.standins.discovery import ListedDiscovery
 
 ROLE = "discovery"
-EACH = 250  # hollow watches that share a process
-SERVE_S = 60.0  # within which all must have their first list
+EACH = 250  # simulated watches per process
+SERVE_S = 60.0  # time limit for all to receive their list
 REST_S, CHANGES, ASK_S = 6.0, 20, 5.0
-TURNS_MS = (0.0, 25.0, 50.0)  # a shared discovery's time for a call: not known, so several are played
+TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
 
 def entry_of(number: int, state: str = "ready", started_ms: int = 0) -> dict[str, Any]:
-    """As long as an upstream's entry in the protocol's example."""
+    """An entry of the list, as long as an upstream's entry in the protocol's example."""
     return {"instanceId": f"s-{number:08x}", "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}."
             f"{number & 255}:9000", "zone": "abcdefghijkl"[number % 12], "machineType": "m2", "cell": number % 4,
             "lifecycle": state, "weight": 1.0, "startedAtMs": started_ms}
 
 
 class Counted(ListedDiscovery):
-    """Counts what it writes; calls have their turn where `turn_s` says so."""
+    """A stand-in discovery that counts the bytes it writes. If `turn_s` is not 0, it serves calls one at a time, each
+    for that long."""
 
     def __init__(self, turn_s: float = 0.0) -> None:
         super().__init__()
         self.turn_s, self.turn = turn_s, asyncio.Lock()
         self.bytes = 0
-        self.held: tuple[int, bytes] = 0, b""  # the whole list as written, and its generation
+        self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
     def body(self) -> bytes:
-        """Made once a version: what a stand-in would spend on it is nothing to anyone."""
+        """The encoded list, cached for each generation, as the stand-in's own CPU time is not of interest."""
         if self.held[0] != self.generation:
             self.held = self.generation, json.dumps(self.whole(), separators=(",", ":")).encode()
         return self.held[1]
@@ -79,7 +82,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
                 if self.turn_s:
-                    async with self.turn:  # also for one that has given up meanwhile, as a shared one does
+                    async with self.turn:  # also for a caller that has given up meanwhile, as a shared discovery does
                         await asyncio.sleep(self.turn_s)
                 body = self.body()
                 if b"watch=1" not in head:
@@ -98,7 +101,7 @@
 
 
 class CountedCall(_Call):
-    """Tells its owner what came and went."""
+    """Adds the bytes that it sends and receives to the counts of its client."""
 
     def data_received(self, data: bytes) -> None:
         assert isinstance(self.discovery, CountedClient)
@@ -112,6 +115,8 @@
 
 
 class CountedClient(Discovery):
+    """A discovery client that counts its calls and bytes."""
+
     counts: Counter[str]
 
     def new_watch_call(self, max_first_data_s: float = math.inf) -> CountedCall:
@@ -124,13 +129,13 @@
 
 
 class Watch:
-    """One hollow sidecar: it asks when the decisions say so, and keeps nothing of what it is told."""
+    """A simulated sidecar: it asks when the balancer decides to, and discards the lists that it receives."""
 
     def __init__(self, herd: Herd, number: int) -> None:
         self.herd = herd
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
-        self.first_s = -1.0  # from its start to its first list
+        self.first_s = -1.0  # time from its start to its first list; -1 before that
         self.client = CountedClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = herd.counts
         options = settings.read_settings(settings.flatten_object(herd.settings))
@@ -139,7 +144,7 @@
         self.tell(UpstreamsUpdated(ListKind.CACHED, []))
 
     def now_us(self) -> int:
-        return int((self.loop.time() - self.began_s) * 1e6) + 1  # hazard: a time of 0 means never to the decisions
+        return int((self.loop.time() - self.began_s) * 1e6) + 1  # + 1, as the balancer takes a time of 0 to mean never
 
     def tell(self, event: Any) -> None:
         for action in self.balancer.handle(self.now_us(), event):
@@ -168,7 +173,7 @@
 
 
 class Herd:
-    """The hollow watches of one process."""
+    """All simulated watches of one process."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
         self.address = ("127.0.0.1", int(spec["port"]))
@@ -186,7 +191,7 @@
 
 
 class Server:
-    """The stand-in's process, and what is done to its list."""
+    """The process of the stand-in discovery, with commands that change its list."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
         self.discovery = Counted(spec["turn_ms"] / 1000)
@@ -194,9 +199,9 @@
         self.next = int(spec["upstreams"])
 
     async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
-        for _ in range(told.get("change", 0)):  # one entry, a line of its own
+        for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
             self.discovery.put(entry_of(self.next - 1, "draining"))
-        for _ in range(told.get("replace", 0)):  # drained, gone, another in its place, cold
+        for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
             old = entry_of(self.next - 1)
             for entry in ({**old, "lifecycle": "draining"}, {**old, "lifecycle": "gone"},
                           entry_of(self.next, started_ms=time.time_ns() // 1_000_000)):
@@ -208,7 +213,7 @@
 
 @dataclass(slots=True)
 class Player:
-    """A process of either sort, and a line to it and back."""
+    """A process of either kind, with its input and output."""
 
     process: asyncio.subprocess.Process
     port: int = 0
@@ -218,13 +223,13 @@
         self.process.stdin.write(json.dumps(told).encode() + b"\n")
         line = await self.process.stdout.readline()
         if not line:
-            raise RunError("a process of hollow watches or their discovery ended before its time")
+            raise RunError("a process of simulated watches or of their discovery ended too early")
         found: dict[str, Any] = json.loads(line)
         return found
 
 
 class Site:
-    """A stand-in discovery and its hollow watches."""
+    """A stand-in discovery and the simulated watches that use it."""
 
     def __init__(self, server: Player, herds: list[tuple[Player, int]]) -> None:
         self.server, self.herds = server, herds
@@ -239,7 +244,7 @@
         return found
 
     async def start(self) -> float:
-        """All at once; until each has its list. Gives how long that took."""
+        """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
         since_s = time.monotonic()
         await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
         while await self.all() and min(self.first_s) < 0:
@@ -250,7 +255,7 @@
         return time.monotonic() - since_s
 
     def cpu_s(self) -> float:
-        """Of the hollow watches' processes."""
+        """CPU seconds of the processes of the simulated watches."""
         return sum(process_cpu_s(herd.process.pid) for herd, _ in self.herds)
 
 
@@ -276,20 +281,20 @@
 
 @dataclass(slots=True)
 class Taken:
-    """What so many watches of a list so long came to."""
+    """The results for one number of watches and one length of the list."""
 
     upstreams: int
     watches: int
-    whole_bytes: float  # read for a whole list, by one
-    whole_cpu_ms: float  # of one's processor, to read it
-    rest_bytes_s: float  # read by one while nothing changes
-    change_bytes: float  # read by one for an entry that changed
+    whole_bytes: float  # read by one watch for the whole list
+    whole_cpu_ms: float  # CPU time of one watch to read the whole list
+    rest_bytes_s: float  # read by one watch while nothing changes
+    change_bytes: float  # read by one watch for a changed entry
     change_cpu_us: float
-    replaced_bytes: float  # read by one for an upstream that was replaced
-    asked_bytes_s: float  # read by one, were the list asked for every ASK_S in place of watched; 0 = not tried
-    served_bytes_s: float  # written by discovery at rest, to all
-    first_s: list[float]  # from a start of all at once to each one's list
-    calls: int  # of all, until then
+    replaced_bytes: float  # read by one watch for a replaced upstream
+    asked_bytes_s: float  # read by one watch if it fetched the list every ASK_S instead; 0: not measured
+    served_bytes_s: float  # written by discovery to all watches while nothing changes
+    first_s: list[float]  # time from a simultaneous start of all to each one's list
+    calls: int  # made by all watches until then
     start_bytes: int  # written by discovery until then
 
 
@@ -308,7 +313,7 @@
         await played.server.ask(replace=CHANGES)
         replaced = await settled(played, changed["entries"] + 3 * CHANGES * watches)
         fetched = replaced
-        if asked:  # what is asked for is told only where it is as new as the watch's, and so it is
+        if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
             await played.all(fetch=True)
             fetched = await settled(played, replaced["entries"] + upstreams * watches)
         each = watches * CHANGES
@@ -321,11 +326,11 @@
 
 
 async def settled(played: Site, entries: int) -> Counter[str]:
-    """Once all have been told so many entries."""
+    """Waits until the watches together have received this many entries. Returns their counts."""
     since_s = time.monotonic()
     while (found := await played.all())["entries"] < entries:
         if time.monotonic() > since_s + SERVE_S:
-            raise RunError(f"discovery: expected {entries} entries told within {SERVE_S:g} s, got {found['entries']}")
+            raise RunError(f"discovery: expected {entries} entries within {SERVE_S:g} s, got {found['entries']}")
         await asyncio.sleep(0.05)
     return found
 
@@ -369,7 +374,7 @@
 
 
 async def measure(scene: Scene) -> None:
-    """For a scale run: by length of the list, by number of sidecars, and a zone that is back at once."""
+    """Measures by length of the list, by number of sidecars, and the simultaneous restart of a whole zone."""
     size = scene.size
     scene.check(0, 0, others=2 + -(-max(size.play.sizes) // EACH))
     try:
--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -12,7 +12,8 @@
 LEAST_SIZES = 3
 FLAT, PROPORTIONAL, WITH_BASE, FASTER, FALLS = (
     "flat", "proportional", "proportional with a base", "grows faster", "falls")
-# A metric is flat if its line changes over the measured sizes by at most this share of the mean, or by at most the scatter.
+# A metric is flat if its line changes over the measured sizes by no more than this share of the mean, or no more than
+# the scatter.
 FLAT_SHARE = 0.1
 # An intercept up to this share of the value at the largest size is ignored: the metric counts as proportional.
 BASE_SHARE = 0.1
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -1,5 +1,5 @@
-"""How attempts multiply along a chain of hops that each retry within their own budget: the formula, and extrapolation of
-measurements to depths that are too large to run. Does no I/O."""
+"""How attempts multiply along a chain of hops that each retry within their own budget: the formula, and extrapolation
+of measurements to depths that are too large to run. Does no I/O."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 def bottom(failing: float, hops: int, share: float, most: int) -> list[float]:
-    """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the bottom
-    fails with probability `failing`.
+    """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the
+    bottom fails with probability `failing`.
 
     Attempts x (1 - failing) is the share of calls that succeed at the top, so there are never more than
     1 / (1 - failing) attempts. They grow as (1 + share) ** hops only if hardly any attempt succeeds.
@@ -53,8 +53,8 @@
 
 
 def carry(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Carried:
-    """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each side.
-    With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
+    """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each
+    side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
     chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
     if by_factor and min(value for _, value in points) <= 0:
         raise ValueError("expected values above 0, as each hop multiplies")
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -1,9 +1,11 @@
-"""What a call costs on its way through one sidecar, by the length of its list.
+"""Measures what a call through one sidecar costs, by the length of the sidecar's list.
 
 One real sidecar (the deployed `run`, no operator file) stands between the load generator and stand-in upstreams. The
-same arrivals, a third of a gap apart, go straight to an upstream, through a relay of bare bytes and through the
-sidecar, all within one run: what befalls the machine befalls all three. Open loop: a call's latency counts from the
-moment it was due, whatever came back of those before it. `python -m ironscale.scale.path HOST:PORT` is the byte relay.
+same arrivals, offset by a third of the mean gap, go directly to an upstream, through a plain byte relay and through the
+sidecar, all in the same run, so that disturbances of the machine affect all three alike. The load is open loop: a
+call's latency counts from the moment it was due, whether or not earlier calls have ended.
+
+`python -m ironscale.scale.path` is the byte relay; it reads HOST:PORT from its input.
 """
 
 from __future__ import annotations
@@ -37,13 +39,13 @@
 
 WAYS = ("direct", "relay", "sidecar")
 KIND = KindSpec("view", "idempotent", 5_000_000, False)
-CONNECTIONS = 64  # of the application, open at once on a way
-SOCKETS = 4_096  # that the sidecar may hold, as the platform gives it
-WARM_S = 16.0  # kept connections live 15 s: by then as many end as begin
-FEW = 10  # sidecars: under the number from which on each keeps to a part of the upstreams
+CONNECTIONS = 64  # connections of the application open at once on each route
+SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
+WARM_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
+FEW = 10  # sidecars: too few for each to use only a subset of the upstreams
 LEAD_S = 0.3
-# On a shared machine others' work stops processes for milliseconds. Slices in which a call that went straight, or
-# through the byte relay, took longer than this are left out of what is told as quiet; the sidecar's calls don't choose.
+# On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
+# call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
 SLICE_US, QUIET_US, LEAST_QUIET = 100_000, 1_500, 200
 ROLE = "sidecar data path"
 Points = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
@@ -80,7 +82,7 @@
 
 
 async def pass_bytes(host: str, port: int) -> int:
-    """Passes on what comes, until this process ends. Gives the port that it listens on."""
+    """Starts a relay to host and port that runs until this process ends. Returns the port that it listens on."""
     server = await asyncio.get_running_loop().create_server(lambda: Pipe((host, port)), "127.0.0.1", 0)
     found: int = server.sockets[0].getsockname()[1]
     return found
@@ -88,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def started_relay(target: Address) -> AsyncIterator[tuple[int, Address]]:
-    """The byte relay in a process of its own: its process id and address."""
+    """Starts the byte relay in a separate process. Yields its process id and address."""
     async with child("ironscale.scale.path", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE) as process:
         assert process.stdin is not None and process.stdout is not None
         process.stdin.write(f"{target[0]}:{target[1]}\n".encode())
@@ -96,7 +98,7 @@
 
 
 def scenario(upstreams: int, sidecars: int, deadline_ms: int = KIND.deadline_us // 1000, aim_ms: int = 300) -> Scenario:
-    """Upstreams that answer at once, and one sidecar that is told that it is one of so many."""
+    """Upstreams that answer immediately, and one sidecar whose settings say that there are `sidecars` of them."""
     return parse(
         'duration_s = 1\n[[arrivals]]\nshape = "constant"\nrate = 1\n[[class]]\nname = "view"\n'
         f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\nsockets = {SOCKETS}\n'
@@ -106,14 +108,14 @@
 
 
 def paced(rate: float, seconds: float, seed: str, deadline_us: int = KIND.deadline_us) -> Schedule:
-    """Arrivals by a Poisson process."""
+    """A schedule of calls with Poisson arrivals."""
     times = arrivals.poisson(Random(f"{seed}/arrivals"), arrivals.constant(rate, 0, round(seconds * 1e6)))
     return build(steady(times), Mix([KindMix(1.0, deadline_us)]), seed)
 
 
 def client_of(run: str, address: Address, part: Schedule, seconds: float,
               kind: KindSpec = KIND) -> tuple[Client, list[Sample]]:
-    """A client of one way, and what it will tell. `part` holds its calls."""
+    """A client for one route, and the list that its samples go into. `part` is the schedule of its calls."""
     samples: list[Sample] = []
     spec = Spec(run, (address,), "sidecar", "/api", False, (kind,), ("t0",), CONNECTIONS, 0, 0, round(seconds * 1e6),
                 0, 1)
@@ -121,13 +123,13 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The least value that so large a share of all do not pass; 0 for none."""
+    """The smallest value such that at least `share` of all values are no larger; 0 without values."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else 0.0
 
 
 def latencies_us(samples: Iterable[Sample], from_us: float, to_us: float) -> list[int]:
-    """Of the calls due in that time that were served, from when they were due."""
+    """Latencies, from when a call was due, of the served calls that were due in the given time."""
     return [s.done_us - s.sched_us for s in samples if from_us <= s.sched_us < to_us and s.end == End.SERVED]
 
 
@@ -138,18 +140,18 @@
 
 @dataclass(slots=True)
 class Look:
-    """What stood at one moment."""
+    """A snapshot of counters and gauges."""
 
-    at_us: int  # of the run
+    at_us: int  # since the start of the run
     cpu_s: dict[str, float]
     upstreams: list[dict[str, int]]
-    files: int  # that the sidecar holds
+    files: int  # open file descriptors of the sidecar
     rss_mb: float
 
 
 @dataclass(slots=True)
 class Turn:
-    """One sidecar with a list of some length, from its start."""
+    """The results of one sidecar with a list of a given length, from its start."""
 
     upstreams: int
     looks: list[Look] = field(default_factory=list)
@@ -162,7 +164,7 @@
         return latencies_us(self.samples[way], a.at_us, b.at_us)
 
     def quiet(self, a: Look, b: Look) -> dict[str, list[int]]:
-        """Latencies by way, of the quiet slices of that time."""
+        """Latencies by route, in the quiet slices between two snapshots."""
         slices: dict[int, dict[str, list[int]]] = {}
         for way, samples in self.samples.items():
             for s in samples:
@@ -174,12 +176,12 @@
         return {way: [us for took in calm for us in took[way]] for way in WAYS}
 
     def ends(self) -> Counter[str]:
-        """How the calls through the sidecar ended, those before the first window among them."""
+        """Numbers of calls through the sidecar by outcome, also of those before the first window."""
         return Counter(End(s.end).name.lower() for s in self.samples["sidecar"])
 
     def points(self, first: int) -> Points:
-        """Figures by window, numbered from `first` on; the way in goes to upstream 0, which so is left out of what
-        is said of connections where there are others."""
+        """Metrics by window, numbered from `first`. The direct and relayed calls go to upstream 0, so it is left out
+        of the metrics of connections if there are other upstreams."""
         found: Points = {}
         for number, (a, b) in enumerate(self.spans(), first):
             def add(name: str, value: float, number: int = number) -> None:
@@ -222,7 +224,8 @@
 
 
 def allow_files(wanted: int) -> None:
-    """For the processes started from here on. Raises OSError where this machine gives fewer."""
+    """Raises the soft limit of open files for processes started from now on. Raises OSError if the hard limit is too
+    low."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         if hard != resource.RLIM_INFINITY and hard < wanted:
@@ -263,11 +266,11 @@
 
 @dataclass(slots=True)
 class Found:
-    """All turns of a run."""
+    """The results of all lengths and rounds of a run."""
 
     points: Points = field(default_factory=dict)
-    took: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and way
-    calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, of quiet slices alone
+    took: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
+    calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
     def add(self, played: Turn, first: int) -> None:
@@ -285,9 +288,9 @@
 async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
                tell: Callable[[str], None] = lambda line: None) -> Found:
-    """By length of the list; rounds go through all lengths before the next begins. The sidecar is told of so many
-    `sidecars`; 0: one for each upstream, as at the size. Were it told of more, it would hold back for calls of others
-    that nobody sends here."""
+    """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
+    for each upstream, as in the planned fleet. If it were told of more, it would reserve capacity for calls of other
+    sidecars that nobody sends here."""
     found = Found()
     for number in range(rounds):
         for upstreams in lengths:
@@ -303,7 +306,8 @@
 
 
 def record(scene: Scene, found: Found, prefix: str, note: str) -> None:
-    """Slopes over three lengths and more, else readings by length; and what each way took, of all windows."""
+    """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
+    all windows."""
     for name, points in found.points.items():
         _, figure, way = (*name.split("."), "call")[:3]
         if figure not in UNITS:
@@ -319,7 +323,7 @@
         else:
             for length, values in by_length.items():
                 scene.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
-    # of all windows together: one knows too few calls for the 999th in 1,000
+    # over all windows together, as one window has too few calls for the 99.9th percentile
     for upstreams in found.took:
         for kind, ways in (("any", found.took[upstreams]), ("quiet", found.calm[upstreams])):
             for way, took in ways.items():
@@ -332,7 +336,7 @@
 
 
 async def measure(scene: Scene) -> None:
-    """For a scale run: the size's lists, and its longest once more with a sidecar that is told of few others."""
+    """Measures all lists of the size file, and the longest once more with a sidecar that is told of few others."""
     lists, rate, windows = scene.size.play.lists, scene.size.calls_each, scene.size.play.repeats
     scene.check(0, 0, real=1, others=2)
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars of a scale run: processes with a data path, and the discovery that tells them their list."""
+"""Starts real sidecars for a scale run, with the stand-in discovery that serves their list of upstreams."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class RealsError(Exception):
-    """Real sidecars that don't start; the text is one line."""
+    """Real sidecars that failed to start; the message is a single line."""
 
 
 class Reals:
-    """So many sidecars with one list of upstreams; more can be started with another agent or none."""
+    """Sidecars that share one list of upstreams. Each start may use other agents, or none."""
 
     def __init__(self, crew: Crew, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
         self.crew, self.folder, self.discovery, self.peer = crew, folder, discovery, peer
@@ -38,7 +38,8 @@
     @classmethod
     @asynccontextmanager
     async def among(cls, crew: Crew, folder: Path, count: int, upstreams: int = USUAL_LIST) -> AsyncIterator[Reals]:
-        """With discovery and one upstream that all entries of the list lead to. Starts no sidecar yet."""
+        """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
+        if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
         peer.keep_messages = False
         found = cls(crew, folder, discovery, peer)
@@ -57,7 +58,7 @@
 
     async def start(self, count: int, agents: Sequence[tuple[str, int]] = (), token_file: Path | None = None
                     ) -> list[subprocess.Popen[bytes]]:
-        """Returns when all serve. Raises RealsError."""
+        """Starts `count` sidecars and waits until all serve. Raises RealsError."""
         started = [self.launch(agents, token_file) for _ in range(count)]
         try:
             async with asyncio.timeout(START_S):
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -20,7 +20,7 @@
     started: dict[int, list[float]] = {}
     read: dict[int, list[float]] = {}
     for count in scene.size.play.sizes:
-        scene.progress(f"record: {count} hollow instances")
+        scene.progress(f"record: {count} simulated instances")
         async with scene.fleet(count) as (agents, hollows):
             await agents.change(hollows)
             await settled(agents)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run: bounds, the pieces that were asked for, and the result that they are merged into."""
+"""Runs the selected measurements within the limits of the machine, and merges their results into the result file."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from ironscale.scale.simulated_instances import HollowError, Hollows
 from ironscale.scale.size import Size
 
-# Each is a module of this package with `async def measure(scene)`; the order is that of a whole run.
+# Each is a module of this package with `async def measure(scene)`. A full run measures in this order.
 PIECES = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
 
 
 class RunError(Exception):
-    """A run that could not be done; the text is one line."""
+    """A run that failed or was stopped; the message is a single line."""
 
 
 @dataclass(slots=True)
 class Scene:
-    """What a piece has at hand: the size, a folder of its own, what it starts, and where its figures go."""
+    """The context of one measurement: the size, a temporary folder, the started processes and the result."""
 
     size: Size
     folder: Path
@@ -46,7 +46,7 @@
 
     def add_slope(self, name: str, role: str, x: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
-        """Points by size, a list of repeats each. Raises FitError under three sizes."""
+        """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
         found = slope(name, role, x, unit, {float(size): values for size, values in points.items()}, now(), note)
         self.result.add(found)
         self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in found.points)
@@ -58,14 +58,14 @@
         self.progress(f"{name}: {found.value:.4g} {unit}")
 
     def check(self, hollow: int, agents: int, real: int = 0, others: int = 0) -> None:
-        """Raises BoundsError where starting so many would take too much."""
+        """Raises BoundsError if starting this many would exceed the limits."""
         self.bounds.check(Plan(hollow, self.size.play.hollow_each, agents, real, others))
 
     @asynccontextmanager
     async def fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
                     follows: bool = False) -> AsyncIterator[tuple[Agents, Hollows]]:
-        """So many hollow instances at one agent or several, and so many real ones, all seen ready; ended with the
-        block. `follows`: the hollow ones also follow published versions, at all agents."""
+        """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
+        with the block. With `follows` the simulated instances also follow published versions, at all agents."""
         self.check(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
@@ -104,15 +104,15 @@
 
 async def run(size: Size, pieces: Sequence[str], result: Result, progress: Callable[[str], None],
               write: Callable[[Result], None]) -> None:
-    """The pieces of that name, in turns. As `run_with`."""
+    """Runs the measurements with these names, one after another, as `run_with` does."""
     found = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in pieces}
     await run_with(size, found, result, progress, write)
 
 
 async def run_with(size: Size, pieces: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
                    write: Callable[[Result], None]) -> None:
-    """The pieces in turns; `write` is called after each. Ctrl-C and SIGTERM end it, and all that it started. Raises
-    RunError, BoundsError."""
+    """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
+    processes it started. Raises RunError, BoundsError."""
     bounds = Bounds(size.play.most_processes, size.play.most_memory_share)
     bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
     crew = Crew(bounds)
@@ -122,7 +122,7 @@
 
     def stop() -> None:
         nonlocal stopped
-        if not stopped:  # the second one must not break off what ends the processes
+        if not stopped:  # a second signal must not interrupt the termination of the processes
             stopped = True
             task.cancel()
 
@@ -145,12 +145,12 @@
         shutil.rmtree(folder, ignore_errors=True)
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.remove_signal_handler(number)
-            if stopped:  # this process ends: the second one, come late, must not spoil how
+            if stopped:  # this process is exiting: a late second signal must not change its exit status
                 signal.signal(number, signal.SIG_IGN)
 
 
 async def watched(crew: Crew, work: Awaitable[None]) -> None:
-    """Under the watchdog: the run ends with the first of the two that fails."""
+    """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
     tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch())}
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -1,7 +1,8 @@
-"""Hollow instances: the real control protocol and the real watch on discovery, no data path; hundreds share a process.
+"""Simulated instances: they use the real control protocol and the real discovery client, but have no data path, so
+hundreds fit into a process.
 
-`python -m ironscale.scale.simulated_instances ORDER` is such a process; it tells what it saw, and when by the
-machine's monotonic clock, over the socket that it was given.
+`python -m ironscale.scale.simulated_instances ORDER` is such a process. It answers questions over the socket whose
+descriptor is in ORDER, a JSON object; times in its answers are on the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -36,17 +37,17 @@
 Address = tuple[str, int]
 LINE = 1 << 24
 ANSWER_S = 30.0
-DIALS_PER_S = 2_000.0  # of one process at its start
+DIALS_PER_S = 2_000.0  # connections that one process opens per second at its start
 # struct tcp_info (linux/tcp.h): tcpi_bytes_acked and tcpi_bytes_received
 TCP_BYTES = struct.Struct("=120x2Q")
 
 
 class HollowError(Exception):
-    """A process of hollow instances that ended or doesn't answer; the text is one line."""
+    """A process of simulated instances that ended or doesn't answer; the message is a single line."""
 
 
 def passed(transport: asyncio.BaseTransport | None) -> tuple[int, int]:
-    """Bytes sent (and heard of) and received on a connection, by the kernel's count."""
+    """Bytes sent (and acknowledged) and bytes received on a connection, as counted by the kernel."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
         return 0, 0
@@ -58,19 +59,19 @@
 
 
 class Herd:
-    """The hollow instances of this process."""
+    """All simulated instances of this process, and what they observed."""
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.order = order
         self.instances: list[SimulatedInstance] = []
         self.discoveries: list[Discovery] = []
-        self.in_force: dict[int, list[float]] = {}  # by generation: when each instance had it
-        self.lists: dict[int, list[float]] = {}  # by generation of discovery's list: when each watch was told
+        self.in_force: dict[int, list[float]] = {}  # generation -> when each instance applied it
+        self.lists: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
         self.failed_lists = 0
-        self.held: list[list[tuple[int, float]]] = []  # of each follower: positions of the log, and since when
+        self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
 
     def follow(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
-        """Has it follow published versions."""
+        """Creates a follower of published versions for the instance."""
         zones = self.order["zones"]
         places = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = create_simulated_follower(
@@ -94,7 +95,7 @@
     def told(self, index: int, kind: ListKind, listing: Listing | None) -> None:
         if listing is None:
             self.failed_lists += 1
-            # as the decisions do at first: soon, and not all at once
+            # retry soon but not all at once, as a sidecar's balancer does at first
             asyncio.get_running_loop().call_later(random.random(), self.discoveries[index].subscribe)
         elif listing.members:
             self.lists.setdefault(listing.generation, []).append(time.monotonic())
@@ -166,7 +167,7 @@
 
 @dataclass
 class Herder:
-    """A process of hollow instances, seen from the run."""
+    """The run's connection to a process of simulated instances."""
 
     process: subprocess.Popen[bytes]
     reader: asyncio.StreamReader
@@ -174,20 +175,20 @@
     count: int
 
     async def ask(self, **question: Any) -> dict[str, Any]:
-        """Raises HollowError."""
+        """Sends a question and returns the answer. Raises HollowError."""
         try:
             async with asyncio.timeout(ANSWER_S):
                 self.writer.write(json.dumps(question).encode() + b"\n")
                 line = await self.reader.readline()
         except (OSError, TimeoutError) as error:
-            raise HollowError(f"hollow instances, process {self.process.pid}: {error or 'no answer'}") from error
+            raise HollowError(f"simulated instances, process {self.process.pid}: {error or 'no answer'}") from error
         if not line:
-            raise HollowError(f"hollow instances, process {self.process.pid}: it has ended")
+            raise HollowError(f"simulated instances, process {self.process.pid}: it has ended")
         return dict(json.loads(line))
 
 
 class Hollows:
-    """All hollow instances of a run, over their processes."""
+    """All simulated instances of a run, spread over processes."""
 
     def __init__(self, crew: Crew, each: int, zones: int, seed: int, log: Path) -> None:
         self.crew, self.each, self.zones, self.seed, self.log = crew, each, zones, seed, log
@@ -217,7 +218,7 @@
         return list(await asyncio.gather(*(herder.ask(**question) for herder in self.herders)))
 
     async def total(self) -> dict[str, float]:
-        """The sum of what all say of themselves."""
+        """The sum of the states of all processes."""
         found: dict[str, float] = {}
         for state in await self.ask(ask="state"):
             for key, value in state.items():
@@ -225,7 +226,7 @@
         return found
 
     async def times(self, what: str, generation: int) -> list[float]:
-        """When each had it, the first first."""
+        """When each instance had it, in ascending order."""
         return sorted(at for part in await self.ask(ask=what, generation=generation) for at in part["at"])
 
     async def end(self) -> None:
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -20,7 +20,7 @@
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     play = scene.size.play
     for count in play.sizes:
-        scene.progress(f"takeover: {count} hollow instances, {play.agents} agents")
+        scene.progress(f"takeover: {count} simulated instances, {play.agents} agents")
         async with scene.fleet(count, play.agents) as (agents, hollows):
             for name, value in (await one(agents, hollows, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -37,7 +37,7 @@
 async def measure(scene: Scene) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
-        scene.progress(f"versions: {count} hollow instances that follow, {scene.size.play.agents} agents")
+        scene.progress(f"versions: {count} simulated followers, {scene.size.play.agents} agents")
         async with scene.fleet(count, scene.size.play.agents, follows=True) as (agents, hollows):
             for name, values in (await one(agents, hollows)).items():
                 found[name][count] = values
