--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -17,7 +17,7 @@
 
 from ironscale.load import parent_death
 
-LOOK_S = 0.25  # between two checks of the memory
+MEMORY_CHECK_INTERVAL_S = 0.25  # between two checks of the memory
 END_S = 5.0  # from SIGTERM to SIGKILL
 PAGE = os.sysconf("SC_PAGE_SIZE")
 # The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
@@ -162,7 +162,7 @@
         most_mb = self.bounds.memory_mb(start)
         while True:
             self.look(most_mb)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def look(self, most_mb: float) -> None:
         taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), machine()
