--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -18,7 +18,7 @@
 from ironscale.load import parent_death
 
 MEMORY_CHECK_INTERVAL_S = 0.25  # between two checks of the memory
-END_S = 5.0  # from SIGTERM to SIGKILL
+TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
 PAGE = os.sysconf("SC_PAGE_SIZE")
 # The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
 AGENT_MB, REAL_MB, HERDER_MB, HOLLOW_MB = 60.0, 45.0, 45.0, 0.15
@@ -137,7 +137,7 @@
             if process.poll() is not None:
                 del self.running[pid]
 
-    def end(self, *some: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = END_S) -> None:
+    def end(self, *some: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = TERMINATION_TIMEOUT_S) -> None:
         """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `within_s`."""
         ending = list(some or self.running.values())
         for process in ending:
