--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -19,7 +19,7 @@
 
 MEMORY_CHECK_INTERVAL_S = 0.25  # between two checks of the memory
 TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 # The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
 AGENT_MB, REAL_MB, HERDER_MB, HOLLOW_MB = 60.0, 45.0, 45.0, 0.15
 AGENT_HOLLOW_MB = 0.06  # in the agent, for each instance
@@ -102,7 +102,7 @@
 def memory_mb(pid: int) -> float:
     """Resident memory; 0 if the process has ended."""
     try:
-        return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE / 2**20
+        return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE_BYTES / 2**20
     except (OSError, IndexError):
         return 0.0
 
