--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -22,7 +22,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 # The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
 AGENT_MB, REAL_SIDECAR_MB, INSTANCE_PROCESS_MB, SIMULATED_INSTANCE_MB = 60.0, 45.0, 45.0, 0.15
-AGENT_HOLLOW_MB = 0.06  # in the agent, for each instance
+AGENT_MB_PER_INSTANCE = 0.06  # in the agent, for each instance
 SPARE_FILES = 100
 
 
@@ -62,7 +62,7 @@
     @property
     def memory_mb(self) -> float:
         herders = -(-self.hollow // self.hollow_each)
-        return (herders * INSTANCE_PROCESS_MB + self.hollow * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.hollow * AGENT_HOLLOW_MB)
+        return (herders * INSTANCE_PROCESS_MB + self.hollow * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.hollow * AGENT_MB_PER_INSTANCE)
                 + (self.real + self.others) * REAL_SIDECAR_MB)
 
     @property
