--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -23,7 +23,7 @@
 # The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
 AGENT_MB, REAL_SIDECAR_MB, INSTANCE_PROCESS_MB, SIMULATED_INSTANCE_MB = 60.0, 45.0, 45.0, 0.15
 AGENT_MB_PER_INSTANCE = 0.06  # in the agent, for each instance
-SPARE_FILES = 100
+SPARE_DESCRIPTORS = 100
 
 
 class BoundsError(Exception):
@@ -69,7 +69,7 @@
     def descriptors(self) -> int:
         """The largest number of file descriptors that any one process opens."""
         instances = self.hollow + self.real if self.agents else 0
-        return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_FILES
+        return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_DESCRIPTORS
 
 
 @dataclass(frozen=True, slots=True)
