--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -37,7 +37,7 @@
     available_mb: float
 
 
-def machine() -> Machine:
+def read_machine() -> Machine:
     found = {}
     for line in Path("/proc/meminfo").read_text(encoding="ascii").splitlines():
         key, _, rest = line.partition(":")
@@ -84,7 +84,7 @@
     def check(self, plan: Plan, found: Machine | None = None) -> None:
         """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
         hard limit allows it. Raises BoundsError."""
-        found = found or machine()
+        found = found or read_machine()
         if plan.processes > self.most_processes:
             raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
         most_mb = self.memory_mb(found)
@@ -158,14 +158,14 @@
 
     async def watch(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
-        start = machine()
+        start = read_machine()
         most_mb = self.bounds.memory_mb(start)
         while True:
             self.look(most_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def look(self, most_mb: float) -> None:
-        taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), machine()
+        taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), read_machine()
         if taken_mb > most_mb:
             raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
                               "ended")
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -18,7 +18,7 @@
 import httpx
 
 from ironscale.scale.agents import Agents, AgentsError
-from ironscale.scale.bounds import Bounds, Crew, Plan, machine
+from ironscale.scale.bounds import Bounds, Crew, Plan, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, slope
@@ -93,7 +93,7 @@
 
 
 def machine_facts() -> dict[str, Any]:
-    found = machine()
+    found = read_machine()
     return {"cores": found.cores, "memory_mb": round(found.memory_mb), "available_mb": round(found.available_mb),
             "python": platform.python_version(), "system": f"{platform.system()} {platform.release()}"}
 
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import Bounds, BoundsError, Crew, Machine, Plan, machine
+from ironscale.scale.bounds import Bounds, BoundsError, Crew, Machine, Plan, read_machine
 
 HERE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
@@ -37,7 +37,7 @@
 
 
 def test_this_machine_is_read() -> None:
-    found = machine()
+    found = read_machine()
     assert found.cores >= 1 and 0 < found.available_mb <= found.memory_mb
     assert Bounds(300, 0.5).memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
 
