--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -38,11 +38,11 @@
 
 
 def read_machine() -> Machine:
-    found = {}
+    meminfo_mb = {}
     for line in Path("/proc/meminfo").read_text(encoding="ascii").splitlines():
         key, _, rest = line.partition(":")
-        found[key] = int(rest.split()[0]) / 1024
-    return Machine(len(os.sched_getaffinity(0)), found["MemTotal"], found["MemAvailable"])
+        meminfo_mb[key] = int(rest.split()[0]) / 1024
+    return Machine(len(os.sched_getaffinity(0)), meminfo_mb["MemTotal"], meminfo_mb["MemAvailable"])
 
 
 @dataclass(frozen=True, slots=True)
