--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -49,7 +49,7 @@
 class Plan:
     """The most that one measurement runs at the same time."""
 
-    hollow: int
+    simulated: int
     hollow_each: int
     agents: int
     real: int = 0
@@ -57,18 +57,18 @@
 
     @property
     def processes(self) -> int:
-        return -(-self.hollow // self.hollow_each) + self.agents + self.real + self.others
+        return -(-self.simulated // self.hollow_each) + self.agents + self.real + self.others
 
     @property
     def memory_mb(self) -> float:
-        herders = -(-self.hollow // self.hollow_each)
-        return (herders * INSTANCE_PROCESS_MB + self.hollow * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.hollow * AGENT_MB_PER_INSTANCE)
+        herders = -(-self.simulated // self.hollow_each)
+        return (herders * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
                 + (self.real + self.others) * REAL_SIDECAR_MB)
 
     @property
     def descriptors(self) -> int:
         """The largest number of file descriptors that any one process opens."""
-        instances = self.hollow + self.real if self.agents else 0
+        instances = self.simulated + self.real if self.agents else 0
         return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_DESCRIPTORS
 
 
