--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -50,18 +50,18 @@
     """The most that one measurement runs at the same time."""
 
     simulated: int
-    hollow_each: int
+    simulated_per_process: int
     agents: int
     real: int = 0
     others: int = 0  # other processes: relays, upstreams
 
     @property
     def processes(self) -> int:
-        return -(-self.simulated // self.hollow_each) + self.agents + self.real + self.others
+        return -(-self.simulated // self.simulated_per_process) + self.agents + self.real + self.others
 
     @property
     def memory_mb(self) -> float:
-        herders = -(-self.simulated // self.hollow_each)
+        herders = -(-self.simulated // self.simulated_per_process)
         return (herders * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
                 + (self.real + self.others) * REAL_SIDECAR_MB)
 
@@ -69,7 +69,7 @@
     def descriptors(self) -> int:
         """The largest number of file descriptors that any one process opens."""
         instances = self.simulated + self.real if self.agents else 0
-        return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_DESCRIPTORS
+        return max(instances, 2 * self.simulated_per_process, 4 * self.processes) + SPARE_DESCRIPTORS
 
 
 @dataclass(frozen=True, slots=True)
