--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -53,17 +53,17 @@
     simulated_per_process: int
     agents: int
     real: int = 0
-    others: int = 0  # other processes: relays, upstreams
+    other_processes: int = 0  # other processes: relays, upstreams
 
     @property
     def processes(self) -> int:
-        return -(-self.simulated // self.simulated_per_process) + self.agents + self.real + self.others
+        return -(-self.simulated // self.simulated_per_process) + self.agents + self.real + self.other_processes
 
     @property
     def memory_mb(self) -> float:
         herders = -(-self.simulated // self.simulated_per_process)
         return (herders * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
-                + (self.real + self.others) * REAL_SIDECAR_MB)
+                + (self.real + self.other_processes) * REAL_SIDECAR_MB)
 
     @property
     def descriptors(self) -> int:
