--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -61,8 +61,8 @@
 
     @property
     def memory_mb(self) -> float:
-        herders = -(-self.simulated // self.simulated_per_process)
-        return (herders * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
+        instance_processes = -(-self.simulated // self.simulated_per_process)
+        return (instance_processes * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
                 + (self.real + self.other_processes) * REAL_SIDECAR_MB)
 
     @property
