--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -77,7 +77,7 @@
     most_processes: int
     most_memory_share: float
 
-    def memory_mb(self, found: Machine) -> float:
+    def max_memory_mb(self, found: Machine) -> float:
         """The limit for all started processes together: a share of the machine's memory, at most what is available."""
         return min(found.memory_mb * self.most_memory_share, found.available_mb)
 
@@ -87,7 +87,7 @@
         found = found or read_machine()
         if plan.processes > self.most_processes:
             raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
-        most_mb = self.memory_mb(found)
+        most_mb = self.max_memory_mb(found)
         if plan.memory_mb > most_mb:
             raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most ({found.available_mb:,.0f} MB available of "
                               f"{found.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
@@ -159,7 +159,7 @@
     async def watch(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
         start = read_machine()
-        most_mb = self.bounds.memory_mb(start)
+        most_mb = self.bounds.max_memory_mb(start)
         while True:
             self.look(most_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -39,7 +39,7 @@
 def test_this_machine_is_read() -> None:
     found = read_machine()
     assert found.cores >= 1 and 0 < found.available_mb <= found.memory_mb
-    assert Bounds(300, 0.5).memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
+    assert Bounds(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
 
 
 def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
