--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -77,9 +77,9 @@
     most_processes: int
     most_memory_share: float
 
-    def max_memory_mb(self, found: Machine) -> float:
+    def max_memory_mb(self, machine: Machine) -> float:
         """The limit for all started processes together: a share of the machine's memory, at most what is available."""
-        return min(found.memory_mb * self.most_memory_share, found.available_mb)
+        return min(machine.memory_mb * self.most_memory_share, machine.available_mb)
 
     def check(self, plan: Plan, found: Machine | None = None) -> None:
         """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
