--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -81,16 +81,16 @@
         """The limit for all started processes together: a share of the machine's memory, at most what is available."""
         return min(machine.memory_mb * self.most_memory_share, machine.available_mb)
 
-    def check(self, plan: Plan, found: Machine | None = None) -> None:
+    def check(self, plan: Plan, machine: Machine | None = None) -> None:
         """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
         hard limit allows it. Raises BoundsError."""
-        found = found or read_machine()
+        machine = machine or read_machine()
         if plan.processes > self.most_processes:
             raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
-        most_mb = self.max_memory_mb(found)
+        most_mb = self.max_memory_mb(machine)
         if plan.memory_mb > most_mb:
-            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most ({found.available_mb:,.0f} MB available of "
-                              f"{found.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
+            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
+                              f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and plan.descriptors > hard:
             raise BoundsError(f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one "
