--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -87,9 +87,9 @@
         machine = machine or read_machine()
         if plan.processes > self.most_processes:
             raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
-        most_mb = self.max_memory_mb(machine)
-        if plan.memory_mb > most_mb:
-            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
+        max_mb = self.max_memory_mb(machine)
+        if plan.memory_mb > max_mb:
+            raise BoundsError(f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
                               f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and plan.descriptors > hard:
