--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -28,7 +28,7 @@
 @contextlib.contextmanager
 def foreseen() -> Iterator[None]:
     """Errors of files are bad usage, those of a run a fault; each is one line."""
-    from ironscale.scale.bounds import BoundsError
+    from ironscale.scale.bounds import ResourceLimitError
     from ironscale.scale.capacity_page import PageError
     from ironscale.scale.chart import ChartError
     from ironscale.scale.result import ResultError
@@ -39,7 +39,7 @@
         yield
     except (SizeError, ResultError, PageError, ChartError) as error:
         fail(Exit.USAGE, str(error))
-    except (RunError, BoundsError) as error:
+    except (RunError, ResourceLimitError) as error:
         fail(Exit.STOPPED if str(error) == "stopped" else Exit.FAILED, str(error))
 
 
@@ -73,7 +73,7 @@
 
         from ironscale.scale import run as running
         from ironscale.scale import size as sizing
-        from ironscale.scale.bounds import Bounds, BoundsError, Plan
+        from ironscale.scale.bounds import Bounds, ResourceLimitError, Plan
         from ironscale.scale.result import Result, ResultError, load
 
         size = sizing.load(file)
@@ -95,7 +95,7 @@
             play = size.play
             Bounds(play.most_processes, play.most_memory_share).check(
                 Plan(max(play.sizes), play.hollow_each, play.agents, play.real))
-        except BoundsError as error:
+        except ResourceLimitError as error:
             fail(Exit.USAGE, f"{file}: play: {error}")
         uvloop.run(running.run(size, pieces, result, lambda text: err.print(text, markup=False),
                                lambda found: found.write(to)))
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -26,7 +26,7 @@
 SPARE_DESCRIPTORS = 100
 
 
-class BoundsError(Exception):
+class ResourceLimitError(Exception):
     """The run would exceed, or has exceeded, its limits; the message is a single line."""
 
 
@@ -86,14 +86,14 @@
         hard limit allows it. Raises BoundsError."""
         machine = machine or read_machine()
         if plan.processes > self.most_processes:
-            raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
+            raise ResourceLimitError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
         max_mb = self.max_memory_mb(machine)
         if plan.memory_mb > max_mb:
-            raise BoundsError(f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
+            raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
                               f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and plan.descriptors > hard:
-            raise BoundsError(f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one "
+            raise ResourceLimitError(f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one "
                               "process")
         if soft != resource.RLIM_INFINITY and plan.descriptors > soft:
             resource.setrlimit(resource.RLIMIT_NOFILE, (plan.descriptors, hard))
@@ -122,7 +122,7 @@
         BoundsError."""
         self.forget_ended()
         if len(self.running) >= self.bounds.most_processes:
-            raise BoundsError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
+            raise ResourceLimitError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
         with open(log or os.devnull, "ab") as out:
             process = subprocess.Popen(
                 [sys.executable, "-B", parent_death.__file__, str(os.getpid()), module, *args], env=environ,
@@ -167,8 +167,8 @@
     def look(self, most_mb: float) -> None:
         taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), read_machine()
         if taken_mb > most_mb:
-            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
+            raise ResourceLimitError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
                               "ended")
         if now.available_mb < now.memory_mb / 20:
-            raise BoundsError(f"memory: expected {now.memory_mb / 20:,.0f} MB available at least, the machine has "
+            raise ResourceLimitError(f"memory: expected {now.memory_mb / 20:,.0f} MB available at least, the machine has "
                               f"{now.available_mb:,.0f} MB; the run was ended")
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import Bounds, BoundsError, Crew, Machine, Plan, read_machine
+from ironscale.scale.bounds import Bounds, ResourceLimitError, Crew, Machine, Plan, read_machine
 
 HERE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
@@ -31,7 +31,7 @@
     if "got 299" in line:  # just within
         Bounds(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
         line, plan = "processes: expected 300 at most, got 301 to start", Plan(2300, 400, 3, 292)
-    with pytest.raises(BoundsError, match=line) as error:
+    with pytest.raises(ResourceLimitError, match=line) as error:
         Bounds(300, 0.5).check(plan, found)
     assert "\n" not in str(error.value)
 
@@ -47,7 +47,7 @@
     try:
         first = crew.start("one", SLEEPER, str(tmp_path / "one"))
         second = crew.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
-        with pytest.raises(BoundsError, match="processes: expected 2 at most, got one more: three"):
+        with pytest.raises(ResourceLimitError, match="processes: expected 2 at most, got one more: three"):
             crew.start("three", SLEEPER, str(tmp_path / "three"))
         wait_for(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
         assert crew.memory_mb() > 5
@@ -66,7 +66,7 @@
         await asyncio.Event().wait()
 
     try:
-        with pytest.raises(BoundsError, match="memory: expected .* MB at most, the run took .* MB and was ended"):
+        with pytest.raises(ResourceLimitError, match="memory: expected .* MB at most, the run took .* MB and was ended"):
             asyncio.run(asyncio.wait_for(watched(crew, work()), 30))
     finally:
         crew.end()
