--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -73,7 +73,7 @@
 
         from ironscale.scale import run as running
         from ironscale.scale import size as sizing
-        from ironscale.scale.bounds import Bounds, ResourceLimitError, Plan
+        from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, Plan
         from ironscale.scale.result import Result, ResultError, load
 
         size = sizing.load(file)
@@ -93,7 +93,7 @@
             raise ResultError(f"{to}: expected a folder that is there, got {to.parent}")
         try:
             play = size.play
-            Bounds(play.most_processes, play.most_memory_share).check(
+            ResourceLimits(play.most_processes, play.most_memory_share).check(
                 Plan(max(play.sizes), play.hollow_each, play.agents, play.real))
         except ResourceLimitError as error:
             fail(Exit.USAGE, f"{file}: play: {error}")
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResourceLimits:
     most_processes: int
     most_memory_share: float
 
@@ -111,7 +111,7 @@
     """All processes that a run has started. The kernel kills each of them if this process dies; otherwise each is ended
     by its process id."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: ResourceLimits) -> None:
         self.bounds = bounds
         self.running: dict[int, subprocess.Popen[bytes]] = {}
         self.names: dict[int, str] = {}
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -18,7 +18,7 @@
 import httpx
 
 from ironscale.scale.agents import Agents, AgentsError
-from ironscale.scale.bounds import Bounds, Crew, Plan, read_machine
+from ironscale.scale.bounds import ResourceLimits, Crew, Plan, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, slope
@@ -40,7 +40,7 @@
     size: Size
     folder: Path
     crew: Crew
-    bounds: Bounds
+    bounds: ResourceLimits
     result: Result
     progress: Callable[[str], None]
 
@@ -113,7 +113,7 @@
                    write: Callable[[Result], None]) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
     processes it started. Raises RunError, BoundsError."""
-    bounds = Bounds(size.play.most_processes, size.play.most_memory_share)
+    bounds = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
     bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
     crew = Crew(bounds)
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import Bounds, ResourceLimitError, Crew, Machine, Plan, read_machine
+from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, Crew, Machine, Plan, read_machine
 
 HERE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
@@ -29,21 +29,21 @@
 ])
 def test_beyond_the_bounds_nothing_begins(plan: Plan, found: Machine, line: str) -> None:
     if "got 299" in line:  # just within
-        Bounds(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
+        ResourceLimits(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
         line, plan = "processes: expected 300 at most, got 301 to start", Plan(2300, 400, 3, 292)
     with pytest.raises(ResourceLimitError, match=line) as error:
-        Bounds(300, 0.5).check(plan, found)
+        ResourceLimits(300, 0.5).check(plan, found)
     assert "\n" not in str(error.value)
 
 
 def test_this_machine_is_read() -> None:
     found = read_machine()
     assert found.cores >= 1 and 0 < found.available_mb <= found.memory_mb
-    assert Bounds(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
+    assert ResourceLimits(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
 
 
 def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
-    crew = Crew(Bounds(2, 0.5))
+    crew = Crew(ResourceLimits(2, 0.5))
     try:
         first = crew.start("one", SLEEPER, str(tmp_path / "one"))
         second = crew.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
@@ -59,7 +59,7 @@
 def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
     from ironscale.scale.run import watched
 
-    crew = Crew(Bounds(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
+    crew = Crew(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
 
     async def work() -> None:
         crew.start("one", SLEEPER, str(tmp_path / "one"))
