--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -19,7 +19,7 @@
 import httpx
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.bounds import Crew, memory_mb
+from ironscale.scale.bounds import Crew, resident_memory_mb
 from ironscale.scale.simulated_instances import Hollows
 from ironscale.scale.size import Play
 from ironscale.stage.relay import Port
@@ -275,7 +275,7 @@
     await asyncio.sleep(seconds)
     after = Spent.of(pid)
     took_s = after.at_s - before.at_s
-    return ((after.cpu_s - before.cpu_s) / took_s * 100, memory_mb(pid), (after.written - before.written) / took_s)
+    return ((after.cpu_s - before.cpu_s) / took_s * 100, resident_memory_mb(pid), (after.written - before.written) / took_s)
 
 
 def median(values: list[float]) -> float:
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -99,7 +99,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (plan.descriptors, hard))
 
 
-def memory_mb(pid: int) -> float:
+def resident_memory_mb(pid: int) -> float:
     """Resident memory; 0 if the process has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE_BYTES / 2**20
@@ -154,7 +154,7 @@
             self.running.pop(process.pid, None)
 
     def memory_mb(self) -> float:
-        return sum(memory_mb(pid) for pid in self.running)
+        return sum(resident_memory_mb(pid) for pid in self.running)
 
     async def watch(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
@@ -165,7 +165,7 @@
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def look(self, most_mb: float) -> None:
-        taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), read_machine()
+        taken_mb, now = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
         if taken_mb > most_mb:
             raise ResourceLimitError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
                               "ended")
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -9,7 +9,7 @@
 
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import Agents, at_rest
-from ironscale.scale.bounds import memory_mb
+from ironscale.scale.bounds import resident_memory_mb
 from ironscale.scale.real_sidecars import Reals
 from ironscale.scale.run import Scene
 
@@ -105,8 +105,8 @@
     found["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
     found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:EACH])
-    found["control.list.memory_mb"] = [memory_mb(p.pid) for p in with_agent]
-    found["control.list.alone_memory_mb"] = [memory_mb(p.pid) for p in without]
+    found["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
+    found["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
     return found
 
 
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -30,7 +30,7 @@
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Discovery, Listing, ListParser
 from ironscale.operator_file import read_secret
-from ironscale.scale.bounds import Crew, memory_mb
+from ironscale.scale.bounds import Crew, resident_memory_mb
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
@@ -135,7 +135,7 @@
                 sent, received = sent + out, received + back
         list_received = sum(passed(d.watch.transport)[1] for d in self.discoveries if d.watch is not None)
         return {"welcomed": welcomed, "sent": sent, "received": received, "cpu_s": time.process_time(),
-                "memory_mb": memory_mb(os.getpid()), "list_received": list_received, "failed_lists": self.failed_lists}
+                "memory_mb": resident_memory_mb(os.getpid()), "list_received": list_received, "failed_lists": self.failed_lists}
 
     def answer(self, question: dict[str, Any]) -> dict[str, Any]:
         match question["ask"]:
