--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -112,7 +112,7 @@
     by its process id."""
 
     def __init__(self, bounds: ResourceLimits) -> None:
-        self.bounds = bounds
+        self.limits = bounds
         self.running: dict[int, subprocess.Popen[bytes]] = {}
         self.names: dict[int, str] = {}
 
@@ -121,8 +121,8 @@
         """Starts `python -m module args` in a new session, so that Ctrl-C reaches only this process. Raises
         BoundsError."""
         self.forget_ended()
-        if len(self.running) >= self.bounds.most_processes:
-            raise ResourceLimitError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
+        if len(self.running) >= self.limits.most_processes:
+            raise ResourceLimitError(f"processes: expected {self.limits.most_processes} at most, got one more: {name}")
         with open(log or os.devnull, "ab") as out:
             process = subprocess.Popen(
                 [sys.executable, "-B", parent_death.__file__, str(os.getpid()), module, *args], env=environ,
@@ -159,7 +159,7 @@
     async def watch(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
         start = read_machine()
-        most_mb = self.bounds.max_memory_mb(start)
+        most_mb = self.limits.max_memory_mb(start)
         while True:
             self.look(most_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
