--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -111,8 +111,8 @@
     """All processes that a run has started. The kernel kills each of them if this process dies; otherwise each is ended
     by its process id."""
 
-    def __init__(self, bounds: ResourceLimits) -> None:
-        self.limits = bounds
+    def __init__(self, limits: ResourceLimits) -> None:
+        self.limits = limits
         self.running: dict[int, subprocess.Popen[bytes]] = {}
         self.names: dict[int, str] = {}
 
