--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -117,7 +117,7 @@
         self.names: dict[int, str] = {}
 
     def start(self, name: str, module: str, *args: str, environ: Mapping[str, str] | None = None,
-              log: Path | None = None, keep: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
+              log: Path | None = None, inherited_sockets: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
         """Starts `python -m module args` in a new session, so that Ctrl-C reaches only this process. Raises
         BoundsError."""
         self.forget_ended()
@@ -127,7 +127,7 @@
             process = subprocess.Popen(
                 [sys.executable, "-B", parent_death.__file__, str(os.getpid()), module, *args], env=environ,
                 stdin=subprocess.DEVNULL, stdout=out, stderr=out, start_new_session=True,
-                pass_fds=[sock.fileno() for sock in keep])
+                pass_fds=[sock.fileno() for sock in inherited_sockets])
             self.running[process.pid] = process
             self.names[process.pid] = name
         return process
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -209,7 +209,7 @@
                      "fd": theirs.fileno()}
             with theirs:
                 process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
-                                          log=self.log, keep=(theirs,))
+                                          log=self.log, inherited_sockets=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=LINE)
             self.herders.append(Herder(process, reader, writer, share))
             first, count = first + share, count - share
