--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -137,9 +137,9 @@
             if process.poll() is not None:
                 del self.running[pid]
 
-    def end(self, *some: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = TERMINATION_TIMEOUT_S) -> None:
+    def end(self, *processes: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = TERMINATION_TIMEOUT_S) -> None:
         """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `within_s`."""
-        ending = list(some or self.running.values())
+        ending = list(processes or self.running.values())
         for process in ending:
             for signal_number in (number, signal.SIGCONT):
                 with contextlib.suppress(ProcessLookupError):
