--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -141,7 +141,7 @@
         process, self.running[number] = self.running[number], None
         assert process is not None
         at_s = time.monotonic()
-        self.crew.end(process, number=signal.SIGKILL)
+        self.crew.end(process, first_signal=signal.SIGKILL)
         return at_s
 
     async def post(self, number: int, query: str, variables: Mapping[str, Any]) -> dict[str, Any]:
