--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -137,14 +137,14 @@
             if process.poll() is not None:
                 del self.running[pid]
 
-    def end(self, *processes: subprocess.Popen[bytes], first_signal: int = signal.SIGTERM, within_s: float = TERMINATION_TIMEOUT_S) -> None:
+    def end(self, *processes: subprocess.Popen[bytes], first_signal: int = signal.SIGTERM, timeout_s: float = TERMINATION_TIMEOUT_S) -> None:
         """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `within_s`."""
         ending = list(processes or self.running.values())
         for process in ending:
             for signal_number in (first_signal, signal.SIGCONT):
                 with contextlib.suppress(ProcessLookupError):
                     process.send_signal(signal_number)
-        until_s = time.monotonic() + within_s
+        until_s = time.monotonic() + timeout_s
         for process in ending:
             try:
                 process.wait(max(0.0, until_s - time.monotonic()))
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -52,7 +52,7 @@
         wait_for(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
         assert crew.memory_mb() > 5
     finally:
-        crew.end(within_s=0.5)
+        crew.end(timeout_s=0.5)
     assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not crew.running
 
 
