--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -144,10 +144,10 @@
             for signal_number in (first_signal, signal.SIGCONT):
                 with contextlib.suppress(ProcessLookupError):
                     process.send_signal(signal_number)
-        until_s = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         for process in ending:
             try:
-                process.wait(max(0.0, until_s - time.monotonic()))
+                process.wait(max(0.0, deadline_s - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
