--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -156,7 +156,7 @@
     def memory_mb(self) -> float:
         return sum(resident_memory_mb(pid) for pid in self.running)
 
-    async def watch(self) -> None:
+    async def watch_memory(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
         start = read_machine()
         most_mb = self.limits.max_memory_mb(start)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -151,7 +151,7 @@
 
 async def watched(crew: Crew, work: Awaitable[None]) -> None:
     """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
-    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch())}
+    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch_memory())}
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
