--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -161,10 +161,10 @@
         start = read_machine()
         most_mb = self.limits.max_memory_mb(start)
         while True:
-            self.look(most_mb)
+            self.check_memory(most_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
-    def look(self, most_mb: float) -> None:
+    def check_memory(self, most_mb: float) -> None:
         taken_mb, now = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
         if taken_mb > most_mb:
             raise ResourceLimitError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
