--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -159,9 +159,9 @@
     async def watch_memory(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
         start = read_machine()
-        most_mb = self.limits.max_memory_mb(start)
+        max_mb = self.limits.max_memory_mb(start)
         while True:
-            self.check_memory(most_mb)
+            self.check_memory(max_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def check_memory(self, most_mb: float) -> None:
