--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -158,8 +158,8 @@
 
     async def watch_memory(self) -> None:
         """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
-        start = read_machine()
-        max_mb = self.limits.max_memory_mb(start)
+        machine_at_start = read_machine()
+        max_mb = self.limits.max_memory_mb(machine_at_start)
         while True:
             self.check_memory(max_mb)
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
