--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -165,9 +165,9 @@
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def check_memory(self, max_mb: float) -> None:
-        taken_mb, now = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
-        if taken_mb > max_mb:
-            raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
+        used_mb, now = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
+        if used_mb > max_mb:
+            raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most, the run took {used_mb:,.0f} MB and was "
                               "ended")
         if now.available_mb < now.memory_mb / 20:
             raise ResourceLimitError(f"memory: expected {now.memory_mb / 20:,.0f} MB available at least, the machine has "
