--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -165,10 +165,10 @@
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     def check_memory(self, max_mb: float) -> None:
-        used_mb, now = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
+        used_mb, current = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
         if used_mb > max_mb:
             raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most, the run took {used_mb:,.0f} MB and was "
                               "ended")
-        if now.available_mb < now.memory_mb / 20:
-            raise ResourceLimitError(f"memory: expected {now.memory_mb / 20:,.0f} MB available at least, the machine has "
-                              f"{now.available_mb:,.0f} MB; the run was ended")
+        if current.available_mb < current.memory_mb / 20:
+            raise ResourceLimitError(f"memory: expected {current.memory_mb / 20:,.0f} MB available at least, the machine has "
+                              f"{current.available_mb:,.0f} MB; the run was ended")
