--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -23,7 +23,7 @@
 from bench.fleet import size_of
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import Agents
-from ironscale.scale.bounds import ResourceLimits, Crew
+from ironscale.scale.bounds import ResourceLimits, ChildProcesses
 from ironscale.standins.discovery import ListedDiscovery, listing
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
@@ -100,7 +100,7 @@
             peer.keep_messages = False
         discovery = await ListedDiscovery().start()
         discovery.put(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        crew = Crew(ResourceLimits(300, 0.5))
+        crew = ChildProcesses(ResourceLimits(300, 0.5))
         agents = Agents(crew, folder, 1, size_of((1, 2, 3), beat_s, 5 * beat_s).play)
         ratios = []
         try:
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -19,7 +19,7 @@
 import httpx
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.bounds import Crew, resident_memory_mb
+from ironscale.scale.bounds import ChildProcesses, resident_memory_mb
 from ironscale.scale.simulated_instances import Hollows
 from ironscale.scale.size import Play
 from ironscale.stage.relay import Port
@@ -70,7 +70,7 @@
 class Agents:
     """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
-    def __init__(self, crew: Crew, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
+    def __init__(self, crew: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
         self.crew, self.folder, self.count = crew, folder, count
         self.standby = count > 1
         self.ports = [Port() for _ in range(count)]
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -107,7 +107,7 @@
         return 0.0
 
 
-class Crew:
+class ChildProcesses:
     """All processes that a run has started. The kernel kills each of them if this process dies; otherwise each is ended
     by its process id."""
 
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.bounds import Crew
+from ironscale.scale.bounds import ChildProcesses
 from ironscale.stage.relay import Port
 from ironscale.stage.run import Stage
 from ironscale.standins.discovery import ListedDiscovery
@@ -30,14 +30,14 @@
 class Reals:
     """Sidecars that share one list of upstreams. Each start may use other agents, or none."""
 
-    def __init__(self, crew: Crew, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
+    def __init__(self, crew: ChildProcesses, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
         self.crew, self.folder, self.discovery, self.peer = crew, folder, discovery, peer
         self.processes: list[subprocess.Popen[bytes]] = []
         self.ports: list[Port] = []
 
     @classmethod
     @asynccontextmanager
-    async def among(cls, crew: Crew, folder: Path, count: int, upstreams: int = USUAL_LIST) -> AsyncIterator[Reals]:
+    async def among(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = USUAL_LIST) -> AsyncIterator[Reals]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -18,7 +18,7 @@
 import httpx
 
 from ironscale.scale.agents import Agents, AgentsError
-from ironscale.scale.bounds import ResourceLimits, Crew, Plan, read_machine
+from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, slope
@@ -39,7 +39,7 @@
 
     size: Size
     folder: Path
-    crew: Crew
+    crew: ChildProcesses
     bounds: ResourceLimits
     result: Result
     progress: Callable[[str], None]
@@ -115,7 +115,7 @@
     processes it started. Raises RunError, BoundsError."""
     bounds = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
     bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
-    crew = Crew(bounds)
+    crew = ChildProcesses(bounds)
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     stopped = False
@@ -149,7 +149,7 @@
                 signal.signal(number, signal.SIG_IGN)
 
 
-async def watched(crew: Crew, work: Awaitable[None]) -> None:
+async def watched(crew: ChildProcesses, work: Awaitable[None]) -> None:
     """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
     tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch_memory())}
     try:
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -30,7 +30,7 @@
 from ironscale.interface import ListKind
 from ironscale.net.discovery import Discovery, Listing, ListParser
 from ironscale.operator_file import read_secret
-from ironscale.scale.bounds import Crew, resident_memory_mb
+from ironscale.scale.bounds import ChildProcesses, resident_memory_mb
 from ironscale.versions.agent_selection import AgentEndpoint
 from ironscale.versions.model import Labels
 
@@ -190,7 +190,7 @@
 class Hollows:
     """All simulated instances of a run, spread over processes."""
 
-    def __init__(self, crew: Crew, each: int, zones: int, seed: int, log: Path) -> None:
+    def __init__(self, crew: ChildProcesses, each: int, zones: int, seed: int, log: Path) -> None:
         self.crew, self.each, self.zones, self.seed, self.log = crew, each, zones, seed, log
         self.herders: list[Herder] = []
 
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, Crew, Machine, Plan, read_machine
+from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, ChildProcesses, Machine, Plan, read_machine
 
 HERE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
@@ -43,7 +43,7 @@
 
 
 def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
-    crew = Crew(ResourceLimits(2, 0.5))
+    crew = ChildProcesses(ResourceLimits(2, 0.5))
     try:
         first = crew.start("one", SLEEPER, str(tmp_path / "one"))
         second = crew.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
@@ -59,7 +59,7 @@
 def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
     from ironscale.scale.run import watched
 
-    crew = Crew(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
+    crew = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
 
     async def work() -> None:
         crew.start("one", SLEEPER, str(tmp_path / "one"))
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -8,7 +8,7 @@
 import ironscale.scale as examples
 from ironscale.load.outcome import End, Sample
 from ironscale.scale import path
-from ironscale.scale.bounds import ResourceLimits, Crew
+from ironscale.scale.bounds import ResourceLimits, ChildProcesses
 from ironscale.scale.result import Result
 from ironscale.scale.run import Scene
 from ironscale.scale.size import load
@@ -18,7 +18,7 @@
 def scene_of() -> Scene:
     bounds = ResourceLimits(300, 0.5)
     size = load(Path(examples.__file__ or "").parent / "examples/coming.toml")
-    return Scene(size, Path("."), Crew(bounds), bounds, Result("", {}), lambda line: None)
+    return Scene(size, Path("."), ChildProcesses(bounds), bounds, Result("", {}), lambda line: None)
 
 
 def served(at_us: int, took_us: int, end: int = End.SERVED) -> Sample:
