--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -9,7 +9,7 @@
 
 from ironscale.scale.fit import fit
 
-SURE = 2.0  # half width of a reported interval, in standard errors
+INTERVAL_STANDARD_ERRORS = 2.0  # half width of a reported interval, in standard errors
 
 
 def one_hop(failing: float, share: float, most: int) -> tuple[float, float]:
@@ -61,7 +61,7 @@
     through = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
     line = fit(through)
     middle = line.intercept + line.slope * depth
-    unsure = SURE * line.slope_error
+    unsure = INTERVAL_STANDARD_ERRORS * line.slope_error
     away = unsure * abs(depth - sum(hops for hops, _ in points) / len(points))
     found = (middle, middle - away, middle + away, line.slope, line.slope - unsure, line.slope + unsure)
     return Carried(depth, *(math.exp(v) for v in found)) if by_factor else Carried(depth, *found)
