--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -12,7 +12,7 @@
 INTERVAL_STANDARD_ERRORS = 2.0  # half width of a reported interval, in standard errors
 
 
-def one_hop(failing: float, share: float, most: int) -> tuple[float, float]:
+def hop_attempts(failing: float, share: float, most: int) -> tuple[float, float]:
     """Returns (attempts per request, share of the requests that finally fail) for one hop. Each attempt fails with
     probability `failing`; the hop may retry at most `share` of its requests and sends each at most `most` times.
 
@@ -33,7 +33,7 @@
     """
     found, product = [], 1.0
     for _ in range(hops):
-        attempts, failing = one_hop(failing, share, most)
+        attempts, failing = hop_attempts(failing, share, most)
         product *= attempts
         found.append(product)
     return found
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -12,7 +12,7 @@
 from ironscale.load.run import Address
 from ironscale.scale import chain
 from ironscale.scale.fit import FitError
-from ironscale.scale.model import bottom, carry, one_hop
+from ironscale.scale.model import bottom, carry, hop_attempts
 from ironscale.scale.path import percentile
 from ironscale.standins.http import read_message
 from tests.scale.test_path import scene_of
@@ -57,7 +57,7 @@
     assert math.isclose(bottom(1.0, 22, SHARE, MOST)[-1], 1.2**22)
     for failing in (0.1, 0.5, 0.9):
         assert bottom(failing, 200, SHARE, MOST)[-1] <= 1 / (1 - failing) + 1e-9
-    assert one_hop(0.0, SHARE, MOST) == (1.0, 0.0)
+    assert hop_attempts(0.0, SHARE, MOST) == (1.0, 0.0)
 
 
 def test_a_line_is_carried_on_with_what_is_not_known_of_it() -> None:
