--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -24,7 +24,7 @@
     return attempts, max(0.0, 1.0 - attempts * (1.0 - failing))
 
 
-def bottom(failing: float, hops: int, share: float, most: int) -> list[float]:
+def attempts_at_bottom(failing: float, hops: int, share: float, most: int) -> list[float]:
     """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the
     bottom fails with probability `failing`.
 
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -12,7 +12,7 @@
 from ironscale.load.run import Address
 from ironscale.scale import chain
 from ironscale.scale.fit import FitError
-from ironscale.scale.model import bottom, carry, hop_attempts
+from ironscale.scale.model import attempts_at_bottom, carry, hop_attempts
 from ironscale.scale.path import percentile
 from ironscale.standins.http import read_message
 from tests.scale.test_path import scene_of
@@ -47,16 +47,16 @@
 
 @pytest.mark.parametrize("failing", [0.02, 0.2, 0.5, 0.9, 1.0])
 def test_the_law_is_what_a_chain_of_budgets_does(failing: float) -> None:
-    law = bottom(failing, 6, SHARE, MOST)
+    law = attempts_at_bottom(failing, 6, SHARE, MOST)
     for hops in (1, 3, 6):
         found = brute(failing, hops, 20_000, Random(f"{failing}/{hops}"))
         assert math.isclose(found, law[hops - 1], rel_tol=0.06), (hops, found, law[hops - 1])
 
 
 def test_attempts_grow_by_the_power_only_where_nothing_succeeds() -> None:
-    assert math.isclose(bottom(1.0, 22, SHARE, MOST)[-1], 1.2**22)
+    assert math.isclose(attempts_at_bottom(1.0, 22, SHARE, MOST)[-1], 1.2**22)
     for failing in (0.1, 0.5, 0.9):
-        assert bottom(failing, 200, SHARE, MOST)[-1] <= 1 / (1 - failing) + 1e-9
+        assert attempts_at_bottom(failing, 200, SHARE, MOST)[-1] <= 1 / (1 - failing) + 1e-9
     assert hop_attempts(0.0, SHARE, MOST) == (1.0, 0.0)
 
 
