--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -32,7 +32,7 @@
 from ironscale.load.outcome import Sample
 from ironscale.load.run import Address, child, started_sidecars
 from ironscale.load.run import RunError as ChildError
-from ironscale.scale.model import carry
+from ironscale.scale.model import extrapolate
 from ironscale.scale.path import ROLE, client_of, latencies_us, paced, percentile, scenario
 from ironscale.scale.run import RunError, Scene
 from ironscale.standins.discovery import ListedDiscovery
@@ -412,7 +412,7 @@
         pairs = [(hops, value) for hops, values in by_hops.items() for value in values]
         if ".served." in name or ".most." in name or (by_factor and min(value for _, value in pairs) <= 0):
             continue
-        far = carry(pairs, depth, by_factor)
+        far = extrapolate(pairs, depth, by_factor)
         scene.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(far.value, 4)],
                           f"carried on, {far.low:.3g} to {far.high:.3g}; each hop {'times' if by_factor else 'adds'} "
                           f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -52,7 +52,7 @@
     growth_high: float
 
 
-def carry(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Carried:
+def extrapolate(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Carried:
     """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each
     side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
     chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -12,7 +12,7 @@
 from ironscale.load.run import Address
 from ironscale.scale import chain
 from ironscale.scale.fit import FitError
-from ironscale.scale.model import attempts_at_bottom, carry, hop_attempts
+from ironscale.scale.model import attempts_at_bottom, extrapolate, hop_attempts
 from ironscale.scale.path import percentile
 from ironscale.standins.http import read_message
 from tests.scale.test_path import scene_of
@@ -61,14 +61,14 @@
 
 
 def test_a_line_is_carried_on_with_what_is_not_known_of_it() -> None:
-    exact = carry([(hops, 1.2**hops) for hops in (1, 2, 4, 8)], 22, True)
+    exact = extrapolate([(hops, 1.2**hops) for hops in (1, 2, 4, 8)], 22, True)
     assert math.isclose(exact.value, 1.2**22, rel_tol=1e-6) and math.isclose(exact.growth, 1.2, rel_tol=1e-6)
-    rough = carry([(1, 1.0), (1, 1.4), (2, 2.1), (4, 3.9), (8, 8.3)], 22, False)
+    rough = extrapolate([(1, 1.0), (1, 1.4), (2, 2.1), (4, 3.9), (8, 8.3)], 22, False)
     assert rough.low < 22 < rough.high and rough.high - rough.low > 0.1
     with pytest.raises(FitError):
-        carry([(1, 1.0), (2, 2.0)], 22, False)
+        extrapolate([(1, 1.0), (2, 2.0)], 22, False)
     with pytest.raises(ValueError, match="above 0"):
-        carry([(1, 1.0), (2, 0.0), (3, 1.0)], 22, True)
+        extrapolate([(1, 1.0), (2, 0.0), (3, 1.0)], 22, True)
 
 
 def test_a_chain_of_two_counts_its_attempts_and_its_deadline_shrinks() -> None:
