--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class Extrapolation:
     """A metric extrapolated to a depth, by a line fitted to its logarithms or to its values."""
 
     depth: int
@@ -52,7 +52,7 @@
     growth_high: float
 
 
-def extrapolate(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Carried:
+def extrapolate(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Extrapolation:
     """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each
     side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
     chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
@@ -64,4 +64,4 @@
     unsure = INTERVAL_STANDARD_ERRORS * line.slope_error
     away = unsure * abs(depth - sum(hops for hops, _ in points) / len(points))
     found = (middle, middle - away, middle + away, line.slope, line.slope - unsure, line.slope + unsure)
-    return Carried(depth, *(math.exp(v) for v in found)) if by_factor else Carried(depth, *found)
+    return Extrapolation(depth, *(math.exp(v) for v in found)) if by_factor else Extrapolation(depth, *found)
