--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -12,7 +12,7 @@
 INTERVAL_STANDARD_ERRORS = 2.0  # half width of a reported interval, in standard errors
 
 
-def hop_attempts(failure_rate: float, share: float, most: int) -> tuple[float, float]:
+def hop_attempts(failure_rate: float, retry_share: float, most: int) -> tuple[float, float]:
     """Returns (attempts per request, share of the requests that finally fail) for one hop. Each attempt fails with
     probability `failing`; the hop may retry at most `share` of its requests and sends each at most `most` times.
 
@@ -20,7 +20,7 @@
     succeed is attempts x (1 - failing), however many retries the budget refuses.
     """
     wanted = float(most) if failure_rate >= 1.0 else (1.0 - failure_rate**most) / (1.0 - failure_rate)
-    attempts = min(wanted, 1.0 + share)
+    attempts = min(wanted, 1.0 + retry_share)
     return attempts, max(0.0, 1.0 - attempts * (1.0 - failure_rate))
 
 
