--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -19,8 +19,8 @@
     Every attempt is equally likely to succeed, whether it is a first one or a retry. So the share of requests that
     succeed is attempts x (1 - failing), however many retries the budget refuses.
     """
-    wanted = float(max_attempts) if failure_rate >= 1.0 else (1.0 - failure_rate**max_attempts) / (1.0 - failure_rate)
-    attempts = min(wanted, 1.0 + retry_share)
+    unlimited_attempts = float(max_attempts) if failure_rate >= 1.0 else (1.0 - failure_rate**max_attempts) / (1.0 - failure_rate)
+    attempts = min(unlimited_attempts, 1.0 + retry_share)
     return attempts, max(0.0, 1.0 - attempts * (1.0 - failure_rate))
 
 
