--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -24,7 +24,7 @@
     return attempts, max(0.0, 1.0 - attempts * (1.0 - failure_rate))
 
 
-def attempts_at_bottom(failure_rate: float, hops: int, retry_share: float, most: int) -> list[float]:
+def attempts_at_bottom(failure_rate: float, hops: int, retry_share: float, max_attempts: int) -> list[float]:
     """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the
     bottom fails with probability `failing`.
 
@@ -33,7 +33,7 @@
     """
     found, product = [], 1.0
     for _ in range(hops):
-        attempts, failure_rate = hop_attempts(failure_rate, retry_share, most)
+        attempts, failure_rate = hop_attempts(failure_rate, retry_share, max_attempts)
         product *= attempts
         found.append(product)
     return found
