--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -31,12 +31,12 @@
     Attempts x (1 - failing) is the share of calls that succeed at the top, so there are never more than
     1 / (1 - failing) attempts. They grow as (1 + share) ** hops only if hardly any attempt succeeds.
     """
-    found, product = [], 1.0
+    attempts_by_hops, product = [], 1.0
     for _ in range(hops):
         attempts, failure_rate = hop_attempts(failure_rate, retry_share, max_attempts)
         product *= attempts
-        found.append(product)
-    return found
+        attempts_by_hops.append(product)
+    return attempts_by_hops
 
 
 @dataclass(frozen=True, slots=True)
