--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -58,8 +58,8 @@
     chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
     if by_factor and min(value for _, value in points) <= 0:
         raise ValueError("expected values above 0, as each hop multiplies")
-    through = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
-    line = fit(through)
+    fitted_points = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
+    line = fit(fitted_points)
     middle = line.intercept + line.slope * depth
     unsure = INTERVAL_STANDARD_ERRORS * line.slope_error
     away = unsure * abs(depth - sum(hops for hops, _ in points) / len(points))
