--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -60,8 +60,8 @@
         raise ValueError("expected values above 0, as each hop multiplies")
     fitted_points = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
     line = fit(fitted_points)
-    middle = line.intercept + line.slope * depth
+    center = line.intercept + line.slope * depth
     unsure = INTERVAL_STANDARD_ERRORS * line.slope_error
     away = unsure * abs(depth - sum(hops for hops, _ in points) / len(points))
-    found = (middle, middle - away, middle + away, line.slope, line.slope - unsure, line.slope + unsure)
+    found = (center, center - away, center + away, line.slope, line.slope - unsure, line.slope + unsure)
     return Extrapolation(depth, *(math.exp(v) for v in found)) if by_factor else Extrapolation(depth, *found)
