--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -61,7 +61,7 @@
     fitted_points = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
     line = fit(fitted_points)
     center = line.intercept + line.slope * depth
-    unsure = INTERVAL_STANDARD_ERRORS * line.slope_error
-    away = unsure * abs(depth - sum(hops for hops, _ in points) / len(points))
-    found = (center, center - away, center + away, line.slope, line.slope - unsure, line.slope + unsure)
+    slope_margin = INTERVAL_STANDARD_ERRORS * line.slope_error
+    away = slope_margin * abs(depth - sum(hops for hops, _ in points) / len(points))
+    found = (center, center - away, center + away, line.slope, line.slope - slope_margin, line.slope + slope_margin)
     return Extrapolation(depth, *(math.exp(v) for v in found)) if by_factor else Extrapolation(depth, *found)
