--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -63,5 +63,5 @@
     center = line.intercept + line.slope * depth
     slope_margin = INTERVAL_STANDARD_ERRORS * line.slope_error
     value_margin = slope_margin * abs(depth - sum(hops for hops, _ in points) / len(points))
-    found = (center, center - value_margin, center + value_margin, line.slope, line.slope - slope_margin, line.slope + slope_margin)
-    return Extrapolation(depth, *(math.exp(v) for v in found)) if by_factor else Extrapolation(depth, *found)
+    estimates = (center, center - value_margin, center + value_margin, line.slope, line.slope - slope_margin, line.slope + slope_margin)
+    return Extrapolation(depth, *(math.exp(v) for v in estimates)) if by_factor else Extrapolation(depth, *estimates)
