--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -9,7 +9,7 @@
 import numpy as np
 from scipy import stats
 
-LEAST_SIZES = 3
+MIN_SIZES = 3
 FLAT, PROPORTIONAL, WITH_BASE, FASTER, FALLS = (
     "flat", "proportional", "proportional with a base", "grows faster", "falls")
 # A metric is flat if its line changes over the measured sizes by no more than this share of the mean, or no more than
@@ -43,8 +43,8 @@
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
     """Fits points of (size, value), one for each repetition. Raises FitError for fewer than three sizes."""
     sizes = sorted({size for size, _ in points})
-    if len(sizes) < LEAST_SIZES:
-        raise FitError(f"expected points at {LEAST_SIZES} sizes at least, got {len(sizes)}")
+    if len(sizes) < MIN_SIZES:
+        raise FitError(f"expected points at {MIN_SIZES} sizes at least, got {len(sizes)}")
     if not all(math.isfinite(size) and math.isfinite(value) for size, value in points):
         raise FitError("expected finite numbers, got " + ", ".join(f"{s:g}: {v:g}" for s, v in points))
     x, y = (np.array(column, dtype=float) for column in zip(*points, strict=True))
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -34,7 +34,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.load.scenario import Scenario, parse
 from ironscale.load.schedule import KindMix, Mix, Schedule, build, steady
-from ironscale.scale.fit import LEAST_SIZES
+from ironscale.scale.fit import MIN_SIZES
 from ironscale.scale.run import RunError, Scene
 
 WAYS = ("direct", "relay", "sidecar")
@@ -318,7 +318,7 @@
             by_length.setdefault(int(length), []).append(round(value * factor, 5))
         told = figure.replace("_us", "_ms") if factor < 1 else figure
         full = f"{prefix}.{'call' if way == 'sidecar' else way}.{told}"
-        if len(by_length) >= LEAST_SIZES:
+        if len(by_length) >= MIN_SIZES:
             scene.add_slope(full, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
         else:
             for length, values in by_length.items():
