--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -14,7 +14,7 @@
     "flat", "proportional", "proportional with a base", "grows faster", "falls")
 # A metric is flat if its line changes over the measured sizes by no more than this share of the mean, or no more than
 # the scatter.
-FLAT_SHARE = 0.1
+FLAT_MAX_SHARE = 0.1
 # An intercept up to this share of the value at the largest size is ignored: the metric counts as proportional.
 BASE_SHARE = 0.1
 # A metric grows faster than in proportion only if its last segment is more than this many times as steep as its first.
@@ -62,7 +62,7 @@
 
 def _verdict(sizes: list[float], middles: list[float], scatter: float, slope: float, intercept: float) -> str:
     moved, middle = slope * (sizes[-1] - sizes[0]), sum(middles) / len(middles)
-    if abs(moved) <= max(FLAT_SHARE * abs(middle), scatter):
+    if abs(moved) <= max(FLAT_MAX_SHARE * abs(middle), scatter):
         return FLAT
     if moved < 0:
         return FALLS
@@ -72,6 +72,6 @@
     # than the size, and the extra rise exceeds the scatter of repetitions at one size.
     grown = middles[-1] * sizes[-2] > middles[-2] * sizes[-1]
     if grown and last > STEEPER * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
-            scatter, FLAT_SHARE * abs(middles[-1])):
+            scatter, FLAT_MAX_SHARE * abs(middles[-1])):
         return FASTER
     return WITH_BASE if abs(intercept) > BASE_SHARE * abs(middles[-1]) else PROPORTIONAL
