--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -16,7 +16,7 @@
 # the scatter.
 FLAT_MAX_SHARE = 0.1
 # An intercept up to this share of the value at the largest size is ignored: the metric counts as proportional.
-BASE_SHARE = 0.1
+INTERCEPT_MIN_SHARE = 0.1
 # A metric grows faster than in proportion only if its last segment is more than this many times as steep as its first.
 STEEPER = 1.5
 
@@ -74,4 +74,4 @@
     if grown and last > STEEPER * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
             scatter, FLAT_MAX_SHARE * abs(middles[-1])):
         return FASTER
-    return WITH_BASE if abs(intercept) > BASE_SHARE * abs(middles[-1]) else PROPORTIONAL
+    return WITH_BASE if abs(intercept) > INTERCEPT_MIN_SHARE * abs(middles[-1]) else PROPORTIONAL
