--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -18,7 +18,7 @@
 # An intercept up to this share of the value at the largest size is ignored: the metric counts as proportional.
 INTERCEPT_MIN_SHARE = 0.1
 # A metric grows faster than in proportion only if its last segment is more than this many times as steep as its first.
-STEEPER = 1.5
+FASTER_MIN_STEEPENING = 1.5
 
 
 class FitError(Exception):
@@ -71,7 +71,7 @@
     # Faster than in proportion: the last segment is steeper than the first, the value grows by a larger factor in it
     # than the size, and the extra rise exceeds the scatter of repetitions at one size.
     grown = middles[-1] * sizes[-2] > middles[-2] * sizes[-1]
-    if grown and last > STEEPER * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
+    if grown and last > FASTER_MIN_STEEPENING * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
             scatter, FLAT_MAX_SHARE * abs(middles[-1])):
         return FASTER
     return WITH_BASE if abs(intercept) > INTERCEPT_MIN_SHARE * abs(middles[-1]) else PROPORTIONAL
