--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -52,11 +52,11 @@
     exponent = None
     if bool((y > 0).all()) and bool((x > 0).all()):
         exponent = float(stats.linregress(np.log(x), np.log(y)).slope)
-    error = float(line.stderr) if math.isfinite(line.stderr) else 0.0
+    slope_error = float(line.stderr) if math.isfinite(line.stderr) else 0.0
     r2 = float(line.rvalue) ** 2 if math.isfinite(line.rvalue) else 1.0
     middles = [float(np.median(y[x == size])) for size in sizes]
     scatter = max(float(np.ptp(y[x == size])) for size in sizes)
-    return Fit(float(line.intercept), float(line.slope), error, r2, exponent, float(y.mean()),
+    return Fit(float(line.intercept), float(line.slope), slope_error, r2, exponent, float(y.mean()),
                _verdict(sizes, middles, scatter, float(line.slope), float(line.intercept)))
 
 
