--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -54,10 +54,10 @@
         exponent = float(stats.linregress(np.log(x), np.log(y)).slope)
     slope_error = float(line.stderr) if math.isfinite(line.stderr) else 0.0
     r2 = float(line.rvalue) ** 2 if math.isfinite(line.rvalue) else 1.0
-    middles = [float(np.median(y[x == size])) for size in sizes]
+    medians = [float(np.median(y[x == size])) for size in sizes]
     scatter = max(float(np.ptp(y[x == size])) for size in sizes)
     return Fit(float(line.intercept), float(line.slope), slope_error, r2, exponent, float(y.mean()),
-               _verdict(sizes, middles, scatter, float(line.slope), float(line.intercept)))
+               _verdict(sizes, medians, scatter, float(line.slope), float(line.intercept)))
 
 
 def _verdict(sizes: list[float], middles: list[float], scatter: float, slope: float, intercept: float) -> str:
