--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -60,18 +60,18 @@
                _verdict(sizes, medians, scatter, float(line.slope), float(line.intercept)))
 
 
-def _verdict(sizes: list[float], middles: list[float], scatter: float, slope: float, intercept: float) -> str:
-    moved, middle = slope * (sizes[-1] - sizes[0]), sum(middles) / len(middles)
+def _verdict(sizes: list[float], medians: list[float], scatter: float, slope: float, intercept: float) -> str:
+    moved, middle = slope * (sizes[-1] - sizes[0]), sum(medians) / len(medians)
     if abs(moved) <= max(FLAT_MAX_SHARE * abs(middle), scatter):
         return FLAT
     if moved < 0:
         return FALLS
-    first = (middles[1] - middles[0]) / (sizes[1] - sizes[0])
-    last = (middles[-1] - middles[-2]) / (sizes[-1] - sizes[-2])
+    first = (medians[1] - medians[0]) / (sizes[1] - sizes[0])
+    last = (medians[-1] - medians[-2]) / (sizes[-1] - sizes[-2])
     # Faster than in proportion: the last segment is steeper than the first, the value grows by a larger factor in it
     # than the size, and the extra rise exceeds the scatter of repetitions at one size.
-    grown = middles[-1] * sizes[-2] > middles[-2] * sizes[-1]
+    grown = medians[-1] * sizes[-2] > medians[-2] * sizes[-1]
     if grown and last > FASTER_MIN_STEEPENING * max(first, 0.0) and (last - first) * (sizes[-1] - sizes[-2]) > max(
-            scatter, FLAT_MAX_SHARE * abs(middles[-1])):
+            scatter, FLAT_MAX_SHARE * abs(medians[-1])):
         return FASTER
-    return WITH_BASE if abs(intercept) > INTERCEPT_MIN_SHARE * abs(middles[-1]) else PROPORTIONAL
+    return WITH_BASE if abs(intercept) > INTERCEPT_MIN_SHARE * abs(medians[-1]) else PROPORTIONAL
