--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -61,10 +61,10 @@
 
 
 def _verdict(sizes: list[float], medians: list[float], scatter: float, slope: float, intercept: float) -> str:
-    moved, middle = slope * (sizes[-1] - sizes[0]), sum(medians) / len(medians)
-    if abs(moved) <= max(FLAT_MAX_SHARE * abs(middle), scatter):
+    total_change, middle = slope * (sizes[-1] - sizes[0]), sum(medians) / len(medians)
+    if abs(total_change) <= max(FLAT_MAX_SHARE * abs(middle), scatter):
         return FLAT
-    if moved < 0:
+    if total_change < 0:
         return FALLS
     first = (medians[1] - medians[0]) / (sizes[1] - sizes[0])
     last = (medians[-1] - medians[-2]) / (sizes[-1] - sizes[-2])
