--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -61,8 +61,8 @@
 
 
 def _verdict(sizes: list[float], medians: list[float], scatter: float, slope: float, intercept: float) -> str:
-    total_change, middle = slope * (sizes[-1] - sizes[0]), sum(medians) / len(medians)
-    if abs(total_change) <= max(FLAT_MAX_SHARE * abs(middle), scatter):
+    total_change, mean = slope * (sizes[-1] - sizes[0]), sum(medians) / len(medians)
+    if abs(total_change) <= max(FLAT_MAX_SHARE * abs(mean), scatter):
         return FLAT
     if total_change < 0:
         return FALLS
