--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -75,8 +75,8 @@
     per = "" if fit.verdict == FLAT else f"{number(fit.slope)} ({number(fit.slope_error)}) each of {entry.x}"
     there = ""
     if key:
-        over = "over " if fit.verdict == FASTER and size.figure(key) > entry.points[-1].size else ""
-        there = f"{over}{scaled(value_at(entry, size.figure(key)), entry.unit)} at `{key}` {size.figure(key):,.0f}"
+        over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
+        there = f"{over}{scaled(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
     return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, there, _run(entry))
 
 
@@ -144,7 +144,7 @@
     if the size file has no such value."""
     if name in result.slopes:
         entry = result.slopes[name]
-        return value_at(entry, size.figure(AXES[entry.x]) if at is None else at)
+        return value_at(entry, size.value(AXES[entry.x]) if at is None else at)
     return result.readings[name].value if name in result.readings else None
 
 
@@ -160,7 +160,7 @@
     for need in NEEDS:
         at = need.at(size) if need.at is not None else None
         value = value_of(size, result, need.name, at)
-        budget = need.most(size) if need.most is not None else size.figure(need.budget)
+        budget = need.most(size) if need.most is not None else size.value(need.budget)
         limit = need.budget if need.most is not None else f"{scaled(budget, need.unit)} (`{need.budget}`)"
         name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial(result, need.name)
         if value is None:
@@ -204,7 +204,7 @@
 
 
 def need_table(size: Size, result: Result) -> str:
-    rows = [(f"`{key}`", f"{size.figure(key):,g}", unit) for key, unit in (
+    rows = [(f"`{key}`", f"{size.value(key):,g}", unit) for key, unit in (
         ("fleet.upstreams", "each with its sidecar"), ("fleet.services", "services"), ("fleet.regions", "regions"),
         ("fleet.zones", "zones"), ("fleet.calls_per_s", "calls a second"), ("fleet.depth", "calls below one another"),
         ("promises.added_p99_ms", "ms added to a call, for 99 in 100"),
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -92,7 +92,7 @@
         what = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
         return hashlib.sha256(repr(what).encode()).hexdigest()[:16]
 
-    def figure(self, key: str) -> float:
+    def value(self, key: str) -> float:
         """The value at a dotted path in the file, such as `fleet.sidecars`. Raises KeyError."""
         section, _, name = key.partition(".")
         if section not in ("fleet", "promises", "budget", "failures"):
--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -18,11 +18,11 @@
             "fleet.zones", "promises.added_p99_ms", "promises.changes_per_day", "promises.force_s",
             "budget.cpu_percent", "budget.memory_mb", "budget.bytes_per_s", "budget.machines",
             "failures.machines_per_day", "failures.replaced_per_day")
-    assert [size.figure(key) for key in keys] == [
+    assert [size.value(key) for key in keys] == [
         2300, 2300, 230, 520_000, 22, 3, 12, 1.5, 5700, 12, 3.3, 64, 27_000, 10, 8, 430]
     assert round(size.calls_each) == 226
     with pytest.raises(KeyError):
-        size.figure("fleet.calls_each")
+        size.value("fleet.calls_each")
 
 
 @pytest.mark.parametrize(("was", "now", "line"), [
