--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -103,7 +103,7 @@
         return float(getattr(part, name))
 
     @property
-    def calls_each(self) -> float:
+    def calls_per_s_each(self) -> float:
         """Calls per second through one sidecar."""
         return self.fleet.calls_per_s / self.fleet.sidecars
 
--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -20,7 +20,7 @@
             "failures.machines_per_day", "failures.replaced_per_day")
     assert [size.value(key) for key in keys] == [
         2300, 2300, 230, 520_000, 22, 3, 12, 1.5, 5700, 12, 3.3, 64, 27_000, 10, 8, 430]
-    assert round(size.calls_each) == 226
+    assert round(size.calls_per_s_each) == 226
     with pytest.raises(KeyError):
         size.value("fleet.calls_each")
 
