--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -89,8 +89,8 @@
         """A hash of all settings that influence a measured value; a result file names it. The numbers of instances and
         repetitions are left out."""
         play = self.play
-        what = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
-        return hashlib.sha256(repr(what).encode()).hexdigest()[:16]
+        relevant = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
+        return hashlib.sha256(repr(relevant).encode()).hexdigest()[:16]
 
     def value(self, key: str) -> float:
         """The value at a dotted path in the file, such as `fleet.sidecars`. Raises KeyError."""
