--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -97,10 +97,10 @@
         section, _, name = key.partition(".")
         if section not in ("fleet", "promises", "budget", "failures"):
             raise KeyError(key)
-        part: Any = getattr(self, section)
-        if name not in part.__slots__:
+        section_values: Any = getattr(self, section)
+        if name not in section_values.__slots__:
             raise KeyError(key)
-        return float(getattr(part, name))
+        return float(getattr(section_values, name))
 
     @property
     def calls_per_s_each(self) -> float:
