--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -108,15 +108,15 @@
         return self.fleet.calls_per_s / self.fleet.sidecars
 
 
-def _whole_numbers(table: Table, key: str, minimum: int, maximum: int, count: tuple[int, int],
+def _whole_numbers(table: Table, key: str, minimum: int, maximum: int, length_range: tuple[int, int],
                    default: tuple[int, ...]) -> tuple[int, ...]:
     def read(value: Any) -> tuple[int, ...] | None:
-        if not isinstance(value, list) or not count[0] <= len(value) <= count[1]:
+        if not isinstance(value, list) or not length_range[0] <= len(value) <= length_range[1]:
             return None
         right = all(type(entry) is int and minimum <= entry <= maximum for entry in value)
         return tuple(value) if right and sorted(set(value)) == value else None
 
-    return table.get(key, f"a list of {count[0]} to {count[1]} rising whole numbers from {minimum} to {maximum}", read,
+    return table.get(key, f"a list of {length_range[0]} to {length_range[1]} rising whole numbers from {minimum} to {maximum}", read,
                      default)
 
 
