--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -113,8 +113,8 @@
     def read(value: Any) -> tuple[int, ...] | None:
         if not isinstance(value, list) or not length_range[0] <= len(value) <= length_range[1]:
             return None
-        right = all(type(entry) is int and minimum <= entry <= maximum for entry in value)
-        return tuple(value) if right and sorted(set(value)) == value else None
+        valid = all(type(entry) is int and minimum <= entry <= maximum for entry in value)
+        return tuple(value) if valid and sorted(set(value)) == value else None
 
     return table.get(key, f"a list of {length_range[0]} to {length_range[1]} rising whole numbers from {minimum} to {maximum}", read,
                      default)
