--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -120,7 +120,7 @@
                      default)
 
 
-def _section(root: Table, key: str) -> Table:
+def _required_table(root: Table, key: str) -> Table:
     found = root.table(key)
     if found is None:
         raise root.error_for(key, f"a table [{key}]")
@@ -163,7 +163,7 @@
     root = read_toml(text, file, Path("."), SizeError)
     title = root.string("title")
     names = ("fleet", "promises", "budget", "failures")
-    fleet, promises, budget, failures = (_section(root, name) for name in names)
+    fleet, promises, budget, failures = (_required_table(root, name) for name in names)
     play = root.table("play") or Table(file, "play", {}, Path("."), SizeError)
     found = Size(
         title, _fleet(fleet),
