--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -121,10 +121,10 @@
 
 
 def _required_table(root: Table, key: str) -> Table:
-    found = root.table(key)
-    if found is None:
+    table = root.table(key)
+    if table is None:
         raise root.error_for(key, f"a table [{key}]")
-    return found
+    return table
 
 
 def _fleet(table: Table) -> Fleet:
