--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -129,16 +129,16 @@
 
 def _fleet(table: Table) -> Fleet:
     upstreams = table.integer("upstreams", 1, 1_000_000)
-    found = Fleet(
+    fleet = Fleet(
         upstreams, table.integer("sidecars", 1, 1_000_000, upstreams), table.integer("services", 1, 100_000),
         table.integer("regions", 1, 100), table.integer("zones", 1, 1_000), table.number("calls_per_s", 1, 1e9),
         table.integer("depth", 1, 100),
     )
-    if found.zones < found.regions:
-        raise table.error_for("zones", f"a zone in each of {found.regions} regions at least")
-    if found.services > upstreams:
+    if fleet.zones < fleet.regions:
+        raise table.error_for("zones", f"a zone in each of {fleet.regions} regions at least")
+    if fleet.services > upstreams:
         raise table.error_for("services", f"an upstream ({upstreams}) for each at least")
-    return found
+    return fleet
 
 
 def _play(table: Table) -> Play:
