--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -127,7 +127,7 @@
     return table
 
 
-def _fleet(table: Table) -> Fleet:
+def _read_fleet(table: Table) -> Fleet:
     upstreams = table.integer("upstreams", 1, 1_000_000)
     fleet = Fleet(
         upstreams, table.integer("sidecars", 1, 1_000_000, upstreams), table.integer("services", 1, 100_000),
@@ -166,7 +166,7 @@
     fleet, promises, budget, failures = (_required_table(root, name) for name in names)
     play = root.table("play") or Table(file, "play", {}, Path("."), SizeError)
     found = Size(
-        title, _fleet(fleet),
+        title, _read_fleet(fleet),
         Promises(promises.number("added_p99_ms", 0.001, 10_000), promises.number("changes_per_day", 0, 1e7),
                  promises.seconds("force_s", 0.1, 86_400)),
         Budget(budget.number("cpu_percent", 0.001, 100), budget.number("memory_mb", 1, 1e6),
