--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -141,7 +141,7 @@
     return fleet
 
 
-def _play(table: Table) -> Play:
+def _read_play(table: Table) -> Play:
     beat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
     found = Play(
         # two points would always lie on the line, so the scatter would be unknown
@@ -174,7 +174,7 @@
         Failures(failures.number("machines_per_day", 0, 1e6), failures.number("replaced_per_day", 0, 1e7),
                  failures.number("rack_each_days", 0.1, 1e5), failures.number("zone_each_days", 0.1, 1e5),
                  failures.seconds("link_cut_s", 0, 1e7)),
-        _play(play),
+        _read_play(play),
     )
     for table in (fleet, promises, budget, failures, play, root):
         table.reject_unknown_keys()
