--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -142,19 +142,19 @@
 
 
 def _read_play(table: Table) -> Play:
-    beat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
+    heartbeat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
     found = Play(
         # two points would always lie on the line, so the scatter would be unknown
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
         table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3),
         table.integer("hollow_each", 1, 2_000, 400),
-        table.integer("repeats", 1, 20, 3), beat_s, table.seconds("lease_s", 0.1, 600, 6.0),
+        table.integer("repeats", 1, 20, 3), heartbeat_s, table.seconds("lease_s", 0.1, 600, 6.0),
         table.seconds("term_s", 0.5, 60, 10.0), table.integer("most_processes", 4, 300, 300),
         table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
     )
-    if found.lease_s < 2 * beat_s:
-        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * beat_s:g}) or more")
+    if found.lease_s < 2 * heartbeat_s:
+        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * heartbeat_s:g}) or more")
     return found
 
 
