--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -143,7 +143,7 @@
 
 def _read_play(table: Table) -> Play:
     heartbeat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
-    found = Play(
+    play = Play(
         # two points would always lie on the line, so the scatter would be unknown
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
@@ -153,9 +153,9 @@
         table.seconds("term_s", 0.5, 60, 10.0), table.integer("most_processes", 4, 300, 300),
         table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
     )
-    if found.lease_s < 2 * heartbeat_s:
+    if play.lease_s < 2 * heartbeat_s:
         raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * heartbeat_s:g}) or more")
-    return found
+    return play
 
 
 def parse(text: str, file: str) -> Size:
