--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -165,7 +165,7 @@
     names = ("fleet", "promises", "budget", "failures")
     fleet, promises, budget, failures = (_required_table(root, name) for name in names)
     play = root.table("play") or Table(file, "play", {}, Path("."), SizeError)
-    found = Size(
+    size = Size(
         title, _read_fleet(fleet),
         Promises(promises.number("added_p99_ms", 0.001, 10_000), promises.number("changes_per_day", 0, 1e7),
                  promises.seconds("force_s", 0.1, 86_400)),
@@ -178,7 +178,7 @@
     )
     for table in (fleet, promises, budget, failures, play, root):
         table.reject_unknown_keys()
-    return found
+    return size
 
 
 def load(path: Path) -> Size:
