--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -71,8 +71,8 @@
 
 def _slope_row(size: Size, entry: Slope) -> tuple[str, ...]:
     measured = ", ".join(f"{number(p.value)} at {p.size:,.0f}" for p in entry.points)
-    fit, key = entry.fit, AXES.get(entry.x)
-    per = "" if fit.verdict == FLAT else f"{number(fit.slope)} ({number(fit.slope_error)}) each of {entry.x}"
+    fit, key = entry.fit, AXES.get(entry.x_axis)
+    per = "" if fit.verdict == FLAT else f"{number(fit.slope)} ({number(fit.slope_error)}) each of {entry.x_axis}"
     there = ""
     if key:
         over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
@@ -144,7 +144,7 @@
     if the size file has no such value."""
     if name in result.slopes:
         entry = result.slopes[name]
-        return value_at(entry, size.value(AXES[entry.x]) if at is None else at)
+        return value_at(entry, size.value(AXES[entry.x_axis]) if at is None else at)
     return result.readings[name].value if name in result.readings else None
 
 
--- a/ironscale/scale/chart.py
+++ b/ironscale/scale/chart.py
@@ -28,7 +28,7 @@
     largest = slope.points[-1].size
     axes.plot([0, largest], [slope.fit.at(0), slope.fit.at(largest)], color="0.6", linewidth=1)
     axes.plot([x for x, _ in pairs], [y for _, y in pairs], "o", markersize=4)
-    axes.set_xlabel(slope.x)
+    axes.set_xlabel(slope.x_axis)
     axes.set_ylabel(slope.unit)
     axes.set_ylim(bottom=0)
     axes.set_title(f"{slope.name}: {slope.fit.verdict}", fontsize=9)
--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -37,7 +37,7 @@
 
     name: str  # dotted metric name that never changes, such as `agent.rest.cpu_percent`
     role: str
-    x: str  # what the size counts: the label of the x axis
+    x_axis: str  # what the size counts: the label of the x axis
     unit: str
     points: tuple[Point, ...]
     fit: Fit
@@ -93,7 +93,7 @@
 
     def text(self) -> str:
         def plain(entry: Slope) -> dict[str, Any]:
-            return {"name": entry.name, "role": entry.role, "x": entry.x, "unit": entry.unit, "at": entry.at,
+            return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.at,
                     "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
                     # Written for other programs. The verdict is left out: it is derived from the points on each load.
                     "fit": {key: getattr(entry.fit, key) for key in Fit.__slots__ if key != "verdict"}}
