--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -184,11 +184,11 @@
     for i, entry in enumerate(reader.list(value, "slopes", "")):
         found.add(reader.slope(entry, f"slopes[{i}]"))
     for i, entry in enumerate(reader.list(value, "readings", "")):
-        at = f"readings[{i}]"
-        found.add(Reading(reader.text(entry, "name", at), reader.text(entry, "role", at, ROLES),
-                          reader.text(entry, "unit", at), reader.numbers(reader.get(entry, "repeats", at),
-                                                                         f"{at}.repeats", 1),
-                          reader.text(entry, "at", at), reader.text(entry, "note", at, empty=True)))
+        measured_at = f"readings[{i}]"
+        found.add(Reading(reader.text(entry, "name", measured_at), reader.text(entry, "role", measured_at, ROLES),
+                          reader.text(entry, "unit", measured_at), reader.numbers(reader.get(entry, "repeats", measured_at),
+                                                                         f"{measured_at}.repeats", 1),
+                          reader.text(entry, "at", measured_at), reader.text(entry, "note", measured_at, empty=True)))
     return found
 
 
