--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -66,7 +66,7 @@
 
 
 def _run(entry: Slope | Reading) -> str:
-    return entry.at + (f"; {entry.note}" if entry.note else "")
+    return entry.measured_at + (f"; {entry.note}" if entry.note else "")
 
 
 def _slope_row(size: Size, entry: Slope) -> tuple[str, ...]:
--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -53,7 +53,7 @@
     role: str
     unit: str
     repeats: tuple[float, ...]
-    at: str
+    measured_at: str
     note: str = ""
 
     @property
@@ -101,7 +101,7 @@
         return json.dumps({
             "format": FORMAT, "version": VERSION, "size_digest": self.size_digest, "machine": self.machine,
             "slopes": [plain(self.slopes[name]) for name in sorted(self.slopes)],
-            "readings": [{"name": r.name, "role": r.role, "unit": r.unit, "at": r.at, "note": r.note,
+            "readings": [{"name": r.name, "role": r.role, "unit": r.unit, "at": r.measured_at, "note": r.note,
                           "repeats": list(r.repeats)} for _, r in sorted(self.readings.items())],
         }, indent=1, allow_nan=False) + "\n"
 
