--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -69,8 +69,8 @@
 def slope(name: str, role: str, x_axis: str, unit: str, points: Mapping[float, Iterable[float]], measured_at: str,
           note: str = "") -> Slope:
     """Builds a slope from the repetitions at each size. Raises FitError for fewer than three sizes."""
-    found = tuple(Point(float(size), tuple(float(v) for v in values)) for size, values in sorted(points.items()))
-    return Slope(name, role, x_axis, unit, found, fit([(p.size, v) for p in found for v in p.repeats]), measured_at, note)
+    slope_points = tuple(Point(float(size), tuple(float(v) for v in values)) for size, values in sorted(points.items()))
+    return Slope(name, role, x_axis, unit, slope_points, fit([(p.size, v) for p in slope_points for v in p.repeats]), measured_at, note)
 
 
 @dataclass(slots=True)
