--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -66,7 +66,7 @@
         return max(self.repeats) - min(self.repeats)
 
 
-def slope(name: str, role: str, x_axis: str, unit: str, points: Mapping[float, Iterable[float]], measured_at: str,
+def build_slope(name: str, role: str, x_axis: str, unit: str, points: Mapping[float, Iterable[float]], measured_at: str,
           note: str = "") -> Slope:
     """Builds a slope from the repetitions at each size. Raises FitError for fewer than three sizes."""
     slope_points = tuple(Point(float(size), tuple(float(v) for v in values)) for size, values in sorted(points.items()))
@@ -155,7 +155,7 @@
             self.numbers(row, f"{at}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", at))))
         told = self.get(value, "fit", at)
         try:
-            found = slope(self.text(value, "name", at), self.text(value, "role", at, ROLES), self.text(value, "x", at),
+            found = build_slope(self.text(value, "name", at), self.text(value, "role", at, ROLES), self.text(value, "x", at),
                           self.text(value, "unit", at), {p.size: p.repeats for p in points},
                           self.text(value, "at", at), self.text(value, "note", at, empty=True))
         except FitError as error:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -21,7 +21,7 @@
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
-from ironscale.scale.result import Reading, Result, slope
+from ironscale.scale.result import Reading, Result, build_slope
 from ironscale.scale.simulated_instances import HollowError, Hollows
 from ironscale.scale.size import Size
 
@@ -47,7 +47,7 @@
     def add_slope(self, name: str, role: str, x: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
         """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
-        found = slope(name, role, x, unit, {float(size): values for size, values in points.items()}, now(), note)
+        found = build_slope(name, role, x, unit, {float(size): values for size, values in points.items()}, now(), note)
         self.result.add(found)
         self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in found.points)
                       + f" {unit}; {found.fit.verdict}")
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from ironscale.scale.result import Reading, Result, ResultError, load, parse, slope
+from ironscale.scale.result import Reading, Result, ResultError, load, parse, build_slope
 
 AT = "2026-01-01T00:00:00Z"
 
 
 def sample() -> Result:
     found = Result("0123456789abcdef", {"cores": 8, "memory_mb": 24_000})
-    found.add(slope("agent.rest.cpu_percent", "agent that leads", "hollow instances", "% of a core",
+    found.add(build_slope("agent.rest.cpu_percent", "agent that leads", "hollow instances", "% of a core",
                     {250: [3.0, 3.1], 750: [9.0, 9.2], 2300: [27.9, 28.4]}, AT),
               Reading("agent.back.last_s", "agent that leads", "s", (10.1, 10.6), AT, "after SIGKILL"))
     return found
