--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -80,9 +80,9 @@
     slopes: dict[str, Slope] = field(default_factory=dict)
     readings: dict[str, Reading] = field(default_factory=dict)
 
-    def add(self, *found: Slope | Reading) -> None:
+    def add(self, *entries: Slope | Reading) -> None:
         """Adds entries; each replaces an earlier slope or reading of the same name."""
-        for entry in found:
+        for entry in entries:
             (self.slopes if isinstance(entry, Slope) else self.readings).pop(entry.name, None)
             if isinstance(entry, Slope):
                 self.readings.pop(entry.name, None)
