--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -91,7 +91,7 @@
                 self.slopes.pop(entry.name, None)
                 self.readings[entry.name] = entry
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         def plain(entry: Slope) -> dict[str, Any]:
             return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.at,
                     "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
@@ -108,7 +108,7 @@
     def write(self, path: Path) -> None:
         """Writes a temporary file and renames it, so that an interrupted run leaves the previous file intact."""
         aside = path.with_name(f".{path.name}.new")
-        aside.write_text(self.text(), encoding="utf-8")
+        aside.write_text(self.to_json(), encoding="utf-8")
         aside.replace(path)
 
 
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -29,7 +29,7 @@
     found.write(path)
     assert load(path) == found and [entry.name for entry in tmp_path.iterdir()] == ["r.json"]
     found.add(Reading("agent.rest.cpu_percent", "agent that leads", "% of a core", (5.0,), AT))
-    assert not found.slopes and len(found.readings) == 2 and parse(found.text(), "r") == found
+    assert not found.slopes and len(found.readings) == 2 and parse(found.to_json(), "r") == found
     assert found.readings["agent.back.last_s"].scatter == pytest.approx(0.5)
 
 
@@ -57,7 +57,7 @@
     (spoil("readings", 0, "repeats", to=[]), r"readings\[0\].repeats: expected a list of 1 numbers or more"),
 ])
 def test_what_was_tampered_with_is_one_line(work: Callable[[Any], None], line: str) -> None:
-    data = json.loads(sample().text())
+    data = json.loads(sample().to_json())
     work(data)
     with pytest.raises(ResultError) as found:
         parse(json.dumps(data), "r.json")
