--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -92,7 +92,7 @@
                 self.readings[entry.name] = entry
 
     def to_json(self) -> str:
-        def plain(entry: Slope) -> dict[str, Any]:
+        def slope_object(entry: Slope) -> dict[str, Any]:
             return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.at,
                     "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
                     # Written for other programs. The verdict is left out: it is derived from the points on each load.
@@ -100,7 +100,7 @@
 
         return json.dumps({
             "format": FORMAT, "version": VERSION, "size_digest": self.size_digest, "machine": self.machine,
-            "slopes": [plain(self.slopes[name]) for name in sorted(self.slopes)],
+            "slopes": [slope_object(self.slopes[name]) for name in sorted(self.slopes)],
             "readings": [{"name": r.name, "role": r.role, "unit": r.unit, "at": r.measured_at, "note": r.note,
                           "repeats": list(r.repeats)} for _, r in sorted(self.readings.items())],
         }, indent=1, allow_nan=False) + "\n"
