--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -107,9 +107,9 @@
 
     def write(self, path: Path) -> None:
         """Writes a temporary file and renames it, so that an interrupted run leaves the previous file intact."""
-        aside = path.with_name(f".{path.name}.new")
-        aside.write_text(self.to_json(), encoding="utf-8")
-        aside.replace(path)
+        temporary = path.with_name(f".{path.name}.new")
+        temporary.write_text(self.to_json(), encoding="utf-8")
+        temporary.replace(path)
 
 
 class _Reader:
