--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -112,7 +112,7 @@
         temporary.replace(path)
 
 
-class _Reader:
+class _JsonReader:
     """Validates parsed JSON; each error names the path of the wrong value."""
 
     def __init__(self, file: str) -> None:
@@ -170,7 +170,7 @@
 
 def parse(text: str, file: str) -> Result:
     """Parses and validates the text of a result file. Raises ResultError."""
-    reader = _Reader(file)
+    reader = _JsonReader(file)
     try:
         value = json.loads(text)
     except ValueError as error:
