--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -145,9 +145,9 @@
             raise self.fail(at, "a number", found)
         return float(found)
 
-    def numbers(self, found: Any, at: str, least: int) -> tuple[float, ...]:
-        if not isinstance(found, list) or len(found) < least:
-            raise self.fail(at, f"a list of {least} numbers or more", found)
+    def numbers(self, found: Any, at: str, minimum: int) -> tuple[float, ...]:
+        if not isinstance(found, list) or len(found) < minimum:
+            raise self.fail(at, f"a list of {minimum} numbers or more", found)
         return tuple(self.number(entry, f"{at}[{i}]") for i, entry in enumerate(found))
 
     def slope(self, value: Any, at: str) -> Slope:
