--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -153,7 +153,7 @@
     def slope(self, value: Any, at: str) -> Slope:
         points = tuple(Point(row[0], row[1:]) for row in (
             self.numbers(row, f"{at}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", at))))
-        told = self.get(value, "fit", at)
+        recorded_fit = self.get(value, "fit", at)
         try:
             found = build_slope(self.text(value, "name", at), self.text(value, "role", at, ROLES), self.text(value, "x", at),
                           self.text(value, "unit", at), {p.size: p.repeats for p in points},
@@ -162,7 +162,7 @@
             raise ResultError(f"{self.file}: {at}.points: {error}") from error
         # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
         for key in ("intercept", "slope", "mean"):
-            was = self.number(self.get(told, key, f"{at}.fit"), f"{at}.fit.{key}")
+            was = self.number(self.get(recorded_fit, key, f"{at}.fit"), f"{at}.fit.{key}")
             if not math.isclose(was, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
                 raise self.fail(f"{at}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", was)
         return found
