--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -162,9 +162,9 @@
             raise ResultError(f"{self.file}: {at}.points: {error}") from error
         # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
         for key in ("intercept", "slope", "mean"):
-            was = self.number(self.get(recorded_fit, key, f"{at}.fit"), f"{at}.fit.{key}")
-            if not math.isclose(was, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
-                raise self.fail(f"{at}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", was)
+            recorded = self.number(self.get(recorded_fit, key, f"{at}.fit"), f"{at}.fit.{key}")
+            if not math.isclose(recorded, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
+                raise self.fail(f"{at}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", recorded)
         return found
 
 
