--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -180,16 +180,16 @@
     machine = reader.get(value, "machine", "")
     for key in ("cores", "memory_mb"):
         reader.number(reader.get(machine, key, "machine"), f"machine.{key}")
-    found = Result(reader.text(value, "size_digest", ""), machine)
+    result = Result(reader.text(value, "size_digest", ""), machine)
     for i, entry in enumerate(reader.list(value, "slopes", "")):
-        found.add(reader.slope(entry, f"slopes[{i}]"))
+        result.add(reader.slope(entry, f"slopes[{i}]"))
     for i, entry in enumerate(reader.list(value, "readings", "")):
         measured_at = f"readings[{i}]"
-        found.add(Reading(reader.text(entry, "name", measured_at), reader.text(entry, "role", measured_at, ROLES),
+        result.add(Reading(reader.text(entry, "name", measured_at), reader.text(entry, "role", measured_at, ROLES),
                           reader.text(entry, "unit", measured_at), reader.numbers(reader.get(entry, "repeats", measured_at),
                                                                          f"{measured_at}.repeats", 1),
                           reader.text(entry, "at", measured_at), reader.text(entry, "note", measured_at, empty=True)))
-    return found
+    return result
 
 
 def load(path: Path) -> Result:
