--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -35,7 +35,7 @@
 from ironscale.versions.model import Labels
 
 Address = tuple[str, int]
-LINE = 1 << 24
+MAX_LINE_BYTES = 1 << 24
 ANSWER_S = 30.0
 DIALS_PER_S = 2_000.0  # connections that one process opens per second at its start
 # struct tcp_info (linux/tcp.h): tcpi_bytes_acked and tcpi_bytes_received
@@ -154,7 +154,7 @@
 
 async def tend(order: dict[str, Any]) -> None:
     herd = Herd(order)
-    reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=order["fd"]), limit=LINE)
+    reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=order["fd"]), limit=MAX_LINE_BYTES)
     task = asyncio.create_task(herd.run())
     try:
         while not task.done() and (line := await reader.readline()):
@@ -210,7 +210,7 @@
             with theirs:
                 process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(theirs,))
-            reader, writer = await asyncio.open_connection(sock=ours, limit=LINE)
+            reader, writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
             self.herders.append(Herder(process, reader, writer, share))
             first, count = first + share, count - share
 
