--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -36,7 +36,7 @@
 
 Address = tuple[str, int]
 MAX_LINE_BYTES = 1 << 24
-ANSWER_S = 30.0
+ANSWER_TIMEOUT_S = 30.0
 DIALS_PER_S = 2_000.0  # connections that one process opens per second at its start
 # struct tcp_info (linux/tcp.h): tcpi_bytes_acked and tcpi_bytes_received
 TCP_BYTES = struct.Struct("=120x2Q")
@@ -177,7 +177,7 @@
     async def ask(self, **question: Any) -> dict[str, Any]:
         """Sends a question and returns the answer. Raises HollowError."""
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 self.writer.write(json.dumps(question).encode() + b"\n")
                 line = await self.reader.readline()
         except (OSError, TimeoutError) as error:
