--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -37,7 +37,7 @@
 Address = tuple[str, int]
 MAX_LINE_BYTES = 1 << 24
 ANSWER_TIMEOUT_S = 30.0
-DIALS_PER_S = 2_000.0  # connections that one process opens per second at its start
+CONNECTIONS_PER_S = 2_000.0  # connections that one process opens per second at its start
 # struct tcp_info (linux/tcp.h): tcpi_bytes_acked and tcpi_bytes_received
 TCP_BYTES = struct.Struct("=120x2Q")
 
@@ -121,7 +121,7 @@
                     self.discoveries.append(Discovery((host, port), ListParser([], []), 0, partial(
                         self.told, len(self.discoveries)), 5.0, lambda text: None))
                     self.discoveries[-1].subscribe()
-                await asyncio.sleep(1 / DIALS_PER_S)
+                await asyncio.sleep(1 / CONNECTIONS_PER_S)
             if not agents:
                 await asyncio.Event().wait()
 
