--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -39,7 +39,7 @@
 ANSWER_TIMEOUT_S = 30.0
 CONNECTIONS_PER_S = 2_000.0  # connections that one process opens per second at its start
 # struct tcp_info (linux/tcp.h): tcpi_bytes_acked and tcpi_bytes_received
-TCP_BYTES = struct.Struct("=120x2Q")
+TCP_INFO_BYTES = struct.Struct("=120x2Q")
 
 
 class HollowError(Exception):
@@ -52,7 +52,7 @@
     if sock is None:
         return 0, 0
     try:
-        found = TCP_BYTES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_BYTES.size))
+        found = TCP_INFO_BYTES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES.size))
     except (OSError, struct.error):
         return 0, 0
     return int(found[0]), int(found[1])
