--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -22,7 +22,7 @@
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, build_slope
-from ironscale.scale.simulated_instances import HollowError, Hollows
+from ironscale.scale.simulated_instances import SimulatedInstancesError, Hollows
 from ironscale.scale.size import Size
 
 # Each is a module of this package with `async def measure(scene)`. A full run measures in this order.
@@ -138,7 +138,7 @@
         if not stopped:
             raise
         raise RunError("stopped") from None
-    except (AgentsError, HollowError, RealsError, FitError, OSError, httpx.HTTPError) as error:
+    except (AgentsError, SimulatedInstancesError, RealsError, FitError, OSError, httpx.HTTPError) as error:
         raise RunError(f"{piece}: {error}") from error
     finally:
         crew.end()
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -42,7 +42,7 @@
 TCP_INFO_BYTES = struct.Struct("=120x2Q")
 
 
-class HollowError(Exception):
+class SimulatedInstancesError(Exception):
     """A process of simulated instances that ended or doesn't answer; the message is a single line."""
 
 
@@ -181,9 +181,9 @@
                 self.writer.write(json.dumps(question).encode() + b"\n")
                 line = await self.reader.readline()
         except (OSError, TimeoutError) as error:
-            raise HollowError(f"simulated instances, process {self.process.pid}: {error or 'no answer'}") from error
+            raise SimulatedInstancesError(f"simulated instances, process {self.process.pid}: {error or 'no answer'}") from error
         if not line:
-            raise HollowError(f"simulated instances, process {self.process.pid}: it has ended")
+            raise SimulatedInstancesError(f"simulated instances, process {self.process.pid}: it has ended")
         return dict(json.loads(line))
 
 
