--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -46,7 +46,7 @@
     """A process of simulated instances that ended or doesn't answer; the message is a single line."""
 
 
-def passed(transport: asyncio.BaseTransport | None) -> tuple[int, int]:
+def transferred_bytes(transport: asyncio.BaseTransport | None) -> tuple[int, int]:
     """Bytes sent (and acknowledged) and bytes received on a connection, as counted by the kernel."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
@@ -131,9 +131,9 @@
             session = instance.client.session if instance.client is not None else None
             if session is not None:
                 welcomed += session.welcome is not None
-                out, back = passed(session.transport)
+                out, back = transferred_bytes(session.transport)
                 sent, received = sent + out, received + back
-        list_received = sum(passed(d.watch.transport)[1] for d in self.discoveries if d.watch is not None)
+        list_received = sum(transferred_bytes(d.watch.transport)[1] for d in self.discoveries if d.watch is not None)
         return {"welcomed": welcomed, "sent": sent, "received": received, "cpu_s": time.process_time(),
                 "memory_mb": resident_memory_mb(os.getpid()), "list_received": list_received, "failed_lists": self.failed_lists}
 
