--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -52,10 +52,10 @@
     if sock is None:
         return 0, 0
     try:
-        found = TCP_INFO_BYTES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES.size))
+        counts = TCP_INFO_BYTES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES.size))
     except (OSError, struct.error):
         return 0, 0
-    return int(found[0]), int(found[1])
+    return int(counts[0]), int(counts[1])
 
 
 class Herd:
