--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -70,7 +70,7 @@
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
 
-    def follow(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
+    def create_follower(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
         """Creates a follower of published versions for the instance."""
         zones = self.order["zones"]
         places = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
@@ -115,7 +115,7 @@
                     self.instances.append(instance)
                     group.create_task(client.run())
                     if order["versions"]:
-                        group.create_task(self.follow(instance, n, token, rng).run())
+                        group.create_task(self.create_follower(instance, n, token, rng).run())
                 if order["discovery"]:
                     host, port = order["discovery"]
                     self.discoveries.append(Discovery((host, port), ListParser([], []), 0, partial(
