--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -70,12 +70,12 @@
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
 
-    def create_follower(self, instance: SimulatedInstance, n: int, token: str, rng: random.Random) -> Follower:
+    def create_follower(self, instance: SimulatedInstance, number: int, token: str, rng: random.Random) -> Follower:
         """Creates a follower of published versions for the instance."""
         zones = self.order["zones"]
         places = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = create_simulated_follower(
-            instance, Labels(instance.name, f"service-{n % 230}", f"zone-{n % zones:02}"), token, places, rng=rng)
+            instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, places, rng=rng)
         held: list[tuple[int, float]] = []
         self.held.append(held)
 
