--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -73,9 +73,9 @@
     def create_follower(self, instance: SimulatedInstance, number: int, token: str, rng: random.Random) -> Follower:
         """Creates a follower of published versions for the instance."""
         zones = self.order["zones"]
-        places = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
+        endpoints = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = create_simulated_follower(
-            instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, places, rng=rng)
+            instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, endpoints, rng=rng)
         held: list[tuple[int, float]] = []
         self.held.append(held)
 
