--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -65,7 +65,7 @@
         self.order = order
         self.instances: list[SimulatedInstance] = []
         self.discoveries: list[Discovery] = []
-        self.in_force: dict[int, list[float]] = {}  # generation -> when each instance applied it
+        self.in_force_times: dict[int, list[float]] = {}  # generation -> when each instance applied it
         self.lists: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
@@ -90,7 +90,7 @@
     def had(self, what: str) -> None:
         kind, _, number = what.partition(" ")
         if kind == "generation":
-            self.in_force.setdefault(int(number), []).append(time.monotonic())
+            self.in_force_times.setdefault(int(number), []).append(time.monotonic())
 
     def told(self, index: int, kind: ListKind, listing: Listing | None) -> None:
         if listing is None:
@@ -142,7 +142,7 @@
             case "state":
                 return self.state()
             case "in force":
-                return {"at": self.in_force.get(question["generation"], [])}
+                return {"at": self.in_force_times.get(question["generation"], [])}
             case "held":
                 version = question["generation"]
                 found = [next((at for position, at in held if position >= version), None) for held in self.held]
