--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -66,7 +66,7 @@
         self.instances: list[SimulatedInstance] = []
         self.discoveries: list[Discovery] = []
         self.in_force_times: dict[int, list[float]] = {}  # generation -> when each instance applied it
-        self.lists: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
+        self.list_times: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
         self.failed_lists = 0
         self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
 
@@ -98,7 +98,7 @@
             # retry soon but not all at once, as a sidecar's balancer does at first
             asyncio.get_running_loop().call_later(random.random(), self.discoveries[index].subscribe)
         elif listing.members:
-            self.lists.setdefault(listing.generation, []).append(time.monotonic())
+            self.list_times.setdefault(listing.generation, []).append(time.monotonic())
 
     async def run(self) -> None:
         order = self.order
@@ -148,7 +148,7 @@
                 found = [next((at for position, at in held if position >= version), None) for held in self.held]
                 return {"at": [at for at in found if at is not None]}
             case "list":
-                return {"at": self.lists.get(question["generation"], [])}
+                return {"at": self.list_times.get(question["generation"], [])}
         return {"wrong": f"{question['ask']}: not known here"}
 
 
