--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -68,7 +68,7 @@
         self.in_force_times: dict[int, list[float]] = {}  # generation -> when each instance applied it
         self.list_times: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
         self.failed_lists = 0
-        self.held: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
+        self.held_positions: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
 
     def create_follower(self, instance: SimulatedInstance, number: int, token: str, rng: random.Random) -> Follower:
         """Creates a follower of published versions for the instance."""
@@ -77,7 +77,7 @@
         follower = create_simulated_follower(
             instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, endpoints, rng=rng)
         held: list[tuple[int, float]] = []
-        self.held.append(held)
+        self.held_positions.append(held)
 
         def changed() -> None:
             position = follower.state.view.position
@@ -145,7 +145,7 @@
                 return {"at": self.in_force_times.get(question["generation"], [])}
             case "held":
                 version = question["generation"]
-                found = [next((at for position, at in held if position >= version), None) for held in self.held]
+                found = [next((at for position, at in held if position >= version), None) for held in self.held_positions]
                 return {"at": [at for at in found if at is not None]}
             case "list":
                 return {"at": self.list_times.get(question["generation"], [])}
