--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -76,13 +76,13 @@
         endpoints = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = create_simulated_follower(
             instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, endpoints, rng=rng)
-        held: list[tuple[int, float]] = []
-        self.held_positions.append(held)
+        positions: list[tuple[int, float]] = []
+        self.held_positions.append(positions)
 
         def changed() -> None:
             position = follower.state.view.position
-            if not held or held[-1][0] < position:
-                held.append((position, time.monotonic()))
+            if not positions or positions[-1][0] < position:
+                positions.append((position, time.monotonic()))
 
         follower.on_change = changed
         return follower
