--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -145,7 +145,7 @@
                 return {"at": self.in_force_times.get(question["generation"], [])}
             case "held":
                 version = question["generation"]
-                found = [next((at for position, at in held if position >= version), None) for held in self.held_positions]
+                found = [next((at for position, at in positions if position >= version), None) for positions in self.held_positions]
                 return {"at": [at for at in found if at is not None]}
             case "list":
                 return {"at": self.list_times.get(question["generation"], [])}
