--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -87,7 +87,7 @@
         follower.on_change = changed
         return follower
 
-    def had(self, what: str) -> None:
+    def on_effect(self, what: str) -> None:
         kind, _, number = what.partition(" ")
         if kind == "generation":
             self.in_force_times.setdefault(int(number), []).append(time.monotonic())
@@ -111,7 +111,7 @@
                     instance, client = create_simulated_instance(
                         f"hollow-{n:05}", agents[0], token, rng=rng, others=tuple(agents[1:]),
                         zone=f"zone-{n % order['zones']:02}")
-                    instance.before_effect = self.had
+                    instance.before_effect = self.on_effect
                     self.instances.append(instance)
                     group.create_task(client.run())
                     if order["versions"]:
