--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -87,8 +87,8 @@
         follower.on_change = changed
         return follower
 
-    def on_effect(self, what: str) -> None:
-        kind, _, number = what.partition(" ")
+    def on_effect(self, effect: str) -> None:
+        kind, _, number = effect.partition(" ")
         if kind == "generation":
             self.in_force_times.setdefault(int(number), []).append(time.monotonic())
 
