--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -92,7 +92,7 @@
         if kind == "generation":
             self.in_force_times.setdefault(int(number), []).append(time.monotonic())
 
-    def told(self, index: int, kind: ListKind, listing: Listing | None) -> None:
+    def on_list(self, index: int, kind: ListKind, listing: Listing | None) -> None:
         if listing is None:
             self.failed_lists += 1
             # retry soon but not all at once, as a sidecar's balancer does at first
@@ -119,7 +119,7 @@
                 if order["discovery"]:
                     host, port = order["discovery"]
                     self.discoveries.append(Discovery((host, port), ListParser([], []), 0, partial(
-                        self.told, len(self.discoveries)), 5.0, lambda text: None))
+                        self.on_list, len(self.discoveries)), 5.0, lambda text: None))
                     self.discoveries[-1].subscribe()
                 await asyncio.sleep(1 / CONNECTIONS_PER_S)
             if not agents:
