--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -137,7 +137,7 @@
         return {"welcomed": welcomed, "sent": sent, "received": received, "cpu_s": time.process_time(),
                 "memory_mb": resident_memory_mb(os.getpid()), "list_received": list_received, "failed_lists": self.failed_lists}
 
-    def answer(self, question: dict[str, Any]) -> dict[str, Any]:
+    def answer_question(self, question: dict[str, Any]) -> dict[str, Any]:
         match question["ask"]:
             case "state":
                 return self.state()
@@ -158,7 +158,7 @@
     task = asyncio.create_task(herd.run())
     try:
         while not task.done() and (line := await reader.readline()):
-            writer.write(json.dumps(herd.answer(json.loads(line))).encode() + b"\n")
+            writer.write(json.dumps(herd.answer_question(json.loads(line))).encode() + b"\n")
             await writer.drain()
     finally:
         task.cancel()
