--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -153,12 +153,12 @@
 
 
 async def tend(order: dict[str, Any]) -> None:
-    herd = Herd(order)
+    instances = Herd(order)
     reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=order["fd"]), limit=MAX_LINE_BYTES)
-    task = asyncio.create_task(herd.run())
+    task = asyncio.create_task(instances.run())
     try:
         while not task.done() and (line := await reader.readline()):
-            writer.write(json.dumps(herd.answer_question(json.loads(line))).encode() + b"\n")
+            writer.write(json.dumps(instances.answer_question(json.loads(line))).encode() + b"\n")
             await writer.drain()
     finally:
         task.cancel()
