--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -152,7 +152,7 @@
         return {"wrong": f"{question['ask']}: not known here"}
 
 
-async def tend(order: dict[str, Any]) -> None:
+async def serve(order: dict[str, Any]) -> None:
     instances = Herd(order)
     reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=order["fd"]), limit=MAX_LINE_BYTES)
     task = asyncio.create_task(instances.run())
@@ -239,4 +239,4 @@
 
 if __name__ == "__main__":
     with contextlib.suppress(KeyboardInterrupt):
-        uvloop.run(tend(json.loads(sys.argv[1])))
+        uvloop.run(serve(json.loads(sys.argv[1])))
