--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -58,7 +58,7 @@
     return int(counts[0]), int(counts[1])
 
 
-class Herd:
+class HostedInstances:
     """All simulated instances of this process, and what they observed."""
 
     def __init__(self, order: dict[str, Any]) -> None:
@@ -153,7 +153,7 @@
 
 
 async def serve(order: dict[str, Any]) -> None:
-    instances = Herd(order)
+    instances = HostedInstances(order)
     reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=order["fd"]), limit=MAX_LINE_BYTES)
     task = asyncio.create_task(instances.run())
     try:
