--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -166,7 +166,7 @@
 
 
 @dataclass
-class Herder:
+class InstanceProcess:
     """The run's connection to a process of simulated instances."""
 
     process: subprocess.Popen[bytes]
@@ -192,7 +192,7 @@
 
     def __init__(self, crew: ChildProcesses, each: int, zones: int, seed: int, log: Path) -> None:
         self.crew, self.each, self.zones, self.seed, self.log = crew, each, zones, seed, log
-        self.herders: list[Herder] = []
+        self.herders: list[InstanceProcess] = []
 
     @property
     def count(self) -> int:
@@ -211,7 +211,7 @@
                 process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
-            self.herders.append(Herder(process, reader, writer, share))
+            self.herders.append(InstanceProcess(process, reader, writer, share))
             first, count = first + share, count - share
 
     async def ask(self, **question: Any) -> list[dict[str, Any]]:
