--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -219,11 +219,11 @@
 
     async def total(self) -> dict[str, float]:
         """The sum of the states of all processes."""
-        found: dict[str, float] = {}
+        totals: dict[str, float] = {}
         for state in await self.ask(ask="state"):
             for key, value in state.items():
-                found[key] = found.get(key, 0) + value
-        return found
+                totals[key] = totals.get(key, 0) + value
+        return totals
 
     async def times(self, what: str, generation: int) -> list[float]:
         """When each instance had it, in ascending order."""
