--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -190,8 +190,8 @@
 class Hollows:
     """All simulated instances of a run, spread over processes."""
 
-    def __init__(self, crew: ChildProcesses, each: int, zones: int, seed: int, log: Path) -> None:
-        self.crew, self.each, self.zones, self.seed, self.log = crew, each, zones, seed, log
+    def __init__(self, crew: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
+        self.crew, self.each, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
         self.herders: list[InstanceProcess] = []
 
     @property
