--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -191,7 +191,7 @@
     """All simulated instances of a run, spread over processes."""
 
     def __init__(self, crew: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
-        self.crew, self.each, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
+        self.crew, self.per_process, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
         self.herders: list[InstanceProcess] = []
 
     @property
@@ -202,7 +202,7 @@
                     discovery: Address | None = None, versions: Sequence[Address] = ()) -> None:
         first = self.count
         while count:
-            share = min(count, self.each)
+            share = min(count, self.per_process)
             ours, theirs = socket.socketpair()
             order = {"first": first, "count": share, "agents": list(agents), "token_file": str(token_file or ""),
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
