--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -20,10 +20,10 @@
     scene.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
     async with scene.fleet(count - away) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
-        near = hollows.herders[:]
+        near = hollows.instance_processes[:]
         try:
             await hollows.start(away, [("127.0.0.1", relay.port)], agents.token_file)
-            far = hollows.herders[len(near):]
+            far = hollows.instance_processes[len(near):]
             await agents.until_ready(count)
             relay.cut()
             cut_s = time.monotonic()
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -192,11 +192,11 @@
 
     def __init__(self, crew: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
         self.crew, self.per_process, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
-        self.herders: list[InstanceProcess] = []
+        self.instance_processes: list[InstanceProcess] = []
 
     @property
     def count(self) -> int:
-        return sum(herder.count for herder in self.herders)
+        return sum(herder.count for herder in self.instance_processes)
 
     async def start(self, count: int, agents: Sequence[Address], token_file: Path | None,
                     discovery: Address | None = None, versions: Sequence[Address] = ()) -> None:
@@ -211,11 +211,11 @@
                 process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
-            self.herders.append(InstanceProcess(process, reader, writer, share))
+            self.instance_processes.append(InstanceProcess(process, reader, writer, share))
             first, count = first + share, count - share
 
     async def ask(self, **question: Any) -> list[dict[str, Any]]:
-        return list(await asyncio.gather(*(herder.ask(**question) for herder in self.herders)))
+        return list(await asyncio.gather(*(herder.ask(**question) for herder in self.instance_processes)))
 
     async def total(self) -> dict[str, float]:
         """The sum of the states of all processes."""
@@ -230,11 +230,11 @@
         return sorted(at for part in await self.ask(ask=what, generation=generation) for at in part["at"])
 
     async def end(self) -> None:
-        for herder in self.herders:
+        for herder in self.instance_processes:
             herder.writer.close()
-        if self.herders:
-            self.crew.end(*(herder.process for herder in self.herders))
-        self.herders.clear()
+        if self.instance_processes:
+            self.crew.end(*(herder.process for herder in self.instance_processes))
+        self.instance_processes.clear()
 
 
 if __name__ == "__main__":
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -99,7 +99,7 @@
     scene.progress(f"versions: {away} of {count} cut for {for_s:g} s")
     async with scene.fleet(count - away, 1, follows=True) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
-        near = len(hollows.herders)
+        near = len(hollows.instance_processes)
         try:
             behind = [("127.0.0.1", relay.port)]
             await hollows.start(away, behind, agents.token_file, versions=behind)
@@ -112,7 +112,7 @@
             relay.mend()
             mended_s = time.monotonic()
             await agents.held(hollows, number)
-            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in hollows.herders]
+            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in hollows.instance_processes]
             others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
         finally:
             relay.close()
