--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -191,7 +191,7 @@
     """All simulated instances of a run, spread over processes."""
 
     def __init__(self, crew: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
-        self.crew, self.per_process, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
+        self.children, self.per_process, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
         self.instance_processes: list[InstanceProcess] = []
 
     @property
@@ -208,7 +208,7 @@
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
                      "fd": theirs.fileno()}
             with theirs:
-                process = self.crew.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
+                process = self.children.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(theirs,))
             reader, writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
             self.instance_processes.append(InstanceProcess(process, reader, writer, share))
@@ -233,7 +233,7 @@
         for herder in self.instance_processes:
             herder.writer.close()
         if self.instance_processes:
-            self.crew.end(*(herder.process for herder in self.instance_processes))
+            self.children.end(*(herder.process for herder in self.instance_processes))
         self.instance_processes.clear()
 
 
