--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -190,8 +190,8 @@
 class Hollows:
     """All simulated instances of a run, spread over processes."""
 
-    def __init__(self, crew: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
-        self.children, self.per_process, self.zones, self.seed, self.log = crew, per_process, zones, seed, log
+    def __init__(self, children: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
+        self.children, self.per_process, self.zones, self.seed, self.log = children, per_process, zones, seed, log
         self.instance_processes: list[InstanceProcess] = []
 
     @property
