--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -225,9 +225,9 @@
                 totals[key] = totals.get(key, 0) + value
         return totals
 
-    async def times(self, what: str, generation: int) -> list[float]:
+    async def times(self, question: str, generation: int) -> list[float]:
         """When each instance had it, in ascending order."""
-        return sorted(at for part in await self.ask(ask=what, generation=generation) for at in part["at"])
+        return sorted(at for part in await self.ask(ask=question, generation=generation) for at in part["at"])
 
     async def end(self) -> None:
         for herder in self.instance_processes:
