--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -203,14 +203,14 @@
         first = self.count
         while count:
             share = min(count, self.per_process)
-            ours, theirs = socket.socketpair()
+            run_socket, theirs = socket.socketpair()
             order = {"first": first, "count": share, "agents": list(agents), "token_file": str(token_file or ""),
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
                      "fd": theirs.fileno()}
             with theirs:
                 process = self.children.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(theirs,))
-            reader, writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
+            reader, writer = await asyncio.open_connection(sock=run_socket, limit=MAX_LINE_BYTES)
             self.instance_processes.append(InstanceProcess(process, reader, writer, share))
             first, count = first + share, count - share
 
