--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -203,13 +203,13 @@
         first = self.count
         while count:
             share = min(count, self.per_process)
-            run_socket, theirs = socket.socketpair()
+            run_socket, process_socket = socket.socketpair()
             order = {"first": first, "count": share, "agents": list(agents), "token_file": str(token_file or ""),
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
-                     "fd": theirs.fileno()}
-            with theirs:
+                     "fd": process_socket.fileno()}
+            with process_socket:
                 process = self.children.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
-                                          log=self.log, inherited_sockets=(theirs,))
+                                          log=self.log, inherited_sockets=(process_socket,))
             reader, writer = await asyncio.open_connection(sock=run_socket, limit=MAX_LINE_BYTES)
             self.instance_processes.append(InstanceProcess(process, reader, writer, share))
             first, count = first + share, count - share
