--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -202,17 +202,17 @@
                     discovery: Address | None = None, versions: Sequence[Address] = ()) -> None:
         first = self.count
         while count:
-            share = min(count, self.per_process)
+            size = min(count, self.per_process)
             run_socket, process_socket = socket.socketpair()
-            order = {"first": first, "count": share, "agents": list(agents), "token_file": str(token_file or ""),
+            order = {"first": first, "count": size, "agents": list(agents), "token_file": str(token_file or ""),
                      "discovery": discovery, "versions": list(versions), "zones": self.zones, "seed": self.seed,
                      "fd": process_socket.fileno()}
             with process_socket:
                 process = self.children.start("hollow", "ironscale.scale.simulated_instances", json.dumps(order),
                                           log=self.log, inherited_sockets=(process_socket,))
             reader, writer = await asyncio.open_connection(sock=run_socket, limit=MAX_LINE_BYTES)
-            self.instance_processes.append(InstanceProcess(process, reader, writer, share))
-            first, count = first + share, count - share
+            self.instance_processes.append(InstanceProcess(process, reader, writer, size))
+            first, count = first + size, count - size
 
     async def ask(self, **question: Any) -> list[dict[str, Any]]:
         return list(await asyncio.gather(*(herder.ask(**question) for herder in self.instance_processes)))
