--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -8,7 +8,7 @@
 
 from ironscale.scale.agents import Agents, Spent, at_rest
 from ironscale.scale.run import Scene
-from ironscale.scale.simulated_instances import Hollows
+from ironscale.scale.simulated_instances import SimulatedInstances
 
 LEADS, CONTROL, X = "agent that leads", "sidecar control", "instances"
 BACK = 2  # kills of the agent
@@ -59,7 +59,7 @@
 }
 
 
-async def one(scene: Scene, agents: Agents, hollows: Hollows, count: int) -> dict[str, list[float]]:
+async def one(scene: Scene, agents: Agents, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = scene.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
@@ -113,7 +113,7 @@
     return found
 
 
-async def overlapping(agents: Agents, hollows: Hollows, add: object) -> None:
+async def overlapping(agents: Agents, hollows: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = Spent.of(agents.pid())
@@ -127,7 +127,7 @@
     add("agent.overlap.cpu_ms", (Spent.of(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
-async def back(agents: Agents, hollows: Hollows, add: object, count: int) -> None:
+async def back(agents: Agents, hollows: SimulatedInstances, add: object, count: int) -> None:
     """Kills the agent, restarts it at once and makes a change as soon as it is accepted."""
     assert callable(add)
     killed_s = agents.kill(0)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -20,7 +20,7 @@
 
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.bounds import ChildProcesses, resident_memory_mb
-from ironscale.scale.simulated_instances import Hollows
+from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.scale.size import Play
 from ironscale.stage.relay import Port
 
@@ -205,7 +205,7 @@
             await asyncio.sleep(0.05)
         raise AgentsError(f"operation {operation} was not over within {within_s:g} s")
 
-    async def change(self, hollows: Hollows, since_s: float | None = None) -> Change:
+    async def change(self, hollows: SimulatedInstances, since_s: float | None = None) -> Change:
         """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
         AgentsError."""
         generation, operation, asked_s, told_s = await self.apply()
@@ -215,7 +215,7 @@
         return Change(generation, operation, from_s, told_s - from_s, tuple(at - from_s for at in times),
                       closed_s - from_s)
 
-    async def in_force(self, hollows: Hollows, generation: int) -> list[float]:
+    async def in_force(self, hollows: SimulatedInstances, generation: int) -> list[float]:
         until_s, times = time.monotonic() + START_S, list[float]()
         while time.monotonic() < until_s:
             times = await hollows.times("in force", generation)
@@ -235,7 +235,7 @@
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
         return told["publish"]["number"], asked_s, time.monotonic()
 
-    async def held(self, hollows: Hollows, version: int, count: int | None = None) -> list[float]:
+    async def held(self, hollows: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
         until_s, times = time.monotonic() + START_S, list[float]()
         while time.monotonic() < until_s:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -22,7 +22,7 @@
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import Reals, RealsError
 from ironscale.scale.result import Reading, Result, build_slope
-from ironscale.scale.simulated_instances import SimulatedInstancesError, Hollows
+from ironscale.scale.simulated_instances import SimulatedInstancesError, SimulatedInstances
 from ironscale.scale.size import Size
 
 # Each is a module of this package with `async def measure(scene)`. A full run measures in this order.
@@ -63,13 +63,13 @@
 
     @asynccontextmanager
     async def fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
-                    follows: bool = False) -> AsyncIterator[tuple[Agents, Hollows]]:
+                    follows: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follows` the simulated instances also follow published versions, at all agents."""
         self.check(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
-        hollows = Hollows(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
+        hollows = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
         found = Agents(self.crew, folder, agents, play, term_s)
         try:
             await found.start()
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -187,7 +187,7 @@
         return dict(json.loads(line))
 
 
-class Hollows:
+class SimulatedInstances:
     """All simulated instances of a run, spread over processes."""
 
     def __init__(self, children: ChildProcesses, per_process: int, zones: int, seed: int, log: Path) -> None:
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -6,7 +6,7 @@
 
 from ironscale.scale.agents import Agents, at_rest
 from ironscale.scale.run import Scene
-from ironscale.scale.simulated_instances import Hollows
+from ironscale.scale.simulated_instances import SimulatedInstances
 
 ROLE, X = "agent that stands by", "instances"
 UNITS = {
@@ -28,7 +28,7 @@
         scene.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
-async def one(agents: Agents, hollows: Hollows, count: int, beat_s: float) -> dict[str, float]:
+async def one(agents: Agents, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
     await agents.change(hollows)
     await asyncio.sleep(beat_s)
     percent, megabytes, _ = await at_rest(agents.pid(1), 2 * beat_s)
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -8,7 +8,7 @@
 
 from ironscale.scale.agents import Agents, Spent
 from ironscale.scale.run import Scene
-from ironscale.scale.simulated_instances import Hollows
+from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
 
 ROLE, X = "published versions", "instances"
@@ -46,7 +46,7 @@
     await cut(scene)
 
 
-async def one(agents: Agents, hollows: Hollows) -> dict[str, list[float]]:
+async def one(agents: Agents, hollows: SimulatedInstances) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
     await agents.held(hollows, number)
