--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -18,7 +18,7 @@
 from ironscale.standins.settings import SETTINGS
 from ironscale.standins.upstream import Peer
 
-START_S = 60.0
+START_TIMEOUT_S = 60.0
 USUAL_LIST = 10  # upstreams of one service
 NOT_OURS = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
 
@@ -61,7 +61,7 @@
         """Starts `count` sidecars and waits until all serve. Raises RealsError."""
         started = [self.launch(agents, token_file) for _ in range(count)]
         try:
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 for process, port in zip(started, self.ports[len(self.ports) - count:], strict=True):
                     while not await Stage.serves(port.number):
                         if process.poll() is not None:
@@ -69,7 +69,7 @@
                                              f"{process.returncode}; see {self.folder / 'real.log'}")
                         await asyncio.sleep(0.05)
         except TimeoutError:
-            raise RealsError(f"{count} sidecars did not serve within {START_S:g} s") from None
+            raise RealsError(f"{count} sidecars did not serve within {START_TIMEOUT_S:g} s") from None
         return started
 
     def launch(self, agents: Sequence[tuple[str, int]], token_file: Path | None) -> subprocess.Popen[bytes]:
