--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -19,7 +19,7 @@
 from ironscale.standins.upstream import Peer
 
 START_TIMEOUT_S = 60.0
-USUAL_LIST = 10  # upstreams of one service
+DEFAULT_UPSTREAMS = 10  # upstreams of one service
 NOT_OURS = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
 
 
@@ -37,7 +37,7 @@
 
     @classmethod
     @asynccontextmanager
-    async def among(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = USUAL_LIST) -> AsyncIterator[Reals]:
+    async def among(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
