--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -20,7 +20,7 @@
 
 START_TIMEOUT_S = 60.0
 DEFAULT_UPSTREAMS = 10  # upstreams of one service
-NOT_OURS = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
+UNSET_VARIABLES = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
 
 
 class RealsError(Exception):
@@ -80,7 +80,7 @@
             "name": name, "listen": f"127.0.0.1:{port.number}", "discovery": f"127.0.0.1:{self.discovery.port}",
             "seed": f"{number + 1:x}", "limits": {"sockets": 256},
             "settings": {**SETTINGS, "instances": 200, "self-index": number}}), encoding="utf-8")
-        environ = {key: value for key, value in os.environ.items() if key not in NOT_OURS}
+        environ = {key: value for key, value in os.environ.items() if key not in UNSET_VARIABLES}
         environ["GW_CONFIG"] = str(file)
         if agents:
             environ |= {"GW_AGENT": ",".join(f"{host}:{number}" for host, number in agents),
