--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -23,7 +23,7 @@
 UNSET_VARIABLES = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
 
 
-class RealsError(Exception):
+class RealSidecarsError(Exception):
     """Real sidecars that failed to start; the message is a single line."""
 
 
@@ -65,11 +65,11 @@
                 for process, port in zip(started, self.ports[len(self.ports) - count:], strict=True):
                     while not await Stage.serves(port.number):
                         if process.poll() is not None:
-                            raise RealsError(f"sidecar of process {process.pid} ended with status "
+                            raise RealSidecarsError(f"sidecar of process {process.pid} ended with status "
                                              f"{process.returncode}; see {self.folder / 'real.log'}")
                         await asyncio.sleep(0.05)
         except TimeoutError:
-            raise RealsError(f"{count} sidecars did not serve within {START_TIMEOUT_S:g} s") from None
+            raise RealSidecarsError(f"{count} sidecars did not serve within {START_TIMEOUT_S:g} s") from None
         return started
 
     def launch(self, agents: Sequence[tuple[str, int]], token_file: Path | None) -> subprocess.Popen[bytes]:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -20,7 +20,7 @@
 from ironscale.scale.agents import Agents, AgentsError
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
 from ironscale.scale.fit import FitError
-from ironscale.scale.real_sidecars import Reals, RealsError
+from ironscale.scale.real_sidecars import Reals, RealSidecarsError
 from ironscale.scale.result import Reading, Result, build_slope
 from ironscale.scale.simulated_instances import SimulatedInstancesError, SimulatedInstances
 from ironscale.scale.size import Size
@@ -138,7 +138,7 @@
         if not stopped:
             raise
         raise RunError("stopped") from None
-    except (AgentsError, SimulatedInstancesError, RealsError, FitError, OSError, httpx.HTTPError) as error:
+    except (AgentsError, SimulatedInstancesError, RealSidecarsError, FitError, OSError, httpx.HTTPError) as error:
         raise RunError(f"{piece}: {error}") from error
     finally:
         crew.end()
