--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -37,7 +37,7 @@
 
     @classmethod
     @asynccontextmanager
-    async def among(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
+    async def running(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -75,7 +75,7 @@
             await found.start()
             await hollows.start(count, found.addresses, found.token_file,
                                 versions=found.addresses if follows else ())
-            async with Reals.among(self.crew, folder, real) as reals:
+            async with Reals.running(self.crew, folder, real) as reals:
                 await reals.start(real, found.addresses, found.token_file)
                 await found.until_ready(count + real)
                 yield found, hollows
