--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -42,17 +42,17 @@
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
         peer.keep_messages = False
-        found = cls(crew, folder, discovery, peer)
+        sidecars = cls(crew, folder, discovery, peer)
         if not count:
-            yield found
+            yield sidecars
             return
         await peer.start()
         discovery.put(*(peer.entry(f"node-{n:05}") for n in range(upstreams)))
         await discovery.start()
         try:
-            yield found
+            yield sidecars
         finally:
-            found.end()
+            sidecars.end()
             await discovery.stop()
             await peer.stop()
 
