--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -31,7 +31,7 @@
     """Sidecars that share one list of upstreams. Each start may use other agents, or none."""
 
     def __init__(self, crew: ChildProcesses, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
-        self.crew, self.folder, self.discovery, self.peer = crew, folder, discovery, peer
+        self.children, self.folder, self.discovery, self.peer = crew, folder, discovery, peer
         self.processes: list[subprocess.Popen[bytes]] = []
         self.ports: list[Port] = []
 
@@ -85,7 +85,7 @@
         if agents:
             environ |= {"GW_AGENT": ",".join(f"{host}:{number}" for host, number in agents),
                         "GW_AGENT_TOKEN_FILE": str(token_file)}
-        process = self.crew.start(name, "ironscale", environ=environ, log=self.folder / "real.log")
+        process = self.children.start(name, "ironscale", environ=environ, log=self.folder / "real.log")
         self.processes.append(process)
         self.ports.append(port)
         return process
@@ -95,7 +95,7 @@
 
     def end(self) -> None:
         if self.processes:
-            self.crew.end(*self.processes)
+            self.children.end(*self.processes)
         for port in self.ports:
             port.close()
         self.processes.clear()
