--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -30,8 +30,8 @@
 class Reals:
     """Sidecars that share one list of upstreams. Each start may use other agents, or none."""
 
-    def __init__(self, crew: ChildProcesses, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
-        self.children, self.folder, self.discovery, self.peer = crew, folder, discovery, peer
+    def __init__(self, children: ChildProcesses, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
+        self.children, self.folder, self.discovery, self.peer = children, folder, discovery, peer
         self.processes: list[subprocess.Popen[bytes]] = []
         self.ports: list[Port] = []
 
