--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -37,12 +37,12 @@
 
     @classmethod
     @asynccontextmanager
-    async def running(cls, crew: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
+    async def running(cls, children: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
         peer.keep_messages = False
-        sidecars = cls(crew, folder, discovery, peer)
+        sidecars = cls(children, folder, discovery, peer)
         if not count:
             yield sidecars
             return
