--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -73,13 +73,13 @@
         return started
 
     def launch(self, agents: Sequence[tuple[str, int]], token_file: Path | None) -> subprocess.Popen[bytes]:
-        number, port = len(self.processes), Port()
-        name = f"real-{number:03}"
+        index, port = len(self.processes), Port()
+        name = f"real-{index:03}"
         file = self.folder / f"{name}.json"
         file.write_text(json.dumps({
             "name": name, "listen": f"127.0.0.1:{port.number}", "discovery": f"127.0.0.1:{self.discovery.port}",
-            "seed": f"{number + 1:x}", "limits": {"sockets": 256},
-            "settings": {**SETTINGS, "instances": 200, "self-index": number}}), encoding="utf-8")
+            "seed": f"{index + 1:x}", "limits": {"sockets": 256},
+            "settings": {**SETTINGS, "instances": 200, "self-index": index}}), encoding="utf-8")
         environ = {key: value for key, value in os.environ.items() if key not in UNSET_VARIABLES}
         environ["GW_CONFIG"] = str(file)
         if agents:
