--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -10,7 +10,7 @@
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import Agents, at_rest
 from ironscale.scale.bounds import resident_memory_mb
-from ironscale.scale.real_sidecars import Reals
+from ironscale.scale.real_sidecars import RealSidecars
 from ironscale.scale.run import Scene
 
 ROLE, LIST = "sidecar control", "upstreams in the list"
@@ -40,7 +40,7 @@
     for length in scene.size.play.lists:
         scene.progress(f"control: lists of {length}")
         scene.check(0, 1, 2 * EACH)
-        async with scene.fleet(0) as (agents, _), Reals.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
+        async with scene.fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
             await agents.until_ready(EACH)
@@ -62,7 +62,7 @@
                       f"with an agent less without, lists of {least}")
 
 
-async def of_list(scene: Scene, agents: Agents, reals: Reals, with_agent: Sequence[subprocess.Popen[bytes]],
+async def of_list(scene: Scene, agents: Agents, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = reals.discovery
     await asyncio.sleep(2.0)
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -27,7 +27,7 @@
     """Real sidecars that failed to start; the message is a single line."""
 
 
-class Reals:
+class RealSidecars:
     """Sidecars that share one list of upstreams. Each start may use other agents, or none."""
 
     def __init__(self, children: ChildProcesses, folder: Path, discovery: ListedDiscovery, peer: Peer) -> None:
@@ -37,7 +37,7 @@
 
     @classmethod
     @asynccontextmanager
-    async def running(cls, children: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[Reals]:
+    async def running(cls, children: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[RealSidecars]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -20,7 +20,7 @@
 from ironscale.scale.agents import Agents, AgentsError
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
 from ironscale.scale.fit import FitError
-from ironscale.scale.real_sidecars import Reals, RealSidecarsError
+from ironscale.scale.real_sidecars import RealSidecars, RealSidecarsError
 from ironscale.scale.result import Reading, Result, build_slope
 from ironscale.scale.simulated_instances import SimulatedInstancesError, SimulatedInstances
 from ironscale.scale.size import Size
@@ -75,7 +75,7 @@
             await found.start()
             await hollows.start(count, found.addresses, found.token_file,
                                 versions=found.addresses if follows else ())
-            async with Reals.running(self.crew, folder, real) as reals:
+            async with RealSidecars.running(self.crew, folder, real) as reals:
                 await reals.start(real, found.addresses, found.token_file)
                 await found.until_ready(count + real)
                 yield found, hollows
