--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -79,10 +79,10 @@
         size = sizing.load(file)
         if sizes is not None:
             size = running.with_sizes(size, numbers(sizes))
-        pieces = running.PIECES if only is None else tuple(only.split(","))
+        pieces = running.MEASUREMENTS if only is None else tuple(only.split(","))
         for piece in pieces:
-            if piece not in running.PIECES:
-                fail(Exit.USAGE, f"--only: expected some of {', '.join(running.PIECES)}, got {piece!r}")
+            if piece not in running.MEASUREMENTS:
+                fail(Exit.USAGE, f"--only: expected some of {', '.join(running.MEASUREMENTS)}, got {piece!r}")
         result = Result(size.digest, running.machine_facts())
         if to.exists():
             result = load(to)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -26,7 +26,7 @@
 from ironscale.scale.size import Size
 
 # Each is a module of this package with `async def measure(scene)`. A full run measures in this order.
-PIECES = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
+MEASUREMENTS = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
 
 
 class RunError(Exception):
