--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -39,7 +39,7 @@
     added_mb: list[float] = []
     for length in scene.size.play.lists:
         scene.progress(f"control: lists of {length}")
-        scene.check(0, 1, 2 * EACH)
+        scene.check_limits(0, 1, 2 * EACH)
         async with scene.fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -57,7 +57,7 @@
         self.result.add(found)
         self.progress(f"{name}: {found.value:.4g} {unit}")
 
-    def check(self, hollow: int, agents: int, real: int = 0, others: int = 0) -> None:
+    def check_limits(self, hollow: int, agents: int, real: int = 0, others: int = 0) -> None:
         """Raises BoundsError if starting this many would exceed the limits."""
         self.bounds.check(Plan(hollow, self.size.play.hollow_each, agents, real, others))
 
@@ -66,7 +66,7 @@
                     follows: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follows` the simulated instances also follow published versions, at all agents."""
-        self.check(count, agents, real)
+        self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
         hollows = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
