--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -115,7 +115,7 @@
     processes it started. Raises RunError, BoundsError."""
     bounds = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
     bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
-    crew = ChildProcesses(bounds)
+    children = ChildProcesses(bounds)
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     stopped = False
@@ -132,7 +132,7 @@
     try:
         for piece, measure in pieces.items():
             progress(f"== {piece}")
-            await watched(crew, measure(Scene(size, folder, crew, bounds, result, progress)))
+            await watched(children, measure(Scene(size, folder, children, bounds, result, progress)))
             write(result)
     except asyncio.CancelledError:
         if not stopped:
@@ -141,7 +141,7 @@
     except (AgentsError, SimulatedInstancesError, RealSidecarsError, FitError, OSError, httpx.HTTPError) as error:
         raise RunError(f"{piece}: {error}") from error
     finally:
-        crew.end()
+        children.end()
         shutil.rmtree(folder, ignore_errors=True)
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.remove_signal_handler(number)
