--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -113,9 +113,9 @@
                    write: Callable[[Result], None]) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
     processes it started. Raises RunError, BoundsError."""
-    bounds = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
-    bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
-    children = ChildProcesses(bounds)
+    limits = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
+    limits.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
+    children = ChildProcesses(limits)
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     stopped = False
@@ -132,7 +132,7 @@
     try:
         for piece, measure in pieces.items():
             progress(f"== {piece}")
-            await watched(children, measure(Scene(size, folder, children, bounds, result, progress)))
+            await watched(children, measure(Scene(size, folder, children, limits, result, progress)))
             write(result)
     except asyncio.CancelledError:
         if not stopped:
