--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -26,7 +26,7 @@
     percent: dict[int, list[float]] = {}
     memory: dict[int, list[float]] = {}
     for count in scene.size.play.sizes:
-        async with scene.fleet(count) as (agents, _):
+        async with scene.running_fleet(count) as (agents, _):
             found = [await at_rest(agents.pid(), 2 * scene.size.play.heartbeat_s) for _ in range(2)]
         percent[count], memory[count] = [f[0] for f in found], [f[1] for f in found]
     scene.add_slope("agent.rest.cpu_percent", "agent that leads", "instances", "% of a core", percent)
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -23,7 +23,7 @@
         # the largest size includes the real sidecars, so its results cover them too
         real = play.real if count == play.sizes[-1] else 0
         scene.progress(f"agent: {count} instances, {real} of them real")
-        async with scene.fleet(count - real, real=real) as (agents, hollows):
+        async with scene.running_fleet(count - real, real=real) as (agents, hollows):
             for name, values in (await one(scene, agents, hollows, count)).items():
                 found.setdefault(name, {})[count] = values
     for name, points in found.items():
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -40,7 +40,7 @@
     for length in scene.size.play.lists:
         scene.progress(f"control: lists of {length}")
         scene.check_limits(0, 1, 2 * EACH)
-        async with scene.fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
+        async with scene.running_fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
             await agents.until_ready(EACH)
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -18,7 +18,7 @@
     count, regions = size.play.sizes[-1], size.fleet.regions
     away = count // regions
     scene.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
-    async with scene.fleet(count - away) as (agents, hollows):
+    async with scene.running_fleet(count - away) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = hollows.instance_processes[:]
         try:
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -28,7 +28,7 @@
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
         scene.progress(f"operator: {count} simulated instances")
-        async with scene.fleet(count) as (agents, _):
+        async with scene.running_fleet(count) as (agents, _):
             for name, values in (await one(agents, count, scene.size.play.repeats)).items():
                 found[name][count] = values
     for name, points in found.items():
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -21,7 +21,7 @@
     read: dict[int, list[float]] = {}
     for count in scene.size.play.sizes:
         scene.progress(f"record: {count} simulated instances")
-        async with scene.fleet(count) as (agents, hollows):
+        async with scene.running_fleet(count) as (agents, hollows):
             await agents.change(hollows)
             await settled(agents)
             for _ in range(FEW):
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -62,7 +62,7 @@
         self.bounds.check(Plan(hollow, self.size.play.hollow_each, agents, real, others))
 
     @asynccontextmanager
-    async def fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
+    async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
                     follows: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follows` the simulated instances also follow published versions, at all agents."""
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -21,7 +21,7 @@
     play = scene.size.play
     for count in play.sizes:
         scene.progress(f"takeover: {count} simulated instances, {play.agents} agents")
-        async with scene.fleet(count, play.agents) as (agents, hollows):
+        async with scene.running_fleet(count, play.agents) as (agents, hollows):
             for name, value in (await one(agents, hollows, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
     for name, points in found.items():
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -38,7 +38,7 @@
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
         scene.progress(f"versions: {count} simulated followers, {scene.size.play.agents} agents")
-        async with scene.fleet(count, scene.size.play.agents, follows=True) as (agents, hollows):
+        async with scene.running_fleet(count, scene.size.play.agents, follows=True) as (agents, hollows):
             for name, values in (await one(agents, hollows)).items():
                 found[name][count] = values
     for name, points in found.items():
@@ -97,7 +97,7 @@
     count = size.play.sizes[-1]
     away, for_s = count // size.fleet.regions, 20.0
     scene.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with scene.fleet(count - away, 1, follows=True) as (agents, hollows):
+    async with scene.running_fleet(count - away, 1, follows=True) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = len(hollows.instance_processes)
         try:
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -194,7 +194,7 @@
     async def measure(scene: Scene) -> None:
         rows: dict[int, list[float]] = {}
         for count in scene.size.play.sizes:
-            async with scene.fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
+            async with scene.running_fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
                 change = await agents.change(hollows)
                 assert len(change.latencies_s) == count and 0 < change.latencies_s[-1] < change.closed_s
                 rows[count] = [agents.record_state()["targets"]]
