--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -376,7 +376,7 @@
 async def measure(scene: Scene) -> None:
     """Measures by length of the list, by number of sidecars, and the simultaneous restart of a whole zone."""
     size = scene.size
-    scene.check_limits(0, 0, others=2 + -(-max(size.play.sizes) // EACH))
+    scene.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // EACH))
     try:
         await by_length(scene, size.play.lists, 20, min(2, size.play.repeats))
         await by_sidecars(scene, size.play.sizes, size.play.lists[-1])
