--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -420,7 +420,7 @@
 
 async def measure(scene: Scene) -> None:
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
-    scene.check_limits(0, 0, real=sum(LENGTHS), other_processes=len(LENGTHS))
+    scene.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
         turns = await play_all(LENGTHS, rounds=scene.size.play.repeats, tell=scene.progress)
     except ChildError as error:
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -338,7 +338,7 @@
 async def measure(scene: Scene) -> None:
     """Measures all lists of the size file, and the longest once more with a sidecar that is told of few others."""
     lists, rate, windows = scene.size.play.lists, scene.size.calls_per_s_each, scene.size.play.repeats
-    scene.check_limits(0, 0, real=1, other_processes=2)
+    scene.check_limits(0, 0, real_count=1, other_processes=2)
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
             f"the direct way nor the byte relay took over {QUIET_US / 1000:g} ms; the sidecar is told of ")
     try:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -57,9 +57,9 @@
         self.result.add(found)
         self.progress(f"{name}: {found.value:.4g} {unit}")
 
-    def check_limits(self, simulated: int, agents: int, real: int = 0, other_processes: int = 0) -> None:
+    def check_limits(self, simulated: int, agents: int, real_count: int = 0, other_processes: int = 0) -> None:
         """Raises BoundsError if starting this many would exceed the limits."""
-        self.bounds.check(Plan(simulated, self.size.play.hollow_each, agents, real, other_processes))
+        self.bounds.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
 
     @asynccontextmanager
     async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
