--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -44,10 +44,10 @@
     result: Result
     progress: Callable[[str], None]
 
-    def add_slope(self, name: str, role: str, x: str, unit: str, points: Mapping[int, Iterable[float]],
+    def add_slope(self, name: str, role: str, x_axis: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
         """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
-        found = build_slope(name, role, x, unit, {float(size): values for size, values in points.items()}, now(), note)
+        found = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, now(), note)
         self.result.add(found)
         self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in found.points)
                       + f" {unit}; {found.fit.verdict}")
