--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -47,10 +47,10 @@
     def add_slope(self, name: str, role: str, x_axis: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
         """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
-        found = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, now(), note)
-        self.result.add(found)
-        self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in found.points)
-                      + f" {unit}; {found.fit.verdict}")
+        added = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, now(), note)
+        self.result.add(added)
+        self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in added.points)
+                      + f" {unit}; {added.fit.verdict}")
 
     def add_reading(self, name: str, role: str, unit: str, repeats: Iterable[float], note: str = "") -> None:
         found = Reading(name, role, unit, tuple(float(v) for v in repeats), now(), note)
