--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -53,9 +53,9 @@
                       + f" {unit}; {added.fit.verdict}")
 
     def add_reading(self, name: str, role: str, unit: str, repeats: Iterable[float], note: str = "") -> None:
-        found = Reading(name, role, unit, tuple(float(v) for v in repeats), now(), note)
-        self.result.add(found)
-        self.progress(f"{name}: {found.value:.4g} {unit}")
+        added = Reading(name, role, unit, tuple(float(v) for v in repeats), now(), note)
+        self.result.add(added)
+        self.progress(f"{name}: {added.value:.4g} {unit}")
 
     def check_limits(self, simulated: int, agents: int, real_count: int = 0, other_processes: int = 0) -> None:
         """Raises BoundsError if starting this many would exceed the limits."""
