--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -63,7 +63,7 @@
 
     @asynccontextmanager
     async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
-                    follows: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
+                    follow_versions: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follows` the simulated instances also follow published versions, at all agents."""
         self.check_limits(count, agents, real)
@@ -74,7 +74,7 @@
         try:
             await found.start()
             await hollows.start(count, found.addresses, found.token_file,
-                                versions=found.addresses if follows else ())
+                                versions=found.addresses if follow_versions else ())
             async with RealSidecars.running(self.crew, folder, real) as reals:
                 await reals.start(real, found.addresses, found.token_file)
                 await found.until_ready(count + real)
