--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -69,18 +69,18 @@
         self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
-        hollows = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
+        instances = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
         found = Agents(self.crew, folder, agents, play, term_s)
         try:
             await found.start()
-            await hollows.start(count, found.addresses, found.token_file,
+            await instances.start(count, found.addresses, found.token_file,
                                 versions=found.addresses if follow_versions else ())
             async with RealSidecars.running(self.crew, folder, real) as reals:
                 await reals.start(real, found.addresses, found.token_file)
                 await found.until_ready(count + real)
-                yield found, hollows
+                yield found, instances
         finally:
-            await hollows.end()
+            await instances.end()
             await found.close()
             shutil.rmtree(folder, ignore_errors=True)
 
