--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -70,18 +70,18 @@
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
         instances = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
-        found = Agents(self.crew, folder, agents, play, term_s)
+        running_agents = Agents(self.crew, folder, agents, play, term_s)
         try:
-            await found.start()
-            await instances.start(count, found.addresses, found.token_file,
-                                versions=found.addresses if follow_versions else ())
+            await running_agents.start()
+            await instances.start(count, running_agents.addresses, running_agents.token_file,
+                                versions=running_agents.addresses if follow_versions else ())
             async with RealSidecars.running(self.crew, folder, real) as reals:
-                await reals.start(real, found.addresses, found.token_file)
-                await found.until_ready(count + real)
-                yield found, instances
+                await reals.start(real, running_agents.addresses, running_agents.token_file)
+                await running_agents.until_ready(count + real)
+                yield running_agents, instances
         finally:
             await instances.end()
-            await found.close()
+            await running_agents.close()
             shutil.rmtree(folder, ignore_errors=True)
 
 
