--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -47,13 +47,13 @@
     def add_slope(self, name: str, role: str, x_axis: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
         """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
-        added = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, now(), note)
+        added = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, utc_now(), note)
         self.result.add(added)
         self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in added.points)
                       + f" {unit}; {added.fit.verdict}")
 
     def add_reading(self, name: str, role: str, unit: str, repeats: Iterable[float], note: str = "") -> None:
-        added = Reading(name, role, unit, tuple(float(v) for v in repeats), now(), note)
+        added = Reading(name, role, unit, tuple(float(v) for v in repeats), utc_now(), note)
         self.result.add(added)
         self.progress(f"{name}: {added.value:.4g} {unit}")
 
@@ -88,7 +88,7 @@
 Measure = Callable[[Scene], Awaitable[None]]
 
 
-def now() -> str:
+def utc_now() -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
 
 
