--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -16,7 +16,7 @@
 from ironscale.scale.agents import at_rest
 from ironscale.scale.operator import measure as operators
 from ironscale.scale.result import Result
-from ironscale.scale.run import Scene, machine_facts, run_with
+from ironscale.scale.run import Scene, describe_machine, run_with
 from ironscale.scale.size import Size, load
 
 SIZE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
@@ -46,7 +46,7 @@
     parser.add_argument("--json", type=Path)
     given = parser.parse_args()
     size = size_of(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
-    result = Result(size.digest, machine_facts())
+    result = Result(size.digest, describe_machine())
 
     async def both(scene: Scene) -> None:
         await rest(scene)
--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -83,7 +83,7 @@
         for piece in pieces:
             if piece not in running.MEASUREMENTS:
                 fail(Exit.USAGE, f"--only: expected some of {', '.join(running.MEASUREMENTS)}, got {piece!r}")
-        result = Result(size.digest, running.machine_facts())
+        result = Result(size.digest, running.describe_machine())
         if to.exists():
             result = load(to)
             if result.size_digest != size.digest:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -92,7 +92,7 @@
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
 
 
-def machine_facts() -> dict[str, Any]:
+def describe_machine() -> dict[str, Any]:
     found = read_machine()
     return {"cores": found.cores, "memory_mb": round(found.memory_mb), "available_mb": round(found.available_mb),
             "python": platform.python_version(), "system": f"{platform.system()} {platform.release()}"}
