--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -93,8 +93,8 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    found = read_machine()
-    return {"cores": found.cores, "memory_mb": round(found.memory_mb), "available_mb": round(found.available_mb),
+    machine = read_machine()
+    return {"cores": machine.cores, "memory_mb": round(machine.memory_mb), "available_mb": round(machine.available_mb),
             "python": platform.python_version(), "system": f"{platform.system()} {platform.release()}"}
 
 
