--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -102,10 +102,10 @@
     return replace(size, play=replace(size.play, sizes=sizes))
 
 
-async def run(size: Size, pieces: Sequence[str], result: Result, progress: Callable[[str], None],
+async def run(size: Size, names: Sequence[str], result: Result, progress: Callable[[str], None],
               write: Callable[[Result], None]) -> None:
     """Runs the measurements with these names, one after another, as `run_with` does."""
-    found = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in pieces}
+    found = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
     await run_with(size, found, result, progress, write)
 
 
