--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -105,8 +105,8 @@
 async def run(size: Size, names: Sequence[str], result: Result, progress: Callable[[str], None],
               write: Callable[[Result], None]) -> None:
     """Runs the measurements with these names, one after another, as `run_with` does."""
-    found = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
-    await run_with(size, found, result, progress, write)
+    measurements = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
+    await run_with(size, measurements, result, progress, write)
 
 
 async def run_with(size: Size, pieces: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
