--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -109,7 +109,7 @@
     await run_with(size, measurements, result, progress, write)
 
 
-async def run_with(size: Size, pieces: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
+async def run_with(size: Size, measurements: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
                    write: Callable[[Result], None]) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
     processes it started. Raises RunError, BoundsError."""
@@ -130,7 +130,7 @@
         loop.add_signal_handler(number, stop)
     folder = Path(tempfile.mkdtemp(prefix="ironscale-scale-"))
     try:
-        for piece, measure in pieces.items():
+        for piece, measure in measurements.items():
             progress(f"== {piece}")
             await watched(children, measure(Scene(size, folder, children, limits, result, progress)))
             write(result)
