--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -130,8 +130,8 @@
         loop.add_signal_handler(number, stop)
     folder = Path(tempfile.mkdtemp(prefix="ironscale-scale-"))
     try:
-        for piece, measure in measurements.items():
-            progress(f"== {piece}")
+        for name, measure in measurements.items():
+            progress(f"== {name}")
             await watched(children, measure(Scene(size, folder, children, limits, result, progress)))
             write(result)
     except asyncio.CancelledError:
@@ -139,7 +139,7 @@
             raise
         raise RunError("stopped") from None
     except (AgentsError, SimulatedInstancesError, RealSidecarsError, FitError, OSError, httpx.HTTPError) as error:
-        raise RunError(f"{piece}: {error}") from error
+        raise RunError(f"{name}: {error}") from error
     finally:
         children.end()
         shutil.rmtree(folder, ignore_errors=True)
