--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -149,9 +149,9 @@
                 signal.signal(number, signal.SIG_IGN)
 
 
-async def watched(crew: ChildProcesses, work: Awaitable[None]) -> None:
+async def watched(children: ChildProcesses, work: Awaitable[None]) -> None:
     """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
-    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch_memory())}
+    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(children.watch_memory())}
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
