--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -132,7 +132,7 @@
     try:
         for name, measure in measurements.items():
             progress(f"== {name}")
-            await watched(children, measure(Scene(size, folder, children, limits, result, progress)))
+            await run_with_watchdog(children, measure(Scene(size, folder, children, limits, result, progress)))
             write(result)
     except asyncio.CancelledError:
         if not stopped:
@@ -149,7 +149,7 @@
                 signal.signal(number, signal.SIG_IGN)
 
 
-async def watched(children: ChildProcesses, work: Awaitable[None]) -> None:
+async def run_with_watchdog(children: ChildProcesses, work: Awaitable[None]) -> None:
     """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
     tasks = {asyncio.ensure_future(work), asyncio.ensure_future(children.watch_memory())}
     try:
