--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -16,7 +16,7 @@
 from ironscale.scale.agents import at_rest
 from ironscale.scale.operator import measure as operators
 from ironscale.scale.result import Result
-from ironscale.scale.run import Scene, describe_machine, run_with
+from ironscale.scale.run import Scene, describe_machine, run_measurements
 from ironscale.scale.size import Size, load
 
 SIZE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
@@ -52,7 +52,7 @@
         await rest(scene)
         await operators(scene)
 
-    uvloop.run(run_with(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None))
+    uvloop.run(run_measurements(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None))
     if given.json:
         result.write(given.json)
 
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -106,10 +106,10 @@
               write: Callable[[Result], None]) -> None:
     """Runs the measurements with these names, one after another, as `run_with` does."""
     measurements = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
-    await run_with(size, measurements, result, progress, write)
+    await run_measurements(size, measurements, result, progress, write)
 
 
-async def run_with(size: Size, measurements: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
+async def run_measurements(size: Size, measurements: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
                    write: Callable[[Result], None]) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
     processes it started. Raises RunError, BoundsError."""
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -186,7 +186,7 @@
 def test_a_small_run_ends_clean_with_its_figures(tmp_path: Path) -> None:
     """One agent, up to 20 hollow instances and a real sidecar: a change comes to each, and the run adds by name."""
     from ironscale.scale.result import Result
-    from ironscale.scale.run import Scene, run_with
+    from ironscale.scale.run import Scene, run_measurements
     from ironscale.scale.size import parse
 
     pids: set[int] = set()
@@ -206,7 +206,7 @@
     size = parse(SMALL, "small")
     result = Result(size.digest, {"cores": 8, "memory_mb": 1})
     written: list[int] = []
-    asyncio.run(run_with(size, {"probe": measure}, result, lambda text: None,
+    asyncio.run(run_measurements(size, {"probe": measure}, result, lambda text: None,
                          lambda found: written.append(len(found.slopes))))
     found = result.slopes["record.change.targets"]
     assert [(p.size, p.value) for p in found.points] == [(5, 5), (10, 10), (20, 21)] and written == [1]
