--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -16,13 +16,13 @@
 from ironscale.scale.agents import at_rest
 from ironscale.scale.operator import measure as operators
 from ironscale.scale.result import Result
-from ironscale.scale.run import Scene, describe_machine, run_measurements
+from ironscale.scale.run import RunContext, describe_machine, run_measurements
 from ironscale.scale.size import Size, load
 
 SIZE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
 
 
-async def rest(scene: Scene) -> None:
+async def rest(scene: RunContext) -> None:
     percent: dict[int, list[float]] = {}
     memory: dict[int, list[float]] = {}
     for count in scene.size.play.sizes:
@@ -48,7 +48,7 @@
     size = size_of(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
     result = Result(size.digest, describe_machine())
 
-    async def both(scene: Scene) -> None:
+    async def both(scene: RunContext) -> None:
         await rest(scene)
         await operators(scene)
 
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -7,7 +7,7 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent, at_rest
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
 LEADS, CONTROL, X = "agent that leads", "sidecar control", "instances"
@@ -16,7 +16,7 @@
 Points = dict[str, dict[int, list[float]]]
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     found: Points = {}
     play = scene.size.play
     for count in play.sizes:
@@ -59,7 +59,7 @@
 }
 
 
-async def one(scene: Scene, agents: Agents, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
+async def one(scene: RunContext, agents: Agents, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = scene.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -34,7 +34,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.scale.model import extrapolate
 from ironscale.scale.path import ROLE, client_of, latencies_us, paced, percentile, scenario
-from ironscale.scale.run import RunError, Scene
+from ironscale.scale.run import RunError, RunContext
 from ironscale.standins.discovery import ListedDiscovery
 
 KIND = KindSpec("view", "idempotent", 1_000_000, False)
@@ -393,7 +393,7 @@
     return found
 
 
-def record(scene: Scene, turns: Sequence[Turn], depth: int) -> None:
+def record(scene: RunContext, turns: Sequence[Turn], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
     for turn in turns:
@@ -418,7 +418,7 @@
                           f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
     scene.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -11,7 +11,7 @@
 from ironscale.scale.agents import Agents, at_rest
 from ironscale.scale.bounds import resident_memory_mb
 from ironscale.scale.real_sidecars import RealSidecars
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 
 ROLE, LIST = "sidecar control", "upstreams in the list"
 EACH = 4  # sidecars with an agent, and the same number without
@@ -33,7 +33,7 @@
 }
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     added_cpu: list[float] = []
     added_mb: list[float] = []
@@ -62,7 +62,7 @@
                       f"with an agent less without, lists of {least}")
 
 
-async def of_list(scene: Scene, agents: Agents, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
+async def of_list(scene: RunContext, agents: Agents, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = reals.discovery
     await asyncio.sleep(2.0)
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 from ironscale.stage.relay import Relay
 
 ROLE = "agent that leads"
@@ -13,7 +13,7 @@
 WAIT_S = 60.0
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     size = scene.size
     count, regions = size.play.sizes[-1], size.fleet.regions
     away = count // regions
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -33,7 +33,7 @@
 from ironscale.net.config import CALL_US
 from ironscale.net.discovery import Discovery, Listing, ListParser, _Call
 from ironscale.scale.path import allow_files, percentile, scenario
-from ironscale.scale.run import RunError, Scene
+from ironscale.scale.run import RunError, RunContext
 from ironscale.standins.discovery import ListedDiscovery
 
 ROLE = "discovery"
@@ -335,7 +335,7 @@
     return found
 
 
-async def by_length(scene: Scene, lists: Sequence[int], watches: int, repeats: int) -> None:
+async def by_length(scene: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     figures = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
     found = [await take(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
@@ -346,7 +346,7 @@
                         + (f"; were it asked for every {ASK_S:g} s" if figure == "asked_bytes_s" else ""))
 
 
-async def by_sidecars(scene: Scene, sizes: Sequence[int], upstreams: int) -> None:
+async def by_sidecars(scene: RunContext, sizes: Sequence[int], upstreams: int) -> None:
     found = [await take(upstreams, watches, asked=False) for watches in sizes]
     for figure, unit, values in (
         ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in found]),
@@ -359,7 +359,7 @@
                         f"written by discovery, a list of {upstreams:,}; all sidecars start at once")
 
 
-async def zone_back(scene: Scene, sidecars: int, upstreams: int) -> None:
+async def zone_back(scene: RunContext, sidecars: int, upstreams: int) -> None:
     for turn_ms in TURNS_MS:
         async with site(upstreams, sidecars, turn_ms) as played:
             await played.start()
@@ -373,7 +373,7 @@
             scene.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     """Measures by length of the list, by number of sidecars, and the simultaneous restart of a whole zone."""
     size = scene.size
     scene.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // EACH))
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -7,7 +7,7 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 
 ROLE, X = "operator", "instances"
 WAVES = 10
@@ -24,7 +24,7 @@
 INSPECT = "query($n: String!) { instance(name: $n) { inspect { upstreams { name } } } }"
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
         scene.progress(f"operator: {count} simulated instances")
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -35,7 +35,7 @@
 from ironscale.load.scenario import Scenario, parse
 from ironscale.load.schedule import KindMix, Mix, Schedule, build, steady
 from ironscale.scale.fit import MIN_SIZES
-from ironscale.scale.run import RunError, Scene
+from ironscale.scale.run import RunError, RunContext
 
 WAYS = ("direct", "relay", "sidecar")
 KIND = KindSpec("view", "idempotent", 5_000_000, False)
@@ -305,7 +305,7 @@
          "opened_per_s": "/s", "connections_held": "connections", "sidecar_files": "files", "rss_mb": "MB"}
 
 
-def record(scene: Scene, found: Found, prefix: str, note: str) -> None:
+def record(scene: RunContext, found: Found, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
     for name, points in found.points.items():
@@ -335,7 +335,7 @@
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     """Measures all lists of the size file, and the longest once more with a sidecar that is told of few others."""
     lists, rate, windows = scene.size.play.lists, scene.size.calls_per_s_each, scene.size.play.repeats
     scene.check_limits(0, 0, real_count=1, other_processes=2)
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -7,13 +7,13 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 
 ROLE, X = "record", "instances"
 FEW, MANY = 4, 16  # changes
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     grown: dict[int, list[float]] = {}
     rows: dict[int, list[float]] = {}
     written: dict[int, list[float]] = {}
@@ -71,7 +71,7 @@
     return time.monotonic() - at_s, float(Spent.of(agents.pid()).read)
 
 
-async def longer(scene: Scene, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
+async def longer(scene: RunContext, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.until_ready(hollows_count)
     for _ in range(MANY):
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Scene:
+class RunContext:
     """The context of one measurement: the size, a temporary folder, the started processes and the result."""
 
     size: Size
@@ -85,7 +85,7 @@
             shutil.rmtree(folder, ignore_errors=True)
 
 
-Measure = Callable[[Scene], Awaitable[None]]
+Measure = Callable[[RunContext], Awaitable[None]]
 
 
 def utc_now() -> str:
@@ -132,7 +132,7 @@
     try:
         for name, measure in measurements.items():
             progress(f"== {name}")
-            await run_with_watchdog(children, measure(Scene(size, folder, children, limits, result, progress)))
+            await run_with_watchdog(children, measure(RunContext(size, folder, children, limits, result, progress)))
             write(result)
     except asyncio.CancelledError:
         if not stopped:
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ironscale.scale.agents import Agents, at_rest
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
 ROLE, X = "agent that stands by", "instances"
@@ -16,7 +16,7 @@
 }
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     play = scene.size.play
     for count in play.sizes:
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -7,7 +7,7 @@
 import time
 
 from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
 
@@ -34,7 +34,7 @@
     return times[min(len(times) - 1, int(share * len(times)))] - from_s
 
 
-async def measure(scene: Scene) -> None:
+async def measure(scene: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
         scene.progress(f"versions: {count} simulated followers, {scene.size.play.agents} agents")
@@ -91,7 +91,7 @@
     return at_s
 
 
-async def cut(scene: Scene) -> None:
+async def cut(scene: RunContext) -> None:
     """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
     size = scene.size
     count = size.play.sizes[-1]
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -186,12 +186,12 @@
 def test_a_small_run_ends_clean_with_its_figures(tmp_path: Path) -> None:
     """One agent, up to 20 hollow instances and a real sidecar: a change comes to each, and the run adds by name."""
     from ironscale.scale.result import Result
-    from ironscale.scale.run import Scene, run_measurements
+    from ironscale.scale.run import RunContext, run_measurements
     from ironscale.scale.size import parse
 
     pids: set[int] = set()
 
-    async def measure(scene: Scene) -> None:
+    async def measure(scene: RunContext) -> None:
         rows: dict[int, list[float]] = {}
         for count in scene.size.play.sizes:
             async with scene.running_fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -10,15 +10,15 @@
 from ironscale.scale import path
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses
 from ironscale.scale.result import Result
-from ironscale.scale.run import Scene
+from ironscale.scale.run import RunContext
 from ironscale.scale.size import load
 from tests.sockets import run
 
 
-def scene_of() -> Scene:
+def scene_of() -> RunContext:
     bounds = ResourceLimits(300, 0.5)
     size = load(Path(examples.__file__ or "").parent / "examples/coming.toml")
-    return Scene(size, Path("."), ChildProcesses(bounds), bounds, Result("", {}), lambda line: None)
+    return RunContext(size, Path("."), ChildProcesses(bounds), bounds, Result("", {}), lambda line: None)
 
 
 def served(at_us: int, took_us: int, end: int = End.SERVED) -> Sample:
