--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -25,7 +25,7 @@
 from ironscale.stage.relay import Port
 
 START_S = 60.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 APPLY = """mutation($input: ApplyInput!) { apply(input: $input) { id generation open phase } }"""
 STATUS = """query($id: Int!) { operation(id: $id) { open phase counts { state count } } }"""
 PUBLISH = """mutation($input: PublishInput!) { publish(input: $input) { number } }"""
@@ -120,7 +120,7 @@
             async with asyncio.timeout(within_s):
                 while not condition():
                     self.check()
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             raise AgentsError(f"{wrong} within {within_s:g} s: {self.last_words()}") from None
 
@@ -167,7 +167,7 @@
                 except (httpx.HTTPError, OSError, ValueError, AgentsError) as error:
                     problem = error
             self.turn = (self.turn + 1) % self.count
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise AgentsError(f"no agent accepted the request within {within_s:g} s: {problem}")
 
     async def until_ready(self, count: int, within_s: float = START_S) -> float:
