--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -24,7 +24,7 @@
 from ironscale.scale.size import Play
 from ironscale.stage.relay import Port
 
-START_S = 60.0
+START_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.02
 APPLY = """mutation($input: ApplyInput!) { apply(input: $input) { id generation open phase } }"""
 STATUS = """query($id: Int!) { operation(id: $id) { open phase counts { state count } } }"""
@@ -115,7 +115,7 @@
         for number in range(1, self.count):
             self.launch(number)
 
-    async def until(self, condition: Any, wrong: str, within_s: float = START_S) -> None:
+    async def until(self, condition: Any, wrong: str, within_s: float = START_TIMEOUT_S) -> None:
         try:
             async with asyncio.timeout(within_s):
                 while not condition():
@@ -156,7 +156,7 @@
             raise AgentsError(str(body["errors"][0].get("message"))[:200])
         return dict(body["data"])
 
-    async def call(self, query: str, within_s: float = START_S, **variables: Any) -> dict[str, Any]:
+    async def call(self, query: str, within_s: float = START_TIMEOUT_S, **variables: Any) -> dict[str, Any]:
         """Sends a query to each agent in turn until the one that leads accepts it. Raises AgentsError."""
         problem: Exception | None = None
         until_s = time.monotonic() + within_s
@@ -170,7 +170,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         raise AgentsError(f"no agent accepted the request within {within_s:g} s: {problem}")
 
-    async def until_ready(self, count: int, within_s: float = START_S) -> float:
+    async def until_ready(self, count: int, within_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
         until_s, seen = time.monotonic() + within_s, -1
         while time.monotonic() < until_s:
@@ -182,7 +182,7 @@
 
     # Changes
 
-    async def apply(self, within_s: float = START_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
+    async def apply(self, within_s: float = START_TIMEOUT_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
                     ) -> tuple[int, int, float, float]:
         """Makes a change. Returns its generation and operation, the moment of the request and that of the answer."""
         generation = (await self.call(FLEET, within_s))["fleet"]["generation"]
@@ -194,7 +194,7 @@
                                                        "policy": {"answerMs": 60_000, **(policy or {})}})
         return told["apply"]["generation"], told["apply"]["id"], asked_s, time.monotonic()
 
-    async def closed(self, operation: int, within_s: float = START_S) -> float:
+    async def closed(self, operation: int, within_s: float = START_TIMEOUT_S) -> float:
         until_s = time.monotonic() + within_s
         while time.monotonic() < until_s:
             found = (await self.call(STATUS, within_s, id=operation))["operation"]
@@ -216,15 +216,15 @@
                       closed_s - from_s)
 
     async def in_force(self, hollows: SimulatedInstances, generation: int) -> list[float]:
-        until_s, times = time.monotonic() + START_S, list[float]()
+        until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < until_s:
             times = await hollows.times("in force", generation)
             if len(times) >= hollows.count:
                 return times
             await asyncio.sleep(0.1)
-        raise AgentsError(f"generation {generation}: {len(times)} of {hollows.count} had it within {START_S:g} s")
+        raise AgentsError(f"generation {generation}: {len(times)} of {hollows.count} had it within {START_TIMEOUT_S:g} s")
 
-    async def publish(self, within_s: float = START_S) -> tuple[int, float, float]:
+    async def publish(self, within_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
         """Publishes a version for all instances. Returns its number, the moment of the request and that of the
         answer."""
         found = (await self.call(VERSIONS, within_s))["versions"]["edges"]
@@ -237,13 +237,13 @@
 
     async def held(self, hollows: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
-        until_s, times = time.monotonic() + START_S, list[float]()
+        until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < until_s:
             times = await hollows.times("held", version)
             if len(times) >= (hollows.count if count is None else count):
                 return times
             await asyncio.sleep(0.1)
-        raise AgentsError(f"version {version}: {len(times)} of {hollows.count} had it within {START_S:g} s")
+        raise AgentsError(f"version {version}: {len(times)} of {hollows.count} had it within {START_TIMEOUT_S:g} s")
 
     # The database
 
