--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -43,7 +43,7 @@
 
     at_s: float
     cpu_s: float
-    read: int
+    read_bytes: int
     written: int
 
     @classmethod
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -68,7 +68,7 @@
     at_s = time.monotonic()
     agents.launch(0)
     await agents.until(lambda: (agents.folder / "agent-0" / "address").exists(), "agent-0 did not start again")
-    return time.monotonic() - at_s, float(Spent.of(agents.pid()).read)
+    return time.monotonic() - at_s, float(Spent.of(agents.pid()).read_bytes)
 
 
 async def longer(scene: RunContext, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
