--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -44,7 +44,7 @@
     at_s: float
     cpu_s: float
     read_bytes: int
-    written: int
+    written_bytes: int
 
     @classmethod
     def of(cls, pid: int) -> Spent:
@@ -275,7 +275,7 @@
     await asyncio.sleep(seconds)
     after = Spent.of(pid)
     took_s = after.at_s - before.at_s
-    return ((after.cpu_s - before.cpu_s) / took_s * 100, resident_memory_mb(pid), (after.written - before.written) / took_s)
+    return ((after.cpu_s - before.cpu_s) / took_s * 100, resident_memory_mb(pid), (after.written_bytes - before.written_bytes) / took_s)
 
 
 def median(values: list[float]) -> float:
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -33,7 +33,7 @@
                 grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
-                written.setdefault(count, []).append(float(Spent.of(agents.pid()).written - spent.written))
+                written.setdefault(count, []).append(float(Spent.of(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
             started[count], read[count] = [took_s], [taken]
             if count == scene.size.play.sizes[0]:
