--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -49,10 +49,10 @@
             await agents.call(INSPECT, n=name)
         found["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
     for _ in range(min(2, repeats)):
-        spent = Spent.of(agents.pid())
+        spent = Spent.of_process(agents.pid())
         _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
         found["operator.release_s"].append(await agents.closed(operation) - asked_s)
-        found["operator.release.cpu_ms"].append((Spent.of(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+        found["operator.release.cpu_ms"].append((Spent.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
     return found
 
