--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, Spent, at_rest
+from ironscale.scale.agents import Agents, ResourceUsage, at_rest
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
@@ -87,9 +87,9 @@
         hollow_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
         add("control.hollow.rest.cpu_percent", hollow_cpu / hollows.count * 100)
     for _ in range(play.repeats):
-        before, spent = await hollows.total(), Spent.of_process(agents.pid())
+        before, spent = await hollows.total(), ResourceUsage.of_process(agents.pid())
         change = await agents.change(hollows)
-        used, after = Spent.of_process(agents.pid()), await hollows.total()
+        used, after = ResourceUsage.of_process(agents.pid()), await hollows.total()
         took_s = used.at_s - spent.at_s
         # subtract the use at rest to get the cost of the change alone
         cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
@@ -116,7 +116,7 @@
 async def overlapping(agents: Agents, hollows: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
-    spent = Spent.of_process(agents.pid())
+    spent = ResourceUsage.of_process(agents.pid())
     for number in range(OVERLAPPING):
         generation, operation, asked_s, _ = await agents.apply(supersede=True)
         if number + 1 < OVERLAPPING:
@@ -124,7 +124,7 @@
     times = await agents.in_force(hollows, generation)
     await agents.closed(operation)
     add("agent.overlap.last_s", times[-1] - asked_s)
-    add("agent.overlap.cpu_ms", (Spent.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+    add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
 async def back(agents: Agents, hollows: SimulatedInstances, add: object, count: int) -> None:
@@ -143,4 +143,4 @@
     add("agent.back.change_p50_s", change.p(0.5))
     add("agent.back.change_p99_s", change.p(0.99))
     add("agent.back.change_last_s", change.latencies_s[-1])
-    add("agent.back.cpu_ms", Spent.of_process(agents.pid()).cpu_s * 1000)
+    add("agent.back.cpu_ms", ResourceUsage.of_process(agents.pid()).cpu_s * 1000)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
+class ResourceUsage:
     """Resources that a process has used up to a moment."""
 
     at_s: float
@@ -47,7 +47,7 @@
     written_bytes: int
 
     @classmethod
-    def of_process(cls, pid: int) -> Spent:
+    def of_process(cls, pid: int) -> ResourceUsage:
         found = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text(encoding="ascii").splitlines())
         return cls(time.monotonic(), process_cpu_s(pid), int(found["rchar"]), int(found["write_bytes"]))
 
@@ -271,9 +271,9 @@
 
 async def at_rest(pid: int, seconds: float) -> tuple[float, float, float]:
     """Percent of a core, resident MB and bytes written to disk per second, measured for `seconds`."""
-    before = Spent.of_process(pid)
+    before = ResourceUsage.of_process(pid)
     await asyncio.sleep(seconds)
-    after = Spent.of_process(pid)
+    after = ResourceUsage.of_process(pid)
     took_s = after.at_s - before.at_s
     return ((after.cpu_s - before.cpu_s) / took_s * 100, resident_memory_mb(pid), (after.written_bytes - before.written_bytes) / took_s)
 
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from ironscale.scale.agents import Agents, Spent
+from ironscale.scale.agents import Agents, ResourceUsage
 from ironscale.scale.run import RunContext
 
 ROLE, X = "operator", "instances"
@@ -49,10 +49,10 @@
             await agents.call(INSPECT, n=name)
         found["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
     for _ in range(min(2, repeats)):
-        spent = Spent.of_process(agents.pid())
+        spent = ResourceUsage.of_process(agents.pid())
         _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
         found["operator.release_s"].append(await agents.closed(operation) - asked_s)
-        found["operator.release.cpu_ms"].append((Spent.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+        found["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
     return found
 
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -6,7 +6,7 @@
 import signal
 import time
 
-from ironscale.scale.agents import Agents, Spent
+from ironscale.scale.agents import Agents, ResourceUsage
 from ironscale.scale.run import RunContext
 
 ROLE, X = "record", "instances"
@@ -25,7 +25,7 @@
             await agents.change(hollows)
             await settled(agents)
             for _ in range(FEW):
-                before, spent = agents.record_state(), Spent.of_process(agents.pid())
+                before, spent = agents.record_state(), ResourceUsage.of_process(agents.pid())
                 change = await agents.change(hollows)
                 await agents.in_force(hollows, change.generation)
                 await settled(agents)
@@ -33,7 +33,7 @@
                 grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
-                written.setdefault(count, []).append(float(Spent.of_process(agents.pid()).written_bytes - spent.written_bytes))
+                written.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
             started[count], read[count] = [took_s], [taken]
             if count == scene.size.play.sizes[0]:
@@ -68,7 +68,7 @@
     at_s = time.monotonic()
     agents.launch(0)
     await agents.until(lambda: (agents.folder / "agent-0" / "address").exists(), "agent-0 did not start again")
-    return time.monotonic() - at_s, float(Spent.of_process(agents.pid()).read_bytes)
+    return time.monotonic() - at_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
 async def longer(scene: RunContext, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, Spent
+from ironscale.scale.agents import Agents, ResourceUsage
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
@@ -51,15 +51,15 @@
     number, _, _ = await agents.publish()
     await agents.held(hollows, number)
     for _ in range(CHANGES):
-        before, leads, follows = agents.record_state(), Spent.of_process(agents.pid(0)), Spent.of_process(agents.pid(1))
+        before, leads, follows = agents.record_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
         number, asked_s, told_s = await agents.publish()
         times = await agents.held(hollows, number)
         state = agents.record_state()
         found["versions.change.told_s"].append(told_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             found[f"versions.change.{name}_s"].append(at(times, share, asked_s))
-        found["versions.change.leader_cpu_ms"].append((Spent.of_process(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
-        found["versions.change.follower_cpu_ms"].append((Spent.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
+        found["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
+        found["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
         found["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
         found["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
