--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -48,8 +48,8 @@
 
     @classmethod
     def of_process(cls, pid: int) -> ResourceUsage:
-        found = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text(encoding="ascii").splitlines())
-        return cls(time.monotonic(), process_cpu_s(pid), int(found["rchar"]), int(found["write_bytes"]))
+        counters = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text(encoding="ascii").splitlines())
+        return cls(time.monotonic(), process_cpu_s(pid), int(counters["rchar"]), int(counters["write_bytes"]))
 
 
 @dataclass(frozen=True, slots=True)
