--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -186,13 +186,13 @@
                     ) -> tuple[int, int, float, float]:
         """Makes a change. Returns its generation and operation, the moment of the request and that of the answer."""
         generation = (await self.call(FLEET, within_s))["fleet"]["generation"]
-        asked_s = time.monotonic()
+        requested_s = time.monotonic()
         # a new value each time, so that every sidecar has a change to apply
         overlay = {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * generation}}}
         told = await self.call(APPLY, within_s, input={"overlay": overlay, "expectGeneration": generation,
                                                        "supersede": supersede,
                                                        "policy": {"answerMs": 60_000, **(policy or {})}})
-        return told["apply"]["generation"], told["apply"]["id"], asked_s, time.monotonic()
+        return told["apply"]["generation"], told["apply"]["id"], requested_s, time.monotonic()
 
     async def closed(self, operation: int, within_s: float = START_TIMEOUT_S) -> float:
         until_s = time.monotonic() + within_s
