--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -101,7 +101,7 @@
             / count)
         hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
         add("control.hollow.change.cpu_us", max(0.0, hollow_s) / hollows.count * 1e6)
-        add("agent.change.told_s", change.told_s)
+        add("agent.change.told_s", change.committed_s)
         add("agent.change.p50_s", change.p(0.5))
         add("agent.change.p99_s", change.p(0.99))
         add("agent.change.last_s", change.latencies_s[-1])
@@ -139,7 +139,7 @@
         add("agent.back.all_ready_s", await ready - killed_s)
     finally:
         ready.cancel()
-    add("agent.back.told_s", change.told_s)
+    add("agent.back.told_s", change.committed_s)
     add("agent.back.change_p50_s", change.p(0.5))
     add("agent.back.change_p99_s", change.p(0.99))
     add("agent.back.change_last_s", change.latencies_s[-1])
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -59,7 +59,7 @@
     generation: int
     operation: int
     asked_s: float  # on the machine's monotonic clock
-    told_s: float  # until the agent answered that it is committed
+    committed_s: float  # until the agent answered that it is committed
     latencies_s: tuple[float, ...]  # until each simulated instance applied it, in ascending order
     closed_s: float  # until all instances, real ones too, had reported it to the agent
 
