--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -102,8 +102,8 @@
         hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
         add("control.hollow.change.cpu_us", max(0.0, hollow_s) / hollows.count * 1e6)
         add("agent.change.told_s", change.committed_s)
-        add("agent.change.p50_s", change.p(0.5))
-        add("agent.change.p99_s", change.p(0.99))
+        add("agent.change.p50_s", change.latency_percentile_s(0.5))
+        add("agent.change.p99_s", change.latency_percentile_s(0.99))
         add("agent.change.last_s", change.latencies_s[-1])
         add("agent.change.closed_s", change.closed_s)
     await overlapping(agents, hollows, add)
@@ -140,7 +140,7 @@
     finally:
         ready.cancel()
     add("agent.back.told_s", change.committed_s)
-    add("agent.back.change_p50_s", change.p(0.5))
-    add("agent.back.change_p99_s", change.p(0.99))
+    add("agent.back.change_p50_s", change.latency_percentile_s(0.5))
+    add("agent.back.change_p99_s", change.latency_percentile_s(0.99))
     add("agent.back.change_last_s", change.latencies_s[-1])
     add("agent.back.cpu_ms", ResourceUsage.of_process(agents.pid()).cpu_s * 1000)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -63,7 +63,7 @@
     latencies_s: tuple[float, ...]  # until each simulated instance applied it, in ascending order
     closed_s: float  # until all instances, real ones too, had reported it to the agent
 
-    def p(self, share: float) -> float:
+    def latency_percentile_s(self, share: float) -> float:
         return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))]
 
 
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -42,6 +42,6 @@
         ready.cancel()
     return {
         "standby.rest.cpu_percent": percent, "standby.rest.memory_mb": megabytes, "takeover.all_ready_s": all_s,
-        "takeover.told_s": change.committed_s, "takeover.change_p50_s": change.p(0.5),
-        "takeover.change_p99_s": change.p(0.99), "takeover.change_last_s": change.latencies_s[-1],
+        "takeover.told_s": change.committed_s, "takeover.change_p50_s": change.latency_percentile_s(0.5),
+        "takeover.change_p99_s": change.latency_percentile_s(0.99), "takeover.change_last_s": change.latencies_s[-1],
     }
