--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -71,7 +71,7 @@
     """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
     def __init__(self, crew: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
-        self.crew, self.folder, self.count = crew, folder, count
+        self.children, self.folder, self.count = crew, folder, count
         self.standby = count > 1
         self.ports = [Port() for _ in range(count)]
         self.running: list[subprocess.Popen[bytes] | None] = [None] * count
@@ -104,7 +104,7 @@
 
     def launch(self, number: int) -> None:
         """Starts an agent's process without waiting for it to answer."""
-        self.running[number] = self.crew.start(
+        self.running[number] = self.children.start(
             f"agent-{number}", "ironscale.cli", "agent", str(self.folder / f"agent-{number}.toml"),
             environ=dict(os.environ), log=self.folder / f"agent-{number}.log")
 
@@ -141,7 +141,7 @@
         process, self.running[number] = self.running[number], None
         assert process is not None
         at_s = time.monotonic()
-        self.crew.end(process, first_signal=signal.SIGKILL)
+        self.children.end(process, first_signal=signal.SIGKILL)
         return at_s
 
     async def post(self, number: int, query: str, variables: Mapping[str, Any]) -> dict[str, Any]:
@@ -264,7 +264,7 @@
         await self.client.aclose()
         running = [process for process in self.running if process is not None]
         if running:
-            self.crew.end(*running)
+            self.children.end(*running)
         for port in self.ports:
             port.close()
 
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -62,7 +62,7 @@
     """Restarts the agent. Returns the seconds until the new process answers, and the bytes it has read by then."""
     process = agents.running[0]
     assert process is not None
-    agents.crew.end(process, first_signal=signal.SIGTERM, timeout_s=10)
+    agents.children.end(process, first_signal=signal.SIGTERM, timeout_s=10)
     agents.running[0] = None
     (agents.folder / "agent-0" / "address").unlink(missing_ok=True)
     at_s = time.monotonic()
