--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -70,8 +70,8 @@
 class Agents:
     """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
-    def __init__(self, crew: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
-        self.children, self.folder, self.count = crew, folder, count
+    def __init__(self, children: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
+        self.children, self.folder, self.count = children, folder, count
         self.standby = count > 1
         self.ports = [Port() for _ in range(count)]
         self.running: list[subprocess.Popen[bytes] | None] = [None] * count
