--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -72,7 +72,7 @@
 
     def __init__(self, children: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
         self.children, self.folder, self.count = children, folder, count
-        self.standby = count > 1
+        self.has_standbys = count > 1
         self.ports = [Port() for _ in range(count)]
         self.running: list[subprocess.Popen[bytes] | None] = [None] * count
         self.client = httpx.AsyncClient(trust_env=False, timeout=30.0)
@@ -81,7 +81,7 @@
             lines = ["[agent]", f'data = "agent-{number}"', f'control = "127.0.0.1:{self.ports[number].number}"',
                      'api = "127.0.0.1:0"', f"lease_s = {play.lease_s}", f"heartbeat_s = {play.heartbeat_s}",
                      "most_instances = 20000", 'record = "shared.db"']
-            if self.standby:
+            if self.has_standbys:
                 lines += ["standby = true", f"term_s = {term_s or play.term_s}"]
             (folder / f"agent-{number}.toml").write_text("\n".join(lines) + "\n", encoding="utf-8")
 
