--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -76,7 +76,7 @@
         self.ports = [Port() for _ in range(count)]
         self.running: list[subprocess.Popen[bytes] | None] = [None] * count
         self.client = httpx.AsyncClient(trust_env=False, timeout=30.0)
-        self.turn = 0
+        self.next_agent = 0
         for number in range(count):
             lines = ["[agent]", f'data = "agent-{number}"', f'control = "127.0.0.1:{self.ports[number].number}"',
                      'api = "127.0.0.1:0"', f"lease_s = {play.lease_s}", f"heartbeat_s = {play.heartbeat_s}",
@@ -161,12 +161,12 @@
         problem: Exception | None = None
         until_s = time.monotonic() + within_s
         while time.monotonic() < until_s:
-            if self.running[self.turn] is not None:
+            if self.running[self.next_agent] is not None:
                 try:
-                    return await self.post(self.turn, query, variables)
+                    return await self.post(self.next_agent, query, variables)
                 except (httpx.HTTPError, OSError, ValueError, AgentsError) as error:
                     problem = error
-            self.turn = (self.turn + 1) % self.count
+            self.next_agent = (self.next_agent + 1) % self.count
             await asyncio.sleep(POLL_INTERVAL_S)
         raise AgentsError(f"no agent accepted the request within {within_s:g} s: {problem}")
 
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -33,7 +33,7 @@
     await asyncio.sleep(beat_s)
     percent, megabytes, _ = await at_rest(agents.pid(1), 2 * beat_s)
     killed_s = agents.kill(0)
-    agents.turn = 1
+    agents.next_agent = 1
     ready = asyncio.ensure_future(agents.until_ready(count))
     try:
         change = await agents.change(hollows, since_s=killed_s)
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -66,7 +66,7 @@
                                            "mutations")))
     number, _, told_s = await agents.publish()
     killed_s = lost(agents, 0)
-    agents.turn = 1
+    agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
     times = await agents.held(hollows, number)
     found["versions.killed.p99_s"].append(at(times, 0.99, told_s))
@@ -75,8 +75,8 @@
     times = await agents.held(hollows, number)
     found["versions.takeover.last_from_kill_s"].append(at(times, 1.0, killed_s))
     found["versions.takeover.last_s"].append(at(times, 1.0, told_s))
-    lost(agents, agents.turn)
-    agents.turn = next(n for n in range(agents.count) if agents.running[n] is not None)
+    lost(agents, agents.next_agent)
+    agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
     number, _, told_s = await agents.publish()
     times = await agents.held(hollows, number)
     found["versions.one_left.last_s"].append(at(times, 1.0, told_s))
