--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -94,7 +94,7 @@
         return self.folder / "agent-0" / "instance.token"
 
     @property
-    def record(self) -> Path:
+    def database(self) -> Path:
         return self.folder / "shared.db"
 
     def pid(self, number: int = 0) -> int:
@@ -249,7 +249,7 @@
 
     def record_state(self) -> dict[str, float]:
         """Bytes of the pages in use (also those still in the write-ahead log), and the row count of each table."""
-        with contextlib.closing(sqlite3.connect(f"file:{self.record}?mode=ro", uri=True, timeout=5.0)) as found:
+        with contextlib.closing(sqlite3.connect(f"file:{self.database}?mode=ro", uri=True, timeout=5.0)) as found:
             def one(text: str) -> int:
                 return int(found.execute(text).fetchone()[0])
 
