--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -98,9 +98,9 @@
         return self.folder / "shared.db"
 
     def pid(self, number: int = 0) -> int:
-        found = self.running[number]
-        assert found is not None
-        return found.pid
+        process = self.running[number]
+        assert process is not None
+        return process.pid
 
     def launch(self, number: int) -> None:
         """Starts an agent's process without waiting for it to answer."""
