--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -111,11 +111,11 @@
     async def start(self) -> None:
         """Starts the first agent, waits until it leads, then launches the others. Raises AgentsError."""
         self.launch(0)
-        await self.until(lambda: (self.folder / "agent-0" / "address").exists(), "agent-0 did not start")
+        await self.wait_until(lambda: (self.folder / "agent-0" / "address").exists(), "agent-0 did not start")
         for number in range(1, self.count):
             self.launch(number)
 
-    async def until(self, condition: Any, wrong: str, within_s: float = START_TIMEOUT_S) -> None:
+    async def wait_until(self, condition: Any, wrong: str, within_s: float = START_TIMEOUT_S) -> None:
         try:
             async with asyncio.timeout(within_s):
                 while not condition():
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -67,7 +67,7 @@
     (agents.folder / "agent-0" / "address").unlink(missing_ok=True)
     at_s = time.monotonic()
     agents.launch(0)
-    await agents.until(lambda: (agents.folder / "agent-0" / "address").exists(), "agent-0 did not start again")
+    await agents.wait_until(lambda: (agents.folder / "agent-0" / "address").exists(), "agent-0 did not start again")
     return time.monotonic() - at_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
