--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -115,14 +115,14 @@
         for number in range(1, self.count):
             self.launch(number)
 
-    async def wait_until(self, condition: Any, failure: str, within_s: float = START_TIMEOUT_S) -> None:
+    async def wait_until(self, condition: Any, failure: str, timeout_s: float = START_TIMEOUT_S) -> None:
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 while not condition():
                     self.check()
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            raise AgentsError(f"{failure} within {within_s:g} s: {self.last_words()}") from None
+            raise AgentsError(f"{failure} within {timeout_s:g} s: {self.last_words()}") from None
 
     def check(self) -> None:
         for number, process in enumerate(self.running):
