--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -119,12 +119,12 @@
         try:
             async with asyncio.timeout(timeout_s):
                 while not condition():
-                    self.check()
+                    self.check_running()
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             raise AgentsError(f"{failure} within {timeout_s:g} s: {self.last_words()}") from None
 
-    def check(self) -> None:
+    def check_running(self) -> None:
         for number, process in enumerate(self.running):
             if process is not None and process.poll() is not None:
                 raise AgentsError(f"agent-{number} ended with status {process.returncode}: {self.last_words(number)}")
