--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -122,14 +122,14 @@
                     self.check_running()
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            raise AgentsError(f"{failure} within {timeout_s:g} s: {self.last_words()}") from None
+            raise AgentsError(f"{failure} within {timeout_s:g} s: {self.last_log_line()}") from None
 
     def check_running(self) -> None:
         for number, process in enumerate(self.running):
             if process is not None and process.poll() is not None:
-                raise AgentsError(f"agent-{number} ended with status {process.returncode}: {self.last_words(number)}")
+                raise AgentsError(f"agent-{number} ended with status {process.returncode}: {self.last_log_line(number)}")
 
-    def last_words(self, number: int = 0) -> str:
+    def last_log_line(self, number: int = 0) -> str:
         try:
             lines = (self.folder / f"agent-{number}.log").read_text(encoding="utf-8").splitlines()
         except OSError:
@@ -178,7 +178,7 @@
             if seen >= count:
                 return time.monotonic()
             await asyncio.sleep(0.05)
-        raise AgentsError(f"{seen} of {count} instances were ready within {within_s:g} s: {self.last_words()}")
+        raise AgentsError(f"{seen} of {count} instances were ready within {within_s:g} s: {self.last_log_line()}")
 
     # Changes
 
