--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -156,10 +156,10 @@
             raise AgentsError(str(body["errors"][0].get("message"))[:200])
         return dict(body["data"])
 
-    async def call(self, query: str, within_s: float = START_TIMEOUT_S, **variables: Any) -> dict[str, Any]:
+    async def call(self, query: str, timeout_s: float = START_TIMEOUT_S, **variables: Any) -> dict[str, Any]:
         """Sends a query to each agent in turn until the one that leads accepts it. Raises AgentsError."""
         problem: Exception | None = None
-        until_s = time.monotonic() + within_s
+        until_s = time.monotonic() + timeout_s
         while time.monotonic() < until_s:
             if self.running[self.next_agent] is not None:
                 try:
@@ -168,7 +168,7 @@
                     problem = error
             self.next_agent = (self.next_agent + 1) % self.count
             await asyncio.sleep(POLL_INTERVAL_S)
-        raise AgentsError(f"no agent accepted the request within {within_s:g} s: {problem}")
+        raise AgentsError(f"no agent accepted the request within {timeout_s:g} s: {problem}")
 
     async def until_ready(self, count: int, within_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
