--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -159,8 +159,8 @@
     async def call(self, query: str, timeout_s: float = START_TIMEOUT_S, **variables: Any) -> dict[str, Any]:
         """Sends a query to each agent in turn until the one that leads accepts it. Raises AgentsError."""
         problem: Exception | None = None
-        until_s = time.monotonic() + timeout_s
-        while time.monotonic() < until_s:
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s:
             if self.running[self.next_agent] is not None:
                 try:
                     return await self.post(self.next_agent, query, variables)
