--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -170,15 +170,15 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         raise AgentsError(f"no agent accepted the request within {timeout_s:g} s: {problem}")
 
-    async def until_ready(self, count: int, within_s: float = START_TIMEOUT_S) -> float:
+    async def until_ready(self, count: int, timeout_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
-        until_s, seen = time.monotonic() + within_s, -1
+        until_s, seen = time.monotonic() + timeout_s, -1
         while time.monotonic() < until_s:
-            seen = (await self.call(FLEET, within_s))["fleet"]["ready"]
+            seen = (await self.call(FLEET, timeout_s))["fleet"]["ready"]
             if seen >= count:
                 return time.monotonic()
             await asyncio.sleep(0.05)
-        raise AgentsError(f"{seen} of {count} instances were ready within {within_s:g} s: {self.last_log_line()}")
+        raise AgentsError(f"{seen} of {count} instances were ready within {timeout_s:g} s: {self.last_log_line()}")
 
     # Changes
 
