--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -172,8 +172,8 @@
 
     async def until_ready(self, count: int, timeout_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
-        until_s, seen = time.monotonic() + timeout_s, -1
-        while time.monotonic() < until_s:
+        deadline_s, seen = time.monotonic() + timeout_s, -1
+        while time.monotonic() < deadline_s:
             seen = (await self.call(FLEET, timeout_s))["fleet"]["ready"]
             if seen >= count:
                 return time.monotonic()
