--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -172,13 +172,13 @@
 
     async def until_ready(self, count: int, timeout_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
-        deadline_s, seen = time.monotonic() + timeout_s, -1
+        deadline_s, ready = time.monotonic() + timeout_s, -1
         while time.monotonic() < deadline_s:
-            seen = (await self.call(FLEET, timeout_s))["fleet"]["ready"]
-            if seen >= count:
+            ready = (await self.call(FLEET, timeout_s))["fleet"]["ready"]
+            if ready >= count:
                 return time.monotonic()
             await asyncio.sleep(0.05)
-        raise AgentsError(f"{seen} of {count} instances were ready within {timeout_s:g} s: {self.last_log_line()}")
+        raise AgentsError(f"{ready} of {count} instances were ready within {timeout_s:g} s: {self.last_log_line()}")
 
     # Changes
 
