--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -133,7 +133,7 @@
     killed_s = agents.kill(0)
     (agents.folder / "agent-0" / "address").unlink(missing_ok=True)
     agents.launch(0)
-    ready = asyncio.ensure_future(agents.until_ready(count))
+    ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
         change = await agents.change(hollows, since_s=killed_s)
         add("agent.back.all_ready_s", await ready - killed_s)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -170,7 +170,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         raise AgentsError(f"no agent accepted the request within {timeout_s:g} s: {problem}")
 
-    async def until_ready(self, count: int, timeout_s: float = START_TIMEOUT_S) -> float:
+    async def wait_until_ready(self, count: int, timeout_s: float = START_TIMEOUT_S) -> float:
         """Waits until the leader sees `count` ready instances. Returns that moment. Raises AgentsError."""
         deadline_s, ready = time.monotonic() + timeout_s, -1
         while time.monotonic() < deadline_s:
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -43,7 +43,7 @@
         async with scene.running_fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
-            await agents.until_ready(EACH)
+            await agents.wait_until_ready(EACH)
             one = await of_list(scene, agents, reals, with_agent, without)
         for name, values in one.items():
             found[name][length] = values
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -24,7 +24,7 @@
         try:
             await hollows.start(away, [("127.0.0.1", relay.port)], agents.token_file)
             far = hollows.instance_processes[len(near):]
-            await agents.until_ready(count)
+            await agents.wait_until_ready(count)
             relay.cut()
             cut_s = time.monotonic()
             await asyncio.sleep(CUT_S - 3)
@@ -32,7 +32,7 @@
             await asyncio.sleep(max(0.0, cut_s + CUT_S - time.monotonic()))
             relay.mend()
             mended_s = time.monotonic()
-            back_s = await agents.until_ready(count) - mended_s
+            back_s = await agents.wait_until_ready(count) - mended_s
             times: list[float] = []
             while len(times) < away and time.monotonic() < mended_s + WAIT_S:
                 await asyncio.sleep(0.25)
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -73,7 +73,7 @@
 
 async def longer(scene: RunContext, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
-    await agents.until_ready(hollows_count)
+    await agents.wait_until_ready(hollows_count)
     for _ in range(MANY):
         _, operation, _, _ = await agents.apply()
         await agents.closed(operation)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -77,7 +77,7 @@
                                 versions=running_agents.addresses if follow_versions else ())
             async with RealSidecars.running(self.crew, folder, real) as reals:
                 await reals.start(real, running_agents.addresses, running_agents.token_file)
-                await running_agents.until_ready(count + real)
+                await running_agents.wait_until_ready(count + real)
                 yield running_agents, instances
         finally:
             await instances.end()
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -34,7 +34,7 @@
     percent, megabytes, _ = await at_rest(agents.pid(1), 2 * beat_s)
     killed_s = agents.kill(0)
     agents.next_agent = 1
-    ready = asyncio.ensure_future(agents.until_ready(count))
+    ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
         change = await agents.change(hollows, since_s=killed_s)
         all_s = await ready - killed_s
