--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -182,14 +182,14 @@
 
     # Changes
 
-    async def apply(self, within_s: float = START_TIMEOUT_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
+    async def apply(self, timeout_s: float = START_TIMEOUT_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
                     ) -> tuple[int, int, float, float]:
         """Makes a change. Returns its generation and operation, the moment of the request and that of the answer."""
-        generation = (await self.call(FLEET, within_s))["fleet"]["generation"]
+        generation = (await self.call(FLEET, timeout_s))["fleet"]["generation"]
         requested_s = time.monotonic()
         # a new value each time, so that every sidecar has a change to apply
         overlay = {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * generation}}}
-        told = await self.call(APPLY, within_s, input={"overlay": overlay, "expectGeneration": generation,
+        told = await self.call(APPLY, timeout_s, input={"overlay": overlay, "expectGeneration": generation,
                                                        "supersede": supersede,
                                                        "policy": {"answerMs": 60_000, **(policy or {})}})
         return told["apply"]["generation"], told["apply"]["id"], requested_s, time.monotonic()
