--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -194,16 +194,16 @@
                                                        "policy": {"answerMs": 60_000, **(policy or {})}})
         return result["apply"]["generation"], result["apply"]["id"], requested_s, time.monotonic()
 
-    async def closed(self, operation: int, within_s: float = START_TIMEOUT_S) -> float:
-        until_s = time.monotonic() + within_s
+    async def closed(self, operation: int, timeout_s: float = START_TIMEOUT_S) -> float:
+        until_s = time.monotonic() + timeout_s
         while time.monotonic() < until_s:
-            found = (await self.call(STATUS, within_s, id=operation))["operation"]
+            found = (await self.call(STATUS, timeout_s, id=operation))["operation"]
             if not found["open"]:
                 if found["phase"] not in ("SUCCEEDED", "SUPERSEDED"):
                     raise AgentsError(f"operation {operation}: expected SUCCEEDED, got {found['phase']}")
                 return time.monotonic()
             await asyncio.sleep(0.05)
-        raise AgentsError(f"operation {operation} was not over within {within_s:g} s")
+        raise AgentsError(f"operation {operation} was not over within {timeout_s:g} s")
 
     async def change(self, hollows: SimulatedInstances, since_s: float | None = None) -> Change:
         """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
