--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -195,8 +195,8 @@
         return result["apply"]["generation"], result["apply"]["id"], requested_s, time.monotonic()
 
     async def closed(self, operation: int, timeout_s: float = START_TIMEOUT_S) -> float:
-        until_s = time.monotonic() + timeout_s
-        while time.monotonic() < until_s:
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s:
             found = (await self.call(STATUS, timeout_s, id=operation))["operation"]
             if not found["open"]:
                 if found["phase"] not in ("SUCCEEDED", "SUPERSEDED"):
