--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -197,10 +197,10 @@
     async def closed(self, operation: int, timeout_s: float = START_TIMEOUT_S) -> float:
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s:
-            found = (await self.call(STATUS, timeout_s, id=operation))["operation"]
-            if not found["open"]:
-                if found["phase"] not in ("SUCCEEDED", "SUPERSEDED"):
-                    raise AgentsError(f"operation {operation}: expected SUCCEEDED, got {found['phase']}")
+            state = (await self.call(STATUS, timeout_s, id=operation))["operation"]
+            if not state["open"]:
+                if state["phase"] not in ("SUCCEEDED", "SUPERSEDED"):
+                    raise AgentsError(f"operation {operation}: expected SUCCEEDED, got {state['phase']}")
                 return time.monotonic()
             await asyncio.sleep(0.05)
         raise AgentsError(f"operation {operation} was not over within {timeout_s:g} s")
