--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -122,7 +122,7 @@
         if number + 1 < OVERLAPPING:
             await asyncio.sleep(0.05)
     times = await agents.in_force(hollows, generation)
-    await agents.closed(operation)
+    await agents.wait_until_closed(operation)
     add("agent.overlap.last_s", times[-1] - asked_s)
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -194,7 +194,7 @@
                                                        "policy": {"answerMs": 60_000, **(policy or {})}})
         return result["apply"]["generation"], result["apply"]["id"], requested_s, time.monotonic()
 
-    async def closed(self, operation: int, timeout_s: float = START_TIMEOUT_S) -> float:
+    async def wait_until_closed(self, operation: int, timeout_s: float = START_TIMEOUT_S) -> float:
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s:
             state = (await self.call(STATUS, timeout_s, id=operation))["operation"]
@@ -209,7 +209,7 @@
         """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
         AgentsError."""
         generation, operation, asked_s, told_s = await self.apply()
-        closed_s = await self.closed(operation)
+        closed_s = await self.wait_until_closed(operation)
         times = await self.in_force(hollows, generation)
         from_s = asked_s if since_s is None else since_s
         return Change(generation, operation, from_s, told_s - from_s, tuple(at - from_s for at in times),
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -115,7 +115,7 @@
     before, began_s = [process_cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
     for _ in range(CHANGES):
         _, operation, _, _ = await agents.apply()
-        await agents.closed(operation)
+        await agents.wait_until_closed(operation)
     await asyncio.sleep(QUIET_S)
     took_s = asyncio.get_running_loop().time() - began_s
     return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / CHANGES * 1e6
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -51,7 +51,7 @@
     for _ in range(min(2, repeats)):
         spent = ResourceUsage.of_process(agents.pid())
         _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
-        found["operator.release_s"].append(await agents.closed(operation) - asked_s)
+        found["operator.release_s"].append(await agents.wait_until_closed(operation) - asked_s)
         found["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
     return found
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -76,7 +76,7 @@
     await agents.wait_until_ready(hollows_count)
     for _ in range(MANY):
         _, operation, _, _ = await agents.apply()
-        await agents.closed(operation)
+        await agents.wait_until_closed(operation)
     again_s, again = await restarted(agents)
     scene.add_reading("record.restart.more_history_s", ROLE, "s", [again_s - took_s],
                       f"{MANY} changes of {hollows_count} more in the record")
