--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -135,7 +135,7 @@
     agents.launch(0)
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
-        change = await agents.change(hollows, since_s=killed_s)
+        change = await agents.change(hollows, count_from_s=killed_s)
         add("agent.back.all_ready_s", await ready - killed_s)
     finally:
         ready.cancel()
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -36,7 +36,7 @@
     agents.next_agent = 1
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
-        change = await agents.change(hollows, since_s=killed_s)
+        change = await agents.change(hollows, count_from_s=killed_s)
         all_s = await ready - killed_s
     finally:
         ready.cancel()
