--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -208,11 +208,11 @@
     async def change(self, instances: SimulatedInstances, count_from_s: float | None = None) -> Change:
         """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
         AgentsError."""
-        generation, operation, requested_s, told_s = await self.apply()
+        generation, operation, requested_s, committed_s = await self.apply()
         closed_s = await self.wait_until_closed(operation)
         times = await self.in_force(instances, generation)
         from_s = requested_s if count_from_s is None else count_from_s
-        return Change(generation, operation, from_s, told_s - from_s, tuple(at - from_s for at in times),
+        return Change(generation, operation, from_s, committed_s - from_s, tuple(at - from_s for at in times),
                       closed_s - from_s)
 
     async def in_force(self, hollows: SimulatedInstances, generation: int) -> list[float]:
