--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -211,9 +211,9 @@
         generation, operation, requested_s, committed_s = await self.apply()
         closed_s = await self.wait_until_closed(operation)
         times = await self.in_force(instances, generation)
-        from_s = requested_s if count_from_s is None else count_from_s
-        return Change(generation, operation, from_s, committed_s - from_s, tuple(at - from_s for at in times),
-                      closed_s - from_s)
+        start_s = requested_s if count_from_s is None else count_from_s
+        return Change(generation, operation, start_s, committed_s - start_s, tuple(at - start_s for at in times),
+                      closed_s - start_s)
 
     async def in_force(self, hollows: SimulatedInstances, generation: int) -> list[float]:
         until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
