--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -215,14 +215,14 @@
         return Change(generation, operation, start_s, committed_s - start_s, tuple(at - start_s for at in times),
                       closed_s - start_s)
 
-    async def in_force(self, hollows: SimulatedInstances, generation: int) -> list[float]:
+    async def in_force(self, instances: SimulatedInstances, generation: int) -> list[float]:
         until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < until_s:
-            times = await hollows.times("in force", generation)
-            if len(times) >= hollows.count:
+            times = await instances.times("in force", generation)
+            if len(times) >= instances.count:
                 return times
             await asyncio.sleep(0.1)
-        raise AgentsError(f"generation {generation}: {len(times)} of {hollows.count} had it within {START_TIMEOUT_S:g} s")
+        raise AgentsError(f"generation {generation}: {len(times)} of {instances.count} had it within {START_TIMEOUT_S:g} s")
 
     async def publish(self, within_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
         """Publishes a version for all instances. Returns its number, the moment of the request and that of the
