--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -216,8 +216,8 @@
                       closed_s - start_s)
 
     async def in_force(self, instances: SimulatedInstances, generation: int) -> list[float]:
-        until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
-        while time.monotonic() < until_s:
+        deadline_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
+        while time.monotonic() < deadline_s:
             times = await instances.times("in force", generation)
             if len(times) >= instances.count:
                 return times
