--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -121,7 +121,7 @@
         generation, operation, asked_s, _ = await agents.apply(supersede=True)
         if number + 1 < OVERLAPPING:
             await asyncio.sleep(0.05)
-    times = await agents.in_force(hollows, generation)
+    times = await agents.wait_until_in_force(hollows, generation)
     await agents.wait_until_closed(operation)
     add("agent.overlap.last_s", times[-1] - asked_s)
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -210,12 +210,12 @@
         AgentsError."""
         generation, operation, requested_s, committed_s = await self.apply()
         closed_s = await self.wait_until_closed(operation)
-        times = await self.in_force(instances, generation)
+        times = await self.wait_until_in_force(instances, generation)
         start_s = requested_s if count_from_s is None else count_from_s
         return Change(generation, operation, start_s, committed_s - start_s, tuple(at - start_s for at in times),
                       closed_s - start_s)
 
-    async def in_force(self, instances: SimulatedInstances, generation: int) -> list[float]:
+    async def wait_until_in_force(self, instances: SimulatedInstances, generation: int) -> list[float]:
         deadline_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < deadline_s:
             times = await instances.times("in force", generation)
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -27,7 +27,7 @@
             for _ in range(FEW):
                 before, spent = agents.record_state(), ResourceUsage.of_process(agents.pid())
                 change = await agents.change(hollows)
-                await agents.in_force(hollows, change.generation)
+                await agents.wait_until_in_force(hollows, change.generation)
                 await settled(agents)
                 after = agents.record_state()
                 grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
