--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -224,13 +224,13 @@
             await asyncio.sleep(0.1)
         raise AgentsError(f"generation {generation}: {len(times)} of {instances.count} had it within {START_TIMEOUT_S:g} s")
 
-    async def publish(self, within_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
+    async def publish(self, timeout_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
         """Publishes a version for all instances. Returns its number, the moment of the request and that of the
         answer."""
-        found = (await self.call(VERSIONS, within_s))["versions"]["edges"]
+        found = (await self.call(VERSIONS, timeout_s))["versions"]["edges"]
         base = found[0]["node"]["number"] if found else 0
         asked_s = time.monotonic()
-        told = await self.call(PUBLISH, within_s, input={
+        told = await self.call(PUBLISH, timeout_s, input={
             "scope": "all", "base": base, "idempotencyKey": uuid.uuid4().hex,
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
         return told["publish"]["number"], asked_s, time.monotonic()
