--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -227,8 +227,8 @@
     async def publish(self, timeout_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
         """Publishes a version for all instances. Returns its number, the moment of the request and that of the
         answer."""
-        found = (await self.call(VERSIONS, timeout_s))["versions"]["edges"]
-        base = found[0]["node"]["number"] if found else 0
+        newest = (await self.call(VERSIONS, timeout_s))["versions"]["edges"]
+        base = newest[0]["node"]["number"] if newest else 0
         asked_s = time.monotonic()
         told = await self.call(PUBLISH, timeout_s, input={
             "scope": "all", "base": base, "idempotencyKey": uuid.uuid4().hex,
