--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -230,10 +230,10 @@
         newest = (await self.call(VERSIONS, timeout_s))["versions"]["edges"]
         base = newest[0]["node"]["number"] if newest else 0
         asked_s = time.monotonic()
-        told = await self.call(PUBLISH, timeout_s, input={
+        result = await self.call(PUBLISH, timeout_s, input={
             "scope": "all", "base": base, "idempotencyKey": uuid.uuid4().hex,
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
-        return told["publish"]["number"], asked_s, time.monotonic()
+        return result["publish"]["number"], asked_s, time.monotonic()
 
     async def held(self, hollows: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
