--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -235,15 +235,15 @@
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
         return result["publish"]["number"], asked_s, time.monotonic()
 
-    async def held(self, hollows: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
+    async def held(self, instances: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
         until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < until_s:
-            times = await hollows.times("held", version)
-            if len(times) >= (hollows.count if count is None else count):
+            times = await instances.times("held", version)
+            if len(times) >= (instances.count if count is None else count):
                 return times
             await asyncio.sleep(0.1)
-        raise AgentsError(f"version {version}: {len(times)} of {hollows.count} had it within {START_TIMEOUT_S:g} s")
+        raise AgentsError(f"version {version}: {len(times)} of {instances.count} had it within {START_TIMEOUT_S:g} s")
 
     # The database
 
