--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -237,8 +237,8 @@
 
     async def held(self, instances: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
-        until_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
-        while time.monotonic() < until_s:
+        deadline_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
+        while time.monotonic() < deadline_s:
             times = await instances.times("held", version)
             if len(times) >= (instances.count if count is None else count):
                 return times
