--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -235,7 +235,7 @@
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
         return result["publish"]["number"], asked_s, time.monotonic()
 
-    async def held(self, instances: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
+    async def wait_until_held(self, instances: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
         deadline_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < deadline_s:
