--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -71,9 +71,9 @@
     rest_cpu = hollow_cpu = 0.0
     whole = count / hollows.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
-        before, writes, started_s = await hollows.total(), agents.record_state()["writes"], time.monotonic()
+        before, writes, started_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
         percent, megabytes, written = await at_rest(agents.pid(), 2 * play.heartbeat_s)
-        after, writes_after, took_s = await hollows.total(), agents.record_state()["writes"], time.monotonic()
+        after, writes_after, took_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
         took_s -= started_s
         rest_cpu = percent / 100
         add("agent.rest.cpu_percent", percent)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -247,7 +247,7 @@
 
     # The database
 
-    def record_state(self) -> dict[str, float]:
+    def database_state(self) -> dict[str, float]:
         """Bytes of the pages in use (also those still in the write-ahead log), and the row count of each table."""
         with contextlib.closing(sqlite3.connect(f"file:{self.database}?mode=ro", uri=True, timeout=5.0)) as found:
             def one(text: str) -> int:
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -25,11 +25,11 @@
             await agents.change(hollows)
             await settled(agents)
             for _ in range(FEW):
-                before, spent = agents.record_state(), ResourceUsage.of_process(agents.pid())
+                before, spent = agents.database_state(), ResourceUsage.of_process(agents.pid())
                 change = await agents.change(hollows)
                 await agents.wait_until_in_force(hollows, change.generation)
                 await settled(agents)
-                after = agents.record_state()
+                after = agents.database_state()
                 grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
@@ -51,7 +51,7 @@
     """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
     was, until_s = -1.0, time.monotonic() + 10
     while time.monotonic() < until_s:
-        state = agents.record_state()
+        state = agents.database_state()
         if state["bytes"] == was:
             return
         was = state["bytes"]
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -51,10 +51,10 @@
     number, _, _ = await agents.publish()
     await agents.wait_until_held(hollows, number)
     for _ in range(CHANGES):
-        before, leads, follows = agents.record_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
+        before, leads, follows = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
         number, asked_s, told_s = await agents.publish()
         times = await agents.wait_until_held(hollows, number)
-        state = agents.record_state()
+        state = agents.database_state()
         found["versions.change.told_s"].append(told_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             found[f"versions.change.{name}_s"].append(at(times, share, asked_s))
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -197,7 +197,7 @@
             async with scene.running_fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
                 change = await agents.change(hollows)
                 assert len(change.latencies_s) == count and 0 < change.latencies_s[-1] < change.closed_s
-                rows[count] = [agents.record_state()["targets"]]
+                rows[count] = [agents.database_state()["targets"]]
                 assert (await hollows.total())["welcomed"] == count
                 pids.update(scene.crew.running)
             assert not scene.crew.running
