--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -249,9 +249,9 @@
 
     def database_state(self) -> dict[str, float]:
         """Bytes of the pages in use (also those still in the write-ahead log), and the row count of each table."""
-        with contextlib.closing(sqlite3.connect(f"file:{self.database}?mode=ro", uri=True, timeout=5.0)) as found:
+        with contextlib.closing(sqlite3.connect(f"file:{self.database}?mode=ro", uri=True, timeout=5.0)) as database:
             def one(text: str) -> int:
-                return int(found.execute(text).fetchone()[0])
+                return int(database.execute(text).fetchone()[0])
 
             state = {"bytes": float((one("PRAGMA page_count") - one("PRAGMA freelist_count"))
                                     * one("PRAGMA page_size")),
