--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -250,14 +250,14 @@
     def database_state(self) -> dict[str, float]:
         """Bytes of the pages in use (also those still in the write-ahead log), and the row count of each table."""
         with contextlib.closing(sqlite3.connect(f"file:{self.database}?mode=ro", uri=True, timeout=5.0)) as database:
-            def one(text: str) -> int:
+            def read_integer(text: str) -> int:
                 return int(database.execute(text).fetchone()[0])
 
-            state = {"bytes": float((one("PRAGMA page_count") - one("PRAGMA freelist_count"))
-                                    * one("PRAGMA page_size")),
-                     "writes": float(one("SELECT coalesce(max(value), 0) FROM counters WHERE name = 'sequence'"))}
+            state = {"bytes": float((read_integer("PRAGMA page_count") - read_integer("PRAGMA freelist_count"))
+                                    * read_integer("PRAGMA page_size")),
+                     "writes": float(read_integer("SELECT coalesce(max(value), 0) FROM counters WHERE name = 'sequence'"))}
             for name in ("targets", "operations", "configurations", "audit", "instances", "mutations", "versions"):
-                state[name] = float(one(f"SELECT count(*) FROM {name}"))
+                state[name] = float(read_integer(f"SELECT count(*) FROM {name}"))
         return state
 
     async def close(self) -> None:
