--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from ironscale.scale.agents import at_rest
+from ironscale.scale.agents import measure_at_rest
 from ironscale.scale.operator import measure as operators
 from ironscale.scale.result import Result
 from ironscale.scale.run import RunContext, describe_machine, run_measurements
@@ -27,7 +27,7 @@
     memory: dict[int, list[float]] = {}
     for count in scene.size.play.sizes:
         async with scene.running_fleet(count) as (agents, _):
-            found = [await at_rest(agents.pid(), 2 * scene.size.play.heartbeat_s) for _ in range(2)]
+            found = [await measure_at_rest(agents.pid(), 2 * scene.size.play.heartbeat_s) for _ in range(2)]
         percent[count], memory[count] = [f[0] for f in found], [f[1] for f in found]
     scene.add_slope("agent.rest.cpu_percent", "agent that leads", "instances", "% of a core", percent)
     scene.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, ResourceUsage, at_rest
+from ironscale.scale.agents import Agents, ResourceUsage, measure_at_rest
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
@@ -72,7 +72,7 @@
     whole = count / hollows.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
         before, writes, started_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
-        percent, megabytes, written = await at_rest(agents.pid(), 2 * play.heartbeat_s)
+        percent, megabytes, written = await measure_at_rest(agents.pid(), 2 * play.heartbeat_s)
         after, writes_after, took_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
         took_s -= started_s
         rest_cpu = percent / 100
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -269,7 +269,7 @@
             port.close()
 
 
-async def at_rest(pid: int, seconds: float) -> tuple[float, float, float]:
+async def measure_at_rest(pid: int, seconds: float) -> tuple[float, float, float]:
     """Percent of a core, resident MB and bytes written to disk per second, measured for `seconds`."""
     before = ResourceUsage.of_process(pid)
     await asyncio.sleep(seconds)
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.agents import Agents, at_rest
+from ironscale.scale.agents import Agents, measure_at_rest
 from ironscale.scale.bounds import resident_memory_mb
 from ironscale.scale.real_sidecars import RealSidecars
 from ironscale.scale.run import RunContext
@@ -67,7 +67,7 @@
     discovery = reals.discovery
     await asyncio.sleep(2.0)
     beat_s = scene.size.play.heartbeat_s
-    rests = await asyncio.gather(*(at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
+    rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
     found = {
         "control.list.rest.cpu_percent": percent[:EACH], "control.list.rest.alone_cpu_percent": percent[EACH:],
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ironscale.scale.agents import Agents, at_rest
+from ironscale.scale.agents import Agents, measure_at_rest
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
@@ -31,7 +31,7 @@
 async def one(agents: Agents, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
     await agents.change(hollows)
     await asyncio.sleep(beat_s)
-    percent, megabytes, _ = await at_rest(agents.pid(1), 2 * beat_s)
+    percent, megabytes, _ = await measure_at_rest(agents.pid(1), 2 * beat_s)
     killed_s = agents.kill(0)
     agents.next_agent = 1
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
