--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -22,7 +22,7 @@
 
 from bench.fleet import size_of
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.agents import Agents
+from ironscale.scale.agents import AgentProcesses
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses
 from ironscale.standins.discovery import ListedDiscovery, listing
 from ironscale.standins.http import read_message
@@ -54,7 +54,7 @@
     return done
 
 
-async def one(folder: Path, peers: list[Peer], discovery: ListedDiscovery, agents: Agents | None,
+async def one(folder: Path, peers: list[Peer], discovery: ListedDiscovery, agents: AgentProcesses | None,
               seconds: float) -> float:
     """CPU in microseconds a request of one sidecar process."""
     config = folder / "app.json"
@@ -101,7 +101,7 @@
         discovery = await ListedDiscovery().start()
         discovery.put(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
         crew = ChildProcesses(ResourceLimits(300, 0.5))
-        agents = Agents(crew, folder, 1, size_of((1, 2, 3), beat_s, 5 * beat_s).play)
+        agents = AgentProcesses(crew, folder, 1, size_of((1, 2, 3), beat_s, 5 * beat_s).play)
         ratios = []
         try:
             await agents.start()
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, ResourceUsage, measure_at_rest
+from ironscale.scale.agents import AgentProcesses, ResourceUsage, measure_at_rest
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
@@ -59,7 +59,7 @@
 }
 
 
-async def one(scene: RunContext, agents: Agents, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
+async def one(scene: RunContext, agents: AgentProcesses, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = scene.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
@@ -113,7 +113,7 @@
     return found
 
 
-async def overlapping(agents: Agents, hollows: SimulatedInstances, add: object) -> None:
+async def overlapping(agents: AgentProcesses, hollows: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = ResourceUsage.of_process(agents.pid())
@@ -127,7 +127,7 @@
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
-async def back(agents: Agents, hollows: SimulatedInstances, add: object, count: int) -> None:
+async def back(agents: AgentProcesses, hollows: SimulatedInstances, add: object, count: int) -> None:
     """Kills the agent, restarts it at once and makes a change as soon as it is accepted."""
     assert callable(add)
     killed_s = agents.kill(0)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -67,7 +67,7 @@
         return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))]
 
 
-class Agents:
+class AgentProcesses:
     """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
     def __init__(self, children: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.agents import Agents, measure_at_rest
+from ironscale.scale.agents import AgentProcesses, measure_at_rest
 from ironscale.scale.bounds import resident_memory_mb
 from ironscale.scale.real_sidecars import RealSidecars
 from ironscale.scale.run import RunContext
@@ -62,7 +62,7 @@
                       f"with an agent less without, lists of {least}")
 
 
-async def of_list(scene: RunContext, agents: Agents, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
+async def of_list(scene: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = reals.discovery
     await asyncio.sleep(2.0)
@@ -110,7 +110,7 @@
     return found
 
 
-async def of_changes(agents: Agents, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
+async def of_changes(agents: AgentProcesses, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
                      ) -> list[float]:
     before, began_s = [process_cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
     for _ in range(CHANGES):
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from ironscale.scale.agents import Agents, ResourceUsage
+from ironscale.scale.agents import AgentProcesses, ResourceUsage
 from ironscale.scale.run import RunContext
 
 ROLE, X = "operator", "instances"
@@ -35,7 +35,7 @@
         scene.add_slope(name, ROLE, X, UNITS[name], points, NOTES[name])
 
 
-async def one(agents: Agents, count: int, repeats: int) -> dict[str, list[float]]:
+async def one(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     await agents.apply()  # creates the first generation
     names = await listed(agents)
@@ -57,7 +57,7 @@
     return found
 
 
-async def listed(agents: Agents) -> list[str]:
+async def listed(agents: AgentProcesses) -> list[str]:
     names: list[str] = []
     after = None
     while True:
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -6,7 +6,7 @@
 import signal
 import time
 
-from ironscale.scale.agents import Agents, ResourceUsage
+from ironscale.scale.agents import AgentProcesses, ResourceUsage
 from ironscale.scale.run import RunContext
 
 ROLE, X = "record", "instances"
@@ -47,7 +47,7 @@
     scene.add_slope("record.restart.read_bytes", ROLE, X, "bytes read", read)
 
 
-async def settled(agents: Agents) -> None:
+async def settled(agents: AgentProcesses) -> None:
     """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
     was, until_s = -1.0, time.monotonic() + 10
     while time.monotonic() < until_s:
@@ -58,7 +58,7 @@
         await asyncio.sleep(1.2)
 
 
-async def restarted(agents: Agents) -> tuple[float, float]:
+async def restarted(agents: AgentProcesses) -> tuple[float, float]:
     """Restarts the agent. Returns the seconds until the new process answers, and the bytes it has read by then."""
     process = agents.running[0]
     assert process is not None
@@ -71,7 +71,7 @@
     return time.monotonic() - at_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
-async def longer(scene: RunContext, agents: Agents, hollows_count: int, took_s: float, taken: float) -> None:
+async def longer(scene: RunContext, agents: AgentProcesses, hollows_count: int, took_s: float, taken: float) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.wait_until_ready(hollows_count)
     for _ in range(MANY):
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -17,7 +17,7 @@
 
 import httpx
 
-from ironscale.scale.agents import Agents, AgentsError
+from ironscale.scale.agents import AgentProcesses, AgentsError
 from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import RealSidecars, RealSidecarsError
@@ -63,14 +63,14 @@
 
     @asynccontextmanager
     async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
-                    follow_versions: bool = False) -> AsyncIterator[tuple[Agents, SimulatedInstances]]:
+                    follow_versions: bool = False) -> AsyncIterator[tuple[AgentProcesses, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follows` the simulated instances also follow published versions, at all agents."""
         self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
         instances = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
-        running_agents = Agents(self.crew, folder, agents, play, term_s)
+        running_agents = AgentProcesses(self.crew, folder, agents, play, term_s)
         try:
             await running_agents.start()
             await instances.start(count, running_agents.addresses, running_agents.token_file,
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ironscale.scale.agents import Agents, measure_at_rest
+from ironscale.scale.agents import AgentProcesses, measure_at_rest
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
@@ -28,7 +28,7 @@
         scene.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
-async def one(agents: Agents, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
+async def one(agents: AgentProcesses, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
     await agents.change(hollows)
     await asyncio.sleep(beat_s)
     percent, megabytes, _ = await measure_at_rest(agents.pid(1), 2 * beat_s)
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, ResourceUsage
+from ironscale.scale.agents import AgentProcesses, ResourceUsage
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
@@ -46,7 +46,7 @@
     await cut(scene)
 
 
-async def one(agents: Agents, hollows: SimulatedInstances) -> dict[str, list[float]]:
+async def one(agents: AgentProcesses, hollows: SimulatedInstances) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
     await agents.wait_until_held(hollows, number)
@@ -84,7 +84,7 @@
     return found
 
 
-def lost(agents: Agents, number: int) -> float:
+def lost(agents: AgentProcesses, number: int) -> float:
     """Kills an agent and removes its snapshot of the versions from disk. Returns the moment of the kill."""
     at_s = agents.kill(number)
     (agents.folder / f"agent-{number}" / "versions.snapshot").unlink(missing_ok=True)
