--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -206,7 +206,7 @@
         raise AgentsError(f"operation {operation} was not over within {timeout_s:g} s")
 
     async def change(self, instances: SimulatedInstances, count_from_s: float | None = None) -> Change:
-        """Makes a change and waits until all instances apply it. Times count from `since_s` if given. Raises
+        """Makes a change and waits until all instances apply it. Times count from `count_from_s` if given. Raises
         AgentsError."""
         generation, operation, requested_s, committed_s = await self.apply()
         closed_s = await self.wait_until_closed(operation)
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -83,7 +83,7 @@
 
     def check(self, plan: Plan, machine: Machine | None = None) -> None:
         """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
-        hard limit allows it. Raises BoundsError."""
+        hard limit allows it. Raises ResourceLimitError."""
         machine = machine or read_machine()
         if plan.processes > self.most_processes:
             raise ResourceLimitError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
@@ -119,7 +119,7 @@
     def start(self, name: str, module: str, *args: str, environ: Mapping[str, str] | None = None,
               log: Path | None = None, inherited_sockets: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
         """Starts `python -m module args` in a new session, so that Ctrl-C reaches only this process. Raises
-        BoundsError."""
+        ResourceLimitError."""
         self.forget_ended()
         if len(self.running) >= self.limits.most_processes:
             raise ResourceLimitError(f"processes: expected {self.limits.most_processes} at most, got one more: {name}")
@@ -138,7 +138,7 @@
                 del self.running[pid]
 
     def end(self, *processes: subprocess.Popen[bytes], first_signal: int = signal.SIGTERM, timeout_s: float = TERMINATION_TIMEOUT_S) -> None:
-        """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `within_s`."""
+        """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `timeout_s`."""
         ending = list(processes or self.running.values())
         for process in ending:
             for signal_number in (first_signal, signal.SIGCONT):
@@ -157,7 +157,7 @@
         return sum(resident_memory_mb(pid) for pid in self.running)
 
     async def watch_memory(self) -> None:
-        """Checks the memory until cancelled. Raises BoundsError if the run exceeds its limit."""
+        """Checks the memory until cancelled. Raises ResourceLimitError if the run exceeds its limit."""
         machine_at_start = read_machine()
         max_mb = self.limits.max_memory_mb(machine_at_start)
         while True:
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -14,7 +14,8 @@
 
 def hop_attempts(failure_rate: float, retry_share: float, max_attempts: int) -> tuple[float, float]:
     """Returns (attempts per request, share of the requests that finally fail) for one hop. Each attempt fails with
-    probability `failing`; the hop may retry at most `share` of its requests and sends each at most `most` times.
+    probability `failure_rate`; the hop may retry at most `retry_share` of its requests and sends each at most
+    `max_attempts` times.
 
     Every attempt is equally likely to succeed, whether it is a first one or a retry. So the share of requests that
     succeed is attempts x (1 - failing), however many retries the budget refuses.
@@ -26,7 +27,7 @@
 
 def attempts_at_bottom(failure_rate: float, hops: int, retry_share: float, max_attempts: int) -> list[float]:
     """Attempts that reach the bottom for one call at the top, for chains of 1 to `hops` hops. Each attempt at the
-    bottom fails with probability `failing`.
+    bottom fails with probability `failure_rate`.
 
     Attempts x (1 - failing) is the share of calls that succeed at the top, so there are never more than
     1 / (1 - failing) attempts. They grow as (1 + share) ** hops only if hardly any attempt succeeds.
@@ -53,7 +54,7 @@
 
 
 def extrapolate(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Extrapolation:
-    """Extrapolates points of (hops, value) to a depth, with an interval of SURE standard errors of the slope to each
+    """Extrapolates points of (hops, value) to a depth, with an interval of INTERVAL_STANDARD_ERRORS of the slope to each
     side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
     chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
     if by_factor and min(value for _, value in points) <= 0:
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -58,7 +58,7 @@
 
     async def start(self, count: int, agents: Sequence[tuple[str, int]] = (), token_file: Path | None = None
                     ) -> list[subprocess.Popen[bytes]]:
-        """Starts `count` sidecars and waits until all serve. Raises RealsError."""
+        """Starts `count` sidecars and waits until all serve. Raises RealSidecarsError."""
         started = [self.launch(agents, token_file) for _ in range(count)]
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -41,7 +41,7 @@
     unit: str
     points: tuple[Point, ...]
     fit: Fit
-    at: str  # time of the measurement, UTC
+    measured_at: str  # time of the measurement, UTC
     note: str = ""
 
 
@@ -93,7 +93,7 @@
 
     def to_json(self) -> str:
         def slope_object(entry: Slope) -> dict[str, Any]:
-            return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.at,
+            return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.measured_at,
                     "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
                     # Written for other programs. The verdict is left out: it is derived from the points on each load.
                     "fit": {key: getattr(entry.fit, key) for key in Fit.__slots__ if key != "verdict"}}
@@ -184,11 +184,11 @@
     for i, entry in enumerate(reader.list(value, "slopes", "")):
         result.add(reader.slope(entry, f"slopes[{i}]"))
     for i, entry in enumerate(reader.list(value, "readings", "")):
-        measured_at = f"readings[{i}]"
-        result.add(Reading(reader.text(entry, "name", measured_at), reader.text(entry, "role", measured_at, ROLES),
-                          reader.text(entry, "unit", measured_at), reader.numbers(reader.get(entry, "repeats", measured_at),
-                                                                         f"{measured_at}.repeats", 1),
-                          reader.text(entry, "at", measured_at), reader.text(entry, "note", measured_at, empty=True)))
+        at = f"readings[{i}]"
+        result.add(Reading(reader.text(entry, "name", at), reader.text(entry, "role", at, ROLES),
+                          reader.text(entry, "unit", at), reader.numbers(reader.get(entry, "repeats", at),
+                                                                         f"{at}.repeats", 1),
+                          reader.text(entry, "at", at), reader.text(entry, "note", at, empty=True)))
     return result
 
 
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -58,14 +58,14 @@
         self.progress(f"{name}: {added.value:.4g} {unit}")
 
     def check_limits(self, simulated: int, agents: int, real_count: int = 0, other_processes: int = 0) -> None:
-        """Raises BoundsError if starting this many would exceed the limits."""
+        """Raises ResourceLimitError if starting this many would exceed the limits."""
         self.bounds.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
 
     @asynccontextmanager
     async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
                     follow_versions: bool = False) -> AsyncIterator[tuple[AgentProcesses, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
-        with the block. With `follows` the simulated instances also follow published versions, at all agents."""
+        with the block. With `follow_versions` the simulated instances also follow published versions, at all agents."""
         self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
@@ -104,7 +104,7 @@
 
 async def run(size: Size, names: Sequence[str], result: Result, progress: Callable[[str], None],
               write: Callable[[Result], None]) -> None:
-    """Runs the measurements with these names, one after another, as `run_with` does."""
+    """Runs the measurements with these names, one after another, as `run_measurements` does."""
     measurements = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
     await run_measurements(size, measurements, result, progress, write)
 
@@ -112,7 +112,7 @@
 async def run_measurements(size: Size, measurements: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
                    write: Callable[[Result], None]) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
-    processes it started. Raises RunError, BoundsError."""
+    processes it started. Raises RunError, ResourceLimitError."""
     limits = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
     limits.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
     children = ChildProcesses(limits)
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -175,7 +175,7 @@
     count: int
 
     async def ask(self, **question: Any) -> dict[str, Any]:
-        """Sends a question and returns the answer. Raises HollowError."""
+        """Sends a question and returns the answer. Raises SimulatedInstancesError."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 self.writer.write(json.dumps(question).encode() + b"\n")
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -38,7 +38,7 @@
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in scene.size.play.sizes:
         scene.progress(f"versions: {count} simulated followers, {scene.size.play.agents} agents")
-        async with scene.running_fleet(count, scene.size.play.agents, follows=True) as (agents, hollows):
+        async with scene.running_fleet(count, scene.size.play.agents, follow_versions=True) as (agents, hollows):
             for name, values in (await one(agents, hollows)).items():
                 found[name][count] = values
     for name, points in found.items():
@@ -97,21 +97,21 @@
     count = size.play.sizes[-1]
     away, for_s = count // size.fleet.regions, 20.0
     scene.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with scene.running_fleet(count - away, 1, follows=True) as (agents, hollows):
+    async with scene.running_fleet(count - away, 1, follow_versions=True) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = len(hollows.instance_processes)
         try:
             behind = [("127.0.0.1", relay.port)]
             await hollows.start(away, behind, agents.token_file, versions=behind)
             number, _, _ = await agents.publish()
-            await agents.held(hollows, number)
+            await agents.wait_until_held(hollows, number)
             relay.cut()
             await asyncio.sleep(for_s - BEFORE_LINK_S)
             number, _, told_s = await agents.publish()
             await asyncio.sleep(BEFORE_LINK_S)
             relay.mend()
             mended_s = time.monotonic()
-            await agents.held(hollows, number)
+            await agents.wait_until_held(hollows, number)
             parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in hollows.instance_processes]
             others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
         finally:
