--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -16,19 +16,19 @@
 Points = dict[str, dict[int, list[float]]]
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     found: Points = {}
-    play = scene.size.play
+    play = context.size.play
     for count in play.sizes:
         # the largest size includes the real sidecars, so its results cover them too
         real = play.real if count == play.sizes[-1] else 0
-        scene.progress(f"agent: {count} instances, {real} of them real")
-        async with scene.running_fleet(count - real, real=real) as (agents, hollows):
-            for name, values in (await one(scene, agents, hollows, count)).items():
+        context.progress(f"agent: {count} instances, {real} of them real")
+        async with context.running_fleet(count - real, real=real) as (agents, hollows):
+            for name, values in (await one(context, agents, hollows, count)).items():
                 found.setdefault(name, {})[count] = values
     for name, points in found.items():
         role = CONTROL if name.startswith("control.") else LEADS
-        scene.add_slope(name, role, X, UNITS[name], points, NOTES.get(name, ""))
+        context.add_slope(name, role, X, UNITS[name], points, NOTES.get(name, ""))
 
 
 UNITS = {
