--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -23,8 +23,8 @@
         # the largest size includes the real sidecars, so its results cover them too
         real = play.real if count == play.sizes[-1] else 0
         context.progress(f"agent: {count} instances, {real} of them real")
-        async with context.running_fleet(count - real, real=real) as (agents, hollows):
-            for name, values in (await one(context, agents, hollows, count)).items():
+        async with context.running_fleet(count - real, real=real) as (agents, instances):
+            for name, values in (await one(context, agents, instances, count)).items():
                 found.setdefault(name, {})[count] = values
     for name, points in found.items():
         role = CONTROL if name.startswith("control.") else LEADS
