--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -59,8 +59,8 @@
 }
 
 
-async def one(scene: RunContext, agents: AgentProcesses, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
-    play = scene.size.play
+async def one(context: RunContext, agents: AgentProcesses, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
+    play = context.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
     def add(name: str, value: float) -> None:
