--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -59,21 +59,21 @@
 }
 
 
-async def one(context: RunContext, agents: AgentProcesses, hollows: SimulatedInstances, count: int) -> dict[str, list[float]]:
+async def one(context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = context.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
     def add(name: str, value: float) -> None:
         found[name].append(value)
 
-    await agents.change(hollows)  # warm-up: a process's first change is slower, because of imports and query plans
+    await agents.change(instances)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
     rest_cpu = hollow_cpu = 0.0
-    whole = count / hollows.count  # scales up to all instances: bytes are counted at the simulated ones only
+    whole = count / instances.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
-        before, writes, started_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
+        before, writes, started_s = await instances.total(), agents.database_state()["writes"], time.monotonic()
         percent, megabytes, written = await measure_at_rest(agents.pid(), 2 * play.heartbeat_s)
-        after, writes_after, took_s = await hollows.total(), agents.database_state()["writes"], time.monotonic()
+        after, writes_after, took_s = await instances.total(), agents.database_state()["writes"], time.monotonic()
         took_s -= started_s
         rest_cpu = percent / 100
         add("agent.rest.cpu_percent", percent)
@@ -83,13 +83,13 @@
         add("agent.rest.sent_bytes_s", (after["received"] - before["received"]) / took_s * whole)
         add("agent.rest.received_bytes_s", (after["sent"] - before["sent"]) / took_s * whole)
         passed = after["sent"] + after["received"] - before["sent"] - before["received"]
-        add("control.rest.bytes_s", passed / took_s / hollows.count)
+        add("control.rest.bytes_s", passed / took_s / instances.count)
         hollow_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
-        add("control.hollow.rest.cpu_percent", hollow_cpu / hollows.count * 100)
+        add("control.hollow.rest.cpu_percent", hollow_cpu / instances.count * 100)
     for _ in range(play.repeats):
-        before, spent = await hollows.total(), ResourceUsage.of_process(agents.pid())
-        change = await agents.change(hollows)
-        used, after = ResourceUsage.of_process(agents.pid()), await hollows.total()
+        before, spent = await instances.total(), ResourceUsage.of_process(agents.pid())
+        change = await agents.change(instances)
+        used, after = ResourceUsage.of_process(agents.pid()), await instances.total()
         took_s = used.at_s - spent.at_s
         # subtract the use at rest to get the cost of the change alone
         cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
@@ -100,15 +100,15 @@
         add("control.change.bytes", (found["agent.change.sent_bytes"][-1] + found["agent.change.received_bytes"][-1])
             / count)
         hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
-        add("control.hollow.change.cpu_us", max(0.0, hollow_s) / hollows.count * 1e6)
+        add("control.hollow.change.cpu_us", max(0.0, hollow_s) / instances.count * 1e6)
         add("agent.change.told_s", change.committed_s)
         add("agent.change.p50_s", change.latency_percentile_s(0.5))
         add("agent.change.p99_s", change.latency_percentile_s(0.99))
         add("agent.change.last_s", change.latencies_s[-1])
         add("agent.change.closed_s", change.closed_s)
-    await overlapping(agents, hollows, add)
+    await overlapping(agents, instances, add)
     for _ in range(BACK):
-        await back(agents, hollows, add, count)
+        await back(agents, instances, add, count)
         await asyncio.sleep(play.heartbeat_s)
     return found
 
