--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -113,7 +113,7 @@
     return found
 
 
-async def overlapping(agents: AgentProcesses, hollows: SimulatedInstances, add: object) -> None:
+async def overlapping(agents: AgentProcesses, instances: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = ResourceUsage.of_process(agents.pid())
@@ -121,7 +121,7 @@
         generation, operation, asked_s, _ = await agents.apply(supersede=True)
         if number + 1 < OVERLAPPING:
             await asyncio.sleep(0.05)
-    times = await agents.wait_until_in_force(hollows, generation)
+    times = await agents.wait_until_in_force(instances, generation)
     await agents.wait_until_closed(operation)
     add("agent.overlap.last_s", times[-1] - asked_s)
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
