--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -127,7 +127,7 @@
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
-async def back(agents: AgentProcesses, hollows: SimulatedInstances, add: object, count: int) -> None:
+async def back(agents: AgentProcesses, instances: SimulatedInstances, add: object, count: int) -> None:
     """Kills the agent, restarts it at once and makes a change as soon as it is accepted."""
     assert callable(add)
     killed_s = agents.kill(0)
@@ -135,7 +135,7 @@
     agents.launch(0)
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
-        change = await agents.change(hollows, count_from_s=killed_s)
+        change = await agents.change(instances, count_from_s=killed_s)
         add("agent.back.all_ready_s", await ready - killed_s)
     finally:
         ready.cancel()
