--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -393,7 +393,7 @@
     return found
 
 
-def record(scene: RunContext, turns: Sequence[Turn], depth: int) -> None:
+def record(context: RunContext, turns: Sequence[Turn], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
     for turn in turns:
@@ -407,13 +407,13 @@
         for name, (value, unit) in figures.items():
             points.setdefault((f"chain.{name}", unit), {}).setdefault(turn.hops, []).append(round(value, 4))
     for (name, unit), by_hops in points.items():
-        scene.add_slope(name, ROLE, "hops", unit, by_hops, NOTE)
+        context.add_slope(name, ROLE, "hops", unit, by_hops, NOTE)
         by_factor = ".attempts." in name
         pairs = [(hops, value) for hops, values in by_hops.items() for value in values]
         if ".served." in name or ".most." in name or (by_factor and min(value for _, value in pairs) <= 0):
             continue
         far = extrapolate(pairs, depth, by_factor)
-        scene.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(far.value, 4)],
+        context.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(far.value, 4)],
                           f"carried on, {far.low:.3g} to {far.high:.3g}; each hop {'times' if by_factor else 'adds'} "
                           f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
 
