--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -418,14 +418,14 @@
                           f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
-    scene.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
+    context.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
-        turns = await play_all(LENGTHS, rounds=scene.size.play.repeats, tell=scene.progress)
+        turns = await play_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
-    record(scene, turns, scene.size.fleet.depth)
+    record(context, turns, context.size.fleet.depth)
 
 
 async def main() -> None:
