--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -33,32 +33,32 @@
 }
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     added_cpu: list[float] = []
     added_mb: list[float] = []
-    for length in scene.size.play.lists:
-        scene.progress(f"control: lists of {length}")
-        scene.check_limits(0, 1, 2 * EACH)
-        async with scene.running_fleet(0) as (agents, _), RealSidecars.running(scene.crew, scene.folder, 2 * EACH, length) as reals:
+    for length in context.size.play.lists:
+        context.progress(f"control: lists of {length}")
+        context.check_limits(0, 1, 2 * EACH)
+        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.crew, context.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(EACH)
-            one = await of_list(scene, agents, reals, with_agent, without)
+            one = await of_list(context, agents, reals, with_agent, without)
         for name, values in one.items():
             found[name][length] = values
-        usual = length == scene.size.play.lists[0]
+        usual = length == context.size.play.lists[0]
         if usual:
             added_cpu = [a - b for a, b in zip(one["control.list.rest.cpu_percent"],
                                                one["control.list.rest.alone_cpu_percent"], strict=True)]
             added_mb = [a - b for a, b in zip(sorted(one["control.list.memory_mb"]),
                                               sorted(one["control.list.alone_memory_mb"]), strict=True)]
     for name, points in found.items():
-        scene.add_slope(name, ROLE, LIST, UNITS[name], points, NOTES.get(name, ""))
-    least = scene.size.play.lists[0]
-    scene.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
+        context.add_slope(name, ROLE, LIST, UNITS[name], points, NOTES.get(name, ""))
+    least = context.size.play.lists[0]
+    context.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
                       f"with an agent less without, lists of {least}")
-    scene.add_reading("control.real.added_memory_mb", ROLE, "MB", added_mb,
+    context.add_reading("control.real.added_memory_mb", ROLE, "MB", added_mb,
                       f"with an agent less without, lists of {least}")
 
 
