--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -62,11 +62,11 @@
                       f"with an agent less without, lists of {least}")
 
 
-async def of_list(scene: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
+async def of_list(context: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = reals.discovery
     await asyncio.sleep(2.0)
-    beat_s = scene.size.play.heartbeat_s
+    beat_s = context.size.play.heartbeat_s
     rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
     found = {
