--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -13,12 +13,12 @@
 WAIT_S = 60.0
 
 
-async def measure(scene: RunContext) -> None:
-    size = scene.size
+async def measure(context: RunContext) -> None:
+    size = context.size
     count, regions = size.play.sizes[-1], size.fleet.regions
     away = count // regions
-    scene.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
-    async with scene.running_fleet(count - away) as (agents, hollows):
+    context.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
+    async with context.running_fleet(count - away) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = hollows.instance_processes[:]
         try:
@@ -43,11 +43,11 @@
             relay.close()
     note = f"{away} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
     kept = sorted(at - asked_s for part in others for at in part["at"])
-    scene.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
-    scene.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
-    scene.add_reading("cut.region.missed", ROLE, "instances", [away - len(times)],
+    context.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
+    context.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
+    context.add_reading("cut.region.missed", ROLE, "instances", [away - len(times)],
                       f"{note}; without the change {WAIT_S:g} s after")
     if times:
         for label, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             value = times[min(len(times) - 1, int(share * len(times)))]
-            scene.add_reading(f"cut.region.change_{label}_s", ROLE, "s", [value], f"{note}; from the link's return")
+            context.add_reading(f"cut.region.change_{label}_s", ROLE, "s", [value], f"{note}; from the link's return")
