--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -18,12 +18,12 @@
     count, regions = size.play.sizes[-1], size.fleet.regions
     away = count // regions
     context.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
-    async with context.running_fleet(count - away) as (agents, hollows):
+    async with context.running_fleet(count - away) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
-        near = hollows.instance_processes[:]
+        near = instances.instance_processes[:]
         try:
-            await hollows.start(away, [("127.0.0.1", relay.port)], agents.token_file)
-            far = hollows.instance_processes[len(near):]
+            await instances.start(away, [("127.0.0.1", relay.port)], agents.token_file)
+            far = instances.instance_processes[len(near):]
             await agents.wait_until_ready(count)
             relay.cut()
             cut_s = time.monotonic()
