--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -335,13 +335,13 @@
     return found
 
 
-async def by_length(scene: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
+async def by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     figures = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
     found = [await take(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
     for figure, unit in figures.items():
         points = {n: [round(getattr(t, figure), 3) for t in found if t.upstreams == n] for n in lists}
-        scene.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
+        context.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
                         f"read by one sidecar, {watches} hollow watches"
                         + (f"; were it asked for every {ASK_S:g} s" if figure == "asked_bytes_s" else ""))
 
