--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -346,7 +346,7 @@
                         + (f"; were it asked for every {ASK_S:g} s" if figure == "asked_bytes_s" else ""))
 
 
-async def by_sidecars(scene: RunContext, sizes: Sequence[int], upstreams: int) -> None:
+async def by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
     found = [await take(upstreams, watches, asked=False) for watches in sizes]
     for figure, unit, values in (
         ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in found]),
@@ -355,7 +355,7 @@
         ("start.p99_s", "s", [[percentile(t.first_s, 0.99)] for t in found]),
         ("change.bytes", "bytes", [[t.change_bytes * t.watches] for t in found]),
     ):
-        scene.add_slope(f"discovery.{figure}", ROLE, "sidecars", unit, dict(zip(sizes, values, strict=True)),
+        context.add_slope(f"discovery.{figure}", ROLE, "sidecars", unit, dict(zip(sizes, values, strict=True)),
                         f"written by discovery, a list of {upstreams:,}; all sidecars start at once")
 
 
