--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -359,18 +359,18 @@
                         f"written by discovery, a list of {upstreams:,}; all sidecars start at once")
 
 
-async def zone_back(scene: RunContext, sidecars: int, upstreams: int) -> None:
+async def zone_back(context: RunContext, sidecars: int, upstreams: int) -> None:
     for turn_ms in TURNS_MS:
         async with site(upstreams, sidecars, turn_ms) as played:
             await played.start()
             counts, server = await played.all(), await played.server.ask()
             name, note = f"discovery.zone_back.{turn_ms:g}_ms", (
                 f"{sidecars} sidecars start at once, a list of {upstreams:,}, {turn_ms:g} ms a call in turn (assumed)")
-            scene.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_s, 0.5)], note)
-            scene.add_reading(f"{name}.last_s", ROLE, "s", [max(played.first_s)], note)
-            scene.add_reading(f"{name}.failed", ROLE, "calls", [counts["failed"]], note)
-            scene.add_reading(f"{name}.calls", ROLE, "calls", [server["calls"]], note)
-            scene.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
+            context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_s, 0.5)], note)
+            context.add_reading(f"{name}.last_s", ROLE, "s", [max(played.first_s)], note)
+            context.add_reading(f"{name}.failed", ROLE, "calls", [counts["failed"]], note)
+            context.add_reading(f"{name}.calls", ROLE, "calls", [server["calls"]], note)
+            context.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
 
 
 async def measure(scene: RunContext) -> None:
