--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -373,14 +373,14 @@
             context.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     """Measures by length of the list, by number of sidecars, and the simultaneous restart of a whole zone."""
-    size = scene.size
-    scene.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // EACH))
+    size = context.size
+    context.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // EACH))
     try:
-        await by_length(scene, size.play.lists, 20, min(2, size.play.repeats))
-        await by_sidecars(scene, size.play.sizes, size.play.lists[-1])
-        await zone_back(scene, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
+        await by_length(context, size.play.lists, 20, min(2, size.play.repeats))
+        await by_sidecars(context, size.play.sizes, size.play.lists[-1])
+        await zone_back(context, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
     except ChildError as error:
         raise RunError(str(error)) from error
 
