--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -24,15 +24,15 @@
 INSPECT = "query($n: String!) { instance(name: $n) { inspect { upstreams { name } } } }"
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
-    for count in scene.size.play.sizes:
-        scene.progress(f"operator: {count} simulated instances")
-        async with scene.running_fleet(count) as (agents, _):
-            for name, values in (await one(agents, count, scene.size.play.repeats)).items():
+    for count in context.size.play.sizes:
+        context.progress(f"operator: {count} simulated instances")
+        async with context.running_fleet(count) as (agents, _):
+            for name, values in (await one(agents, count, context.size.play.repeats)).items():
                 found[name][count] = values
     for name, points in found.items():
-        scene.add_slope(name, ROLE, X, UNITS[name], points, NOTES[name])
+        context.add_slope(name, ROLE, X, UNITS[name], points, NOTES[name])
 
 
 async def one(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
