--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -305,7 +305,7 @@
          "opened_per_s": "/s", "connections_held": "connections", "sidecar_files": "files", "rss_mb": "MB"}
 
 
-def record(scene: RunContext, found: Found, prefix: str, note: str) -> None:
+def record(context: RunContext, found: Found, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
     for name, points in found.points.items():
@@ -319,19 +319,19 @@
         told = figure.replace("_us", "_ms") if factor < 1 else figure
         full = f"{prefix}.{'call' if way == 'sidecar' else way}.{told}"
         if len(by_length) >= MIN_SIZES:
-            scene.add_slope(full, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
+            context.add_slope(full, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
         else:
             for length, values in by_length.items():
-                scene.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
+                context.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
     # over all windows together, as one window has too few calls for the 99.9th percentile
     for upstreams in found.took:
         for kind, ways in (("any", found.took[upstreams]), ("quiet", found.calm[upstreams])):
             for way, took in ways.items():
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
-                    scene.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
+                    context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
                                       [percentile(took, share) / 1000], f"{len(took)} calls; {note}")
         ends = found.ends[upstreams]
-        scene.add_reading(f"{prefix}.unserved_share.{upstreams}", ROLE, "of calls",
+        context.add_reading(f"{prefix}.unserved_share.{upstreams}", ROLE, "of calls",
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
 
 
