--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -335,17 +335,17 @@
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     """Measures all lists of the size file, and the longest once more with a sidecar that is told of few others."""
-    lists, rate, windows = scene.size.play.lists, scene.size.calls_per_s_each, scene.size.play.repeats
-    scene.check_limits(0, 0, real_count=1, other_processes=2)
+    lists, rate, windows = context.size.play.lists, context.size.calls_per_s_each, context.size.play.repeats
+    context.check_limits(0, 0, real_count=1, other_processes=2)
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
             f"the direct way nor the byte relay took over {QUIET_US / 1000:g} ms; the sidecar is told of ")
     try:
-        found = await play(lists, rate, windows=windows, tell=scene.progress)
-        record(scene, found, "path", note + "a sidecar for each upstream")
-        few = await play(lists[-1:], rate, sidecars=FEW, windows=windows, tell=scene.progress)
-        record(scene, few, "path_few", note + f"{FEW} sidecars")
+        found = await play(lists, rate, windows=windows, tell=context.progress)
+        record(context, found, "path", note + "a sidecar for each upstream")
+        few = await play(lists[-1:], rate, sidecars=FEW, windows=windows, tell=context.progress)
+        record(context, few, "path_few", note + f"{FEW} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
 
