--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -13,15 +13,15 @@
 FEW, MANY = 4, 16  # changes
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     grown: dict[int, list[float]] = {}
     rows: dict[int, list[float]] = {}
     written: dict[int, list[float]] = {}
     started: dict[int, list[float]] = {}
     read: dict[int, list[float]] = {}
-    for count in scene.size.play.sizes:
-        scene.progress(f"record: {count} simulated instances")
-        async with scene.running_fleet(count) as (agents, hollows):
+    for count in context.size.play.sizes:
+        context.progress(f"record: {count} simulated instances")
+        async with context.running_fleet(count) as (agents, hollows):
             await agents.change(hollows)
             await settled(agents)
             for _ in range(FEW):
@@ -36,15 +36,15 @@
                 written.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
             started[count], read[count] = [took_s], [taken]
-            if count == scene.size.play.sizes[0]:
-                await longer(scene, agents, hollows_count=count, took_s=took_s, taken=taken)
-    scene.add_slope("record.change.bytes", ROLE, X, "bytes a change", grown)
-    scene.add_slope("record.change.rows", ROLE, X, "rows a change", rows)
-    scene.add_slope("record.change.disk_bytes", ROLE, X, "bytes written to disk a change", written,
+            if count == context.size.play.sizes[0]:
+                await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
+    context.add_slope("record.change.bytes", ROLE, X, "bytes a change", grown)
+    context.add_slope("record.change.rows", ROLE, X, "rows a change", rows)
+    context.add_slope("record.change.disk_bytes", ROLE, X, "bytes written to disk a change", written,
                     "the agent's write_bytes, heartbeats' marks among them")
-    scene.add_slope("record.restart.seconds", ROLE, X, "s", started,
+    context.add_slope("record.restart.seconds", ROLE, X, "s", started,
                     f"from SIGTERM's end to the agent's address, after {FEW + 1} changes")
-    scene.add_slope("record.restart.read_bytes", ROLE, X, "bytes read", read)
+    context.add_slope("record.restart.read_bytes", ROLE, X, "bytes read", read)
 
 
 async def settled(agents: AgentProcesses) -> None:
