--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -21,13 +21,13 @@
     read: dict[int, list[float]] = {}
     for count in context.size.play.sizes:
         context.progress(f"record: {count} simulated instances")
-        async with context.running_fleet(count) as (agents, hollows):
-            await agents.change(hollows)
+        async with context.running_fleet(count) as (agents, instances):
+            await agents.change(instances)
             await settled(agents)
             for _ in range(FEW):
                 before, spent = agents.database_state(), ResourceUsage.of_process(agents.pid())
-                change = await agents.change(hollows)
-                await agents.wait_until_in_force(hollows, change.generation)
+                change = await agents.change(instances)
+                await agents.wait_until_in_force(instances, change.generation)
                 await settled(agents)
                 after = agents.database_state()
                 grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
