--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -71,14 +71,14 @@
     return time.monotonic() - at_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
-async def longer(scene: RunContext, agents: AgentProcesses, hollows_count: int, took_s: float, taken: float) -> None:
+async def longer(context: RunContext, agents: AgentProcesses, hollows_count: int, took_s: float, taken: float) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.wait_until_ready(hollows_count)
     for _ in range(MANY):
         _, operation, _, _ = await agents.apply()
         await agents.wait_until_closed(operation)
     again_s, again = await restarted(agents)
-    scene.add_reading("record.restart.more_history_s", ROLE, "s", [again_s - took_s],
+    context.add_reading("record.restart.more_history_s", ROLE, "s", [again_s - took_s],
                       f"{MANY} changes of {hollows_count} more in the record")
-    scene.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [again - taken],
+    context.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [again - taken],
                       f"{MANY} changes of {hollows_count} more in the record")
