--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -16,16 +16,16 @@
 }
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
-    play = scene.size.play
+    play = context.size.play
     for count in play.sizes:
-        scene.progress(f"takeover: {count} simulated instances, {play.agents} agents")
-        async with scene.running_fleet(count, play.agents) as (agents, hollows):
+        context.progress(f"takeover: {count} simulated instances, {play.agents} agents")
+        async with context.running_fleet(count, play.agents) as (agents, hollows):
             for name, value in (await one(agents, hollows, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
     for name, points in found.items():
-        scene.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
+        context.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
 async def one(agents: AgentProcesses, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
