--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -21,8 +21,8 @@
     play = context.size.play
     for count in play.sizes:
         context.progress(f"takeover: {count} simulated instances, {play.agents} agents")
-        async with context.running_fleet(count, play.agents) as (agents, hollows):
-            for name, value in (await one(agents, hollows, count, play.heartbeat_s)).items():
+        async with context.running_fleet(count, play.agents) as (agents, instances):
+            for name, value in (await one(agents, instances, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
     for name, points in found.items():
         context.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
