--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -28,15 +28,15 @@
         context.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
-async def one(agents: AgentProcesses, hollows: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
-    await agents.change(hollows)
+async def one(agents: AgentProcesses, instances: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
+    await agents.change(instances)
     await asyncio.sleep(beat_s)
     percent, megabytes, _ = await measure_at_rest(agents.pid(1), 2 * beat_s)
     killed_s = agents.kill(0)
     agents.next_agent = 1
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
-        change = await agents.change(hollows, count_from_s=killed_s)
+        change = await agents.change(instances, count_from_s=killed_s)
         all_s = await ready - killed_s
     finally:
         ready.cancel()
