--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -34,16 +34,16 @@
     return times[min(len(times) - 1, int(share * len(times)))] - from_s
 
 
-async def measure(scene: RunContext) -> None:
+async def measure(context: RunContext) -> None:
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
-    for count in scene.size.play.sizes:
-        scene.progress(f"versions: {count} simulated followers, {scene.size.play.agents} agents")
-        async with scene.running_fleet(count, scene.size.play.agents, follow_versions=True) as (agents, hollows):
+    for count in context.size.play.sizes:
+        context.progress(f"versions: {count} simulated followers, {context.size.play.agents} agents")
+        async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, hollows):
             for name, values in (await one(agents, hollows)).items():
                 found[name][count] = values
     for name, points in found.items():
-        scene.add_slope(name, ROLE, X, UNITS[name], points, NOTES.get(name, ""))
-    await cut(scene)
+        context.add_slope(name, ROLE, X, UNITS[name], points, NOTES.get(name, ""))
+    await cut(context)
 
 
 async def one(agents: AgentProcesses, hollows: SimulatedInstances) -> dict[str, list[float]]:
