--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -38,8 +38,8 @@
     found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in context.size.play.sizes:
         context.progress(f"versions: {count} simulated followers, {context.size.play.agents} agents")
-        async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, hollows):
-            for name, values in (await one(agents, hollows)).items():
+        async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, instances):
+            for name, values in (await one(agents, instances)).items():
                 found[name][count] = values
     for name, points in found.items():
         context.add_slope(name, ROLE, X, UNITS[name], points, NOTES.get(name, ""))
