--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -46,14 +46,14 @@
     await cut(context)
 
 
-async def one(agents: AgentProcesses, hollows: SimulatedInstances) -> dict[str, list[float]]:
+async def one(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
-    await agents.wait_until_held(hollows, number)
+    await agents.wait_until_held(instances, number)
     for _ in range(CHANGES):
         before, leads, follows = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
         number, asked_s, told_s = await agents.publish()
-        times = await agents.wait_until_held(hollows, number)
+        times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
         found["versions.change.told_s"].append(told_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
@@ -68,17 +68,17 @@
     killed_s = lost(agents, 0)
     agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
-    times = await agents.wait_until_held(hollows, number)
+    times = await agents.wait_until_held(instances, number)
     found["versions.killed.p99_s"].append(at(times, 0.99, told_s))
     found["versions.killed.last_s"].append(at(times, 1.0, told_s))
     number, _, told_s = await waiting
-    times = await agents.wait_until_held(hollows, number)
+    times = await agents.wait_until_held(instances, number)
     found["versions.takeover.last_from_kill_s"].append(at(times, 1.0, killed_s))
     found["versions.takeover.last_s"].append(at(times, 1.0, told_s))
     lost(agents, agents.next_agent)
     agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
     number, _, told_s = await agents.publish()
-    times = await agents.wait_until_held(hollows, number)
+    times = await agents.wait_until_held(instances, number)
     found["versions.one_left.last_s"].append(at(times, 1.0, told_s))
     found["versions.one_left.p99_s"].append(at(times, 0.99, told_s))
     return found
