--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -91,13 +91,13 @@
     return at_s
 
 
-async def cut(scene: RunContext) -> None:
+async def cut(context: RunContext) -> None:
     """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
-    size = scene.size
+    size = context.size
     count = size.play.sizes[-1]
     away, for_s = count // size.fleet.regions, 20.0
-    scene.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with scene.running_fleet(count - away, 1, follow_versions=True) as (agents, hollows):
+    context.progress(f"versions: {away} of {count} cut for {for_s:g} s")
+    async with context.running_fleet(count - away, 1, follow_versions=True) as (agents, hollows):
         relay = await Relay(agents.addresses[0]).start()
         near = len(hollows.instance_processes)
         try:
@@ -117,7 +117,7 @@
         finally:
             relay.close()
     note = f"{away} of {count} cut for {for_s:g} s, a version {BEFORE_LINK_S:g} s before the link was back"
-    scene.add_reading("versions.cut.others_last_s", ROLE, "s", [at(others, 1.0, told_s)], f"{note}; those not cut")
+    context.add_reading("versions.cut.others_last_s", ROLE, "s", [at(others, 1.0, told_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-        scene.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [at(far, share, mended_s)],
+        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [at(far, share, mended_s)],
                           f"{note}; from the link's return")
