--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -97,22 +97,22 @@
     count = size.play.sizes[-1]
     away, for_s = count // size.fleet.regions, 20.0
     context.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with context.running_fleet(count - away, 1, follow_versions=True) as (agents, hollows):
+    async with context.running_fleet(count - away, 1, follow_versions=True) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
-        near = len(hollows.instance_processes)
+        near = len(instances.instance_processes)
         try:
             behind = [("127.0.0.1", relay.port)]
-            await hollows.start(away, behind, agents.token_file, versions=behind)
+            await instances.start(away, behind, agents.token_file, versions=behind)
             number, _, _ = await agents.publish()
-            await agents.wait_until_held(hollows, number)
+            await agents.wait_until_held(instances, number)
             relay.cut()
             await asyncio.sleep(for_s - BEFORE_LINK_S)
             number, _, told_s = await agents.publish()
             await asyncio.sleep(BEFORE_LINK_S)
             relay.mend()
             mended_s = time.monotonic()
-            await agents.wait_until_held(hollows, number)
-            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in hollows.instance_processes]
+            await agents.wait_until_held(instances, number)
+            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in instances.instance_processes]
             others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
         finally:
             relay.close()
