--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,15 +22,15 @@
 SIZE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
 
 
-async def rest(scene: RunContext) -> None:
+async def rest(context: RunContext) -> None:
     percent: dict[int, list[float]] = {}
     memory: dict[int, list[float]] = {}
-    for count in scene.size.play.sizes:
-        async with scene.running_fleet(count) as (agents, _):
-            found = [await measure_at_rest(agents.pid(), 2 * scene.size.play.heartbeat_s) for _ in range(2)]
+    for count in context.size.play.sizes:
+        async with context.running_fleet(count) as (agents, _):
+            found = [await measure_at_rest(agents.pid(), 2 * context.size.play.heartbeat_s) for _ in range(2)]
         percent[count], memory[count] = [f[0] for f in found], [f[1] for f in found]
-    scene.add_slope("agent.rest.cpu_percent", "agent that leads", "instances", "% of a core", percent)
-    scene.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
+    context.add_slope("agent.rest.cpu_percent", "agent that leads", "instances", "% of a core", percent)
+    context.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
 
 
 def size_of(counts: tuple[int, ...], beat_s: float, lease_s: float) -> Size:
