--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -48,9 +48,9 @@
     size = size_of(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
     result = Result(size.digest, describe_machine())
 
-    async def both(scene: RunContext) -> None:
-        await rest(scene)
-        await operators(scene)
+    async def both(context: RunContext) -> None:
+        await rest(context)
+        await operators(context)
 
     uvloop.run(run_measurements(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None))
     if given.json:
