--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -40,7 +40,7 @@
     for length in context.size.play.lists:
         context.progress(f"control: lists of {length}")
         context.check_limits(0, 1, 2 * EACH)
-        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.crew, context.folder, 2 * EACH, length) as reals:
+        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * EACH, length) as reals:
             without = await reals.start(EACH)
             with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(EACH)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -39,7 +39,7 @@
 
     size: Size
     folder: Path
-    crew: ChildProcesses
+    children: ChildProcesses
     bounds: ResourceLimits
     result: Result
     progress: Callable[[str], None]
@@ -69,13 +69,13 @@
         self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
-        instances = SimulatedInstances(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
-        running_agents = AgentProcesses(self.crew, folder, agents, play, term_s)
+        instances = SimulatedInstances(self.children, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
+        running_agents = AgentProcesses(self.children, folder, agents, play, term_s)
         try:
             await running_agents.start()
             await instances.start(count, running_agents.addresses, running_agents.token_file,
                                 versions=running_agents.addresses if follow_versions else ())
-            async with RealSidecars.running(self.crew, folder, real) as reals:
+            async with RealSidecars.running(self.children, folder, real) as reals:
                 await reals.start(real, running_agents.addresses, running_agents.token_file)
                 await running_agents.wait_until_ready(count + real)
                 yield running_agents, instances
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -199,8 +199,8 @@
                 assert len(change.latencies_s) == count and 0 < change.latencies_s[-1] < change.closed_s
                 rows[count] = [agents.database_state()["targets"]]
                 assert (await hollows.total())["welcomed"] == count
-                pids.update(scene.crew.running)
-            assert not scene.crew.running
+                pids.update(scene.children.running)
+            assert not scene.children.running
         scene.add_slope("record.change.targets", "record", "instances", "rows", rows)
 
     size = parse(SMALL, "small")
