--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -40,7 +40,7 @@
     size: Size
     folder: Path
     children: ChildProcesses
-    bounds: ResourceLimits
+    limits: ResourceLimits
     result: Result
     progress: Callable[[str], None]
 
@@ -59,7 +59,7 @@
 
     def check_limits(self, simulated: int, agents: int, real_count: int = 0, other_processes: int = 0) -> None:
         """Raises ResourceLimitError if starting this many would exceed the limits."""
-        self.bounds.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
+        self.limits.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
 
     @asynccontextmanager
     async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
