--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -118,8 +118,8 @@
     def __init__(self, file: str) -> None:
         self.file = file
 
-    def fail(self, at: str, expected: str, got: Any) -> ResultError:
-        return ResultError(f"{self.file}: {at}: expected {expected}, got {str(got)[:60]!r}")
+    def fail(self, path: str, expected: str, got: Any) -> ResultError:
+        return ResultError(f"{self.file}: {path}: expected {expected}, got {str(got)[:60]!r}")
 
     def text(self, value: Any, key: str, at: str, choices: tuple[str, ...] = (), empty: bool = False) -> str:
         found = self.get(value, key, at)
