--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -121,10 +121,10 @@
     def fail(self, path: str, expected: str, got: Any) -> ResultError:
         return ResultError(f"{self.file}: {path}: expected {expected}, got {str(got)[:60]!r}")
 
-    def text(self, value: Any, key: str, at: str, choices: tuple[str, ...] = (), empty: bool = False) -> str:
-        found = self.get(value, key, at)
+    def text(self, value: Any, key: str, path: str, choices: tuple[str, ...] = (), empty: bool = False) -> str:
+        found = self.get(value, key, path)
         if not isinstance(found, str) or not (found or empty) or (choices and found not in choices):
-            raise self.fail(f"{at}.{key}", f"one of {', '.join(choices)}" if choices else "a text", found)
+            raise self.fail(f"{path}.{key}", f"one of {', '.join(choices)}" if choices else "a text", found)
         return found
 
     def get(self, value: Any, key: str, at: str) -> Any:
