--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -127,11 +127,11 @@
             raise self.fail(f"{path}.{key}", f"one of {', '.join(choices)}" if choices else "a text", found)
         return found
 
-    def get(self, value: Any, key: str, at: str) -> Any:
+    def get(self, value: Any, key: str, path: str) -> Any:
         if not isinstance(value, dict):
-            raise self.fail(at, "an object", value)
+            raise self.fail(path, "an object", value)
         if key not in value:
-            raise self.fail(f"{at}.{key}" if at else key, "a value", "nothing")
+            raise self.fail(f"{path}.{key}" if path else key, "a value", "nothing")
         return value[key]
 
     def list(self, value: Any, key: str, at: str) -> list[Any]:
