--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -134,10 +134,10 @@
             raise self.fail(f"{path}.{key}" if path else key, "a value", "nothing")
         return value[key]
 
-    def list(self, value: Any, key: str, at: str) -> list[Any]:
-        found = self.get(value, key, at)
+    def list(self, value: Any, key: str, path: str) -> list[Any]:
+        found = self.get(value, key, path)
         if not isinstance(found, list):
-            raise self.fail(f"{at}.{key}" if at else key, "a list", found)
+            raise self.fail(f"{path}.{key}" if path else key, "a list", found)
         return found
 
     def number(self, found: Any, at: str) -> float:
