--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -140,9 +140,9 @@
             raise self.fail(f"{path}.{key}" if path else key, "a list", found)
         return found
 
-    def number(self, found: Any, at: str) -> float:
+    def number(self, found: Any, path: str) -> float:
         if isinstance(found, bool) or not isinstance(found, int | float) or not math.isfinite(found):
-            raise self.fail(at, "a number", found)
+            raise self.fail(path, "a number", found)
         return float(found)
 
     def numbers(self, found: Any, at: str, minimum: int) -> tuple[float, ...]:
