--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -140,10 +140,10 @@
             raise self.fail(f"{path}.{key}" if path else key, "a list", found)
         return found
 
-    def number(self, found: Any, path: str) -> float:
-        if isinstance(found, bool) or not isinstance(found, int | float) or not math.isfinite(found):
-            raise self.fail(path, "a number", found)
-        return float(found)
+    def number(self, value: Any, path: str) -> float:
+        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+            raise self.fail(path, "a number", value)
+        return float(value)
 
     def numbers(self, found: Any, path: str, minimum: int) -> tuple[float, ...]:
         if not isinstance(found, list) or len(found) < minimum:
