--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -145,10 +145,10 @@
             raise self.fail(path, "a number", value)
         return float(value)
 
-    def numbers(self, found: Any, path: str, minimum: int) -> tuple[float, ...]:
-        if not isinstance(found, list) or len(found) < minimum:
-            raise self.fail(path, f"a list of {minimum} numbers or more", found)
-        return tuple(self.number(entry, f"{path}[{i}]") for i, entry in enumerate(found))
+    def numbers(self, value: Any, path: str, minimum: int) -> tuple[float, ...]:
+        if not isinstance(value, list) or len(value) < minimum:
+            raise self.fail(path, f"a list of {minimum} numbers or more", value)
+        return tuple(self.number(entry, f"{path}[{i}]") for i, entry in enumerate(value))
 
     def slope(self, value: Any, at: str) -> Slope:
         points = tuple(Point(row[0], row[1:]) for row in (
