--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -150,21 +150,21 @@
             raise self.fail(path, f"a list of {minimum} numbers or more", value)
         return tuple(self.number(entry, f"{path}[{i}]") for i, entry in enumerate(value))
 
-    def slope(self, value: Any, at: str) -> Slope:
+    def slope(self, value: Any, path: str) -> Slope:
         points = tuple(Point(row[0], row[1:]) for row in (
-            self.numbers(row, f"{at}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", at))))
-        recorded_fit = self.get(value, "fit", at)
+            self.numbers(row, f"{path}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", path))))
+        recorded_fit = self.get(value, "fit", path)
         try:
-            found = build_slope(self.text(value, "name", at), self.text(value, "role", at, ROLES), self.text(value, "x", at),
-                          self.text(value, "unit", at), {p.size: p.repeats for p in points},
-                          self.text(value, "at", at), self.text(value, "note", at, empty=True))
+            found = build_slope(self.text(value, "name", path), self.text(value, "role", path, ROLES), self.text(value, "x", path),
+                          self.text(value, "unit", path), {p.size: p.repeats for p in points},
+                          self.text(value, "at", path), self.text(value, "note", path, empty=True))
         except FitError as error:
-            raise ResultError(f"{self.file}: {at}.points: {error}") from error
+            raise ResultError(f"{self.file}: {path}.points: {error}") from error
         # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
         for key in ("intercept", "slope", "mean"):
-            recorded = self.number(self.get(recorded_fit, key, f"{at}.fit"), f"{at}.fit.{key}")
+            recorded = self.number(self.get(recorded_fit, key, f"{path}.fit"), f"{path}.fit.{key}")
             if not math.isclose(recorded, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
-                raise self.fail(f"{at}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", recorded)
+                raise self.fail(f"{path}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", recorded)
         return found
 
 
