--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -184,11 +184,11 @@
     for i, entry in enumerate(reader.list(value, "slopes", "")):
         result.add(reader.slope(entry, f"slopes[{i}]"))
     for i, entry in enumerate(reader.list(value, "readings", "")):
-        at = f"readings[{i}]"
-        result.add(Reading(reader.text(entry, "name", at), reader.text(entry, "role", at, ROLES),
-                          reader.text(entry, "unit", at), reader.numbers(reader.get(entry, "repeats", at),
-                                                                         f"{at}.repeats", 1),
-                          reader.text(entry, "at", at), reader.text(entry, "note", at, empty=True)))
+        path = f"readings[{i}]"
+        result.add(Reading(reader.text(entry, "name", path), reader.text(entry, "role", path, ROLES),
+                          reader.text(entry, "unit", path), reader.numbers(reader.get(entry, "repeats", path),
+                                                                         f"{path}.repeats", 1),
+                          reader.text(entry, "at", path), reader.text(entry, "note", path, empty=True)))
     return result
 
 
