--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -22,7 +22,7 @@
     """A page whose tables can't be filled in from the result; the message is a single line."""
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Formats with three significant digits and thousands separators."""
     if value == 0:
         return "0"
@@ -36,8 +36,8 @@
     if unit.startswith("bytes"):
         for factor, name in ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
             if abs(value) >= factor:
-                return f"{number(value / factor)} {name}{unit.removeprefix('bytes')}"
-    return f"{number(value)} {unit}"
+                return f"{format_number(value / factor)} {name}{unit.removeprefix('bytes')}"
+    return f"{format_number(value)} {unit}"
 
 
 def table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
@@ -57,7 +57,7 @@
             rows.append(_slope_row(size, entry))
     for reading in sorted(result.readings.values(), key=lambda r: r.name):
         if reading.role == role:
-            spread = f", {number(min(reading.repeats))} to {number(max(reading.repeats))}" if reading.scatter else ""
+            spread = f", {format_number(min(reading.repeats))} to {format_number(max(reading.repeats))}" if reading.scatter else ""
             rows.append((f"`{reading.name}`", f"{scaled(reading.value, reading.unit)}{spread}", "", "", "",
                          _run(reading)))
     if not rows:
@@ -70,9 +70,9 @@
 
 
 def _slope_row(size: Size, entry: Slope) -> tuple[str, ...]:
-    measured = ", ".join(f"{number(p.value)} at {p.size:,.0f}" for p in entry.points)
+    measured = ", ".join(f"{format_number(p.value)} at {p.size:,.0f}" for p in entry.points)
     fit, key = entry.fit, AXES.get(entry.x_axis)
-    per = "" if fit.verdict == FLAT else f"{number(fit.slope)} ({number(fit.slope_error)}) each of {entry.x_axis}"
+    per = "" if fit.verdict == FLAT else f"{format_number(fit.slope)} ({format_number(fit.slope_error)}) each of {entry.x_axis}"
     there = ""
     if key:
         over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
@@ -184,7 +184,7 @@
         if value is None:
             rows.append((what, f"`{name}`", by, "not measured", ""))
             return
-        rows.append((what, f"`{name}` {number(value)}{trial(result, name)}", by, scaled(value * factor, unit),
+        rows.append((what, f"`{name}` {format_number(value)}{trial(result, name)}", by, scaled(value * factor, unit),
                      scaled(value * factor * MONTH_DAYS, unit) if month else ""))
 
     by = f"`promises.changes_per_day` {changes:,.0f}"
