--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -31,7 +31,7 @@
     return f"{value:.3g}" if abs(value) >= 0.001 else f"{value:.1e}"
 
 
-def scaled(value: float, unit: str) -> str:
+def format_value(value: float, unit: str) -> str:
     """Formats a value with its unit; bytes become KB, MB, GB or TB."""
     if unit.startswith("bytes"):
         for factor, name in ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
@@ -58,7 +58,7 @@
     for reading in sorted(result.readings.values(), key=lambda r: r.name):
         if reading.role == role:
             spread = f", {format_number(min(reading.repeats))} to {format_number(max(reading.repeats))}" if reading.scatter else ""
-            rows.append((f"`{reading.name}`", f"{scaled(reading.value, reading.unit)}{spread}", "", "", "",
+            rows.append((f"`{reading.name}`", f"{format_value(reading.value, reading.unit)}{spread}", "", "", "",
                          _run(reading)))
     if not rows:
         return "Not measured."
@@ -76,7 +76,7 @@
     there = ""
     if key:
         over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
-        there = f"{over}{scaled(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
+        there = f"{over}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
     return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, there, _run(entry))
 
 
@@ -161,14 +161,14 @@
         at = need.at(size) if need.at is not None else None
         value = value_of(size, result, need.name, at)
         budget = need.most(size) if need.most is not None else size.value(need.budget)
-        limit = need.budget if need.most is not None else f"{scaled(budget, need.unit)} (`{need.budget}`)"
+        limit = need.budget if need.most is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
         name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial(result, need.name)
         if value is None:
             found.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
             continue
         ratio = value / budget if budget else math.inf if value else 0.0
         told = "never kept" if ratio == math.inf else f"{ratio:.2f}"
-        found.append((ratio, (need.role, need.what, scaled(value, need.unit), name, limit,
+        found.append((ratio, (need.role, need.what, format_value(value, need.unit), name, limit,
                               f"**{told}**" if ratio > 1 else told)))
     found.sort(key=lambda entry: -entry[0])
     return table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in found])
@@ -184,8 +184,8 @@
         if value is None:
             rows.append((what, f"`{name}`", by, "not measured", ""))
             return
-        rows.append((what, f"`{name}` {format_number(value)}{trial(result, name)}", by, scaled(value * factor, unit),
-                     scaled(value * factor * MONTH_DAYS, unit) if month else ""))
+        rows.append((what, f"`{name}` {format_number(value)}{trial(result, name)}", by, format_value(value * factor, unit),
+                     format_value(value * factor * MONTH_DAYS, unit) if month else ""))
 
     by = f"`promises.changes_per_day` {changes:,.0f}"
     row("record grows by changes", "record.change.bytes", changes, by, "bytes", True)
