--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -40,7 +40,7 @@
     return f"{format_number(value)} {unit}"
 
 
-def table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
+def markdown_table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
     lines = [head, tuple("---" for _ in head), *rows]
     return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
 
@@ -62,7 +62,7 @@
                          _run(reading)))
     if not rows:
         return "Not measured."
-    return table(("figure", "measured", "slope (its error)", "it is", "at the size", "run"), rows)
+    return markdown_table(("figure", "measured", "slope (its error)", "it is", "at the size", "run"), rows)
 
 
 def _run(entry: Slope | Reading) -> str:
@@ -171,7 +171,7 @@
         found.append((ratio, (need.role, need.what, format_value(value, need.unit), name, limit,
                               f"**{told}**" if ratio > 1 else told)))
     found.sort(key=lambda entry: -entry[0])
-    return table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in found])
+    return markdown_table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in found])
 
 
 def day(size: Size, result: Result) -> str:
@@ -200,7 +200,7 @@
     row("sent by the leader for changes", "agent.change.sent_bytes", changes, by, "bytes", True)
     row("sent by the leader at rest", "agent.rest.sent_bytes_s", DAY_S, "86,400 s", "bytes", True)
     row("received by the leader at rest", "agent.rest.received_bytes_s", DAY_S, "86,400 s", "bytes", True)
-    return table(("what", "figure at the size", "times", "a day", "a month of 30 days"), rows)
+    return markdown_table(("what", "figure at the size", "times", "a day", "a month of 30 days"), rows)
 
 
 def need_table(size: Size, result: Result) -> str:
@@ -217,7 +217,7 @@
         ("failures.rack_each_days", "days from a rack or switch to the next"),
         ("failures.zone_each_days", "days from a zone to the next"),
         ("failures.link_cut_s", "s that two regions lose each other"))]
-    return table(("key", "figure", "what"), rows)
+    return markdown_table(("key", "figure", "what"), rows)
 
 
 def measured_on(size: Size, result: Result) -> str:
