--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -40,8 +40,8 @@
     return f"{format_number(value)} {unit}"
 
 
-def markdown_table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    lines = [head, tuple("---" for _ in head), *rows]
+def markdown_table(header: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
+    lines = [header, tuple("---" for _ in header), *rows]
     return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
 
 
