--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -45,7 +45,7 @@
     return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
 
 
-def role_name(role: str) -> str:
+def marker_name(role: str) -> str:
     return role.replace(" ", "-")
 
 
@@ -233,7 +233,7 @@
     """All tables, by the names used in the page's markers."""
     found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs(size, result),
              "day": day(size, result)}
-    found.update({role_name(role): figures(size, result, role) for role in ROLES})
+    found.update({marker_name(role): figures(size, result, role) for role in ROLES})
     return found
 
 
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -77,7 +77,7 @@
 def test_every_role_has_its_table(coming: Size) -> None:
     found = capacity_page.tables(coming, sample(coming))
     for role in ROLES:
-        assert found[capacity_page.role_name(role)]
+        assert found[capacity_page.marker_name(role)]
     assert "Not measured." in found["upstream"]
     row = next(line for line in found["record"].splitlines() if "record.change.bytes" in line)
     assert "460,000 at 2,300" in row and "proportional" in row and "460 KB a change at `fleet.sidecars` 2,300" in row
