--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -49,7 +49,7 @@
     return role.replace(" ", "-")
 
 
-def figures(size: Size, result: Result, role: str) -> str:
+def role_table(size: Size, result: Result, role: str) -> str:
     """A table of all that was measured for a role."""
     rows = []
     for entry in sorted(result.slopes.values(), key=lambda s: s.name):
@@ -233,7 +233,7 @@
     """All tables, by the names used in the page's markers."""
     found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs(size, result),
              "day": day(size, result)}
-    found.update({marker_name(role): figures(size, result, role) for role in ROLES})
+    found.update({marker_name(role): role_table(size, result, role) for role in ROLES})
     return found
 
 
