--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -59,13 +59,13 @@
         if reading.role == role:
             spread = f", {format_number(min(reading.repeats))} to {format_number(max(reading.repeats))}" if reading.scatter else ""
             rows.append((f"`{reading.name}`", f"{format_value(reading.value, reading.unit)}{spread}", "", "", "",
-                         _run(reading)))
+                         _run_note(reading)))
     if not rows:
         return "Not measured."
     return markdown_table(("figure", "measured", "slope (its error)", "it is", "at the size", "run"), rows)
 
 
-def _run(entry: Slope | Reading) -> str:
+def _run_note(entry: Slope | Reading) -> str:
     return entry.measured_at + (f"; {entry.note}" if entry.note else "")
 
 
@@ -77,7 +77,7 @@
     if key:
         over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
         there = f"{over}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
-    return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, there, _run(entry))
+    return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, there, _run_note(entry))
 
 
 def value_at(entry: Slope, wanted: float) -> float:
