--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -73,11 +73,11 @@
     measured = ", ".join(f"{format_number(p.value)} at {p.size:,.0f}" for p in entry.points)
     fit, key = entry.fit, AXES.get(entry.x_axis)
     per = "" if fit.verdict == FLAT else f"{format_number(fit.slope)} ({format_number(fit.slope_error)}) each of {entry.x_axis}"
-    there = ""
+    extrapolated = ""
     if key:
         over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
-        there = f"{over}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
-    return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, there, _run_note(entry))
+        extrapolated = f"{over}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
+    return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, extrapolated, _run_note(entry))
 
 
 def value_at(entry: Slope, wanted: float) -> float:
