--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -75,8 +75,8 @@
     per = "" if fit.verdict == FLAT else f"{format_number(fit.slope)} ({format_number(fit.slope_error)}) each of {entry.x_axis}"
     extrapolated = ""
     if key:
-        over = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
-        extrapolated = f"{over}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
+        lower_bound = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
+        extrapolated = f"{lower_bound}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
     return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, extrapolated, _run_note(entry))
 
 
