--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -80,11 +80,11 @@
     return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, extrapolated, _run_note(entry))
 
 
-def value_at(entry: Slope, wanted: float) -> float:
+def value_at(entry: Slope, wanted_size: float) -> float:
     """The measured value if this size was measured, else the fitted line's, which is too low for a metric that grows
     faster than in proportion."""
-    reached = next((p.value for p in entry.points if p.size == wanted), None)
-    return reached if reached is not None else entry.fit.at(wanted)
+    reached = next((p.value for p in entry.points if p.size == wanted_size), None)
+    return reached if reached is not None else entry.fit.at(wanted_size)
 
 
 @dataclass(frozen=True, slots=True)
