--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -96,7 +96,7 @@
     name: str  # of the slope or reading
     budget: str  # key in the size file, or a description
     unit: str
-    most: Callable[[Size], float] | None = None  # the budget, if it is not a value of the size file
+    limit: Callable[[Size], float] | None = None  # the budget, if it is not a value of the size file
     at: Callable[[Size], float] | None = None  # the size to extrapolate to, if not the one in AXES
 
 
@@ -160,8 +160,8 @@
     for need in NEEDS:
         at = need.at(size) if need.at is not None else None
         value = value_of(size, result, need.name, at)
-        budget = need.most(size) if need.most is not None else size.value(need.budget)
-        limit = need.budget if need.most is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
+        budget = need.limit(size) if need.limit is not None else size.value(need.budget)
+        limit = need.budget if need.limit is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
         name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial(result, need.name)
         if value is None:
             found.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
