--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -97,7 +97,7 @@
     budget: str  # key in the size file, or a description
     unit: str
     limit: Callable[[Size], float] | None = None  # the budget, if it is not a value of the size file
-    at: Callable[[Size], float] | None = None  # the size to extrapolate to, if not the one in AXES
+    at_size: Callable[[Size], float] | None = None  # the size to extrapolate to, if not the one in AXES
 
 
 VERSIONS = "published versions"
@@ -134,7 +134,7 @@
     Need(CONTROL, "bytes, were the whole list asked for again and again", "discovery.list.asked_bytes_s",
          "budget.bytes_per_s", "bytes/s"),
     Need(PATH, "added to a call, p99, a list of one service", "path.call.added_p99_ms", "promises.added_p99_ms", "ms",
-         at=lambda size: size.fleet.upstreams / size.fleet.services),
+         at_size=lambda size: size.fleet.upstreams / size.fleet.services),
     Need(PATH, "added to a call, p99, a list of all", "path.call.added_p99_ms", "promises.added_p99_ms", "ms"),
 ]
 
@@ -158,7 +158,7 @@
     """A table of needs and budgets, by falling ratio of need to budget; needs that were not measured come last."""
     found: list[tuple[float, tuple[str, ...]]] = []
     for need in NEEDS:
-        at = need.at(size) if need.at is not None else None
+        at = need.at_size(size) if need.at_size is not None else None
         value = value_of(size, result, need.name, at)
         budget = need.limit(size) if need.limit is not None else size.value(need.budget)
         limit = need.budget if need.limit is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
