--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -139,12 +139,12 @@
 ]
 
 
-def value_of(size: Size, result: Result, name: str, at: float | None = None) -> float | None:
+def value_of(size: Size, result: Result, name: str, at_size: float | None = None) -> float | None:
     """A metric at the planned size of the slope's axis, or at size `at`; None if it was not measured. Raises KeyError
     if the size file has no such value."""
     if name in result.slopes:
         entry = result.slopes[name]
-        return value_at(entry, size.value(AXES[entry.x_axis]) if at is None else at)
+        return value_at(entry, size.value(AXES[entry.x_axis]) if at_size is None else at_size)
     return result.readings[name].value if name in result.readings else None
 
 
