--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -148,7 +148,7 @@
     return result.readings[name].value if name in result.readings else None
 
 
-def trial(result: Result, name: str) -> str:
+def trial_mark(result: Result, name: str) -> str:
     """The mark for a metric whose note says that it comes from a trial run; empty for others."""
     entry = result.slopes.get(name) or result.readings.get(name)
     return " (trial)" if entry is not None and entry.note.startswith("trial") else ""
@@ -162,7 +162,7 @@
         value = value_of(size, result, need.name, at)
         budget = need.limit(size) if need.limit is not None else size.value(need.budget)
         limit = need.budget if need.limit is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
-        name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial(result, need.name)
+        name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial_mark(result, need.name)
         if value is None:
             found.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
             continue
@@ -184,7 +184,7 @@
         if value is None:
             rows.append((what, f"`{name}`", by, "not measured", ""))
             return
-        rows.append((what, f"`{name}` {format_number(value)}{trial(result, name)}", by, format_value(value * factor, unit),
+        rows.append((what, f"`{name}` {format_number(value)}{trial_mark(result, name)}", by, format_value(value * factor, unit),
                      format_value(value * factor * MONTH_DAYS, unit) if month else ""))
 
     by = f"`promises.changes_per_day` {changes:,.0f}"
