--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -156,7 +156,7 @@
 
 def needs(size: Size, result: Result) -> str:
     """A table of needs and budgets, by falling ratio of need to budget; needs that were not measured come last."""
-    found: list[tuple[float, tuple[str, ...]]] = []
+    rows: list[tuple[float, tuple[str, ...]]] = []
     for need in NEEDS:
         at = need.at_size(size) if need.at_size is not None else None
         value = value_of(size, result, need.name, at)
@@ -164,14 +164,14 @@
         limit = need.budget if need.limit is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
         name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial_mark(result, need.name)
         if value is None:
-            found.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
+            rows.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
             continue
         ratio = value / budget if budget else math.inf if value else 0.0
         told = "never kept" if ratio == math.inf else f"{ratio:.2f}"
-        found.append((ratio, (need.role, need.what, format_value(value, need.unit), name, limit,
+        rows.append((ratio, (need.role, need.what, format_value(value, need.unit), name, limit,
                               f"**{told}**" if ratio > 1 else told)))
-    found.sort(key=lambda entry: -entry[0])
-    return markdown_table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in found])
+    rows.sort(key=lambda entry: -entry[0])
+    return markdown_table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in rows])
 
 
 def day(size: Size, result: Result) -> str:
