--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -158,11 +158,11 @@
     """A table of needs and budgets, by falling ratio of need to budget; needs that were not measured come last."""
     rows: list[tuple[float, tuple[str, ...]]] = []
     for need in NEEDS:
-        at = need.at_size(size) if need.at_size is not None else None
-        value = value_of(size, result, need.name, at)
+        at_size = need.at_size(size) if need.at_size is not None else None
+        value = value_of(size, result, need.name, at_size)
         budget = need.limit(size) if need.limit is not None else size.value(need.budget)
         limit = need.budget if need.limit is not None else f"{format_value(budget, need.unit)} (`{need.budget}`)"
-        name = f"`{need.name}`" + (f" at {at:g}" if at is not None else "") + trial_mark(result, need.name)
+        name = f"`{need.name}`" + (f" at {at_size:g}" if at_size is not None else "") + trial_mark(result, need.name)
         if value is None:
             rows.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
             continue
