--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -167,9 +167,9 @@
             rows.append((-1.0, (need.role, need.what, "not measured", name, limit, "")))
             continue
         ratio = value / budget if budget else math.inf if value else 0.0
-        told = "never kept" if ratio == math.inf else f"{ratio:.2f}"
+        ratio_text = "never kept" if ratio == math.inf else f"{ratio:.2f}"
         rows.append((ratio, (need.role, need.what, format_value(value, need.unit), name, limit,
-                              f"**{told}**" if ratio > 1 else told)))
+                              f"**{ratio_text}**" if ratio > 1 else ratio_text)))
     rows.sort(key=lambda entry: -entry[0])
     return markdown_table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in rows])
 
