--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -154,7 +154,7 @@
     return " (trial)" if entry is not None and entry.note.startswith("trial") else ""
 
 
-def needs(size: Size, result: Result) -> str:
+def needs_table(size: Size, result: Result) -> str:
     """A table of needs and budgets, by falling ratio of need to budget; needs that were not measured come last."""
     rows: list[tuple[float, tuple[str, ...]]] = []
     for need in NEEDS:
@@ -231,7 +231,7 @@
 
 def tables(size: Size, result: Result) -> dict[str, str]:
     """All tables, by the names used in the page's markers."""
-    found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs(size, result),
+    found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs_table(size, result),
              "day": day(size, result)}
     found.update({marker_name(role): role_table(size, result, role) for role in ROLES})
     return found
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -58,7 +58,7 @@
 
 
 def test_the_largest_ratio_comes_first_and_the_unmeasured_last(coming: Size) -> None:
-    lines = capacity_page.needs(coming, sample(coming)).splitlines()[2:]
+    lines = capacity_page.needs_table(coming, sample(coming)).splitlines()[2:]
     assert "killed" in lines[0] and "**1.38**" in lines[0] and "12 s (`promises.force_s`)" in lines[0]
     assert "0.77" in lines[1] and "0.08" in lines[2] and "not measured" in lines[-1]
     assert len(lines) == len(capacity_page.NEEDS)
@@ -67,10 +67,10 @@
 def test_a_promise_that_is_never_kept_goes_before_all(coming: Size) -> None:
     found = sample(coming)
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (766,), AT, "trial, busy"))
-    line = capacity_page.needs(coming, found).splitlines()[2]
+    line = capacity_page.needs_table(coming, found).splitlines()[2]
     assert "766 instances" in line and "**never kept**" in line and "`cut.region.missed` (trial)" in line
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (0,), AT))
-    assert next(x for x in capacity_page.needs(coming, found).splitlines()
+    assert next(x for x in capacity_page.needs_table(coming, found).splitlines()
                 if "cut.region.missed" in x).endswith("0.00 |")
 
 
