--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -174,7 +174,7 @@
     return markdown_table(("role", "what", "need", "from", "budget", "need / budget"), [row for _, row in rows])
 
 
-def day(size: Size, result: Result) -> str:
+def day_table(size: Size, result: Result) -> str:
     """A table of the cost of an ordinary day: the cost of one change or heartbeat, times their number."""
     changes = size.promises.changes_per_day
     rows = []
@@ -232,7 +232,7 @@
 def tables(size: Size, result: Result) -> dict[str, str]:
     """All tables, by the names used in the page's markers."""
     found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs_table(size, result),
-             "day": day(size, result)}
+             "day": day_table(size, result)}
     found.update({marker_name(role): role_table(size, result, role) for role in ROLES})
     return found
 
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -53,7 +53,7 @@
     assert capacity_page.value_of(larger, found, "record.change.bytes") == pytest.approx(920_000)
     assert capacity_page.value_of(coming, found, "not.measured") is None
     assert capacity_page.value_of(coming, found, "agent.change.last_s", 500.0) == pytest.approx(2.0)
-    rows = capacity_page.day(coming, found)
+    rows = capacity_page.day_table(coming, found)
     assert "2.62 GB" in rows and "78.7 GB" in rows  # 460,000 x 5,700 a day, and thirty of them
 
 
