--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -203,7 +203,7 @@
     return markdown_table(("what", "figure at the size", "times", "a day", "a month of 30 days"), rows)
 
 
-def need_table(size: Size, result: Result) -> str:
+def size_table(size: Size, result: Result) -> str:
     rows = [(f"`{key}`", f"{size.value(key):,g}", unit) for key, unit in (
         ("fleet.upstreams", "each with its sidecar"), ("fleet.services", "services"), ("fleet.regions", "regions"),
         ("fleet.zones", "zones"), ("fleet.calls_per_s", "calls a second"), ("fleet.depth", "calls below one another"),
@@ -231,7 +231,7 @@
 
 def tables(size: Size, result: Result) -> dict[str, str]:
     """All tables, by the names used in the page's markers."""
-    found = {"measured-on": measured_on(size, result), "size": need_table(size, result), "needs": needs_table(size, result),
+    found = {"measured-on": measured_on(size, result), "size": size_table(size, result), "needs": needs_table(size, result),
              "day": day_table(size, result)}
     found.update({marker_name(role): role_table(size, result, role) for role in ROLES})
     return found
