--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -101,7 +101,7 @@
 
 
 VERSIONS = "published versions"
-CONTROL, LEADS, STANDS_BY, RECORD, PATH = ("sidecar control", "agent that leads", "agent that stands by", "record",
+CONTROL, LEADS, STANDBY, RECORD, PATH = ("sidecar control", "agent that leads", "agent that stands by", "record",
                                            "sidecar data path")
 NEEDS = [
     Need(CONTROL, "processor at rest", "control.real.rest.added_cpu_percent", "budget.cpu_percent", "% of a core"),
@@ -112,7 +112,7 @@
     Need(LEADS, "changes that overlap, the last", "agent.overlap.last_s", "promises.force_s", "s"),
     Need(LEADS, "killed and started at once: from the kill until the last has the next change",
          "agent.back.change_last_s", "promises.force_s", "s"),
-    Need(STANDS_BY, "the leader's machine gone: from its loss until the last has the next change",
+    Need(STANDBY, "the leader's machine gone: from its loss until the last has the next change",
          "takeover.change_last_s", "promises.force_s", "s"),
     Need(LEADS, "a region's link back: until the last there has the change", "cut.region.change_last_s",
          "promises.force_s", "s"),
