--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -101,7 +101,7 @@
 
 
 VERSIONS = "published versions"
-CONTROL, LEADER, STANDBY, RECORD, PATH = ("sidecar control", "agent that leads", "agent that stands by", "record",
+CONTROL, LEADER, STANDBY, RECORD, DATA_PATH = ("sidecar control", "agent that leads", "agent that stands by", "record",
                                            "sidecar data path")
 NEEDS = [
     Need(CONTROL, "processor at rest", "control.real.rest.added_cpu_percent", "budget.cpu_percent", "% of a core"),
@@ -133,9 +133,9 @@
          "promises.force_s", "s"),
     Need(CONTROL, "bytes, were the whole list asked for again and again", "discovery.list.asked_bytes_s",
          "budget.bytes_per_s", "bytes/s"),
-    Need(PATH, "added to a call, p99, a list of one service", "path.call.added_p99_ms", "promises.added_p99_ms", "ms",
+    Need(DATA_PATH, "added to a call, p99, a list of one service", "path.call.added_p99_ms", "promises.added_p99_ms", "ms",
          at_size=lambda size: size.fleet.upstreams / size.fleet.services),
-    Need(PATH, "added to a call, p99, a list of all", "path.call.added_p99_ms", "promises.added_p99_ms", "ms"),
+    Need(DATA_PATH, "added to a call, p99, a list of all", "path.call.added_p99_ms", "promises.added_p99_ms", "ms"),
 ]
 
 
