--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -237,7 +237,7 @@
     return found
 
 
-MARK = re.compile(r"<!-- scale:([\w-]+) -->\n(.*?)<!-- /scale:\1 -->", re.DOTALL)
+TABLE_PATTERN = re.compile(r"<!-- scale:([\w-]+) -->\n(.*?)<!-- /scale:\1 -->", re.DOTALL)
 OPENING = re.compile(r"<!-- /?scale:([\w-]+) -->")
 
 
@@ -246,7 +246,7 @@
     if result.size_digest != size.digest:
         raise PageError(f"{file}: expected a result of size file {size.digest}, got one of {result.size_digest}")
     found = tables(size, result)
-    whole = [match.group(1) for match in MARK.finditer(text)]
+    whole = [match.group(1) for match in TABLE_PATTERN.finditer(text)]
     for match in OPENING.finditer(text):
         name = match.group(1)
         if name not in found:
@@ -256,10 +256,10 @@
                             "their own")
     if not whole:
         raise PageError(f"{file}: expected <!-- scale:NAME --> and <!-- /scale:NAME -->, got no table's place")
-    return MARK.sub(lambda m: f"<!-- scale:{m.group(1)} -->\n{found[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text)
+    return TABLE_PATTERN.sub(lambda m: f"<!-- scale:{m.group(1)} -->\n{found[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text)
 
 
 def drift(text: str, size: Size, result: Result, file: str) -> list[str]:
     """Names of the tables in the page that differ from those rendered from the result. Raises PageError."""
-    now = dict(MARK.findall(filled(text, size, result, file)))
-    return [name for name, was in MARK.findall(text) if was != now[name]]
+    now = dict(TABLE_PATTERN.findall(filled(text, size, result, file)))
+    return [name for name, was in TABLE_PATTERN.findall(text) if was != now[name]]
