--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -238,7 +238,7 @@
 
 
 TABLE_PATTERN = re.compile(r"<!-- scale:([\w-]+) -->\n(.*?)<!-- /scale:\1 -->", re.DOTALL)
-OPENING = re.compile(r"<!-- /?scale:([\w-]+) -->")
+MARKER_PATTERN = re.compile(r"<!-- /?scale:([\w-]+) -->")
 
 
 def filled(text: str, size: Size, result: Result, file: str) -> str:
@@ -247,7 +247,7 @@
         raise PageError(f"{file}: expected a result of size file {size.digest}, got one of {result.size_digest}")
     found = tables(size, result)
     whole = [match.group(1) for match in TABLE_PATTERN.finditer(text)]
-    for match in OPENING.finditer(text):
+    for match in MARKER_PATTERN.finditer(text):
         name = match.group(1)
         if name not in found:
             raise PageError(f"{file}: expected a table of {', '.join(found)}, got {name!r}")
