--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -231,10 +231,10 @@
 
 def tables(size: Size, result: Result) -> dict[str, str]:
     """All tables, by the names used in the page's markers."""
-    found = {"measured-on": measured_on(size, result), "size": size_table(size, result), "needs": needs_table(size, result),
+    rendered = {"measured-on": measured_on(size, result), "size": size_table(size, result), "needs": needs_table(size, result),
              "day": day_table(size, result)}
-    found.update({marker_name(role): role_table(size, result, role) for role in ROLES})
-    return found
+    rendered.update({marker_name(role): role_table(size, result, role) for role in ROLES})
+    return rendered
 
 
 TABLE_PATTERN = re.compile(r"<!-- scale:([\w-]+) -->\n(.*?)<!-- /scale:\1 -->", re.DOTALL)
