--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -246,15 +246,15 @@
     if result.size_digest != size.digest:
         raise PageError(f"{file}: expected a result of size file {size.digest}, got one of {result.size_digest}")
     rendered = tables(size, result)
-    whole = [match.group(1) for match in TABLE_PATTERN.finditer(text)]
+    complete = [match.group(1) for match in TABLE_PATTERN.finditer(text)]
     for match in MARKER_PATTERN.finditer(text):
         name = match.group(1)
         if name not in rendered:
             raise PageError(f"{file}: expected a table of {', '.join(rendered)}, got {name!r}")
-        if whole.count(name) != 1:
+        if complete.count(name) != 1:
             raise PageError(f"{file}: expected <!-- scale:{name} --> and <!-- /scale:{name} --> once each, on lines of "
                             "their own")
-    if not whole:
+    if not complete:
         raise PageError(f"{file}: expected <!-- scale:NAME --> and <!-- /scale:NAME -->, got no table's place")
     return TABLE_PATTERN.sub(lambda m: f"<!-- scale:{m.group(1)} -->\n{rendered[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text)
 
