--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -171,4 +171,4 @@
             if wrong:
                 fail(Exit.FAILED, f"{to}: {', '.join(wrong)}: not what {file} gives; `ironscale scale page` writes it")
             return
-        to.write_text(capacity_page.filled(text, size, result, str(to)), encoding="utf-8")
+        to.write_text(capacity_page.fill_page(text, size, result, str(to)), encoding="utf-8")
--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -241,7 +241,7 @@
 MARKER_PATTERN = re.compile(r"<!-- /?scale:([\w-]+) -->")
 
 
-def filled(text: str, size: Size, result: Result, file: str) -> str:
+def fill_page(text: str, size: Size, result: Result, file: str) -> str:
     """The page with its tables rendered from the result. Raises PageError."""
     if result.size_digest != size.digest:
         raise PageError(f"{file}: expected a result of size file {size.digest}, got one of {result.size_digest}")
@@ -261,5 +261,5 @@
 
 def drift(text: str, size: Size, result: Result, file: str) -> list[str]:
     """Names of the tables in the page that differ from those rendered from the result. Raises PageError."""
-    now = dict(TABLE_PATTERN.findall(filled(text, size, result, file)))
+    now = dict(TABLE_PATTERN.findall(fill_page(text, size, result, file)))
     return [name for name, was in TABLE_PATTERN.findall(text) if was != now[name]]
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -89,9 +89,9 @@
 def test_tables_are_written_between_markers_and_drift_is_told(coming: Size) -> None:
     found = sample(coming)
     assert capacity_page.drift(TEXT, coming, found, "p") == ["needs", "size"]
-    written = capacity_page.filled(TEXT, coming, found, "p")
+    written = capacity_page.fill_page(TEXT, coming, found, "p")
     assert (capacity_page.drift(written, coming, found, "p") == []
-            and capacity_page.filled(written, coming, found, "p") == written)
+            and capacity_page.fill_page(written, coming, found, "p") == written)
     assert written.startswith("# Page\n\n<!-- scale:needs -->\n| role") and "\nwords\n" in written
     assert capacity_page.drift(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
     found.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
@@ -106,14 +106,14 @@
 ])
 def test_a_page_that_cannot_be_filled_is_one_line(coming: Size, was: str, now: str, line: str) -> None:
     with pytest.raises(capacity_page.PageError, match=line) as error:
-        capacity_page.filled(TEXT.replace(was, now), coming, sample(coming), "p")
+        capacity_page.fill_page(TEXT.replace(was, now), coming, sample(coming), "p")
     assert "\n" not in str(error.value)
 
 
 def test_a_result_of_another_size_is_refused(coming: Size) -> None:
     other = replace(coming, fleet=replace(coming.fleet, zones=11))
     with pytest.raises(capacity_page.PageError, match="p: expected a result of size file"):
-        capacity_page.filled(TEXT, other, sample(coming), "p")
+        capacity_page.fill_page(TEXT, other, sample(coming), "p")
 
 
 def test_the_command_writes_and_checks(coming: Size, tmp_path: Path) -> None:
