--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -262,4 +262,4 @@
 def drift(text: str, size: Size, result: Result, file: str) -> list[str]:
     """Names of the tables in the page that differ from those rendered from the result. Raises PageError."""
     rendered = dict(TABLE_PATTERN.findall(fill_page(text, size, result, file)))
-    return [name for name, was in TABLE_PATTERN.findall(text) if was != rendered[name]]
+    return [name for name, current in TABLE_PATTERN.findall(text) if current != rendered[name]]
