--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -167,7 +167,7 @@
         except (OSError, UnicodeDecodeError) as error:
             raise capacity_page.PageError(f"{to}: expected a page that can be read, got {error}") from error
         if check:
-            wrong = capacity_page.drift(text, size, result, str(to))
+            wrong = capacity_page.outdated_tables(text, size, result, str(to))
             if wrong:
                 fail(Exit.FAILED, f"{to}: {', '.join(wrong)}: not what {file} gives; `ironscale scale page` writes it")
             return
--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -259,7 +259,7 @@
     return TABLE_PATTERN.sub(lambda m: f"<!-- scale:{m.group(1)} -->\n{rendered[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text)
 
 
-def drift(text: str, size: Size, result: Result, file: str) -> list[str]:
+def outdated_tables(text: str, size: Size, result: Result, file: str) -> list[str]:
     """Names of the tables in the page that differ from those rendered from the result. Raises PageError."""
     rendered = dict(TABLE_PATTERN.findall(fill_page(text, size, result, file)))
     return [name for name, current in TABLE_PATTERN.findall(text) if current != rendered[name]]
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -41,7 +41,7 @@
     measured = result.load(MEASURED)
     assert measured.size_digest == coming.digest
     assert set(capacity_page.AXES.values()) <= {f"fleet.{name}" for name in coming.fleet.__slots__}
-    assert capacity_page.drift(PAGE.read_text(encoding="utf-8"), coming, measured, str(PAGE)) == []
+    assert capacity_page.outdated_tables(PAGE.read_text(encoding="utf-8"), coming, measured, str(PAGE)) == []
 
 
 def test_slope_times_size(coming: Size) -> None:
@@ -88,14 +88,14 @@
 
 def test_tables_are_written_between_markers_and_drift_is_told(coming: Size) -> None:
     found = sample(coming)
-    assert capacity_page.drift(TEXT, coming, found, "p") == ["needs", "size"]
+    assert capacity_page.outdated_tables(TEXT, coming, found, "p") == ["needs", "size"]
     written = capacity_page.fill_page(TEXT, coming, found, "p")
-    assert (capacity_page.drift(written, coming, found, "p") == []
+    assert (capacity_page.outdated_tables(written, coming, found, "p") == []
             and capacity_page.fill_page(written, coming, found, "p") == written)
     assert written.startswith("# Page\n\n<!-- scale:needs -->\n| role") and "\nwords\n" in written
-    assert capacity_page.drift(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
+    assert capacity_page.outdated_tables(written.replace("0.77", "0.70"), coming, found, "p") == ["needs"]
     found.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
-    assert capacity_page.drift(written, coming, found, "p") == ["needs"]
+    assert capacity_page.outdated_tables(written, coming, found, "p") == ["needs"]
 
 
 @pytest.mark.parametrize(("was", "now", "line"), [
