--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -8,7 +8,7 @@
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
-ROLE, X = "agent that stands by", "instances"
+ROLE, X_AXIS = "agent that stands by", "instances"
 UNITS = {
     "standby.rest.cpu_percent": "% of a core", "standby.rest.memory_mb": "MB",
     "takeover.all_ready_s": "s", "takeover.told_s": "s", "takeover.change_p50_s": "s",
@@ -25,7 +25,7 @@
             for name, value in (await one(agents, instances, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
     for name, points in found.items():
-        context.add_slope(name, ROLE, X, UNITS[name], points, f"a term of {play.term_s:g} s")
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
 async def one(agents: AgentProcesses, instances: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
