--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -22,13 +22,13 @@
     for count in play.sizes:
         context.progress(f"takeover: {count} simulated instances, {play.agents} agents")
         async with context.running_fleet(count, play.agents) as (agents, instances):
-            for name, value in (await one(agents, instances, count, play.heartbeat_s)).items():
+            for name, value in (await measure_fleet(agents, instances, count, play.heartbeat_s)).items():
                 found[name].setdefault(count, []).append(value)
     for name, points in found.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
-async def one(agents: AgentProcesses, instances: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
+async def measure_fleet(agents: AgentProcesses, instances: SimulatedInstances, count: int, beat_s: float) -> dict[str, float]:
     await agents.change(instances)
     await asyncio.sleep(beat_s)
     percent, megabytes, _ = await measure_at_rest(agents.pid(1), 2 * beat_s)
