--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -37,11 +37,11 @@
     ready = asyncio.ensure_future(agents.wait_until_ready(count))
     try:
         change = await agents.change(instances, count_from_s=killed_s)
-        all_s = await ready - killed_s
+        all_ready_s = await ready - killed_s
     finally:
         ready.cancel()
     return {
-        "standby.rest.cpu_percent": percent, "standby.rest.memory_mb": megabytes, "takeover.all_ready_s": all_s,
+        "standby.rest.cpu_percent": percent, "standby.rest.memory_mb": megabytes, "takeover.all_ready_s": all_ready_s,
         "takeover.told_s": change.committed_s, "takeover.change_p50_s": change.latency_percentile_s(0.5),
         "takeover.change_p99_s": change.latency_percentile_s(0.99), "takeover.change_last_s": change.latencies_s[-1],
     }
