--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -17,14 +17,14 @@
 
 
 async def measure(context: RunContext) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     play = context.size.play
     for count in play.sizes:
         context.progress(f"takeover: {count} simulated instances, {play.agents} agents")
         async with context.running_fleet(count, play.agents) as (agents, instances):
             for name, value in (await measure_fleet(agents, instances, count, play.heartbeat_s)).items():
-                found[name].setdefault(count, []).append(value)
-    for name, points in found.items():
+                results[name].setdefault(count, []).append(value)
+    for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
