--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -11,7 +11,7 @@
 from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
 
-ROLE, X = "published versions", "instances"
+ROLE, X_AXIS = "published versions", "instances"
 CHANGES, BEFORE_LINK_S = 5, 3.0
 UNITS = {
     "versions.change.told_s": "s", "versions.change.p50_s": "s", "versions.change.p99_s": "s",
@@ -42,7 +42,7 @@
             for name, values in (await one(agents, instances)).items():
                 found[name][count] = values
     for name, points in found.items():
-        context.add_slope(name, ROLE, X, UNITS[name], points, NOTES.get(name, ""))
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     await cut(context)
 
 
