--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -12,7 +12,7 @@
 from ironscale.stage.relay import Relay
 
 ROLE, X_AXIS = "published versions", "instances"
-CHANGES, BEFORE_LINK_S = 5, 3.0
+MEASURED_CHANGES, BEFORE_LINK_S = 5, 3.0
 UNITS = {
     "versions.change.told_s": "s", "versions.change.p50_s": "s", "versions.change.p99_s": "s",
     "versions.change.last_s": "s", "versions.change.leader_cpu_ms": "ms", "versions.change.follower_cpu_ms": "ms",
@@ -50,7 +50,7 @@
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
     await agents.wait_until_held(instances, number)
-    for _ in range(CHANGES):
+    for _ in range(MEASURED_CHANGES):
         before, leads, follows = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
         number, asked_s, told_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
