--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -12,7 +12,7 @@
 from ironscale.stage.relay import Relay
 
 ROLE, X_AXIS = "published versions", "instances"
-MEASURED_CHANGES, BEFORE_LINK_S = 5, 3.0
+MEASURED_CHANGES, PUBLISH_BEFORE_RESTORE_S = 5, 3.0
 UNITS = {
     "versions.change.told_s": "s", "versions.change.p50_s": "s", "versions.change.p99_s": "s",
     "versions.change.last_s": "s", "versions.change.leader_cpu_ms": "ms", "versions.change.follower_cpu_ms": "ms",
@@ -106,9 +106,9 @@
             number, _, _ = await agents.publish()
             await agents.wait_until_held(instances, number)
             relay.cut()
-            await asyncio.sleep(for_s - BEFORE_LINK_S)
+            await asyncio.sleep(for_s - PUBLISH_BEFORE_RESTORE_S)
             number, _, told_s = await agents.publish()
-            await asyncio.sleep(BEFORE_LINK_S)
+            await asyncio.sleep(PUBLISH_BEFORE_RESTORE_S)
             relay.mend()
             mended_s = time.monotonic()
             await agents.wait_until_held(instances, number)
@@ -116,7 +116,7 @@
             others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
         finally:
             relay.close()
-    note = f"{away} of {count} cut for {for_s:g} s, a version {BEFORE_LINK_S:g} s before the link was back"
+    note = f"{away} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
     context.add_reading("versions.cut.others_last_s", ROLE, "s", [at(others, 1.0, told_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
         context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [at(far, share, mended_s)],
