--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -30,7 +30,7 @@
 }
 
 
-def at(times: list[float], share: float, from_s: float) -> float:
+def latency_at(times: list[float], share: float, from_s: float) -> float:
     return times[min(len(times) - 1, int(share * len(times)))] - from_s
 
 
@@ -57,7 +57,7 @@
         state = agents.database_state()
         found["versions.change.told_s"].append(told_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-            found[f"versions.change.{name}_s"].append(at(times, share, asked_s))
+            found[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
         found["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
         found["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
         found["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
@@ -69,18 +69,18 @@
     agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
     times = await agents.wait_until_held(instances, number)
-    found["versions.killed.p99_s"].append(at(times, 0.99, told_s))
-    found["versions.killed.last_s"].append(at(times, 1.0, told_s))
+    found["versions.killed.p99_s"].append(latency_at(times, 0.99, told_s))
+    found["versions.killed.last_s"].append(latency_at(times, 1.0, told_s))
     number, _, told_s = await waiting
     times = await agents.wait_until_held(instances, number)
-    found["versions.takeover.last_from_kill_s"].append(at(times, 1.0, killed_s))
-    found["versions.takeover.last_s"].append(at(times, 1.0, told_s))
+    found["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
+    found["versions.takeover.last_s"].append(latency_at(times, 1.0, told_s))
     lost(agents, agents.next_agent)
     agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
     number, _, told_s = await agents.publish()
     times = await agents.wait_until_held(instances, number)
-    found["versions.one_left.last_s"].append(at(times, 1.0, told_s))
-    found["versions.one_left.p99_s"].append(at(times, 0.99, told_s))
+    found["versions.one_left.last_s"].append(latency_at(times, 1.0, told_s))
+    found["versions.one_left.p99_s"].append(latency_at(times, 0.99, told_s))
     return found
 
 
@@ -117,7 +117,7 @@
         finally:
             relay.close()
     note = f"{away} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
-    context.add_reading("versions.cut.others_last_s", ROLE, "s", [at(others, 1.0, told_s)], f"{note}; those not cut")
+    context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, told_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [at(far, share, mended_s)],
+        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(far, share, mended_s)],
                           f"{note}; from the link's return")
