--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -30,8 +30,8 @@
 }
 
 
-def latency_at(times: list[float], share: float, from_s: float) -> float:
-    return times[min(len(times) - 1, int(share * len(times)))] - from_s
+def latency_at(moments: list[float], share: float, from_s: float) -> float:
+    return moments[min(len(moments) - 1, int(share * len(moments)))] - from_s
 
 
 async def measure(context: RunContext) -> None:
