--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -35,13 +35,13 @@
 
 
 async def measure(context: RunContext) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in context.size.play.sizes:
         context.progress(f"versions: {count} simulated followers, {context.size.play.agents} agents")
         async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, instances):
             for name, values in (await one(agents, instances)).items():
-                found[name][count] = values
-    for name, points in found.items():
+                results[name][count] = values
+    for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     await cut(context)
 
