--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -47,7 +47,7 @@
 
 
 async def one(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {name: [] for name in UNITS}
+    results: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
     await agents.wait_until_held(instances, number)
     for _ in range(MEASURED_CHANGES):
@@ -55,13 +55,13 @@
         number, asked_s, told_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
-        found["versions.change.told_s"].append(told_s - asked_s)
+        results["versions.change.told_s"].append(told_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-            found[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
-        found["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
-        found["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
-        found["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
-        found["versions.change.record_rows"].append(sum(
+            results[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
+        results["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
+        results["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
+        results["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
+        results["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
                                            "mutations")))
     number, _, told_s = await agents.publish()
@@ -69,19 +69,19 @@
     agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
     times = await agents.wait_until_held(instances, number)
-    found["versions.killed.p99_s"].append(latency_at(times, 0.99, told_s))
-    found["versions.killed.last_s"].append(latency_at(times, 1.0, told_s))
+    results["versions.killed.p99_s"].append(latency_at(times, 0.99, told_s))
+    results["versions.killed.last_s"].append(latency_at(times, 1.0, told_s))
     number, _, told_s = await waiting
     times = await agents.wait_until_held(instances, number)
-    found["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
-    found["versions.takeover.last_s"].append(latency_at(times, 1.0, told_s))
+    results["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
+    results["versions.takeover.last_s"].append(latency_at(times, 1.0, told_s))
     lost(agents, agents.next_agent)
     agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
     number, _, told_s = await agents.publish()
     times = await agents.wait_until_held(instances, number)
-    found["versions.one_left.last_s"].append(latency_at(times, 1.0, told_s))
-    found["versions.one_left.p99_s"].append(latency_at(times, 0.99, told_s))
-    return found
+    results["versions.one_left.last_s"].append(latency_at(times, 1.0, told_s))
+    results["versions.one_left.p99_s"].append(latency_at(times, 0.99, told_s))
+    return results
 
 
 def lost(agents: AgentProcesses, number: int) -> float:
