--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -51,7 +51,7 @@
     number, _, _ = await agents.publish()
     await agents.wait_until_held(instances, number)
     for _ in range(MEASURED_CHANGES):
-        before, leader_before, follows = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
+        before, leader_before, follower_before = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
         number, asked_s, told_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
@@ -59,7 +59,7 @@
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             results[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
         results["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000)
-        results["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
+        results["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follower_before.cpu_s) * 1000)
         results["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
         results["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
