--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -52,10 +52,10 @@
     await agents.wait_until_held(instances, number)
     for _ in range(MEASURED_CHANGES):
         before, leader_before, follower_before = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
-        number, asked_s, told_s = await agents.publish()
+        number, asked_s, committed_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
-        results["versions.change.told_s"].append(told_s - asked_s)
+        results["versions.change.told_s"].append(committed_s - asked_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             results[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
         results["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000)
@@ -64,23 +64,23 @@
         results["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
                                            "mutations")))
-    number, _, told_s = await agents.publish()
+    number, _, committed_s = await agents.publish()
     killed_s = lost(agents, 0)
     agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
     times = await agents.wait_until_held(instances, number)
-    results["versions.killed.p99_s"].append(latency_at(times, 0.99, told_s))
-    results["versions.killed.last_s"].append(latency_at(times, 1.0, told_s))
-    number, _, told_s = await waiting
+    results["versions.killed.p99_s"].append(latency_at(times, 0.99, committed_s))
+    results["versions.killed.last_s"].append(latency_at(times, 1.0, committed_s))
+    number, _, committed_s = await waiting
     times = await agents.wait_until_held(instances, number)
     results["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
-    results["versions.takeover.last_s"].append(latency_at(times, 1.0, told_s))
+    results["versions.takeover.last_s"].append(latency_at(times, 1.0, committed_s))
     lost(agents, agents.next_agent)
     agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
-    number, _, told_s = await agents.publish()
+    number, _, committed_s = await agents.publish()
     times = await agents.wait_until_held(instances, number)
-    results["versions.one_left.last_s"].append(latency_at(times, 1.0, told_s))
-    results["versions.one_left.p99_s"].append(latency_at(times, 0.99, told_s))
+    results["versions.one_left.last_s"].append(latency_at(times, 1.0, committed_s))
+    results["versions.one_left.p99_s"].append(latency_at(times, 0.99, committed_s))
     return results
 
 
