--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -52,12 +52,12 @@
     await agents.wait_until_held(instances, number)
     for _ in range(MEASURED_CHANGES):
         before, leader_before, follower_before = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
-        number, asked_s, committed_s = await agents.publish()
+        number, requested_s, committed_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
-        results["versions.change.told_s"].append(committed_s - asked_s)
+        results["versions.change.told_s"].append(committed_s - requested_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-            results[f"versions.change.{name}_s"].append(latency_at(times, share, asked_s))
+            results[f"versions.change.{name}_s"].append(latency_at(times, share, requested_s))
         results["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000)
         results["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follower_before.cpu_s) * 1000)
         results["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
