--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -65,7 +65,7 @@
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
                                            "mutations")))
     number, _, committed_s = await agents.publish()
-    killed_s = lost(agents, 0)
+    killed_s = kill_and_remove_snapshot(agents, 0)
     agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
     times = await agents.wait_until_held(instances, number)
@@ -75,7 +75,7 @@
     times = await agents.wait_until_held(instances, number)
     results["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
     results["versions.takeover.last_s"].append(latency_at(times, 1.0, committed_s))
-    lost(agents, agents.next_agent)
+    kill_and_remove_snapshot(agents, agents.next_agent)
     agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
     number, _, committed_s = await agents.publish()
     times = await agents.wait_until_held(instances, number)
@@ -84,7 +84,7 @@
     return results
 
 
-def lost(agents: AgentProcesses, number: int) -> float:
+def kill_and_remove_snapshot(agents: AgentProcesses, number: int) -> float:
     """Kills an agent and removes its snapshot of the versions from disk. Returns the moment of the kill."""
     at_s = agents.kill(number)
     (agents.folder / f"agent-{number}" / "versions.snapshot").unlink(missing_ok=True)
