--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -39,14 +39,14 @@
     for count in context.size.play.sizes:
         context.progress(f"versions: {count} simulated followers, {context.size.play.agents} agents")
         async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, instances):
-            for name, values in (await one(agents, instances)).items():
+            for name, values in (await measure_fleet(agents, instances)).items():
                 results[name][count] = values
     for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     await cut(context)
 
 
-async def one(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
+async def measure_fleet(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
     results: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
     await agents.wait_until_held(instances, number)
