--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -43,7 +43,7 @@
                 results[name][count] = values
     for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
-    await cut(context)
+    await measure_region_cut(context)
 
 
 async def measure_fleet(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
@@ -91,7 +91,7 @@
     return at_s
 
 
-async def cut(context: RunContext) -> None:
+async def measure_region_cut(context: RunContext) -> None:
     """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
     size = context.size
     count = size.play.sizes[-1]
