--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -95,14 +95,14 @@
     """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
     size = context.size
     count = size.play.sizes[-1]
-    away, for_s = count // size.fleet.regions, 20.0
-    context.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with context.running_fleet(count - away, 1, follow_versions=True) as (agents, instances):
+    cut_count, for_s = count // size.fleet.regions, 20.0
+    context.progress(f"versions: {cut_count} of {count} cut for {for_s:g} s")
+    async with context.running_fleet(count - cut_count, 1, follow_versions=True) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
         near = len(instances.instance_processes)
         try:
             behind = [("127.0.0.1", relay.port)]
-            await instances.start(away, behind, agents.token_file, versions=behind)
+            await instances.start(cut_count, behind, agents.token_file, versions=behind)
             number, _, _ = await agents.publish()
             await agents.wait_until_held(instances, number)
             relay.cut()
@@ -116,7 +116,7 @@
             others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
         finally:
             relay.close()
-    note = f"{away} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
+    note = f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
     context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, told_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
         context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(far, share, mended_s)],
