--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -99,7 +99,7 @@
     context.progress(f"versions: {cut_count} of {count} cut for {for_s:g} s")
     async with context.running_fleet(count - cut_count, 1, follow_versions=True) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
-        near = len(instances.instance_processes)
+        near_processes = len(instances.instance_processes)
         try:
             behind = [("127.0.0.1", relay.port)]
             await instances.start(cut_count, behind, agents.token_file, versions=behind)
@@ -113,7 +113,7 @@
             mended_s = time.monotonic()
             await agents.wait_until_held(instances, number)
             parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in instances.instance_processes]
-            others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
+            others, far = (sorted(sum(some, [])) for some in (parts[:near_processes], parts[near_processes:]))
         finally:
             relay.close()
     note = f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
