--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -101,8 +101,8 @@
         relay = await Relay(agents.addresses[0]).start()
         near_processes = len(instances.instance_processes)
         try:
-            behind = [("127.0.0.1", relay.port)]
-            await instances.start(cut_count, behind, agents.token_file, versions=behind)
+            through_relay = [("127.0.0.1", relay.port)]
+            await instances.start(cut_count, through_relay, agents.token_file, versions=through_relay)
             number, _, _ = await agents.publish()
             await agents.wait_until_held(instances, number)
             relay.cut()
