--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -110,7 +110,7 @@
             number, _, told_s = await agents.publish()
             await asyncio.sleep(PUBLISH_BEFORE_RESTORE_S)
             relay.mend()
-            mended_s = time.monotonic()
+            restored_s = time.monotonic()
             await agents.wait_until_held(instances, number)
             parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in instances.instance_processes]
             others, cut_off = (sorted(sum(some, [])) for some in (parts[:near_processes], parts[near_processes:]))
@@ -119,5 +119,5 @@
     note = f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
     context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, told_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(cut_off, share, mended_s)],
+        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(cut_off, share, restored_s)],
                           f"{note}; from the link's return")
