--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -9,7 +9,7 @@
 from ironscale.scale.agents import AgentProcesses, ResourceUsage
 from ironscale.scale.run import RunContext
 
-ROLE, X = "operator", "instances"
+ROLE, X_AXIS = "operator", "instances"
 WAVES = 10
 INSPECTED = 50
 UNITS = {"operator.list_s": "s", "operator.inspect_ms": "ms", "operator.release_s": "s",
@@ -32,7 +32,7 @@
             for name, values in (await one(agents, count, context.size.play.repeats)).items():
                 found[name][count] = values
     for name, points in found.items():
-        context.add_slope(name, ROLE, X, UNITS[name], points, NOTES[name])
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES[name])
 
 
 async def one(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
