--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -11,7 +11,7 @@
 
 ROLE, X_AXIS = "operator", "instances"
 WAVES = 10
-INSPECTED = 50
+INSPECTED_INSTANCES = 50
 UNITS = {"operator.list_s": "s", "operator.inspect_ms": "ms", "operator.release_s": "s",
          "operator.release.cpu_ms": "ms"}
 NOTES = {"operator.list_s": "all instances with their reports, in pages of 250",
@@ -43,7 +43,7 @@
         start_s = time.monotonic()
         names = await listed(agents)
         found["operator.list_s"].append(time.monotonic() - start_s)
-        some = random.Random(turn).sample(names, min(INSPECTED, count))
+        some = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
         start_s = time.monotonic()
         for name in some:
             await agents.call(INSPECT, n=name)
