--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -29,13 +29,13 @@
     for count in context.size.play.sizes:
         context.progress(f"operator: {count} simulated instances")
         async with context.running_fleet(count) as (agents, _):
-            for name, values in (await one(agents, count, context.size.play.repeats)).items():
+            for name, values in (await measure_fleet(agents, count, context.size.play.repeats)).items():
                 found[name][count] = values
     for name, points in found.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES[name])
 
 
-async def one(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
+async def measure_fleet(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
     found: dict[str, list[float]] = {name: [] for name in UNITS}
     await agents.apply()  # creates the first generation
     names = await listed(agents)
