--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -25,13 +25,13 @@
 
 
 async def measure(context: RunContext) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     for count in context.size.play.sizes:
         context.progress(f"operator: {count} simulated instances")
         async with context.running_fleet(count) as (agents, _):
             for name, values in (await measure_fleet(agents, count, context.size.play.repeats)).items():
-                found[name][count] = values
-    for name, points in found.items():
+                results[name][count] = values
+    for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES[name])
 
 
