--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -36,25 +36,25 @@
 
 
 async def measure_fleet(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {name: [] for name in UNITS}
+    results: dict[str, list[float]] = {name: [] for name in UNITS}
     await agents.apply()  # creates the first generation
     names = await listed(agents)
     for turn in range(repeats):
         start_s = time.monotonic()
         names = await listed(agents)
-        found["operator.list_s"].append(time.monotonic() - start_s)
+        results["operator.list_s"].append(time.monotonic() - start_s)
         some = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
         start_s = time.monotonic()
         for name in some:
             await agents.call(INSPECT, n=name)
-        found["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
+        results["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
     for _ in range(min(2, repeats)):
         spent = ResourceUsage.of_process(agents.pid())
         _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
-        found["operator.release_s"].append(await agents.wait_until_closed(operation) - asked_s)
-        found["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+        results["operator.release_s"].append(await agents.wait_until_closed(operation) - asked_s)
+        results["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
-    return found
+    return results
 
 
 async def listed(agents: AgentProcesses) -> list[str]:
