--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -43,11 +43,11 @@
         start_s = time.monotonic()
         names = await listed(agents)
         results["operator.list_s"].append(time.monotonic() - start_s)
-        some = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
+        sample = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
         start_s = time.monotonic()
-        for name in some:
+        for name in sample:
             await agents.call(INSPECT, n=name)
-        results["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
+        results["operator.inspect_ms"].append((time.monotonic() - start_s) / len(sample) * 1000)
     for _ in range(min(2, repeats)):
         spent = ResourceUsage.of_process(agents.pid())
         _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
