--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -50,8 +50,8 @@
         results["operator.inspect_ms"].append((time.monotonic() - start_s) / len(sample) * 1000)
     for _ in range(min(2, repeats)):
         spent = ResourceUsage.of_process(agents.pid())
-        _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
-        results["operator.release_s"].append(await agents.wait_until_closed(operation) - asked_s)
+        _, operation, requested_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
+        results["operator.release_s"].append(await agents.wait_until_closed(operation) - requested_s)
         results["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
     return results
