--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -38,10 +38,10 @@
 async def measure_fleet(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
     results: dict[str, list[float]] = {name: [] for name in UNITS}
     await agents.apply()  # creates the first generation
-    names = await listed(agents)
+    names = await list_instances(agents)
     for turn in range(repeats):
         start_s = time.monotonic()
-        names = await listed(agents)
+        names = await list_instances(agents)
         results["operator.list_s"].append(time.monotonic() - start_s)
         sample = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
         start_s = time.monotonic()
@@ -57,7 +57,7 @@
     return results
 
 
-async def listed(agents: AgentProcesses) -> list[str]:
+async def list_instances(agents: AgentProcesses) -> list[str]:
     names: list[str] = []
     after = None
     while True:
