--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -13,7 +13,7 @@
 from ironscale.scale.real_sidecars import RealSidecars
 from ironscale.scale.run import RunContext
 
-ROLE, LIST = "sidecar control", "upstreams in the list"
+ROLE, X_AXIS = "sidecar control", "upstreams in the list"
 EACH = 4  # sidecars with an agent, and the same number without
 LISTS, ENTRIES, CHANGES = 4, 40, 6
 QUIET_S = 0.7
@@ -54,7 +54,7 @@
             added_mb = [a - b for a, b in zip(sorted(one["control.list.memory_mb"]),
                                               sorted(one["control.list.alone_memory_mb"]), strict=True)]
     for name, points in found.items():
-        context.add_slope(name, ROLE, LIST, UNITS[name], points, NOTES.get(name, ""))
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     least = context.size.play.lists[0]
     context.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
                       f"with an agent less without, lists of {least}")
