--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -14,7 +14,7 @@
 from ironscale.scale.run import RunContext
 
 ROLE, X_AXIS = "sidecar control", "upstreams in the list"
-EACH = 4  # sidecars with an agent, and the same number without
+SIDECARS_EACH = 4  # sidecars with an agent, and the same number without
 LISTS, ENTRIES, CHANGES = 4, 40, 6
 QUIET_S = 0.7
 UNITS = {
@@ -39,11 +39,11 @@
     added_mb: list[float] = []
     for length in context.size.play.lists:
         context.progress(f"control: lists of {length}")
-        context.check_limits(0, 1, 2 * EACH)
-        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * EACH, length) as reals:
-            without = await reals.start(EACH)
-            with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
-            await agents.wait_until_ready(EACH)
+        context.check_limits(0, 1, 2 * SIDECARS_EACH)
+        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as reals:
+            without = await reals.start(SIDECARS_EACH)
+            with_agent = await reals.start(SIDECARS_EACH, agents.addresses, agents.token_file)
+            await agents.wait_until_ready(SIDECARS_EACH)
             one = await of_list(context, agents, reals, with_agent, without)
         for name, values in one.items():
             found[name][length] = values
@@ -70,7 +70,7 @@
     rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
     found = {
-        "control.list.rest.cpu_percent": percent[:EACH], "control.list.rest.alone_cpu_percent": percent[EACH:],
+        "control.list.rest.cpu_percent": percent[:SIDECARS_EACH], "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
         "control.list.whole_bytes": [float(len(discovery.chunk(discovery.whole())))],
     }
 
@@ -84,7 +84,7 @@
         await asyncio.sleep(QUIET_S)
         took_s = asyncio.get_running_loop().time() - began_s
         return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / times
-                for p, was, rest in zip(without, before, percent[EACH:], strict=True)]
+                for p, was, rest in zip(without, before, percent[SIDECARS_EACH:], strict=True)]
 
     def whole() -> None:
         discovery.generation += 1
@@ -104,7 +104,7 @@
     found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(ENTRIES, 0.03, entry)]
     found["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
-    found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:EACH])
+    found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
     found["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
     found["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
     return found
