--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -15,7 +15,7 @@
 
 ROLE, X_AXIS = "sidecar control", "upstreams in the list"
 SIDECARS_EACH = 4  # sidecars with an agent, and the same number without
-WHOLE_LISTS, ENTRIES, CHANGES = 4, 40, 6
+WHOLE_LISTS, CHANGED_ENTRIES, CHANGES = 4, 40, 6
 QUIET_S = 0.7
 UNITS = {
     "control.list.memory_mb": "MB", "control.list.alone_memory_mb": "MB",
@@ -90,7 +90,7 @@
         discovery.generation += 1
         discovery.tell(discovery.whole())
 
-    entries = [dict(entry) for entry in list(discovery.entries.values())[:ENTRIES]]
+    entries = [dict(entry) for entry in list(discovery.entries.values())[:CHANGED_ENTRIES]]
     turn = 0
 
     def entry() -> None:
@@ -101,7 +101,7 @@
         discovery.put(changed)
 
     found["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, QUIET_S, whole)]
-    found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(ENTRIES, 0.03, entry)]
+    found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(CHANGED_ENTRIES, 0.03, entry)]
     found["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
     found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
