--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -16,7 +16,7 @@
 ROLE, X_AXIS = "sidecar control", "upstreams in the list"
 SIDECARS_EACH = 4  # sidecars with an agent, and the same number without
 WHOLE_LISTS, CHANGED_ENTRIES, CHANGES = 4, 40, 6
-QUIET_S = 0.7
+SETTLE_S = 0.7
 UNITS = {
     "control.list.memory_mb": "MB", "control.list.alone_memory_mb": "MB",
     "control.list.rest.cpu_percent": "% of a core", "control.list.rest.alone_cpu_percent": "% of a core",
@@ -81,7 +81,7 @@
         for _ in range(times):
             work()
             await asyncio.sleep(pause_s)
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         took_s = asyncio.get_running_loop().time() - began_s
         return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / times
                 for p, was, rest in zip(without, before, percent[SIDECARS_EACH:], strict=True)]
@@ -100,7 +100,7 @@
         turn += 1
         discovery.put(changed)
 
-    found["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, QUIET_S, whole)]
+    found["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, SETTLE_S, whole)]
     found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(CHANGED_ENTRIES, 0.03, entry)]
     found["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
@@ -116,7 +116,7 @@
     for _ in range(CHANGES):
         _, operation, _, _ = await agents.apply()
         await agents.wait_until_closed(operation)
-    await asyncio.sleep(QUIET_S)
+    await asyncio.sleep(SETTLE_S)
     took_s = asyncio.get_running_loop().time() - began_s
     return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / CHANGES * 1e6
             for p, was, rest in zip(with_agent, before, rests, strict=True)]
