--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -34,7 +34,7 @@
 
 
 async def measure(context: RunContext) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     added_cpu: list[float] = []
     added_mb: list[float] = []
     for length in context.size.play.lists:
@@ -46,14 +46,14 @@
             await agents.wait_until_ready(SIDECARS_EACH)
             one = await of_list(context, agents, reals, with_agent, without)
         for name, values in one.items():
-            found[name][length] = values
+            results[name][length] = values
         usual = length == context.size.play.lists[0]
         if usual:
             added_cpu = [a - b for a, b in zip(one["control.list.rest.cpu_percent"],
                                                one["control.list.rest.alone_cpu_percent"], strict=True)]
             added_mb = [a - b for a, b in zip(sorted(one["control.list.memory_mb"]),
                                               sorted(one["control.list.alone_memory_mb"]), strict=True)]
-    for name, points in found.items():
+    for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     least = context.size.play.lists[0]
     context.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
