--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -44,15 +44,15 @@
             without = await reals.start(SIDECARS_EACH)
             with_agent = await reals.start(SIDECARS_EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(SIDECARS_EACH)
-            one = await of_list(context, agents, reals, with_agent, without)
-        for name, values in one.items():
+            values_by_name = await of_list(context, agents, reals, with_agent, without)
+        for name, values in values_by_name.items():
             results[name][length] = values
         usual = length == context.size.play.lists[0]
         if usual:
-            added_cpu = [a - b for a, b in zip(one["control.list.rest.cpu_percent"],
-                                               one["control.list.rest.alone_cpu_percent"], strict=True)]
-            added_mb = [a - b for a, b in zip(sorted(one["control.list.memory_mb"]),
-                                              sorted(one["control.list.alone_memory_mb"]), strict=True)]
+            added_cpu = [a - b for a, b in zip(values_by_name["control.list.rest.cpu_percent"],
+                                               values_by_name["control.list.rest.alone_cpu_percent"], strict=True)]
+            added_mb = [a - b for a, b in zip(sorted(values_by_name["control.list.memory_mb"]),
+                                              sorted(values_by_name["control.list.alone_memory_mb"]), strict=True)]
     for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
     least = context.size.play.lists[0]
