--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -47,8 +47,8 @@
             values_by_name = await of_list(context, agents, reals, with_agent, without)
         for name, values in values_by_name.items():
             results[name][length] = values
-        usual = length == context.size.play.lists[0]
-        if usual:
+        first_length = length == context.size.play.lists[0]
+        if first_length:
             added_cpu = [a - b for a, b in zip(values_by_name["control.list.rest.cpu_percent"],
                                                values_by_name["control.list.rest.alone_cpu_percent"], strict=True)]
             added_mb = [a - b for a, b in zip(sorted(values_by_name["control.list.memory_mb"]),
