--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -55,11 +55,11 @@
                                               sorted(values_by_name["control.list.alone_memory_mb"]), strict=True)]
     for name, points in results.items():
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
-    least = context.size.play.lists[0]
+    shortest = context.size.play.lists[0]
     context.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
-                      f"with an agent less without, lists of {least}")
+                      f"with an agent less without, lists of {shortest}")
     context.add_reading("control.real.added_memory_mb", ROLE, "MB", added_mb,
-                      f"with an agent less without, lists of {least}")
+                      f"with an agent less without, lists of {shortest}")
 
 
 async def of_list(context: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
