--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -40,11 +40,11 @@
     for length in context.size.play.lists:
         context.progress(f"control: lists of {length}")
         context.check_limits(0, 1, 2 * SIDECARS_EACH)
-        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as reals:
-            without = await reals.start(SIDECARS_EACH)
-            with_agent = await reals.start(SIDECARS_EACH, agents.addresses, agents.token_file)
+        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as sidecars:
+            without = await sidecars.start(SIDECARS_EACH)
+            with_agent = await sidecars.start(SIDECARS_EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(SIDECARS_EACH)
-            values_by_name = await of_list(context, agents, reals, with_agent, without)
+            values_by_name = await of_list(context, agents, sidecars, with_agent, without)
         for name, values in values_by_name.items():
             results[name][length] = values
         first_length = length == context.size.play.lists[0]
