--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -44,7 +44,7 @@
             without = await sidecars.start(SIDECARS_EACH)
             with_agent = await sidecars.start(SIDECARS_EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(SIDECARS_EACH)
-            values_by_name = await of_list(context, agents, sidecars, with_agent, without)
+            values_by_name = await measure_list(context, agents, sidecars, with_agent, without)
         for name, values in values_by_name.items():
             results[name][length] = values
         first_length = length == context.size.play.lists[0]
@@ -62,7 +62,7 @@
                       f"with an agent less without, lists of {shortest}")
 
 
-async def of_list(context: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
+async def measure_list(context: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = reals.discovery
     await asyncio.sleep(2.0)
