--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -62,9 +62,9 @@
                       f"with an agent less without, lists of {shortest}")
 
 
-async def measure_list(context: RunContext, agents: AgentProcesses, reals: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
+async def measure_list(context: RunContext, agents: AgentProcesses, sidecars: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
-    discovery = reals.discovery
+    discovery = sidecars.discovery
     await asyncio.sleep(2.0)
     beat_s = context.size.play.heartbeat_s
     rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
