--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -66,8 +66,8 @@
                   without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
     discovery = sidecars.discovery
     await asyncio.sleep(2.0)
-    beat_s = context.size.play.heartbeat_s
-    rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
+    heartbeat_s = context.size.play.heartbeat_s
+    rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * heartbeat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
     found = {
         "control.list.rest.cpu_percent": percent[:SIDECARS_EACH], "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
