--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -69,7 +69,7 @@
     heartbeat_s = context.size.play.heartbeat_s
     rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * heartbeat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
-    found = {
+    results = {
         "control.list.rest.cpu_percent": percent[:SIDECARS_EACH], "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
         "control.list.whole_bytes": [float(len(discovery.chunk(discovery.whole())))],
     }
@@ -100,14 +100,14 @@
         turn += 1
         discovery.put(changed)
 
-    found["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, SETTLE_S, whole)]
-    found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(CHANGED_ENTRIES, 0.03, entry)]
-    found["control.list.entry_bytes"] = [float(len(discovery.chunk({
+    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, SETTLE_S, whole)]
+    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(CHANGED_ENTRIES, 0.03, entry)]
+    results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
-    found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
-    found["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
-    found["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
-    return found
+    results["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
+    results["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
+    results["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
+    return results
 
 
 async def of_changes(agents: AgentProcesses, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
