--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -74,7 +74,7 @@
         "control.list.whole_bytes": [float(len(discovery.chunk(discovery.whole())))],
     }
 
-    async def cost(times: int, pause_s: float, work: object) -> list[float]:
+    async def cpu_cost_s(times: int, pause_s: float, work: object) -> list[float]:
         """CPU seconds that each sidecar without an agent used for one call of `work`, less its use at rest."""
         assert callable(work)
         before, began_s = [process_cpu_s(p.pid) for p in without], asyncio.get_running_loop().time()
@@ -100,8 +100,8 @@
         turn += 1
         discovery.put(changed)
 
-    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(WHOLE_LISTS, SETTLE_S, whole)]
-    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(CHANGED_ENTRIES, 0.03, entry)]
+    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, whole)]
+    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, entry)]
     results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
     results["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
