--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -104,13 +104,13 @@
     results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, entry)]
     results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
-    results["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:SIDECARS_EACH])
+    results["control.list.change_cpu_us"] = await measure_changes(agents, with_agent, percent[:SIDECARS_EACH])
     results["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
     results["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
     return results
 
 
-async def of_changes(agents: AgentProcesses, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
+async def measure_changes(agents: AgentProcesses, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
                      ) -> list[float]:
     before, began_s = [process_cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
     for _ in range(CHANGES):
