--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -9,7 +9,7 @@
 from ironscale.scale.agents import AgentProcesses, ResourceUsage
 from ironscale.scale.run import RunContext
 
-ROLE, X = "record", "instances"
+ROLE, X_AXIS = "record", "instances"
 FEW, MANY = 4, 16  # changes
 
 
@@ -38,13 +38,13 @@
             started[count], read[count] = [took_s], [taken]
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
-    context.add_slope("record.change.bytes", ROLE, X, "bytes a change", grown)
-    context.add_slope("record.change.rows", ROLE, X, "rows a change", rows)
-    context.add_slope("record.change.disk_bytes", ROLE, X, "bytes written to disk a change", written,
+    context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", grown)
+    context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", rows)
+    context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", written,
                     "the agent's write_bytes, heartbeats' marks among them")
-    context.add_slope("record.restart.seconds", ROLE, X, "s", started,
+    context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", started,
                     f"from SIGTERM's end to the agent's address, after {FEW + 1} changes")
-    context.add_slope("record.restart.read_bytes", ROLE, X, "bytes read", read)
+    context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", read)
 
 
 async def settled(agents: AgentProcesses) -> None:
