--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -10,7 +10,7 @@
 from ironscale.scale.run import RunContext
 
 ROLE, X_AXIS = "record", "instances"
-FEW, MANY = 4, 16  # changes
+MEASURED_CHANGES, MANY = 4, 16  # changes
 
 
 async def measure(context: RunContext) -> None:
@@ -24,7 +24,7 @@
         async with context.running_fleet(count) as (agents, instances):
             await agents.change(instances)
             await settled(agents)
-            for _ in range(FEW):
+            for _ in range(MEASURED_CHANGES):
                 before, spent = agents.database_state(), ResourceUsage.of_process(agents.pid())
                 change = await agents.change(instances)
                 await agents.wait_until_in_force(instances, change.generation)
@@ -43,7 +43,7 @@
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", written,
                     "the agent's write_bytes, heartbeats' marks among them")
     context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", started,
-                    f"from SIGTERM's end to the agent's address, after {FEW + 1} changes")
+                    f"from SIGTERM's end to the agent's address, after {MEASURED_CHANGES + 1} changes")
     context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", read)
 
 
