--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -10,7 +10,7 @@
 from ironscale.scale.run import RunContext
 
 ROLE, X_AXIS = "record", "instances"
-MEASURED_CHANGES, MANY = 4, 16  # changes
+MEASURED_CHANGES, MORE_CHANGES = 4, 16  # changes
 
 
 async def measure(context: RunContext) -> None:
@@ -74,11 +74,11 @@
 async def longer(context: RunContext, agents: AgentProcesses, hollows_count: int, took_s: float, taken: float) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.wait_until_ready(hollows_count)
-    for _ in range(MANY):
+    for _ in range(MORE_CHANGES):
         _, operation, _, _ = await agents.apply()
         await agents.wait_until_closed(operation)
     again_s, again = await restarted(agents)
     context.add_reading("record.restart.more_history_s", ROLE, "s", [again_s - took_s],
-                      f"{MANY} changes of {hollows_count} more in the record")
+                      f"{MORE_CHANGES} changes of {hollows_count} more in the record")
     context.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [again - taken],
-                      f"{MANY} changes of {hollows_count} more in the record")
+                      f"{MORE_CHANGES} changes of {hollows_count} more in the record")
