--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -14,7 +14,7 @@
 
 
 async def measure(context: RunContext) -> None:
-    grown: dict[int, list[float]] = {}
+    added_bytes: dict[int, list[float]] = {}
     rows: dict[int, list[float]] = {}
     written: dict[int, list[float]] = {}
     started: dict[int, list[float]] = {}
@@ -30,7 +30,7 @@
                 await agents.wait_until_in_force(instances, change.generation)
                 await settled(agents)
                 after = agents.database_state()
-                grown.setdefault(count, []).append(after["bytes"] - before["bytes"])
+                added_bytes.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
                 written.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
@@ -38,7 +38,7 @@
             started[count], read[count] = [took_s], [taken]
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
-    context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", grown)
+    context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
     context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", rows)
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", written,
                     "the agent's write_bytes, heartbeats' marks among them")
