--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -15,7 +15,7 @@
 
 async def measure(context: RunContext) -> None:
     added_bytes: dict[int, list[float]] = {}
-    rows: dict[int, list[float]] = {}
+    added_rows: dict[int, list[float]] = {}
     written: dict[int, list[float]] = {}
     started: dict[int, list[float]] = {}
     read: dict[int, list[float]] = {}
@@ -31,7 +31,7 @@
                 await settled(agents)
                 after = agents.database_state()
                 added_bytes.setdefault(count, []).append(after["bytes"] - before["bytes"])
-                rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
+                added_rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
                 written.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
@@ -39,7 +39,7 @@
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
     context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
-    context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", rows)
+    context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", added_rows)
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", written,
                     "the agent's write_bytes, heartbeats' marks among them")
     context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", started,
