--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -17,7 +17,7 @@
     added_bytes: dict[int, list[float]] = {}
     added_rows: dict[int, list[float]] = {}
     disk_bytes: dict[int, list[float]] = {}
-    started: dict[int, list[float]] = {}
+    restart_s: dict[int, list[float]] = {}
     read: dict[int, list[float]] = {}
     for count in context.size.play.sizes:
         context.progress(f"record: {count} simulated instances")
@@ -35,14 +35,14 @@
                     "targets", "operations", "configurations", "audit", "mutations")))
                 disk_bytes.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
-            started[count], read[count] = [took_s], [taken]
+            restart_s[count], read[count] = [took_s], [taken]
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
     context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
     context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", added_rows)
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", disk_bytes,
                     "the agent's write_bytes, heartbeats' marks among them")
-    context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", started,
+    context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", restart_s,
                     f"from SIGTERM's end to the agent's address, after {MEASURED_CHANGES + 1} changes")
     context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", read)
 
