--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -18,7 +18,7 @@
     added_rows: dict[int, list[float]] = {}
     disk_bytes: dict[int, list[float]] = {}
     restart_s: dict[int, list[float]] = {}
-    read: dict[int, list[float]] = {}
+    restart_read_bytes: dict[int, list[float]] = {}
     for count in context.size.play.sizes:
         context.progress(f"record: {count} simulated instances")
         async with context.running_fleet(count) as (agents, instances):
@@ -35,7 +35,7 @@
                     "targets", "operations", "configurations", "audit", "mutations")))
                 disk_bytes.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
             took_s, taken = await restarted(agents)
-            restart_s[count], read[count] = [took_s], [taken]
+            restart_s[count], restart_read_bytes[count] = [took_s], [taken]
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=took_s, taken=taken)
     context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
@@ -44,7 +44,7 @@
                     "the agent's write_bytes, heartbeats' marks among them")
     context.add_slope("record.restart.seconds", ROLE, X_AXIS, "s", restart_s,
                     f"from SIGTERM's end to the agent's address, after {MEASURED_CHANGES + 1} changes")
-    context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", read)
+    context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", restart_read_bytes)
 
 
 async def settled(agents: AgentProcesses) -> None:
