--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -34,10 +34,10 @@
                 added_rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
                 disk_bytes.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
-            started_in_s, taken = await restarted(agents)
-            restart_s[count], restart_read_bytes[count] = [started_in_s], [taken]
+            started_in_s, read_bytes = await restarted(agents)
+            restart_s[count], restart_read_bytes[count] = [started_in_s], [read_bytes]
             if count == context.size.play.sizes[0]:
-                await longer(context, agents, hollows_count=count, took_s=started_in_s, taken=taken)
+                await longer(context, agents, hollows_count=count, took_s=started_in_s, taken=read_bytes)
     context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
     context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", added_rows)
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", disk_bytes,
