--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -23,12 +23,12 @@
         context.progress(f"record: {count} simulated instances")
         async with context.running_fleet(count) as (agents, instances):
             await agents.change(instances)
-            await settled(agents)
+            await wait_until_settled(agents)
             for _ in range(MEASURED_CHANGES):
                 before, spent = agents.database_state(), ResourceUsage.of_process(agents.pid())
                 change = await agents.change(instances)
                 await agents.wait_until_in_force(instances, change.generation)
-                await settled(agents)
+                await wait_until_settled(agents)
                 after = agents.database_state()
                 added_bytes.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 added_rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
@@ -47,7 +47,7 @@
     context.add_slope("record.restart.read_bytes", ROLE, X_AXIS, "bytes read", restart_read_bytes)
 
 
-async def settled(agents: AgentProcesses) -> None:
+async def wait_until_settled(agents: AgentProcesses) -> None:
     """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
     was, until_s = -1.0, time.monotonic() + 10
     while time.monotonic() < until_s:
