--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -49,12 +49,12 @@
 
 async def wait_until_settled(agents: AgentProcesses) -> None:
     """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
-    was, until_s = -1.0, time.monotonic() + 10
+    previous_bytes, until_s = -1.0, time.monotonic() + 10
     while time.monotonic() < until_s:
         state = agents.database_state()
-        if state["bytes"] == was:
+        if state["bytes"] == previous_bytes:
             return
-        was = state["bytes"]
+        previous_bytes = state["bytes"]
         await asyncio.sleep(1.2)
 
 
