--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -49,8 +49,8 @@
 
 async def wait_until_settled(agents: AgentProcesses) -> None:
     """Waits until the database stops growing: reports of instances are saved a little after they arrive."""
-    previous_bytes, until_s = -1.0, time.monotonic() + 10
-    while time.monotonic() < until_s:
+    previous_bytes, deadline_s = -1.0, time.monotonic() + 10
+    while time.monotonic() < deadline_s:
         state = agents.database_state()
         if state["bytes"] == previous_bytes:
             return
