--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -34,7 +34,7 @@
                 added_rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
                 disk_bytes.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
-            started_in_s, read_bytes = await restarted(agents)
+            started_in_s, read_bytes = await restart(agents)
             restart_s[count], restart_read_bytes[count] = [started_in_s], [read_bytes]
             if count == context.size.play.sizes[0]:
                 await longer(context, agents, hollows_count=count, took_s=started_in_s, taken=read_bytes)
@@ -58,7 +58,7 @@
         await asyncio.sleep(1.2)
 
 
-async def restarted(agents: AgentProcesses) -> tuple[float, float]:
+async def restart(agents: AgentProcesses) -> tuple[float, float]:
     """Restarts the agent. Returns the seconds until the new process answers, and the bytes it has read by then."""
     process = agents.running[0]
     assert process is not None
@@ -77,7 +77,7 @@
     for _ in range(MORE_CHANGES):
         _, operation, _, _ = await agents.apply()
         await agents.wait_until_closed(operation)
-    again_s, again = await restarted(agents)
+    again_s, again = await restart(agents)
     context.add_reading("record.restart.more_history_s", ROLE, "s", [again_s - took_s],
                       f"{MORE_CHANGES} changes of {hollows_count} more in the record")
     context.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [again - taken],
