--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -65,10 +65,10 @@
     agents.children.end(process, first_signal=signal.SIGTERM, timeout_s=10)
     agents.running[0] = None
     (agents.folder / "agent-0" / "address").unlink(missing_ok=True)
-    at_s = time.monotonic()
+    started_s = time.monotonic()
     agents.launch(0)
     await agents.wait_until(lambda: (agents.folder / "agent-0" / "address").exists(), "agent-0 did not start again")
-    return time.monotonic() - at_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
+    return time.monotonic() - started_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
 async def longer(context: RunContext, agents: AgentProcesses, hollows_count: int, took_s: float, taken: float) -> None:
