--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -77,8 +77,8 @@
     for _ in range(MORE_CHANGES):
         _, operation, _, _ = await agents.apply()
         await agents.wait_until_closed(operation)
-    second_start_s, again = await restart(agents)
+    second_start_s, second_read_bytes = await restart(agents)
     context.add_reading("record.restart.more_history_s", ROLE, "s", [second_start_s - started_in_s],
                       f"{MORE_CHANGES} changes of {instance_count} more in the record")
-    context.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [again - read_bytes],
+    context.add_reading("record.restart.more_history_bytes", ROLE, "bytes read", [second_read_bytes - read_bytes],
                       f"{MORE_CHANGES} changes of {instance_count} more in the record")
