--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -10,7 +10,7 @@
 
 ROLE = "agent that leads"
 CUT_S = 75.0  # longer than the longest wait between two connection attempts
-WAIT_S = 60.0
+REGION_TIMEOUT_S = 60.0
 
 
 async def measure(context: RunContext) -> None:
@@ -34,7 +34,7 @@
             mended_s = time.monotonic()
             back_s = await agents.wait_until_ready(count) - mended_s
             times: list[float] = []
-            while len(times) < away and time.monotonic() < mended_s + WAIT_S:
+            while len(times) < away and time.monotonic() < mended_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
                 parts = [await herder.ask(ask="in force", generation=generation) for herder in far]
                 times = sorted(at - mended_s for part in parts for at in part["at"])
@@ -46,7 +46,7 @@
     context.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
     context.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
     context.add_reading("cut.region.missed", ROLE, "instances", [away - len(times)],
-                      f"{note}; without the change {WAIT_S:g} s after")
+                      f"{note}; without the change {REGION_TIMEOUT_S:g} s after")
     if times:
         for label, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             value = times[min(len(times) - 1, int(share * len(times)))]
