--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -16,13 +16,13 @@
 async def measure(context: RunContext) -> None:
     size = context.size
     count, regions = size.play.sizes[-1], size.fleet.regions
-    away = count // regions
-    context.progress(f"cut: {away} of {count} simulated instances for {CUT_S:g} s")
-    async with context.running_fleet(count - away) as (agents, instances):
+    cut_count = count // regions
+    context.progress(f"cut: {cut_count} of {count} simulated instances for {CUT_S:g} s")
+    async with context.running_fleet(count - cut_count) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
         near = instances.instance_processes[:]
         try:
-            await instances.start(away, [("127.0.0.1", relay.port)], agents.token_file)
+            await instances.start(cut_count, [("127.0.0.1", relay.port)], agents.token_file)
             far = instances.instance_processes[len(near):]
             await agents.wait_until_ready(count)
             relay.cut()
@@ -34,18 +34,18 @@
             mended_s = time.monotonic()
             back_s = await agents.wait_until_ready(count) - mended_s
             times: list[float] = []
-            while len(times) < away and time.monotonic() < mended_s + REGION_TIMEOUT_S:
+            while len(times) < cut_count and time.monotonic() < mended_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
                 parts = [await herder.ask(ask="in force", generation=generation) for herder in far]
                 times = sorted(at - mended_s for part in parts for at in part["at"])
             others = [await herder.ask(ask="in force", generation=generation) for herder in near]
         finally:
             relay.close()
-    note = f"{away} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
+    note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
     kept = sorted(at - asked_s for part in others for at in part["at"])
     context.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
     context.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
-    context.add_reading("cut.region.missed", ROLE, "instances", [away - len(times)],
+    context.add_reading("cut.region.missed", ROLE, "instances", [cut_count - len(times)],
                       f"{note}; without the change {REGION_TIMEOUT_S:g} s after")
     if times:
         for label, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
