--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -20,10 +20,10 @@
     context.progress(f"cut: {cut_count} of {count} simulated instances for {CUT_S:g} s")
     async with context.running_fleet(count - cut_count) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
-        near = instances.instance_processes[:]
+        near_processes = instances.instance_processes[:]
         try:
             await instances.start(cut_count, [("127.0.0.1", relay.port)], agents.token_file)
-            far = instances.instance_processes[len(near):]
+            far = instances.instance_processes[len(near_processes):]
             await agents.wait_until_ready(count)
             relay.cut()
             cut_s = time.monotonic()
@@ -38,7 +38,7 @@
                 await asyncio.sleep(0.25)
                 parts = [await herder.ask(ask="in force", generation=generation) for herder in far]
                 times = sorted(at - mended_s for part in parts for at in part["at"])
-            others = [await herder.ask(ask="in force", generation=generation) for herder in near]
+            others = [await herder.ask(ask="in force", generation=generation) for herder in near_processes]
         finally:
             relay.close()
     note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
