--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -23,7 +23,7 @@
         near_processes = instances.instance_processes[:]
         try:
             await instances.start(cut_count, [("127.0.0.1", relay.port)], agents.token_file)
-            far = instances.instance_processes[len(near_processes):]
+            cut_processes = instances.instance_processes[len(near_processes):]
             await agents.wait_until_ready(count)
             relay.cut()
             cut_s = time.monotonic()
@@ -36,7 +36,7 @@
             times: list[float] = []
             while len(times) < cut_count and time.monotonic() < mended_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
-                parts = [await herder.ask(ask="in force", generation=generation) for herder in far]
+                parts = [await herder.ask(ask="in force", generation=generation) for herder in cut_processes]
                 times = sorted(at - mended_s for part in parts for at in part["at"])
             others = [await herder.ask(ask="in force", generation=generation) for herder in near_processes]
         finally:
