--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -28,7 +28,7 @@
             relay.cut()
             cut_s = time.monotonic()
             await asyncio.sleep(CUT_S - 3)
-            generation, _, asked_s, _ = await agents.apply()
+            generation, _, requested_s, _ = await agents.apply()
             await asyncio.sleep(max(0.0, cut_s + CUT_S - time.monotonic()))
             relay.mend()
             mended_s = time.monotonic()
@@ -42,7 +42,7 @@
         finally:
             relay.close()
     note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
-    kept = sorted(at - asked_s for part in others for at in part["at"])
+    kept = sorted(at - requested_s for part in others for at in part["at"])
     context.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
     context.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
     context.add_reading("cut.region.missed", ROLE, "instances", [cut_count - len(times)],
