--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -31,13 +31,13 @@
             generation, _, requested_s, _ = await agents.apply()
             await asyncio.sleep(max(0.0, cut_s + CUT_S - time.monotonic()))
             relay.mend()
-            mended_s = time.monotonic()
-            back_s = await agents.wait_until_ready(count) - mended_s
+            restored_s = time.monotonic()
+            back_s = await agents.wait_until_ready(count) - restored_s
             times: list[float] = []
-            while len(times) < cut_count and time.monotonic() < mended_s + REGION_TIMEOUT_S:
+            while len(times) < cut_count and time.monotonic() < restored_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
                 parts = [await herder.ask(ask="in force", generation=generation) for herder in cut_processes]
-                times = sorted(at - mended_s for part in parts for at in part["at"])
+                times = sorted(at - restored_s for part in parts for at in part["at"])
             others = [await herder.ask(ask="in force", generation=generation) for herder in near_processes]
         finally:
             relay.close()
