--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -32,7 +32,7 @@
             await asyncio.sleep(max(0.0, cut_s + CUT_S - time.monotonic()))
             relay.mend()
             restored_s = time.monotonic()
-            back_s = await agents.wait_until_ready(count) - restored_s
+            all_ready_s = await agents.wait_until_ready(count) - restored_s
             times: list[float] = []
             while len(times) < cut_count and time.monotonic() < restored_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
@@ -44,7 +44,7 @@
     note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
     kept = sorted(at - requested_s for part in others for at in part["at"])
     context.add_reading("cut.others.change_last_s", ROLE, "s", [kept[-1]], f"{note}; {len(kept)} that were not cut")
-    context.add_reading("cut.region.ready_s", ROLE, "s", [back_s], f"{note}; from the link's return, the last is ready")
+    context.add_reading("cut.region.ready_s", ROLE, "s", [all_ready_s], f"{note}; from the link's return, the last is ready")
     context.add_reading("cut.region.missed", ROLE, "instances", [cut_count - len(times)],
                       f"{note}; without the change {REGION_TIMEOUT_S:g} s after")
     if times:
