--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -10,7 +10,7 @@
 from ironscale.scale.run import RunContext
 from ironscale.scale.simulated_instances import SimulatedInstances
 
-LEADER_ROLE, CONTROL_ROLE, X = "agent that leads", "sidecar control", "instances"
+LEADER_ROLE, CONTROL_ROLE, X_AXIS = "agent that leads", "sidecar control", "instances"
 BACK = 2  # kills of the agent
 OVERLAPPING = 5  # changes, each made before the previous one has reached all instances
 Points = dict[str, dict[int, list[float]]]
@@ -28,7 +28,7 @@
                 found.setdefault(name, {})[count] = values
     for name, points in found.items():
         role = CONTROL_ROLE if name.startswith("control.") else LEADER_ROLE
-        context.add_slope(name, role, X, UNITS[name], points, NOTES.get(name, ""))
+        context.add_slope(name, role, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
 
 
 UNITS = {
