--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -11,7 +11,7 @@
 from ironscale.scale.simulated_instances import SimulatedInstances
 
 LEADER_ROLE, CONTROL_ROLE, X_AXIS = "agent that leads", "sidecar control", "instances"
-BACK = 2  # kills of the agent
+KILLS = 2  # kills of the agent
 OVERLAPPING = 5  # changes, each made before the previous one has reached all instances
 Points = dict[str, dict[int, list[float]]]
 
@@ -107,7 +107,7 @@
         add("agent.change.last_s", change.latencies_s[-1])
         add("agent.change.closed_s", change.closed_s)
     await overlapping(agents, instances, add)
-    for _ in range(BACK):
+    for _ in range(KILLS):
         await back(agents, instances, add, count)
         await asyncio.sleep(play.heartbeat_s)
     return found
