--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -12,7 +12,7 @@
 
 LEADER_ROLE, CONTROL_ROLE, X_AXIS = "agent that leads", "sidecar control", "instances"
 KILLS = 2  # kills of the agent
-OVERLAPPING = 5  # changes, each made before the previous one has reached all instances
+OVERLAPPING_CHANGES = 5  # changes, each made before the previous one has reached all instances
 Points = dict[str, dict[int, list[float]]]
 
 
@@ -47,8 +47,8 @@
     "agent.change.told_s": "until the agent had committed it",
     "agent.change.last_s": "until the last had it in force, from the moment it was asked for",
     "agent.change.closed_s": "until the agent had heard so of all, real sidecars too",
-    "agent.overlap.last_s": f"{OVERLAPPING} changes, each in place of the one before; from the last's asking",
-    "agent.overlap.cpu_ms": f"of {OVERLAPPING} changes",
+    "agent.overlap.last_s": f"{OVERLAPPING_CHANGES} changes, each in place of the one before; from the last's asking",
+    "agent.overlap.cpu_ms": f"of {OVERLAPPING_CHANGES} changes",
     "agent.back.all_ready_s": "from its SIGKILL, started again at once",
     "agent.back.told_s": "from its SIGKILL until the new process had committed a change",
     "agent.back.change_last_s": "from its SIGKILL, started again at once, a change as soon as it is taken",
@@ -117,9 +117,9 @@
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = ResourceUsage.of_process(agents.pid())
-    for number in range(OVERLAPPING):
+    for number in range(OVERLAPPING_CHANGES):
         generation, operation, asked_s, _ = await agents.apply(supersede=True)
-        if number + 1 < OVERLAPPING:
+        if number + 1 < OVERLAPPING_CHANGES:
             await asyncio.sleep(0.05)
     times = await agents.wait_until_in_force(instances, generation)
     await agents.wait_until_closed(operation)
