--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -13,11 +13,11 @@
 LEADER_ROLE, CONTROL_ROLE, X_AXIS = "agent that leads", "sidecar control", "instances"
 KILLS = 2  # kills of the agent
 OVERLAPPING_CHANGES = 5  # changes, each made before the previous one has reached all instances
-Points = dict[str, dict[int, list[float]]]
+ValuesByCount = dict[str, dict[int, list[float]]]
 
 
 async def measure(context: RunContext) -> None:
-    found: Points = {}
+    found: ValuesByCount = {}
     play = context.size.play
     for count in play.sizes:
         # the largest size includes the real sidecars, so its results cover them too
