--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -17,7 +17,7 @@
 
 
 async def measure(context: RunContext) -> None:
-    found: ValuesByCount = {}
+    results: ValuesByCount = {}
     play = context.size.play
     for count in play.sizes:
         # the largest size includes the real sidecars, so its results cover them too
@@ -25,8 +25,8 @@
         context.progress(f"agent: {count} instances, {real} of them real")
         async with context.running_fleet(count - real, real=real) as (agents, instances):
             for name, values in (await one(context, agents, instances, count)).items():
-                found.setdefault(name, {})[count] = values
-    for name, points in found.items():
+                results.setdefault(name, {})[count] = values
+    for name, points in results.items():
         role = CONTROL_ROLE if name.startswith("control.") else LEADER_ROLE
         context.add_slope(name, role, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
 
