--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -24,7 +24,7 @@
         real = play.real if count == play.sizes[-1] else 0
         context.progress(f"agent: {count} instances, {real} of them real")
         async with context.running_fleet(count - real, real=real) as (agents, instances):
-            for name, values in (await one(context, agents, instances, count)).items():
+            for name, values in (await measure_fleet(context, agents, instances, count)).items():
                 results.setdefault(name, {})[count] = values
     for name, points in results.items():
         role = CONTROL_ROLE if name.startswith("control.") else LEADER_ROLE
@@ -59,7 +59,7 @@
 }
 
 
-async def one(context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int) -> dict[str, list[float]]:
+async def measure_fleet(context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = context.size.play
     found: dict[str, list[float]] = {name: [] for name in UNITS}
 
