--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -61,10 +61,10 @@
 
 async def measure_fleet(context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int) -> dict[str, list[float]]:
     play = context.size.play
-    found: dict[str, list[float]] = {name: [] for name in UNITS}
+    results: dict[str, list[float]] = {name: [] for name in UNITS}
 
     def add(name: str, value: float) -> None:
-        found[name].append(value)
+        results[name].append(value)
 
     await agents.change(instances)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
@@ -94,10 +94,10 @@
         # subtract the use at rest to get the cost of the change alone
         cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
         add("agent.change.cpu_ms", cpu_ms)
-        rest_sent, rest_received = found["agent.rest.sent_bytes_s"][-1], found["agent.rest.received_bytes_s"][-1]
+        rest_sent, rest_received = results["agent.rest.sent_bytes_s"][-1], results["agent.rest.received_bytes_s"][-1]
         add("agent.change.sent_bytes", (after["received"] - before["received"]) * whole - rest_sent * took_s)
         add("agent.change.received_bytes", (after["sent"] - before["sent"]) * whole - rest_received * took_s)
-        add("control.change.bytes", (found["agent.change.sent_bytes"][-1] + found["agent.change.received_bytes"][-1])
+        add("control.change.bytes", (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1])
             / count)
         hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
         add("control.hollow.change.cpu_us", max(0.0, hollow_s) / instances.count * 1e6)
@@ -110,7 +110,7 @@
     for _ in range(KILLS):
         await back(agents, instances, add, count)
         await asyncio.sleep(play.heartbeat_s)
-    return found
+    return results
 
 
 async def overlapping(agents: AgentProcesses, instances: SimulatedInstances, add: object) -> None:
