--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -69,7 +69,7 @@
     await agents.change(instances)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
     rest_cpu = hollow_cpu = 0.0
-    whole = count / instances.count  # scales up to all instances: bytes are counted at the simulated ones only
+    all_instances_factor = count / instances.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
         before, writes, started_s = await instances.total(), agents.database_state()["writes"], time.monotonic()
         percent, megabytes, written = await measure_at_rest(agents.pid(), 2 * play.heartbeat_s)
@@ -80,8 +80,8 @@
         add("agent.rest.memory_mb", megabytes)
         add("agent.rest.disk_bytes_s", written)
         add("agent.rest.record_writes_s", (writes_after - writes) / took_s)
-        add("agent.rest.sent_bytes_s", (after["received"] - before["received"]) / took_s * whole)
-        add("agent.rest.received_bytes_s", (after["sent"] - before["sent"]) / took_s * whole)
+        add("agent.rest.sent_bytes_s", (after["received"] - before["received"]) / took_s * all_instances_factor)
+        add("agent.rest.received_bytes_s", (after["sent"] - before["sent"]) / took_s * all_instances_factor)
         passed = after["sent"] + after["received"] - before["sent"] - before["received"]
         add("control.rest.bytes_s", passed / took_s / instances.count)
         hollow_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
@@ -95,8 +95,8 @@
         cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
         add("agent.change.cpu_ms", cpu_ms)
         rest_sent, rest_received = results["agent.rest.sent_bytes_s"][-1], results["agent.rest.received_bytes_s"][-1]
-        add("agent.change.sent_bytes", (after["received"] - before["received"]) * whole - rest_sent * took_s)
-        add("agent.change.received_bytes", (after["sent"] - before["sent"]) * whole - rest_received * took_s)
+        add("agent.change.sent_bytes", (after["received"] - before["received"]) * all_instances_factor - rest_sent * took_s)
+        add("agent.change.received_bytes", (after["sent"] - before["sent"]) * all_instances_factor - rest_received * took_s)
         add("control.change.bytes", (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1])
             / count)
         hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
