--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -68,7 +68,7 @@
 
     await agents.change(instances)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
-    rest_cpu = hollow_cpu = 0.0
+    rest_cpu = simulated_cpu = 0.0
     all_instances_factor = count / instances.count  # scales up to all instances: bytes are counted at the simulated ones only
     for _ in range(play.repeats):
         before, writes, started_s = await instances.total(), agents.database_state()["writes"], time.monotonic()
@@ -84,8 +84,8 @@
         add("agent.rest.received_bytes_s", (after["sent"] - before["sent"]) / took_s * all_instances_factor)
         passed = after["sent"] + after["received"] - before["sent"] - before["received"]
         add("control.rest.bytes_s", passed / took_s / instances.count)
-        hollow_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
-        add("control.hollow.rest.cpu_percent", hollow_cpu / instances.count * 100)
+        simulated_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
+        add("control.hollow.rest.cpu_percent", simulated_cpu / instances.count * 100)
     for _ in range(play.repeats):
         before, spent = await instances.total(), ResourceUsage.of_process(agents.pid())
         change = await agents.change(instances)
@@ -99,7 +99,7 @@
         add("agent.change.received_bytes", (after["sent"] - before["sent"]) * all_instances_factor - rest_received * took_s)
         add("control.change.bytes", (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1])
             / count)
-        hollow_s = after["cpu_s"] - before["cpu_s"] - hollow_cpu * took_s
+        hollow_s = after["cpu_s"] - before["cpu_s"] - simulated_cpu * took_s
         add("control.hollow.change.cpu_us", max(0.0, hollow_s) / instances.count * 1e6)
         add("agent.change.told_s", change.committed_s)
         add("agent.change.p50_s", change.latency_percentile_s(0.5))
