--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -87,12 +87,12 @@
         simulated_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
         add("control.hollow.rest.cpu_percent", simulated_cpu / instances.count * 100)
     for _ in range(play.repeats):
-        before, spent = await instances.total(), ResourceUsage.of_process(agents.pid())
+        before, usage_before = await instances.total(), ResourceUsage.of_process(agents.pid())
         change = await agents.change(instances)
         used, after = ResourceUsage.of_process(agents.pid()), await instances.total()
-        took_s = used.at_s - spent.at_s
+        took_s = used.at_s - usage_before.at_s
         # subtract the use at rest to get the cost of the change alone
-        cpu_ms = max(0.0, used.cpu_s - spent.cpu_s - rest_cpu * took_s) * 1000
+        cpu_ms = max(0.0, used.cpu_s - usage_before.cpu_s - rest_cpu * took_s) * 1000
         add("agent.change.cpu_ms", cpu_ms)
         rest_sent, rest_received = results["agent.rest.sent_bytes_s"][-1], results["agent.rest.received_bytes_s"][-1]
         add("agent.change.sent_bytes", (after["received"] - before["received"]) * all_instances_factor - rest_sent * took_s)
