--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -99,8 +99,8 @@
         add("agent.change.received_bytes", (after["sent"] - before["sent"]) * all_instances_factor - rest_received * took_s)
         add("control.change.bytes", (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1])
             / count)
-        hollow_s = after["cpu_s"] - before["cpu_s"] - simulated_cpu * took_s
-        add("control.hollow.change.cpu_us", max(0.0, hollow_s) / instances.count * 1e6)
+        simulated_cpu_s = after["cpu_s"] - before["cpu_s"] - simulated_cpu * took_s
+        add("control.hollow.change.cpu_us", max(0.0, simulated_cpu_s) / instances.count * 1e6)
         add("agent.change.told_s", change.committed_s)
         add("agent.change.p50_s", change.latency_percentile_s(0.5))
         add("agent.change.p99_s", change.latency_percentile_s(0.99))
