--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -118,12 +118,12 @@
     assert callable(add)
     spent = ResourceUsage.of_process(agents.pid())
     for number in range(OVERLAPPING_CHANGES):
-        generation, operation, asked_s, _ = await agents.apply(supersede=True)
+        generation, operation, requested_s, _ = await agents.apply(supersede=True)
         if number + 1 < OVERLAPPING_CHANGES:
             await asyncio.sleep(0.05)
     times = await agents.wait_until_in_force(instances, generation)
     await agents.wait_until_closed(operation)
-    add("agent.overlap.last_s", times[-1] - asked_s)
+    add("agent.overlap.last_s", times[-1] - requested_s)
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
