--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -106,14 +106,14 @@
         add("agent.change.p99_s", change.latency_percentile_s(0.99))
         add("agent.change.last_s", change.latencies_s[-1])
         add("agent.change.closed_s", change.closed_s)
-    await overlapping(agents, instances, add)
+    await measure_overlapping(agents, instances, add)
     for _ in range(KILLS):
         await back(agents, instances, add, count)
         await asyncio.sleep(play.heartbeat_s)
     return results
 
 
-async def overlapping(agents: AgentProcesses, instances: SimulatedInstances, add: object) -> None:
+async def measure_overlapping(agents: AgentProcesses, instances: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
     spent = ResourceUsage.of_process(agents.pid())
