--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -108,7 +108,7 @@
         add("agent.change.closed_s", change.closed_s)
     await measure_overlapping(agents, instances, add)
     for _ in range(KILLS):
-        await back(agents, instances, add, count)
+        await measure_restart(agents, instances, add, count)
         await asyncio.sleep(play.heartbeat_s)
     return results
 
@@ -127,7 +127,7 @@
     add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
 
 
-async def back(agents: AgentProcesses, instances: SimulatedInstances, add: object, count: int) -> None:
+async def measure_restart(agents: AgentProcesses, instances: SimulatedInstances, add: object, count: int) -> None:
     """Kills the agent, restarts it at once and makes a change as soon as it is accepted."""
     assert callable(add)
     killed_s = agents.kill(0)
