--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -37,7 +37,7 @@
 from ironscale.standins.discovery import ListedDiscovery
 
 ROLE = "discovery"
-EACH = 250  # simulated watches per process
+WATCHES_PER_PROCESS = 250  # simulated watches per process
 SERVE_S = 60.0  # time limit for all to receive their list
 REST_S, CHANGES, ASK_S = 6.0, 20, 5.0
 TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
@@ -260,7 +260,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site(upstreams: int, watches: int, turn_ms: float = 0.0, each: int = EACH, seed: str = "discovery"
+async def site(upstreams: int, watches: int, turn_ms: float = 0.0, each: int = WATCHES_PER_PROCESS, seed: str = "discovery"
                ) -> AsyncIterator[Site]:
     allow_files(2 * watches + 256)
     s = scenario(max(1, upstreams), watches)
@@ -376,7 +376,7 @@
 async def measure(context: RunContext) -> None:
     """Measures by length of the list, by number of sidecars, and the simultaneous restart of a whole zone."""
     size = context.size
-    context.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // EACH))
+    context.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // WATCHES_PER_PROCESS))
     try:
         await by_length(context, size.play.lists, 20, min(2, size.play.repeats))
         await by_sidecars(context, size.play.sizes, size.play.lists[-1])
