--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -38,7 +38,7 @@
 
 ROLE = "discovery"
 WATCHES_PER_PROCESS = 250  # simulated watches per process
-SERVE_S = 60.0  # time limit for all to receive their list
+FIRST_LISTS_TIMEOUT_S = 60.0  # time limit for all to receive their list
 REST_S, CHANGES, ASK_S = 6.0, 20, 5.0
 TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
@@ -248,8 +248,8 @@
         since_s = time.monotonic()
         await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
         while await self.all() and min(self.first_s) < 0:
-            if time.monotonic() > since_s + SERVE_S:
-                raise RunError(f"discovery: expected a list for all within {SERVE_S:g} s, got none for "
+            if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
+                raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
                                f"{self.first_s.count(-1.0)} of {len(self.first_s)}")
             await asyncio.sleep(0.1)
         return time.monotonic() - since_s
@@ -329,8 +329,8 @@
     """Waits until the watches together have received this many entries. Returns their counts."""
     since_s = time.monotonic()
     while (found := await played.all())["entries"] < entries:
-        if time.monotonic() > since_s + SERVE_S:
-            raise RunError(f"discovery: expected {entries} entries within {SERVE_S:g} s, got {found['entries']}")
+        if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
+            raise RunError(f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {found['entries']}")
         await asyncio.sleep(0.05)
     return found
 
