--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -39,7 +39,7 @@
 ROLE = "discovery"
 WATCHES_PER_PROCESS = 250  # simulated watches per process
 FIRST_LISTS_TIMEOUT_S = 60.0  # time limit for all to receive their list
-REST_S, CHANGES, ASK_S = 6.0, 20, 5.0
+REST_S, MEASURED_CHANGES, ASK_S = 6.0, 20, 5.0
 TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
 
@@ -307,16 +307,16 @@
         await asyncio.sleep(rest_s)
         rested, after = await played.all(), await played.server.ask()
         change_s = played.cpu_s()
-        await played.server.ask(change=CHANGES)
-        changed = await settled(played, rested["entries"] + CHANGES * watches)
+        await played.server.ask(change=MEASURED_CHANGES)
+        changed = await settled(played, rested["entries"] + MEASURED_CHANGES * watches)
         change_s = played.cpu_s() - change_s
-        await played.server.ask(replace=CHANGES)
-        replaced = await settled(played, changed["entries"] + 3 * CHANGES * watches)
+        await played.server.ask(replace=MEASURED_CHANGES)
+        replaced = await settled(played, changed["entries"] + 3 * MEASURED_CHANGES * watches)
         fetched = replaced
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
             await played.all(fetch=True)
             fetched = await settled(played, replaced["entries"] + upstreams * watches)
-        each = watches * CHANGES
+        each = watches * MEASURED_CHANGES
         return Taken(
             upstreams, watches, begun["in"] / watches, whole_s * 1e3 / watches,
             (rested["in"] - begun["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
