--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -39,7 +39,7 @@
 ROLE = "discovery"
 WATCHES_PER_PROCESS = 250  # simulated watches per process
 FIRST_LISTS_TIMEOUT_S = 60.0  # time limit for all to receive their list
-REST_S, MEASURED_CHANGES, ASK_S = 6.0, 20, 5.0
+REST_S, MEASURED_CHANGES, FETCH_INTERVAL_S = 6.0, 20, 5.0
 TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
 
@@ -321,7 +321,7 @@
             upstreams, watches, begun["in"] / watches, whole_s * 1e3 / watches,
             (rested["in"] - begun["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
             change_s * 1e6 / each, (replaced["in"] - changed["in"]) / each,
-            (fetched["in"] - replaced["in"]) / watches / ASK_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
+            (fetched["in"] - replaced["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
             server["calls"], server["bytes"])
 
 
@@ -343,7 +343,7 @@
         points = {n: [round(getattr(t, figure), 3) for t in found if t.upstreams == n] for n in lists}
         context.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
                         f"read by one sidecar, {watches} hollow watches"
-                        + (f"; were it asked for every {ASK_S:g} s" if figure == "asked_bytes_s" else ""))
+                        + (f"; were it asked for every {FETCH_INTERVAL_S:g} s" if figure == "asked_bytes_s" else ""))
 
 
 async def by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -22,7 +22,7 @@
         entry = len(json.dumps(entries[0], separators=(",", ":")))
         assert entry < taken.change_bytes < entry + 100 + beats
         assert 3 * entry < taken.replaced_bytes < 3 * (entry + 100) + beats  # drained, gone, another
-        assert abs(taken.asked_bytes_s * discovery.ASK_S - taken.whole_bytes) < 2_000
+        assert abs(taken.asked_bytes_s * discovery.FETCH_INTERVAL_S - taken.whole_bytes) < 2_000
 
     run(play)
 
