--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -40,7 +40,7 @@
 WATCHES_PER_PROCESS = 250  # simulated watches per process
 FIRST_LISTS_TIMEOUT_S = 60.0  # time limit for all to receive their list
 REST_S, MEASURED_CHANGES, FETCH_INTERVAL_S = 6.0, 20, 5.0
-TURNS_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
+CALL_TIMES_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
 
 def entry_of(number: int, state: str = "ready", started_ms: int = 0) -> dict[str, Any]:
@@ -360,7 +360,7 @@
 
 
 async def zone_back(context: RunContext, sidecars: int, upstreams: int) -> None:
-    for turn_ms in TURNS_MS:
+    for turn_ms in CALL_TIMES_MS:
         async with site(upstreams, sidecars, turn_ms) as played:
             await played.start()
             counts, server = await played.all(), await played.server.ask()
