--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -43,7 +43,7 @@
 CALL_TIMES_MS = (0.0, 25.0, 50.0)  # per call of a shared discovery: unknown, so several values are tried
 
 
-def entry_of(number: int, state: str = "ready", started_ms: int = 0) -> dict[str, Any]:
+def list_entry(number: int, state: str = "ready", started_ms: int = 0) -> dict[str, Any]:
     """An entry of the list, as long as an upstream's entry in the protocol's example."""
     return {"instanceId": f"s-{number:08x}", "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}."
             f"{number & 255}:9000", "zone": "abcdefghijkl"[number % 12], "machineType": "m2", "cell": number % 4,
@@ -195,16 +195,16 @@
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
         self.discovery = Counted(spec["turn_ms"] / 1000)
-        self.discovery.put(*(entry_of(number) for number in range(spec["upstreams"])))
+        self.discovery.put(*(list_entry(number) for number in range(spec["upstreams"])))
         self.next = int(spec["upstreams"])
 
     async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
         for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
-            self.discovery.put(entry_of(self.next - 1, "draining"))
+            self.discovery.put(list_entry(self.next - 1, "draining"))
         for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
-            old = entry_of(self.next - 1)
+            old = list_entry(self.next - 1)
             for entry in ({**old, "lifecycle": "draining"}, {**old, "lifecycle": "gone"},
-                          entry_of(self.next, started_ms=time.time_ns() // 1_000_000)):
+                          list_entry(self.next, started_ms=time.time_ns() // 1_000_000)):
                 self.discovery.put(entry)
             self.next += 1
         return {"port": self.discovery.port, "calls": self.discovery.calls, "bytes": self.discovery.bytes,
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -14,7 +14,7 @@
     async def play() -> None:
         taken = await discovery.take(40, 3, rest_s=0.2)
         beats = 10 * BEAT
-        entries = [discovery.entry_of(number) for number in range(40)]
+        entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
         assert whole < taken.whole_bytes < whole + 100 + beats  # and its head
         assert taken.calls == 3 and len(taken.first_s) == 3 and min(taken.first_s) >= 0
