--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -56,7 +56,7 @@
 
     def __init__(self, turn_s: float = 0.0) -> None:
         super().__init__()
-        self.turn_s, self.turn = turn_s, asyncio.Lock()
+        self.call_time_s, self.turn = turn_s, asyncio.Lock()
         self.bytes = 0
         self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
@@ -81,9 +81,9 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
-                if self.turn_s:
+                if self.call_time_s:
                     async with self.turn:  # also for a caller that has given up meanwhile, as a shared discovery does
-                        await asyncio.sleep(self.turn_s)
+                        await asyncio.sleep(self.call_time_s)
                 body = self.body()
                 if b"watch=1" not in head:
                     self.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
