--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -54,9 +54,9 @@
     """A stand-in discovery that counts the bytes it writes. If `turn_s` is not 0, it serves calls one at a time, each
     for that long."""
 
-    def __init__(self, turn_s: float = 0.0) -> None:
+    def __init__(self, call_time_s: float = 0.0) -> None:
         super().__init__()
-        self.call_time_s, self.turn = turn_s, asyncio.Lock()
+        self.call_time_s, self.turn = call_time_s, asyncio.Lock()
         self.bytes = 0
         self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
