--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -56,7 +56,7 @@
 
     def __init__(self, call_time_s: float = 0.0) -> None:
         super().__init__()
-        self.call_time_s, self.turn = call_time_s, asyncio.Lock()
+        self.call_time_s, self.call_lock = call_time_s, asyncio.Lock()
         self.bytes = 0
         self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
@@ -82,7 +82,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
                 if self.call_time_s:
-                    async with self.turn:  # also for a caller that has given up meanwhile, as a shared discovery does
+                    async with self.call_lock:  # also for a caller that has given up meanwhile, as a shared discovery does
                         await asyncio.sleep(self.call_time_s)
                 body = self.body()
                 if b"watch=1" not in head:
