--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -57,7 +57,7 @@
     def __init__(self, call_time_s: float = 0.0) -> None:
         super().__init__()
         self.call_time_s, self.call_lock = call_time_s, asyncio.Lock()
-        self.bytes = 0
+        self.written_bytes = 0
         self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
     def body(self) -> bytes:
@@ -73,7 +73,7 @@
             self.write(writer, line)
 
     def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        self.bytes += len(data)
+        self.written_bytes += len(data)
         writer.write(data)
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -207,7 +207,7 @@
                           list_entry(self.next, started_ms=time.time_ns() // 1_000_000)):
                 self.discovery.put(entry)
             self.next += 1
-        return {"port": self.discovery.port, "calls": self.discovery.calls, "bytes": self.discovery.bytes,
+        return {"port": self.discovery.port, "calls": self.discovery.calls, "bytes": self.discovery.written_bytes,
                 "whole": len(self.discovery.body()), "watches": len(self.discovery.watches)}
 
 
