--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -58,13 +58,13 @@
         super().__init__()
         self.call_time_s, self.call_lock = call_time_s, asyncio.Lock()
         self.written_bytes = 0
-        self.held: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
+        self.encoded_list: tuple[int, bytes] = 0, b""  # generation and encoded form of the whole list
 
     def body(self) -> bytes:
         """The encoded list, cached for each generation, as the stand-in's own CPU time is not of interest."""
-        if self.held[0] != self.generation:
-            self.held = self.generation, json.dumps(self.whole(), separators=(",", ":")).encode()
-        return self.held[1]
+        if self.encoded_list[0] != self.generation:
+            self.encoded_list = self.generation, json.dumps(self.whole(), separators=(",", ":")).encode()
+        return self.encoded_list[1]
 
     def tell(self, data: dict[str, Any] | None) -> None:
         raw = (json.dumps(data, separators=(",", ":")).encode() if data is not None else b"") + b"\n"
