--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -50,7 +50,7 @@
             "lifecycle": state, "weight": 1.0, "startedAtMs": started_ms}
 
 
-class Counted(ListedDiscovery):
+class CountingDiscovery(ListedDiscovery):
     """A stand-in discovery that counts the bytes it writes. If `turn_s` is not 0, it serves calls one at a time, each
     for that long."""
 
@@ -194,7 +194,7 @@
     """The process of the stand-in discovery, with commands that change its list."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
-        self.discovery = Counted(spec["turn_ms"] / 1000)
+        self.discovery = CountingDiscovery(spec["turn_ms"] / 1000)
         self.discovery.put(*(list_entry(number) for number in range(spec["upstreams"])))
         self.next = int(spec["upstreams"])
 
