--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -100,7 +100,7 @@
             writer.close()
 
 
-class CountedCall(_Call):
+class CountingCall(_Call):
     """Adds the bytes that it sends and receives to the counts of its client."""
 
     def data_received(self, data: bytes) -> None:
@@ -119,13 +119,13 @@
 
     counts: Counter[str]
 
-    def new_watch_call(self, max_first_data_s: float = math.inf) -> CountedCall:
+    def new_watch_call(self, max_first_data_s: float = math.inf) -> CountingCall:
         self.counts["calls"] += 1
-        return CountedCall(self, f"/registry/instances?watch=1&after={self.generation}", max_first_data_s)
+        return CountingCall(self, f"/registry/instances?watch=1&after={self.generation}", max_first_data_s)
 
     def fetch(self) -> None:
         self.counts["calls"] += 1
-        self.fetches.add(CountedCall(self, "/registry/instances"))
+        self.fetches.add(CountingCall(self, "/registry/instances"))
 
 
 class Watch:
