--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -104,17 +104,17 @@
     """Adds the bytes that it sends and receives to the counts of its client."""
 
     def data_received(self, data: bytes) -> None:
-        assert isinstance(self.discovery, CountedClient)
+        assert isinstance(self.discovery, CountingClient)
         self.discovery.counts["in"] += len(data)
         super().data_received(data)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(self.discovery, CountedClient)
+        assert isinstance(self.discovery, CountingClient)
         self.discovery.counts["out"] += len(self.request)
         super().connection_made(transport)
 
 
-class CountedClient(Discovery):
+class CountingClient(Discovery):
     """A discovery client that counts its calls and bytes."""
 
     counts: Counter[str]
@@ -136,7 +136,7 @@
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
         self.first_s = -1.0  # time from its start to its first list; -1 before that
-        self.client = CountedClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
+        self.client = CountingClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = herd.counts
         options = settings.read_settings(settings.flatten_object(herd.settings))
         self.balancer = Balancer(options, random.Random(f"{herd.seed}/{number}").randrange(1 << 62), self.now_us())
