--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -132,7 +132,7 @@
     """A simulated sidecar: it asks when the balancer decides to, and discards the lists that it receives."""
 
     def __init__(self, herd: Herd, number: int) -> None:
-        self.herd = herd
+        self.host = herd
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
         self.first_s = -1.0  # time from its start to its first list; -1 before that
@@ -158,10 +158,10 @@
 
     def on_list(self, kind: ListKind, listed: Listing | None) -> None:
         if kind is ListKind.FAILED:
-            self.herd.counts["failed"] += 1
+            self.host.counts["failed"] += 1
         elif listed is not None:
-            self.herd.counts["lists"] += kind is ListKind.FULL
-            self.herd.counts["entries"] += len(listed.members)
+            self.host.counts["lists"] += kind is ListKind.FULL
+            self.host.counts["entries"] += len(listed.members)
             if self.first_s < 0:
                 self.first_s = self.loop.time() - self.began_s
         self.tell(UpstreamsUpdated(kind, []))
