--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -131,15 +131,15 @@
 class Watch:
     """A simulated sidecar: it asks when the balancer decides to, and discards the lists that it receives."""
 
-    def __init__(self, herd: Herd, number: int) -> None:
-        self.host = herd
+    def __init__(self, host: Herd, number: int) -> None:
+        self.host = host
         self.loop = asyncio.get_running_loop()
         self.began_s = self.loop.time()
         self.first_s = -1.0  # time from its start to its first list; -1 before that
-        self.client = CountingClient(herd.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
-        self.client.counts = herd.counts
-        options = settings.read_settings(settings.flatten_object(herd.settings))
-        self.balancer = Balancer(options, random.Random(f"{herd.seed}/{number}").randrange(1 << 62), self.now_us())
+        self.client = CountingClient(host.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
+        self.client.counts = host.counts
+        options = settings.read_settings(settings.flatten_object(host.settings))
+        self.balancer = Balancer(options, random.Random(f"{host.seed}/{number}").randrange(1 << 62), self.now_us())
         self.timer: asyncio.TimerHandle | None = None
         self.tell(UpstreamsUpdated(ListKind.CACHED, []))
 
