--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -134,7 +134,7 @@
     def __init__(self, host: Herd, number: int) -> None:
         self.host = host
         self.loop = asyncio.get_running_loop()
-        self.began_s = self.loop.time()
+        self.started_s = self.loop.time()
         self.first_s = -1.0  # time from its start to its first list; -1 before that
         self.client = CountingClient(host.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = host.counts
@@ -144,7 +144,7 @@
         self.tell(UpstreamsUpdated(ListKind.CACHED, []))
 
     def now_us(self) -> int:
-        return int((self.loop.time() - self.began_s) * 1e6) + 1  # + 1, as the balancer takes a time of 0 to mean never
+        return int((self.loop.time() - self.started_s) * 1e6) + 1  # + 1, as the balancer takes a time of 0 to mean never
 
     def tell(self, event: Any) -> None:
         for action in self.balancer.handle(self.now_us(), event):
@@ -163,7 +163,7 @@
             self.host.counts["lists"] += kind is ListKind.FULL
             self.host.counts["entries"] += len(listed.members)
             if self.first_s < 0:
-                self.first_s = self.loop.time() - self.began_s
+                self.first_s = self.loop.time() - self.started_s
         self.tell(UpstreamsUpdated(kind, []))
 
     def close(self) -> None:
