--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -135,7 +135,7 @@
         self.host = host
         self.loop = asyncio.get_running_loop()
         self.started_s = self.loop.time()
-        self.first_s = -1.0  # time from its start to its first list; -1 before that
+        self.first_list_s = -1.0  # time from its start to its first list; -1 before that
         self.client = CountingClient(host.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
         self.client.counts = host.counts
         options = settings.read_settings(settings.flatten_object(host.settings))
@@ -162,8 +162,8 @@
         elif listed is not None:
             self.host.counts["lists"] += kind is ListKind.FULL
             self.host.counts["entries"] += len(listed.members)
-            if self.first_s < 0:
-                self.first_s = self.loop.time() - self.started_s
+            if self.first_list_s < 0:
+                self.first_list_s = self.loop.time() - self.started_s
         self.tell(UpstreamsUpdated(kind, []))
 
     def close(self) -> None:
@@ -187,7 +187,7 @@
         elif "fetch" in told:
             for watch in self.watches:
                 watch.client.fetch()
-        return {**self.counts, "first_s": [watch.first_s for watch in self.watches]}
+        return {**self.counts, "first_s": [watch.first_list_s for watch in self.watches]}
 
 
 class Server:
