--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -141,12 +141,12 @@
         options = settings.read_settings(settings.flatten_object(host.settings))
         self.balancer = Balancer(options, random.Random(f"{host.seed}/{number}").randrange(1 << 62), self.now_us())
         self.timer: asyncio.TimerHandle | None = None
-        self.tell(UpstreamsUpdated(ListKind.CACHED, []))
+        self.handle_event(UpstreamsUpdated(ListKind.CACHED, []))
 
     def now_us(self) -> int:
         return int((self.loop.time() - self.started_s) * 1e6) + 1  # + 1, as the balancer takes a time of 0 to mean never
 
-    def tell(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         for action in self.balancer.handle(self.now_us(), event):
             if isinstance(action, Subscribe) and action.active:
                 self.client.subscribe()
@@ -154,7 +154,7 @@
                 if self.timer is not None:
                     self.timer.cancel()
                 left_s = (action.at_us - self.now_us()) / 1e6
-                self.timer = self.loop.call_later(max(0.0, left_s) + 0.001, self.tell, TimerFired(action.token))
+                self.timer = self.loop.call_later(max(0.0, left_s) + 0.001, self.handle_event, TimerFired(action.token))
 
     def on_list(self, kind: ListKind, listed: Listing | None) -> None:
         if kind is ListKind.FAILED:
@@ -164,7 +164,7 @@
             self.host.counts["entries"] += len(listed.members)
             if self.first_list_s < 0:
                 self.first_list_s = self.loop.time() - self.started_s
-        self.tell(UpstreamsUpdated(kind, []))
+        self.handle_event(UpstreamsUpdated(kind, []))
 
     def close(self) -> None:
         if self.timer is not None:
