--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -153,8 +153,8 @@
             elif isinstance(action, SetTimer):
                 if self.timer is not None:
                     self.timer.cancel()
-                left_s = (action.at_us - self.now_us()) / 1e6
-                self.timer = self.loop.call_later(max(0.0, left_s) + 0.001, self.handle_event, TimerFired(action.token))
+                delay_s = (action.at_us - self.now_us()) / 1e6
+                self.timer = self.loop.call_later(max(0.0, delay_s) + 0.001, self.handle_event, TimerFired(action.token))
 
     def on_list(self, kind: ListKind, listed: Listing | None) -> None:
         if kind is ListKind.FAILED:
