--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -128,7 +128,7 @@
         self.fetches.add(CountingCall(self, "/registry/instances"))
 
 
-class Watch:
+class SimulatedWatch:
     """A simulated sidecar: it asks when the balancer decides to, and discards the lists that it receives."""
 
     def __init__(self, host: Herd, number: int) -> None:
@@ -179,11 +179,11 @@
         self.address = ("127.0.0.1", int(spec["port"]))
         self.settings, self.seed = spec["settings"], str(spec["seed"])
         self.counts: Counter[str] = Counter()
-        self.watches: list[Watch] = []
+        self.watches: list[SimulatedWatch] = []
 
     async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
         if "start" in told:
-            self.watches = [Watch(self, number) for number in range(told["start"])]
+            self.watches = [SimulatedWatch(self, number) for number in range(told["start"])]
         elif "fetch" in told:
             for watch in self.watches:
                 watch.client.fetch()
