--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -181,10 +181,10 @@
         self.counts: Counter[str] = Counter()
         self.watches: list[SimulatedWatch] = []
 
-    async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
-        if "start" in told:
-            self.watches = [SimulatedWatch(self, number) for number in range(told["start"])]
-        elif "fetch" in told:
+    async def hear(self, command: Mapping[str, Any]) -> dict[str, Any]:
+        if "start" in command:
+            self.watches = [SimulatedWatch(self, number) for number in range(command["start"])]
+        elif "fetch" in command:
             for watch in self.watches:
                 watch.client.fetch()
         return {**self.counts, "first_s": [watch.first_list_s for watch in self.watches]}
