--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -181,7 +181,7 @@
         self.counts: Counter[str] = Counter()
         self.watches: list[SimulatedWatch] = []
 
-    async def hear(self, command: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle(self, command: Mapping[str, Any]) -> dict[str, Any]:
         if "start" in command:
             self.watches = [SimulatedWatch(self, number) for number in range(command["start"])]
         elif "fetch" in command:
@@ -393,7 +393,7 @@
         await played.discovery.start()
     told: dict[str, Any] = {}
     while True:
-        print(json.dumps(await played.hear(told)), flush=True)
+        print(json.dumps(await played.handle(told)), flush=True)
         line = await loop.run_in_executor(None, sys.stdin.readline)
         if not line:
             return
