--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -131,7 +131,7 @@
 class SimulatedWatch:
     """A simulated sidecar: it asks when the balancer decides to, and discards the lists that it receives."""
 
-    def __init__(self, host: Herd, number: int) -> None:
+    def __init__(self, host: WatchHost, number: int) -> None:
         self.host = host
         self.loop = asyncio.get_running_loop()
         self.started_s = self.loop.time()
@@ -172,7 +172,7 @@
         self.client.close()
 
 
-class Herd:
+class WatchHost:
     """All simulated watches of one process."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
@@ -388,7 +388,7 @@
 async def main() -> None:
     loop = asyncio.get_running_loop()
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    played: Herd | Server = Server(spec) if spec["role"] == "server" else Herd(spec)
+    played: WatchHost | Server = Server(spec) if spec["role"] == "server" else WatchHost(spec)
     if isinstance(played, Server):
         await played.discovery.start()
     told: dict[str, Any] = {}
