--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -196,17 +196,17 @@
     def __init__(self, spec: Mapping[str, Any]) -> None:
         self.discovery = CountingDiscovery(spec["turn_ms"] / 1000)
         self.discovery.put(*(list_entry(number) for number in range(spec["upstreams"])))
-        self.next = int(spec["upstreams"])
+        self.next_number = int(spec["upstreams"])
 
     async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
         for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
-            self.discovery.put(list_entry(self.next - 1, "draining"))
+            self.discovery.put(list_entry(self.next_number - 1, "draining"))
         for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
-            old = list_entry(self.next - 1)
+            old = list_entry(self.next_number - 1)
             for entry in ({**old, "lifecycle": "draining"}, {**old, "lifecycle": "gone"},
-                          list_entry(self.next, started_ms=time.time_ns() // 1_000_000)):
+                          list_entry(self.next_number, started_ms=time.time_ns() // 1_000_000)):
                 self.discovery.put(entry)
-            self.next += 1
+            self.next_number += 1
         return {"port": self.discovery.port, "calls": self.discovery.calls, "bytes": self.discovery.written_bytes,
                 "whole": len(self.discovery.body()), "watches": len(self.discovery.watches)}
 
