--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -202,8 +202,8 @@
         for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
             self.discovery.put(list_entry(self.next_number - 1, "draining"))
         for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
-            old = list_entry(self.next_number - 1)
-            for entry in ({**old, "lifecycle": "draining"}, {**old, "lifecycle": "gone"},
+            replaced = list_entry(self.next_number - 1)
+            for entry in ({**replaced, "lifecycle": "draining"}, {**replaced, "lifecycle": "gone"},
                           list_entry(self.next_number, started_ms=time.time_ns() // 1_000_000)):
                 self.discovery.put(entry)
             self.next_number += 1
