--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -198,7 +198,7 @@
         self.discovery.put(*(list_entry(number) for number in range(spec["upstreams"])))
         self.next_number = int(spec["upstreams"])
 
-    async def hear(self, told: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle(self, told: Mapping[str, Any]) -> dict[str, Any]:
         for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
             self.discovery.put(list_entry(self.next_number - 1, "draining"))
         for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
