--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -190,7 +190,7 @@
         return {**self.counts, "first_s": [watch.first_list_s for watch in self.watches]}
 
 
-class Server:
+class DiscoveryServer:
     """The process of the stand-in discovery, with commands that change its list."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
@@ -388,8 +388,8 @@
 async def main() -> None:
     loop = asyncio.get_running_loop()
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    played: WatchHost | Server = Server(spec) if spec["role"] == "server" else WatchHost(spec)
-    if isinstance(played, Server):
+    played: WatchHost | DiscoveryServer = DiscoveryServer(spec) if spec["role"] == "server" else WatchHost(spec)
+    if isinstance(played, DiscoveryServer):
         await played.discovery.start()
     told: dict[str, Any] = {}
     while True:
