--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -218,9 +218,9 @@
     process: asyncio.subprocess.Process
     port: int = 0
 
-    async def ask(self, **told: Any) -> dict[str, Any]:
+    async def ask(self, **command: Any) -> dict[str, Any]:
         assert self.process.stdin is not None and self.process.stdout is not None
-        self.process.stdin.write(json.dumps(told).encode() + b"\n")
+        self.process.stdin.write(json.dumps(command).encode() + b"\n")
         line = await self.process.stdout.readline()
         if not line:
             raise RunError("a process of simulated watches or of their discovery ended too early")
