--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -224,8 +224,8 @@
         line = await self.process.stdout.readline()
         if not line:
             raise RunError("a process of simulated watches or of their discovery ended too early")
-        found: dict[str, Any] = json.loads(line)
-        return found
+        answer: dict[str, Any] = json.loads(line)
+        return answer
 
 
 class Site:
