--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -212,7 +212,7 @@
 
 
 @dataclass(slots=True)
-class Player:
+class ChildProcess:
     """A process of either kind, with its input and output."""
 
     process: asyncio.subprocess.Process
@@ -231,7 +231,7 @@
 class Site:
     """A stand-in discovery and the simulated watches that use it."""
 
-    def __init__(self, server: Player, herds: list[tuple[Player, int]]) -> None:
+    def __init__(self, server: ChildProcess, herds: list[tuple[ChildProcess, int]]) -> None:
         self.server, self.herds = server, herds
         self.first_s: list[float] = []
 
@@ -266,8 +266,8 @@
     s = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
     async with contextlib.AsyncExitStack() as stack:
-        async def player(**spec: Any) -> Player:
-            found = Player(await stack.enter_async_context(
+        async def player(**spec: Any) -> ChildProcess:
+            found = ChildProcess(await stack.enter_async_context(
                 child("ironscale.scale.discovery", stdin=pipes, stdout=pipes)))
             found.port = (await found.ask(**spec)).get("port", 0)
             return found
