--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -274,9 +274,9 @@
 
         server = await player(role="server", upstreams=upstreams, turn_ms=turn_ms)
         counts = [min(each, watches - at) for at in range(0, watches, each)]
-        herds = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
+        hosts = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
                                settings=sidecar_settings(s, 0, 1.0)), count) for number, count in enumerate(counts)]
-        yield Site(server, herds)
+        yield Site(server, hosts)
 
 
 @dataclass(slots=True)
