--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -231,8 +231,8 @@
 class Site:
     """A stand-in discovery and the simulated watches that use it."""
 
-    def __init__(self, server: ChildProcess, herds: list[tuple[ChildProcess, int]]) -> None:
-        self.server, self.herds = server, herds
+    def __init__(self, server: ChildProcess, hosts: list[tuple[ChildProcess, int]]) -> None:
+        self.server, self.herds = server, hosts
         self.first_s: list[float] = []
 
     async def all(self, **told: Any) -> Counter[str]:
