--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -233,13 +233,13 @@
 
     def __init__(self, server: ChildProcess, hosts: list[tuple[ChildProcess, int]]) -> None:
         self.server, self.herds = server, hosts
-        self.first_s: list[float] = []
+        self.first_list_s: list[float] = []
 
     async def all(self, **told: Any) -> Counter[str]:
         found: Counter[str] = Counter(looked=1)
-        self.first_s = []
+        self.first_list_s = []
         for answer in await asyncio.gather(*(herd.ask(**told) for herd, _ in self.herds)):
-            self.first_s += answer.pop("first_s")
+            self.first_list_s += answer.pop("first_s")
             found.update(answer)
         return found
 
@@ -247,10 +247,10 @@
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
         since_s = time.monotonic()
         await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
-        while await self.all() and min(self.first_s) < 0:
+        while await self.all() and min(self.first_list_s) < 0:
             if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
                 raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
-                               f"{self.first_s.count(-1.0)} of {len(self.first_s)}")
+                               f"{self.first_list_s.count(-1.0)} of {len(self.first_list_s)}")
             await asyncio.sleep(0.1)
         return time.monotonic() - since_s
 
@@ -302,7 +302,7 @@
     async with site(upstreams, watches) as played:
         idle_s = played.cpu_s()
         await played.start()
-        begun, first_s, server = await played.all(), played.first_s, await played.server.ask()
+        begun, first_s, server = await played.all(), played.first_list_s, await played.server.ask()
         whole_s = played.cpu_s() - idle_s
         await asyncio.sleep(rest_s)
         rested, after = await played.all(), await played.server.ask()
@@ -366,8 +366,8 @@
             counts, server = await played.all(), await played.server.ask()
             name, note = f"discovery.zone_back.{turn_ms:g}_ms", (
                 f"{sidecars} sidecars start at once, a list of {upstreams:,}, {turn_ms:g} ms a call in turn (assumed)")
-            context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_s, 0.5)], note)
-            context.add_reading(f"{name}.last_s", ROLE, "s", [max(played.first_s)], note)
+            context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_list_s, 0.5)], note)
+            context.add_reading(f"{name}.last_s", ROLE, "s", [max(played.first_list_s)], note)
             context.add_reading(f"{name}.failed", ROLE, "calls", [counts["failed"]], note)
             context.add_reading(f"{name}.calls", ROLE, "calls", [server["calls"]], note)
             context.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -33,7 +33,7 @@
             await played.start()
             counts, server = await played.all(), await played.server.ask()
         assert counts["lists"] >= 20 and counts["failed"] == 0 and server["calls"] == 20
-        first_s = sorted(played.first_s)
+        first_s = sorted(played.first_list_s)
         # drawn over 3 s by the decisions: were all to ask at once, the last would have its list after 20 turns, 0.6 s
         assert first_s[0] >= 0.03 and first_s[-1] >= 1.0, first_s
 
