--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -235,7 +235,7 @@
         self.server, self.herds = server, hosts
         self.first_list_s: list[float] = []
 
-    async def all(self, **told: Any) -> Counter[str]:
+    async def ask_all(self, **told: Any) -> Counter[str]:
         found: Counter[str] = Counter(looked=1)
         self.first_list_s = []
         for answer in await asyncio.gather(*(herd.ask(**told) for herd, _ in self.herds)):
@@ -247,7 +247,7 @@
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
         since_s = time.monotonic()
         await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
-        while await self.all() and min(self.first_list_s) < 0:
+        while await self.ask_all() and min(self.first_list_s) < 0:
             if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
                 raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
                                f"{self.first_list_s.count(-1.0)} of {len(self.first_list_s)}")
@@ -302,10 +302,10 @@
     async with site(upstreams, watches) as played:
         idle_s = played.cpu_s()
         await played.start()
-        begun, first_s, server = await played.all(), played.first_list_s, await played.server.ask()
+        begun, first_s, server = await played.ask_all(), played.first_list_s, await played.server.ask()
         whole_s = played.cpu_s() - idle_s
         await asyncio.sleep(rest_s)
-        rested, after = await played.all(), await played.server.ask()
+        rested, after = await played.ask_all(), await played.server.ask()
         change_s = played.cpu_s()
         await played.server.ask(change=MEASURED_CHANGES)
         changed = await settled(played, rested["entries"] + MEASURED_CHANGES * watches)
@@ -314,7 +314,7 @@
         replaced = await settled(played, changed["entries"] + 3 * MEASURED_CHANGES * watches)
         fetched = replaced
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
-            await played.all(fetch=True)
+            await played.ask_all(fetch=True)
             fetched = await settled(played, replaced["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return Taken(
@@ -328,7 +328,7 @@
 async def settled(played: Site, entries: int) -> Counter[str]:
     """Waits until the watches together have received this many entries. Returns their counts."""
     since_s = time.monotonic()
-    while (found := await played.all())["entries"] < entries:
+    while (found := await played.ask_all())["entries"] < entries:
         if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
             raise RunError(f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {found['entries']}")
         await asyncio.sleep(0.05)
@@ -363,7 +363,7 @@
     for turn_ms in CALL_TIMES_MS:
         async with site(upstreams, sidecars, turn_ms) as played:
             await played.start()
-            counts, server = await played.all(), await played.server.ask()
+            counts, server = await played.ask_all(), await played.server.ask()
             name, note = f"discovery.zone_back.{turn_ms:g}_ms", (
                 f"{sidecars} sidecars start at once, a list of {upstreams:,}, {turn_ms:g} ms a call in turn (assumed)")
             context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_list_s, 0.5)], note)
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -31,7 +31,7 @@
     async def play() -> None:
         async with discovery.site(5, 20, turn_ms=30.0, each=10) as played:  # 20 are many: each waits its turn
             await played.start()
-            counts, server = await played.all(), await played.server.ask()
+            counts, server = await played.ask_all(), await played.server.ask()
         assert counts["lists"] >= 20 and counts["failed"] == 0 and server["calls"] == 20
         first_s = sorted(played.first_list_s)
         # drawn over 3 s by the decisions: were all to ask at once, the last would have its list after 20 turns, 0.6 s
