--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -235,10 +235,10 @@
         self.server, self.herds = server, hosts
         self.first_list_s: list[float] = []
 
-    async def ask_all(self, **told: Any) -> Counter[str]:
+    async def ask_all(self, **command: Any) -> Counter[str]:
         found: Counter[str] = Counter(looked=1)
         self.first_list_s = []
-        for answer in await asyncio.gather(*(herd.ask(**told) for herd, _ in self.herds)):
+        for answer in await asyncio.gather(*(herd.ask(**command) for herd, _ in self.herds)):
             self.first_list_s += answer.pop("first_s")
             found.update(answer)
         return found
