--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -236,12 +236,12 @@
         self.first_list_s: list[float] = []
 
     async def ask_all(self, **command: Any) -> Counter[str]:
-        found: Counter[str] = Counter(looked=1)
+        counts: Counter[str] = Counter(looked=1)
         self.first_list_s = []
         for answer in await asyncio.gather(*(herd.ask(**command) for herd, _ in self.herds)):
             self.first_list_s += answer.pop("first_s")
-            found.update(answer)
-        return found
+            counts.update(answer)
+        return counts
 
     async def start(self) -> float:
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
