--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -245,14 +245,14 @@
 
     async def start(self) -> float:
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
-        since_s = time.monotonic()
+        started_s = time.monotonic()
         await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
         while await self.ask_all() and min(self.first_list_s) < 0:
-            if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
+            if time.monotonic() > started_s + FIRST_LISTS_TIMEOUT_S:
                 raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
                                f"{self.first_list_s.count(-1.0)} of {len(self.first_list_s)}")
             await asyncio.sleep(0.1)
-        return time.monotonic() - since_s
+        return time.monotonic() - started_s
 
     def cpu_s(self) -> float:
         """CPU seconds of the processes of the simulated watches."""
