--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -228,7 +228,7 @@
         return answer
 
 
-class Site:
+class DiscoverySetup:
     """A stand-in discovery and the simulated watches that use it."""
 
     def __init__(self, server: ChildProcess, hosts: list[tuple[ChildProcess, int]]) -> None:
@@ -261,7 +261,7 @@
 
 @contextlib.asynccontextmanager
 async def site(upstreams: int, watches: int, turn_ms: float = 0.0, each: int = WATCHES_PER_PROCESS, seed: str = "discovery"
-               ) -> AsyncIterator[Site]:
+               ) -> AsyncIterator[DiscoverySetup]:
     allow_files(2 * watches + 256)
     s = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
@@ -276,7 +276,7 @@
         counts = [min(each, watches - at) for at in range(0, watches, each)]
         hosts = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
                                settings=sidecar_settings(s, 0, 1.0)), count) for number, count in enumerate(counts)]
-        yield Site(server, hosts)
+        yield DiscoverySetup(server, hosts)
 
 
 @dataclass(slots=True)
@@ -325,7 +325,7 @@
             server["calls"], server["bytes"])
 
 
-async def settled(played: Site, entries: int) -> Counter[str]:
+async def settled(played: DiscoverySetup, entries: int) -> Counter[str]:
     """Waits until the watches together have received this many entries. Returns their counts."""
     since_s = time.monotonic()
     while (found := await played.ask_all())["entries"] < entries:
