--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -260,7 +260,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site(upstreams: int, watches: int, turn_ms: float = 0.0, each: int = WATCHES_PER_PROCESS, seed: str = "discovery"
+async def site(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
                ) -> AsyncIterator[DiscoverySetup]:
     allow_files(2 * watches + 256)
     s = scenario(max(1, upstreams), watches)
@@ -273,7 +273,7 @@
             return found
 
         server = await player(role="server", upstreams=upstreams, turn_ms=turn_ms)
-        counts = [min(each, watches - at) for at in range(0, watches, each)]
+        counts = [min(per_process, watches - at) for at in range(0, watches, per_process)]
         hosts = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
                                settings=sidecar_settings(s, 0, 1.0)), count) for number, count in enumerate(counts)]
         yield DiscoverySetup(server, hosts)
