--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -263,7 +263,7 @@
 async def site(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
                ) -> AsyncIterator[DiscoverySetup]:
     allow_files(2 * watches + 256)
-    s = scenario(max(1, upstreams), watches)
+    load_scenario = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
     async with contextlib.AsyncExitStack() as stack:
         async def player(**spec: Any) -> ChildProcess:
@@ -275,7 +275,7 @@
         server = await player(role="server", upstreams=upstreams, turn_ms=turn_ms)
         counts = [min(per_process, watches - at) for at in range(0, watches, per_process)]
         hosts = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
-                               settings=sidecar_settings(s, 0, 1.0)), count) for number, count in enumerate(counts)]
+                               settings=sidecar_settings(load_scenario, 0, 1.0)), count) for number, count in enumerate(counts)]
         yield DiscoverySetup(server, hosts)
 
 
