--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -267,10 +267,10 @@
     pipes = asyncio.subprocess.PIPE
     async with contextlib.AsyncExitStack() as stack:
         async def player(**spec: Any) -> ChildProcess:
-            found = ChildProcess(await stack.enter_async_context(
+            process = ChildProcess(await stack.enter_async_context(
                 child("ironscale.scale.discovery", stdin=pipes, stdout=pipes)))
-            found.port = (await found.ask(**spec)).get("port", 0)
-            return found
+            process.port = (await process.ask(**spec)).get("port", 0)
+            return process
 
         server = await player(role="server", upstreams=upstreams, turn_ms=turn_ms)
         counts = [min(per_process, watches - at) for at in range(0, watches, per_process)]
