--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -266,15 +266,15 @@
     load_scenario = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
     async with contextlib.AsyncExitStack() as stack:
-        async def player(**spec: Any) -> ChildProcess:
+        async def start_process(**spec: Any) -> ChildProcess:
             process = ChildProcess(await stack.enter_async_context(
                 child("ironscale.scale.discovery", stdin=pipes, stdout=pipes)))
             process.port = (await process.ask(**spec)).get("port", 0)
             return process
 
-        server = await player(role="server", upstreams=upstreams, turn_ms=turn_ms)
+        server = await start_process(role="server", upstreams=upstreams, turn_ms=turn_ms)
         counts = [min(per_process, watches - at) for at in range(0, watches, per_process)]
-        hosts = [(await player(role="herd", port=server.port, seed=f"{seed}/{number}",
+        hosts = [(await start_process(role="herd", port=server.port, seed=f"{seed}/{number}",
                                settings=sidecar_settings(load_scenario, 0, 1.0)), count) for number, count in enumerate(counts)]
         yield DiscoverySetup(server, hosts)
 
