--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -273,7 +273,7 @@
             return process
 
         server = await start_process(role="server", upstreams=upstreams, turn_ms=turn_ms)
-        counts = [min(per_process, watches - at) for at in range(0, watches, per_process)]
+        counts = [min(per_process, watches - first) for first in range(0, watches, per_process)]
         hosts = [(await start_process(role="herd", port=server.port, seed=f"{seed}/{number}",
                                settings=sidecar_settings(load_scenario, 0, 1.0)), count) for number, count in enumerate(counts)]
         yield DiscoverySetup(server, hosts)
