--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -260,7 +260,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
+async def started_discovery(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
                ) -> AsyncIterator[DiscoverySetup]:
     allow_files(2 * watches + 256)
     load_scenario = scenario(max(1, upstreams), watches)
@@ -299,7 +299,7 @@
 
 
 async def take(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> Taken:
-    async with site(upstreams, watches) as played:
+    async with started_discovery(upstreams, watches) as played:
         idle_s = played.cpu_s()
         await played.start()
         begun, first_s, server = await played.ask_all(), played.first_list_s, await played.server.ask()
@@ -361,7 +361,7 @@
 
 async def zone_back(context: RunContext, sidecars: int, upstreams: int) -> None:
     for turn_ms in CALL_TIMES_MS:
-        async with site(upstreams, sidecars, turn_ms) as played:
+        async with started_discovery(upstreams, sidecars, turn_ms) as played:
             await played.start()
             counts, server = await played.ask_all(), await played.server.ask()
             name, note = f"discovery.zone_back.{turn_ms:g}_ms", (
