--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -293,7 +293,7 @@
     replaced_bytes: float  # read by one watch for a replaced upstream
     asked_bytes_s: float  # read by one watch if it fetched the list every ASK_S instead; 0: not measured
     served_bytes_s: float  # written by discovery to all watches while nothing changes
-    first_s: list[float]  # time from a simultaneous start of all to each one's list
+    first_list_s: list[float]  # time from a simultaneous start of all to each one's list
     calls: int  # made by all watches until then
     start_bytes: int  # written by discovery until then
 
@@ -352,7 +352,7 @@
         ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in found]),
         ("start.calls", "calls", [[float(t.calls)] for t in found]),
         ("start.bytes", "bytes", [[float(t.start_bytes)] for t in found]),
-        ("start.p99_s", "s", [[percentile(t.first_s, 0.99)] for t in found]),
+        ("start.p99_s", "s", [[percentile(t.first_list_s, 0.99)] for t in found]),
         ("change.bytes", "bytes", [[t.change_bytes * t.watches] for t in found]),
     ):
         context.add_slope(f"discovery.{figure}", ROLE, "sidecars", unit, dict(zip(sizes, values, strict=True)),
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -17,7 +17,7 @@
         entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
         assert whole < taken.whole_bytes < whole + 100 + beats  # and its head
-        assert taken.calls == 3 and len(taken.first_s) == 3 and min(taken.first_s) >= 0
+        assert taken.calls == 3 and len(taken.first_list_s) == 3 and min(taken.first_list_s) >= 0
         assert 0 <= taken.start_bytes - 3 * taken.whole_bytes <= 3 * beats
         entry = len(json.dumps(entries[0], separators=(",", ":")))
         assert entry < taken.change_bytes < entry + 100 + beats
