--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -280,7 +280,7 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class TrafficMeasurement:
     """The results for one number of watches and one length of the list."""
 
     upstreams: int
@@ -298,7 +298,7 @@
     start_bytes: int  # written by discovery until then
 
 
-async def take(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> Taken:
+async def take(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> TrafficMeasurement:
     async with started_discovery(upstreams, watches) as played:
         idle_s = played.cpu_s()
         await played.start()
@@ -317,7 +317,7 @@
             await played.ask_all(fetch=True)
             fetched = await settled(played, replaced["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
-        return Taken(
+        return TrafficMeasurement(
             upstreams, watches, begun["in"] / watches, whole_s * 1e3 / watches,
             (rested["in"] - begun["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
             change_s * 1e6 / each, (replaced["in"] - changed["in"]) / each,
