--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -299,23 +299,23 @@
 
 
 async def take(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> TrafficMeasurement:
-    async with started_discovery(upstreams, watches) as played:
-        idle_s = played.cpu_s()
-        await played.start()
-        begun, first_s, server = await played.ask_all(), played.first_list_s, await played.server.ask()
-        whole_s = played.cpu_s() - idle_s
+    async with started_discovery(upstreams, watches) as setup:
+        idle_s = setup.cpu_s()
+        await setup.start()
+        begun, first_s, server = await setup.ask_all(), setup.first_list_s, await setup.server.ask()
+        whole_s = setup.cpu_s() - idle_s
         await asyncio.sleep(rest_s)
-        rested, after = await played.ask_all(), await played.server.ask()
-        change_s = played.cpu_s()
-        await played.server.ask(change=MEASURED_CHANGES)
-        changed = await settled(played, rested["entries"] + MEASURED_CHANGES * watches)
-        change_s = played.cpu_s() - change_s
-        await played.server.ask(replace=MEASURED_CHANGES)
-        replaced = await settled(played, changed["entries"] + 3 * MEASURED_CHANGES * watches)
+        rested, after = await setup.ask_all(), await setup.server.ask()
+        change_s = setup.cpu_s()
+        await setup.server.ask(change=MEASURED_CHANGES)
+        changed = await settled(setup, rested["entries"] + MEASURED_CHANGES * watches)
+        change_s = setup.cpu_s() - change_s
+        await setup.server.ask(replace=MEASURED_CHANGES)
+        replaced = await settled(setup, changed["entries"] + 3 * MEASURED_CHANGES * watches)
         fetched = replaced
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
-            await played.ask_all(fetch=True)
-            fetched = await settled(played, replaced["entries"] + upstreams * watches)
+            await setup.ask_all(fetch=True)
+            fetched = await settled(setup, replaced["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
             upstreams, watches, begun["in"] / watches, whole_s * 1e3 / watches,
