--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -302,7 +302,7 @@
     async with started_discovery(upstreams, watches) as setup:
         idle_s = setup.cpu_s()
         await setup.start()
-        begun, first_s, server = await setup.ask_all(), setup.first_list_s, await setup.server.ask()
+        after_start, first_s, server = await setup.ask_all(), setup.first_list_s, await setup.server.ask()
         whole_s = setup.cpu_s() - idle_s
         await asyncio.sleep(rest_s)
         rested, after = await setup.ask_all(), await setup.server.ask()
@@ -318,8 +318,8 @@
             fetched = await settled(setup, replaced["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
-            upstreams, watches, begun["in"] / watches, whole_s * 1e3 / watches,
-            (rested["in"] - begun["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
+            upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
+            (rested["in"] - after_start["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
             change_s * 1e6 / each, (replaced["in"] - changed["in"]) / each,
             (fetched["in"] - replaced["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
             server["calls"], server["bytes"])
