--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -305,10 +305,10 @@
         after_start, first_s, server = await setup.ask_all(), setup.first_list_s, await setup.server.ask()
         whole_s = setup.cpu_s() - idle_s
         await asyncio.sleep(rest_s)
-        rested, after = await setup.ask_all(), await setup.server.ask()
+        after_rest, after = await setup.ask_all(), await setup.server.ask()
         change_s = setup.cpu_s()
         await setup.server.ask(change=MEASURED_CHANGES)
-        changed = await settled(setup, rested["entries"] + MEASURED_CHANGES * watches)
+        changed = await settled(setup, after_rest["entries"] + MEASURED_CHANGES * watches)
         change_s = setup.cpu_s() - change_s
         await setup.server.ask(replace=MEASURED_CHANGES)
         replaced = await settled(setup, changed["entries"] + 3 * MEASURED_CHANGES * watches)
@@ -319,7 +319,7 @@
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
             upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
-            (rested["in"] - after_start["in"]) / watches / rest_s, (changed["in"] - rested["in"]) / each,
+            (after_rest["in"] - after_start["in"]) / watches / rest_s, (changed["in"] - after_rest["in"]) / each,
             change_s * 1e6 / each, (replaced["in"] - changed["in"]) / each,
             (fetched["in"] - replaced["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
             server["calls"], server["bytes"])
