--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -311,17 +311,17 @@
         after_changes = await settled(setup, after_rest["entries"] + MEASURED_CHANGES * watches)
         change_s = setup.cpu_s() - change_s
         await setup.server.ask(replace=MEASURED_CHANGES)
-        replaced = await settled(setup, after_changes["entries"] + 3 * MEASURED_CHANGES * watches)
-        fetched = replaced
+        after_replacements = await settled(setup, after_changes["entries"] + 3 * MEASURED_CHANGES * watches)
+        fetched = after_replacements
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
             await setup.ask_all(fetch=True)
-            fetched = await settled(setup, replaced["entries"] + upstreams * watches)
+            fetched = await settled(setup, after_replacements["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
             upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
             (after_rest["in"] - after_start["in"]) / watches / rest_s, (after_changes["in"] - after_rest["in"]) / each,
-            change_s * 1e6 / each, (replaced["in"] - after_changes["in"]) / each,
-            (fetched["in"] - replaced["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
+            change_s * 1e6 / each, (after_replacements["in"] - after_changes["in"]) / each,
+            (fetched["in"] - after_replacements["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
             server["calls"], server["bytes"])
 
 
