--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -312,16 +312,16 @@
         change_s = setup.cpu_s() - change_s
         await setup.server.ask(replace=MEASURED_CHANGES)
         after_replacements = await settled(setup, after_changes["entries"] + 3 * MEASURED_CHANGES * watches)
-        fetched = after_replacements
+        after_fetch = after_replacements
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
             await setup.ask_all(fetch=True)
-            fetched = await settled(setup, after_replacements["entries"] + upstreams * watches)
+            after_fetch = await settled(setup, after_replacements["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
             upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
             (after_rest["in"] - after_start["in"]) / watches / rest_s, (after_changes["in"] - after_rest["in"]) / each,
             change_s * 1e6 / each, (after_replacements["in"] - after_changes["in"]) / each,
-            (fetched["in"] - after_replacements["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
+            (after_fetch["in"] - after_replacements["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
             server["calls"], server["bytes"])
 
 
