--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -298,7 +298,7 @@
     start_bytes: int  # written by discovery until then
 
 
-async def take(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> TrafficMeasurement:
+async def measure_traffic(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> TrafficMeasurement:
     async with started_discovery(upstreams, watches) as setup:
         idle_s = setup.cpu_s()
         await setup.start()
@@ -338,7 +338,7 @@
 async def by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     figures = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
-    found = [await take(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
+    found = [await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
     for figure, unit in figures.items():
         points = {n: [round(getattr(t, figure), 3) for t in found if t.upstreams == n] for n in lists}
         context.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
@@ -347,7 +347,7 @@
 
 
 async def by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
-    found = [await take(upstreams, watches, asked=False) for watches in sizes]
+    found = [await measure_traffic(upstreams, watches, asked=False) for watches in sizes]
     for figure, unit, values in (
         ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in found]),
         ("start.calls", "calls", [[float(t.calls)] for t in found]),
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -12,7 +12,7 @@
 
 def test_bytes_are_those_of_lists_and_changes() -> None:
     async def play() -> None:
-        taken = await discovery.take(40, 3, rest_s=0.2)
+        taken = await discovery.measure_traffic(40, 3, rest_s=0.2)
         beats = 10 * BEAT
         entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
