--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -325,10 +325,10 @@
             server["calls"], server["bytes"])
 
 
-async def settled(played: DiscoverySetup, entries: int) -> Counter[str]:
+async def settled(setup: DiscoverySetup, entries: int) -> Counter[str]:
     """Waits until the watches together have received this many entries. Returns their counts."""
     since_s = time.monotonic()
-    while (found := await played.ask_all())["entries"] < entries:
+    while (found := await setup.ask_all())["entries"] < entries:
         if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
             raise RunError(f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {found['entries']}")
         await asyncio.sleep(0.05)
