--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -327,9 +327,9 @@
 
 async def settled(setup: DiscoverySetup, entries: int) -> Counter[str]:
     """Waits until the watches together have received this many entries. Returns their counts."""
-    since_s = time.monotonic()
+    started_s = time.monotonic()
     while (counts := await setup.ask_all())["entries"] < entries:
-        if time.monotonic() > since_s + FIRST_LISTS_TIMEOUT_S:
+        if time.monotonic() > started_s + FIRST_LISTS_TIMEOUT_S:
             raise RunError(f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {counts['entries']}")
         await asyncio.sleep(0.05)
     return counts
