--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -308,14 +308,14 @@
         after_rest, after = await setup.ask_all(), await setup.server.ask()
         change_s = setup.cpu_s()
         await setup.server.ask(change=MEASURED_CHANGES)
-        after_changes = await settled(setup, after_rest["entries"] + MEASURED_CHANGES * watches)
+        after_changes = await wait_for_entries(setup, after_rest["entries"] + MEASURED_CHANGES * watches)
         change_s = setup.cpu_s() - change_s
         await setup.server.ask(replace=MEASURED_CHANGES)
-        after_replacements = await settled(setup, after_changes["entries"] + 3 * MEASURED_CHANGES * watches)
+        after_replacements = await wait_for_entries(setup, after_changes["entries"] + 3 * MEASURED_CHANGES * watches)
         after_fetch = after_replacements
         if asked:  # a fetched list counts only if it is as new as the watch's, which is the case here
             await setup.ask_all(fetch=True)
-            after_fetch = await settled(setup, after_replacements["entries"] + upstreams * watches)
+            after_fetch = await wait_for_entries(setup, after_replacements["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
             upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
@@ -325,7 +325,7 @@
             server["calls"], server["bytes"])
 
 
-async def settled(setup: DiscoverySetup, entries: int) -> Counter[str]:
+async def wait_for_entries(setup: DiscoverySetup, entries: int) -> Counter[str]:
     """Waits until the watches together have received this many entries. Returns their counts."""
     started_s = time.monotonic()
     while (counts := await setup.ask_all())["entries"] < entries:
