--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -338,9 +338,9 @@
 async def by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     units = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
-    found = [await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
+    measurements = [await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
     for figure, unit in units.items():
-        points = {n: [round(getattr(t, figure), 3) for t in found if t.upstreams == n] for n in lists}
+        points = {n: [round(getattr(t, figure), 3) for t in measurements if t.upstreams == n] for n in lists}
         context.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
                         f"read by one sidecar, {watches} hollow watches"
                         + (f"; were it asked for every {FETCH_INTERVAL_S:g} s" if figure == "asked_bytes_s" else ""))
