--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -347,13 +347,13 @@
 
 
 async def by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
-    found = [await measure_traffic(upstreams, watches, asked=False) for watches in sizes]
+    measurements = [await measure_traffic(upstreams, watches, asked=False) for watches in sizes]
     for figure, unit, values in (
-        ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in found]),
-        ("start.calls", "calls", [[float(t.calls)] for t in found]),
-        ("start.bytes", "bytes", [[float(t.start_bytes)] for t in found]),
-        ("start.p99_s", "s", [[percentile(t.first_list_s, 0.99)] for t in found]),
-        ("change.bytes", "bytes", [[t.change_bytes * t.watches] for t in found]),
+        ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in measurements]),
+        ("start.calls", "calls", [[float(t.calls)] for t in measurements]),
+        ("start.bytes", "bytes", [[float(t.start_bytes)] for t in measurements]),
+        ("start.p99_s", "s", [[percentile(t.first_list_s, 0.99)] for t in measurements]),
+        ("change.bytes", "bytes", [[t.change_bytes * t.watches] for t in measurements]),
     ):
         context.add_slope(f"discovery.{figure}", ROLE, "sidecars", unit, dict(zip(sizes, values, strict=True)),
                         f"written by discovery, a list of {upstreams:,}; all sidecars start at once")
