--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -335,7 +335,7 @@
     return counts
 
 
-async def by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
+async def measure_by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     units = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
     measurements = [await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
@@ -378,7 +378,7 @@
     size = context.size
     context.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // WATCHES_PER_PROCESS))
     try:
-        await by_length(context, size.play.lists, 20, min(2, size.play.repeats))
+        await measure_by_length(context, size.play.lists, 20, min(2, size.play.repeats))
         await by_sidecars(context, size.play.sizes, size.play.lists[-1])
         await zone_back(context, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
     except ChildError as error:
