--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -346,7 +346,7 @@
                         + (f"; were it asked for every {FETCH_INTERVAL_S:g} s" if figure == "asked_bytes_s" else ""))
 
 
-async def by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
+async def measure_by_sidecars(context: RunContext, sizes: Sequence[int], upstreams: int) -> None:
     measurements = [await measure_traffic(upstreams, watches, asked=False) for watches in sizes]
     for figure, unit, values in (
         ("served_bytes_s", "bytes/s", [[t.served_bytes_s] for t in measurements]),
@@ -379,7 +379,7 @@
     context.check_limits(0, 0, other_processes=2 + -(-max(size.play.sizes) // WATCHES_PER_PROCESS))
     try:
         await measure_by_length(context, size.play.lists, 20, min(2, size.play.repeats))
-        await by_sidecars(context, size.play.sizes, size.play.lists[-1])
+        await measure_by_sidecars(context, size.play.sizes, size.play.lists[-1])
         await zone_back(context, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
     except ChildError as error:
         raise RunError(str(error)) from error
