--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -361,13 +361,13 @@
 
 async def zone_back(context: RunContext, sidecars: int, upstreams: int) -> None:
     for turn_ms in CALL_TIMES_MS:
-        async with started_discovery(upstreams, sidecars, turn_ms) as played:
-            await played.start()
-            counts, server = await played.ask_all(), await played.server.ask()
+        async with started_discovery(upstreams, sidecars, turn_ms) as setup:
+            await setup.start()
+            counts, server = await setup.ask_all(), await setup.server.ask()
             name, note = f"discovery.zone_back.{turn_ms:g}_ms", (
                 f"{sidecars} sidecars start at once, a list of {upstreams:,}, {turn_ms:g} ms a call in turn (assumed)")
-            context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(played.first_list_s, 0.5)], note)
-            context.add_reading(f"{name}.last_s", ROLE, "s", [max(played.first_list_s)], note)
+            context.add_reading(f"{name}.p50_s", ROLE, "s", [percentile(setup.first_list_s, 0.5)], note)
+            context.add_reading(f"{name}.last_s", ROLE, "s", [max(setup.first_list_s)], note)
             context.add_reading(f"{name}.failed", ROLE, "calls", [counts["failed"]], note)
             context.add_reading(f"{name}.calls", ROLE, "calls", [server["calls"]], note)
             context.add_reading(f"{name}.bytes", ROLE, "bytes", [server["bytes"]], note)
