--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -359,7 +359,7 @@
                         f"written by discovery, a list of {upstreams:,}; all sidecars start at once")
 
 
-async def zone_back(context: RunContext, sidecars: int, upstreams: int) -> None:
+async def measure_zone_restart(context: RunContext, sidecars: int, upstreams: int) -> None:
     for turn_ms in CALL_TIMES_MS:
         async with started_discovery(upstreams, sidecars, turn_ms) as setup:
             await setup.start()
@@ -380,7 +380,7 @@
     try:
         await measure_by_length(context, size.play.lists, 20, min(2, size.play.repeats))
         await measure_by_sidecars(context, size.play.sizes, size.play.lists[-1])
-        await zone_back(context, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
+        await measure_zone_restart(context, round(size.fleet.sidecars / size.fleet.zones), size.play.lists[-1])
     except ChildError as error:
         raise RunError(str(error)) from error
 
