--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -388,12 +388,12 @@
 async def main() -> None:
     loop = asyncio.get_running_loop()
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    played: WatchHost | DiscoveryServer = DiscoveryServer(spec) if spec["role"] == "server" else WatchHost(spec)
-    if isinstance(played, DiscoveryServer):
-        await played.discovery.start()
+    process: WatchHost | DiscoveryServer = DiscoveryServer(spec) if spec["role"] == "server" else WatchHost(spec)
+    if isinstance(process, DiscoveryServer):
+        await process.discovery.start()
     told: dict[str, Any] = {}
     while True:
-        print(json.dumps(await played.handle(told)), flush=True)
+        print(json.dumps(await process.handle(told)), flush=True)
         line = await loop.run_in_executor(None, sys.stdin.readline)
         if not line:
             return
