--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -391,13 +391,13 @@
     process: WatchHost | DiscoveryServer = DiscoveryServer(spec) if spec["role"] == "server" else WatchHost(spec)
     if isinstance(process, DiscoveryServer):
         await process.discovery.start()
-    told: dict[str, Any] = {}
+    command: dict[str, Any] = {}
     while True:
-        print(json.dumps(await process.handle(told)), flush=True)
+        print(json.dumps(await process.handle(command)), flush=True)
         line = await loop.run_in_executor(None, sys.stdin.readline)
         if not line:
             return
-        told = json.loads(line)
+        command = json.loads(line)
 
 
 if __name__ == "__main__":
