--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -37,12 +37,12 @@
 from ironscale.scale.run import RunError, RunContext
 from ironscale.standins.discovery import ListedDiscovery
 
-KIND = KindSpec("view", "idempotent", 1_000_000, False)
+REQUEST_KIND = KindSpec("view", "idempotent", 1_000_000, False)
 AIM_MS = 300
 COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
 LEAD_S = 0.2
-NOTE = (f"{COPIES} copies of each application, aim {AIM_MS} ms, deadline {KIND.deadline_us // 1000} ms; applications "
+NOTE = (f"{COPIES} copies of each application, aim {AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
         "answer 500 for what was not served to them, and repeat nothing")
 # `first`: the number of attempts of each call that always fail
 WELL: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
@@ -292,7 +292,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = KIND,
+async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = REQUEST_KIND,
                   aim_ms: int = AIM_MS) -> AsyncIterator[Chain]:
     """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
@@ -334,7 +334,7 @@
         return (percentile(self.took_us, share) - percentile(self.bare_us, share)) / 1000
 
 
-async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = KIND) -> list[Sample]:
+async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
     """Sends calls at a rate and waits until all have ended."""
     part = paced(rate, seconds, run, kind.deadline_us)
     client, samples = client_of(run, address, part, seconds, kind)
@@ -403,7 +403,7 @@
         if turn.bottom == "well":
             figures = {f"{name}.well": (value, "ms") for name, value in (
                 ("added_p50_ms", turn.added_ms(0.5)), ("added_p99_ms", turn.added_ms(0.99)),
-                ("deadline_spent_ms", KIND.deadline_us / 1000 - turn.left_ms[-1][1]))}
+                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - turn.left_ms[-1][1]))}
         for name, (value, unit) in figures.items():
             points.setdefault((f"chain.{name}", unit), {}).setdefault(turn.hops, []).append(round(value, 4))
     for (name, unit), by_hops in points.items():
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -72,7 +72,7 @@
 
 
 def test_a_chain_of_two_counts_its_attempts_and_its_deadline_shrinks() -> None:
-    kind = replace(chain.KIND, deadline_us=20_000_000)  # on a busy machine no answer is late, so none is asked twice
+    kind = replace(chain.REQUEST_KIND, deadline_us=20_000_000)  # on a busy machine no answer is late, so none is asked twice
 
     async def call(address: Address, root: str) -> int:
         reader, writer = await asyncio.open_connection(*address)
