--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -38,11 +38,11 @@
 from ironscale.standins.discovery import ListedDiscovery
 
 REQUEST_KIND = KindSpec("view", "idempotent", 1_000_000, False)
-AIM_MS = 300
+LATENCY_AIM_MS = 300
 COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
 LEAD_S = 0.2
-NOTE = (f"{COPIES} copies of each application, aim {AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
+NOTE = (f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
         "answer 500 for what was not served to them, and repeat nothing")
 # `first`: the number of attempts of each call that always fail
 WELL: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
@@ -293,7 +293,7 @@
 
 @contextlib.asynccontextmanager
 async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = REQUEST_KIND,
-                  aim_ms: int = AIM_MS) -> AsyncIterator[Chain]:
+                  aim_ms: int = LATENCY_AIM_MS) -> AsyncIterator[Chain]:
     """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
         process = await stack.enter_async_context(
