--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -41,7 +41,7 @@
 LATENCY_AIM_MS = 300
 COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
-LEAD_S = 0.2
+START_DELAY_S = 0.2
 NOTE = (f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
         "answer 500 for what was not served to them, and repeat nothing")
 # `first`: the number of attempts of each call that always fail
@@ -338,8 +338,8 @@
     """Sends calls at a rate and waits until all have ended."""
     part = paced(rate, seconds, run, kind.deadline_us)
     client, samples = client_of(run, address, part, seconds, kind)
-    client.start(time.monotonic_ns() + round(LEAD_S * 1e9))
-    await client.wait(seconds + LEAD_S + kind.deadline_us / 1e6 + 1.0)
+    client.start(time.monotonic_ns() + round(START_DELAY_S * 1e9))
+    await client.wait(seconds + START_DELAY_S + kind.deadline_us / 1e6 + 1.0)
     return samples
 
 
