--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -45,14 +45,14 @@
 NOTE = (f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
         "answer 500 for what was not served to them, and repeat nothing")
 # `first`: the number of attempts of each call that always fail
-WELL: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
+HEALTHY: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
 BOTTOMS: dict[str, Mapping[str, Any]] = {
-    "well": WELL,
-    "fails 0.2": {**WELL, "fails": 0.2},
-    "fails 0.5": {**WELL, "fails": 0.5},
-    "fails 1": {**WELL, "fails": 1.0},
-    "slow 0.2": {**WELL, "slow_share": 0.2, "slow_ms": 400.0},
-    "slow 1": {**WELL, "slow_share": 1.0, "slow_ms": 400.0},
+    "well": HEALTHY,
+    "fails 0.2": {**HEALTHY, "fails": 0.2},
+    "fails 0.5": {**HEALTHY, "fails": 0.5},
+    "fails 1": {**HEALTHY, "fails": 1.0},
+    "slow 0.2": {**HEALTHY, "slow_share": 0.2, "slow_ms": 400.0},
+    "slow 1": {**HEALTHY, "slow_share": 1.0, "slow_ms": 400.0},
 }
 
 
@@ -236,7 +236,7 @@
     def __init__(self, hops: int, copies: int, seed: str) -> None:
         self.random = Random(seed)
         self.copies, self.turn = copies, 0
-        self.bottom: Mapping[str, Any] = WELL
+        self.bottom: Mapping[str, Any] = HEALTHY
         self.levels = [Level(self, depth) for depth in range(hops)]
         self.bare = [Level(self, depth) for depth in range(hops)]
         self.lists = [ListedDiscovery() for _ in range(hops)]
