--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -46,7 +46,7 @@
         "answer 500 for what was not served to them, and repeat nothing")
 # `first`: the number of attempts of each call that always fail
 HEALTHY: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
-BOTTOMS: dict[str, Mapping[str, Any]] = {
+BOTTOM_BEHAVIOURS: dict[str, Mapping[str, Any]] = {
     "well": HEALTHY,
     "fails 0.2": {**HEALTHY, "fails": 0.2},
     "fails 0.5": {**HEALTHY, "fails": 0.5},
@@ -371,13 +371,13 @@
     onset and of the time after it."""
     async with started(hops, rate=plan.rate, seed=seed) as chain:
         await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
-        chain.say({"bottom": BOTTOMS[name]})
+        chain.say({"bottom": BOTTOM_BEHAVIOURS[name]})
         onset = await count(chain, name, plan.rate, plan.onset_s, True)
         await ask("s", chain.sidecars[0], plan.rate, plan.settle_s)
         return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
 
 
-async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOMS), plan: Plan | None = None,
+async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Plan | None = None,
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[Turn]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
