--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -56,7 +56,7 @@
 }
 
 
-def answer(status: int, body: bytes = b"") -> bytes:
+def encode_response(status: int, body: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
@@ -149,7 +149,7 @@
     def say(self, status: int) -> None:
         self.calling = None
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(answer(status, b"done" if status == 200 else b""))
+            self.transport.write(encode_response(status, b"done" if status == 200 else b""))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
