--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -60,7 +60,7 @@
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
-def left_us_of(value: bytes) -> int:
+def parse_remaining_us(value: bytes) -> int:
     """Parses `480m` (milliseconds) or `480000u` (microseconds); 0 for any other unit or an empty value."""
     number, unit = value[:-1], value[-1:]
     return int(float(number) * {b"m": 1_000, b"u": 1}.get(unit, 0)) if number else 0
@@ -180,7 +180,7 @@
 
     def on_call(self, served: Served) -> None:
         root = served.fields.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
-        left_us = left_us_of(served.fields.get(b"x-remaining", b"0u"))
+        left_us = parse_remaining_us(served.fields.get(b"x-remaining", b"0u"))
         seen = self.seen[root.partition("-")[0]]
         seen.calls[root] += 1
         seen.left_us.append(left_us)
