--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -71,7 +71,7 @@
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()  # attempts, by the call at the top that they belong to
-        self.left_us: list[int] = []
+        self.remaining_us: list[int] = []
         self.got: Counter[str] = Counter()  # statuses that the next level answered to this level's application
 
 
@@ -183,7 +183,7 @@
         left_us = parse_remaining_us(served.fields.get(b"x-remaining", b"0u"))
         seen = self.seen[root.partition("-")[0]]
         seen.calls[root] += 1
-        seen.left_us.append(left_us)
+        seen.remaining_us.append(left_us)
         if self.following is None:
             self.world.at_bottom(served, seen.calls[root])
             return
@@ -226,7 +226,7 @@
         """The counts since the previous call of this method, by run."""
         found, self.seen = self.seen, defaultdict(Seen)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
-                      "left_ms": [percentile(s.left_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
+                      "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
                       "got": dict(s.got)} for run, s in found.items()}
 
 
