--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()  # attempts, by the call at the top that they belong to
         self.remaining_us: list[int] = []
-        self.got: Counter[str] = Counter()  # statuses that the next level answered to this level's application
+        self.answers: Counter[str] = Counter()  # statuses that the next level answered to this level's application
 
 
 class Caller(asyncio.Protocol):
@@ -196,7 +196,7 @@
                     b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
 
         def on_end(status: int) -> None:
-            seen.got[str(status)] += 1
+            seen.answers[str(status)] += 1
             served.say(200 if status == 200 else 500)
 
         if self.idle:
@@ -227,7 +227,7 @@
         found, self.seen = self.seen, defaultdict(Seen)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
                       "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
-                      "got": dict(s.got)} for run, s in found.items()}
+                      "got": dict(s.answers)} for run, s in found.items()}
 
 
 class World:
