--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -66,7 +66,7 @@
     return int(float(number) * {b"m": 1_000, b"u": 1}.get(unit, 0)) if number else 0
 
 
-class Seen:
+class LevelCounts:
     """The counts of one level in one run."""
 
     def __init__(self) -> None:
@@ -169,7 +169,7 @@
         self.world, self.depth = world, depth
         self.following: Address | None = None
         self.idle: list[Caller] = []
-        self.seen: defaultdict[str, Seen] = defaultdict(Seen)
+        self.seen: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -224,7 +224,7 @@
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
-        found, self.seen = self.seen, defaultdict(Seen)
+        found, self.seen = self.seen, defaultdict(LevelCounts)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
                       "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
                       "got": dict(s.answers)} for run, s in found.items()}
