--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -92,7 +92,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.drop()
+            self.abort()
 
     def on_message_complete(self) -> None:
         assert self.parser is not None and self.transport is not None
@@ -104,7 +104,7 @@
         if on_end is not None:
             on_end(self.parser.get_status_code())
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
@@ -156,7 +156,7 @@
         calling, self.calling = self.calling, None
         if isinstance(calling, Caller):  # the caller has disconnected, so its call is cancelled
             calling.on_end = None
-            calling.drop()
+            calling.abort()
         elif calling is not None:
             calling.cancel()
 
