--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -195,14 +195,14 @@
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
                     b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
 
-        def on_end(status: int) -> None:
+        def on_response(status: int) -> None:
             seen.answers[str(status)] += 1
             served.say(200 if status == 200 else 500)
 
         if self.idle:
-            self.ask(self.idle.pop(), served, payload(), on_end)
+            self.ask(self.idle.pop(), served, payload(), on_response)
             return
-        task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_end))
+        task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_response))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         served.calling = task
