--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -75,7 +75,7 @@
         self.answers: Counter[str] = Counter()  # statuses that the next level answered to this level's application
 
 
-class Caller(asyncio.Protocol):
+class NextHopConnection(asyncio.Protocol):
     """A connection from an application to the next sidecar; it carries one call at a time."""
 
     def __init__(self, level: Level) -> None:
@@ -125,7 +125,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.fields: dict[bytes, bytes] = {}
-        self.calling: Caller | asyncio.Task[None] | None = None
+        self.calling: NextHopConnection | asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -154,7 +154,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
         calling, self.calling = self.calling, None
-        if isinstance(calling, Caller):  # the caller has disconnected, so its call is cancelled
+        if isinstance(calling, NextHopConnection):  # the caller has disconnected, so its call is cancelled
             calling.on_end = None
             calling.abort()
         elif calling is not None:
@@ -168,7 +168,7 @@
     def __init__(self, world: World, depth: int) -> None:
         self.world, self.depth = world, depth
         self.following: Address | None = None
-        self.idle: list[Caller] = []
+        self.idle: list[NextHopConnection] = []
         self.seen: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -207,14 +207,14 @@
         task.add_done_callback(self.tasks.discard)
         served.calling = task
 
-    def ask(self, caller: Caller, served: Served, payload: bytes, on_end: Callable[[int], None]) -> None:
+    def ask(self, caller: NextHopConnection, served: Served, payload: bytes, on_end: Callable[[int], None]) -> None:
         assert caller.transport is not None
         served.calling, caller.on_end = caller, on_end
         caller.transport.write(payload)
 
     async def connect(self, served: Served, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
         assert self.following is not None
-        caller = Caller(self)
+        caller = NextHopConnection(self)
         try:
             await asyncio.get_running_loop().create_connection(lambda: caller, *self.following)
         except OSError:
