--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -124,7 +124,7 @@
         self.level = level
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.fields: dict[bytes, bytes] = {}
+        self.headers: dict[bytes, bytes] = {}
         self.calling: NextHopConnection | asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -138,10 +138,10 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        self.fields = {}
+        self.headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields[name.lower()] = value
+        self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
         self.level.on_call(self)
@@ -179,8 +179,8 @@
         return [server.sockets[0].getsockname()[1] for server in self.servers]
 
     def on_call(self, served: Served) -> None:
-        root = served.fields.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
-        left_us = parse_remaining_us(served.fields.get(b"x-remaining", b"0u"))
+        root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
+        left_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
         seen = self.seen[root.partition("-")[0]]
         seen.calls[root] += 1
         seen.remaining_us.append(left_us)
