--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -125,7 +125,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.headers: dict[bytes, bytes] = {}
-        self.calling: NextHopConnection | asyncio.Task[None] | None = None
+        self.pending_call: NextHopConnection | asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -147,13 +147,13 @@
         self.level.on_call(self)
 
     def say(self, status: int) -> None:
-        self.calling = None
+        self.pending_call = None
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(encode_response(status, b"done" if status == 200 else b""))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
-        calling, self.calling = self.calling, None
+        calling, self.pending_call = self.pending_call, None
         if isinstance(calling, NextHopConnection):  # the caller has disconnected, so its call is cancelled
             calling.on_end = None
             calling.abort()
@@ -205,11 +205,11 @@
         task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_response))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        served.calling = task
+        served.pending_call = task
 
     def ask(self, caller: NextHopConnection, served: Served, payload: bytes, on_end: Callable[[int], None]) -> None:
         assert caller.transport is not None
-        served.calling, caller.on_end = caller, on_end
+        served.pending_call, caller.on_end = caller, on_end
         caller.transport.write(payload)
 
     async def connect(self, served: Served, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
