--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -146,7 +146,7 @@
     def on_message_complete(self) -> None:
         self.level.on_call(self)
 
-    def say(self, status: int) -> None:
+    def respond(self, status: int) -> None:
         self.pending_call = None
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(encode_response(status, b"done" if status == 200 else b""))
@@ -197,7 +197,7 @@
 
         def on_response(status: int) -> None:
             seen.answers[str(status)] += 1
-            served.say(200 if status == 200 else 500)
+            served.respond(200 if status == 200 else 500)
 
         if self.idle:
             self.ask(self.idle.pop(), served, payload(), on_response)
@@ -257,9 +257,9 @@
         drawn, slow = self.random.random(), self.random.random()
         status = 500 if drawn < self.bottom["fails"] or attempt <= self.bottom["first"] else 200
         if slow < self.bottom["slow_share"]:
-            asyncio.get_running_loop().call_later(self.bottom["slow_ms"] / 1000, served.say, status)
+            asyncio.get_running_loop().call_later(self.bottom["slow_ms"] / 1000, served.respond, status)
         else:
-            served.say(status)
+            served.respond(status)
 
     def hear(self, told: dict[str, Any]) -> dict[str, Any] | None:
         if "sidecars" in told:  # the first sidecar is called by the load generator
