--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -153,12 +153,12 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
-        calling, self.pending_call = self.pending_call, None
-        if isinstance(calling, NextHopConnection):  # the caller has disconnected, so its call is cancelled
-            calling.on_end = None
-            calling.abort()
-        elif calling is not None:
-            calling.cancel()
+        pending_call, self.pending_call = self.pending_call, None
+        if isinstance(pending_call, NextHopConnection):  # the caller has disconnected, so its call is cancelled
+            pending_call.on_end = None
+            pending_call.abort()
+        elif pending_call is not None:
+            pending_call.cancel()
 
 
 class Level:
