--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -117,7 +117,7 @@
             on_end(0)
 
 
-class Served(asyncio.Protocol):
+class ServedConnection(asyncio.Protocol):
     """An accepted connection at an application or the bottom."""
 
     def __init__(self, level: Level) -> None:
@@ -175,10 +175,10 @@
 
     async def listen(self, copies: int) -> list[int]:
         loop = asyncio.get_running_loop()
-        self.servers = [await loop.create_server(lambda: Served(self), "127.0.0.1", 0) for _ in range(copies)]
+        self.servers = [await loop.create_server(lambda: ServedConnection(self), "127.0.0.1", 0) for _ in range(copies)]
         return [server.sockets[0].getsockname()[1] for server in self.servers]
 
-    def on_call(self, served: Served) -> None:
+    def on_call(self, served: ServedConnection) -> None:
         root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
         left_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
         seen = self.seen[root.partition("-")[0]]
@@ -207,12 +207,12 @@
         task.add_done_callback(self.tasks.discard)
         served.pending_call = task
 
-    def ask(self, caller: NextHopConnection, served: Served, payload: bytes, on_end: Callable[[int], None]) -> None:
+    def ask(self, caller: NextHopConnection, served: ServedConnection, payload: bytes, on_end: Callable[[int], None]) -> None:
         assert caller.transport is not None
         served.pending_call, caller.on_end = caller, on_end
         caller.transport.write(payload)
 
-    async def connect(self, served: Served, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
+    async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
         assert self.following is not None
         caller = NextHopConnection(self)
         try:
@@ -253,7 +253,7 @@
             level.following = ("127.0.0.1", port)
         return {"lists": [listed.port for listed in self.lists], "bare": ports}
 
-    def at_bottom(self, served: Served, attempt: int) -> None:
+    def at_bottom(self, served: ServedConnection, attempt: int) -> None:
         drawn, slow = self.random.random(), self.random.random()
         status = 500 if drawn < self.bottom["fails"] or attempt <= self.bottom["first"] else 200
         if slow < self.bottom["slow_share"]:
