--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -167,7 +167,7 @@
 
     def __init__(self, world: World, depth: int) -> None:
         self.world, self.depth = world, depth
-        self.following: Address | None = None
+        self.next_address: Address | None = None
         self.idle: list[NextHopConnection] = []
         self.seen: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
@@ -184,7 +184,7 @@
         seen = self.seen[root.partition("-")[0]]
         seen.calls[root] += 1
         seen.remaining_us.append(left_us)
-        if self.following is None:
+        if self.next_address is None:
             self.world.at_bottom(served, seen.calls[root])
             return
         came_us = time.monotonic_ns() // 1000
@@ -213,10 +213,10 @@
         caller.transport.write(payload)
 
     async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
-        assert self.following is not None
+        assert self.next_address is not None
         caller = NextHopConnection(self)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: caller, *self.following)
+            await asyncio.get_running_loop().create_connection(lambda: caller, *self.next_address)
         except OSError:
             on_end(0)
         else:
@@ -250,7 +250,7 @@
                          for i, port in enumerate(ports)))
         ports = [(await level.listen(1))[0] for level in self.bare]
         for level, port in zip(self.bare, ports[1:], strict=False):
-            level.following = ("127.0.0.1", port)
+            level.next_address = ("127.0.0.1", port)
         return {"lists": [listed.port for listed in self.lists], "bare": ports}
 
     def at_bottom(self, served: ServedConnection, attempt: int) -> None:
@@ -264,7 +264,7 @@
     def hear(self, told: dict[str, Any]) -> dict[str, Any] | None:
         if "sidecars" in told:  # the first sidecar is called by the load generator
             for level, port in zip(self.levels, told["sidecars"][1:], strict=False):
-                level.following = ("127.0.0.1", port)
+                level.next_address = ("127.0.0.1", port)
         elif "bottom" in told:
             self.bottom = told["bottom"]
         elif told.get("look"):
