--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -98,7 +98,7 @@
         assert self.parser is not None and self.transport is not None
         on_end, self.on_end = self.on_end, None
         if self.parser.should_keep_alive():
-            self.level.idle.append(self)
+            self.level.idle_connections.append(self)
         else:
             self.transport.close()
         if on_end is not None:
@@ -109,8 +109,8 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self in self.level.idle:
-            self.level.idle.remove(self)
+        if self in self.level.idle_connections:
+            self.level.idle_connections.remove(self)
         self.parser = self.transport = None
         on_end, self.on_end = self.on_end, None
         if on_end is not None:
@@ -168,7 +168,7 @@
     def __init__(self, world: World, depth: int) -> None:
         self.world, self.depth = world, depth
         self.next_address: Address | None = None
-        self.idle: list[NextHopConnection] = []
+        self.idle_connections: list[NextHopConnection] = []
         self.seen: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -199,8 +199,8 @@
             seen.answers[str(status)] += 1
             served.respond(200 if status == 200 else 500)
 
-        if self.idle:
-            self.ask(self.idle.pop(), served, payload(), on_response)
+        if self.idle_connections:
+            self.ask(self.idle_connections.pop(), served, payload(), on_response)
             return
         task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_response))
         self.tasks.add(task)
