--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -169,7 +169,7 @@
         self.world, self.depth = world, depth
         self.next_address: Address | None = None
         self.idle_connections: list[NextHopConnection] = []
-        self.seen: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
+        self.counts: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -181,7 +181,7 @@
     def on_call(self, served: ServedConnection) -> None:
         root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
         left_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
-        seen = self.seen[root.partition("-")[0]]
+        seen = self.counts[root.partition("-")[0]]
         seen.calls[root] += 1
         seen.remaining_us.append(left_us)
         if self.next_address is None:
@@ -224,7 +224,7 @@
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
-        found, self.seen = self.seen, defaultdict(LevelCounts)
+        found, self.counts = self.counts, defaultdict(LevelCounts)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
                       "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
                       "got": dict(s.answers)} for run, s in found.items()}
