--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -180,10 +180,10 @@
 
     def on_call(self, served: ServedConnection) -> None:
         root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
-        left_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
+        remaining_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
         seen = self.counts[root.partition("-")[0]]
         seen.calls[root] += 1
-        seen.remaining_us.append(left_us)
+        seen.remaining_us.append(remaining_us)
         if self.next_address is None:
             self.world.at_bottom(served, seen.calls[root])
             return
@@ -191,7 +191,7 @@
 
         def payload() -> bytes:
             self.world.turn += 1
-            now_left_us = max(1, left_us - (time.monotonic_ns() // 1000 - came_us))
+            now_left_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - came_us))
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
                     b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
 
