--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -181,11 +181,11 @@
     def on_call(self, served: ServedConnection) -> None:
         root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
         remaining_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
-        seen = self.counts[root.partition("-")[0]]
-        seen.calls[root] += 1
-        seen.remaining_us.append(remaining_us)
+        counts = self.counts[root.partition("-")[0]]
+        counts.calls[root] += 1
+        counts.remaining_us.append(remaining_us)
         if self.next_address is None:
-            self.world.at_bottom(served, seen.calls[root])
+            self.world.at_bottom(served, counts.calls[root])
             return
         came_us = time.monotonic_ns() // 1000
 
@@ -196,7 +196,7 @@
                     b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
 
         def on_response(status: int) -> None:
-            seen.answers[str(status)] += 1
+            counts.answers[str(status)] += 1
             served.respond(200 if status == 200 else 500)
 
         if self.idle_connections:
