--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -187,11 +187,11 @@
         if self.next_address is None:
             self.world.at_bottom(served, counts.calls[root])
             return
-        came_us = time.monotonic_ns() // 1000
+        received_us = time.monotonic_ns() // 1000
 
         def payload() -> bytes:
             self.world.turn += 1
-            now_left_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - came_us))
+            now_left_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - received_us))
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
                     b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
 
