--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -207,9 +207,9 @@
         task.add_done_callback(self.tasks.discard)
         served.pending_call = task
 
-    def ask(self, caller: NextHopConnection, served: ServedConnection, payload: bytes, on_end: Callable[[int], None]) -> None:
+    def ask(self, caller: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
         assert caller.transport is not None
-        served.pending_call, caller.on_end = caller, on_end
+        served.pending_call, caller.on_end = caller, on_response
         caller.transport.write(payload)
 
     async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
