--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -207,10 +207,10 @@
         task.add_done_callback(self.tasks.discard)
         served.pending_call = task
 
-    def ask(self, caller: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
-        assert caller.transport is not None
-        served.pending_call, caller.on_end = caller, on_response
-        caller.transport.write(payload)
+    def ask(self, connection: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
+        assert connection.transport is not None
+        served.pending_call, connection.on_end = connection, on_response
+        connection.transport.write(payload)
 
     async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
         assert self.next_address is not None
