--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -212,15 +212,15 @@
         served.pending_call, connection.on_end = connection, on_response
         connection.transport.write(payload)
 
-    async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
+    async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_response: Callable[[int], None]) -> None:
         assert self.next_address is not None
         caller = NextHopConnection(self)
         try:
             await asyncio.get_running_loop().create_connection(lambda: caller, *self.next_address)
         except OSError:
-            on_end(0)
+            on_response(0)
         else:
-            self.ask(caller, served, payload(), on_end)
+            self.ask(caller, served, payload(), on_response)
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
