--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -214,13 +214,13 @@
 
     async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_response: Callable[[int], None]) -> None:
         assert self.next_address is not None
-        caller = NextHopConnection(self)
+        connection = NextHopConnection(self)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: caller, *self.next_address)
+            await asyncio.get_running_loop().create_connection(lambda: connection, *self.next_address)
         except OSError:
             on_response(0)
         else:
-            self.ask(caller, served, payload(), on_response)
+            self.ask(connection, served, payload(), on_response)
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
