--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -200,14 +200,14 @@
             served.respond(200 if status == 200 else 500)
 
         if self.idle_connections:
-            self.ask(self.idle_connections.pop(), served, payload(), on_response)
+            self.send_call(self.idle_connections.pop(), served, payload(), on_response)
             return
         task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_response))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         served.pending_call = task
 
-    def ask(self, connection: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
+    def send_call(self, connection: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
         assert connection.transport is not None
         served.pending_call, connection.on_end = connection, on_response
         connection.transport.write(payload)
@@ -220,7 +220,7 @@
         except OSError:
             on_response(0)
         else:
-            self.ask(connection, served, payload(), on_response)
+            self.send_call(connection, served, payload(), on_response)
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
