--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -224,10 +224,10 @@
 
     def told(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
-        found, self.counts = self.counts, defaultdict(LevelCounts)
+        counts, self.counts = self.counts, defaultdict(LevelCounts)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
                       "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
-                      "got": dict(s.answers)} for run, s in found.items()}
+                      "got": dict(s.answers)} for run, s in counts.items()}
 
 
 class World:
