--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -222,7 +222,7 @@
         else:
             self.send_call(connection, served, payload(), on_response)
 
-    def told(self) -> dict[str, Any]:
+    def take_counts(self) -> dict[str, Any]:
         """The counts since the previous call of this method, by run."""
         counts, self.counts = self.counts, defaultdict(LevelCounts)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
@@ -268,7 +268,7 @@
         elif "bottom" in told:
             self.bottom = told["bottom"]
         elif told.get("look"):
-            return {"levels": [level.told() for level in self.levels], "bare": [level.told() for level in self.bare]}
+            return {"levels": [level.take_counts() for level in self.levels], "bare": [level.take_counts() for level in self.bare]}
         return None
 
 
