--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -435,10 +435,10 @@
         print(json.dumps(data), flush=True)
 
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    world = World(spec["hops"], spec["copies"], spec["seed"])
-    tell(await world.start())
+    applications = World(spec["hops"], spec["copies"], spec["seed"])
+    tell(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
-        found = world.hear(json.loads(line))
+        found = applications.hear(json.loads(line))
         if found is not None:
             tell(found)
 
