--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -165,8 +165,8 @@
     """All copies of the application at one depth, or the bottom. `following` is the address that the application calls;
     the bottom has none."""
 
-    def __init__(self, world: World, depth: int) -> None:
-        self.world, self.depth = world, depth
+    def __init__(self, applications: World, depth: int) -> None:
+        self.world, self.depth = applications, depth
         self.next_address: Address | None = None
         self.idle_connections: list[NextHopConnection] = []
         self.counts: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
