--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -190,10 +190,10 @@
         received_us = time.monotonic_ns() // 1000
 
         def payload() -> bytes:
-            self.world.turn += 1
+            self.world.last_attempt += 1
             remaining_now_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - received_us))
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
-                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, remaining_now_us))
+                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.last_attempt, remaining_now_us))
 
         def on_response(status: int) -> None:
             counts.answers[str(status)] += 1
@@ -235,7 +235,7 @@
 
     def __init__(self, hops: int, copies: int, seed: str) -> None:
         self.random = Random(seed)
-        self.copies, self.turn = copies, 0
+        self.copies, self.last_attempt = copies, 0
         self.bottom: Mapping[str, Any] = HEALTHY
         self.levels = [Level(self, depth) for depth in range(hops)]
         self.bare = [Level(self, depth) for depth in range(hops)]
