--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -261,7 +261,7 @@
         else:
             served.respond(status)
 
-    def hear(self, told: dict[str, Any]) -> dict[str, Any] | None:
+    def handle(self, told: dict[str, Any]) -> dict[str, Any] | None:
         if "sidecars" in told:  # the first sidecar is called by the load generator
             for level, port in zip(self.levels, told["sidecars"][1:], strict=False):
                 level.next_address = ("127.0.0.1", port)
@@ -438,7 +438,7 @@
     applications = World(spec["hops"], spec["copies"], spec["seed"])
     tell(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
-        found = applications.hear(json.loads(line))
+        found = applications.handle(json.loads(line))
         if found is not None:
             tell(found)
 
