--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -254,9 +254,9 @@
         return {"lists": [listed.port for listed in self.lists], "bare": ports}
 
     def at_bottom(self, served: ServedConnection, attempt: int) -> None:
-        failure_draw, slow = self.random.random(), self.random.random()
+        failure_draw, slowness_draw = self.random.random(), self.random.random()
         status = 500 if failure_draw < self.bottom["fails"] or attempt <= self.bottom["first"] else 200
-        if slow < self.bottom["slow_share"]:
+        if slowness_draw < self.bottom["slow_share"]:
             asyncio.get_running_loop().call_later(self.bottom["slow_ms"] / 1000, served.respond, status)
         else:
             served.respond(status)
