--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -261,13 +261,13 @@
         else:
             served.respond(status)
 
-    def handle(self, told: dict[str, Any]) -> dict[str, Any] | None:
-        if "sidecars" in told:  # the first sidecar is called by the load generator
-            for level, port in zip(self.levels, told["sidecars"][1:], strict=False):
+    def handle(self, command: dict[str, Any]) -> dict[str, Any] | None:
+        if "sidecars" in command:  # the first sidecar is called by the load generator
+            for level, port in zip(self.levels, command["sidecars"][1:], strict=False):
                 level.next_address = ("127.0.0.1", port)
-        elif "bottom" in told:
-            self.bottom = told["bottom"]
-        elif told.get("look"):
+        elif "bottom" in command:
+            self.bottom = command["bottom"]
+        elif command.get("look"):
             return {"levels": [level.take_counts() for level in self.levels], "bare": [level.take_counts() for level in self.bare]}
         return None
 
