--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -165,7 +165,7 @@
     """All copies of the application at one depth, or the bottom. `following` is the address that the application calls;
     the bottom has none."""
 
-    def __init__(self, applications: World, depth: int) -> None:
+    def __init__(self, applications: ChainApplications, depth: int) -> None:
         self.world, self.depth = applications, depth
         self.next_address: Address | None = None
         self.idle_connections: list[NextHopConnection] = []
@@ -230,7 +230,7 @@
                       "got": dict(s.answers)} for run, s in counts.items()}
 
 
-class World:
+class ChainApplications:
     """The applications and the bottom of two chains: one with sidecars, one without."""
 
     def __init__(self, hops: int, copies: int, seed: str) -> None:
@@ -435,7 +435,7 @@
         print(json.dumps(data), flush=True)
 
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    applications = World(spec["hops"], spec["copies"], spec["seed"])
+    applications = ChainApplications(spec["hops"], spec["copies"], spec["seed"])
     tell(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
         found = applications.handle(json.loads(line))
