--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -280,13 +280,13 @@
     sidecars: list[Address]
     bare: list[Address]
 
-    def say(self, data: Mapping[str, Any]) -> None:
+    def send(self, data: Mapping[str, Any]) -> None:
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(data).encode() + b"\n")
 
     async def look(self) -> dict[str, Any]:
         assert self.process.stdout is not None
-        self.say({"look": True})
+        self.send({"look": True})
         found: dict[str, Any] = json.loads(await self.process.stdout.readline())
         return found
 
@@ -299,7 +299,7 @@
         process = await stack.enter_async_context(
             child("ironscale.scale.chain", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE))
         chain = Chain(process, [], [])
-        chain.say({"hops": hops, "copies": copies, "seed": seed})
+        chain.send({"hops": hops, "copies": copies, "seed": seed})
         assert process.stdout is not None
         told = json.loads(await process.stdout.readline())
         chain.bare = [("127.0.0.1", port) for port in told["bare"]]
@@ -307,7 +307,7 @@
         for port in told["lists"]:
             ((_, address),) = await stack.enter_async_context(started_sidecars(s, port, rate))
             chain.sidecars.append(address)
-        chain.say({"sidecars": [port for _, port in chain.sidecars]})
+        chain.send({"sidecars": [port for _, port in chain.sidecars]})
         yield chain
 
 
@@ -371,7 +371,7 @@
     onset and of the time after it."""
     async with started(hops, rate=plan.rate, seed=seed) as chain:
         await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
-        chain.say({"bottom": BOTTOM_BEHAVIOURS[name]})
+        chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
         onset = await count(chain, name, plan.rate, plan.onset_s, True)
         await ask("s", chain.sidecars[0], plan.rate, plan.settle_s)
         return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
