--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -284,7 +284,7 @@
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(data).encode() + b"\n")
 
-    async def look(self) -> dict[str, Any]:
+    async def take_counts(self) -> dict[str, Any]:
         assert self.process.stdout is not None
         self.send({"look": True})
         found: dict[str, Any] = json.loads(await self.process.stdout.readline())
@@ -358,7 +358,7 @@
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
     samples, bare = await asyncio.gather(ask(run, chain.sidecars[0], rate, seconds),
                                          ask(f"b{run}", chain.bare[0], rate, seconds))
-    told = [level.get(run, {}) for level in (await chain.look())["levels"]]
+    told = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
     end_us = seconds * 1e6
     return Turn(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
                 latencies_us(bare, 0, end_us),
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -86,10 +86,10 @@
         async with chain.started(2, rate=10.0, kind=kind, aim_ms=20_000) as two:
             assert [await call(two.sidecars[0], f"w-{i}") for i in range(3)] == [200] * 3
             two.send({"bottom": {**chain.HEALTHY, "first": 1}})
-            await two.look()  # what was said before is heard by now
+            await two.take_counts()  # what was said before is heard by now
             assert await call(two.sidecars[0], "m-0") == 200
             assert await call(two.bare[0], "b-0") == 500
-            told = await two.look()
+            told = await two.take_counts()
         top, below = (level["m"] for level in told["levels"])
         # the bottom fails the call's first attempt; the sidecar above it tries again, and the one at the top need not
         assert (top["calls"], top["attempts"], top["got"]) == (1, 1, {"200": 1}), told
