--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -287,8 +287,8 @@
     async def take_counts(self) -> dict[str, Any]:
         assert self.process.stdout is not None
         self.send({"look": True})
-        found: dict[str, Any] = json.loads(await self.process.stdout.readline())
-        return found
+        counts: dict[str, Any] = json.loads(await self.process.stdout.readline())
+        return counts
 
 
 @contextlib.asynccontextmanager
