--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -301,10 +301,10 @@
         chain = Chain(process, [], [])
         chain.send({"hops": hops, "copies": copies, "seed": seed})
         assert process.stdout is not None
-        told = json.loads(await process.stdout.readline())
-        chain.bare = [("127.0.0.1", port) for port in told["bare"]]
+        listening = json.loads(await process.stdout.readline())
+        chain.bare = [("127.0.0.1", port) for port in listening["bare"]]
         s = scenario(copies, 1, kind.deadline_us // 1000, aim_ms)
-        for port in told["lists"]:
+        for port in listening["lists"]:
             ((_, address),) = await stack.enter_async_context(started_sidecars(s, port, rate))
             chain.sidecars.append(address)
         chain.send({"sidecars": [port for _, port in chain.sidecars]})
