--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -303,9 +303,9 @@
         assert process.stdout is not None
         listening = json.loads(await process.stdout.readline())
         chain.bare = [("127.0.0.1", port) for port in listening["bare"]]
-        s = scenario(copies, 1, kind.deadline_us // 1000, aim_ms)
+        load_scenario = scenario(copies, 1, kind.deadline_us // 1000, aim_ms)
         for port in listening["lists"]:
-            ((_, address),) = await stack.enter_async_context(started_sidecars(s, port, rate))
+            ((_, address),) = await stack.enter_async_context(started_sidecars(load_scenario, port, rate))
             chain.sidecars.append(address)
         chain.send({"sidecars": [port for _, port in chain.sidecars]})
         yield chain
