--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -292,7 +292,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = REQUEST_KIND,
+async def started_chain(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = REQUEST_KIND,
                   aim_ms: int = LATENCY_AIM_MS) -> AsyncIterator[Chain]:
     """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
@@ -369,7 +369,7 @@
 async def play(name: str, hops: int, plan: Plan, seed: str) -> list[Turn]:
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
-    async with started(hops, rate=plan.rate, seed=seed) as chain:
+    async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
         await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
         chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
         onset = await count(chain, name, plan.rate, plan.onset_s, True)
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -83,7 +83,7 @@
         return status
 
     async def play() -> None:
-        async with chain.started(2, rate=10.0, kind=kind, aim_ms=20_000) as two:
+        async with chain.started_chain(2, rate=10.0, kind=kind, aim_ms=20_000) as two:
             assert [await call(two.sidecars[0], f"w-{i}") for i in range(3)] == [200] * 3
             two.send({"bottom": {**chain.HEALTHY, "first": 1}})
             await two.take_counts()  # what was said before is heard by now
