--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -320,7 +320,7 @@
     hops: int
     onset: bool
     calls: int
-    took_us: list[int]  # latencies of the served calls
+    latencies_us: list[int]  # latencies of the served calls
     bare_us: list[int]  # latencies without sidecars
     attempts: list[float]  # at each level from the top, per call at the top
     most: int  # most attempts at the bottom for one call
@@ -328,10 +328,10 @@
     got: list[dict[str, int]]  # number of answers to each application, by status
 
     def served(self) -> float:
-        return len(self.took_us) / max(1, self.calls)
+        return len(self.latencies_us) / max(1, self.calls)
 
     def added_ms(self, share: float) -> float:
-        return (percentile(self.took_us, share) - percentile(self.bare_us, share)) / 1000
+        return (percentile(self.latencies_us, share) - percentile(self.bare_us, share)) / 1000
 
 
 async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
