--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -321,7 +321,7 @@
     onset: bool
     calls: int
     latencies_us: list[int]  # latencies of the served calls
-    bare_us: list[int]  # latencies without sidecars
+    bare_latencies_us: list[int]  # latencies without sidecars
     attempts: list[float]  # at each level from the top, per call at the top
     most: int  # most attempts at the bottom for one call
     left_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
@@ -331,7 +331,7 @@
         return len(self.latencies_us) / max(1, self.calls)
 
     def added_ms(self, share: float) -> float:
-        return (percentile(self.latencies_us, share) - percentile(self.bare_us, share)) / 1000
+        return (percentile(self.latencies_us, share) - percentile(self.bare_latencies_us, share)) / 1000
 
 
 async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
