--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -324,7 +324,7 @@
     bare_latencies_us: list[int]  # latencies without sidecars
     attempts: list[float]  # at each level from the top, per call at the top
     most: int  # most attempts at the bottom for one call
-    left_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
+    remaining_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
     got: list[dict[str, int]]  # number of answers to each application, by status
 
     def served(self) -> float:
@@ -403,7 +403,7 @@
         if turn.bottom == "well":
             figures = {f"{name}.well": (value, "ms") for name, value in (
                 ("added_p50_ms", turn.added_ms(0.5)), ("added_p99_ms", turn.added_ms(0.99)),
-                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - turn.left_ms[-1][1]))}
+                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - turn.remaining_ms[-1][1]))}
         for name, (value, unit) in figures.items():
             points.setdefault((f"chain.{name}", unit), {}).setdefault(turn.hops, []).append(round(value, 4))
     for (name, unit), by_hops in points.items():
