--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -325,7 +325,7 @@
     attempts: list[float]  # at each level from the top, per call at the top
     most: int  # most attempts at the bottom for one call
     remaining_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
-    got: list[dict[str, int]]  # number of answers to each application, by status
+    answers: list[dict[str, int]]  # number of answers to each application, by status
 
     def served(self) -> float:
         return len(self.latencies_us) / max(1, self.calls)
