--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -323,7 +323,7 @@
     latencies_us: list[int]  # latencies of the served calls
     bare_latencies_us: list[int]  # latencies without sidecars
     attempts: list[float]  # at each level from the top, per call at the top
-    most: int  # most attempts at the bottom for one call
+    max_attempts: int  # most attempts at the bottom for one call
     remaining_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
     answers: list[dict[str, int]]  # number of answers to each application, by status
 
@@ -389,7 +389,7 @@
             for at in (at for turns in played for at in turns):
                 found.append(at)
                 tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
-                     f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.most} at most")
+                     f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.max_attempts} at most")
     return found
 
 
@@ -399,7 +399,7 @@
     for turn in turns:
         phase = f"{turn.bottom.replace(' ', '_')}.{'onset' if turn.onset else 'lasting'}"
         figures = {f"attempts.{phase}": (turn.attempts[-1], "attempts a call"),
-                   f"served.{phase}": (turn.served(), "of calls"), f"most.{phase}": (turn.most, "attempts")}
+                   f"served.{phase}": (turn.served(), "of calls"), f"most.{phase}": (turn.max_attempts, "attempts")}
         if turn.bottom == "well":
             figures = {f"{name}.well": (value, "ms") for name, value in (
                 ("added_p50_ms", turn.added_ms(0.5)), ("added_p99_ms", turn.added_ms(0.99)),
