--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -312,7 +312,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class ChainResult:
     """Calls into a chain while the bottom behaved in one way: from the start of that behaviour (`onset`), or after it
     has lasted a while."""
 
@@ -354,19 +354,19 @@
     lasting_s: float = 4.0
 
 
-async def count(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> Turn:
+async def count(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> ChainResult:
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
     samples, bare = await asyncio.gather(ask(run, chain.sidecars[0], rate, seconds),
                                          ask(f"b{run}", chain.bare[0], rate, seconds))
     told = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
     end_us = seconds * 1e6
-    return Turn(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
+    return ChainResult(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
                 latencies_us(bare, 0, end_us),
                 [level.get("attempts", 0) / max(1, len(samples)) for level in told], told[-1].get("most", 0),
                 [level.get("left_ms", []) for level in told], [level.get("got", {}) for level in told])
 
 
-async def play(name: str, hops: int, plan: Plan, seed: str) -> list[Turn]:
+async def play(name: str, hops: int, plan: Plan, seed: str) -> list[ChainResult]:
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
     async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
@@ -378,10 +378,10 @@
 
 
 async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Plan | None = None,
-                   rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[Turn]:
+                   rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
-    found: list[Turn] = []
+    found: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
             works = [play(name, hops, plan or Plan(), f"chain/{number}/{name}/{hops}") for hops in lengths]
@@ -393,7 +393,7 @@
     return found
 
 
-def record(context: RunContext, turns: Sequence[Turn], depth: int) -> None:
+def record(context: RunContext, turns: Sequence[ChainResult], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
     for turn in turns:
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -103,7 +103,7 @@
 
 
 def test_figures_of_turns_become_slopes_and_what_they_come_to() -> None:
-    turns = [chain.Turn(name, hops, False, 100, [1_000 * hops] * 90, [500] * 90, [1.1**i for i in range(1, hops + 1)],
+    turns = [chain.ChainResult(name, hops, False, 100, [1_000 * hops] * 90, [500] * 90, [1.1**i for i in range(1, hops + 1)],
                         3, [[900.0, 1_000.0 - 8 * i, 1_000.0] for i in range(1, hops + 1)], [{}] * hops)
              for name in ("well", "fails 0.2") for hops in (1, 2, 4)]
     scene = scene_of()
