--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -336,8 +336,8 @@
 
 async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
     """Sends calls at a rate and waits until all have ended."""
-    part = paced(rate, seconds, run, kind.deadline_us)
-    client, samples = client_of(run, address, part, seconds, kind)
+    schedule = paced(rate, seconds, run, kind.deadline_us)
+    client, samples = client_of(run, address, schedule, seconds, kind)
     client.start(time.monotonic_ns() + round(START_DELAY_S * 1e9))
     await client.wait(seconds + START_DELAY_S + kind.deadline_us / 1e6 + 1.0)
     return samples
