--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -334,7 +334,7 @@
         return (percentile(self.latencies_us, share) - percentile(self.bare_latencies_us, share)) / 1000
 
 
-async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
+async def send_calls(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
     """Sends calls at a rate and waits until all have ended."""
     schedule = paced(rate, seconds, run, kind.deadline_us)
     client, samples = client_of(run, address, schedule, seconds, kind)
@@ -356,8 +356,8 @@
 
 async def count(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> ChainResult:
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
-    samples, bare = await asyncio.gather(ask(run, chain.sidecars[0], rate, seconds),
-                                         ask(f"b{run}", chain.bare[0], rate, seconds))
+    samples, bare = await asyncio.gather(send_calls(run, chain.sidecars[0], rate, seconds),
+                                         send_calls(f"b{run}", chain.bare[0], rate, seconds))
     told = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
     end_us = seconds * 1e6
     return ChainResult(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
@@ -370,10 +370,10 @@
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
     async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
-        await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
+        await send_calls("w", chain.sidecars[0], plan.rate, plan.well_s)
         chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
         onset = await count(chain, name, plan.rate, plan.onset_s, True)
-        await ask("s", chain.sidecars[0], plan.rate, plan.settle_s)
+        await send_calls("s", chain.sidecars[0], plan.rate, plan.settle_s)
         return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
 
 
