--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -344,7 +344,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class Timing:
     """The call rate per second, and how long each part of a chain's run lasts."""
 
     rate: float = 60.0
@@ -366,7 +366,7 @@
                 [level.get("left_ms", []) for level in told], [level.get("got", {}) for level in told])
 
 
-async def play(name: str, hops: int, plan: Plan, seed: str) -> list[ChainResult]:
+async def play(name: str, hops: int, plan: Timing, seed: str) -> list[ChainResult]:
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
     async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
@@ -377,14 +377,14 @@
         return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
 
 
-async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Plan | None = None,
+async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Timing | None = None,
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
     found: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
-            works = [play(name, hops, plan or Plan(), f"chain/{number}/{name}/{hops}") for hops in lengths]
+            works = [play(name, hops, plan or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
             played = [await work for work in works] if name == "well" else await asyncio.gather(*works)
             for at in (at for turns in played for at in turns):
                 found.append(at)
