--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -358,12 +358,12 @@
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
     samples, bare = await asyncio.gather(send_calls(run, chain.sidecars[0], rate, seconds),
                                          send_calls(f"b{run}", chain.bare[0], rate, seconds))
-    told = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
+    levels = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
     end_us = seconds * 1e6
     return ChainResult(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
                 latencies_us(bare, 0, end_us),
-                [level.get("attempts", 0) / max(1, len(samples)) for level in told], told[-1].get("most", 0),
-                [level.get("left_ms", []) for level in told], [level.get("got", {}) for level in told])
+                [level.get("attempts", 0) / max(1, len(samples)) for level in levels], levels[-1].get("most", 0),
+                [level.get("left_ms", []) for level in levels], [level.get("got", {}) for level in levels])
 
 
 async def play(name: str, hops: int, plan: Timing, seed: str) -> list[ChainResult]:
