--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -354,7 +354,7 @@
     lasting_s: float = 4.0
 
 
-async def count(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> ChainResult:
+async def measure_calls(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> ChainResult:
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
     samples, bare = await asyncio.gather(send_calls(run, chain.sidecars[0], rate, seconds),
                                          send_calls(f"b{run}", chain.bare[0], rate, seconds))
@@ -372,9 +372,9 @@
     async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
         await send_calls("w", chain.sidecars[0], plan.rate, plan.well_s)
         chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
-        onset = await count(chain, name, plan.rate, plan.onset_s, True)
+        onset = await measure_calls(chain, name, plan.rate, plan.onset_s, True)
         await send_calls("s", chain.sidecars[0], plan.rate, plan.settle_s)
-        return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
+        return [onset, await measure_calls(chain, name, plan.rate, plan.lasting_s, False)]
 
 
 async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Timing | None = None,
