--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -366,15 +366,15 @@
                 [level.get("left_ms", []) for level in levels], [level.get("got", {}) for level in levels])
 
 
-async def play(name: str, hops: int, plan: Timing, seed: str) -> list[ChainResult]:
+async def play(name: str, hops: int, timing: Timing, seed: str) -> list[ChainResult]:
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
-    async with started_chain(hops, rate=plan.rate, seed=seed) as chain:
-        await send_calls("w", chain.sidecars[0], plan.rate, plan.well_s)
+    async with started_chain(hops, rate=timing.rate, seed=seed) as chain:
+        await send_calls("w", chain.sidecars[0], timing.rate, timing.well_s)
         chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
-        onset = await measure_calls(chain, name, plan.rate, plan.onset_s, True)
-        await send_calls("s", chain.sidecars[0], plan.rate, plan.settle_s)
-        return [onset, await measure_calls(chain, name, plan.rate, plan.lasting_s, False)]
+        onset = await measure_calls(chain, name, timing.rate, timing.onset_s, True)
+        await send_calls("s", chain.sidecars[0], timing.rate, timing.settle_s)
+        return [onset, await measure_calls(chain, name, timing.rate, timing.lasting_s, False)]
 
 
 async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Timing | None = None,
