--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -366,7 +366,7 @@
                 [level.get("left_ms", []) for level in levels], [level.get("got", {}) for level in levels])
 
 
-async def play(name: str, hops: int, timing: Timing, seed: str) -> list[ChainResult]:
+async def run_chain(name: str, hops: int, timing: Timing, seed: str) -> list[ChainResult]:
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
     async with started_chain(hops, rate=timing.rate, seed=seed) as chain:
@@ -384,7 +384,7 @@
     found: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
-            works = [play(name, hops, plan or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
+            works = [run_chain(name, hops, plan or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
             played = [await work for work in works] if name == "well" else await asyncio.gather(*works)
             for at in (at for turns in played for at in turns):
                 found.append(at)
