--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -377,14 +377,14 @@
         return [onset, await measure_calls(chain, name, timing.rate, timing.lasting_s, False)]
 
 
-async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), plan: Timing | None = None,
+async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), timing: Timing | None = None,
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
     found: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
-            works = [run_chain(name, hops, plan or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
+            works = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
             played = [await work for work in works] if name == "well" else await asyncio.gather(*works)
             for at in (at for turns in played for at in turns):
                 found.append(at)
