--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -381,16 +381,16 @@
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
-    found: list[ChainResult] = []
+    results: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
             works = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
             played = [await work for work in works] if name == "well" else await asyncio.gather(*works)
             for at in (at for turns in played for at in turns):
-                found.append(at)
+                results.append(at)
                 tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
                      f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.max_attempts} at most")
-    return found
+    return results
 
 
 def record(context: RunContext, turns: Sequence[ChainResult], depth: int) -> None:
