--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -385,7 +385,7 @@
     for number in range(rounds):
         for name in bottoms:
             runs = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
-            played = [await work for work in runs] if name == "well" else await asyncio.gather(*runs)
+            played = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
             for at in (at for turns in played for at in turns):
                 results.append(at)
                 tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
