--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -385,8 +385,8 @@
     for number in range(rounds):
         for name in bottoms:
             runs = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
-            played = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
-            for at in (at for turns in played for at in turns):
+            results_by_length = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
+            for at in (at for turns in results_by_length for at in turns):
                 results.append(at)
                 tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
                      f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.max_attempts} at most")
