--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -377,7 +377,7 @@
         return [onset, await measure_calls(chain, name, timing.rate, timing.lasting_s, False)]
 
 
-async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), timing: Timing | None = None,
+async def run_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), timing: Timing | None = None,
                    rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
@@ -422,7 +422,7 @@
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
     context.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
-        turns = await play_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
+        turns = await run_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
     record(context, turns, context.size.fleet.depth)
