--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -393,10 +393,10 @@
     return results
 
 
-def record(context: RunContext, turns: Sequence[ChainResult], depth: int) -> None:
+def record(context: RunContext, results: Sequence[ChainResult], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
-    for turn in turns:
+    for turn in results:
         phase = f"{turn.bottom.replace(' ', '_')}.{'onset' if turn.onset else 'lasting'}"
         figures = {f"attempts.{phase}": (turn.attempts[-1], "attempts a call"),
                    f"served.{phase}": (turn.served(), "of calls"), f"most.{phase}": (turn.max_attempts, "attempts")}
