--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -396,16 +396,16 @@
 def record(context: RunContext, results: Sequence[ChainResult], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
-    for turn in results:
-        phase = f"{turn.bottom.replace(' ', '_')}.{'onset' if turn.onset else 'lasting'}"
-        figures = {f"attempts.{phase}": (turn.attempts[-1], "attempts a call"),
-                   f"served.{phase}": (turn.served(), "of calls"), f"most.{phase}": (turn.max_attempts, "attempts")}
-        if turn.bottom == "well":
+    for result in results:
+        phase = f"{result.bottom.replace(' ', '_')}.{'onset' if result.onset else 'lasting'}"
+        figures = {f"attempts.{phase}": (result.attempts[-1], "attempts a call"),
+                   f"served.{phase}": (result.served(), "of calls"), f"most.{phase}": (result.max_attempts, "attempts")}
+        if result.bottom == "well":
             figures = {f"{name}.well": (value, "ms") for name, value in (
-                ("added_p50_ms", turn.added_ms(0.5)), ("added_p99_ms", turn.added_ms(0.99)),
-                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - turn.remaining_ms[-1][1]))}
+                ("added_p50_ms", result.added_ms(0.5)), ("added_p99_ms", result.added_ms(0.99)),
+                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - result.remaining_ms[-1][1]))}
         for name, (value, unit) in figures.items():
-            points.setdefault((f"chain.{name}", unit), {}).setdefault(turn.hops, []).append(round(value, 4))
+            points.setdefault((f"chain.{name}", unit), {}).setdefault(result.hops, []).append(round(value, 4))
     for (name, unit), by_hops in points.items():
         context.add_slope(name, ROLE, "hops", unit, by_hops, NOTE)
         by_factor = ".attempts." in name
