--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -393,7 +393,7 @@
     return results
 
 
-def record(context: RunContext, results: Sequence[ChainResult], depth: int) -> None:
+def add_results(context: RunContext, results: Sequence[ChainResult], depth: int) -> None:
     """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
     for result in results:
@@ -425,7 +425,7 @@
         turns = await run_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
-    record(context, turns, context.size.fleet.depth)
+    add_results(context, turns, context.size.fleet.depth)
 
 
 async def main() -> None:
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -107,7 +107,7 @@
                         3, [[900.0, 1_000.0 - 8 * i, 1_000.0] for i in range(1, hops + 1)], [{}] * hops)
              for name in ("well", "fails 0.2") for hops in (1, 2, 4)]
     scene = scene_of()
-    chain.record(scene, turns, 22)
+    chain.add_results(scene, turns, 22)
     found = scene.result
     assert math.isclose(found.readings["chain.attempts.fails_0.2.lasting.at_22_hops"].value, 1.1**22, rel_tol=0.01)
     assert math.isclose(found.readings["chain.deadline_spent_ms.well.at_22_hops"].value, 8 * 22, rel_tol=0.01)
