--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -422,10 +422,10 @@
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
     context.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
-        turns = await run_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
+        results = await run_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
-    add_results(context, turns, context.size.fleet.depth)
+    add_results(context, results, context.size.fleet.depth)
 
 
 async def main() -> None:
