--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -431,16 +431,16 @@
 async def main() -> None:
     loop = asyncio.get_running_loop()
 
-    def tell(data: Mapping[str, Any]) -> None:
+    def write(data: Mapping[str, Any]) -> None:
         print(json.dumps(data), flush=True)
 
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
     applications = ChainApplications(spec["hops"], spec["copies"], spec["seed"])
-    tell(await applications.start())
+    write(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
         found = applications.handle(json.loads(line))
         if found is not None:
-            tell(found)
+            write(found)
 
 
 if __name__ == "__main__":
