--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -37,7 +37,7 @@
 from ironscale.scale.fit import MIN_SIZES
 from ironscale.scale.run import RunError, RunContext
 
-WAYS = ("direct", "relay", "sidecar")
+ROUTES = ("direct", "relay", "sidecar")
 KIND = KindSpec("view", "idempotent", 5_000_000, False)
 CONNECTIONS = 64  # connections of the application open at once on each route
 SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
@@ -169,11 +169,11 @@
         for way, samples in self.samples.items():
             for s in samples:
                 if a.at_us <= s.sched_us < b.at_us and s.end == End.SERVED:
-                    took = slices.setdefault(s.sched_us // SLICE_US, {way: [] for way in WAYS})[way]
+                    took = slices.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[way]
                     took.append(s.done_us - s.sched_us)
         calm = [took for took in slices.values()
                 if max(took["direct"], default=0) <= QUIET_US and max(took["relay"], default=0) <= QUIET_US]
-        return {way: [us for took in calm for us in took[way]] for way in WAYS}
+        return {way: [us for took in calm for us in took[way]] for way in ROUTES}
 
     def ends(self) -> Counter[str]:
         """Numbers of calls through the sidecar by outcome, also of those before the first window."""
@@ -187,7 +187,7 @@
             def add(name: str, value: float, number: int = number) -> None:
                 found.setdefault(name, []).append((self.upstreams, value, number))
 
-            took = {way: self.calls(way, a, b) for way in WAYS}
+            took = {way: self.calls(way, a, b) for way in ROUTES}
             for way in ("relay", "sidecar"):
                 add(f"path.cpu_us.{way}", (b.cpu_s[way] - a.cpu_s[way]) * 1e6 / max(1, len(took[way])))
                 for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
@@ -249,12 +249,12 @@
         pids = {"relay": relay_pid, "sidecar": process.pid}
         addresses = {"direct": ("127.0.0.1", site.ports[0]), "relay": relay, "sidecar": address}
         clients = []
-        for way in WAYS:
+        for way in ROUTES:
             client, found.samples[way] = client_of(way, addresses[way], part, seconds)
             clients.append(client)
         start_ns = time.monotonic_ns() + round(LEAD_S * 1e9)
         for number, client in enumerate(clients):
-            client.start(start_ns + round(number / (len(WAYS) * rate) * 1e9))
+            client.start(start_ns + round(number / (len(ROUTES) * rate) * 1e9))
         for number in range(windows + 1):
             at_ns = start_ns + round((warm_s + number * window_s) * 1e9)
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
@@ -277,10 +277,10 @@
         for name, points in played.points(first).items():
             self.points.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.ends())
-        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in WAYS}) for held in (self.took, self.calm))
+        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
         for a, b in played.spans():
             quiet = played.quiet(a, b)
-            for way in WAYS:
+            for way in ROUTES:
                 ways[way] += played.calls(way, a, b)
                 calm[way] += quiet[way]
 
