--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -38,7 +38,7 @@
 from ironscale.scale.run import RunError, RunContext
 
 ROUTES = ("direct", "relay", "sidecar")
-KIND = KindSpec("view", "idempotent", 5_000_000, False)
+REQUEST_KIND = KindSpec("view", "idempotent", 5_000_000, False)
 CONNECTIONS = 64  # connections of the application open at once on each route
 SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
 WARM_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
@@ -97,7 +97,7 @@
         yield process.pid, ("127.0.0.1", int(await process.stdout.readline()))
 
 
-def scenario(upstreams: int, sidecars: int, deadline_ms: int = KIND.deadline_us // 1000, aim_ms: int = 300) -> Scenario:
+def scenario(upstreams: int, sidecars: int, deadline_ms: int = REQUEST_KIND.deadline_us // 1000, aim_ms: int = 300) -> Scenario:
     """Upstreams that answer immediately, and one sidecar whose settings say that there are `sidecars` of them."""
     return parse(
         'duration_s = 1\n[[arrivals]]\nshape = "constant"\nrate = 1\n[[class]]\nname = "view"\n'
@@ -107,14 +107,14 @@
     )
 
 
-def paced(rate: float, seconds: float, seed: str, deadline_us: int = KIND.deadline_us) -> Schedule:
+def paced(rate: float, seconds: float, seed: str, deadline_us: int = REQUEST_KIND.deadline_us) -> Schedule:
     """A schedule of calls with Poisson arrivals."""
     times = arrivals.poisson(Random(f"{seed}/arrivals"), arrivals.constant(rate, 0, round(seconds * 1e6)))
     return build(steady(times), Mix([KindMix(1.0, deadline_us)]), seed)
 
 
 def client_of(run: str, address: Address, part: Schedule, seconds: float,
-              kind: KindSpec = KIND) -> tuple[Client, list[Sample]]:
+              kind: KindSpec = REQUEST_KIND) -> tuple[Client, list[Sample]]:
     """A client for one route, and the list that its samples go into. `part` is the schedule of its calls."""
     samples: list[Sample] = []
     spec = Spec(run, (address,), "sidecar", "/api", False, (kind,), ("t0",), CONNECTIONS, 0, 0, round(seconds * 1e6),
@@ -260,7 +260,7 @@
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
             found.looks.append(await look(site, marks, pids, start_ns))
         for client in clients:
-            await client.wait(KIND.deadline_us / 1e6)
+            await client.wait(REQUEST_KIND.deadline_us / 1e6)
     return found
 
 
