--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -40,7 +40,7 @@
 ROUTES = ("direct", "relay", "sidecar")
 REQUEST_KIND = KindSpec("view", "idempotent", 5_000_000, False)
 CONNECTIONS = 64  # connections of the application open at once on each route
-SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
+MAX_SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
 WARM_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
 FEW = 10  # sidecars: too few for each to use only a subset of the upstreams
 LEAD_S = 0.3
@@ -101,7 +101,7 @@
     """Upstreams that answer immediately, and one sidecar whose settings say that there are `sidecars` of them."""
     return parse(
         'duration_s = 1\n[[arrivals]]\nshape = "constant"\nrate = 1\n[[class]]\nname = "view"\n'
-        f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\nsockets = {SOCKETS}\n'
+        f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\nsockets = {MAX_SOCKETS}\n'
         f"settings = {{ instances = {sidecars} }}\n[[upstreams]]\ncount = {upstreams}\n",
         "path", Path("."),
     )
