--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -41,7 +41,7 @@
 REQUEST_KIND = KindSpec("view", "idempotent", 5_000_000, False)
 CONNECTIONS = 64  # connections of the application open at once on each route
 MAX_SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
-WARM_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
+WARM_UP_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
 FEW = 10  # sidecars: too few for each to use only a subset of the upstreams
 LEAD_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
@@ -285,7 +285,7 @@
                 calm[way] += quiet[way]
 
 
-async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_S,
+async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_UP_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
                tell: Callable[[str], None] = lambda line: None) -> Found:
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
