--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -42,7 +42,7 @@
 CONNECTIONS = 64  # connections of the application open at once on each route
 MAX_SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
 WARM_UP_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
-FEW = 10  # sidecars: too few for each to use only a subset of the upstreams
+FEW_SIDECARS = 10  # sidecars: too few for each to use only a subset of the upstreams
 LEAD_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
 # call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
@@ -344,8 +344,8 @@
     try:
         found = await play(lists, rate, windows=windows, tell=context.progress)
         record(context, found, "path", note + "a sidecar for each upstream")
-        few = await play(lists[-1:], rate, sidecars=FEW, windows=windows, tell=context.progress)
-        record(context, few, "path_few", note + f"{FEW} sidecars")
+        few = await play(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, tell=context.progress)
+        record(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
 
