--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -43,7 +43,7 @@
 MAX_SOCKETS = 4_096  # the sidecar's socket limit, as set by the platform
 WARM_UP_S = 16.0  # pooled connections live 15 s: after that as many are closed as opened
 FEW_SIDECARS = 10  # sidecars: too few for each to use only a subset of the upstreams
-LEAD_S = 0.3
+START_DELAY_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
 # call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
 SLICE_US, QUIET_US, LEAST_QUIET = 100_000, 1_500, 200
@@ -252,7 +252,7 @@
         for way in ROUTES:
             client, found.samples[way] = client_of(way, addresses[way], part, seconds)
             clients.append(client)
-        start_ns = time.monotonic_ns() + round(LEAD_S * 1e9)
+        start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for number, client in enumerate(clients):
             client.start(start_ns + round(number / (len(ROUTES) * rate) * 1e9))
         for number in range(windows + 1):
