--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -46,7 +46,7 @@
 START_DELAY_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
 # call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
-SLICE_US, QUIET_US, LEAST_QUIET = 100_000, 1_500, 200
+SLICE_US, QUIET_MAX_US, LEAST_QUIET = 100_000, 1_500, 200
 ROLE = "sidecar data path"
 Points = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
 
@@ -172,7 +172,7 @@
                     took = slices.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[way]
                     took.append(s.done_us - s.sched_us)
         calm = [took for took in slices.values()
-                if max(took["direct"], default=0) <= QUIET_US and max(took["relay"], default=0) <= QUIET_US]
+                if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
         return {way: [us for took in calm for us in took[way]] for way in ROUTES}
 
     def ends(self) -> Counter[str]:
@@ -340,7 +340,7 @@
     lists, rate, windows = context.size.play.lists, context.size.calls_per_s_each, context.size.play.repeats
     context.check_limits(0, 0, real_count=1, other_processes=2)
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
-            f"the direct way nor the byte relay took over {QUIET_US / 1000:g} ms; the sidecar is told of ")
+            f"the direct way nor the byte relay took over {QUIET_MAX_US / 1000:g} ms; the sidecar is told of ")
     try:
         found = await play(lists, rate, windows=windows, tell=context.progress)
         record(context, found, "path", note + "a sidecar for each upstream")
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -50,7 +50,7 @@
 def test_quiet_is_chosen_by_the_other_ways_and_not_by_the_sidecar() -> None:
     played = path.Turn(1, [path.Look(0, {}, [], 0, 0.0), path.Look(4 * path.SLICE_US, {}, [], 0, 0.0)])
     at = [n * path.SLICE_US + 5 for n in range(4)]
-    slow = path.QUIET_US + 1
+    slow = path.QUIET_MAX_US + 1
     played.samples = {"direct": [served(at[0], slow), *(served(t, 100) for t in at[1:])],
                       "relay": [served(at[0], 100), served(at[1], slow), *(served(t, 100) for t in at[2:])],
                       "sidecar": [served(t, n) for t, n in zip(at, (1, 2, 3, 50_000), strict=True)]}
