--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -46,7 +46,7 @@
 START_DELAY_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
 # call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
-SLICE_US, QUIET_MAX_US, LEAST_QUIET = 100_000, 1_500, 200
+SLICE_US, QUIET_MAX_US, MIN_QUIET_CALLS = 100_000, 1_500, 200
 ROLE = "sidecar data path"
 Points = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
 
@@ -195,7 +195,7 @@
                     add(f"path.any_added_{name}_us.{way}", extra_us)
             calm = self.quiet(a, b)
             add("path.quiet_share", len(calm["sidecar"]) / max(1, len(took["sidecar"])))
-            if len(calm["sidecar"]) >= LEAST_QUIET:
+            if len(calm["sidecar"]) >= MIN_QUIET_CALLS:
                 for way in ("relay", "sidecar"):
                     for name, share in (("p50", 0.5), ("p99", 0.99)):
                         extra_us = percentile(calm[way], share) - percentile(calm["direct"], share)
