--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -48,7 +48,7 @@
 # call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
 SLICE_US, QUIET_MAX_US, MIN_QUIET_CALLS = 100_000, 1_500, 200
 ROLE = "sidecar data path"
-Points = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
+PointsByName = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
 
 
 class Pipe(asyncio.Protocol):
@@ -179,10 +179,10 @@
         """Numbers of calls through the sidecar by outcome, also of those before the first window."""
         return Counter(End(s.end).name.lower() for s in self.samples["sidecar"])
 
-    def points(self, first: int) -> Points:
+    def points(self, first: int) -> PointsByName:
         """Metrics by window, numbered from `first`. The direct and relayed calls go to upstream 0, so it is left out
         of the metrics of connections if there are other upstreams."""
-        found: Points = {}
+        found: PointsByName = {}
         for number, (a, b) in enumerate(self.spans(), first):
             def add(name: str, value: float, number: int = number) -> None:
                 found.setdefault(name, []).append((self.upstreams, value, number))
@@ -268,7 +268,7 @@
 class Found:
     """The results of all lengths and rounds of a run."""
 
-    points: Points = field(default_factory=dict)
+    points: PointsByName = field(default_factory=dict)
     took: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
     calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
