--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -57,7 +57,7 @@
     def __init__(self, target: Address | None, other: Pipe | None = None) -> None:
         self.target, self.other = target, other
         self.transport: asyncio.Transport | None = None
-        self.held: list[bytes] = []
+        self.buffered: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -67,12 +67,12 @@
     async def connect(self, target: Address) -> None:
         self.other = other = Pipe(None, self)
         await asyncio.get_running_loop().create_connection(lambda: other, *target)
-        for data in self.held:
+        for data in self.buffered:
             self.data_received(data)
 
     def data_received(self, data: bytes) -> None:
         if self.other is None or self.other.transport is None:
-            self.held.append(data)
+            self.buffered.append(data)
         else:
             self.other.transport.write(data)
 
