--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -55,7 +55,7 @@
     """One side of a connection through the byte relay."""
 
     def __init__(self, target: Address | None, other: Pipe | None = None) -> None:
-        self.target, self.other = target, other
+        self.target, self.peer = target, other
         self.transport: asyncio.Transport | None = None
         self.buffered: list[bytes] = []
 
@@ -65,20 +65,20 @@
             asyncio.get_running_loop().create_task(self.connect(self.target))
 
     async def connect(self, target: Address) -> None:
-        self.other = other = Pipe(None, self)
+        self.peer = other = Pipe(None, self)
         await asyncio.get_running_loop().create_connection(lambda: other, *target)
         for data in self.buffered:
             self.data_received(data)
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None or self.other.transport is None:
+        if self.peer is None or self.peer.transport is None:
             self.buffered.append(data)
         else:
-            self.other.transport.write(data)
+            self.peer.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.close()
 
 
 async def pass_bytes(host: str, port: int) -> int:
