--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -54,8 +54,8 @@
 class Pipe(asyncio.Protocol):
     """One side of a connection through the byte relay."""
 
-    def __init__(self, target: Address | None, other: Pipe | None = None) -> None:
-        self.target, self.peer = target, other
+    def __init__(self, target: Address | None, peer: Pipe | None = None) -> None:
+        self.target, self.peer = target, peer
         self.transport: asyncio.Transport | None = None
         self.buffered: list[bytes] = []
 
