--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -51,10 +51,10 @@
 PointsByName = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
 
 
-class Pipe(asyncio.Protocol):
+class RelayConnection(asyncio.Protocol):
     """One side of a connection through the byte relay."""
 
-    def __init__(self, target: Address | None, peer: Pipe | None = None) -> None:
+    def __init__(self, target: Address | None, peer: RelayConnection | None = None) -> None:
         self.target, self.peer = target, peer
         self.transport: asyncio.Transport | None = None
         self.buffered: list[bytes] = []
@@ -65,7 +65,7 @@
             asyncio.get_running_loop().create_task(self.connect(self.target))
 
     async def connect(self, target: Address) -> None:
-        self.peer = other = Pipe(None, self)
+        self.peer = other = RelayConnection(None, self)
         await asyncio.get_running_loop().create_connection(lambda: other, *target)
         for data in self.buffered:
             self.data_received(data)
@@ -83,7 +83,7 @@
 
 async def pass_bytes(host: str, port: int) -> int:
     """Starts a relay to host and port that runs until this process ends. Returns the port that it listens on."""
-    server = await asyncio.get_running_loop().create_server(lambda: Pipe((host, port)), "127.0.0.1", 0)
+    server = await asyncio.get_running_loop().create_server(lambda: RelayConnection((host, port)), "127.0.0.1", 0)
     found: int = server.sockets[0].getsockname()[1]
     return found
 
