--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -84,8 +84,8 @@
 async def pass_bytes(host: str, port: int) -> int:
     """Starts a relay to host and port that runs until this process ends. Returns the port that it listens on."""
     server = await asyncio.get_running_loop().create_server(lambda: RelayConnection((host, port)), "127.0.0.1", 0)
-    found: int = server.sockets[0].getsockname()[1]
-    return found
+    listening_port: int = server.sockets[0].getsockname()[1]
+    return listening_port
 
 
 @contextlib.asynccontextmanager
