--- a/bench/relays.py
+++ b/bench/relays.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from ironscale.scale.path import pass_bytes
+from ironscale.scale.path import start_relay
 
 
 async def pass_requests(host: str, port: int) -> int:
@@ -37,7 +37,7 @@
 
 async def main() -> None:
     host, _, port = sys.argv[2].rpartition(":")
-    print(await (pass_bytes if sys.argv[1] == "bytes" else pass_requests)(host, int(port)), flush=True)
+    print(await (start_relay if sys.argv[1] == "bytes" else pass_requests)(host, int(port)), flush=True)
     await asyncio.Event().wait()
 
 
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -81,7 +81,7 @@
             self.peer.transport.close()
 
 
-async def pass_bytes(host: str, port: int) -> int:
+async def start_relay(host: str, port: int) -> int:
     """Starts a relay to host and port that runs until this process ends. Returns the port that it listens on."""
     server = await asyncio.get_running_loop().create_server(lambda: RelayConnection((host, port)), "127.0.0.1", 0)
     listening_port: int = server.sockets[0].getsockname()[1]
@@ -352,7 +352,7 @@
 
 async def main() -> None:
     host, _, port = sys.stdin.readline().strip().rpartition(":")
-    print(await pass_bytes(host, int(port)), flush=True)
+    print(await start_relay(host, int(port)), flush=True)
     await asyncio.Event().wait()
 
 
