--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -107,7 +107,7 @@
     )
 
 
-def paced(rate: float, seconds: float, seed: str, deadline_us: int = REQUEST_KIND.deadline_us) -> Schedule:
+def paced_schedule(rate: float, seconds: float, seed: str, deadline_us: int = REQUEST_KIND.deadline_us) -> Schedule:
     """A schedule of calls with Poisson arrivals."""
     times = arrivals.poisson(Random(f"{seed}/arrivals"), arrivals.constant(rate, 0, round(seconds * 1e6)))
     return build(steady(times), Mix([KindMix(1.0, deadline_us)]), seed)
@@ -239,7 +239,7 @@
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     allow_files(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_s + window_s * windows
-    part = paced(rate, seconds, seed)
+    part = paced_schedule(rate, seconds, seed)
     async with (
         started_site(s, marks.put_nowait) as site,
         started_relay(("127.0.0.1", site.ports[0])) as (relay_pid, relay),
