--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -113,13 +113,13 @@
     return build(steady(times), Mix([KindMix(1.0, deadline_us)]), seed)
 
 
-def client_of(run: str, address: Address, part: Schedule, seconds: float,
+def client_of(run: str, address: Address, schedule: Schedule, seconds: float,
               kind: KindSpec = REQUEST_KIND) -> tuple[Client, list[Sample]]:
     """A client for one route, and the list that its samples go into. `part` is the schedule of its calls."""
     samples: list[Sample] = []
     spec = Spec(run, (address,), "sidecar", "/api", False, (kind,), ("t0",), CONNECTIONS, 0, 0, round(seconds * 1e6),
                 0, 1)
-    return Client(spec, part, samples.append), samples
+    return Client(spec, schedule, samples.append), samples
 
 
 def percentile(values: Sequence[float], share: float) -> float:
