--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -33,7 +33,7 @@
 from ironscale.load.run import Address, child, started_sidecars
 from ironscale.load.run import RunError as ChildError
 from ironscale.scale.model import extrapolate
-from ironscale.scale.path import ROLE, client_of, latencies_us, paced_schedule, percentile, scenario
+from ironscale.scale.path import ROLE, create_client, latencies_us, paced_schedule, percentile, scenario
 from ironscale.scale.run import RunError, RunContext
 from ironscale.standins.discovery import ListedDiscovery
 
@@ -337,7 +337,7 @@
 async def send_calls(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
     """Sends calls at a rate and waits until all have ended."""
     schedule = paced_schedule(rate, seconds, run, kind.deadline_us)
-    client, samples = client_of(run, address, schedule, seconds, kind)
+    client, samples = create_client(run, address, schedule, seconds, kind)
     client.start(time.monotonic_ns() + round(START_DELAY_S * 1e9))
     await client.wait(seconds + START_DELAY_S + kind.deadline_us / 1e6 + 1.0)
     return samples
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -113,7 +113,7 @@
     return build(steady(times), Mix([KindMix(1.0, deadline_us)]), seed)
 
 
-def client_of(run: str, address: Address, schedule: Schedule, seconds: float,
+def create_client(run: str, address: Address, schedule: Schedule, seconds: float,
               kind: KindSpec = REQUEST_KIND) -> tuple[Client, list[Sample]]:
     """A client for one route, and the list that its samples go into. `part` is the schedule of its calls."""
     samples: list[Sample] = []
@@ -250,7 +250,7 @@
         addresses = {"direct": ("127.0.0.1", site.ports[0]), "relay": relay, "sidecar": address}
         clients = []
         for way in ROUTES:
-            client, found.samples[way] = client_of(way, addresses[way], part, seconds)
+            client, found.samples[way] = create_client(way, addresses[way], part, seconds)
             clients.append(client)
         start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for number, client in enumerate(clients):
