--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -139,7 +139,7 @@
 
 
 @dataclass(slots=True)
-class Look:
+class Snapshot:
     """A snapshot of counters and gauges."""
 
     at_us: int  # since the start of the run
@@ -154,16 +154,16 @@
     """The results of one sidecar with a list of a given length, from its start."""
 
     upstreams: int
-    looks: list[Look] = field(default_factory=list)
+    looks: list[Snapshot] = field(default_factory=list)
     samples: dict[str, list[Sample]] = field(default_factory=dict)
 
-    def spans(self) -> Iterable[tuple[Look, Look]]:
+    def spans(self) -> Iterable[tuple[Snapshot, Snapshot]]:
         return zip(self.looks, self.looks[1:], strict=False)
 
-    def calls(self, way: str, a: Look, b: Look) -> list[int]:
+    def calls(self, way: str, a: Snapshot, b: Snapshot) -> list[int]:
         return latencies_us(self.samples[way], a.at_us, b.at_us)
 
-    def quiet(self, a: Look, b: Look) -> dict[str, list[int]]:
+    def quiet(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
         """Latencies by route, in the quiet slices between two snapshots."""
         slices: dict[int, dict[str, list[int]]] = {}
         for way, samples in self.samples.items():
@@ -211,10 +211,10 @@
         return found
 
 
-async def look(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Look:
+async def look(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
     site.say({"look": True})
     told = await marks.get()
-    return Look(
+    return Snapshot(
         (time.monotonic_ns() - start_ns) // 1000,
         {name: process_cpu_s(pid) for name, pid in pids.items()},
         told["upstreams"],
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -26,9 +26,9 @@
 
 
 def test_figures_are_of_the_window_and_leave_out_the_way_in() -> None:
-    def look(at_us: int, sidecar_s: float, *upstreams: tuple[int, int, int]) -> path.Look:
+    def look(at_us: int, sidecar_s: float, *upstreams: tuple[int, int, int]) -> path.Snapshot:
         told = [dict(zip(("opened", "held", "taken"), counts, strict=True)) for counts in upstreams]
-        return path.Look(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
+        return path.Snapshot(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
 
     # upstream 0 is asked directly too, and so tells nothing of the sidecar's connections
     played = path.Turn(2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))])
@@ -48,7 +48,7 @@
 
 
 def test_quiet_is_chosen_by_the_other_ways_and_not_by_the_sidecar() -> None:
-    played = path.Turn(1, [path.Look(0, {}, [], 0, 0.0), path.Look(4 * path.SLICE_US, {}, [], 0, 0.0)])
+    played = path.Turn(1, [path.Snapshot(0, {}, [], 0, 0.0), path.Snapshot(4 * path.SLICE_US, {}, [], 0, 0.0)])
     at = [n * path.SLICE_US + 5 for n in range(4)]
     slow = path.QUIET_MAX_US + 1
     played.samples = {"direct": [served(at[0], slow), *(served(t, 100) for t in at[1:])],
