--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -154,11 +154,11 @@
     """The results of one sidecar with a list of a given length, from its start."""
 
     upstreams: int
-    looks: list[Snapshot] = field(default_factory=list)
+    snapshots: list[Snapshot] = field(default_factory=list)
     samples: dict[str, list[Sample]] = field(default_factory=dict)
 
     def spans(self) -> Iterable[tuple[Snapshot, Snapshot]]:
-        return zip(self.looks, self.looks[1:], strict=False)
+        return zip(self.snapshots, self.snapshots[1:], strict=False)
 
     def calls(self, way: str, a: Snapshot, b: Snapshot) -> list[int]:
         return latencies_us(self.samples[way], a.at_us, b.at_us)
@@ -258,7 +258,7 @@
         for number in range(windows + 1):
             at_ns = start_ns + round((warm_s + number * window_s) * 1e9)
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
-            found.looks.append(await look(site, marks, pids, start_ns))
+            found.snapshots.append(await look(site, marks, pids, start_ns))
         for client in clients:
             await client.wait(REQUEST_KIND.deadline_us / 1e6)
     return found
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -54,7 +54,7 @@
     played.samples = {"direct": [served(at[0], slow), *(served(t, 100) for t in at[1:])],
                       "relay": [served(at[0], 100), served(at[1], slow), *(served(t, 100) for t in at[2:])],
                       "sidecar": [served(t, n) for t, n in zip(at, (1, 2, 3, 50_000), strict=True)]}
-    assert played.quiet(*played.looks)["sidecar"] == [3, 50_000]
+    assert played.quiet(*played.snapshots)["sidecar"] == [3, 50_000]
 
 
 def test_one_real_sidecar_between_generator_and_upstreams_is_counted_whole() -> None:
@@ -64,7 +64,7 @@
         # on a busy machine an answer may be late and a call refused: each call has one end all the same
         assert all(len(samples) == due for samples in played.samples.values())
         assert played.ends().total() == due and played.ends()["served"] > 0, played.ends()
-        before, after = played.looks[0], played.looks[-1]
+        before, after = played.snapshots[0], played.snapshots[-1]
         taken = sum(u["taken"] for u in after.upstreams) - sum(u["taken"] for u in before.upstreams)
         assert taken > 0 and after.cpu_s["sidecar"] > before.cpu_s["sidecar"] > 0
         assert 0 < sum(u["held"] for u in after.upstreams) <= sum(u["opened"] for u in after.upstreams)
