--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -160,7 +160,7 @@
     def spans(self) -> Iterable[tuple[Snapshot, Snapshot]]:
         return zip(self.snapshots, self.snapshots[1:], strict=False)
 
-    def calls(self, way: str, a: Snapshot, b: Snapshot) -> list[int]:
+    def latencies_between(self, way: str, a: Snapshot, b: Snapshot) -> list[int]:
         return latencies_us(self.samples[way], a.at_us, b.at_us)
 
     def quiet(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
@@ -187,7 +187,7 @@
             def add(name: str, value: float, number: int = number) -> None:
                 found.setdefault(name, []).append((self.upstreams, value, number))
 
-            took = {way: self.calls(way, a, b) for way in ROUTES}
+            took = {way: self.latencies_between(way, a, b) for way in ROUTES}
             for way in ("relay", "sidecar"):
                 add(f"path.cpu_us.{way}", (b.cpu_s[way] - a.cpu_s[way]) * 1e6 / max(1, len(took[way])))
                 for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
@@ -281,7 +281,7 @@
         for a, b in played.spans():
             quiet = played.quiet(a, b)
             for way in ROUTES:
-                ways[way] += played.calls(way, a, b)
+                ways[way] += played.latencies_between(way, a, b)
                 calm[way] += quiet[way]
 
 
