--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -160,8 +160,8 @@
     def spans(self) -> Iterable[tuple[Snapshot, Snapshot]]:
         return zip(self.snapshots, self.snapshots[1:], strict=False)
 
-    def latencies_between(self, way: str, a: Snapshot, b: Snapshot) -> list[int]:
-        return latencies_us(self.samples[way], a.at_us, b.at_us)
+    def latencies_between(self, route: str, a: Snapshot, b: Snapshot) -> list[int]:
+        return latencies_us(self.samples[route], a.at_us, b.at_us)
 
     def quiet(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
         """Latencies by route, in the quiet slices between two snapshots."""
