--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -166,10 +166,10 @@
     def quiet(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
         """Latencies by route, in the quiet slices between two snapshots."""
         latencies_by_slice: dict[int, dict[str, list[int]]] = {}
-        for way, samples in self.samples.items():
+        for route, samples in self.samples.items():
             for s in samples:
                 if a.at_us <= s.sched_us < b.at_us and s.end == End.SERVED:
-                    took = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[way]
+                    took = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[route]
                     took.append(s.done_us - s.sched_us)
         calm = [took for took in latencies_by_slice.values()
                 if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
