--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -169,8 +169,8 @@
         for route, samples in self.samples.items():
             for s in samples:
                 if a.at_us <= s.sched_us < b.at_us and s.end == End.SERVED:
-                    took = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[route]
-                    took.append(s.done_us - s.sched_us)
+                    latencies = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[route]
+                    latencies.append(s.done_us - s.sched_us)
         calm = [took for took in latencies_by_slice.values()
                 if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
         return {way: [us for took in calm for us in took[way]] for way in ROUTES}
