--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -171,9 +171,9 @@
                 if a.at_us <= s.sched_us < b.at_us and s.end == End.SERVED:
                     latencies = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[route]
                     latencies.append(s.done_us - s.sched_us)
-        calm = [took for took in latencies_by_slice.values()
+        quiet_slices = [took for took in latencies_by_slice.values()
                 if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
-        return {way: [us for took in calm for us in took[way]] for way in ROUTES}
+        return {way: [us for took in quiet_slices for us in took[way]] for way in ROUTES}
 
     def ends(self) -> Counter[str]:
         """Numbers of calls through the sidecar by outcome, also of those before the first window."""
