--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -163,7 +163,7 @@
     def latencies_between(self, route: str, a: Snapshot, b: Snapshot) -> list[int]:
         return latencies_us(self.samples[route], a.at_us, b.at_us)
 
-    def quiet(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
+    def quiet_latencies(self, a: Snapshot, b: Snapshot) -> dict[str, list[int]]:
         """Latencies by route, in the quiet slices between two snapshots."""
         latencies_by_slice: dict[int, dict[str, list[int]]] = {}
         for route, samples in self.samples.items():
@@ -193,7 +193,7 @@
                 for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     extra_us = percentile(took[way], share) - percentile(took["direct"], share)
                     add(f"path.any_added_{name}_us.{way}", extra_us)
-            calm = self.quiet(a, b)
+            calm = self.quiet_latencies(a, b)
             add("path.quiet_share", len(calm["sidecar"]) / max(1, len(took["sidecar"])))
             if len(calm["sidecar"]) >= MIN_QUIET_CALLS:
                 for way in ("relay", "sidecar"):
@@ -279,7 +279,7 @@
         self.ends.setdefault(played.upstreams, Counter()).update(played.ends())
         ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
         for a, b in played.spans():
-            quiet = played.quiet(a, b)
+            quiet = played.quiet_latencies(a, b)
             for way in ROUTES:
                 ways[way] += played.latencies_between(way, a, b)
                 calm[way] += quiet[way]
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -54,7 +54,7 @@
     played.samples = {"direct": [served(at[0], slow), *(served(t, 100) for t in at[1:])],
                       "relay": [served(at[0], 100), served(at[1], slow), *(served(t, 100) for t in at[2:])],
                       "sidecar": [served(t, n) for t, n in zip(at, (1, 2, 3, 50_000), strict=True)]}
-    assert played.quiet(*played.snapshots)["sidecar"] == [3, 50_000]
+    assert played.quiet_latencies(*played.snapshots)["sidecar"] == [3, 50_000]
 
 
 def test_one_real_sidecar_between_generator_and_upstreams_is_counted_whole() -> None:
