--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -175,7 +175,7 @@
                 if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
         return {way: [us for took in quiet_slices for us in took[way]] for way in ROUTES}
 
-    def ends(self) -> Counter[str]:
+    def outcomes(self) -> Counter[str]:
         """Numbers of calls through the sidecar by outcome, also of those before the first window."""
         return Counter(End(s.end).name.lower() for s in self.samples["sidecar"])
 
@@ -276,7 +276,7 @@
     def add(self, played: Turn, first: int) -> None:
         for name, points in played.points(first).items():
             self.points.setdefault(name, []).extend(points)
-        self.ends.setdefault(played.upstreams, Counter()).update(played.ends())
+        self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
         ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
         for a, b in played.spans():
             quiet = played.quiet_latencies(a, b)
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -44,7 +44,7 @@
     assert points["path.new_connection_share"] == 3 / 6 and points["path.opened_per_s"] == 1.5
     assert points["path.connections_held"] == 3
     assert points["path.quiet_share"] == 1 and "path.added_p99_us.sidecar" not in points  # two calls are too few
-    assert played.ends() == {"served": 4, "reset": 1}
+    assert played.outcomes() == {"served": 4, "reset": 1}
 
 
 def test_quiet_is_chosen_by_the_other_ways_and_not_by_the_sidecar() -> None:
@@ -63,7 +63,7 @@
         due = len(path.paced_schedule(40.0, 1.2, "t"))
         # on a busy machine an answer may be late and a call refused: each call has one end all the same
         assert all(len(samples) == due for samples in played.samples.values())
-        assert played.ends().total() == due and played.ends()["served"] > 0, played.ends()
+        assert played.outcomes().total() == due and played.outcomes()["served"] > 0, played.outcomes()
         before, after = played.snapshots[0], played.snapshots[-1]
         taken = sum(u["taken"] for u in after.upstreams) - sum(u["taken"] for u in before.upstreams)
         assert taken > 0 and after.cpu_s["sidecar"] > before.cpu_s["sidecar"] > 0
