--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -179,7 +179,7 @@
         """Numbers of calls through the sidecar by outcome, also of those before the first window."""
         return Counter(End(s.end).name.lower() for s in self.samples["sidecar"])
 
-    def points(self, first: int) -> PointsByName:
+    def points_by_name(self, first: int) -> PointsByName:
         """Metrics by window, numbered from `first`. The direct and relayed calls go to upstream 0, so it is left out
         of the metrics of connections if there are other upstreams."""
         found: PointsByName = {}
@@ -274,7 +274,7 @@
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
     def add(self, played: Turn, first: int) -> None:
-        for name, points in played.points(first).items():
+        for name, points in played.points_by_name(first).items():
             self.points.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
         ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -37,7 +37,7 @@
         "direct": [*outside, served(1_000_000, 100)], "relay": [*outside, served(1_000_000, 150)],
         "sidecar": [*outside, served(1_000_000, 700), served(2_999_999, 900), served(2_000_000, 1, End.RESET)],
     }
-    points = {name: found[0][1] for name, found in played.points(0).items()}
+    points = {name: found[0][1] for name, found in played.points_by_name(0).items()}
     assert math.isclose(points["path.cpu_us.sidecar"], 0.4e6 / 2)  # of the two that were due in it and served
     assert points["path.any_added_p50_us.sidecar"] == 600 and points["path.any_added_p99_us.sidecar"] == 800
     assert points["path.any_added_p99_us.relay"] == 50
