--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -182,10 +182,10 @@
     def points_by_name(self, first: int) -> PointsByName:
         """Metrics by window, numbered from `first`. The direct and relayed calls go to upstream 0, so it is left out
         of the metrics of connections if there are other upstreams."""
-        found: PointsByName = {}
+        points: PointsByName = {}
         for number, (a, b) in enumerate(self.spans(), first):
             def add(name: str, value: float, number: int = number) -> None:
-                found.setdefault(name, []).append((self.upstreams, value, number))
+                points.setdefault(name, []).append((self.upstreams, value, number))
 
             took = {way: self.latencies_between(way, a, b) for way in ROUTES}
             for way in ("relay", "sidecar"):
@@ -208,7 +208,7 @@
             add("path.connections_held", sum(u["held"] for u in b.upstreams[skipped:]))
             add("path.sidecar_files", b.files)
             add("path.rss_mb", b.rss_mb)
-        return found
+        return points
 
 
 async def look(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
