--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -187,14 +187,14 @@
             def add(name: str, value: float, number: int = number) -> None:
                 points.setdefault(name, []).append((self.upstreams, value, number))
 
-            took = {way: self.latencies_between(way, a, b) for way in ROUTES}
+            latencies = {way: self.latencies_between(way, a, b) for way in ROUTES}
             for way in ("relay", "sidecar"):
-                add(f"path.cpu_us.{way}", (b.cpu_s[way] - a.cpu_s[way]) * 1e6 / max(1, len(took[way])))
+                add(f"path.cpu_us.{way}", (b.cpu_s[way] - a.cpu_s[way]) * 1e6 / max(1, len(latencies[way])))
                 for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
-                    extra_us = percentile(took[way], share) - percentile(took["direct"], share)
+                    extra_us = percentile(latencies[way], share) - percentile(latencies["direct"], share)
                     add(f"path.any_added_{name}_us.{way}", extra_us)
             calm = self.quiet_latencies(a, b)
-            add("path.quiet_share", len(calm["sidecar"]) / max(1, len(took["sidecar"])))
+            add("path.quiet_share", len(calm["sidecar"]) / max(1, len(latencies["sidecar"])))
             if len(calm["sidecar"]) >= MIN_QUIET_CALLS:
                 for way in ("relay", "sidecar"):
                     for name, share in (("p50", 0.5), ("p99", 0.99)):
