--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -193,12 +193,12 @@
                 for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     extra_us = percentile(latencies[way], share) - percentile(latencies["direct"], share)
                     add(f"path.any_added_{name}_us.{way}", extra_us)
-            calm = self.quiet_latencies(a, b)
-            add("path.quiet_share", len(calm["sidecar"]) / max(1, len(latencies["sidecar"])))
-            if len(calm["sidecar"]) >= MIN_QUIET_CALLS:
+            quiet = self.quiet_latencies(a, b)
+            add("path.quiet_share", len(quiet["sidecar"]) / max(1, len(latencies["sidecar"])))
+            if len(quiet["sidecar"]) >= MIN_QUIET_CALLS:
                 for way in ("relay", "sidecar"):
                     for name, share in (("p50", 0.5), ("p99", 0.99)):
-                        extra_us = percentile(calm[way], share) - percentile(calm["direct"], share)
+                        extra_us = percentile(quiet[way], share) - percentile(quiet["direct"], share)
                         add(f"path.added_{name}_us.{way}", extra_us)
             skipped = 1 if self.upstreams > 1 else 0
             opened, taken = (sum(y[key] - x[key] for x, y in zip(a.upstreams[skipped:], b.upstreams[skipped:],
