--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -150,7 +150,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class ListResult:
     """The results of one sidecar with a list of a given length, from its start."""
 
     upstreams: int
@@ -234,8 +234,8 @@
 
 
 async def turn(upstreams: int, sidecars: int, rate: float, warm_s: float, window_s: float, windows: int,
-               seed: str) -> Turn:
-    s, found = scenario(upstreams, sidecars), Turn(upstreams)
+               seed: str) -> ListResult:
+    s, found = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     allow_files(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_s + window_s * windows
@@ -273,7 +273,7 @@
     calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
-    def add(self, played: Turn, first: int) -> None:
+    def add(self, played: ListResult, first: int) -> None:
         for name, points in played.points_by_name(first).items():
             self.points.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -31,7 +31,7 @@
         return path.Snapshot(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
 
     # upstream 0 is asked directly too, and so tells nothing of the sidecar's connections
-    played = path.Turn(2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))])
+    played = path.ListResult(2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))])
     outside = [served(999_999, 9_000), served(3_000_000, 9_000)]
     played.samples = {
         "direct": [*outside, served(1_000_000, 100)], "relay": [*outside, served(1_000_000, 150)],
@@ -48,7 +48,7 @@
 
 
 def test_quiet_is_chosen_by_the_other_ways_and_not_by_the_sidecar() -> None:
-    played = path.Turn(1, [path.Snapshot(0, {}, [], 0, 0.0), path.Snapshot(4 * path.SLICE_US, {}, [], 0, 0.0)])
+    played = path.ListResult(1, [path.Snapshot(0, {}, [], 0, 0.0), path.Snapshot(4 * path.SLICE_US, {}, [], 0, 0.0)])
     at = [n * path.SLICE_US + 5 for n in range(4)]
     slow = path.QUIET_MAX_US + 1
     played.samples = {"direct": [served(at[0], slow), *(served(t, 100) for t in at[1:])],
