--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -213,11 +213,11 @@
 
 async def look(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
     site.say({"look": True})
-    told = await marks.get()
+    marked = await marks.get()
     return Snapshot(
         (time.monotonic_ns() - start_ns) // 1000,
         {name: process_cpu_s(pid) for name, pid in pids.items()},
-        told["upstreams"],
+        marked["upstreams"],
         len(os.listdir(f"/proc/{pids['sidecar']}/fd")),
         rss_mb(pids["sidecar"]),
     )
