--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -211,7 +211,7 @@
         return points
 
 
-async def look(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
+async def take_snapshot(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
     site.say({"look": True})
     marked = await marks.get()
     return Snapshot(
@@ -258,7 +258,7 @@
         for number in range(windows + 1):
             at_ns = start_ns + round((warm_s + number * window_s) * 1e9)
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
-            found.snapshots.append(await look(site, marks, pids, start_ns))
+            found.snapshots.append(await take_snapshot(site, marks, pids, start_ns))
         for client in clients:
             await client.wait(REQUEST_KIND.deadline_us / 1e6)
     return found
