--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -223,14 +223,14 @@
     )
 
 
-def allow_files(wanted: int) -> None:
+def allow_files(needed: int) -> None:
     """Raises the soft limit of open files for processes started from now on. Raises OSError if the hard limit is too
     low."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft != resource.RLIM_INFINITY and soft < wanted:
-        if hard != resource.RLIM_INFINITY and hard < wanted:
-            raise OSError(f"open files: expected {wanted:,} a process, found {hard:,} (`ulimit -Hn`)")
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+    if soft != resource.RLIM_INFINITY and soft < needed:
+        if hard != resource.RLIM_INFINITY and hard < needed:
+            raise OSError(f"open files: expected {needed:,} a process, found {hard:,} (`ulimit -Hn`)")
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
 async def turn(upstreams: int, sidecars: int, rate: float, warm_s: float, window_s: float, windows: int,
