--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -32,7 +32,7 @@
 from ironscale.load.run import child, sidecar_settings
 from ironscale.net.config import CALL_US
 from ironscale.net.discovery import Discovery, Listing, ListParser, _Call
-from ironscale.scale.path import allow_files, percentile, scenario
+from ironscale.scale.path import raise_file_limit, percentile, scenario
 from ironscale.scale.run import RunError, RunContext
 from ironscale.standins.discovery import ListedDiscovery
 
@@ -262,7 +262,7 @@
 @contextlib.asynccontextmanager
 async def started_discovery(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
                ) -> AsyncIterator[DiscoverySetup]:
-    allow_files(2 * watches + 256)
+    raise_file_limit(2 * watches + 256)
     load_scenario = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
     async with contextlib.AsyncExitStack() as stack:
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -223,7 +223,7 @@
     )
 
 
-def allow_files(needed: int) -> None:
+def raise_file_limit(needed: int) -> None:
     """Raises the soft limit of open files for processes started from now on. Raises OSError if the hard limit is too
     low."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -237,7 +237,7 @@
                seed: str) -> ListResult:
     s, found = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-    allow_files(2 * upstreams + 8 * CONNECTIONS)
+    raise_file_limit(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_s + window_s * windows
     part = paced_schedule(rate, seconds, seed)
     async with (
