--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -233,12 +233,12 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
-async def turn(upstreams: int, sidecars: int, rate: float, warm_s: float, window_s: float, windows: int,
+async def turn(upstreams: int, sidecars: int, rate: float, warm_up_s: float, window_s: float, windows: int,
                seed: str) -> ListResult:
     s, found = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     raise_file_limit(2 * upstreams + 8 * CONNECTIONS)
-    seconds = warm_s + window_s * windows
+    seconds = warm_up_s + window_s * windows
     part = paced_schedule(rate, seconds, seed)
     async with (
         started_site(s, marks.put_nowait) as site,
@@ -256,7 +256,7 @@
         for number, client in enumerate(clients):
             client.start(start_ns + round(number / (len(ROUTES) * rate) * 1e9))
         for number in range(windows + 1):
-            at_ns = start_ns + round((warm_s + number * window_s) * 1e9)
+            at_ns = start_ns + round((warm_up_s + number * window_s) * 1e9)
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
             found.snapshots.append(await take_snapshot(site, marks, pids, start_ns))
         for client in clients:
