--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -235,15 +235,15 @@
 
 async def turn(upstreams: int, sidecars: int, rate: float, warm_up_s: float, window_s: float, windows: int,
                seed: str) -> ListResult:
-    s, found = scenario(upstreams, sidecars), ListResult(upstreams)
+    load_scenario, found = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     raise_file_limit(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_up_s + window_s * windows
     part = paced_schedule(rate, seconds, seed)
     async with (
-        started_site(s, marks.put_nowait) as site,
+        started_site(load_scenario, marks.put_nowait) as site,
         started_relay(("127.0.0.1", site.ports[0])) as (relay_pid, relay),
-        started_sidecars(s, site.discovery, rate * sidecars) as started,
+        started_sidecars(load_scenario, site.discovery, rate * sidecars) as started,
     ):
         ((process, address),) = started
         pids = {"relay": relay_pid, "sidecar": process.pid}
