--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -235,7 +235,7 @@
 
 async def turn(upstreams: int, sidecars: int, rate: float, warm_up_s: float, window_s: float, windows: int,
                seed: str) -> ListResult:
-    load_scenario, found = scenario(upstreams, sidecars), ListResult(upstreams)
+    load_scenario, result = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     raise_file_limit(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_up_s + window_s * windows
@@ -250,7 +250,7 @@
         addresses = {"direct": ("127.0.0.1", site.ports[0]), "relay": relay, "sidecar": address}
         clients = []
         for way in ROUTES:
-            client, found.samples[way] = create_client(way, addresses[way], part, seconds)
+            client, result.samples[way] = create_client(way, addresses[way], part, seconds)
             clients.append(client)
         start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for number, client in enumerate(clients):
@@ -258,10 +258,10 @@
         for number in range(windows + 1):
             at_ns = start_ns + round((warm_up_s + number * window_s) * 1e9)
             await asyncio.sleep(max(0.0, (at_ns - time.monotonic_ns()) / 1e9))
-            found.snapshots.append(await take_snapshot(site, marks, pids, start_ns))
+            result.snapshots.append(await take_snapshot(site, marks, pids, start_ns))
         for client in clients:
             await client.wait(REQUEST_KIND.deadline_us / 1e6)
-    return found
+    return result
 
 
 @dataclass(slots=True)
