--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -239,7 +239,7 @@
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
     raise_file_limit(2 * upstreams + 8 * CONNECTIONS)
     seconds = warm_up_s + window_s * windows
-    part = paced_schedule(rate, seconds, seed)
+    schedule = paced_schedule(rate, seconds, seed)
     async with (
         started_site(load_scenario, marks.put_nowait) as site,
         started_relay(("127.0.0.1", site.ports[0])) as (relay_pid, relay),
@@ -250,7 +250,7 @@
         addresses = {"direct": ("127.0.0.1", site.ports[0]), "relay": relay, "sidecar": address}
         clients = []
         for way in ROUTES:
-            client, result.samples[way] = create_client(way, addresses[way], part, seconds)
+            client, result.samples[way] = create_client(way, addresses[way], schedule, seconds)
             clients.append(client)
         start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for number, client in enumerate(clients):
