--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -233,7 +233,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
-async def turn(upstreams: int, sidecars: int, rate: float, warm_up_s: float, window_s: float, windows: int,
+async def measure_list(upstreams: int, sidecars: int, rate: float, warm_up_s: float, window_s: float, windows: int,
                seed: str) -> ListResult:
     load_scenario, result = scenario(upstreams, sidecars), ListResult(upstreams)
     marks: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
@@ -295,7 +295,7 @@
     for number in range(rounds):
         for upstreams in lengths:
             tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
-            played = await turn(upstreams, sidecars or upstreams, rate, warm_s, window_s, windows, f"{seed}/{number}")
+            played = await measure_list(upstreams, sidecars or upstreams, rate, warm_s, window_s, windows, f"{seed}/{number}")
             found.add(played, number * windows)
     return found
 
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -59,7 +59,7 @@
 
 def test_one_real_sidecar_between_generator_and_upstreams_is_counted_whole() -> None:
     async def play() -> None:
-        played = await path.turn(3, 3, rate=40.0, warm_up_s=0.2, window_s=0.5, windows=2, seed="t")
+        played = await path.measure_list(3, 3, rate=40.0, warm_up_s=0.2, window_s=0.5, windows=2, seed="t")
         due = len(path.paced_schedule(40.0, 1.2, "t"))
         # on a busy machine an answer may be late and a call refused: each call has one end all the same
         assert all(len(samples) == due for samples in played.samples.values())
