--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -268,14 +268,14 @@
 class Found:
     """The results of all lengths and rounds of a run."""
 
-    points: PointsByName = field(default_factory=dict)
+    points_by_name: PointsByName = field(default_factory=dict)
     took: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
     calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
     def add(self, played: ListResult, first: int) -> None:
         for name, points in played.points_by_name(first).items():
-            self.points.setdefault(name, []).extend(points)
+            self.points_by_name.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
         ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
         for a, b in played.spans():
@@ -308,7 +308,7 @@
 def record(context: RunContext, found: Found, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
-    for name, points in found.points.items():
+    for name, points in found.points_by_name.items():
         _, figure, way = (*name.split("."), "call")[:3]
         if figure not in UNITS:
             continue
