--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -269,7 +269,7 @@
     """The results of all lengths and rounds of a run."""
 
     points_by_name: PointsByName = field(default_factory=dict)
-    took: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
+    latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
     calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
@@ -277,7 +277,7 @@
         for name, points in played.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
-        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.took, self.calm))
+        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.calm))
         for a, b in played.spans():
             quiet = played.quiet_latencies(a, b)
             for way in ROUTES:
@@ -324,8 +324,8 @@
             for length, values in by_length.items():
                 context.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
     # over all windows together, as one window has too few calls for the 99.9th percentile
-    for upstreams in found.took:
-        for kind, ways in (("any", found.took[upstreams]), ("quiet", found.calm[upstreams])):
+    for upstreams in found.latencies:
+        for kind, ways in (("any", found.latencies[upstreams]), ("quiet", found.calm[upstreams])):
             for way, took in ways.items():
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
