--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -270,14 +270,14 @@
 
     points_by_name: PointsByName = field(default_factory=dict)
     latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
-    calm: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
+    quiet_latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     ends: dict[int, Counter[str]] = field(default_factory=dict)
 
     def add(self, played: ListResult, first: int) -> None:
         for name, points in played.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
         self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
-        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.calm))
+        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
         for a, b in played.spans():
             quiet = played.quiet_latencies(a, b)
             for way in ROUTES:
@@ -325,7 +325,7 @@
                 context.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
     # over all windows together, as one window has too few calls for the 99.9th percentile
     for upstreams in found.latencies:
-        for kind, ways in (("any", found.latencies[upstreams]), ("quiet", found.calm[upstreams])):
+        for kind, ways in (("any", found.latencies[upstreams]), ("quiet", found.quiet_latencies[upstreams])):
             for way, took in ways.items():
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
