--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -271,12 +271,12 @@
     points_by_name: PointsByName = field(default_factory=dict)
     latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # latencies in us, by length and route
     quiet_latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
-    ends: dict[int, Counter[str]] = field(default_factory=dict)
+    outcomes: dict[int, Counter[str]] = field(default_factory=dict)
 
     def add(self, played: ListResult, first: int) -> None:
         for name, points in played.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
-        self.ends.setdefault(played.upstreams, Counter()).update(played.outcomes())
+        self.outcomes.setdefault(played.upstreams, Counter()).update(played.outcomes())
         ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
         for a, b in played.spans():
             quiet = played.quiet_latencies(a, b)
@@ -330,7 +330,7 @@
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
                                       [percentile(took, share) / 1000], f"{len(took)} calls; {note}")
-        ends = found.ends[upstreams]
+        ends = found.outcomes[upstreams]
         context.add_reading(f"{prefix}.unserved_share.{upstreams}", ROLE, "of calls",
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
 
