--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -273,15 +273,15 @@
     quiet_latencies: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # the same, in quiet slices only
     outcomes: dict[int, Counter[str]] = field(default_factory=dict)
 
-    def add(self, played: ListResult, first: int) -> None:
-        for name, points in played.points_by_name(first).items():
+    def add(self, result: ListResult, first: int) -> None:
+        for name, points in result.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
-        self.outcomes.setdefault(played.upstreams, Counter()).update(played.outcomes())
-        ways, calm = (held.setdefault(played.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
-        for a, b in played.spans():
-            quiet = played.quiet_latencies(a, b)
+        self.outcomes.setdefault(result.upstreams, Counter()).update(result.outcomes())
+        ways, calm = (held.setdefault(result.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
+        for a, b in result.spans():
+            quiet = result.quiet_latencies(a, b)
             for way in ROUTES:
-                ways[way] += played.latencies_between(way, a, b)
+                ways[way] += result.latencies_between(way, a, b)
                 calm[way] += quiet[way]
 
 
