--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -277,12 +277,12 @@
         for name, points in result.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
         self.outcomes.setdefault(result.upstreams, Counter()).update(result.outcomes())
-        ways, calm = (held.setdefault(result.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
+        ways, quiet_latencies = (held.setdefault(result.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
         for a, b in result.spans():
             quiet = result.quiet_latencies(a, b)
             for way in ROUTES:
                 ways[way] += result.latencies_between(way, a, b)
-                calm[way] += quiet[way]
+                quiet_latencies[way] += quiet[way]
 
 
 async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_UP_S,
