--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -265,7 +265,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class PathResults:
     """The results of all lengths and rounds of a run."""
 
     points_by_name: PointsByName = field(default_factory=dict)
@@ -287,11 +287,11 @@
 
 async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_UP_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
-               tell: Callable[[str], None] = lambda line: None) -> Found:
+               tell: Callable[[str], None] = lambda line: None) -> PathResults:
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
     for each upstream, as in the planned fleet. If it were told of more, it would reserve capacity for calls of other
     sidecars that nobody sends here."""
-    found = Found()
+    found = PathResults()
     for number in range(rounds):
         for upstreams in lengths:
             tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
@@ -305,7 +305,7 @@
          "opened_per_s": "/s", "connections_held": "connections", "sidecar_files": "files", "rss_mb": "MB"}
 
 
-def record(context: RunContext, found: Found, prefix: str, note: str) -> None:
+def record(context: RunContext, found: PathResults, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
     for name, points in found.points_by_name.items():
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -68,7 +68,7 @@
         taken = sum(u["taken"] for u in after.upstreams) - sum(u["taken"] for u in before.upstreams)
         assert taken > 0 and after.cpu_s["sidecar"] > before.cpu_s["sidecar"] > 0
         assert 0 < sum(u["held"] for u in after.upstreams) <= sum(u["opened"] for u in after.upstreams)
-        found = path.Found()
+        found = path.PathResults()
         found.add(played, 0)
         scene = scene_of()
         path.record(scene, found, "path", "")
