--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -291,13 +291,13 @@
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
     for each upstream, as in the planned fleet. If it were told of more, it would reserve capacity for calls of other
     sidecars that nobody sends here."""
-    found = PathResults()
+    results = PathResults()
     for number in range(rounds):
         for upstreams in lengths:
             tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
             played = await measure_list(upstreams, sidecars or upstreams, rate, warm_s, window_s, windows, f"{seed}/{number}")
-            found.add(played, number * windows)
-    return found
+            results.add(played, number * windows)
+    return results
 
 
 UNITS = {"cpu_us": "us", "added_p50_us": "ms", "added_p99_us": "ms", "any_added_p50_us": "ms",
