--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -285,7 +285,7 @@
                 quiet_latencies[way] += quiet[way]
 
 
-async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_s: float = WARM_UP_S,
+async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_up_s: float = WARM_UP_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
                tell: Callable[[str], None] = lambda line: None) -> PathResults:
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
@@ -295,7 +295,7 @@
     for number in range(rounds):
         for upstreams in lengths:
             tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
-            played = await measure_list(upstreams, sidecars or upstreams, rate, warm_s, window_s, windows, f"{seed}/{number}")
+            played = await measure_list(upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}")
             results.add(played, number * windows)
     return results
 
