--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -295,8 +295,8 @@
     for number in range(rounds):
         for upstreams in lengths:
             tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
-            played = await measure_list(upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}")
-            results.add(played, number * windows)
+            result = await measure_list(upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}")
+            results.add(result, number * windows)
     return results
 
 
