--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -287,14 +287,14 @@
 
 async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_up_s: float = WARM_UP_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
-               tell: Callable[[str], None] = lambda line: None) -> PathResults:
+               progress: Callable[[str], None] = lambda line: None) -> PathResults:
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
     for each upstream, as in the planned fleet. If it were told of more, it would reserve capacity for calls of other
     sidecars that nobody sends here."""
     results = PathResults()
     for number in range(rounds):
         for upstreams in lengths:
-            tell(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
+            progress(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
             result = await measure_list(upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}")
             results.add(result, number * windows)
     return results
@@ -342,9 +342,9 @@
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
             f"the direct way nor the byte relay took over {QUIET_MAX_US / 1000:g} ms; the sidecar is told of ")
     try:
-        found = await play(lists, rate, windows=windows, tell=context.progress)
+        found = await play(lists, rate, windows=windows, progress=context.progress)
         record(context, found, "path", note + "a sidecar for each upstream")
-        few = await play(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, tell=context.progress)
+        few = await play(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
         record(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
