--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -285,7 +285,7 @@
                 quiet_latencies[way] += quiet[way]
 
 
-async def play(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_up_s: float = WARM_UP_S,
+async def measure_lists(lengths: Sequence[int], rate: float, sidecars: int = 0, warm_up_s: float = WARM_UP_S,
                window_s: float = 8.0, windows: int = 3, rounds: int = 1, seed: str = "path",
                progress: Callable[[str], None] = lambda line: None) -> PathResults:
     """Measures all lengths of the list in each round. The sidecar is told that there are `sidecars` sidecars; 0: one
@@ -342,9 +342,9 @@
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
             f"the direct way nor the byte relay took over {QUIET_MAX_US / 1000:g} ms; the sidecar is told of ")
     try:
-        found = await play(lists, rate, windows=windows, progress=context.progress)
+        found = await measure_lists(lists, rate, windows=windows, progress=context.progress)
         record(context, found, "path", note + "a sidecar for each upstream")
-        few = await play(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
+        few = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
         record(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
