--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -305,10 +305,10 @@
          "opened_per_s": "/s", "connections_held": "connections", "sidecar_files": "files", "rss_mb": "MB"}
 
 
-def record(context: RunContext, found: PathResults, prefix: str, note: str) -> None:
+def record(context: RunContext, results: PathResults, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
-    for name, points in found.points_by_name.items():
+    for name, points in results.points_by_name.items():
         _, figure, way = (*name.split("."), "call")[:3]
         if figure not in UNITS:
             continue
@@ -324,13 +324,13 @@
             for length, values in by_length.items():
                 context.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
     # over all windows together, as one window has too few calls for the 99.9th percentile
-    for upstreams in found.latencies:
-        for kind, ways in (("any", found.latencies[upstreams]), ("quiet", found.quiet_latencies[upstreams])):
+    for upstreams in results.latencies:
+        for kind, ways in (("any", results.latencies[upstreams]), ("quiet", results.quiet_latencies[upstreams])):
             for way, took in ways.items():
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
                                       [percentile(took, share) / 1000], f"{len(took)} calls; {note}")
-        ends = found.outcomes[upstreams]
+        ends = results.outcomes[upstreams]
         context.add_reading(f"{prefix}.unserved_share.{upstreams}", ROLE, "of calls",
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
 
