--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -316,8 +316,8 @@
         by_length: dict[int, list[float]] = {}
         for length, value, _ in points:
             by_length.setdefault(int(length), []).append(round(value * factor, 5))
-        told = figure.replace("_us", "_ms") if factor < 1 else figure
-        full = f"{prefix}.{'call' if way == 'sidecar' else way}.{told}"
+        metric = figure.replace("_us", "_ms") if factor < 1 else figure
+        full = f"{prefix}.{'call' if way == 'sidecar' else way}.{metric}"
         if len(by_length) >= MIN_SIZES:
             context.add_slope(full, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
         else:
