--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -317,12 +317,12 @@
         for length, value, _ in points:
             by_length.setdefault(int(length), []).append(round(value * factor, 5))
         metric = figure.replace("_us", "_ms") if factor < 1 else figure
-        full = f"{prefix}.{'call' if way == 'sidecar' else way}.{metric}"
+        full_name = f"{prefix}.{'call' if way == 'sidecar' else way}.{metric}"
         if len(by_length) >= MIN_SIZES:
-            context.add_slope(full, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
+            context.add_slope(full_name, ROLE, "upstreams in the list", UNITS[figure], by_length, note)
         else:
             for length, values in by_length.items():
-                context.add_reading(f"{full}.{length}", ROLE, UNITS[figure], values, note)
+                context.add_reading(f"{full_name}.{length}", ROLE, UNITS[figure], values, note)
     # over all windows together, as one window has too few calls for the 99.9th percentile
     for upstreams in results.latencies:
         for kind, ways in (("any", results.latencies[upstreams]), ("quiet", results.quiet_latencies[upstreams])):
