--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -326,10 +326,10 @@
     # over all windows together, as one window has too few calls for the 99.9th percentile
     for upstreams in results.latencies:
         for kind, ways in (("any", results.latencies[upstreams]), ("quiet", results.quiet_latencies[upstreams])):
-            for way, took in ways.items():
+            for way, latencies in ways.items():
                 for label, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
                     context.add_reading(f"{prefix}.{kind}.{way}.{label}_ms.{upstreams}", ROLE, "ms",
-                                      [percentile(took, share) / 1000], f"{len(took)} calls; {note}")
+                                      [percentile(latencies, share) / 1000], f"{len(latencies)} calls; {note}")
         ends = results.outcomes[upstreams]
         context.add_reading(f"{prefix}.unserved_share.{upstreams}", ROLE, "of calls",
                           [1 - ends["served"] / max(1, ends.total())], f"{dict(ends)}; {note}")
