--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -305,7 +305,7 @@
          "opened_per_s": "/s", "connections_held": "connections", "sidecar_files": "files", "rss_mb": "MB"}
 
 
-def record(context: RunContext, results: PathResults, prefix: str, note: str) -> None:
+def add_results(context: RunContext, results: PathResults, prefix: str, note: str) -> None:
     """Adds slopes if there are at least three lengths, else readings by length; also the latencies of each route over
     all windows."""
     for name, points in results.points_by_name.items():
@@ -343,9 +343,9 @@
             f"the direct way nor the byte relay took over {QUIET_MAX_US / 1000:g} ms; the sidecar is told of ")
     try:
         found = await measure_lists(lists, rate, windows=windows, progress=context.progress)
-        record(context, found, "path", note + "a sidecar for each upstream")
+        add_results(context, found, "path", note + "a sidecar for each upstream")
         few = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
-        record(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
+        add_results(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
 
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -71,7 +71,7 @@
         found = path.PathResults()
         found.add(played, 0)
         scene = scene_of()
-        path.record(scene, found, "path", "")
+        path.add_results(scene, found, "path", "")
         assert {"path.call.any_added_p99_ms.3", "path.any.direct.p99_ms.3", "path.unserved_share.3"} <= set(
             scene.result.readings)
 
