--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -342,8 +342,8 @@
     note = (f"{rate:.0f} calls a second, drawn; any_: all calls, else slices of {SLICE_US // 1000} ms in which neither "
             f"the direct way nor the byte relay took over {QUIET_MAX_US / 1000:g} ms; the sidecar is told of ")
     try:
-        found = await measure_lists(lists, rate, windows=windows, progress=context.progress)
-        add_results(context, found, "path", note + "a sidecar for each upstream")
+        results = await measure_lists(lists, rate, windows=windows, progress=context.progress)
+        add_results(context, results, "path", note + "a sidecar for each upstream")
         few = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
         add_results(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
