--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -344,8 +344,8 @@
     try:
         results = await measure_lists(lists, rate, windows=windows, progress=context.progress)
         add_results(context, results, "path", note + "a sidecar for each upstream")
-        few = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
-        add_results(context, few, "path_few", note + f"{FEW_SIDECARS} sidecars")
+        few_results = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
+        add_results(context, few_results, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
 
