--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -107,7 +107,7 @@
             await agents.wait_until_held(instances, number)
             relay.cut()
             await asyncio.sleep(for_s - PUBLISH_BEFORE_RESTORE_S)
-            number, _, told_s = await agents.publish()
+            number, _, committed_s = await agents.publish()
             await asyncio.sleep(PUBLISH_BEFORE_RESTORE_S)
             relay.mend()
             restored_s = time.monotonic()
@@ -117,7 +117,7 @@
         finally:
             relay.close()
     note = f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
-    context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, told_s)], f"{note}; those not cut")
+    context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, committed_s)], f"{note}; those not cut")
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
         context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(cut_off, share, restored_s)],
                           f"{note}; from the link's return")
