--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -116,7 +116,7 @@
 async def measure_overlapping(agents: AgentProcesses, instances: SimulatedInstances, add: object) -> None:
     """Makes several changes at once, each of which supersedes the previous one, and waits until all have the last."""
     assert callable(add)
-    spent = ResourceUsage.of_process(agents.pid())
+    usage_before = ResourceUsage.of_process(agents.pid())
     for number in range(OVERLAPPING_CHANGES):
         generation, operation, requested_s, _ = await agents.apply(supersede=True)
         if number + 1 < OVERLAPPING_CHANGES:
@@ -124,7 +124,7 @@
     times = await agents.wait_until_in_force(instances, generation)
     await agents.wait_until_closed(operation)
     add("agent.overlap.last_s", times[-1] - requested_s)
-    add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+    add("agent.overlap.cpu_ms", (ResourceUsage.of_process(agents.pid()).cpu_s - usage_before.cpu_s) * 1000)
 
 
 async def measure_restart(agents: AgentProcesses, instances: SimulatedInstances, add: object, count: int) -> None:
