--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -412,10 +412,10 @@
         pairs = [(hops, value) for hops, values in by_hops.items() for value in values]
         if ".served." in name or ".most." in name or (by_factor and min(value for _, value in pairs) <= 0):
             continue
-        far = extrapolate(pairs, depth, by_factor)
-        context.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(far.value, 4)],
-                          f"carried on, {far.low:.3g} to {far.high:.3g}; each hop {'times' if by_factor else 'adds'} "
-                          f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
+        extrapolation = extrapolate(pairs, depth, by_factor)
+        context.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(extrapolation.value, 4)],
+                          f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; each hop {'times' if by_factor else 'adds'} "
+                          f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}")
 
 
 async def measure(context: RunContext) -> None:
