--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -249,8 +249,8 @@
         pids = {"relay": relay_pid, "sidecar": process.pid}
         addresses = {"direct": ("127.0.0.1", site.ports[0]), "relay": relay, "sidecar": address}
         clients = []
-        for way in ROUTES:
-            client, result.samples[way] = create_client(way, addresses[way], schedule, seconds)
+        for route in ROUTES:
+            client, result.samples[route] = create_client(route, addresses[route], schedule, seconds)
             clients.append(client)
         start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for number, client in enumerate(clients):
