--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -277,7 +277,7 @@
         for name, points in result.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
         self.outcomes.setdefault(result.upstreams, Counter()).update(result.outcomes())
-        ways, quiet_latencies = (held.setdefault(result.upstreams, {way: [] for way in ROUTES}) for held in (self.latencies, self.quiet_latencies))
+        ways, quiet_latencies = (held.setdefault(result.upstreams, {route: [] for route in ROUTES}) for held in (self.latencies, self.quiet_latencies))
         for a, b in result.spans():
             quiet = result.quiet_latencies(a, b)
             for way in ROUTES:
