--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -198,10 +198,10 @@
         self.discovery.put(*(list_entry(number) for number in range(spec["upstreams"])))
         self.next_number = int(spec["upstreams"])
 
-    async def handle(self, told: Mapping[str, Any]) -> dict[str, Any]:
-        for _ in range(told.get("change", 0)):  # changes one entry, sent as a separate update
+    async def handle(self, command: Mapping[str, Any]) -> dict[str, Any]:
+        for _ in range(command.get("change", 0)):  # changes one entry, sent as a separate update
             self.discovery.put(list_entry(self.next_number - 1, "draining"))
-        for _ in range(told.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
+        for _ in range(command.get("replace", 0)):  # an upstream drains, is gone, and a new cold one replaces it
             replaced = list_entry(self.next_number - 1)
             for entry in ({**replaced, "lifecycle": "draining"}, {**replaced, "lifecycle": "gone"},
                           list_entry(self.next_number, started_ms=time.time_ns() // 1_000_000)):
