--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -52,7 +52,9 @@
         await rest(context)
         await operators(context)
 
-    uvloop.run(run_measurements(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None))
+    uvloop.run(
+        run_measurements(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None)
+    )
     if given.json:
         result.write(given.json)
 
--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -59,7 +59,9 @@
 }
 
 
-async def measure_fleet(context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int) -> dict[str, list[float]]:
+async def measure_fleet(
+    context: RunContext, agents: AgentProcesses, instances: SimulatedInstances, count: int
+) -> dict[str, list[float]]:
     play = context.size.play
     results: dict[str, list[float]] = {name: [] for name in UNITS}
 
@@ -69,7 +71,8 @@
     await agents.change(instances)  # warm-up: a process's first change is slower, because of imports and query plans
     await asyncio.sleep(2 * play.heartbeat_s)
     rest_cpu = simulated_cpu = 0.0
-    all_instances_factor = count / instances.count  # scales up to all instances: bytes are counted at the simulated ones only
+    # scales up to all instances: bytes are counted at the simulated ones only
+    all_instances_factor = count / instances.count
     for _ in range(play.repeats):
         before, writes, started_s = await instances.total(), agents.database_state()["writes"], time.monotonic()
         percent, megabytes, written = await measure_at_rest(agents.pid(), 2 * play.heartbeat_s)
@@ -95,10 +98,18 @@
         cpu_ms = max(0.0, usage_after.cpu_s - usage_before.cpu_s - rest_cpu * took_s) * 1000
         add("agent.change.cpu_ms", cpu_ms)
         rest_sent, rest_received = results["agent.rest.sent_bytes_s"][-1], results["agent.rest.received_bytes_s"][-1]
-        add("agent.change.sent_bytes", (after["received"] - before["received"]) * all_instances_factor - rest_sent * took_s)
-        add("agent.change.received_bytes", (after["sent"] - before["sent"]) * all_instances_factor - rest_received * took_s)
-        add("control.change.bytes", (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1])
-            / count)
+        add(
+            "agent.change.sent_bytes",
+            (after["received"] - before["received"]) * all_instances_factor - rest_sent * took_s,
+        )
+        add(
+            "agent.change.received_bytes",
+            (after["sent"] - before["sent"]) * all_instances_factor - rest_received * took_s,
+        )
+        add(
+            "control.change.bytes",
+            (results["agent.change.sent_bytes"][-1] + results["agent.change.received_bytes"][-1]) / count,
+        )
         simulated_cpu_s = after["cpu_s"] - before["cpu_s"] - simulated_cpu * took_s
         add("control.hollow.change.cpu_us", max(0.0, simulated_cpu_s) / instances.count * 1e6)
         add("agent.change.told_s", change.committed_s)
--- a/ironscale/scale/agents.py
+++ b/ironscale/scale/agents.py
@@ -70,7 +70,9 @@
 class AgentProcesses:
     """The agents of a run. One leads; if there are more, they share one database and the others are standbys."""
 
-    def __init__(self, children: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None) -> None:
+    def __init__(
+        self, children: ChildProcesses, folder: Path, count: int, play: Play, term_s: float | None = None
+    ) -> None:
         self.children, self.folder, self.count = children, folder, count
         self.has_standbys = count > 1
         self.ports = [Port() for _ in range(count)]
@@ -127,7 +129,9 @@
     def check_running(self) -> None:
         for number, process in enumerate(self.running):
             if process is not None and process.poll() is not None:
-                raise AgentsError(f"agent-{number} ended with status {process.returncode}: {self.last_log_line(number)}")
+                raise AgentsError(
+                    f"agent-{number} ended with status {process.returncode}: {self.last_log_line(number)}"
+                )
 
     def last_log_line(self, number: int = 0) -> str:
         try:
@@ -182,8 +186,9 @@
 
     # Changes
 
-    async def apply(self, timeout_s: float = START_TIMEOUT_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
-                    ) -> tuple[int, int, float, float]:
+    async def apply(
+        self, timeout_s: float = START_TIMEOUT_S, supersede: bool = False, policy: Mapping[str, Any] | None = None
+    ) -> tuple[int, int, float, float]:
         """Makes a change. Returns its generation and operation, the moment of the request and that of the answer."""
         generation = (await self.call(FLEET, timeout_s))["fleet"]["generation"]
         requested_s = time.monotonic()
@@ -222,7 +227,9 @@
             if len(times) >= instances.count:
                 return times
             await asyncio.sleep(0.1)
-        raise AgentsError(f"generation {generation}: {len(times)} of {instances.count} had it within {START_TIMEOUT_S:g} s")
+        raise AgentsError(
+            f"generation {generation}: {len(times)} of {instances.count} had it within {START_TIMEOUT_S:g} s"
+        )
 
     async def publish(self, timeout_s: float = START_TIMEOUT_S) -> tuple[int, float, float]:
         """Publishes a version for all instances. Returns its number, the moment of the request and that of the
@@ -235,7 +242,9 @@
             "overlay": {"settings": {"bounds": {"max-retry-after": 900_000 + 10 * base}}}})
         return result["publish"]["number"], asked_s, time.monotonic()
 
-    async def wait_until_held(self, instances: SimulatedInstances, version: int, count: int | None = None) -> list[float]:
+    async def wait_until_held(
+        self, instances: SimulatedInstances, version: int, count: int | None = None
+    ) -> list[float]:
         """When each follower received the version, in ascending order. Raises AgentsError."""
         deadline_s, times = time.monotonic() + START_TIMEOUT_S, list[float]()
         while time.monotonic() < deadline_s:
@@ -253,9 +262,13 @@
             def read_integer(text: str) -> int:
                 return int(database.execute(text).fetchone()[0])
 
-            state = {"bytes": float((read_integer("PRAGMA page_count") - read_integer("PRAGMA freelist_count"))
-                                    * read_integer("PRAGMA page_size")),
-                     "writes": float(read_integer("SELECT coalesce(max(value), 0) FROM counters WHERE name = 'sequence'"))}
+            state = {
+                "bytes": float(
+                    (read_integer("PRAGMA page_count") - read_integer("PRAGMA freelist_count"))
+                    * read_integer("PRAGMA page_size")
+                ),
+                "writes": float(read_integer("SELECT coalesce(max(value), 0) FROM counters WHERE name = 'sequence'")),
+            }
             for name in ("targets", "operations", "configurations", "audit", "instances", "mutations", "versions"):
                 state[name] = float(read_integer(f"SELECT count(*) FROM {name}"))
         return state
@@ -275,7 +288,11 @@
     await asyncio.sleep(seconds)
     after = ResourceUsage.of_process(pid)
     took_s = after.at_s - before.at_s
-    return ((after.cpu_s - before.cpu_s) / took_s * 100, resident_memory_mb(pid), (after.written_bytes - before.written_bytes) / took_s)
+    return (
+        (after.cpu_s - before.cpu_s) / took_s * 100,
+        resident_memory_mb(pid),
+        (after.written_bytes - before.written_bytes) / took_s,
+    )
 
 
 def median(values: list[float]) -> float:
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -62,8 +62,12 @@
     @property
     def memory_mb(self) -> float:
         instance_processes = -(-self.simulated // self.simulated_per_process)
-        return (instance_processes * INSTANCE_PROCESS_MB + self.simulated * SIMULATED_INSTANCE_MB + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
-                + (self.real + self.other_processes) * REAL_SIDECAR_MB)
+        return (
+            instance_processes * INSTANCE_PROCESS_MB
+            + self.simulated * SIMULATED_INSTANCE_MB
+            + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
+            + (self.real + self.other_processes) * REAL_SIDECAR_MB
+        )
 
     @property
     def descriptors(self) -> int:
@@ -86,15 +90,20 @@
         hard limit allows it. Raises ResourceLimitError."""
         machine = machine or read_machine()
         if plan.processes > self.most_processes:
-            raise ResourceLimitError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
+            raise ResourceLimitError(
+                f"processes: expected {self.most_processes} at most, got {plan.processes} to start"
+            )
         max_mb = self.max_memory_mb(machine)
         if plan.memory_mb > max_mb:
-            raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
-                              f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
+            raise ResourceLimitError(
+                f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
+                f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take"
+            )
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and plan.descriptors > hard:
-            raise ResourceLimitError(f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one "
-                              "process")
+            raise ResourceLimitError(
+                f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one process"
+            )
         if soft != resource.RLIM_INFINITY and plan.descriptors > soft:
             resource.setrlimit(resource.RLIMIT_NOFILE, (plan.descriptors, hard))
 
@@ -137,7 +146,12 @@
             if process.poll() is not None:
                 del self.running[pid]
 
-    def end(self, *processes: subprocess.Popen[bytes], first_signal: int = signal.SIGTERM, timeout_s: float = TERMINATION_TIMEOUT_S) -> None:
+    def end(
+        self,
+        *processes: subprocess.Popen[bytes],
+        first_signal: int = signal.SIGTERM,
+        timeout_s: float = TERMINATION_TIMEOUT_S,
+    ) -> None:
         """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `timeout_s`."""
         ending = list(processes or self.running.values())
         for process in ending:
@@ -167,8 +181,11 @@
     def check_memory(self, max_mb: float) -> None:
         used_mb, current = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
         if used_mb > max_mb:
-            raise ResourceLimitError(f"memory: expected {max_mb:,.0f} MB at most, the run took {used_mb:,.0f} MB and was "
-                              "ended")
+            raise ResourceLimitError(
+                f"memory: expected {max_mb:,.0f} MB at most, the run took {used_mb:,.0f} MB and was ended"
+            )
         if current.available_mb < current.memory_mb / 20:
-            raise ResourceLimitError(f"memory: expected {current.memory_mb / 20:,.0f} MB available at least, the machine has "
-                              f"{current.available_mb:,.0f} MB; the run was ended")
+            raise ResourceLimitError(
+                f"memory: expected {current.memory_mb / 20:,.0f} MB available at least, the machine has "
+                f"{current.available_mb:,.0f} MB; the run was ended"
+            )
--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -57,7 +57,11 @@
             rows.append(_slope_row(size, entry))
     for reading in sorted(result.readings.values(), key=lambda r: r.name):
         if reading.role == role:
-            spread = f", {format_number(min(reading.repeats))} to {format_number(max(reading.repeats))}" if reading.scatter else ""
+            spread = (
+                f", {format_number(min(reading.repeats))} to {format_number(max(reading.repeats))}"
+                if reading.scatter
+                else ""
+            )
             rows.append((f"`{reading.name}`", f"{format_value(reading.value, reading.unit)}{spread}", "", "", "",
                          _run_note(reading)))
     if not rows:
@@ -72,7 +76,11 @@
 def _slope_row(size: Size, entry: Slope) -> tuple[str, ...]:
     measured = ", ".join(f"{format_number(p.value)} at {p.size:,.0f}" for p in entry.points)
     fit, key = entry.fit, AXES.get(entry.x_axis)
-    per = "" if fit.verdict == FLAT else f"{format_number(fit.slope)} ({format_number(fit.slope_error)}) each of {entry.x_axis}"
+    per = (
+        ""
+        if fit.verdict == FLAT
+        else f"{format_number(fit.slope)} ({format_number(fit.slope_error)}) each of {entry.x_axis}"
+    )
     extrapolated = ""
     if key:
         lower_bound = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
@@ -110,31 +118,95 @@
     Need(CONTROL, "bytes at rest, to and from the agent", "control.rest.bytes_s", "budget.bytes_per_s", "bytes/s"),
     Need(LEADER, "a change to all, the last", "agent.change.last_s", "promises.force_s", "s"),
     Need(LEADER, "changes that overlap, the last", "agent.overlap.last_s", "promises.force_s", "s"),
-    Need(LEADER, "killed and started at once: from the kill until the last has the next change",
-         "agent.back.change_last_s", "promises.force_s", "s"),
-    Need(STANDBY, "the leader's machine gone: from its loss until the last has the next change",
-         "takeover.change_last_s", "promises.force_s", "s"),
-    Need(LEADER, "a region's link back: until the last there has the change", "cut.region.change_last_s",
-         "promises.force_s", "s"),
-    Need(LEADER, "instances that never had a change made while their region was cut", "cut.region.missed", "none",
-         "instances", lambda size: 0.0),
-    Need(LEADER, "processor at rest", "agent.rest.cpu_percent", "one core: an agent is one thread", "% of a core",
-         lambda size: 100.0),
-    Need(LEADER, "processor while the fleet comes back", "agent.back.cpu_ms", "one core for `promises.force_s`", "ms",
-         lambda size: size.promises.force_s * 1000),
+    Need(
+        LEADER,
+        "killed and started at once: from the kill until the last has the next change",
+        "agent.back.change_last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        STANDBY,
+        "the leader's machine gone: from its loss until the last has the next change",
+        "takeover.change_last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        LEADER,
+        "a region's link back: until the last there has the change",
+        "cut.region.change_last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        LEADER,
+        "instances that never had a change made while their region was cut",
+        "cut.region.missed",
+        "none",
+        "instances",
+        lambda size: 0.0,
+    ),
+    Need(
+        LEADER,
+        "processor at rest",
+        "agent.rest.cpu_percent",
+        "one core: an agent is one thread",
+        "% of a core",
+        lambda size: 100.0,
+    ),
+    Need(
+        LEADER,
+        "processor while the fleet comes back",
+        "agent.back.cpu_ms",
+        "one core for `promises.force_s`",
+        "ms",
+        lambda size: size.promises.force_s * 1000,
+    ),
     Need(VERSIONS, "a version to all that follow, the last", "versions.change.last_s", "promises.force_s", "s"),
-    Need(VERSIONS, "the leader killed right after its commit: from the commit until the last has it",
-         "versions.killed.last_s", "promises.force_s", "s"),
-    Need(VERSIONS, "the leader's machine gone: from its loss until the last has the next version",
-         "versions.takeover.last_from_kill_s", "promises.force_s", "s"),
-    Need(VERSIONS, "one agent of three left: from a commit until the last has it", "versions.one_left.last_s",
-         "promises.force_s", "s"),
-    Need(VERSIONS, "a region's link back: until the last there has the version", "versions.cut.region_last_s",
-         "promises.force_s", "s"),
-    Need(CONTROL, "bytes, were the whole list asked for again and again", "discovery.list.asked_bytes_s",
-         "budget.bytes_per_s", "bytes/s"),
-    Need(DATA_PATH, "added to a call, p99, a list of one service", "path.call.added_p99_ms", "promises.added_p99_ms", "ms",
-         at_size=lambda size: size.fleet.upstreams / size.fleet.services),
+    Need(
+        VERSIONS,
+        "the leader killed right after its commit: from the commit until the last has it",
+        "versions.killed.last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        VERSIONS,
+        "the leader's machine gone: from its loss until the last has the next version",
+        "versions.takeover.last_from_kill_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        VERSIONS,
+        "one agent of three left: from a commit until the last has it",
+        "versions.one_left.last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        VERSIONS,
+        "a region's link back: until the last there has the version",
+        "versions.cut.region_last_s",
+        "promises.force_s",
+        "s",
+    ),
+    Need(
+        CONTROL,
+        "bytes, were the whole list asked for again and again",
+        "discovery.list.asked_bytes_s",
+        "budget.bytes_per_s",
+        "bytes/s",
+    ),
+    Need(
+        DATA_PATH,
+        "added to a call, p99, a list of one service",
+        "path.call.added_p99_ms",
+        "promises.added_p99_ms",
+        "ms",
+        at_size=lambda size: size.fleet.upstreams / size.fleet.services,
+    ),
     Need(DATA_PATH, "added to a call, p99, a list of all", "path.call.added_p99_ms", "promises.added_p99_ms", "ms"),
 ]
 
@@ -184,8 +256,15 @@
         if value is None:
             rows.append((what, f"`{name}`", by, "not measured", ""))
             return
-        rows.append((what, f"`{name}` {format_number(value)}{trial_mark(result, name)}", by, format_value(value * factor, unit),
-                     format_value(value * factor * MONTH_DAYS, unit) if month else ""))
+        rows.append(
+            (
+                what,
+                f"`{name}` {format_number(value)}{trial_mark(result, name)}",
+                by,
+                format_value(value * factor, unit),
+                format_value(value * factor * MONTH_DAYS, unit) if month else "",
+            )
+        )
 
     by = f"`promises.changes_per_day` {changes:,.0f}"
     row("record grows by changes", "record.change.bytes", changes, by, "bytes", True)
@@ -231,8 +310,12 @@
 
 def tables(size: Size, result: Result) -> dict[str, str]:
     """All tables, by the names used in the page's markers."""
-    rendered = {"measured-on": measured_on(size, result), "size": size_table(size, result), "needs": needs_table(size, result),
-             "day": day_table(size, result)}
+    rendered = {
+        "measured-on": measured_on(size, result),
+        "size": size_table(size, result),
+        "needs": needs_table(size, result),
+        "day": day_table(size, result),
+    }
     rendered.update({marker_name(role): role_table(size, result, role) for role in ROLES})
     return rendered
 
@@ -256,7 +339,9 @@
                             "their own")
     if not complete:
         raise PageError(f"{file}: expected <!-- scale:NAME --> and <!-- /scale:NAME -->, got no table's place")
-    return TABLE_PATTERN.sub(lambda m: f"<!-- scale:{m.group(1)} -->\n{rendered[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text)
+    return TABLE_PATTERN.sub(
+        lambda m: f"<!-- scale:{m.group(1)} -->\n{rendered[m.group(1)]}\n<!-- /scale:{m.group(1)} -->", text
+    )
 
 
 def outdated_tables(text: str, size: Size, result: Result, file: str) -> list[str]:
--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -42,8 +42,10 @@
 COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
 START_DELAY_S = 0.2
-NOTE = (f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
-        "answer 500 for what was not served to them, and repeat nothing")
+NOTE = (
+    f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
+    "answer 500 for what was not served to them, and repeat nothing"
+)
 # `first`: the number of attempts of each call that always fail
 HEALTHY: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
 BOTTOM_BEHAVIOURS: dict[str, Mapping[str, Any]] = {
@@ -207,12 +209,20 @@
         task.add_done_callback(self.tasks.discard)
         served.pending_call = task
 
-    def send_call(self, connection: NextHopConnection, served: ServedConnection, payload: bytes, on_response: Callable[[int], None]) -> None:
+    def send_call(
+        self,
+        connection: NextHopConnection,
+        served: ServedConnection,
+        payload: bytes,
+        on_response: Callable[[int], None],
+    ) -> None:
         assert connection.transport is not None
         served.pending_call, connection.on_end = connection, on_response
         connection.transport.write(payload)
 
-    async def connect(self, served: ServedConnection, payload: Callable[[], bytes], on_response: Callable[[int], None]) -> None:
+    async def connect(
+        self, served: ServedConnection, payload: Callable[[], bytes], on_response: Callable[[int], None]
+    ) -> None:
         assert self.next_address is not None
         connection = NextHopConnection(self)
         try:
@@ -268,7 +278,10 @@
         elif "bottom" in command:
             self.bottom = command["bottom"]
         elif command.get("look"):
-            return {"levels": [level.take_counts() for level in self.levels], "bare": [level.take_counts() for level in self.bare]}
+            return {
+                "levels": [level.take_counts() for level in self.levels],
+                "bare": [level.take_counts() for level in self.bare],
+            }
         return None
 
 
@@ -292,8 +305,14 @@
 
 
 @contextlib.asynccontextmanager
-async def started_chain(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = REQUEST_KIND,
-                  aim_ms: int = LATENCY_AIM_MS) -> AsyncIterator[Chain]:
+async def started_chain(
+    hops: int,
+    copies: int = COPIES,
+    rate: float = 100.0,
+    seed: str = "chain",
+    kind: KindSpec = REQUEST_KIND,
+    aim_ms: int = LATENCY_AIM_MS,
+) -> AsyncIterator[Chain]:
     """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
         process = await stack.enter_async_context(
@@ -334,7 +353,9 @@
         return (percentile(self.latencies_us, share) - percentile(self.bare_latencies_us, share)) / 1000
 
 
-async def send_calls(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND) -> list[Sample]:
+async def send_calls(
+    run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND
+) -> list[Sample]:
     """Sends calls at a rate and waits until all have ended."""
     schedule = paced_schedule(rate, seconds, run, kind.deadline_us)
     client, samples = create_client(run, address, schedule, seconds, kind)
@@ -377,8 +398,13 @@
         return [onset, await measure_calls(chain, name, timing.rate, timing.lasting_s, False)]
 
 
-async def run_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS), timing: Timing | None = None,
-                   rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[ChainResult]:
+async def run_all(
+    lengths: Sequence[int],
+    bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS),
+    timing: Timing | None = None,
+    rounds: int = 1,
+    tell: Callable[[str], None] = lambda line: None,
+) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
     results: list[ChainResult] = []
@@ -413,9 +439,14 @@
         if ".served." in name or ".most." in name or (by_factor and min(value for _, value in pairs) <= 0):
             continue
         extrapolation = extrapolate(pairs, depth, by_factor)
-        context.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(extrapolation.value, 4)],
-                          f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; each hop {'times' if by_factor else 'adds'} "
-                          f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}")
+        context.add_reading(
+            f"{name}.at_{depth}_hops",
+            ROLE,
+            unit,
+            [round(extrapolation.value, 4)],
+            f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; each hop {'times' if by_factor else 'adds'} "
+            f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
+        )
 
 
 async def measure(context: RunContext) -> None:
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -62,15 +62,21 @@
                       f"with an agent less without, lists of {shortest}")
 
 
-async def measure_list(context: RunContext, agents: AgentProcesses, sidecars: RealSidecars, with_agent: Sequence[subprocess.Popen[bytes]],
-                  without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
+async def measure_list(
+    context: RunContext,
+    agents: AgentProcesses,
+    sidecars: RealSidecars,
+    with_agent: Sequence[subprocess.Popen[bytes]],
+    without: Sequence[subprocess.Popen[bytes]],
+) -> dict[str, list[float]]:
     discovery = sidecars.discovery
     await asyncio.sleep(2.0)
     heartbeat_s = context.size.play.heartbeat_s
     rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * heartbeat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
     results = {
-        "control.list.rest.cpu_percent": percent[:SIDECARS_EACH], "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
+        "control.list.rest.cpu_percent": percent[:SIDECARS_EACH],
+        "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
         "control.list.whole_bytes": [float(len(discovery.chunk(discovery.whole())))],
     }
 
--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -43,8 +43,12 @@
             relay.close()
     note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
     others_s = sorted(at - requested_s for part in others for at in part["at"])
-    context.add_reading("cut.others.change_last_s", ROLE, "s", [others_s[-1]], f"{note}; {len(others_s)} that were not cut")
-    context.add_reading("cut.region.ready_s", ROLE, "s", [all_ready_s], f"{note}; from the link's return, the last is ready")
+    context.add_reading(
+        "cut.others.change_last_s", ROLE, "s", [others_s[-1]], f"{note}; {len(others_s)} that were not cut"
+    )
+    context.add_reading(
+        "cut.region.ready_s", ROLE, "s", [all_ready_s], f"{note}; from the link's return, the last is ready"
+    )
     context.add_reading("cut.region.missed", ROLE, "instances", [cut_count - len(times)],
                       f"{note}; without the change {REGION_TIMEOUT_S:g} s after")
     if times:
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -82,7 +82,8 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
                 if self.call_time_s:
-                    async with self.call_lock:  # also for a caller that has given up meanwhile, as a shared discovery does
+                    # also for a caller that has given up meanwhile, as a shared discovery does
+                    async with self.call_lock:
                         await asyncio.sleep(self.call_time_s)
                 body = self.body()
                 if b"watch=1" not in head:
@@ -136,7 +137,9 @@
         self.loop = asyncio.get_running_loop()
         self.started_s = self.loop.time()
         self.first_list_s = -1.0  # time from its start to its first list; -1 before that
-        self.client = CountingClient(host.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None)
+        self.client = CountingClient(
+            host.address, ListParser([], []), 0, self.on_list, CALL_US / 1e6, lambda text: None
+        )
         self.client.counts = host.counts
         options = settings.read_settings(settings.flatten_object(host.settings))
         self.balancer = Balancer(options, random.Random(f"{host.seed}/{number}").randrange(1 << 62), self.now_us())
@@ -144,7 +147,8 @@
         self.handle_event(UpstreamsUpdated(ListKind.CACHED, []))
 
     def now_us(self) -> int:
-        return int((self.loop.time() - self.started_s) * 1e6) + 1  # + 1, as the balancer takes a time of 0 to mean never
+        # + 1, as the balancer takes a time of 0 to mean never
+        return int((self.loop.time() - self.started_s) * 1e6) + 1
 
     def handle_event(self, event: Any) -> None:
         for action in self.balancer.handle(self.now_us(), event):
@@ -154,7 +158,9 @@
                 if self.timer is not None:
                     self.timer.cancel()
                 delay_s = (action.at_us - self.now_us()) / 1e6
-                self.timer = self.loop.call_later(max(0.0, delay_s) + 0.001, self.handle_event, TimerFired(action.token))
+                self.timer = self.loop.call_later(
+                    max(0.0, delay_s) + 0.001, self.handle_event, TimerFired(action.token)
+                )
 
     def on_list(self, kind: ListKind, listed: Listing | None) -> None:
         if kind is ListKind.FAILED:
@@ -260,8 +266,9 @@
 
 
 @contextlib.asynccontextmanager
-async def started_discovery(upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
-               ) -> AsyncIterator[DiscoverySetup]:
+async def started_discovery(
+    upstreams: int, watches: int, turn_ms: float = 0.0, per_process: int = WATCHES_PER_PROCESS, seed: str = "discovery"
+) -> AsyncIterator[DiscoverySetup]:
     raise_file_limit(2 * watches + 256)
     load_scenario = scenario(max(1, upstreams), watches)
     pipes = asyncio.subprocess.PIPE
@@ -274,8 +281,18 @@
 
         server = await start_process(role="server", upstreams=upstreams, turn_ms=turn_ms)
         counts = [min(per_process, watches - first) for first in range(0, watches, per_process)]
-        hosts = [(await start_process(role="herd", port=server.port, seed=f"{seed}/{number}",
-                               settings=sidecar_settings(load_scenario, 0, 1.0)), count) for number, count in enumerate(counts)]
+        hosts = [
+            (
+                await start_process(
+                    role="herd",
+                    port=server.port,
+                    seed=f"{seed}/{number}",
+                    settings=sidecar_settings(load_scenario, 0, 1.0),
+                ),
+                count,
+            )
+            for number, count in enumerate(counts)
+        ]
         yield DiscoverySetup(server, hosts)
 
 
@@ -298,7 +315,9 @@
     start_bytes: int  # written by discovery until then
 
 
-async def measure_traffic(upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True) -> TrafficMeasurement:
+async def measure_traffic(
+    upstreams: int, watches: int, rest_s: float = REST_S, asked: bool = True
+) -> TrafficMeasurement:
     async with started_discovery(upstreams, watches) as setup:
         idle_s = setup.cpu_s()
         await setup.start()
@@ -318,11 +337,20 @@
             after_fetch = await wait_for_entries(setup, after_replacements["entries"] + upstreams * watches)
         each = watches * MEASURED_CHANGES
         return TrafficMeasurement(
-            upstreams, watches, after_start["in"] / watches, whole_s * 1e3 / watches,
-            (after_rest["in"] - after_start["in"]) / watches / rest_s, (after_changes["in"] - after_rest["in"]) / each,
-            change_s * 1e6 / each, (after_replacements["in"] - after_changes["in"]) / each,
-            (after_fetch["in"] - after_replacements["in"]) / watches / FETCH_INTERVAL_S, (after["bytes"] - server["bytes"]) / rest_s, first_s,
-            server["calls"], server["bytes"])
+            upstreams,
+            watches,
+            after_start["in"] / watches,
+            whole_s * 1e3 / watches,
+            (after_rest["in"] - after_start["in"]) / watches / rest_s,
+            (after_changes["in"] - after_rest["in"]) / each,
+            change_s * 1e6 / each,
+            (after_replacements["in"] - after_changes["in"]) / each,
+            (after_fetch["in"] - after_replacements["in"]) / watches / FETCH_INTERVAL_S,
+            (after["bytes"] - server["bytes"]) / rest_s,
+            first_s,
+            server["calls"],
+            server["bytes"],
+        )
 
 
 async def wait_for_entries(setup: DiscoverySetup, entries: int) -> Counter[str]:
@@ -330,7 +358,9 @@
     started_s = time.monotonic()
     while (counts := await setup.ask_all())["entries"] < entries:
         if time.monotonic() > started_s + FIRST_LISTS_TIMEOUT_S:
-            raise RunError(f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {counts['entries']}")
+            raise RunError(
+                f"discovery: expected {entries} entries within {FIRST_LISTS_TIMEOUT_S:g} s, got {counts['entries']}"
+            )
         await asyncio.sleep(0.05)
     return counts
 
@@ -338,7 +368,9 @@
 async def measure_by_length(context: RunContext, lists: Sequence[int], watches: int, repeats: int) -> None:
     units = {"whole_bytes": "bytes", "whole_cpu_ms": "ms", "rest_bytes_s": "bytes/s", "change_bytes": "bytes",
                "change_cpu_us": "us", "replaced_bytes": "bytes", "asked_bytes_s": "bytes/s"}
-    measurements = [await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists]
+    measurements = [
+        await measure_traffic(upstreams, watches, rest_s=4.0) for _ in range(repeats) for upstreams in lists
+    ]
     for figure, unit in units.items():
         points = {n: [round(getattr(t, figure), 3) for t in measurements if t.upstreams == n] for n in lists}
         context.add_slope(f"discovery.list.{figure}", ROLE, "upstreams in the list", unit, points,
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -20,7 +20,9 @@
     Every attempt is equally likely to succeed, whether it is a first one or a retry. So the share of requests that
     succeed is attempts x (1 - failing), however many retries the budget refuses.
     """
-    unlimited_attempts = float(max_attempts) if failure_rate >= 1.0 else (1.0 - failure_rate**max_attempts) / (1.0 - failure_rate)
+    unlimited_attempts = (
+        float(max_attempts) if failure_rate >= 1.0 else (1.0 - failure_rate**max_attempts) / (1.0 - failure_rate)
+    )
     attempts = min(unlimited_attempts, 1.0 + retry_share)
     return attempts, max(0.0, 1.0 - attempts * (1.0 - failure_rate))
 
@@ -64,5 +66,12 @@
     center = line.intercept + line.slope * depth
     slope_margin = INTERVAL_STANDARD_ERRORS * line.slope_error
     value_margin = slope_margin * abs(depth - sum(hops for hops, _ in points) / len(points))
-    estimates = (center, center - value_margin, center + value_margin, line.slope, line.slope - slope_margin, line.slope + slope_margin)
+    estimates = (
+        center,
+        center - value_margin,
+        center + value_margin,
+        line.slope,
+        line.slope - slope_margin,
+        line.slope + slope_margin,
+    )
     return Extrapolation(depth, *(math.exp(v) for v in estimates)) if by_factor else Extrapolation(depth, *estimates)
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -97,13 +97,16 @@
         yield process.pid, ("127.0.0.1", int(await process.stdout.readline()))
 
 
-def scenario(upstreams: int, sidecars: int, deadline_ms: int = REQUEST_KIND.deadline_us // 1000, aim_ms: int = 300) -> Scenario:
+def scenario(
+    upstreams: int, sidecars: int, deadline_ms: int = REQUEST_KIND.deadline_us // 1000, aim_ms: int = 300
+) -> Scenario:
     """Upstreams that answer immediately, and one sidecar whose settings say that there are `sidecars` of them."""
     return parse(
         'duration_s = 1\n[[arrivals]]\nshape = "constant"\nrate = 1\n[[class]]\nname = "view"\n'
         f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\nsockets = {MAX_SOCKETS}\n'
         f"settings = {{ instances = {sidecars} }}\n[[upstreams]]\ncount = {upstreams}\n",
-        "path", Path("."),
+        "path",
+        Path("."),
     )
 
 
@@ -169,7 +172,9 @@
         for route, samples in self.samples.items():
             for s in samples:
                 if a.at_us <= s.sched_us < b.at_us and s.end == End.SERVED:
-                    latencies = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[route]
+                    latencies = latencies_by_slice.setdefault(s.sched_us // SLICE_US, {way: [] for way in ROUTES})[
+                        route
+                    ]
                     latencies.append(s.done_us - s.sched_us)
         quiet_slices = [took for took in latencies_by_slice.values()
                 if max(took["direct"], default=0) <= QUIET_MAX_US and max(took["relay"], default=0) <= QUIET_MAX_US]
@@ -211,7 +216,9 @@
         return points
 
 
-async def take_snapshot(site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int) -> Snapshot:
+async def take_snapshot(
+    site: Site, marks: asyncio.Queue[dict[str, Any]], pids: dict[str, int], start_ns: int
+) -> Snapshot:
     site.say({"look": True})
     marked = await marks.get()
     return Snapshot(
@@ -277,7 +284,10 @@
         for name, points in result.points_by_name(first).items():
             self.points_by_name.setdefault(name, []).extend(points)
         self.outcomes.setdefault(result.upstreams, Counter()).update(result.outcomes())
-        ways, quiet_latencies = (held.setdefault(result.upstreams, {route: [] for route in ROUTES}) for held in (self.latencies, self.quiet_latencies))
+        ways, quiet_latencies = (
+            held.setdefault(result.upstreams, {route: [] for route in ROUTES})
+            for held in (self.latencies, self.quiet_latencies)
+        )
         for a, b in result.spans():
             quiet = result.quiet_latencies(a, b)
             for way in ROUTES:
@@ -295,7 +305,9 @@
     for number in range(rounds):
         for upstreams in lengths:
             progress(f"path: {upstreams} upstreams, round {number + 1} of {rounds}")
-            result = await measure_list(upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}")
+            result = await measure_list(
+                upstreams, sidecars or upstreams, rate, warm_up_s, window_s, windows, f"{seed}/{number}"
+            )
             results.add(result, number * windows)
     return results
 
@@ -344,7 +356,9 @@
     try:
         results = await measure_lists(lists, rate, windows=windows, progress=context.progress)
         add_results(context, results, "path", note + "a sidecar for each upstream")
-        few_results = await measure_lists(lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress)
+        few_results = await measure_lists(
+            lists[-1:], rate, sidecars=FEW_SIDECARS, windows=windows, progress=context.progress
+        )
         add_results(context, few_results, "path_few", note + f"{FEW_SIDECARS} sidecars")
     except ChildError as error:
         raise RunError(str(error)) from error
--- a/ironscale/scale/real_sidecars.py
+++ b/ironscale/scale/real_sidecars.py
@@ -20,7 +20,15 @@
 
 START_TIMEOUT_S = 60.0
 DEFAULT_UPSTREAMS = 10  # upstreams of one service
-UNSET_VARIABLES = ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_OVERLAY", "GW_AGENT", "GW_AGENT_TOKEN_FILE")
+UNSET_VARIABLES = (
+    "GW_NAME",
+    "GW_LISTEN",
+    "GW_DISCOVERY",
+    "GW_OPERATOR",
+    "GW_OVERLAY",
+    "GW_AGENT",
+    "GW_AGENT_TOKEN_FILE",
+)
 
 
 class RealSidecarsError(Exception):
@@ -37,7 +45,9 @@
 
     @classmethod
     @asynccontextmanager
-    async def running(cls, children: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS) -> AsyncIterator[RealSidecars]:
+    async def running(
+        cls, children: ChildProcesses, folder: Path, count: int, upstreams: int = DEFAULT_UPSTREAMS
+    ) -> AsyncIterator[RealSidecars]:
         """Starts discovery, and one upstream that all entries of the list point to, but no sidecar yet. Starts nothing
         if `count` is 0."""
         peer, discovery = Peer(), ListedDiscovery()
--- a/ironscale/scale/record.py
+++ b/ironscale/scale/record.py
@@ -33,11 +33,15 @@
                 added_bytes.setdefault(count, []).append(after["bytes"] - before["bytes"])
                 added_rows.setdefault(count, []).append(sum(after[t] - before[t] for t in (
                     "targets", "operations", "configurations", "audit", "mutations")))
-                disk_bytes.setdefault(count, []).append(float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes))
+                disk_bytes.setdefault(count, []).append(
+                    float(ResourceUsage.of_process(agents.pid()).written_bytes - spent.written_bytes)
+                )
             started_in_s, read_bytes = await restart(agents)
             restart_s[count], restart_read_bytes[count] = [started_in_s], [read_bytes]
             if count == context.size.play.sizes[0]:
-                await measure_longer_history(context, agents, instance_count=count, started_in_s=started_in_s, read_bytes=read_bytes)
+                await measure_longer_history(
+                    context, agents, instance_count=count, started_in_s=started_in_s, read_bytes=read_bytes
+                )
     context.add_slope("record.change.bytes", ROLE, X_AXIS, "bytes a change", added_bytes)
     context.add_slope("record.change.rows", ROLE, X_AXIS, "rows a change", added_rows)
     context.add_slope("record.change.disk_bytes", ROLE, X_AXIS, "bytes written to disk a change", disk_bytes,
@@ -71,7 +75,9 @@
     return time.monotonic() - started_s, float(ResourceUsage.of_process(agents.pid()).read_bytes)
 
 
-async def measure_longer_history(context: RunContext, agents: AgentProcesses, instance_count: int, started_in_s: float, read_bytes: float) -> None:
+async def measure_longer_history(
+    context: RunContext, agents: AgentProcesses, instance_count: int, started_in_s: float, read_bytes: float
+) -> None:
     """Restarts with the same instances after more changes, to see whether a restart reads the whole history."""
     await agents.wait_until_ready(instance_count)
     for _ in range(MORE_CHANGES):
--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -70,7 +70,16 @@
           note: str = "") -> Slope:
     """Builds a slope from the repetitions at each size. Raises FitError for fewer than three sizes."""
     slope_points = tuple(Point(float(size), tuple(float(v) for v in values)) for size, values in sorted(points.items()))
-    return Slope(name, role, x_axis, unit, slope_points, fit([(p.size, v) for p in slope_points for v in p.repeats]), measured_at, note)
+    return Slope(
+        name,
+        role,
+        x_axis,
+        unit,
+        slope_points,
+        fit([(p.size, v) for p in slope_points for v in p.repeats]),
+        measured_at,
+        note,
+    )
 
 
 @dataclass(slots=True)
@@ -93,10 +102,17 @@
 
     def to_json(self) -> str:
         def slope_object(entry: Slope) -> dict[str, Any]:
-            return {"name": entry.name, "role": entry.role, "x": entry.x_axis, "unit": entry.unit, "at": entry.measured_at,
-                    "note": entry.note, "points": [[p.size, *p.repeats] for p in entry.points],
-                    # Written for other programs. The verdict is left out: it is derived from the points on each load.
-                    "fit": {key: getattr(entry.fit, key) for key in Fit.__slots__ if key != "verdict"}}
+            return {
+                "name": entry.name,
+                "role": entry.role,
+                "x": entry.x_axis,
+                "unit": entry.unit,
+                "at": entry.measured_at,
+                "note": entry.note,
+                "points": [[p.size, *p.repeats] for p in entry.points],
+                # Written for other programs. The verdict is left out: it is derived from the points on each load.
+                "fit": {key: getattr(entry.fit, key) for key in Fit.__slots__ if key != "verdict"},
+            }
 
         return json.dumps({
             "format": FORMAT, "version": VERSION, "size_digest": self.size_digest, "machine": self.machine,
@@ -155,9 +171,15 @@
             self.numbers(row, f"{path}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", path))))
         recorded_fit = self.get(value, "fit", path)
         try:
-            found = build_slope(self.text(value, "name", path), self.text(value, "role", path, ROLES), self.text(value, "x", path),
-                          self.text(value, "unit", path), {p.size: p.repeats for p in points},
-                          self.text(value, "at", path), self.text(value, "note", path, empty=True))
+            found = build_slope(
+                self.text(value, "name", path),
+                self.text(value, "role", path, ROLES),
+                self.text(value, "x", path),
+                self.text(value, "unit", path),
+                {p.size: p.repeats for p in points},
+                self.text(value, "at", path),
+                self.text(value, "note", path, empty=True),
+            )
         except FitError as error:
             raise ResultError(f"{self.file}: {path}.points: {error}") from error
         # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -47,7 +47,9 @@
     def add_slope(self, name: str, role: str, x_axis: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
         """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
-        added = build_slope(name, role, x_axis, unit, {float(size): values for size, values in points.items()}, utc_now(), note)
+        added = build_slope(
+            name, role, x_axis, unit, {float(size): values for size, values in points.items()}, utc_now(), note
+        )
         self.result.add(added)
         self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in added.points)
                       + f" {unit}; {added.fit.verdict}")
@@ -69,7 +71,9 @@
         self.check_limits(count, agents, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
-        instances = SimulatedInstances(self.children, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
+        instances = SimulatedInstances(
+            self.children, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log"
+        )
         running_agents = AgentProcesses(self.children, folder, agents, play, term_s)
         try:
             await running_agents.start()
@@ -109,8 +113,13 @@
     await run_measurements(size, measurements, result, progress, write)
 
 
-async def run_measurements(size: Size, measurements: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
-                   write: Callable[[Result], None]) -> None:
+async def run_measurements(
+    size: Size,
+    measurements: Mapping[str, Measure],
+    result: Result,
+    progress: Callable[[str], None],
+    write: Callable[[Result], None],
+) -> None:
     """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
     processes it started. Raises RunError, ResourceLimitError."""
     limits = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -68,14 +68,20 @@
         self.in_force_times: dict[int, list[float]] = {}  # generation -> when each instance applied it
         self.list_times: dict[int, list[float]] = {}  # generation of discovery's list -> when each watch received it
         self.failed_lists = 0
-        self.held_positions: list[list[tuple[int, float]]] = []  # for each follower: (position in the log, when it was reached)
+        # for each follower: (position in the log, when it was reached)
+        self.held_positions: list[list[tuple[int, float]]] = []
 
     def create_follower(self, instance: SimulatedInstance, number: int, token: str, rng: random.Random) -> Follower:
         """Creates a follower of published versions for the instance."""
         zones = self.order["zones"]
         endpoints = tuple(AgentEndpoint(host, int(port)) for host, port in self.order["versions"])
         follower = create_simulated_follower(
-            instance, Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"), token, endpoints, rng=rng)
+            instance,
+            Labels(instance.name, f"service-{number % 230}", f"zone-{number % zones:02}"),
+            token,
+            endpoints,
+            rng=rng,
+        )
         positions: list[tuple[int, float]] = []
         self.held_positions.append(positions)
 
@@ -134,8 +140,15 @@
                 out, back = transferred_bytes(session.transport)
                 sent, received = sent + out, received + back
         list_received = sum(transferred_bytes(d.watch.transport)[1] for d in self.discoveries if d.watch is not None)
-        return {"welcomed": welcomed, "sent": sent, "received": received, "cpu_s": time.process_time(),
-                "memory_mb": resident_memory_mb(os.getpid()), "list_received": list_received, "failed_lists": self.failed_lists}
+        return {
+            "welcomed": welcomed,
+            "sent": sent,
+            "received": received,
+            "cpu_s": time.process_time(),
+            "memory_mb": resident_memory_mb(os.getpid()),
+            "list_received": list_received,
+            "failed_lists": self.failed_lists,
+        }
 
     def answer_question(self, question: dict[str, Any]) -> dict[str, Any]:
         match question["ask"]:
@@ -145,7 +158,10 @@
                 return {"at": self.in_force_times.get(question["generation"], [])}
             case "held":
                 version = question["generation"]
-                found = [next((at for position, at in positions if position >= version), None) for positions in self.held_positions]
+                found = [
+                    next((at for position, at in positions if position >= version), None)
+                    for positions in self.held_positions
+                ]
                 return {"at": [at for at in found if at is not None]}
             case "list":
                 return {"at": self.list_times.get(question["generation"], [])}
@@ -181,7 +197,9 @@
                 self.writer.write(json.dumps(question).encode() + b"\n")
                 line = await self.reader.readline()
         except (OSError, TimeoutError) as error:
-            raise SimulatedInstancesError(f"simulated instances, process {self.process.pid}: {error or 'no answer'}") from error
+            raise SimulatedInstancesError(
+                f"simulated instances, process {self.process.pid}: {error or 'no answer'}"
+            ) from error
         if not line:
             raise SimulatedInstancesError(f"simulated instances, process {self.process.pid}: it has ended")
         return dict(json.loads(line))
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -116,8 +116,12 @@
         valid = all(type(entry) is int and minimum <= entry <= maximum for entry in value)
         return tuple(value) if valid and sorted(set(value)) == value else None
 
-    return table.get(key, f"a list of {length_range[0]} to {length_range[1]} rising whole numbers from {minimum} to {maximum}", read,
-                     default)
+    return table.get(
+        key,
+        f"a list of {length_range[0]} to {length_range[1]} rising whole numbers from {minimum} to {maximum}",
+        read,
+        default,
+    )
 
 
 def _required_table(root: Table, key: str) -> Table:
--- a/ironscale/scale/takeover.py
+++ b/ironscale/scale/takeover.py
@@ -28,7 +28,9 @@
         context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, f"a term of {play.term_s:g} s")
 
 
-async def measure_fleet(agents: AgentProcesses, instances: SimulatedInstances, count: int, heartbeat_s: float) -> dict[str, float]:
+async def measure_fleet(
+    agents: AgentProcesses, instances: SimulatedInstances, count: int, heartbeat_s: float
+) -> dict[str, float]:
     await agents.change(instances)
     await asyncio.sleep(heartbeat_s)
     percent, megabytes, _ = await measure_at_rest(agents.pid(1), 2 * heartbeat_s)
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -51,15 +51,23 @@
     number, _, _ = await agents.publish()
     await agents.wait_until_held(instances, number)
     for _ in range(MEASURED_CHANGES):
-        before, leader_before, follower_before = agents.database_state(), ResourceUsage.of_process(agents.pid(0)), ResourceUsage.of_process(agents.pid(1))
+        before, leader_before, follower_before = (
+            agents.database_state(),
+            ResourceUsage.of_process(agents.pid(0)),
+            ResourceUsage.of_process(agents.pid(1)),
+        )
         number, requested_s, committed_s = await agents.publish()
         times = await agents.wait_until_held(instances, number)
         state = agents.database_state()
         results["versions.change.told_s"].append(committed_s - requested_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
             results[f"versions.change.{name}_s"].append(latency_at(times, share, requested_s))
-        results["versions.change.leader_cpu_ms"].append((ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000)
-        results["versions.change.follower_cpu_ms"].append((ResourceUsage.of_process(agents.pid(1)).cpu_s - follower_before.cpu_s) * 1000)
+        results["versions.change.leader_cpu_ms"].append(
+            (ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000
+        )
+        results["versions.change.follower_cpu_ms"].append(
+            (ResourceUsage.of_process(agents.pid(1)).cpu_s - follower_before.cpu_s) * 1000
+        )
         results["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
         results["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
@@ -112,12 +120,18 @@
             relay.mend()
             restored_s = time.monotonic()
             await agents.wait_until_held(instances, number)
-            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in instances.instance_processes]
+            parts = [
+                list((await herder.ask(ask="held", generation=number))["at"]) for herder in instances.instance_processes
+            ]
             others, cut_off = (sorted(sum(some, [])) for some in (parts[:near_processes], parts[near_processes:]))
         finally:
             relay.close()
-    note = f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
-    context.add_reading("versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, committed_s)], f"{note}; those not cut")
+    note = (
+        f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
+    )
+    context.add_reading(
+        "versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, committed_s)], f"{note}; those not cut"
+    )
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
         context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(cut_off, share, restored_s)],
                           f"{note}; from the link's return")
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -27,12 +27,28 @@
 def sample(coming: Size) -> Result:
     found = Result(coming.digest, {"cores": 8, "memory_mb": 24_000})
     found.add(
-        build_slope("agent.change.last_s", "agent that leads", "instances", "s", {250: [1.0], 750: [3.0], 1000: [4.0]}, AT),
-        build_slope("agent.back.change_last_s", "agent that leads", "instances", "s",
-              {250: [3.0, 3.1], 750: [5.0, 5.1], 2300: [15.0, 18.0]}, AT, "killed"),
-        build_slope("record.change.bytes", "record", "instances", "bytes a change",
-              {250: [50_000], 750: [150_000], 2300: [460_000]}, AT),
-        Reading("control.real.rest.added_cpu_percent", "sidecar control", "% of a core", (0.2, 0.3), AT))
+        build_slope(
+            "agent.change.last_s", "agent that leads", "instances", "s", {250: [1.0], 750: [3.0], 1000: [4.0]}, AT
+        ),
+        build_slope(
+            "agent.back.change_last_s",
+            "agent that leads",
+            "instances",
+            "s",
+            {250: [3.0, 3.1], 750: [5.0, 5.1], 2300: [15.0, 18.0]},
+            AT,
+            "killed",
+        ),
+        build_slope(
+            "record.change.bytes",
+            "record",
+            "instances",
+            "bytes a change",
+            {250: [50_000], 750: [150_000], 2300: [460_000]},
+            AT,
+        ),
+        Reading("control.real.rest.added_cpu_percent", "sidecar control", "% of a core", (0.2, 0.3), AT),
+    )
     return found
 
 
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -72,7 +72,8 @@
 
 
 def test_a_chain_of_two_counts_its_attempts_and_its_deadline_shrinks() -> None:
-    kind = replace(chain.REQUEST_KIND, deadline_us=20_000_000)  # on a busy machine no answer is late, so none is asked twice
+    # on a busy machine no answer is late, so none is asked twice
+    kind = replace(chain.REQUEST_KIND, deadline_us=20_000_000)
 
     async def call(address: Address, root: str) -> int:
         reader, writer = await asyncio.open_connection(*address)
@@ -103,9 +104,22 @@
 
 
 def test_figures_of_turns_become_slopes_and_what_they_come_to() -> None:
-    turns = [chain.ChainResult(name, hops, False, 100, [1_000 * hops] * 90, [500] * 90, [1.1**i for i in range(1, hops + 1)],
-                        3, [[900.0, 1_000.0 - 8 * i, 1_000.0] for i in range(1, hops + 1)], [{}] * hops)
-             for name in ("well", "fails 0.2") for hops in (1, 2, 4)]
+    turns = [
+        chain.ChainResult(
+            name,
+            hops,
+            False,
+            100,
+            [1_000 * hops] * 90,
+            [500] * 90,
+            [1.1**i for i in range(1, hops + 1)],
+            3,
+            [[900.0, 1_000.0 - 8 * i, 1_000.0] for i in range(1, hops + 1)],
+            [{}] * hops,
+        )
+        for name in ("well", "fails 0.2")
+        for hops in (1, 2, 4)
+    ]
     scene = scene_of()
     chain.add_results(scene, turns, 22)
     found = scene.result
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -29,7 +29,8 @@
 
 def test_calls_have_their_turn_and_are_made_when_the_decisions_say_so() -> None:
     async def play() -> None:
-        async with discovery.started_discovery(5, 20, turn_ms=30.0, each=10) as played:  # 20 are many: each waits its turn
+        # 20 are many: each waits its turn
+        async with discovery.started_discovery(5, 20, turn_ms=30.0, per_process=10) as played:
             await played.start()
             counts, server = await played.ask_all(), await played.server.ask()
         assert counts["lists"] >= 20 and counts["failed"] == 0 and server["calls"] == 20
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -31,7 +31,9 @@
         return path.Snapshot(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
 
     # upstream 0 is asked directly too, and so tells nothing of the sidecar's connections
-    played = path.ListResult(2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))])
+    played = path.ListResult(
+        2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))]
+    )
     outside = [served(999_999, 9_000), served(3_000_000, 9_000)]
     played.samples = {
         "direct": [*outside, served(1_000_000, 100)], "relay": [*outside, served(1_000_000, 150)],
