--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -23,7 +23,7 @@
 from bench.fleet import size_of
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import AgentProcesses
-from ironscale.scale.bounds import ResourceLimits, ChildProcesses
+from ironscale.scale.bounds import ChildProcesses, ResourceLimits
 from ironscale.standins.discovery import ListedDiscovery, listing
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -73,7 +73,7 @@
 
         from ironscale.scale import run as running
         from ironscale.scale import size as sizing
-        from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, Plan
+        from ironscale.scale.bounds import Plan, ResourceLimitError, ResourceLimits
         from ironscale.scale.result import Result, ResultError, load
 
         size = sizing.load(file)
--- a/ironscale/scale/capacity_page.py
+++ b/ironscale/scale/capacity_page.py
@@ -84,7 +84,8 @@
     extrapolated = ""
     if key:
         lower_bound = "over " if fit.verdict == FASTER and size.value(key) > entry.points[-1].size else ""
-        extrapolated = f"{lower_bound}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` {size.value(key):,.0f}"
+        extrapolated = (f"{lower_bound}{format_value(value_at(entry, size.value(key)), entry.unit)} at `{key}` "
+                        f"{size.value(key):,.0f}")
     return (f"`{entry.name}`", f"{measured}; {entry.unit}", per, fit.verdict, extrapolated, _run_note(entry))
 
 
--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -34,7 +34,7 @@
 from ironscale.load.run import RunError as ChildError
 from ironscale.scale.model import extrapolate
 from ironscale.scale.path import ROLE, create_client, latencies_us, paced_schedule, percentile, scenario
-from ironscale.scale.run import RunError, RunContext
+from ironscale.scale.run import RunContext, RunError
 from ironscale.standins.discovery import ListedDiscovery
 
 REQUEST_KIND = KindSpec("view", "idempotent", 1_000_000, False)
@@ -43,8 +43,8 @@
 LENGTHS = (1, 2, 4, 8)
 START_DELAY_S = 0.2
 NOTE = (
-    f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; applications "
-    "answer 500 for what was not served to them, and repeat nothing"
+    f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; "
+    "applications answer 500 for what was not served to them, and repeat nothing"
 )
 # `first`: the number of attempts of each call that always fail
 HEALTHY: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
@@ -164,7 +164,7 @@
 
 
 class Level:
-    """All copies of the application at one depth, or the bottom. `following` is the address that the application calls;
+    """All copies of the application at one depth, or the bottom. `next_address` is where the application calls;
     the bottom has none."""
 
     def __init__(self, applications: ChainApplications, depth: int) -> None:
@@ -444,8 +444,8 @@
             ROLE,
             unit,
             [round(extrapolation.value, 4)],
-            f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; each hop {'times' if by_factor else 'adds'} "
-            f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
+            f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; "
+            f"each hop {'times' if by_factor else 'adds'} "{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
         )
 
 
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -40,7 +40,10 @@
     for length in context.size.play.lists:
         context.progress(f"control: lists of {length}")
         context.check_limits(0, 1, 2 * SIDECARS_EACH)
-        async with context.running_fleet(0) as (agents, _), RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as sidecars:
+        async with (
+            context.running_fleet(0) as (agents, _),
+            RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as sidecars,
+        ):
             without = await sidecars.start(SIDECARS_EACH)
             with_agent = await sidecars.start(SIDECARS_EACH, agents.addresses, agents.token_file)
             await agents.wait_until_ready(SIDECARS_EACH)
--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -32,8 +32,8 @@
 from ironscale.load.run import child, sidecar_settings
 from ironscale.net.config import CALL_US
 from ironscale.net.discovery import Discovery, Listing, ListParser, _Call
-from ironscale.scale.path import raise_file_limit, percentile, scenario
-from ironscale.scale.run import RunError, RunContext
+from ironscale.scale.path import percentile, raise_file_limit, scenario
+from ironscale.scale.run import RunContext, RunError
 from ironscale.standins.discovery import ListedDiscovery
 
 ROLE = "discovery"
@@ -51,8 +51,8 @@
 
 
 class CountingDiscovery(ListedDiscovery):
-    """A stand-in discovery that counts the bytes it writes. If `turn_s` is not 0, it serves calls one at a time, each
-    for that long."""
+    """A stand-in discovery that counts the bytes it writes. If `call_time_s` is not 0, it serves calls one at a time,
+    each for that long."""
 
     def __init__(self, call_time_s: float = 0.0) -> None:
         super().__init__()
@@ -308,7 +308,7 @@
     change_bytes: float  # read by one watch for a changed entry
     change_cpu_us: float
     replaced_bytes: float  # read by one watch for a replaced upstream
-    asked_bytes_s: float  # read by one watch if it fetched the list every ASK_S instead; 0: not measured
+    asked_bytes_s: float  # read by one watch if it fetched the list every FETCH_INTERVAL_S instead; 0: not measured
     served_bytes_s: float  # written by discovery to all watches while nothing changes
     first_list_s: list[float]  # time from a simultaneous start of all to each one's list
     calls: int  # made by all watches until then
--- a/ironscale/scale/fit.py
+++ b/ironscale/scale/fit.py
@@ -71,7 +71,7 @@
     # Faster than in proportion: the last segment is steeper than the first, the value grows by a larger factor in it
     # than the size, and the extra rise exceeds the scatter of repetitions at one size.
     outgrows_size = medians[-1] * sizes[-2] > medians[-2] * sizes[-1]
-    if outgrows_size and last_slope > FASTER_MIN_STEEPENING * max(first_slope, 0.0) and (last_slope - first_slope) * (sizes[-1] - sizes[-2]) > max(
-            scatter, FLAT_MAX_SHARE * abs(medians[-1])):
+    if outgrows_size and last_slope > FASTER_MIN_STEEPENING * max(first_slope, 0.0) and (
+            last_slope - first_slope) * (sizes[-1] - sizes[-2]) > max(scatter, FLAT_MAX_SHARE * abs(medians[-1])):
         return FASTER
     return WITH_BASE if abs(intercept) > INTERCEPT_MIN_SHARE * abs(medians[-1]) else PROPORTIONAL
--- a/ironscale/scale/model.py
+++ b/ironscale/scale/model.py
@@ -56,9 +56,9 @@
 
 
 def extrapolate(points: Sequence[tuple[float, float]], depth: int, by_factor: bool) -> Extrapolation:
-    """Extrapolates points of (hops, value) to a depth, with an interval of INTERVAL_STANDARD_ERRORS of the slope to each
-    side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than three
-    chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
+    """Extrapolates points of (hops, value) to a depth, with an interval of INTERVAL_STANDARD_ERRORS of the slope to
+    each side. With `by_factor` each hop multiplies the value, else each hop adds to it. Raises FitError for fewer than
+    three chain lengths, and ValueError for a value that is not above 0 with `by_factor`."""
     if by_factor and min(value for _, value in points) <= 0:
         raise ValueError("expected values above 0, as each hop multiplies")
     fitted_points = [(hops, math.log(value)) for hops, value in points] if by_factor else list(points)
--- a/ironscale/scale/path.py
+++ b/ironscale/scale/path.py
@@ -35,7 +35,7 @@
 from ironscale.load.scenario import Scenario, parse
 from ironscale.load.schedule import KindMix, Mix, Schedule, build, steady
 from ironscale.scale.fit import MIN_SIZES
-from ironscale.scale.run import RunError, RunContext
+from ironscale.scale.run import RunContext, RunError
 
 ROUTES = ("direct", "relay", "sidecar")
 REQUEST_KIND = KindSpec("view", "idempotent", 5_000_000, False)
@@ -45,7 +45,7 @@
 FEW_SIDECARS = 10  # sidecars: too few for each to use only a subset of the upstreams
 START_DELAY_S = 0.3
 # On a shared machine other programs stall processes for milliseconds. A time slice is quiet if no direct or relayed
-# call in it took longer than QUIET_US; the sidecar's own calls have no influence on the choice.
+# call in it took longer than QUIET_MAX_US; the sidecar's own calls have no influence on the choice.
 SLICE_US, QUIET_MAX_US, MIN_QUIET_CALLS = 100_000, 1_500, 200
 ROLE = "sidecar data path"
 PointsByName = dict[str, list[tuple[float, float, int]]]  # name -> (x, value, repeat)
@@ -103,8 +103,8 @@
     """Upstreams that answer immediately, and one sidecar whose settings say that there are `sidecars` of them."""
     return parse(
         'duration_s = 1\n[[arrivals]]\nshape = "constant"\nrate = 1\n[[class]]\nname = "view"\n'
-        f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\nsockets = {MAX_SOCKETS}\n'
-        f"settings = {{ instances = {sidecars} }}\n[[upstreams]]\ncount = {upstreams}\n",
+        f'deadline_ms = {deadline_ms}\naim_ms = {aim_ms}\n[[tenant]]\nname = "t0"\n[sidecars]\n'
+        f"sockets = {MAX_SOCKETS}\nsettings = {{ instances = {sidecars} }}\n[[upstreams]]\ncount = {upstreams}\n",
         "path",
         Path("."),
     )
@@ -118,7 +118,7 @@
 
 def create_client(run: str, address: Address, schedule: Schedule, seconds: float,
               kind: KindSpec = REQUEST_KIND) -> tuple[Client, list[Sample]]:
-    """A client for one route, and the list that its samples go into. `part` is the schedule of its calls."""
+    """A client for one route, and the list that its samples go into. `schedule` is that of its calls."""
     samples: list[Sample] = []
     spec = Spec(run, (address,), "sidecar", "/api", False, (kind,), ("t0",), CONNECTIONS, 0, 0, round(seconds * 1e6),
                 0, 1)
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -18,14 +18,14 @@
 import httpx
 
 from ironscale.scale.agents import AgentProcesses, AgentsError
-from ironscale.scale.bounds import ResourceLimits, ChildProcesses, Plan, read_machine
+from ironscale.scale.bounds import ChildProcesses, Plan, ResourceLimits, read_machine
 from ironscale.scale.fit import FitError
 from ironscale.scale.real_sidecars import RealSidecars, RealSidecarsError
 from ironscale.scale.result import Reading, Result, build_slope
-from ironscale.scale.simulated_instances import SimulatedInstancesError, SimulatedInstances
+from ironscale.scale.simulated_instances import SimulatedInstances, SimulatedInstancesError
 from ironscale.scale.size import Size
 
-# Each is a module of this package with `async def measure(scene)`. A full run measures in this order.
+# Each is a module of this package with `async def measure(context)`. A full run measures in this order.
 MEASUREMENTS = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
 
 
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import ResourceLimits, ResourceLimitError, ChildProcesses, Machine, Plan, read_machine
+from ironscale.scale.bounds import ChildProcesses, Machine, Plan, ResourceLimitError, ResourceLimits, read_machine
 
 HERE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
@@ -66,7 +66,8 @@
         await asyncio.Event().wait()
 
     try:
-        with pytest.raises(ResourceLimitError, match="memory: expected .* MB at most, the run took .* MB and was ended"):
+        with pytest.raises(ResourceLimitError,
+                           match="memory: expected .* MB at most, the run took .* MB and was ended"):
             asyncio.run(asyncio.wait_for(run_with_watchdog(crew, work()), 30))
     finally:
         crew.end()
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -8,7 +8,7 @@
 import ironscale.scale as examples
 from ironscale.load.outcome import End, Sample
 from ironscale.scale import path
-from ironscale.scale.bounds import ResourceLimits, ChildProcesses
+from ironscale.scale.bounds import ChildProcesses, ResourceLimits
 from ironscale.scale.result import Result
 from ironscale.scale.run import RunContext
 from ironscale.scale.size import load
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ironscale.scale.result import Reading, Result, ResultError, load, parse, build_slope
+from ironscale.scale.result import Reading, Result, ResultError, build_slope, load, parse
 
 AT = "2026-01-01T00:00:00Z"
 
