--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -445,7 +445,8 @@
             unit,
             [round(extrapolation.value, 4)],
             f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; "
-            f"each hop {'times' if by_factor else 'adds'} "{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
+            f"each hop {'times' if by_factor else 'adds'} "
+            f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
         )
 
 
