--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -79,8 +79,8 @@
             await running_agents.start()
             await instances.start(count, running_agents.addresses, running_agents.token_file,
                                 versions=running_agents.addresses if follow_versions else ())
-            async with RealSidecars.running(self.children, folder, real) as reals:
-                await reals.start(real, running_agents.addresses, running_agents.token_file)
+            async with RealSidecars.running(self.children, folder, real) as sidecars:
+                await sidecars.start(real, running_agents.addresses, running_agents.token_file)
                 await running_agents.wait_until_ready(count + real)
                 yield running_agents, instances
         finally:
