--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -64,17 +64,17 @@
         self.limits.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
 
     @asynccontextmanager
-    async def running_fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
+    async def running_fleet(self, count: int, agent_count: int = 1, term_s: float | None = None, real: int = 0,
                     follow_versions: bool = False) -> AsyncIterator[tuple[AgentProcesses, SimulatedInstances]]:
         """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
         with the block. With `follow_versions` the simulated instances also follow published versions, at all agents."""
-        self.check_limits(count, agents, real)
+        self.check_limits(count, agent_count, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
         instances = SimulatedInstances(
             self.children, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log"
         )
-        running_agents = AgentProcesses(self.children, folder, agents, play, term_s)
+        running_agents = AgentProcesses(self.children, folder, agent_count, play, term_s)
         try:
             await running_agents.start()
             await instances.start(count, running_agents.addresses, running_agents.token_file,
