--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -84,7 +84,7 @@
         self.level = level
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.on_end: Callable[[int], None] | None = None
+        self.on_response: Callable[[int], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -98,7 +98,7 @@
 
     def on_message_complete(self) -> None:
         assert self.parser is not None and self.transport is not None
-        on_end, self.on_end = self.on_end, None
+        on_end, self.on_response = self.on_response, None
         if self.parser.should_keep_alive():
             self.level.idle_connections.append(self)
         else:
@@ -114,7 +114,7 @@
         if self in self.level.idle_connections:
             self.level.idle_connections.remove(self)
         self.parser = self.transport = None
-        on_end, self.on_end = self.on_end, None
+        on_end, self.on_response = self.on_response, None
         if on_end is not None:
             on_end(0)
 
@@ -157,7 +157,7 @@
         self.parser = self.transport = None
         pending_call, self.pending_call = self.pending_call, None
         if isinstance(pending_call, NextHopConnection):  # the caller has disconnected, so its call is cancelled
-            pending_call.on_end = None
+            pending_call.on_response = None
             pending_call.abort()
         elif pending_call is not None:
             pending_call.cancel()
@@ -217,7 +217,7 @@
         on_response: Callable[[int], None],
     ) -> None:
         assert connection.transport is not None
-        served.pending_call, connection.on_end = connection, on_response
+        served.pending_call, connection.on_response = connection, on_response
         connection.transport.write(payload)
 
     async def connect(
