--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -168,7 +168,7 @@
     the bottom has none."""
 
     def __init__(self, applications: ChainApplications, depth: int) -> None:
-        self.world, self.depth = applications, depth
+        self.applications, self.depth = applications, depth
         self.next_address: Address | None = None
         self.idle_connections: list[NextHopConnection] = []
         self.counts: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
@@ -187,15 +187,15 @@
         counts.calls[root] += 1
         counts.remaining_us.append(remaining_us)
         if self.next_address is None:
-            self.world.at_bottom(served, counts.calls[root])
+            self.applications.at_bottom(served, counts.calls[root])
             return
         received_us = time.monotonic_ns() // 1000
 
         def payload() -> bytes:
-            self.world.last_attempt += 1
+            self.applications.last_attempt += 1
             remaining_now_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - received_us))
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
-                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.last_attempt, remaining_now_us))
+                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.applications.last_attempt, remaining_now_us))
 
         def on_response(status: int) -> None:
             counts.answers[str(status)] += 1
