--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -403,7 +403,7 @@
     bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS),
     timing: Timing | None = None,
     rounds: int = 1,
-    tell: Callable[[str], None] = lambda line: None,
+    progress: Callable[[str], None] = lambda line: None,
 ) -> list[ChainResult]:
     """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
     one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
@@ -414,7 +414,7 @@
             results_by_length = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
             for at in (at for turns in results_by_length for at in turns):
                 results.append(at)
-                tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
+                progress(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
                      f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.max_attempts} at most")
     return results
 
@@ -454,7 +454,7 @@
     """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
     context.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
-        results = await run_all(LENGTHS, rounds=context.size.play.repeats, tell=context.progress)
+        results = await run_all(LENGTHS, rounds=context.size.play.repeats, progress=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
     add_results(context, results, context.size.fleet.depth)
