--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -470,9 +470,9 @@
     applications = ChainApplications(spec["hops"], spec["copies"], spec["seed"])
     write(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
-        found = applications.handle(json.loads(line))
-        if found is not None:
-            write(found)
+        answer = applications.handle(json.loads(line))
+        if answer is not None:
+            write(answer)
 
 
 if __name__ == "__main__":
