--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -238,13 +238,13 @@
     """A stand-in discovery and the simulated watches that use it."""
 
     def __init__(self, server: ChildProcess, hosts: list[tuple[ChildProcess, int]]) -> None:
-        self.server, self.herds = server, hosts
+        self.server, self.hosts = server, hosts
         self.first_list_s: list[float] = []
 
     async def ask_all(self, **command: Any) -> Counter[str]:
         counts: Counter[str] = Counter(looked=1)
         self.first_list_s = []
-        for answer in await asyncio.gather(*(herd.ask(**command) for herd, _ in self.herds)):
+        for answer in await asyncio.gather(*(herd.ask(**command) for herd, _ in self.hosts)):
             self.first_list_s += answer.pop("first_s")
             counts.update(answer)
         return counts
@@ -252,7 +252,7 @@
     async def start(self) -> float:
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
         started_s = time.monotonic()
-        await asyncio.gather(*(herd.ask(start=count) for herd, count in self.herds))
+        await asyncio.gather(*(herd.ask(start=count) for herd, count in self.hosts))
         while await self.ask_all() and min(self.first_list_s) < 0:
             if time.monotonic() > started_s + FIRST_LISTS_TIMEOUT_S:
                 raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
@@ -262,7 +262,7 @@
 
     def cpu_s(self) -> float:
         """CPU seconds of the processes of the simulated watches."""
-        return sum(process_cpu_s(herd.process.pid) for herd, _ in self.herds)
+        return sum(process_cpu_s(herd.process.pid) for herd, _ in self.hosts)
 
 
 @contextlib.asynccontextmanager
