--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -244,7 +244,7 @@
     async def ask_all(self, **command: Any) -> Counter[str]:
         counts: Counter[str] = Counter(looked=1)
         self.first_list_s = []
-        for answer in await asyncio.gather(*(herd.ask(**command) for herd, _ in self.hosts)):
+        for answer in await asyncio.gather(*(host.ask(**command) for host, _ in self.hosts)):
             self.first_list_s += answer.pop("first_s")
             counts.update(answer)
         return counts
