--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -252,7 +252,7 @@
     async def start(self) -> float:
         """Starts all watches at once and waits until each has its list. Returns the seconds that took."""
         started_s = time.monotonic()
-        await asyncio.gather(*(herd.ask(start=count) for herd, count in self.hosts))
+        await asyncio.gather(*(host.ask(start=count) for host, count in self.hosts))
         while await self.ask_all() and min(self.first_list_s) < 0:
             if time.monotonic() > started_s + FIRST_LISTS_TIMEOUT_S:
                 raise RunError(f"discovery: expected a list for all within {FIRST_LISTS_TIMEOUT_S:g} s, got none for "
