--- a/ironscale/scale/discovery.py
+++ b/ironscale/scale/discovery.py
@@ -262,7 +262,7 @@
 
     def cpu_s(self) -> float:
         """CPU seconds of the processes of the simulated watches."""
-        return sum(process_cpu_s(herd.process.pid) for herd, _ in self.hosts)
+        return sum(process_cpu_s(host.process.pid) for host, _ in self.hosts)
 
 
 @contextlib.asynccontextmanager
