--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -36,7 +36,7 @@
             times: list[float] = []
             while len(times) < cut_count and time.monotonic() < restored_s + REGION_TIMEOUT_S:
                 await asyncio.sleep(0.25)
-                answers = [await herder.ask(ask="in force", generation=generation) for herder in cut_processes]
+                answers = [await process.ask(ask="in force", generation=generation) for process in cut_processes]
                 times = sorted(at - restored_s for part in answers for at in part["at"])
             others = [await herder.ask(ask="in force", generation=generation) for herder in near_processes]
         finally:
