--- a/ironscale/scale/cut.py
+++ b/ironscale/scale/cut.py
@@ -38,7 +38,7 @@
                 await asyncio.sleep(0.25)
                 answers = [await process.ask(ask="in force", generation=generation) for process in cut_processes]
                 times = sorted(at - restored_s for part in answers for at in part["at"])
-            others = [await herder.ask(ask="in force", generation=generation) for herder in near_processes]
+            others = [await process.ask(ask="in force", generation=generation) for process in near_processes]
         finally:
             relay.close()
     note = f"{cut_count} of {count} cut for {CUT_S:g} s, a change 3 s before the link was back"
