--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -214,7 +214,7 @@
 
     @property
     def count(self) -> int:
-        return sum(herder.count for herder in self.instance_processes)
+        return sum(process.count for process in self.instance_processes)
 
     async def start(self, count: int, agents: Sequence[Address], token_file: Path | None,
                     discovery: Address | None = None, versions: Sequence[Address] = ()) -> None:
