--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -233,7 +233,7 @@
             first, count = first + size, count - size
 
     async def ask(self, **question: Any) -> list[dict[str, Any]]:
-        return list(await asyncio.gather(*(herder.ask(**question) for herder in self.instance_processes)))
+        return list(await asyncio.gather(*(process.ask(**question) for process in self.instance_processes)))
 
     async def total(self) -> dict[str, float]:
         """The sum of the states of all processes."""
