--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -251,7 +251,7 @@
         for herder in self.instance_processes:
             herder.writer.close()
         if self.instance_processes:
-            self.children.end(*(herder.process for herder in self.instance_processes))
+            self.children.end(*(process.process for process in self.instance_processes))
         self.instance_processes.clear()
 
 
