--- a/ironscale/scale/simulated_instances.py
+++ b/ironscale/scale/simulated_instances.py
@@ -158,11 +158,11 @@
                 return {"at": self.in_force_times.get(question["generation"], [])}
             case "held":
                 version = question["generation"]
-                found = [
+                reached = [
                     next((at for position, at in positions if position >= version), None)
                     for positions in self.held_positions
                 ]
-                return {"at": [at for at in found if at is not None]}
+                return {"at": [at for at in reached if at is not None]}
             case "list":
                 return {"at": self.list_times.get(question["generation"], [])}
         return {"wrong": f"{question['ask']}: not known here"}
