--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -138,10 +138,10 @@
         return ResultError(f"{self.file}: {path}: expected {expected}, got {str(got)[:60]!r}")
 
     def text(self, value: Any, key: str, path: str, choices: tuple[str, ...] = (), empty: bool = False) -> str:
-        found = self.get(value, key, path)
-        if not isinstance(found, str) or not (found or empty) or (choices and found not in choices):
-            raise self.fail(f"{path}.{key}", f"one of {', '.join(choices)}" if choices else "a text", found)
-        return found
+        text = self.get(value, key, path)
+        if not isinstance(text, str) or not (text or empty) or (choices and text not in choices):
+            raise self.fail(f"{path}.{key}", f"one of {', '.join(choices)}" if choices else "a text", text)
+        return text
 
     def get(self, value: Any, key: str, path: str) -> Any:
         if not isinstance(value, dict):
