--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -151,10 +151,10 @@
         return value[key]
 
     def list(self, value: Any, key: str, path: str) -> list[Any]:
-        found = self.get(value, key, path)
-        if not isinstance(found, list):
-            raise self.fail(f"{path}.{key}" if path else key, "a list", found)
-        return found
+        values = self.get(value, key, path)
+        if not isinstance(values, list):
+            raise self.fail(f"{path}.{key}" if path else key, "a list", values)
+        return values
 
     def number(self, value: Any, path: str) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
