--- a/ironscale/scale/result.py
+++ b/ironscale/scale/result.py
@@ -171,7 +171,7 @@
             self.numbers(row, f"{path}.points[{i}]", 2) for i, row in enumerate(self.list(value, "points", path))))
         recorded_fit = self.get(value, "fit", path)
         try:
-            found = build_slope(
+            slope = build_slope(
                 self.text(value, "name", path),
                 self.text(value, "role", path, ROLES),
                 self.text(value, "x", path),
@@ -185,9 +185,9 @@
         # Reject a fit that doesn't follow from the points: one edited by hand would end up in the capacity page.
         for key in ("intercept", "slope", "mean"):
             recorded = self.number(self.get(recorded_fit, key, f"{path}.fit"), f"{path}.fit.{key}")
-            if not math.isclose(recorded, getattr(found.fit, key), rel_tol=1e-6, abs_tol=1e-9):
-                raise self.fail(f"{path}.fit.{key}", f"{getattr(found.fit, key):.6g}, as its points give", recorded)
-        return found
+            if not math.isclose(recorded, getattr(slope.fit, key), rel_tol=1e-6, abs_tol=1e-9):
+                raise self.fail(f"{path}.fit.{key}", f"{getattr(slope.fit, key):.6g}, as its points give", recorded)
+        return slope
 
 
 def parse(text: str, file: str) -> Result:
