--- a/ironscale/scale/chart.py
+++ b/ironscale/scale/chart.py
@@ -24,10 +24,10 @@
 
     figure = Figure(figsize=(4.2, 2.6), layout="constrained")
     axes = figure.add_subplot()
-    pairs = [(point.size, value) for point in slope.points for value in point.repeats]
+    repetitions = [(point.size, value) for point in slope.points for value in point.repeats]
     largest = slope.points[-1].size
     axes.plot([0, largest], [slope.fit.at(0), slope.fit.at(largest)], color="0.6", linewidth=1)
-    axes.plot([x for x, _ in pairs], [y for _, y in pairs], "o", markersize=4)
+    axes.plot([x for x, _ in repetitions], [y for _, y in repetitions], "o", markersize=4)
     axes.set_xlabel(slope.x_axis)
     axes.set_ylabel(slope.unit)
     axes.set_ylim(bottom=0)
