--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -16,13 +16,13 @@
 from ironscale.control.processes import start_ticks
 from ironscale.scale.bounds import ChildProcesses, Machine, Plan, ResourceLimitError, ResourceLimits, read_machine
 
-HERE = Machine(8, 24_000, 16_000)
+LARGE_MACHINE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
 
 
 @pytest.mark.parametrize(("plan", "found", "line"), [
-    (Plan(100_000, 300, 1), HERE, "processes: expected 300 at most, got 335 to start"),
-    (Plan(2300, 400, 3, 290), HERE, "processes: expected 300 at most, got 299|processes"),
+    (Plan(100_000, 300, 1), LARGE_MACHINE, "processes: expected 300 at most, got 335 to start"),
+    (Plan(2300, 400, 3, 290), LARGE_MACHINE, "processes: expected 300 at most, got 299|processes"),
     (Plan(2300, 400, 3, 30), Machine(8, 24_000, 1_000), r"memory: expected 1,000 MB at most \(1,000 MB available"),
     (Plan(2300, 400, 3, 30), Machine(8, 3_000, 2_900), "memory: expected 1,500 MB at most"),
     (Plan(10**8, 10**6, 1), Machine(8, 1e9, 1e9), "descriptors: expected .* at most"),
