--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -81,7 +81,7 @@
         time.sleep(0.01)
 
 
-def children(pid: int) -> set[int]:
+def child_pids(pid: int) -> set[int]:
     found: set[int] = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
         found.update(int(child) for child in task.read_text(encoding="ascii").split())
@@ -148,10 +148,10 @@
         seen: dict[int, int] = {}
         wanted = rng.randrange(0, 3)  # processes that are there when it is struck
         until_s = time.monotonic() + 30
-        while len(children(process.pid)) < wanted and time.monotonic() < until_s:
+        while len(child_pids(process.pid)) < wanted and time.monotonic() < until_s:
             time.sleep(0.005)
         time.sleep(rng.uniform(0, 0.4))
-        seen.update({pid: start_ticks(pid) or 0 for pid in children(process.pid)})
+        seen.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
         process.send_signal(number)
         time.sleep(rng.uniform(0, 0.1))
         process.send_signal(number)  # impatient: the second one breaks nothing off
@@ -171,9 +171,9 @@
     process = start(tmp_path, "--only", "agent", ignoring=True)
     try:
         until_s = time.monotonic() + 30
-        while not children(process.pid) and time.monotonic() < until_s:
+        while not child_pids(process.pid) and time.monotonic() < until_s:
             time.sleep(0.005)
-        assert children(process.pid)
+        assert child_pids(process.pid)
         process.send_signal(signal.SIGINT)
         _, told = process.communicate(timeout=30)
     finally:
