--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -43,17 +43,17 @@
 
 
 def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
-    crew = ChildProcesses(ResourceLimits(2, 0.5))
+    children = ChildProcesses(ResourceLimits(2, 0.5))
     try:
-        first = crew.start("one", SLEEPER, str(tmp_path / "one"))
-        second = crew.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
+        first = children.start("one", SLEEPER, str(tmp_path / "one"))
+        second = children.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
         with pytest.raises(ResourceLimitError, match="processes: expected 2 at most, got one more: three"):
-            crew.start("three", SLEEPER, str(tmp_path / "three"))
+            children.start("three", SLEEPER, str(tmp_path / "three"))
         wait_for(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
-        assert crew.memory_mb() > 5
+        assert children.memory_mb() > 5
     finally:
-        crew.end(timeout_s=0.5)
-    assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not crew.running
+        children.end(timeout_s=0.5)
+    assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not children.running
 
 
 def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
