--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -59,18 +59,18 @@
 def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
     from ironscale.scale.run import run_with_watchdog
 
-    crew = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
+    children = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
 
     async def work() -> None:
-        crew.start("one", SLEEPER, str(tmp_path / "one"))
+        children.start("one", SLEEPER, str(tmp_path / "one"))
         await asyncio.Event().wait()
 
     try:
         with pytest.raises(ResourceLimitError,
                            match="memory: expected .* MB at most, the run took .* MB and was ended"):
-            asyncio.run(asyncio.wait_for(run_with_watchdog(crew, work()), 30))
+            asyncio.run(asyncio.wait_for(run_with_watchdog(children, work()), 30))
     finally:
-        crew.end()
+        children.end()
 
 
 def wait_for(condition: object, within_s: float = 30.0) -> None:
