--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -27,7 +27,7 @@
     (Plan(2300, 400, 3, 30), Machine(8, 3_000, 2_900), "memory: expected 1,500 MB at most"),
     (Plan(10**8, 10**6, 1), Machine(8, 1e9, 1e9), "descriptors: expected .* at most"),
 ])
-def test_beyond_the_bounds_nothing_begins(plan: Plan, found: Machine, line: str) -> None:
+def test_a_plan_that_exceeds_a_limit_is_refused(plan: Plan, found: Machine, line: str) -> None:
     if "got 299" in line:  # just within
         ResourceLimits(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
         line, plan = "processes: expected 300 at most, got 301 to start", Plan(2300, 400, 3, 292)
