--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -36,7 +36,7 @@
     assert "\n" not in str(error.value)
 
 
-def test_this_machine_is_read() -> None:
+def test_the_machine_is_read_from_proc() -> None:
     found = read_machine()
     assert found.cores >= 1 and 0 < found.available_mb <= found.memory_mb
     assert ResourceLimits(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
