--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -42,7 +42,7 @@
     assert ResourceLimits(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
 
 
-def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
+def test_the_process_limit_holds_and_end_stops_every_process(tmp_path: Path) -> None:
     children = ChildProcesses(ResourceLimits(2, 0.5))
     try:
         first = children.start("one", SLEEPER, str(tmp_path / "one"))
