--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -56,7 +56,7 @@
     assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not children.running
 
 
-def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
+def test_the_watchdog_ends_a_run_that_uses_too_much_memory(tmp_path: Path) -> None:
     from ironscale.scale.run import run_with_watchdog
 
     children = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
