--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -49,7 +49,7 @@
         second = children.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
         with pytest.raises(ResourceLimitError, match="processes: expected 2 at most, got one more: three"):
             children.start("three", SLEEPER, str(tmp_path / "three"))
-        wait_for(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
+        wait_until(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
         assert children.memory_mb() > 5
     finally:
         children.end(timeout_s=0.5)
@@ -73,7 +73,7 @@
         children.end()
 
 
-def wait_for(condition: object, within_s: float = 30.0) -> None:
+def wait_until(condition: object, within_s: float = 30.0) -> None:
     assert callable(condition)
     until_s = time.monotonic() + within_s
     while not condition():
