--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -73,9 +73,9 @@
         children.end()
 
 
-def wait_until(condition: object, within_s: float = 30.0) -> None:
+def wait_until(condition: object, timeout_s: float = 30.0) -> None:
     assert callable(condition)
-    until_s = time.monotonic() + within_s
+    until_s = time.monotonic() + timeout_s
     while not condition():
         assert time.monotonic() < until_s, "not within its time"
         time.sleep(0.01)
