--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -75,9 +75,9 @@
 
 def wait_until(condition: object, timeout_s: float = 30.0) -> None:
     assert callable(condition)
-    until_s = time.monotonic() + timeout_s
+    deadline_s = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < until_s, "not within its time"
+        assert time.monotonic() < deadline_s, "not within its time"
         time.sleep(0.01)
 
 
