--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -82,10 +82,10 @@
 
 
 def child_pids(pid: int) -> set[int]:
-    found: set[int] = set()
+    pids: set[int] = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
-        found.update(int(child) for child in task.read_text(encoding="ascii").split())
-    return found
+        pids.update(int(child) for child in task.read_text(encoding="ascii").split())
+    return pids
 
 
 SMALL = """title = "small"
