--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -123,7 +123,7 @@
 """
 
 
-def start(folder: Path, *options: str, ignoring: bool = False) -> subprocess.Popen[str]:
+def start_run(folder: Path, *options: str, ignoring: bool = False) -> subprocess.Popen[str]:
     """`ignoring`: with SIGINT ignored, as a shell without job control starts what runs in the background. Hazard: a
     test run that was begun so hands that on, and what comes before the program's first line is lost in the kernel."""
     def handled() -> None:
@@ -143,7 +143,7 @@
 def test_a_signal_at_any_moment_leaves_nothing_behind(tmp_path: Path, number: signal.Signals, seed: int) -> None:
     """At a moment drawn by the seed, from before the first process to the middle of a measurement."""
     rng = random.Random(seed * 100 + number)
-    process = start(tmp_path, "--only", "agent,takeover")
+    process = start_run(tmp_path, "--only", "agent,takeover")
     try:
         seen: dict[int, int] = {}
         wanted = rng.randrange(0, 3)  # processes that are there when it is struck
@@ -168,7 +168,7 @@
 
 
 def test_sigint_is_heard_by_a_run_that_was_started_with_it_ignored(tmp_path: Path) -> None:
-    process = start(tmp_path, "--only", "agent", ignoring=True)
+    process = start_run(tmp_path, "--only", "agent", ignoring=True)
     try:
         until_s = time.monotonic() + 30
         while not child_pids(process.pid) and time.monotonic() < until_s:
@@ -222,6 +222,6 @@
     (("--sizes", "5,10,20000"), "small.toml: play: processes: expected 300 at most"),
 ])
 def test_bad_options_are_one_line_and_nothing_begins(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
-    process = start(tmp_path, *options)
+    process = start_run(tmp_path, *options)
     _, told = process.communicate(timeout=30)
     assert process.returncode == 2 and line in told and told.count("\n") == 1, told
