--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -123,11 +123,11 @@
 """
 
 
-def start_run(folder: Path, *options: str, ignoring: bool = False) -> subprocess.Popen[str]:
+def start_run(folder: Path, *options: str, sigint_ignored: bool = False) -> subprocess.Popen[str]:
     """`ignoring`: with SIGINT ignored, as a shell without job control starts what runs in the background. Hazard: a
     test run that was begun so hands that on, and what comes before the program's first line is lost in the kernel."""
     def handled() -> None:
-        signal.signal(signal.SIGINT, signal.SIG_IGN if ignoring else signal.SIG_DFL)
+        signal.signal(signal.SIGINT, signal.SIG_IGN if sigint_ignored else signal.SIG_DFL)
 
     (folder / "small.toml").write_text(SMALL, encoding="utf-8")
     (folder / "tmp").mkdir()
@@ -168,7 +168,7 @@
 
 
 def test_sigint_is_heard_by_a_run_that_was_started_with_it_ignored(tmp_path: Path) -> None:
-    process = start_run(tmp_path, "--only", "agent", ignoring=True)
+    process = start_run(tmp_path, "--only", "agent", sigint_ignored=True)
     try:
         until_s = time.monotonic() + 30
         while not child_pids(process.pid) and time.monotonic() < until_s:
