--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -126,7 +126,7 @@
 def start_run(folder: Path, *options: str, sigint_ignored: bool = False) -> subprocess.Popen[str]:
     """`ignoring`: with SIGINT ignored, as a shell without job control starts what runs in the background. Hazard: a
     test run that was begun so hands that on, and what comes before the program's first line is lost in the kernel."""
-    def handled() -> None:
+    def set_sigint_handler() -> None:
         signal.signal(signal.SIGINT, signal.SIG_IGN if sigint_ignored else signal.SIG_DFL)
 
     (folder / "small.toml").write_text(SMALL, encoding="utf-8")
@@ -135,7 +135,7 @@
         [sys.executable, "-m", "ironscale.cli", "scale", "run", str(folder / "small.toml"), "--out",
          str(folder / "r.json"), *options], env={**os.environ, "TMPDIR": str(folder / "tmp")},
         stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, text=True,
-        start_new_session=True, preexec_fn=handled)
+        start_new_session=True, preexec_fn=set_sigint_handler)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
