--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -145,13 +145,13 @@
     rng = random.Random(seed * 100 + number)
     process = start_run(tmp_path, "--only", "agent,takeover")
     try:
-        seen: dict[int, int] = {}
+        children: dict[int, int] = {}
         wanted = rng.randrange(0, 3)  # processes that are there when it is struck
         until_s = time.monotonic() + 30
         while len(child_pids(process.pid)) < wanted and time.monotonic() < until_s:
             time.sleep(0.005)
         time.sleep(rng.uniform(0, 0.4))
-        seen.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
+        children.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
         process.send_signal(number)
         time.sleep(rng.uniform(0, 0.1))
         process.send_signal(number)  # impatient: the second one breaks nothing off
@@ -160,7 +160,7 @@
         if process.poll() is None:
             process.kill()
             process.communicate()
-    for pid, ticks in seen.items():
+    for pid, ticks in children.items():
         assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {told}"
     if "== agent" in told:  # before that it is Python that starts, and tells its own end
         assert "Traceback" not in told and process.returncode == 130, f"seed {seed}: {told}"
