--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -146,9 +146,9 @@
     process = start_run(tmp_path, "--only", "agent,takeover")
     try:
         children: dict[int, int] = {}
-        wanted = rng.randrange(0, 3)  # processes that are there when it is struck
+        wanted_children = rng.randrange(0, 3)  # processes that are there when it is struck
         until_s = time.monotonic() + 30
-        while len(child_pids(process.pid)) < wanted and time.monotonic() < until_s:
+        while len(child_pids(process.pid)) < wanted_children and time.monotonic() < until_s:
             time.sleep(0.005)
         time.sleep(rng.uniform(0, 0.4))
         children.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
