--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -147,8 +147,8 @@
     try:
         children: dict[int, int] = {}
         wanted_children = rng.randrange(0, 3)  # processes that are there when it is struck
-        until_s = time.monotonic() + 30
-        while len(child_pids(process.pid)) < wanted_children and time.monotonic() < until_s:
+        deadline_s = time.monotonic() + 30
+        while len(child_pids(process.pid)) < wanted_children and time.monotonic() < deadline_s:
             time.sleep(0.005)
         time.sleep(rng.uniform(0, 0.4))
         children.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
