--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -155,15 +155,15 @@
         process.send_signal(number)
         time.sleep(rng.uniform(0, 0.1))
         process.send_signal(number)  # impatient: the second one breaks nothing off
-        _, told = process.communicate(timeout=30)
+        _, stderr = process.communicate(timeout=30)
     finally:
         if process.poll() is None:
             process.kill()
             process.communicate()
     for pid, ticks in children.items():
-        assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {told}"
-    if "== agent" in told:  # before that it is Python that starts, and tells its own end
-        assert "Traceback" not in told and process.returncode == 130, f"seed {seed}: {told}"
+        assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {stderr}"
+    if "== agent" in stderr:  # before that it is Python that starts, and tells its own end
+        assert "Traceback" not in stderr and process.returncode == 130, f"seed {seed}: {stderr}"
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir()), f"seed {seed}"
 
 
