--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -167,7 +167,7 @@
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir()), f"seed {seed}"
 
 
-def test_sigint_is_heard_by_a_run_that_was_started_with_it_ignored(tmp_path: Path) -> None:
+def test_sigint_ends_a_run_that_was_started_with_sigint_ignored(tmp_path: Path) -> None:
     process = start_run(tmp_path, "--only", "agent", sigint_ignored=True)
     try:
         until_s = time.monotonic() + 30
