--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -170,8 +170,8 @@
 def test_sigint_ends_a_run_that_was_started_with_sigint_ignored(tmp_path: Path) -> None:
     process = start_run(tmp_path, "--only", "agent", sigint_ignored=True)
     try:
-        until_s = time.monotonic() + 30
-        while not child_pids(process.pid) and time.monotonic() < until_s:
+        deadline_s = time.monotonic() + 30
+        while not child_pids(process.pid) and time.monotonic() < deadline_s:
             time.sleep(0.005)
         assert child_pids(process.pid)
         process.send_signal(signal.SIGINT)
