--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -175,12 +175,12 @@
             time.sleep(0.005)
         assert child_pids(process.pid)
         process.send_signal(signal.SIGINT)
-        _, told = process.communicate(timeout=30)
+        _, stderr = process.communicate(timeout=30)
     finally:
         if process.poll() is None:
             process.kill()
             process.communicate()
-    assert process.returncode == 130 and "Traceback" not in told, told
+    assert process.returncode == 130 and "Traceback" not in stderr, stderr
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir())
 
 
