--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -184,7 +184,7 @@
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir())
 
 
-def test_a_small_run_ends_clean_with_its_figures(tmp_path: Path) -> None:
+def test_a_small_run_reaches_every_instance_and_leaves_no_process(tmp_path: Path) -> None:
     """One agent, up to 20 hollow instances and a real sidecar: a change comes to each, and the run adds by name."""
     from ironscale.scale.result import Result
     from ironscale.scale.run import RunContext, run_measurements
