--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -221,7 +221,7 @@
     (("--sizes", "10,5,20"), "--sizes: expected three rising"),
     (("--sizes", "5,10,20000"), "small.toml: play: processes: expected 300 at most"),
 ])
-def test_bad_options_are_one_line_and_nothing_begins(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
+def test_bad_options_give_a_one_line_error_and_start_nothing(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
     process = start_run(tmp_path, *options)
     _, told = process.communicate(timeout=30)
     assert process.returncode == 2 and line in told and told.count("\n") == 1, told
