--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -223,5 +223,5 @@
 ])
 def test_bad_options_give_a_one_line_error_and_start_nothing(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
     process = start_run(tmp_path, *options)
-    _, told = process.communicate(timeout=30)
-    assert process.returncode == 2 and line in told and told.count("\n") == 1, told
+    _, stderr = process.communicate(timeout=30)
+    assert process.returncode == 2 and line in stderr and stderr.count("\n") == 1, stderr
