--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -24,7 +24,7 @@
     return size.load(EXAMPLE)
 
 
-def sample(coming: Size) -> Result:
+def sample_result(coming: Size) -> Result:
     found = Result(coming.digest, {"cores": 8, "memory_mb": 24_000})
     found.add(
         build_slope(
@@ -62,7 +62,7 @@
 
 def test_slope_times_size(coming: Size) -> None:
     """Beyond the largest that was measured the line tells; where the size itself was measured, the measurement."""
-    found = sample(coming)
+    found = sample_result(coming)
     assert capacity_page.value_of(coming, found, "agent.change.last_s") == pytest.approx(9.2)  # 0.004 x 2,300
     assert capacity_page.value_of(coming, found, "agent.back.change_last_s") == pytest.approx(16.5)
     larger = replace(coming, fleet=replace(coming.fleet, sidecars=4600))
@@ -74,14 +74,14 @@
 
 
 def test_the_largest_ratio_comes_first_and_the_unmeasured_last(coming: Size) -> None:
-    lines = capacity_page.needs_table(coming, sample(coming)).splitlines()[2:]
+    lines = capacity_page.needs_table(coming, sample_result(coming)).splitlines()[2:]
     assert "killed" in lines[0] and "**1.38**" in lines[0] and "12 s (`promises.force_s`)" in lines[0]
     assert "0.77" in lines[1] and "0.08" in lines[2] and "not measured" in lines[-1]
     assert len(lines) == len(capacity_page.NEEDS)
 
 
 def test_a_promise_that_is_never_kept_goes_before_all(coming: Size) -> None:
-    found = sample(coming)
+    found = sample_result(coming)
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (766,), AT, "trial, busy"))
     line = capacity_page.needs_table(coming, found).splitlines()[2]
     assert "766 instances" in line and "**never kept**" in line and "`cut.region.missed` (trial)" in line
@@ -91,7 +91,7 @@
 
 
 def test_every_role_has_its_table(coming: Size) -> None:
-    found = capacity_page.tables(coming, sample(coming))
+    found = capacity_page.tables(coming, sample_result(coming))
     for role in ROLES:
         assert found[capacity_page.marker_name(role)]
     assert "Not measured." in found["upstream"]
@@ -103,7 +103,7 @@
 
 
 def test_tables_are_written_between_markers_and_drift_is_told(coming: Size) -> None:
-    found = sample(coming)
+    found = sample_result(coming)
     assert capacity_page.outdated_tables(TEXT, coming, found, "p") == ["needs", "size"]
     written = capacity_page.fill_page(TEXT, coming, found, "p")
     assert (capacity_page.outdated_tables(written, coming, found, "p") == []
@@ -122,18 +122,18 @@
 ])
 def test_a_page_that_cannot_be_filled_is_one_line(coming: Size, was: str, now: str, line: str) -> None:
     with pytest.raises(capacity_page.PageError, match=line) as error:
-        capacity_page.fill_page(TEXT.replace(was, now), coming, sample(coming), "p")
+        capacity_page.fill_page(TEXT.replace(was, now), coming, sample_result(coming), "p")
     assert "\n" not in str(error.value)
 
 
 def test_a_result_of_another_size_is_refused(coming: Size) -> None:
     other = replace(coming, fleet=replace(coming.fleet, zones=11))
     with pytest.raises(capacity_page.PageError, match="p: expected a result of size file"):
-        capacity_page.fill_page(TEXT, other, sample(coming), "p")
+        capacity_page.fill_page(TEXT, other, sample_result(coming), "p")
 
 
 def test_the_command_writes_and_checks(coming: Size, tmp_path: Path) -> None:
-    sample(coming).write(tmp_path / "r.json")
+    sample_result(coming).write(tmp_path / "r.json")
     (tmp_path / "p.md").write_text(TEXT, encoding="utf-8")
 
     def call(*options: str) -> subprocess.CompletedProcess[str]:
@@ -155,7 +155,7 @@
     from ironscale.cli.scale import scale
 
     first, second, alien = (tmp_path / name for name in ("a.json", "b.json", "c.json"))
-    sample(coming).write(first)
+    sample_result(coming).write(first)
     other = Result(coming.digest, {"cores": 8, "memory_mb": 1})
     other.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
     other.write(second)
@@ -173,4 +173,4 @@
 
     monkeypatch.setitem(sys.modules, "matplotlib", None)
     with pytest.raises(ChartError, match=r"charts: expected matplotlib \(pip install 'ironscale\[scale\]'\), got"):
-        draw(sample(coming).slopes["agent.change.last_s"], tmp_path)
+        draw(sample_result(coming).slopes["agent.change.last_s"], tmp_path)
