--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -52,7 +52,7 @@
     return found
 
 
-def test_the_page_is_that_of_its_result_and_size_file(coming: Size) -> None:
+def test_the_page_matches_its_result_and_size_file(coming: Size) -> None:
     """Where one of the three was changed alone: `ironscale scale page docs/capacity/measured.json SIZE.toml`."""
     measured = result.load(MEASURED)
     assert measured.size_digest == coming.digest
