--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -60,7 +60,7 @@
     assert capacity_page.outdated_tables(PAGE.read_text(encoding="utf-8"), coming, measured, str(PAGE)) == []
 
 
-def test_slope_times_size(coming: Size) -> None:
+def test_values_are_extrapolated_unless_the_planned_size_was_measured(coming: Size) -> None:
     """Beyond the largest that was measured the line tells; where the size itself was measured, the measurement."""
     found = sample_result(coming)
     assert capacity_page.value_of(coming, found, "agent.change.last_s") == pytest.approx(9.2)  # 0.004 x 2,300
