--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -73,7 +73,7 @@
     assert "2.62 GB" in rows and "78.7 GB" in rows  # 460,000 x 5,700 a day, and thirty of them
 
 
-def test_the_largest_ratio_comes_first_and_the_unmeasured_last(coming: Size) -> None:
+def test_needs_are_sorted_by_ratio_with_unmeasured_ones_last(coming: Size) -> None:
     lines = capacity_page.needs_table(coming, sample_result(coming)).splitlines()[2:]
     assert "killed" in lines[0] and "**1.38**" in lines[0] and "12 s (`promises.force_s`)" in lines[0]
     assert "0.77" in lines[1] and "0.08" in lines[2] and "not measured" in lines[-1]
