--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -80,7 +80,7 @@
     assert len(lines) == len(capacity_page.NEEDS)
 
 
-def test_a_promise_that_is_never_kept_goes_before_all(coming: Size) -> None:
+def test_a_need_above_a_budget_of_zero_comes_first(coming: Size) -> None:
     found = sample_result(coming)
     found.add(Reading("cut.region.missed", "agent that leads", "instances", (766,), AT, "trial, busy"))
     line = capacity_page.needs_table(coming, found).splitlines()[2]
