--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -102,7 +102,7 @@
 TEXT = "# Page\n\n<!-- scale:needs -->\nold\n<!-- /scale:needs -->\nwords\n<!-- scale:size -->\n<!-- /scale:size -->\n"
 
 
-def test_tables_are_written_between_markers_and_drift_is_told(coming: Size) -> None:
+def test_tables_are_written_between_markers_and_outdated_ones_are_named(coming: Size) -> None:
     found = sample_result(coming)
     assert capacity_page.outdated_tables(TEXT, coming, found, "p") == ["needs", "size"]
     written = capacity_page.fill_page(TEXT, coming, found, "p")
