--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -120,7 +120,7 @@
     ("words", "<!-- scale:size -->\n<!-- /scale:size -->", "scale:size --> once each"),
     (TEXT, "nothing", "got no table's place"),
 ])
-def test_a_page_that_cannot_be_filled_is_one_line(coming: Size, was: str, now: str, line: str) -> None:
+def test_a_page_with_wrong_markers_gives_a_one_line_error(coming: Size, was: str, now: str, line: str) -> None:
     with pytest.raises(capacity_page.PageError, match=line) as error:
         capacity_page.fill_page(TEXT.replace(was, now), coming, sample_result(coming), "p")
     assert "\n" not in str(error.value)
