--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -132,7 +132,7 @@
         capacity_page.fill_page(TEXT, other, sample_result(coming), "p")
 
 
-def test_the_command_writes_and_checks(coming: Size, tmp_path: Path) -> None:
+def test_the_page_command_writes_and_checks(coming: Size, tmp_path: Path) -> None:
     sample_result(coming).write(tmp_path / "r.json")
     (tmp_path / "p.md").write_text(TEXT, encoding="utf-8")
 
