--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -167,7 +167,7 @@
     assert "c.json: size_digest: expected" in str(refused.exception) and result.load(first) == merged
 
 
-def test_charts_without_their_library_are_one_line(
+def test_charts_without_matplotlib_give_a_one_line_error(
         coming: Size, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     from ironscale.scale.chart import ChartError, draw
 
