--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -154,16 +154,16 @@
 
     from ironscale.cli.scale import scale
 
-    first, second, alien = (tmp_path / name for name in ("a.json", "b.json", "c.json"))
+    first, second, other_size = (tmp_path / name for name in ("a.json", "b.json", "c.json"))
     sample_result(coming).write(first)
     other = Result(coming.digest, {"cores": 8, "memory_mb": 1})
     other.add(Reading("agent.change.last_s", "agent that leads", "s", (2.0,), AT))
     other.write(second)
-    Result("another", {"cores": 8, "memory_mb": 1}).write(alien)
+    Result("another", {"cores": 8, "memory_mb": 1}).write(other_size)
     assert CliRunner().invoke(scale, ["merge", str(first), str(second)]).exit_code == 0
     merged = result.load(first)
     assert "agent.change.last_s" in merged.readings and "record.change.bytes" in merged.slopes
-    refused = CliRunner().invoke(scale, ["merge", str(first), str(alien)])
+    refused = CliRunner().invoke(scale, ["merge", str(first), str(other_size)])
     assert "c.json: size_digest: expected" in str(refused.exception) and result.load(first) == merged
 
 
