--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -19,7 +19,7 @@
 from tests.sockets import run
 
 # The retry budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
-RETRY_SHARE, MOST, KEPT = 0.2, 4, 5.0
+RETRY_SHARE, MAX_ATTEMPTS, KEPT = 0.2, 4, 5.0
 
 
 def brute(failing: float, hops: int, calls: int, random: Random) -> float:
@@ -32,7 +32,7 @@
             sent += 1
             return random.random() >= failing
         tokens[hop] = min(KEPT, tokens[hop] + RETRY_SHARE)
-        for _ in range(MOST - 1):
+        for _ in range(MAX_ATTEMPTS - 1):
             if call(hop + 1):
                 return True
             if tokens[hop] < 1.0:
@@ -47,17 +47,17 @@
 
 @pytest.mark.parametrize("failing", [0.02, 0.2, 0.5, 0.9, 1.0])
 def test_the_law_is_what_a_chain_of_budgets_does(failing: float) -> None:
-    law = attempts_at_bottom(failing, 6, RETRY_SHARE, MOST)
+    law = attempts_at_bottom(failing, 6, RETRY_SHARE, MAX_ATTEMPTS)
     for hops in (1, 3, 6):
         found = brute(failing, hops, 20_000, Random(f"{failing}/{hops}"))
         assert math.isclose(found, law[hops - 1], rel_tol=0.06), (hops, found, law[hops - 1])
 
 
 def test_attempts_grow_by_the_power_only_where_nothing_succeeds() -> None:
-    assert math.isclose(attempts_at_bottom(1.0, 22, RETRY_SHARE, MOST)[-1], 1.2**22)
+    assert math.isclose(attempts_at_bottom(1.0, 22, RETRY_SHARE, MAX_ATTEMPTS)[-1], 1.2**22)
     for failing in (0.1, 0.5, 0.9):
-        assert attempts_at_bottom(failing, 200, RETRY_SHARE, MOST)[-1] <= 1 / (1 - failing) + 1e-9
-    assert hop_attempts(0.0, RETRY_SHARE, MOST) == (1.0, 0.0)
+        assert attempts_at_bottom(failing, 200, RETRY_SHARE, MAX_ATTEMPTS)[-1] <= 1 / (1 - failing) + 1e-9
+    assert hop_attempts(0.0, RETRY_SHARE, MAX_ATTEMPTS) == (1.0, 0.0)
 
 
 def test_a_line_is_carried_on_with_what_is_not_known_of_it() -> None:
