--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -19,19 +19,19 @@
 from tests.sockets import run
 
 # The retry budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
-RETRY_SHARE, MAX_ATTEMPTS, KEPT = 0.2, 4, 5.0
+RETRY_SHARE, MAX_ATTEMPTS, MAX_RETRY_TOKENS = 0.2, 4, 5.0
 
 
 def brute(failing: float, hops: int, calls: int, random: Random) -> float:
     """Attempts at the bottom for a call at the top, each hop with a budget that fills by its own calls."""
-    tokens, sent = [KEPT] * hops, 0
+    tokens, sent = [MAX_RETRY_TOKENS] * hops, 0
 
     def call(hop: int) -> bool:
         nonlocal sent
         if hop == hops:
             sent += 1
             return random.random() >= failing
-        tokens[hop] = min(KEPT, tokens[hop] + RETRY_SHARE)
+        tokens[hop] = min(MAX_RETRY_TOKENS, tokens[hop] + RETRY_SHARE)
         for _ in range(MAX_ATTEMPTS - 1):
             if call(hop + 1):
                 return True
