--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -22,7 +22,7 @@
 RETRY_SHARE, MAX_ATTEMPTS, MAX_RETRY_TOKENS = 0.2, 4, 5.0
 
 
-def brute(failing: float, hops: int, calls: int, random: Random) -> float:
+def simulated_attempts(failing: float, hops: int, calls: int, random: Random) -> float:
     """Attempts at the bottom for a call at the top, each hop with a budget that fills by its own calls."""
     tokens, sent = [MAX_RETRY_TOKENS] * hops, 0
 
@@ -49,7 +49,7 @@
 def test_the_law_is_what_a_chain_of_budgets_does(failing: float) -> None:
     law = attempts_at_bottom(failing, 6, RETRY_SHARE, MAX_ATTEMPTS)
     for hops in (1, 3, 6):
-        found = brute(failing, hops, 20_000, Random(f"{failing}/{hops}"))
+        found = simulated_attempts(failing, hops, 20_000, Random(f"{failing}/{hops}"))
         assert math.isclose(found, law[hops - 1], rel_tol=0.06), (hops, found, law[hops - 1])
 
 
