--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -22,7 +22,7 @@
 RETRY_SHARE, MAX_ATTEMPTS, MAX_RETRY_TOKENS = 0.2, 4, 5.0
 
 
-def simulated_attempts(failing: float, hops: int, calls: int, random: Random) -> float:
+def simulated_attempts(failure_rate: float, hops: int, calls: int, random: Random) -> float:
     """Attempts at the bottom for a call at the top, each hop with a budget that fills by its own calls."""
     tokens, sent = [MAX_RETRY_TOKENS] * hops, 0
 
@@ -30,7 +30,7 @@
         nonlocal sent
         if hop == hops:
             sent += 1
-            return random.random() >= failing
+            return random.random() >= failure_rate
         tokens[hop] = min(MAX_RETRY_TOKENS, tokens[hop] + RETRY_SHARE)
         for _ in range(MAX_ATTEMPTS - 1):
             if call(hop + 1):
