--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("failing", [0.02, 0.2, 0.5, 0.9, 1.0])
-def test_the_law_is_what_a_chain_of_budgets_does(failing: float) -> None:
+def test_the_formula_matches_a_simulated_chain_of_retry_budgets(failing: float) -> None:
     law = attempts_at_bottom(failing, 6, RETRY_SHARE, MAX_ATTEMPTS)
     for hops in (1, 3, 6):
         found = simulated_attempts(failing, hops, 20_000, Random(f"{failing}/{hops}"))
