--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -53,7 +53,7 @@
         assert math.isclose(found, law[hops - 1], rel_tol=0.06), (hops, found, law[hops - 1])
 
 
-def test_attempts_grow_by_the_power_only_where_nothing_succeeds() -> None:
+def test_attempts_grow_exponentially_only_if_no_attempt_succeeds() -> None:
     assert math.isclose(attempts_at_bottom(1.0, 22, RETRY_SHARE, MAX_ATTEMPTS)[-1], 1.2**22)
     for failing in (0.1, 0.5, 0.9):
         assert attempts_at_bottom(failing, 200, RETRY_SHARE, MAX_ATTEMPTS)[-1] <= 1 / (1 - failing) + 1e-9
