--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -60,7 +60,7 @@
     assert hop_attempts(0.0, RETRY_SHARE, MAX_ATTEMPTS) == (1.0, 0.0)
 
 
-def test_a_line_is_carried_on_with_what_is_not_known_of_it() -> None:
+def test_extrapolation_gives_an_interval() -> None:
     exact = extrapolate([(hops, 1.2**hops) for hops in (1, 2, 4, 8)], 22, True)
     assert math.isclose(exact.value, 1.2**22, rel_tol=1e-6) and math.isclose(exact.growth, 1.2, rel_tol=1e-6)
     rough = extrapolate([(1, 1.0), (1, 1.4), (2, 2.1), (4, 3.9), (8, 8.3)], 22, False)
