--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -103,7 +103,7 @@
     run(play)
 
 
-def test_figures_of_turns_become_slopes_and_what_they_come_to() -> None:
+def test_results_become_slopes_and_extrapolated_readings() -> None:
     turns = [
         chain.ChainResult(
             name,
