--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize("failing", [0.02, 0.2, 0.5, 0.9, 1.0])
 def test_the_formula_matches_a_simulated_chain_of_retry_budgets(failing: float) -> None:
-    law = attempts_at_bottom(failing, 6, RETRY_SHARE, MAX_ATTEMPTS)
+    formula = attempts_at_bottom(failing, 6, RETRY_SHARE, MAX_ATTEMPTS)
     for hops in (1, 3, 6):
         found = simulated_attempts(failing, hops, 20_000, Random(f"{failing}/{hops}"))
-        assert math.isclose(found, law[hops - 1], rel_tol=0.06), (hops, found, law[hops - 1])
+        assert math.isclose(found, formula[hops - 1], rel_tol=0.06), (hops, found, formula[hops - 1])
 
 
 def test_attempts_grow_exponentially_only_if_no_attempt_succeeds() -> None:
