--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -90,15 +90,15 @@
             await two.take_counts()  # what was said before is heard by now
             assert await call(two.sidecars[0], "m-0") == 200
             assert await call(two.bare[0], "b-0") == 500
-            told = await two.take_counts()
-        top, below = (level["m"] for level in told["levels"])
+            counts = await two.take_counts()
+        top, below = (level["m"] for level in counts["levels"])
         # the bottom fails the call's first attempt; the sidecar above it tries again, and the one at the top need not
-        assert (top["calls"], top["attempts"], top["got"]) == (1, 1, {"200": 1}), told
-        assert (below["calls"], below["attempts"], below["most"]) == (1, 2, 2), told
+        assert (top["calls"], top["attempts"], top["got"]) == (1, 1, {"200": 1}), counts
+        assert (below["calls"], below["attempts"], below["most"]) == (1, 2, 2), counts
         left_ms = [kind.deadline_us / 1000, top["left_ms"][2], below["left_ms"][2]]
-        assert left_ms[0] - 8 >= left_ms[1] and left_ms[1] - 8 >= left_ms[2] > 0, told  # each keeps 8 ms for itself
+        assert left_ms[0] - 8 >= left_ms[1] and left_ms[1] - 8 >= left_ms[2] > 0, counts  # each keeps 8 ms for itself
         # without sidecars nothing is tried again
-        assert [level["b"]["attempts"] for level in told["bare"]] == [1, 1], told
+        assert [level["b"]["attempts"] for level in counts["bare"]] == [1, 1], counts
 
     run(play)
 
