--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -7,13 +7,13 @@
 from ironscale.scale import discovery
 from tests.sockets import run
 
-BEAT = len(b"1\r\n\n\r\n")  # while nothing changes, one each 2 s: some may fall into any count
+HEARTBEAT_BYTES = len(b"1\r\n\n\r\n")  # while nothing changes, one each 2 s: some may fall into any count
 
 
 def test_bytes_are_those_of_lists_and_changes() -> None:
     async def play() -> None:
         taken = await discovery.measure_traffic(40, 3, rest_s=0.2)
-        beats = 10 * BEAT
+        beats = 10 * HEARTBEAT_BYTES
         entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
         assert whole < taken.whole_bytes < whole + 100 + beats  # and its head
