--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -10,7 +10,7 @@
 HEARTBEAT_BYTES = len(b"1\r\n\n\r\n")  # while nothing changes, one each 2 s: some may fall into any count
 
 
-def test_bytes_are_those_of_lists_and_changes() -> None:
+def test_counted_bytes_match_lists_and_changes() -> None:
     async def play() -> None:
         taken = await discovery.measure_traffic(40, 3, rest_s=0.2)
         beats = 10 * HEARTBEAT_BYTES
