--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -27,7 +27,7 @@
     run(play)
 
 
-def test_calls_have_their_turn_and_are_made_when_the_decisions_say_so() -> None:
+def test_calls_are_served_one_at_a_time_and_spread_by_the_balancers() -> None:
     async def play() -> None:
         # 20 are many: each waits its turn
         async with discovery.started_discovery(5, 20, turn_ms=30.0, per_process=10) as played:
