--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -13,15 +13,15 @@
 def test_counted_bytes_match_lists_and_changes() -> None:
     async def play() -> None:
         measured = await discovery.measure_traffic(40, 3, rest_s=0.2)
-        beats = 10 * HEARTBEAT_BYTES
+        heartbeats = 10 * HEARTBEAT_BYTES
         entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
-        assert whole < measured.whole_bytes < whole + 100 + beats  # and its head
+        assert whole < measured.whole_bytes < whole + 100 + heartbeats  # and its head
         assert measured.calls == 3 and len(measured.first_list_s) == 3 and min(measured.first_list_s) >= 0
-        assert 0 <= measured.start_bytes - 3 * measured.whole_bytes <= 3 * beats
+        assert 0 <= measured.start_bytes - 3 * measured.whole_bytes <= 3 * heartbeats
         entry = len(json.dumps(entries[0], separators=(",", ":")))
-        assert entry < measured.change_bytes < entry + 100 + beats
-        assert 3 * entry < measured.replaced_bytes < 3 * (entry + 100) + beats  # drained, gone, another
+        assert entry < measured.change_bytes < entry + 100 + heartbeats
+        assert 3 * entry < measured.replaced_bytes < 3 * (entry + 100) + heartbeats  # drained, gone, another
         assert abs(measured.asked_bytes_s * discovery.FETCH_INTERVAL_S - measured.whole_bytes) < 2_000
 
     run(play)
