--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -30,11 +30,11 @@
 def test_calls_are_served_one_at_a_time_and_spread_by_the_balancers() -> None:
     async def play() -> None:
         # 20 are many: each waits its turn
-        async with discovery.started_discovery(5, 20, turn_ms=30.0, per_process=10) as played:
-            await played.start()
-            counts, server = await played.ask_all(), await played.server.ask()
+        async with discovery.started_discovery(5, 20, turn_ms=30.0, per_process=10) as setup:
+            await setup.start()
+            counts, server = await setup.ask_all(), await setup.server.ask()
         assert counts["lists"] >= 20 and counts["failed"] == 0 and server["calls"] == 20
-        first_s = sorted(played.first_list_s)
+        first_s = sorted(setup.first_list_s)
         # drawn over 3 s by the decisions: were all to ask at once, the last would have its list after 20 turns, 0.6 s
         assert first_s[0] >= 0.03 and first_s[-1] >= 1.0, first_s
 
