--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_verdict_is_the_law(seed: int) -> None:
+def test_the_verdict_matches_the_generating_function(seed: int) -> None:
     rng = random.Random(seed)
     for verdict, law in LAWS:
         points = [(n, law(n) * rng.uniform(0.98, 1.02)) for n in SIZES for _ in range(3)]
