--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -46,7 +46,7 @@
     assert fit([(250, 1), (250, 9), (750, 2), (750, 8), (2300, 3), (2300, 9)]).verdict == FLAT
 
 
-def test_a_bend_that_stays_under_proportion_is_no_faster_growth() -> None:
+def test_steepening_below_proportional_growth_is_not_faster_growth() -> None:
     """As measured once: the smallest size took longer than the next."""
     assert fit([(250, 0.27), (750, 0.23), (2300, 0.66)]).verdict == WITH_BASE
 
