--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -52,6 +52,6 @@
 
 
 @pytest.mark.parametrize("points", [[], [(1, 1)], [(1, 1), (2, 2), (2, 2.5)], [(1, 1), (2, 2), (3, float("nan"))]])
-def test_too_few_sizes_or_no_numbers_are_refused(points: list[tuple[float, float]]) -> None:
+def test_too_few_sizes_or_values_that_are_not_finite_are_refused(points: list[tuple[float, float]]) -> None:
     with pytest.raises(FitError):
         fit(points)
