--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -15,7 +15,7 @@
 from ironscale.scale.model import attempts_at_bottom, extrapolate, hop_attempts
 from ironscale.scale.path import percentile
 from ironscale.standins.http import read_message
-from tests.scale.test_path import scene_of
+from tests.scale.test_path import example_context
 from tests.sockets import run
 
 # The retry budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
@@ -120,7 +120,7 @@
         for name in ("well", "fails 0.2")
         for hops in (1, 2, 4)
     ]
-    scene = scene_of()
+    scene = example_context()
     chain.add_results(scene, turns, 22)
     found = scene.result
     assert math.isclose(found.readings["chain.attempts.fails_0.2.lasting.at_22_hops"].value, 1.1**22, rel_tol=0.01)
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -15,7 +15,7 @@
 from tests.sockets import run
 
 
-def scene_of() -> RunContext:
+def example_context() -> RunContext:
     bounds = ResourceLimits(300, 0.5)
     size = load(Path(examples.__file__ or "").parent / "examples/coming.toml")
     return RunContext(size, Path("."), ChildProcesses(bounds), bounds, Result("", {}), lambda line: None)
@@ -72,7 +72,7 @@
         assert 0 < sum(u["held"] for u in after.upstreams) <= sum(u["opened"] for u in after.upstreams)
         found = path.PathResults()
         found.add(played, 0)
-        scene = scene_of()
+        scene = example_context()
         path.add_results(scene, found, "path", "")
         assert {"path.call.any_added_p99_ms.3", "path.any.direct.p99_ms.3", "path.unserved_share.3"} <= set(
             scene.result.readings)
