--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -25,7 +25,7 @@
     return Sample(0, 0, end, 200, at_us, at_us, at_us, at_us + took_us, 0)
 
 
-def test_figures_are_of_the_window_and_leave_out_the_way_in() -> None:
+def test_metrics_cover_the_window_and_leave_out_the_directly_called_upstream() -> None:
     def look(at_us: int, sidecar_s: float, *upstreams: tuple[int, int, int]) -> path.Snapshot:
         told = [dict(zip(("opened", "held", "taken"), counts, strict=True)) for counts in upstreams]
         return path.Snapshot(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
