--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -49,7 +49,7 @@
     assert played.outcomes() == {"served": 4, "reset": 1}
 
 
-def test_quiet_is_chosen_by_the_other_ways_and_not_by_the_sidecar() -> None:
+def test_quiet_slices_are_chosen_by_the_other_routes_and_not_by_the_sidecar() -> None:
     played = path.ListResult(1, [path.Snapshot(0, {}, [], 0, 0.0), path.Snapshot(4 * path.SLICE_US, {}, [], 0, 0.0)])
     at = [n * path.SLICE_US + 5 for n in range(4)]
     slow = path.QUIET_MAX_US + 1
