--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -59,7 +59,7 @@
     assert played.quiet_latencies(*played.snapshots)["sidecar"] == [3, 50_000]
 
 
-def test_one_real_sidecar_between_generator_and_upstreams_is_counted_whole() -> None:
+def test_every_call_through_a_real_sidecar_is_counted() -> None:
     async def play() -> None:
         played = await path.measure_list(3, 3, rate=40.0, warm_up_s=0.2, window_s=0.5, windows=2, seed="t")
         due = len(path.paced_schedule(40.0, 1.2, "t"))
