--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -15,7 +15,7 @@
 AT = "2026-01-01T00:00:00Z"
 
 
-def sample() -> Result:
+def sample_result() -> Result:
     found = Result("0123456789abcdef", {"cores": 8, "memory_mb": 24_000})
     found.add(build_slope("agent.rest.cpu_percent", "agent that leads", "hollow instances", "% of a core",
                     {250: [3.0, 3.1], 750: [9.0, 9.2], 2300: [27.9, 28.4]}, AT),
@@ -24,7 +24,7 @@
 
 
 def test_round_trip_and_replacing_by_name(tmp_path: Path) -> None:
-    found = sample()
+    found = sample_result()
     path = tmp_path / "r.json"
     found.write(path)
     assert load(path) == found and [entry.name for entry in tmp_path.iterdir()] == ["r.json"]
@@ -57,7 +57,7 @@
     (spoil("readings", 0, "repeats", to=[]), r"readings\[0\].repeats: expected a list of 1 numbers or more"),
 ])
 def test_what_was_tampered_with_is_one_line(work: Callable[[Any], None], line: str) -> None:
-    data = json.loads(sample().to_json())
+    data = json.loads(sample_result().to_json())
     work(data)
     with pytest.raises(ResultError) as found:
         parse(json.dumps(data), "r.json")
