--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -33,7 +33,7 @@
     assert found.readings["agent.back.last_s"].scatter == pytest.approx(0.5)
 
 
-def spoil(*path: Any, to: Any) -> Callable[[Any], None]:
+def changed(*path: Any, to: Any) -> Callable[[Any], None]:
     def work(data: Any) -> None:
         for key in path[:-1]:
             data = data[key]
@@ -46,15 +46,15 @@
 
 
 @pytest.mark.parametrize(("work", "line"), [
-    (spoil("version", to=2), "r.json: format: expected ironscale-scale 1, got 'ironscale-scale 2'"),
-    (spoil("machine", "cores", to=None), "machine.cores: expected a value, got 'nothing'"),
-    (spoil("size_digest", to=""), "size_digest: expected a text"),
-    (spoil("slopes", 0, "role", to="cook"), r"slopes\[0\].role: expected one of .*, got 'cook'"),
-    (spoil("slopes", 0, "fit", "slope", to=0.5), r"slopes\[0\].fit.slope: expected 0.0122549, as its points give"),
-    (spoil("slopes", 0, "fit", "mean", to=None), r"slopes\[0\].fit.mean: expected a value, got 'nothing'"),
-    (spoil("slopes", 0, "points", 2, to=None), r"slopes\[0\].points: expected points at 3 sizes at least, got 2"),
-    (spoil("slopes", 0, "points", 0, 1, to="3"), r"slopes\[0\].points\[0\]\[1\]: expected a number, got '3'"),
-    (spoil("readings", 0, "repeats", to=[]), r"readings\[0\].repeats: expected a list of 1 numbers or more"),
+    (changed("version", to=2), "r.json: format: expected ironscale-scale 1, got 'ironscale-scale 2'"),
+    (changed("machine", "cores", to=None), "machine.cores: expected a value, got 'nothing'"),
+    (changed("size_digest", to=""), "size_digest: expected a text"),
+    (changed("slopes", 0, "role", to="cook"), r"slopes\[0\].role: expected one of .*, got 'cook'"),
+    (changed("slopes", 0, "fit", "slope", to=0.5), r"slopes\[0\].fit.slope: expected 0.0122549, as its points give"),
+    (changed("slopes", 0, "fit", "mean", to=None), r"slopes\[0\].fit.mean: expected a value, got 'nothing'"),
+    (changed("slopes", 0, "points", 2, to=None), r"slopes\[0\].points: expected points at 3 sizes at least, got 2"),
+    (changed("slopes", 0, "points", 0, 1, to="3"), r"slopes\[0\].points\[0\]\[1\]: expected a number, got '3'"),
+    (changed("readings", 0, "repeats", to=[]), r"readings\[0\].repeats: expected a list of 1 numbers or more"),
 ])
 def test_what_was_tampered_with_is_one_line(work: Callable[[Any], None], line: str) -> None:
     data = json.loads(sample_result().to_json())
