--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -23,7 +23,7 @@
     return found
 
 
-def test_round_trip_and_replacing_by_name(tmp_path: Path) -> None:
+def test_a_result_survives_a_round_trip_and_entries_replace_by_name(tmp_path: Path) -> None:
     found = sample_result()
     path = tmp_path / "r.json"
     found.write(path)
