--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -56,7 +56,7 @@
     (changed("slopes", 0, "points", 0, 1, to="3"), r"slopes\[0\].points\[0\]\[1\]: expected a number, got '3'"),
     (changed("readings", 0, "repeats", to=[]), r"readings\[0\].repeats: expected a list of 1 numbers or more"),
 ])
-def test_what_was_tampered_with_is_one_line(work: Callable[[Any], None], line: str) -> None:
+def test_an_edited_result_gives_a_one_line_error(work: Callable[[Any], None], line: str) -> None:
     data = json.loads(sample_result().to_json())
     work(data)
     with pytest.raises(ResultError) as found:
