--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -64,7 +64,7 @@
     assert re.search(line, str(found.value)) and "\n" not in str(found.value), str(found.value)
 
 
-def test_no_file_and_no_json(tmp_path: Path) -> None:
+def test_a_missing_file_and_invalid_json_are_refused(tmp_path: Path) -> None:
     with pytest.raises(ResultError, match="expected a file that can be read"):
         load(tmp_path / "none.json")
     with pytest.raises(ResultError, match="r: expected JSON"):
