--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -12,7 +12,7 @@
 EXAMPLE = Path("ironscale/scale/examples/coming.toml")
 
 
-def test_the_example_is_the_size_that_the_operators_named() -> None:
+def test_the_example_has_the_planned_size() -> None:
     size = load(EXAMPLE)
     keys = ("fleet.upstreams", "fleet.sidecars", "fleet.services", "fleet.calls_per_s", "fleet.depth", "fleet.regions",
             "fleet.zones", "promises.added_p99_ms", "promises.changes_per_day", "promises.force_s",
