--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -41,7 +41,7 @@
     ("force_s = 12", "force_s = nan", "promises.force_s: expected seconds"),
     ("[fleet]", "[fleet", "coming.toml: expected TOML, got"),
 ])
-def test_what_cannot_be_is_one_line(was: str, now: str, line: str) -> None:
+def test_an_invalid_size_file_gives_a_one_line_error(was: str, now: str, line: str) -> None:
     text = EXAMPLE.read_text(encoding="utf-8")
     assert was in text
     with pytest.raises(SizeError) as found:
