--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -49,7 +49,7 @@
     assert re.search(line, str(found.value)) and "\n" not in str(found.value)
 
 
-def test_the_digest_is_of_what_a_figure_depends_on() -> None:
+def test_the_digest_covers_what_influences_a_measured_value() -> None:
     text = EXAMPLE.read_text(encoding="utf-8")
 
     def digest(was: str, now: str) -> str:
