--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -412,10 +412,11 @@
         for name in bottoms:
             runs = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
             results_by_length = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
-            for result in (at for turns in results_by_length for at in turns):
+            for result in (one for phases in results_by_length for one in phases):
                 results.append(result)
-                progress(f"chain: bottom {name}, {result.hops} hops, {'onset' if result.onset else 'lasting'}: {result.served():.0%} "
-                     f"of {result.calls} served, {result.attempts[-1]:.2f} attempts at the bottom, {result.max_attempts} at most")
+                progress(f"chain: bottom {name}, {result.hops} hops, {'onset' if result.onset else 'lasting'}: "
+                         f"{result.served():.0%} of {result.calls} served, {result.attempts[-1]:.2f} attempts at the "
+                         f"bottom, {result.max_attempts} at most")
     return results
 
 
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -121,7 +121,8 @@
             restored_s = time.monotonic()
             await agents.wait_until_held(instances, number)
             parts = [
-                list((await process.ask(ask="held", generation=number))["at"]) for process in instances.instance_processes
+                list((await process.ask(ask="held", generation=number))["at"])
+                for process in instances.instance_processes
             ]
             others, cut_off = (sorted(sum(some, [])) for some in (parts[:near_processes], parts[near_processes:]))
         finally:
--- a/tests/scale/sleeper.py
+++ b/tests/scale/sleeper.py
@@ -1,4 +1,5 @@
-"""A process that does nothing until it is ended: `python -m tests.scale.sleeper FILE [deaf]`; FILE says it is there."""
+"""A process that sleeps until it is killed: `python -m tests.scale.sleeper FILE [deaf]`. It creates FILE once it runs;
+with `deaf` it ignores SIGTERM."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds: nothing begins beyond them, the watchdog ends what grows past them, and nothing is left behind."""
+"""Resource limits: a plan beyond them is refused, the watchdog ends a run that exceeds them, and no process remains."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     (Plan(10**8, 10**6, 1), Machine(8, 1e9, 1e9), "descriptors: expected .* at most"),
 ])
 def test_a_plan_that_exceeds_a_limit_is_refused(plan: Plan, found: Machine, line: str) -> None:
-    if "got 299" in line:  # just within
+    if "got 299" in line:  # 299 processes are just below the limit
         ResourceLimits(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
         line, plan = "processes: expected 300 at most, got 301 to start", Plan(2300, 400, 3, 292)
     with pytest.raises(ResourceLimitError, match=line) as error:
@@ -59,7 +59,7 @@
 def test_the_watchdog_ends_a_run_that_uses_too_much_memory(tmp_path: Path) -> None:
     from ironscale.scale.run import run_with_watchdog
 
-    children = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
+    children = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: less than Python needs
 
     async def work() -> None:
         children.start("one", SLEEPER, str(tmp_path / "one"))
@@ -77,7 +77,7 @@
     assert callable(condition)
     deadline_s = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < deadline_s, "not within its time"
+        assert time.monotonic() < deadline_s, "the condition did not hold in time"
         time.sleep(0.01)
 
 
@@ -124,8 +124,9 @@
 
 
 def start_run(folder: Path, *options: str, sigint_ignored: bool = False) -> subprocess.Popen[str]:
-    """`ignoring`: with SIGINT ignored, as a shell without job control starts what runs in the background. Hazard: a
-    test run that was begun so hands that on, and what comes before the program's first line is lost in the kernel."""
+    """Starts `ironscale scale run`. With `sigint_ignored` it starts with SIGINT ignored, as background processes of a
+    shell without job control do. Otherwise the default action is set explicitly: a test run that ignores SIGINT itself
+    would pass that on, and the kernel would discard a SIGINT sent before the program's first line runs."""
     def set_sigint_handler() -> None:
         signal.signal(signal.SIGINT, signal.SIG_IGN if sigint_ignored else signal.SIG_DFL)
 
@@ -141,12 +142,12 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 @pytest.mark.parametrize("seed", range(3))
 def test_a_signal_at_any_moment_leaves_nothing_behind(tmp_path: Path, number: signal.Signals, seed: int) -> None:
-    """At a moment drawn by the seed, from before the first process to the middle of a measurement."""
+    """The seed draws the moment, from before the first process starts to the middle of a measurement."""
     rng = random.Random(seed * 100 + number)
     process = start_run(tmp_path, "--only", "agent,takeover")
     try:
         children: dict[int, int] = {}
-        wanted_children = rng.randrange(0, 3)  # processes that are there when it is struck
+        wanted_children = rng.randrange(0, 3)  # number of child processes when the signal is sent
         deadline_s = time.monotonic() + 30
         while len(child_pids(process.pid)) < wanted_children and time.monotonic() < deadline_s:
             time.sleep(0.005)
@@ -154,7 +155,7 @@
         children.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
         process.send_signal(number)
         time.sleep(rng.uniform(0, 0.1))
-        process.send_signal(number)  # impatient: the second one breaks nothing off
+        process.send_signal(number)  # a second signal must not interrupt the cleanup
         _, stderr = process.communicate(timeout=30)
     finally:
         if process.poll() is None:
@@ -162,7 +163,7 @@
             process.communicate()
     for pid, ticks in children.items():
         assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {stderr}"
-    if "== agent" in stderr:  # before that it is Python that starts, and tells its own end
+    if "== agent" in stderr:  # before that Python is still starting and prints its own traceback
         assert "Traceback" not in stderr and process.returncode == 130, f"seed {seed}: {stderr}"
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir()), f"seed {seed}"
 
@@ -185,7 +186,7 @@
 
 
 def test_a_small_run_reaches_every_instance_and_leaves_no_process(tmp_path: Path) -> None:
-    """One agent, up to 20 hollow instances and a real sidecar: a change comes to each, and the run adds by name."""
+    """One agent, up to 20 simulated instances and a real sidecar: a change reaches each, and the slope is added."""
     from ironscale.scale.result import Result
     from ironscale.scale.run import RunContext, run_measurements
     from ironscale.scale.size import parse
@@ -221,7 +222,8 @@
     (("--sizes", "10,5,20"), "--sizes: expected three rising"),
     (("--sizes", "5,10,20000"), "small.toml: play: processes: expected 300 at most"),
 ])
-def test_bad_options_give_a_one_line_error_and_start_nothing(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
+def test_bad_options_give_a_one_line_error_and_start_nothing(
+        tmp_path: Path, options: tuple[str, ...], line: str) -> None:
     process = start_run(tmp_path, *options)
     _, stderr = process.communicate(timeout=30)
     assert process.returncode == 2 and line in stderr and stderr.count("\n") == 1, stderr
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page, the result file and the size file belong together; and the tables are what they say."""
+"""The capacity page matches the result file and the size file, and its tables are computed correctly."""
 
 from __future__ import annotations
 
@@ -53,7 +53,8 @@
 
 
 def test_the_page_matches_its_result_and_size_file(coming: Size) -> None:
-    """Where one of the three was changed alone: `ironscale scale page docs/capacity/measured.json SIZE.toml`."""
+    """If it fails, one of the three was changed alone. Run `ironscale scale page docs/capacity/measured.json
+    SIZE.toml`."""
     measured = result.load(MEASURED)
     assert measured.size_digest == coming.digest
     assert set(capacity_page.AXES.values()) <= {f"fleet.{name}" for name in coming.fleet.__slots__}
@@ -61,7 +62,7 @@
 
 
 def test_values_are_extrapolated_unless_the_planned_size_was_measured(coming: Size) -> None:
-    """Beyond the largest that was measured the line tells; where the size itself was measured, the measurement."""
+    """Beyond the largest measured size the fitted line is used; if the size was measured, the measured value."""
     found = sample_result(coming)
     assert capacity_page.value_of(coming, found, "agent.change.last_s") == pytest.approx(9.2)  # 0.004 x 2,300
     assert capacity_page.value_of(coming, found, "agent.back.change_last_s") == pytest.approx(16.5)
@@ -70,7 +71,7 @@
     assert capacity_page.value_of(coming, found, "not.measured") is None
     assert capacity_page.value_of(coming, found, "agent.change.last_s", 500.0) == pytest.approx(2.0)
     rows = capacity_page.day_table(coming, found)
-    assert "2.62 GB" in rows and "78.7 GB" in rows  # 460,000 x 5,700 a day, and thirty of them
+    assert "2.62 GB" in rows and "78.7 GB" in rows  # 460,000 bytes x 5,700 changes a day, and 30 days of that
 
 
 def test_needs_are_sorted_by_ratio_with_unmeasured_ones_last(coming: Size) -> None:
--- a/tests/scale/test_chain.py
+++ b/tests/scale/test_chain.py
@@ -1,4 +1,4 @@
-"""Chains of real sidecars: what is counted at each hop is what was sent, and the law of repeats is that of a chain."""
+"""Chains of real sidecars: the counts at each hop match the calls, and the formula for retries matches a chain."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 from tests.scale.test_path import example_context
 from tests.sockets import run
 
-# The retry budget of a sidecar: balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
+# The retry budget of a sidecar, from balance.RETRY_TOKENS_PER_REQUEST, the settings' tries, balance.MAX_RETRY_TOKENS.
 RETRY_SHARE, MAX_ATTEMPTS, MAX_RETRY_TOKENS = 0.2, 4, 5.0
 
 
 def simulated_attempts(failure_rate: float, hops: int, calls: int, random: Random) -> float:
-    """Attempts at the bottom for a call at the top, each hop with a budget that fills by its own calls."""
+    """Simulates calls and returns the attempts at the bottom per call at the top. Each hop's budget grows with its
+    own calls."""
     tokens, sent = [MAX_RETRY_TOKENS] * hops, 0
 
     def call(hop: int) -> bool:
@@ -72,7 +73,7 @@
 
 
 def test_a_chain_of_two_counts_its_attempts_and_its_deadline_shrinks() -> None:
-    # on a busy machine no answer is late, so none is asked twice
+    # long enough that no answer is late on a busy machine, which would cause a retry
     kind = replace(chain.REQUEST_KIND, deadline_us=20_000_000)
 
     async def call(address: Address, root: str) -> int:
@@ -87,17 +88,17 @@
         async with chain.started_chain(2, rate=10.0, kind=kind, aim_ms=20_000) as two:
             assert [await call(two.sidecars[0], f"w-{i}") for i in range(3)] == [200] * 3
             two.send({"bottom": {**chain.HEALTHY, "first": 1}})
-            await two.take_counts()  # what was said before is heard by now
+            await two.take_counts()  # waits until the previous command has been processed
             assert await call(two.sidecars[0], "m-0") == 200
             assert await call(two.bare[0], "b-0") == 500
             counts = await two.take_counts()
         top, below = (level["m"] for level in counts["levels"])
-        # the bottom fails the call's first attempt; the sidecar above it tries again, and the one at the top need not
+        # the bottom fails the call's first attempt; the sidecar above it retries, so the one at the top doesn't have to
         assert (top["calls"], top["attempts"], top["got"]) == (1, 1, {"200": 1}), counts
         assert (below["calls"], below["attempts"], below["most"]) == (1, 2, 2), counts
         left_ms = [kind.deadline_us / 1000, top["left_ms"][2], below["left_ms"][2]]
-        assert left_ms[0] - 8 >= left_ms[1] and left_ms[1] - 8 >= left_ms[2] > 0, counts  # each keeps 8 ms for itself
-        # without sidecars nothing is tried again
+        assert left_ms[0] - 8 >= left_ms[1] and left_ms[1] - 8 >= left_ms[2] > 0, counts  # 8 ms are reserved at each hop
+        # without sidecars there are no retries
         assert [level["b"]["attempts"] for level in counts["bare"]] == [1, 1], counts
 
     run(play)
--- a/tests/scale/test_discovery.py
+++ b/tests/scale/test_discovery.py
@@ -1,4 +1,4 @@
-"""Hollow watches at a stand-in discovery: what is counted at either end is what went over the sockets."""
+"""Simulated watches at a stand-in discovery: the counts at both ends match the bytes sent over the sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ironscale.scale import discovery
 from tests.sockets import run
 
-HEARTBEAT_BYTES = len(b"1\r\n\n\r\n")  # while nothing changes, one each 2 s: some may fall into any count
+HEARTBEAT_BYTES = len(b"1\r\n\n\r\n")  # sent every 2 s while nothing changes, so any count may include some
 
 
 def test_counted_bytes_match_lists_and_changes() -> None:
@@ -16,12 +16,12 @@
         heartbeats = 10 * HEARTBEAT_BYTES
         entries = [discovery.list_entry(number) for number in range(40)]
         whole = len(json.dumps({"generation": 2, "reset": True, "instances": entries}, separators=(",", ":")))
-        assert whole < measured.whole_bytes < whole + 100 + heartbeats  # and its head
+        assert whole < measured.whole_bytes < whole + 100 + heartbeats  # plus the response headers
         assert measured.calls == 3 and len(measured.first_list_s) == 3 and min(measured.first_list_s) >= 0
         assert 0 <= measured.start_bytes - 3 * measured.whole_bytes <= 3 * heartbeats
         entry = len(json.dumps(entries[0], separators=(",", ":")))
         assert entry < measured.change_bytes < entry + 100 + heartbeats
-        assert 3 * entry < measured.replaced_bytes < 3 * (entry + 100) + heartbeats  # drained, gone, another
+        assert 3 * entry < measured.replaced_bytes < 3 * (entry + 100) + heartbeats  # draining, gone, a new one
         assert abs(measured.asked_bytes_s * discovery.FETCH_INTERVAL_S - measured.whole_bytes) < 2_000
 
     run(play)
@@ -29,13 +29,14 @@
 
 def test_calls_are_served_one_at_a_time_and_spread_by_the_balancers() -> None:
     async def play() -> None:
-        # 20 are many: each waits its turn
+        # 20 watches, so that calls queue
         async with discovery.started_discovery(5, 20, turn_ms=30.0, per_process=10) as setup:
             await setup.start()
             counts, server = await setup.ask_all(), await setup.server.ask()
         assert counts["lists"] >= 20 and counts["failed"] == 0 and server["calls"] == 20
         first_s = sorted(setup.first_list_s)
-        # drawn over 3 s by the decisions: were all to ask at once, the last would have its list after 20 turns, 0.6 s
+        # balancers spread their calls randomly over 3 s: if all called at once, the last would have its list after 20
+        # calls of 30 ms, 0.6 s
         assert first_s[0] >= 0.03 and first_s[-1] >= 1.0, first_s
 
     run(play)
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -1,4 +1,4 @@
-"""Known laws with noise: the verdict is the law, and the line gives the value at the size."""
+"""Points of known functions with noise: the verdict names the function, and the line predicts the value at a size."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 
 def test_noise_alone_is_flat() -> None:
-    """Repeats that differ by more than the sizes do."""
+    """Repetitions at one size differ more than the sizes do."""
     assert fit([(250, 1), (250, 9), (750, 2), (750, 8), (2300, 3), (2300, 9)]).verdict == FLAT
 
 
 def test_steepening_below_proportional_growth_is_not_faster_growth() -> None:
-    """As measured once: the smallest size took longer than the next."""
+    """As measured once, when the smallest size took longer than the next one."""
     assert fit([(250, 0.27), (750, 0.23), (2300, 0.66)]).verdict == WITH_BASE
 
 
--- a/tests/scale/test_path.py
+++ b/tests/scale/test_path.py
@@ -1,4 +1,4 @@
-"""The way through a sidecar: what is counted, and what is said of it."""
+"""The cost of a call through a sidecar: the counts, and the metrics computed from them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         told = [dict(zip(("opened", "held", "taken"), counts, strict=True)) for counts in upstreams]
         return path.Snapshot(at_us, {"sidecar": sidecar_s, "relay": 0.0}, told, 9, 30.0)
 
-    # upstream 0 is asked directly too, and so tells nothing of the sidecar's connections
+    # upstream 0 is also called directly, so its connections are not only the sidecar's
     played = path.ListResult(
         2, [look(1_000_000, 1.0, (5, 5, 50), (1, 1, 10)), look(3_000_000, 1.4, (9, 9, 90), (4, 3, 16))]
     )
@@ -40,12 +40,12 @@
         "sidecar": [*outside, served(1_000_000, 700), served(2_999_999, 900), served(2_000_000, 1, End.RESET)],
     }
     points = {name: found[0][1] for name, found in played.points_by_name(0).items()}
-    assert math.isclose(points["path.cpu_us.sidecar"], 0.4e6 / 2)  # of the two that were due in it and served
+    assert math.isclose(points["path.cpu_us.sidecar"], 0.4e6 / 2)  # by the two calls due in it and served
     assert points["path.any_added_p50_us.sidecar"] == 600 and points["path.any_added_p99_us.sidecar"] == 800
     assert points["path.any_added_p99_us.relay"] == 50
     assert points["path.new_connection_share"] == 3 / 6 and points["path.opened_per_s"] == 1.5
     assert points["path.connections_held"] == 3
-    assert points["path.quiet_share"] == 1 and "path.added_p99_us.sidecar" not in points  # two calls are too few
+    assert points["path.quiet_share"] == 1 and "path.added_p99_us.sidecar" not in points  # too few calls
     assert played.outcomes() == {"served": 4, "reset": 1}
 
 
@@ -63,7 +63,7 @@
     async def play() -> None:
         played = await path.measure_list(3, 3, rate=40.0, warm_up_s=0.2, window_s=0.5, windows=2, seed="t")
         due = len(path.paced_schedule(40.0, 1.2, "t"))
-        # on a busy machine an answer may be late and a call refused: each call has one end all the same
+        # on a busy machine an answer may be late or a call refused, but each call still has exactly one outcome
         assert all(len(samples) == due for samples in played.samples.values())
         assert played.outcomes().total() == due and played.outcomes()["served"] > 0, played.outcomes()
         before, after = played.snapshots[0], played.snapshots[-1]
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -1,4 +1,4 @@
-"""The result file: written and read again it is the same, and what doesn't follow from its points is refused."""
+"""The result file: it survives a round trip, and values that don't follow from its points are refused."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -1,4 +1,4 @@
-"""The size file: read whole, or one line and nothing begun."""
+"""The size file: it is read completely, or refused with a one-line error."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         2300, 2300, 230, 520_000, 22, 3, 12, 1.5, 5700, 12, 3.3, 64, 27_000, 10, 8, 430]
     assert round(size.calls_per_s_each) == 226
     with pytest.raises(KeyError):
-        size.value("fleet.calls_each")
+        size.value("fleet.calls_per_s_each")
 
 
 @pytest.mark.parametrize(("was", "now", "line"), [
