--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -369,7 +369,7 @@
     """The call rate per second, and how long each part of a chain's run lasts."""
 
     rate: float = 60.0
-    well_s: float = 2.0  # before the bottom changes its behaviour
+    healthy_s: float = 2.0  # before the bottom changes its behaviour
     onset_s: float = 1.0
     settle_s: float = 2.0
     lasting_s: float = 4.0
@@ -391,7 +391,7 @@
     """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
     onset and of the time after it."""
     async with started_chain(hops, rate=timing.rate, seed=seed) as chain:
-        await send_calls("w", chain.sidecars[0], timing.rate, timing.well_s)
+        await send_calls("w", chain.sidecars[0], timing.rate, timing.healthy_s)
         chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
         onset = await measure_calls(chain, name, timing.rate, timing.onset_s, True)
         await send_calls("s", chain.sidecars[0], timing.rate, timing.settle_s)
