--- a/ironscale/scale/agent.py
+++ b/ironscale/scale/agent.py
@@ -85,8 +85,8 @@
         add("agent.rest.record_writes_s", (writes_after - writes) / took_s)
         add("agent.rest.sent_bytes_s", (after["received"] - before["received"]) / took_s * all_instances_factor)
         add("agent.rest.received_bytes_s", (after["sent"] - before["sent"]) / took_s * all_instances_factor)
-        passed = after["sent"] + after["received"] - before["sent"] - before["received"]
-        add("control.rest.bytes_s", passed / took_s / instances.count)
+        transferred_bytes = after["sent"] + after["received"] - before["sent"] - before["received"]
+        add("control.rest.bytes_s", transferred_bytes / took_s / instances.count)
         simulated_cpu = (after["cpu_s"] - before["cpu_s"]) / took_s
         add("control.hollow.rest.cpu_percent", simulated_cpu / instances.count * 100)
     for _ in range(play.repeats):
