--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -100,13 +100,13 @@
         discovery.tell(discovery.whole())
 
     entries = [dict(entry) for entry in list(discovery.entries.values())[:CHANGED_ENTRIES]]
-    turn = 0
+    change_number = 0
 
     def entry() -> None:
-        nonlocal turn
-        changed = entries[turn % len(entries)]
-        changed["weight"] = 1.0 + (turn % 7) / 100
-        turn += 1
+        nonlocal change_number
+        changed = entries[change_number % len(entries)]
+        changed["weight"] = 1.0 + (change_number % 7) / 100
+        change_number += 1
         discovery.put(changed)
 
     results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, whole)]
