--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -95,7 +95,7 @@
         return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / times
                 for p, was, rest in zip(without, before, percent[SIDECARS_EACH:], strict=True)]
 
-    def whole() -> None:
+    def send_whole_list() -> None:
         discovery.generation += 1
         discovery.tell(discovery.whole())
 
@@ -109,7 +109,7 @@
         change_number += 1
         discovery.put(changed)
 
-    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, whole)]
+    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, send_whole_list)]
     results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, entry)]
     results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
