--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -102,7 +102,7 @@
     entries = [dict(entry) for entry in list(discovery.entries.values())[:CHANGED_ENTRIES]]
     change_number = 0
 
-    def entry() -> None:
+    def send_changed_entry() -> None:
         nonlocal change_number
         changed = entries[change_number % len(entries)]
         changed["weight"] = 1.0 + (change_number % 7) / 100
@@ -110,7 +110,7 @@
         discovery.put(changed)
 
     results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, send_whole_list)]
-    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, entry)]
+    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, send_changed_entry)]
     results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
     results["control.list.change_cpu_us"] = await measure_changes(agents, with_agent, percent[:SIDECARS_EACH])
