--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,7 +19,7 @@
 from ironscale.scale.run import RunContext, describe_machine, run_measurements
 from ironscale.scale.size import Size, load
 
-SIZE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
+SIZE_FILE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
 
 
 async def rest(context: RunContext) -> None:
@@ -34,7 +34,7 @@
 
 
 def size_of(counts: tuple[int, ...], beat_s: float, lease_s: float) -> Size:
-    size = load(SIZE)
+    size = load(SIZE_FILE)
     return replace(size, play=replace(size.play, sizes=counts, heartbeat_s=beat_s, lease_s=lease_s, real=0, repeats=2))
 
 
