--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,7 +22,7 @@
 SIZE_FILE = Path(__file__).resolve().parent.parent / "ironscale" / "scale" / "examples" / "coming.toml"
 
 
-async def rest(context: RunContext) -> None:
+async def measure_rest(context: RunContext) -> None:
     percent: dict[int, list[float]] = {}
     memory: dict[int, list[float]] = {}
     for count in context.size.play.sizes:
@@ -49,7 +49,7 @@
     result = Result(size.digest, describe_machine())
 
     async def both(context: RunContext) -> None:
-        await rest(context)
+        await measure_rest(context)
         await operators(context)
 
     uvloop.run(
