--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -33,7 +33,7 @@
     context.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
 
 
-def size_of(counts: tuple[int, ...], beat_s: float, lease_s: float) -> Size:
+def planned_size(counts: tuple[int, ...], beat_s: float, lease_s: float) -> Size:
     size = load(SIZE_FILE)
     return replace(size, play=replace(size.play, sizes=counts, heartbeat_s=beat_s, lease_s=lease_s, real=0, repeats=2))
 
@@ -45,7 +45,7 @@
     parser.add_argument("--lease", type=float, default=10.0)
     parser.add_argument("--json", type=Path)
     given = parser.parse_args()
-    size = size_of(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
+    size = planned_size(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
     result = Result(size.digest, describe_machine())
 
     async def both(context: RunContext) -> None:
--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from bench.fleet import size_of
+from bench.fleet import planned_size
 from ironscale.control.processes import process_cpu_s
 from ironscale.scale.agents import AgentProcesses
 from ironscale.scale.bounds import ChildProcesses, ResourceLimits
@@ -101,7 +101,7 @@
         discovery = await ListedDiscovery().start()
         discovery.put(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
         crew = ChildProcesses(ResourceLimits(300, 0.5))
-        agents = AgentProcesses(crew, folder, 1, size_of((1, 2, 3), beat_s, 5 * beat_s).play)
+        agents = AgentProcesses(crew, folder, 1, planned_size((1, 2, 3), beat_s, 5 * beat_s).play)
         ratios = []
         try:
             await agents.start()
