--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -33,9 +33,9 @@
     context.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
 
 
-def planned_size(counts: tuple[int, ...], beat_s: float, lease_s: float) -> Size:
+def planned_size(counts: tuple[int, ...], heartbeat_s: float, lease_s: float) -> Size:
     size = load(SIZE_FILE)
-    return replace(size, play=replace(size.play, sizes=counts, heartbeat_s=beat_s, lease_s=lease_s, real=0, repeats=2))
+    return replace(size, play=replace(size.play, sizes=counts, heartbeat_s=heartbeat_s, lease_s=lease_s, real=0, repeats=2))
 
 
 def main() -> None:
