--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -48,12 +48,12 @@
     size = planned_size(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
     result = Result(size.digest, describe_machine())
 
-    async def both(context: RunContext) -> None:
+    async def measure_both(context: RunContext) -> None:
         await measure_rest(context)
         await operators(context)
 
     uvloop.run(
-        run_measurements(size, {"fleet": both}, result, lambda text: print(text, flush=True), lambda found: None)
+        run_measurements(size, {"fleet": measure_both}, result, lambda text: print(text, flush=True), lambda found: None)
     )
     if given.json:
         result.write(given.json)
