--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -44,8 +44,8 @@
     parser.add_argument("--beat", type=float, default=2.0)
     parser.add_argument("--lease", type=float, default=10.0)
     parser.add_argument("--json", type=Path)
-    given = parser.parse_args()
-    size = planned_size(tuple(int(count) for count in given.counts.split(",")), given.beat, given.lease)
+    arguments = parser.parse_args()
+    size = planned_size(tuple(int(count) for count in arguments.counts.split(",")), arguments.beat, arguments.lease)
     result = Result(size.digest, describe_machine())
 
     async def measure_both(context: RunContext) -> None:
@@ -55,8 +55,8 @@
     uvloop.run(
         run_measurements(size, {"fleet": measure_both}, result, lambda text: print(text, flush=True), lambda found: None)
     )
-    if given.json:
-        result.write(given.json)
+    if arguments.json:
+        result.write(arguments.json)
 
 
 if __name__ == "__main__":
