--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -27,8 +27,8 @@
     memory: dict[int, list[float]] = {}
     for count in context.size.play.sizes:
         async with context.running_fleet(count) as (agents, _):
-            found = [await measure_at_rest(agents.pid(), 2 * context.size.play.heartbeat_s) for _ in range(2)]
-        percent[count], memory[count] = [f[0] for f in found], [f[1] for f in found]
+            measurements = [await measure_at_rest(agents.pid(), 2 * context.size.play.heartbeat_s) for _ in range(2)]
+        percent[count], memory[count] = [f[0] for f in measurements], [f[1] for f in measurements]
     context.add_slope("agent.rest.cpu_percent", "agent that leads", "instances", "% of a core", percent)
     context.add_slope("agent.rest.memory_mb", "agent that leads", "instances", "MB", memory)
 
