--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -35,7 +35,9 @@
 
 def planned_size(counts: tuple[int, ...], heartbeat_s: float, lease_s: float) -> Size:
     size = load(SIZE_FILE)
-    return replace(size, play=replace(size.play, sizes=counts, heartbeat_s=heartbeat_s, lease_s=lease_s, real=0, repeats=2))
+    return replace(
+        size, play=replace(size.play, sizes=counts, heartbeat_s=heartbeat_s, lease_s=lease_s, real=0, repeats=2)
+    )
 
 
 def main() -> None:
@@ -53,7 +55,9 @@
         await operators(context)
 
     uvloop.run(
-        run_measurements(size, {"fleet": measure_both}, result, lambda text: print(text, flush=True), lambda found: None)
+        run_measurements(
+            size, {"fleet": measure_both}, result, lambda text: print(text, flush=True), lambda found: None
+        )
     )
     if arguments.json:
         result.write(arguments.json)
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -110,7 +110,9 @@
         discovery.put(changed)
 
     results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, send_whole_list)]
-    results["control.list.entry_cpu_us"] = [s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, send_changed_entry)]
+    results["control.list.entry_cpu_us"] = [
+        s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, send_changed_entry)
+    ]
     results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
     results["control.list.change_cpu_us"] = await measure_changes(agents, with_agent, percent[:SIDECARS_EACH])
