--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -20,10 +20,10 @@
 
 import uvloop
 
-from bench.fleet import size_of
+from bench.fleet import planned_size
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.agents import Agents
-from ironscale.scale.bounds import Bounds, Crew
+from ironscale.scale.agents import AgentProcesses
+from ironscale.scale.bounds import ChildProcesses, ResourceLimits
 from ironscale.standins.discovery import ListedDiscovery, listing
 from ironscale.standins.http import read_message
 from ironscale.standins.settings import SETTINGS
@@ -54,7 +54,7 @@
     return done
 
 
-async def one(folder: Path, peers: list[Peer], discovery: ListedDiscovery, agents: Agents | None,
+async def one(folder: Path, peers: list[Peer], discovery: ListedDiscovery, agents: AgentProcesses | None,
               seconds: float) -> float:
     """CPU in microseconds a request of one sidecar process."""
     config = folder / "app.json"
@@ -100,8 +100,8 @@
             peer.keep_messages = False
         discovery = await ListedDiscovery().start()
         discovery.put(*(peer.entry(f"s-{i}") for i, peer in enumerate(peers)))
-        crew = Crew(Bounds(300, 0.5))
-        agents = Agents(crew, folder, 1, size_of((1, 2, 3), beat_s, 5 * beat_s).play)
+        crew = ChildProcesses(ResourceLimits(300, 0.5))
+        agents = AgentProcesses(crew, folder, 1, planned_size((1, 2, 3), beat_s, 5 * beat_s).play)
         ratios = []
         try:
             await agents.start()
--- a/ironscale/cli/scale.py
+++ b/ironscale/cli/scale.py
@@ -28,7 +28,7 @@
 @contextlib.contextmanager
 def foreseen() -> Iterator[None]:
     """Errors of files are bad usage, those of a run a fault; each is one line."""
-    from ironscale.scale.bounds import BoundsError
+    from ironscale.scale.bounds import ResourceLimitError
     from ironscale.scale.capacity_page import PageError
     from ironscale.scale.chart import ChartError
     from ironscale.scale.result import ResultError
@@ -39,7 +39,7 @@
         yield
     except (SizeError, ResultError, PageError, ChartError) as error:
         fail(Exit.USAGE, str(error))
-    except (RunError, BoundsError) as error:
+    except (RunError, ResourceLimitError) as error:
         fail(Exit.STOPPED if str(error) == "stopped" else Exit.FAILED, str(error))
 
 
@@ -73,17 +73,17 @@
 
         from ironscale.scale import run as running
         from ironscale.scale import size as sizing
-        from ironscale.scale.bounds import Bounds, BoundsError, Plan
+        from ironscale.scale.bounds import Plan, ResourceLimitError, ResourceLimits
         from ironscale.scale.result import Result, ResultError, load
 
         size = sizing.load(file)
         if sizes is not None:
             size = running.with_sizes(size, numbers(sizes))
-        pieces = running.PIECES if only is None else tuple(only.split(","))
+        pieces = running.MEASUREMENTS if only is None else tuple(only.split(","))
         for piece in pieces:
-            if piece not in running.PIECES:
-                fail(Exit.USAGE, f"--only: expected some of {', '.join(running.PIECES)}, got {piece!r}")
-        result = Result(size.digest, running.machine_facts())
+            if piece not in running.MEASUREMENTS:
+                fail(Exit.USAGE, f"--only: expected some of {', '.join(running.MEASUREMENTS)}, got {piece!r}")
+        result = Result(size.digest, running.describe_machine())
         if to.exists():
             result = load(to)
             if result.size_digest != size.digest:
@@ -93,9 +93,9 @@
             raise ResultError(f"{to}: expected a folder that is there, got {to.parent}")
         try:
             play = size.play
-            Bounds(play.most_processes, play.most_memory_share).check(
+            ResourceLimits(play.most_processes, play.most_memory_share).check(
                 Plan(max(play.sizes), play.hollow_each, play.agents, play.real))
-        except BoundsError as error:
+        except ResourceLimitError as error:
             fail(Exit.USAGE, f"{file}: play: {error}")
         uvloop.run(running.run(size, pieces, result, lambda text: err.print(text, markup=False),
                                lambda found: found.write(to)))
@@ -167,8 +167,8 @@
         except (OSError, UnicodeDecodeError) as error:
             raise capacity_page.PageError(f"{to}: expected a page that can be read, got {error}") from error
         if check:
-            wrong = capacity_page.drift(text, size, result, str(to))
+            wrong = capacity_page.outdated_tables(text, size, result, str(to))
             if wrong:
                 fail(Exit.FAILED, f"{to}: {', '.join(wrong)}: not what {file} gives; `ironscale scale page` writes it")
             return
-        to.write_text(capacity_page.filled(text, size, result, str(to)), encoding="utf-8")
+        to.write_text(capacity_page.fill_page(text, size, result, str(to)), encoding="utf-8")
--- a/ironscale/scale/bounds.py
+++ b/ironscale/scale/bounds.py
@@ -1,4 +1,4 @@
-"""What a scale run may take of this machine, and the end of all that it started, on every way out."""
+"""Limits on the resources that a scale run uses, and the termination of every process it started."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 from ironscale.load import parent_death
 
-LOOK_S = 0.25
-END_S = 5.0  # from SIGTERM to SIGKILL
-PAGE = os.sysconf("SC_PAGE_SIZE")
-# What a process of each kind takes at most, by measurement of this program: for the check before the start.
-AGENT_MB, REAL_MB, HERDER_MB, HOLLOW_MB = 60.0, 45.0, 45.0, 0.15
-AGENT_HOLLOW_MB = 0.06  # of the agent, for an instance
-SPARE_FILES = 100
+MEMORY_CHECK_INTERVAL_S = 0.25  # between two checks of the memory
+TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+# The most memory that a process of each kind, or one instance in it, uses: for the check before a start.
+AGENT_MB, REAL_SIDECAR_MB, INSTANCE_PROCESS_MB, SIMULATED_INSTANCE_MB = 60.0, 45.0, 45.0, 0.15
+AGENT_MB_PER_INSTANCE = 0.06  # in the agent, for each instance
+SPARE_DESCRIPTORS = 100
 
 
-class BoundsError(Exception):
-    """The run would take, or took, more than it may; the text is one line."""
+class ResourceLimitError(Exception):
+    """The run would exceed, or has exceeded, its limits; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,95 +37,106 @@
     available_mb: float
 
 
-def machine() -> Machine:
-    found = {}
+def read_machine() -> Machine:
+    meminfo_mb = {}
     for line in Path("/proc/meminfo").read_text(encoding="ascii").splitlines():
         key, _, rest = line.partition(":")
-        found[key] = int(rest.split()[0]) / 1024
-    return Machine(len(os.sched_getaffinity(0)), found["MemTotal"], found["MemAvailable"])
+        meminfo_mb[key] = int(rest.split()[0]) / 1024
+    return Machine(len(os.sched_getaffinity(0)), meminfo_mb["MemTotal"], meminfo_mb["MemAvailable"])
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a piece of a run will start at the same time, at its largest."""
+    """The most that one measurement runs at the same time."""
 
-    hollow: int
-    hollow_each: int
+    simulated: int
+    simulated_per_process: int
     agents: int
     real: int = 0
-    others: int = 0  # processes besides: relays, upstreams
+    other_processes: int = 0  # other processes: relays, upstreams
 
     @property
     def processes(self) -> int:
-        return -(-self.hollow // self.hollow_each) + self.agents + self.real + self.others
+        return -(-self.simulated // self.simulated_per_process) + self.agents + self.real + self.other_processes
 
     @property
     def memory_mb(self) -> float:
-        herders = -(-self.hollow // self.hollow_each)
-        return (herders * HERDER_MB + self.hollow * HOLLOW_MB + self.agents * (AGENT_MB + self.hollow * AGENT_HOLLOW_MB)
-                + (self.real + self.others) * REAL_MB)
+        instance_processes = -(-self.simulated // self.simulated_per_process)
+        return (
+            instance_processes * INSTANCE_PROCESS_MB
+            + self.simulated * SIMULATED_INSTANCE_MB
+            + self.agents * (AGENT_MB + self.simulated * AGENT_MB_PER_INSTANCE)
+            + (self.real + self.other_processes) * REAL_SIDECAR_MB
+        )
 
     @property
     def descriptors(self) -> int:
-        """Of the process that opens most."""
-        instances = self.hollow + self.real if self.agents else 0
-        return max(instances, 2 * self.hollow_each, 4 * self.processes) + SPARE_FILES
+        """The largest number of file descriptors that any one process opens."""
+        instances = self.simulated + self.real if self.agents else 0
+        return max(instances, 2 * self.simulated_per_process, 4 * self.processes) + SPARE_DESCRIPTORS
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResourceLimits:
     most_processes: int
     most_memory_share: float
 
-    def memory_mb(self, found: Machine) -> float:
-        """Of all that is started: a share of the machine, and no more than is there to be had."""
-        return min(found.memory_mb * self.most_memory_share, found.available_mb)
+    def max_memory_mb(self, machine: Machine) -> float:
+        """The limit for all started processes together: a share of the machine's memory, at most what is available."""
+        return min(machine.memory_mb * self.most_memory_share, machine.available_mb)
 
-    def check(self, plan: Plan, found: Machine | None = None) -> None:
-        """Before anything is started. The soft limit of open files is raised as far as the hard one allows. Raises
-        BoundsError."""
-        found = found or machine()
+    def check(self, plan: Plan, machine: Machine | None = None) -> None:
+        """Checks a plan before anything is started. Raises the soft limit of open files if the plan needs more and the
+        hard limit allows it. Raises ResourceLimitError."""
+        machine = machine or read_machine()
         if plan.processes > self.most_processes:
-            raise BoundsError(f"processes: expected {self.most_processes} at most, got {plan.processes} to start")
-        most_mb = self.memory_mb(found)
-        if plan.memory_mb > most_mb:
-            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most ({found.available_mb:,.0f} MB available of "
-                              f"{found.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take")
+            raise ResourceLimitError(
+                f"processes: expected {self.most_processes} at most, got {plan.processes} to start"
+            )
+        max_mb = self.max_memory_mb(machine)
+        if plan.memory_mb > max_mb:
+            raise ResourceLimitError(
+                f"memory: expected {max_mb:,.0f} MB at most ({machine.available_mb:,.0f} MB available of "
+                f"{machine.memory_mb:,.0f} MB), got {plan.memory_mb:,.0f} MB to take"
+            )
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and plan.descriptors > hard:
-            raise BoundsError(f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one "
-                              "process")
+            raise ResourceLimitError(
+                f"descriptors: expected {hard:,} at most (ulimit -Hn), got {plan.descriptors:,} in one process"
+            )
         if soft != resource.RLIM_INFINITY and plan.descriptors > soft:
             resource.setrlimit(resource.RLIMIT_NOFILE, (plan.descriptors, hard))
 
 
-def memory_mb(pid: int) -> float:
-    """Resident; 0 where the process is gone."""
+def resident_memory_mb(pid: int) -> float:
+    """Resident memory; 0 if the process has ended."""
     try:
-        return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE / 2**20
+        return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * PAGE_BYTES / 2**20
     except (OSError, IndexError):
         return 0.0
 
 
-class Crew:
-    """Everything that a run has started. Each process is tied to this one by the kernel, and ended by id."""
+class ChildProcesses:
+    """All processes that a run has started. The kernel kills each of them if this process dies; otherwise each is ended
+    by its process id."""
 
-    def __init__(self, bounds: Bounds) -> None:
-        self.bounds = bounds
+    def __init__(self, limits: ResourceLimits) -> None:
+        self.limits = limits
         self.running: dict[int, subprocess.Popen[bytes]] = {}
         self.names: dict[int, str] = {}
 
     def start(self, name: str, module: str, *args: str, environ: Mapping[str, str] | None = None,
-              log: Path | None = None, keep: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
-        """`python -m module args`, in a session of its own: Ctrl-C is for us alone. Raises BoundsError."""
+              log: Path | None = None, inherited_sockets: tuple[socket.socket, ...] = ()) -> subprocess.Popen[bytes]:
+        """Starts `python -m module args` in a new session, so that Ctrl-C reaches only this process. Raises
+        ResourceLimitError."""
         self.forget_ended()
-        if len(self.running) >= self.bounds.most_processes:
-            raise BoundsError(f"processes: expected {self.bounds.most_processes} at most, got one more: {name}")
+        if len(self.running) >= self.limits.most_processes:
+            raise ResourceLimitError(f"processes: expected {self.limits.most_processes} at most, got one more: {name}")
         with open(log or os.devnull, "ab") as out:
             process = subprocess.Popen(
                 [sys.executable, "-B", parent_death.__file__, str(os.getpid()), module, *args], env=environ,
                 stdin=subprocess.DEVNULL, stdout=out, stderr=out, start_new_session=True,
-                pass_fds=[sock.fileno() for sock in keep])
+                pass_fds=[sock.fileno() for sock in inherited_sockets])
             self.running[process.pid] = process
             self.names[process.pid] = name
         return process
@@ -135,38 +146,46 @@
             if process.poll() is not None:
                 del self.running[pid]
 
-    def end(self, *some: subprocess.Popen[bytes], number: int = signal.SIGTERM, within_s: float = END_S) -> None:
-        """Those named, or all; returns when they are gone."""
-        ending = list(some or self.running.values())
+    def end(
+        self,
+        *processes: subprocess.Popen[bytes],
+        first_signal: int = signal.SIGTERM,
+        timeout_s: float = TERMINATION_TIMEOUT_S,
+    ) -> None:
+        """Ends the given processes, or all, and waits until they have ended; SIGKILL follows after `timeout_s`."""
+        ending = list(processes or self.running.values())
         for process in ending:
-            for signal_number in (number, signal.SIGCONT):
+            for signal_number in (first_signal, signal.SIGCONT):
                 with contextlib.suppress(ProcessLookupError):
                     process.send_signal(signal_number)
-        until_s = time.monotonic() + within_s
+        deadline_s = time.monotonic() + timeout_s
         for process in ending:
             try:
-                process.wait(max(0.0, until_s - time.monotonic()))
+                process.wait(max(0.0, deadline_s - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
             self.running.pop(process.pid, None)
 
     def memory_mb(self) -> float:
-        return sum(memory_mb(pid) for pid in self.running)
+        return sum(resident_memory_mb(pid) for pid in self.running)
 
-    async def watch(self) -> None:
-        """For as long as the run runs; raises BoundsError when it takes more than it may."""
-        start = machine()
-        most_mb = self.bounds.memory_mb(start)
+    async def watch_memory(self) -> None:
+        """Checks the memory until cancelled. Raises ResourceLimitError if the run exceeds its limit."""
+        machine_at_start = read_machine()
+        max_mb = self.limits.max_memory_mb(machine_at_start)
         while True:
-            self.look(most_mb)
-            await asyncio.sleep(LOOK_S)
-
-    def look(self, most_mb: float) -> None:
-        taken_mb, now = self.memory_mb() + memory_mb(os.getpid()), machine()
-        if taken_mb > most_mb:
-            raise BoundsError(f"memory: expected {most_mb:,.0f} MB at most, the run took {taken_mb:,.0f} MB and was "
-                              "ended")
-        if now.available_mb < now.memory_mb / 20:
-            raise BoundsError(f"memory: expected {now.memory_mb / 20:,.0f} MB available at least, the machine has "
-                              f"{now.available_mb:,.0f} MB; the run was ended")
+            self.check_memory(max_mb)
+            await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
+
+    def check_memory(self, max_mb: float) -> None:
+        used_mb, current = self.memory_mb() + resident_memory_mb(os.getpid()), read_machine()
+        if used_mb > max_mb:
+            raise ResourceLimitError(
+                f"memory: expected {max_mb:,.0f} MB at most, the run took {used_mb:,.0f} MB and was ended"
+            )
+        if current.available_mb < current.memory_mb / 20:
+            raise ResourceLimitError(
+                f"memory: expected {current.memory_mb / 20:,.0f} MB available at least, the machine has "
+                f"{current.available_mb:,.0f} MB; the run was ended"
+            )
--- a/ironscale/scale/chain.py
+++ b/ironscale/scale/chain.py
@@ -1,14 +1,15 @@
-"""Calls through a chain of real sidecars: attempts at the bottom for one at the top, what is left of the deadline.
-
-Each hop is a sidecar of its own and an application that does nothing but ask the next sidecar; the last asks the
-bottom, a stand-in that is well, slow, or fails a drawn share. The same applications without sidecars between them say
-what they take themselves. No application repeats a call: all repeats are the sidecars' own. An application answers 500
-for what was not served to it, passes on what is left of its caller's deadline less its own time, and lets its call go
-when its caller has gone.
-
-`python -m ironscale.scale.chain` is the process of the applications and the bottom: in, a JSON object (`hops`,
-`copies`, `seed`), then a line each of `{"sidecars": [port, ...]}`, `{"bottom": {...}}`, `{"look": true}`; out, where it
-listens, and at a look what it counted since the one before, by run.
+"""Measures calls through a chain of real sidecars: the attempts at the bottom for one call at the top, and how much of
+the deadline remains at each hop.
+
+Each hop is a real sidecar and an application that only calls the next sidecar. The bottom is the last application, a
+stand-in that is healthy, slow, or fails a random share of calls. The same applications are also called without
+sidecars in between, to measure their own share of the latency. Applications never retry: all retries come from
+sidecars. An application answers 500 if its own call fails, passes on the rest of its caller's deadline less its own
+time, and cancels its call when its caller disconnects.
+
+`python -m ironscale.scale.chain` is the process of the applications and the bottom. It reads a JSON object (`hops`,
+`copies`, `seed`), then lines of `{"sidecars": [port, ...]}`, `{"bottom": {...}}` or `{"look": true}`. It writes the
+ports that it listens on, and for each look the counts since the previous one, by run.
 """
 
 from __future__ import annotations
@@ -31,57 +32,59 @@
 from ironscale.load.outcome import Sample
 from ironscale.load.run import Address, child, started_sidecars
 from ironscale.load.run import RunError as ChildError
-from ironscale.scale.model import carry
-from ironscale.scale.path import ROLE, client_of, latencies_us, paced, percentile, scenario
-from ironscale.scale.run import RunError, Scene
+from ironscale.scale.model import extrapolate
+from ironscale.scale.path import ROLE, create_client, latencies_us, paced_schedule, percentile, scenario
+from ironscale.scale.run import RunContext, RunError
 from ironscale.standins.discovery import ListedDiscovery
 
-KIND = KindSpec("view", "idempotent", 1_000_000, False)
-AIM_MS = 300
-COPIES = 3  # of each application: upstreams in each list
+REQUEST_KIND = KindSpec("view", "idempotent", 1_000_000, False)
+LATENCY_AIM_MS = 300
+COPIES = 3  # instances of each application: the upstreams in each list
 LENGTHS = (1, 2, 4, 8)
-LEAD_S = 0.2
-NOTE = (f"{COPIES} copies of each application, aim {AIM_MS} ms, deadline {KIND.deadline_us // 1000} ms; applications "
-        "answer 500 for what was not served to them, and repeat nothing")
-# `first`: so many attempts of each call fail for sure
-WELL: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
-BOTTOMS: dict[str, Mapping[str, Any]] = {
-    "well": WELL,
-    "fails 0.2": {**WELL, "fails": 0.2},
-    "fails 0.5": {**WELL, "fails": 0.5},
-    "fails 1": {**WELL, "fails": 1.0},
-    "slow 0.2": {**WELL, "slow_share": 0.2, "slow_ms": 400.0},
-    "slow 1": {**WELL, "slow_share": 1.0, "slow_ms": 400.0},
+START_DELAY_S = 0.2
+NOTE = (
+    f"{COPIES} copies of each application, aim {LATENCY_AIM_MS} ms, deadline {REQUEST_KIND.deadline_us // 1000} ms; "
+    "applications answer 500 for what was not served to them, and repeat nothing"
+)
+# `first`: the number of attempts of each call that always fail
+HEALTHY: Mapping[str, Any] = {"fails": 0.0, "first": 0, "slow_share": 0.0, "slow_ms": 0.0}
+BOTTOM_BEHAVIOURS: dict[str, Mapping[str, Any]] = {
+    "well": HEALTHY,
+    "fails 0.2": {**HEALTHY, "fails": 0.2},
+    "fails 0.5": {**HEALTHY, "fails": 0.5},
+    "fails 1": {**HEALTHY, "fails": 1.0},
+    "slow 0.2": {**HEALTHY, "slow_share": 0.2, "slow_ms": 400.0},
+    "slow 1": {**HEALTHY, "slow_share": 1.0, "slow_ms": 400.0},
 }
 
 
-def answer(status: int, body: bytes = b"") -> bytes:
+def encode_response(status: int, body: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
-def left_us_of(value: bytes) -> int:
-    """`480m` or `480000u`; 0 for what is neither."""
+def parse_remaining_us(value: bytes) -> int:
+    """Parses `480m` (milliseconds) or `480000u` (microseconds); 0 for any other unit or an empty value."""
     number, unit = value[:-1], value[-1:]
     return int(float(number) * {b"m": 1_000, b"u": 1}.get(unit, 0)) if number else 0
 
 
-class Seen:
-    """What one level counts of one run."""
+class LevelCounts:
+    """The counts of one level in one run."""
 
     def __init__(self) -> None:
-        self.calls: Counter[str] = Counter()  # by the call at the top that they are for
-        self.left_us: list[int] = []
-        self.got: Counter[str] = Counter()  # what the next level answered to this one's application
+        self.calls: Counter[str] = Counter()  # attempts, by the call at the top that they belong to
+        self.remaining_us: list[int] = []
+        self.answers: Counter[str] = Counter()  # statuses that the next level answered to this level's application
 
 
-class Caller(asyncio.Protocol):
-    """One connection from an application to the next sidecar, a call at a time."""
+class NextHopConnection(asyncio.Protocol):
+    """A connection from an application to the next sidecar; it carries one call at a time."""
 
     def __init__(self, level: Level) -> None:
         self.level = level
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.on_end: Callable[[int], None] | None = None
+        self.on_response: Callable[[int], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -91,40 +94,40 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.drop()
+            self.abort()
 
     def on_message_complete(self) -> None:
         assert self.parser is not None and self.transport is not None
-        on_end, self.on_end = self.on_end, None
+        on_end, self.on_response = self.on_response, None
         if self.parser.should_keep_alive():
-            self.level.idle.append(self)
+            self.level.idle_connections.append(self)
         else:
             self.transport.close()
         if on_end is not None:
             on_end(self.parser.get_status_code())
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self in self.level.idle:
-            self.level.idle.remove(self)
+        if self in self.level.idle_connections:
+            self.level.idle_connections.remove(self)
         self.parser = self.transport = None
-        on_end, self.on_end = self.on_end, None
+        on_end, self.on_response = self.on_response, None
         if on_end is not None:
             on_end(0)
 
 
-class Served(asyncio.Protocol):
-    """One connection to an application or to the bottom."""
+class ServedConnection(asyncio.Protocol):
+    """An accepted connection at an application or the bottom."""
 
     def __init__(self, level: Level) -> None:
         self.level = level
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.fields: dict[bytes, bytes] = {}
-        self.calling: Caller | asyncio.Task[None] | None = None
+        self.headers: dict[bytes, bytes] = {}
+        self.pending_call: NextHopConnection | asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -137,104 +140,113 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        self.fields = {}
+        self.headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields[name.lower()] = value
+        self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
         self.level.on_call(self)
 
-    def say(self, status: int) -> None:
-        self.calling = None
+    def respond(self, status: int) -> None:
+        self.pending_call = None
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(answer(status, b"done" if status == 200 else b""))
+            self.transport.write(encode_response(status, b"done" if status == 200 else b""))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None
-        calling, self.calling = self.calling, None
-        if isinstance(calling, Caller):  # its caller has gone, and so goes what it asked for
-            calling.on_end = None
-            calling.drop()
-        elif calling is not None:
-            calling.cancel()
+        pending_call, self.pending_call = self.pending_call, None
+        if isinstance(pending_call, NextHopConnection):  # the caller has disconnected, so its call is cancelled
+            pending_call.on_response = None
+            pending_call.abort()
+        elif pending_call is not None:
+            pending_call.cancel()
 
 
 class Level:
-    """All copies of the application at one depth, or the bottom; `following` is where it asks on."""
-
-    def __init__(self, world: World, depth: int) -> None:
-        self.world, self.depth = world, depth
-        self.following: Address | None = None
-        self.idle: list[Caller] = []
-        self.seen: defaultdict[str, Seen] = defaultdict(Seen)
+    """All copies of the application at one depth, or the bottom. `next_address` is where the application calls;
+    the bottom has none."""
+
+    def __init__(self, applications: ChainApplications, depth: int) -> None:
+        self.applications, self.depth = applications, depth
+        self.next_address: Address | None = None
+        self.idle_connections: list[NextHopConnection] = []
+        self.counts: defaultdict[str, LevelCounts] = defaultdict(LevelCounts)
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, copies: int) -> list[int]:
         loop = asyncio.get_running_loop()
-        self.servers = [await loop.create_server(lambda: Served(self), "127.0.0.1", 0) for _ in range(copies)]
+        self.servers = [await loop.create_server(lambda: ServedConnection(self), "127.0.0.1", 0) for _ in range(copies)]
         return [server.sockets[0].getsockname()[1] for server in self.servers]
 
-    def on_call(self, served: Served) -> None:
-        root = served.fields.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
-        left_us = left_us_of(served.fields.get(b"x-remaining", b"0u"))
-        seen = self.seen[root.partition("-")[0]]
-        seen.calls[root] += 1
-        seen.left_us.append(left_us)
-        if self.following is None:
-            self.world.at_bottom(served, seen.calls[root])
+    def on_call(self, served: ServedConnection) -> None:
+        root = served.headers.get(b"x-txn", b"").decode("latin-1").partition(".")[0]
+        remaining_us = parse_remaining_us(served.headers.get(b"x-remaining", b"0u"))
+        counts = self.counts[root.partition("-")[0]]
+        counts.calls[root] += 1
+        counts.remaining_us.append(remaining_us)
+        if self.next_address is None:
+            self.applications.at_bottom(served, counts.calls[root])
             return
-        came_us = time.monotonic_ns() // 1000
+        received_us = time.monotonic_ns() // 1000
 
         def payload() -> bytes:
-            self.world.turn += 1
-            now_left_us = max(1, left_us - (time.monotonic_ns() // 1000 - came_us))
+            self.applications.last_attempt += 1
+            remaining_now_us = max(1, remaining_us - (time.monotonic_ns() // 1000 - received_us))
             return (b"GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %s.%x\r\nX-Lane: view\r\nX-Org: t0\r\n"
-                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.world.turn, now_left_us))
+                    b"X-Remaining: %du\r\n\r\n" % (root.encode(), self.applications.last_attempt, remaining_now_us))
 
-        def on_end(status: int) -> None:
-            seen.got[str(status)] += 1
-            served.say(200 if status == 200 else 500)
+        def on_response(status: int) -> None:
+            counts.answers[str(status)] += 1
+            served.respond(200 if status == 200 else 500)
 
-        if self.idle:
-            self.ask(self.idle.pop(), served, payload(), on_end)
+        if self.idle_connections:
+            self.send_call(self.idle_connections.pop(), served, payload(), on_response)
             return
-        task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_end))
+        task = asyncio.get_running_loop().create_task(self.connect(served, payload, on_response))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        served.calling = task
-
-    def ask(self, caller: Caller, served: Served, payload: bytes, on_end: Callable[[int], None]) -> None:
-        assert caller.transport is not None
-        served.calling, caller.on_end = caller, on_end
-        caller.transport.write(payload)
-
-    async def connect(self, served: Served, payload: Callable[[], bytes], on_end: Callable[[int], None]) -> None:
-        assert self.following is not None
-        caller = Caller(self)
+        served.pending_call = task
+
+    def send_call(
+        self,
+        connection: NextHopConnection,
+        served: ServedConnection,
+        payload: bytes,
+        on_response: Callable[[int], None],
+    ) -> None:
+        assert connection.transport is not None
+        served.pending_call, connection.on_response = connection, on_response
+        connection.transport.write(payload)
+
+    async def connect(
+        self, served: ServedConnection, payload: Callable[[], bytes], on_response: Callable[[int], None]
+    ) -> None:
+        assert self.next_address is not None
+        connection = NextHopConnection(self)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: caller, *self.following)
+            await asyncio.get_running_loop().create_connection(lambda: connection, *self.next_address)
         except OSError:
-            on_end(0)
+            on_response(0)
         else:
-            self.ask(caller, served, payload(), on_end)
+            self.send_call(connection, served, payload(), on_response)
 
-    def told(self) -> dict[str, Any]:
-        """What it counted since it told last, by run."""
-        found, self.seen = self.seen, defaultdict(Seen)
+    def take_counts(self) -> dict[str, Any]:
+        """The counts since the previous call of this method, by run."""
+        counts, self.counts = self.counts, defaultdict(LevelCounts)
         return {run: {"calls": len(s.calls), "attempts": s.calls.total(), "most": max(s.calls.values()),
-                      "left_ms": [percentile(s.left_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
-                      "got": dict(s.got)} for run, s in found.items()}
+                      "left_ms": [percentile(s.remaining_us, share) / 1000 for share in (0.01, 0.5, 0.99)],
+                      "got": dict(s.answers)} for run, s in counts.items()}
 
 
-class World:
-    """The applications and the bottom of a chain, twice: below sidecars, and without any."""
+class ChainApplications:
+    """The applications and the bottom of two chains: one with sidecars, one without."""
 
     def __init__(self, hops: int, copies: int, seed: str) -> None:
         self.random = Random(seed)
-        self.copies, self.turn = copies, 0
-        self.bottom: Mapping[str, Any] = WELL
+        self.copies, self.last_attempt = copies, 0
+        self.bottom: Mapping[str, Any] = HEALTHY
         self.levels = [Level(self, depth) for depth in range(hops)]
         self.bare = [Level(self, depth) for depth in range(hops)]
         self.lists = [ListedDiscovery() for _ in range(hops)]
@@ -248,196 +260,220 @@
                          for i, port in enumerate(ports)))
         ports = [(await level.listen(1))[0] for level in self.bare]
         for level, port in zip(self.bare, ports[1:], strict=False):
-            level.following = ("127.0.0.1", port)
+            level.next_address = ("127.0.0.1", port)
         return {"lists": [listed.port for listed in self.lists], "bare": ports}
 
-    def at_bottom(self, served: Served, attempt: int) -> None:
-        drawn, slow = self.random.random(), self.random.random()
-        status = 500 if drawn < self.bottom["fails"] or attempt <= self.bottom["first"] else 200
-        if slow < self.bottom["slow_share"]:
-            asyncio.get_running_loop().call_later(self.bottom["slow_ms"] / 1000, served.say, status)
+    def at_bottom(self, served: ServedConnection, attempt: int) -> None:
+        failure_draw, slowness_draw = self.random.random(), self.random.random()
+        status = 500 if failure_draw < self.bottom["fails"] or attempt <= self.bottom["first"] else 200
+        if slowness_draw < self.bottom["slow_share"]:
+            asyncio.get_running_loop().call_later(self.bottom["slow_ms"] / 1000, served.respond, status)
         else:
-            served.say(status)
-
-    def hear(self, told: dict[str, Any]) -> dict[str, Any] | None:
-        if "sidecars" in told:  # the first is asked from outside
-            for level, port in zip(self.levels, told["sidecars"][1:], strict=False):
-                level.following = ("127.0.0.1", port)
-        elif "bottom" in told:
-            self.bottom = told["bottom"]
-        elif told.get("look"):
-            return {"levels": [level.told() for level in self.levels], "bare": [level.told() for level in self.bare]}
+            served.respond(status)
+
+    def handle(self, command: dict[str, Any]) -> dict[str, Any] | None:
+        if "sidecars" in command:  # the first sidecar is called by the load generator
+            for level, port in zip(self.levels, command["sidecars"][1:], strict=False):
+                level.next_address = ("127.0.0.1", port)
+        elif "bottom" in command:
+            self.bottom = command["bottom"]
+        elif command.get("look"):
+            return {
+                "levels": [level.take_counts() for level in self.levels],
+                "bare": [level.take_counts() for level in self.bare],
+            }
         return None
 
 
 @dataclass(slots=True)
 class Chain:
-    """A chain that stands: its process of applications, and each sidecar's address from the top on."""
+    """A running chain: the process of the applications, and the addresses of the sidecars from the top down."""
 
     process: asyncio.subprocess.Process
     sidecars: list[Address]
     bare: list[Address]
 
-    def say(self, data: Mapping[str, Any]) -> None:
+    def send(self, data: Mapping[str, Any]) -> None:
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(data).encode() + b"\n")
 
-    async def look(self) -> dict[str, Any]:
+    async def take_counts(self) -> dict[str, Any]:
         assert self.process.stdout is not None
-        self.say({"look": True})
-        found: dict[str, Any] = json.loads(await self.process.stdout.readline())
-        return found
+        self.send({"look": True})
+        counts: dict[str, Any] = json.loads(await self.process.stdout.readline())
+        return counts
 
 
 @contextlib.asynccontextmanager
-async def started(hops: int, copies: int = COPIES, rate: float = 100.0, seed: str = "chain", kind: KindSpec = KIND,
-                  aim_ms: int = AIM_MS) -> AsyncIterator[Chain]:
-    """So many real sidecars, each with a list of the applications below it."""
+async def started_chain(
+    hops: int,
+    copies: int = COPIES,
+    rate: float = 100.0,
+    seed: str = "chain",
+    kind: KindSpec = REQUEST_KIND,
+    aim_ms: int = LATENCY_AIM_MS,
+) -> AsyncIterator[Chain]:
+    """Starts a chain of `hops` real sidecars, each with a list of the applications below it."""
     async with contextlib.AsyncExitStack() as stack:
         process = await stack.enter_async_context(
             child("ironscale.scale.chain", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE))
         chain = Chain(process, [], [])
-        chain.say({"hops": hops, "copies": copies, "seed": seed})
+        chain.send({"hops": hops, "copies": copies, "seed": seed})
         assert process.stdout is not None
-        told = json.loads(await process.stdout.readline())
-        chain.bare = [("127.0.0.1", port) for port in told["bare"]]
-        s = scenario(copies, 1, kind.deadline_us // 1000, aim_ms)
-        for port in told["lists"]:
-            ((_, address),) = await stack.enter_async_context(started_sidecars(s, port, rate))
+        listening = json.loads(await process.stdout.readline())
+        chain.bare = [("127.0.0.1", port) for port in listening["bare"]]
+        load_scenario = scenario(copies, 1, kind.deadline_us // 1000, aim_ms)
+        for port in listening["lists"]:
+            ((_, address),) = await stack.enter_async_context(started_sidecars(load_scenario, port, rate))
             chain.sidecars.append(address)
-        chain.say({"sidecars": [port for _, port in chain.sidecars]})
+        chain.send({"sidecars": [port for _, port in chain.sidecars]})
         yield chain
 
 
 @dataclass(slots=True)
-class Turn:
-    """Calls into a chain while the bottom did one thing: from its first moment on (`onset`), or once that had lasted
-    a while."""
+class ChainResult:
+    """Calls into a chain while the bottom behaved in one way: from the start of that behaviour (`onset`), or after it
+    has lasted a while."""
 
     bottom: str
     hops: int
     onset: bool
     calls: int
-    took_us: list[int]  # of those that were served
-    bare_us: list[int]  # without sidecars
-    attempts: list[float]  # at each level from the top, for one call at the top
-    most: int  # at the bottom, for one call
-    left_ms: list[list[float]]  # of the deadline, at each level: of 1 in 100, the middle, of 99 in 100
-    got: list[dict[str, int]]  # what each application was answered
+    latencies_us: list[int]  # latencies of the served calls
+    bare_latencies_us: list[int]  # latencies without sidecars
+    attempts: list[float]  # at each level from the top, per call at the top
+    max_attempts: int  # most attempts at the bottom for one call
+    remaining_ms: list[list[float]]  # rest of the deadline at each level: 1st, 50th and 99th percentile
+    answers: list[dict[str, int]]  # number of answers to each application, by status
 
     def served(self) -> float:
-        return len(self.took_us) / max(1, self.calls)
+        return len(self.latencies_us) / max(1, self.calls)
 
     def added_ms(self, share: float) -> float:
-        return (percentile(self.took_us, share) - percentile(self.bare_us, share)) / 1000
+        return (percentile(self.latencies_us, share) - percentile(self.bare_latencies_us, share)) / 1000
 
 
-async def ask(run: str, address: Address, rate: float, seconds: float, kind: KindSpec = KIND) -> list[Sample]:
-    """Paced calls to there, until all have ended."""
-    part = paced(rate, seconds, run, kind.deadline_us)
-    client, samples = client_of(run, address, part, seconds, kind)
-    client.start(time.monotonic_ns() + round(LEAD_S * 1e9))
-    await client.wait(seconds + LEAD_S + kind.deadline_us / 1e6 + 1.0)
+async def send_calls(
+    run: str, address: Address, rate: float, seconds: float, kind: KindSpec = REQUEST_KIND
+) -> list[Sample]:
+    """Sends calls at a rate and waits until all have ended."""
+    schedule = paced_schedule(rate, seconds, run, kind.deadline_us)
+    client, samples = create_client(run, address, schedule, seconds, kind)
+    client.start(time.monotonic_ns() + round(START_DELAY_S * 1e9))
+    await client.wait(seconds + START_DELAY_S + kind.deadline_us / 1e6 + 1.0)
     return samples
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """How long each part of a turn lasts, in seconds, at so many calls a second."""
+class Timing:
+    """The call rate per second, and how long each part of a chain's run lasts."""
 
     rate: float = 60.0
-    well_s: float = 2.0  # before the bottom does what it does
+    healthy_s: float = 2.0  # before the bottom changes its behaviour
     onset_s: float = 1.0
     settle_s: float = 2.0
     lasting_s: float = 4.0
 
 
-async def count(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> Turn:
+async def measure_calls(chain: Chain, name: str, rate: float, seconds: float, onset: bool) -> ChainResult:
     run = f"{'o' if onset else 'l'}{len(chain.sidecars)}"
-    samples, bare = await asyncio.gather(ask(run, chain.sidecars[0], rate, seconds),
-                                         ask(f"b{run}", chain.bare[0], rate, seconds))
-    told = [level.get(run, {}) for level in (await chain.look())["levels"]]
+    samples, bare = await asyncio.gather(send_calls(run, chain.sidecars[0], rate, seconds),
+                                         send_calls(f"b{run}", chain.bare[0], rate, seconds))
+    levels = [level.get(run, {}) for level in (await chain.take_counts())["levels"]]
     end_us = seconds * 1e6
-    return Turn(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
+    return ChainResult(name, len(chain.sidecars), onset, len(samples), latencies_us(samples, 0, end_us),
                 latencies_us(bare, 0, end_us),
-                [level.get("attempts", 0) / max(1, len(samples)) for level in told], told[-1].get("most", 0),
-                [level.get("left_ms", []) for level in told], [level.get("got", {}) for level in told])
-
-
-async def play(name: str, hops: int, plan: Plan, seed: str) -> list[Turn]:
-    """A new chain: well at first, then as `name` says; the onset and the time after it."""
-    async with started(hops, rate=plan.rate, seed=seed) as chain:
-        await ask("w", chain.sidecars[0], plan.rate, plan.well_s)
-        chain.say({"bottom": BOTTOMS[name]})
-        onset = await count(chain, name, plan.rate, plan.onset_s, True)
-        await ask("s", chain.sidecars[0], plan.rate, plan.settle_s)
-        return [onset, await count(chain, name, plan.rate, plan.lasting_s, False)]
-
-
-async def play_all(lengths: Sequence[int], bottoms: Sequence[str] = tuple(BOTTOMS), plan: Plan | None = None,
-                   rounds: int = 1, tell: Callable[[str], None] = lambda line: None) -> list[Turn]:
-    """Latencies are measured where the bottom is well, one chain after another; for the other bottoms, which are
-    there for counts, chains of all lengths run beside one another."""
-    found: list[Turn] = []
+                [level.get("attempts", 0) / max(1, len(samples)) for level in levels], levels[-1].get("most", 0),
+                [level.get("left_ms", []) for level in levels], [level.get("got", {}) for level in levels])
+
+
+async def run_chain(name: str, hops: int, timing: Timing, seed: str) -> list[ChainResult]:
+    """Runs a new chain whose bottom is healthy at first and then behaves as `name` says. Returns the results of the
+    onset and of the time after it."""
+    async with started_chain(hops, rate=timing.rate, seed=seed) as chain:
+        await send_calls("w", chain.sidecars[0], timing.rate, timing.healthy_s)
+        chain.send({"bottom": BOTTOM_BEHAVIOURS[name]})
+        onset = await measure_calls(chain, name, timing.rate, timing.onset_s, True)
+        await send_calls("s", chain.sidecars[0], timing.rate, timing.settle_s)
+        return [onset, await measure_calls(chain, name, timing.rate, timing.lasting_s, False)]
+
+
+async def run_all(
+    lengths: Sequence[int],
+    bottoms: Sequence[str] = tuple(BOTTOM_BEHAVIOURS),
+    timing: Timing | None = None,
+    rounds: int = 1,
+    progress: Callable[[str], None] = lambda line: None,
+) -> list[ChainResult]:
+    """Runs chains of all lengths with all behaviours of the bottom. Latencies are measured only with a healthy bottom,
+    one chain after another; for the other behaviours only counts matter, so chains of all lengths run concurrently."""
+    results: list[ChainResult] = []
     for number in range(rounds):
         for name in bottoms:
-            works = [play(name, hops, plan or Plan(), f"chain/{number}/{name}/{hops}") for hops in lengths]
-            played = [await work for work in works] if name == "well" else await asyncio.gather(*works)
-            for at in (at for turns in played for at in turns):
-                found.append(at)
-                tell(f"chain: bottom {name}, {at.hops} hops, {'onset' if at.onset else 'lasting'}: {at.served():.0%} "
-                     f"of {at.calls} served, {at.attempts[-1]:.2f} attempts at the bottom, {at.most} at most")
-    return found
-
-
-def record(scene: Scene, turns: Sequence[Turn], depth: int) -> None:
-    """Slopes by hops (three lengths at least), and what they come to at `depth`."""
+            runs = [run_chain(name, hops, timing or Timing(), f"chain/{number}/{name}/{hops}") for hops in lengths]
+            results_by_length = [await run for run in runs] if name == "well" else await asyncio.gather(*runs)
+            for result in (one for phases in results_by_length for one in phases):
+                results.append(result)
+                progress(f"chain: bottom {name}, {result.hops} hops, {'onset' if result.onset else 'lasting'}: "
+                         f"{result.served():.0%} of {result.calls} served, {result.attempts[-1]:.2f} attempts at the "
+                         f"bottom, {result.max_attempts} at most")
+    return results
+
+
+def add_results(context: RunContext, results: Sequence[ChainResult], depth: int) -> None:
+    """Adds slopes over the number of hops (at least three lengths), and their extrapolation to `depth`."""
     points: dict[tuple[str, str], dict[int, list[float]]] = {}
-    for turn in turns:
-        phase = f"{turn.bottom.replace(' ', '_')}.{'onset' if turn.onset else 'lasting'}"
-        figures = {f"attempts.{phase}": (turn.attempts[-1], "attempts a call"),
-                   f"served.{phase}": (turn.served(), "of calls"), f"most.{phase}": (turn.most, "attempts")}
-        if turn.bottom == "well":
+    for result in results:
+        phase = f"{result.bottom.replace(' ', '_')}.{'onset' if result.onset else 'lasting'}"
+        figures = {f"attempts.{phase}": (result.attempts[-1], "attempts a call"),
+                   f"served.{phase}": (result.served(), "of calls"), f"most.{phase}": (result.max_attempts, "attempts")}
+        if result.bottom == "well":
             figures = {f"{name}.well": (value, "ms") for name, value in (
-                ("added_p50_ms", turn.added_ms(0.5)), ("added_p99_ms", turn.added_ms(0.99)),
-                ("deadline_spent_ms", KIND.deadline_us / 1000 - turn.left_ms[-1][1]))}
+                ("added_p50_ms", result.added_ms(0.5)), ("added_p99_ms", result.added_ms(0.99)),
+                ("deadline_spent_ms", REQUEST_KIND.deadline_us / 1000 - result.remaining_ms[-1][1]))}
         for name, (value, unit) in figures.items():
-            points.setdefault((f"chain.{name}", unit), {}).setdefault(turn.hops, []).append(round(value, 4))
+            points.setdefault((f"chain.{name}", unit), {}).setdefault(result.hops, []).append(round(value, 4))
     for (name, unit), by_hops in points.items():
-        scene.add_slope(name, ROLE, "hops", unit, by_hops, NOTE)
+        context.add_slope(name, ROLE, "hops", unit, by_hops, NOTE)
         by_factor = ".attempts." in name
         pairs = [(hops, value) for hops, values in by_hops.items() for value in values]
         if ".served." in name or ".most." in name or (by_factor and min(value for _, value in pairs) <= 0):
             continue
-        far = carry(pairs, depth, by_factor)
-        scene.add_reading(f"{name}.at_{depth}_hops", ROLE, unit, [round(far.value, 4)],
-                          f"carried on, {far.low:.3g} to {far.high:.3g}; each hop {'times' if by_factor else 'adds'} "
-                          f"{far.growth:.4g}, {far.growth_low:.4g} to {far.growth_high:.4g}")
-
-
-async def measure(scene: Scene) -> None:
-    """For a scale run: chains of 1 to 8, carried to the size's depth."""
-    scene.check(0, 0, real=sum(LENGTHS), others=len(LENGTHS))
+        extrapolation = extrapolate(pairs, depth, by_factor)
+        context.add_reading(
+            f"{name}.at_{depth}_hops",
+            ROLE,
+            unit,
+            [round(extrapolation.value, 4)],
+            f"carried on, {extrapolation.low:.3g} to {extrapolation.high:.3g}; "
+            f"each hop {'times' if by_factor else 'adds'} "
+            f"{extrapolation.growth:.4g}, {extrapolation.growth_low:.4g} to {extrapolation.growth_high:.4g}",
+        )
+
+
+async def measure(context: RunContext) -> None:
+    """Measures chains of 1 to 8 hops and extrapolates to the planned depth."""
+    context.check_limits(0, 0, real_count=sum(LENGTHS), other_processes=len(LENGTHS))
     try:
-        turns = await play_all(LENGTHS, rounds=scene.size.play.repeats, tell=scene.progress)
+        results = await run_all(LENGTHS, rounds=context.size.play.repeats, progress=context.progress)
     except ChildError as error:
         raise RunError(str(error)) from error
-    record(scene, turns, scene.size.fleet.depth)
+    add_results(context, results, context.size.fleet.depth)
 
 
 async def main() -> None:
     loop = asyncio.get_running_loop()
 
-    def tell(data: Mapping[str, Any]) -> None:
+    def write(data: Mapping[str, Any]) -> None:
         print(json.dumps(data), flush=True)
 
     spec = json.loads(await loop.run_in_executor(None, sys.stdin.readline))
-    world = World(spec["hops"], spec["copies"], spec["seed"])
-    tell(await world.start())
+    applications = ChainApplications(spec["hops"], spec["copies"], spec["seed"])
+    write(await applications.start())
     while line := await loop.run_in_executor(None, sys.stdin.readline):
-        found = world.hear(json.loads(line))
-        if found is not None:
-            tell(found)
+        answer = applications.handle(json.loads(line))
+        if answer is not None:
+            write(answer)
 
 
 if __name__ == "__main__":
--- a/ironscale/scale/chart.py
+++ b/ironscale/scale/chart.py
@@ -1,4 +1,4 @@
-"""A chart a slope, as SVG. Its library is loaded only here."""
+"""Draws one SVG chart for each slope. matplotlib is imported only here, as it is optional."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class ChartError(Exception):
-    """Charts that can't be drawn; the text is one line."""
+    """Charts that can't be drawn; the message is a single line."""
 
 
 def draw(slope: Slope, folder: Path) -> Path:
-    """The points, each repeat one, and the line; the same bytes for the same slope. Raises ChartError."""
+    """Draws every repetition as a point, and the fitted line. The same slope gives the same bytes. Raises
+    ChartError."""
     try:
         import matplotlib
     except ImportError as error:
@@ -23,11 +24,11 @@
 
     figure = Figure(figsize=(4.2, 2.6), layout="constrained")
     axes = figure.add_subplot()
-    pairs = [(point.size, value) for point in slope.points for value in point.repeats]
+    repetitions = [(point.size, value) for point in slope.points for value in point.repeats]
     largest = slope.points[-1].size
     axes.plot([0, largest], [slope.fit.at(0), slope.fit.at(largest)], color="0.6", linewidth=1)
-    axes.plot([x for x, _ in pairs], [y for _, y in pairs], "o", markersize=4)
-    axes.set_xlabel(slope.x)
+    axes.plot([x for x, _ in repetitions], [y for _, y in repetitions], "o", markersize=4)
+    axes.set_xlabel(slope.x_axis)
     axes.set_ylabel(slope.unit)
     axes.set_ylim(bottom=0)
     axes.set_title(f"{slope.name}: {slope.fit.verdict}", fontsize=9)
--- a/ironscale/scale/control.py
+++ b/ironscale/scale/control.py
@@ -1,4 +1,5 @@
-"""What control costs a sidecar: real ones with an agent beside others without, with lists of several lengths."""
+"""Measures what the control channel costs a sidecar: real sidecars with an agent are compared to others without, for
+lists of several lengths."""
 
 from __future__ import annotations
 
@@ -7,15 +8,15 @@
 from collections.abc import Sequence
 
 from ironscale.control.processes import process_cpu_s
-from ironscale.scale.agents import Agents, at_rest
-from ironscale.scale.bounds import memory_mb
-from ironscale.scale.real_sidecars import Reals
-from ironscale.scale.run import Scene
+from ironscale.scale.agents import AgentProcesses, measure_at_rest
+from ironscale.scale.bounds import resident_memory_mb
+from ironscale.scale.real_sidecars import RealSidecars
+from ironscale.scale.run import RunContext
 
-ROLE, LIST = "sidecar control", "upstreams in the list"
-EACH = 4  # sidecars with an agent, and as many without
-LISTS, ENTRIES, CHANGES = 4, 40, 6
-QUIET_S = 0.7
+ROLE, X_AXIS = "sidecar control", "upstreams in the list"
+SIDECARS_EACH = 4  # sidecars with an agent, and the same number without
+WHOLE_LISTS, CHANGED_ENTRIES, CHANGES = 4, 40, 6
+SETTLE_S = 0.7
 UNITS = {
     "control.list.memory_mb": "MB", "control.list.alone_memory_mb": "MB",
     "control.list.rest.cpu_percent": "% of a core", "control.list.rest.alone_cpu_percent": "% of a core",
@@ -32,90 +33,101 @@
 }
 
 
-async def measure(scene: Scene) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+async def measure(context: RunContext) -> None:
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
     added_cpu: list[float] = []
     added_mb: list[float] = []
-    for length in scene.size.play.lists:
-        scene.progress(f"control: lists of {length}")
-        scene.check(0, 1, 2 * EACH)
-        async with scene.fleet(0) as (agents, _), Reals.among(scene.crew, scene.folder, 2 * EACH, length) as reals:
-            without = await reals.start(EACH)
-            with_agent = await reals.start(EACH, agents.addresses, agents.token_file)
-            await agents.until_ready(EACH)
-            one = await of_list(scene, agents, reals, with_agent, without)
-        for name, values in one.items():
-            found[name][length] = values
-        usual = length == scene.size.play.lists[0]
-        if usual:
-            added_cpu = [a - b for a, b in zip(one["control.list.rest.cpu_percent"],
-                                               one["control.list.rest.alone_cpu_percent"], strict=True)]
-            added_mb = [a - b for a, b in zip(sorted(one["control.list.memory_mb"]),
-                                              sorted(one["control.list.alone_memory_mb"]), strict=True)]
-    for name, points in found.items():
-        scene.add_slope(name, ROLE, LIST, UNITS[name], points, NOTES.get(name, ""))
-    least = scene.size.play.lists[0]
-    scene.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
-                      f"with an agent less without, lists of {least}")
-    scene.add_reading("control.real.added_memory_mb", ROLE, "MB", added_mb,
-                      f"with an agent less without, lists of {least}")
+    for length in context.size.play.lists:
+        context.progress(f"control: lists of {length}")
+        context.check_limits(0, 1, 2 * SIDECARS_EACH)
+        async with (
+            context.running_fleet(0) as (agents, _),
+            RealSidecars.running(context.children, context.folder, 2 * SIDECARS_EACH, length) as sidecars,
+        ):
+            without = await sidecars.start(SIDECARS_EACH)
+            with_agent = await sidecars.start(SIDECARS_EACH, agents.addresses, agents.token_file)
+            await agents.wait_until_ready(SIDECARS_EACH)
+            values_by_name = await measure_list(context, agents, sidecars, with_agent, without)
+        for name, values in values_by_name.items():
+            results[name][length] = values
+        first_length = length == context.size.play.lists[0]
+        if first_length:
+            added_cpu = [a - b for a, b in zip(values_by_name["control.list.rest.cpu_percent"],
+                                               values_by_name["control.list.rest.alone_cpu_percent"], strict=True)]
+            added_mb = [a - b for a, b in zip(sorted(values_by_name["control.list.memory_mb"]),
+                                              sorted(values_by_name["control.list.alone_memory_mb"]), strict=True)]
+    for name, points in results.items():
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
+    shortest = context.size.play.lists[0]
+    context.add_reading("control.real.rest.added_cpu_percent", ROLE, "% of a core", added_cpu,
+                      f"with an agent less without, lists of {shortest}")
+    context.add_reading("control.real.added_memory_mb", ROLE, "MB", added_mb,
+                      f"with an agent less without, lists of {shortest}")
 
 
-async def of_list(scene: Scene, agents: Agents, reals: Reals, with_agent: Sequence[subprocess.Popen[bytes]],
-                  without: Sequence[subprocess.Popen[bytes]]) -> dict[str, list[float]]:
-    discovery = reals.discovery
+async def measure_list(
+    context: RunContext,
+    agents: AgentProcesses,
+    sidecars: RealSidecars,
+    with_agent: Sequence[subprocess.Popen[bytes]],
+    without: Sequence[subprocess.Popen[bytes]],
+) -> dict[str, list[float]]:
+    discovery = sidecars.discovery
     await asyncio.sleep(2.0)
-    beat_s = scene.size.play.heartbeat_s
-    rests = await asyncio.gather(*(at_rest(p.pid, 4 * beat_s) for p in (*with_agent, *without)))
+    heartbeat_s = context.size.play.heartbeat_s
+    rests = await asyncio.gather(*(measure_at_rest(p.pid, 4 * heartbeat_s) for p in (*with_agent, *without)))
     percent = [rest[0] for rest in rests]
-    found = {
-        "control.list.rest.cpu_percent": percent[:EACH], "control.list.rest.alone_cpu_percent": percent[EACH:],
+    results = {
+        "control.list.rest.cpu_percent": percent[:SIDECARS_EACH],
+        "control.list.rest.alone_cpu_percent": percent[SIDECARS_EACH:],
         "control.list.whole_bytes": [float(len(discovery.chunk(discovery.whole())))],
     }
 
-    async def cost(times: int, pause_s: float, work: object) -> list[float]:
-        """CPU seconds each of the sidecars without an agent took for one, less what it takes at rest."""
+    async def cpu_cost_s(times: int, pause_s: float, work: object) -> list[float]:
+        """CPU seconds that each sidecar without an agent used for one call of `work`, less its use at rest."""
         assert callable(work)
         before, began_s = [process_cpu_s(p.pid) for p in without], asyncio.get_running_loop().time()
         for _ in range(times):
             work()
             await asyncio.sleep(pause_s)
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         took_s = asyncio.get_running_loop().time() - began_s
         return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / times
-                for p, was, rest in zip(without, before, percent[EACH:], strict=True)]
+                for p, was, rest in zip(without, before, percent[SIDECARS_EACH:], strict=True)]
 
-    def whole() -> None:
+    def send_whole_list() -> None:
         discovery.generation += 1
         discovery.tell(discovery.whole())
 
-    entries = [dict(entry) for entry in list(discovery.entries.values())[:ENTRIES]]
-    turn = 0
+    entries = [dict(entry) for entry in list(discovery.entries.values())[:CHANGED_ENTRIES]]
+    change_number = 0
 
-    def entry() -> None:
-        nonlocal turn
-        changed = entries[turn % len(entries)]
-        changed["weight"] = 1.0 + (turn % 7) / 100
-        turn += 1
+    def send_changed_entry() -> None:
+        nonlocal change_number
+        changed = entries[change_number % len(entries)]
+        changed["weight"] = 1.0 + (change_number % 7) / 100
+        change_number += 1
         discovery.put(changed)
 
-    found["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cost(LISTS, QUIET_S, whole)]
-    found["control.list.entry_cpu_us"] = [s * 1e6 for s in await cost(ENTRIES, 0.03, entry)]
-    found["control.list.entry_bytes"] = [float(len(discovery.chunk({
+    results["control.list.whole_cpu_ms"] = [s * 1e3 for s in await cpu_cost_s(WHOLE_LISTS, SETTLE_S, send_whole_list)]
+    results["control.list.entry_cpu_us"] = [
+        s * 1e6 for s in await cpu_cost_s(CHANGED_ENTRIES, 0.03, send_changed_entry)
+    ]
+    results["control.list.entry_bytes"] = [float(len(discovery.chunk({
         "generation": 1, "reset": False, "instances": entries[:1]})))]
-    found["control.list.change_cpu_us"] = await of_changes(agents, with_agent, percent[:EACH])
-    found["control.list.memory_mb"] = [memory_mb(p.pid) for p in with_agent]
-    found["control.list.alone_memory_mb"] = [memory_mb(p.pid) for p in without]
-    return found
+    results["control.list.change_cpu_us"] = await measure_changes(agents, with_agent, percent[:SIDECARS_EACH])
+    results["control.list.memory_mb"] = [resident_memory_mb(p.pid) for p in with_agent]
+    results["control.list.alone_memory_mb"] = [resident_memory_mb(p.pid) for p in without]
+    return results
 
 
-async def of_changes(agents: Agents, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
+async def measure_changes(agents: AgentProcesses, with_agent: Sequence[subprocess.Popen[bytes]], rests: Sequence[float]
                      ) -> list[float]:
     before, began_s = [process_cpu_s(p.pid) for p in with_agent], asyncio.get_running_loop().time()
     for _ in range(CHANGES):
         _, operation, _, _ = await agents.apply()
-        await agents.closed(operation)
-    await asyncio.sleep(QUIET_S)
+        await agents.wait_until_closed(operation)
+    await asyncio.sleep(SETTLE_S)
     took_s = asyncio.get_running_loop().time() - began_s
     return [max(0.0, process_cpu_s(p.pid) - was - rest / 100 * took_s) / CHANGES * 1e6
             for p, was, rest in zip(with_agent, before, rests, strict=True)]
--- a/ironscale/scale/operator.py
+++ b/ironscale/scale/operator.py
@@ -1,4 +1,4 @@
-"""What operators' commands take: listing and inspecting instances, and a release in ten waves."""
+"""Measures how long operators' commands take: listing and inspecting instances, and a release in ten waves."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import random
 import time
 
-from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.run import Scene
+from ironscale.scale.agents import AgentProcesses, ResourceUsage
+from ironscale.scale.run import RunContext
 
-ROLE, X = "operator", "instances"
+ROLE, X_AXIS = "operator", "instances"
 WAVES = 10
-INSPECTED = 50
+INSPECTED_INSTANCES = 50
 UNITS = {"operator.list_s": "s", "operator.inspect_ms": "ms", "operator.release_s": "s",
          "operator.release.cpu_ms": "ms"}
 NOTES = {"operator.list_s": "all instances with their reports, in pages of 250",
@@ -24,40 +24,40 @@
 INSPECT = "query($n: String!) { instance(name: $n) { inspect { upstreams { name } } } }"
 
 
-async def measure(scene: Scene) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
-    for count in scene.size.play.sizes:
-        scene.progress(f"operator: {count} hollow instances")
-        async with scene.fleet(count) as (agents, _):
-            for name, values in (await one(agents, count, scene.size.play.repeats)).items():
-                found[name][count] = values
-    for name, points in found.items():
-        scene.add_slope(name, ROLE, X, UNITS[name], points, NOTES[name])
+async def measure(context: RunContext) -> None:
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    for count in context.size.play.sizes:
+        context.progress(f"operator: {count} simulated instances")
+        async with context.running_fleet(count) as (agents, _):
+            for name, values in (await measure_fleet(agents, count, context.size.play.repeats)).items():
+                results[name][count] = values
+    for name, points in results.items():
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES[name])
 
 
-async def one(agents: Agents, count: int, repeats: int) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {name: [] for name in UNITS}
-    await agents.apply()  # so that a generation is there
-    names = await listed(agents)
+async def measure_fleet(agents: AgentProcesses, count: int, repeats: int) -> dict[str, list[float]]:
+    results: dict[str, list[float]] = {name: [] for name in UNITS}
+    await agents.apply()  # creates the first generation
+    names = await list_instances(agents)
     for turn in range(repeats):
         start_s = time.monotonic()
-        names = await listed(agents)
-        found["operator.list_s"].append(time.monotonic() - start_s)
-        some = random.Random(turn).sample(names, min(INSPECTED, count))
+        names = await list_instances(agents)
+        results["operator.list_s"].append(time.monotonic() - start_s)
+        sample = random.Random(turn).sample(names, min(INSPECTED_INSTANCES, count))
         start_s = time.monotonic()
-        for name in some:
+        for name in sample:
             await agents.call(INSPECT, n=name)
-        found["operator.inspect_ms"].append((time.monotonic() - start_s) / len(some) * 1000)
+        results["operator.inspect_ms"].append((time.monotonic() - start_s) / len(sample) * 1000)
     for _ in range(min(2, repeats)):
-        spent = Spent.of(agents.pid())
-        _, operation, asked_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
-        found["operator.release_s"].append(await agents.closed(operation) - asked_s)
-        found["operator.release.cpu_ms"].append((Spent.of(agents.pid()).cpu_s - spent.cpu_s) * 1000)
+        spent = ResourceUsage.of_process(agents.pid())
+        _, operation, requested_s, _ = await agents.apply(policy={"wave": max(1, -(-count // WAVES))})
+        results["operator.release_s"].append(await agents.wait_until_closed(operation) - requested_s)
+        results["operator.release.cpu_ms"].append((ResourceUsage.of_process(agents.pid()).cpu_s - spent.cpu_s) * 1000)
         await asyncio.sleep(0.5)
-    return found
+    return results
 
 
-async def listed(agents: Agents) -> list[str]:
+async def list_instances(agents: AgentProcesses) -> list[str]:
     names: list[str] = []
     after = None
     while True:
--- a/ironscale/scale/run.py
+++ b/ironscale/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run: bounds, the pieces that were asked for, and the result that they are merged into."""
+"""Runs the selected measurements within the limits of the machine, and merges their results into the result file."""
 
 from __future__ import annotations
 
@@ -17,84 +17,88 @@
 
 import httpx
 
-from ironscale.scale.agents import Agents, AgentsError
-from ironscale.scale.bounds import Bounds, Crew, Plan, machine
+from ironscale.scale.agents import AgentProcesses, AgentsError
+from ironscale.scale.bounds import ChildProcesses, Plan, ResourceLimits, read_machine
 from ironscale.scale.fit import FitError
-from ironscale.scale.real_sidecars import Reals, RealsError
-from ironscale.scale.result import Reading, Result, slope
-from ironscale.scale.simulated_instances import HollowError, Hollows
+from ironscale.scale.real_sidecars import RealSidecars, RealSidecarsError
+from ironscale.scale.result import Reading, Result, build_slope
+from ironscale.scale.simulated_instances import SimulatedInstances, SimulatedInstancesError
 from ironscale.scale.size import Size
 
-# Each is a module of this package with `async def measure(scene)`; the order is that of a whole run.
-PIECES = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
+# Each is a module of this package with `async def measure(context)`. A full run measures in this order.
+MEASUREMENTS = ("control", "agent", "takeover", "cut", "versions", "record", "operator", "path", "chain", "discovery")
 
 
 class RunError(Exception):
-    """A run that could not be done; the text is one line."""
+    """A run that failed or was stopped; the message is a single line."""
 
 
 @dataclass(slots=True)
-class Scene:
-    """What a piece has at hand: the size, a folder of its own, what it starts, and where its figures go."""
+class RunContext:
+    """The context of one measurement: the size, a temporary folder, the started processes and the result."""
 
     size: Size
     folder: Path
-    crew: Crew
-    bounds: Bounds
+    children: ChildProcesses
+    limits: ResourceLimits
     result: Result
     progress: Callable[[str], None]
 
-    def add_slope(self, name: str, role: str, x: str, unit: str, points: Mapping[int, Iterable[float]],
+    def add_slope(self, name: str, role: str, x_axis: str, unit: str, points: Mapping[int, Iterable[float]],
                   note: str = "") -> None:
-        """Points by size, a list of repeats each. Raises FitError under three sizes."""
-        found = slope(name, role, x, unit, {float(size): values for size, values in points.items()}, now(), note)
-        self.result.add(found)
-        self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in found.points)
-                      + f" {unit}; {found.fit.verdict}")
+        """Adds a slope; `points` holds the repetitions by size. Raises FitError for fewer than three sizes."""
+        added = build_slope(
+            name, role, x_axis, unit, {float(size): values for size, values in points.items()}, utc_now(), note
+        )
+        self.result.add(added)
+        self.progress(f"{name}: " + ", ".join(f"{p.value:.4g} at {p.size:g}" for p in added.points)
+                      + f" {unit}; {added.fit.verdict}")
 
     def add_reading(self, name: str, role: str, unit: str, repeats: Iterable[float], note: str = "") -> None:
-        found = Reading(name, role, unit, tuple(float(v) for v in repeats), now(), note)
-        self.result.add(found)
-        self.progress(f"{name}: {found.value:.4g} {unit}")
+        added = Reading(name, role, unit, tuple(float(v) for v in repeats), utc_now(), note)
+        self.result.add(added)
+        self.progress(f"{name}: {added.value:.4g} {unit}")
 
-    def check(self, hollow: int, agents: int, real: int = 0, others: int = 0) -> None:
-        """Raises BoundsError where starting so many would take too much."""
-        self.bounds.check(Plan(hollow, self.size.play.hollow_each, agents, real, others))
+    def check_limits(self, simulated: int, agents: int, real_count: int = 0, other_processes: int = 0) -> None:
+        """Raises ResourceLimitError if starting this many would exceed the limits."""
+        self.limits.check(Plan(simulated, self.size.play.hollow_each, agents, real_count, other_processes))
 
     @asynccontextmanager
-    async def fleet(self, count: int, agents: int = 1, term_s: float | None = None, real: int = 0,
-                    follows: bool = False) -> AsyncIterator[tuple[Agents, Hollows]]:
-        """So many hollow instances at one agent or several, and so many real ones, all seen ready; ended with the
-        block. `follows`: the hollow ones also follow published versions, at all agents."""
-        self.check(count, agents, real)
+    async def running_fleet(self, count: int, agent_count: int = 1, term_s: float | None = None, real: int = 0,
+                    follow_versions: bool = False) -> AsyncIterator[tuple[AgentProcesses, SimulatedInstances]]:
+        """Starts agents, `count` simulated instances and `real` real ones, waits until all are ready, and ends them
+        with the block. With `follow_versions` the simulated instances also follow published versions, at all agents."""
+        self.check_limits(count, agent_count, real)
         play = self.size.play
         folder = Path(tempfile.mkdtemp(prefix="fleet-", dir=self.folder))
-        hollows = Hollows(self.crew, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log")
-        found = Agents(self.crew, folder, agents, play, term_s)
+        instances = SimulatedInstances(
+            self.children, play.hollow_each, self.size.fleet.zones, play.seed, folder / "hollow.log"
+        )
+        running_agents = AgentProcesses(self.children, folder, agent_count, play, term_s)
         try:
-            await found.start()
-            await hollows.start(count, found.addresses, found.token_file,
-                                versions=found.addresses if follows else ())
-            async with Reals.among(self.crew, folder, real) as reals:
-                await reals.start(real, found.addresses, found.token_file)
-                await found.until_ready(count + real)
-                yield found, hollows
+            await running_agents.start()
+            await instances.start(count, running_agents.addresses, running_agents.token_file,
+                                versions=running_agents.addresses if follow_versions else ())
+            async with RealSidecars.running(self.children, folder, real) as sidecars:
+                await sidecars.start(real, running_agents.addresses, running_agents.token_file)
+                await running_agents.wait_until_ready(count + real)
+                yield running_agents, instances
         finally:
-            await hollows.end()
-            await found.close()
+            await instances.end()
+            await running_agents.close()
             shutil.rmtree(folder, ignore_errors=True)
 
 
-Measure = Callable[[Scene], Awaitable[None]]
+Measure = Callable[[RunContext], Awaitable[None]]
 
 
-def now() -> str:
+def utc_now() -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
 
 
-def machine_facts() -> dict[str, Any]:
-    found = machine()
-    return {"cores": found.cores, "memory_mb": round(found.memory_mb), "available_mb": round(found.available_mb),
+def describe_machine() -> dict[str, Any]:
+    machine = read_machine()
+    return {"cores": machine.cores, "memory_mb": round(machine.memory_mb), "available_mb": round(machine.available_mb),
             "python": platform.python_version(), "system": f"{platform.system()} {platform.release()}"}
 
 
@@ -102,27 +106,32 @@
     return replace(size, play=replace(size.play, sizes=sizes))
 
 
-async def run(size: Size, pieces: Sequence[str], result: Result, progress: Callable[[str], None],
+async def run(size: Size, names: Sequence[str], result: Result, progress: Callable[[str], None],
               write: Callable[[Result], None]) -> None:
-    """The pieces of that name, in turns. As `run_with`."""
-    found = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in pieces}
-    await run_with(size, found, result, progress, write)
-
-
-async def run_with(size: Size, pieces: Mapping[str, Measure], result: Result, progress: Callable[[str], None],
-                   write: Callable[[Result], None]) -> None:
-    """The pieces in turns; `write` is called after each. Ctrl-C and SIGTERM end it, and all that it started. Raises
-    RunError, BoundsError."""
-    bounds = Bounds(size.play.most_processes, size.play.most_memory_share)
-    bounds.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
-    crew = Crew(bounds)
+    """Runs the measurements with these names, one after another, as `run_measurements` does."""
+    measurements = {piece: importlib.import_module(f"ironscale.scale.{piece}").measure for piece in names}
+    await run_measurements(size, measurements, result, progress, write)
+
+
+async def run_measurements(
+    size: Size,
+    measurements: Mapping[str, Measure],
+    result: Result,
+    progress: Callable[[str], None],
+    write: Callable[[Result], None],
+) -> None:
+    """Runs the measurements one after another and calls `write` after each. Ctrl-C and SIGTERM end the run and all
+    processes it started. Raises RunError, ResourceLimitError."""
+    limits = ResourceLimits(size.play.most_processes, size.play.most_memory_share)
+    limits.check(Plan(max(size.play.sizes), size.play.hollow_each, size.play.agents, size.play.real))
+    children = ChildProcesses(limits)
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     stopped = False
 
     def stop() -> None:
         nonlocal stopped
-        if not stopped:  # the second one must not break off what ends the processes
+        if not stopped:  # a second signal must not interrupt the termination of the processes
             stopped = True
             task.cancel()
 
@@ -130,28 +139,28 @@
         loop.add_signal_handler(number, stop)
     folder = Path(tempfile.mkdtemp(prefix="ironscale-scale-"))
     try:
-        for piece, measure in pieces.items():
-            progress(f"== {piece}")
-            await watched(crew, measure(Scene(size, folder, crew, bounds, result, progress)))
+        for name, measure in measurements.items():
+            progress(f"== {name}")
+            await run_with_watchdog(children, measure(RunContext(size, folder, children, limits, result, progress)))
             write(result)
     except asyncio.CancelledError:
         if not stopped:
             raise
         raise RunError("stopped") from None
-    except (AgentsError, HollowError, RealsError, FitError, OSError, httpx.HTTPError) as error:
-        raise RunError(f"{piece}: {error}") from error
+    except (AgentsError, SimulatedInstancesError, RealSidecarsError, FitError, OSError, httpx.HTTPError) as error:
+        raise RunError(f"{name}: {error}") from error
     finally:
-        crew.end()
+        children.end()
         shutil.rmtree(folder, ignore_errors=True)
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.remove_signal_handler(number)
-            if stopped:  # this process ends: the second one, come late, must not spoil how
+            if stopped:  # this process is exiting: a late second signal must not change its exit status
                 signal.signal(number, signal.SIG_IGN)
 
 
-async def watched(crew: Crew, work: Awaitable[None]) -> None:
-    """Under the watchdog: the run ends with the first of the two that fails."""
-    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(crew.watch())}
+async def run_with_watchdog(children: ChildProcesses, work: Awaitable[None]) -> None:
+    """Awaits `work` while the watchdog checks the memory; raises what the first of the two to fail raises."""
+    tasks = {asyncio.ensure_future(work), asyncio.ensure_future(children.watch_memory())}
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
--- a/ironscale/scale/size.py
+++ b/ironscale/scale/size.py
@@ -1,4 +1,4 @@
-"""The size that a system is heading for, and how a scale run plays it: one checked TOML file."""
+"""The size file: the planned size of the fleet and how a scale run simulates it, as validated TOML."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class SizeError(TableError):
-    """A size file that can't be used; the text is one line."""
+    """A size file that can't be used; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many there are, and what they carry."""
+    """The size of the fleet, and its load."""
 
     upstreams: int
     sidecars: int
@@ -24,19 +24,21 @@
     regions: int
     zones: int
     calls_per_s: float
-    depth: int  # calls below one another, at most
+    depth: int  # longest chain of nested calls
 
 
 @dataclass(frozen=True, slots=True)
 class Promises:
-    added_p99_ms: float  # to a call, for 99 in 100
+    """The limits that the fleet has to keep at this size."""
+
+    added_p99_ms: float  # 99th percentile of the latency added to a call
     changes_per_day: float
-    force_s: float  # from a change's commit until it is in force everywhere
+    force_s: float  # from the commit of a change until all instances apply it
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one sidecar may spend on control, and the machines that are set aside for it."""
+    """Resources that one sidecar may use for the control channel, and the machines reserved for control."""
 
     cpu_percent: float  # of a core
     memory_mb: float
@@ -46,30 +48,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Failures:
-    """Those of an ordinary day, and the rarer ones."""
+    """Rates of common failures per day, and mean days between rare ones."""
 
     machines_per_day: float
     replaced_per_day: float
     rack_each_days: float
     zone_each_days: float
-    link_cut_s: float  # how long two regions lose each other
+    link_cut_s: float  # how long two regions can't reach each other
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """What a scale run starts, and what it may take of this machine."""
-
-    sizes: tuple[int, ...]  # hollow instances
-    lists: tuple[int, ...]  # upstreams in a sidecar's list
-    real: int  # sidecars with a data path, beside the largest
-    agents: int  # one leads, the others stand by
-    hollow_each: int  # hollow instances that share a process
-    repeats: int  # of each measurement
+    """What a scale run starts, and how much of this machine it may use."""
+
+    sizes: tuple[int, ...]  # numbers of simulated instances
+    lists: tuple[int, ...]  # numbers of upstreams in a sidecar's list
+    real: int  # real sidecars, included at the largest size
+    agents: int  # one leader, the others are standbys
+    hollow_each: int  # simulated instances per process
+    repeats: int  # repetitions of each measurement
     heartbeat_s: float
-    lease_s: float  # of an instance
-    term_s: float  # of the agent that leads
+    lease_s: float  # an instance's lease
+    term_s: float  # the leading agent's term
     most_processes: int
-    most_memory_share: float  # of the machine's
+    most_memory_share: float  # of the machine's memory
     seed: int
 
 
@@ -84,86 +86,91 @@
 
     @property
     def digest(self) -> str:
-        """Of all that a figure depends on: a result belongs to it. How much is started and how often is not in it."""
+        """A hash of all settings that influence a measured value; a result file names it. The numbers of instances and
+        repetitions are left out."""
         play = self.play
-        what = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
-        return hashlib.sha256(repr(what).encode()).hexdigest()[:16]
+        relevant = (self.fleet, self.promises, self.budget, self.failures, play.heartbeat_s, play.lease_s, play.term_s)
+        return hashlib.sha256(repr(relevant).encode()).hexdigest()[:16]
 
-    def figure(self, key: str) -> float:
-        """By its path in the file, as `fleet.sidecars`. Raises KeyError."""
+    def value(self, key: str) -> float:
+        """The value at a dotted path in the file, such as `fleet.sidecars`. Raises KeyError."""
         section, _, name = key.partition(".")
         if section not in ("fleet", "promises", "budget", "failures"):
             raise KeyError(key)
-        part: Any = getattr(self, section)
-        if name not in part.__slots__:
+        section_values: Any = getattr(self, section)
+        if name not in section_values.__slots__:
             raise KeyError(key)
-        return float(getattr(part, name))
+        return float(getattr(section_values, name))
 
     @property
-    def calls_each(self) -> float:
-        """Calls a second through one sidecar."""
+    def calls_per_s_each(self) -> float:
+        """Calls per second through one sidecar."""
         return self.fleet.calls_per_s / self.fleet.sidecars
 
 
-def _whole_numbers(table: Table, key: str, least: int, most: int, count: tuple[int, int],
+def _whole_numbers(table: Table, key: str, minimum: int, maximum: int, length_range: tuple[int, int],
                    default: tuple[int, ...]) -> tuple[int, ...]:
     def read(value: Any) -> tuple[int, ...] | None:
-        if not isinstance(value, list) or not count[0] <= len(value) <= count[1]:
+        if not isinstance(value, list) or not length_range[0] <= len(value) <= length_range[1]:
             return None
-        right = all(type(entry) is int and least <= entry <= most for entry in value)
-        return tuple(value) if right and sorted(set(value)) == value else None
-
-    return table.get(key, f"a list of {count[0]} to {count[1]} rising whole numbers from {least} to {most}", read,
-                     default)
+        valid = all(type(entry) is int and minimum <= entry <= maximum for entry in value)
+        return tuple(value) if valid and sorted(set(value)) == value else None
+
+    return table.get(
+        key,
+        f"a list of {length_range[0]} to {length_range[1]} rising whole numbers from {minimum} to {maximum}",
+        read,
+        default,
+    )
 
 
-def _section(root: Table, key: str) -> Table:
-    found = root.table(key)
-    if found is None:
+def _required_table(root: Table, key: str) -> Table:
+    table = root.table(key)
+    if table is None:
         raise root.error_for(key, f"a table [{key}]")
-    return found
+    return table
 
 
-def _fleet(table: Table) -> Fleet:
+def _read_fleet(table: Table) -> Fleet:
     upstreams = table.integer("upstreams", 1, 1_000_000)
-    found = Fleet(
+    fleet = Fleet(
         upstreams, table.integer("sidecars", 1, 1_000_000, upstreams), table.integer("services", 1, 100_000),
         table.integer("regions", 1, 100), table.integer("zones", 1, 1_000), table.number("calls_per_s", 1, 1e9),
         table.integer("depth", 1, 100),
     )
-    if found.zones < found.regions:
-        raise table.error_for("zones", f"a zone in each of {found.regions} regions at least")
-    if found.services > upstreams:
+    if fleet.zones < fleet.regions:
+        raise table.error_for("zones", f"a zone in each of {fleet.regions} regions at least")
+    if fleet.services > upstreams:
         raise table.error_for("services", f"an upstream ({upstreams}) for each at least")
-    return found
+    return fleet
 
 
-def _play(table: Table) -> Play:
-    beat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
-    found = Play(
-        # a line through two points says nothing of its scatter
+def _read_play(table: Table) -> Play:
+    heartbeat_s = table.seconds("heartbeat_s", 0.05, 60, 2.0)
+    play = Play(
+        # two points would always lie on the line, so the scatter would be unknown
         _whole_numbers(table, "sizes", 1, 20_000, (3, 10), (250, 750, 2300)),
         _whole_numbers(table, "lists", 1, 20_000, (3, 10), (10, 100, 2300)),
         table.integer("real", 0, 200, 30), table.integer("agents", 1, 8, 3),
         table.integer("hollow_each", 1, 2_000, 400),
-        table.integer("repeats", 1, 20, 3), beat_s, table.seconds("lease_s", 0.1, 600, 6.0),
+        table.integer("repeats", 1, 20, 3), heartbeat_s, table.seconds("lease_s", 0.1, 600, 6.0),
         table.seconds("term_s", 0.5, 60, 10.0), table.integer("most_processes", 4, 300, 300),
         table.number("most_memory_share", 0.01, 0.5, 0.5), table.integer("seed", 0, 2**32, 1),
     )
-    if found.lease_s < 2 * beat_s:
-        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * beat_s:g}) or more")
-    return found
+    if play.lease_s < 2 * heartbeat_s:
+        raise table.error_for("lease_s", f"seconds of two heartbeats ({2 * heartbeat_s:g}) or more")
+    return play
 
 
 def parse(text: str, file: str) -> Size:
-    """Checks the whole file. Raises SizeError."""
+    """Parses and validates a size file. Raises SizeError."""
     root = read_toml(text, file, Path("."), SizeError)
     title = root.string("title")
     names = ("fleet", "promises", "budget", "failures")
-    fleet, promises, budget, failures = (_section(root, name) for name in names)
+    fleet, promises, budget, failures = (_required_table(root, name) for name in names)
     play = root.table("play") or Table(file, "play", {}, Path("."), SizeError)
-    found = Size(
-        title, _fleet(fleet),
+    size = Size(
+        title, _read_fleet(fleet),
         Promises(promises.number("added_p99_ms", 0.001, 10_000), promises.number("changes_per_day", 0, 1e7),
                  promises.seconds("force_s", 0.1, 86_400)),
         Budget(budget.number("cpu_percent", 0.001, 100), budget.number("memory_mb", 1, 1e6),
@@ -171,11 +178,11 @@
         Failures(failures.number("machines_per_day", 0, 1e6), failures.number("replaced_per_day", 0, 1e7),
                  failures.number("rack_each_days", 0.1, 1e5), failures.number("zone_each_days", 0.1, 1e5),
                  failures.seconds("link_cut_s", 0, 1e7)),
-        _play(play),
+        _read_play(play),
     )
     for table in (fleet, promises, budget, failures, play, root):
         table.reject_unknown_keys()
-    return found
+    return size
 
 
 def load(path: Path) -> Size:
--- a/ironscale/scale/versions.py
+++ b/ironscale/scale/versions.py
@@ -1,17 +1,18 @@
-"""Published versions beside operations: a change until the last instance, whoever is lost; its cost to the record."""
+"""Measures published versions: the time until every instance has one, also when agents are lost, and the cost to the
+database."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-from ironscale.scale.agents import Agents, Spent
-from ironscale.scale.run import Scene
-from ironscale.scale.simulated_instances import Hollows
+from ironscale.scale.agents import AgentProcesses, ResourceUsage
+from ironscale.scale.run import RunContext
+from ironscale.scale.simulated_instances import SimulatedInstances
 from ironscale.stage.relay import Relay
 
-ROLE, X = "published versions", "instances"
-CHANGES, BEFORE_LINK_S = 5, 3.0
+ROLE, X_AXIS = "published versions", "instances"
+MEASURED_CHANGES, PUBLISH_BEFORE_RESTORE_S = 5, 3.0
 UNITS = {
     "versions.change.told_s": "s", "versions.change.p50_s": "s", "versions.change.p99_s": "s",
     "versions.change.last_s": "s", "versions.change.leader_cpu_ms": "ms", "versions.change.follower_cpu_ms": "ms",
@@ -29,94 +30,109 @@
 }
 
 
-def at(times: list[float], share: float, from_s: float) -> float:
-    return times[min(len(times) - 1, int(share * len(times)))] - from_s
+def latency_at(moments: list[float], share: float, from_s: float) -> float:
+    return moments[min(len(moments) - 1, int(share * len(moments)))] - from_s
 
 
-async def measure(scene: Scene) -> None:
-    found: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
-    for count in scene.size.play.sizes:
-        scene.progress(f"versions: {count} hollow instances that follow, {scene.size.play.agents} agents")
-        async with scene.fleet(count, scene.size.play.agents, follows=True) as (agents, hollows):
-            for name, values in (await one(agents, hollows)).items():
-                found[name][count] = values
-    for name, points in found.items():
-        scene.add_slope(name, ROLE, X, UNITS[name], points, NOTES.get(name, ""))
-    await cut(scene)
+async def measure(context: RunContext) -> None:
+    results: dict[str, dict[int, list[float]]] = {name: {} for name in UNITS}
+    for count in context.size.play.sizes:
+        context.progress(f"versions: {count} simulated followers, {context.size.play.agents} agents")
+        async with context.running_fleet(count, context.size.play.agents, follow_versions=True) as (agents, instances):
+            for name, values in (await measure_fleet(agents, instances)).items():
+                results[name][count] = values
+    for name, points in results.items():
+        context.add_slope(name, ROLE, X_AXIS, UNITS[name], points, NOTES.get(name, ""))
+    await measure_region_cut(context)
 
 
-async def one(agents: Agents, hollows: Hollows) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {name: [] for name in UNITS}
+async def measure_fleet(agents: AgentProcesses, instances: SimulatedInstances) -> dict[str, list[float]]:
+    results: dict[str, list[float]] = {name: [] for name in UNITS}
     number, _, _ = await agents.publish()
-    await agents.held(hollows, number)
-    for _ in range(CHANGES):
-        before, leads, follows = agents.record_state(), Spent.of(agents.pid(0)), Spent.of(agents.pid(1))
-        number, asked_s, told_s = await agents.publish()
-        times = await agents.held(hollows, number)
-        state = agents.record_state()
-        found["versions.change.told_s"].append(told_s - asked_s)
+    await agents.wait_until_held(instances, number)
+    for _ in range(MEASURED_CHANGES):
+        before, leader_before, follower_before = (
+            agents.database_state(),
+            ResourceUsage.of_process(agents.pid(0)),
+            ResourceUsage.of_process(agents.pid(1)),
+        )
+        number, requested_s, committed_s = await agents.publish()
+        times = await agents.wait_until_held(instances, number)
+        state = agents.database_state()
+        results["versions.change.told_s"].append(committed_s - requested_s)
         for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-            found[f"versions.change.{name}_s"].append(at(times, share, asked_s))
-        found["versions.change.leader_cpu_ms"].append((Spent.of(agents.pid(0)).cpu_s - leads.cpu_s) * 1000)
-        found["versions.change.follower_cpu_ms"].append((Spent.of(agents.pid(1)).cpu_s - follows.cpu_s) * 1000)
-        found["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
-        found["versions.change.record_rows"].append(sum(
+            results[f"versions.change.{name}_s"].append(latency_at(times, share, requested_s))
+        results["versions.change.leader_cpu_ms"].append(
+            (ResourceUsage.of_process(agents.pid(0)).cpu_s - leader_before.cpu_s) * 1000
+        )
+        results["versions.change.follower_cpu_ms"].append(
+            (ResourceUsage.of_process(agents.pid(1)).cpu_s - follower_before.cpu_s) * 1000
+        )
+        results["versions.change.record_bytes"].append(state["bytes"] - before["bytes"])
+        results["versions.change.record_rows"].append(sum(
             state[t] - before[t] for t in ("versions", "targets", "operations", "configurations", "audit",
                                            "mutations")))
-    number, _, told_s = await agents.publish()
-    killed_s = lost(agents, 0)
-    agents.turn = 1
+    number, _, committed_s = await agents.publish()
+    killed_s = kill_and_remove_snapshot(agents, 0)
+    agents.next_agent = 1
     waiting = asyncio.ensure_future(agents.publish())
-    times = await agents.held(hollows, number)
-    found["versions.killed.p99_s"].append(at(times, 0.99, told_s))
-    found["versions.killed.last_s"].append(at(times, 1.0, told_s))
-    number, _, told_s = await waiting
-    times = await agents.held(hollows, number)
-    found["versions.takeover.last_from_kill_s"].append(at(times, 1.0, killed_s))
-    found["versions.takeover.last_s"].append(at(times, 1.0, told_s))
-    lost(agents, agents.turn)
-    agents.turn = next(n for n in range(agents.count) if agents.running[n] is not None)
-    number, _, told_s = await agents.publish()
-    times = await agents.held(hollows, number)
-    found["versions.one_left.last_s"].append(at(times, 1.0, told_s))
-    found["versions.one_left.p99_s"].append(at(times, 0.99, told_s))
-    return found
+    times = await agents.wait_until_held(instances, number)
+    results["versions.killed.p99_s"].append(latency_at(times, 0.99, committed_s))
+    results["versions.killed.last_s"].append(latency_at(times, 1.0, committed_s))
+    number, _, committed_s = await waiting
+    times = await agents.wait_until_held(instances, number)
+    results["versions.takeover.last_from_kill_s"].append(latency_at(times, 1.0, killed_s))
+    results["versions.takeover.last_s"].append(latency_at(times, 1.0, committed_s))
+    kill_and_remove_snapshot(agents, agents.next_agent)
+    agents.next_agent = next(n for n in range(agents.count) if agents.running[n] is not None)
+    number, _, committed_s = await agents.publish()
+    times = await agents.wait_until_held(instances, number)
+    results["versions.one_left.last_s"].append(latency_at(times, 1.0, committed_s))
+    results["versions.one_left.p99_s"].append(latency_at(times, 0.99, committed_s))
+    return results
 
 
-def lost(agents: Agents, number: int) -> float:
-    """An agent, and what it had on disk of the versions."""
+def kill_and_remove_snapshot(agents: AgentProcesses, number: int) -> float:
+    """Kills an agent and removes its snapshot of the versions from disk. Returns the moment of the kill."""
     at_s = agents.kill(number)
     (agents.folder / f"agent-{number}" / "versions.snapshot").unlink(missing_ok=True)
     return at_s
 
 
-async def cut(scene: Scene) -> None:
-    """A region of instances that no agent can be reached from, as `cut` does it for operations."""
-    size = scene.size
+async def measure_region_cut(context: RunContext) -> None:
+    """Cuts a region off from all agents; `ironscale.scale.cut` measures the same for operations."""
+    size = context.size
     count = size.play.sizes[-1]
-    away, for_s = count // size.fleet.regions, 20.0
-    scene.progress(f"versions: {away} of {count} cut for {for_s:g} s")
-    async with scene.fleet(count - away, 1, follows=True) as (agents, hollows):
+    cut_count, for_s = count // size.fleet.regions, 20.0
+    context.progress(f"versions: {cut_count} of {count} cut for {for_s:g} s")
+    async with context.running_fleet(count - cut_count, 1, follow_versions=True) as (agents, instances):
         relay = await Relay(agents.addresses[0]).start()
-        near = len(hollows.herders)
+        near_processes = len(instances.instance_processes)
         try:
-            behind = [("127.0.0.1", relay.port)]
-            await hollows.start(away, behind, agents.token_file, versions=behind)
+            through_relay = [("127.0.0.1", relay.port)]
+            await instances.start(cut_count, through_relay, agents.token_file, versions=through_relay)
             number, _, _ = await agents.publish()
-            await agents.held(hollows, number)
+            await agents.wait_until_held(instances, number)
             relay.cut()
-            await asyncio.sleep(for_s - BEFORE_LINK_S)
-            number, _, told_s = await agents.publish()
-            await asyncio.sleep(BEFORE_LINK_S)
+            await asyncio.sleep(for_s - PUBLISH_BEFORE_RESTORE_S)
+            number, _, committed_s = await agents.publish()
+            await asyncio.sleep(PUBLISH_BEFORE_RESTORE_S)
             relay.mend()
-            mended_s = time.monotonic()
-            await agents.held(hollows, number)
-            parts = [list((await herder.ask(ask="held", generation=number))["at"]) for herder in hollows.herders]
-            others, far = (sorted(sum(some, [])) for some in (parts[:near], parts[near:]))
+            restored_s = time.monotonic()
+            await agents.wait_until_held(instances, number)
+            parts = [
+                list((await process.ask(ask="held", generation=number))["at"])
+                for process in instances.instance_processes
+            ]
+            others, cut_off = (sorted(sum(some, [])) for some in (parts[:near_processes], parts[near_processes:]))
         finally:
             relay.close()
-    note = f"{away} of {count} cut for {for_s:g} s, a version {BEFORE_LINK_S:g} s before the link was back"
-    scene.add_reading("versions.cut.others_last_s", ROLE, "s", [at(others, 1.0, told_s)], f"{note}; those not cut")
+    note = (
+        f"{cut_count} of {count} cut for {for_s:g} s, a version {PUBLISH_BEFORE_RESTORE_S:g} s before the link was back"
+    )
+    context.add_reading(
+        "versions.cut.others_last_s", ROLE, "s", [latency_at(others, 1.0, committed_s)], f"{note}; those not cut"
+    )
     for name, share in (("p50", 0.5), ("p99", 0.99), ("last", 1.0)):
-        scene.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [at(far, share, mended_s)],
+        context.add_reading(f"versions.cut.region_{name}_s", ROLE, "s", [latency_at(cut_off, share, restored_s)],
                           f"{note}; from the link's return")
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds: nothing begins beyond them, the watchdog ends what grows past them, and nothing is left behind."""
+"""Resource limits: a plan beyond them is refused, the watchdog ends a run that exceeds them, and no process remains."""
 
 from __future__ import annotations
 
@@ -14,77 +14,78 @@
 import pytest
 
 from ironscale.control.processes import start_ticks
-from ironscale.scale.bounds import Bounds, BoundsError, Crew, Machine, Plan, machine
+from ironscale.scale.bounds import ChildProcesses, Machine, Plan, ResourceLimitError, ResourceLimits, read_machine
 
-HERE = Machine(8, 24_000, 16_000)
+LARGE_MACHINE = Machine(8, 24_000, 16_000)
 SLEEPER = "tests.scale.sleeper"
 
 
 @pytest.mark.parametrize(("plan", "found", "line"), [
-    (Plan(100_000, 300, 1), HERE, "processes: expected 300 at most, got 335 to start"),
-    (Plan(2300, 400, 3, 290), HERE, "processes: expected 300 at most, got 299|processes"),
+    (Plan(100_000, 300, 1), LARGE_MACHINE, "processes: expected 300 at most, got 335 to start"),
+    (Plan(2300, 400, 3, 290), LARGE_MACHINE, "processes: expected 300 at most, got 299|processes"),
     (Plan(2300, 400, 3, 30), Machine(8, 24_000, 1_000), r"memory: expected 1,000 MB at most \(1,000 MB available"),
     (Plan(2300, 400, 3, 30), Machine(8, 3_000, 2_900), "memory: expected 1,500 MB at most"),
     (Plan(10**8, 10**6, 1), Machine(8, 1e9, 1e9), "descriptors: expected .* at most"),
 ])
-def test_beyond_the_bounds_nothing_begins(plan: Plan, found: Machine, line: str) -> None:
-    if "got 299" in line:  # just within
-        Bounds(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
+def test_a_plan_that_exceeds_a_limit_is_refused(plan: Plan, found: Machine, line: str) -> None:
+    if "got 299" in line:  # 299 processes are just below the limit
+        ResourceLimits(300, 0.5).check(plan, Machine(8, 48_000, 40_000))
         line, plan = "processes: expected 300 at most, got 301 to start", Plan(2300, 400, 3, 292)
-    with pytest.raises(BoundsError, match=line) as error:
-        Bounds(300, 0.5).check(plan, found)
+    with pytest.raises(ResourceLimitError, match=line) as error:
+        ResourceLimits(300, 0.5).check(plan, found)
     assert "\n" not in str(error.value)
 
 
-def test_this_machine_is_read() -> None:
-    found = machine()
+def test_the_machine_is_read_from_proc() -> None:
+    found = read_machine()
     assert found.cores >= 1 and 0 < found.available_mb <= found.memory_mb
-    assert Bounds(300, 0.5).memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
+    assert ResourceLimits(300, 0.5).max_memory_mb(found) == min(found.memory_mb / 2, found.available_mb)
 
 
-def test_the_crew_starts_no_more_than_it_may_and_ends_all(tmp_path: Path) -> None:
-    crew = Crew(Bounds(2, 0.5))
+def test_the_process_limit_holds_and_end_stops_every_process(tmp_path: Path) -> None:
+    children = ChildProcesses(ResourceLimits(2, 0.5))
     try:
-        first = crew.start("one", SLEEPER, str(tmp_path / "one"))
-        second = crew.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
-        with pytest.raises(BoundsError, match="processes: expected 2 at most, got one more: three"):
-            crew.start("three", SLEEPER, str(tmp_path / "three"))
-        wait_for(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
-        assert crew.memory_mb() > 5
+        first = children.start("one", SLEEPER, str(tmp_path / "one"))
+        second = children.start("two", SLEEPER, str(tmp_path / "two"), "deaf")
+        with pytest.raises(ResourceLimitError, match="processes: expected 2 at most, got one more: three"):
+            children.start("three", SLEEPER, str(tmp_path / "three"))
+        wait_until(lambda: (tmp_path / "one").exists() and (tmp_path / "two").exists())
+        assert children.memory_mb() > 5
     finally:
-        crew.end(within_s=0.5)
-    assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not crew.running
+        children.end(timeout_s=0.5)
+    assert first.returncode == -signal.SIGTERM and second.returncode == -signal.SIGKILL and not children.running
 
 
-def test_the_watchdog_ends_a_run_that_grows(tmp_path: Path) -> None:
-    from ironscale.scale.run import watched
+def test_the_watchdog_ends_a_run_that_uses_too_much_memory(tmp_path: Path) -> None:
+    from ironscale.scale.run import run_with_watchdog
 
-    crew = Crew(Bounds(4, 0.0001))  # 2.4 MB of 24 GB: what Python takes is more
+    children = ChildProcesses(ResourceLimits(4, 0.0001))  # 2.4 MB of 24 GB: less than Python needs
 
     async def work() -> None:
-        crew.start("one", SLEEPER, str(tmp_path / "one"))
+        children.start("one", SLEEPER, str(tmp_path / "one"))
         await asyncio.Event().wait()
 
     try:
-        with pytest.raises(BoundsError, match="memory: expected .* MB at most, the run took .* MB and was ended"):
-            asyncio.run(asyncio.wait_for(watched(crew, work()), 30))
+        with pytest.raises(ResourceLimitError,
+                           match="memory: expected .* MB at most, the run took .* MB and was ended"):
+            asyncio.run(asyncio.wait_for(run_with_watchdog(children, work()), 30))
     finally:
-        crew.end()
+        children.end()
 
 
-def wait_for(condition: object, within_s: float = 30.0) -> None:
+def wait_until(condition: object, timeout_s: float = 30.0) -> None:
     assert callable(condition)
-    until_s = time.monotonic() + within_s
+    deadline_s = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < until_s, "not within its time"
+        assert time.monotonic() < deadline_s, "the condition did not hold in time"
         time.sleep(0.01)
 
 
-def children(pid: int) -> set[int]:
-    found: set[int] = set()
+def child_pids(pid: int) -> set[int]:
+    pids: set[int] = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
-        found.update(int(child) for child in task.read_text(encoding="ascii").split())
-    return found
+        pids.update(int(child) for child in task.read_text(encoding="ascii").split())
+    return pids
 
 
 SMALL = """title = "small"
@@ -122,11 +123,12 @@
 """
 
 
-def start(folder: Path, *options: str, ignoring: bool = False) -> subprocess.Popen[str]:
-    """`ignoring`: with SIGINT ignored, as a shell without job control starts what runs in the background. Hazard: a
-    test run that was begun so hands that on, and what comes before the program's first line is lost in the kernel."""
-    def handled() -> None:
-        signal.signal(signal.SIGINT, signal.SIG_IGN if ignoring else signal.SIG_DFL)
+def start_run(folder: Path, *options: str, sigint_ignored: bool = False) -> subprocess.Popen[str]:
+    """Starts `ironscale scale run`. With `sigint_ignored` it starts with SIGINT ignored, as background processes of a
+    shell without job control do. Otherwise the default action is set explicitly: a test run that ignores SIGINT itself
+    would pass that on, and the kernel would discard a SIGINT sent before the program's first line runs."""
+    def set_sigint_handler() -> None:
+        signal.signal(signal.SIGINT, signal.SIG_IGN if sigint_ignored else signal.SIG_DFL)
 
     (folder / "small.toml").write_text(SMALL, encoding="utf-8")
     (folder / "tmp").mkdir()
@@ -134,79 +136,79 @@
         [sys.executable, "-m", "ironscale.cli", "scale", "run", str(folder / "small.toml"), "--out",
          str(folder / "r.json"), *options], env={**os.environ, "TMPDIR": str(folder / "tmp")},
         stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, text=True,
-        start_new_session=True, preexec_fn=handled)
+        start_new_session=True, preexec_fn=set_sigint_handler)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 @pytest.mark.parametrize("seed", range(3))
 def test_a_signal_at_any_moment_leaves_nothing_behind(tmp_path: Path, number: signal.Signals, seed: int) -> None:
-    """At a moment drawn by the seed, from before the first process to the middle of a measurement."""
+    """The seed draws the moment, from before the first process starts to the middle of a measurement."""
     rng = random.Random(seed * 100 + number)
-    process = start(tmp_path, "--only", "agent,takeover")
+    process = start_run(tmp_path, "--only", "agent,takeover")
     try:
-        seen: dict[int, int] = {}
-        wanted = rng.randrange(0, 3)  # processes that are there when it is struck
-        until_s = time.monotonic() + 30
-        while len(children(process.pid)) < wanted and time.monotonic() < until_s:
+        children: dict[int, int] = {}
+        wanted_children = rng.randrange(0, 3)  # number of child processes when the signal is sent
+        deadline_s = time.monotonic() + 30
+        while len(child_pids(process.pid)) < wanted_children and time.monotonic() < deadline_s:
             time.sleep(0.005)
         time.sleep(rng.uniform(0, 0.4))
-        seen.update({pid: start_ticks(pid) or 0 for pid in children(process.pid)})
+        children.update({pid: start_ticks(pid) or 0 for pid in child_pids(process.pid)})
         process.send_signal(number)
         time.sleep(rng.uniform(0, 0.1))
-        process.send_signal(number)  # impatient: the second one breaks nothing off
-        _, told = process.communicate(timeout=30)
+        process.send_signal(number)  # a second signal must not interrupt the cleanup
+        _, stderr = process.communicate(timeout=30)
     finally:
         if process.poll() is None:
             process.kill()
             process.communicate()
-    for pid, ticks in seen.items():
-        assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {told}"
-    if "== agent" in told:  # before that it is Python that starts, and tells its own end
-        assert "Traceback" not in told and process.returncode == 130, f"seed {seed}: {told}"
+    for pid, ticks in children.items():
+        assert start_ticks(pid) != ticks, f"seed {seed}: process {pid} is left: {stderr}"
+    if "== agent" in stderr:  # before that Python is still starting and prints its own traceback
+        assert "Traceback" not in stderr and process.returncode == 130, f"seed {seed}: {stderr}"
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir()), f"seed {seed}"
 
 
-def test_sigint_is_heard_by_a_run_that_was_started_with_it_ignored(tmp_path: Path) -> None:
-    process = start(tmp_path, "--only", "agent", ignoring=True)
+def test_sigint_ends_a_run_that_was_started_with_sigint_ignored(tmp_path: Path) -> None:
+    process = start_run(tmp_path, "--only", "agent", sigint_ignored=True)
     try:
-        until_s = time.monotonic() + 30
-        while not children(process.pid) and time.monotonic() < until_s:
+        deadline_s = time.monotonic() + 30
+        while not child_pids(process.pid) and time.monotonic() < deadline_s:
             time.sleep(0.005)
-        assert children(process.pid)
+        assert child_pids(process.pid)
         process.send_signal(signal.SIGINT)
-        _, told = process.communicate(timeout=30)
+        _, stderr = process.communicate(timeout=30)
     finally:
         if process.poll() is None:
             process.kill()
             process.communicate()
-    assert process.returncode == 130 and "Traceback" not in told, told
+    assert process.returncode == 130 and "Traceback" not in stderr, stderr
     assert not (tmp_path / "r.json").exists() and not list((tmp_path / "tmp").iterdir())
 
 
-def test_a_small_run_ends_clean_with_its_figures(tmp_path: Path) -> None:
-    """One agent, up to 20 hollow instances and a real sidecar: a change comes to each, and the run adds by name."""
+def test_a_small_run_reaches_every_instance_and_leaves_no_process(tmp_path: Path) -> None:
+    """One agent, up to 20 simulated instances and a real sidecar: a change reaches each, and the slope is added."""
     from ironscale.scale.result import Result
-    from ironscale.scale.run import Scene, run_with
+    from ironscale.scale.run import RunContext, run_measurements
     from ironscale.scale.size import parse
 
     pids: set[int] = set()
 
-    async def measure(scene: Scene) -> None:
+    async def measure(scene: RunContext) -> None:
         rows: dict[int, list[float]] = {}
         for count in scene.size.play.sizes:
-            async with scene.fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
+            async with scene.running_fleet(count, real=1 if count == 20 else 0) as (agents, hollows):
                 change = await agents.change(hollows)
                 assert len(change.latencies_s) == count and 0 < change.latencies_s[-1] < change.closed_s
-                rows[count] = [agents.record_state()["targets"]]
+                rows[count] = [agents.database_state()["targets"]]
                 assert (await hollows.total())["welcomed"] == count
-                pids.update(scene.crew.running)
-            assert not scene.crew.running
+                pids.update(scene.children.running)
+            assert not scene.children.running
         scene.add_slope("record.change.targets", "record", "instances", "rows", rows)
 
     size = parse(SMALL, "small")
     result = Result(size.digest, {"cores": 8, "memory_mb": 1})
     written: list[int] = []
-    asyncio.run(run_with(size, {"probe": measure}, result, lambda text: None,
+    asyncio.run(run_measurements(size, {"probe": measure}, result, lambda text: None,
                          lambda found: written.append(len(found.slopes))))
     found = result.slopes["record.change.targets"]
     assert [(p.size, p.value) for p in found.points] == [(5, 5), (10, 10), (20, 21)] and written == [1]
@@ -220,7 +222,8 @@
     (("--sizes", "10,5,20"), "--sizes: expected three rising"),
     (("--sizes", "5,10,20000"), "small.toml: play: processes: expected 300 at most"),
 ])
-def test_bad_options_are_one_line_and_nothing_begins(tmp_path: Path, options: tuple[str, ...], line: str) -> None:
-    process = start(tmp_path, *options)
-    _, told = process.communicate(timeout=30)
-    assert process.returncode == 2 and line in told and told.count("\n") == 1, told
+def test_bad_options_give_a_one_line_error_and_start_nothing(
+        tmp_path: Path, options: tuple[str, ...], line: str) -> None:
+    process = start_run(tmp_path, *options)
+    _, stderr = process.communicate(timeout=30)
+    assert process.returncode == 2 and line in stderr and stderr.count("\n") == 1, stderr
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -1,4 +1,4 @@
-"""Known laws with noise: the verdict is the law, and the line gives the value at the size."""
+"""Points of known functions with noise: the verdict names the function, and the line predicts the value at a size."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_verdict_is_the_law(seed: int) -> None:
+def test_the_verdict_matches_the_generating_function(seed: int) -> None:
     rng = random.Random(seed)
     for verdict, law in LAWS:
         points = [(n, law(n) * rng.uniform(0.98, 1.02)) for n in SIZES for _ in range(3)]
@@ -42,16 +42,16 @@
 
 
 def test_noise_alone_is_flat() -> None:
-    """Repeats that differ by more than the sizes do."""
+    """Repetitions at one size differ more than the sizes do."""
     assert fit([(250, 1), (250, 9), (750, 2), (750, 8), (2300, 3), (2300, 9)]).verdict == FLAT
 
 
-def test_a_bend_that_stays_under_proportion_is_no_faster_growth() -> None:
-    """As measured once: the smallest size took longer than the next."""
+def test_steepening_below_proportional_growth_is_not_faster_growth() -> None:
+    """As measured once, when the smallest size took longer than the next one."""
     assert fit([(250, 0.27), (750, 0.23), (2300, 0.66)]).verdict == WITH_BASE
 
 
 @pytest.mark.parametrize("points", [[], [(1, 1)], [(1, 1), (2, 2), (2, 2.5)], [(1, 1), (2, 2), (3, float("nan"))]])
-def test_too_few_sizes_or_no_numbers_are_refused(points: list[tuple[float, float]]) -> None:
+def test_too_few_sizes_or_values_that_are_not_finite_are_refused(points: list[tuple[float, float]]) -> None:
     with pytest.raises(FitError):
         fit(points)
--- a/tests/scale/test_size.py
+++ b/tests/scale/test_size.py
@@ -1,4 +1,4 @@
-"""The size file: read whole, or one line and nothing begun."""
+"""The size file: it is read completely, or refused with a one-line error."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 EXAMPLE = Path("ironscale/scale/examples/coming.toml")
 
 
-def test_the_example_is_the_size_that_the_operators_named() -> None:
+def test_the_example_has_the_planned_size() -> None:
     size = load(EXAMPLE)
     keys = ("fleet.upstreams", "fleet.sidecars", "fleet.services", "fleet.calls_per_s", "fleet.depth", "fleet.regions",
             "fleet.zones", "promises.added_p99_ms", "promises.changes_per_day", "promises.force_s",
             "budget.cpu_percent", "budget.memory_mb", "budget.bytes_per_s", "budget.machines",
             "failures.machines_per_day", "failures.replaced_per_day")
-    assert [size.figure(key) for key in keys] == [
+    assert [size.value(key) for key in keys] == [
         2300, 2300, 230, 520_000, 22, 3, 12, 1.5, 5700, 12, 3.3, 64, 27_000, 10, 8, 430]
-    assert round(size.calls_each) == 226
+    assert round(size.calls_per_s_each) == 226
     with pytest.raises(KeyError):
-        size.figure("fleet.calls_each")
+        size.value("fleet.calls_per_s_each")
 
 
 @pytest.mark.parametrize(("was", "now", "line"), [
@@ -41,7 +41,7 @@
     ("force_s = 12", "force_s = nan", "promises.force_s: expected seconds"),
     ("[fleet]", "[fleet", "coming.toml: expected TOML, got"),
 ])
-def test_what_cannot_be_is_one_line(was: str, now: str, line: str) -> None:
+def test_an_invalid_size_file_gives_a_one_line_error(was: str, now: str, line: str) -> None:
     text = EXAMPLE.read_text(encoding="utf-8")
     assert was in text
     with pytest.raises(SizeError) as found:
@@ -49,7 +49,7 @@
     assert re.search(line, str(found.value)) and "\n" not in str(found.value)
 
 
-def test_the_digest_is_of_what_a_figure_depends_on() -> None:
+def test_the_digest_covers_what_influences_a_measured_value() -> None:
     text = EXAMPLE.read_text(encoding="utf-8")
 
     def digest(was: str, now: str) -> str:
