--- a/ironscale/stage/published_simulation.py
+++ b/ironscale/stage/published_simulation.py
@@ -365,7 +365,7 @@
 def planted(plant: str) -> Iterator[None]:
     """A fault in the program that no schedule can show otherwise."""
     places: tuple[Any, ...] = (state_module, told_module)
-    was = [module.effective for module in places]
+    was = [module.combine_layers for module in places]
 
     def turned(layers: Iterable[Entry]) -> dict[str, Any]:
         """The wider over the narrower."""
@@ -377,12 +377,12 @@
 
     if plant == "scope rule turned round":
         for module in places:
-            module.effective = turned
+            module.combine_layers = turned
     try:
         yield
     finally:
         for module, found in zip(places, was, strict=True):
-            module.effective = found
+            module.combine_layers = found
 
 
 def play_seed(seed: int, seconds: float = 40.0, faults: int = 8, plant: str = "") -> list[Line]:
