--- a/ironscale/agent/sql.py
+++ b/ironscale/agent/sql.py
@@ -326,7 +326,7 @@
             own, position, floor = rows[0][:3] if rows else ("", 0, 0)
             if whole or lineage == own and since >= floor:
                 break
-            whole = True  # the log was compacted since `_log` was read
+            whole = True  # the log was compacted since `_version_log` was read
         entries = tuple(self._entry(row[3:]) for row in rows if row[3] is not None)
         return Change(own, position, since, whole, floor, entries)
 
--- a/ironscale/learned/timestamps.py
+++ b/ironscale/learned/timestamps.py
@@ -1,4 +1,7 @@
-"""Timestamps that allow computing an age although the wall clock may step. Only `now` and `machine_boot` do I/O."""
+"""Timestamps that allow computing an age although the wall clock may step.
+
+Only `current_timestamp` and `machine_boot_id` do I/O.
+"""
 
 from __future__ import annotations
 
